--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -10,18 +10,18 @@
 
 	"github.com/spf13/cobra"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/fleet"
 	"valveglade/member"
 )
 
 // fleetCommand shows the view of the app server that runs here under the same operators' file.
-func fleetCommand(bylaws *string) *cobra.Command {
+func fleetCommand(settingsPath *string) *cobra.Command {
 	var asJSON bool
 	var socket string
 	c := &cobra.Command{Use: "fleet", Short: "show who is in the fleet, as the app server here sees it", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			shown, err := ask(*bylaws, socket)
+			shown, err := ask(*settingsPath, socket)
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 	// part shows one part of what is told beside the view.
 	part := func(use, short string, show func(to io.Writer, s fleet.Shown) any) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			shown, err := ask(*bylaws, socket)
+			shown, err := ask(*settingsPath, socket)
 			if err != nil {
 				return err
 			}
@@ -88,9 +88,9 @@
 }
 
 // ask finds the local socket, and reads what is told there.
-func ask(bylaws, socket string) (member.Shown, error) {
+func ask(settingsPath, socket string) (member.Shown, error) {
 	if socket == "" {
-		b, err := charter.ReadBylaws(bylaws)
+		b, err := config.ReadSettings(settingsPath)
 		if err != nil {
 			return member.Shown{}, err
 		}
--- a/cmd/valveglade/main.go
+++ b/cmd/valveglade/main.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/server"
 )
 
@@ -30,18 +30,18 @@
 
 // command is the program's command line.
 func command(reload <-chan os.Signal) *cobra.Command {
-	var bylaws string
-	serving := func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), reload, bylaws) }
+	var settingsPath string
+	serving := func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), reload, settingsPath) }
 	root := &cobra.Command{Use: "valveglade", Short: "an app server that decides admission for itself", Args: cobra.NoArgs,
 		RunE: serving, SilenceUsage: true, SilenceErrors: true}
-	root.PersistentFlags().StringVar(&bylaws, "settings", "", "the operators' own file")
+	root.PersistentFlags().StringVar(&settingsPath, "settings", "", "the operators' own file")
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "serve until SIGTERM, by the file that GW_CONFIG names", Args: cobra.NoArgs, RunE: serving},
 		&cobra.Command{Use: "check", Short: "check the files and show what would be in force", Args: cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error { return check(cmd, bylaws) }},
+			RunE: func(cmd *cobra.Command, _ []string) error { return check(cmd, settingsPath) }},
 		&cobra.Command{Use: "sample", Short: "write an operators' file with every directive", Args: cobra.NoArgs,
-			Run: func(cmd *cobra.Command, _ []string) { charter.Sample(cmd.OutOrStdout()) }},
-		fleetCommand(&bylaws),
+			Run: func(cmd *cobra.Command, _ []string) { config.Sample(cmd.OutOrStdout()) }},
+		fleetCommand(&settingsPath),
 		&cobra.Command{Use: "version", Short: "say which build this is", Args: cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version()) }})
 	return root
@@ -49,12 +49,12 @@
 
 // check reads what a start would read. The platform's file is looked at where GW_CONFIG names one.
 func check(cmd *cobra.Command, path string) error {
-	b, err := charter.ReadBylaws(path)
+	b, err := config.ReadSettings(path)
 	if err != nil {
 		return err
 	}
 	if os.Getenv("GW_CONFIG") != "" {
-		c, err := charter.FromEnv()
+		c, err := config.FromEnv()
 		if err != nil {
 			return err
 		}
@@ -79,11 +79,11 @@
 }
 
 func serve(ctx context.Context, reload <-chan os.Signal, path string) error {
-	c, err := charter.FromEnv()
+	c, err := config.FromEnv()
 	if err != nil {
 		return err
 	}
-	b, err := charter.ReadBylaws(path)
+	b, err := config.ReadSettings(path)
 	if err != nil {
 		return err
 	}
@@ -92,12 +92,12 @@
 		return err
 	}
 	s := server.NewUnder(c, b, log)
-	go s.Reload(context.WithoutCancel(ctx), reload, func() (*charter.Charter, *charter.Bylaws, error) {
-		c, err := charter.FromEnv()
+	go s.Reload(context.WithoutCancel(ctx), reload, func() (*config.Config, *config.Settings, error) {
+		c, err := config.FromEnv()
 		if err != nil {
 			return nil, nil, err
 		}
-		b, err := charter.ReadBylaws(path)
+		b, err := config.ReadSettings(path)
 		return c, b, err
 	})
 	return s.Serve(ctx)
--- a/charter/charter.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package charter is the one place where configuration is read, checked and given defaults.
-package charter
+// Package config is the one place where configuration is read, checked and given defaults.
+package config
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"valveglade/rpc"
 )
 
-// Charter is all that one app server is told when it starts. Times are seconds.
-type Charter struct {
+// Config is what the platform tells one app server when it starts. Times are seconds.
+type Config struct {
 	Name    string
 	Listen  netip.AddrPort // where routers connect
 	Kernel  netip.AddrPort
@@ -25,33 +25,33 @@
 	Rules   rpc.Charter
 }
 
-// Fault names the key that is wrong.
-type Fault struct {
-	Key, Why string
+// KeyError names a key of the config whose value is wrong.
+type KeyError struct {
+	Key, Reason string
 }
 
-func (f *Fault) Error() string { return f.Key + ": " + f.Why }
+func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-func fault(key, why string, args ...any) error { return &Fault{key, fmt.Sprintf(why, args...)} }
+func keyError(key, why string, args ...any) error { return &KeyError{key, fmt.Sprintf(why, args...)} }
 
 // FromEnv reads the file that GW_CONFIG names; GW_NAME and GW_LISTEN stand in for what it leaves out.
-func FromEnv() (*Charter, error) {
+func FromEnv() (*Config, error) {
 	path := os.Getenv("GW_CONFIG")
 	if path == "" {
-		return nil, fault("GW_CONFIG", "not set")
+		return nil, keyError("GW_CONFIG", "not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault("GW_CONFIG", "%v", err)
+		return nil, keyError("GW_CONFIG", "%v", err)
 	}
 	return Parse(text, os.Getenv("GW_NAME"), os.Getenv("GW_LISTEN"))
 }
 
 // Parse reads and checks a configuration; name and listen are used where it has none.
-func Parse(text []byte, name, listen string) (*Charter, error) {
+func Parse(text []byte, name, listen string) (*Config, error) {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
-		return nil, fault("GW_CONFIG", "not a JSON object: %v", err)
+		return nil, keyError("GW_CONFIG", "not a JSON object: %v", err)
 	}
 	// What a field's absence means stands here, before it is read.
 	kernel, roster, stop := "", "", 3000.0
@@ -62,7 +62,7 @@
 			Name string `json:"name"`
 		} `json:"profiles"`
 	}
-	c := &Charter{}
+	c := &Config{}
 	for _, field := range []struct {
 		in   *map[string]json.RawMessage
 		key  string
@@ -86,9 +86,9 @@
 				if bad.Field != "" {
 					key += "." + bad.Field
 				}
-				return nil, fault(key, "a JSON %s where %s is wanted", bad.Value, wanted(bad.Type.Kind()))
+				return nil, keyError(key, "a JSON %s where %s is wanted", bad.Value, wanted(bad.Type.Kind()))
 			}
-			return nil, fault(key, "%v", err)
+			return nil, keyError(key, "%v", err)
 		}
 	}
 	c.Name, c.Stop, c.Memory, c.Sockets, c.Cores = name, stop/1000, int(memory*(1<<20)), int(sockets), cores
@@ -101,7 +101,7 @@
 	}{{"listen", listen, &c.Listen}, {"kernel", kernel, &c.Kernel}, {"roster", roster, &c.Roster}} {
 		at, err := netip.ParseAddrPort(a.text)
 		if err != nil {
-			return nil, fault(a.key, "%q is no address and port", a.text)
+			return nil, keyError(a.key, "%q is no address and port", a.text)
 		}
 		*a.into = at
 	}
@@ -123,42 +123,42 @@
 }
 
 // check refuses what the server could not keep its rules under.
-func (c *Charter) check() error {
+func (c *Config) check() error {
 	switch {
 	case c.Name == "":
-		return fault("name", "missing")
+		return keyError("name", "missing")
 	case c.Stop < 0.1 || c.Stop > 3600:
-		return fault("stop_ms", "%g is not between 100 and 3600000", c.Stop*1000)
+		return keyError("stop_ms", "%g is not between 100 and 3600000", c.Stop*1000)
 	case c.Memory < 16<<20:
-		return fault("limits.memory_mb", "%g is less than the 16 that the process needs", float64(c.Memory)/(1<<20))
+		return keyError("limits.memory_mb", "%g is less than the 16 that the process needs", float64(c.Memory)/(1<<20))
 	case c.Sockets < 32:
-		return fault("limits.sockets", "%d is less than the 32 that the process needs", c.Sockets)
+		return keyError("limits.sockets", "%d is less than the 32 that the process needs", c.Sockets)
 	case c.Cores < 0:
-		return fault("limits.cores", "%g is negative", c.Cores)
+		return keyError("limits.cores", "%g is negative", c.Cores)
 	case len(c.Methods) == 0:
-		return fault("settings.profiles", "no method is named")
+		return keyError("settings.profiles", "no method is named")
 	case c.Rules.Machine.Below != "" && c.Rules.Machine.Below != "none":
-		return fault("settings.domain.below", "calls to %q are not built yet", c.Rules.Machine.Below)
+		return keyError("settings.domain.below", "calls to %q are not built yet", c.Rules.Machine.Below)
 	}
 	seen := map[string]bool{}
 	for k, m := range c.Rules.Methods {
 		key := fmt.Sprintf("settings.profiles[%d].", k)
 		switch {
 		case c.Methods[k] == "" || seen[c.Methods[k]]:
-			return fault(key+"name", "%q is empty or named twice", c.Methods[k])
+			return keyError(key+"name", "%q is empty or named twice", c.Methods[k])
 		case m.Kind != rpc.Idempotent && m.Kind != rpc.Tokened && m.Kind != rpc.NonIdempotent:
-			return fault(key+"idempotency", "%q is not known", string(m.Kind))
+			return keyError(key+"idempotency", "%q is not known", string(m.Kind))
 		case m.Target < 0:
-			return fault(key+"onTimeS", "%g is negative", m.Target)
+			return keyError(key+"onTimeS", "%g is negative", m.Target)
 		case m.Deadline < 0:
-			return fault(key+"deadlineS", "%g is negative", m.Deadline)
+			return keyError(key+"deadlineS", "%g is negative", m.Deadline)
 		case m.Kind == rpc.Tokened && m.Window <= 0:
-			return fault(key+"windowS", "%g is not above 0", m.Window)
+			return keyError(key+"windowS", "%g is not above 0", m.Window)
 		}
 		seen[c.Methods[k]] = true
 	}
 	if err := c.Rules.Check(); err != nil {
-		return fault("settings", "%v", err)
+		return keyError("settings", "%v", err)
 	}
 	return nil
 }
--- a/charter/charter_test.go
+++ b/config/config_test.go
@@ -1,4 +1,4 @@
-package charter
+package config
 
 import (
 	"fmt"
@@ -35,8 +35,8 @@
 	// n3 127.0.0.4:7001 127.1.0.1:6100 127.2.0.1:8500 3 192 1024 [look record] 6
 }
 
-// Each fault is one line that names the key.
-func Example_faults() {
+// Each invalid key is reported in one line that names it.
+func Example_keyErrors() {
 	show("")
 	show("[]")
 	for _, edit := range [][2]string{
@@ -74,7 +74,7 @@
 }
 
 func Example_fromEnv() {
-	path := filepath.Join(os.TempDir(), fmt.Sprintf("charter-%d.json", os.Getpid()))
+	path := filepath.Join(os.TempDir(), fmt.Sprintf("config-%d.json", os.Getpid()))
 	defer os.Remove(path)
 	os.WriteFile(path, []byte(whole), 0o600)
 	for _, at := range []string{"", "/nowhere", path} {
--- /dev/null
+++ b/config/pressure.go
@@ -0,0 +1,134 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+
+	"valveglade/logic/pressure"
+)
+
+// Pressure is how the program watches itself.
+type Pressure struct {
+	On    bool
+	Every float64 // seconds between readings
+	Terms pressure.Terms
+}
+
+var pressureDirectives = []directive{
+	{"pressure", "on|off", "the program watches itself and refuses the least worthy before it falls behind",
+		func(settings *Settings, w []string) (err error) {
+			settings.Pressure.On, err = readSwitch(w)
+			return err
+		},
+		func(settings *Settings) string {
+			return map[bool]string{true: "on", false: "off"}[settings.Pressure.On]
+		}},
+	{"pressure.every", "TIME", "between two readings",
+		func(settings *Settings, w []string) error { return readDuration(&settings.Pressure.Every, w, 0.01, 1) },
+		func(settings *Settings) string { return showDuration(settings.Pressure.Every) }},
+	durationDirective("pressure.loop-delay", "lateness of the program's own timers at which it counts as pressed", pressure.Loop),
+	durationDirective("pressure.lock-wait", "wait for the gate's lock at which it does", pressure.Lock),
+	durationDirective("pressure.link-queue", "age of a command that the kernel link's writer has not taken up", pressure.Link),
+	durationDirective("pressure.unread", "time that RPCs lie unread, beyond the usual", pressure.Unread),
+	durationDirective("pressure.scheduler", "wait of goroutines for a processor, at the 99th percentile", pressure.Scheduler),
+	shareDirective("pressure.collector", "processor time that the garbage collector takes", pressure.Collector),
+	shareDirective("pressure.cpu", "processor time used, of what may be: makes wary, no more", pressure.CPU),
+	shareDirective("pressure.throttled", "time that the system keeps the process off its cores: makes wary, no more", pressure.Throttled),
+	shareDirective("pressure.memory", "resident memory, of the limit", pressure.Memory),
+	shareDirective("pressure.descriptors", "descriptors, of the limit: makes wary, no more", pressure.Descriptors),
+	shareDirective("pressure.owed", "answers that callers do not read, of what is set aside for them", pressure.Owed),
+	{"pressure.forecast", "TIME|off", "memory that grows steadily counts as a leak once its limit is so near",
+		func(settings *Settings, w []string) error {
+			if len(w) == 1 && w[0] == "off" {
+				settings.Pressure.Terms.Forecast = 0
+				return nil
+			}
+			return readDuration(&settings.Pressure.Terms.Forecast, w, 1, 86400)
+		},
+		func(settings *Settings) string {
+			if settings.Pressure.Terms.Forecast == 0 {
+				return "off"
+			}
+			return showDuration(settings.Pressure.Terms.Forecast)
+		}},
+	{"pressure.growth", "TIME", "over which growth of memory is looked at",
+		func(settings *Settings, w []string) error {
+			return readDuration(&settings.Pressure.Terms.Span, w, 1, 86400)
+		},
+		func(settings *Settings) string { return showDuration(settings.Pressure.Terms.Span) }},
+	{"pressure.fall", "TIME", "of better readings until the level falls by one",
+		func(settings *Settings, w []string) error {
+			return readDuration(&settings.Pressure.Terms.Fall, w, 0.1, 3600)
+		},
+		func(settings *Settings) string { return showDuration(settings.Pressure.Terms.Fall) }},
+}
+
+// durationDirective is the directive of a signal that is a duration.
+func durationDirective(name, about string, s pressure.Signal) directive {
+	return directive{name, "TIME|off", about, func(settings *Settings, w []string) error {
+		marks := &settings.Pressure.Terms.Marks[s]
+		if len(w) == 1 && w[0] == "off" {
+			*marks = pressure.Marks{}
+			return nil
+		}
+		var t float64
+		if err := readDuration(&t, w, 0.001, 60); err != nil {
+			return err
+		}
+		*marks = pressure.Of(t)
+		return nil
+	}, func(settings *Settings) string {
+		if m := settings.Pressure.Terms.Marks[s]; m[pressure.Pressed-1] > 0 {
+			return showDuration(m[pressure.Pressed-1])
+		}
+		return "off"
+	}}
+}
+
+// shareDirective is the directive of a signal that is a share; those that never press are marked where they make wary.
+func shareDirective(name, about string, s pressure.Signal) directive {
+	usual := pressure.Defaults().Marks[s]
+	at := pressure.Pressed - 1
+	if math.IsInf(usual[at], 1) {
+		at = pressure.Wary - 1
+	}
+	return directive{name, "SHARE%|off", about, func(settings *Settings, w []string) error {
+		marks := &settings.Pressure.Terms.Marks[s]
+		if len(w) == 1 && w[0] == "off" {
+			*marks = pressure.Marks{}
+			return nil
+		}
+		if len(w) != 1 || !strings.HasSuffix(w[0], "%") {
+			return errors.New("a share such as 75% is wanted, or off")
+		}
+		v, err := strconv.ParseFloat(strings.TrimSuffix(w[0], "%"), 64)
+		if err != nil || !(v >= 1 && v <= 99) {
+			return fmt.Errorf("%q is not from 1%% to 99%%", w[0])
+		}
+		switch v /= 100; {
+		case at == pressure.Wary-1:
+			*marks = pressure.Marks{v, pressure.Never, pressure.Never, pressure.Never}
+		case s == pressure.Collector:
+			*marks = pressure.Marks{v * 2 / 3, v, v * 4 / 3, pressure.Never}
+		default:
+			*marks = pressure.Toward(v)
+		}
+		return nil
+	}, func(settings *Settings) string {
+		if m := settings.Pressure.Terms.Marks[s]; m[at] > 0 {
+			return strconv.FormatFloat(math.Round(m[at]*1e4)/100, 'g', -1, 64) + "%"
+		}
+		return "off"
+	}}
+}
+
+// checkPressure refuses what contradicts itself.
+func (settings *Settings) checkPressure() error {
+	if line := settings.lines["pressure.growth"]; line > 0 && settings.Pressure.Terms.Forecast == 0 {
+		return &DirectiveError{settings.Path, line, "pressure.growth", "pressure.forecast is off"}
+	}
+	return nil
+}
--- a/charter/bylaws_test.go
+++ b/config/settings_test.go
@@ -1,4 +1,4 @@
-package charter
+package config
 
 import (
 	"bytes"
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// A faulty file is named by its line; what contradicts itself is one too.
-func Example_misrules() {
+// An invalid directive is reported with its line, and so are contradictions between directives.
+func Example_directiveErrors() {
 	for _, text := range []string{"pressure", "pressure on off", "# remark\n\npressured on", "pressure on\npressure off",
 		"pressure.loop-delay 5", "pressure.loop-delay 2h", "pressure.memory 75", "pressure.memory 100%",
 		"pressure.every 50ms \"half", "pressure.forecast off\npressure.growth 1m"} {
-		_, err := ParseBylaws("op.conf", []byte(text))
+		_, err := ParseSettings("op.conf", []byte(text))
 		fmt.Println(err)
 	}
-	_, err := ReadBylaws("/nowhere/op.conf")
+	_, err := ReadSettings("/nowhere/op.conf")
 	fmt.Println(err)
 	// Output:
 	// op.conf:1: pressure: on or off is wanted
@@ -46,25 +46,25 @@
 		on + "fleet.voters a b c\nfleet.share s auto 9-4 80ms m", on + "fleet.voters a b c\nfleet.share s auto 4 80ms m", on + "fleet.voters a b c\nfleet.share s 9 m / t 9 m",
 		on + "fleet.voters a b c\nfleet.share s 9", on + "fleet.voters a b c\nfleet.floor 1 a", on + "fleet.voters a b c\nfleet.share s auto 2-9 80ms m\nfleet.floor 1 a b c",
 		on + "fleet.voters a b c\nfleet.share s 9 m\nfleet.floor 1 a a"} {
-		_, err := ParseBylaws("op.conf", []byte(text))
+		_, err := ParseSettings("op.conf", []byte(text))
 		fmt.Println(err)
 	}
-	b, err := ParseBylaws("op.conf", []byte("fleet.listen off\n"))
-	fmt.Println(b.Fleet.On(), err)
-	b, err = ParseBylaws("op.conf", []byte("fleet.listen 0.0.0.0:7946\nfleet.advertise 10.1.2.3:7946\nfleet.join 10.0.0.5:7946 10.0.0.6:7946\n"))
-	fmt.Println(b.Fleet.On(), err)
-	c := &Charter{Name: strings.Repeat("n", 65)}
-	fmt.Println(b.Fleet.Suits(c))
-	c.Name, c.Listen = "n1", b.Fleet.Listen
-	fmt.Println(b.Fleet.Suits(c))
-	b, err = ParseBylaws("op.conf", []byte(on+"fleet.voters a b c / a b d\nfleet.state /s\nfleet.office s 10.0.0.9:1 1s / t 10.0.0.9:2 2s\n"))
-	fmt.Println(len(b.Fleet.Offices), err, b.Fleet.Suits(c))
+	settings, err := ParseSettings("op.conf", []byte("fleet.listen off\n"))
+	fmt.Println(settings.Fleet.On(), err)
+	settings, err = ParseSettings("op.conf", []byte("fleet.listen 0.0.0.0:7946\nfleet.advertise 10.1.2.3:7946\nfleet.join 10.0.0.5:7946 10.0.0.6:7946\n"))
+	fmt.Println(settings.Fleet.On(), err)
+	c := &Config{Name: strings.Repeat("n", 65)}
+	fmt.Println(settings.Fleet.CheckAgainst(c))
+	c.Name, c.Listen = "n1", settings.Fleet.Listen
+	fmt.Println(settings.Fleet.CheckAgainst(c))
+	settings, err = ParseSettings("op.conf", []byte(on+"fleet.voters a b c / a b d\nfleet.state /s\nfleet.office s 10.0.0.9:1 1s / t 10.0.0.9:2 2s\n"))
+	fmt.Println(len(settings.Fleet.Roles), err, settings.Fleet.CheckAgainst(c))
 	c.Name = "d"
-	fmt.Println(b.Fleet.Suits(c))
-	b, err = ParseBylaws("op.conf", []byte(on+"fleet.voters a b c\nfleet.share s 9 m n / t auto 3-64 80ms o\nfleet.floor 1 a b c\n"))
-	fmt.Println(b.Fleet.Shares, b.Fleet.Floored, err)
+	fmt.Println(settings.Fleet.CheckAgainst(c))
+	settings, err = ParseSettings("op.conf", []byte(on+"fleet.voters a b c\nfleet.share s 9 m n / t auto 3-64 80ms o\nfleet.floor 1 a b c\n"))
+	fmt.Println(settings.Fleet.Shares, settings.Fleet.ReservedMembers, err)
 	c.Methods = []string{"m", "n"}
-	fmt.Println(b.Fleet.Suits(c))
+	fmt.Println(settings.Fleet.CheckAgainst(c))
 	// Output:
 	// op.conf:1: fleet.listen: "10.0.0.4" is no address and port such as 10.0.0.4:7946
 	// op.conf:1: fleet.zone: fleet.listen is not set
@@ -99,13 +99,13 @@
 	// op.conf:3: fleet.share: m is in s already
 	// op.conf:3: fleet.share: a name, a limit and methods are wanted, such as register 16 lookup record, or scorer auto 4-64 80ms score
 	// op.conf:3: fleet.floor: fleet.share is not set
-	// op.conf:4: fleet.floor: 3 floors of 1 are more than the 2 of s
+	// op.conf:4: fleet.floor: 3 members with 1 reserved are more than the 2 of s
 	// op.conf:4: fleet.floor: "a" is no name, or named twice
 	// false <nil>
 	// true <nil>
 	// name: 65 bytes are more than the 64 that a fleet takes
 	// listen: 0.0.0.0:7946 is the fleet's too
-	// 2 <nil> name: "n1" is not among fleet.voters, so it promises nothing: fleet.state is a voter's
+	// 2 <nil> name: "n1" is not among fleet.voters, so it has no votes to persist: fleet.state is for voters
 	// <nil>
 	// [s 9 m n t auto 3-64 80ms o] [a b c] <nil>
 	// settings.profiles: no method is called "o", which fleet.share t names
@@ -113,10 +113,10 @@
 
 // What is shown is what was set, and where.
 func Example_show() {
-	b, err := ParseBylaws("op.conf", []byte("pressure on\n'pressure.memory'  80% # remark\npressure.unread off\npressure.cpu 50%\n"))
+	settings, err := ParseSettings("op.conf", []byte("pressure on\n'pressure.memory'  80% # remark\npressure.unread off\npressure.cpu 50%\n"))
 	fmt.Println(err)
 	var out bytes.Buffer
-	b.Show(&out)
+	settings.Show(&out)
 	for line := range strings.Lines(out.String()) {
 		if strings.Contains(line, "op.conf") || strings.Contains(line, "loop") {
 			fmt.Print(line)
@@ -146,21 +146,21 @@
 			text.WriteString(rest)
 		}
 	}
-	b, err := ParseBylaws("sample", []byte(text.String()))
+	settings, err := ParseSettings("sample", []byte(text.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b.lines) != len(directives) || b.Pressure.Terms.Marks != NewBylaws().Pressure.Terms.Marks {
-		t.Errorf("%d of %d directives, %+v", len(b.lines), len(directives), b.Pressure)
+	if len(settings.lines) != len(directives) || settings.Pressure.Terms.Marks != NewSettings().Pressure.Terms.Marks {
+		t.Errorf("%d of %d directives, %+v", len(settings.lines), len(directives), settings.Pressure)
 	}
 }
 
-// One text after another: an error or bylaws, never both, never neither.
-func FuzzBylaws(f *testing.F) {
+// One text after another: an error or settings, never both, never neither.
+func FuzzSettings(f *testing.F) {
 	f.Add("pressure on\npressure.memory 80%")
 	f.Fuzz(func(t *testing.T, text string) {
-		if b, err := ParseBylaws("f", []byte(text)); (err == nil) == (b == nil) {
-			t.Errorf("%v and %v", b, err)
+		if settings, err := ParseSettings("f", []byte(text)); (err == nil) == (settings == nil) {
+			t.Errorf("%v and %v", settings, err)
 		}
 	})
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -66,7 +66,7 @@
 }
 
 // Permits are what common limits of several app servers leave to this one. They are asked under the gate's lock, and call
-// nothing of it; a method's index is the charter's.
+// nothing of it; a method's index is the config's.
 type Permits interface {
 	// Short tells which limit keeps RPCs of a method from being started now, from 1; 0 if none does.
 	Short(method int) int
@@ -208,7 +208,7 @@
 }
 
 // Arrive takes in an RPC that has been read: recv is when it came to the machine, due when its caller gives
-// up; again marks a further try, which counts only where the charter says that callers mark them. It is not
+// up; again marks a further try, which counts only where the config says that callers mark them. It is not
 // taken, and the module does not hear of it, if its uid is in hand or its token is known to belong to another
 // body.
 func (g *Gate[T]) Arrive(now float64, method, src int, recv, due, kb float64, again bool, uid, token string,
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -58,7 +58,7 @@
 // cost next to nothing. margin is kept before a due time: two looks, should one be late.
 const tick, margin = 0.02, 2 * 0.02
 
-// New starts the module of an app server that has just come up. What the charter lacks, or has at zero, gets
+// New starts the module of an app server that has just come up. What the config lacks, or has at zero, gets
 // the mildest meaning that keeps the rules.
 func New(now float64, c rpc.Charter, do rpc.Actions) *Module {
 	m := &Module{Charter: c, do: do, now: now, started: now, updated: now, halved: now}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -470,7 +470,7 @@
 	//   0.00 start 1
 }
 
-// Odd charters keep the rules: no figures at all, and a deadline shorter than the latency target.
+// Odd settings keep the rules: no figures at all, and a deadline shorter than the latency target.
 func Example_odd() {
 	d := open(func(c *rpc.Charter) { *c = rpc.Charter{} })
 	d.arrive(0, read)
--- a/server/conn.go
+++ b/server/conn.go
@@ -52,30 +52,30 @@
 	*Server
 	net.Conn
 
-	mu      sync.Mutex
-	open    map[int32]*call // read, no answer written
-	replies []reply
-	spare   []reply
-	reading bool      // a frame is being taken in
-	writing bool      // an answer is on its way out
-	owing   int64     // bytes of results that wait to be written, or are being written
-	ended   bool      // nobody is there any more
-	mute    bool      // the writer has ended
-	phase   phase     // changed by move alone
-	partial bool      // the router is in the middle of a message
-	due     time.Time // when what has come of a message must be whole, zero for never
-	stirred bool      // the read deadline is not due, but wakes the reader
-	evicted bool      // its descriptor is wanted
-	known   bool      // a whole message has come
-	used    time.Time // last frame either way
-	askedAt time.Time // when the router was asked to leave, zero before
-	lastAt  time.Time // when it began to close
-	wake    chan struct{}
-	taken   chan struct{} // holds one when the writer has taken up what waited, or nothing more is taken in
-	gone    chan struct{} // closed once the descriptor has been given back
-	last    int32         // number of the last RPC; the reader's own
-	fault   error         // what ends the connection; the reader's own
-	odd     atomic.Int32  // RPCs that could not be run
+	mu       sync.Mutex
+	open     map[int32]*call // read, no answer written
+	replies  []reply
+	spare    []reply
+	reading  bool      // a frame is being taken in
+	writing  bool      // an answer is on its way out
+	owing    int64     // bytes of results that wait to be written, or are being written
+	ended    bool      // nobody is there any more
+	mute     bool      // the writer has ended
+	phase    phase     // changed by move alone
+	partial  bool      // the router is in the middle of a message
+	due      time.Time // when what has come of a message must be whole, zero for never
+	stirred  bool      // the read deadline is not due, but wakes the reader
+	evicted  bool      // its descriptor is wanted
+	known    bool      // a whole message has come
+	used     time.Time // last frame either way
+	askedAt  time.Time // when the router was asked to leave, zero before
+	lastAt   time.Time // when it began to close
+	wake     chan struct{}
+	taken    chan struct{} // holds one when the writer has taken up what waited, or nothing more is taken in
+	gone     chan struct{} // closed once the descriptor has been given back
+	last     int32         // number of the last RPC; the reader's own
+	keyError error         // what ends the connection; the reader's own
+	odd      atomic.Int32  // RPCs that could not be run
 }
 
 const (
@@ -219,7 +219,7 @@
 		if full {
 			return errors.New("more open RPCs than a connection may carry")
 		}
-		if err := errors.Join(thrift.Decode(frame, c), c.fault); err != nil {
+		if err := errors.Join(thrift.Decode(frame, c), c.keyError); err != nil {
 			return err
 		}
 		in.Take(size)
@@ -321,7 +321,7 @@
 		}
 	}
 	k := &call{conn: c, seq: seq, method: method, uid: string(uid), body: append([]byte(nil), body...)}
-	if c.held.Add(k.size()) > int64(c.charter.Load().Memory/heldShare) {
+	if c.held.Add(k.size()) > int64(c.config.Load().Memory/heldShare) {
 		c.held.Add(-k.size())
 		c.unreadable(seq, "no memory for it")
 		return
@@ -412,7 +412,7 @@
 		c.last = seq
 		return false
 	}
-	c.fault = &usedTwice{seq}
+	c.keyError = &usedTwice{seq}
 	return true
 }
 
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/charter"
+	"valveglade/config"
 )
 
 // until waits for a condition.
@@ -200,7 +200,7 @@
 // A full table, the connection that has to go with an RPC unread: it stays until that is answered,
 // and the newcomer is let in meanwhile.
 func Example_fullCrossed() {
-	t := open(func(c *charter.Charter) { c.Sockets = reserve + 1 })
+	t := open(func(c *config.Config) { c.Sockets = reserve + 1 })
 	first, c, g := t.gatedRouter()
 	t.rest(first, c, g)
 	c.mu.Lock()
@@ -244,8 +244,8 @@
 	})
 	reject(nc)
 	must(r.Conn.(*net.TCPConn).SyscallConn()).Control(func(fd uintptr) {
-		fault, _ := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
-		fmt.Println("reset:", fault != 0)
+		keyError, _ := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+		fmt.Println("reset:", keyError != 0)
 	})
 	r.ends()
 	// Output:
@@ -257,7 +257,7 @@
 // hears the end in good order. Before, the process ended over it; or the RPC was read when nobody was there any more to answer
 // it.
 func Example_exitCrossed() {
-	t := openPrepared(func(c *charter.Charter) { c.Stop, c.Rules.Rules.Grace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
+	t := openPrepared(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
 		s.spans = drainSpans{notAccepting: 39.5, closing: 39.4, cutShort: 0.2, exit: 0.1}
 	})
 	t.linkUp()
@@ -301,7 +301,7 @@
 // Who sends on past the end of its connection is not waited for: what comes then is read and thrown away, and the end is in
 // good order all the same.
 func Example_cutShort() {
-	t := openPrepared(func(c *charter.Charter) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
+	t := openPrepared(func(c *config.Config) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
 		s.spans = drainSpans{notAccepting: 39.9, closing: 39.8, cutShort: 39.7, exit: 0.1}
 	})
 	t.linkUp()
@@ -535,13 +535,13 @@
 func Example_panicInDispatch() {
 	t := open(nil)
 	r := t.dial()
-	whole := t.Server.charter.Load()
+	whole := t.Server.config.Load()
 	faulty := *whole
 	faulty.Methods = nil
-	t.Server.charter.Store(&faulty)
+	t.Server.config.Store(&faulty)
 	r.execute(1)
 	r.hear(1)
-	t.Server.charter.Store(whole)
+	t.Server.config.Store(whole)
 	r.execute(2)
 	t.asked()
 	t.reap(2, "fine", "two")
@@ -588,7 +588,7 @@
 	answer := make([]byte, binary.BigEndian.Uint32(head))
 	io.ReadFull(r.in, answer)
 	fmt.Println("router: a long answer:", len(answer) > 3000)
-	next := *t.charter
+	next := *t.config
 	next.Memory = 2000 * keepShare
 	t.adopt(&next)
 	r.execute(2, "op", "record", "dedupe", "t")
@@ -604,7 +604,7 @@
 // Before its kernel is up the app server is neither healthy nor reports to the roster, as it could answer nothing and does
 // not know how little it can bear. What comes all the same is held, and the module learns then that the machine is cold.
 func Example_early() {
-	t := openHeld(func(c *charter.Charter) {
+	t := openHeld(func(c *config.Config) {
 		c.Rules.Machine.Cores, c.Rules.Rules.ColdAt, c.Rules.Rules.WarmIn = 8, 0.25, 1000
 	})
 	r := t.dial()
@@ -656,7 +656,7 @@
 // router's RPCs, before, between and on a new connection, are answered; no more connections are open than descriptors allow, but
 // for the few on their way out; and all come back.
 func Example_connectionFlood() {
-	t := openPrepared(func(c *charter.Charter) { c.Sockets = reserve + 8 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 8 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
 	t.linkUp()
 	r := t.dial()
 	r.execute(1)
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/fleet"
 	"valveglade/logic/owner"
 	"valveglade/logic/pressure"
@@ -29,7 +29,7 @@
 
 // reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
 func (s *Server) reserved() int {
-	if s.fleetLaws.On() {
+	if s.fleetSettings.On() {
 		return reserve + member.Descriptors
 	}
 	return reserve
@@ -37,22 +37,22 @@
 
 // joinFleet makes this app server a member, and has it stand for offices, where the operators have said so; nil otherwise.
 func (s *Server) joinFleet() (*member.Member, *fleet.Fleet, error) {
-	laws := s.fleetLaws
-	if !laws.On() {
+	settings := s.fleetSettings
+	if !settings.On() {
 		return nil, nil, nil
 	}
-	c := s.charter.Load()
-	if err := laws.Suits(c); err != nil {
+	c := s.config.Load()
+	if err := settings.CheckAgainst(c); err != nil {
 		return nil, nil, err
 	}
 	terms := view.Defaults()
-	terms.Hold, terms.Forget = laws.Hold, laws.Forget
-	m, err := member.New(member.Papers{Name: c.Name, Zone: laws.Zone, Listen: laws.Listen, Advertise: laws.Advertise,
-		Join: laws.Join, Allow: laws.Allow, Probe: seconds(laws.Probe), Socket: laws.Socket, Terms: terms}, s.log)
+	terms.Hold, terms.Forget = settings.Hold, settings.Forget
+	m, err := member.New(member.Papers{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
+		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket, Terms: terms}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
-	s.log.Info("fleet joined", zap.Stringer("listen", m.Address()), zap.Int("join", len(laws.Join)))
+	s.log.Info("fleet joined", zap.Stringer("listen", m.Address()), zap.Int("join", len(settings.Join)))
 	f, err := s.standForOffices(m)
 	return m, f, err
 }
@@ -91,7 +91,7 @@
 			if f != nil {
 				f.Leave()
 			}
-			sleep(all, s.charter.Load().Stop-partBefore)
+			sleep(all, s.config.Load().Stop-partBefore)
 			return nil
 		case <-every.C:
 		}
@@ -105,11 +105,11 @@
 // standForOffices has this app server vote, and stand for the offices of the operators' file, as far as they have said so; nil
 // otherwise.
 func (s *Server) standForOffices(m *member.Member) (*fleet.Fleet, error) {
-	laws, c := s.fleetLaws, s.charter.Load()
-	if len(laws.Voters) == 0 {
+	settings, c := s.fleetSettings, s.config.Load()
+	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	f, err := fleet.New(fleet.Seal{Name: c.Name, Voters: laws.Voters, Folder: laws.State, Fit: func() error { return s.fit(m) },
+	f, err := fleet.New(fleet.Seal{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.fit(m) },
 		Others: func() []string {
 			var all []string
 			for _, e := range m.View().Members {
@@ -119,17 +119,17 @@
 			}
 			return all
 		},
-		Span: owner.Span{Lease: laws.Lease, Drift: laws.Drift, Margin: laws.Lease * marginShare}}, m, s.log)
+		Span: owner.Span{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * marginShare}}, m, s.log)
 	if err != nil {
 		return nil, err
 	}
-	for _, o := range laws.Offices {
-		if err := f.Stand(o.Name, fleet.Orders(o.Name, c.Name, o.Order.String(), seconds(o.Every))); err != nil {
+	for _, o := range settings.Roles {
+		if err := f.Stand(o.Name, fleet.Orders(o.Name, c.Name, o.Address.String(), seconds(o.Every))); err != nil {
 			return nil, err
 		}
 	}
-	if len(laws.Shares) > 0 {
-		lender, err := f.Lend(shareTerms(laws, c), len(c.Methods))
+	if len(settings.Shares) > 0 {
+		lender, err := f.Lend(shareTerms(settings, c), len(c.Methods))
 		if err != nil {
 			return nil, err
 		}
@@ -146,11 +146,11 @@
 
 // shareTerms puts the shares of the operators' file in the words of those who decide on them. What was begun under a grant goes on
 // for as long as its RPC may take.
-func shareTerms(laws charter.Fleet, c *charter.Charter) []share.Terms {
+func shareTerms(settings config.Fleet, c *config.Config) []share.Terms {
 	var all []share.Terms
-	for _, one := range laws.Shares {
-		t := share.Terms{Name: one.Name, Limit: one.Limit, Least: one.Least, Target: one.Target, Floor: laws.Floor, Floored: laws.Floored,
-			Loan: owner.Loan{Length: lentFor * laws.Lease, Drift: laws.Drift}}
+	for _, one := range settings.Shares {
+		t := share.Terms{Name: one.Name, Limit: one.Limit, Least: one.MinLimit, Target: one.Target, Floor: settings.Reserved, Floored: settings.ReservedMembers,
+			Loan: owner.Loan{Length: lentFor * settings.Lease, Drift: settings.Drift}}
 		for _, name := range one.Methods {
 			k := slices.Index(c.Methods, name)
 			t.Methods = append(t.Methods, k)
@@ -195,23 +195,23 @@
 	return view.Load{Open: view.Band(open), Credit: view.Band(int(max(s.credit(), 0))), Level: uint8(s.press.level.Load())}
 }
 
-// adoptFleet tells whether the bylaws on the fleet are others than those in force; they stay until the next start.
-func (s *Server) adoptFleet(b *charter.Bylaws) (changed bool) {
-	if reflect.DeepEqual(b.Fleet, s.fleetRead) {
+// adoptFleet tells whether the settings on the fleet are others than those in force; they stay until the next start.
+func (s *Server) adoptFleet(b *config.Settings) (changed bool) {
+	if reflect.DeepEqual(b.Fleet, s.fleetSettingsRead) {
 		return false
 	}
-	s.fleetRead = b.Fleet
+	s.fleetSettingsRead = b.Fleet
 	// Limits of shares are taken over, if all else is as it was.
 	fixed := b.Fleet
-	fixed.Shares = s.fleetLaws.Shares
-	if l := s.lender.Load(); l != nil && reflect.DeepEqual(fixed, s.fleetLaws) {
-		if err := l.Amend(shareTerms(b.Fleet, s.charter.Load())); err != nil {
-			s.log.Warn("bylaws changed in what stays until the next start", zap.Strings("directives", []string{"fleet.share"}), zap.Error(err))
+	fixed.Shares = s.fleetSettings.Shares
+	if l := s.lender.Load(); l != nil && reflect.DeepEqual(fixed, s.fleetSettings) {
+		if err := l.Amend(shareTerms(b.Fleet, s.config.Load())); err != nil {
+			s.log.Warn("settings changed where a restart is needed", zap.Strings("directives", []string{"fleet.share"}), zap.Error(err))
 		}
 		return true
 	}
-	if !reflect.DeepEqual(b.Fleet, s.fleetLaws) {
-		s.log.Warn("bylaws changed in what stays until the next start", zap.Strings("directives", []string{"fleet.*"}))
+	if !reflect.DeepEqual(b.Fleet, s.fleetSettings) {
+		s.log.Warn("settings changed where a restart is needed", zap.Strings("directives", []string{"fleet.*"}))
 	}
 	return true
 }
--- a/server/listen.go
+++ b/server/listen.go
@@ -144,7 +144,7 @@
 func (s *Server) evictOne() (out *conn, going int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.charter.Load().Sockets-s.reserved() {
+	if len(s.conns) < s.config.Load().Sockets-s.reserved() {
 		return nil, 0, true
 	}
 	now := time.Now()
@@ -205,7 +205,7 @@
 			idle = append(idle, q)
 		}
 	}
-	if len(s.conns) < (s.charter.Load().Sockets-s.reserved())*3/4 {
+	if len(s.conns) < (s.config.Load().Sockets-s.reserved())*3/4 {
 		return
 	}
 	slices.SortFunc(idle, func(a, b quiet) int { return cmp.Compare(a.since.UnixNano(), b.since.UnixNano()) })
--- a/server/press.go
+++ b/server/press.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/internal/vitals"
 	"valveglade/logic/chance"
 	"valveglade/logic/pressure"
@@ -34,9 +34,9 @@
 	lagged   atomic.Int64 // how many they are
 	owed     atomic.Int64 // bytes of answers that wait to be written
 	refused  atomic.Uint64
-	ordering sync.Mutex // of what adopts bylaws
-	bylaws   charter.Bylaws
-	again    chan struct{} // holds one when the bylaws are new
+	ordering sync.Mutex // of what adopts settings
+	settings config.Settings
+	again    chan struct{} // holds one when the settings are new
 }
 
 // allOf stands for all RPCs of a method.
@@ -45,7 +45,7 @@
 // calm is what holds while nothing presses.
 var calm = pressure.Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 
-func newPress(c *charter.Charter, b *charter.Bylaws) *press {
+func newPress(c *config.Config, b *config.Settings) *press {
 	n := len(c.Methods)
 	p := &press{admit: make([]atomic.Uint32, n), asked: make([]atomic.Uint64, n), ok: make([]atomic.Uint64, n),
 		seed: uint64(time.Now().UnixNano()), again: make(chan struct{}, 1)}
@@ -57,15 +57,15 @@
 	return p
 }
 
-// adopt takes over bylaws; it tells whether anything is new.
-func (p *press) adopt(b *charter.Bylaws) bool {
+// adopt takes over settings; it tells whether anything is new.
+func (p *press) adopt(b *config.Settings) bool {
 	p.ordering.Lock()
 	defer p.ordering.Unlock()
-	if b.Pressure.On == p.bylaws.Pressure.On && b.Pressure.Every == p.bylaws.Pressure.Every &&
-		same(b.Pressure.Terms, p.bylaws.Pressure.Terms) {
+	if b.Pressure.On == p.settings.Pressure.On && b.Pressure.Every == p.settings.Pressure.Every &&
+		same(b.Pressure.Terms, p.settings.Pressure.Terms) {
 		return false
 	}
-	p.bylaws = *b
+	p.settings = *b
 	signal(p.again)
 	return true
 }
@@ -74,10 +74,10 @@
 	return a.Marks == b.Marks && a.Fall == b.Fall && a.Forecast == b.Forecast && a.Span == b.Span
 }
 
-func (p *press) inForce() charter.Pressure {
+func (p *press) inForce() config.Pressure {
 	p.ordering.Lock()
 	defer p.ordering.Unlock()
-	return p.bylaws.Pressure
+	return p.settings.Pressure
 }
 
 // came takes note of an RPC that has been read.
@@ -103,7 +103,7 @@
 	}
 }
 
-// watchSelf reads the process's state as often as the bylaws say, and puts into force what follows from it.
+// watchSelf reads the process's state as often as the settings say, and puts into force what follows from it.
 func (s *Server) watchSelf(ctx context.Context) error {
 	p := s.press
 	for {
@@ -111,12 +111,12 @@
 		case <-p.again:
 		default:
 		}
-		laws := p.inForce()
-		p.on.Store(laws.On)
-		if laws.On {
+		settings := p.inForce()
+		p.on.Store(settings.On)
+		if settings.On {
 			// A panic of the watching does not end the process: without it the app server goes on as if calm.
 			s.stopPanic(func() error {
-				s.readSelf(ctx, laws)
+				s.readSelf(ctx, settings)
 				return nil
 			})
 		}
@@ -125,7 +125,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if !laws.On {
+		if !settings.On {
 			select {
 			case <-ctx.Done():
 				return nil
@@ -145,11 +145,11 @@
 	p.level.Store(int32(pressure.Calm))
 }
 
-// readSelf goes on until the bylaws are new or ctx ends.
-func (s *Server) readSelf(ctx context.Context, laws charter.Pressure) {
+// readSelf goes on until the settings are new or ctx ends.
+func (s *Server) readSelf(ctx context.Context, settings config.Pressure) {
 	p := s.press
-	rules := s.charter.Load().Rules
-	terms := laws.Terms
+	rules := s.config.Load().Rules
+	terms := settings.Terms
 	if rules.Ceilings.RetryAfter {
 		terms.MaxAfter = rules.Ceilings.MaxRetryAfter
 	}
@@ -164,7 +164,7 @@
 		asked[k], ok[k] = p.asked[k].Load(), p.ok[k].Load()
 	}
 	watch.Read(0, pressure.Unknown(), asked, ok)
-	every := seconds(laws.Every)
+	every := seconds(settings.Every)
 	timer := time.NewTimer(every)
 	defer timer.Stop()
 	due := time.Now().Add(every)
@@ -203,7 +203,7 @@
 }
 
 func (s *Server) limits() vitals.Limits {
-	c := s.charter.Load()
+	c := s.config.Load()
 	cores := c.Cores
 	if all := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > all {
 		cores = all
@@ -213,7 +213,7 @@
 
 // own adds what only this process knows of itself.
 func (s *Server) own(r *pressure.Reading, lag *pressure.Lag, now float64, stepped bool) {
-	p, c := s.press, s.charter.Load()
+	p, c := s.press, s.config.Load()
 	r[pressure.Loop] = time.Duration(p.late.Swap(0)).Seconds()
 	asked := time.Now()
 	s.gate.Credit()
@@ -231,7 +231,7 @@
 
 // applied puts into force what does not ask for itself.
 func (s *Server) applied(was, is pressure.Effects) {
-	s.gate.Keep(int(float64(s.charter.Load().Memory/keepShare) * is.Keep))
+	s.gate.Keep(int(float64(s.config.Load().Memory/keepShare) * is.Keep))
 	if was.Health != is.Health {
 		signal(s.well)
 	}
--- a/server/press_test.go
+++ b/server/press_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap/zapcore"
 	"go.uber.org/zap/zaptest/observer"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/logic/pressure"
 )
 
@@ -175,8 +175,8 @@
 	// served: <nil>
 }
 
-// New bylaws are taken over by a reload, a faulty file changes nothing; each change of level is one line with its causes.
-func Example_bylaws() {
+// New settings are taken over by a reload, a faulty file changes nothing; each change of level is one line with its causes.
+func Example_settings() {
 	core, lines := observer.New(zapcore.InfoLevel)
 	t := openLogged(nil, zap.New(core))
 	hup := make(chan os.Signal, 1)
@@ -185,13 +185,13 @@
 	over := make(chan bool)
 	go func() {
 		current := ""
-		t.Reload(live, hup, func() (*charter.Charter, *charter.Bylaws, error) {
+		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
 			select {
 			case current = <-text:
 			default:
 			}
-			b, err := charter.ParseBylaws("op.conf", []byte(current))
-			return t.charter, b, err
+			b, err := config.ParseSettings("op.conf", []byte(current))
+			return t.config, b, err
 		})
 		close(over)
 	}()
@@ -208,11 +208,11 @@
 	}
 	text <- "pressure on\npressure.memory 1%\npressure.every 10ms\n"
 	hup <- os.Interrupt
-	heard("bylaws taken over")
+	heard("settings reloaded")
 	heard("pressure")
 	text <- "pressure perhaps"
 	hup <- os.Interrupt
-	heard("bylaws faulty, the old ones stay")
+	heard("settings invalid, the previous stays")
 	fmt.Println("on:", t.press.on.Load())
 	text <- "pressure off"
 	hup <- os.Interrupt
@@ -224,9 +224,9 @@
 	<-over
 	t.close()
 	// Output:
-	// bylaws taken over: false <nil>
+	// settings reloaded: false <nil>
 	// pressure: true <nil>
-	// bylaws faulty, the old ones stay: false op.conf:1
+	// settings invalid, the previous stays: false op.conf:1
 	// on: true
 	// on: false lets all in: true
 	// served: <nil>
--- a/server/reload.go
+++ b/server/reload.go
@@ -10,17 +10,17 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/charter"
+	"valveglade/config"
 )
 
 // settle is how long a file may take to be replaced after the word has come. One that is faulty, or the same as
 // before, is looked at again until then.
 const settle, lookAtFile = 2 * time.Second, 50 * time.Millisecond
 
-// Reload reads the charter and the bylaws again whenever asked to, until ctx ends. If either is faulty nothing changes;
-// no bylaws are those that there are.
+// Reload reads the config and the settings again whenever asked to, until ctx ends. If either is faulty nothing changes;
+// no settings are those that there are.
 func (s *Server) Reload(ctx context.Context, asked <-chan os.Signal,
-	read func() (*charter.Charter, *charter.Bylaws, error)) {
+	read func() (*config.Config, *config.Settings, error)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -35,7 +35,7 @@
 				changed = s.adopt(c)
 				if b != nil && s.press.adopt(b) {
 					changed = true
-					s.log.Info("bylaws taken over", zap.String("file", b.Path), zap.Bool("pressure", b.Pressure.On))
+					s.log.Info("settings reloaded", zap.String("file", b.Path), zap.Bool("pressure", b.Pressure.On))
 				}
 				if b != nil && s.adoptFleet(b) {
 					changed = true
@@ -45,26 +45,26 @@
 				return
 			}
 		}
-		var fault *charter.Fault
-		var misrule *charter.Misrule
+		var keyError *config.KeyError
+		var directiveError *config.DirectiveError
 		switch {
-		case errors.As(faulty, &misrule):
-			s.log.Warn("bylaws faulty, the old ones stay", zap.String("at", fmt.Sprintf("%s:%d", misrule.Path, misrule.Line)),
+		case errors.As(faulty, &directiveError):
+			s.log.Warn("settings invalid, the previous stays", zap.String("at", fmt.Sprintf("%s:%d", directiveError.Path, directiveError.Line)),
 				zap.Error(faulty))
-		case errors.As(faulty, &fault):
-			s.log.Warn("charter faulty, the old one stays", zap.String("key", fault.Key), zap.Error(faulty))
+		case errors.As(faulty, &keyError):
+			s.log.Warn("config invalid, the previous stays", zap.String("key", keyError.Key), zap.Error(faulty))
 		case faulty != nil:
-			s.log.Warn("charter not read, the old one stays", zap.Error(faulty))
+			s.log.Warn("config unreadable, the previous stays", zap.Error(faulty))
 		case !changed:
-			s.log.Info("charter as before")
+			s.log.Info("config unchanged")
 		}
 	}
 }
 
 // adopt takes over what may change while running and tells whether anything is new. Runs and all that is held
 // go on; what cannot change stays as it was, with a line that says so.
-func (s *Server) adopt(c *charter.Charter) (changed bool) {
-	old := s.charter.Load()
+func (s *Server) adopt(c *config.Config) (changed bool) {
+	old := s.config.Load()
 	if reflect.DeepEqual(c, s.read) {
 		return false
 	}
@@ -82,14 +82,14 @@
 	}
 	next.Name, next.Listen, next.Methods, next.Rules = old.Name, old.Listen, old.Methods, old.Rules
 	if left != nil {
-		s.log.Warn("charter changed in what stays until the next start", zap.Strings("keys", left))
+		s.log.Warn("config changed where a restart is needed", zap.Strings("keys", left))
 	}
-	s.charter.Store(&next)
+	s.config.Store(&next)
 	s.bound(&next)
 	effects := *s.press.effects.Load()
 	s.applied(effects, effects) // bounds that hang on the limits
 	s.link.Move(next.Kernel)
 	signal(s.said)
-	s.log.Info("charter taken over", zap.Stringer("kernel", next.Kernel), zap.Stringer("roster", next.Roster))
+	s.log.Info("config reloaded", zap.Stringer("kernel", next.Kernel), zap.Stringer("roster", next.Roster))
 	return true
 }
--- a/server/server.go
+++ b/server/server.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap/zapcore"
 	"golang.org/x/sync/errgroup"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/fleet"
 	"valveglade/gate"
 	"valveglade/internal/kernel"
@@ -28,8 +28,8 @@
 
 // Server is one app server.
 type Server struct {
-	charter atomic.Pointer[charter.Charter] // the one in force
-	read    *charter.Charter                // as last read; only Reload's goroutine has it
+	config  atomic.Pointer[config.Config] // the one in force
+	read    *config.Config                // as last read; only Reload's goroutine has it
 	log     *zap.Logger
 	limited *zap.Logger // for what any client can cause, as often as it likes: limited in rate
 	gate    *gate.Gate[*call]
@@ -41,10 +41,10 @@
 
 	ownsProcess atomic.Bool // its memory limit is ours to set
 
-	fleetLaws charter.Fleet                // in force from the start
-	fleetRead charter.Fleet                // as last read; only Reload's goroutine has it
-	lender    atomic.Pointer[fleet.Lender] // of permits under common limits; nil where there are none
-	warmAt    atomic.Int64                 // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
+	fleetSettings     config.Fleet                 // in force from the start
+	fleetSettingsRead config.Fleet                 // as last read; only Reload's goroutine has it
+	lender            atomic.Pointer[fleet.Lender] // of permits under common limits; nil where there are none
+	warmAt            atomic.Int64                 // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
 
 	stageAt atomic.Int32 // see enter
 	spans   drainSpans
@@ -71,16 +71,16 @@
 const keepShare, heldShare = 8, 4
 
 // New prepares an app server; nothing is opened before Serve.
-func New(c *charter.Charter, log *zap.Logger) *Server { return NewUnder(c, charter.NewBylaws(), log) }
+func New(c *config.Config, log *zap.Logger) *Server { return NewUnder(c, config.NewSettings(), log) }
 
-// NewUnder is New under the operators' own bylaws.
-func NewUnder(c *charter.Charter, b *charter.Bylaws, log *zap.Logger) *Server {
+// NewUnder is New under the operators' own settings.
+func NewUnder(c *config.Config, b *config.Settings, log *zap.Logger) *Server {
 	s := &Server{log: log, limited: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, lineEvery, 1, 0)
 	})), methods: map[string]int{}, conns: map[*conn]struct{}{},
 		up: make(chan struct{}), left: make(chan struct{}, 1), said: make(chan struct{}, 1), well: make(chan struct{}, 1),
-		spans: usualSpans, half: halfFor, idle: idleEvery, press: newPress(c, b), signal: c.Rules.Machine.Signal, fleetLaws: b.Fleet, fleetRead: b.Fleet}
-	s.charter.Store(c)
+		spans: usualSpans, half: halfFor, idle: idleEvery, press: newPress(c, b), signal: c.Rules.Machine.Signal, fleetSettings: b.Fleet, fleetSettingsRead: b.Fleet}
+	s.config.Store(c)
 	s.read = c
 	for k, name := range c.Methods {
 		s.methods[name] = k
@@ -97,22 +97,22 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Serve listens where the charter says and runs until ctx ends, which is the notice to leave, and then until
-// all that was read is answered and the connections are closed, at the latest shortly before the charter's
+// Serve listens where the config says and runs until ctx ends, which is the notice to leave, and then until
+// all that was read is answered and the connections are closed, at the latest shortly before the config's
 // stop.
 func (s *Server) Serve(ctx context.Context) error {
-	listener, err := net.Listen("tcp", s.charter.Load().Listen.String())
+	listener, err := net.Listen("tcp", s.config.Load().Listen.String())
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	s.ownsProcess.Store(true)
-	s.bound(s.charter.Load())
+	s.bound(s.config.Load())
 	return s.ServeOn(ctx, listener.(*net.TCPListener))
 }
 
 // bound tells Go's collector of the memory limit, which it holds to as to a target; stacks and what the system
 // keeps for the process come on top, so a quarter stays free.
-func (s *Server) bound(c *charter.Charter) {
+func (s *Server) bound(c *config.Config) {
 	if s.ownsProcess.Load() {
 		debug.SetMemoryLimit(int64(c.Memory) / 4 * 3)
 	}
@@ -158,7 +158,7 @@
 		case <-s.up:
 		}
 		return roster.Report(all, func() (netip.AddrPort, string, bool) {
-			c := s.charter.Load()
+			c := s.config.Load()
 			return c.Roster, c.Name, s.healthy()
 		}, s.said)
 	})
@@ -214,7 +214,7 @@
 		return nil
 	case <-ctx.Done():
 	}
-	stop := clock() + s.charter.Load().Stop
+	stop := clock() + s.config.Load().Stop
 	s.enter(stageDraining)
 	s.gate.Leave(clock(), stop)
 	if !sleep(all, stop-s.spans.notAccepting-clock()) {
@@ -299,7 +299,7 @@
 	k := job.For
 	switch job.Do {
 	case gate.Run:
-		if err := s.link.Run(&run{job.RPC, k}, k.uid, s.charter.Load().Methods[k.method], k.body); err != nil {
+		if err := s.link.Run(&run{job.RPC, k}, k.uid, s.config.Load().Methods[k.method], k.body); err != nil {
 			s.limited.Warn("run not asked for", zap.Error(err))
 			s.gate.Report(clock(), job.RPC, rpc.Moot, 0, nil)
 		}
@@ -389,7 +389,7 @@
 	s.log.Info("kernel up", zap.Float64("for_s", ago), zap.Bool("cold", cold))
 	warm := clock() - ago
 	if cold {
-		warm += s.charter.Load().Rules.Rules.WarmIn
+		warm += s.config.Load().Rules.Rules.WarmIn
 	}
 	s.warmAt.Store(int64(warm * 1e9))
 	if s.gate.Boot(clock(), clock()-ago, cold) {
@@ -421,5 +421,5 @@
 }
 
 func (s *Server) tokened(method int) bool {
-	return s.charter.Load().Rules.Methods[method].Kind == rpc.Tokened
+	return s.config.Load().Rules.Methods[method].Kind == rpc.Tokened
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -19,7 +19,7 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/rpc"
 )
 
@@ -38,14 +38,14 @@
 	served  chan error
 	before  int // goroutines
 	notices int
-	charter *charter.Charter
+	config  *config.Config
 	cold    bool // the kernel comes up cold
 	*Server
 }
 
-func open(change func(c *charter.Charter)) *town { return openLogged(change, zap.NewNop()) }
+func open(change func(c *config.Config)) *town { return openLogged(change, zap.NewNop()) }
 
-func openLogged(change func(c *charter.Charter), log *zap.Logger) *town {
+func openLogged(change func(c *config.Config), log *zap.Logger) *town {
 	t := openHeldLogged(change, log)
 	t.linkUp()
 	return t
@@ -58,21 +58,21 @@
 }
 
 // openHeld opens a town whose kernel is not up before link.
-func openHeld(change func(c *charter.Charter)) *town { return openHeldLogged(change, zap.NewNop()) }
+func openHeld(change func(c *config.Config)) *town { return openHeldLogged(change, zap.NewNop()) }
 
-func openHeldLogged(change func(c *charter.Charter), log *zap.Logger) *town {
+func openHeldLogged(change func(c *config.Config), log *zap.Logger) *town {
 	return openPrepared(change, log, func(*Server) {})
 }
 
 // openPrepared opens a town whose app server is changed before it serves, and whose kernel is not up.
-func openPrepared(change func(c *charter.Charter), log *zap.Logger, prepare func(*Server)) *town {
+func openPrepared(change func(c *config.Config), log *zap.Logger, prepare func(*Server)) *town {
 	t := &town{runs: make(chan string, 100), reports: make(chan string, 100), served: make(chan error, 1),
 		before: runtime.NumGoroutine()}
 	t.cores = must(net.Listen("tcp", "127.0.0.1:0"))
 	roster := t.roster()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	t.door, t.at = listener, listener.Addr().String()
-	c := &charter.Charter{Name: "n1", Kernel: netip.MustParseAddrPort(t.cores.Addr().String()), Stop: 1.2,
+	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.cores.Addr().String()), Stop: 1.2,
 		Roster: netip.MustParseAddrPort(roster.LocalAddr().String()), Memory: 64 << 20, Sockets: 64,
 		Methods: []string{"look", "record"}}
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent, Target: 30, Deadline: 60, Criticality: 1},
@@ -83,7 +83,7 @@
 	if change != nil {
 		change(c)
 	}
-	t.charter, t.Server = c, New(c, log)
+	t.config, t.Server = c, New(c, log)
 	prepare(t.Server)
 	ctx, notice := context.WithCancel(context.Background())
 	t.notice = func() {
@@ -407,7 +407,7 @@
 // A drain under load: everything read is answered before the stop, connections are asked to end, and the
 // process ends by itself.
 func Example_drain() {
-	t := open(func(c *charter.Charter) { c.Rules.Machine.Cores = 1 })
+	t := open(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
 	r, idle := t.dial(), t.dial()
 	r.execute(1)
 	t.asked()
@@ -439,7 +439,7 @@
 // at once, as behind it others wait to be let in.
 func Example_crowded() {
 	// Nobody is asked to make room beforehand: while that is being written the connection does not rest.
-	t := openPrepared(func(c *charter.Charter) { c.Sockets = reserve + 2 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 2 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
 	t.linkUp()
 	first, second := t.dial(), t.dial()
 	for k, r := range []*router{first, second} {
@@ -475,7 +475,7 @@
 // Who says nothing, or half of something, is let go in time; what had been read before is answered. The oldest
 // silent connection goes before an idle one that was used.
 func Example_silent() {
-	t := open(func(c *charter.Charter) { c.Sockets = reserve + 3 })
+	t := open(func(c *config.Config) { c.Sockets = reserve + 3 })
 	r, silent, half := t.dial(), t.dial(), t.dial()
 	r.execute(1)
 	t.asked()
@@ -567,7 +567,7 @@
 
 // Making room never waits for the one that goes: else one close would keep all newcomers out.
 func Example_room() {
-	t := open(func(c *charter.Charter) { c.Sockets = reserve + 1 })
+	t := open(func(c *config.Config) { c.Sockets = reserve + 1 })
 	stuck := waits{end: make(chan bool)}
 	t.Server.mu.Lock()
 	t.conns[&conn{Server: t.Server, Conn: stuck, known: true, gone: make(chan struct{})}] = struct{}{}
@@ -584,7 +584,7 @@
 
 // Past the memory for RPCs whose answer is owed the next are aborted, until there is room again.
 func Example_memory() {
-	t := open(func(c *charter.Charter) { c.Memory = heldShare * 3 * callSize / 2 })
+	t := open(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
 	r := t.dial()
 	r.execute(1)
 	t.asked()
@@ -629,7 +629,7 @@
 
 // A connection with nothing open is asked to end after the idle time, and closed if its router does not.
 func Example_idle() {
-	t := open(func(c *charter.Charter) { c.Rules.Machine.KeepAlive = 0.1 })
+	t := open(func(c *config.Config) { c.Rules.Machine.KeepAlive = 0.1 })
 	r := t.dial()
 	r.execute(1)
 	t.asked()
@@ -644,7 +644,7 @@
 	// served: <nil>
 }
 
-// New addresses under load: a run goes on over the new link, in a drain too; a faulty charter changes nothing,
+// New addresses under load: a run goes on over the new link, in a drain too; a faulty config changes nothing,
 // and one that is not there yet is looked at again. Before, SIGHUP ended the process and what it held was lost.
 func Example_reload() {
 	t := open(nil)
@@ -653,16 +653,16 @@
 	t.asked()
 	fmt.Println("roster:", next(t.reports))
 	hup, looks := make(chan os.Signal, 1), make(chan string, 100)
-	var given atomic.Pointer[charter.Charter]
+	var given atomic.Pointer[config.Config]
 	live, end := context.WithCancel(context.Background())
 	over := make(chan bool)
 	go func() {
-		t.Reload(live, hup, func() (*charter.Charter, *charter.Bylaws, error) {
+		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
 			looks <- "looked"
 			if c := given.Load(); c != nil {
 				return c, nil, nil
 			}
-			return nil, nil, &charter.Fault{Key: "kernel", Why: "half written"}
+			return nil, nil, &config.KeyError{Key: "kernel", Reason: "half written"}
 		})
 		close(over)
 	}()
@@ -671,7 +671,7 @@
 		old, roster := t.cores, t.roster()
 		rosters = append(rosters, roster)
 		t.cores = must(net.Listen("tcp", "127.0.0.1:0"))
-		c := *t.charter
+		c := *t.config
 		c.Name, c.Methods = "n2", []string{"other", "names"} // these stay
 		c.Kernel = netip.MustParseAddrPort(t.cores.Addr().String())
 		c.Roster = netip.MustParseAddrPort(roster.LocalAddr().String())
@@ -715,7 +715,7 @@
 
 // Embedding: an app server beside others in one process.
 func ExampleServer() {
-	c, err := charter.FromEnv()
+	c, err := config.FromEnv()
 	if err != nil {
 		panic(err)
 	}
