--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -67,13 +67,13 @@
 // Hello starts an instance. Settings that cannot be read, or that the module has no meaning for, end it with the key named; the
 // others go on.
 func (h *host) Hello(who uint32, _ uint64, params []byte) {
-	var charter rpc.Charter
-	err := json.Unmarshal(params, &charter)
+	var settings rpc.Settings
+	err := json.Unmarshal(params, &settings)
 	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) {
 		err = fmt.Errorf("%s: a JSON %s does not fit", bad.Field, bad.Value)
 	}
 	if err == nil {
-		err = charter.Check()
+		err = settings.Check()
 	}
 	if err != nil {
 		delete(h.guests, who)
@@ -82,7 +82,7 @@
 	}
 	g := &guest{host: h, who: who, index: map[uint64]int{}, callers: map[uint16]int{}}
 	h.guests[who] = g
-	g.module = logic.New(h.now, charter, g)
+	g.module = logic.New(h.now, settings, g)
 }
 
 // Unknown events disturb nobody; one line tells of the first.
--- a/config/config.go
+++ b/config/config.go
@@ -22,7 +22,7 @@
 	Sockets int     // descriptors it may hold
 	Cores   float64 // it may use, 0 if nobody has said
 	Methods []string
-	Rules   rpc.Charter
+	Rules   rpc.Settings
 }
 
 // KeyError names a key of the config whose value is wrong.
--- a/gate/actions.go
+++ b/gate/actions.go
@@ -4,7 +4,7 @@
 type actions[T any] Gate[T]
 
 func (a *actions[T]) criticality(i int) float64 {
-	return a.charter.Methods[a.slots[i].method].Criticality
+	return a.settings.Methods[a.slots[i].method].Criticality
 }
 
 func (a *actions[T]) gate() *Gate[T] { return (*Gate[T])(a) }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -79,28 +79,28 @@
 
 // Gate is safe for use by many goroutines. No method but Pick blocks.
 type Gate[T any] struct {
-	mu      sync.Mutex
-	charter rpc.Charter
-	module  *logic.Module
-	now     float64
-	slots   []slot[T]
-	spare   []int
-	uids    map[string]struct{}
-	seed    maphash.Seed
-	callers map[int]int // indices by the numbers that callers give themselves
-	known   []caller
-	tokens  table
-	ended   []int // followers whose outcome is there, to be told to the module
-	jobs    []Job[T]
-	ready   chan struct{} // holds one while there are jobs
-	changed chan struct{} // holds one after a change of health, reaping or the notes
-	credit  float64
-	healthy bool
-	booted  bool // the machine is up
-	reap    float64
-	wake    float64
-	notes   []string
-	permits Permits // nil where there are no common limits
+	mu       sync.Mutex
+	settings rpc.Settings
+	module   *logic.Module
+	now      float64
+	slots    []slot[T]
+	spare    []int
+	uids     map[string]struct{}
+	seed     maphash.Seed
+	callers  map[int]int // indices by the numbers that callers give themselves
+	known    []caller
+	tokens   table
+	ended    []int // followers whose outcome is there, to be told to the module
+	jobs     []Job[T]
+	ready    chan struct{} // holds one while there are jobs
+	changed  chan struct{} // holds one after a change of health, reaping or the notes
+	credit   float64
+	healthy  bool
+	booted   bool // the machine is up
+	reap     float64
+	wake     float64
+	notes    []string
+	permits  Permits // nil where there are no common limits
 }
 
 // Under has the gate start nothing without permits. It is called before anything arrives.
@@ -167,8 +167,8 @@
 }
 
 // New starts a gate; keep bounds the bytes of kept results.
-func New[T any](now float64, c rpc.Charter, keep int) *Gate[T] {
-	g := &Gate[T]{charter: c, now: now, callers: map[int]int{}, uids: map[string]struct{}{}, seed: maphash.MakeSeed(), tokens: newTable(keep), credit: -1,
+func New[T any](now float64, c rpc.Settings, keep int) *Gate[T] {
+	g := &Gate[T]{settings: c, now: now, callers: map[int]int{}, uids: map[string]struct{}{}, seed: maphash.MakeSeed(), tokens: newTable(keep), credit: -1,
 		reap: c.Machine.KeepAlive, ready: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
 	g.module = logic.New(now, c, (*actions[T])(g))
 	// A caller that asks for its credit now may go by it once the machine is up, and that may be cold.
@@ -186,9 +186,9 @@
 		return false
 	}
 	g.booted = true
-	g.charter.Machine.Cold = cold
+	g.settings.Machine.Cold = cold
 	if len(g.slots) == 0 {
-		g.module = logic.New(at, g.charter, (*actions[T])(g))
+		g.module = logic.New(at, g.settings, (*actions[T])(g))
 	} else {
 		g.module.Boot(g.clock(now), at, cold)
 	}
@@ -240,7 +240,7 @@
 	*s = slot[T]{life: s.life + 1, who: who, uid: uid, token: token, body: digest, from: from,
 		ahead: max(recv-now, 0), method: method}
 	g.move(i, owed)
-	if method < len(g.charter.Methods) {
+	if method < len(g.settings.Methods) {
 		g.wait(i)
 	}
 	id = ID{i, s.life}
@@ -253,7 +253,7 @@
 			repeats = e.runner.i
 		}
 	}
-	g.module.Arrive(now, i, method, from, 0, max(now-recv, 0), again && g.charter.Clients.MarksRetry, false, due, kb, repeats)
+	g.module.Arrive(now, i, method, from, 0, max(now-recv, 0), again && g.settings.Clients.MarksRetry, false, due, kb, repeats)
 	g.settle()
 	return id, true
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -19,10 +19,10 @@
 	ids map[string]ID
 }
 
-func open(cores, keep int) *street { return openTold(cores, keep, func(*rpc.Charter) {}) }
+func open(cores, keep int) *street { return openTold(cores, keep, func(*rpc.Settings) {}) }
 
-func openTold(cores, keep int, change func(c *rpc.Charter)) *street {
-	c := rpc.Charter{
+func openTold(cores, keep int, change func(c *rpc.Settings)) *street {
+	c := rpc.Settings{
 		Methods: []rpc.Method{
 			{Kind: rpc.Idempotent, Target: 1.2, Deadline: 4, Criticality: 1},
 			{Kind: rpc.Tokened, Target: 2.4, Deadline: 8, Window: 10, Criticality: 3, LateShare: 0.2},
@@ -336,7 +336,7 @@
 	s.report("a", rpc.OK, "1")
 	fmt.Println("booted", s.Booted(), "credit", s.Credit())
 
-	early := openTold(2, 1000, func(c *rpc.Charter) { c.Rules.ColdAt, c.Rules.WarmIn, c.Machine.Cores = 0.25, 100, 8 })
+	early := openTold(2, 1000, func(c *rpc.Settings) { c.Rules.ColdAt, c.Rules.WarmIn, c.Machine.Cores = 0.25, 100, 8 })
 	early.arrive("b", read, "")
 	fmt.Println("credit", early.Credit())
 	early.Boot(early.now, 99.9, true)
@@ -390,7 +390,7 @@
 // A window shorter than a run: its repeats wait for the outcome, also those past the window and those that follow for
 // longer than tokens are kept, and none runs beside it. Then the token is free.
 func Example_shortWindow() {
-	s := openTold(2, 1000, func(c *rpc.Charter) { c.Methods[write].Window, c.Methods[write].Deadline = 1, 20 })
+	s := openTold(2, 1000, func(c *rpc.Settings) { c.Methods[write].Window, c.Methods[write].Deadline = 1, 20 })
 	send := func(name string) {
 		s.ids[name], _ = s.Arrive(s.now, write, 0, s.now, s.now+20, 20, false, name, "t", []byte("body"), name)
 		s.say()
--- a/logic/desk_test.go
+++ b/logic/desk_test.go
@@ -25,8 +25,8 @@
 )
 
 // open starts a module with two cores and two callers; change may be nil.
-func open(change func(c *rpc.Charter)) *desk {
-	c := rpc.Charter{
+func open(change func(c *rpc.Settings)) *desk {
+	c := rpc.Settings{
 		Methods: []rpc.Method{
 			{Kind: rpc.Idempotent, Target: 1.2, Deadline: 4, Criticality: 1},
 			{Kind: rpc.Tokened, Target: 2.4, Deadline: 8, Window: 10, Criticality: 3, LateShare: 0.2},
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -18,7 +18,7 @@
 
 // Module decides for one app server.
 type Module struct {
-	rpc.Charter
+	rpc.Settings
 	do                  rpc.Actions
 	now, started        float64
 	rpcs                []work
@@ -60,8 +60,8 @@
 
 // New starts the module of an app server that has just come up. What the config lacks, or has at zero, gets
 // the mildest meaning that keeps the rules.
-func New(now float64, c rpc.Charter, do rpc.Actions) *Module {
-	m := &Module{Charter: c, do: do, now: now, started: now, updated: now, halved: now}
+func New(now float64, c rpc.Settings, do rpc.Actions) *Module {
+	m := &Module{Settings: c, do: do, now: now, started: now, updated: now, halved: now}
 	m.Machine.Cores = max(c.Machine.Cores, 1)
 	m.Machine.RunFactor = max(c.Machine.RunFactor, 1)
 	m.Rules.Crowd = max(c.Rules.Crowd, 1)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -67,7 +67,7 @@
 
 // Once the hold has stood full for a while the newest goes first.
 func Example_newestFirst() {
-	d := open(func(c *rpc.Charter) { c.Methods[page].Target = 7 })
+	d := open(func(c *rpc.Settings) { c.Methods[page].Target = 7 })
 	for i := range 6 {
 		d.arrive(i, page)
 	}
@@ -106,7 +106,7 @@
 // A tokened RPC runs once: a further try takes the place of one that is held, and follows one that has started,
 // is ok or was answered.
 func Example_tokened() {
-	d := open(func(c *rpc.Charter) { c.Machine.Cores = 1 })
+	d := open(func(c *rpc.Settings) { c.Machine.Cores = 1 })
 	d.arrive(0, page)
 	d.arrive(1, write)
 	d.repeat(2, write, 1)
@@ -129,7 +129,7 @@
 
 // A token of an RPC that will never run is forgotten, with its memory.
 func Example_tokenForgotten() {
-	d := open(func(c *rpc.Charter) { c.Machine.Cores = 1 })
+	d := open(func(c *rpc.Settings) { c.Machine.Cores = 1 })
 	d.arrive(0, page)
 	d.arrive(1, write)
 	d.m.CallerGone(d.now, 1)
@@ -171,7 +171,7 @@
 
 // Work that cannot be stopped keeps its place, answered by its due time, and the crowd stays within the limit.
 func Example_unstoppable() {
-	d := open(func(c *rpc.Charter) { c.Machine.Preemption = rpc.Unstoppable })
+	d := open(func(c *rpc.Settings) { c.Machine.Preemption = rpc.Unstoppable })
 	d.arrive(0, read)
 	d.arrive(1, page)
 	d.m.CallerGone(d.now, 0)
@@ -269,7 +269,7 @@
 
 // Memory: what does not fit beside the rest waits; what never fits is refused at once.
 func Example_memory() {
-	d := open(func(c *rpc.Charter) { c.Machine.MemoryKB = 200 })
+	d := open(func(c *rpc.Settings) { c.Machine.MemoryKB = 200 })
 	d.arrive(0, read)
 	d.arrive(1, read)
 	d.arrive(2, read)
@@ -285,7 +285,7 @@
 
 // A cold app server takes less: the survivable crowd rises with its warmth.
 func Example_cold() {
-	d := open(func(c *rpc.Charter) { c.Machine.Cold, c.Machine.Cores, c.Rules.Crowd, c.Rules.ColdAt = true, 4, 2, 0 })
+	d := open(func(c *rpc.Settings) { c.Machine.Cold, c.Machine.Cores, c.Rules.Crowd, c.Rules.ColdAt = true, 4, 2, 0 })
 	for i := range 5 {
 		d.arrive(i, page)
 	}
@@ -327,7 +327,7 @@
 // Where tries are marked, many refusals alone do not say that others are full: callers are asked not to go on only
 // while many arrivals are further tries. Those count as old as what is refused here, and are given up sooner.
 func Example_furtherTries() {
-	d := open(func(c *rpc.Charter) { c.Clients.MarksRetry = true })
+	d := open(func(c *rpc.Settings) { c.Clients.MarksRetry = true })
 	for i := range 4 {
 		d.arrive(i, page)
 	}
@@ -447,7 +447,7 @@
 // The signals by share say how much of what is in hand the pool covers, whenever that changes.
 func Example_signals() {
 	for _, signal := range []rpc.Signal{rpc.Weight, rpc.Floor, "none"} {
-		d := open(func(c *rpc.Charter) { c.Machine.Signal = signal })
+		d := open(func(c *rpc.Settings) { c.Machine.Signal = signal })
 		d.credits = true
 		for i := range 6 {
 			d.arriveAs(i, page, i, 0, rpc.None)
@@ -472,10 +472,10 @@
 
 // Odd settings keep the rules: no figures at all, and a deadline shorter than the latency target.
 func Example_odd() {
-	d := open(func(c *rpc.Charter) { *c = rpc.Charter{} })
+	d := open(func(c *rpc.Settings) { *c = rpc.Settings{} })
 	d.arrive(0, read)
 	d.pass(0.1)
-	d = open(func(c *rpc.Charter) { c.Machine.Cores, c.Methods[read].Deadline = 1, 0.5 })
+	d = open(func(c *rpc.Settings) { c.Machine.Cores, c.Methods[read].Deadline = 1, 0.5 })
 	d.arrive(0, read)
 	d.arrive(1, read)
 	d.pass(0.6)
@@ -491,7 +491,7 @@
 
 // A dependency that slows down gets fewer calls at a time, and more once it is well.
 func Example_crowdedDependency() {
-	d := open(func(c *rpc.Charter) { c.Machine.CallsOut = 4 })
+	d := open(func(c *rpc.Settings) { c.Machine.CallsOut = 4 })
 	d.arrive(0, page)
 	d.arrive(1, page)
 	for _, took := range []float64{0.1, 0.6, 0.1, 0.1} {
@@ -517,7 +517,7 @@
 
 // The fraction of a share past a whole number is used too: one call more at times, shorter in patience.
 func Example_shareFraction() {
-	d := open(func(c *rpc.Charter) { c.Machine.CallsOut = 1.25 })
+	d := open(func(c *rpc.Settings) { c.Machine.CallsOut = 1.25 })
 	d.arrive(0, page)
 	d.arrive(1, page)
 	d.m.NeedsCall(d.now, 0)
@@ -563,7 +563,7 @@
 // it. One that others wait for is not taken off the cores for its own caller's sake, and is kept before one that nobody else
 // waits for. Where answers may not be shared nothing is remembered.
 func Example_sharedReads() {
-	d := open(func(c *rpc.Charter) { c.Machine.Fresh, c.Machine.Cores = 1, 1 })
+	d := open(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores = 1, 1 })
 	d.arrive(0, read)
 	d.repeat(1, read, 0)
 	d.m.CallerGone(d.now, 0)
@@ -600,7 +600,7 @@
 // An answer that keeps a part of its worth without a call goes without one that cannot come in time, or that failed for good;
 // others wait for theirs, or are given up.
 func Example_leftOut() {
-	d := open(func(c *rpc.Charter) {
+	d := open(func(c *rpc.Settings) {
 		c.Machine.SkipWorth, c.Machine.Calls, c.Machine.CallsOut = []float64{0, 0, 0.5}, []bool{true, false, true}, 9
 	})
 	for i := range 4 {
@@ -665,7 +665,7 @@
 func Example_shareOverSpan() {
 	const share = 0.5
 	d := &meter{desk: &desk{now: 100, reaps: true}, ids: map[int]int{}}
-	c := rpc.Charter{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
+	c := rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
 		Machine: rpc.Machine{Below: "one_for_all", Calls: []bool{true}, CallsOut: share, CallsSpan: 5, Linger: 0.2, Cores: 4,
 			MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
 	d.m = logic.New(d.now, c, d)
@@ -715,7 +715,7 @@
 
 // Tenants: the one past its share goes first, whichever came last; within their shares all are alike.
 func Example_tenants() {
-	d := open(func(c *rpc.Charter) {
+	d := open(func(c *rpc.Settings) {
 		c.Tenants, c.Replicas, c.OverShareWorth = []rpc.Tenant{{Quota: 1}, {Quota: 1}}, 10, 0.1
 		c.Machine.Cores = 1
 	})
@@ -735,12 +735,12 @@
 // What follows takes memory too, and waits as long as what it follows: once there is none left a read is refused or has another
 // make room, and the repeat of a token is aborted, as what it repeats may have run.
 func Example_followersFill() {
-	d := open(func(c *rpc.Charter) { c.Machine.Fresh, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
+	d := open(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
 	d.arrive(0, read)
 	for i := range 6 {
 		d.repeat(1+i, read, 0)
 	}
-	d = open(func(c *rpc.Charter) { c.Machine.Cores, c.Machine.MemoryKB = 1, 200 })
+	d = open(func(c *rpc.Settings) { c.Machine.Cores, c.Machine.MemoryKB = 1, 200 })
 	d.arrive(0, write)
 	for i := range 6 {
 		d.repeat(1+i, write, 0)
@@ -771,7 +771,7 @@
 // A layer below that fails calls at once is not quick: what its calls take is known from those that end well alone, so that one
 // which would come too late is still left out.
 func Example_fastFailing() {
-	d := open(func(c *rpc.Charter) { c.Machine.SkipWorth, c.Machine.CallsOut = []float64{0, 0, 0.5}, 9 })
+	d := open(func(c *rpc.Settings) { c.Machine.SkipWorth, c.Machine.CallsOut = []float64{0, 0, 0.5}, 9 })
 	for range 4 {
 		d.arrive(0, page)
 		d.m.NeedsCall(d.now, 0)
@@ -808,7 +808,7 @@
 // A fleet that grows: this one has just come up cold, and callers move to it as its list spreads. What each is told to have out
 // here follows its warmth and their number, and so does what runs at once.
 func Example_growsCold() {
-	d := open(func(c *rpc.Charter) {
+	d := open(func(c *rpc.Settings) {
 		c.Machine.Cold, c.Machine.Cores, c.Rules.Crowd, c.Rules.ColdAt, c.Rules.WarmIn = true, 4, 2, 0, 4
 	})
 	d.credits = true
@@ -841,7 +841,7 @@
 // Callers that never say how long they wait, and are never heard to give up: the deadline after arrival decides, for what is held
 // and what runs.
 func Example_untold() {
-	d := open(func(c *rpc.Charter) { c.Machine.Cores, c.Methods[read].LateShare = 1, 0.2 })
+	d := open(func(c *rpc.Settings) { c.Machine.Cores, c.Methods[read].LateShare = 1, 0.2 })
 	d.arrive(0, read)
 	d.arrive(1, write)
 	d.pass(9)
@@ -862,7 +862,7 @@
 // Remembered tokens take half of the memory: the next tokened RPC is refused, as the other half is for work; reads go on, and
 // once a window has passed so do tokened RPCs.
 func Example_tokensFill() {
-	d := open(func(c *rpc.Charter) { c.Machine.MemoryKB, c.Methods[write].Window = 200, 1 })
+	d := open(func(c *rpc.Settings) { c.Machine.MemoryKB, c.Methods[write].Window = 200, 1 })
 	d.reaps = true // of the first ten nothing is printed
 	for range 10 {
 		d.arrive(0, write)
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // Check names the first setting that has no meaning here. What is left out, or at zero, has the mildest one.
-func (c *Charter) Check() error {
+func (c *Settings) Check() error {
 	for k, m := range c.Methods {
 		switch m.Kind {
 		case Idempotent, Tokened, NonIdempotent:
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -56,8 +56,8 @@
 	LateShare   float64 `json:"lateWorth"`
 }
 
-// Charter is what an app server is told when it starts.
-type Charter struct {
+// Settings is the deployment that an app server is started with.
+type Settings struct {
 	Methods        []Method `json:"profiles"`
 	Machine        Machine  `json:"domain"`
 	Rules          Rules    `json:"rules"`
