--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -23,7 +23,7 @@
 	var voters []string
 	var rate, drift float64
 	c := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		p := member.Papers{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
+		p := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
 			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Probe: 300 * time.Millisecond, Terms: view.Defaults()}
 		for _, a := range strings.Split(join, ",") {
 			p.Join = append(p.Join, netip.MustParseAddrPort(a))
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -58,7 +58,7 @@
 	defer end()
 	var seeds []netip.AddrPort
 	for k := range n {
-		m, err := member.New(member.Papers{Name: fmt.Sprintf("m%03d", k), Zone: fmt.Sprintf("z%d", k%3),
+		m, err := member.New(member.Config{Name: fmt.Sprintf("m%03d", k), Zone: fmt.Sprintf("z%d", k%3),
 			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 			Probe: 300 * time.Millisecond, Terms: view.Defaults()}, zap.NewNop())
 		if err != nil {
--- a/member/member.go
+++ b/member/member.go
@@ -25,8 +25,8 @@
 	"valveglade/logic/view"
 )
 
-// Papers are what a member is told at its start.
-type Papers struct {
+// Config is what a member is started with.
+type Config struct {
 	Name      string
 	Zone      string
 	Listen    netip.AddrPort // packets and streams of the fleet
@@ -41,7 +41,7 @@
 
 // Member is one app server's part in the fleet.
 type Member struct {
-	papers  Papers
+	config  Config
 	log     *zap.Logger
 	wire    *wire
 	machine *view.Machine // only the loop has it
@@ -83,7 +83,7 @@
 }
 
 // New opens the sockets of a member; nothing is sent before Run.
-func New(p Papers, log *zap.Logger) (*Member, error) {
+func New(p Config, log *zap.Logger) (*Member, error) {
 	if p.Now == nil {
 		p.Now = time.Now
 	}
@@ -94,7 +94,7 @@
 	if !p.Advertise.IsValid() {
 		p.Advertise = w.listen
 	}
-	m := &Member{papers: p, log: log, wire: w, events: make(chan view.Event, mostEvents), saying: make(chan struct{}, 1),
+	m := &Member{config: p, log: log, wire: w, events: make(chan view.Event, mostEvents), saying: make(chan struct{}, 1),
 		subs: map[chan struct{}]struct{}{}}
 	m.dropped, m.drop = context.WithCancel(context.Background())
 	w.lag, w.wake = seconds(p.Terms.Lag), seconds(p.Terms.Wake)
@@ -184,7 +184,7 @@
 	if len(message) > mostNote || m.View().Sure == view.Withdrawn {
 		return
 	}
-	if to == m.papers.Name {
+	if to == m.config.Name {
 		m.noted(to, to, message)
 		return
 	}
@@ -192,13 +192,13 @@
 	at, known := m.notes.at[to]
 	m.notes.Unlock()
 	if known && m.wire.late() < m.wire.wake {
-		m.wire.send(kindNote, appendNote(nil, m.papers.Name, to, message), at)
+		m.wire.send(kindNote, appendNote(nil, m.config.Name, to, message), at)
 	}
 }
 
 // noted passes a message on to whoever receives them here.
 func (m *Member) noted(from, to string, message []byte) {
-	if f := m.receive.Load(); f != nil && to == m.papers.Name && m.View().Sure != view.Withdrawn {
+	if f := m.receive.Load(); f != nil && to == m.config.Name && m.View().Sure != view.Withdrawn {
 		(*f)(from, append([]byte(nil), message...))
 	}
 }
@@ -242,7 +242,7 @@
 	m.group.Go(m.wire.packets)
 	m.group.Go(m.wire.accept)
 	m.group.Go(func() error { return m.announce(all) })
-	if m.papers.Socket != "" {
+	if m.config.Socket != "" {
 		m.group.Go(func() error { return m.show(all) })
 	}
 	m.group.Go(func() error {
@@ -394,15 +394,15 @@
 
 // begin has the library start, as one that knows nobody.
 func (m *Member) begin() error {
-	g := &gossip{m: m, transport: m.wire.newTransport(m.papers.Advertise)}
+	g := &gossip{m: m, transport: m.wire.newTransport(m.config.Advertise)}
 	c := memberlist.DefaultLANConfig()
 	e := m.machine.Entry()
 	c.Name = handle(e.Name, e.Life.Nonce)
 	c.Transport = g.transport
-	c.ProbeInterval = m.papers.Probe
-	c.ProbeTimeout = time.Duration(float64(m.papers.Probe) * probeWait)
+	c.ProbeInterval = m.config.Probe
+	c.ProbeTimeout = time.Duration(float64(m.config.Probe) * probeWait)
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicion, suspicionMost
-	c.GossipInterval = time.Duration(float64(m.papers.Probe) * gossipPart)
+	c.GossipInterval = time.Duration(float64(m.config.Probe) * gossipPart)
 	c.GossipToTheDeadTime = burialTime
 	c.PushPullInterval = exchangeEvery
 	c.TCPTimeout = streamWait
@@ -440,7 +440,7 @@
 		m.wire.beat()
 		g.Leave(lastWord)
 		m.wire.beat()
-		time.Sleep(2 * time.Duration(float64(m.papers.Probe)*gossipPart))
+		time.Sleep(2 * time.Duration(float64(m.config.Probe)*gossipPart))
 	}
 	m.end()
 }
@@ -465,7 +465,7 @@
 
 // ask knocks at a member's address.
 func (m *Member) ask(ctx context.Context, name, address string) {
-	ctx, end := context.WithTimeout(ctx, time.Duration(float64(m.papers.Probe)*(1+probeWait)))
+	ctx, end := context.WithTimeout(ctx, time.Duration(float64(m.config.Probe)*(1+probeWait)))
 	defer end()
 	_, err := m.wire.knock(ctx, address, name)
 	m.Word(name, err == nil)
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -31,15 +31,15 @@
 	ends    []func()
 }
 
-func papers(name string, join ...netip.AddrPort) Papers {
-	return Papers{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
+func testConfig(name string, join ...netip.AddrPort) Config {
+	return Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Probe: 200 * time.Millisecond, Terms: view.Defaults()}
 }
 
 // start runs one more member; its end is the last of c.ends.
-func (c *crew) start(p Papers) *Member { return c.startLogged(p, zap.NewNop()) }
+func (c *crew) start(p Config) *Member { return c.startLogged(p, zap.NewNop()) }
 
-func (c *crew) startLogged(p Papers, log *zap.Logger) *Member {
+func (c *crew) startLogged(p Config, log *zap.Logger) *Member {
 	c.t.Helper()
 	m, err := New(p, log)
 	if err != nil {
@@ -86,9 +86,9 @@
 func TestMeet(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
-	first := c.start(papers("m0"))
+	first := c.start(testConfig("m0"))
 	for k := 1; k < 5; k++ {
-		c.start(papers(fmt.Sprintf("m%d", k), first.Address()))
+		c.start(testConfig(fmt.Sprintf("m%d", k), first.Address()))
 	}
 	until(t, "five see the same", 10*time.Second, alike(5, c.members...))
 	c.members[1].Say(view.Serving, false, view.Load{Open: 3})
@@ -126,8 +126,8 @@
 	t.Parallel()
 	c := &crew{t: t}
 	lines, logged := observer.New(zap.InfoLevel)
-	a := c.start(papers("a"))
-	p := papers("b", a.Address())
+	a := c.start(testConfig("a"))
+	p := testConfig("b", a.Address())
 	p.Allow = []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
 	b := c.startLogged(p, zap.New(lines))
 	until(t, "two see the same", 10*time.Second, alike(2, a, b))
@@ -296,13 +296,13 @@
 func TestClockBack(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
-	a := c.start(papers("a"))
-	b := c.start(papers("b", a.Address()))
+	a := c.start(testConfig("a"))
+	b := c.start(testConfig("b", a.Address()))
 	until(t, "two see the same", 10*time.Second, alike(2, a, b))
 	former := a.View().Find("b").Life
 	c.ends[1]() // no good-bye was said by its state, so it counts as dead
 	until(t, "it is lost", 10*time.Second, func() bool { return a.View().Find("b") == nil })
-	p := papers("b", a.Address())
+	p := testConfig("b", a.Address())
 	p.Now = func() time.Time { return time.Now().Add(-time.Hour) }
 	again := c.start(p)
 	until(t, "it is back, born later", 10*time.Second, func() bool {
@@ -316,7 +316,7 @@
 func TestShown(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
-	p := papers("a")
+	p := testConfig("a")
 	p.Socket, p.Zone = t.TempDir()+"/a.sock", "hall-1"
 	a := c.start(p)
 	var s Shown
@@ -333,7 +333,7 @@
 			t.Errorf("%q is not in\n%s", want, &table)
 		}
 	}
-	q := papers("b")
+	q := testConfig("b")
 	q.Socket = p.Socket
 	c.start(q)
 	time.Sleep(200 * time.Millisecond)
@@ -349,10 +349,10 @@
 func TestChanges(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
-	a := c.start(papers("a"))
+	a := c.start(testConfig("a"))
 	changes, stop := a.Changes()
 	<-changes // the view that there is
-	c.start(papers("b", a.Address()))
+	c.start(testConfig("b", a.Address()))
 	for a.View().Find("b") == nil {
 		select {
 		case <-changes:
--- a/member/show.go
+++ b/member/show.go
@@ -49,7 +49,7 @@
 // Shown is the view in force and what it cost, for operators.
 func (m *Member) Shown() Shown {
 	v, c := m.View(), m.Cost()
-	s := Shown{Name: m.papers.Name, Version: v.Version, Digest: digestText(v.Digest), Sure: v.Sure.String(),
+	s := Shown{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Sure: v.Sure.String(),
 		Packets: [2]int64{c.SentPackets, c.GotPackets}, Bytes: [2]int64{c.SentBytes, c.GotBytes}, Dropped: c.Dropped}
 	for _, e := range v.Members {
 		s.Members = append(s.Members, ShownMember{e.Name, e.Life.Birth, fmt.Sprintf("%08x", e.Life.Nonce), e.Address, e.Zone,
@@ -66,7 +66,7 @@
 
 // show tells the view to whoever on this machine connects to the local socket.
 func (m *Member) show(ctx context.Context) error {
-	path := m.papers.Socket
+	path := m.config.Socket
 	if nc, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		nc.Close()
 		m.log.Error("fleet: the local socket belongs to a process that runs") // it tells its own view; ours goes on
