--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -41,7 +41,7 @@
 		if len(voters) > 0 {
 			began := time.Now()
 			lease := rehearsedLease.Seconds()
-			f, err := fleet.New(fleet.Seal{Name: name, Voters: [][]string{voters}, Span: owner.Span{Lease: lease, Drift: drift, Margin: lease / 10},
+			f, err := fleet.New(fleet.Seal{Name: name, Voters: [][]string{voters}, Span: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
 				Clock: func() float64 { return rate * time.Since(began).Seconds() }}, m, log)
 			if err != nil {
 				return err
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -185,7 +185,7 @@
 				return nil
 			}
 			lists := splitAtSlash(w)
-			if err := owner.Sound(lists); err != nil {
+			if err := owner.CheckVoters(lists); err != nil {
 				return err
 			}
 			settings.Fleet.Voters = lists
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -32,7 +32,7 @@
 type Seal struct {
 	Name   string
 	Voters [][]string // the list of names, the same everywhere; former and next one while they are changed
-	Span   owner.Span
+	Span   owner.Timing
 	Folder string       // for a voter's promises; empty where nothing lasts
 	Fit    func() error // why this process should not stand now, nil if it may
 	Now    func() time.Time
@@ -49,7 +49,7 @@
 	seal    Seal
 	carrier Carrier
 	log     *zap.Logger
-	life    owner.Life
+	life    owner.Incarnation
 	heard   chan owner.Message // for candidates
 	asked   chan owner.Message // for the voter
 	quick   chan struct{}      // holds one when an office has something new
@@ -80,7 +80,7 @@
 
 // New prepares it; nothing is sent before Run.
 func New(seal Seal, carrier Carrier, log *zap.Logger) (*Fleet, error) {
-	if err := owner.Sound(seal.Voters); err != nil {
+	if err := owner.CheckVoters(seal.Voters); err != nil {
 		return nil, fmt.Errorf("voters: %w", err)
 	}
 	if seal.Clock == nil {
@@ -95,7 +95,7 @@
 	if seal.Fit == nil {
 		seal.Fit = func() error { return nil }
 	}
-	f := &Fleet{seal: seal, carrier: carrier, log: log, life: owner.Life{Name: seal.Name, Birth: rand.Uint64()},
+	f := &Fleet{seal: seal, carrier: carrier, log: log, life: owner.Incarnation{Name: seal.Name, ID: rand.Uint64()},
 		heard: make(chan owner.Message, mostWaiting), asked: make(chan owner.Message, mostWaiting), quick: make(chan struct{}, 1),
 		lending: make(chan grantMessage, mostWaiting),
 		offices: map[string]*office{}, leaving: make(chan struct{})}
@@ -114,8 +114,8 @@
 func (f *Fleet) Stand(name string, work Work) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(name) == 0 || len(name) > owner.MostLetters {
-		return fmt.Errorf("an office's name has 1 to %d bytes", owner.MostLetters)
+	if len(name) == 0 || len(name) > owner.MaxNameLength {
+		return fmt.Errorf("an office's name has 1 to %d bytes", owner.MaxNameLength)
 	}
 	if f.offices[name] != nil {
 		return fmt.Errorf("it stands for %q already", name)
@@ -152,8 +152,8 @@
 			f.handOver()
 		case m := <-f.heard:
 			f.mu.Lock()
-			if o := f.offices[m.Office]; o != nil {
-				o.candidate.Hear(m, f.seal.Clock())
+			if o := f.offices[m.Role]; o != nil {
+				o.candidate.HandleAnswer(m, f.seal.Clock())
 			}
 			f.mu.Unlock()
 		case m := <-f.lending:
@@ -185,7 +185,7 @@
 		return // member has checked that it came whole: it is of a version that is not ours
 	}
 	to := f.heard
-	if m.Word <= owner.Resign {
+	if m.Kind <= owner.StepDown {
 		to = f.asked
 	} else if m.To != f.seal.Name {
 		return
@@ -205,7 +205,7 @@
 		at := f.seal.Clock()
 		_, _, owns := o.candidate.Owns(at)
 		// Who owns goes on, pressed or not, until its lease or its majority ends; it is new ones that are not to stand.
-		o.candidate.Want(!left && (unfit == nil || owns), at)
+		o.candidate.SetCampaigning(!left && (unfit == nil || owns), at)
 		o.candidate.Tick(at)
 		term, left, owns := o.candidate.Owns(at)
 		switch {
@@ -284,7 +284,7 @@
 	}
 	o.late = fmt.Sprintf("%s: %v", f.seal.Now().UTC().Format(time.RFC3339), l)
 	f.log.Warn("late order refused", zap.String("office", name), zap.Uint64("term", l.Term), zap.Uint64("known", l.Known))
-	o.candidate.Overtaken(l.Known, f.seal.Clock())
+	o.candidate.HandleStaleTerm(l.Known, f.seal.Clock())
 	signal(f.quick)
 }
 
@@ -316,7 +316,7 @@
 	defer f.mu.Unlock()
 	for _, o := range f.offices {
 		if ended {
-			o.candidate.Want(false, f.seal.Clock())
+			o.candidate.SetCampaigning(false, f.seal.Clock())
 		}
 		f.send(o)
 	}
@@ -324,7 +324,7 @@
 
 // send puts an office's messages on their way, under the lock.
 func (f *Fleet) send(o *office) {
-	for _, m := range o.candidate.Out() {
+	for _, m := range o.candidate.Ready() {
 		f.carrier.Send(m.To, encode(m))
 	}
 }
@@ -359,7 +359,7 @@
 		if owns {
 			one.Owner, one.Owns, one.Term = f.seal.Name, true, term
 			one.Since = o.since.UTC().Format(time.RFC3339)
-		} else if name, lasts, known := o.candidate.Other(at); known {
+		} else if name, lasts, known := o.candidate.KnownOwner(at); known {
 			one.Owner, left = name, lasts
 		}
 		one.Left = math.Round(left*1e3) / 1e3
@@ -396,7 +396,7 @@
 }
 
 // NewFence knows of no term.
-func NewFence() *Fence { return &Fence{fence: owner.NewFence(owner.Span{})} }
+func NewFence() *Fence { return &Fence{fence: owner.NewFence(owner.Timing{})} }
 
 // Pass tells whether an order may be carried out; a *Late if not.
 func (f *Fence) Pass(office string, term uint64) error {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -164,7 +164,7 @@
 
 func (c *court) start(name string) {
 	fit := c.fit[name]
-	f, err := New(Seal{Name: name, Voters: [][]string{names}, Span: owner.Span{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
+	f, err := New(Seal{Name: name, Voters: [][]string{names}, Span: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
 		Fit: func() error {
 			if !fit.Load() {
 				return errors.New("not fit")
@@ -313,7 +313,7 @@
 // What was promised is found again; what is spoilt, another's, or older than half a lease is not trusted.
 func TestPromises(t *testing.T) {
 	at := time.Now()
-	f := &Fleet{seal: Seal{Name: "a", Folder: t.TempDir(), Span: owner.Span{Lease: 1}, Now: func() time.Time { return at }}}
+	f := &Fleet{seal: Seal{Name: "a", Folder: t.TempDir(), Span: owner.Timing{Lease: 1}, Now: func() time.Time { return at }}}
 	found := func() (int, bool, bool) {
 		kept, whole, err := f.found()
 		return len(kept), whole, err != nil
@@ -325,7 +325,7 @@
 		}
 	}
 	check("nothing", 0, false, false)
-	if err := f.keep(map[string]owner.Promise{"o": {Term: 7, Holder: owner.Life{Name: "b", Birth: 1 << 63}}}); err != nil {
+	if err := f.keep(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63}}}); err != nil {
 		t.Fatal(err)
 	}
 	check("fresh", 1, true, false)
@@ -349,8 +349,8 @@
 // A message reads as it was written; nothing else is read.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := owner.Message{Word: owner.Word(rapid.IntRange(0, 6).Draw(t, "word")), Office: rapid.StringN(1, 9, 64).Draw(t, "office"),
-			From: owner.Life{Name: rapid.StringN(0, 9, 64).Draw(t, "from"), Birth: rapid.Uint64().Draw(t, "birth")},
+		m := owner.Message{Kind: owner.MessageKind(rapid.IntRange(0, 6).Draw(t, "word")), Role: rapid.StringN(1, 9, 64).Draw(t, "office"),
+			From: owner.Incarnation{Name: rapid.StringN(0, 9, 64).Draw(t, "from"), ID: rapid.Uint64().Draw(t, "birth")},
 			To:   rapid.StringN(0, 9, 64).Draw(t, "to"), Term: rapid.Uint64Range(0, mostTerm).Draw(t, "term"), Round: rapid.Uint64().Draw(t, "round"),
 			Left: rapid.Float64Range(0, 9).Draw(t, "left"), Holder: rapid.StringN(0, 9, 64).Draw(t, "holder")}
 		b := encode(m)
@@ -361,7 +361,7 @@
 			t.Fatal("read though cut short")
 		}
 	})
-	if _, err := decode(encode(owner.Message{Office: "o", Term: mostTerm + 1})); err == nil {
+	if _, err := decode(encode(owner.Message{Role: "o", Term: mostTerm + 1})); err == nil {
 		t.Error("an absurd term is read")
 	}
 }
@@ -374,11 +374,11 @@
 			from: rapid.StringN(1, 9, 64).Draw(t, "from"), term: number.Draw(t, "term")}
 		switch m.word {
 		case asked:
-			m.question = share.Question{Ask: owner.Ask{Office: m.office, From: owner.Life{Name: m.from, Birth: number.Draw(t, "birth")},
+			m.question = share.Question{Request: owner.Request{Role: m.office, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
 				Number: number.Draw(t, "number"), Term: m.term, Holds: parts.Draw(t, "holds"), Uses: parts.Draw(t, "uses"), Wants: parts.Draw(t, "wants"),
 				Left: rapid.Float64Range(0, 9).Draw(t, "left")}, Worth: rapid.Float64Range(0, 9).Draw(t, "worth"), Took: rapid.Float64Range(0, 9).Draw(t, "took")}
 		case granted:
-			m.answer = owner.Answer{Office: m.office, To: owner.Life{Name: "me", Birth: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
+			m.answer = owner.Answer{Role: m.office, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
 				Term: m.term, Grants: parts.Draw(t, "grants")}
 		}
 		b := encodeGrant(m)
@@ -389,7 +389,7 @@
 			t.Fatal("read though cut short")
 		}
 	})
-	for _, q := range []share.Question{{Ask: owner.Ask{Left: -1}}, {Worth: math.NaN()}, {Took: math.Inf(1)}} {
+	for _, q := range []share.Question{{Request: owner.Request{Left: -1}}, {Worth: math.NaN()}, {Took: math.Inf(1)}} {
 		if _, err := decodeGrant(encodeGrant(grantMessage{word: asked, office: "o", from: "a", question: q}), "me"); err == nil {
 			t.Errorf("%+v is read", q)
 		}
--- a/fleet/lend.go
+++ b/fleet/lend.go
@@ -290,7 +290,7 @@
 		if k := s.keeper; k != nil {
 			one.Limit, one.Settled = k.Limit(), k.Settled(now)
 			for _, x := range k.Holders(now) {
-				one.Holders = append(one.Holders, ShareHolder{x.Name, x.Had, x.Given, x.Wants, x.Uses, milli(max(x.Left, 0)), milli(x.Heard)})
+				one.Holders = append(one.Holders, ShareHolder{x.Name, x.MaxHeld, x.Granted, x.Wanted, x.InUse, milli(max(x.Left, 0)), milli(x.SinceRequest)})
 			}
 		}
 		s.mu.Unlock()
--- a/fleet/lendpacket.go
+++ b/fleet/lendpacket.go
@@ -41,7 +41,7 @@
 	switch m.word {
 	case asked:
 		q := m.question
-		out = binary.BigEndian.AppendUint64(out, q.From.Birth)
+		out = binary.BigEndian.AppendUint64(out, q.From.ID)
 		out = binary.BigEndian.AppendUint64(out, q.Number)
 		for _, n := range []int{q.Holds, q.Uses, q.Wants} {
 			out = binary.BigEndian.AppendUint32(out, uint32(min(n, mostParts)))
@@ -50,7 +50,7 @@
 		float(q.Worth)
 		float(q.Took)
 	case granted:
-		out = binary.BigEndian.AppendUint64(out, m.answer.To.Birth)
+		out = binary.BigEndian.AppendUint64(out, m.answer.To.ID)
 		out = binary.BigEndian.AppendUint64(out, m.answer.Number)
 		out = binary.BigEndian.AppendUint32(out, uint32(m.answer.Grants))
 	}
@@ -75,14 +75,14 @@
 	switch m.word {
 	case asked:
 		q := &m.question
-		q.Office, q.Term, q.From = m.office, m.term, owner.Life{Name: m.from, Birth: r.number()}
+		q.Role, q.Term, q.From = m.office, m.term, owner.Incarnation{Name: m.from, ID: r.number()}
 		q.Number, q.Holds, q.Uses, q.Wants = r.number(), parts(), parts(), parts()
 		q.Left, q.Worth, q.Took = float(), float(), float()
 		if max(q.Holds, q.Uses, q.Wants) > mostParts {
 			r.err = errNotOurs
 		}
 	case granted:
-		m.answer = owner.Answer{Office: m.office, Term: m.term, To: owner.Life{Name: self, Birth: r.number()}, Number: r.number(), Grants: parts()}
+		m.answer = owner.Answer{Role: m.office, Term: m.term, To: owner.Incarnation{Name: self, ID: r.number()}, Number: r.number(), Grants: parts()}
 		if m.answer.Grants > mostParts {
 			r.err = errNotOurs
 		}
--- a/fleet/packet.go
+++ b/fleet/packet.go
@@ -16,10 +16,10 @@
 var errNotOurs = errors.New("no message of an office")
 
 func encode(m owner.Message) []byte {
-	out := append([]byte(messageMagic), byte(m.Word))
-	out = appendText(out, m.Office)
+	out := append([]byte(messageMagic), byte(m.Kind))
+	out = appendText(out, m.Role)
 	out = appendText(out, m.From.Name)
-	out = binary.BigEndian.AppendUint64(out, m.From.Birth)
+	out = binary.BigEndian.AppendUint64(out, m.From.ID)
 	out = appendText(out, m.To)
 	out = binary.BigEndian.AppendUint64(out, m.Term)
 	out = binary.BigEndian.AppendUint64(out, m.Round)
@@ -33,15 +33,15 @@
 	if len(b) < 4 || string(b[:3]) != messageMagic {
 		return m, errNotOurs
 	}
-	m.Word = owner.Word(b[3])
+	m.Kind = owner.MessageKind(b[3])
 	r := reading{b: b[4:]}
-	m.Office, m.From.Name, m.From.Birth, m.To = r.text(), r.text(), r.number(), r.text()
+	m.Role, m.From.Name, m.From.ID, m.To = r.text(), r.text(), r.number(), r.text()
 	m.Term, m.Round, m.Left = r.number(), r.number(), math.Float64frombits(r.number())
 	m.Holder = r.text()
 	switch {
 	case r.err != nil:
 		return owner.Message{}, r.err
-	case m.Word > owner.Refused || m.Office == "" || len(m.Office) > owner.MostLetters || m.Term > mostTerm || !(m.Left >= 0):
+	case m.Kind > owner.Rejected || m.Role == "" || len(m.Role) > owner.MaxNameLength || m.Term > mostTerm || !(m.Left >= 0):
 		return owner.Message{}, errNotOurs
 	}
 	return m, nil
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -38,9 +38,9 @@
 		if m.To != f.seal.Name {
 			continue
 		}
-		answers := voter.Take(m, f.seal.Clock())
+		answers := voter.HandleMessage(m, f.seal.Clock())
 		if f.seal.Folder != "" && slices.ContainsFunc(answers, func(a owner.Message) bool { return a.Sync }) {
-			err := f.keep(voter.Kept())
+			err := f.keep(voter.Votes())
 			if failing != (err != nil) {
 				failing = err != nil
 				if failing {
@@ -68,14 +68,14 @@
 
 // promises is that object.
 type promises struct {
-	Name    string                   `json:"name"`
-	Wrote   int64                    `json:"wrote_ms"` // Unix time
-	Offices map[string]owner.Promise `json:"offices"`
+	Name    string                `json:"name"`
+	Wrote   int64                 `json:"wrote_ms"` // Unix time
+	Offices map[string]owner.Vote `json:"offices"`
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func (f *Fleet) keep(kept map[string]owner.Promise) error {
+func (f *Fleet) keep(kept map[string]owner.Vote) error {
 	text, err := json.Marshal(promises{f.seal.Name, f.seal.Now().UnixMilli(), kept})
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 
 // found reads the promises from before. They are whole only if they were written less than a lease ago: what is older may be
 // a copy, or may have been written before promises that were lost since; these are over once the longest lease is.
-func (f *Fleet) found() (kept map[string]owner.Promise, whole bool, err error) {
+func (f *Fleet) found() (kept map[string]owner.Vote, whole bool, err error) {
 	if f.seal.Folder == "" {
 		return nil, false, nil
 	}
--- a/fleet/ways_test.go
+++ b/fleet/ways_test.go
@@ -74,14 +74,14 @@
 
 func weighOwn(b *testing.B) (w weighed) {
 	names := []string{"a", "b", "c", "d", "e"}
-	span := owner.Span{Lease: 1, Drift: 0.01, Margin: 0.1}
+	span := owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}
 	voters := map[string]*owner.Voter{}
 	candidates := map[string]*owner.Candidate{}
 	w.heap = weighHeap(func() {
 		for k, name := range names {
 			voters[name] = owner.NewVoter(name, nil, true, 1, 0, span)
-			candidates[name] = owner.NewCandidate(owner.Life{Name: name, Birth: 1}, "o", [][]string{names}, uint64(k), 0, span)
-			candidates[name].Want(true, 0)
+			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names}, uint64(k), 0, span)
+			candidates[name].SetCampaigning(true, 0)
 		}
 	}) / 5
 	at, sent, dead := 0.0, 0, ""
@@ -93,14 +93,14 @@
 					continue
 				}
 				candidates[name].Tick(at)
-				for _, m := range candidates[name].Out() {
+				for _, m := range candidates[name].Ready() {
 					if m.To == dead {
 						continue
 					}
-					for _, a := range voters[m.To].Take(m, at) {
+					for _, a := range voters[m.To].HandleMessage(m, at) {
 						sent += 2
 						if a.To != dead {
-							candidates[a.To].Hear(a, at)
+							candidates[a.To].HandleAnswer(a, at)
 						}
 					}
 				}
--- a/logic/claim/claim.go
+++ b/logic/claim/claim.go
@@ -29,17 +29,17 @@
 // Place is who has a slot, under a term.
 type Place struct {
 	Term          Term
-	Owner, Second owner.Life
+	Owner, Second owner.Incarnation
 }
 
-func (p Place) has(who owner.Life) bool { return p.Owner == who || p.Second == who }
+func (p Place) has(who owner.Incarnation) bool { return p.Owner == who || p.Second == who }
 
 // Claim is what is known of a token.
 type Claim struct {
-	Digest uint64     // of the body
-	Runner owner.Life // who may run it
-	Done   bool       // it has ended well, and its runner has the result
-	Until  float64    // after which it is forgotten: on the clock of whoever has it, and as a span in messages
+	Digest uint64            // of the body
+	Runner owner.Incarnation // who may run it
+	Done   bool              // it has ended well, and its runner has the result
+	Until  float64           // after which it is forgotten: on the clock of whoever has it, and as a span in messages
 }
 
 // Word is what a message says.
@@ -66,7 +66,7 @@
 type Message struct {
 	Word     Word
 	Slot     int
-	From, To owner.Life
+	From, To owner.Incarnation
 	Term     Term // of the place that it is about; of Gather and Table the new one
 	Of       Term // of Gather and Table: the place that is ended
 	Token    string
@@ -123,14 +123,14 @@
 
 // Desk is one process's part in all slots.
 type Desk struct {
-	self  owner.Life
+	self  owner.Incarnation
 	span  Span
 	slots map[int]*slot
 	out   []Message
 }
 
 // NewDesk has no part in any slot.
-func NewDesk(self owner.Life, span Span) *Desk {
+func NewDesk(self owner.Incarnation, span Span) *Desk {
 	return &Desk{self: self, span: span, slots: map[int]*slot{}}
 }
 
@@ -183,7 +183,7 @@
 // gather asks for what is missing, or goes on once nothing is.
 func (d *Desk) gather(k int, s *slot, now float64) {
 	for _, b := range s.before {
-		for _, who := range []owner.Life{b.Owner, b.Second} {
+		for _, who := range []owner.Incarnation{b.Owner, b.Second} {
 			if who != d.self {
 				d.send(Message{Word: Gather, Slot: k, To: who, Term: s.place.Term, Of: b.Term})
 			}
--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -37,10 +37,10 @@
 
 var places = [3]Place{{Term{1, 1}, life(0), life(1)}, {Term{1, 2}, life(2), life(1)}, {Term{2, 1}, life(0), life(2)}}
 
-func life(k int) owner.Life    { return owner.Life{Name: fmt.Sprint("d", k), Birth: 1} }
-func claimer(k int) owner.Life { return owner.Life{Name: fmt.Sprint("c", k), Birth: 1} }
-func number(of owner.Life) int { return int(of.Name[1] - '0') }
-func (s *town) now() float64   { return 100 + float64(s.at)*oneUnit }
+func life(k int) owner.Incarnation    { return owner.Incarnation{Name: fmt.Sprint("d", k), ID: 1} }
+func claimer(k int) owner.Incarnation { return owner.Incarnation{Name: fmt.Sprint("c", k), ID: 1} }
+func number(of owner.Incarnation) int { return int(of.Name[1] - '0') }
+func (s *town) now() float64          { return 100 + float64(s.at)*oneUnit }
 func (s *town) may(k int) bool {
 	for n, p := range places[:2] {
 		if d := s.desks[k]; d.slot(0).place.Term == p.Term && s.over[n] {
@@ -211,7 +211,7 @@
 }
 
 // who is a process as a number: desks, then claimers, and nobody.
-func who(l owner.Life) uint64 {
+func who(l owner.Incarnation) uint64 {
 	switch {
 	case l.Name == "":
 		return 7
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -19,7 +19,7 @@
 	units   int        // that pass
 	rounds  [2]int8    // claims and renewals that a candidate begins
 	again   int8       // voters that start again
-	lost    int8       // answers that are lost, where the voter keeps its promise for nothing; questions are lost freely
+	lost    int8       // answers that are lost, where the voter keeps its vote for nothing; questions are lost freely
 	late    int8       // answers that come later
 	doubled int8       // questions that come twice
 	drains  int8       // candidates that leave
@@ -33,7 +33,7 @@
 type state struct {
 	at     int
 	voters [mostVoters]Voter
-	disk   [mostVoters]Promise
+	disk   [mostVoters]Vote
 	wrote  [mostVoters]int
 	cand   [2]Candidate
 	flight []Message
@@ -42,7 +42,7 @@
 	owned  uint64 // the highest term that was owned, and by whom
 	by     int
 	bounds // what is left of them
-	span   Span
+	timing Timing
 	broken string
 }
 
@@ -53,15 +53,15 @@
 
 func (s *state) clock(k int) float64 { return float64(s.at) * s.unit * s.rates[k] }
 
-func (b bounds) begin(span Span) *state {
-	s := &state{bounds: b, span: span, by: -1}
+func (b bounds) begin(timing Timing) *state {
+	s := &state{bounds: b, timing: timing, by: -1}
 	for k := range s.voters {
-		s.voters[k] = *NewVoter(voterNames[k], nil, true, 0, 0, span)
+		s.voters[k] = *NewVoter(voterNames[k], nil, true, 0, 0, timing)
 		s.wrote[k] = math.MinInt32
 	}
 	for k := range s.cand {
-		s.cand[k] = *NewCandidate(Life{fmt.Sprintf("c%d", k), 1}, "o", b.lists[k], 1, 0, span)
-		s.cand[k].wants = true
+		s.cand[k] = *NewCandidate(Incarnation{fmt.Sprintf("c%d", k), 1}, "o", b.lists[k], 1, 0, timing)
+		s.cand[k].campaigning = true
 	}
 	return s
 }
@@ -91,10 +91,10 @@
 	}
 	for k := range s.cand {
 		c, now := &s.cand[k], s.clock(k)
-		if c.stage == owning && now >= c.until || c.stage == standing || c.wants && s.rounds[k] > 0 {
+		if c.stage == leading && now >= c.until || c.stage == campaigning || c.campaigning && s.rounds[k] > 0 {
 			all = append(all, ticks|uint16(k))
 		}
-		if s.drains > 0 && c.wants && c.stage == owning {
+		if s.drains > 0 && c.campaigning && c.stage == leading {
 			all = append(all, leaves|uint16(k))
 		}
 		if _, _, ok := c.Owns(now); ok && s.orders > 0 && s.hand[k] == 0 {
@@ -105,12 +105,12 @@
 		}
 	}
 	for k, m := range s.flight {
-		if m.Word > Resign {
+		if m.Kind > StepDown {
 			all = append(all, hears|uint16(k))
 			continue
 		}
 		all = append(all, takes|uint16(k))
-		if m.Word == Resign {
+		if m.Kind == StepDown {
 			continue
 		}
 		if s.lost > 0 {
@@ -147,26 +147,26 @@
 		s.tick(k)
 	case leaves:
 		s.drains--
-		s.cand[k].Want(false, s.clock(k))
+		s.cand[k].SetCampaigning(false, s.clock(k))
 	case checks:
 		s.orders--
 		s.hand[k], _, _ = s.cand[k].Owns(s.clock(k))
 	case sends:
-		f := NewFence(s.span)
+		f := NewFence(s.timing)
 		f.highest["o"] = s.fence
 		if known, ok := f.Pass("o", s.hand[k]); !ok {
-			s.cand[k].Overtaken(known, s.clock(k))
+			s.cand[k].HandleStaleTerm(known, s.clock(k))
 		} else if s.hand[k] < s.fence {
 			s.broken = fmt.Sprintf("an order of term %d had its effect after one of %d", s.hand[k], s.fence)
 		}
 		s.fence, s.hand[k] = f.highest["o"], 0
 	case starts:
 		s.again--
-		kept, whole := map[string]Promise(nil), false
+		kept, whole := map[string]Vote(nil), false
 		if s.disk[k].Term > 0 && s.bounds.disk {
-			kept, whole = map[string]Promise{"o": s.disk[k]}, float64(s.at-s.wrote[k])*s.unit < s.span.Lease/2
+			kept, whole = map[string]Vote{"o": s.disk[k]}, float64(s.at-s.wrote[k])*s.unit < s.timing.Lease/2
 		}
-		s.voters[k] = *NewVoter(voterNames[k], kept, whole, uint64(1000*(s.at+1)), s.clock(2), s.span)
+		s.voters[k] = *NewVoter(voterNames[k], kept, whole, uint64(1000*(s.at+1)), s.clock(2), s.timing)
 	case hears:
 		s.hear(s.flight[k])
 		s.flight = slices.Delete(s.flight, k, k+1)
@@ -193,7 +193,7 @@
 		}
 	}
 	for k := range s.cand {
-		s.flight = append(s.flight, s.cand[k].Out()...)
+		s.flight = append(s.flight, s.cand[k].Ready()...)
 		s.cand[k].drawn, s.cand[k].other = 0, Message{}
 		s.cand[k].due = s.clock(k) // it may do what is next at any time: how long it waits is no part of what keeps others out
 	}
@@ -208,55 +208,55 @@
 	c, now := &s.cand[k], s.clock(k)
 	round := c.round
 	c.Tick(now)
-	if c.stage == asking {
+	if c.stage == prevoting {
 		for v := range s.voters {
-			c.highest = max(c.highest, s.voters[v].kept["o"].Term, s.voters[v].floor)
+			c.highest = max(c.highest, s.voters[v].votes["o"].Term, s.voters[v].minTerm)
 		}
 		for _, name := range voterNames {
-			c.Hear(Message{Word: Free, Office: "o", From: Life{Name: name}, Round: c.round}, now)
+			c.HandleAnswer(Message{Kind: PreVoteGranted, Role: "o", From: Incarnation{Name: name}, Round: c.round}, now)
 		}
 	}
-	if c.round != round && c.stage >= standing {
+	if c.round != round && c.stage >= campaigning {
 		s.rounds[k]--
 	}
-	c.out = slices.DeleteFunc(c.out, func(m Message) bool { return m.Word == Canvass })
+	c.ready = slices.DeleteFunc(c.ready, func(m Message) bool { return m.Kind == PreVote })
 }
 
-func (s *state) hear(m Message) { s.cand[m.To[1]-'0'].Hear(m, s.clock(int(m.To[1]-'0'))) }
+func (s *state) hear(m Message) { s.cand[m.To[1]-'0'].HandleAnswer(m, s.clock(int(m.To[1]-'0'))) }
 
 // take has a voter answer. A refusal is as good as lost: all that it brings about is that somebody gives up.
 func (s *state) take(m Message) (Message, bool) {
 	k := int(m.To[1] - '0')
 	v := &s.voters[k]
-	v.kept, v.refused = maps.Clone(v.kept), map[string][]Message{}
-	for _, a := range v.Take(m, s.clock(2)) {
+	v.votes, v.rejected = maps.Clone(v.votes), map[string][]Message{}
+	for _, a := range v.HandleMessage(m, s.clock(2)) {
 		if a.Sync {
-			s.disk[k], s.wrote[k] = v.kept["o"], s.at
+			s.disk[k], s.wrote[k] = v.votes["o"], s.at
 		}
-		return a, a.Word == Granted
+		return a, a.Kind == Granted
 	}
 	return Message{}, false
 }
 
 // idle tells what can have no effect any more, whenever it comes.
 func (s *state) idle(m Message) bool {
-	if m.Word > Resign {
+	if m.Kind > StepDown {
 		c := &s.cand[m.To[1]-'0']
 		return s.age(m) == 0 || c.acked[slices.Index(c.voters, m.From.Name)] >= c.asked[m.Round%rounds]
 	}
 	v := &s.voters[m.To[1]-'0']
-	p := v.kept["o"]
-	return m.Term < p.Term || m.Term == p.Term && p.Holder != m.From || m.Word == Resign && m.Term > p.Term || m.Term <= v.floor && m.Term != p.Term
+	p := v.votes["o"]
+	return m.Term < p.Term || m.Term == p.Term && p.Holder != m.From || m.Kind == StepDown && m.Term > p.Term || m.Term <= v.minTerm && m.Term != p.Term
 }
 
 // age is how long ago the question was asked, for an answer that still counts, in some small unit and from one; 0 for others.
 func (s *state) age(m Message) uint64 {
 	k := m.From.Name[1] - '0'
-	if m.Word > Resign {
+	if m.Kind > StepDown {
 		k = m.To[1] - '0'
 	}
 	c := &s.cand[k]
-	if m.Word == Resign || c.stage != standing && c.stage != owning || m.Term != c.term || m.Round < c.first {
+	if m.Kind == StepDown || c.stage != campaigning && c.stage != leading || m.Term != c.term || m.Round < c.first {
 		return 0
 	}
 	return uint64(math.Round((s.clock(int(k))-c.asked[m.Round%rounds])*1e5)) + 1
@@ -291,13 +291,13 @@
 	var parts [mostVoters][16]uint64
 	var chunks [mostVoters][]uint64
 	for k := range s.voters {
-		v, p := &s.voters[k], s.voters[k].kept["o"]
+		v, p := &s.voters[k], s.voters[k].votes["o"]
 		now := s.clock(2)
 		holder := uint64(0)
 		if p.Term > 0 {
 			holder = uint64(p.Holder.Name[1]-'0') + 1
 		}
-		c := append(parts[k][:0], p.Term<<34|holder<<32|uint64(left(p.Until, now)), v.floor<<32|uint64(left(v.silent, now)))
+		c := append(parts[k][:0], p.Term<<34|holder<<32|uint64(left(p.Until, now)), v.minTerm<<32|uint64(left(v.silentUntil, now)))
 		if d := s.disk[k]; d.Term > 0 && s.again > 0 && s.bounds.disk {
 			c = append(c, d.Term<<8|uint64(d.Holder.Name[1]-'0')<<4|uint64(min(s.at-s.wrote[k], 3)))
 		} else {
@@ -310,7 +310,7 @@
 				continue
 			}
 			said |= 1
-			if at := s.cand[n].acked[asked]; s.cand[n].stage >= standing && !math.IsInf(at, -1) {
+			if at := s.cand[n].acked[asked]; s.cand[n].stage >= campaigning && !math.IsInf(at, -1) {
 				said |= 2 | uint64(left(s.clock(n), at))<<2
 			}
 		}
@@ -318,14 +318,14 @@
 		from := len(c)
 		for _, m := range s.flight {
 			who, voter := m.From.Name, m.To
-			if m.Word > Resign {
+			if m.Kind > StepDown {
 				who, voter = m.To, m.From.Name
 			}
 			if int(voter[1]-'0') != k {
 				continue
 			}
 			n := int(who[1] - '0')
-			c = append(c, m.Term<<40|s.age(m)<<8|uint64(m.Word)<<4|uint64(n))
+			c = append(c, m.Term<<40|s.age(m)<<8|uint64(m.Kind)<<4|uint64(n))
 		}
 		slices.Sort(c[from:])
 		chunks[k] = c
@@ -342,11 +342,11 @@
 	for k := range s.cand {
 		c, now := &s.cand[k], s.clock(k)
 		add(uint64(c.stage)<<60 | c.term<<40 | uint64(s.rounds[k])<<1)
-		if c.stage >= standing {
+		if c.stage >= campaigning {
 			add(uint64(left(c.until, now))<<32 | uint64(left(now, c.asked[c.round%rounds])))
 		}
 		wants := uint64(0)
-		if c.wants {
+		if c.campaigning {
 			wants = 1
 		}
 		add(s.hand[k]<<1 | wants)
@@ -366,7 +366,7 @@
 	case what == "":
 		m := s.flight[act&0xff]
 		words := []string{"would you?", "claim", "renew", "resign", "I would", "granted", "refused"}
-		what = fmt.Sprintf("%s to %s: %s, term %d", m.From.Name, m.To, words[m.Word], m.Term) + map[uint16]string{takes: ", and hears the answer",
+		what = fmt.Sprintf("%s to %s: %s, term %d", m.From.Name, m.To, words[m.Kind], m.Term) + map[uint16]string{takes: ", and hears the answer",
 			loses: ", and the answer is lost", delays: ", and the answer is on its way", doubles: ", the answer is lost, and it will come again"}[act&^0xff]
 	}
 	what = fmt.Sprintf("%.2f %s", float64(s.at)*s.unit, what)
@@ -379,13 +379,13 @@
 	return what
 }
 
-func (b bounds) walk(span Span) explore.Result {
-	return explore.World[*state]{Begin: b.begin(span), Acts: (*state).acts, After: (*state).after, Key: (*state).key,
+func (b bounds) walk(timing Timing) explore.Result {
+	return explore.World[*state]{Begin: b.begin(timing), Acts: (*state).acts, After: (*state).after, Key: (*state).key,
 		Wrong: func(s *state) string { return s.broken }, Tell: (*state).tell}.Walk(8e6)
 }
 
 // drifting is a bound on drift so wide that it shows within quarters of a lease.
-var drifting = Span{Lease: 1, Drift: 0.3, Margin: 0.02}
+var drifting = Timing{Lease: 1, Drift: 0.3, Margin: 0.02}
 
 var (
 	known = [][]string{{"v0", "v1", "v2"}}
@@ -446,15 +446,15 @@
 		bounds
 	}{
 		{"the margin", Margins, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike}},
-		{"promises over a restart", Promises, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, disk: true, again: 1}},
-		{"silence without promises", Silence, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, again: 1}},
-		{"counting from the question", FromAsked, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, late: 2}},
+		{"votes over a restart", PersistedVotes, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, disk: true, again: 1}},
+		{"silence without votes", Silence, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, again: 1}},
+		{"counting from the question", FromRequest, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, late: 2}},
 		{"the fence", Fences, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, orders: 2}},
 		{"the step between two lists", 0, bounds{unit: 0.5, units: 1, rounds: [2]int8{1, 1}, rates: firstSlow, lists: [2][][]string{known, {{"v0", "v3", "v4"}}}}},
 	} {
-		span := drifting
-		span.Without = one.rule
-		r := one.walk(span)
+		timing := drifting
+		timing.Disabled = one.rule
+		r := one.walk(timing)
 		t.Logf("without %s: %s, after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
 			t.Errorf("without %s nothing goes wrong", one.what)
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -11,40 +11,40 @@
 	"valveglade/rig/explore"
 )
 
-// lending is an office that changes hands once, two askers with slow clocks, and what they have under way. That the former
+// lending is a role that changes hands once, two requesters with slow clocks, and what they have under way. That the former
 // owner's lease is over before the next one begins is what TestExhaustive is for; here it is taken for granted, and nothing
-// else is: a question or an answer may come at any time, twice or never, and an asker may not have heard of the new owner.
+// else is: a question or an answer may come at any time, twice or never, and a requester may not have heard of the new owner.
 type lending struct {
-	loan      Loan
-	at        int
-	units     int
-	asks      [2]int8
-	doubled   int8
-	deaths    int8
-	second    bool // the second owner has begun
-	owners    [2]Granter
-	askers    [2]Asker
-	heard     [2]bool // of the second owner
-	questions []Ask
-	answers   []Answer
-	under     [3][lendable]float64 // until when each part may be in use, by asker; last, one that died
+	lease      Lease
+	at         int
+	units      int
+	asks       [2]int8
+	doubled    int8
+	deaths     int8
+	second     bool // the second owner has begun
+	owners     [2]Grantor
+	requesters [2]Requester
+	heard      [2]bool // of the second owner
+	requests   []Request
+	answers    []Answer
+	under      [3][lendable]float64 // until when each part may be in use, by requester; last, one that died
 }
 
 const (
 	lendable  = 2
 	lendUnit  = 0.5
-	slowClock = 0.87 // of askers
+	slowClock = 0.87 // of requesters
 	fastClock = 1.13 // of owners: the two drift apart by almost the bound
 )
 
-func (s *lending) ownersClock() float64 { return float64(s.at) * lendUnit * fastClock }
-func (s *lending) askersClock() float64 { return float64(s.at) * lendUnit * slowClock }
+func (s *lending) ownersClock() float64     { return float64(s.at) * lendUnit * fastClock }
+func (s *lending) requestersClock() float64 { return float64(s.at) * lendUnit * slowClock }
 
 // used is how much one may have under way now.
 func (s *lending) used(k int) int {
 	n := 0
 	for _, until := range s.under[k] {
-		if s.askersClock() < until {
+		if s.requestersClock() < until {
 			n++
 		}
 	}
@@ -54,9 +54,9 @@
 const (
 	lendPasses  = iota << 8
 	lendNext    // the second owner takes over
-	lendHears   // an asker hears that it has
-	lendAsks    // an asker asks
-	lendDies    // an asker dies, and another life of it begins
+	lendHears   // a requester hears that it has
+	lendAsks    // a requester asks
+	lendDies    // a requester dies, and another life of it begins
 	lendGrants  // a question comes: low bits whose and what is granted at the most
 	lendDoubles // the same, and the question comes again
 	lendTakes   // an answer comes
@@ -69,7 +69,7 @@
 	if !s.second {
 		all = append(all, lendNext)
 	}
-	for k := range s.askers {
+	for k := range s.requesters {
 		if s.second && !s.heard[k] {
 			all = append(all, lendHears|uint16(k))
 		}
@@ -80,7 +80,7 @@
 			all = append(all, lendDies)
 		}
 	}
-	for k := range s.questions {
+	for k := range s.requests {
 		for n := range lendable + 1 {
 			all = append(all, lendGrants|uint16(k)<<2|uint16(n))
 			if s.doubled > 0 {
@@ -104,26 +104,26 @@
 		s.units--
 	case lendNext:
 		s.second = true
-		s.owners[1] = *NewGranter("o", 2, lendable, s.ownersClock(), s.loan)
+		s.owners[1] = *NewGrantor("o", 2, lendable, s.ownersClock(), s.lease)
 	case lendHears:
 		s.heard[k] = true
-		s.askers[k].Know(2)
+		s.requesters[k].ObserveTerm(2)
 	case lendAsks:
 		s.asks[k]--
-		s.questions = append(slices.Clone(s.questions), s.askers[k].Ask(lendable, s.used(k), s.askersClock()))
+		s.requests = append(slices.Clone(s.requests), s.requesters[k].Request(lendable, s.used(k), s.requestersClock()))
 	case lendDies:
 		s.deaths--
 		s.under[2] = s.under[0]
 		s.under[0] = [lendable]float64{}
 		s.heard[0] = false
-		s.askers[0] = *NewAsker(Life{"a0", 2}, "o", s.loan)
-		s.askers[0].Know(1)
+		s.requesters[0] = *NewRequester(Incarnation{"a0", 2}, "o", s.lease)
+		s.requesters[0].ObserveTerm(1)
 	case lendGrants, lendDoubles:
-		q := s.questions[k>>2]
+		q := s.requests[k>>2]
 		if what == lendDoubles {
 			s.doubled--
 		} else {
-			s.questions = slices.Delete(slices.Clone(s.questions), k>>2, k>>2+1)
+			s.requests = slices.Delete(slices.Clone(s.requests), k>>2, k>>2+1)
 		}
 		owner := 0
 		if s.second {
@@ -131,7 +131,7 @@
 		}
 		g := &s.owners[owner]
 		*g = *g.Clone()
-		if g.Hear(q, s.ownersClock()) {
+		if g.HandleRequest(q, s.ownersClock()) {
 			s.answers = append(slices.Clone(s.answers), g.Grant(q, k&3, s.ownersClock()))
 		}
 	case lendTakes:
@@ -139,27 +139,27 @@
 		s.answers = slices.Delete(slices.Clone(s.answers), k, k+1)
 		s.take(m)
 	}
-	s.questions = slices.DeleteFunc(slices.Clone(s.questions), func(q Ask) bool { return q.From != s.askers[q.From.Name[1]-'0'].self })
+	s.requests = slices.DeleteFunc(slices.Clone(s.requests), func(q Request) bool { return q.From != s.requesters[q.From.Name[1]-'0'].self })
 	s.answers = slices.DeleteFunc(slices.Clone(s.answers), func(m Answer) bool {
-		a := &s.askers[m.To.Name[1]-'0']
-		return m.To != a.self || m.Number < a.number && s.loan.has(Current)
+		a := &s.requesters[m.To.Name[1]-'0']
+		return m.To != a.self || m.Number < a.number && s.lease.enabled(Current)
 	})
 	return s
 }
 
-// take has an asker use all that it is granted, and go on with what it had for as long as it may.
+// take has a requester use all that it is granted, and go on with what it had for as long as it may.
 func (s *lending) take(m Answer) {
-	k, now := int(m.To.Name[1]-'0'), s.askersClock()
-	a := &s.askers[k]
+	k, now := int(m.To.Name[1]-'0'), s.requestersClock()
+	a := &s.requesters[k]
 	before, _ := a.Holds(now)
-	if !a.Hear(m, now) {
+	if !a.HandleAnswer(m, now) {
 		return
 	}
 	for n := range lendable {
 		if n < a.holds {
-			s.under[k][n] = a.until + s.loan.Tail
+			s.under[k][n] = a.until + s.lease.Tail
 		} else if n < before {
-			s.under[k][n] = now + s.loan.Tail
+			s.under[k][n] = now + s.lease.Tail
 		}
 	}
 }
@@ -185,28 +185,28 @@
 		return 0
 	}
 	h.Add(uint64(s.units)<<32 | uint64(s.asks[0])<<24 | uint64(s.asks[1])<<16 | uint64(s.doubled)<<8 | uint64(s.deaths)<<4 | bit(s.second))
-	for k := range s.askers {
-		a := &s.askers[k]
-		h.Add(a.self.Birth<<32 | a.number<<24 | uint64(a.holds)<<16 | bit(s.heard[k]))
-		h.Add(left(a.until, s.askersClock())<<32 | left(s.askersClock(), a.asked))
+	for k := range s.requesters {
+		a := &s.requesters[k]
+		h.Add(a.self.ID<<32 | a.number<<24 | uint64(a.holds)<<16 | bit(s.heard[k]))
+		h.Add(left(a.until, s.requestersClock())<<32 | left(s.requestersClock(), a.asked))
 	}
 	for _, u := range s.under {
 		for _, until := range u {
-			h.Add(left(until, s.askersClock()))
+			h.Add(left(until, s.requestersClock()))
 		}
 	}
 	g := &s.owners[0]
 	if s.second {
 		g = &s.owners[1]
 	}
-	h.Add(left(g.settled, s.ownersClock())<<8 | uint64(g.proved))
-	for _, life := range slices.SortedFunc(maps.Keys(g.ledger), func(a, b Life) int { return int(a.Name[1]) - int(b.Name[1]) + 4*int(a.Birth) - 4*int(b.Birth) }) {
-		o := g.ledger[life]
-		h.Add(uint64(life.Name[1])<<32 | life.Birth<<24 | o.number<<16 | uint64(o.told)<<8 | uint64(o.given))
-		h.Add(left(o.lasts, s.ownersClock())<<32 | left(o.until, s.ownersClock()))
+	h.Add(left(g.settled, s.ownersClock())<<8 | uint64(g.confirmed))
+	for _, incarnation := range slices.SortedFunc(maps.Keys(g.ledger), func(a, b Incarnation) int { return int(a.Name[1]) - int(b.Name[1]) + 4*int(a.ID) - 4*int(b.ID) }) {
+		o := g.ledger[incarnation]
+		h.Add(uint64(incarnation.Name[1])<<32 | incarnation.ID<<24 | o.number<<16 | uint64(o.reported)<<8 | uint64(o.granted))
+		h.Add(left(o.reportedUntil, s.ownersClock())<<32 | left(o.grantedUntil, s.ownersClock()))
 	}
 	var flight []uint64
-	for _, q := range s.questions {
+	for _, q := range s.requests {
 		flight = append(flight, 1<<60|uint64(q.From.Name[1]-'0')<<58|q.Number<<50|q.Term<<46|uint64(q.Holds)<<44|uint64(q.Uses)<<42|left(q.Left, 0))
 	}
 	for _, m := range s.answers {
@@ -230,7 +230,7 @@
 	case lendHears:
 		return when + fmt.Sprintf("a%d hears of the second owner", k)
 	case lendAsks:
-		holds, _ := s.askers[k].Holds(s.askersClock())
+		holds, _ := s.requesters[k].Holds(s.requestersClock())
 		return when + fmt.Sprintf("a%d asks, holding %d", k, holds)
 	case lendDies:
 		return when + "a0 dies, what it began goes on, and another life of it begins"
@@ -238,23 +238,23 @@
 		m := s.answers[k]
 		return when + fmt.Sprintf("a%d hears answer %d: %d", m.To.Name[1]-'0', m.Number, m.Grants)
 	}
-	q := s.questions[k>>2]
+	q := s.requests[k>>2]
 	return when + fmt.Sprintf("question %d of a%d comes, under term %d; %d are to be granted", q.Number, q.From.Name[1]-'0', q.Term, k&3)
 }
 
-func lend(loan Loan, asks [2]int8, units int, doubled, deaths int8, most int) explore.Result {
-	s := &lending{loan: loan, units: units, asks: asks, doubled: doubled, deaths: deaths}
-	s.owners[0] = *NewGranter("o", 1, lendable, -9, loan)
-	for k := range s.askers {
-		s.askers[k] = *NewAsker(Life{fmt.Sprintf("a%d", k), 1}, "o", loan)
-		s.askers[k].Know(1)
+func lend(lease Lease, asks [2]int8, units int, doubled, deaths int8, most int) explore.Result {
+	s := &lending{lease: lease, units: units, asks: asks, doubled: doubled, deaths: deaths}
+	s.owners[0] = *NewGrantor("o", 1, lendable, -9, lease)
+	for k := range s.requesters {
+		s.requesters[k] = *NewRequester(Incarnation{fmt.Sprintf("a%d", k), 1}, "o", lease)
+		s.requesters[k].ObserveTerm(1)
 	}
 	return explore.World[*lending]{Begin: s, Acts: (*lending).acts, After: (*lending).after, Key: (*lending).key, Wrong: (*lending).wrong, Tell: (*lending).tell}.Walk(most)
 }
 
-var lent = Loan{Length: 1, Tail: 0.4, Drift: 0.3}
+var lent = Lease{Length: 1, Tail: 0.4, Drift: 0.3}
 
-// Whatever comes when, the parts in use are never more than there are, through a change of owner of which askers may not have
+// Whatever comes when, the parts in use are never more than there are, through a change of owner of which requesters may not have
 // heard.
 func TestGrantsExhaustive(t *testing.T) {
 	type bounds struct {
@@ -278,13 +278,13 @@
 
 // Each rule that is left out is missed.
 func TestGrantsMissed(t *testing.T) {
-	for _, rule := range []Rule{FromAsked, Settled, Current, Tails, Addressed} {
+	for _, rule := range []Rule{FromRequest, Settled, Current, Tails, Addressed} {
 		if rule == Addressed && explore.Race {
 			break // it is found late
 		}
-		loan := lent
-		loan.Without = rule
-		r := lend(loan, [2]int8{2, 1}, 4, 0, 0, 4e6)
+		lease := lent
+		lease.Disabled = rule
+		r := lend(lease, [2]int8{2, 1}, 4, 0, 0, 4e6)
 		t.Logf("rule %b left out: %s after %d states\n%s", rule, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
 			t.Errorf("rule %b is left out, and nobody notices", rule)
--- a/logic/owner/owner.go
+++ b/logic/owner/owner.go
@@ -1,6 +1,6 @@
-// Package owner decides who owns an office: a named kind of work that is done once for the whole fleet. A few named voters
-// decide it, a majority for each term; the fleet's view only says when it is worth standing. A Voter promises and grants, a
-// Candidate stands, holds and gives up. Neither does I/O, reads a clock or knows an address; fleet/ is to drive them, and the
+// Package owner decides who owns a role: a named kind of work that is done once for the whole fleet. A few named voters
+// decide it, a majority for each term; the fleet's view only says when it is worth campaigning. A Voter votes and grants leases, a
+// Candidate campaigns, leads and steps down. Neither does I/O, reads a clock or knows an address; fleet/ is to drive them, and the
 // explorer in the tests walks them through every order, loss, doubling, stop and restart of a few messages.
 //
 // The rules, in short. A term is higher than all before it. A lease is counted by the voter from when it grants it, and by
@@ -18,20 +18,20 @@
 	"valveglade/logic/chance"
 )
 
-// Span is what an installation sets, in seconds and shares.
-type Span struct {
-	Lease   float64 // that a voter grants
-	Drift   float64 // by which two clocks may drift apart, as a share: 0.01 is ten milliseconds a second
-	Margin  float64 // before the end of its lease the owner stops
-	Without Rule    // rules that are left out, to show that their loss is noticed: none in service
+// Timing is what an installation sets: seconds, and Drift as a share.
+type Timing struct {
+	Lease    float64 // that a voter grants
+	Drift    float64 // by which two clocks may drift apart, as a share: 0.01 is ten milliseconds a second
+	Margin   float64 // before the end of its lease the owner stops
+	Disabled Rule    // rules that are left out, to show that their loss is noticed: none in service
 }
 
-// MostLetters is what a name of a voter or of an office may be long, in bytes.
-const MostLetters = 64
+// MaxNameLength is the longest name of a voter or a role, in bytes.
+const MaxNameLength = 64
 
-// Sound tells what is wrong with lists of voters: there is one, or two while they are changed, and each has three, five or
+// CheckVoters returns what is wrong with lists of voters: there is one, or two while they are changed, and each has three, five or
 // seven names.
-func Sound(lists [][]string) error {
+func CheckVoters(lists [][]string) error {
 	if len(lists) == 0 || len(lists) > 2 {
 		return fmt.Errorf("one list of voters is wanted, or two while they are changed, not %d", len(lists))
 	}
@@ -40,8 +40,8 @@
 			return fmt.Errorf("three, five or seven names are wanted, not %d", n)
 		}
 		for k, name := range list {
-			if name == "" || len(name) > MostLetters {
-				return fmt.Errorf("%q is not a name of 1 to %d bytes", name, MostLetters)
+			if name == "" || len(name) > MaxNameLength {
+				return fmt.Errorf("%q is not a name of 1 to %d bytes", name, MaxNameLength)
 			}
 			if slices.Contains(list[:k], name) {
 				return fmt.Errorf("%s is named twice", name)
@@ -56,205 +56,205 @@
 
 // The rules whose loss the explorer finds.
 const (
-	Margins   Rule = 1 << iota // the owner stops before its lease ends by the voters' clocks
-	Promises                   // a voter keeps to its word over a restart
-	Silence                    // a voter that starts without its promises says nothing for the longest lease
-	FromAsked                  // a lease counts from the question, not from the answer
-	Fences                     // whoever carries out orders refuses terms that are over
-	Settled                    // a new owner waits until what former ones granted is over, but for what is proved
-	Addressed                  // a question is answered only under the term that it names
-	Current                    // an answer counts only for the last question
-	Tails                      // what was begun under a grant may go on past its end
+	Margins        Rule = 1 << iota // the owner stops before its lease ends by the voters' clocks
+	PersistedVotes                  // a voter keeps its votes over a restart
+	Silence                         // a voter that starts without its votes says nothing for the longest lease
+	FromRequest                     // a lease counts from the request, not from the answer
+	Fences                          // whoever carries out commands rejects terms that are over
+	Settled                         // a new owner waits until what former ones granted is over, but for what is proved
+	Addressed                       // a request is answered only under the term that it names
+	Current                         // an answer counts only for the last request
+	Tails                           // what was begun under a grant may go on past its end
 )
 
-func (s Span) has(r Rule) bool { return s.Without&r == 0 }
+func (s Timing) enabled(r Rule) bool { return s.Disabled&r == 0 }
 
-// Held is how long an owner may act on a lease, counted on its own clock from when it asked.
-func (s Span) Held() float64 {
-	if !s.has(Margins) {
+// OwnerLease is how long an owner may act on a lease, counted on its own clock from when it asked.
+func (s Timing) OwnerLease() float64 {
+	if !s.enabled(Margins) {
 		return s.Lease * (1 + s.Drift) // a slow owner's clock, unheeded
 	}
 	return s.Lease*(1-s.Drift) - s.Margin
 }
 
-// Longest is how long any lease may still be believed in by somebody, counted on one's own clock from when it can no longer
+// LongestLease is how long any lease may still be believed in by somebody, counted on one's own clock from when it can no longer
 // have been renewed.
-func (s Span) Longest() float64 { return s.Lease * (1 + s.Drift) }
+func (s Timing) LongestLease() float64 { return s.Lease * (1 + s.Drift) }
 
-// Life names one process's life; a restart is another.
-type Life struct {
-	Name  string
-	Birth uint64
+// Incarnation identifies one start of a process; a restart is another incarnation.
+type Incarnation struct {
+	Name string
+	ID   uint64 `json:"Birth"` // drawn at the start; the key is that of vote files
 }
 
-// Word is what a message says.
-type Word uint8
+// MessageKind is the kind of a message between candidate and voter.
+type MessageKind uint8
 
 // What candidates and voters say to each other.
 const (
-	Canvass Word = iota // would you grant it? changes nothing
-	Claim               // grant it, under this term
-	Renew               // go on granting it
-	Resign              // it is given up
-	Free                // an answer to Canvass: I would
-	Granted             // to Claim and Renew
-	Refused             // to any of them
+	PreVote        MessageKind = iota // asks whether a vote would be granted; changes nothing
+	RequestVote                       // asks for a vote under this term
+	Renew                             // asks to extend the lease
+	StepDown                          // the owner or candidate steps down
+	PreVoteGranted                    // answers PreVote: the voter would grant it
+	Granted                           // answers RequestVote and Renew
+	Rejected                          // answers any of them: not granted
 )
 
 // Message goes between a candidate and a voter. What it answers is told by Round, which a candidate counts up with each
 // time that it asks.
 type Message struct {
-	Word   Word
-	Office string
-	From   Life
+	Kind   MessageKind
+	Role   string
+	From   Incarnation
 	To     string // a voter's name; of an answer, the candidate's
-	Term   uint64 // of Claim, Renew, Resign: under which; of answers: the highest that the voter knows
+	Term   uint64 // of RequestVote, Renew, StepDown: under which; of answers: the highest that the voter knows
 	Round  uint64
-	Left   float64 // of Refused: how long another's lease still lasts there, in seconds
-	Holder string  // of Refused: whose lease that is
-	Sync   bool    // the voter's promises have to be on its disk before this leaves
+	Left   float64 // of Rejected: how long another's lease still lasts there, in seconds
+	Holder string  // of Rejected: whose lease that is
+	Sync   bool    // the voter's votes have to be on its disk before this leaves
 }
 
-// Promise is what a voter has to remember of one office.
-type Promise struct {
+// Vote is what a voter has to remember of one role.
+type Vote struct {
 	Term   uint64 // highest granted
-	Holder Life
+	Holder Incarnation
 	Until  float64 // its lease, on the voter's clock
 }
 
-// Voter is one voter's part in all offices.
+// Voter is one voter's part in all roles.
 type Voter struct {
-	span    Span
-	name    string
-	silent  float64 // until when it says nothing
-	floor   uint64  // terms are above
-	kept    map[string]Promise
-	refused map[string][]Message // the last candidates that were told to wait, by office: they hear when it is free
+	timing      Timing
+	name        string
+	silentUntil float64 // until when it says nothing
+	minTerm     uint64  // terms are above
+	votes       map[string]Vote
+	rejected    map[string][]Message // the last candidates that were told to wait, by role: they hear when it is free
 }
 
-// mostRefused is how many candidates hear that an office is free, of those that were refused: enough that one of them takes it.
-const mostRefused = 8
+// maxRejected is how many candidates hear that a role is free, of those that were rejected: enough that one of them takes it.
+const maxRejected = 8
 
-// NewVoter begins at a time. Kept are its promises from before, as far as there are any; whole tells that none is missing
+// NewVoter begins at a time. Votes are its votes from before, as far as there are any; whole tells that none is missing
 // from them that could still hold. Where that is not sure, as nothing lasts or what was found may be older than the last
-// promise, it is silent for the longest lease. Floor is a term that none before can have reached: the wall clock in
+// vote, it is silent for the longest lease. MinTerm is a term that none before can have reached: the wall clock in
 // milliseconds.
-func NewVoter(name string, kept map[string]Promise, whole bool, floor uint64, now float64, span Span) *Voter {
-	v := &Voter{span: span, name: name, silent: now, floor: floor, kept: map[string]Promise{}, refused: map[string][]Message{}}
-	if !whole && span.has(Silence) {
-		v.silent = now + span.Longest()
+func NewVoter(name string, votes map[string]Vote, whole bool, minTerm uint64, now float64, timing Timing) *Voter {
+	v := &Voter{timing: timing, name: name, silentUntil: now, minTerm: minTerm, votes: map[string]Vote{}, rejected: map[string][]Message{}}
+	if !whole && timing.enabled(Silence) {
+		v.silentUntil = now + timing.LongestLease()
 	}
-	if span.has(Promises) {
-		for office, p := range kept {
-			p.Until = now + span.Lease // how long it was down nobody knows: the whole of it, then
-			v.kept[office] = p
+	if timing.enabled(PersistedVotes) {
+		for role, p := range votes {
+			p.Until = now + timing.Lease // how long it was down nobody knows: the whole of it, then
+			v.votes[role] = p
 		}
 	}
 	return v
 }
 
-// Kept is what has to last, for the disk.
-func (v *Voter) Kept() map[string]Promise { return v.kept }
+// Votes returns what has to be persisted.
+func (v *Voter) Votes() map[string]Vote { return v.votes }
 
 // Silent tells whether it says nothing yet.
-func (v *Voter) Silent(now float64) bool { return now < v.silent }
+func (v *Voter) Silent(now float64) bool { return now < v.silentUntil }
 
-// Take gives what is to be answered to a candidate, and to others that wait; nothing while it is silent.
-func (v *Voter) Take(m Message, now float64) []Message {
+// HandleMessage returns what is to be answered to a candidate, and to others that wait; nothing while it is silent.
+func (v *Voter) HandleMessage(m Message, now float64) []Message {
 	if v.Silent(now) {
 		return nil
 	}
-	p := v.kept[m.Office]
-	a := Message{Word: Refused, Office: m.Office, From: Life{Name: v.name}, To: m.From.Name, Term: max(p.Term, v.floor), Round: m.Round}
+	p := v.votes[m.Role]
+	a := Message{Kind: Rejected, Role: m.Role, From: Incarnation{Name: v.name}, To: m.From.Name, Term: max(p.Term, v.minTerm), Round: m.Round}
 	others := p.Holder != m.From && now < p.Until
-	switch m.Word {
-	case Canvass:
+	switch m.Kind {
+	case PreVote:
 		if !others {
-			a.Word = Free
+			a.Kind = PreVoteGranted
 		}
-	case Claim:
-		// Under a term that was granted once nobody else is granted anything; the same candidate's question may come twice.
+	case RequestVote:
+		// Under a term that was granted once nobody else is granted anything; the same candidate's request may come twice.
 		again := m.Term == p.Term && p.Holder == m.From
 		if !others && (m.Term > a.Term || again) {
-			v.kept[m.Office] = Promise{m.Term, m.From, now + v.span.Lease}
-			a.Word, a.Term, a.Sync = Granted, m.Term, true
+			v.votes[m.Role] = Vote{m.Term, m.From, now + v.timing.Lease}
+			a.Kind, a.Term, a.Sync = Granted, m.Term, true
 		}
 	case Renew:
-		// One that has missed the claim, as it was down or cut off, joins those that granted it.
+		// One that has missed the first vote, as it was down or cut off, joins those that granted it.
 		if m.Term == p.Term && p.Holder == m.From || !others && m.Term > a.Term {
-			v.kept[m.Office] = Promise{m.Term, m.From, now + v.span.Lease}
-			a.Word, a.Sync = Granted, true
+			v.votes[m.Role] = Vote{m.Term, m.From, now + v.timing.Lease}
+			a.Kind, a.Sync = Granted, true
 		}
-		a.Term = v.kept[m.Office].Term // a floor overtakes nobody
-	case Resign:
+		a.Term = v.votes[m.Role].Term // the minimum term does not supersede anybody
+	case StepDown:
 		if m.Term == p.Term && p.Holder == m.From {
 			p.Until = now
-			v.kept[m.Office] = p
-			free := v.refused[m.Office]
-			delete(v.refused, m.Office)
+			v.votes[m.Role] = p
+			free := v.rejected[m.Role]
+			delete(v.rejected, m.Role)
 			return free
 		}
 		return nil
 	default:
 		return nil
 	}
-	if a.Word == Refused && others {
+	if a.Kind == Rejected && others {
 		a.Left, a.Holder = p.Until-now, p.Holder.Name
 		v.remember(a)
 	}
 	return []Message{a}
 }
 
-// remember has a candidate told when the office is free: as an answer to the question that is refused now.
+// remember has a candidate told when the role is free: as an answer to the request that is rejected now.
 func (v *Voter) remember(a Message) {
-	a.Word, a.Left, a.Holder = Free, 0, ""
-	all := slices.DeleteFunc(v.refused[a.Office], func(b Message) bool { return b.To == a.To })
-	if len(all) == mostRefused {
+	a.Kind, a.Left, a.Holder = PreVoteGranted, 0, ""
+	all := slices.DeleteFunc(v.rejected[a.Role], func(b Message) bool { return b.To == a.To })
+	if len(all) == maxRejected {
 		all = all[1:]
 	}
-	v.refused[a.Office] = append(all, a)
+	v.rejected[a.Role] = append(all, a)
 }
 
 // stage is how far a candidate has come. Candidate.move changes it, and nothing else does.
 type stage uint8
 
 const (
-	idle     stage = iota // does not want the office, or waits
-	asking                // has asked whether it would win
-	standing              // has claimed a term
-	owning
+	idle        stage = iota // does not campaign, or waits
+	prevoting                // has asked whether it would be elected
+	campaigning              // has requested votes under a term
+	leading
 )
 
-// Candidate is one process's part in one office.
+// Candidate is one process's part in one role.
 type Candidate struct {
-	span   Span
-	self   Life
-	office string
+	timing Timing
+	self   Incarnation
+	role   string
 	voters []string // of all lists, each once
 	lists  []uint32 // each a set of voters, as bits, a majority of which is needed
 	seed   uint64
 	drawn  uint64
 
-	stage   stage
-	wants   bool
-	term    uint64
-	highest uint64 // known anywhere
-	round   uint64
-	first   uint64 // the round of the claim
-	asked   [rounds]float64
-	yes     uint32         // the voters that would grant it, as bits
-	acked   [2 * 7]float64 // when the last question was asked that each voter granted, under this term; -Inf for none
-	until   float64        // it may act, on its own clock
-	due     float64        // of the next step
-	other   Message        // the last refusal that named an owner
-	heard   float64        // when that was
-	out     []Message
+	stage       stage
+	campaigning bool
+	term        uint64
+	highest     uint64 // known anywhere
+	round       uint64
+	first       uint64 // the round of the vote request
+	asked       [rounds]float64
+	votes       uint32         // the voters that would grant it, as bits
+	acked       [2 * 7]float64 // when the last request was made that each voter granted, under this term; -Inf for none
+	until       float64        // it may act, on its own clock
+	due         float64        // of the next step
+	other       Message        // the last rejection that named an owner
+	heard       float64        // when that was
+	ready       []Message
 }
 
-// NewCandidate begins as one that does not want the office. Lists are the voters: one list, or two while they are changed. A
+// NewCandidate begins as one that does not campaign. Lists are the voters: one list, or two while they are changed. A
 // majority of each is needed, so that whoever knows the former list alone, or the next alone, shares a voter with it.
-func NewCandidate(self Life, office string, lists [][]string, seed uint64, now float64, span Span) *Candidate {
-	c := &Candidate{span: span, self: self, office: office, seed: seed, due: now}
+func NewCandidate(self Incarnation, role string, lists [][]string, seed uint64, now float64, timing Timing) *Candidate {
+	c := &Candidate{timing: timing, self: self, role: role, seed: seed, due: now}
 	for _, list := range lists {
 		set := uint32(0)
 		for _, name := range list {
@@ -270,35 +270,35 @@
 	return c
 }
 
-// won tells whether a majority of each list has said yes.
-func (c *Candidate) won() bool {
+// hasMajority reports whether a majority of each list has said yes.
+func (c *Candidate) hasMajority() bool {
 	for _, set := range c.lists {
-		if bits.OnesCount32(c.yes&set) <= bits.OnesCount32(set)/2 {
+		if bits.OnesCount32(c.votes&set) <= bits.OnesCount32(set)/2 {
 			return false
 		}
 	}
 	return len(c.lists) > 0
 }
 
-// Out empties the list of what is to be sent.
-func (c *Candidate) Out() []Message {
-	out := c.out
-	c.out = nil
-	return out
+// Ready returns the messages to be sent and empties the list.
+func (c *Candidate) Ready() []Message {
+	messages := c.ready
+	c.ready = nil
+	return messages
 }
 
 // Owns tells whether it may act now, under which term, and how long it still may, in seconds.
 func (c *Candidate) Owns(now float64) (term uint64, left float64, ok bool) {
-	if c.stage != owning || now >= c.until {
+	if c.stage != leading || now >= c.until {
 		return 0, 0, false
 	}
 	return c.term, c.until - now, true
 }
 
-// Other tells who else owns it, as far as voters have told, and for how long that lasts unless it is renewed, in seconds.
-func (c *Candidate) Other(now float64) (name string, left float64, ok bool) {
+// KnownOwner tells who else owns it, as far as voters have told, and for how long that lasts unless it is renewed, in seconds.
+func (c *Candidate) KnownOwner(now float64) (name string, left float64, ok bool) {
 	left = c.other.Left - (now - c.heard)
-	return c.other.Holder, left, c.stage != owning && c.other.Holder != "" && left > 0
+	return c.other.Holder, left, c.stage != leading && c.other.Holder != "" && left > 0
 }
 
 // Term is the highest that it knows.
@@ -306,60 +306,60 @@
 
 func (c *Candidate) move(to stage) { c.stage = to }
 
-// Want has it stand from now on, or stand no more: an owner then gives up, and tells the voters so. Whoever drives it does
+// SetCampaigning has it campaign from now on, or no more: an owner then steps down, and tells the voters so. Whoever drives it does
 // that only once the work that was done under the lease has ended, as the next owner may begin at once.
-func (c *Candidate) Want(wants bool, now float64) {
-	if c.wants == wants {
+func (c *Candidate) SetCampaigning(campaigning bool, now float64) {
+	if c.campaigning == campaigning {
 		return
 	}
-	c.wants, c.due = wants, now
-	if !wants {
-		c.giveUp(c.stage == owning, now)
+	c.campaigning, c.due = campaigning, now
+	if !campaigning {
+		c.stepDown(c.stage == leading, now)
 	}
 	c.Tick(now)
 }
 
-// Overtaken takes in that somebody has refused an order of this term, as a higher one is known.
-func (c *Candidate) Overtaken(term uint64, now float64) {
+// HandleStaleTerm takes in that a command under this term was rejected, as a higher one is known.
+func (c *Candidate) HandleStaleTerm(term uint64, now float64) {
 	c.highest = max(c.highest, term)
-	if c.stage == owning && term > c.term {
-		c.giveUp(false, now)
+	if c.stage == leading && term > c.term {
+		c.stepDown(false, now)
 	}
 }
 
-// giveUp ends whatever it holds or asks for. The voters are told only where nothing is done under the lease any more.
-func (c *Candidate) giveUp(tell bool, now float64) {
-	if tell || c.stage == standing {
+// stepDown ends whatever it holds or asks for. The voters are told only where nothing is done under the lease any more.
+func (c *Candidate) stepDown(tell bool, now float64) {
+	if tell || c.stage == campaigning {
 		c.round++
-		c.ask(Resign)
+		c.broadcast(StepDown)
 	}
 	c.move(idle)
 	c.until = now
-	c.due = now + c.pause()
+	c.due = now + c.backoff()
 }
 
-// pause is a while that differs from one candidate to the next, so that they do not stand at one time for ever.
-func (c *Candidate) pause() float64 {
+// backoff is a while that differs from one candidate to the next, so that they do not campaign at one time for ever.
+func (c *Candidate) backoff() float64 {
 	c.drawn++
-	return c.span.Lease * (0.1 + 0.3*chance.At(c.seed, c.drawn))
+	return c.timing.Lease * (0.1 + 0.3*chance.At(c.seed, c.drawn))
 }
 
-// ask sends a round to all voters.
-func (c *Candidate) ask(w Word) {
+// broadcast sends a round to all voters.
+func (c *Candidate) broadcast(w MessageKind) {
 	for _, v := range c.voters {
-		c.out = append(c.out, Message{Word: w, Office: c.office, From: c.self, To: v, Term: c.term, Round: c.round})
+		c.ready = append(c.ready, Message{Kind: w, Role: c.role, From: c.self, To: v, Term: c.term, Round: c.round})
 	}
 }
 
-// rounds is how many of the last questions an answer counts for: those of two leases.
+// rounds is how many of the last requests an answer counts for: those of two leases.
 const rounds = 2 * renewals
 
-// begin is a new round.
-func (c *Candidate) begin(w Word, now float64) {
+// startRound begins a new round.
+func (c *Candidate) startRound(w MessageKind, now float64) {
 	c.round++
 	c.asked[c.round%rounds] = now
-	c.yes = 0
-	c.ask(w)
+	c.votes = 0
+	c.broadcast(w)
 }
 
 // renewals is how many times in a lease it is renewed: what one renewal loses the next ones make good. The last quarter is
@@ -368,59 +368,59 @@
 
 // Tick lets time pass.
 func (c *Candidate) Tick(now float64) {
-	if c.stage == owning && now >= c.until {
+	if c.stage == leading && now >= c.until {
 		c.move(idle) // without a word: who could not hear a majority may not reach one either
-		c.due = now + c.pause()
+		c.due = now + c.backoff()
 	}
-	if !c.wants || now < c.due {
+	if !c.campaigning || now < c.due {
 		return
 	}
 	switch c.stage {
-	case owning:
-		c.due = now + c.span.Lease/renewals
-		if c.until-now > c.span.Lease/renewals {
-			c.begin(Renew, now)
+	case leading:
+		c.due = now + c.timing.Lease/renewals
+		if c.until-now > c.timing.Lease/renewals {
+			c.startRound(Renew, now)
 		}
-	case standing: // too few have granted it: whoever has is free again
-		c.giveUp(true, now)
+	case campaigning: // too few have granted it: whoever has is free again
+		c.stepDown(true, now)
 	default: // whatever was asked has not been answered by enough
-		c.move(asking)
-		c.begin(Canvass, now)
-		c.due = now + c.pause()
+		c.move(prevoting)
+		c.startRound(PreVote, now)
+		c.due = now + c.backoff()
 	}
 }
 
-// Hear takes a voter's answer in.
-func (c *Candidate) Hear(m Message, now float64) {
+// HandleAnswer takes a voter's answer in.
+func (c *Candidate) HandleAnswer(m Message, now float64) {
 	c.highest = max(c.highest, m.Term)
 	k := slices.Index(c.voters, m.From.Name)
-	if m.Office != c.office || k < 0 {
+	if m.Role != c.role || k < 0 {
 		return
 	}
-	switch m.Word {
-	case Refused:
-		c.refused(m, now)
-	case Free:
-		if c.stage != asking || m.Round != c.round {
+	switch m.Kind {
+	case Rejected:
+		c.handleRejected(m, now)
+	case PreVoteGranted:
+		if c.stage != prevoting || m.Round != c.round {
 			return
 		}
-		if c.yes |= 1 << k; c.won() {
+		if c.votes |= 1 << k; c.hasMajority() {
 			c.term = max(c.highest, c.term) + 1
-			c.move(standing)
-			c.begin(Claim, now)
+			c.move(campaigning)
+			c.startRound(RequestVote, now)
 			c.first = c.round
 			for n := range c.acked {
 				c.acked[n] = math.Inf(-1)
 			}
-			c.due = now + c.pause()
+			c.due = now + c.backoff()
 		}
 	case Granted:
-		c.granted(k, m, now)
+		c.handleGranted(k, m, now)
 	}
 }
 
-// refused takes in that a voter does not grant it.
-func (c *Candidate) refused(m Message, now float64) {
+// handleRejected takes in that a voter does not grant it.
+func (c *Candidate) handleRejected(m Message, now float64) {
 	if m.Round != c.round {
 		return
 	}
@@ -428,24 +428,24 @@
 		c.other, c.heard = m, now
 	}
 	switch {
-	case c.stage == owning && m.Term > c.term:
-		c.giveUp(false, now)
-	case c.stage == asking && m.Left > 0: // there is no need to ask again before: if it is given up, the voter says so
-		c.due = max(c.due, now+m.Left+c.pause()/2)
+	case c.stage == leading && m.Term > c.term:
+		c.stepDown(false, now)
+	case c.stage == prevoting && m.Left > 0: // there is no need to ask again before: if the owner steps down, the voter says so
+		c.due = max(c.due, now+m.Left+c.backoff()/2)
 	}
 }
 
-// granted takes in that a voter has granted a question, one of the last. Each voter is bound for a lease from when it was asked
-// at the earliest; so the office is held for as long as a majority is.
-func (c *Candidate) granted(k int, m Message, now float64) {
-	if c.stage != standing && c.stage != owning || m.Term != c.term || m.Round < c.first || m.Round > c.round || c.round-m.Round >= rounds {
+// handleGranted takes in that a voter has granted a request, one of the last. Each voter is bound for a lease from when it was asked
+// at the earliest; so the role is held for as long as a majority is.
+func (c *Candidate) handleGranted(k int, m Message, now float64) {
+	if c.stage != campaigning && c.stage != leading || m.Term != c.term || m.Round < c.first || m.Round > c.round || c.round-m.Round >= rounds {
 		return
 	}
 	at := c.asked[m.Round%rounds]
-	if !c.span.has(FromAsked) {
+	if !c.timing.enabled(FromRequest) {
 		at = now
 	}
-	c.yes |= 1 << k
+	c.votes |= 1 << k
 	c.acked[k] = max(c.acked[k], at)
 	until := math.Inf(1)
 	for _, set := range c.lists {
@@ -456,29 +456,29 @@
 			}
 		}
 		slices.Sort(all)
-		until = min(until, all[(len(all)-1)/2]+c.span.Held()) // of an odd number, as many or more have been asked since
+		until = min(until, all[(len(all)-1)/2]+c.timing.OwnerLease()) // of an odd number, as many or more have been asked since
 	}
-	if c.until = until; c.stage == standing && now < until {
-		c.move(owning)
-		c.due = now + c.span.Lease/renewals
+	if c.until = until; c.stage == campaigning && now < until {
+		c.move(leading)
+		c.due = now + c.timing.Lease/renewals
 	}
 }
 
-// Fence is held by whoever carries out orders of an office: it refuses those of terms that are over.
+// Fence is held by whoever carries out commands of a role: it rejects those of terms that are over.
 type Fence struct {
-	span    Span
+	timing  Timing
 	highest map[string]uint64
 }
 
 // NewFence knows of no term.
-func NewFence(span Span) *Fence { return &Fence{span: span, highest: map[string]uint64{}} }
+func NewFence(timing Timing) *Fence { return &Fence{timing: timing, highest: map[string]uint64{}} }
 
-// Pass tells whether an order under a term may be carried out, and otherwise the term that is known.
-func (f *Fence) Pass(office string, term uint64) (known uint64, ok bool) {
-	known = f.highest[office]
-	if term < known && f.span.has(Fences) {
+// Pass reports whether a command under a term may be carried out, and otherwise the term that is known.
+func (f *Fence) Pass(role string, term uint64) (known uint64, ok bool) {
+	known = f.highest[role]
+	if term < known && f.timing.enabled(Fences) {
 		return known, false
 	}
-	f.highest[office] = max(known, term)
+	f.highest[role] = max(known, term)
 	return known, true
 }
--- a/logic/owner/owner_test.go
+++ b/logic/owner/owner_test.go
@@ -12,11 +12,11 @@
 // world is three voters and two candidates with clocks of their own, a network that loses, doubles and delays, and somebody
 // who carries out orders. What happens next is left to chance from a seed; the trace is what did.
 type world struct {
-	span   Span
+	timing Timing
 	chance *rand.Rand
 	now    float64
 	voters []*Voter
-	kept   []map[string]Promise // on each one's disk
+	kept   []map[string]Vote // on each one's disk
 	cand   []*Candidate
 	asleep []bool
 	hand   []uint64 // the term of an order that a candidate has checked and not sent, 0 for none
@@ -39,23 +39,23 @@
 // local is what a process's own clock shows.
 func (w *world) local(process int) float64 { return 1000*float64(process) + w.now*w.rate[process] }
 
-func newWorld(seed uint64, span Span) *world {
-	w := &world{span: span, chance: rand.New(rand.NewPCG(seed, 3)), owner: map[uint64]int{}, fence: NewFence(span),
+func newWorld(seed uint64, timing Timing) *world {
+	w := &world{timing: timing, chance: rand.New(rand.NewPCG(seed, 3)), owner: map[uint64]int{}, fence: NewFence(timing),
 		asleep: make([]bool, 2), hand: make([]uint64, 2)}
 	pick := func(of ...float64) float64 { return of[w.chance.IntN(len(of))] }
 	w.pace, w.loss, w.again, w.sleep = pick(0.02, 0.1, 0.3), pick(0, 0.08, 0.3), pick(0, 0.002, 0.02), pick(0, 0.01, 0.05)
 	names := []string{"v0", "v1", "v2"}
 	for k := range voters + 2 {
 		// Any two clocks drift apart by at most the bound.
-		w.rate = append(w.rate, 1+span.Drift*(w.chance.Float64()-0.5)*0.98)
+		w.rate = append(w.rate, 1+timing.Drift*(w.chance.Float64()-0.5)*0.98)
 		if k < voters {
-			w.voters = append(w.voters, NewVoter(names[k], map[string]Promise{}, true, 0, w.local(k), span))
-			w.kept = append(w.kept, map[string]Promise{})
+			w.voters = append(w.voters, NewVoter(names[k], map[string]Vote{}, true, 0, w.local(k), timing))
+			w.kept = append(w.kept, map[string]Vote{})
 		}
 	}
 	for k := range 2 {
-		c := NewCandidate(Life{fmt.Sprintf("c%d", k), 1}, "o", [][]string{names}, seed+uint64(k), w.local(voters+k), span)
-		c.Want(true, w.local(voters+k))
+		c := NewCandidate(Incarnation{fmt.Sprintf("c%d", k), 1}, "o", [][]string{names}, seed+uint64(k), w.local(voters+k), timing)
+		c.SetCampaigning(true, w.local(voters+k))
 		w.cand = append(w.cand, c)
 	}
 	return w
@@ -72,11 +72,11 @@
 	case x < w.again:
 		k := w.chance.IntN(voters)
 		w.say("v%d starts again", k)
-		kept := map[string]Promise(nil)
+		kept := map[string]Vote(nil)
 		if disks {
 			kept = w.kept[k]
 		}
-		w.voters[k] = NewVoter(fmt.Sprintf("v%d", k), kept, disks, uint64(w.now*1000), w.local(k), w.span)
+		w.voters[k] = NewVoter(fmt.Sprintf("v%d", k), kept, disks, uint64(w.now*1000), w.local(k), w.timing)
 	case rand() < w.sleep:
 		k := w.chance.IntN(2)
 		w.asleep[k] = !w.asleep[k]
@@ -96,7 +96,7 @@
 		known, ok := w.fence.Pass("o", term)
 		w.say("c%d orders under %d: %v", k, term, ok)
 		if !ok {
-			w.cand[k].Overtaken(known, w.local(voters+k))
+			w.cand[k].HandleStaleTerm(known, w.local(voters+k))
 			break
 		}
 		if term < w.newest {
@@ -127,7 +127,7 @@
 
 func (w *world) collect() {
 	for _, c := range w.cand {
-		w.flight = append(w.flight, c.Out()...)
+		w.flight = append(w.flight, c.Ready()...)
 	}
 	for len(w.flight) > 40 { // what is on the way is bounded, as it is on any network
 		w.flight = slices.Delete(w.flight, 0, 1)
@@ -136,21 +136,21 @@
 
 func (w *world) deliver(m Message) {
 	for k, v := range w.voters {
-		if v.name != m.To || m.Word > Resign {
+		if v.name != m.To || m.Kind > StepDown {
 			continue
 		}
-		for _, a := range v.Take(m, w.local(k)) {
-			w.say("%s to %s: word %d term %d round %d; %d", m.From.Name, m.To, m.Word, m.Term, m.Round, a.Word)
+		for _, a := range v.HandleMessage(m, w.local(k)) {
+			w.say("%s to %s: word %d term %d round %d; %d", m.From.Name, m.To, m.Kind, m.Term, m.Round, a.Kind)
 			if a.Sync {
-				w.kept[k] = maps.Clone(v.Kept())
+				w.kept[k] = maps.Clone(v.Votes())
 			}
 			w.flight = append(w.flight, a)
 		}
 	}
 	for k, c := range w.cand {
-		if c.self.Name == m.To && m.Word > Resign && !w.asleep[k] {
-			w.say("%s hears %s: word %d term %d round %d", m.To, m.From.Name, m.Word, m.Term, m.Round)
-			c.Hear(m, w.local(voters+k))
+		if c.self.Name == m.To && m.Kind > StepDown && !w.asleep[k] {
+			w.say("%s hears %s: word %d term %d round %d", m.To, m.From.Name, m.Kind, m.Term, m.Round)
+			c.HandleAnswer(m, w.local(voters+k))
 		}
 	}
 }
@@ -182,8 +182,8 @@
 }
 
 // walk gives what went wrong on one seed, with the trace.
-func walk(seed uint64, span Span, disks bool, steps int) (w *world) {
-	w = newWorld(seed, span)
+func walk(seed uint64, timing Timing, disks bool, steps int) (w *world) {
+	w = newWorld(seed, timing)
 	for range steps {
 		if w.step(disks); w.wrong != "" {
 			break
@@ -194,7 +194,7 @@
 
 const walks = 300
 
-var usual = Span{Lease: 1, Drift: 0.08, Margin: 0.02}
+var usual = Timing{Lease: 1, Drift: 0.08, Margin: 0.02}
 
 // Whatever is lost, doubled, late, stopped and started again, with disks and without: one owner at a time, terms that rise,
 // and no effect of a late owner. And it is not for want of owners.
--- a/logic/share/share.go
+++ b/logic/share/share.go
@@ -23,7 +23,7 @@
 	Methods []int
 	Floor   int      // permits that each of some app servers has without asking
 	Floored []string // their names
-	Loan    owner.Loan
+	Loan    owner.Lease
 }
 
 // Check tells what is wrong with them.
@@ -54,7 +54,7 @@
 
 // Question is what a holder asks, and tells of itself.
 type Question struct {
-	owner.Ask
+	owner.Request
 	Worth float64 // criticality of one of what runs and waits, on the mean
 	Took  float64 // seconds that runs took, on the mean, since the last question; 0 for none
 }
@@ -62,7 +62,7 @@
 // Holder is one app server's part in one share.
 type Holder struct {
 	terms    Terms
-	asker    *owner.Asker
+	asker    *owner.Requester
 	floor    int
 	from     float64 // when the floor may be used: whatever a life before began under it is over then
 	running  int
@@ -86,8 +86,8 @@
 const askEvery, askSoon, askIdle = 0.1, 0.02, 0.3
 
 // NewHolder begins with nothing running.
-func NewHolder(self owner.Life, office string, t Terms, now float64) *Holder {
-	return &Holder{terms: t, asker: owner.NewAsker(self, office, t.Loan), floor: t.floor(self.Name), from: now + t.Loan.Gone(), answered: true, due: now, counted: now, began: now}
+func NewHolder(self owner.Incarnation, office string, t Terms, now float64) *Holder {
+	return &Holder{terms: t, asker: owner.NewRequester(self, office, t.Loan), floor: t.floor(self.Name), from: now + t.Loan.Expiry(), answered: true, due: now, counted: now, began: now}
 }
 
 // Allowed is how many may run now.
@@ -158,10 +158,10 @@
 
 // Know takes in that there is a keeper under a term: one that is new is asked at once. False if a later one is known.
 func (h *Holder) Know(term uint64, now float64) bool {
-	if term > h.asker.Known() {
+	if term > h.asker.KnownTerm() {
 		h.due, h.answered = now, true
 	}
-	return h.asker.Know(term)
+	return h.asker.ObserveTerm(term)
 }
 
 // uses is what runs beyond the floor.
@@ -175,7 +175,7 @@
 
 // Tick gives the question that is due, if one is. While one is on its way no other voids it, until it must be lost.
 func (h *Holder) Tick(now float64) (Question, bool) {
-	if now < h.due || h.asker.Known() == 0 || !h.answered && now < h.asked+h.terms.Loan.Length/4 {
+	if now < h.due || h.asker.KnownTerm() == 0 || !h.answered && now < h.asked+h.terms.Loan.Length/4 {
 		return Question{}, false
 	}
 	want := h.wants(now)
@@ -187,7 +187,7 @@
 		h.due = now + askIdle
 	}
 	h.asked, h.answered = now, false
-	q := Question{Ask: h.asker.Ask(want, h.uses(now), now), Worth: 1}
+	q := Question{Request: h.asker.Request(want, h.uses(now), now), Worth: 1}
 	if n := h.running + h.waiting; n > 0 {
 		q.Worth = h.worth / float64(n)
 	}
@@ -201,7 +201,7 @@
 // Hear takes an answer in. What it cuts is for others only once the keeper has heard that the answer came: so it asks again.
 func (h *Holder) Hear(a owner.Answer, now float64) bool {
 	before, _ := h.asker.Holds(now)
-	ok := h.asker.Hear(a, now)
+	ok := h.asker.HandleAnswer(a, now)
 	if h.answered = h.answered || ok; ok && a.Grants < before {
 		h.due = min(h.due, max(now, h.asked+askSoon))
 	}
@@ -218,17 +218,17 @@
 // Held tells it.
 func (h *Holder) Held(now float64) Held {
 	n, left := h.asker.Holds(now)
-	return Held{h.running, h.waiting, h.floor, n, left, h.asker.Known()}
+	return Held{h.running, h.waiting, h.floor, n, left, h.asker.KnownTerm()}
 }
 
 // Keeper shares out under one term.
 type Keeper struct {
-	*owner.Granter
+	*owner.Grantor
 	terms  Terms
 	limit  float64 // as found, or as set
-	asks   map[owner.Life]*demand
+	asks   map[owner.Incarnation]*demand
 	shared float64 // when fair was last worked out
-	fair   map[owner.Life]int
+	fair   map[owner.Incarnation]int
 	moved  float64 // when the limit was last moved
 	sum, n float64 // of what runs took since then, by how many app servers told
 	took   float64 // of late
@@ -245,11 +245,11 @@
 
 // NewKeeper begins as the office is taken.
 func NewKeeper(office string, term uint64, t Terms, now float64) *Keeper {
-	k := &Keeper{terms: t, limit: float64(t.Limit), asks: map[owner.Life]*demand{}, shared: math.Inf(-1), moved: now}
+	k := &Keeper{terms: t, limit: float64(t.Limit), asks: map[owner.Incarnation]*demand{}, shared: math.Inf(-1), moved: now}
 	if t.Least > 0 {
 		k.limit = float64(t.Least)
 	}
-	k.Granter = owner.NewGranter(office, term, k.pot(), now, t.Loan)
+	k.Grantor = owner.NewGrantor(office, term, k.pot(), now, t.Loan)
 	return k
 }
 
@@ -265,13 +265,13 @@
 	if k.limit = min(k.limit, float64(t.Limit)); t.Least == 0 {
 		k.limit = float64(t.Limit)
 	}
-	k.Whole(k.pot())
+	k.SetTotal(k.pot())
 }
 
 // Hear answers a question, if it is to be answered. The owner's lease has to be checked after the question came, at the same
 // reading of the clock.
 func (k *Keeper) Hear(q Question, now float64) (owner.Answer, bool) {
-	if !k.Granter.Hear(q.Ask, now) {
+	if !k.Grantor.HandleRequest(q.Request, now) {
 		return owner.Answer{}, false
 	}
 	d := k.asks[q.From]
@@ -298,7 +298,7 @@
 	if n >= 3 && q.Holds == n+1 && d.wants > n {
 		n++ // one more or less is not worth a move, in which it serves nobody
 	}
-	a := k.Grant(q.Ask, n, now)
+	a := k.Grant(q.Request, n, now)
 	if a.Grants > 0 || d.wants == 0 {
 		d.dry = 0
 	} else if d.dry == 0 {
@@ -320,7 +320,7 @@
 // stands ready with all alike, where the next RPC needs it.
 func (k *Keeper) share(now float64) {
 	k.shared = now
-	var all []owner.Life
+	var all []owner.Incarnation
 	wanted := 0
 	k.used = 0
 	for life, d := range k.asks {
@@ -332,8 +332,8 @@
 		wanted += d.wants
 		k.used += d.uses
 	}
-	slices.SortFunc(all, func(a, b owner.Life) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Birth, b.Birth)) })
-	k.fair = make(map[owner.Life]int, len(all))
+	slices.SortFunc(all, func(a, b owner.Incarnation) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
+	k.fair = make(map[owner.Incarnation]int, len(all))
 	pot := max(k.pot(), 0)
 	if wanted <= pot {
 		for n, life := range all {
@@ -351,7 +351,7 @@
 	for _, life := range all {
 		high = max(high, (float64(pot)+1)/k.asks[life].worth)
 	}
-	at := func(life owner.Life, level float64) int {
+	at := func(life owner.Incarnation, level float64) int {
 		return min(k.asks[life].wants, int(level*k.asks[life].worth))
 	}
 	for range 60 {
@@ -371,7 +371,7 @@
 		left -= k.fair[life]
 	}
 	// Parts of a permit go to whom they are nearest to a whole one, and in turn: who has none gains on the others with time.
-	due := func(life owner.Life) float64 {
+	due := func(life owner.Incarnation) float64 {
 		d := k.asks[life]
 		part := low*d.worth - math.Floor(low*d.worth)
 		if d.dry > 0 {
@@ -381,7 +381,7 @@
 		}
 		return part
 	}
-	slices.SortStableFunc(all, func(a, b owner.Life) int { return cmp.Compare(due(b), due(a)) })
+	slices.SortStableFunc(all, func(a, b owner.Incarnation) int { return cmp.Compare(due(b), due(a)) })
 	for _, life := range all {
 		if left == 0 {
 			break
@@ -422,5 +422,5 @@
 		k.limit += max(alpha*k.limit, 1)
 	}
 	k.limit = min(max(k.limit, float64(k.terms.Least)), float64(k.terms.Limit))
-	k.Whole(k.pot())
+	k.SetTotal(k.pot())
 }
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -26,7 +26,7 @@
 func newFleet(t *testing.T, terms Terms, n int) *fleet {
 	f := &fleet{t: t, terms: terms, keeper: NewKeeper("o", 1, terms, -100), now: 100, wants: make([]int, n), ran: make([]float64, n)}
 	for k := range n {
-		f.holders = append(f.holders, NewHolder(owner.Life{Name: fmt.Sprintf("a%02d", k), Birth: 1}, "o", terms, 0))
+		f.holders = append(f.holders, NewHolder(owner.Incarnation{Name: fmt.Sprintf("a%02d", k), ID: 1}, "o", terms, 0))
 		f.holders[k].Know(1, 0)
 		f.worth = append(f.worth, 1)
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-var lending = owner.Loan{Length: 2, Tail: 0.5, Drift: 0.01}
+var lending = owner.Lease{Length: 2, Tail: 0.5, Drift: 0.01}
 
 // Who wants little has it; the rest is for who wants more, by criticality; what nobody wants stands ready with all.
 func TestFair(t *testing.T) {
@@ -193,7 +193,7 @@
 		if now > 35 {
 			bears = 12
 		}
-		q := Question{Ask: owner.Ask{Office: "o", From: owner.Life{Name: "a", Birth: 1}, Number: number, Term: 1, Wants: 200, Uses: k.Limit()},
+		q := Question{Request: owner.Request{Role: "o", From: owner.Incarnation{Name: "a", ID: 1}, Number: number, Term: 1, Wants: 200, Uses: k.Limit()},
 			Worth: 1, Took: 0.1 * max(1, float64(k.Limit())/bears)}
 		k.Hear(q, now)
 		if at := float64(k.Limit()); (now > 30 && now < 35 || now > 55) && (at < 0.8*bears || at > 1.2*bears) {
@@ -255,7 +255,7 @@
 		all = append(all, takesOff)
 	}
 	for k := range s.holders {
-		if s.second && s.holders[k].asker.Known() < 2 {
+		if s.second && s.holders[k].asker.KnownTerm() < 2 {
 			all = append(all, hears|uint16(k))
 		}
 		if s.asks[k] > 0 {
@@ -278,7 +278,7 @@
 }
 
 func (s *small) born(k int, birth uint64) {
-	h := NewHolder(owner.Life{Name: fmt.Sprint("a", k), Birth: birth}, "o", s.terms, s.holdersClock())
+	h := NewHolder(owner.Incarnation{Name: fmt.Sprint("a", k), ID: birth}, "o", s.terms, s.holdersClock())
 	if birth == 1 || s.rash {
 		h.from = 0 // nobody was there before
 	}
@@ -330,8 +330,8 @@
 		n.questions = slices.Delete(slices.Clone(s.questions), k, k+1)
 		keeper := *s.keeper
 		n.keeper = &keeper
-		keeper.Granter = s.keeper.Granter.Clone()
-		keeper.asks = map[owner.Life]*demand{}
+		keeper.Grantor = s.keeper.Grantor.Clone()
+		keeper.asks = map[owner.Incarnation]*demand{}
 		for life, d := range s.keeper.asks {
 			one := *d
 			keeper.asks[life] = &one
@@ -361,7 +361,7 @@
 
 func (s *small) key() uint64 {
 	h := explore.NewHash()
-	text := fmt.Sprint(s.at, s.asks, s.starts, s.deaths, s.second, s.runs, s.keeper.Granter, s.keeper.shared)
+	text := fmt.Sprint(s.at, s.asks, s.starts, s.deaths, s.second, s.runs, s.keeper.Grantor, s.keeper.shared)
 	for k := range s.holders {
 		x := &s.holders[k]
 		text += fmt.Sprint(*x.asker, x.from, x.running)
@@ -385,7 +385,7 @@
 		"starts a run: holder", "holder 0 dies and begins anew", "comes: question", "comes: answer"}[act>>8], act&0xff)
 }
 
-func walk(loan owner.Loan, asks [2]int8, starts, deaths int8, rash bool, most int) explore.Result {
+func walk(loan owner.Lease, asks [2]int8, starts, deaths int8, rash bool, most int) explore.Result {
 	s := &small{terms: Terms{Limit: smallLimit, Floor: 1, Floored: []string{"a0"}, Loan: loan}, units: 5, asks: asks, starts: starts, deaths: deaths, rash: rash}
 	s.keeper = NewKeeper("o", 1, s.terms, -100)
 	for k := range s.holders {
@@ -394,7 +394,7 @@
 	return explore.World[*small]{Begin: s, Acts: (*small).acts, After: (*small).after, Key: (*small).key, Wrong: (*small).wrong, Tell: (*small).tell}.Walk(most)
 }
 
-var smallLoan = owner.Loan{Length: 1, Tail: 0.9, Drift: 0.3}
+var smallLoan = owner.Lease{Length: 1, Tail: 0.9, Drift: 0.3}
 
 var long = flag.Bool("long", false, "walk through what takes minutes too")
 
@@ -432,14 +432,14 @@
 	}{
 		{"what goes on past a grant", owner.Tails, [2]int8{1, 1}, 3, 0},
 		{"waiting out the former keeper", owner.Settled, [2]int8{1, 1}, 3, 0},
-		{"counting from the question", owner.FromAsked, [2]int8{1, 1}, 3, 0},
+		{"counting from the question", owner.FromRequest, [2]int8{1, 1}, 3, 0},
 		{"a new life's wait for its floor", 0, [2]int8{0, 1}, 3, 1},
 	} {
 		if explore.Race && one.rule != 0 {
 			continue // they are found late
 		}
 		loan := smallLoan
-		loan.Without = one.rule
+		loan.Disabled = one.rule
 		r := walk(loan, one.asks, one.starts, one.deaths, one.rule == 0, 3e6)
 		t.Logf("without %s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -119,7 +119,7 @@
 			}
 			return all
 		},
-		Span: owner.Span{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * marginShare}}, m, s.log)
+		Span: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * marginShare}}, m, s.log)
 	if err != nil {
 		return nil, err
 	}
@@ -150,7 +150,7 @@
 	var all []share.Terms
 	for _, one := range settings.Shares {
 		t := share.Terms{Name: one.Name, Limit: one.Limit, Least: one.MinLimit, Target: one.Target, Floor: settings.Reserved, Floored: settings.ReservedMembers,
-			Loan: owner.Loan{Length: lentFor * settings.Lease, Drift: settings.Drift}}
+			Loan: owner.Lease{Length: lentFor * settings.Lease, Drift: settings.Drift}}
 		for _, name := range one.Methods {
 			k := slices.Index(c.Methods, name)
 			t.Methods = append(t.Methods, k)
