--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -374,9 +374,9 @@
 			from: rapid.StringN(1, 9, 64).Draw(t, "from"), term: number.Draw(t, "term")}
 		switch m.word {
 		case asked:
-			m.question = share.Question{Request: owner.Request{Role: m.office, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
+			m.question = share.Request{Request: owner.Request{Role: m.office, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
 				Number: number.Draw(t, "number"), Term: m.term, Holds: parts.Draw(t, "holds"), Uses: parts.Draw(t, "uses"), Wants: parts.Draw(t, "wants"),
-				Left: rapid.Float64Range(0, 9).Draw(t, "left")}, Worth: rapid.Float64Range(0, 9).Draw(t, "worth"), Took: rapid.Float64Range(0, 9).Draw(t, "took")}
+				Left: rapid.Float64Range(0, 9).Draw(t, "left")}, Criticality: rapid.Float64Range(0, 9).Draw(t, "worth"), RunTime: rapid.Float64Range(0, 9).Draw(t, "took")}
 		case granted:
 			m.answer = owner.Answer{Role: m.office, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
 				Term: m.term, Grants: parts.Draw(t, "grants")}
@@ -389,7 +389,7 @@
 			t.Fatal("read though cut short")
 		}
 	})
-	for _, q := range []share.Question{{Request: owner.Request{Left: -1}}, {Worth: math.NaN()}, {Took: math.Inf(1)}} {
+	for _, q := range []share.Request{{Request: owner.Request{Left: -1}}, {Criticality: math.NaN()}, {RunTime: math.Inf(1)}} {
 		if _, err := decodeGrant(encodeGrant(grantMessage{word: asked, office: "o", from: "a", question: q}), "me"); err == nil {
 			t.Errorf("%+v is read", q)
 		}
--- a/fleet/lend.go
+++ b/fleet/lend.go
@@ -26,13 +26,13 @@
 // lent is one share. Its lock is taken under the gate's, so nothing that is called under it takes that.
 type lent struct {
 	f      *Fleet
-	terms  share.Terms
+	terms  share.Config
 	office string
 
 	mu     sync.Mutex
-	holder *share.Holder
-	keeper *share.Keeper // while the office is owned here
-	from   string        // who keeps it, as far as is known
+	holder *share.Leaseholder
+	keeper *share.Allocator // while the office is owned here
+	from   string           // who keeps it, as far as is known
 	had    int
 	told   time.Time
 }
@@ -41,14 +41,14 @@
 const lendPrefix = "share/"
 
 // Lend has this process take part in shares. It is called once, before Run. Methods is how many methods there are.
-func (f *Fleet) Lend(all []share.Terms, methods int) (*Lender, error) {
+func (f *Fleet) Lend(all []share.Config, methods int) (*Lender, error) {
 	l := &Lender{f: f, method: make([]int, methods)}
 	for k, t := range all {
 		if err := t.Check(); err != nil {
 			return nil, fmt.Errorf("share %s: %w", t.Name, err)
 		}
 		s := &lent{f: f, terms: t, office: lendPrefix + t.Name}
-		s.holder = share.NewHolder(f.life, s.office, t, f.seal.Clock())
+		s.holder = share.NewLeaseholder(f.life, s.office, t, f.seal.Clock())
 		for _, m := range t.Methods {
 			if m < 0 || m >= methods || l.method[m] != 0 {
 				return nil, fmt.Errorf("share %s: method %d is none, or has a share", t.Name, m)
@@ -73,7 +73,7 @@
 	s := l.shares[k-1]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder.May(s.f.seal.Clock()) {
+	if s.holder.CanStart(s.f.seal.Clock()) {
 		return 0
 	}
 	return k
@@ -86,12 +86,12 @@
 
 // Began takes in that one has started.
 func (l *Lender) Began(method int, criticality float64) {
-	l.with(method, func(s *lent) { s.holder.Began(criticality, s.f.seal.Clock()) })
+	l.with(method, func(s *lent) { s.holder.Started(criticality, s.f.seal.Clock()) })
 }
 
 // Over takes in that one is over, after so many seconds, 0 where it never ran.
 func (l *Lender) Over(method int, criticality, took float64) {
-	l.with(method, func(s *lent) { s.holder.Over(criticality, took, s.f.seal.Clock()) })
+	l.with(method, func(s *lent) { s.holder.Finished(criticality, took, s.f.seal.Clock()) })
 }
 
 func (l *Lender) with(method int, do func(*lent)) {
@@ -104,14 +104,14 @@
 }
 
 // Amend takes over other limits of the same shares, or refuses what is not the same.
-func (l *Lender) Amend(all []share.Terms) error {
+func (l *Lender) Amend(all []share.Config) error {
 	if len(all) != len(l.shares) {
 		return errors.New("other shares stay until the next start")
 	}
 	for k, t := range all {
 		was := l.shares[k].terms
-		if t.Name != was.Name || !slices.Equal(t.Methods, was.Methods) || t.Floor != was.Floor || !slices.Equal(t.Floored, was.Floored) ||
-			(t.Least > 0) != (was.Least > 0) {
+		if t.Name != was.Name || !slices.Equal(t.Methods, was.Methods) || t.Reserved != was.Reserved || !slices.Equal(t.ReservedMembers, was.ReservedMembers) ||
+			(t.MinLimit > 0) != (was.MinLimit > 0) {
 			return errors.New("other shares, methods or floors stay until the next start")
 		}
 		if err := t.Check(); err != nil {
@@ -121,12 +121,12 @@
 	for k, t := range all {
 		s := l.shares[k]
 		s.mu.Lock()
-		if s.terms.Limit != t.Limit || s.terms.Least != t.Least {
+		if s.terms.Limit != t.Limit || s.terms.MinLimit != t.MinLimit {
 			l.f.log.Info("limit of a share changed", zap.String("share", t.Name), zap.Int("from", s.terms.Limit), zap.Int("to", t.Limit))
 		}
-		s.terms.Limit, s.terms.Least, s.terms.Target = t.Limit, t.Least, t.Target
+		s.terms.Limit, s.terms.MinLimit, s.terms.Target = t.Limit, t.MinLimit, t.Target
 		if s.keeper != nil {
-			s.keeper.Amend(s.terms)
+			s.keeper.UpdateLimits(s.terms)
 		}
 		s.mu.Unlock()
 	}
@@ -139,7 +139,7 @@
 // keep is the work of a share's office: to answer those who ask, which take does, and to be known.
 func (s *lent) keep(ctx context.Context, term uint64) error {
 	s.mu.Lock()
-	s.keeper = share.NewKeeper(s.office, term, s.terms, s.f.seal.Clock())
+	s.keeper = share.NewAllocator(s.office, term, s.terms, s.f.seal.Clock())
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
@@ -166,7 +166,7 @@
 func (s *lent) know(who string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder.Know(term, s.f.seal.Clock()) {
+	if s.holder.ObserveTerm(term, s.f.seal.Clock()) {
 		s.from = who
 	}
 }
@@ -216,7 +216,7 @@
 			s.answer(m)
 		case granted:
 			s.mu.Lock()
-			s.holder.Hear(m.answer, s.f.seal.Clock())
+			s.holder.HandleAnswer(m.answer, s.f.seal.Clock())
 			s.mu.Unlock()
 		}
 	}
@@ -231,7 +231,7 @@
 	var a owner.Answer
 	ok := false
 	if owns && s.keeper != nil && s.keeper.Term() == term {
-		a, ok = s.keeper.Hear(m.question, now)
+		a, ok = s.keeper.HandleRequest(m.question, now)
 	}
 	s.mu.Unlock()
 	switch {
@@ -284,8 +284,8 @@
 	for _, s := range l.shares {
 		s.mu.Lock()
 		now := s.f.seal.Clock()
-		h := s.holder.Held(now)
-		one := Share{Name: s.terms.Name, Keeper: s.from, Term: h.Term, Running: h.Running, Waiting: h.Waiting, Floor: h.Floor,
+		h := s.holder.Status(now)
+		one := Share{Name: s.terms.Name, Keeper: s.from, Term: h.Term, Running: h.Running, Waiting: h.Waiting, Floor: h.Reserved,
 			Granted: h.Granted, Left: milli(h.Left)}
 		if k := s.keeper; k != nil {
 			one.Limit, one.Settled = k.Limit(), k.Settled(now)
--- a/fleet/lendpacket.go
+++ b/fleet/lendpacket.go
@@ -23,7 +23,7 @@
 	office   string
 	from     string
 	term     uint64
-	question share.Question
+	question share.Request
 	answer   owner.Answer // its To has the asker's birth alone: that it is the receiver, the receiver knows
 }
 
@@ -47,8 +47,8 @@
 			out = binary.BigEndian.AppendUint32(out, uint32(min(n, mostParts)))
 		}
 		float(q.Left)
-		float(q.Worth)
-		float(q.Took)
+		float(q.Criticality)
+		float(q.RunTime)
 	case granted:
 		out = binary.BigEndian.AppendUint64(out, m.answer.To.ID)
 		out = binary.BigEndian.AppendUint64(out, m.answer.Number)
@@ -77,7 +77,7 @@
 		q := &m.question
 		q.Role, q.Term, q.From = m.office, m.term, owner.Incarnation{Name: m.from, ID: r.number()}
 		q.Number, q.Holds, q.Uses, q.Wants = r.number(), parts(), parts(), parts()
-		q.Left, q.Worth, q.Took = float(), float(), float()
+		q.Left, q.Criticality, q.RunTime = float(), float(), float()
 		if max(q.Holds, q.Uses, q.Wants) > mostParts {
 			r.err = errNotOurs
 		}
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -11,24 +11,24 @@
 	"valveglade/rig/explore"
 )
 
-// fleet is some app servers that ask one keeper, with no way between them.
+// fleet is some app servers that ask one allocator, with no way between them.
 type fleet struct {
-	t       *testing.T
-	terms   Terms
-	now     float64
-	keeper  *Keeper
-	holders []*Holder
-	worth   []float64
-	wants   []int // each keeps so many running and waiting, as far as it may
-	ran     []float64
+	t           *testing.T
+	config      Config
+	now         float64
+	allocator   *Allocator
+	holders     []*Leaseholder
+	criticality []float64
+	wants       []int // each keeps so many running and waiting, as far as it may
+	ran         []float64
 }
 
-func newFleet(t *testing.T, terms Terms, n int) *fleet {
-	f := &fleet{t: t, terms: terms, keeper: NewKeeper("o", 1, terms, -100), now: 100, wants: make([]int, n), ran: make([]float64, n)}
+func newFleet(t *testing.T, config Config, n int) *fleet {
+	f := &fleet{t: t, config: config, allocator: NewAllocator("o", 1, config, -100), now: 100, wants: make([]int, n), ran: make([]float64, n)}
 	for k := range n {
-		f.holders = append(f.holders, NewHolder(owner.Incarnation{Name: fmt.Sprintf("a%02d", k), ID: 1}, "o", terms, 0))
-		f.holders[k].Know(1, 0)
-		f.worth = append(f.worth, 1)
+		f.holders = append(f.holders, NewLeaseholder(owner.Incarnation{Name: fmt.Sprintf("a%02d", k), ID: 1}, "o", config, 0))
+		f.holders[k].ObserveTerm(1, 0)
+		f.criticality = append(f.criticality, 1)
 	}
 	return f
 }
@@ -40,28 +40,28 @@
 		for k, h := range f.holders {
 			if int(f.now*100)%10 == k%10 {
 				for h.running > 0 {
-					h.Over(f.worth[k], 0.1, f.now)
+					h.Finished(f.criticality[k], 0.1, f.now)
 				}
 			}
 			for h.running+h.waiting < f.wants[k] {
-				h.Wait(1, f.worth[k], f.now)
+				h.Wait(1, f.criticality[k], f.now)
 			}
 			for h.running+h.waiting > f.wants[k] && h.waiting > 0 {
-				h.Wait(-1, f.worth[k], f.now)
+				h.Wait(-1, f.criticality[k], f.now)
 			}
-			for h.waiting > 0 && h.May(f.now) {
-				h.Wait(-1, f.worth[k], f.now)
-				h.Began(f.worth[k], f.now)
+			for h.waiting > 0 && h.CanStart(f.now) {
+				h.Wait(-1, f.criticality[k], f.now)
+				h.Started(f.criticality[k], f.now)
 			}
 			sum += h.running
 			f.ran[k] += 0.01 * float64(h.running)
 			if q, ok := h.Tick(f.now); ok {
-				if a, ok := f.keeper.Hear(q, f.now); ok {
-					h.Hear(a, f.now)
+				if a, ok := f.allocator.HandleRequest(q, f.now); ok {
+					h.HandleAnswer(a, f.now)
 				}
 			}
 		}
-		if sum > f.terms.Limit {
+		if sum > f.config.Limit {
 			f.t.Fatalf("%d run at %.2f", sum, f.now)
 		}
 	}
@@ -71,9 +71,9 @@
 
 // Who wants little has it; the rest is for who wants more, by criticality; what nobody wants stands ready with all.
 func TestFair(t *testing.T) {
-	f := newFleet(t, Terms{Limit: 20, Loan: lending}, 4)
+	f := newFleet(t, Config{Limit: 20, Lease: lending}, 4)
 	f.wants = []int{1, 30, 30, 0}
-	f.worth = []float64{1, 1, 3, 1}
+	f.criticality = []float64{1, 1, 3, 1}
 	f.pass(4)
 	clear(f.ran)
 	f.pass(10)
@@ -93,13 +93,13 @@
 
 // Demand that moves is followed at once, and nothing moves without need.
 func TestFollows(t *testing.T) {
-	f := newFleet(t, Terms{Limit: 20, Floor: 1, Floored: []string{"a00", "a01", "a02", "a03"}, Loan: lending}, 4)
+	f := newFleet(t, Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"}, Lease: lending}, 4)
 	for round := range 6 {
 		f.wants = make([]int, 4)
 		f.wants[round%4] = 40
 		f.pass(1)
 		if n := f.holders[round%4].running; n < 16 {
-			t.Errorf("after a second app server %d runs %d: %+v", round%4, n, f.keeper.Holders(f.now))
+			t.Errorf("after a second app server %d runs %d: %+v", round%4, n, f.allocator.Holders(f.now))
 		}
 	}
 	f.wants = []int{9, 9, 9, 9}
@@ -119,10 +119,10 @@
 	}
 }
 
-// Forty app servers for a limit of ten: each has its turn, with floors for some and without.
+// Forty app servers for a limit of ten: each has its turn, with reserved permits for some and without.
 func TestFortyForTen(t *testing.T) {
 	for _, floored := range [][]string{nil, {"a00", "a01"}} {
-		f := newFleet(t, Terms{Limit: 10, Floor: min(len(floored), 1), Floored: floored, Loan: lending}, 40)
+		f := newFleet(t, Config{Limit: 10, Reserved: min(len(floored), 1), ReservedMembers: floored, Lease: lending}, 40)
 		for k := range f.wants {
 			f.wants[k] = 5
 		}
@@ -140,16 +140,16 @@
 	}
 }
 
-// Without a keeper each falls to its floor when its grant ends; a new one grants what is proved at once, and the rest later.
+// Without an allocator each falls to its reserved permits when its grant ends; a new one grants what is proved at once, and the rest later.
 func TestNewKeeper(t *testing.T) {
-	terms := Terms{Limit: 20, Floor: 1, Floored: []string{"a00", "a01", "a02", "a03"}, Loan: lending}
-	f := newFleet(t, terms, 4)
+	config := Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"}, Lease: lending}
+	f := newFleet(t, config, 4)
 	f.wants = []int{40, 0, 0, 0}
 	f.pass(2)
 	before := f.holders[0].Allowed(f.now)
-	f.keeper = NewKeeper("o", 2, terms, f.now)
+	f.allocator = NewAllocator("o", 2, config, f.now)
 	for _, h := range f.holders {
-		h.Know(2, f.now)
+		h.ObserveTerm(2, f.now)
 	}
 	f.pass(0.5)
 	if n := f.holders[0].Allowed(f.now); n < before {
@@ -160,10 +160,10 @@
 	if n := f.holders[1].running; n < 15 {
 		t.Errorf("%d run where the demand has moved", n)
 	}
-	if h := f.holders[1]; h.Know(1, f.now) {
+	if h := f.holders[1]; h.ObserveTerm(1, f.now) {
 		t.Error("a former keeper is listened to")
 	}
-	f.keeper = NewKeeper("o", 9, terms, f.now) // nobody hears of it
+	f.allocator = NewAllocator("o", 9, config, f.now) // nobody hears of it
 	f.pass(3)
 	for k, h := range f.holders {
 		if n := h.Allowed(f.now); n != 1 {
@@ -174,18 +174,18 @@
 
 // A limit that is lowered takes effect as grants end; one that is found follows what runs take.
 func TestLimit(t *testing.T) {
-	terms := Terms{Limit: 20, Loan: lending}
-	f := newFleet(t, terms, 2)
+	config := Config{Limit: 20, Lease: lending}
+	f := newFleet(t, config, 2)
 	f.wants = []int{40, 40}
 	f.pass(1)
-	terms.Limit = 8
-	f.keeper.Amend(terms)
+	config.Limit = 8
+	f.allocator.UpdateLimits(config)
 	f.pass(1)
 	if n := f.holders[0].running + f.holders[1].running; n > 8 || n < 6 {
 		t.Errorf("%d run under a limit of 8", n)
 	}
-	auto := Terms{Limit: 100, Least: 4, Target: 0.11, Loan: lending}
-	k := NewKeeper("o", 1, auto, 0)
+	auto := Config{Limit: 100, MinLimit: 4, Target: 0.11, Lease: lending}
+	k := NewAllocator("o", 1, auto, 0)
 	number := uint64(0)
 	bears := 40.0
 	for now := 10.0; now < 60; now += 0.05 {
@@ -193,9 +193,9 @@
 		if now > 35 {
 			bears = 12
 		}
-		q := Question{Request: owner.Request{Role: "o", From: owner.Incarnation{Name: "a", ID: 1}, Number: number, Term: 1, Wants: 200, Uses: k.Limit()},
-			Worth: 1, Took: 0.1 * max(1, float64(k.Limit())/bears)}
-		k.Hear(q, now)
+		q := Request{Request: owner.Request{Role: "o", From: owner.Incarnation{Name: "a", ID: 1}, Number: number, Term: 1, Wants: 200, Uses: k.Limit()},
+			Criticality: 1, RunTime: 0.1 * max(1, float64(k.Limit())/bears)}
+		k.HandleRequest(q, now)
 		if at := float64(k.Limit()); (now > 30 && now < 35 || now > 55) && (at < 0.8*bears || at > 1.2*bears) {
 			t.Fatalf("at %.1f s the limit is %.0f, and %.0f can be borne", now, at, bears)
 		}
@@ -204,31 +204,31 @@
 
 // Terms that contradict themselves are refused.
 func TestTerms(t *testing.T) {
-	for _, terms := range []Terms{{}, {Limit: 4, Least: 5}, {Limit: 4, Floor: 2, Floored: []string{"a", "b", "c"}},
-		{Limit: 9, Least: 2, Floor: 1, Floored: []string{"a", "b", "c"}}} {
-		if terms.Check() == nil {
-			t.Errorf("%+v are taken", terms)
+	for _, config := range []Config{{}, {Limit: 4, MinLimit: 5}, {Limit: 4, Reserved: 2, ReservedMembers: []string{"a", "b", "c"}},
+		{Limit: 9, MinLimit: 2, Reserved: 1, ReservedMembers: []string{"a", "b", "c"}}} {
+		if config.Check() == nil {
+			t.Errorf("%+v are taken", config)
 		}
 	}
-	if err := (Terms{Limit: 3, Floor: 1, Floored: []string{"a", "b", "c"}}).Check(); err != nil {
+	if err := (Config{Limit: 3, Reserved: 1, ReservedMembers: []string{"a", "b", "c"}}).Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// small is two holders with slow clocks, one of which has a floor, and two keepers after one another with a fast one.
+// small is two holders with slow clocks, one of which has a reserved permits, and two allocators after one another with a fast one.
 type small struct {
-	terms     Terms
+	config    Config
 	at, units int
 	asks      [2]int8
 	starts    int8
 	deaths    int8
 	second    bool
-	keeper    *Keeper
-	holders   [2]Holder
-	questions []Question
+	allocator *Allocator
+	holders   [2]Leaseholder
+	requests  []Request
 	answers   []owner.Answer
 	runs      [3][]int // when each began; last, of one that died
-	rash      bool     // a new life uses its floor at once
+	rash      bool     // a new life uses its reserved permits at once
 }
 
 const smallUnit, smallLimit = 0.5, 2
@@ -238,7 +238,7 @@
 
 const (
 	passes   = iota << 8
-	takesOff // the second keeper begins
+	takesOff // the second allocator begins
 	hears    // a holder hears of it
 	asks
 	starts
@@ -255,20 +255,20 @@
 		all = append(all, takesOff)
 	}
 	for k := range s.holders {
-		if s.second && s.holders[k].asker.KnownTerm() < 2 {
+		if s.second && s.holders[k].requester.KnownTerm() < 2 {
 			all = append(all, hears|uint16(k))
 		}
 		if s.asks[k] > 0 {
 			all = append(all, asks|uint16(k))
 		}
-		if s.starts > 0 && s.holders[k].May(s.holdersClock()) {
+		if s.starts > 0 && s.holders[k].CanStart(s.holdersClock()) {
 			all = append(all, starts|uint16(k))
 		}
 	}
 	if s.deaths > 0 {
 		all = append(all, dies)
 	}
-	for k := range s.questions {
+	for k := range s.requests {
 		all = append(all, answers|uint16(k))
 	}
 	for k := range s.answers {
@@ -278,11 +278,11 @@
 }
 
 func (s *small) born(k int, birth uint64) {
-	h := NewHolder(owner.Incarnation{Name: fmt.Sprint("a", k), ID: birth}, "o", s.terms, s.holdersClock())
+	h := NewLeaseholder(owner.Incarnation{Name: fmt.Sprint("a", k), ID: birth}, "o", s.config, s.holdersClock())
 	if birth == 1 || s.rash {
-		h.from = 0 // nobody was there before
+		h.reservedFrom = 0 // nobody was there before
 	}
-	h.Know(1, 0)
+	h.ObserveTerm(1, 0)
 	s.holders[k] = *h
 }
 
@@ -291,8 +291,8 @@
 	n := &next
 	k := int(act & 0xff)
 	for j := range n.holders {
-		asker := *s.holders[j].asker
-		n.holders[j].asker = &asker
+		requester := *s.holders[j].requester
+		n.holders[j].requester = &requester
 	}
 	h, now := &n.holders[k%2], n.holdersClock()
 	switch act &^ 0xff {
@@ -300,7 +300,7 @@
 		n.at++
 		n.units--
 		for j := range n.runs { // all are over once the tail is
-			over := func(began int) bool { return float64(n.at-began)*smallUnit*0.87 > s.terms.Loan.Tail }
+			over := func(began int) bool { return float64(n.at-began)*smallUnit*0.87 > s.config.Lease.Tail }
 			n.runs[j] = slices.DeleteFunc(slices.Clone(n.runs[j]), over)
 			if j < 2 {
 				n.holders[j].running = len(n.runs[j])
@@ -308,44 +308,44 @@
 		}
 	case takesOff:
 		n.second = true
-		n.keeper = NewKeeper("o", 2, s.terms, n.keepersClock())
+		n.allocator = NewAllocator("o", 2, s.config, n.keepersClock())
 	case hears:
-		h.Know(2, now)
+		h.ObserveTerm(2, now)
 	case asks:
 		n.asks[k]--
 		h.due, h.answered, h.counted, h.began, h.area, h.mean, h.most = 0, true, now, now, 0, smallLimit, smallLimit
 		if q, ok := h.Tick(now); ok {
-			n.questions = append(slices.Clone(s.questions), q)
+			n.requests = append(slices.Clone(s.requests), q)
 		}
 	case starts:
 		n.starts--
-		h.Began(1, now)
+		h.Started(1, now)
 		n.runs[k] = append(slices.Clone(s.runs[k]), n.at)
 	case dies:
 		n.deaths--
 		n.runs[2], n.runs[0] = n.runs[0], nil
 		n.born(0, 2)
 	case answers:
-		q := s.questions[k]
-		n.questions = slices.Delete(slices.Clone(s.questions), k, k+1)
-		keeper := *s.keeper
-		n.keeper = &keeper
-		keeper.Grantor = s.keeper.Grantor.Clone()
-		keeper.asks = map[owner.Incarnation]*demand{}
-		for life, d := range s.keeper.asks {
+		q := s.requests[k]
+		n.requests = slices.Delete(slices.Clone(s.requests), k, k+1)
+		allocator := *s.allocator
+		n.allocator = &allocator
+		allocator.Grantor = s.allocator.Grantor.Clone()
+		allocator.demands = map[owner.Incarnation]*demand{}
+		for incarnation, d := range s.allocator.demands {
 			one := *d
-			keeper.asks[life] = &one
+			allocator.demands[incarnation] = &one
 		}
-		if a, ok := keeper.Hear(q, n.keepersClock()); ok {
+		if a, ok := allocator.HandleRequest(q, n.keepersClock()); ok {
 			n.answers = append(slices.Clone(s.answers), a)
 		}
 	case takes:
 		a := s.answers[k]
 		n.answers = slices.Delete(slices.Clone(s.answers), k, k+1)
-		n.holders[a.To.Name[1]-'0'].Hear(a, now)
+		n.holders[a.To.Name[1]-'0'].HandleAnswer(a, now)
 	}
 	for j := range n.holders { // when it last asked and what it asked on the mean are no part of what is walked
-		n.holders[j].due, n.holders[j].asked, n.holders[j].answered, n.holders[j].worth = 0, 0, true, 1
+		n.holders[j].due, n.holders[j].asked, n.holders[j].answered, n.holders[j].criticality = 0, 0, true, 1
 		n.holders[j].count(now)
 		n.holders[j].area, n.holders[j].mean, n.holders[j].most = 0, 0, 0
 	}
@@ -361,13 +361,13 @@
 
 func (s *small) key() uint64 {
 	h := explore.NewHash()
-	text := fmt.Sprint(s.at, s.asks, s.starts, s.deaths, s.second, s.runs, s.keeper.Grantor, s.keeper.shared)
+	text := fmt.Sprint(s.at, s.asks, s.starts, s.deaths, s.second, s.runs, s.allocator.Grantor, s.allocator.allocatedAt)
 	for k := range s.holders {
 		x := &s.holders[k]
-		text += fmt.Sprint(*x.asker, x.from, x.running)
+		text += fmt.Sprint(*x.requester, x.reservedFrom, x.running)
 	}
 	var flight []string
-	for _, q := range s.questions {
+	for _, q := range s.requests {
 		flight = append(flight, fmt.Sprint(q))
 	}
 	for _, a := range s.answers {
@@ -386,8 +386,8 @@
 }
 
 func walk(loan owner.Lease, asks [2]int8, starts, deaths int8, rash bool, most int) explore.Result {
-	s := &small{terms: Terms{Limit: smallLimit, Floor: 1, Floored: []string{"a0"}, Loan: loan}, units: 5, asks: asks, starts: starts, deaths: deaths, rash: rash}
-	s.keeper = NewKeeper("o", 1, s.terms, -100)
+	s := &small{config: Config{Limit: smallLimit, Reserved: 1, ReservedMembers: []string{"a0"}, Lease: loan}, units: 5, asks: asks, starts: starts, deaths: deaths, rash: rash}
+	s.allocator = NewAllocator("o", 1, s.config, -100)
 	for k := range s.holders {
 		s.born(k, 1)
 	}
@@ -398,7 +398,7 @@
 
 var long = flag.Bool("long", false, "walk through what takes minutes too")
 
-// Through a change of keeper, deaths, and whatever comes late or never, no more run than may; and each rule that is left out is
+// Through a change of allocator, deaths, and whatever comes late or never, no more run than may; and each rule that is left out is
 // missed, with a shortest trace.
 func TestExhaustive(t *testing.T) {
 	began := time.Now()
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -146,15 +146,15 @@
 
 // shareTerms puts the shares of the operators' file in the words of those who decide on them. What was begun under a grant goes on
 // for as long as its RPC may take.
-func shareTerms(settings config.Fleet, c *config.Config) []share.Terms {
-	var all []share.Terms
+func shareTerms(settings config.Fleet, c *config.Config) []share.Config {
+	var all []share.Config
 	for _, one := range settings.Shares {
-		t := share.Terms{Name: one.Name, Limit: one.Limit, Least: one.MinLimit, Target: one.Target, Floor: settings.Reserved, Floored: settings.ReservedMembers,
-			Loan: owner.Lease{Length: lentFor * settings.Lease, Drift: settings.Drift}}
+		t := share.Config{Name: one.Name, Limit: one.Limit, MinLimit: one.MinLimit, Target: one.Target, Reserved: settings.Reserved, ReservedMembers: settings.ReservedMembers,
+			Lease: owner.Lease{Length: lentFor * settings.Lease, Drift: settings.Drift}}
 		for _, name := range one.Methods {
 			k := slices.Index(c.Methods, name)
 			t.Methods = append(t.Methods, k)
-			t.Loan.Tail = max(t.Loan.Tail, c.Rules.Methods[k].Deadline)
+			t.Lease.Tail = max(t.Lease.Tail, c.Rules.Methods[k].Deadline)
 		}
 		all = append(all, t)
 	}
