--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -41,12 +41,12 @@
 		if len(voters) > 0 {
 			began := time.Now()
 			lease := rehearsedLease.Seconds()
-			f, err := fleet.New(fleet.Seal{Name: name, Voters: [][]string{voters}, Span: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
+			f, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters}, Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
 				Clock: func() float64 { return rate * time.Since(began).Seconds() }}, m, log)
 			if err != nil {
 				return err
 			}
-			if err := f.Stand("o", fleet.Orders("o", name, order, orderEvery)); err != nil {
+			if err := f.Campaign("o", fleet.SendCommands("o", name, order, orderEvery)); err != nil {
 				return err
 			}
 			return f.Run(cmd.Context())
@@ -55,7 +55,7 @@
 		defer stop()
 		begin := func() context.CancelFunc {
 			ctx, end := context.WithCancel(cmd.Context())
-			go fleet.Orders("o", name, order, orderEvery)(ctx, 0)
+			go fleet.SendCommands("o", name, order, orderEvery)(ctx, 0)
 			return end
 		}
 		end := func() {}
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -21,7 +21,7 @@
 // court is some processes among which there are owners, and the workers that take their orders.
 type court struct {
 	*rig.Swarm
-	workers []*rig.Worker // of each office
+	workers []*rig.Worker // of each role
 }
 
 func (c *court) close() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// convene starts one: as is the program, with two offices; the same with the fleet off; the lowest name of each view as the
+// convene starts one: as is the program, with two roles; the same with the fleet off; the lowest name of each view as the
 // owner; or such processes as stand by clocks that drift, at the bound.
 func (p *play) convene(kind string, n int) (*court, error) {
 	c := &court{}
@@ -73,7 +73,7 @@
 // rehearsedDrift is far more than clocks do.
 const rehearsedDrift = 0.2
 
-// taken waits for an owner of the first office that is not a given one, and gives how long that took.
+// taken waits for an owner of the first role that is not a given one, and gives how long that took.
 func (c *court) taken(not string) (string, float64) {
 	who := ""
 	took, ok := c.Until(15*time.Second, func() bool {
@@ -86,7 +86,7 @@
 	return who, took
 }
 
-// playOwner is the rehearsal of offices: the owner killed, stopped past its lease with an order in its hands, cut off, left
+// playOwner is the rehearsal of roles: the owner killed, stopped past its lease with a command in its hands, cut off, left
 // without a majority, drained, while voters are slow, late, dead or without a disk; beside it the same by clocks that drift,
 // processes where the lowest name of the view is the owner, and the same load with the fleet off.
 func playOwner(p *play) error {
@@ -208,14 +208,14 @@
 		return err
 	}
 	p.atLeast("late.refused", float64(worker.Refused()), 1)
-	for k, office := range []string{"", ".second"} {
+	for k, role := range []string{"", ".second"} {
 		j := rig.Judge(on.workers[k].Orders(time.Time{}), rehearsedLease)
-		p.say("office %d: %v", k+1, j)
-		p.atMost("owners.at.once"+office, float64(j.AtOnce), 1)
-		p.exactly("late.effects"+office, float64(j.Late), 0)
-		p.exactly("terms.falling"+office, float64(j.Falling+j.Shared), 0)
+		p.say("role %d: %v", k+1, j)
+		p.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
+		p.exactly("late.effects"+role, float64(j.Late), 0)
+		p.exactly("terms.falling"+role, float64(j.Falling+j.Shared), 0)
 	}
-	p.exactly("work.overlap.s", rig.Overlap(on.History.Tenures()), 0)
+	p.exactly("work.overlap.s", rig.Overlap(on.History.LeadershipIntervals()), 0)
 	l := rig.Judge(low.workers[0].Orders(time.Time{}), rehearsedLease)
 	p.say("lowest name: %v", l)
 	p.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
@@ -300,7 +300,7 @@
 	j := rig.Judge(c.workers[0].Orders(time.Time{}), rehearsedLease)
 	p.say("drifting: %v", j)
 	p.atMost("owners.at.once.drifting", float64(j.AtOnce), 1)
-	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.Tenures()), 0)
+	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
 	p.exactly("late.effects.drifting", float64(j.Late+j.Falling+j.Shared), 0)
 	p.atLeast("changes.drifting", float64(j.Changes), 4)
 	return nil
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -53,7 +53,7 @@
 	phase                 string
 }
 
-// reservoir starts a pool: under a keeper, split evenly, or without a common limit and without a fleet.
+// reservoir starts a pool: under an allocator, split evenly, or without a common limit and without a fleet.
 func (p *play) reservoir(kind string, limit string) (*pool, error) {
 	all := names(sharedOn)
 	r := &pool{behind: rig.NewBehind(sharedLimit, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{}, plain: map[string][2]float64{}}
@@ -194,22 +194,22 @@
 	return sum
 }
 
-// keeper asks the processes who keeps the share, and what everybody has.
-func (r *pool) keeper() (name string, s fleet.Share) {
+// allocator asks the processes who keeps the share, and what everybody has.
+func (r *pool) allocator() (name string, s fleet.Share) {
 	for _, n := range r.Running() {
 		shown, err := member.Ask(r.Socket(n))
-		if err != nil || shown.Offices == nil {
+		if err != nil || shown.Roles == nil {
 			continue
 		}
-		var f fleet.Shown
-		if json.Unmarshal(shown.Offices, &f) == nil && len(f.Shares) > 0 && f.Shares[0].Limit > 0 {
+		var f fleet.Status
+		if json.Unmarshal(shown.Roles, &f) == nil && len(f.Shares) > 0 && f.Shares[0].Limit > 0 {
 			return n, f.Shares[0]
 		}
 	}
 	return "", fleet.Share{}
 }
 
-// playShare is the rehearsal of a common limit: demand that moves, a keeper killed, stopped and cut off, a holder killed, a lower
+// playShare is the rehearsal of a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
 // limit, all restarted; beside it an even split, and no common limit.
 func playShare(p *play) error {
 	kinds := []string{"on", "even", "off"}
@@ -228,8 +228,8 @@
 		return err
 	}
 	on, even, off := pools[0], pools[1], pools[2]
-	keeper := ""
-	took, _ := on.Until(10*time.Second, func() bool { keeper, _ = on.keeper(); return keeper != "" })
+	allocator := ""
+	took, _ := on.Until(10*time.Second, func() bool { allocator, _ = on.allocator(); return allocator != "" })
 	p.atMost("first.keeper.s", took, 10)
 	p.untilAlike(on.Swarm, 10*time.Second, sharedOn, on.Names())
 	time.Sleep(2 * time.Second) // the floors' wait for former lives is over
@@ -304,10 +304,10 @@
 	enough()
 	// Somebody else is to keep it: use stays above the floors, and comes back.
 	change := func(how, script string) {
-		was, _ := on.keeper()
+		was, _ := on.allocator()
 		on.behind.Used()
 		began := time.Now()
-		errs[0] = errors.Join(errs[0], on.Run(strings.ReplaceAll(script, "KEEPER", was)))
+		errs[0] = errors.Join(errs[0], on.Run(strings.ReplaceAll(script, "ALLOCATOR", was)))
 		now, back := "", math.Inf(1)
 		least := 1.0
 		for time.Since(began) < 4*rehearsedLease {
@@ -315,7 +315,7 @@
 			used := on.behind.Used() / sharedLimit
 			least = min(least, used)
 			if now == "" {
-				if now, _ = on.keeper(); now == was {
+				if now, _ = on.allocator(); now == was {
 					now = ""
 				}
 			}
@@ -331,7 +331,7 @@
 		}
 		p.atLeast("used.least."+how, least, float64(sharedOn-1)/sharedLimit)
 	}
-	change("killed", "0s kill KEEPER")
+	change("killed", "0s kill ALLOCATOR")
 	for _, name := range on.Names() {
 		if !slices.Contains(on.Running(), name) {
 			errs[0] = errors.Join(errs[0], on.Run("0s start "+name))
@@ -340,12 +340,12 @@
 	// What the one that died had, and its new life's floor, are back once its last grant is over.
 	on.behind.Used()
 	on.Until(5*time.Second, func() bool { time.Sleep(300 * time.Millisecond); return on.behind.Used() >= 0.97*sharedLimit })
-	keeper, _ = on.keeper()
-	change("stopped", "0s stop KEEPER")
-	errs[0] = errors.Join(errs[0], on.Run("1500ms cont "+keeper))
-	keeper, _ = on.keeper()
-	others := slices.DeleteFunc(on.Names(), func(n string) bool { return n == keeper })
-	change("cut", "0s split KEEPER,"+strings.Join(others[sharedOn/2:], ",")+"|"+strings.Join(others[:sharedOn/2], ","))
+	allocator, _ = on.allocator()
+	change("stopped", "0s stop ALLOCATOR")
+	errs[0] = errors.Join(errs[0], on.Run("1500ms cont "+allocator))
+	allocator, _ = on.allocator()
+	others := slices.DeleteFunc(on.Names(), func(n string) bool { return n == allocator })
+	change("cut", "0s split ALLOCATOR,"+strings.Join(others[sharedOn/2:], ",")+"|"+strings.Join(others[:sharedOn/2], ","))
 	// While a holder dies, and another is stopped past its grant, everything behind takes ten times as long, and recovers.
 	var slow sync.WaitGroup
 	slow.Go(func() {
@@ -426,7 +426,7 @@
 		return err
 	}
 	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.keeper(); return who != "" }); !ok {
+	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
 	p.untilAlike(r.Swarm, 15*time.Second, many, r.Names())
@@ -465,7 +465,7 @@
 		return err
 	}
 	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.keeper(); return who != "" }); !ok {
+	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -480,7 +480,7 @@
 		time.Sleep(p.span([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
 		sum, n := 0.0, 0.0                                              // it goes up and down about what is right: the mean over some seconds
 		for end := time.Now().Add(p.span(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			if _, s := r.keeper(); s.Limit > 0 {
+			if _, s := r.allocator(); s.Limit > 0 {
 				sum += float64(s.Limit)
 				n++
 			}
--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -34,15 +34,15 @@
 			return to.Encode(shown)
 		}}
 	// part shows one part of what is told beside the view.
-	part := func(use, short string, show func(to io.Writer, s fleet.Shown) any) {
+	part := func(use, short string, show func(to io.Writer, s fleet.Status) any) {
 		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 			shown, err := ask(*settingsPath, socket)
 			if err != nil {
 				return err
 			}
-			var s fleet.Shown
-			if shown.Offices != nil {
-				if err := json.Unmarshal(shown.Offices, &s); err != nil {
+			var s fleet.Status
+			if shown.Roles != nil {
+				if err := json.Unmarshal(shown.Roles, &s); err != nil {
 					return fmt.Errorf("what it tells cannot be read: %w", err)
 				}
 			}
@@ -54,27 +54,27 @@
 			return t.Flush()
 		}})
 	}
-	part("owners", "show who owns which office, as far as the app server here knows", func(to io.Writer, s fleet.Shown) any {
-		fmt.Fprintln(to, "OFFICE\tOWNER\tTERM\tLEASE LEFT\tSINCE\tLAST REFUSED FOR BEING LATE")
-		for _, o := range s.Offices {
+	part("owners", "show who owns which role, as far as the app server here knows", func(to io.Writer, s fleet.Status) any {
+		fmt.Fprintln(to, "ROLE\tOWNER\tTERM\tLEASE LEFT\tSINCE\tLAST REJECTION")
+		for _, o := range s.Roles {
 			who := cmp.Or(o.Owner, "not known")
 			if o.Owns {
 				who += " (this one)"
 			}
-			fmt.Fprintf(to, "%s\t%s\t%d\t%gs\t%s\t%s\n", o.Office, who, o.Term, o.Left, o.Since, o.Late)
+			fmt.Fprintf(to, "%s\t%s\t%d\t%gs\t%s\t%s\n", o.Role, who, o.Term, o.Left, o.Since, o.LastRejection)
 		}
-		return s.Offices
+		return s.Roles
 	})
-	part("shares", "show the fleet's common limits: what this app server has of them and, on the keeper, what everybody has",
-		func(to io.Writer, s fleet.Shown) any {
-			fmt.Fprintln(to, "SHARE\tAPP SERVER\tLIMIT\tFLOOR\tGRANTED\tRUNNING\tWAITING\tENDS IN\tREMARKS")
+	part("shares", "show the fleet's common limits: what this app server has of them and, on the allocator, what everybody has",
+		func(to io.Writer, s fleet.Status) any {
+			fmt.Fprintln(to, "SHARE\tAPP SERVER\tLIMIT\tRESERVED\tGRANTED\tRUNNING\tWAITING\tENDS IN\tREMARKS")
 			for _, one := range s.Shares {
 				limit := "-"
 				if one.Limit > 0 {
 					limit = fmt.Sprint(one.Limit)
 				}
-				fmt.Fprintf(to, "%s\tthis one\t%s\t%d\t%d\t%d\t%d\t%gs\tkept by %s\n", one.Name, limit, one.Floor, one.Granted, one.Running,
-					one.Waiting, one.Left, cmp.Or(one.Keeper, "nobody that is known"))
+				fmt.Fprintf(to, "%s\tthis one\t%s\t%d\t%d\t%d\t%d\t%gs\tallocated by %s\n", one.Name, limit, one.Reserved, one.Granted, one.Running,
+					one.Waiting, one.Left, cmp.Or(one.Allocator, "nobody known"))
 				for _, h := range one.Holders {
 					fmt.Fprintf(to, "%s\t%s\t\t\t%d\t%d\t%d\t%gs\thas at most %d, asked %gs ago\n", one.Name, h.Name, h.Given, h.Uses,
 						max(h.Wants-h.Uses, 0), h.Left, h.Had, h.Heard)
--- a/fleet/order.go
+++ b/fleet/command.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Orders is the work of an office that tells somebody outside, again and again, that it is to do something. Each order is a
-// line, "ORDER OFFICE TERM NUMBER OWNER"; it is answered "ok", or "late TERM" where a higher term is known: the office is
+// SendCommands returns a RoleFunc that tells somebody outside, again and again, to do something. Each command is a
+// line, "ORDER ROLE TERM NUMBER OWNER"; it is answered "ok", or "late TERM" where a higher term is known: the owner steps
 // given up then. Whoever carries out orders has to refuse terms below the highest that it has seen; that alone keeps out one
 // that was stopped between its check and its send.
-func Orders(office, owner, address string, every time.Duration) Work {
+func SendCommands(role, owner, address string, every time.Duration) RoleFunc {
 	return func(ctx context.Context, term uint64) error {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
@@ -30,15 +30,15 @@
 			case <-tick.C:
 			}
 			if to == nil {
-				nc, err := (&net.Dialer{Timeout: every + patience}).DialContext(ctx, "tcp", address)
+				nc, err := (&net.Dialer{Timeout: every + commandTimeout}).DialContext(ctx, "tcp", address)
 				if err != nil {
-					continue // nobody there: the next order tries again
+					continue // nobody there: the next command tries again
 				}
 				to = nc
 			}
-			err := order(to, fmt.Sprintf("ORDER %s %d %d %s\n", office, term, n, owner), term)
-			if late, ok := err.(*Late); ok {
-				return late
+			err := sendCommand(to, fmt.Sprintf("ORDER %s %d %d %s\n", role, term, n, owner), term)
+			if staleErr, ok := err.(*StaleTermError); ok {
+				return staleErr
 			}
 			if err != nil {
 				to.Close()
@@ -48,11 +48,11 @@
 	}
 }
 
-// patience is how long an order's answer is waited for.
-const patience = time.Second
+// commandTimeout is how long a command's answer is waited for.
+const commandTimeout = time.Second
 
-func order(to net.Conn, line string, term uint64) error {
-	to.SetDeadline(time.Now().Add(patience))
+func sendCommand(to net.Conn, line string, term uint64) error {
+	to.SetDeadline(time.Now().Add(commandTimeout))
 	if _, err := to.Write([]byte(line)); err != nil {
 		return err
 	}
@@ -62,10 +62,10 @@
 	}
 	var known uint64
 	if _, err := fmt.Sscanf(answer, "late %d", &known); err == nil {
-		return &Late{term, known}
+		return &StaleTermError{term, known}
 	}
 	if strings.TrimSpace(answer) != "ok" {
-		return fmt.Errorf("an order was answered %q", answer)
+		return fmt.Errorf("a command was answered %q", answer)
 	}
 	return nil
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet lives out what is decided for the whole fleet: offices, each with at most one owner. It drives the pure
-// machines of logic/owner over member's packets, keeps a voter's promises on disk, and runs the work of whoever owns an
-// office under a context that ends before the lease does. It decides nothing itself; the view only tells it where voters are
-// and when standing is worth it.
+// Package fleet runs what is decided for the whole fleet: elected roles, each with at most one owner. It drives the pure
+// machines of logic/owner over member's packets, persists a voter's votes, and runs the function of whoever owns a
+// role under a context that ends before the lease does. It decides nothing itself; the view only tells it where voters are
+// and when campaigning is worth it.
 package fleet
 
 import (
@@ -20,124 +20,124 @@
 	"valveglade/logic/owner"
 )
 
-// Carrier is how this process reaches others: member.Member.
-type Carrier interface {
-	// Send puts a message on its way to a member, and promises nothing.
+// Transport is how this process reaches others: member.Member.
+type Transport interface {
+	// Send puts a message on its way to a member, without a guarantee.
 	Send(to string, payload []byte)
 	// Receive has f told of what comes; f must not wait.
 	Receive(f func(from string, payload []byte))
 }
 
-// Seal is what this process is told of offices.
-type Seal struct {
+// Config is what this process is told of roles.
+type Config struct {
 	Name   string
 	Voters [][]string // the list of names, the same everywhere; former and next one while they are changed
-	Span   owner.Timing
-	Folder string       // for a voter's promises; empty where nothing lasts
-	Fit    func() error // why this process should not stand now, nil if it may
+	Timing owner.Timing
+	Folder string       // for a voter's votes; empty where nothing is persisted
+	Fit    func() error // why this process should not campaign now, nil if it may
 	Now    func() time.Time
 	Clock  func() float64  // a monotonic clock, in seconds; the system's if nil
 	Others func() []string // who else there is, as far as the view shows
 }
 
-// Work is what is done by the owner of an office. Its context ends before the lease does; it has to return then, and do
-// nothing of the office's after.
-type Work func(ctx context.Context, term uint64) error
+// RoleFunc is what the owner of a role runs. Its context ends before the lease does; it has to return then, and do
+// nothing of the role's after.
+type RoleFunc func(ctx context.Context, term uint64) error
 
-// Fleet is one process's part in all offices.
+// Fleet is one process's part in all roles.
 type Fleet struct {
-	seal    Seal
-	carrier Carrier
-	log     *zap.Logger
-	life    owner.Incarnation
-	heard   chan owner.Message // for candidates
-	asked   chan owner.Message // for the voter
-	quick   chan struct{}      // holds one when an office has something new
-	leaving chan struct{}      // closed when it is to give up all that it owns
-	leave   func()
-
-	mu      sync.Mutex
-	offices map[string]*office
-	refused atomic.Int64 // orders of ours that were too late
-	lender  atomic.Pointer[Lender]
-	lending chan grantMessage
+	config       Config
+	transport    Transport
+	log          *zap.Logger
+	incarnation  owner.Incarnation
+	answers      chan owner.Message // for candidates
+	voteRequests chan owner.Message // for the voter
+	wake         chan struct{}      // holds one when a role has something new
+	leaving      chan struct{}      // closed when it is to step down from all that it owns
+	leave        func()
+
+	mu       sync.Mutex
+	roles    map[string]*role
+	rejected atomic.Int64 // commands of ours with a stale term
+	quota    atomic.Pointer[QuotaClient]
+	grants   chan grantMessage
 }
 
-// office is one office as this process stands for it.
-type office struct {
-	name      string
-	work      Work
-	candidate *owner.Candidate
-	term      uint64 // under which its work runs, 0 for none
-	since     time.Time
-	stop      context.CancelFunc
-	over      chan struct{} // closed when its work has returned
-	late      string        // the last refusal for being late
+// role is one role that this process campaigns for.
+type role struct {
+	name          string
+	run           RoleFunc
+	candidate     *owner.Candidate
+	term          uint64 // under which its function runs, 0 for none
+	since         time.Time
+	cancel        context.CancelFunc
+	done          chan struct{} // closed when its function has returned
+	lastRejection string        // the last rejection for a stale term
 }
 
-// ErrOver ends the context of work whose office is given up.
-var ErrOver = errors.New("the office is given up")
+// ErrLeaseLost ends the context of a RoleFunc whose role is no longer owned.
+var ErrLeaseLost = errors.New("the lease of the role is lost")
 
 // New prepares it; nothing is sent before Run.
-func New(seal Seal, carrier Carrier, log *zap.Logger) (*Fleet, error) {
-	if err := owner.CheckVoters(seal.Voters); err != nil {
+func New(config Config, transport Transport, log *zap.Logger) (*Fleet, error) {
+	if err := owner.CheckVoters(config.Voters); err != nil {
 		return nil, fmt.Errorf("voters: %w", err)
 	}
-	if seal.Clock == nil {
-		seal.Clock = clock
+	if config.Clock == nil {
+		config.Clock = clock
 	}
-	if seal.Now == nil {
-		seal.Now = time.Now
+	if config.Now == nil {
+		config.Now = time.Now
 	}
-	if seal.Others == nil {
-		seal.Others = func() []string { return nil }
+	if config.Others == nil {
+		config.Others = func() []string { return nil }
 	}
-	if seal.Fit == nil {
-		seal.Fit = func() error { return nil }
+	if config.Fit == nil {
+		config.Fit = func() error { return nil }
 	}
-	f := &Fleet{seal: seal, carrier: carrier, log: log, life: owner.Incarnation{Name: seal.Name, ID: rand.Uint64()},
-		heard: make(chan owner.Message, mostWaiting), asked: make(chan owner.Message, mostWaiting), quick: make(chan struct{}, 1),
-		lending: make(chan grantMessage, mostWaiting),
-		offices: map[string]*office{}, leaving: make(chan struct{})}
+	f := &Fleet{config: config, transport: transport, log: log, incarnation: owner.Incarnation{Name: config.Name, ID: rand.Uint64()},
+		answers: make(chan owner.Message, maxQueued), voteRequests: make(chan owner.Message, maxQueued), wake: make(chan struct{}, 1),
+		grants: make(chan grantMessage, maxQueued),
+		roles:  map[string]*role{}, leaving: make(chan struct{})}
 	f.leave = sync.OnceFunc(func() { close(f.leaving) })
 	return f, nil
 }
 
-// mostWaiting is how many messages may wait: all voters' answers for some dozens of offices. What does not fit is lost, as it
+// maxQueued is how many messages may wait: all voters' answers for some dozens of roles. What does not fit is lost, as it
 // may be on its way.
-const mostWaiting = 512
+const maxQueued = 512
 
 // tickEvery is how often time is looked at: a fiftieth of the shortest lease.
 const tickEvery = 20 * time.Millisecond
 
-// Stand has this process stand for an office, from now on. It is called before Run, or while it runs.
-func (f *Fleet) Stand(name string, work Work) error {
+// Campaign has this process campaign for a role, from now on. It is called before Run, or while it runs.
+func (f *Fleet) Campaign(name string, work RoleFunc) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(name) == 0 || len(name) > owner.MaxNameLength {
-		return fmt.Errorf("an office's name has 1 to %d bytes", owner.MaxNameLength)
+		return fmt.Errorf("a role's name has 1 to %d bytes", owner.MaxNameLength)
 	}
-	if f.offices[name] != nil {
-		return fmt.Errorf("it stands for %q already", name)
+	if f.roles[name] != nil {
+		return fmt.Errorf("it campaigns for %q already", name)
 	}
-	f.offices[name] = &office{name: name, work: work,
-		candidate: owner.NewCandidate(f.life, name, f.seal.Voters, rand.Uint64(), f.seal.Clock(), f.seal.Span)}
+	f.roles[name] = &role{name: name, run: work,
+		candidate: owner.NewCandidate(f.incarnation, name, f.config.Voters, rand.Uint64(), f.config.Clock(), f.config.Timing)}
 	return nil
 }
 
-// Leave has it give up all that it owns, and stand no more; as a voter it goes on until Run ends, for others may need it.
+// Leave has it step down from all that it owns, and campaign no more; as a voter it goes on until Run ends, for others may need it.
 func (f *Fleet) Leave() { f.leave() }
 
-// Run takes part until ctx ends; then it gives up all that it owns, and returns once that work has ended and the voters have
+// Run takes part until ctx ends; then it steps down from all that it owns, and returns once that work has ended and the voters have
 // been told.
 func (f *Fleet) Run(ctx context.Context) error {
-	f.carrier.Receive(f.receive)
+	f.transport.Receive(f.receive)
 	live, end := context.WithCancel(context.WithoutCancel(ctx))
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer end()
-	if slices.ContainsFunc(f.seal.Voters, func(list []string) bool { return slices.Contains(list, f.seal.Name) }) {
-		group.Go(func() { f.vote(live) })
+	if slices.ContainsFunc(f.config.Voters, func(list []string) bool { return slices.Contains(list, f.config.Name) }) {
+		group.Go(func() { f.serveVotes(live) })
 	}
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
@@ -145,37 +145,37 @@
 	for {
 		select {
 		case <-ctx.Done():
-			f.handOver()
+			f.stepDown()
 			return nil
 		case <-leaving:
 			leaving, left = nil, true
-			f.handOver()
-		case m := <-f.heard:
+			f.stepDown()
+		case m := <-f.answers:
 			f.mu.Lock()
-			if o := f.offices[m.Role]; o != nil {
-				o.candidate.HandleAnswer(m, f.seal.Clock())
+			if o := f.roles[m.Role]; o != nil {
+				o.candidate.HandleAnswer(m, f.config.Clock())
 			}
 			f.mu.Unlock()
-		case m := <-f.lending:
-			if l := f.lender.Load(); l != nil {
-				l.take(m)
+		case m := <-f.grants:
+			if l := f.quota.Load(); l != nil {
+				l.handle(m)
 			}
 			continue
-		case <-f.quick:
+		case <-f.wake:
 		case <-tick.C:
 		}
-		f.turn(live, left)
-		if l := f.lender.Load(); l != nil {
-			l.turn()
+		f.tick(live, left)
+		if l := f.quota.Load(); l != nil {
+			l.tick()
 		}
 	}
 }
 
 // receive sorts what comes.
 func (f *Fleet) receive(_ string, payload []byte) {
-	if g, err := decodeGrant(payload, f.seal.Name); err == nil {
+	if g, err := decodeGrant(payload, f.config.Name); err == nil {
 		select {
-		case f.lending <- g:
+		case f.grants <- g:
 		default:
 		}
 		return
@@ -184,10 +184,10 @@
 	if err != nil {
 		return // member has checked that it came whole: it is of a version that is not ours
 	}
-	to := f.heard
+	to := f.answers
 	if m.Kind <= owner.StepDown {
-		to = f.asked
-	} else if m.To != f.seal.Name {
+		to = f.voteRequests
+	} else if m.To != f.config.Name {
 		return
 	}
 	select {
@@ -196,110 +196,110 @@
 	}
 }
 
-// turn lets time pass for all offices, has their messages sent, and begins or ends their work.
-func (f *Fleet) turn(ctx context.Context, left bool) {
-	unfit := f.seal.Fit()
+// tick lets time pass for all roles, has their messages sent, and starts or stops their functions.
+func (f *Fleet) tick(ctx context.Context, left bool) {
+	unfit := f.config.Fit()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.offices {
-		at := f.seal.Clock()
+	for _, o := range f.roles {
+		at := f.config.Clock()
 		_, _, owns := o.candidate.Owns(at)
-		// Who owns goes on, pressed or not, until its lease or its majority ends; it is new ones that are not to stand.
+		// Who owns goes on, pressed or not, until its lease or its majority ends; it is new ones that are not to campaign.
 		o.candidate.SetCampaigning(!left && (unfit == nil || owns), at)
 		o.candidate.Tick(at)
 		term, left, owns := o.candidate.Owns(at)
 		switch {
 		case o.term != 0 && (!owns || term != o.term):
-			f.cease(o, "its lease has ended")
-		case o.term == 0 && owns && o.ended():
-			f.commence(ctx, o, term, left)
+			f.stopRole(o, "its lease has ended")
+		case o.term == 0 && owns && o.finished():
+			f.startRole(ctx, o, term, left)
 		}
 		f.send(o)
 	}
 }
 
-// ended tells whether the work that ran last has returned.
-func (o *office) ended() bool {
-	if o.over == nil {
+// finished reports whether the function that ran last has returned.
+func (o *role) finished() bool {
+	if o.done == nil {
 		return true
 	}
 	select {
-	case <-o.over:
+	case <-o.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// commence runs an office's work.
-func (f *Fleet) commence(ctx context.Context, o *office, term uint64, left float64) {
-	o.term, o.since, o.over = term, time.Now(), make(chan struct{})
+// startRole runs a role's function.
+func (f *Fleet) startRole(ctx context.Context, o *role, term uint64, left float64) {
+	o.term, o.since, o.done = term, time.Now(), make(chan struct{})
 	ctx, stop := context.WithCancelCause(ctx)
-	o.stop = func() { stop(ErrOver) }
-	f.log.Info("office taken", zap.String("office", o.name), zap.Uint64("term", term), zap.Float64("lease_left_s", math.Round(left*1e3)/1e3))
-	over := o.over
+	o.cancel = func() { stop(ErrLeaseLost) }
+	f.log.Info("role acquired", zap.String("role", o.name), zap.Uint64("term", term), zap.Float64("lease_left_s", math.Round(left*1e3)/1e3))
+	over := o.done
 	go func() {
 		defer close(over)
 		defer func() {
 			if p := recover(); p != nil {
-				f.log.Error("panic", zap.String("office", o.name), zap.Any("panic", p), zap.Stack("stack"))
+				f.log.Error("panic", zap.String("role", o.name), zap.Any("panic", p), zap.Stack("stack"))
 			}
 		}()
-		err := o.work(ctx, term)
-		late := (*Late)(nil)
-		if errors.As(err, &late) {
-			f.Overtaken(o.name, late)
+		err := o.run(ctx, term)
+		staleErr := (*StaleTermError)(nil)
+		if errors.As(err, &staleErr) {
+			f.HandleStaleTerm(o.name, staleErr)
 		} else if err != nil && ctx.Err() == nil {
-			f.log.Warn("work of an office ended", zap.String("office", o.name), zap.Uint64("term", term), zap.Error(err))
+			f.log.Warn("role ended with an error", zap.String("role", o.name), zap.Uint64("term", term), zap.Error(err))
 		}
-		signal(f.quick)
+		signal(f.wake)
 	}()
 }
 
-// cease ends an office's work, under the lock.
-func (f *Fleet) cease(o *office, why string) {
-	f.log.Info("office given up", zap.String("office", o.name), zap.Uint64("term", o.term), zap.String("why", why))
-	o.stop()
+// stopRole ends a role's function, under the lock.
+func (f *Fleet) stopRole(o *role, why string) {
+	f.log.Info("stepped down", zap.String("role", o.name), zap.Uint64("term", o.term), zap.String("reason", why))
+	o.cancel()
 	o.term = 0
 }
 
-// Late is an order refused since a higher term is known.
-type Late struct {
-	Term  uint64 // of the order
+// StaleTermError is a command rejected since a higher term is known.
+type StaleTermError struct {
+	Term  uint64 // of the command
 	Known uint64
 }
 
-func (l *Late) Error() string {
-	return fmt.Sprintf("too late: term %d, and %d is known", l.Term, l.Known)
+func (l *StaleTermError) Error() string {
+	return fmt.Sprintf("stale term %d, and %d is known", l.Term, l.Known)
 }
 
-// Overtaken takes in that an order of ours was refused for a higher term: the office is given up at once.
-func (f *Fleet) Overtaken(name string, l *Late) {
-	f.refused.Add(1)
+// HandleStaleTerm takes in that a command of ours was rejected for a higher term: this process steps down at once.
+func (f *Fleet) HandleStaleTerm(name string, l *StaleTermError) {
+	f.rejected.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	o := f.offices[name]
+	o := f.roles[name]
 	if o == nil {
 		return
 	}
-	o.late = fmt.Sprintf("%s: %v", f.seal.Now().UTC().Format(time.RFC3339), l)
-	f.log.Warn("late order refused", zap.String("office", name), zap.Uint64("term", l.Term), zap.Uint64("known", l.Known))
-	o.candidate.HandleStaleTerm(l.Known, f.seal.Clock())
-	signal(f.quick)
+	o.lastRejection = fmt.Sprintf("%s: %v", f.config.Now().UTC().Format(time.RFC3339), l)
+	f.log.Warn("command rejected: stale term", zap.String("role", name), zap.Uint64("term", l.Term), zap.Uint64("known", l.Known))
+	o.candidate.HandleStaleTerm(l.Known, f.config.Clock())
+	signal(f.wake)
 }
 
-// handOver gives up all offices: first the work ends, then the voters hear so.
-func (f *Fleet) handOver() {
+// stepDown steps down from all roles: first the work ends, then the voters hear so.
+func (f *Fleet) stepDown() {
 	f.mu.Lock()
 	var overs []chan struct{}
 	longest := 0.0
-	for _, o := range f.offices {
-		if _, left, owns := o.candidate.Owns(f.seal.Clock()); owns {
+	for _, o := range f.roles {
+		if _, left, owns := o.candidate.Owns(f.config.Clock()); owns {
 			longest = max(longest, left)
 		}
 		if o.term != 0 {
-			f.cease(o, "this app server leaves")
-			overs = append(overs, o.over)
+			f.stopRole(o, "this app server leaves")
+			overs = append(overs, o.done)
 		}
 	}
 	f.mu.Unlock()
@@ -314,18 +314,18 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.offices {
+	for _, o := range f.roles {
 		if ended {
-			o.candidate.SetCampaigning(false, f.seal.Clock())
+			o.candidate.SetCampaigning(false, f.config.Clock())
 		}
 		f.send(o)
 	}
 }
 
-// send puts an office's messages on their way, under the lock.
-func (f *Fleet) send(o *office) {
+// send puts a role's messages on their way, under the lock.
+func (f *Fleet) send(o *role) {
 	for _, m := range o.candidate.Ready() {
-		f.carrier.Send(m.To, encode(m))
+		f.transport.Send(m.To, encode(m))
 	}
 }
 
@@ -336,28 +336,28 @@
 	}
 }
 
-// Owner is one office as seen from here.
+// Owner is one role as seen from here.
 type Owner struct {
-	Office string  `json:"office"`
-	Owner  string  `json:"owner,omitempty"` // as far as is known here
-	Owns   bool    `json:"owns"`            // it is this process
-	Term   uint64  `json:"term"`            // ours if we own it, else the highest known
-	Left   float64 `json:"left_s"`
-	Since  string  `json:"since,omitempty"`
-	Late   string  `json:"late,omitempty"` // the last refusal of an order of ours
+	Role          string  `json:"role"`
+	Owner         string  `json:"owner,omitempty"` // as far as is known here
+	Owns          bool    `json:"owns"`            // it is this process
+	Term          uint64  `json:"term"`            // ours if we own it, else the highest known
+	Left          float64 `json:"left_s"`
+	Since         string  `json:"since,omitempty"`
+	LastRejection string  `json:"last_rejection,omitempty"` // the last rejection of a command of ours
 }
 
-// Owners lists the offices that this process stands for, by name.
+// Owners lists the roles that this process campaigns for, by name.
 func (f *Fleet) Owners() []Owner {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []Owner
-	for _, o := range f.offices {
-		one := Owner{Office: o.name, Term: o.candidate.Term(), Late: o.late}
-		at := f.seal.Clock()
+	for _, o := range f.roles {
+		one := Owner{Role: o.name, Term: o.candidate.Term(), LastRejection: o.lastRejection}
+		at := f.config.Clock()
 		term, left, owns := o.candidate.Owns(at)
 		if owns {
-			one.Owner, one.Owns, one.Term = f.seal.Name, true, term
+			one.Owner, one.Owns, one.Term = f.config.Name, true, term
 			one.Since = o.since.UTC().Format(time.RFC3339)
 		} else if name, lasts, known := o.candidate.KnownOwner(at); known {
 			one.Owner, left = name, lasts
@@ -366,7 +366,7 @@
 		all = append(all, one)
 	}
 	slices.SortFunc(all, func(a, b Owner) int {
-		if a.Office < b.Office {
+		if a.Role < b.Role {
 			return -1
 		}
 		return 1
@@ -374,22 +374,22 @@
 	return all
 }
 
-// Shown is what operators are shown of it.
-type Shown struct {
-	Offices []Owner `json:"offices"`
-	Shares  []Share `json:"shares,omitempty"`
+// Status is what operators are shown of it.
+type Status struct {
+	Roles  []Owner `json:"roles"`
+	Shares []Share `json:"shares,omitempty"`
 }
 
-// Shown tells all that there is to show.
-func (f *Fleet) Shown() Shown {
-	s := Shown{Offices: f.Owners()}
-	if l := f.lender.Load(); l != nil {
+// Status returns all that there is to show.
+func (f *Fleet) Status() Status {
+	s := Status{Roles: f.Owners()}
+	if l := f.quota.Load(); l != nil {
 		s.Shares = l.Shares()
 	}
 	return s
 }
 
-// Fence is held by whoever carries out orders: it is owner.Fence for many goroutines, with errors that say why.
+// Fence is held by whoever carries out commands: it is owner.Fence for many goroutines, with errors that say why.
 type Fence struct {
 	mu    sync.Mutex
 	fence *owner.Fence
@@ -398,12 +398,12 @@
 // NewFence knows of no term.
 func NewFence() *Fence { return &Fence{fence: owner.NewFence(owner.Timing{})} }
 
-// Pass tells whether an order may be carried out; a *Late if not.
-func (f *Fence) Pass(office string, term uint64) error {
+// Pass returns nil if a command may be carried out, a *StaleTermError otherwise.
+func (f *Fence) Pass(role string, term uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known, ok := f.fence.Pass(office, term); !ok {
-		return &Late{term, known}
+	if known, ok := f.fence.Pass(role, term); !ok {
+		return &StaleTermError{term, known}
 	}
 	return nil
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -22,11 +22,11 @@
 
 // post carries messages among parts in this process, late, lost and doubled as it is told.
 type post struct {
-	mu    sync.Mutex
-	parts map[string]func(string, []byte)
-	cut   map[[2]string]bool
-	loss  float64
-	late  time.Duration
+	mu            sync.Mutex
+	parts         map[string]func(string, []byte)
+	cut           map[[2]string]bool
+	loss          float64
+	lastRejection time.Duration
 }
 
 type line struct {
@@ -47,7 +47,7 @@
 		return
 	}
 	for n := 1 + rand.IntN(5)/4; n > 0; n-- {
-		time.AfterFunc(time.Duration(rand.Int64N(int64(l.late)+1)), func() {
+		time.AfterFunc(time.Duration(rand.Int64N(int64(l.lastRejection)+1)), func() {
 			l.mu.Lock()
 			f := l.parts[to]
 			l.mu.Unlock()
@@ -68,16 +68,16 @@
 
 // worker writes down who ordered what: it knows what must hold of it.
 type worker struct {
-	fence  *Fence
-	mu     sync.Mutex
-	now    map[string]uint64 // who is at work, and under which term
-	most   int               // at once
-	terms  []uint64
-	fell   int
-	orders int
+	fence    *Fence
+	mu       sync.Mutex
+	now      map[string]uint64 // who is at work, and under which term
+	most     int               // at once
+	terms    []uint64
+	fell     int
+	commands int
 }
 
-func (w *worker) work(name string) Work {
+func (w *worker) work(name string) RoleFunc {
 	return func(ctx context.Context, term uint64) error {
 		w.mu.Lock()
 		w.now[name] = term
@@ -102,7 +102,7 @@
 				return err
 			}
 			w.mu.Lock()
-			w.orders++
+			w.commands++
 			w.mu.Unlock()
 		}
 	}
@@ -120,10 +120,10 @@
 func (w *worker) ordered() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.orders
+	return w.commands
 }
 
-// court is three parts that vote and stand.
+// court is three parts that vote and campaign.
 type court struct {
 	t       *testing.T
 	post    *post
@@ -139,7 +139,7 @@
 
 func newCourt(t *testing.T, disks bool, lease time.Duration) *court {
 	t.Parallel()
-	c := &court{t: t, lease: lease, post: &post{parts: map[string]func(string, []byte){}, cut: map[[2]string]bool{}, late: 5 * time.Millisecond},
+	c := &court{t: t, lease: lease, post: &post{parts: map[string]func(string, []byte){}, cut: map[[2]string]bool{}, lastRejection: 5 * time.Millisecond},
 		worker: &worker{fence: NewFence(), now: map[string]uint64{}}, folders: map[string]string{}, ends: map[string]func(){},
 		fit: map[string]*atomic.Bool{}}
 	for _, name := range names {
@@ -155,8 +155,8 @@
 			c.ends[name]()
 		}
 		w := c.worker
-		if w.most > 1 || w.fell > 0 && c.back.Load() == 0 || w.orders == 0 {
-			t.Errorf("%d at once, %d terms fell, %d orders: %v", w.most, w.fell, w.orders, w.terms)
+		if w.most > 1 || w.fell > 0 && c.back.Load() == 0 || w.commands == 0 {
+			t.Errorf("%d at once, %d terms fell, %d orders: %v", w.most, w.fell, w.commands, w.terms)
 		}
 	})
 	return c
@@ -164,7 +164,7 @@
 
 func (c *court) start(name string) {
 	fit := c.fit[name]
-	f, err := New(Seal{Name: name, Voters: [][]string{names}, Span: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
+	f, err := New(Config{Name: name, Voters: [][]string{names}, Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
 		Fit: func() error {
 			if !fit.Load() {
 				return errors.New("not fit")
@@ -174,7 +174,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	f.Stand("o", c.worker.work(name))
+	f.Campaign("o", c.worker.work(name))
 	ctx, end := context.WithCancel(context.Background())
 	var over sync.WaitGroup
 	over.Go(func() { f.Run(ctx) })
@@ -203,7 +203,7 @@
 	return all
 }
 
-// One owns at a time: cut off it gives up and another takes over, back it stands behind; whoever leaves hands over.
+// One owns at a time: cut off it steps down and another takes over, back it stays a follower; whoever leaves steps down first.
 func TestOneOwner(t *testing.T) {
 	// Long enough that a machine with much else to do ends none by its own lateness.
 	const lease = 1800 * time.Millisecond
@@ -227,7 +227,7 @@
 	if who := c.worker.owner(); who != third {
 		t.Errorf("%s gave way to %q for nothing", third, who)
 	}
-	// Who is not fit does not stand, and who owns goes on.
+	// Who is not fit does not campaign, and who owns goes on.
 	for _, name := range names {
 		c.fit[name].Store(false)
 	}
@@ -242,7 +242,7 @@
 	}
 }
 
-// All start again, with what they had promised and without: terms go on above all former ones, and there is one owner.
+// All start again, with what they had voted and without: terms go on above all former ones, and there is one owner.
 func TestAllAgain(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprint(disks), func(t *testing.T) {
@@ -310,22 +310,22 @@
 	c.owned()
 }
 
-// What was promised is found again; what is spoilt, another's, or older than half a lease is not trusted.
-func TestPromises(t *testing.T) {
+// What was voted is found again; what is spoilt, another's, or older than half a lease is not trusted.
+func TestVotes(t *testing.T) {
 	at := time.Now()
-	f := &Fleet{seal: Seal{Name: "a", Folder: t.TempDir(), Span: owner.Timing{Lease: 1}, Now: func() time.Time { return at }}}
+	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(), Timing: owner.Timing{Lease: 1}, Now: func() time.Time { return at }}}
 	found := func() (int, bool, bool) {
-		kept, whole, err := f.found()
+		kept, whole, err := f.readVotes()
 		return len(kept), whole, err != nil
 	}
 	check := func(what string, n int, whole, failed bool) {
 		t.Helper()
 		if gotN, gotWhole, gotFailed := found(); gotN != n || gotWhole != whole || gotFailed != failed {
-			t.Errorf("%s: %d promises, whole %v, error %v", what, gotN, gotWhole, gotFailed)
+			t.Errorf("%s: %d votes, whole %v, error %v", what, gotN, gotWhole, gotFailed)
 		}
 	}
 	check("nothing", 0, false, false)
-	if err := f.keep(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63}}}); err != nil {
+	if err := f.writeVotes(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63}}}); err != nil {
 		t.Fatal(err)
 	}
 	check("fresh", 1, true, false)
@@ -334,10 +334,10 @@
 	at = at.Add(-time.Hour)
 	check("from the future", 1, false, false)
 	at = at.Add(time.Hour - time.Second)
-	f.seal.Name = "b"
+	f.config.Name = "b"
 	check("another's", 0, false, true)
-	f.seal.Name = "a"
-	path := filepath.Join(f.seal.Folder, promiseFile)
+	f.config.Name = "a"
+	path := filepath.Join(f.config.Folder, voteFileName)
 	text, _ := os.ReadFile(path)
 	text[len(text)-3] ^= 1
 	os.WriteFile(path, text, 0o600)
@@ -349,9 +349,9 @@
 // A message reads as it was written; nothing else is read.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := owner.Message{Kind: owner.MessageKind(rapid.IntRange(0, 6).Draw(t, "word")), Role: rapid.StringN(1, 9, 64).Draw(t, "office"),
+		m := owner.Message{Kind: owner.MessageKind(rapid.IntRange(0, 6).Draw(t, "kind")), Role: rapid.StringN(1, 9, 64).Draw(t, "role"),
 			From: owner.Incarnation{Name: rapid.StringN(0, 9, 64).Draw(t, "from"), ID: rapid.Uint64().Draw(t, "birth")},
-			To:   rapid.StringN(0, 9, 64).Draw(t, "to"), Term: rapid.Uint64Range(0, mostTerm).Draw(t, "term"), Round: rapid.Uint64().Draw(t, "round"),
+			To:   rapid.StringN(0, 9, 64).Draw(t, "to"), Term: rapid.Uint64Range(0, maxTerm).Draw(t, "term"), Round: rapid.Uint64().Draw(t, "round"),
 			Left: rapid.Float64Range(0, 9).Draw(t, "left"), Holder: rapid.StringN(0, 9, 64).Draw(t, "holder")}
 		b := encode(m)
 		if got, err := decode(b); err != nil || got != m {
@@ -361,24 +361,24 @@
 			t.Fatal("read though cut short")
 		}
 	})
-	if _, err := decode(encode(owner.Message{Role: "o", Term: mostTerm + 1})); err == nil {
+	if _, err := decode(encode(owner.Message{Role: "o", Term: maxTerm + 1})); err == nil {
 		t.Error("an absurd term is read")
 	}
 }
 
-// What holders and keepers say reads as it was written; nothing else is read.
+// What leaseholders and allocators send reads as it was written; nothing else is read.
 func TestGrantMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		number, parts := rapid.Uint64Range(0, mostTerm), rapid.IntRange(0, mostParts)
-		m := grantMessage{word: byte(rapid.IntRange(0, 2).Draw(t, "word")), office: rapid.StringN(1, 9, 64).Draw(t, "office"),
+		number, parts := rapid.Uint64Range(0, maxTerm), rapid.IntRange(0, maxPermits)
+		m := grantMessage{kind: byte(rapid.IntRange(0, 2).Draw(t, "kind")), role: rapid.StringN(1, 9, 64).Draw(t, "role"),
 			from: rapid.StringN(1, 9, 64).Draw(t, "from"), term: number.Draw(t, "term")}
-		switch m.word {
-		case asked:
-			m.question = share.Request{Request: owner.Request{Role: m.office, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
+		switch m.kind {
+		case requested:
+			m.request = share.Request{Request: owner.Request{Role: m.role, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
 				Number: number.Draw(t, "number"), Term: m.term, Holds: parts.Draw(t, "holds"), Uses: parts.Draw(t, "uses"), Wants: parts.Draw(t, "wants"),
 				Left: rapid.Float64Range(0, 9).Draw(t, "left")}, Criticality: rapid.Float64Range(0, 9).Draw(t, "worth"), RunTime: rapid.Float64Range(0, 9).Draw(t, "took")}
 		case granted:
-			m.answer = owner.Answer{Role: m.office, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
+			m.answer = owner.Answer{Role: m.role, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
 				Term: m.term, Grants: parts.Draw(t, "grants")}
 		}
 		b := encodeGrant(m)
@@ -390,31 +390,31 @@
 		}
 	})
 	for _, q := range []share.Request{{Request: owner.Request{Left: -1}}, {Criticality: math.NaN()}, {RunTime: math.Inf(1)}} {
-		if _, err := decodeGrant(encodeGrant(grantMessage{word: asked, office: "o", from: "a", question: q}), "me"); err == nil {
+		if _, err := decodeGrant(encodeGrant(grantMessage{kind: requested, role: "o", from: "a", request: q}), "me"); err == nil {
 			t.Errorf("%+v is read", q)
 		}
 	}
 }
 
-// Faulty seals and names are refused.
-func TestSeals(t *testing.T) {
+// Faulty configs and names are refused.
+func TestConfigs(t *testing.T) {
 	for n := range 9 {
 		var list []string
 		for k := range n {
 			list = append(list, fmt.Sprint(k))
 		}
-		_, err := New(Seal{Voters: [][]string{list}}, nil, nil)
+		_, err := New(Config{Voters: [][]string{list}}, nil, nil)
 		if (err == nil) != (n == 3 || n == 5 || n == 7) {
 			t.Errorf("%d voters: %v", n, err)
 		}
 	}
 	for _, lists := range [][][]string{nil, {names, names, names}, {{"a", "b", "a"}}, {names, {"a", "b"}}, {{"a", "b", ""}}} {
-		if _, err := New(Seal{Voters: lists}, nil, nil); err == nil {
+		if _, err := New(Config{Voters: lists}, nil, nil); err == nil {
 			t.Errorf("%v are taken for lists of voters", lists)
 		}
 	}
-	f, _ := New(Seal{Voters: [][]string{names}}, nil, nil)
-	if f.Stand("", nil) == nil || f.Stand("o", nil) != nil || f.Stand("o", nil) == nil {
-		t.Error("an office without a name, or stood for twice")
+	f, _ := New(Config{Voters: [][]string{names}}, nil, nil)
+	if f.Campaign("", nil) == nil || f.Campaign("o", nil) != nil || f.Campaign("o", nil) == nil {
+		t.Error("a role without a name, or campaigned for twice")
 	}
 }
--- a/fleet/share_swarm_test.go
+++ b/fleet/share_swarm_test.go
@@ -74,15 +74,15 @@
 func (c *crowd) used(part float64) {
 	c.t.Helper()
 	c.behind.Used()
-	if _, ok := c.Until(patience, func() bool { time.Sleep(200 * time.Millisecond); return c.behind.Used() >= part*shared }); !ok {
+	if _, ok := c.Until(wait, func() bool { time.Sleep(200 * time.Millisecond); return c.behind.Used() >= part*shared }); !ok {
 		c.t.Fatalf("less than %g of the limit are used", part)
 	}
 }
 
-// keeper waits for one that is not a given one, and that says so itself.
-func (c *crowd) keeper(not string) (who string) {
+// allocator waits for one that is not a given one, and that says so itself.
+func (c *crowd) allocator(not string) (who string) {
 	c.t.Helper()
-	if _, ok := c.Until(patience, func() bool {
+	if _, ok := c.Until(wait, func() bool {
 		for _, name := range c.Names() {
 			table, err := exec.Command(program, "fleet", "shares", "--json", "--socket", c.Socket(name)).CombinedOutput()
 			if err == nil && name != not && strings.Contains(string(table), `"limit":`) {
@@ -97,36 +97,36 @@
 	return who
 }
 
-// The keeper is killed, and started again: another keeps it, what it had comes back, and what its runs still use is not given away.
-func TestKeeperKilled(t *testing.T) {
+// The allocator is killed, and started again: another keeps it, what it had comes back, and what its runs still use is not given away.
+func TestAllocatorKilled(t *testing.T) {
 	c := newCrowd(t)
 	for range 2 {
-		first := c.keeper("")
+		first := c.allocator("")
 		c.run("0s kill " + first)
-		c.keeper(first)
+		c.allocator(first)
 		c.run("0s start " + first)
 		c.used(0.9)
 	}
 }
 
-// The keeper, and a holder, are stopped past what they had and go on: they grant and start nothing that counts no more.
-func TestKeeperSlept(t *testing.T) {
+// The allocator, and a holder, are stopped past what they had and go on: they grant and start nothing that counts no more.
+func TestAllocatorSlept(t *testing.T) {
 	c := newCrowd(t)
-	first := c.keeper("")
+	first := c.allocator("")
 	holder := "n5" // which does not vote
 	if first == holder {
 		holder = "n4"
 	}
 	c.run("0s stop " + first + "\n0s stop " + holder)
-	c.keeper(first)
+	c.allocator(first)
 	c.run("4s cont " + first + "\n4s cont " + holder)
 	c.used(0.9)
 }
 
-// Cut off with one other, the keeper gives up; those two fall to their floors, and the rest goes to the others.
-func TestKeeperCut(t *testing.T) {
+// Cut off with one other, the allocator gives up; those two fall to their floors, and the rest goes to the others.
+func TestAllocatorCut(t *testing.T) {
 	c := newCrowd(t)
-	first := c.keeper("")
+	first := c.allocator("")
 	var mine, rest []string
 	for _, name := range c.Names() {
 		if name == first || len(mine) == 0 && name > "n3" {
@@ -136,7 +136,7 @@
 		}
 	}
 	c.run("0s split " + strings.Join(mine, ",") + "|" + strings.Join(rest, ","))
-	c.keeper(first)
+	c.allocator(first)
 	c.used(0.8)
 	c.run("0s heal")
 	c.used(0.9)
@@ -154,7 +154,7 @@
 		}
 	}
 	amend("fleet.share s 12 ", "fleet.share s 7 ")
-	if _, ok := c.Until(patience, func() bool {
+	if _, ok := c.Until(wait, func() bool {
 		c.behind.Used()
 		time.Sleep(300 * time.Millisecond)
 		return c.behind.Used() <= 7
--- a/fleet/swarm_test.go
+++ b/fleet/swarm_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { rig.Main(m, &program) }
 
-const lease, patience = 1500 * time.Millisecond, 40 * time.Second
+const lease, wait = 1500 * time.Millisecond, 40 * time.Second
 
-// court is four processes of the program, three of which vote, that all stand for one office, and the worker that takes its
+// court is four processes of the program, three of which vote, that all stand for one role, and the worker that takes its
 // owner's orders.
 type court struct {
 	*rig.Swarm
@@ -51,7 +51,7 @@
 		if j.AtOnce > 1 || j.Late+j.Falling+j.Shared > 0 {
 			t.Errorf("%v", j)
 		}
-		if o := rig.Overlap(s.History.Tenures()); o > 0 {
+		if o := rig.Overlap(s.History.LeadershipIntervals()); o > 0 {
 			t.Errorf("two worked as owners at the same time for %g s", o)
 		}
 		s.Check.Finish()
@@ -81,13 +81,13 @@
 func (c *court) owner(not string) string {
 	c.t.Helper()
 	who := ""
-	if _, ok := c.Until(patience, func() bool { who = c.worker.Owner(200 * time.Millisecond); return who != "" && who != not }); !ok {
+	if _, ok := c.Until(wait, func() bool { who = c.worker.Owner(200 * time.Millisecond); return who != "" && who != not }); !ok {
 		c.t.Fatalf("nobody but %q owns it", not)
 	}
 	return who
 }
 
-// The owner is killed, another takes over; all are started again, with what they promised and without, and terms go on.
+// The owner is killed, another takes over; all are started again, with what they voted and without, and terms go on.
 func TestKilledOwner(t *testing.T) {
 	for _, folders := range []bool{true, false} {
 		t.Run(fmt.Sprint("folders ", folders), func(t *testing.T) {
@@ -103,7 +103,7 @@
 			for _, name := range c.Names() {
 				c.run("0s start " + name)
 			}
-			if _, ok := c.Until(patience, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
+			if _, ok := c.Until(wait, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
 				t.Fatal("nobody owns it any more")
 			}
 			if all := c.worker.Orders(time.Time{}); all[len(all)-1].Term <= all[before-1].Term {
@@ -123,7 +123,7 @@
 		c.run("0s stop " + sleeper)
 		c.owner(sleeper)
 		c.run("0s cont " + sleeper)
-		if _, ok := c.Until(patience, func() bool { n, _ := c.History.Lines(sleeper, "office given up", from); return n > 0 }); !ok {
+		if _, ok := c.Until(wait, func() bool { n, _ := c.History.Lines(sleeper, "stepped down", from); return n > 0 }); !ok {
 			t.Errorf("%s does not give up", sleeper)
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-// A voter whose disk fails is silent, and the others go on; without a majority that keeps its word nobody owns anything.
+// A voter whose disk fails is silent, and the others go on; without a majority that keeps its votes nobody owns anything.
 func TestVoterWithoutDisk(t *testing.T) {
 	c := swarm(t, true)
 	c.owner("")
@@ -179,7 +179,7 @@
 			c.owner("")
 		}
 	}
-	if _, ok := c.Until(patience, func() bool { return c.worker.Owner(lease) == "" }); !ok {
+	if _, ok := c.Until(wait, func() bool { return c.worker.Owner(lease) == "" }); !ok {
 		t.Error("owned without a majority that can keep its word")
 	}
 	if err := os.Rename(away("n1"), c.Folder("n1")); err != nil {
@@ -202,9 +202,9 @@
 			c.run("0s restart " + name)
 			// Each is let come to its senses before the next one: without a folder it is silent for a lease.
 			from := time.Now().Add(lease)
-			if _, ok := c.Until(patience, func() bool {
-				orders := c.worker.Orders(from)
-				return len(orders) > 3 && c.worker.Owner(lease) != ""
+			if _, ok := c.Until(wait, func() bool {
+				commands := c.worker.Orders(from)
+				return len(commands) > 3 && c.worker.Owner(lease) != ""
 			}); !ok {
 				t.Fatalf("nobody owns it after %s was told of %s", name, next)
 			}
@@ -227,7 +227,7 @@
 		if name == first {
 			continue
 		}
-		if _, ok := c.Until(patience, func() bool {
+		if _, ok := c.Until(wait, func() bool {
 			table, err = exec.Command(program, "fleet", "owners", "--socket", c.Socket(name)).CombinedOutput()
 			return err == nil && strings.Contains(string(table), first)
 		}); !ok {
--- a/fleet/ways_test.go
+++ b/fleet/ways_test.go
@@ -20,7 +20,7 @@
 	"valveglade/logic/owner"
 )
 
-// BenchmarkWays weighs what could decide who owns an office: five nodes in this process, a second until an owner that died is
+// BenchmarkWays weighs what could decide who owns a role: five nodes in this process, a second until an owner that died is
 // missed, a quarter of one between its signs of life, no disk. The first two are played in a time of their own, message by
 // message, the third on its own goroutines over its memory transport. docs/owner.md has the figures.
 func BenchmarkWays(b *testing.B) {
@@ -30,7 +30,7 @@
 		uses string
 		main string
 	}{
-		{"own", weighOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Seal{}, m, zap.NewNop()); f.Stand("o", nil); f.Run(context.Background())`},
+		{"own", weighOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
 		{"etcd", weighEtcd, "go.etcd.io/raft/v3", `n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
 		{"hashicorp", weighHashicorp, "github.com/hashicorp/raft", `t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
 	} {
@@ -306,7 +306,7 @@
 var _ = os.Args
 
 func main() {
-	m, _ := member.New(member.Papers{}, zap.NewNop())
+	m, _ := member.New(member.Config{}, zap.NewNop())
 	m.Run(context.Background())
 	` + code + `
 }
--- a/member/member.go
+++ b/member/member.go
@@ -54,7 +54,7 @@
 	dropped context.Context // ends with Drop
 	drop    context.CancelFunc
 
-	offices atomic.Pointer[func() any] // told with the view
+	roles   atomic.Pointer[func() any] // told with the view
 	receive atomic.Pointer[func(from string, message []byte)]
 	notes   struct { // where members were last known to be, also of those that have been lost since
 		sync.Mutex
@@ -172,13 +172,13 @@
 	}
 }
 
-// Offices has the local socket tell what f gives, beside the view.
-func (m *Member) Offices(f func() any) { m.offices.Store(&f) }
+// SetRoles has the local socket tell what f gives, beside the view.
+func (m *Member) SetRoles(f func() any) { m.roles.Store(&f) }
 
 // Receive has f told of messages from other members, and from this one to itself. It must not wait.
 func (m *Member) Receive(f func(from string, message []byte)) { m.receive.Store(&f) }
 
-// Send puts a message of some hundred bytes on its way to a member, by its name; it promises nothing. Members that the view
+// Send puts a message of some hundred bytes on its way to a member, by its name; it votes nothing. Members that the view
 // has lost are sent to where they last were: whether they are there is not the view's to decide for whoever asks.
 func (m *Member) Send(to string, message []byte) {
 	if len(message) > mostNote || m.View().Sure == view.Withdrawn {
--- a/member/show.go
+++ b/member/show.go
@@ -27,7 +27,7 @@
 	Packets [2]int64         `json:"packets"`           // sent, got
 	Bytes   [2]int64         `json:"bytes"`             // sent, got, without streams
 	Dropped map[string]int64 `json:"dropped,omitempty"`
-	Offices json.RawMessage  `json:"offices,omitempty"` // whatever Offices of the member gives
+	Roles   json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
 }
 
 // ShownMember is one line of it.
@@ -55,8 +55,8 @@
 		s.Members = append(s.Members, ShownMember{e.Name, e.Life.Birth, fmt.Sprintf("%08x", e.Life.Nonce), e.Address, e.Zone,
 			e.State.String(), e.Ill, e.Fails, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
 	}
-	if offices := m.offices.Load(); offices != nil {
-		s.Offices, _ = json.Marshal((*offices)())
+	if roles := m.roles.Load(); roles != nil {
+		s.Roles, _ = json.Marshal((*roles)())
 	}
 	for _, e := range v.Healthy {
 		s.Healthy = append(s.Healthy, e.Name)
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -179,22 +179,22 @@
 	}
 	h := NewHistory()
 	say := func(who, msg string, after float64) {
-		h.Said(who, fmt.Appendf(nil, `{"msg":%q,"office":"o","term":1,"ts":%f}`, msg, float64(h.began.UnixNano())/1e9+after))
+		h.Said(who, fmt.Appendf(nil, `{"msg":%q,"role":"o","term":1,"ts":%f}`, msg, float64(h.began.UnixNano())/1e9+after))
 	}
-	say("a", "office taken", 1)
-	say("a", "office given up", 2)
-	say("b", "office taken", 2.5)
-	if o := Overlap(h.Tenures()); o != 0 {
+	say("a", "role acquired", 1)
+	say("a", "stepped down", 2)
+	say("b", "role acquired", 2.5)
+	if o := Overlap(h.LeadershipIntervals()); o != 0 {
 		t.Errorf("%g s of those who followed each other", o)
 	}
-	say("c", "office taken", 3)
+	say("c", "role acquired", 3)
 	h.Add("", "fault", "kill c")
-	say("b", "office given up", 3.25)
-	if o := Overlap(h.Tenures()); o > 0.3 || len(h.Tenures()) != 3 {
-		t.Errorf("%g s, %v", o, h.Tenures())
+	say("b", "stepped down", 3.25)
+	if o := Overlap(h.LeadershipIntervals()); o > 0.3 || len(h.LeadershipIntervals()) != 3 {
+		t.Errorf("%g s, %v", o, h.LeadershipIntervals())
 	}
-	say("a", "office taken", 3.1)
-	if o := Overlap(h.Tenures()); o < 0.14 || o > 0.16 {
+	say("a", "role acquired", 3.1)
+	if o := Overlap(h.LeadershipIntervals()); o < 0.14 || o > 0.16 {
 		t.Errorf("%g s of two at the same time", o)
 	}
 }
--- a/rig/judge.go
+++ b/rig/judge.go
@@ -62,23 +62,23 @@
 	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.AtOnce, j.Late, j.Falling, j.Shared, j.Changes))
 }
 
-// Tenure is for how long one process worked as the owner of an office, by its own log, in seconds of the history. It ends
+// LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
 // where the process was stopped or killed: what it does after that is late, and judged by its orders.
-type Tenure struct {
-	Office, Who string
-	Term        uint64
-	From, To    float64
+type LeadershipInterval struct {
+	Role, Who string
+	Term      uint64
+	From, To  float64
 }
 
-// Tenures reads them out of a history.
-func (h *History) Tenures() []Tenure {
+// LeadershipIntervals reads them out of a history.
+func (h *History) LeadershipIntervals() []LeadershipInterval {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var all []Tenure
+	var all []LeadershipInterval
 	began := float64(h.began.UnixNano()) / 1e9
-	end := func(who, office string, at float64) {
+	end := func(who, role string, at float64) {
 		for k := range all {
-			if t := &all[k]; t.Who == who && (office == "" || t.Office == office) && math.IsInf(t.To, 1) {
+			if t := &all[k]; t.Who == who && (role == "" || t.Role == role) && math.IsInf(t.To, 1) {
 				t.To = at
 			}
 		}
@@ -91,29 +91,29 @@
 			}
 		}
 		var line struct {
-			Msg, Office string
-			Term        uint64
-			Ts          float64
+			Msg, Role string
+			Term      uint64
+			Ts        float64
 		}
 		if e.Line == nil || json.Unmarshal(e.Line, &line) != nil {
 			continue
 		}
 		switch line.Msg {
-		case "office taken":
-			all = append(all, Tenure{line.Office, e.Who, line.Term, line.Ts - began, math.Inf(1)})
-		case "office given up":
-			end(e.Who, line.Office, line.Ts-began)
+		case "role acquired":
+			all = append(all, LeadershipInterval{line.Role, e.Who, line.Term, line.Ts - began, math.Inf(1)})
+		case "stepped down":
+			end(e.Who, line.Role, line.Ts-began)
 		}
 	}
 	return all
 }
 
-// Overlap is for how long two processes worked as owners of one office at the same time, at the most, in seconds.
-func Overlap(all []Tenure) float64 {
+// Overlap is for how long two processes worked as owners of one role at the same time, at the most, in seconds.
+func Overlap(all []LeadershipInterval) float64 {
 	most := 0.0
 	for k, a := range all {
 		for _, b := range all[:k] {
-			if a.Office == b.Office && a.Who != b.Who {
+			if a.Role == b.Role && a.Who != b.Who {
 				most = max(most, min(a.To, b.To)-max(a.From, b.From))
 			}
 		}
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Worker stands in for somebody outside who carries out orders of an office. It refuses terms that are over, if it is told to,
+// Worker stands in for somebody outside who carries out commands of a role. It refuses terms that are over, if it is told to,
 // and writes down who ordered what, when and under which term.
 type Worker struct {
 	listener net.Listener
@@ -68,10 +68,10 @@
 	defer nc.Close()
 	lines := bufio.NewScanner(nc)
 	for lines.Scan() {
-		var office, owner string
+		var role, owner string
 		var term uint64
 		var n int
-		if _, err := fmt.Sscanf(lines.Text(), "ORDER %s %d %d %s", &office, &term, &n, &owner); err != nil {
+		if _, err := fmt.Sscanf(lines.Text(), "ORDER %s %d %d %s", &role, &term, &n, &owner); err != nil {
 			return
 		}
 		if known, ok := w.take(owner, term); !ok {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -35,7 +35,7 @@
 	return reserve
 }
 
-// joinFleet makes this app server a member, and has it stand for offices, where the operators have said so; nil otherwise.
+// joinFleet makes this app server a member, and has it stand for roles, where the operators have said so; nil otherwise.
 func (s *Server) joinFleet() (*member.Member, *fleet.Fleet, error) {
 	settings := s.fleetSettings
 	if !settings.On() {
@@ -53,7 +53,7 @@
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
 	s.log.Info("fleet joined", zap.Stringer("listen", m.Address()), zap.Int("join", len(settings.Join)))
-	f, err := s.standForOffices(m)
+	f, err := s.campaignForRoles(m)
 	return m, f, err
 }
 
@@ -63,10 +63,10 @@
 	defer end()
 	s.group.Go(func() error {
 		var group errgroup.Group
-		offices, over := context.WithCancel(context.WithoutCancel(part))
+		roles, over := context.WithCancel(context.WithoutCancel(part))
 		group.Go(func() error { return m.Run(part) })
 		if f != nil {
-			group.Go(func() error { return f.Run(offices) })
+			group.Go(func() error { return f.Run(roles) })
 			context.AfterFunc(part, over)
 		}
 		err := group.Wait()
@@ -102,14 +102,14 @@
 // that time.
 const marginShare = 0.1
 
-// standForOffices has this app server vote, and stand for the offices of the operators' file, as far as they have said so; nil
+// standForOffices has this app server vote, and stand for the roles of the operators' file, as far as they have said so; nil
 // otherwise.
-func (s *Server) standForOffices(m *member.Member) (*fleet.Fleet, error) {
+func (s *Server) campaignForRoles(m *member.Member) (*fleet.Fleet, error) {
 	settings, c := s.fleetSettings, s.config.Load()
 	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	f, err := fleet.New(fleet.Seal{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.fit(m) },
+	f, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.fit(m) },
 		Others: func() []string {
 			var all []string
 			for _, e := range m.View().Members {
@@ -119,30 +119,30 @@
 			}
 			return all
 		},
-		Span: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * marginShare}}, m, s.log)
+		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * marginShare}}, m, s.log)
 	if err != nil {
 		return nil, err
 	}
 	for _, o := range settings.Roles {
-		if err := f.Stand(o.Name, fleet.Orders(o.Name, c.Name, o.Address.String(), seconds(o.Every))); err != nil {
+		if err := f.Campaign(o.Name, fleet.SendCommands(o.Name, c.Name, o.Address.String(), seconds(o.Every))); err != nil {
 			return nil, err
 		}
 	}
 	if len(settings.Shares) > 0 {
-		lender, err := f.Lend(shareTerms(settings, c), len(c.Methods))
+		quota, err := f.AddQuota(shareTerms(settings, c), len(c.Methods))
 		if err != nil {
 			return nil, err
 		}
-		s.lender.Store(lender)
-		s.gate.Under(lender)
+		s.quota.Store(quota)
+		s.gate.Under(quota)
 	}
-	m.Offices(func() any { return f.Shown() })
+	m.SetRoles(func() any { return f.Status() })
 	return f, nil
 }
 
-// lentFor is for how many leases a grant of a share lasts: through a change of keeper, which takes up to two. Longer, what
+// lentFor is for how many leases a grant of a share lasts: through a change of allocator, which takes up to two. Longer, what
 // somebody had who died would be missed for longer.
-const lentFor = 2
+const grantLeases = 2
 
 // shareTerms puts the shares of the operators' file in the words of those who decide on them. What was begun under a grant goes on
 // for as long as its RPC may take.
@@ -150,7 +150,7 @@
 	var all []share.Config
 	for _, one := range settings.Shares {
 		t := share.Config{Name: one.Name, Limit: one.Limit, MinLimit: one.MinLimit, Target: one.Target, Reserved: settings.Reserved, ReservedMembers: settings.ReservedMembers,
-			Lease: owner.Lease{Length: lentFor * settings.Lease, Drift: settings.Drift}}
+			Lease: owner.Lease{Length: grantLeases * settings.Lease, Drift: settings.Drift}}
 		for _, name := range one.Methods {
 			k := slices.Index(c.Methods, name)
 			t.Methods = append(t.Methods, k)
@@ -161,7 +161,7 @@
 	return all
 }
 
-// fit tells why this app server should not stand for an office now.
+// fit tells why this app server should not stand for a role now.
 func (s *Server) fit(m *member.Member) error {
 	switch sure := m.View().Sure; {
 	case sure >= view.Narrow:
@@ -204,8 +204,8 @@
 	// Limits of shares are taken over, if all else is as it was.
 	fixed := b.Fleet
 	fixed.Shares = s.fleetSettings.Shares
-	if l := s.lender.Load(); l != nil && reflect.DeepEqual(fixed, s.fleetSettings) {
-		if err := l.Amend(shareTerms(b.Fleet, s.config.Load())); err != nil {
+	if l := s.quota.Load(); l != nil && reflect.DeepEqual(fixed, s.fleetSettings) {
+		if err := l.UpdateLimits(shareTerms(b.Fleet, s.config.Load())); err != nil {
 			s.log.Warn("settings changed where a restart is needed", zap.Strings("directives", []string{"fleet.share"}), zap.Error(err))
 		}
 		return true
--- a/server/server.go
+++ b/server/server.go
@@ -41,10 +41,10 @@
 
 	ownsProcess atomic.Bool // its memory limit is ours to set
 
-	fleetSettings     config.Fleet                 // in force from the start
-	fleetSettingsRead config.Fleet                 // as last read; only Reload's goroutine has it
-	lender            atomic.Pointer[fleet.Lender] // of permits under common limits; nil where there are none
-	warmAt            atomic.Int64                 // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
+	fleetSettings     config.Fleet                      // in force from the start
+	fleetSettingsRead config.Fleet                      // as last read; only Reload's goroutine has it
+	quota             atomic.Pointer[fleet.QuotaClient] // of permits under common limits; nil where there are none
+	warmAt            atomic.Int64                      // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
 
 	stageAt atomic.Int32 // see enter
 	spans   drainSpans
@@ -121,7 +121,7 @@
 // ServeOn is Serve on a listener of the embedder's, which it closes; the process's memory limit is left
 // alone.
 func (s *Server) ServeOn(ctx context.Context, listener *net.TCPListener) error {
-	member, offices, err := s.joinFleet()
+	member, roles, err := s.joinFleet()
 	if err != nil {
 		listener.Close()
 		return err
@@ -144,7 +144,7 @@
 		return nil
 	})
 	if member != nil {
-		s.group.Go(func() error { return s.takePart(ctx, all, member, offices) })
+		s.group.Go(func() error { return s.takePart(ctx, all, member, roles) })
 	}
 	s.group.Go(func() error { return s.link.Serve(all) })
 	s.group.Go(func() error { return s.dispatch(all) })
