--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -252,7 +252,7 @@
 	return explore.World[*lending]{Begin: s, Acts: (*lending).acts, After: (*lending).after, Key: (*lending).key, Wrong: (*lending).wrong, Tell: (*lending).tell}.Walk(most)
 }
 
-var lent = Lease{Length: 1, Tail: 0.4, Drift: 0.3}
+var grantLease = Lease{Length: 1, Tail: 0.4, Drift: 0.3}
 
 // Whatever comes when, the parts in use are never more than there are, through a change of owner of which requesters may not have
 // heard.
@@ -268,7 +268,7 @@
 	}
 	for _, one := range all {
 		began := time.Now()
-		r := lend(lent, one.asks, one.units, one.doubled, one.deaths, 4e6)
+		r := lend(grantLease, one.asks, one.units, one.doubled, one.deaths, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
 		if r.Wrong != "" || !r.Complete {
 			t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
@@ -282,7 +282,7 @@
 		if rule == Addressed && explore.Race {
 			break // it is found late
 		}
-		lease := lent
+		lease := grantLease
 		lease.Disabled = rule
 		r := lend(lease, [2]int8{2, 1}, 4, 0, 0, 4e6)
 		t.Logf("rule %b left out: %s after %d states\n%s", rule, r.Wrong, r.States, r.Trace)
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -141,7 +141,7 @@
 }
 
 // Without an allocator each falls to its reserved permits when its grant ends; a new one grants what is proved at once, and the rest later.
-func TestNewKeeper(t *testing.T) {
+func TestNewAllocator(t *testing.T) {
 	config := Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"}, Lease: lending}
 	f := newFleet(t, config, 4)
 	f.wants = []int{40, 0, 0, 0}
@@ -153,7 +153,7 @@
 	}
 	f.pass(0.5)
 	if n := f.holders[0].Allowed(f.now); n < before {
-		t.Errorf("%d are left of %d after a change of keeper", n, before)
+		t.Errorf("%d are left of %d after a change of allocator", n, before)
 	}
 	f.wants = []int{0, 40, 0, 0} // what is proved moves at once
 	f.pass(1)
@@ -161,13 +161,13 @@
 		t.Errorf("%d run where the demand has moved", n)
 	}
 	if h := f.holders[1]; h.ObserveTerm(1, f.now) {
-		t.Error("a former keeper is listened to")
+		t.Error("a former allocator is listened to")
 	}
 	f.allocator = NewAllocator("o", 9, config, f.now) // nobody hears of it
 	f.pass(3)
 	for k, h := range f.holders {
 		if n := h.Allowed(f.now); n != 1 {
-			t.Errorf("app server %d may run %d without a keeper", k, n)
+			t.Errorf("app server %d may run %d without an allocator", k, n)
 		}
 	}
 }
@@ -233,8 +233,8 @@
 
 const smallUnit, smallLimit = 0.5, 2
 
-func (s *small) holdersClock() float64 { return 10 + float64(s.at)*smallUnit*0.87 }
-func (s *small) keepersClock() float64 { return 10 + float64(s.at)*smallUnit*1.13 }
+func (s *small) holdersClock() float64    { return 10 + float64(s.at)*smallUnit*0.87 }
+func (s *small) allocatorsClock() float64 { return 10 + float64(s.at)*smallUnit*1.13 }
 
 const (
 	passes   = iota << 8
@@ -308,7 +308,7 @@
 		}
 	case takesOff:
 		n.second = true
-		n.allocator = NewAllocator("o", 2, s.config, n.keepersClock())
+		n.allocator = NewAllocator("o", 2, s.config, n.allocatorsClock())
 	case hears:
 		h.ObserveTerm(2, now)
 	case asks:
@@ -336,7 +336,7 @@
 			one := *d
 			allocator.demands[incarnation] = &one
 		}
-		if a, ok := allocator.HandleRequest(q, n.keepersClock()); ok {
+		if a, ok := allocator.HandleRequest(q, n.allocatorsClock()); ok {
 			n.answers = append(slices.Clone(s.answers), a)
 		}
 	case takes:
@@ -381,8 +381,8 @@
 }
 
 func (s *small) tell(act uint16) string {
-	return fmt.Sprintf("%.1f %s %d", float64(s.at)*smallUnit, []string{"time passes", "the second keeper begins", "hears of it: holder", "asks: holder",
-		"starts a run: holder", "holder 0 dies and begins anew", "comes: question", "comes: answer"}[act>>8], act&0xff)
+	return fmt.Sprintf("%.1f %s %d", float64(s.at)*smallUnit, []string{"time passes", "the second allocator begins", "hears of it: holder", "asks: holder",
+		"starts a run: holder", "holder 0 dies and begins anew", "comes: request", "comes: answer"}[act>>8], act&0xff)
 }
 
 func walk(loan owner.Lease, asks [2]int8, starts, deaths int8, rash bool, most int) explore.Result {
@@ -431,9 +431,9 @@
 		deaths int8
 	}{
 		{"what goes on past a grant", owner.Tails, [2]int8{1, 1}, 3, 0},
-		{"waiting out the former keeper", owner.Settled, [2]int8{1, 1}, 3, 0},
-		{"counting from the question", owner.FromRequest, [2]int8{1, 1}, 3, 0},
-		{"a new life's wait for its floor", 0, [2]int8{0, 1}, 3, 1},
+		{"waiting out the former allocator", owner.Settled, [2]int8{1, 1}, 3, 0},
+		{"counting from the request", owner.FromRequest, [2]int8{1, 1}, 3, 0},
+		{"a new life's wait for its reserved permits", 0, [2]int8{0, 1}, 3, 1},
 	} {
 		if explore.Race && one.rule != 0 {
 			continue // they are found late
