--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -346,6 +346,19 @@
 	check("cut short", 0, false, true)
 }
 
+// The bytes of a vote file stay those of earlier versions: a voter that is upgraded has to find its votes.
+func TestVoteFileBytes(t *testing.T) {
+	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(), Now: func() time.Time { return time.UnixMilli(1796188800000) }}}
+	if err := f.writeVotes(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63}, Until: 1.5}}); err != nil {
+		t.Fatal(err)
+	}
+	const want = `{"name":"a","wrote_ms":1796188800000,"offices":{"o":{"Term":7,"Holder":{"Name":"b","Birth":9223372036854775808},"Until":1.5}}}`
+	text, err := os.ReadFile(filepath.Join(f.config.Folder, "promises"))
+	if err != nil || len(text) < 8 || string(text[:4]) != "VGP\x01" || string(text[8:]) != want {
+		t.Errorf("%q, %v", text, err)
+	}
+}
+
 // A message reads as it was written; nothing else is read.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
