--- a/fleet/ways_test.go
+++ b/fleet/ways_test.go
@@ -20,7 +20,7 @@
 	"valveglade/logic/owner"
 )
 
-// BenchmarkWays weighs what could decide who owns an office: five nodes in this process, a second until an owner that died is
+// BenchmarkWays weighs what could decide who owns a role: five nodes in this process, a second until an owner that died is
 // missed, a quarter of one between its signs of life, no disk. The first two are played in a time of their own, message by
 // message, the third on its own goroutines over its memory transport. docs/owner.md has the figures.
 func BenchmarkWays(b *testing.B) {
@@ -30,7 +30,7 @@
 		uses string
 		main string
 	}{
-		{"own", weighOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Seal{}, m, zap.NewNop()); f.Stand("o", nil); f.Run(context.Background())`},
+		{"own", weighOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
 		{"etcd", weighEtcd, "go.etcd.io/raft/v3", `n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
 		{"hashicorp", weighHashicorp, "github.com/hashicorp/raft", `t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
 	} {
@@ -74,14 +74,14 @@
 
 func weighOwn(b *testing.B) (w weighed) {
 	names := []string{"a", "b", "c", "d", "e"}
-	span := owner.Span{Lease: 1, Drift: 0.01, Margin: 0.1}
+	span := owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}
 	voters := map[string]*owner.Voter{}
 	candidates := map[string]*owner.Candidate{}
 	w.heap = weighHeap(func() {
 		for k, name := range names {
 			voters[name] = owner.NewVoter(name, nil, true, 1, 0, span)
-			candidates[name] = owner.NewCandidate(owner.Life{Name: name, Birth: 1}, "o", [][]string{names}, uint64(k), 0, span)
-			candidates[name].Want(true, 0)
+			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names}, uint64(k), 0, span)
+			candidates[name].SetCampaigning(true, 0)
 		}
 	}) / 5
 	at, sent, dead := 0.0, 0, ""
@@ -93,14 +93,14 @@
 					continue
 				}
 				candidates[name].Tick(at)
-				for _, m := range candidates[name].Out() {
+				for _, m := range candidates[name].Ready() {
 					if m.To == dead {
 						continue
 					}
-					for _, a := range voters[m.To].Take(m, at) {
+					for _, a := range voters[m.To].HandleMessage(m, at) {
 						sent += 2
 						if a.To != dead {
-							candidates[a.To].Hear(a, at)
+							candidates[a.To].HandleAnswer(a, at)
 						}
 					}
 				}
@@ -306,7 +306,7 @@
 var _ = os.Args
 
 func main() {
-	m, _ := member.New(member.Papers{}, zap.NewNop())
+	m, _ := member.New(member.Config{}, zap.NewNop())
 	m.Run(context.Background())
 	` + code + `
 }
