--- /dev/null
+++ b/store/configstore/errors.go
@@ -0,0 +1,55 @@
+package configstore
+
+import "fmt"
+
+// DamageError reports a file whose contents do not match their checksum or their own rules.
+type DamageError struct {
+	Path   string
+	Offset int64
+	Reason string
+}
+
+func (e *DamageError) Error() string {
+	return fmt.Sprintf("%s: byte %d: %s", e.Path, e.Offset, e.Reason)
+}
+
+// FormatError reports a file that is not of this kind or of a format that is not known.
+type FormatError struct {
+	Path   string
+	Format uint32 // 0 if the file does not begin as one of ours
+}
+
+func (e *FormatError) Error() string {
+	if e.Format == 0 {
+		return e.Path + ": not a file of a configuration store"
+	}
+	return fmt.Sprintf("%s: format %d is not known", e.Path, e.Format)
+}
+
+// OwnerError reports a file that another app server wrote.
+type OwnerError struct {
+	Path, Owner, Want string
+}
+
+func (e *OwnerError) Error() string {
+	return fmt.Sprintf("%s: written by app server %q, not %q", e.Path, e.Owner, e.Want)
+}
+
+// GapError reports a log that begins after the snapshot ends.
+type GapError struct {
+	Path            string
+	Begins, Reaches Version // where the log begins, and how far the snapshot reaches
+}
+
+func (e *GapError) Error() string {
+	return fmt.Sprintf("%s: begins after index %d, the snapshot ends at %d", e.Path, e.Begins.Index, e.Reaches.Index)
+}
+
+// OrderError reports an entry that does not follow the last one.
+type OrderError struct {
+	Last, Next Version
+}
+
+func (e *OrderError) Error() string {
+	return fmt.Sprintf("entry %d of term %d does not follow entry %d of term %d", e.Next.Index, e.Next.Term, e.Last.Index, e.Last.Term)
+}
