--- /dev/null
+++ b/logic/configtable/change_test.go
@@ -0,0 +1,120 @@
+package configtable
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Every valid change is read back the same from its binary form, its entry and its text.
+func TestChangeRoundTrips(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		change := generateChange().Draw(t, "change")
+		encoded, err := change.Encode()
+		if err != nil || len(encoded) > MaxEncodedBytes {
+			t.Fatalf("%d bytes, %v", len(encoded), err)
+		}
+		if got, err := Decode(encoded); err != nil || got != change {
+			t.Fatalf("decoded %v, want %v (%v)", got, change, err)
+		}
+		for cut := range encoded {
+			if got, err := Decode(encoded[:cut]); err == nil {
+				t.Fatalf("the first %d bytes of %v give %v", cut, change, got)
+			}
+		}
+		if got, err := ParseChanges("f", []byte(change.String())); err != nil || len(got) != 1 || got[0] != change {
+			t.Fatalf("parsed %v, want %v (%v)", got, change, err)
+		}
+		if change.Operation == Put {
+			if got, err := DecodeEntry(change.Service, change.AppendEntry(nil)); err != nil || got != change {
+				t.Fatalf("entry %v, want %v (%v)", got, change, err)
+			}
+		}
+	})
+}
+
+func FuzzDecode(f *testing.F) {
+	for k := range 20 {
+		encoded, _ := sizedChange(k).Encode()
+		f.Add(encoded)
+	}
+	f.Add([]byte{2, 1, 1, 's', 1, 'n'})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		change, err := Decode(data)
+		if err != nil {
+			var decode *DecodeError
+			var field *ChangeError
+			if change != (Change{}) || !errors.As(err, &decode) && !errors.As(err, &field) {
+				t.Fatalf("%v with %v", change, err)
+			}
+			return
+		}
+		if again, err := change.Encode(); err != nil || !bytes.Equal(again, data) {
+			t.Fatalf("%x is accepted, and encoded as %x (%v)", data, again, err)
+		}
+	})
+}
+
+// Each field is checked, and the error names it.
+func TestValidate(t *testing.T) {
+	route := Change{Put, Route, "s", "n", Value{Route: RouteValue{"m", 250, 1000, 0.5}}}
+	for _, bad := range []struct {
+		field string
+		spoil func(c *Change)
+	}{
+		{"operation", func(c *Change) { c.Operation = 3 }},
+		{"operation", func(c *Change) { c.Operation = Delete }},
+		{"kind", func(c *Change) { c.Kind = 0 }},
+		{"kind", func(c *Change) { c.Kind = Tenant }},
+		{"kind", func(c *Change) { c.Value.Tenant.QuotaPerSecond = 1 }},
+		{"service", func(c *Change) { c.Service = "" }},
+		{"name", func(c *Change) { c.Name = strings.Repeat("x", MaxNameBytes+1) }},
+		{"name", func(c *Change) { c.Name = "a b" }},
+		{"method", func(c *Change) { c.Value.Route.Method = "é" }},
+		{"target", func(c *Change) { c.Value.Route.LatencyTargetMilliseconds = 0 }},
+		{"target", func(c *Change) { c.Value.Route.LatencyTargetMilliseconds = math.NaN() }},
+		{"deadline", func(c *Change) { c.Value.Route.DeadlineMilliseconds = 249 }},
+		{"deadline", func(c *Change) { c.Value.Route.DeadlineMilliseconds = math.Inf(1) }},
+		{"criticality", func(c *Change) { c.Value.Route.Criticality = math.Copysign(0, -1) }},
+	} {
+		change := route
+		bad.spoil(&change)
+		var fault *ChangeError
+		if err := change.Validate(); !errors.As(err, &fault) || fault.Field != bad.field {
+			t.Errorf("%v: %v, want an error of %s", change, err, bad.field)
+		}
+		if _, err := change.Encode(); err == nil {
+			t.Errorf("%v is encoded", change)
+		}
+	}
+}
+
+// Every faulty line of a file is told.
+func ExampleParseChanges() {
+	changes, err := ParseChanges("ops.txt", []byte("# quotas\n\nput tenant a service=s quota=120\n"+
+		"put route r deadline=1s service=s method=m target=250ms criticality=0.5\ndelete tenant b service=s\n"))
+	fmt.Println(changes, err)
+	_, err = ParseChanges("ops.txt", []byte("put tenant\nset tenant a\nput host a\nput tenant a quota=1\nput tenant a service=s quota=-1\n"+
+		"put tenant a service=s quota=1 quota=2\nput tenant a service=s quota=1 target=1s\nput tenant a service=s quota\n"+
+		"put route r service=s method=m target=2s deadline=1s criticality=0\nput route r service=s method=m target=1e3ms deadline=1s criticality=0\n"+
+		"delete tenant b service=s\ndelete tenant b service=s\n"))
+	fmt.Println(err)
+	// Output:
+	// [put tenant a service=s quota=120 put route r service=s method=m target=250ms deadline=1000ms criticality=0.5 delete tenant b service=s] <nil>
+	// ops.txt:1: put or delete, route or tenant, and a name are wanted
+	// ops.txt:2: set: put or delete is wanted
+	// ops.txt:3: host: route or tenant is wanted
+	// ops.txt:4: a: service: missing
+	// ops.txt:5: a: quota: "-1" is no number such as 120 or 0.5
+	// ops.txt:6: a: quota: set twice
+	// ops.txt:7: a: target: not a field here; there are service, quota
+	// ops.txt:8: a: "quota" is no FIELD=VALUE
+	// ops.txt:9: r: deadline: 1000ms is less than the latency target of 2000ms
+	// ops.txt:10: r: target: "1e3ms" is no time such as 250ms, 1.5s or 2m
+	// ops.txt:12: b: changed before, in line 11
+}
--- a/logic/configtable/table.go
+++ b/logic/configtable/table.go
@@ -1,99 +1,161 @@
 package configtable
 
 import (
+	"encoding/binary"
 	"fmt"
 	"iter"
+	"strings"
 )
 
+// MaxEntries bounds a table: the design size of 1.376 million and as much again as a half of it, which keeps a table within the
+// 128 MB that an app server may give it.
+const MaxEntries = 2_000_000
+
 // Table is an immutable set of entries, with the index of each service's last log entry. The zero Table is empty. A Table is
 // safe for concurrent use and is copied freely: a copy is a few words. A reader may keep an old one as long as it likes.
 type Table struct {
+	root     *node // nil in an empty table
+	entries  int
+	services int
+	digest   Digest
 }
 
-// CommittedChange is a change with the index of its entry in the log.
-type CommittedChange struct {
-	Index  uint64 // at least 1
-	Change Change
-}
-
-// IndexError reports a change that is not newer than what the table has of its service.
-type IndexError struct {
-	Service     string
-	Index, Last uint64
-}
-
-func (e *IndexError) Error() string {
-	return fmt.Sprintf("service %s: index %d does not follow %d", e.Service, e.Index, e.Last)
-}
-
-// Apply returns a table with the changes applied in order; t is unchanged and shares all that is untouched. Each change sets
-// LastIndex of its service. All changes are applied or none: a change that is not valid gives its *ChangeError, an index not
-// above its service's last one an *IndexError. Deleting an absent entry only moves LastIndex.
-func (t Table) Apply(changes []CommittedChange) (Table, error) { panic("not built yet") }
-
 // Check returns the error for which a change is to be refused before it enters the log: that of Validate, or a *ChangeError for
 // a delete of an absent entry or a put beyond MaxEntries.
-func (t Table) Check(change Change) error { panic("not built yet") }
+func (t Table) Check(change Change) error {
+	if err := change.Validate(); err != nil {
+		return err
+	}
+	_, present := t.value(change.Kind, change.Service, change.Name)
+	switch {
+	case change.Operation == Delete && !present:
+		return changeError("name", "service %s has no entry %q of this kind", change.Service, change.Name)
+	case change.Operation == Put && !present && t.entries >= MaxEntries:
+		return changeError("name", "the table has %d entries and takes no more", t.entries)
+	}
+	return nil
+}
 
-// ReplaceService returns a table in which service has exactly these entries and last index, as from a snapshot of it. Entries
-// are valid Puts of that service in any order. With lastIndex 0 and no entries the service is removed.
-func (t Table) ReplaceService(service string, lastIndex uint64, entries []Change) (Table, error) {
-	panic("not built yet")
+// value returns the encoded value of an entry.
+func (t Table) value(kind Kind, service, name string) ([]byte, bool) {
+	var buffer [maxKeyBytes]byte
+	return t.root.find(appendKey(buffer[:0], kind, service, name))
 }
 
 // Route returns the value of a route of a service.
-func (t Table) Route(service, name string) (RouteValue, bool) { panic("not built yet") }
+func (t Table) Route(service, name string) (RouteValue, bool) {
+	encoded, found := t.value(Route, service, name)
+	if !found {
+		return RouteValue{}, false
+	}
+	r := reader{rest: encoded}
+	return r.value(Route).Route, true
+}
 
 // Tenant returns the value of a tenant of a service.
-func (t Table) Tenant(service, name string) (TenantValue, bool) { panic("not built yet") }
+func (t Table) Tenant(service, name string) (TenantValue, bool) {
+	encoded, found := t.value(Tenant, service, name)
+	if !found {
+		return TenantValue{}, false
+	}
+	r := reader{rest: encoded}
+	return r.value(Tenant).Tenant, true
+}
 
 // LastIndex returns the index of the last log entry applied to a service, 0 if there was none. It stays when the service's
 // last entry is deleted.
-func (t Table) LastIndex(service string) uint64 { panic("not built yet") }
+func (t Table) LastIndex(service string) uint64 {
+	var buffer [maxKeyBytes]byte
+	encoded, found := t.root.find(appendServiceKey(buffer[:0], service))
+	if !found {
+		return 0
+	}
+	index, _ := binary.Uvarint(encoded)
+	return index
+}
 
 // Len returns the number of entries.
-func (t Table) Len() int { panic("not built yet") }
+func (t Table) Len() int { return t.entries }
 
 // ServiceCount returns the number of services that have a last index, with entries or without.
-func (t Table) ServiceCount() int { panic("not built yet") }
-
-// Services iterates over all services and their last indices, in order of name.
-func (t Table) Services() iter.Seq2[string, uint64] { panic("not built yet") }
-
-// Service iterates over the entries of a service as Puts, in order of kind and name.
-func (t Table) Service(service string) iter.Seq[Change] { panic("not built yet") }
-
-// All iterates over all entries as Puts, in order of service, kind and name.
-func (t Table) All() iter.Seq[Change] { panic("not built yet") }
-
-// Digest is a fingerprint of entries that does not depend on the order in which they came. It is no defence against forgery.
-type Digest uint64
+func (t Table) ServiceCount() int { return t.services }
 
 // Digest returns the fingerprint of all entries; last indices are not in it. It takes no time: tables carry it.
-func (t Table) Digest() Digest { panic("not built yet") }
-
-// ServiceDigest returns the fingerprint of the entries of one service. The digests of disjoint sets add up.
-func (t Table) ServiceDigest(service string) Digest { panic("not built yet") }
+func (t Table) Digest() Digest { return t.digest }
+
+// ServiceDigest returns the fingerprint of the entries of one service.
+func (t Table) ServiceDigest(service string) Digest {
+	var sum Digest
+	t.walkService(service, func(key, value []byte) bool {
+		sum += digestRecord(key, value)
+		return true
+	})
+	return sum
+}
 
-// Builder makes a Table from entries in order, as a snapshot has them, without the cost of a change each.
-// The zero Builder is ready for use.
-type Builder struct {
+// Services iterates over all services and their last indices, in order of name. It passes over the entries between them.
+func (t Table) Services() iter.Seq2[string, uint64] {
+	return func(yield func(string, uint64) bool) {
+		var from []byte
+		for {
+			var service string
+			var index uint64
+			last := t.root.walk(from, func(key, value []byte) bool {
+				service = string(key[:len(key)-1])
+				index, _ = binary.Uvarint(value)
+				return false
+			})
+			if last || !yield(service, index) {
+				return
+			}
+			from = appendServiceKey(from[:0], service)
+			from[len(from)-1] = byte(Tenant) + 1 // above the keys of all its entries
+		}
+	}
 }
 
-// OrderError reports an entry or service that does not follow the one before it.
-type OrderError struct {
-	Service, Name string
+// Service iterates over the entries of a service as Puts, in order of kind and name.
+func (t Table) Service(service string) iter.Seq[Change] {
+	service = strings.Clone(service)
+	return func(yield func(Change) bool) {
+		t.walkService(service, func(key, value []byte) bool {
+			return yield(decodeRecord(service, key, value))
+		})
+	}
 }
 
-func (e *OrderError) Error() string {
-	return fmt.Sprintf("service %s name %q: out of order", e.Service, e.Name)
+// walkService visits the records of a service's entries, without its own record, until visit returns false.
+func (t Table) walkService(service string, visit func(key, value []byte) bool) {
+	from := appendServiceKey(nil, service)
+	prefix := string(from)
+	from = append(from, byte(Route))
+	t.root.walk(from, func(key, value []byte) bool {
+		return len(key) > len(prefix) && string(key[:len(prefix)]) == prefix && visit(key, value)
+	})
 }
 
-// AddService begins a service; services come in order of name. The error is a *ChangeError or an *OrderError.
-func (b *Builder) AddService(service string, lastIndex uint64) error { panic("not built yet") }
+// All iterates over all entries as Puts, in order of service, kind and name.
+func (t Table) All() iter.Seq[Change] {
+	return func(yield func(Change) bool) {
+		var service string
+		t.root.walk(nil, func(key, value []byte) bool {
+			if isServiceKey(key) {
+				service = string(key[:len(key)-1])
+				return true
+			}
+			return yield(decodeRecord(service, key, value))
+		})
+	}
+}
 
-// Add adds an entry, a valid Put, of the service that AddService began last; entries come in order of kind and name.
-func (b *Builder) Add(entry Change) error { panic("not built yet") }
+// decodeRecord returns the entry of a record as a Put.
+func decodeRecord(service string, key, value []byte) Change {
+	_, kind, name := splitKey(key)
+	r := reader{rest: value}
+	return Change{Operation: Put, Kind: kind, Service: service, Name: string(name), Value: r.value(kind)}
+}
 
-// Table returns what was added. The Builder is not used afterwards.
-func (b *Builder) Table() Table { panic("not built yet") }
+// String tells the table's size and fingerprint.
+func (t Table) String() string {
+	return fmt.Sprintf("%d entries of %d services, digest %016x", t.entries, t.services, uint64(t.digest))
+}
--- /dev/null
+++ b/logic/configtable/table_test.go
@@ -0,0 +1,266 @@
+package configtable
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// model is a table as a plain map.
+type model struct {
+	entries map[Key]Change
+	last    map[string]uint64
+}
+
+func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.last)} }
+
+func (m model) apply(one CommittedChange) {
+	m.last[one.Change.Service] = one.Index
+	if one.Change.Operation == Put {
+		m.entries[one.Change.Key()] = one.Change
+	} else {
+		delete(m.entries, one.Change.Key())
+	}
+}
+
+func compareKeys(a, b Change) int {
+	return slices.Compare([]string{a.Service, string(rune(a.Kind)), a.Name}, []string{b.Service, string(rune(b.Kind)), b.Name})
+}
+
+// check compares everything that a table tells with the model.
+func (m model) check(t *rapid.T, table Table) {
+	want := slices.SortedFunc(maps.Values(m.entries), compareKeys)
+	if got := slices.Collect(table.All()); !slices.Equal(got, want) {
+		t.Fatalf("entries are %v, want %v", got, want)
+	}
+	if got := maps.Collect(table.Services()); !maps.Equal(got, m.last) {
+		t.Fatalf("services are %v, want %v", got, m.last)
+	}
+	if table.Len() != len(want) || table.ServiceCount() != len(m.last) {
+		t.Fatalf("%v, want %d entries of %d services", table, len(want), len(m.last))
+	}
+	var builder Builder
+	var digests Digest
+	for _, service := range slices.Sorted(maps.Keys(m.last)) {
+		if err := builder.AddService(service, m.last[service]); err != nil || table.LastIndex(service) != m.last[service] {
+			t.Fatalf("service %s: last index %d, want %d (%v)", service, table.LastIndex(service), m.last[service], err)
+		}
+		for entry := range table.Service(service) {
+			if err := builder.Add(entry); err != nil || m.entries[entry.Key()] != entry {
+				t.Fatalf("entry %v, want %v (%v)", entry, m.entries[entry.Key()], err)
+			}
+		}
+		digests += table.ServiceDigest(service)
+	}
+	if built := builder.Table(); built.Len() != len(want) || built.Digest() != table.Digest() || digests != table.Digest() {
+		t.Fatalf("built %v, sum of services %x, want %v", built, digests, table)
+	}
+	for _, entry := range want {
+		route, _ := table.Route(entry.Service, entry.Name)
+		tenant, _ := table.Tenant(entry.Service, entry.Name)
+		if got := (Value{route, tenant}); entry.Kind == Route && route != entry.Value.Route || entry.Kind == Tenant && tenant != entry.Value.Tenant {
+			t.Fatalf("%v is looked up as %v", entry, got)
+		}
+	}
+}
+
+// generateChange draws from few names of unlike lengths, so that entries are replaced, deleted and spread over leaves.
+func generateChange() *rapid.Generator[Change] {
+	return rapid.Custom(func(t *rapid.T) Change {
+		c := Change{
+			Operation: rapid.SampledFrom([]Operation{Put, Put, Delete}).Draw(t, "operation"),
+			Kind:      rapid.SampledFrom([]Kind{Route, Tenant}).Draw(t, "kind"),
+			Service:   rapid.StringMatching(`[a-c]([!~]{127})?`).Draw(t, "service"),
+			Name:      rapid.StringMatching(`[a-z!~][0-9]?([a-c]{100})?`).Draw(t, "name"),
+		}
+		if c.Operation == Put && c.Kind == Route {
+			target := rapid.Float64Range(MinMilliseconds, MaxMilliseconds).Draw(t, "target")
+			deadline := rapid.Float64Range(target, MaxMilliseconds).Draw(t, "deadline")
+			c.Value.Route = RouteValue{rapid.StringMatching(`[!-~]{1,128}`).Draw(t, "method"), target, deadline, rapid.Float64Range(0, 1).Draw(t, "criticality")}
+		} else if c.Operation == Put {
+			c.Value.Tenant.QuotaPerSecond = rapid.Float64Range(0, MaxQuota).Draw(t, "quota")
+		}
+		return c
+	})
+}
+
+// A table is what a plain map is after the same changes, in batches of any size and with services replaced; earlier tables
+// stay as they were.
+func TestTableAgainstMap(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var tables []Table
+		var models []model
+		table, want, index := Table{}, model{map[Key]Change{}, map[string]uint64{}}, uint64(0)
+		for range rapid.IntRange(1, 8).Draw(t, "steps") {
+			changes := rapid.SliceOfN(generateChange(), 0, 60).Draw(t, "changes")
+			want = want.clone()
+			var batch []CommittedChange
+			for _, change := range changes {
+				index++
+				batch = append(batch, CommittedChange{index, change})
+				want.apply(batch[len(batch)-1])
+			}
+			var err error
+			if table, err = table.Apply(batch); err != nil {
+				t.Fatal(err)
+			}
+			if len(changes) > 0 && rapid.IntRange(0, 3).Draw(t, "replace") == 0 {
+				table, index = replaceService(t, table, want, changes[0].Service, index+1)
+			}
+			tables, models = append(tables, table), append(models, want)
+		}
+		for k := range tables {
+			models[k].check(t, tables[k])
+		}
+	})
+}
+
+// replaceService keeps every other entry of a service, or removes it.
+func replaceService(t *rapid.T, table Table, want model, service string, index uint64) (Table, uint64) {
+	var kept []Change
+	last := index * rapid.Uint64Range(0, 1).Draw(t, "keep")
+	for k, entry := range slices.Collect(table.Service(service)) {
+		if delete(want.entries, entry.Key()); last > 0 && k%2 == 0 {
+			kept = append(kept, entry)
+			want.entries[entry.Key()] = entry
+		}
+	}
+	if want.last[service] = last; last == 0 {
+		delete(want.last, service)
+	}
+	table, err := table.ReplaceService(service, last, kept)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return table, index
+}
+
+// A batch with a fault changes nothing and names it.
+func TestApplyRefuses(t *testing.T) {
+	put := Change{Put, Tenant, "s", "n", Value{Tenant: TenantValue{1}}}
+	table, err := Table{}.Apply([]CommittedChange{{5, put}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	bad := put
+	bad.Value.Tenant.QuotaPerSecond = -1
+	var index *IndexError
+	var change *ChangeError
+	for _, batch := range [][]CommittedChange{{{5, put}}, {{0, put}}, {{7, put}, {6, put}}, {{6, put}, {6, put}}} {
+		if after, err := table.Apply(batch); !errors.As(err, &index) || after != table {
+			t.Errorf("%v: %v", batch, err)
+		}
+	}
+	if after, err := table.Apply([]CommittedChange{{6, put}, {7, bad}}); !errors.As(err, &change) || change.Field != "quota" || after != table {
+		t.Errorf("a faulty change: %v", err)
+	}
+	absent := Change{Operation: Delete, Kind: Route, Service: "s", Name: "n"}
+	if err := table.Check(absent); !errors.As(err, &change) || table.Check(put) != nil {
+		t.Errorf("a delete of an absent entry: %v", err)
+	}
+}
+
+// sizedChange is the k-th entry of a table of the design's proportions: of 18 entries one is a route, and a service has 106.
+func sizedChange(k int) Change {
+	c := Change{Operation: Put, Kind: Tenant, Service: fmt.Sprintf("service-%05d", k/106)}
+	if k%18 == 0 {
+		c.Kind, c.Name = Route, fmt.Sprintf("route-%02d", k%106)
+		c.Value.Route = RouteValue{fmt.Sprintf("valveglade.Service%05d/Method%02d", k/106, k%106), 250, 1000, 0.5}
+		return c
+	}
+	random := rand.New(rand.NewPCG(uint64(k), 1))
+	c.Name = fmt.Sprintf("account-%012x", random.Uint64()>>16)
+	c.Value.Tenant.QuotaPerSecond = float64(random.IntN(100_000)) / 10
+	return c
+}
+
+func sizedTable(t testing.TB, entries int) Table {
+	all := make([]CommittedChange, entries)
+	for k := range all {
+		all[k] = CommittedChange{uint64(k + 1), sizedChange(k)}
+	}
+	table, err := Table{}.Apply(all)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return table
+}
+
+// changeAt puts a random entry anew.
+func changeAt(t testing.TB, table Table, entries, step int) Table {
+	change := sizedChange(rand.New(rand.NewPCG(uint64(step), 2)).IntN(entries))
+	change.Value.Tenant.QuotaPerSecond = 0
+	if change.Kind == Tenant {
+		change.Value.Tenant.QuotaPerSecond = float64(step)
+	}
+	table, err := table.Apply([]CommittedChange{{uint64(entries + step + 1), change}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return table
+}
+
+// What a change allocates in a table a hundred times as large is less than twice as much.
+func TestCostOfChangeDoesNotGrow(t *testing.T) {
+	allocated := func(entries int) uint64 {
+		const steps = 2000
+		table := sizedTable(t, entries)
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		for step := range steps {
+			table = changeAt(t, table, entries, step)
+		}
+		runtime.ReadMemStats(&after)
+		return (after.TotalAlloc - before.TotalAlloc) / steps
+	}
+	small, large := allocated(1000), allocated(100_000)
+	t.Logf("%d bytes a change at 1,000 entries, %d at 100,000", small, large)
+	if large > 2*small || large > 16<<10 {
+		t.Errorf("a change allocates %d bytes at 1,000 entries and %d at 100,000", small, large)
+	}
+}
+
+func BenchmarkChange(b *testing.B) {
+	for _, entries := range []int{1000, 10_000, 100_000, 1_376_000} {
+		b.Run(fmt.Sprint(entries), func(b *testing.B) {
+			var before, after runtime.MemStats
+			runtime.GC()
+			runtime.ReadMemStats(&before)
+			table := sizedTable(b, entries)
+			step := 0
+			for ; step < entries/2; step++ { // leaves as they are after a time of changes, not freshly packed
+				table = changeAt(b, table, entries, step)
+			}
+			runtime.GC()
+			runtime.ReadMemStats(&after)
+			b.ReportAllocs()
+			for b.Loop() {
+				step++
+				table = changeAt(b, table, entries, step)
+			}
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(entries), "bytes/entry")
+		})
+	}
+}
+
+func BenchmarkLookup(b *testing.B) {
+	const entries = 1_376_000
+	table := sizedTable(b, entries)
+	keys := make([]Change, 1<<16)
+	for k := range keys {
+		keys[k] = sizedChange(rand.New(rand.NewPCG(uint64(k), 3)).IntN(entries))
+	}
+	b.ReportAllocs()
+	for k := 0; b.Loop(); k++ {
+		key := keys[k%len(keys)]
+		if _, found := table.value(key.Kind, key.Service, key.Name); !found {
+			b.Fatal(key)
+		}
+	}
+}
--- a/logic/configtable/text.go
+++ b/logic/configtable/text.go
@@ -1,6 +1,11 @@
 package configtable
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
 
 // LineError reports a line of an operators' file that is not a change.
 type LineError struct {
@@ -17,15 +22,200 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Name, e.Reason)
 }
 
+// maxLineErrors bounds how many faulty lines are reported at once.
+const maxLineErrors = 20
+
 // ParseChanges reads the operators' text form, one change a line:
 //
 //	put route NAME service=S method=M target=250ms deadline=1s criticality=0.5
 //	put tenant NAME service=S quota=120
 //	delete tenant NAME service=S
 //
-// Blank lines and lines that begin with # are skipped. Every faulty line gives a *LineError; they are joined, and no change is
-// returned with them.
-func ParseChanges(path string, text []byte) ([]Change, error) { panic("not built yet") }
+// Blank lines and lines that begin with # are skipped. An entry may be named once. Faulty lines give a *LineError each, joined,
+// at most 20; no change is returned with them.
+func ParseChanges(path string, text []byte) ([]Change, error) {
+	var changes []Change
+	var faults []error
+	lines := map[Key]int{}
+	number := 0
+	for line := range strings.Lines(string(text)) {
+		number++
+		words := strings.Fields(line)
+		if len(words) == 0 || words[0][0] == '#' {
+			continue
+		}
+		change, fault := parseLine(words)
+		if fault == nil && lines[change.Key()] > 0 {
+			fault = &LineError{Name: change.Name, Reason: fmt.Sprintf("changed before, in line %d", lines[change.Key()])}
+		}
+		if fault != nil {
+			fault.Path, fault.Line = path, number
+			if faults = append(faults, fault); len(faults) == maxLineErrors {
+				break
+			}
+			continue
+		}
+		lines[change.Key()] = number
+		changes = append(changes, change)
+	}
+	if len(faults) > 0 {
+		return nil, errors.Join(faults...)
+	}
+	return changes, nil
+}
+
+// parseLine reads the words of a line; path and line number of the error are the caller's.
+func parseLine(words []string) (Change, *LineError) {
+	var c Change
+	if len(words) < 3 {
+		return c, &LineError{Reason: "put or delete, route or tenant, and a name are wanted"}
+	}
+	switch words[0] {
+	case "put":
+		c.Operation = Put
+	case "delete":
+		c.Operation = Delete
+	default:
+		return c, &LineError{Name: words[0], Reason: "put or delete is wanted"}
+	}
+	switch words[1] {
+	case "route":
+		c.Kind = Route
+	case "tenant":
+		c.Kind = Tenant
+	default:
+		return c, &LineError{Name: words[1], Reason: "route or tenant is wanted"}
+	}
+	c.Name = words[2]
+	if err := c.parseFields(words[3:]); err != nil {
+		return c, &LineError{Name: c.Name, Reason: err.Error()}
+	}
+	if err := c.Validate(); err != nil {
+		return c, &LineError{Name: c.Name, Reason: err.Error()}
+	}
+	return c, nil
+}
+
+// fieldNames are the fields that a line has, in the order in which String writes them.
+func (c *Change) fieldNames() []string {
+	switch {
+	case c.Operation == Delete:
+		return []string{"service"}
+	case c.Kind == Tenant:
+		return []string{"service", "quota"}
+	}
+	return []string{"service", "method", "target", "deadline", "criticality"}
+}
+
+// parseFields reads words such as quota=120: each field of the change once, and no other.
+func (c *Change) parseFields(words []string) error {
+	set := map[string]bool{}
+	names := c.fieldNames()
+	for _, word := range words {
+		field, text, found := strings.Cut(word, "=")
+		switch {
+		case !found:
+			return fmt.Errorf("%q is no FIELD=VALUE", word)
+		case set[field]:
+			return changeError(field, "set twice")
+		}
+		set[field] = true
+		if err := c.parseField(field, text); err != nil {
+			return err
+		}
+	}
+	for _, name := range names {
+		if !set[name] {
+			return changeError(name, "missing")
+		}
+		delete(set, name)
+	}
+	for _, word := range words {
+		if field, _, _ := strings.Cut(word, "="); set[field] {
+			return changeError(field, "not a field here; there are %s", strings.Join(names, ", "))
+		}
+	}
+	return nil
+}
+
+func (c *Change) parseField(field, text string) (err error) {
+	switch field {
+	case "service":
+		c.Service = text
+	case "method":
+		c.Value.Route.Method = text
+	case "target":
+		c.Value.Route.LatencyTargetMilliseconds, err = parseMilliseconds(field, text)
+	case "deadline":
+		c.Value.Route.DeadlineMilliseconds, err = parseMilliseconds(field, text)
+	case "criticality":
+		c.Value.Route.Criticality, err = parseNumber(field, text)
+	case "quota":
+		c.Value.Tenant.QuotaPerSecond, err = parseNumber(field, text)
+	}
+	return err
+}
+
+// parseMilliseconds reads a time in one unit: 250ms, 1.5s or 2m.
+func parseMilliseconds(field, text string) (float64, error) {
+	for _, unit := range []struct {
+		suffix       string
+		milliseconds float64
+	}{{"ms", 1}, {"s", 1000}, {"m", 60_000}} {
+		if number, found := strings.CutSuffix(text, unit.suffix); found {
+			value, err := parseNumber(field, number)
+			if err != nil {
+				break
+			}
+			return value * unit.milliseconds, nil
+		}
+	}
+	return 0, changeError(field, "%q is no time such as 250ms, 1.5s or 2m", text)
+}
+
+// parseNumber reads digits with at most one point; no exponent, sign or word.
+func parseNumber(field, text string) (float64, error) {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || strings.Trim(text, "0123456789.") != "" {
+		return 0, changeError(field, "%q is no number such as 120 or 0.5", text)
+	}
+	return value, nil
+}
 
 // String returns the text form, which ParseChanges reads back as the same change.
-func (c Change) String() string { panic("not built yet") }
+func (c Change) String() string {
+	var line strings.Builder
+	line.WriteString(nameOf(c.Operation == Delete, "delete", "put"))
+	line.WriteString(nameOf(c.Kind == Tenant, " tenant ", " route "))
+	line.WriteString(c.Name)
+	for _, field := range c.fieldNames() {
+		line.WriteString(" " + field + "=" + c.formatField(field))
+	}
+	return line.String()
+}
+
+func nameOf(first bool, whenFirst, otherwise string) string {
+	if first {
+		return whenFirst
+	}
+	return otherwise
+}
+
+func (c Change) formatField(field string) string {
+	route := c.Value.Route
+	switch field {
+	case "service":
+		return c.Service
+	case "method":
+		return route.Method
+	case "target":
+		return formatNumber(route.LatencyTargetMilliseconds) + "ms"
+	case "deadline":
+		return formatNumber(route.DeadlineMilliseconds) + "ms"
+	case "criticality":
+		return formatNumber(route.Criticality)
+	}
+	return formatNumber(c.Value.Tenant.QuotaPerSecond)
+}
+
+func formatNumber(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
