--- a/store/configstore/errors.go
+++ b/store/configstore/errors.go
@@ -53,3 +53,19 @@
 func (e *OrderError) Error() string {
 	return fmt.Sprintf("entry %d of term %d does not follow entry %d of term %d", e.Next.Index, e.Next.Term, e.Last.Index, e.Last.Term)
 }
+
+// SizeError reports an entry that is too large, by the bytes of its service and its payload.
+type SizeError struct {
+	Service, Payload int
+}
+
+func (e *SizeError) Error() string {
+	return fmt.Sprintf("a service of %d bytes or a payload of %d is too large", e.Service, e.Payload)
+}
+
+// NameError reports the name of an app server that is too long to be stored.
+type NameError struct {
+	Name string
+}
+
+func (e *NameError) Error() string { return fmt.Sprintf("a name of %d bytes is too long", len(e.Name)) }
--- /dev/null
+++ b/store/configstore/files.go
@@ -0,0 +1,104 @@
+package configstore
+
+import (
+	"errors"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/google/renameio/v2"
+)
+
+// The files of a folder.
+const (
+	snapshotName  = "snapshot"
+	logName       = "log"
+	voteName      = "vote"
+	refusedSuffix = ".refused" // of a file moved aside; a later one takes its place
+)
+
+const filePermissions, folderPermissions = 0o600, 0o700
+
+// replaceFile writes a file whole, durably: after a crash there is the former one or the new one.
+func replaceFile(path string, write func(to io.Writer) error) error {
+	pending, err := renameio.NewPendingFile(path, renameio.WithTempDir(filepath.Dir(path)), renameio.WithPermissions(filePermissions))
+	if err != nil {
+		return err
+	}
+	defer pending.Cleanup()
+	if err := write(pending); err != nil {
+		return err
+	}
+	if err := pending.CloseAtomicallyReplace(); err != nil {
+		return err
+	}
+	return syncFolder(filepath.Dir(path))
+}
+
+// syncFolder makes the names in a folder durable.
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
+
+// removePending removes what an interrupted replaceFile left.
+func removePending(folder string) error {
+	files, err := os.ReadDir(folder)
+	if err != nil {
+		return err
+	}
+	for _, file := range files {
+		for _, name := range []string{snapshotName, logName, voteName} {
+			if strings.HasPrefix(file.Name(), "."+name) {
+				if err := os.Remove(filepath.Join(folder, file.Name())); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// readFile calls read with an open file; it reports false if there is none. A file that read refuses is moved aside and reported
+// in refused; other errors are returned.
+func readFile(path string, refused *[]Refused, read func(file *os.File) error) (found bool, err error) {
+	file, err := os.Open(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return false, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	defer file.Close()
+	err = read(file)
+	if err == nil {
+		return true, nil
+	}
+	if !isRefusal(err) {
+		return false, err
+	}
+	return false, moveAside(path, err, refused)
+}
+
+// isRefusal reports whether an error tells of a file's contents rather than of the file system.
+func isRefusal(err error) bool {
+	var damage *DamageError
+	var format *FormatError
+	var owner *OwnerError
+	var gap *GapError
+	return errors.As(err, &damage) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
+}
+
+func moveAside(path string, why error, refused *[]Refused) error {
+	aside := path + refusedSuffix
+	if err := os.Rename(path, aside); err != nil {
+		return err
+	}
+	*refused = append(*refused, Refused{Err: why, MovedTo: aside})
+	return syncFolder(filepath.Dir(path))
+}
--- /dev/null
+++ b/store/configstore/format.go
@@ -0,0 +1,163 @@
+package configstore
+
+import (
+	"bufio"
+	"encoding/binary"
+	"hash/crc32"
+	"io"
+)
+
+// Every file begins with a header: the magic, a format, what the file is, the app server's name, a version, and a CRC-32C of all
+// of that. Whole numbers are little-endian.
+const (
+	magic        = "vgcs"
+	formatNumber = 1
+	maxOwner     = 255 // bytes of an app server's name
+)
+
+// fileKind is what a file is.
+type fileKind byte
+
+const (
+	snapshotFile fileKind = 'S'
+	logFile      fileKind = 'L'
+	voteFile     fileKind = 'V'
+)
+
+// checksumBytes is the size of a CRC-32C.
+const checksumBytes = 4
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
+
+// header is what a file says of itself.
+type header struct {
+	kind    fileKind
+	owner   string
+	version Version // of a snapshot; where a log begins; a vote has the term only
+}
+
+// encode returns the bytes of the header.
+func (h header) encode() []byte {
+	data := append([]byte(magic), 0, 0, 0, 0)
+	binary.LittleEndian.PutUint32(data[len(magic):], formatNumber)
+	data = append(data, byte(h.kind), byte(len(h.owner)))
+	data = append(data, h.owner...)
+	data = binary.LittleEndian.AppendUint64(data, h.version.Term)
+	data = binary.LittleEndian.AppendUint64(data, h.version.Index)
+	return appendChecksum(data)
+}
+
+// appendChecksum appends the checksum of what is there.
+func appendChecksum(data []byte) []byte {
+	return binary.LittleEndian.AppendUint32(data, checksum(data))
+}
+
+// fileReader reads a file from its beginning, in little memory, with a running checksum and offset.
+type fileReader struct {
+	path   string
+	source *bufio.Reader
+	offset int64
+	sum    uint32
+	buffer []byte
+}
+
+func newFileReader(path string, source io.Reader) *fileReader {
+	return &fileReader{path: path, source: bufio.NewReaderSize(source, 64<<10)}
+}
+
+// read returns the next size bytes, valid until the next read. The error is that of io.ReadFull.
+func (r *fileReader) read(size int) ([]byte, error) {
+	if cap(r.buffer) < size {
+		r.buffer = make([]byte, size)
+	}
+	r.buffer = r.buffer[:size]
+	got, err := io.ReadFull(r.source, r.buffer)
+	r.offset += int64(got)
+	if err != nil {
+		return r.buffer[:got], err
+	}
+	r.sum = crc32.Update(r.sum, castagnoli, r.buffer)
+	return r.buffer, nil
+}
+
+// need is read where the file may not end: its end is a *DamageError.
+func (r *fileReader) need(size int) ([]byte, error) {
+	data, err := r.read(size)
+	if err == io.EOF || err == io.ErrUnexpectedEOF {
+		return nil, r.damage("the file ends too early")
+	}
+	return data, err
+}
+
+func (r *fileReader) uint64() (uint64, error) {
+	data, err := r.need(8)
+	if err != nil {
+		return 0, err
+	}
+	return binary.LittleEndian.Uint64(data), nil
+}
+
+// checkSum reads a checksum and compares it with that of everything before it.
+func (r *fileReader) checkSum() error {
+	want := r.sum
+	data, err := r.need(checksumBytes)
+	if err != nil {
+		return err
+	}
+	if binary.LittleEndian.Uint32(data) != want {
+		return r.damage("wrong checksum")
+	}
+	return nil
+}
+
+// checkEnd checks that the file ends here.
+func (r *fileReader) checkEnd() error {
+	switch _, err := r.source.ReadByte(); err {
+	case io.EOF:
+		return nil
+	case nil:
+		return r.damage("bytes follow the end")
+	default:
+		return err
+	}
+}
+
+func (r *fileReader) damage(reason string) error {
+	return &DamageError{Path: r.path, Offset: r.offset, Reason: reason}
+}
+
+// header reads the header of a file of a kind and an owner, and returns its version. The format is looked at first, the owner
+// only once the checksum is right.
+func (r *fileReader) header(kind fileKind, owner string) (Version, error) {
+	var version Version
+	start, err := r.need(len(magic) + 4 + 2)
+	if err != nil {
+		return version, err
+	}
+	if string(start[:len(magic)]) != magic || fileKind(start[len(magic)+4]) != kind {
+		return version, &FormatError{Path: r.path}
+	}
+	if format := binary.LittleEndian.Uint32(start[len(magic):]); format != formatNumber {
+		return version, &FormatError{Path: r.path, Format: format}
+	}
+	data, err := r.need(int(start[len(magic)+5]))
+	if err != nil {
+		return version, err
+	}
+	found := string(data)
+	if version.Term, err = r.uint64(); err != nil {
+		return version, err
+	}
+	if version.Index, err = r.uint64(); err != nil {
+		return version, err
+	}
+	if err = r.checkSum(); err != nil {
+		return version, err
+	}
+	if found != owner {
+		return version, &OwnerError{Path: r.path, Owner: found, Want: owner}
+	}
+	return version, nil
+}
--- /dev/null
+++ b/store/configstore/record.go
@@ -0,0 +1,104 @@
+package configstore
+
+import (
+	"encoding/binary"
+	"errors"
+	"io"
+)
+
+// A record of the log is a header and a body. The header is the body's length, the body's CRC-32C, and a CRC-32C of those two, so
+// that a damaged length is told from the end of an interrupted write. The body is term, index and previous index, the length of
+// the service and the service, and the payload.
+const (
+	recordHeaderBytes = 3 * checksumBytes
+	bodyFixedBytes    = 3*8 + 1
+	maxService        = 255
+	maxBodyBytes      = bodyFixedBytes + maxService + MaxPayloadBytes
+)
+
+// appendRecord appends the record of an entry whose service and payload are within their bounds.
+func appendRecord(to []byte, entry Entry) []byte {
+	start := len(to)
+	to = append(to, make([]byte, recordHeaderBytes)...)
+	to = binary.LittleEndian.AppendUint64(to, entry.Term)
+	to = binary.LittleEndian.AppendUint64(to, entry.Index)
+	to = binary.LittleEndian.AppendUint64(to, entry.Previous)
+	to = append(to, byte(len(entry.Service)))
+	to = append(to, entry.Service...)
+	to = append(to, entry.Payload...)
+	head, body := to[start:start+recordHeaderBytes], to[start+recordHeaderBytes:]
+	binary.LittleEndian.PutUint32(head, uint32(len(body)))
+	binary.LittleEndian.PutUint32(head[checksumBytes:], checksum(body))
+	binary.LittleEndian.PutUint32(head[2*checksumBytes:], checksum(head[:2*checksumBytes]))
+	return to
+}
+
+// errTorn tells that the log ends in a record that was not written whole.
+var errTorn = errors.New("torn record")
+
+// record reads the next record of a log. Its end is io.EOF; errTorn stands for a last record that was not written whole: the
+// file ends within it, or it fails its checksum and nothing but zeros, as of blocks never written, follows it.
+func (r *fileReader) record() (Entry, error) {
+	head, err := r.read(recordHeaderBytes)
+	if err == io.EOF {
+		return Entry{}, io.EOF
+	}
+	if err == io.ErrUnexpectedEOF {
+		return Entry{}, errTorn
+	}
+	if err != nil {
+		return Entry{}, err
+	}
+	size := binary.LittleEndian.Uint32(head)
+	sum := binary.LittleEndian.Uint32(head[checksumBytes:])
+	if checksum(head[:2*checksumBytes]) != binary.LittleEndian.Uint32(head[2*checksumBytes:]) {
+		return Entry{}, r.tornOrDamaged("wrong checksum of a record's header")
+	}
+	if size < bodyFixedBytes || size > maxBodyBytes {
+		return Entry{}, r.damage("a record has a length that none has")
+	}
+	body, err := r.read(int(size))
+	if err == io.EOF || err == io.ErrUnexpectedEOF {
+		return Entry{}, errTorn
+	}
+	if err != nil {
+		return Entry{}, err
+	}
+	if checksum(body) != sum {
+		return Entry{}, r.tornOrDamaged("wrong checksum of a record")
+	}
+	return r.decodeBody(body)
+}
+
+func (r *fileReader) decodeBody(body []byte) (Entry, error) {
+	entry := Entry{
+		Term:     binary.LittleEndian.Uint64(body),
+		Index:    binary.LittleEndian.Uint64(body[8:]),
+		Previous: binary.LittleEndian.Uint64(body[16:]),
+	}
+	size := int(body[bodyFixedBytes-1])
+	rest := body[bodyFixedBytes:]
+	if size > len(rest) {
+		return Entry{}, r.damage("a record is shorter than its service")
+	}
+	entry.Service = string(rest[:size])
+	entry.Payload = rest[size:]
+	return entry, nil
+}
+
+// tornOrDamaged reads to the end of the file: errTorn if only zeros are left, else a *DamageError.
+func (r *fileReader) tornOrDamaged(reason string) error {
+	damage := r.damage(reason)
+	for {
+		one, err := r.source.ReadByte()
+		if err == io.EOF {
+			return errTorn
+		}
+		if err != nil {
+			return err
+		}
+		if one != 0 {
+			return damage
+		}
+	}
+}
--- a/store/configstore/store.go
+++ b/store/configstore/store.go
@@ -5,6 +5,9 @@
 package configstore
 
 import (
+	"io"
+	"os"
+
 	"valveglade/logic/configtable"
 )
 
@@ -15,73 +18,219 @@
 
 // Entry is one entry of the log as it is stored.
 type Entry struct {
-	Term     uint64
+	Term     uint64 // at least that of the entry before it
 	Index    uint64 // above that of the entry before it; gaps are allowed, for an app server that takes some services only
 	Previous uint64 // index of the previous entry of the service
-	Service  string // may be empty, for an entry of the log's own
+	Service  string // may be empty, for an entry of the log's own; at most 255 bytes
 	Payload  []byte // at most MaxPayloadBytes
 }
 
 // MaxPayloadBytes bounds the payload of an entry; an encoded change is far below.
 const MaxPayloadBytes = 16 << 10
 
-// Vote is what a voter has promised.
-type Vote struct {
-	Term      uint64 // the highest term that it has seen
-	Candidate string // for whom it voted in that term, or ""
+// Store is the folder of one app server. Its methods are not safe for concurrent use, but for WriteSnapshot.
+type Store struct {
+	folder  string
+	owner   string
+	version Version  // of the snapshot that the log goes on from
+	last    Version  // of the last entry, or of the snapshot
+	log     *os.File // open for reading and writing
+	end     int64    // of the log's last record
+	failed  error    // of a write whose outcome is not known: nothing is written after it
+	scratch []byte
 }
 
-// Recovered is what Open found.
-type Recovered struct {
-	Table     configtable.Table // of the snapshot, without the log's entries
-	Version   Version           // of the snapshot
-	Last      Version           // of the last entry, or of the snapshot if there is none after it
-	Entries   int               // after the snapshot
-	Vote      Vote
-	TornBytes int64     // cut off the log's end
-	Refused   []Refused // files moved aside
+// ReadEntries calls visit for each entry after the snapshot whose index is at least from, in order, until visit returns an
+// error, which it returns. One entry at a time is in memory; its payload is valid during the call only.
+func (s *Store) ReadEntries(from uint64, visit func(Entry) error) error {
+	scan, err := s.scan()
+	if err != nil {
+		return err
+	}
+	for {
+		entry, _, err := scan.next()
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if entry.Index < from {
+			continue
+		}
+		if err := visit(entry); err != nil {
+			return err
+		}
+	}
 }
 
-// Refused is a file that was not taken, and where it is now. A voter with a refused file may have lost what it acknowledged:
-// it must not vote or campaign before it has a snapshot from the current leader and a term that is newer.
-type Refused struct {
-	Err     error // *DamageError, *FormatError, *OwnerError or *GapError
-	MovedTo string
+// scan reads the open log up to its last whole record.
+func (s *Store) scan() (*logScan, error) {
+	return newLogScan(s.log.Name(), io.NewSectionReader(s.log, 0, s.end), s.owner, s.version)
 }
 
-// Store is the folder of one app server. Its methods are not safe for concurrent use.
-type Store struct {
+// Append writes entries at the end of the log; they are durable after Sync. An entry that does not follow the last one gives
+// an *OrderError, one that is too large a *SizeError, and nothing is written.
+func (s *Store) Append(entries []Entry) error {
+	if s.failed != nil {
+		return s.failed
+	}
+	last := s.last
+	s.scratch = s.scratch[:0]
+	for _, entry := range entries {
+		next := Version{Term: entry.Term, Index: entry.Index}
+		if next.Index <= last.Index || next.Term < last.Term {
+			return &OrderError{Last: last, Next: next}
+		}
+		if len(entry.Service) > maxService || len(entry.Payload) > MaxPayloadBytes {
+			return &SizeError{Service: len(entry.Service), Payload: len(entry.Payload)}
+		}
+		s.scratch = appendRecord(s.scratch, entry)
+		last = next
+	}
+	if _, err := s.log.WriteAt(s.scratch, s.end); err != nil {
+		return s.undoAppend(err)
+	}
+	s.last = last
+	s.end += int64(len(s.scratch))
+	return nil
 }
 
-// Open reads the folder of the app server called name, which is created if absent. The error is that of the file system;
-// refused files are no error but reported in Recovered.
-func Open(folder, name string) (*Store, *Recovered, error) { panic("not built yet") }
+// undoAppend cuts off what a failed write left; if that fails too, the store writes nothing any more.
+func (s *Store) undoAppend(err error) error {
+	if undo := s.cutLog(s.end); undo != nil {
+		s.failed = undo
+	}
+	return err
+}
 
-// ReadEntries calls visit for each entry after the snapshot whose index is at least from, in order, until visit returns an
-// error, which it returns. One entry at a time is in memory; its payload is valid during the call only.
-func (s *Store) ReadEntries(from uint64, visit func(Entry) error) error { panic("not built yet") }
+// Sync makes what was appended durable. After a failure the store writes nothing any more, as it is not known what is durable;
+// it is to be opened again.
+func (s *Store) Sync() error {
+	if s.failed != nil {
+		return s.failed
+	}
+	s.failed = s.log.Sync()
+	return s.failed
+}
 
-// Append writes entries at the end of the log; they are durable after Sync. An entry that does not follow the last one gives
-// an *OrderError and nothing is written.
-func (s *Store) Append(entries []Entry) error { panic("not built yet") }
+// Truncate removes the entries from an index on, durably. Entries that the snapshot contains can not be removed: that is an
+// *OrderError.
+func (s *Store) Truncate(from uint64) error {
+	if s.failed != nil {
+		return s.failed
+	}
+	if from <= s.version.Index {
+		return &OrderError{Last: s.version, Next: Version{Index: from}}
+	}
+	if from > s.last.Index {
+		return nil
+	}
+	scan, err := s.scan()
+	if err != nil {
+		return err
+	}
+	end, last, err := scan.scanTo(from)
+	if err != nil {
+		return err
+	}
+	if s.failed = s.cutLog(end); s.failed != nil {
+		return s.failed
+	}
+	s.end, s.last = end, last
+	return nil
+}
 
-// Sync makes what was appended durable.
-func (s *Store) Sync() error { panic("not built yet") }
+// Compact writes a snapshot of committed entries, durably, and then a log with only the entries after it, which are kept.
+func (s *Store) Compact(table configtable.Table, version Version) error {
+	if err := s.WriteSnapshot(table, version); err != nil {
+		return err
+	}
+	return s.TrimLog(version)
+}
 
-// Truncate removes the entries from an index on, durably. Entries that the snapshot contains can not be removed.
-func (s *Store) Truncate(from uint64) error { panic("not built yet") }
+// WriteSnapshot is the first step of Compact. It may run while other methods do, but TrimLog and Install; version must not be
+// below that of the snapshot that is there.
+func (s *Store) WriteSnapshot(table configtable.Table, version Version) error {
+	if version.Index < s.version.Index || version.Term < s.version.Term {
+		return &OrderError{Last: s.version, Next: version}
+	}
+	return replaceFile(s.path(snapshotName), func(to io.Writer) error {
+		return writeSnapshot(to, s.owner, table, version)
+	})
+}
 
-// Compact writes a snapshot, durably, and then a log with only the entries after it. Those are kept.
-func (s *Store) Compact(table configtable.Table, version Version) error { panic("not built yet") }
+// TrimLog is the second step of Compact: it drops the log's entries that the snapshot of a version contains.
+func (s *Store) TrimLog(version Version) error {
+	if s.failed != nil {
+		return s.failed
+	}
+	scan, err := s.scan()
+	if err != nil {
+		return err
+	}
+	from, _, err := scan.scanTo(version.Index + 1)
+	if err != nil {
+		return err
+	}
+	return s.replaceLog(version, func(to io.Writer) error {
+		_, err := io.Copy(to, io.NewSectionReader(s.log, from, s.end-from))
+		return err
+	})
+}
 
-// Install replaces everything by a snapshot from another app server: no entry after it is kept. The vote stays.
-func (s *Store) Install(table configtable.Table, version Version) error { panic("not built yet") }
+// Install replaces everything by a snapshot from another app server: no entry after it is kept. The vote stays. Entries that are
+// not in the snapshot go first, so that an interrupted Install leaves none of them after it.
+func (s *Store) Install(table configtable.Table, version Version) error {
+	if version.Index < s.version.Index || version.Term < s.version.Term {
+		return &OrderError{Last: s.version, Next: version}
+	}
+	if err := s.Truncate(version.Index + 1); err != nil {
+		return err
+	}
+	return s.Compact(table, version)
+}
+
+// replaceLog replaces the log by one that goes on from the snapshot of a version, with the records that write writes.
+func (s *Store) replaceLog(version Version, write func(to io.Writer) error) error {
+	head := header{logFile, s.owner, version}.encode()
+	err := replaceFile(s.path(logName), func(to io.Writer) error {
+		if _, err := to.Write(head); err != nil {
+			return err
+		}
+		return write(to)
+	})
+	if err != nil {
+		return err
+	}
+	if s.failed = s.openLog(); s.failed != nil {
+		return s.failed
+	}
+	info, err := s.log.Stat()
+	if err != nil {
+		s.failed = err
+		return err
+	}
+	s.version, s.end = version, info.Size()
+	if s.last.Index <= version.Index {
+		s.last = version
+	}
+	return nil
+}
 
 // SaveVote replaces the vote, durably.
-func (s *Store) SaveVote(vote Vote) error { panic("not built yet") }
+func (s *Store) SaveVote(vote Vote) error {
+	if len(vote.Candidate) > maxOwner {
+		return &NameError{Name: vote.Candidate}
+	}
+	return replaceFile(s.path(voteName), func(to io.Writer) error {
+		_, err := to.Write(encodeVote(s.owner, vote))
+		return err
+	})
+}
 
 // LogBytes returns the size of the log file, for the decision when to compact.
-func (s *Store) LogBytes() int64 { panic("not built yet") }
+func (s *Store) LogBytes() int64 { return s.end }
 
 // Close closes the log file without making it durable.
-func (s *Store) Close() error { panic("not built yet") }
+func (s *Store) Close() error { return s.log.Close() }
--- /dev/null
+++ b/store/configstore/vote.go
@@ -0,0 +1,45 @@
+package configstore
+
+import (
+	"io"
+)
+
+// A vote file is a header, whose version has the term, the length of the candidate's name in a byte, that name, and a CRC-32C of
+// all of it.
+
+// Vote is what a voter has promised.
+type Vote struct {
+	Term      uint64 // the highest term that it has seen
+	Candidate string // for whom it voted in that term, or ""; at most 255 bytes
+}
+
+func encodeVote(owner string, vote Vote) []byte {
+	data := header{voteFile, owner, Version{Term: vote.Term}}.encode()
+	data = append(data, byte(len(vote.Candidate)))
+	data = append(data, vote.Candidate...)
+	return appendChecksum(data)
+}
+
+func readVote(path string, source io.Reader, owner string) (Vote, error) {
+	r := newFileReader(path, source)
+	version, err := r.header(voteFile, owner)
+	if err != nil {
+		return Vote{}, err
+	}
+	size, err := r.need(1)
+	if err != nil {
+		return Vote{}, err
+	}
+	name, err := r.need(int(size[0]))
+	if err != nil {
+		return Vote{}, err
+	}
+	vote := Vote{Term: version.Term, Candidate: string(name)}
+	if err := r.checkSum(); err != nil {
+		return Vote{}, err
+	}
+	if err := r.checkEnd(); err != nil {
+		return Vote{}, err
+	}
+	return vote, nil
+}
