--- /dev/null
+++ b/store/configstore/size_test.go
@@ -0,0 +1,83 @@
+package configstore
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"valveglade/logic/configtable"
+)
+
+// openFolder is the variable that names the folder which TestOpenProcess opens, in a process of its own.
+const openFolder = "CONFIGSTORE_OPEN_FOLDER"
+
+// TestOpenProcess is what BenchmarkDesignSize starts anew, to see what a start takes.
+func TestOpenProcess(t *testing.T) {
+	folder := os.Getenv(openFolder)
+	if folder == "" {
+		return
+	}
+	started := time.Now()
+	_, found := open(t, folder)
+	fmt.Printf("opened %d entries in %v, refused %v; %s\n", found.Table.Len(), time.Since(started), found.Refused, residentMemory(t))
+	table, err := found.Table, error(nil)
+	for k := range dayOfChanges {
+		change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: fmt.Sprintf("service-%05d", k*7919%13_000), Name: fmt.Sprintf("new-%d", k%5000)}
+		change.Value.Tenant.QuotaPerSecond = float64(k)
+		table, err = table.Apply([]configtable.CommittedChange{{Index: uint64(20_000 + k), Change: change}})
+		must(t, err)
+	}
+	fmt.Printf("after %d changes %v; %s\n", dayOfChanges, table, residentMemory(t))
+}
+
+// dayOfChanges is how many changes the design has in a day.
+const dayOfChanges = 90_000
+
+// residentMemory tells what the process has, and the most that it had.
+func residentMemory(t *testing.T) string {
+	status, err := os.ReadFile("/proc/self/status")
+	must(t, err)
+	return strings.Join(regexp.MustCompile(`Vm(HWM|RSS):.*`).FindAllString(string(status), -1), ", ")
+}
+
+// BenchmarkDesignSize writes and reads a snapshot of the design size: 13,000 services, 76,000 routes, 1.3 million tenants.
+func BenchmarkDesignSize(b *testing.B) {
+	var builder configtable.Builder
+	random := rand.New(rand.NewPCG(1, 1))
+	for service := range 13_000 {
+		name := fmt.Sprintf("service-%05d", service)
+		must(b, builder.AddService(name, uint64(service+1)))
+		for k := range 6 - service%13/11 {
+			must(b, builder.Add(configtable.Change{Operation: configtable.Put, Kind: configtable.Route, Service: name, Name: fmt.Sprintf("route-%d", k),
+				Value: configtable.Value{Route: configtable.RouteValue{Method: fmt.Sprintf("valveglade.Service%05d/Method%d", service, k),
+					LatencyTargetMilliseconds: 250, DeadlineMilliseconds: 1000, Criticality: 0.5}}}))
+		}
+		for k := range 100 {
+			must(b, builder.Add(configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: name,
+				Name:  fmt.Sprintf("account-%02x%010x", k, random.Uint64()>>24),
+				Value: configtable.Value{Tenant: configtable.TenantValue{QuotaPerSecond: float64(random.IntN(100_000)) / 10}}}))
+		}
+	}
+	table := builder.Table()
+	folder := b.TempDir()
+	store, _ := open(b, folder)
+	for b.Loop() {
+		started := time.Now()
+		must(b, store.Compact(table, Version{Term: 1, Index: 13_000}))
+		b.ReportMetric(time.Since(started).Seconds(), "s/write")
+		child := exec.Command(os.Args[0], "-test.run=^TestOpenProcess$")
+		child.Env = append(os.Environ(), openFolder+"="+folder)
+		told, err := child.CombinedOutput()
+		must(b, err)
+		b.Logf("%v\n%s", table, told)
+	}
+	info, err := os.Stat(filepath.Join(folder, snapshotName))
+	must(b, err)
+	b.ReportMetric(float64(info.Size())/float64(table.Len()), "file-bytes/entry")
+}
