--- /dev/null
+++ b/store/configstore/fuzz_test.go
@@ -0,0 +1,61 @@
+package configstore
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"testing"
+)
+
+// A snapshot with right checksums is refused, or it is the one file that its table is written as.
+func FuzzSnapshot(f *testing.F) {
+	head := header{snapshotFile, owner, versionAt(9)}.encode()
+	var file bytes.Buffer
+	must(f, writeSnapshot(&file, owner, tableAt(f, 9), versionAt(9)))
+	f.Add(file.Bytes()[len(head) : file.Len()-checksumBytes])
+	f.Fuzz(func(t *testing.T, body []byte) {
+		whole := appendChecksum(append(bytes.Clone(head), body...))
+		table, version, err := readSnapshot("f", bytes.NewReader(whole), owner)
+		if err != nil {
+			if !isRefusal(err) || table.Len() > 0 {
+				t.Fatalf("%v with %v", table, err)
+			}
+			return
+		}
+		var again bytes.Buffer
+		must(t, writeSnapshot(&again, owner, table, version))
+		if !bytes.Equal(again.Bytes(), whole) {
+			t.Fatalf("%x is read, and written as %x", whole, again.Bytes())
+		}
+	})
+}
+
+// Any bytes after a log's header give entries in order, each written as it was read, and then an end or a refusal.
+func FuzzLog(f *testing.F) {
+	head := header{logFile, owner, Version{}}.encode()
+	var records []byte
+	for k := 1; k <= 3; k++ {
+		records = appendRecord(records, entry(f, k))
+	}
+	f.Add(records, byte(0))
+	f.Fuzz(func(t *testing.T, body []byte, start byte) {
+		snapshot := Version{Index: uint64(start)}
+		scan, err := newLogScan("f", bytes.NewReader(append(bytes.Clone(head), body...)), owner, snapshot)
+		must(t, err)
+		for last := snapshot; ; last = scan.last {
+			got, at, err := scan.next()
+			if err != nil {
+				if err != io.EOF && !errors.Is(err, errTorn) && !isRefusal(err) {
+					t.Fatal(err)
+				}
+				return
+			}
+			if got.Index <= last.Index || got.Term < last.Term {
+				t.Fatalf("%+v after %+v", got, last)
+			}
+			if again := appendRecord(nil, got); !bytes.HasPrefix(body[int(at)-len(head):], again) {
+				t.Fatalf("read %+v, written as %x", got, again)
+			}
+		}
+	})
+}
