--- a/store/configstore/store.go
+++ b/store/configstore/store.go
@@ -201,6 +201,9 @@
 		return write(to)
 	})
 	if err != nil {
+		if s.log != nil && !s.isLogInPlace() {
+			s.failed = err
+		}
 		return err
 	}
 	if s.failed = s.openLog(); s.failed != nil {
@@ -218,6 +221,16 @@
 	return nil
 }
 
+// isLogInPlace reports whether the open log is still the one in the folder: what is written to another would be lost.
+func (s *Store) isLogInPlace() bool {
+	there, err := os.Stat(s.path(logName))
+	if err != nil {
+		return false
+	}
+	open, err := s.log.Stat()
+	return err == nil && os.SameFile(there, open)
+}
+
 // SaveVote replaces the vote, durably.
 func (s *Store) SaveVote(vote Vote) error {
 	if len(vote.Candidate) > maxOwner {
--- a/store/configstore/store_test.go
+++ b/store/configstore/store_test.go
@@ -291,3 +291,25 @@
 		t.Errorf("without the snapshot, with a vote of a later format: %+v", found)
 	}
 }
+
+// A compaction that fails leaves the log in use; once the log is no more the folder's, nothing is written to it.
+func TestCompactionFails(t *testing.T) {
+	folder := filled(t, 6, 18)
+	store, _ := open(t, folder)
+	must(t, os.Rename(filepath.Join(folder, snapshotName), filepath.Join(folder, "aside")))
+	must(t, os.Mkdir(filepath.Join(folder, snapshotName), 0o700))
+	if err := store.Compact(tableAt(t, 18), versionAt(18)); err == nil {
+		t.Fatal("a snapshot takes the place of a folder")
+	}
+	must(t, store.Append([]Entry{entry(t, 19)}))
+	must(t, os.Remove(filepath.Join(folder, snapshotName)))
+	must(t, os.Rename(filepath.Join(folder, "aside"), filepath.Join(folder, snapshotName)))
+	if last, _ := checkPrefix(t, copied(t, folder)); last != 19 {
+		t.Fatalf("%d entries, want 19", last)
+	}
+	must(t, os.Remove(filepath.Join(folder, logName)))
+	must(t, os.Mkdir(filepath.Join(folder, logName), 0o700))
+	if store.Compact(tableAt(t, 18), versionAt(18)) == nil || store.Append([]Entry{entry(t, 20)}) == nil || store.Sync() == nil {
+		t.Fatal("written to a log that is not in the folder")
+	}
+}
