--- a/config/fleet.go
+++ b/config/fleet.go
@@ -32,15 +32,7 @@
 	Shares          []Share
 	Reserved        int      // permits of each share that reserved members hold without a request
 	ReservedMembers []string // their names
-}
-
-// Share is a limit common to the whole fleet: of some methods at most so many RPCs run at once.
-type Share struct {
-	Name     string
-	Limit    int
-	MinLimit int     // where the limit is found, from Least to Limit; 0 where it is set
-	Target   float64 // where it is found: seconds that a run takes while what is behind is well
-	Methods  []string
+	Distribution    Distribution
 }
 
 // Role is an elected role: one app server at a time holds it and sends a command to an address at an interval.
@@ -69,7 +61,7 @@
 
 func defaultFleet() Fleet {
 	usual := view.Defaults()
-	f := Fleet{Probe: 0.3, Hold: usual.Hold, Forget: usual.Forget, Lease: 2, Drift: 0.01}
+	f := Fleet{Probe: 0.3, Hold: usual.Hold, Forget: usual.Forget, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
 	for _, p := range defaultAllow {
 		f.Allow = append(f.Allow, netip.MustParsePrefix(p))
 	}
@@ -219,7 +211,7 @@
 		func(settings *Settings) string {
 			return strconv.FormatFloat(settings.Fleet.Drift*100, 'g', 4, 64) + "%"
 		}},
-	{"fleet.state", "FOLDER|none", "a folder of this app server's own that lasts over restarts, for its votes",
+	{"fleet.state", "FOLDER|none", "a folder of this app server's own that lasts over restarts, for its votes and its part of the configuration",
 		func(settings *Settings, w []string) error {
 			if len(w) != 1 || w[0] == "" {
 				return errors.New("one folder is wanted, or none")
@@ -333,52 +325,6 @@
 		}},
 }
 
-// maxShares and maxPermits bound what may be set: each share is asked for some times a second.
-const maxShares, maxPermits = 16, 100_000
-
-// parseShare reads NAME LIMIT METHOD... or NAME auto LEAST-MOST TIME METHOD...
-func parseShare(w []string) (s Share, err error) {
-	form := errors.New("a name, a limit and methods are wanted, such as register 16 lookup record, or scorer auto 4-64 80ms score")
-	if len(w) < 3 || w[0] == "" || len(w[0]) > maxNameLength/2 {
-		return s, form
-	}
-	whole := func(word string) (int, error) {
-		n, err := strconv.Atoi(word)
-		if err != nil || n < 1 || n > maxPermits {
-			return 0, fmt.Errorf("%q is no number from 1 to %d", word, maxPermits)
-		}
-		return n, nil
-	}
-	s.Name, s.Methods = w[0], w[2:]
-	if w[1] != "auto" {
-		s.Limit, err = whole(w[1])
-		return s, err
-	}
-	least, most, ok := strings.Cut(w[2], "-")
-	if len(w) < 5 || !ok {
-		return s, form
-	}
-	if s.MinLimit, err = whole(least); err != nil {
-		return s, err
-	}
-	if s.Limit, err = whole(most); err != nil {
-		return s, err
-	}
-	if s.MinLimit > s.Limit {
-		return s, fmt.Errorf("the least, %d, is above the most, %d", s.MinLimit, s.Limit)
-	}
-	s.Methods = w[4:]
-	return s, readDuration(&s.Target, w[3:4], 0.001, 60)
-}
-
-func (s Share) String() string {
-	limit := strconv.Itoa(s.Limit)
-	if s.MinLimit > 0 {
-		limit = fmt.Sprintf("auto %d-%d %s", s.MinLimit, s.Limit, showDuration(s.Target))
-	}
-	return s.Name + " " + limit + " " + strings.Join(s.Methods, " ")
-}
-
 // splitAtSlash returns the groups of words between single slashes.
 func splitAtSlash(w []string) [][]string {
 	all := [][]string{nil}
@@ -418,99 +364,3 @@
 	}
 	return strings.Join(words, " ")
 }
-
-// allows tells whether an address is among those that packets are taken from.
-func (f Fleet) allows(at netip.Addr) bool {
-	return slices.ContainsFunc(f.Allow, func(p netip.Prefix) bool { return p.Contains(at.Unmap()) })
-}
-
-// checkFleet refuses what contradicts itself.
-func (settings *Settings) checkFleet() error {
-	f := settings.Fleet
-	directiveError := func(name, why string, args ...any) error {
-		return &DirectiveError{settings.Path, settings.lines[name], name, fmt.Sprintf(why, args...)}
-	}
-	if !f.On() {
-		for _, d := range fleetDirectives {
-			if d.name != "fleet.listen" && settings.lines[d.name] > 0 && d.show(settings) != d.show(NewSettings()) {
-				return directiveError(d.name, "fleet.listen is not set")
-			}
-		}
-		return nil
-	}
-	others := f.Advertise
-	if !others.IsValid() {
-		if f.Listen.Addr().IsUnspecified() {
-			return directiveError("fleet.listen", "others need to be told an address: set fleet.advertise")
-		}
-		others = f.Listen
-	}
-	name := "fleet.advertise"
-	if settings.lines[name] == 0 {
-		name = "fleet.listen"
-	}
-	switch {
-	case others.Addr().IsUnspecified():
-		return directiveError(name, "%s is no address that others could reach", others)
-	case !f.allows(others.Addr()):
-		return directiveError(name, "%s is not among fleet.allow, so others would drop what comes from there", others)
-	case f.Hold < f.Probe:
-		at := "fleet.hold"
-		if settings.lines[at] == 0 {
-			at = "fleet.probe"
-		}
-		return directiveError(at, "a hold of %s is less than the %s between two probes", showDuration(f.Hold), showDuration(f.Probe))
-	}
-	for _, name := range []string{"fleet.lease", "fleet.drift", "fleet.state", "fleet.office", "fleet.share"} {
-		if len(f.Voters) == 0 && settings.lines[name] > 0 {
-			return directiveError(name, "fleet.voters is not set")
-		}
-	}
-	// Shorter than some probes a lease would end by what the network does every day.
-	if len(f.Voters) > 0 && f.Lease < 3*f.Probe {
-		at := "fleet.lease"
-		if settings.lines[at] == 0 {
-			at = "fleet.probe"
-		}
-		return directiveError(at, "a lease of %s is shorter than three probes of %s", showDuration(f.Lease), showDuration(f.Probe))
-	}
-	for _, s := range f.Shares {
-		if least := cmp.Or(s.MinLimit, s.Limit); f.Reserved*len(f.ReservedMembers) > least {
-			return directiveError("fleet.floor", "%d members with %d reserved are more than the %d of %s", len(f.ReservedMembers), f.Reserved, least, s.Name)
-		}
-	}
-	if f.Reserved > 0 && len(f.Shares) == 0 {
-		return directiveError("fleet.floor", "fleet.share is not set")
-	}
-	for _, at := range f.Join {
-		if !f.allows(at.Addr()) {
-			return directiveError("fleet.join", "%s is not among fleet.allow", at)
-		}
-	}
-	return nil
-}
-
-// isVoter reports whether a name is among the voters, of either list.
-func (f Fleet) isVoter(name string) bool {
-	return slices.ContainsFunc(f.Voters, func(list []string) bool { return slices.Contains(list, name) })
-}
-
-// CheckAgainst returns an error where the fleet's settings contradict the platform's config.
-func (f Fleet) CheckAgainst(c *Config) error {
-	switch {
-	case len(c.Name) > maxNameLength:
-		return keyError("name", "%d bytes are more than the %d that a fleet takes", len(c.Name), maxNameLength)
-	case f.Listen == c.Listen:
-		return keyError("listen", "%s is the fleet's too", c.Listen)
-	case f.State != "" && !f.isVoter(c.Name):
-		return keyError("name", "%q is not among fleet.voters, so it has no votes to persist: fleet.state is for voters", c.Name)
-	}
-	for _, s := range f.Shares {
-		for _, m := range s.Methods {
-			if !slices.Contains(c.Methods, m) {
-				return keyError("settings.profiles", "no method is called %q, which fleet.share %s names", m, s.Name)
-			}
-		}
-	}
-	return nil
-}
--- a/config/pressure.go
+++ b/config/pressure.go
@@ -23,9 +23,7 @@
 			settings.Pressure.On, err = readSwitch(w)
 			return err
 		},
-		func(settings *Settings) string {
-			return map[bool]string{true: "on", false: "off"}[settings.Pressure.On]
-		}},
+		func(settings *Settings) string { return showSwitch(settings.Pressure.On) }},
 	{"pressure.every", "TIME", "between two readings",
 		func(settings *Settings, w []string) error { return readDuration(&settings.Pressure.Every, w, 0.01, 1) },
 		func(settings *Settings) string { return showDuration(settings.Pressure.Every) }},
@@ -127,8 +125,8 @@
 
 // checkPressure refuses what contradicts itself.
 func (settings *Settings) checkPressure() error {
-	if line := settings.lines["pressure.growth"]; line > 0 && settings.Pressure.Terms.Forecast == 0 {
-		return &DirectiveError{settings.Path, line, "pressure.growth", "pressure.forecast is off"}
+	if settings.lines["pressure.growth"] > 0 && settings.Pressure.Terms.Forecast == 0 {
+		return settings.directiveError("pressure.growth", "pressure.forecast is off")
 	}
 	return nil
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -40,6 +40,11 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Name, e.Reason)
 }
 
+// directiveError reports a directive as it was set, or in line 0 as it is by default.
+func (settings *Settings) directiveError(name, reason string, args ...any) error {
+	return &DirectiveError{settings.Path, settings.lines[name], name, fmt.Sprintf(reason, args...)}
+}
+
 // directive is one name that a file may have.
 type directive struct {
 	name, form, about string
@@ -48,7 +53,7 @@
 }
 
 // directives are in the order in which they are shown; each subsystem's stand in a file of its own.
-var directives = slices.Concat(pressureDirectives, fleetDirectives)
+var directives = slices.Concat(pressureDirectives, fleetDirectives, distributionDirectives)
 
 func readSwitch(words []string) (bool, error) {
 	if len(words) == 1 && (words[0] == "on" || words[0] == "off") {
@@ -57,6 +62,13 @@
 	return false, errors.New("on or off is wanted")
 }
 
+func showSwitch(on bool) string {
+	if on {
+		return "on"
+	}
+	return "off"
+}
+
 func readDuration(into *float64, words []string, least, most float64) error {
 	if len(words) != 1 {
 		return errors.New("one time such as 250ms is wanted")
@@ -74,7 +86,7 @@
 
 func showDuration(s float64) string { return time.Duration(math.Round(s*1e6) * 1e3).String() }
 
-// NewSettings returns the settings those of an installation that sets nothing.
+// NewSettings returns the settings of an installation that sets nothing.
 func NewSettings() *Settings {
 	return &Settings{Pressure: Pressure{Every: 0.05, Terms: pressure.Defaults()}, Fleet: defaultFleet(), lines: map[string]int{}}
 }
