--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -17,6 +17,8 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"valveglade/rig/slope"
 )
 
 // rehearsal is one measurement with a name.
@@ -36,6 +38,7 @@
 	{"share-forty", "ten permits among forty processes", playShareForty},
 	{"share-auto", "a common limit that is found, as what stands behind bears less and more again", playShareAuto},
 	{"view-cost", "what the view costs: 20, 100 and 300 members in one process, at rest and after a fifth have died", playViewCost},
+	{"scale", "how costs grow with the size of the fleet, each with its fit and its error", playScale},
 	{"pressure-edge", "two minutes of steady load where the program just cannot bear it", playEdge},
 }
 
@@ -61,6 +64,7 @@
 
 	mu      sync.Mutex // parts of a rehearsal may be judged side by side
 	figures []figure
+	scale   *slope.Result // of the scale run
 }
 
 // span is how long a part of a rehearsal takes: a third of it in the shortest form.
@@ -167,8 +171,11 @@
 	}
 	p.say("took %.1f s", time.Since(p.began).Seconds())
 	if path != "" {
-		text, err := json.MarshalIndent(map[string]any{"rehearsal": r.name, "seed": p.Seed, "cores": runtime.NumCPU(),
-			"figures": p.figures}, "", " ")
+		told := map[string]any{"rehearsal": r.name, "seed": p.Seed, "cores": runtime.NumCPU(), "figures": p.figures}
+		if p.scale != nil {
+			told["scale"] = p.scale
+		}
+		text, err := json.MarshalIndent(told, "", " ")
 		if err != nil {
 			return err
 		}
