--- /dev/null
+++ b/rig/hollow/view.go
@@ -0,0 +1,286 @@
+package hollow
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"valveglade/logic/view"
+)
+
+// Steps in which one restart reaches the other members' views.
+type Restart uint8
+
+const (
+	// OneChange is a restart of which others hear one thing: a later incarnation, serving.
+	OneChange Restart = iota
+	// AllChanges is a restart as the program tells it: leaving, gone, back and cold, serving.
+	AllChanges
+)
+
+// ViewPlan is what one run of the pure view plays.
+type ViewPlan struct {
+	Members           int
+	RestartsPerSecond float64 // of the whole fleet
+	Restart           Restart
+	Seconds           float64 // simulated, after the fleet has settled
+	Observers         int     // machines that are run side by side
+	Seed              uint64
+}
+
+// ViewCost is what one machine of the run cost and saw.
+type ViewCost struct {
+	CoreShare    float64 // CPU seconds a simulated second
+	SettledShare float64 // of the simulated time
+	HeapBytes    float64
+	ViewsPerHour float64 // published with another digest
+}
+
+const (
+	tickSeconds  = 0.1  // between two ticks of a machine, as the member's loop has it
+	probeSeconds = 0.3  // between two probes, each of which brings another's digest
+	meanDelay    = 0.35 // seconds until gossip has reached a member, on the mean; rounds of 0.105 s
+	quietSeconds = 4.0  // simulated before the measurement, for the fleet to settle
+)
+
+// delivery is one event on its way to one observer.
+type delivery struct {
+	at       float64
+	observer int
+	event    view.Event
+}
+
+type deliveries []delivery
+
+func (d deliveries) Len() int           { return len(d) }
+func (d deliveries) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d deliveries) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *deliveries) Push(x any)        { *d = append(*d, x.(delivery)) }
+func (d *deliveries) Pop() any {
+	last := len(*d) - 1
+	x := (*d)[last]
+	*d = (*d)[:last]
+	return x
+}
+
+// pureView is a run: some observers' machines, and gossip on its way to them.
+type pureView struct {
+	plan    ViewPlan
+	random  *rand.Rand
+	entries []view.Entry // the truth
+	pending deliveries
+	nodes   []*view.Machine
+	now     float64
+}
+
+// RunView plays the view's machine alone, without sockets, over simulated time. Gossip reaches each observer after a delay of its
+// own; every probe brings an observer the digest that another one has. The bound on names is raised to what the plan needs.
+func RunView(plan ViewPlan) ViewCost {
+	v := newPureView(plan)
+	heapBefore := HeapBytes()
+	v.start()
+	for v.now < quietSeconds {
+		v.step(false)
+	}
+	heap := HeapBytes() - heapBefore
+	cost := v.measure()
+	cost.HeapBytes = heap / float64(plan.Observers)
+	return cost
+}
+
+func newPureView(plan ViewPlan) *pureView {
+	v := &pureView{plan: plan, random: rand.New(rand.NewPCG(plan.Seed, uint64(plan.Members)))}
+	for k := range plan.Members {
+		v.entries = append(v.entries, entry(k, 1000))
+	}
+	return v
+}
+
+func entry(k int, birth uint64) view.Entry {
+	return view.Entry{Name: memberName(k), Zone: fmt.Sprintf("z%02d", k%zones), Address: fmt.Sprintf("10.%d.%d.%d:7946", k>>16, k>>8&255, k&255),
+		Life: view.Life{Birth: birth, Nonce: uint32(birth)}, State: view.Serving, Proto: 1}
+}
+
+// zones is how many zones the members are spread over.
+const zones = 25
+
+func memberName(k int) string { return fmt.Sprintf("app%05d.pool", k) }
+
+// boundless is the usual settings with room for so many names.
+func boundless(members int) view.Terms {
+	terms := view.Defaults()
+	terms.Most = max(terms.Most, 2*members)
+	terms.Recall = max(terms.Recall, members)
+	return terms
+}
+
+// start makes the observers, the first members of the fleet, and tells them of all others.
+func (v *pureView) start() {
+	for k := range v.plan.Observers {
+		node := view.New(v.entries[k], nil, v.now, v.plan.Seed+uint64(k), boundless(v.plan.Members))
+		for other, e := range v.entries {
+			if other != k {
+				node.Step(view.Event{Kind: view.Heard, Entry: e}, v.now)
+			}
+		}
+		v.nodes = append(v.nodes, node)
+	}
+}
+
+// step is one tick of all observers.
+func (v *pureView) step(churn bool) {
+	v.now += tickSeconds
+	if churn {
+		v.restart()
+	}
+	for len(v.pending) > 0 && v.pending[0].at <= v.now {
+		d := heap.Pop(&v.pending).(delivery)
+		v.nodes[d.observer].Step(d.event, v.now)
+	}
+	for k, node := range v.nodes {
+		v.echo(k)
+		node.Tick(v.now)
+		v.carry(k)
+	}
+}
+
+// carry answers what a machine wants done: whoever it looks for is met.
+func (v *pureView) carry(k int) {
+	for _, order := range v.nodes[k].Out() {
+		if order.Kind == view.Seek {
+			v.nodes[k].Step(view.Event{Kind: view.Sought, Address: order.Address, OK: true}, v.now)
+		}
+	}
+}
+
+// echo brings an observer the digest of a random member, which sees what another observer sees.
+func (v *pureView) echo(k int) {
+	if len(v.nodes) < 2 || v.random.Float64() >= tickSeconds/probeSeconds {
+		return
+	}
+	seen := v.nodes[(k+1+v.random.IntN(len(v.nodes)-1))%len(v.nodes)].View()
+	who := v.entries[v.random.IntN(len(v.entries))].Name
+	v.nodes[k].Step(view.Event{Kind: view.Echo, Name: who, Version: seen.Version, Digest: seen.Digest}, v.now)
+}
+
+// restart draws the restarts of one tick. Observers themselves stay.
+func (v *pureView) restart() {
+	for expected := v.plan.RestartsPerSecond * tickSeconds; ; expected-- {
+		if v.random.Float64() >= expected {
+			return
+		}
+		k := v.plan.Observers + v.random.IntN(v.plan.Members-v.plan.Observers)
+		v.tell(k)
+	}
+}
+
+// Seconds from the notice of a restart: the old process has drained and says good-bye, the new one is heard of, and serves.
+const (
+	goneAfter    = 2.0
+	backAfter    = 4.0
+	servingAfter = 6.0
+)
+
+// tell has all observers hear of one restart.
+func (v *pureView) tell(k int) {
+	was := v.entries[k]
+	is := was
+	is.Life = view.Life{Birth: was.Life.Birth + 1, Nonce: was.Life.Nonce + 1}
+	v.entries[k] = is
+	if v.plan.Restart == OneChange {
+		v.spread(0, view.Event{Kind: view.Heard, Entry: is})
+		return
+	}
+	leaving, cold := was, is
+	leaving.State, cold.State = view.Leaving, view.Cold
+	v.spread(0, view.Event{Kind: view.Heard, Entry: leaving})
+	v.spread(goneAfter, view.Event{Kind: view.Bye, Entry: leaving})
+	v.spread(backAfter, view.Event{Kind: view.Heard, Entry: cold})
+	v.spread(servingAfter, view.Event{Kind: view.Heard, Entry: is})
+}
+
+// spread has an event reach each observer after a delay of its own.
+func (v *pureView) spread(after float64, e view.Event) {
+	for k := range v.nodes {
+		delay := meanDelay * (0.5 + v.random.Float64())
+		heap.Push(&v.pending, delivery{v.now + after + delay, k, e})
+	}
+}
+
+// measure plays the churn.
+func (v *pureView) measure() ViewCost {
+	var cost ViewCost
+	digests := make([]uint64, len(v.nodes))
+	settled, samples, changes := 0, 0, 0
+	began, cpu := v.now, CPU()
+	for v.now < began+v.plan.Seconds {
+		v.step(true)
+		for k, node := range v.nodes {
+			seen := node.View()
+			samples++
+			if seen.Sure == view.Settled {
+				settled++
+			}
+			if digests[k] != seen.Digest {
+				digests[k] = seen.Digest
+				changes++
+			}
+		}
+	}
+	played := (v.now - began) * float64(len(v.nodes))
+	cost.CoreShare = (CPU() - cpu).Seconds() / played
+	cost.SettledShare = float64(settled) / float64(samples)
+	cost.ViewsPerHour = float64(changes) / played * time.Hour.Seconds()
+	return cost
+}
+
+// Outage is how a machine bears the loss of some members at one time, and their return.
+type Outage struct {
+	LostSeconds float64 // until all observers have settled without them
+	BackSeconds float64 // until all observers have settled with them
+	CoreShare   float64 // of both, CPU seconds a simulated second
+}
+
+// RunOutage has that many members lost within spread seconds, and back later, with nothing else going on.
+func RunOutage(plan ViewPlan, lost int, spreadSeconds float64) Outage {
+	v := newPureView(plan)
+	v.start()
+	for v.now < quietSeconds {
+		v.step(false)
+	}
+	began, cpu := v.now, CPU()
+	last := plan.Members - lost
+	for k := last; k < plan.Members; k++ {
+		v.spread(v.random.Float64()*spreadSeconds, view.Event{Kind: view.Lost, Entry: v.entries[k]})
+	}
+	var out Outage
+	out.LostSeconds = v.untilSettled(last)
+	for k := last; k < plan.Members; k++ {
+		v.entries[k].Life.Birth++
+		v.spread(v.random.Float64()*spreadSeconds, view.Event{Kind: view.Heard, Entry: v.entries[k]})
+	}
+	out.BackSeconds = v.untilSettled(plan.Members)
+	out.CoreShare = (CPU() - cpu).Seconds() / ((v.now - began) * float64(len(v.nodes)))
+	return out
+}
+
+// settleLimit is for how many simulated seconds a settled view is waited for.
+const settleLimit = 60.0
+
+// untilSettled gives how long it takes until all observers are settled and see that many members; +Inf past the limit.
+func (v *pureView) untilSettled(members int) float64 {
+	for began := v.now; v.now < began+settleLimit; {
+		v.step(false)
+		all := true
+		for _, node := range v.nodes {
+			seen := node.View()
+			all = all && seen.Sure == view.Settled && len(seen.Members) == members
+		}
+		if all {
+			return v.now - began
+		}
+	}
+	return math.Inf(1)
+}
