--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -150,7 +150,7 @@
 	run.Flags().StringVar(&p.History, "history", "", "write all that was said and done to this file, as JSON lines")
 	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where a rehearsal draws")
 	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
-	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand())
+	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), hollowCommand())
 	return root
 }
 
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -1,4 +1,153 @@
 package main
 
+import (
+	"fmt"
+
+	"valveglade/rig/hollow"
+	"valveglade/rig/slope"
+)
+
 // roleScaleParts are the parts of the scale run that measure elected roles and quotas.
-var roleScaleParts []scalePart
+var roleScaleParts = []scalePart{
+	{"roles", measureRoles},
+	{"voter-burst", measureVoterBurst},
+	{"quota", measureQuota},
+}
+
+// usualLease is the default of fleet.lease, in seconds.
+const usualLease = 2
+
+const roleNote = "pure voters and candidates on simulated time, a lease of 2 s; bytes are those that the program would send"
+
+// measureRoles plays elections against candidates, and against roles.
+func measureRoles(p *play, r *slope.Result) error {
+	candidates, roles, few := []int{100, 300, 1000, 3000, 8600}, []int{1, 2, 4, 8}, 300
+	if p.brief {
+		candidates, few = []int{10, 20, 40, 80}, 20
+	}
+	var plans []hollow.RolePlan
+	for _, n := range candidates {
+		plans = append(plans, hollow.RolePlan{Candidates: n, Roles: 1, Seconds: 12, Lease: usualLease, KillOwner: true, Seed: p.Seed})
+	}
+	for _, n := range roles {
+		plans = append(plans, hollow.RolePlan{Candidates: few, Roles: n, Seconds: 12, Lease: usualLease, Seed: p.Seed})
+	}
+	costs, err := runHollows[hollow.RoleCost](p, "roles", plans)
+	if err != nil {
+		return err
+	}
+	found := points{}
+	for k, cost := range costs {
+		p.say("%d candidates, %d roles: a voter receives %.0f messages a second, at most %d in 20 ms, passes %.1f KB a second; "+
+			"%v a message; taken over after %.1f s", plans[k].Candidates, plans[k].Roles, cost.MessagesPerSecond, cost.PeakPerTick,
+			cost.BytesPerSecond/1000, cost.CPUPerMessage, cost.TakenOverSeconds)
+		x, against := float64(plans[k].Candidates), "candidates"
+		if k >= len(candidates) {
+			x, against = float64(plans[k].Roles), "roles"
+		}
+		found.add("voter.messages."+against, x, cost.MessagesPerSecond)
+		found.add("voter.peak."+against, x, float64(cost.PeakPerTick))
+		found.add("voter.bytes."+against, x, cost.BytesPerSecond/1000)
+		if against == "candidates" {
+			found.add("role.taken.over.candidates", x, cost.TakenOverSeconds)
+		}
+	}
+	units := []struct{ name, unit, against string }{
+		{"voter.messages.candidates", "messages a second", "members"}, {"voter.peak.candidates", "messages in 20 ms", "members"},
+		{"voter.bytes.candidates", "KB a second", "members"}, {"role.taken.over.candidates", "s", "members"},
+		{"voter.messages.roles", "messages a second", "roles"}, {"voter.peak.roles", "messages in 20 ms", "roles"},
+		{"voter.bytes.roles", "KB a second", "roles"},
+	}
+	for _, u := range units {
+		note := roleNote
+		if u.against == "roles" {
+			note = fmt.Sprintf("%s; %d candidates", roleNote, few)
+		}
+		if err := p.series(r, slope.Series{Name: u.name, Unit: u.unit, Against: u.against, Points: found[u.name], Note: note}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// measureVoterBurst has candidates ask a real voter all at one time.
+func measureVoterBurst(p *play, r *slope.Result) error {
+	sizes := []int{100, 300, 500, 1000, 3000, designMembers}
+	if p.brief {
+		sizes = []int{20, 40, 80, 160}
+	}
+	var answered, lost []slope.Point
+	for _, n := range sizes {
+		cost, err := runHollow[hollow.BurstCost](p, "burst", hollow.BurstPlan{Candidates: n})
+		if err != nil {
+			return err
+		}
+		p.say("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerQuestion)
+		answered = append(answered, slope.Point{X: float64(n), Y: float64(cost.Answered)})
+		lost = append(lost, slope.Point{X: float64(n), Y: 100 * float64(n-cost.Answered) / float64(n)})
+	}
+	note := "a real voter of fleet, all candidates ask at one moment, over an in-memory transport with no packet lost on its way"
+	err := p.series(r, slope.Series{Name: "voter.burst.answered", Unit: "questions", Against: "members", Points: answered, Note: note,
+		Fit: slope.Fit{Model: slope.ModelPower}})
+	if err != nil {
+		return err
+	}
+	return p.series(r, slope.Series{Name: "voter.burst.lost", Unit: "% of the questions", Against: "members", Points: lost, Note: note})
+}
+
+// measureQuota has hollow holders ask a real allocator.
+func measureQuota(p *play, r *slope.Result) error {
+	holders, kinds, seconds, many := []int{100, 250, 500, 1000}, []int{1, 2, 4, 8}, 2.0, 500
+	switch {
+	case p.brief:
+		holders, seconds, many = []int{5, 10, 20, 40}, 0.3, 10
+	case p.Long:
+		holders, seconds = []int{100, 250, 500, 750, 1000, 1500, 3000, designMembers}, 5
+	}
+	var plans []hollow.QuotaPlan
+	for _, n := range holders {
+		plans = append(plans, hollow.QuotaPlan{Holders: n, Kinds: 1, Seconds: seconds, Seed: p.Seed})
+	}
+	for _, n := range kinds {
+		plans = append(plans, hollow.QuotaPlan{Holders: many, Kinds: n, Seconds: seconds, Seed: p.Seed})
+	}
+	found := points{}
+	for k, plan := range plans {
+		cost, err := runHollow[hollow.QuotaCost](p, "quota", plan)
+		if err != nil {
+			return err
+		}
+		p.say("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
+			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.QuestionsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
+			100*cost.CoreShare, cost.CPUPerQuestion, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
+		x, against := float64(plan.Holders), "holders"
+		if k >= len(holders) {
+			x, against = float64(plan.Kinds), "kinds"
+		}
+		found.add("allocator.cpu."+against, x, 100*cost.CoreShare)
+		found.add("allocator.lost."+against, x, 100*cost.LostShare)
+		found.add("allocator.refused."+against, x, float64(cost.RefusedHolders))
+		found.add("allocator.sent.bytes."+against, x, cost.BytesPerSecond/1000)
+		found.add("allocator.sent.packets."+against, x, cost.PacketsPerSecond)
+	}
+	units := []struct{ name, unit, model string }{
+		{"allocator.cpu", "% of a core", slope.ModelPower}, {"allocator.lost", "% of the questions", slope.ModelLinear},
+		{"allocator.refused", "holders", slope.ModelLinear},
+		{"allocator.sent.bytes", "KB a second", slope.ModelLinear}, {"allocator.sent.packets", "packets a second", slope.ModelLinear},
+	}
+	for _, u := range units {
+		for _, against := range []string{"holders", "kinds"} {
+			s := slope.Series{Name: u.name + "." + against, Unit: u.unit, Against: "kinds of work", Fit: slope.Fit{Model: u.model},
+				Note: "a real allocator of fleet in real time over an in-memory transport, hollow holders that each ask ten times a second"}
+			if s.Points = found[s.Name]; against == "holders" {
+				s.Against = "members"
+			} else {
+				s.Note += fmt.Sprintf("; %d holders", many)
+			}
+			if err := p.series(r, s); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/rig/hollow/quota.go
@@ -0,0 +1,339 @@
+package hollow
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/fleet"
+	"valveglade/logic/owner"
+	"valveglade/logic/share"
+)
+
+// network is an in-memory transport between processes' parts in the fleet: a message is received in the sender's goroutine.
+type network struct {
+	mu    sync.RWMutex
+	nodes map[string]func(from string, payload []byte)
+	other func(from, to string, payload []byte) // for hollow ones
+}
+
+// port is one process's place in a network.
+type port struct {
+	name    string
+	network *network
+	packets atomic.Int64 // sent
+	bytes   atomic.Int64 // sent, with the heads of packets
+}
+
+func newNetwork(other func(from, to string, payload []byte)) *network {
+	return &network{nodes: map[string]func(string, []byte){}, other: other}
+}
+
+func (n *network) send(from, to string, payload []byte) {
+	n.mu.RLock()
+	receive := n.nodes[to]
+	n.mu.RUnlock()
+	if receive != nil {
+		receive(from, payload)
+		return
+	}
+	n.other(from, to, payload)
+}
+
+// Send puts a message on its way.
+func (p *port) Send(to string, payload []byte) {
+	p.packets.Add(1)
+	p.bytes.Add(int64(len(payload) + noteHead(p.name, to)))
+	p.network.send(p.name, to, payload)
+}
+
+// Receive has f told of what comes.
+func (p *port) Receive(f func(from string, payload []byte)) {
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	p.network.nodes[p.name] = f
+}
+
+// QuotaPlan is what one run of quotas plays: three real parts in the fleet, which vote and of which one becomes the allocator of
+// all kinds of work, and hollow holders with demand.
+type QuotaPlan struct {
+	Holders int
+	Kinds   int
+	Seconds float64
+	Seed    uint64
+}
+
+// QuotaCost is what the allocator bore, and what became of the holders' questions.
+type QuotaCost struct {
+	QuestionsPerSecond float64
+	LostShare          float64 // of the questions of holders that were answered at least once
+	RefusedHolders     int     // of whom no question was ever answered
+	CoreShare          float64 // of the goroutine that answers
+	CPUPerQuestion     time.Duration
+	PacketsPerSecond   float64 // that the allocator sends
+	BytesPerSecond     float64 // that the allocator sends
+}
+
+const (
+	quotaLease   = 2.0 // seconds, the default of fleet.lease
+	quotaLimit   = 2   // permits a holder: less than it wants, so that it goes on asking
+	quotaDemand  = 4   // RPCs that each holder has at any time
+	quotaAsk     = 100 * time.Millisecond
+	quotaSettled = 20 * time.Second // within which there is an allocator of each kind
+)
+
+func kindName(k int) string { return fmt.Sprintf("kind-%d", k) }
+
+// quotaRun is one run under way.
+type quotaRun struct {
+	plan    QuotaPlan
+	network *network
+	ports   []*port
+	threads []threadClock
+	fleets  []*fleet.Fleet
+
+	mu         sync.Mutex
+	allocators map[string]answer // by office
+	holders    []*hollowHolder
+	byName     map[string][]*hollowHolder // by kind
+}
+
+// hollowHolder asks for one kind of work. Its questions are those of the program's holder.
+type hollowHolder struct {
+	mu       sync.Mutex
+	name     string
+	life     owner.Life
+	office   string
+	asker    *owner.Asker
+	asked    int
+	answered int
+}
+
+// RunQuota has hollow holders ask a real part in the fleet for grants, in real time, each ten times a second and kind.
+func RunQuota(plan QuotaPlan) (QuotaCost, error) {
+	r := &quotaRun{plan: plan, allocators: map[string]answer{}, byName: map[string][]*hollowHolder{}}
+	r.network = newNetwork(r.deliver)
+	r.makeHolders()
+	ctx, stop := context.WithCancel(context.Background())
+	var group sync.WaitGroup
+	defer group.Wait()
+	defer stop()
+	if err := r.startFleets(ctx, &group); err != nil {
+		return QuotaCost{}, err
+	}
+	if err := r.awaitAllocators(); err != nil {
+		return QuotaCost{}, err
+	}
+	r.ask(time.Second) // all holders become known
+	return r.measure(), nil
+}
+
+func (r *quotaRun) makeHolders() {
+	for k := range r.plan.Holders {
+		name := memberName(k)
+		life := owner.Life{Name: name, Birth: r.plan.Seed + uint64(k)}
+		for kind := range r.plan.Kinds {
+			office := "share/" + kindName(kind)
+			h := &hollowHolder{name: name, life: life, office: office, asker: owner.NewAsker(life, office, quotaLoan())}
+			r.holders = append(r.holders, h)
+			r.byName[name] = append(r.byName[name], h)
+		}
+	}
+}
+
+func quotaLoan() owner.Loan { return owner.Loan{Length: 2 * quotaLease, Tail: 1, Drift: 0.01} }
+
+// startFleets starts the three that vote. Only the first campaigns: it is to become the allocator of every kind.
+func (r *quotaRun) startFleets(ctx context.Context, group *sync.WaitGroup) error {
+	var list, others []string
+	for k := range voters {
+		list = append(list, voterName(k))
+	}
+	for k := range r.plan.Holders {
+		others = append(others, memberName(k))
+	}
+	var terms []share.Terms
+	for kind := range r.plan.Kinds {
+		terms = append(terms, share.Terms{Name: kindName(kind), Limit: quotaLimit * r.plan.Holders, Methods: []int{kind}, Loan: quotaLoan()})
+	}
+	clocks := make(chan threadClock, voters)
+	for k, name := range list {
+		p := &port{name: name, network: r.network}
+		f, err := fleet.New(fleet.Seal{Name: name, Voters: [][]string{list}, Span: owner.Span{Lease: quotaLease, Drift: 0.01, Margin: quotaLease / 10},
+			Others: func() []string { return others }}, p, zap.NewNop())
+		if err != nil {
+			return err
+		}
+		if k == 0 {
+			if _, err := f.Lend(terms, r.plan.Kinds); err != nil {
+				return err
+			}
+		}
+		r.ports, r.fleets = append(r.ports, p), append(r.fleets, f)
+		group.Go(func() {
+			clocks <- lockThread()
+			f.Run(ctx)
+		})
+		r.threads = append(r.threads, <-clocks)
+	}
+	return nil
+}
+
+func (r *quotaRun) awaitAllocators() error {
+	for until := time.Now().Add(quotaSettled); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
+		r.mu.Lock()
+		known := len(r.allocators)
+		r.mu.Unlock()
+		if known == r.plan.Kinds {
+			return nil
+		}
+	}
+	return errors.New("no allocator for each kind of work")
+}
+
+// deliver takes what is sent to hollow holders.
+func (r *quotaRun) deliver(_, to string, payload []byte) {
+	a, ok := decodeAnswer(payload)
+	if !ok {
+		return
+	}
+	if a.word == wordKept {
+		r.mu.Lock()
+		r.allocators[a.office] = a
+		r.mu.Unlock()
+		return
+	}
+	for _, h := range r.byName[to] {
+		if h.office == a.office && a.word == wordGranted {
+			h.hear(a)
+		}
+	}
+}
+
+func (h *hollowHolder) hear(a answer) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.answered++
+	h.asker.Hear(owner.Answer{Office: a.office, To: h.life, Number: a.number, Term: a.term, Grants: a.grants}, time.Since(epoch).Seconds())
+}
+
+var epoch = time.Now()
+
+// question is the next one, for the allocator of a term.
+func (h *hollowHolder) question(term uint64) share.Question {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.asked++
+	h.asker.Know(term)
+	now := time.Since(epoch).Seconds()
+	holds, _ := h.asker.Holds(now)
+	return share.Question{Ask: h.asker.Ask(quotaDemand, min(holds, quotaDemand), now), Worth: 1}
+}
+
+// ask has every holder ask, evenly spread over each tenth of a second, for a time.
+func (r *quotaRun) ask(length time.Duration) {
+	began := time.Now()
+	asked := 0
+	for {
+		gone := time.Since(began)
+		if gone >= length {
+			return
+		}
+		due := int(float64(len(r.holders)) * gone.Seconds() / quotaAsk.Seconds())
+		for ; asked < due; asked++ {
+			r.askOne(r.holders[asked%len(r.holders)])
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+func (r *quotaRun) askOne(h *hollowHolder) {
+	r.mu.Lock()
+	allocator := r.allocators[h.office]
+	r.mu.Unlock()
+	q := h.question(allocator.term)
+	r.network.send(h.name, allocator.from, encodeQuestion(h.office, h.name, q))
+}
+
+func (r *quotaRun) measure() QuotaCost {
+	asked, answered, _ := r.counts()
+	packets, bytes, spent := r.ports[0].packets.Load(), r.ports[0].bytes.Load(), r.threads[0].spent()
+	began := time.Now()
+	r.ask(time.Duration(r.plan.Seconds * float64(time.Second)))
+	took := time.Since(began).Seconds()
+	spent = r.threads[0].spent() - spent
+	packets, bytes = r.ports[0].packets.Load()-packets, r.ports[0].bytes.Load()-bytes
+	time.Sleep(quotaAsk) // for the last answers
+	askedAfter, answeredAfter, refused := r.counts()
+	asked, answered = askedAfter-asked, answeredAfter-answered
+	cost := QuotaCost{RefusedHolders: refused, QuestionsPerSecond: float64(asked) / took, CoreShare: spent.Seconds() / took,
+		PacketsPerSecond: float64(packets) / took, BytesPerSecond: float64(bytes) / took}
+	served := asked * (len(r.holders) - refused) / len(r.holders)
+	cost.LostShare = max(1-float64(answered)/float64(max(served, 1)), 0)
+	cost.CPUPerQuestion = spent / time.Duration(max(asked, 1))
+	return cost
+}
+
+// counts tells how many questions there were and how many were answered, and how many holders never had an answer.
+func (r *quotaRun) counts() (asked, answered, refused int) {
+	for _, h := range r.holders {
+		h.mu.Lock()
+		asked, answered = asked+h.asked, answered+h.answered
+		if h.answered == 0 {
+			refused++
+		}
+		h.mu.Unlock()
+	}
+	return asked, answered, refused
+}
+
+// BurstPlan is a burst of questions. With a folder the voter keeps its votes on disk.
+type BurstPlan struct {
+	Candidates int
+	Folder     string
+}
+
+// BurstCost is what a voter answers of many questions that come at one time.
+type BurstCost struct {
+	Answered       int
+	CPUPerQuestion time.Duration
+}
+
+// RunVoterBurst has that many candidates ask one real voter at one time, as when a lease has ended, over an in-memory transport.
+func RunVoterBurst(plan BurstPlan) (BurstCost, error) {
+	var answered atomic.Int64
+	net := newNetwork(func(string, string, []byte) { answered.Add(1) })
+	p := &port{name: voterName(0), network: net}
+	list := []string{voterName(0), voterName(1), voterName(2)}
+	f, err := fleet.New(fleet.Seal{Name: p.name, Voters: [][]string{list}, Folder: plan.Folder,
+		Span: owner.Span{Lease: 0.5, Drift: 0.01, Margin: 0.05}}, p, zap.NewNop())
+	if err != nil {
+		return BurstCost{}, err
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	var group sync.WaitGroup
+	defer group.Wait()
+	defer stop()
+	group.Go(func() { f.Run(ctx) })
+	time.Sleep(700 * time.Millisecond) // it is silent for the longest lease at first
+	var questions [][]byte
+	for k := range plan.Candidates {
+		m := owner.Message{Word: owner.Canvass, Office: roleName(0), From: owner.Life{Name: memberName(k), Birth: 1}, To: p.name, Round: 1}
+		questions = append(questions, encodeRoleMessage(m))
+	}
+	before := CPU()
+	for k, q := range questions {
+		net.send(memberName(k), p.name, q)
+	}
+	for last := int64(-1); answered.Load() != last; time.Sleep(50 * time.Millisecond) {
+		last = answered.Load()
+	}
+	spent := CPU() - before
+	n := int(answered.Load())
+	return BurstCost{Answered: n, CPUPerQuestion: spent / time.Duration(max(n, 1))}, nil
+}
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -2,8 +2,8 @@
 
 import (
 	"container/heap"
+	"errors"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"time"
 
@@ -236,41 +236,56 @@
 	return cost
 }
 
-// Outage is how a machine bears the loss of some members at one time, and their return.
+// OutagePlan is the loss of some members at one time, and their return, with nothing else going on.
+type OutagePlan struct {
+	View          ViewPlan
+	Lost          int
+	SpreadSeconds float64 // over which the deaths are found
+}
+
+// Outage is how a machine bears it.
 type Outage struct {
 	LostSeconds float64 // until all observers have settled without them
 	BackSeconds float64 // until all observers have settled with them
 	CoreShare   float64 // of both, CPU seconds a simulated second
 }
 
-// RunOutage has that many members lost within spread seconds, and back later, with nothing else going on.
-func RunOutage(plan ViewPlan, lost int, spreadSeconds float64) Outage {
-	v := newPureView(plan)
+// ErrNotSettled is returned where observers do not settle within settleLimit.
+var ErrNotSettled = errors.New("views have not settled")
+
+// RunOutage plays it. It returns ErrNotSettled if the observers do not settle.
+func RunOutage(plan OutagePlan) (Outage, error) {
+	v := newPureView(plan.View)
 	v.start()
 	for v.now < quietSeconds {
 		v.step(false)
 	}
 	began, cpu := v.now, CPU()
-	last := plan.Members - lost
-	for k := last; k < plan.Members; k++ {
-		v.spread(v.random.Float64()*spreadSeconds, view.Event{Kind: view.Lost, Entry: v.entries[k]})
-	}
 	var out Outage
-	out.LostSeconds = v.untilSettled(last)
-	for k := last; k < plan.Members; k++ {
+	var err error
+	left := plan.View.Members - plan.Lost
+	for k := left; k < plan.View.Members; k++ {
+		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Lost, Entry: v.entries[k]})
+	}
+	if out.LostSeconds, err = v.untilSettled(left); err != nil {
+		return out, err
+	}
+	for k := left; k < plan.View.Members; k++ {
 		v.entries[k].Life.Birth++
-		v.spread(v.random.Float64()*spreadSeconds, view.Event{Kind: view.Heard, Entry: v.entries[k]})
+		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Heard, Entry: v.entries[k]})
+	}
+	if out.BackSeconds, err = v.untilSettled(plan.View.Members); err != nil {
+		return out, err
 	}
-	out.BackSeconds = v.untilSettled(plan.Members)
 	out.CoreShare = (CPU() - cpu).Seconds() / ((v.now - began) * float64(len(v.nodes)))
-	return out
+	return out, nil
 }
 
 // settleLimit is for how many simulated seconds a settled view is waited for.
 const settleLimit = 60.0
 
-// untilSettled gives how long it takes until all observers are settled and see that many members; +Inf past the limit.
-func (v *pureView) untilSettled(members int) float64 {
+// untilSettled gives how many seconds it takes until all observers are settled and see that many members.
+func (v *pureView) untilSettled(members int) (float64, error) {
 	for began := v.now; v.now < began+settleLimit; {
 		v.step(false)
 		all := true
@@ -279,8 +294,8 @@
 			all = all && seen.Sure == view.Settled && len(seen.Members) == members
 		}
 		if all {
-			return v.now - began
+			return v.now - began, nil
 		}
 	}
-	return math.Inf(1)
+	return 0, ErrNotSettled
 }
--- a/rig/hollow/view_test.go
+++ b/rig/hollow/view_test.go
@@ -38,7 +38,10 @@
 
 // TestRunOutage has a rack lost and back.
 func TestRunOutage(t *testing.T) {
-	out := RunOutage(tinyPlan(0), 10, 1)
+	out, err := RunOutage(OutagePlan{tinyPlan(0), 10, 1})
+	if err != nil {
+		t.Fatal(err)
+	}
 	if out.LostSeconds < 1 || out.LostSeconds > 10 || out.BackSeconds < 1 || out.BackSeconds > 10 {
 		t.Errorf("%+v", out)
 	}
