--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -17,6 +17,9 @@
 // is read from standard input, the cost written to standard output, as JSON.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow KIND", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+		if args[0] == "members" {
+			return hollow.ServeMembers(os.Stdin, os.Stdout)
+		}
 		run, known := hollowRuns[args[0]]
 		if !known {
 			return fmt.Errorf("no hollow run is named %q", args[0])
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"os"
 	"os/exec"
 	"runtime"
 	"runtime/debug"
@@ -33,7 +34,11 @@
 	r := &slope.Result{Commit: commit(), Go: runtime.Version(), Seed: p.Seed, Cores: runtime.NumCPU(), Long: p.Long}
 	p.scale = r
 	failed := 0
+	only := os.Getenv("SCALE_PART")
 	for _, part := range scaleParts() {
+		if only != "" && part.name != only {
+			continue
+		}
 		began := time.Now()
 		if err := part.measure(p, r); err != nil {
 			failed++
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -12,6 +12,7 @@
 	{"view-pure", measurePureView},
 	{"view-churn", measureViewChurn},
 	{"view-outage", measureViewOutage},
+	{"view-crowd", measureAmidCrowds},
 }
 
 // restartsPerMember is how often an app server restarts, per second: the design's restarts over its members.
--- /dev/null
+++ b/rig/hollow/members.go
@@ -0,0 +1,330 @@
+package hollow
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math"
+	"net/netip"
+	"os"
+	"os/exec"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/view"
+	"valveglade/member"
+)
+
+// MembersPlan is a process of some members: the program's own, with their sockets and goroutines, without an app server around.
+type MembersPlan struct {
+	First, Count int // by their numbers
+	Fleet        int // members of the whole fleet
+	At           netip.Addr // where they listen
+	Join         []netip.AddrPort
+	ClockFactor  float64 // by which every interval is longer than the program's; 1 if it is 0
+}
+
+// Seen is what one member of the process sees from now on.
+type Seen struct {
+	Member  int // from 0
+	Version uint64
+	Digest  uint64
+	Members int
+	Sure    view.Certainty
+	At      time.Time
+}
+
+// Sample is what the members of a process have cost so far.
+type Sample struct {
+	CPUSeconds    float64
+	ResidentBytes float64
+	HeapBytes     float64
+	Costs         []member.Cost
+}
+
+// report is one line from the process: the addresses at first, then what is seen, and samples when asked for.
+type report struct {
+	Nodes   []memberNode `json:",omitempty"`
+	Seen    *Seen        `json:",omitempty"`
+	Sample  *Sample      `json:",omitempty"`
+	Problem string       `json:",omitempty"`
+}
+
+type memberNode struct {
+	Name    string
+	Node    string // as the library knows it
+	Address netip.AddrPort
+}
+
+// ServeMembers is that process: it reads the plan from in, and then a line for each sample; it ends with in.
+func ServeMembers(in io.Reader, out io.Writer) error {
+	lines := bufio.NewScanner(in)
+	var plan MembersPlan
+	if !lines.Scan() {
+		return io.ErrUnexpectedEOF
+	}
+	if err := json.Unmarshal(lines.Bytes(), &plan); err != nil {
+		return err
+	}
+	s := &memberServer{to: json.NewEncoder(out)}
+	ctx, stop := context.WithCancel(context.Background())
+	defer s.group.Wait()
+	defer stop()
+	if err := s.start(ctx, plan); err != nil {
+		return err
+	}
+	for lines.Scan() {
+		s.tell(report{Sample: s.sample()})
+	}
+	for _, m := range s.members {
+		m.Drop()
+	}
+	return lines.Err()
+}
+
+type memberServer struct {
+	mu      sync.Mutex
+	to      *json.Encoder
+	members []*member.Member
+	group   sync.WaitGroup
+}
+
+func (s *memberServer) tell(r report) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.to.Encode(r)
+}
+
+func (s *memberServer) start(ctx context.Context, plan MembersPlan) error {
+	var nodes []memberNode
+	for k := range plan.Count {
+		name := memberName(plan.First + k)
+		m, err := member.New(member.Papers{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
+			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
+			Probe: stretch(probeEvery, plan.ClockFactor), Terms: stretchTerms(boundless(plan.Fleet), plan.ClockFactor)}, zap.NewNop())
+		if err != nil {
+			return err
+		}
+		s.members = append(s.members, m)
+		nodes = append(nodes, memberNode{Name: name, Node: nodeName(*m.View().Find(name)), Address: m.Address()})
+	}
+	s.tell(report{Nodes: nodes})
+	for k, m := range s.members {
+		s.group.Go(func() { m.Run(ctx) })
+		s.group.Go(func() { s.watch(ctx, k, m) })
+		m.Say(view.Serving, false, view.Load{})
+	}
+	return nil
+}
+
+// watch reports each view of one member.
+func (s *memberServer) watch(ctx context.Context, k int, m *member.Member) {
+	changes, stop := m.Changes()
+	defer stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-changes:
+			v := m.View()
+			s.tell(report{Seen: &Seen{k, v.Version, v.Digest, len(v.Members), v.Sure, time.Now()}})
+		}
+	}
+}
+
+func (s *memberServer) sample() *Sample {
+	out := &Sample{CPUSeconds: CPU().Seconds(), ResidentBytes: resident("self")}
+	for _, m := range s.members {
+		out.Costs = append(out.Costs, m.Cost())
+	}
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	out.HeapBytes = float64(stats.HeapInuse + stats.StackInuse)
+	return out
+}
+
+// resident is a process's resident memory in bytes, 0 if it cannot be read.
+func resident(process string) float64 {
+	text, err := os.ReadFile("/proc/" + process + "/statm")
+	if err != nil {
+		return 0
+	}
+	words := strings.Fields(string(text))
+	if len(words) < 2 {
+		return 0
+	}
+	pages, err := strconv.ParseFloat(words[1], 64)
+	if err != nil {
+		return 0
+	}
+	return pages * float64(os.Getpagesize())
+}
+
+// stretch makes an interval longer by a clock factor.
+func stretch(d time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(d) * max(factor, 1))
+}
+
+// stretchTerms makes all of a view's intervals longer by a clock factor.
+func stretchTerms(t view.Terms, factor float64) view.Terms {
+	for _, seconds := range []*float64{&t.Batch, &t.Hold, &t.Settle, &t.Stand, &t.Lonely, &t.Lag, &t.Wake, &t.Doubt, &t.Forget, &t.Vouch} {
+		*seconds *= max(factor, 1)
+	}
+	return t
+}
+
+// Members is such a process, as whoever started it sees it.
+type Members struct {
+	Nodes []memberNode
+	cmd   *exec.Cmd
+	in    io.WriteCloser
+	over  chan struct{}
+	onSee func(Seen)
+
+	samples chan Sample
+	mu      sync.Mutex
+	latest  []Seen
+	history []Seen
+}
+
+// StartMembers starts one. OnSee hears of every view.
+func StartMembers(cmd *exec.Cmd, plan MembersPlan, onSee func(Seen)) (*Members, error) {
+	in, err := cmd.StdinPipe()
+	if err != nil {
+		return nil, err
+	}
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	m := &Members{cmd: cmd, in: in, over: make(chan struct{}), onSee: onSee, samples: make(chan Sample, 1), latest: make([]Seen, plan.Count)}
+	if err := json.NewEncoder(in).Encode(plan); err != nil {
+		m.Close()
+		return nil, err
+	}
+	from := json.NewDecoder(out)
+	var first report
+	if err := from.Decode(&first); err != nil {
+		in.Close()
+		cmd.Wait()
+		return nil, fmt.Errorf("members: %w", err)
+	}
+	m.Nodes = first.Nodes
+	go m.read(from)
+	return m, nil
+}
+
+func (m *Members) read(from *json.Decoder) {
+	defer close(m.over)
+	for {
+		var r report
+		if from.Decode(&r) != nil {
+			return
+		}
+		if r.Sample != nil {
+			m.samples <- *r.Sample
+		}
+		if r.Seen == nil {
+			continue
+		}
+		m.mu.Lock()
+		m.latest[r.Seen.Member] = *r.Seen
+		m.history = append(m.history, *r.Seen)
+		m.mu.Unlock()
+		m.onSee(*r.Seen)
+	}
+}
+
+// Sample asks what they have cost so far.
+func (m *Members) Sample() (Sample, error) {
+	if _, err := io.WriteString(m.in, "sample\n"); err != nil {
+		return Sample{}, err
+	}
+	select {
+	case s := <-m.samples:
+		return s, nil
+	case <-m.over:
+		return Sample{}, io.ErrUnexpectedEOF
+	}
+}
+
+// Latest is what each of them sees.
+func (m *Members) Latest() []Seen {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return append([]Seen(nil), m.latest...)
+}
+
+// Settled tells whether all see that many members, alike and settled.
+func (m *Members) Settled(members int) bool {
+	all := m.Latest()
+	for _, s := range all {
+		if s.Members != members || s.Sure != view.Settled || s.Digest != all[0].Digest {
+			return false
+		}
+	}
+	return true
+}
+
+// UntilSettled waits for that, and gives how many seconds it took; +Inf where it did not come within a time.
+func (m *Members) UntilSettled(members int, within time.Duration) float64 {
+	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
+		if m.Settled(members) {
+			return time.Since(began).Seconds()
+		}
+	}
+	return math.Inf(1)
+}
+
+// SettledShare is in what share of a span they called themselves settled, on the mean.
+func (m *Members) SettledShare(from, to time.Time) float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	settled := time.Duration(0)
+	for k := range m.latest {
+		last := Seen{Sure: view.Unsettled}
+		since := from
+		for _, s := range append(m.of(k), Seen{Sure: view.Unsettled, At: to}) {
+			at := s.At
+			if at.After(to) {
+				at = to
+			}
+			if at.After(since) {
+				if last.Sure == view.Settled {
+					settled += at.Sub(since)
+				}
+				since = at
+			}
+			last = s
+		}
+	}
+	return settled.Seconds() / (to.Sub(from).Seconds() * float64(len(m.latest)))
+}
+
+// of is the history of one member, under the lock.
+func (m *Members) of(k int) []Seen {
+	var all []Seen
+	for _, s := range m.history {
+		if s.Member == k {
+			all = append(all, s)
+		}
+	}
+	return all
+}
+
+// Close ends the process and waits for it.
+func (m *Members) Close() error {
+	m.in.Close()
+	<-m.over
+	return m.cmd.Wait()
+}
