--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -67,6 +67,7 @@
 	}
 	cmd := exec.Command(p.self(), "hollow", kind)
 	cmd.Stdin = bytes.NewReader(text)
+	cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", hollowCores))
 	var complaint bytes.Buffer
 	cmd.Stderr = &complaint
 	out, err := cmd.Output()
@@ -76,7 +77,10 @@
 	return cost, json.Unmarshal(out, &cost)
 }
 
-// hollowAtOnce is how many measurements on simulated time run side by side.
+// hollowCores is how many cores a measurement may use at once: more would spin for work where there is none, which is CPU too.
+const hollowCores = 2
+
+// hollowAtOnce is how many measurements run side by side.
 const hollowAtOnce = 4
 
 // runHollows runs one measurement for each plan, some side by side, and gives the costs in the order of the plans.
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -57,6 +57,7 @@
 	Program  string // the program's binary
 	History  string // a file for what was said and done, if any
 	Script   string // a file of faults, if any
+	Part     string // the one part to run, if any, where a rehearsal has parts
 	rehearse string // this program's binary, where it is not the one that runs
 	brief    bool   // the shortest form, for tests
 	out      io.Writer
@@ -149,6 +150,7 @@
 	run.Flags().StringVar(&p.Program, "program", beside("valveglade"), "the program's binary")
 	run.Flags().StringVar(&p.History, "history", "", "write all that was said and done to this file, as JSON lines")
 	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where a rehearsal draws")
+	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where a rehearsal has parts")
 	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
 	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), hollowCommand())
 	return root
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -24,8 +24,8 @@
 
 // MembersPlan is a process of some members: the program's own, with their sockets and goroutines, without an app server around.
 type MembersPlan struct {
-	First, Count int // by their numbers
-	Fleet        int // members of the whole fleet
+	First, Count int        // by their numbers
+	Fleet        int        // members of the whole fleet
 	At           netip.Addr // where they listen
 	Join         []netip.AddrPort
 	ClockFactor  float64 // by which every interval is longer than the program's; 1 if it is 0
