--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -87,7 +87,9 @@
 func runHollows[C, P any](p *play, kind string, plans []P) ([]C, error) {
 	costs := make([]C, len(plans))
 	var group errgroup.Group
-	group.SetLimit(hollowAtOnce)
+	if group.SetLimit(hollowAtOnce); p.brief {
+		group.SetLimit(len(plans)) // tiny ones
+	}
 	for k, plan := range plans {
 		group.Go(func() (err error) {
 			costs[k], err = runHollow[C](p, kind, plan)
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"valveglade/rig"
+	"valveglade/rig/slope"
 )
 
 var program, rehearse string
@@ -107,3 +108,30 @@
 func TestShare(t *testing.T) {
 	rules(t, "share", "over.limit", "over.limit.restarted", "over.limit.off", "over.limit.even", "breaches")
 }
+
+// The scale run fits each of its series, from at least four sizes, and writes them beside the figures.
+func TestScale(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "scale.json")
+	var out bytes.Buffer
+	p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
+	if err := p.run(rehearsal{name: "scale", play: playScale}, path); err != nil {
+		t.Fatalf("%v:\n%s", err, &out)
+	}
+	result, err := slope.ReadResult(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"view.pure.cpu.all-changes", "view.pure.churn.settled", "view.pure.zone.lost", "view.member.cpu",
+		"view.member.bytes", "view.process.memory", "voter.messages.candidates", "voter.burst.lost", "allocator.cpu.holders"} {
+		s, found := result.Find(name)
+		if !found || len(s.Points) < slope.MinimumSizes || s.Largest == 0 || s.ClockFactor != 1 || s.Fit.Model == "" {
+			t.Errorf("%s: %+v", name, s)
+		}
+	}
+	if result.Seed != 1 || result.Commit == "" || result.Cores < 1 || result.TookSeconds <= 0 {
+		t.Errorf("%+v", result)
+	}
+	if !strings.Contains(out.String(), "worked out") {
+		t.Errorf("nothing is said to be worked out:\n%s", &out)
+	}
+}
