--- a/rig/hollow/encoding.go
+++ b/rig/hollow/encoding.go
@@ -8,8 +8,8 @@
 	"valveglade/logic/share"
 )
 
-// The bytes of fleet's messages, as docs/owner.md and docs/share.md have them: hollow candidates and holders speak to real
-// processes in them.
+// The bytes of fleet's messages, as docs/owner.md and docs/share.md have them: hollow candidates and leaseholders
+// speak to real processes in them.
 
 func appendText(out []byte, s string) []byte { return append(append(out, byte(len(s))), s...) }
 
@@ -19,10 +19,10 @@
 
 // encodeRoleMessage is a message between candidate and voter.
 func encodeRoleMessage(m owner.Message) []byte {
-	out := append([]byte("VO\x02"), byte(m.Word))
-	out = appendText(out, m.Office)
+	out := append([]byte("VO\x02"), byte(m.Kind))
+	out = appendText(out, m.Role)
 	out = appendText(out, m.From.Name)
-	out = binary.BigEndian.AppendUint64(out, m.From.Birth)
+	out = binary.BigEndian.AppendUint64(out, m.From.ID)
 	out = appendText(out, m.To)
 	out = binary.BigEndian.AppendUint64(out, m.Term)
 	out = binary.BigEndian.AppendUint64(out, m.Round)
@@ -30,37 +30,37 @@
 	return appendText(out, m.Holder)
 }
 
-// The words of messages about quotas.
+// The kinds of message about quotas.
 const (
-	wordKept    = 0
-	wordAsked   = 1
-	wordGranted = 2
+	kindAnnounced = 0
+	kindRequested = 1
+	kindGranted   = 2
 )
 
-// encodeQuestion is what a holder asks its allocator.
-func encodeQuestion(office, from string, q share.Question) []byte {
-	out := append([]byte("VG\x01"), wordAsked)
-	out = appendText(out, office)
+// encodeRequest is what a leaseholder asks its allocator.
+func encodeRequest(role, from string, q share.Request) []byte {
+	out := append([]byte("VG\x01"), kindRequested)
+	out = appendText(out, role)
 	out = appendText(out, from)
 	out = binary.BigEndian.AppendUint64(out, q.Term)
-	out = binary.BigEndian.AppendUint64(out, q.From.Birth)
+	out = binary.BigEndian.AppendUint64(out, q.From.ID)
 	out = binary.BigEndian.AppendUint64(out, q.Number)
 	for _, n := range []int{q.Holds, q.Uses, q.Wants} {
 		out = binary.BigEndian.AppendUint32(out, uint32(n))
 	}
 	out = appendFloat(out, q.Left)
-	out = appendFloat(out, q.Worth)
-	return appendFloat(out, q.Took)
+	out = appendFloat(out, q.Criticality)
+	return appendFloat(out, q.RunTime)
 }
 
 // answer is what an allocator sends, as far as hollow holders look at it.
 type answer struct {
-	word   byte
-	office string
+	kind   byte
+	role   string
 	from   string
 	term   uint64
-	birth  uint64 // of the holder, in a grant
-	number uint64 // of its question
+	id     uint64 // of the holder, in a grant
+	number uint64 // of its request
 	grants int
 }
 
@@ -69,7 +69,7 @@
 	if len(b) < 4 || string(b[:3]) != "VG\x01" {
 		return a, false
 	}
-	a.word, b = b[3], b[4:]
+	a.kind, b = b[3], b[4:]
 	text := func() string {
 		if len(b) == 0 || len(b) < 1+int(b[0]) {
 			b = nil
@@ -88,9 +88,9 @@
 		b = b[8:]
 		return n
 	}
-	a.office, a.from, a.term = text(), text(), number()
-	if a.word == wordGranted {
-		a.birth, a.number = number(), number()
+	a.role, a.from, a.term = text(), text(), number()
+	if a.kind == kindGranted {
+		a.id, a.number = number(), number()
 		if len(b) < 4 {
 			return a, false
 		}
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -106,7 +106,7 @@
 	var nodes []memberNode
 	for k := range plan.Count {
 		name := memberName(plan.First + k)
-		m, err := member.New(member.Papers{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
+		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
 			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 			Probe: stretch(probeEvery, plan.ClockFactor), Terms: stretchTerms(boundless(plan.Fleet), plan.ClockFactor)}, zap.NewNop())
 		if err != nil {
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -98,20 +98,20 @@
 	thread  threadClock // of the goroutine that asks
 
 	mu         sync.Mutex
-	allocators map[string]answer // by office
+	allocators map[string]answer // by role
 	holders    []*hollowHolder
 	byName     map[string][]*hollowHolder // by kind
 }
 
 // hollowHolder asks for one kind of work. Its questions are those of the program's holder.
 type hollowHolder struct {
-	mu       sync.Mutex
-	name     string
-	life     owner.Life
-	office   string
-	asker    *owner.Asker
-	asked    int
-	answered int
+	mu          sync.Mutex
+	name        string
+	incarnation owner.Incarnation
+	role        string
+	requester   *owner.Requester
+	asked       int
+	answered    int
 }
 
 // RunQuota has hollow holders ask a real part in the fleet for grants, in real time, each ten times a second and kind.
@@ -138,17 +138,17 @@
 func (r *quotaRun) makeHolders() {
 	for k := range r.plan.Holders {
 		name := memberName(k)
-		life := owner.Life{Name: name, Birth: r.plan.Seed + uint64(k)}
+		incarnation := owner.Incarnation{Name: name, ID: r.plan.Seed + uint64(k)}
 		for kind := range r.plan.Kinds {
-			office := "share/" + kindName(kind)
-			h := &hollowHolder{name: name, life: life, office: office, asker: owner.NewAsker(life, office, quotaLoan())}
+			role := "share/" + kindName(kind)
+			h := &hollowHolder{name: name, incarnation: incarnation, role: role, requester: owner.NewRequester(incarnation, role, quotaGrants())}
 			r.holders = append(r.holders, h)
 			r.byName[name] = append(r.byName[name], h)
 		}
 	}
 }
 
-func quotaLoan() owner.Loan { return owner.Loan{Length: 2 * quotaLease, Tail: 1, Drift: 0.01} }
+func quotaGrants() owner.Lease { return owner.Lease{Length: 2 * quotaLease, Tail: 1, Drift: 0.01} }
 
 // startFleets starts the three that vote. Only the first campaigns: it is to become the allocator of every kind.
 func (r *quotaRun) startFleets(ctx context.Context, group *sync.WaitGroup) error {
@@ -159,19 +159,19 @@
 	for k := range r.plan.Holders {
 		others = append(others, memberName(k))
 	}
-	var terms []share.Terms
+	var terms []share.Config
 	for kind := range r.plan.Kinds {
-		terms = append(terms, share.Terms{Name: kindName(kind), Limit: quotaLimit * r.plan.Holders, Methods: []int{kind}, Loan: quotaLoan()})
+		terms = append(terms, share.Config{Name: kindName(kind), Limit: quotaLimit * r.plan.Holders, Methods: []int{kind}, Lease: quotaGrants()})
 	}
 	for k, name := range list {
 		p := &port{name: name, network: r.network}
-		f, err := fleet.New(fleet.Seal{Name: name, Voters: [][]string{list}, Span: owner.Span{Lease: quotaLease, Drift: 0.01, Margin: quotaLease / 10},
+		f, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{list}, Timing: owner.Timing{Lease: quotaLease, Drift: 0.01, Margin: quotaLease / 10},
 			Others: func() []string { return others }}, p, zap.NewNop())
 		if err != nil {
 			return err
 		}
 		if k == 0 {
-			if _, err := f.Lend(terms, r.plan.Kinds); err != nil {
+			if _, err := f.AddQuota(terms, r.plan.Kinds); err != nil {
 				return err
 			}
 		}
@@ -199,14 +199,14 @@
 	if !ok {
 		return
 	}
-	if a.word == wordKept {
+	if a.kind == kindAnnounced {
 		r.mu.Lock()
-		r.allocators[a.office] = a
+		r.allocators[a.role] = a
 		r.mu.Unlock()
 		return
 	}
 	for _, h := range r.byName[to] {
-		if h.office == a.office && a.word == wordGranted {
+		if h.role == a.role && a.kind == kindGranted {
 			h.hear(a)
 		}
 	}
@@ -216,20 +216,20 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answered++
-	h.asker.Hear(owner.Answer{Office: a.office, To: h.life, Number: a.number, Term: a.term, Grants: a.grants}, time.Since(epoch).Seconds())
+	h.requester.HandleAnswer(owner.Answer{Role: a.role, To: h.incarnation, Number: a.number, Term: a.term, Grants: a.grants}, time.Since(epoch).Seconds())
 }
 
 var epoch = time.Now()
 
 // question is the next one, for the allocator of a term.
-func (h *hollowHolder) question(term uint64) share.Question {
+func (h *hollowHolder) question(term uint64) share.Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked++
-	h.asker.Know(term)
+	h.requester.ObserveTerm(term)
 	now := time.Since(epoch).Seconds()
-	holds, _ := h.asker.Holds(now)
-	return share.Question{Ask: h.asker.Ask(quotaDemand, min(holds, quotaDemand), now), Worth: 1}
+	holds, _ := h.requester.Holds(now)
+	return share.Request{Request: h.requester.Request(quotaDemand, min(holds, quotaDemand), now), Criticality: 1}
 }
 
 // mostLate is for how long questions that are due may be late; past it they are left out, as the generator itself was held up,
@@ -256,10 +256,10 @@
 
 func (r *quotaRun) askOne(h *hollowHolder) {
 	r.mu.Lock()
-	allocator := r.allocators[h.office]
+	allocator := r.allocators[h.role]
 	r.mu.Unlock()
 	q := h.question(allocator.term)
-	r.network.send(h.name, allocator.from, encodeQuestion(h.office, h.name, q))
+	r.network.send(h.name, allocator.from, encodeRequest(h.role, h.name, q))
 }
 
 func (r *quotaRun) measure() QuotaCost {
@@ -312,8 +312,8 @@
 	net := newNetwork(func(string, string, []byte) { answered.Add(1) })
 	p := &port{name: voterName(0), network: net}
 	list := []string{voterName(0), voterName(1), voterName(2)}
-	f, err := fleet.New(fleet.Seal{Name: p.name, Voters: [][]string{list}, Folder: plan.Folder,
-		Span: owner.Span{Lease: 0.5, Drift: 0.01, Margin: 0.05}}, p, zap.NewNop())
+	f, err := fleet.New(fleet.Config{Name: p.name, Voters: [][]string{list}, Folder: plan.Folder,
+		Timing: owner.Timing{Lease: 0.5, Drift: 0.01, Margin: 0.05}}, p, zap.NewNop())
 	if err != nil {
 		return BurstCost{}, err
 	}
@@ -325,7 +325,7 @@
 	time.Sleep(700 * time.Millisecond) // it is silent for the longest lease at first
 	var questions [][]byte
 	for k := range plan.Candidates {
-		m := owner.Message{Word: owner.Canvass, Office: roleName(0), From: owner.Life{Name: memberName(k), Birth: 1}, To: p.name, Round: 1}
+		m := owner.Message{Kind: owner.PreVote, Role: roleName(0), From: owner.Incarnation{Name: memberName(k), ID: 1}, To: p.name, Round: 1}
 		questions = append(questions, encodeRoleMessage(m))
 	}
 	before := CPU()
--- a/rig/hollow/quota_test.go
+++ b/rig/hollow/quota_test.go
@@ -48,7 +48,7 @@
 
 // TestDecodeAnswer refuses what is cut short.
 func TestDecodeAnswer(t *testing.T) {
-	question := encodeRoleMessage(owner.Message{Office: "o"})
+	question := encodeRoleMessage(owner.Message{Role: "o"})
 	if _, ok := decodeAnswer(question); ok {
 		t.Error("a vote is taken for an answer")
 	}
--- a/rig/hollow/roles.go
+++ b/rig/hollow/roles.go
@@ -82,20 +82,20 @@
 
 func newRoleRun(plan RolePlan) *roleRun {
 	r := &roleRun{plan: plan, names: map[string]int{}, dead: -1}
-	span := owner.Span{Lease: plan.Lease, Drift: 0.01, Margin: plan.Lease / 10}
+	timing := owner.Timing{Lease: plan.Lease, Drift: 0.01, Margin: plan.Lease / 10}
 	var list []string
 	for k := range voters {
 		list = append(list, voterName(k))
-		r.voters = append(r.voters, owner.NewVoter(voterName(k), nil, true, 1, 0, span))
+		r.voters = append(r.voters, owner.NewVoter(voterName(k), nil, true, 1, 0, timing))
 	}
 	for k := range plan.Candidates {
-		self := owner.Life{Name: memberName(k), Birth: plan.Seed + uint64(k)}
+		self := owner.Incarnation{Name: memberName(k), ID: plan.Seed + uint64(k)}
 		r.names[self.Name] = k
 		var all []*owner.Candidate
 		for role := range plan.Roles {
 			seed := plan.Seed + uint64(k*plan.Roles+role)
-			c := owner.NewCandidate(self, roleName(role), [][]string{list}, seed, 0, span)
-			c.Want(true, 0)
+			c := owner.NewCandidate(self, roleName(role), [][]string{list}, seed, 0, timing)
+			c.SetCampaigning(true, 0)
 			all = append(all, c)
 		}
 		r.candidates = append(r.candidates, all)
@@ -125,7 +125,7 @@
 	r.vote(questions)
 	for _, m := range answers {
 		if k := r.names[m.To]; k != r.dead {
-			r.candidates[k][roleIndex(m.Office)].Hear(m, r.now)
+			r.candidates[k][roleIndex(m.Role)].HandleAnswer(m, r.now)
 		}
 	}
 	for k, all := range r.candidates {
@@ -134,7 +134,7 @@
 		}
 		for _, c := range all {
 			c.Tick(r.now)
-			r.toVoters = append(r.toVoters, c.Out()...)
+			r.toVoters = append(r.toVoters, c.Ready()...)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		var k int
 		fmt.Sscanf(m.To, "voter%d", &k)
 		began := time.Now()
-		answers := r.voters[k].Take(m, r.now)
+		answers := r.voters[k].HandleMessage(m, r.now)
 		if k == 0 {
 			r.spent += time.Since(began)
 			received++
