--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -71,6 +71,9 @@
 	return nil
 }
 
+// thresholdNote is told with series that are 0 up to some size.
+const thresholdNote = "there is a threshold in it: the fit holds for the sizes that were run and for no other"
+
 // measureVoterBurst has candidates ask a real voter all at one time.
 func measureVoterBurst(p *play, r *slope.Result) error {
 	sizes := []int{100, 300, 500, 1000, 3000, designMembers}
@@ -86,19 +89,24 @@
 		return err
 	}
 	var answered, lost []slope.Point
+	firstLost := 0
 	for k, cost := range costs {
 		n := sizes[k]
 		p.say("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerQuestion)
 		answered = append(answered, slope.Point{X: float64(n), Y: float64(cost.Answered)})
 		lost = append(lost, slope.Point{X: float64(n), Y: 100 * float64(n-cost.Answered) / float64(n)})
+		if firstLost == 0 && cost.Answered < n {
+			firstLost = n
+		}
 	}
+	p.inform("voter.burst.first.lost", float64(firstLost))
 	note := "a real voter of fleet, all candidates ask at one moment, over an in-memory transport with no packet lost on its way"
-	err = p.series(r, slope.Series{Name: "voter.burst.answered", Unit: "questions", Against: "members", Points: answered, Note: note,
+	err = p.series(r, slope.Series{Name: "voter.burst.answered", Unit: "questions", Against: "questions at once", Points: answered, Note: note,
 		Fit: slope.Fit{Model: slope.ModelPower}})
 	if err != nil {
 		return err
 	}
-	return p.series(r, slope.Series{Name: "voter.burst.lost", Unit: "% of the questions", Against: "members", Points: lost, Note: note})
+	return p.series(r, slope.Series{Name: "voter.burst.lost", Unit: "% of the questions", Against: "questions at once", Points: lost, Note: note + "; " + thresholdNote})
 }
 
 // measureQuota has hollow holders ask a real allocator.
@@ -122,8 +130,12 @@
 		return err
 	}
 	found := points{}
+	firstLost := 0
 	for k, cost := range costs {
 		plan := plans[k]
+		if firstLost == 0 && plan.Kinds == 1 && cost.LostShare > anyLost {
+			firstLost = plan.Holders
+		}
 		p.say("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
 			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.QuestionsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
 			100*cost.CoreShare, cost.CPUPerQuestion, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
@@ -140,6 +152,7 @@
 		found.add("allocator.sent.bytes."+against, x, cost.BytesPerSecond/1000)
 		found.add("allocator.sent.packets."+against, x, cost.PacketsPerSecond)
 	}
+	p.inform("allocator.first.lost.holders", float64(firstLost))
 	units := []struct{ name, unit, model string }{
 		{"allocator.cpu", "% of a core", slope.ModelPower}, {"allocator.lost", "% of the questions", slope.ModelLinear},
 		{"allocator.refused", "holders", slope.ModelLinear},
@@ -149,7 +162,13 @@
 		for _, against := range []string{"holders", "kinds"} {
 			s := slope.Series{Name: u.name + "." + against, Unit: u.unit, Against: "kinds of work", Fit: slope.Fit{Model: u.model},
 				Note: "a real allocator of fleet in real time over an in-memory transport, hollow holders that each ask ten times a second"}
-			if s.Points = found[s.Name]; against == "holders" {
+			threshold := u.name == "allocator.lost" || u.name == "allocator.refused"
+			if threshold {
+				s.Note += "; " + thresholdNote
+			}
+			if s.Points = found[s.Name]; against == "holders" && threshold {
+				s.Against = "holders"
+			} else if against == "holders" {
 				s.Against = "members"
 			} else {
 				s.Note += fmt.Sprintf("; %d holders", many)
@@ -164,5 +183,8 @@
 	return nil
 }
 
+// anyLost is past which share questions are held for lost: one in some hundreds may still be on its way as the count ends.
+const anyLost = 0.005
+
 // mostLost is up to what share of lost questions an allocator is held for one that answers.
 const mostLost = 0.05
