--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -17,6 +17,8 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"valveglade/rig/slope"
 )
 
 // rehearsal is one measurement with a name.
@@ -36,6 +38,7 @@
 	{"share-forty", "ten permits among forty processes", playShareForty},
 	{"share-auto", "a common limit that is found, as what stands behind bears less and more again", playShareAuto},
 	{"view-cost", "what the view costs: 20, 100 and 300 members in one process, at rest and after a fifth have died", playViewCost},
+	{"scale", "how costs grow with the size of the fleet, each with its fit and its error", playScale},
 	{"pressure-edge", "two minutes of steady load where the program just cannot bear it", playEdge},
 }
 
@@ -54,6 +57,7 @@
 	Program  string // the program's binary
 	History  string // a file for what was said and done, if any
 	Script   string // a file of faults, if any
+	Part     string // the one part to run, if any, where a rehearsal has parts
 	rehearse string // this program's binary, where it is not the one that runs
 	brief    bool   // the shortest form, for tests
 	out      io.Writer
@@ -61,6 +65,7 @@
 
 	mu      sync.Mutex // parts of a rehearsal may be judged side by side
 	figures []figure
+	scale   *slope.Result // of the scale run
 }
 
 // span is how long a part of a rehearsal takes: a third of it in the shortest form.
@@ -145,8 +150,9 @@
 	run.Flags().StringVar(&p.Program, "program", beside("valveglade"), "the program's binary")
 	run.Flags().StringVar(&p.History, "history", "", "write all that was said and done to this file, as JSON lines")
 	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where a rehearsal draws")
+	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where a rehearsal has parts")
 	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
-	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand())
+	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), hollowCommand())
 	return root
 }
 
@@ -167,8 +173,11 @@
 	}
 	p.say("took %.1f s", time.Since(p.began).Seconds())
 	if path != "" {
-		text, err := json.MarshalIndent(map[string]any{"rehearsal": r.name, "seed": p.Seed, "cores": runtime.NumCPU(),
-			"figures": p.figures}, "", " ")
+		told := map[string]any{"rehearsal": r.name, "seed": p.Seed, "cores": runtime.NumCPU(), "figures": p.figures}
+		if p.scale != nil {
+			told["scale"] = p.scale
+		}
+		text, err := json.MarshalIndent(told, "", " ")
 		if err != nil {
 			return err
 		}
--- /dev/null
+++ b/cmd/rehearse/scale_view.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"fmt"
+
+	"valveglade/rig/hollow"
+	"valveglade/rig/slope"
+)
+
+// viewScaleParts are the parts of the scale run that measure the view.
+var viewScaleParts = []scalePart{
+	{"view-pure", measurePureView},
+	{"view-churn", measureViewChurn},
+	{"view-outage", measureViewOutage},
+	{"view-crowd", measureAmidCrowds},
+}
+
+// restartsPerMember is how often an app server restarts, per second: the design's restarts over its members.
+const restartsPerMember = designRestartsPerDay / 86400.0 / designMembers
+
+// pureSizes are the sizes at which the view's machine runs alone.
+func (p *play) pureSizes() []int {
+	switch {
+	case p.brief:
+		return []int{20, 40, 80, 160}
+	case p.Long:
+		return []int{300, 1000, 3000, 8600, 17200}
+	}
+	return []int{300, 1000, 3000, 8600}
+}
+
+// pureSeconds is how many seconds are simulated at each size.
+func (p *play) pureSeconds(members int) float64 {
+	switch {
+	case p.brief:
+		return 10
+	case p.Long && members <= designMembers:
+		return 90
+	case members > 4000:
+		return 15
+	}
+	return 60
+}
+
+// points collects one value of each size, by series.
+type points map[string][]slope.Point
+
+func (p points) add(name string, x, y float64) { p[name] = append(p[name], slope.Point{X: x, Y: y}) }
+
+const pureNote = "the pure view: the machine of logic/view alone, on simulated time, fed generated gossip; its bound of 1,024 " +
+	"names raised by a setting"
+
+// observers is how many machines run in each measurement of the pure view.
+const observers = 2
+
+var restartKinds = []struct {
+	name string
+	kind hollow.Restart
+}{{"one-change", hollow.OneChange}, {"all-changes", hollow.AllChanges}}
+
+// measurePureView runs the view's machine alone against members, with restarts in proportion.
+func measurePureView(p *play, r *slope.Result) error {
+	var plans []hollow.ViewPlan
+	for _, members := range p.pureSizes() {
+		for _, restart := range restartKinds {
+			plans = append(plans, hollow.ViewPlan{Members: members, RestartsPerSecond: restartsPerMember * float64(members),
+				Restart: restart.kind, Seconds: p.pureSeconds(members), Observers: observers, Seed: p.Seed})
+		}
+	}
+	costs, err := runHollows[hollow.ViewCost](p, "view", plans)
+	if err != nil {
+		return err
+	}
+	found := points{}
+	for k, cost := range costs {
+		members, kind := plans[k].Members, restartKinds[k%len(restartKinds)].name
+		p.say("pure view, %s, %d members: %.3g%% of a core, settled %.1f%%, %.0f views an hour", kind, members,
+			100*cost.CoreShare, 100*cost.SettledShare, cost.ViewsPerHour)
+		found.add("view.pure.cpu."+kind, float64(members), 100*cost.CoreShare)
+		found.add("view.pure.settled."+kind, float64(members), 100*cost.SettledShare)
+		found.add("view.pure.memory."+kind, float64(members), cost.HeapBytes/(1<<20))
+	}
+	for _, restart := range restartKinds {
+		all := []slope.Series{
+			{Name: "view.pure.cpu." + restart.name, Unit: "% of a core", Fit: slope.Fit{Model: slope.ModelPower}},
+			{Name: "view.pure.settled." + restart.name, Unit: "% of the time", Fit: slope.Fit{Model: slope.ModelLog}},
+			{Name: "view.pure.memory." + restart.name, Unit: "MB", Fit: slope.Fit{Model: slope.ModelLinear}},
+		}
+		for _, s := range all {
+			s.Against, s.Points, s.Note = "members", found[s.Name], pureNote
+			if err := p.series(r, s); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// measureViewChurn runs the view's machine alone at one size against churn.
+func measureViewChurn(p *play, r *slope.Result) error {
+	members, seconds := 300, 120.0
+	if p.brief {
+		members, seconds = 100, 20
+	}
+	var plans []hollow.ViewPlan
+	for _, perSecond := range []float64{0.05, 0.1, 0.2, 0.4, 0.94} {
+		plans = append(plans, hollow.ViewPlan{Members: members, RestartsPerSecond: perSecond, Restart: hollow.AllChanges,
+			Seconds: seconds, Observers: observers, Seed: p.Seed})
+	}
+	costs, err := runHollows[hollow.ViewCost](p, "view", plans)
+	if err != nil {
+		return err
+	}
+	found := points{}
+	for k, cost := range costs {
+		found.add("cpu", plans[k].RestartsPerSecond, 100*cost.CoreShare)
+		found.add("settled", plans[k].RestartsPerSecond, 100*cost.SettledShare)
+	}
+	note := fmt.Sprintf("%s; at %d members", pureNote, members)
+	err = p.series(r, slope.Series{Name: "view.pure.churn.cpu", Unit: "% of a core", Against: "restarts a second",
+		Points: found["cpu"], Note: note})
+	if err != nil {
+		return err
+	}
+	return p.series(r, slope.Series{Name: "view.pure.churn.settled", Unit: "% of the time", Against: "restarts a second",
+		Points: found["settled"], Note: note, Fit: slope.Fit{Model: slope.ModelLog}})
+}
+
+const (
+	rackSize   = 40  // app servers that a rack or a switch takes with it
+	zoneParts  = 25  // zones, of which one is lost
+	lossSpread = 3.0 // seconds over which the deaths of one cause are found
+)
+
+// measureViewOutage has a rack, and a zone, lost and back at each size, at rest otherwise.
+func measureViewOutage(p *play, r *slope.Result) error {
+	var plans []hollow.OutagePlan
+	kinds := []string{"rack", "zone"}
+	for _, members := range p.pureSizes() {
+		for _, lost := range []int{min(rackSize, members/4), max(members/zoneParts, 1)} {
+			plan := hollow.ViewPlan{Members: members, Observers: observers, Seed: p.Seed}
+			plans = append(plans, hollow.OutagePlan{View: plan, Lost: lost, SpreadSeconds: lossSpread})
+		}
+	}
+	costs, err := runHollows[hollow.Outage](p, "outage", plans)
+	if err != nil {
+		return err
+	}
+	found := points{}
+	for k, out := range costs {
+		members, what := plans[k].View.Members, kinds[k%len(kinds)]
+		p.say("pure view, a %s of %d lost among %d: settled after %.1f s, back after %.1f s, %.3g%% of a core", what, plans[k].Lost,
+			members, out.LostSeconds, out.BackSeconds, 100*out.CoreShare)
+		found.add(what+".lost", float64(members), out.LostSeconds)
+		found.add(what+".back", float64(members), out.BackSeconds)
+		found.add(what+".cpu", float64(members), 100*out.CoreShare)
+	}
+	note := fmt.Sprintf("%s; deaths are found over %g s", pureNote, lossSpread)
+	for _, what := range kinds {
+		for _, part := range []struct{ name, unit string }{{"lost", "s"}, {"back", "s"}, {"cpu", "% of a core"}} {
+			name := what + "." + part.name
+			err := p.series(r, slope.Series{Name: "view.pure." + name, Unit: part.unit, Against: "members", Points: found[name], Note: note})
+			if err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
