--- a/cmd/rehearse/bare.go
+++ b/cmd/rehearse/bare.go
@@ -95,5 +95,5 @@
 	h := fnv.New64a()
 	h.Write([]byte(all))
 	json.NewEncoder(os.Stderr).Encode(map[string]any{"msg": "view", "digest": fmt.Sprintf("%016x", h.Sum64()),
-		"members": len(names), "sure": "", "changes": []string{}})
+		"members": len(names), "certainty": "", "changes": []string{}})
 }
--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -62,7 +62,7 @@
 		owns := false
 		for range changes {
 			v := m.View()
-			if lowest := v.Members[0].Name == name && v.Sure <= view.Narrow; lowest != owns {
+			if lowest := v.Members[0].Name == name && v.Certainty <= view.Partitioned; lowest != owns {
 				if owns = lowest; !owns {
 					end()
 					continue
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -191,7 +191,7 @@
 	if !ok {
 		for _, name := range who {
 			sight, _ := s.History.Latest(name)
-			p.say("%s: %d members, %s, %s", name, sight.Members, sight.Digest, sight.Sure)
+			p.say("%s: %d members, %s, %s", name, sight.Members, sight.Digest, sight.Certainty)
 		}
 		return math.Inf(1)
 	}
@@ -385,7 +385,7 @@
 	total, most := 0, 0
 	for _, name := range s.Running() {
 		sight, ok := s.History.Latest(name)
-		if !ok || sight.Sure == "withdrawn" {
+		if !ok || sight.Certainty == "superseded" {
 			continue
 		}
 		total++
@@ -454,7 +454,7 @@
 	for _, name := range small {
 		at := math.Inf(1)
 		for _, sight := range on.History.Sights(name, from) {
-			if sight.Sure == "narrow" {
+			if sight.Certainty == "partitioned" {
 				at = sight.T - from
 				break
 			}
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -75,7 +75,7 @@
 	settled := func(members []*member.Member) bool {
 		first := members[0].View()
 		for _, m := range members {
-			if v := m.View(); len(v.Members) != len(members) || v.Digest != first.Digest || v.Sure != view.Settled {
+			if v := m.View(); len(v.Members) != len(members) || v.Digest != first.Digest || v.Certainty != view.Converged {
 				return false
 			}
 		}
@@ -101,7 +101,7 @@
 			for _, e := range v.Members {
 				states[e.State.String()]++
 			}
-			seen[fmt.Sprintf("%d members, %v, version %d, %x, %v", len(v.Members), v.Sure, v.Version, v.Digest, states)]++
+			seen[fmt.Sprintf("%d members, %v, version %d, %x, %v", len(v.Members), v.Certainty, v.Version, v.Digest, states)]++
 		}
 		p.say("%v", seen)
 	}
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -61,7 +61,7 @@
 
 func defaultFleet() Fleet {
 	usual := view.Defaults()
-	f := Fleet{Probe: 0.3, Hold: usual.Hold, Forget: usual.Forget, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
+	f := Fleet{Probe: 0.3, Hold: usual.HoldTime, Forget: usual.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
 	for _, p := range defaultAllow {
 		f.Allow = append(f.Allow, netip.MustParsePrefix(p))
 	}
@@ -152,7 +152,7 @@
 	{"fleet.hold", "TIME", "for which a death has to stand before the view shows it",
 		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.Hold, w, 0.1, 60) },
 		func(settings *Settings) string { return showDuration(settings.Fleet.Hold) }},
-	{"fleet.forget", "TIME", "after which the dead are no longer looked for, and a narrow view is taken for the fleet",
+	{"fleet.forget", "TIME", "after which the dead are no longer looked for, and a partitioned view is taken for the fleet",
 		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.Forget, w, 10, 86400) },
 		func(settings *Settings) string { return showDuration(settings.Fleet.Forget) }},
 	{"fleet.socket", "PATH|none", "a local socket that tells the view, for `valveglade fleet`",
--- a/logic/view/sure.go
+++ b/logic/view/convergence.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// refresh makes a new view of what has come about, if anything has, and judges how sure it is.
+// refresh makes a new view of what has come about, if anything has, and judges its certainty.
 func (m *Machine) refresh(now float64, changes []Change) {
 	fresh := m.dirty && m.gather()
 	m.dirty = false
@@ -27,18 +27,18 @@
 		}
 	}
 	sure := m.judge(now)
-	if !fresh && m.published != nil && sure == m.published.Sure {
+	if !fresh && m.published != nil && sure == m.published.Certainty {
 		return
 	}
-	v := &View{Version: m.version, Digest: m.digest, Sure: sure, Members: m.members, Changes: changes}
-	if sure == Narrow {
+	v := &View{Version: m.version, Digest: m.digest, Certainty: sure, Members: m.members, Changes: changes}
+	if sure == Partitioned {
 		v.Healthy = m.healthy
 	}
 	m.published = v
-	m.order(Order{Kind: Publish, View: v})
+	m.emit(Action{Kind: Publish, View: v})
 }
 
-// agreed tells whether somebody is known to see the same.
+// agreed reports whether somebody is known to see the same.
 func (m *Machine) agreed() bool {
 	for _, e := range m.echoes {
 		if e.digest == m.digest {
@@ -55,7 +55,7 @@
 	for _, r := range m.records {
 		if r.visible {
 			e := r.shown
-			e.Load, e.Fails = r.latest.Load, r.fails >= failing
+			e.Load, e.Unreachable = r.latest.Load, r.failures >= unreachableAfter
 			all = append(all, e)
 		}
 	}
@@ -67,69 +67,69 @@
 	return true
 }
 
-// judge says how sure the view is, and keeps what a healthy one was.
+// judge returns the certainty of the view, and keeps what a healthy one was.
 func (m *Machine) judge(now float64) Certainty {
-	m.widen(now)
-	settled := m.quiet(now)
+	m.compareWithHealthy(now)
+	settled := m.converged(now)
 	switch {
 	case !settled:
-		m.settledAt = math.Inf(1)
-	case math.IsInf(m.settledAt, 1):
-		m.settledAt = now
+		m.convergedAt = math.Inf(1)
+	case math.IsInf(m.convergedAt, 1):
+		m.convergedAt = now
 	}
 	// What has grown is healthy at once, what has shrunk only when it has stood: the members of one cut are not all found
 	// dead at one time, and each step of a slow finding would count as the new measure otherwise.
-	if !m.narrow && (len(m.members) >= len(m.healthy) || now-m.settledAt >= m.terms.Stand) {
+	if !m.partitioned && (len(m.members) >= len(m.healthy) || now-m.convergedAt >= m.config.HealthyTime) {
 		m.healthy = m.members
 	}
 	switch {
-	case m.withdrawn:
-		return Withdrawn
-	case m.narrow:
-		return Narrow
+	case m.superseded:
+		return Superseded
+	case m.partitioned:
+		return Partitioned
 	case len(m.members) == 1:
 		return Alone
 	case !settled:
-		return Unsettled
+		return Converging
 	}
-	return Settled
+	return Converged
 }
 
-// quiet tells whether nothing is under way, here or with those who were asked last.
-func (m *Machine) quiet(now float64) bool {
-	if now-m.changed < m.terms.Settle || !m.Accuses(now) {
+// converged reports whether nothing is under way, here or with those who were asked last.
+func (m *Machine) converged(now float64) bool {
+	if now-m.changed < m.config.SettleTime || !m.Accuses(now) {
 		return false
 	}
 	for _, r := range m.records {
 		// One that flaps does not keep the others waiting: whether they see it alike, their digests tell.
-		if penalty(r, now) < allowed && (r.phase == coming || r.phase == fading || r.phase == present && !r.latest.alike(r.shown)) {
+		if penalty(r, now) < freePenalty && (r.phase == joining || r.phase == suspect || r.phase == alive && !r.latest.alike(r.shown)) {
 			return false
 		}
 	}
 	for _, e := range m.echoes {
 		// What was said before our own last change, or long ago, says nothing of now.
-		if e.at > m.changed+m.terms.Batch && now-e.at < 3*m.terms.Settle && e.digest != m.digest && m.terms.has(Agreeing) {
+		if e.at > m.changed+m.config.BatchTime && now-e.at < 3*m.config.SettleTime && e.digest != m.digest && m.config.enabled(Agreeing) {
 			return false
 		}
 	}
 	return true
 }
 
-// widen compares with the last healthy view. Those that have left by their own word are no loss.
-func (m *Machine) widen(now float64) {
+// compareWithHealthy compares with the last healthy view. Those that have left by their own word are no loss.
+func (m *Machine) compareWithHealthy(now float64) {
 	kept := m.healthy[:0:0]
 	for _, e := range m.healthy {
-		if r := m.records[e.Name]; r == nil || r.phase != departed {
+		if r := m.records[e.Name]; r == nil || r.phase != left {
 			kept = append(kept, e)
 		}
 	}
 	m.healthy = kept
-	narrow := 2*len(m.members) < len(m.healthy) && m.terms.has(Narrowing)
-	if narrow && !m.narrow {
-		m.narrowFrom = now
+	narrow := 2*len(m.members) < len(m.healthy) && m.config.enabled(DetectPartition)
+	if narrow && !m.partitioned {
+		m.partitionedSince = now
 	}
-	if narrow && now-m.narrowFrom >= m.terms.Forget {
+	if narrow && now-m.partitionedSince >= m.config.ForgetTime {
 		m.healthy, narrow = m.members, false // that is the fleet now
 	}
-	m.narrow = narrow
+	m.partitioned = narrow
 }
--- a/logic/view/view.go
+++ b/logic/view/view.go
@@ -1,6 +1,6 @@
-// Package view decides who is in the fleet, and how sure that is. It is told what gossip and the data path say of other
+// Package view decides who is in the fleet, and with which certainty. It is told what gossip and the data path say of other
 // app servers, and how late this process itself has been; it answers with views: ordered lists with a version and a
-// digest, the same on all members that have settled. It never does I/O, reads no clock, and knows an address only as a
+// digest, the same on all members that have converged. It never does I/O, reads no clock, and knows an address only as a
 // word. member/ drives it; whoever needs to know the fleet reads the views that come out.
 package view
 
@@ -13,19 +13,19 @@
 	"strings"
 )
 
-// Life tells one process under a name from another: Birth rises from one to the next, Nonce sets apart two that were
-// born alike.
-type Life struct {
-	Birth uint64 // milliseconds of Unix time at the start, or one more than any life known under that name
-	Nonce uint32
+// Incarnation tells one process under a name from another: Number rises from one to the next, Nonce sets apart two that
+// started alike.
+type Incarnation struct {
+	Number uint64 // milliseconds of Unix time at the start, or one more than any incarnation known under that name
+	Nonce  uint32
 }
 
-// MaxBirth bounds what is believed of a birth: past it nobody could be born later. It lies in the year 287396.
-const MaxBirth = 1 << 53
+// MaxIncarnation bounds what is believed of a number: past it nobody could be newer. It lies in the year 287396.
+const MaxIncarnation = 1 << 53
 
-// Before tells whether l came before m.
-func (l Life) Before(m Life) bool {
-	return l.Birth < m.Birth || l.Birth == m.Birth && l.Nonce < m.Nonce
+// Before reports whether l came before m.
+func (l Incarnation) Before(m Incarnation) bool {
+	return l.Number < m.Number || l.Number == m.Number && l.Nonce < m.Nonce
 }
 
 // State is what a member says of itself.
@@ -58,47 +58,47 @@
 
 // Entry is all that is known of one member.
 type Entry struct {
-	Name    string
-	Life    Life
-	Address string // where its fleet packets go
-	Zone    string
-	State   State
-	Ill     bool  // its work hangs, by its own word
-	Proto   uint8 // the protocol it speaks
-	Load    Load  // not part of the digest
-	Fails   bool  // work sent there fails, as seen from here; not part of the digest
+	Name        string
+	Incarnation Incarnation
+	Address     string // where its fleet packets go
+	Zone        string
+	State       State
+	Unhealthy   bool  // its work is stuck, as it reports itself
+	Proto       uint8 // the protocol it speaks
+	Load        Load  // not part of the digest
+	Unreachable bool  // work sent there fails, as seen from here; not part of the digest
 }
 
-// alike tells whether two entries are one in a view's digest.
+// alike reports whether two entries are one in a view's digest.
 func (e Entry) alike(o Entry) bool {
-	e.Load, e.Fails, o.Load, o.Fails = Load{}, false, Load{}, false
+	e.Load, e.Unreachable, o.Load, o.Unreachable = Load{}, false, Load{}, false
 	return e == o
 }
 
-// Certainty is how sure a view is of itself.
+// Certainty is how far a view can be relied on.
 type Certainty uint8
 
-// How sure a view can be.
+// The certainties, in the order in which they can be relied on.
 const (
-	Settled   Certainty = iota // nothing is under way, and those asked last see the same
-	Unsettled                  // something is under way, or others see something else, or this process was late itself
-	Narrow                     // less than half is left of the last healthy view
-	Alone                      // no other member is known
-	Withdrawn                  // a later process has this one's name
+	Converged   Certainty = iota // nothing is under way, and those asked last see the same
+	Converging                   // something is under way, or others see something else, or this process was late itself
+	Partitioned                  // less than half is left of the last healthy view
+	Alone                        // no other member is known
+	Superseded                   // a later process has this one's name
 )
 
-var certaintyNames = [...]string{"settled", "unsettled", "narrow", "alone", "withdrawn"}
+var certaintyNames = [...]string{"converged", "converging", "partitioned", "alone", "superseded"}
 
 func (c Certainty) String() string { return certaintyNames[c] }
 
 // View is who is in the fleet, as seen from one member at one time. It is never changed once published.
 type View struct {
-	Version uint64
-	Digest  uint64
-	Sure    Certainty
-	Members []Entry // ordered by name, this process's own among them: never empty
-	Healthy []Entry // the last healthy view while this one is narrow, nil otherwise
-	Changes []Change
+	Version   uint64
+	Digest    uint64
+	Certainty Certainty
+	Members   []Entry // ordered by name, this process's own among them: never empty
+	Healthy   []Entry // the last healthy view while this one is partitioned, nil otherwise
+	Changes   []Change
 }
 
 // Change is one step from the view before to this one.
@@ -131,15 +131,15 @@
 	}
 	for _, e := range members {
 		text(e.Name)
-		number(e.Life.Birth)
-		number(uint64(e.Life.Nonce))
+		number(e.Incarnation.Number)
+		number(uint64(e.Incarnation.Nonce))
 		text(e.Address)
 		text(e.Zone)
-		ill := uint64(0)
-		if e.Ill {
-			ill = 1
+		unhealthy := uint64(0)
+		if e.Unhealthy {
+			unhealthy = 1
 		}
-		number(uint64(e.State) | ill<<8 | uint64(e.Proto)<<16)
+		number(uint64(e.State) | unhealthy<<8 | uint64(e.Proto)<<16)
 	}
 	return h.Sum64()
 }
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -14,20 +14,20 @@
 type one struct {
 	*Machine
 	now      float64
-	orders   []Order
+	orders   []Action
 	versions []View
 }
 
 func begin(without Rule) *one {
 	t := Defaults()
-	t.Without = without
-	o := &one{Machine: New(Entry{Name: "me", Life: Life{100, 1}, Address: "a-me", State: Serving, Proto: 1}, []string{"a-seed"}, 0, 1, t)}
+	t.Disabled = without
+	o := &one{Machine: New(Entry{Name: "me", Incarnation: Incarnation{100, 1}, Address: "a-me", State: Serving, Proto: 1}, []string{"a-seed"}, 0, 1, t)}
 	o.take()
 	return o
 }
 
 func (o *one) take() {
-	for _, d := range o.Out() {
+	for _, d := range o.Ready() {
 		o.orders = append(o.orders, d)
 		if d.Kind == Publish {
 			o.versions = append(o.versions, *d.View)
@@ -64,16 +64,16 @@
 	return n
 }
 
-func (o *one) ordered(kind Do, address string) bool {
-	return slices.ContainsFunc(o.orders, func(d Order) bool { return d.Kind == kind && (address == "" || d.Address == address) })
+func (o *one) ordered(kind ActionKind, address string) bool {
+	return slices.ContainsFunc(o.orders, func(d Action) bool { return d.Kind == kind && (address == "" || d.Address == address) })
 }
 
 func life(name string, birth uint64) Entry {
-	return Entry{Name: name, Life: Life{birth, uint32(birth)}, Address: "a-" + name, State: Serving, Proto: 1}
+	return Entry{Name: name, Incarnation: Incarnation{birth, uint32(birth)}, Address: "a-" + name, State: Serving, Proto: 1}
 }
 
-func heard(name string, birth uint64) Event { return Event{Kind: Heard, Entry: life(name, birth)} }
-func died(name string, birth uint64) Event  { return Event{Kind: Lost, Entry: life(name, birth)} }
+func heard(name string, birth uint64) Event { return Event{Kind: Alive, Entry: life(name, birth)} }
+func died(name string, birth uint64) Event  { return Event{Kind: Dead, Entry: life(name, birth)} }
 
 // meet has n others heard of, and the view settle.
 func (o *one) meet(n int) {
@@ -85,13 +85,13 @@
 
 // The rules, each with what shows that it holds. Every one of these fails when its rule is left out.
 var shown = map[Rule]func(o *one) string{
-	LaterWins: func(o *one) string {
+	NewerWins: func(o *one) string {
 		o.step(heard("a", 10))
 		o.pass(1)
 		o.step(heard("a", 20))
 		o.step(heard("a", 10))
 		o.pass(1)
-		if e := o.View().Find("a"); e == nil || e.Life.Birth != 20 {
+		if e := o.View().Find("a"); e == nil || e.Incarnation.Number != 20 {
 			return fmt.Sprint("the earlier life is in the view: ", e)
 		}
 		return ""
@@ -143,18 +143,18 @@
 		}
 		return ""
 	},
-	Narrowing: func(o *one) string {
+	DetectPartition: func(o *one) string {
 		o.meet(11)
 		for k := range 7 {
 			o.step(died(fmt.Sprintf("o%02d", k), 10))
 			o.pass(0.5) // not all at one time
 		}
 		o.pass(2)
-		if v := o.View(); v.Sure != Narrow || len(v.Members) != 5 || len(v.Healthy) != 12 {
-			return fmt.Sprintf("%v of %d with %d beside", v.Sure, len(v.Members), len(v.Healthy))
+		if v := o.View(); v.Certainty != Partitioned || len(v.Members) != 5 || len(v.Healthy) != 12 {
+			return fmt.Sprintf("%v of %d with %d beside", v.Certainty, len(v.Members), len(v.Healthy))
 		}
-		o.pass(o.terms.Forget + 1)
-		if v := o.View(); v.Sure == Narrow || v.Healthy != nil {
+		o.pass(o.config.ForgetTime + 1)
+		if v := o.View(); v.Certainty == Partitioned || v.Healthy != nil {
 			return "narrow for ever"
 		}
 		return ""
@@ -165,32 +165,32 @@
 			o.step(heard(name, 10))
 			o.step(died(name, 10))
 		}
-		if n := len(o.records); n > o.terms.Most {
+		if n := len(o.records); n > o.config.MaxNames {
 			return fmt.Sprintf("%d names are kept", n)
 		}
 		for k := range 3000 {
 			o.step(heard(fmt.Sprintf("y%d", k), 10))
 		}
 		o.pass(1)
-		if n := len(o.View().Members); n > o.terms.Most+1 || n < 1000 {
+		if n := len(o.View().Members); n > o.config.MaxNames+1 || n < 1000 {
 			return fmt.Sprintf("%d members", n)
 		}
 		return ""
 	},
 	Agreeing: func(o *one) string {
 		o.meet(3)
-		if o.View().Sure != Settled {
+		if o.View().Certainty != Converged {
 			return "not settled though nothing is under way"
 		}
 		o.step(Event{Kind: Echo, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
 		o.pass(0.5)
-		if o.View().Sure != Unsettled {
+		if o.View().Certainty != Converging {
 			return "settled though another sees something else"
 		}
 		o.step(Event{Kind: Echo, Name: "o01", Version: 9, Digest: o.View().Digest})
 		o.pass(0.5)
-		if v := o.View(); v.Sure != Settled || v.Version != 9 {
-			return fmt.Sprintf("%v, version %d, though another sees the same at version 9", v.Sure, v.Version)
+		if v := o.View(); v.Certainty != Converged || v.Version != 9 {
+			return fmt.Sprintf("%v, version %d, though another sees the same at version 9", v.Certainty, v.Version)
 		}
 		return ""
 	},
@@ -198,9 +198,9 @@
 		o.meet(3)
 		k := len(o.versions)
 		o.step(died("o01", 10))
-		work := func() { o.step(Event{Kind: Word, Name: "o01", OK: true}) }
-		o.pass(o.terms.Vouch-1, work)
-		if o.digests(k) > 0 || !o.ordered(Knock, "a-o01") {
+		work := func() { o.step(Event{Kind: Reachability, Name: "o01", OK: true}) }
+		o.pass(o.config.VouchTime-1, work)
+		if o.digests(k) > 0 || !o.ordered(Probe, "a-o01") {
 			return "buried while its work answers"
 		}
 		o.pass(2, work)
@@ -208,26 +208,26 @@
 			return "never buried though gossip is sure"
 		}
 		for range 3 {
-			o.step(Event{Kind: Word, Name: "o02"})
+			o.step(Event{Kind: Reachability, Name: "o02"})
 		}
 		o.pass(0.5)
-		if !o.View().Find("o02").Fails {
+		if !o.View().Find("o02").Unreachable {
 			return "work that fails is not shown"
 		}
 		return ""
 	},
-	Seeking: func(o *one) string {
+	Rejoining: func(o *one) string {
 		o.meet(3)
 		o.step(died("o01", 10))
 		o.orders = nil
 		o.pass(5, func() { // whatever is tried fails
 			for _, d := range o.orders {
-				if d.Kind == Seek && d.Address != "a-o01" {
-					o.Step(Event{Kind: Sought, Address: d.Address}, o.now)
+				if d.Kind == Contact && d.Address != "a-o01" {
+					o.Step(Event{Kind: ContactDone, Address: d.Address}, o.now)
 				}
 			}
 		})
-		if !o.ordered(Seek, "a-o01") {
+		if !o.ordered(Contact, "a-o01") {
 			return "one that was lost is not looked for"
 		}
 		return ""
@@ -238,22 +238,22 @@
 		o.pass(0.5)
 		o.step(Event{Kind: Echo, Name: "o02", Version: 3, Digest: o.View().Digest})
 		o.pass(0.5)
-		if !o.ordered(Seek, "a-o01") || o.ordered(Seek, "a-o02") {
+		if !o.ordered(Contact, "a-o01") || o.ordered(Contact, "a-o02") {
 			return "nothing is exchanged with the one that sees something else"
 		}
 		return ""
 	},
-	Teaching: func(o *one) string {
+	NotifyingNewer: func(o *one) string {
 		o.step(heard("a", 50))
 		o.pass(1)
 		o.step(died("a", 50))
 		o.pass(2)
 		o.step(heard("a", 40)) // its clock went back
-		if !o.ordered(Teach, "a-a") {
+		if !o.ordered(NotifyNewerIncarnation, "a-a") {
 			return "one that was born too early is not told"
 		}
-		o.step(Event{Kind: Outlived, Entry: Entry{Name: "me", Life: Life{700, 3}}})
-		if o.Entry().Life.Birth != 701 || !o.ordered(Announce, "") {
+		o.step(Event{Kind: NewerIncarnation, Entry: Entry{Name: "me", Incarnation: Incarnation{700, 3}}})
+		if o.Entry().Incarnation.Number != 701 || !o.ordered(Announce, "") {
 			return "not born again after a life that is known"
 		}
 		return ""
@@ -280,12 +280,12 @@
 func TestRivals(t *testing.T) {
 	o := begin(0)
 	o.meet(2)
-	o.step(Event{Kind: Heard, Entry: Entry{Name: "me", Life: Life{90, 9}}})
-	if o.Withdrawn() {
+	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{90, 9}}})
+	if o.Superseded() {
 		t.Fatal("gave way to an earlier life")
 	}
-	o.step(Event{Kind: Heard, Entry: Entry{Name: "me", Life: Life{200, 9}}})
-	o.step(Event{Kind: Heard, Entry: Entry{Name: "me", Life: Life{300, 9}}})
+	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{200, 9}}})
+	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{300, 9}}})
 	n := 0
 	for _, d := range o.orders {
 		if d.Kind == Withdraw {
@@ -295,26 +295,26 @@
 	o.orders = nil
 	o.step(died("o01", 10))
 	o.pass(10)
-	if n != 1 || o.View().Sure != Withdrawn || len(o.orders) > 0 {
-		t.Errorf("%d times withdrawn, %v, then %v", n, o.View().Sure, o.orders)
+	if n != 1 || o.View().Certainty != Superseded || len(o.orders) > 0 {
+		t.Errorf("%d times withdrawn, %v, then %v", n, o.View().Certainty, o.orders)
 	}
 
 	o = begin(0)
 	o.step(heard("o01", 10))
-	o.step(Event{Kind: Heard, Entry: Entry{Name: "me", Life: Life{200, 9}}})
-	if o.Withdrawn() || o.Entry().Life.Birth != 201 {
+	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{200, 9}}})
+	if o.Superseded() || o.Entry().Incarnation.Number != 201 {
 		t.Errorf("a newcomer under a clock that went back: %v", o.Entry())
 	}
-	o.step(Event{Kind: Heard, Entry: Entry{Name: "me", Life: Life{500, 9}}})
-	if !o.Withdrawn() {
+	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{500, 9}}})
+	if !o.Superseded() {
 		t.Error("born again a second time")
 	}
 	// What nobody could be is not believed.
 	o = begin(0)
-	o.step(Event{Kind: Heard, Entry: Entry{Name: "me", Life: Life{math.MaxUint64, 9}}})
+	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{math.MaxUint64, 9}}})
 	o.step(heard("a", math.MaxUint64))
 	o.pass(1)
-	if o.Withdrawn() || len(o.View().Members) != 1 {
+	if o.Superseded() || len(o.View().Members) != 1 {
 		t.Errorf("believed an absurd birth: %v", o.View())
 	}
 }
@@ -330,9 +330,9 @@
 	if s := say(Serving); s != Joining {
 		t.Errorf("%v before it has met anybody", s)
 	}
-	o.pass(o.terms.Lonely)
-	if s := o.View().Find("me").State; s != Serving || o.View().Sure != Alone {
-		t.Errorf("%v, %v when nobody is there", s, o.View().Sure)
+	o.pass(o.config.LonelyTime)
+	if s := o.View().Find("me").State; s != Serving || o.View().Certainty != Alone {
+		t.Errorf("%v, %v when nobody is there", s, o.View().Certainty)
 	}
 	if s := say(Leaving); s != Leaving {
 		t.Errorf("%v after its notice", s)
@@ -340,11 +340,11 @@
 	// One that leaves by its own word is gone at once, and no loss.
 	o.meet(2)
 	k := len(o.versions)
-	o.step(Event{Kind: Bye, Entry: life("o00", 10)})
-	o.step(Event{Kind: Bye, Entry: life("o01", 10)})
+	o.step(Event{Kind: Leave, Entry: life("o00", 10)})
+	o.step(Event{Kind: Leave, Entry: life("o01", 10)})
 	o.pass(0.1)
-	if o.digests(k) != 1 || o.View().Sure == Narrow {
-		t.Errorf("%d views, %v", o.digests(k), o.View().Sure)
+	if o.digests(k) != 1 || o.View().Certainty == Partitioned {
+		t.Errorf("%d views, %v", o.digests(k), o.View().Certainty)
 	}
 	o.step(heard("o00", 10))
 	o.pass(1)
@@ -369,16 +369,16 @@
 	up     bool
 	asleep float64 // since when, 0 for awake
 	group  int
-	knows  map[string]Life // whom its gossip takes for alive
+	knows  map[string]Incarnation // whom its gossip takes for alive
 	unseen map[string]float64
 }
 
 func (w *world) start(c *citizen, name string) {
 	w.birth++
-	e := Entry{Name: name, Life: Life{w.birth, uint32(w.birth)}, Address: name, State: Serving, Proto: 1}
+	e := Entry{Name: name, Incarnation: Incarnation{w.birth, uint32(w.birth)}, Address: name, State: Serving, Proto: 1}
 	// Everybody's address is given to everybody: of those whom nobody living was told of, nobody could know.
 	c.Machine = New(e, w.seeds, w.now, w.birth, Defaults())
-	c.up, c.asleep, c.knows, c.unseen = true, 0, map[string]Life{}, map[string]float64{}
+	c.up, c.asleep, c.knows, c.unseen = true, 0, map[string]Incarnation{}, map[string]float64{}
 }
 
 func (w *world) at(address string) *citizen {
@@ -398,8 +398,8 @@
 func (w *world) meets(a, b *citizen) {
 	for _, pair := range [][2]*citizen{{a, b}, {b, a}} {
 		c, d := pair[0], pair[1]
-		c.Step(Event{Kind: Heard, Entry: d.Entry()}, w.now)
-		c.knows[d.Entry().Name], c.unseen[d.Entry().Name] = d.Entry().Life, w.now
+		c.Step(Event{Kind: Alive, Entry: d.Entry()}, w.now)
+		c.knows[d.Entry().Name], c.unseen[d.Entry().Name] = d.Entry().Incarnation, w.now
 	}
 }
 
@@ -427,25 +427,25 @@
 			}):
 				w.meets(c, d) // heard of through a third
 			case known && w.now-c.unseen[name] > 2:
-				c.Step(Event{Kind: Lost, Entry: Entry{Name: name, Life: c.knows[name]}}, w.now)
+				c.Step(Event{Kind: Dead, Entry: Entry{Name: name, Incarnation: c.knows[name]}}, w.now)
 				delete(c.knows, name)
 			}
 		}
 		c.Tick(w.now)
-		for _, o := range c.Out() {
+		for _, o := range c.Ready() {
 			switch o.Kind {
-			case Seek:
+			case Contact:
 				d := w.at(o.Address)
 				ok := d != nil && d != c && reach(c, d)
 				if ok {
 					w.meets(c, d)
 				}
-				c.Step(Event{Kind: Sought, Address: o.Address, OK: ok}, w.now)
-			case Knock:
+				c.Step(Event{Kind: ContactDone, Address: o.Address, OK: ok}, w.now)
+			case Probe:
 				d := w.at(o.Address)
-				c.Step(Event{Kind: Word, Name: o.Name, OK: d != nil && reach(c, d) && d.Entry().Name == o.Name}, w.now)
+				c.Step(Event{Kind: Reachability, Name: o.Name, OK: d != nil && reach(c, d) && d.Entry().Name == o.Name}, w.now)
 			case Rebuild:
-				c.knows = map[string]Life{}
+				c.knows = map[string]Incarnation{}
 			case Publish:
 				w.sane(c, o.View)
 			}
@@ -461,8 +461,8 @@
 	if !slices.IsSortedFunc(v.Members, byName) || digest(v.Members) != v.Digest {
 		w.t.Fatalf("a view out of order, or with another's digest")
 	}
-	if (v.Sure == Narrow) != (v.Healthy != nil) || v.Sure == Narrow && 2*len(v.Members) >= len(v.Healthy) {
-		w.t.Fatalf("%v: %d members, %d beside", v.Sure, len(v.Members), len(v.Healthy))
+	if (v.Certainty == Partitioned) != (v.Healthy != nil) || v.Certainty == Partitioned && 2*len(v.Members) >= len(v.Healthy) {
+		w.t.Fatalf("%v: %d members, %d beside", v.Certainty, len(v.Members), len(v.Healthy))
 	}
 }
 
@@ -522,8 +522,8 @@
 			v := c.View()
 			switch {
 			case !c.up:
-			case len(v.Members) != alive || alive > 1 && v.Sure != Settled && v.Sure != Narrow:
-				t.Fatalf("%s sees %d of %d, %v", c.Entry().Name, len(v.Members), alive, v.Sure)
+			case len(v.Members) != alive || alive > 1 && v.Certainty != Converged && v.Certainty != Partitioned:
+				t.Fatalf("%s sees %d of %d, %v", c.Entry().Name, len(v.Members), alive, v.Certainty)
 			case first == nil:
 				first = v
 			case v.Digest != first.Digest || v.Version != first.Version:
--- a/member/inspect.go
+++ b/member/inspect.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return fmt.Errorf("what %.80q says of itself: %v", node, err) // a lie, whatever it is
 	}
-	if node != handle(e.Name, e.Life.Nonce) {
+	if node != handle(e.Name, e.Incarnation.Nonce) {
 		return fmt.Errorf("%.80q goes by the name of %q", node, e.Name)
 	}
 	ip, ok := netip.AddrFromSlice(addr)
--- a/member/member.go
+++ b/member/member.go
@@ -35,7 +35,7 @@
 	Allow     []netip.Prefix
 	Probe     time.Duration // between two probes of others
 	Socket    string        // a local socket that tells the view, empty for none
-	Terms     view.Terms
+	Terms     view.Config
 	Now       func() time.Time // the wall clock, for births; time.Now if nil
 }
 
@@ -97,14 +97,14 @@
 	m := &Member{config: p, log: log, wire: w, events: make(chan view.Event, mostEvents), saying: make(chan struct{}, 1),
 		subs: map[chan struct{}]struct{}{}}
 	m.dropped, m.drop = context.WithCancel(context.Background())
-	w.lag, w.wake = seconds(p.Terms.Lag), seconds(p.Terms.Wake)
+	w.lag, w.wake = seconds(p.Terms.LagThreshold), seconds(p.Terms.WakeThreshold)
 	w.heard, w.answer, w.noted = m.tell, m.present, m.noted
 	var seeds []string
 	for _, a := range p.Join {
 		seeds = append(seeds, a.String())
 	}
 	self := view.Entry{Name: p.Name, Zone: p.Zone, Address: p.Advertise.String(), State: view.Cold, Proto: protoSpoken,
-		Life: view.Life{Birth: uint64(max(p.Now().UnixMilli(), 1)), Nonce: rand.Uint32()}}
+		Incarnation: view.Incarnation{Number: uint64(max(p.Now().UnixMilli(), 1)), Nonce: rand.Uint32()}}
 	m.self = view.Event{Kind: view.Self, Entry: self}
 	m.machine = view.New(self, seeds, m.now(), rand.Uint64(), p.Terms)
 	m.publish()
@@ -148,7 +148,7 @@
 
 // Say takes what is to be said of this app server: its state, whether its work hangs, its load.
 func (m *Member) Say(state view.State, ill bool, load view.Load) {
-	e := view.Event{Kind: view.Self, Entry: view.Entry{State: state, Ill: ill, Load: load}}
+	e := view.Event{Kind: view.Self, Entry: view.Entry{State: state, Unhealthy: ill, Load: load}}
 	m.mu.Lock()
 	same := e == m.self
 	m.self = e
@@ -160,7 +160,7 @@
 
 // Word takes what the data path has seen of a member: that it answered, or failed to.
 func (m *Member) Word(name string, ok bool) {
-	m.tell(view.Event{Kind: view.Word, Name: name, OK: ok})
+	m.tell(view.Event{Kind: view.Reachability, Name: name, OK: ok})
 }
 
 // tell passes an event on to the loop. It never waits: what does not fit is heard again in the next exchange.
@@ -181,7 +181,7 @@
 // Send puts a message of some hundred bytes on its way to a member, by its name; it votes nothing. Members that the view
 // has lost are sent to where they last were: whether they are there is not the view's to decide for whoever asks.
 func (m *Member) Send(to string, message []byte) {
-	if len(message) > mostNote || m.View().Sure == view.Withdrawn {
+	if len(message) > mostNote || m.View().Certainty == view.Superseded {
 		return
 	}
 	if to == m.config.Name {
@@ -198,7 +198,7 @@
 
 // noted passes a message on to whoever receives them here.
 func (m *Member) noted(from, to string, message []byte) {
-	if f := m.receive.Load(); f != nil && to == m.config.Name && m.View().Sure != view.Withdrawn {
+	if f := m.receive.Load(); f != nil && to == m.config.Name && m.View().Certainty != view.Superseded {
 		(*f)(from, append([]byte(nil), message...))
 	}
 }
@@ -223,7 +223,7 @@
 // present answers a knock.
 func (m *Member) present(name string) (view.Entry, bool) {
 	e := m.entry.Load()
-	return *e, e.Name == name && m.View().Sure != view.Withdrawn
+	return *e, e.Name == name && m.View().Certainty != view.Superseded
 }
 
 // beatEvery is how often the loop comes round at the least: a third of the lateness that matters.
@@ -303,18 +303,18 @@
 // carry has the machine's orders carried out. Whatever may wait does so in a goroutine of its own, of which the machine
 // bounds the number.
 func (m *Member) carry(ctx context.Context) {
-	for _, o := range m.machine.Out() {
+	for _, o := range m.machine.Ready() {
 		switch o.Kind {
 		case view.Publish:
 			m.publish()
 		case view.Announce:
 			m.publish()
 			signal(m.saying)
-		case view.Seek:
+		case view.Contact:
 			go m.meet(o.Address)
-		case view.Knock:
+		case view.Probe:
 			go m.ask(ctx, o.Name, o.Address)
-		case view.Teach:
+		case view.NotifyNewerIncarnation:
 			if to, err := netip.ParseAddrPort(o.Address); err == nil {
 				m.wire.send(kindTeach, appendTeach(nil, o.Entry), to)
 			}
@@ -325,8 +325,8 @@
 			}
 		case view.Withdraw:
 			m.log.Error("fleet: another process has this name and was born later; this one takes no further part",
-				zap.String("there", o.Entry.Address), zap.Uint64("its_birth", o.Entry.Life.Birth),
-				zap.Uint64("our_birth", m.machine.Entry().Life.Birth))
+				zap.String("there", o.Entry.Address), zap.Uint64("its_birth", o.Entry.Incarnation.Number),
+				zap.Uint64("our_birth", m.machine.Entry().Incarnation.Number))
 			go m.end()
 		}
 	}
@@ -349,9 +349,9 @@
 		signal(c)
 	}
 	m.mu.Unlock()
-	if was == nil || v.Digest != was.Digest || v.Sure != was.Sure {
+	if was == nil || v.Digest != was.Digest || v.Certainty != was.Certainty {
 		m.log.Info("view", zap.Uint64("version", v.Version), zap.String("digest", digestText(v.Digest)),
-			zap.Stringer("sure", v.Sure), zap.Int("members", len(v.Members)), zap.Int("healthy", len(v.Healthy)),
+			zap.Stringer("certainty", v.Certainty), zap.Int("members", len(v.Members)), zap.Int("healthy", len(v.Healthy)),
 			zap.Strings("changes", changeTexts(v.Changes)))
 	}
 }
@@ -397,7 +397,7 @@
 	g := &gossip{m: m, transport: m.wire.newTransport(m.config.Advertise)}
 	c := memberlist.DefaultLANConfig()
 	e := m.machine.Entry()
-	c.Name = handle(e.Name, e.Life.Nonce)
+	c.Name = handle(e.Name, e.Incarnation.Nonce)
 	c.Transport = g.transport
 	c.ProbeInterval = m.config.Probe
 	c.ProbeTimeout = time.Duration(float64(m.config.Probe) * probeWait)
@@ -460,7 +460,7 @@
 		n, err := g.Join([]string{address})
 		ok = err == nil && n > 0
 	}
-	m.tell(view.Event{Kind: view.Sought, Address: address, OK: ok})
+	m.tell(view.Event{Kind: view.ContactDone, Address: address, OK: ok})
 }
 
 // ask knocks at a member's address.
@@ -499,7 +499,7 @@
 }
 
 // heard passes on what the library says of a node, unless it has been begun anew since.
-func (g *gossip) heard(kind view.Kind, n *memberlist.Node) {
+func (g *gossip) heard(kind view.EventKind, n *memberlist.Node) {
 	if g.m.wire.transport.Load() != g.transport {
 		return
 	}
@@ -507,23 +507,23 @@
 	if err != nil {
 		return
 	}
-	if own := g.m.entry.Load(); n.Name == handle(own.Name, own.Life.Nonce) {
+	if own := g.m.entry.Load(); n.Name == handle(own.Name, own.Incarnation.Nonce) {
 		says := string(n.Meta)
 		g.says.Store(&says)
 		return
 	}
 	at, _ := netip.AddrFromSlice(n.Addr)
 	e.Address = netip.AddrPortFrom(at.Unmap(), n.Port).String()
-	if kind == view.Lost && e.State >= view.Leaving {
-		kind = view.Bye
+	if kind == view.Dead && e.State >= view.Leaving {
+		kind = view.Leave
 	}
 	g.m.tell(view.Event{Kind: kind, Entry: e})
 }
 
 // NotifyJoin, NotifyUpdate and NotifyLeave are the library's word on others.
-func (g *gossip) NotifyJoin(n *memberlist.Node)   { g.heard(view.Heard, n) }
-func (g *gossip) NotifyUpdate(n *memberlist.Node) { g.heard(view.Heard, n) }
-func (g *gossip) NotifyLeave(n *memberlist.Node)  { g.heard(view.Lost, n) }
+func (g *gossip) NotifyJoin(n *memberlist.Node)   { g.heard(view.Alive, n) }
+func (g *gossip) NotifyUpdate(n *memberlist.Node) { g.heard(view.Alive, n) }
+func (g *gossip) NotifyLeave(n *memberlist.Node)  { g.heard(view.Dead, n) }
 
 // NotifyAlive looks once more at what the library is about to believe.
 func (g *gossip) NotifyAlive(n *memberlist.Node) error {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -74,7 +74,7 @@
 		first := all[0].View()
 		for _, m := range all {
 			v := m.View()
-			if len(v.Members) != n || v.Digest != first.Digest || v.Version != first.Version || n > 1 && v.Sure != view.Settled {
+			if len(v.Members) != n || v.Digest != first.Digest || v.Version != first.Version || n > 1 && v.Certainty != view.Converged {
 				return false
 			}
 		}
@@ -144,10 +144,10 @@
 		Meta        []byte
 		Vsn         []uint8
 	}
-	name := handle("a", real.Life.Nonce)
+	name := handle("a", real.Incarnation.Nonce)
 	good := appendEntry(nil, real)
 	born := real
-	born.Life.Birth = view.MaxBirth
+	born.Incarnation.Number = view.MaxIncarnation
 	for cause, payloads := range map[cause][][]byte{
 		foreign:    {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
 		unreadable: {[]byte("VGF\x01g____spoilt"), seal(nil, kindGossip, nil), seal(nil, kindGossip, []byte{msgCompound, 9, 0}), seal(nil, kindTeach, []byte{1}), seal(nil, kindGossip, []byte{msgDead, 0xc1}), seal(nil, kindGossip, []byte{99, 1})},
@@ -208,7 +208,7 @@
 // An exchange over a stream is believed but for what cannot be true in it.
 func TestExchange(t *testing.T) {
 	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(), told: map[cause]time.Time{}}
-	e := view.Entry{Name: "a", Life: view.Life{Birth: 5, Nonce: 7}, State: view.Serving, Proto: 1}
+	e := view.Entry{Name: "a", Incarnation: view.Incarnation{Number: 5, Nonce: 7}, State: view.Serving, Proto: 1}
 	ok := state{handle("a", 7), []byte{127, 0, 0, 1}, 7946, appendEntry(nil, e), 3, 0, []uint8{1, 5, 2, 0, 0, 0}}
 	bad := ok
 	bad.Incarnation = 1<<32 - 1
@@ -273,8 +273,8 @@
 func TestEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := view.Entry{Name: rapid.StringN(1, 20, 64).Draw(t, "name"), Zone: rapid.StringN(0, 20, 64).Draw(t, "zone"),
-			Life:  view.Life{Birth: rapid.Uint64Range(0, view.MaxBirth-1).Draw(t, "birth"), Nonce: rapid.Uint32().Draw(t, "nonce")},
-			State: view.State(rapid.IntRange(0, 4).Draw(t, "state")), Ill: rapid.Bool().Draw(t, "ill"), Proto: rapid.Uint8().Draw(t, "proto")}
+			Incarnation: view.Incarnation{Number: rapid.Uint64Range(0, view.MaxIncarnation-1).Draw(t, "birth"), Nonce: rapid.Uint32().Draw(t, "nonce")},
+			State:       view.State(rapid.IntRange(0, 4).Draw(t, "state")), Unhealthy: rapid.Bool().Draw(t, "ill"), Proto: rapid.Uint8().Draw(t, "proto")}
 		b := appendEntry(nil, e)
 		later := append(b[:len(b):len(b)], "what a later version adds"...)
 		later[2]++
@@ -299,7 +299,7 @@
 	a := c.start(testConfig("a"))
 	b := c.start(testConfig("b", a.Address()))
 	until(t, "two see the same", 10*time.Second, alike(2, a, b))
-	former := a.View().Find("b").Life
+	former := a.View().Find("b").Incarnation
 	c.ends[1]() // no good-bye was said by its state, so it counts as dead
 	until(t, "it is lost", 10*time.Second, func() bool { return a.View().Find("b") == nil })
 	p := testConfig("b", a.Address())
@@ -307,7 +307,7 @@
 	again := c.start(p)
 	until(t, "it is back, born later", 10*time.Second, func() bool {
 		e := a.View().Find("b")
-		return e != nil && former.Before(e.Life)
+		return e != nil && former.Before(e.Incarnation)
 	})
 	until(t, "both see the same", 10*time.Second, alike(2, a, again))
 }
--- a/member/packet.go
+++ b/member/packet.go
@@ -61,8 +61,8 @@
 }
 
 // appendLife and appendText are parts of what follows.
-func appendLife(out []byte, l view.Life) []byte {
-	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(out, l.Birth), l.Nonce)
+func appendLife(out []byte, l view.Incarnation) []byte {
+	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(out, l.Number), l.Nonce)
 }
 
 func appendText(out []byte, s string) []byte { return append(append(out, byte(len(s))), s...) }
@@ -84,8 +84,8 @@
 }
 
 func (r *reader) byte() byte { return r.take(1)[0] }
-func (r *reader) life() view.Life {
-	return view.Life{Birth: binary.BigEndian.Uint64(r.take(8)), Nonce: binary.BigEndian.Uint32(r.take(4))}
+func (r *reader) life() view.Incarnation {
+	return view.Incarnation{Number: binary.BigEndian.Uint64(r.take(8)), Nonce: binary.BigEndian.Uint32(r.take(4))}
 }
 func (r *reader) text() string { return string(r.take(int(r.byte()))) }
 
@@ -100,12 +100,12 @@
 
 func appendEntry(out []byte, e view.Entry) []byte {
 	flags := byte(0)
-	if e.Ill {
+	if e.Unhealthy {
 		flags |= flagIll
 	}
 	out = append(out, entryMagic...)
 	out = append(out, entryFormat, e.Proto, byte(e.State), flags)
-	out = appendLife(out, e.Life)
+	out = appendLife(out, e.Incarnation)
 	out = append(out, e.Load.Open, e.Load.Credit, e.Load.Level)
 	return appendText(appendText(out, e.Name), e.Zone)
 }
@@ -120,8 +120,8 @@
 		return view.Entry{}, fmt.Errorf("format %d of a member's word on itself is not known", format)
 	}
 	e := view.Entry{Proto: r.byte(), State: view.State(r.byte())}
-	e.Ill = r.byte()&flagIll != 0
-	e.Life = r.life()
+	e.Unhealthy = r.byte()&flagIll != 0
+	e.Incarnation = r.life()
 	e.Load = view.Load{Open: r.byte(), Credit: r.byte(), Level: r.byte()}
 	e.Name, e.Zone = r.text(), r.text()
 	switch {
@@ -131,7 +131,7 @@
 		return view.Entry{}, fmt.Errorf("a name of %d bytes, or a zone's of %d", len(e.Name), len(e.Zone))
 	case e.State > view.Left:
 		return view.Entry{}, fmt.Errorf("state %d is not known", e.State)
-	case e.Life.Birth >= view.MaxBirth:
+	case e.Incarnation.Number >= view.MaxIncarnation:
 		return view.Entry{}, errAbsurd
 	}
 	return e, nil
@@ -174,11 +174,13 @@
 }
 
 // The word to one born too early: the later life, and its name.
-func appendTeach(out []byte, e view.Entry) []byte { return appendText(appendLife(out, e.Life), e.Name) }
+func appendTeach(out []byte, e view.Entry) []byte {
+	return appendText(appendLife(out, e.Incarnation), e.Name)
+}
 
 func readTeach(b []byte) (view.Entry, bool) {
 	r := reader{b: b}
-	e := view.Entry{Life: r.life()}
+	e := view.Entry{Incarnation: r.life()}
 	e.Name = r.text()
 	return e, !r.short
 }
--- a/member/show.go
+++ b/member/show.go
@@ -18,16 +18,16 @@
 
 // Shown is what a member tells on its local socket, as one JSON object.
 type Shown struct {
-	Name    string           `json:"name"`
-	Version uint64           `json:"version"`
-	Digest  string           `json:"digest"`
-	Sure    string           `json:"sure"`
-	Members []ShownMember    `json:"members"`
-	Healthy []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is narrow
-	Packets [2]int64         `json:"packets"`           // sent, got
-	Bytes   [2]int64         `json:"bytes"`             // sent, got, without streams
-	Dropped map[string]int64 `json:"dropped,omitempty"`
-	Roles   json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
+	Name      string           `json:"name"`
+	Version   uint64           `json:"version"`
+	Digest    string           `json:"digest"`
+	Certainty string           `json:"certainty"`
+	Members   []ShownMember    `json:"members"`
+	Healthy   []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is partitioned
+	Packets   [2]int64         `json:"packets"`           // sent, got
+	Bytes     [2]int64         `json:"bytes"`             // sent, got, without streams
+	Dropped   map[string]int64 `json:"dropped,omitempty"`
+	Roles     json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
 }
 
 // ShownMember is one line of it.
@@ -49,11 +49,11 @@
 // Shown is the view in force and what it cost, for operators.
 func (m *Member) Shown() Shown {
 	v, c := m.View(), m.Cost()
-	s := Shown{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Sure: v.Sure.String(),
+	s := Shown{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
 		Packets: [2]int64{c.SentPackets, c.GotPackets}, Bytes: [2]int64{c.SentBytes, c.GotBytes}, Dropped: c.Dropped}
 	for _, e := range v.Members {
-		s.Members = append(s.Members, ShownMember{e.Name, e.Life.Birth, fmt.Sprintf("%08x", e.Life.Nonce), e.Address, e.Zone,
-			e.State.String(), e.Ill, e.Fails, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
+		s.Members = append(s.Members, ShownMember{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce), e.Address, e.Zone,
+			e.State.String(), e.Unhealthy, e.Unreachable, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
 	}
 	if roles := m.roles.Load(); roles != nil {
 		s.Roles, _ = json.Marshal((*roles)())
@@ -114,7 +114,7 @@
 
 // Table writes it for people.
 func (s Shown) Table(to io.Writer) {
-	fmt.Fprintf(to, "view %d of %s, %s: %d members, digest %s\n", s.Version, s.Name, s.Sure, len(s.Members), s.Digest)
+	fmt.Fprintf(to, "view %d of %s, %s: %d members, digest %s\n", s.Version, s.Name, s.Certainty, len(s.Members), s.Digest)
 	if gone := s.gone(); gone != nil {
 		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(gone, " "))
 	}
--- a/member/swarm_test.go
+++ b/member/swarm_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Both sides of a cut bury each other, the smaller says that it is narrow, and they come together again.
+// Both sides of a cut bury each other, the smaller reports a partition, and they come together again.
 func TestCut(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
@@ -132,12 +132,12 @@
 	alike(t, s, 2, names[:2])
 	alike(t, s, 3, names[2:])
 	for _, name := range names[:2] {
-		if _, ok := s.Until(patience, func() bool { v, _ := s.History.Latest(name); return v.Sure == "narrow" }); !ok {
-			t.Errorf("%s does not say that it is narrow", name)
+		if _, ok := s.Until(patience, func() bool { v, _ := s.History.Latest(name); return v.Certainty == "partitioned" }); !ok {
+			t.Errorf("%s does not report a partition", name)
 		}
 	}
-	if n, _ := s.History.Lines("n4", `"sure":"narrow"`, from); n != 0 {
-		t.Error("the larger side says that it is narrow")
+	if n, _ := s.History.Lines("n4", `"certainty":"partitioned"`, from); n != 0 {
+		t.Error("the larger side reports a partition")
 	}
 	run(t, s, "0s heal")
 	alike(t, s, 5, names)
@@ -169,8 +169,8 @@
 	if !s.Node("n5").Running() {
 		t.Error("the earlier ended")
 	}
-	if shown, err := member.Ask(s.Socket("n5")); err != nil || shown.Sure != "withdrawn" {
-		t.Errorf("%+v, %v", shown.Sure, err)
+	if shown, err := member.Ask(s.Socket("n5")); err != nil || shown.Certainty != "superseded" {
+		t.Errorf("%+v, %v", shown.Certainty, err)
 	}
 }
 
--- a/member/wire.go
+++ b/member/wire.go
@@ -169,7 +169,7 @@
 		w.tell(unreadable, from.String(), err)
 	case kind == kindTeach:
 		if e, ok := readTeach(payload); ok {
-			w.heard(view.Event{Kind: view.Outlived, Entry: e})
+			w.heard(view.Event{Kind: view.NewerIncarnation, Entry: e})
 		} else {
 			w.tell(unreadable, from.String(), errCut)
 		}
--- a/rig/history.go
+++ b/rig/history.go
@@ -28,14 +28,14 @@
 
 // Sight is a view as a process's log tells it.
 type Sight struct {
-	T       float64 `json:"-"`
-	Who     string  `json:"-"`
-	Msg     string
-	Version uint64
-	Digest  string
-	Sure    string
-	Members int
-	Changes []string
+	T         float64 `json:"-"`
+	Who       string  `json:"-"`
+	Msg       string
+	Version   uint64
+	Digest    string
+	Certainty string
+	Members   int
+	Changes   []string
 }
 
 // NewHistory begins one.
--- a/rig/hollow/crowd.go
+++ b/rig/hollow/crowd.go
@@ -115,7 +115,7 @@
 	birth := uint64(time.Now().Add(-time.Hour).UnixMilli())
 	for k := range count {
 		m := crowdMember{entry: entry(first+k, birth), incarnation: 1, socket: k % crowdSockets}
-		m.entry.Life.Nonce = uint32(first + k)
+		m.entry.Incarnation.Nonce = uint32(first + k)
 		m.entry.Address = c.sockets[m.socket].address.String()
 		c.byNode[nodeName(m.entry)] = k
 		c.members = append(c.members, m)
@@ -476,8 +476,8 @@
 // reborn gives a member another incarnation, under the lock.
 func (c *Crowd) reborn(k int) {
 	m := &c.members[k]
-	m.entry.Life.Birth++
-	m.entry.Life.Nonce += 1 << 16
+	m.entry.Incarnation.Number++
+	m.entry.Incarnation.Nonce += 1 << 16
 	m.incarnation, m.down = 1, false
 	c.byNode[nodeName(m.entry)] = k
 }
--- a/rig/hollow/gossip.go
+++ b/rig/hollow/gossip.go
@@ -170,14 +170,14 @@
 // meta is a member's word on itself.
 func meta(e view.Entry) []byte {
 	out := append([]byte("VM"), 1, e.Proto, byte(e.State), 0)
-	out = binary.BigEndian.AppendUint64(out, e.Life.Birth)
-	out = binary.BigEndian.AppendUint32(out, e.Life.Nonce)
+	out = binary.BigEndian.AppendUint64(out, e.Incarnation.Number)
+	out = binary.BigEndian.AppendUint32(out, e.Incarnation.Nonce)
 	out = append(out, e.Load.Open, e.Load.Credit, e.Load.Level)
 	return appendText(appendText(out, e.Name), e.Zone)
 }
 
 // nodeName is the name under which the library knows one incarnation.
-func nodeName(e view.Entry) string { return fmt.Sprintf("%s~%08x", e.Name, e.Life.Nonce) }
+func nodeName(e view.Entry) string { return fmt.Sprintf("%s~%08x", e.Name, e.Incarnation.Nonce) }
 
 // echoPayload is what an answer to a probe carries: version and digest of a view.
 func echoPayload(version, digest uint64) []byte {
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -133,7 +133,7 @@
 			return
 		case <-changes:
 			v := m.View()
-			s.tell(report{Seen: &Seen{k, v.Version, v.Digest, len(v.Members), v.Sure, time.Now()}})
+			s.tell(report{Seen: &Seen{k, v.Version, v.Digest, len(v.Members), v.Certainty, time.Now()}})
 		}
 	}
 }
@@ -255,7 +255,7 @@
 func (m *Members) Settled(members int) bool {
 	all := m.Latest()
 	for _, s := range all {
-		if s.Members != members || s.Sure != view.Settled || s.Digest != all[0].Digest {
+		if s.Members != members || s.Sure != view.Converged || s.Digest != all[0].Digest {
 			return false
 		}
 	}
@@ -278,15 +278,15 @@
 	defer m.mu.Unlock()
 	settled := time.Duration(0)
 	for k := range m.latest {
-		last := Seen{Sure: view.Unsettled}
+		last := Seen{Sure: view.Converging}
 		since := from
-		for _, s := range append(m.of(k), Seen{Sure: view.Unsettled, At: to}) {
+		for _, s := range append(m.of(k), Seen{Sure: view.Converging, At: to}) {
 			at := s.At
 			if at.After(to) {
 				at = to
 			}
 			if at.After(since) {
-				if last.Sure == view.Settled {
+				if last.Sure == view.Converged {
 					settled += at.Sub(since)
 				}
 				since = at
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -100,7 +100,7 @@
 
 func entry(k int, birth uint64) view.Entry {
 	return view.Entry{Name: memberName(k), Zone: fmt.Sprintf("z%02d", k%zones), Address: fmt.Sprintf("10.%d.%d.%d:7946", k>>16, k>>8&255, k&255),
-		Life: view.Life{Birth: birth, Nonce: uint32(birth)}, State: view.Serving, Proto: 1}
+		Incarnation: view.Incarnation{Number: birth, Nonce: uint32(birth)}, State: view.Serving, Proto: 1}
 }
 
 // zones is how many zones the members are spread over.
@@ -109,10 +109,10 @@
 func memberName(k int) string { return fmt.Sprintf("app%05d.pool", k) }
 
 // boundless is the usual settings with room for so many names.
-func boundless(members int) view.Terms {
+func boundless(members int) view.Config {
 	terms := view.Defaults()
-	terms.Most = max(terms.Most, 2*members)
-	terms.Recall = max(terms.Recall, members)
+	terms.MaxNames = max(terms.MaxNames, 2*members)
+	terms.MaxRemembered = max(terms.MaxRemembered, members)
 	return terms
 }
 
@@ -122,7 +122,7 @@
 		node := view.New(v.entries[k], nil, v.now, v.plan.Seed+uint64(k), boundless(v.plan.Members))
 		for other, e := range v.entries {
 			if other != k {
-				node.Step(view.Event{Kind: view.Heard, Entry: e}, v.now)
+				node.Step(view.Event{Kind: view.Alive, Entry: e}, v.now)
 			}
 		}
 		v.nodes = append(v.nodes, node)
@@ -148,9 +148,9 @@
 
 // carry answers what a machine wants done: whoever it looks for is met.
 func (v *pureView) carry(k int) {
-	for _, order := range v.nodes[k].Out() {
-		if order.Kind == view.Seek {
-			v.nodes[k].Step(view.Event{Kind: view.Sought, Address: order.Address, OK: true}, v.now)
+	for _, order := range v.nodes[k].Ready() {
+		if order.Kind == view.Contact {
+			v.nodes[k].Step(view.Event{Kind: view.ContactDone, Address: order.Address, OK: true}, v.now)
 		}
 	}
 }
@@ -187,18 +187,18 @@
 func (v *pureView) tell(k int) {
 	was := v.entries[k]
 	is := was
-	is.Life = view.Life{Birth: was.Life.Birth + 1, Nonce: was.Life.Nonce + 1}
+	is.Incarnation = view.Incarnation{Number: was.Incarnation.Number + 1, Nonce: was.Incarnation.Nonce + 1}
 	v.entries[k] = is
 	if v.plan.Restart == OneChange {
-		v.spread(0, view.Event{Kind: view.Heard, Entry: is})
+		v.spread(0, view.Event{Kind: view.Alive, Entry: is})
 		return
 	}
 	leaving, cold := was, is
 	leaving.State, cold.State = view.Leaving, view.Cold
-	v.spread(0, view.Event{Kind: view.Heard, Entry: leaving})
-	v.spread(goneAfter, view.Event{Kind: view.Bye, Entry: leaving})
-	v.spread(backAfter, view.Event{Kind: view.Heard, Entry: cold})
-	v.spread(servingAfter, view.Event{Kind: view.Heard, Entry: is})
+	v.spread(0, view.Event{Kind: view.Alive, Entry: leaving})
+	v.spread(goneAfter, view.Event{Kind: view.Leave, Entry: leaving})
+	v.spread(backAfter, view.Event{Kind: view.Alive, Entry: cold})
+	v.spread(servingAfter, view.Event{Kind: view.Alive, Entry: is})
 }
 
 // spread has an event reach each observer after a delay of its own.
@@ -220,7 +220,7 @@
 		for k, node := range v.nodes {
 			seen := node.View()
 			samples++
-			if seen.Sure == view.Settled {
+			if seen.Certainty == view.Converged {
 				settled++
 			}
 			if digests[k] != seen.Digest {
@@ -265,14 +265,14 @@
 	var err error
 	left := plan.View.Members - plan.Lost
 	for k := left; k < plan.View.Members; k++ {
-		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Lost, Entry: v.entries[k]})
+		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Dead, Entry: v.entries[k]})
 	}
 	if out.LostSeconds, err = v.untilSettled(left); err != nil {
 		return out, err
 	}
 	for k := left; k < plan.View.Members; k++ {
-		v.entries[k].Life.Birth++
-		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Heard, Entry: v.entries[k]})
+		v.entries[k].Incarnation.Number++
+		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Alive, Entry: v.entries[k]})
 	}
 	if out.BackSeconds, err = v.untilSettled(plan.View.Members); err != nil {
 		return out, err
@@ -291,7 +291,7 @@
 		all := true
 		for _, node := range v.nodes {
 			seen := node.View()
-			all = all && seen.Sure == view.Settled && len(seen.Members) == members
+			all = all && seen.Certainty == view.Converged && len(seen.Members) == members
 		}
 		if all {
 			return v.now - began, nil
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -46,7 +46,7 @@
 		return nil, nil, err
 	}
 	terms := view.Defaults()
-	terms.Hold, terms.Forget = settings.Hold, settings.Forget
+	terms.HoldTime, terms.ForgetTime = settings.Hold, settings.Forget
 	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
 		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket, Terms: terms}, s.log)
 	if err != nil {
@@ -163,9 +163,9 @@
 
 // fit tells why this app server should not stand for a role now.
 func (s *Server) fit(m *member.Member) error {
-	switch sure := m.View().Sure; {
-	case sure >= view.Narrow:
-		return fmt.Errorf("the view is %v", sure)
+	switch certainty := m.View().Certainty; {
+	case certainty >= view.Partitioned:
+		return fmt.Errorf("the view is %v", certainty)
 	case s.fleetState() != view.Serving:
 		return errors.New("it is cold")
 	case !s.healthy() || s.press.level.Load() >= int32(pressure.Pressed):
