--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 		go m.Run(cmd.Context())
 		if len(voters) > 0 {
 			began := time.Now()
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -234,7 +234,7 @@
 		span = time.Minute
 	}
 	began := time.Now()
-	before, err := member.Ask(on.Socket("n1"))
+	before, err := member.ReadStatus(on.Socket("n1"))
 	if err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 		used[c] = cpu(c)
 	}
 	time.Sleep(span)
-	after, err := member.Ask(on.Socket("n1"))
+	after, err := member.ReadStatus(on.Socket("n1"))
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -187,7 +187,7 @@
 // packets is how many of the fleet's all processes have sent.
 func (r *pool) packets() (sum float64) {
 	for _, n := range r.Running() {
-		if shown, err := member.Ask(r.Socket(n)); err == nil {
+		if shown, err := member.ReadStatus(r.Socket(n)); err == nil {
 			sum += float64(shown.Packets[0])
 		}
 	}
@@ -197,7 +197,7 @@
 // allocator asks the processes who keeps the share, and what everybody has.
 func (r *pool) allocator() (name string, s fleet.Share) {
 	for _, n := range r.Running() {
-		shown, err := member.Ask(r.Socket(n))
+		shown, err := member.ReadStatus(r.Socket(n))
 		if err != nil || shown.Roles == nil {
 			continue
 		}
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -340,7 +340,7 @@
 func (p *play) atRest(on, off *rig.Swarm, all []string, span time.Duration) error {
 	look := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
 		for _, name := range all {
-			shown, err := member.Ask(on.Socket(name))
+			shown, err := member.ReadStatus(on.Socket(name))
 			if err != nil {
 				return 0, 0, 0, 0, err
 			}
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -69,7 +69,7 @@
 		}
 		all = append(all, m)
 		group.Go(func() { m.Run(ctx) })
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	began := time.Now()
 	settled := func(members []*member.Member) bool {
@@ -142,7 +142,7 @@
 	// A fifth die at one time.
 	dead := all[n-n/5:]
 	for _, m := range dead {
-		m.Drop()
+		m.Kill()
 	}
 	took = wait(25*time.Second, all[:n-n/5])
 	p.atMost(name("settled.after.fifth.s"), took, 15)
--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -88,17 +88,17 @@
 }
 
 // ask finds the local socket, and reads what is told there.
-func ask(settingsPath, socket string) (member.Shown, error) {
+func ask(settingsPath, socket string) (member.Status, error) {
 	if socket == "" {
 		b, err := config.ReadSettings(settingsPath)
 		if err != nil {
-			return member.Shown{}, err
+			return member.Status{}, err
 		}
 		if socket = b.Fleet.Socket; socket == "" {
-			return member.Shown{}, errors.New("no fleet.socket is set: name the operators' file with --settings, or the socket with --socket")
+			return member.Status{}, errors.New("no fleet.socket is set: name the operators' file with --settings, or the socket with --socket")
 		}
 	}
-	shown, err := member.Ask(socket)
+	shown, err := member.ReadStatus(socket)
 	if err != nil {
 		return shown, fmt.Errorf("nobody answers at %s: %w", socket, err)
 	}
--- a/member/inspect.go
+++ b/member/inspect.go
@@ -229,13 +229,13 @@
 		case msgPushPull:
 			text, err := s.exchange()
 			if err != nil {
-				s.w.tell(unreadable, s.RemoteAddr().String(), err)
+				s.w.countDropped(corrupt, s.RemoteAddr().String(), err)
 				return 0, err
 			}
 			s.ready = bytes.NewReader(text)
 		case msgPing, msgAck, msgUser, msgError:
 		default:
-			s.w.tell(unreadable, s.RemoteAddr().String(), errForeign)
+			s.w.countDropped(corrupt, s.RemoteAddr().String(), errForeign)
 			return 0, errForeign
 		}
 	}
@@ -263,7 +263,7 @@
 			return nil, errCut
 		}
 		if err := s.w.credible(one.Name, one.Incarnation, one.Addr, one.Port, one.Meta, one.Vsn); err != nil {
-			s.w.tell(lying, s.RemoteAddr().String(), err)
+			s.w.countDropped(invalid, s.RemoteAddr().String(), err)
 			continue
 		}
 		kept = append(kept, one)
--- a/member/member.go
+++ b/member/member.go
@@ -36,23 +36,23 @@
 	Probe     time.Duration // between two probes of others
 	Socket    string        // a local socket that tells the view, empty for none
 	Terms     view.Config
-	Now       func() time.Time // the wall clock, for births; time.Now if nil
+	Now       func() time.Time // the wall clock, for incarnation numbers; time.Now if nil
 }
 
 // Member is one app server's part in the fleet.
 type Member struct {
-	config  Config
-	log     *zap.Logger
-	wire    *wire
-	machine *view.Machine // only the loop has it
-	events  chan view.Event
-	view    atomic.Pointer[view.View]
-	entry   atomic.Pointer[view.Entry] // our own, as others hear it
-	saying  chan struct{}              // holds one when others are to hear it
-	gossip  atomic.Pointer[gossip]
-	group   *errgroup.Group
-	dropped context.Context // ends with Drop
-	drop    context.CancelFunc
+	config      Config
+	log         *zap.Logger
+	wire        *wire
+	machine     *view.Machine // only the loop has it
+	events      chan view.Event
+	view        atomic.Pointer[view.View]
+	entry       atomic.Pointer[view.Entry] // our own, as others hear it
+	announceDue chan struct{}              // holds one when our entry is to be announced
+	gossip      atomic.Pointer[gossip]
+	group       *errgroup.Group
+	killed      context.Context // ends with Kill
+	kill        context.CancelFunc
 
 	roles   atomic.Pointer[func() any] // told with the view
 	receive atomic.Pointer[func(from string, message []byte)]
@@ -63,20 +63,20 @@
 
 	mu   sync.Mutex
 	subs map[chan struct{}]struct{}
-	self view.Event // what was last said of ourselves
+	self view.Event // what we last reported of ourselves
 }
 
-// gossip is one life of the library, until it is begun anew.
+// gossip is one run of the library, until it is started anew.
 type gossip struct {
 	*memberlist.Memberlist
 	m         *Member
 	transport *transport
-	says      atomic.Pointer[string] // what the library says of ourselves
+	announced atomic.Pointer[string] // what the library announces of ourselves
 }
 
-// word is what the library says of ourselves.
-func (g *gossip) word() string {
-	if says := g.says.Load(); says != nil {
+// word is what the library announces of ourselves.
+func (g *gossip) announcedState() string {
+	if says := g.announced.Load(); says != nil {
 		return *says
 	}
 	return ""
@@ -94,11 +94,11 @@
 	if !p.Advertise.IsValid() {
 		p.Advertise = w.listen
 	}
-	m := &Member{config: p, log: log, wire: w, events: make(chan view.Event, mostEvents), saying: make(chan struct{}, 1),
+	m := &Member{config: p, log: log, wire: w, events: make(chan view.Event, maxEvents), announceDue: make(chan struct{}, 1),
 		subs: map[chan struct{}]struct{}{}}
-	m.dropped, m.drop = context.WithCancel(context.Background())
+	m.killed, m.kill = context.WithCancel(context.Background())
 	w.lag, w.wake = seconds(p.Terms.LagThreshold), seconds(p.Terms.WakeThreshold)
-	w.heard, w.answer, w.noted = m.tell, m.present, m.noted
+	w.onEvent, w.onProbe, w.onMessage = m.enqueue, m.answerProbe, m.handleMessage
 	var seeds []string
 	for _, a := range p.Join {
 		seeds = append(seeds, a.String())
@@ -111,9 +111,9 @@
 	return m, nil
 }
 
-// mostEvents is how many events may wait: all members of a large fleet several times over. Past it the oldest of what
+// maxEvents is how many events may wait: all members of a large fleet several times over. Past it the oldest of what
 // gossip says is asked for anew.
-const mostEvents = 4096
+const maxEvents = 4096
 
 func seconds(s float64) time.Duration {
 	if s >= math.MaxInt64/1e9 {
@@ -146,29 +146,29 @@
 	}
 }
 
-// Say takes what is to be said of this app server: its state, whether its work hangs, its load.
-func (m *Member) Say(state view.State, ill bool, load view.Load) {
+// UpdateState takes what is to be announced of this app server: its state, whether its work is stuck, its load.
+func (m *Member) UpdateState(state view.State, ill bool, load view.Load) {
 	e := view.Event{Kind: view.Self, Entry: view.Entry{State: state, Unhealthy: ill, Load: load}}
 	m.mu.Lock()
 	same := e == m.self
 	m.self = e
 	m.mu.Unlock()
 	if !same {
-		m.tell(e)
+		m.enqueue(e)
 	}
 }
 
-// Word takes what the data path has seen of a member: that it answered, or failed to.
-func (m *Member) Word(name string, ok bool) {
-	m.tell(view.Event{Kind: view.Reachability, Name: name, OK: ok})
+// ReportReachability takes what the data path has seen of a member: that it answered, or failed to.
+func (m *Member) ReportReachability(name string, ok bool) {
+	m.enqueue(view.Event{Kind: view.Reachability, Name: name, OK: ok})
 }
 
-// tell passes an event on to the loop. It never waits: what does not fit is heard again in the next exchange.
-func (m *Member) tell(e view.Event) {
+// enqueue passes an event on to the loop. It never waits: what does not fit is heard again in the next exchange.
+func (m *Member) enqueue(e view.Event) {
 	select {
 	case m.events <- e:
 	default:
-		m.wire.tell(crowded, "events", nil)
+		m.wire.countDropped(overloaded, "events", nil)
 	}
 }
 
@@ -181,36 +181,36 @@
 // Send puts a message of some hundred bytes on its way to a member, by its name; it votes nothing. Members that the view
 // has lost are sent to where they last were: whether they are there is not the view's to decide for whoever asks.
 func (m *Member) Send(to string, message []byte) {
-	if len(message) > mostNote || m.View().Certainty == view.Superseded {
+	if len(message) > maxNote || m.View().Certainty == view.Superseded {
 		return
 	}
 	if to == m.config.Name {
-		m.noted(to, to, message)
+		m.handleMessage(to, to, message)
 		return
 	}
 	m.notes.Lock()
 	at, known := m.notes.at[to]
 	m.notes.Unlock()
 	if known && m.wire.late() < m.wire.wake {
-		m.wire.send(kindNote, appendNote(nil, m.config.Name, to, message), at)
+		m.wire.send(kindMessage, appendMessage(nil, m.config.Name, to, message), at)
 	}
 }
 
-// noted passes a message on to whoever receives them here.
-func (m *Member) noted(from, to string, message []byte) {
+// handleMessage passes a message on to whoever receives them here.
+func (m *Member) handleMessage(from, to string, message []byte) {
 	if f := m.receive.Load(); f != nil && to == m.config.Name && m.View().Certainty != view.Superseded {
 		(*f)(from, append([]byte(nil), message...))
 	}
 }
 
-// mostPlaces bounds how many members' places are remembered: twice as many as a view holds.
-const mostPlaces = 2048
+// maxAddresses bounds how many members' addresses are remembered: twice as many as a view holds.
+const maxAddresses = 2048
 
-// places remembers where the members of a view are.
-func (m *Member) places(v *view.View) {
+// rememberAddresses remembers the addresses of a view's members.
+func (m *Member) rememberAddresses(v *view.View) {
 	m.notes.Lock()
 	defer m.notes.Unlock()
-	if m.notes.at == nil || len(m.notes.at) > mostPlaces {
+	if m.notes.at == nil || len(m.notes.at) > maxAddresses {
 		m.notes.at = map[string]netip.AddrPort{}
 	}
 	for _, e := range v.Members {
@@ -220,8 +220,8 @@
 	}
 }
 
-// present answers a knock.
-func (m *Member) present(name string) (view.Entry, bool) {
+// answerProbe answers a probe.
+func (m *Member) answerProbe(name string) (view.Entry, bool) {
 	e := m.entry.Load()
 	return *e, e.Name == name && m.View().Certainty != view.Superseded
 }
@@ -229,13 +229,13 @@
 // beatEvery is how often the loop comes round at the least: a third of the lateness that matters.
 const beatEvery = 100 * time.Millisecond
 
-// Run takes part in the fleet until ctx ends, then says good-bye.
+// Run takes part in the fleet until ctx ends, then leaves.
 func (m *Member) Run(ctx context.Context) error {
 	live, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var all context.Context
 	m.group, all = errgroup.WithContext(live)
-	if err := m.begin(); err != nil {
+	if err := m.start(); err != nil {
 		m.wire.close()
 		return err
 	}
@@ -243,11 +243,11 @@
 	m.group.Go(m.wire.accept)
 	m.group.Go(func() error { return m.announce(all) })
 	if m.config.Socket != "" {
-		m.group.Go(func() error { return m.show(all) })
+		m.group.Go(func() error { return m.serveStatus(all) })
 	}
 	m.group.Go(func() error {
 		defer m.wire.close()
-		defer m.end()
+		defer m.stop()
 		defer end()
 		// The app server does without a fleet rather than end with it.
 		return m.wire.guard("loop", func() error { return m.loop(ctx, all) })
@@ -255,7 +255,7 @@
 	return m.group.Wait()
 }
 
-// loop brings the machine events and time, and has its orders carried out.
+// loop brings the machine events and time, and has its actions carried out.
 func (m *Member) loop(ctx, all context.Context) error {
 	beat := time.NewTicker(beatEvery)
 	defer beat.Stop()
@@ -265,12 +265,12 @@
 		some := false
 		select {
 		case <-ctx.Done():
-			m.bid()
+			m.leave()
 			return nil
 		case <-all.Done():
 			return nil
-		case <-m.dropped.Done():
-			m.end()
+		case <-m.killed.Done():
+			m.stop()
 			return nil
 		case <-beat.C:
 		case e = <-m.events:
@@ -283,7 +283,7 @@
 			if gap > m.wire.wake {
 				m.log.Warn("fleet: this process slept and begins gossip anew", zap.Float64("slept_s", round(gap.Seconds())))
 			}
-			m.carry(all)
+			m.carryOut(all)
 		}
 		last = time.Now()
 		if some {
@@ -295,39 +295,39 @@
 			m.machine.Tick(m.now())
 		}
 		m.wire.accuses.Store(m.machine.Accuses(m.now()))
-		m.carry(all)
+		m.carryOut(all)
 		m.wire.beat()
 	}
 }
 
-// carry has the machine's orders carried out. Whatever may wait does so in a goroutine of its own, of which the machine
+// carryOut carries out the machine's actions. Whatever may wait does so in a goroutine of its own, of which the machine
 // bounds the number.
-func (m *Member) carry(ctx context.Context) {
+func (m *Member) carryOut(ctx context.Context) {
 	for _, o := range m.machine.Ready() {
 		switch o.Kind {
 		case view.Publish:
 			m.publish()
 		case view.Announce:
 			m.publish()
-			signal(m.saying)
+			signal(m.announceDue)
 		case view.Contact:
-			go m.meet(o.Address)
+			go m.contact(o.Address)
 		case view.Probe:
-			go m.ask(ctx, o.Name, o.Address)
+			go m.probe(ctx, o.Name, o.Address)
 		case view.NotifyNewerIncarnation:
 			if to, err := netip.ParseAddrPort(o.Address); err == nil {
-				m.wire.send(kindTeach, appendTeach(nil, o.Entry), to)
+				m.wire.send(kindNewer, appendNewer(nil, o.Entry), to)
 			}
 		case view.Rebuild:
-			m.end()
-			if err := m.begin(); err != nil {
+			m.stop()
+			if err := m.start(); err != nil {
 				m.log.Error("fleet: gossip cannot begin anew", zap.Error(err))
 			}
 		case view.Withdraw:
 			m.log.Error("fleet: another process has this name and was born later; this one takes no further part",
 				zap.String("there", o.Entry.Address), zap.Uint64("its_birth", o.Entry.Incarnation.Number),
 				zap.Uint64("our_birth", m.machine.Entry().Incarnation.Number))
-			go m.end()
+			go m.stop()
 		}
 	}
 }
@@ -342,7 +342,7 @@
 	}
 	m.view.Store(v)
 	if was == nil || v.Digest != was.Digest {
-		m.places(v)
+		m.rememberAddresses(v)
 	}
 	m.mu.Lock()
 	for c := range m.subs {
@@ -358,13 +358,13 @@
 
 func digestText(d uint64) string { return hex.EncodeToString(binary.BigEndian.AppendUint64(nil, d)) }
 
-// mostTexts is how many changes one line tells; a line for each of three hundred would say less.
-const mostTexts = 24
+// maxChangeTexts is how many changes one line tells; a line for each of three hundred would say less.
+const maxChangeTexts = 24
 
 func changeTexts(changes []view.Change) []string {
 	var all []string
 	for k, c := range changes {
-		if k == mostTexts {
+		if k == maxChangeTexts {
 			return append(all, fmt.Sprintf("and %d more", len(changes)-k))
 		}
 		all = append(all, c.Name+" "+c.What+": "+c.Why)
@@ -392,8 +392,8 @@
 	burialTime    = 20 * time.Second
 )
 
-// begin has the library start, as one that knows nobody.
-func (m *Member) begin() error {
+// start starts the library, as one that knows nobody.
+func (m *Member) start() error {
 	g := &gossip{m: m, transport: m.wire.newTransport(m.config.Advertise)}
 	c := memberlist.DefaultLANConfig()
 	e := m.machine.Entry()
@@ -410,7 +410,7 @@
 	// be found too late; who is late itself accuses nobody here anyway.
 	c.AwarenessMaxMultiplier = 2
 	c.EnableCompression = false // what comes in is looked at, see inspect.go
-	c.UDPBufferSize = mostPacket - packetHead
+	c.UDPBufferSize = maxPacket - packetHead
 	c.Delegate, c.Events, c.Ping, c.Alive = g, g, g, g
 	c.Logger = log.New(io.Discard, "", 0) // what operators need to know the wire and the view say
 	m.wire.transport.Store(g.transport)
@@ -423,56 +423,56 @@
 	return nil
 }
 
-// end has the library stop without a word.
-func (m *Member) end() {
+// stop stops the library without a message.
+func (m *Member) stop() {
 	m.wire.transport.Store(nil)
 	if g := m.gossip.Swap(nil); g != nil {
 		g.Shutdown()
 	}
 }
 
-// lastWord is how long a good-bye may take to reach somebody, and then others.
-const lastWord = 300 * time.Millisecond
+// leaveTimeout is how long a leave message may take to reach somebody, and then others.
+const leaveTimeout = 300 * time.Millisecond
 
-// bid says good-bye.
-func (m *Member) bid() {
+// leave tells the others that this member leaves, and stops.
+func (m *Member) leave() {
 	if g := m.gossip.Load(); g != nil {
 		m.wire.beat()
-		g.Leave(lastWord)
+		g.Leave(leaveTimeout)
 		m.wire.beat()
 		time.Sleep(2 * time.Duration(float64(m.config.Probe)*gossipPart))
 	}
-	m.end()
+	m.stop()
 }
 
-// Drop ends this member's part at once and without a word, as the end of its process would; Run returns. It is for those
+// Kill ends this member's part at once and without a word, as the end of its process would; Run returns. It is for those
 // who play failures with many members in one process.
-func (m *Member) Drop() {
+func (m *Member) Kill() {
 	m.wire.transport.Store(nil)
 	m.wire.close()
-	m.drop()
+	m.kill()
 }
 
-// meet exchanges all that is known with whoever is at an address.
-func (m *Member) meet(address string) {
+// contact exchanges all that is known with whoever is at an address.
+func (m *Member) contact(address string) {
 	ok := false
 	if g := m.gossip.Load(); g != nil {
 		n, err := g.Join([]string{address})
 		ok = err == nil && n > 0
 	}
-	m.tell(view.Event{Kind: view.ContactDone, Address: address, OK: ok})
+	m.enqueue(view.Event{Kind: view.ContactDone, Address: address, OK: ok})
 }
 
-// ask knocks at a member's address.
-func (m *Member) ask(ctx context.Context, name, address string) {
+// probe asks the process at an address whether it is that member.
+func (m *Member) probe(ctx context.Context, name, address string) {
 	ctx, end := context.WithTimeout(ctx, time.Duration(float64(m.config.Probe)*(1+probeWait)))
 	defer end()
-	_, err := m.wire.knock(ctx, address, name)
-	m.Word(name, err == nil)
+	_, err := m.wire.probe(ctx, address, name)
+	m.ReportReachability(name, err == nil)
 }
 
-// sayAgain is the least time between two words on ourselves: each costs a message to every member.
-const sayAgain = 300 * time.Millisecond
+// announceAgain is the least time between two announcements of ourselves: each costs a message to every member.
+const announceAgain = 300 * time.Millisecond
 
 // announce has others hear what has changed of ourselves.
 func (m *Member) announce(ctx context.Context) error {
@@ -480,26 +480,26 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-m.saying:
+		case <-m.announceDue:
 		}
 		// The library loses an update that crosses its own refutation of what another said of us: then it goes on saying
 		// what it said before, and is told again. That it is only slow to send, as in a storm, is no reason to.
-		if g := m.gossip.Load(); g != nil && g.word() != string(g.NodeMeta(0)) {
-			g.UpdateNode(sayAgain)
-			if g.word() != string(g.NodeMeta(0)) {
-				signal(m.saying)
+		if g := m.gossip.Load(); g != nil && g.announcedState() != string(g.NodeMeta(0)) {
+			g.UpdateNode(announceAgain)
+			if g.announcedState() != string(g.NodeMeta(0)) {
+				signal(m.announceDue)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(sayAgain):
+		case <-time.After(announceAgain):
 		}
 	}
 }
 
-// heard passes on what the library says of a node, unless it has been begun anew since.
-func (g *gossip) heard(kind view.EventKind, n *memberlist.Node) {
+// handleNode passes on what the library reports of a node, unless it has been begun anew since.
+func (g *gossip) handleNode(kind view.EventKind, n *memberlist.Node) {
 	if g.m.wire.transport.Load() != g.transport {
 		return
 	}
@@ -509,7 +509,7 @@
 	}
 	if own := g.m.entry.Load(); n.Name == handle(own.Name, own.Incarnation.Nonce) {
 		says := string(n.Meta)
-		g.says.Store(&says)
+		g.announced.Store(&says)
 		return
 	}
 	at, _ := netip.AddrFromSlice(n.Addr)
@@ -517,13 +517,13 @@
 	if kind == view.Dead && e.State >= view.Leaving {
 		kind = view.Leave
 	}
-	g.m.tell(view.Event{Kind: kind, Entry: e})
+	g.m.enqueue(view.Event{Kind: kind, Entry: e})
 }
 
-// NotifyJoin, NotifyUpdate and NotifyLeave are the library's word on others.
-func (g *gossip) NotifyJoin(n *memberlist.Node)   { g.heard(view.Alive, n) }
-func (g *gossip) NotifyUpdate(n *memberlist.Node) { g.heard(view.Alive, n) }
-func (g *gossip) NotifyLeave(n *memberlist.Node)  { g.heard(view.Dead, n) }
+// NotifyJoin, NotifyUpdate and NotifyLeave are what the library reports of others.
+func (g *gossip) NotifyJoin(n *memberlist.Node)   { g.handleNode(view.Alive, n) }
+func (g *gossip) NotifyUpdate(n *memberlist.Node) { g.handleNode(view.Alive, n) }
+func (g *gossip) NotifyLeave(n *memberlist.Node)  { g.handleNode(view.Dead, n) }
 
 // NotifyAlive looks once more at what the library is about to believe.
 func (g *gossip) NotifyAlive(n *memberlist.Node) error {
@@ -538,11 +538,11 @@
 	e, err := readEntry(n.Meta)
 	version, digest, ok := readEcho(payload)
 	if err == nil && ok {
-		g.m.tell(view.Event{Kind: view.Echo, Name: e.Name, Version: version, Digest: digest})
+		g.m.enqueue(view.Event{Kind: view.Echo, Name: e.Name, Version: version, Digest: digest})
 	}
 }
 
-// NodeMeta is our word on ourselves.
+// NodeMeta is what we announce of ourselves.
 func (g *gossip) NodeMeta(int) []byte { return appendEntry(nil, *g.m.entry.Load()) }
 
 // NotifyMsg, GetBroadcasts, LocalState and MergeRemoteState are not used.
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Members that know one address find each other and come to one view; one that says good-bye leaves at once.
+// Members that know one address find each other and come to one view; one that leaves is gone at once.
 func TestMeet(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
@@ -91,12 +91,12 @@
 		c.start(testConfig(fmt.Sprintf("m%d", k), first.Address()))
 	}
 	until(t, "five see the same", 10*time.Second, alike(5, c.members...))
-	c.members[1].Say(view.Serving, false, view.Load{Open: 3})
+	c.members[1].UpdateState(view.Serving, false, view.Load{Open: 3})
 	until(t, "its word is heard", 5*time.Second, func() bool {
 		e := c.members[4].View().Find("m1")
 		return e != nil && e.State == view.Serving && e.Load.Open == 3
 	})
-	c.members[1].Say(view.Leaving, false, view.Load{})
+	c.members[1].UpdateState(view.Leaving, false, view.Load{})
 	c.ends[1]()
 	rest := append([]*Member{first}, c.members[2:]...)
 	until(t, "four are left", 3*time.Second, alike(4, rest...))
@@ -149,9 +149,9 @@
 	born := real
 	born.Incarnation.Number = view.MaxIncarnation
 	for cause, payloads := range map[cause][][]byte{
-		foreign:    {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
-		unreadable: {[]byte("VGF\x01g____spoilt"), seal(nil, kindGossip, nil), seal(nil, kindGossip, []byte{msgCompound, 9, 0}), seal(nil, kindTeach, []byte{1}), seal(nil, kindGossip, []byte{msgDead, 0xc1}), seal(nil, kindGossip, []byte{99, 1})},
-		lying: {
+		foreign: {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
+		corrupt: {[]byte("VGF\x01g____spoilt"), seal(nil, kindGossip, nil), seal(nil, kindGossip, []byte{msgCompound, 9, 0}), seal(nil, kindNewer, []byte{1}), seal(nil, kindGossip, []byte{msgDead, 0xc1}), seal(nil, kindGossip, []byte{99, 1})},
+		invalid: {
 			seal(nil, kindGossip, encoded(msgDead, claim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
 			seal(nil, kindGossip, encoded(msgAlive, alive{1<<32 - 1, name, addr, port, good, vsn})),
 			seal(nil, kindGossip, encoded(msgAlive, alive{3, "b~12345678", addr, port, good, vsn})),                 // another's name
@@ -174,7 +174,7 @@
 	}
 	defer other.Close()
 	other.Write(seal(nil, kindGossip, []byte{msgPing}))
-	until(t, "outside", 5*time.Second, func() bool { return b.Cost().Dropped["outside"] == 1 })
+	until(t, "not allowed", 5*time.Second, func() bool { return b.Cost().Dropped["not allowed"] == 1 })
 	// Streams of another kind end, and cost nothing.
 	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n", "VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
 		nc, err := net.Dial("tcp", b.Address().String())
@@ -196,7 +196,7 @@
 	until(t, "still settled", 5*time.Second, alike(2, a, b))
 	told := 0
 	for _, e := range logged.FilterMessage("fleet packet dropped").All() {
-		if e.ContextMap()["cause"] == "lying" {
+		if e.ContextMap()["cause"] == "invalid" {
 			told++
 		}
 	}
@@ -235,7 +235,7 @@
 	if head.Nodes != 1 || !head.Join || head.UserStateLen != 4 || one.Incarnation != 3 || !bytes.HasSuffix(text, []byte("user")) {
 		t.Errorf("%+v %+v %q", head, one, text)
 	}
-	if n := w.counts[lying].Load(); n != 2 {
+	if n := w.counts[invalid].Load(); n != 2 {
 		t.Errorf("%d lies counted", n)
 	}
 }
@@ -292,7 +292,7 @@
 	}
 }
 
-// A process whose clock went back while it was down is told of its former life, and is born after it.
+// A process whose clock went back while it was down is told of its former incarnation, and takes a newer one.
 func TestClockBack(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
@@ -319,10 +319,10 @@
 	p := testConfig("a")
 	p.Socket, p.Zone = t.TempDir()+"/a.sock", "hall-1"
 	a := c.start(p)
-	var s Shown
+	var s Status
 	until(t, "it answers", 5*time.Second, func() (ok bool) {
 		var err error
-		s, err = Ask(p.Socket)
+		s, err = ReadStatus(p.Socket)
 		return err == nil
 	})
 	var table bytes.Buffer
@@ -337,10 +337,10 @@
 	q.Socket = p.Socket
 	c.start(q)
 	time.Sleep(200 * time.Millisecond)
-	if s, err := Ask(p.Socket); err != nil || s.Name != "a" {
+	if s, err := ReadStatus(p.Socket); err != nil || s.Name != "a" {
 		t.Errorf("%s answers, %v", s.Name, err)
 	}
-	if _, err := Ask(p.Socket + "x"); err == nil {
+	if _, err := ReadStatus(p.Socket + "x"); err == nil {
 		t.Error("somebody answers where nobody is")
 	}
 }
@@ -380,6 +380,6 @@
 		}
 		outgoing(payload)
 		readEntry(b)
-		readTeach(b)
+		readNewer(b)
 	})
 }
--- a/member/packet.go
+++ b/member/packet.go
@@ -15,17 +15,17 @@
 	magic       = "VGF\x01"
 	packetHead  = len(magic) + 1 + 4 // the kind, and a checksum over kind and rest
 	streamHead  = len(magic) + 1
-	mostPacket  = 1400 // bytes: what passes a usual network whole
-	mostName    = 64   // bytes of a member's or a zone's name
+	maxPacket   = 1400 // bytes: what passes a usual network whole
+	maxName     = 64   // bytes of a member's or a zone's name
 	protoSpoken = 1
 )
 
 // The kinds of packet and stream.
 const (
-	kindGossip = 'g' // the gossip library's own
-	kindTeach  = 't' // a packet: a later life under your name is known
-	kindKnock  = 'k' // a stream: are you there
-	kindNote   = 'n' // a packet: a message from one member to another, by name
+	kindGossip  = 'g' // the gossip library's own
+	kindNewer   = 't' // a packet: a newer incarnation of your name is known
+	kindProbe   = 'k' // a stream: are you there
+	kindMessage = 'n' // a packet: a message from one member to another, by name
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -60,8 +60,8 @@
 	return kind, payload, nil
 }
 
-// appendLife and appendText are parts of what follows.
-func appendLife(out []byte, l view.Incarnation) []byte {
+// appendIncarnation and appendText are parts of what follows.
+func appendIncarnation(out []byte, l view.Incarnation) []byte {
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(out, l.Number), l.Nonce)
 }
 
@@ -84,13 +84,13 @@
 }
 
 func (r *reader) byte() byte { return r.take(1)[0] }
-func (r *reader) life() view.Incarnation {
+func (r *reader) incarnation() view.Incarnation {
 	return view.Incarnation{Number: binary.BigEndian.Uint64(r.take(8)), Nonce: binary.BigEndian.Uint32(r.take(4))}
 }
 func (r *reader) text() string { return string(r.take(int(r.byte()))) }
 
 // A member says of itself, in what gossip carries for it: "VM", the format, the protocol it speaks, state, flags (1: its
-// work hangs), birth and nonce, three bytes of load, name, zone. A later format only adds at the end; what is there more
+// work hangs), incarnation number and nonce, three bytes of load, name, zone. A later format only adds at the end; what is there more
 // is passed over.
 const (
 	entryMagic  = "VM"
@@ -105,7 +105,7 @@
 	}
 	out = append(out, entryMagic...)
 	out = append(out, entryFormat, e.Proto, byte(e.State), flags)
-	out = appendLife(out, e.Incarnation)
+	out = appendIncarnation(out, e.Incarnation)
 	out = append(out, e.Load.Open, e.Load.Credit, e.Load.Level)
 	return appendText(appendText(out, e.Name), e.Zone)
 }
@@ -121,13 +121,13 @@
 	}
 	e := view.Entry{Proto: r.byte(), State: view.State(r.byte())}
 	e.Unhealthy = r.byte()&flagIll != 0
-	e.Incarnation = r.life()
+	e.Incarnation = r.incarnation()
 	e.Load = view.Load{Open: r.byte(), Credit: r.byte(), Level: r.byte()}
 	e.Name, e.Zone = r.text(), r.text()
 	switch {
 	case r.short:
 		return view.Entry{}, errCut
-	case e.Name == "" || len(e.Name) > mostName || len(e.Zone) > mostName:
+	case e.Name == "" || len(e.Name) > maxName || len(e.Zone) > maxName:
 		return view.Entry{}, fmt.Errorf("a name of %d bytes, or a zone's of %d", len(e.Name), len(e.Zone))
 	case e.State > view.Left:
 		return view.Entry{}, fmt.Errorf("state %d is not known", e.State)
@@ -139,7 +139,7 @@
 
 var errAbsurd = errors.New("an absurd birth or incarnation")
 
-// handle is the name under which gossip knows one life: a restart is another, so that gossip never takes one for the
+// handle is the name under which gossip knows one incarnation: a restart is another, so that gossip never takes one for the
 // other.
 func handle(name string, nonce uint32) string { return fmt.Sprintf("%s~%08x", name, nonce) }
 
@@ -160,27 +160,27 @@
 	return version, digest, !r.short
 }
 
-// A note is the sender's name, the receiver's, and then the message, of at most mostNote bytes.
-const mostNote = mostPacket - packetHead - 2*(1+mostName)
+// A message is the sender's name, the receiver's, and then the message, of at most maxNote bytes.
+const maxNote = maxPacket - packetHead - 2*(1+maxName)
 
-func appendNote(out []byte, from, to string, message []byte) []byte {
+func appendMessage(out []byte, from, to string, message []byte) []byte {
 	return append(appendText(appendText(out, from), to), message...)
 }
 
-func readNote(b []byte) (from, to string, message []byte, ok bool) {
+func readMessage(b []byte) (from, to string, message []byte, ok bool) {
 	r := reader{b: b}
 	from, to = r.text(), r.text()
 	return from, to, r.b, !r.short
 }
 
-// The word to one born too early: the later life, and its name.
-func appendTeach(out []byte, e view.Entry) []byte {
-	return appendText(appendLife(out, e.Incarnation), e.Name)
+// The message to an older incarnation: the newer one, and its name.
+func appendNewer(out []byte, e view.Entry) []byte {
+	return appendText(appendIncarnation(out, e.Incarnation), e.Name)
 }
 
-func readTeach(b []byte) (view.Entry, bool) {
+func readNewer(b []byte) (view.Entry, bool) {
 	r := reader{b: b}
-	e := view.Entry{Incarnation: r.life()}
+	e := view.Entry{Incarnation: r.incarnation()}
 	e.Name = r.text()
 	return e, !r.short
 }
--- a/member/show.go
+++ b/member/show.go
@@ -16,13 +16,13 @@
 	"go.uber.org/zap"
 )
 
-// Shown is what a member tells on its local socket, as one JSON object.
-type Shown struct {
+// Status is what a member tells on its local socket, as one JSON object.
+type Status struct {
 	Name      string           `json:"name"`
 	Version   uint64           `json:"version"`
 	Digest    string           `json:"digest"`
 	Certainty string           `json:"certainty"`
-	Members   []ShownMember    `json:"members"`
+	Members   []MemberStatus   `json:"members"`
 	Healthy   []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is partitioned
 	Packets   [2]int64         `json:"packets"`           // sent, got
 	Bytes     [2]int64         `json:"bytes"`             // sent, got, without streams
@@ -30,29 +30,29 @@
 	Roles     json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
 }
 
-// ShownMember is one line of it.
-type ShownMember struct {
-	Name    string `json:"name"`
-	Birth   uint64 `json:"birth"` // milliseconds of Unix time
-	Nonce   string `json:"nonce"`
-	Address string `json:"address"`
-	Zone    string `json:"zone,omitempty"`
-	State   string `json:"state"`
-	Ill     bool   `json:"ill,omitempty"`
-	Fails   bool   `json:"fails,omitempty"`
-	Proto   uint8  `json:"proto"`
-	Open    uint8  `json:"open"`
-	Credit  uint8  `json:"credit"`
-	Level   uint8  `json:"level"`
+// MemberStatus is one line of it.
+type MemberStatus struct {
+	Name        string `json:"name"`
+	Birth       uint64 `json:"birth"` // milliseconds of Unix time
+	Nonce       string `json:"nonce"`
+	Address     string `json:"address"`
+	Zone        string `json:"zone,omitempty"`
+	State       string `json:"state"`
+	Unhealthy   bool   `json:"ill,omitempty"`
+	Unreachable bool   `json:"fails,omitempty"`
+	Proto       uint8  `json:"proto"`
+	Open        uint8  `json:"open"`
+	Credit      uint8  `json:"credit"`
+	Level       uint8  `json:"level"`
 }
 
-// Shown is the view in force and what it cost, for operators.
-func (m *Member) Shown() Shown {
+// Status is the view in force and what it cost, for operators.
+func (m *Member) Status() Status {
 	v, c := m.View(), m.Cost()
-	s := Shown{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
+	s := Status{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
 		Packets: [2]int64{c.SentPackets, c.GotPackets}, Bytes: [2]int64{c.SentBytes, c.GotBytes}, Dropped: c.Dropped}
 	for _, e := range v.Members {
-		s.Members = append(s.Members, ShownMember{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce), e.Address, e.Zone,
+		s.Members = append(s.Members, MemberStatus{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce), e.Address, e.Zone,
 			e.State.String(), e.Unhealthy, e.Unreachable, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
 	}
 	if roles := m.roles.Load(); roles != nil {
@@ -64,8 +64,8 @@
 	return s
 }
 
-// show tells the view to whoever on this machine connects to the local socket.
-func (m *Member) show(ctx context.Context) error {
+// serveStatus tells the view to whoever on this machine connects to the local socket.
+func (m *Member) serveStatus(ctx context.Context) error {
 	path := m.config.Socket
 	if nc, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		nc.Close()
@@ -95,27 +95,27 @@
 			continue
 		}
 		nc.SetDeadline(time.Now().Add(time.Second))
-		json.NewEncoder(nc).Encode(m.Shown())
+		json.NewEncoder(nc).Encode(m.Status())
 		nc.Close()
 	}
 }
 
-// Ask reads what the member behind a local socket tells.
-func Ask(path string) (Shown, error) {
+// ReadStatus reads what the member behind a local socket tells.
+func ReadStatus(path string) (Status, error) {
 	nc, err := net.DialTimeout("unix", path, time.Second)
 	if err != nil {
-		return Shown{}, err
+		return Status{}, err
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(2 * time.Second))
-	var s Shown
+	var s Status
 	return s, json.NewDecoder(io.LimitReader(nc, 4<<20)).Decode(&s)
 }
 
 // Table writes it for people.
-func (s Shown) Table(to io.Writer) {
+func (s Status) Table(to io.Writer) {
 	fmt.Fprintf(to, "view %d of %s, %s: %d members, digest %s\n", s.Version, s.Name, s.Certainty, len(s.Members), s.Digest)
-	if gone := s.gone(); gone != nil {
+	if gone := s.missing(); gone != nil {
 		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(gone, " "))
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
@@ -125,10 +125,10 @@
 		if e.Name == s.Name {
 			remarks = append(remarks, "this one")
 		}
-		if e.Ill {
+		if e.Unhealthy {
 			remarks = append(remarks, "work hangs")
 		}
-		if e.Fails {
+		if e.Unreachable {
 			remarks = append(remarks, "does not answer us")
 		}
 		if e.Proto != protoSpoken {
@@ -147,11 +147,11 @@
 	fmt.Fprintln(to)
 }
 
-// gone names who of the last healthy view is missing.
-func (s Shown) gone() []string {
+// missing names who of the last healthy view is missing.
+func (s Status) missing() []string {
 	var all []string
 	for _, name := range s.Healthy {
-		if !slices.ContainsFunc(s.Members, func(e ShownMember) bool { return e.Name == name }) {
+		if !slices.ContainsFunc(s.Members, func(e MemberStatus) bool { return e.Name == name }) {
 			all = append(all, name)
 		}
 	}
--- a/member/swarm_test.go
+++ b/member/swarm_test.go
@@ -68,11 +68,11 @@
 	}
 }
 
-// One that is killed is known dead by all, and back under its name with a later life; one whose notice has come is gone by
+// One that is killed is known dead by all, and back under its name with a newer incarnation; one whose notice has come is gone by
 // its own word.
 func TestKilled(t *testing.T) {
 	s, names := swarm(t)
-	former, err := member.Ask(s.Socket("n5"))
+	former, err := member.ReadStatus(s.Socket("n5"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,12 +84,12 @@
 	}
 	run(t, s, "0s start n5")
 	alike(t, s, 5, names)
-	shown, err := member.Ask(s.Socket("n1"))
+	shown, err := member.ReadStatus(s.Socket("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := slices.IndexFunc(shown.Members, func(e member.ShownMember) bool { return e.Name == "n5" })
-	was := slices.IndexFunc(former.Members, func(e member.ShownMember) bool { return e.Name == "n5" })
+	k := slices.IndexFunc(shown.Members, func(e member.MemberStatus) bool { return e.Name == "n5" })
+	was := slices.IndexFunc(former.Members, func(e member.MemberStatus) bool { return e.Name == "n5" })
 	if k < 0 || shown.Members[k].Birth <= former.Members[was].Birth {
 		t.Errorf("%+v after %+v", shown.Members, former.Members)
 	}
@@ -169,7 +169,7 @@
 	if !s.Node("n5").Running() {
 		t.Error("the earlier ended")
 	}
-	if shown, err := member.Ask(s.Socket("n5")); err != nil || shown.Certainty != "superseded" {
+	if shown, err := member.ReadStatus(s.Socket("n5")); err != nil || shown.Certainty != "superseded" {
 		t.Errorf("%+v, %v", shown.Certainty, err)
 	}
 }
--- a/member/wire.go
+++ b/member/wire.go
@@ -20,17 +20,17 @@
 // wire is the sockets of one member: packets and streams at one address. It outlives the gossip above it, which may be
 // begun anew; whatever comes from where nobody is allowed to be, or is not ours, ends here.
 type wire struct {
-	listen netip.AddrPort
-	allow  []netip.Prefix
-	udp    *net.UDPConn
-	tcp    *net.TCPListener
-	log    *zap.Logger
-	heard  func(view.Event) // of what is ours and not gossip's
-	noted  func(from, to string, message []byte)
-	answer func(name string) (view.Entry, bool) // to a knock
+	listen    netip.AddrPort
+	allow     []netip.Prefix
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
+	log       *zap.Logger
+	onEvent   func(view.Event) // of what is ours and not gossip's
+	onMessage func(from, to string, message []byte)
+	onProbe   func(name string) (view.Entry, bool) // to a probe
 
 	transport atomic.Pointer[transport] // the one in force
-	beaten    atomic.Int64              // when the member's loop last came round, nanoseconds since epoch
+	lastBeat  atomic.Int64              // when the member's loop last came round, nanoseconds since epoch
 	accuses   atomic.Bool
 	lag, wake time.Duration
 
@@ -50,22 +50,22 @@
 type cause uint8
 
 const (
-	outside    cause = iota // from an address that is not allowed
+	notAllowed cause = iota // from an address that is not allowed
 	foreign                 // of another protocol
-	unreadable              // cut short or spoilt
-	lying                   // says what cannot be true
-	crowded                 // more at one time than is read
+	corrupt                 // cut short or spoilt
+	invalid                 // says what cannot be true
+	overloaded              // more at one time than is read
 	causes
 )
 
-var causeNames = [causes]string{"outside", "foreign", "unreadable", "lying", "crowded"}
+var causeNames = [causes]string{"not allowed", "foreign", "corrupt", "invalid", "overloaded"}
 
-// mostStreams is how many connections are read at one time: an exchange may take a megabyte.
-const mostStreams = 16
+// maxStreams is how many connections are read at one time: an exchange may take a megabyte.
+const maxStreams = 16
 
 // Descriptors is how many a member holds at the most: its sockets, the streams that come, those that it opens (three to meet
-// others, some knocks and probes), and the local socket with one who asks there.
-const Descriptors = 2 + mostStreams + 12 + 2
+// others, some probes of both kinds), and the local socket with one who asks there.
+const Descriptors = 2 + maxStreams + 12 + 2
 
 // epoch makes times of the monotonic clock small numbers.
 var epoch = time.Now()
@@ -90,17 +90,17 @@
 		}
 	}
 	w := &wire{listen: at, allow: allow, udp: udp, tcp: tcp, log: log, told: map[cause]time.Time{},
-		streams: make(chan struct{}, mostStreams), heard: func(view.Event) {},
-		noted: func(string, string, []byte) {}}
+		streams: make(chan struct{}, maxStreams), onEvent: func(view.Event) {},
+		onMessage: func(string, string, []byte) {}}
 	w.beat()
 	return w, nil
 }
 
 // beat takes note that the member's loop has come round.
-func (w *wire) beat() { w.beaten.Store(int64(time.Since(epoch))) }
+func (w *wire) beat() { w.lastBeat.Store(int64(time.Since(epoch))) }
 
 // late is how long ago that was.
-func (w *wire) late() time.Duration { return time.Since(epoch) - time.Duration(w.beaten.Load()) }
+func (w *wire) late() time.Duration { return time.Since(epoch) - time.Duration(w.lastBeat.Load()) }
 
 func (w *wire) allowed(ip netip.Addr) bool {
 	for _, p := range w.allow {
@@ -111,8 +111,8 @@
 	return false
 }
 
-// tell counts what was dropped, and says so once a second for each cause.
-func (w *wire) tell(c cause, from string, err error) {
+// countDropped counts what was dropped, and says so once a second for each cause.
+func (w *wire) countDropped(c cause, from string, err error) {
 	w.counts[c].Add(1)
 	now := time.Now()
 	w.mu.Lock()
@@ -158,31 +158,31 @@
 func (w *wire) packet(b []byte, from netip.AddrPort) {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	if !w.allowed(from.Addr()) {
-		w.tell(outside, from.String(), nil)
+		w.countDropped(notAllowed, from.String(), nil)
 		return
 	}
 	kind, payload, err := open(b)
 	switch {
 	case err == errForeign:
-		w.tell(foreign, from.String(), err)
+		w.countDropped(foreign, from.String(), err)
 	case err != nil:
-		w.tell(unreadable, from.String(), err)
-	case kind == kindTeach:
-		if e, ok := readTeach(payload); ok {
-			w.heard(view.Event{Kind: view.NewerIncarnation, Entry: e})
+		w.countDropped(corrupt, from.String(), err)
+	case kind == kindNewer:
+		if e, ok := readNewer(payload); ok {
+			w.onEvent(view.Event{Kind: view.NewerIncarnation, Entry: e})
 		} else {
-			w.tell(unreadable, from.String(), errCut)
+			w.countDropped(corrupt, from.String(), errCut)
 		}
 	case kind == kindGossip:
 		w.gossip(payload, from)
-	case kind == kindNote:
-		if who, to, message, ok := readNote(payload); ok {
-			w.noted(who, to, message)
+	case kind == kindMessage:
+		if who, to, message, ok := readMessage(payload); ok {
+			w.onMessage(who, to, message)
 		} else {
-			w.tell(unreadable, from.String(), errCut)
+			w.countDropped(corrupt, from.String(), errCut)
 		}
 	default:
-		w.tell(foreign, from.String(), fmt.Errorf("a packet of kind %q", kind))
+		w.countDropped(foreign, from.String(), fmt.Errorf("a packet of kind %q", kind))
 	}
 }
 
@@ -191,9 +191,9 @@
 	kept, err := w.incoming(payload)
 	switch {
 	case errors.Is(err, errCut), errors.Is(err, errSpoilt), errors.Is(err, errForeign):
-		w.tell(unreadable, from.String(), err)
+		w.countDropped(corrupt, from.String(), err)
 	case err != nil:
-		w.tell(lying, from.String(), err)
+		w.countDropped(invalid, from.String(), err)
 	}
 	t := w.transport.Load()
 	if kept == nil || t == nil || w.late() > w.wake { // what came while this process slept is not worth believing
@@ -203,7 +203,7 @@
 	case t.packets <- &memberlist.Packet{Buf: append([]byte(nil), kept...), From: net.UDPAddrFromAddrPort(from),
 		Timestamp: time.Now()}:
 	default:
-		w.tell(crowded, from.String(), nil)
+		w.countDropped(overloaded, from.String(), nil)
 	}
 }
 
@@ -216,8 +216,8 @@
 	return err
 }
 
-// mostEntry is what a word on oneself is at the most, and room for what a later version adds.
-const mostEntry = 512
+// maxEntry is the size of an announced entry at the most, and room for what a later version adds.
+const maxEntry = 512
 
 // headWait is how long a connection may take to say what it is for.
 const headWait = time.Second
@@ -235,22 +235,22 @@
 		}
 		from, _ := netip.ParseAddrPort(nc.RemoteAddr().String())
 		if !w.allowed(from.Addr().Unmap()) {
-			w.tell(outside, from.String(), nil)
+			w.countDropped(notAllowed, from.String(), nil)
 			nc.Close()
 			continue
 		}
 		select {
 		case w.streams <- struct{}{}:
-			go w.guard("stream", func() error { w.greet(nc); return nil })
+			go w.guard("stream", func() error { w.handleStream(nc); return nil })
 		default:
-			w.tell(crowded, from.String(), nil)
+			w.countDropped(overloaded, from.String(), nil)
 			nc.Close()
 		}
 	}
 }
 
-// greet reads what a connection is for. Its place is given back when it is closed, whoever closes it.
-func (w *wire) greet(bare net.Conn) {
+// handleStream reads what a connection is for. Its place is given back when it is closed, whoever closes it.
+func (w *wire) handleStream(bare net.Conn) {
 	nc := newStream(bare, w, func() { <-w.streams })
 	kept := false
 	defer func() {
@@ -266,9 +266,9 @@
 	t := w.transport.Load()
 	switch {
 	case string(head[:len(magic)]) != magic:
-		w.tell(foreign, nc.RemoteAddr().String(), errForeign)
-	case head[len(magic)] == kindKnock:
-		w.knocked(bare)
+		w.countDropped(foreign, nc.RemoteAddr().String(), errForeign)
+	case head[len(magic)] == kindProbe:
+		w.answerProbe(bare)
 	case head[len(magic)] == kindGossip && t != nil:
 		nc.SetDeadline(time.Time{})
 		select {
@@ -278,12 +278,12 @@
 		case <-time.After(headWait):
 		}
 	default:
-		w.tell(foreign, nc.RemoteAddr().String(), fmt.Errorf("a stream of kind %q", head[len(magic)]))
+		w.countDropped(foreign, nc.RemoteAddr().String(), fmt.Errorf("a stream of kind %q", head[len(magic)]))
 	}
 }
 
-// knocked answers who is here.
-func (w *wire) knocked(nc net.Conn) {
+// answerProbe answers who is here.
+func (w *wire) answerProbe(nc net.Conn) {
 	var size [1]byte
 	if _, err := io.ReadFull(nc, size[:]); err != nil {
 		return
@@ -292,7 +292,7 @@
 	if _, err := io.ReadFull(nc, name); err != nil {
 		return
 	}
-	if e, ok := w.answer(string(name)); ok {
+	if e, ok := w.onProbe(string(name)); ok {
 		nc.Write(appendEntry(nil, e))
 	}
 }
@@ -317,9 +317,9 @@
 	return nc, nil
 }
 
-// knock asks whoever is at an address whether it is that member; it gives what it says of itself.
-func (w *wire) knock(ctx context.Context, address, name string) (view.Entry, error) {
-	nc, err := w.dial(ctx, address, kindKnock)
+// probe asks whoever is at an address whether it is that member; it gives what it says of itself.
+func (w *wire) probe(ctx context.Context, address, name string) (view.Entry, error) {
+	nc, err := w.dial(ctx, address, kindProbe)
 	if err != nil {
 		return view.Entry{}, err
 	}
@@ -327,7 +327,7 @@
 	if _, err := nc.Write(appendText(nil, name)); err != nil {
 		return view.Entry{}, err
 	}
-	b, err := io.ReadAll(io.LimitReader(nc, mostEntry))
+	b, err := io.ReadAll(io.LimitReader(nc, maxEntry))
 	if err != nil {
 		return view.Entry{}, err
 	}
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -83,7 +83,7 @@
 		s.tell(report{Sample: s.sample()})
 	}
 	for _, m := range s.members {
-		m.Drop()
+		m.Kill()
 	}
 	return lines.Err()
 }
@@ -118,7 +118,7 @@
 	for k, m := range s.members {
 		s.group.Go(func() { m.Run(ctx) })
 		s.group.Go(func() { s.watch(ctx, k, m) })
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	return nil
 }
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -82,12 +82,12 @@
 			load, loaded = s.load(), time.Now()
 		}
 		state := s.fleetState()
-		m.Say(state, state == view.Serving && !s.healthy(), load)
+		m.UpdateState(state, state == view.Serving && !s.healthy(), load)
 		select {
 		case <-all.Done():
 			return nil
 		case <-ctx.Done():
-			m.Say(view.Leaving, false, load)
+			m.UpdateState(view.Leaving, false, load)
 			if f != nil {
 				f.Leave()
 			}
