--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -59,7 +59,6 @@
 	crowd   *hollow.Crowd
 	members *hollow.Members
 	targets []*hollow.Target // members first, then processes
-	seen    []hollow.Sample
 	cost    crowdCost
 }
 
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -134,18 +134,6 @@
 	return worst
 }
 
-// versions counts the different views that a process told from one time to another.
-func versions(s *rig.Swarm, viewer string, from, to float64) int {
-	n, last := 0, ""
-	for _, sight := range s.History.Sights(viewer, 0) {
-		if sight.T >= from && sight.T < to && sight.Digest != last {
-			n++
-		}
-		last = sight.Digest
-	}
-	return n
-}
-
 // buried counts members that were told dead by viewers though they lived, and how many of these were not back within a
 // span. Alive tells whether a member was alive at a time.
 func buried(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -229,13 +229,15 @@
 	k := int(m.To[1] - '0')
 	v := &s.voters[k]
 	v.votes, v.rejected = maps.Clone(v.votes), map[string][]Message{}
-	for _, a := range v.HandleMessage(m, s.clock(2)) {
-		if a.Sync {
-			s.disk[k], s.wrote[k] = v.votes["o"], s.at
-		}
-		return a, a.Kind == Granted
+	answers := v.HandleMessage(m, s.clock(2))
+	if len(answers) == 0 {
+		return Message{}, false
+	}
+	a := answers[0]
+	if a.Sync {
+		s.disk[k], s.wrote[k] = v.votes["o"], s.at
 	}
-	return Message{}, false
+	return a, a.Kind == Granted
 }
 
 // idle tells what can have no effect any more, whenever it comes.
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -14,7 +14,6 @@
 	now       float64
 	asked, ok []uint64
 	rates     []float64
-	chance    float64
 }
 
 func newStage(change func(t *Terms)) *stage {
