--- a/logic/claim/claim.go
+++ b/logic/claim/claim.go
@@ -1,13 +1,13 @@
-// Package claim decides which app server may run a token, once for the whole fleet. Tokens fall into slots. Each slot has a
-// place: an owner that is asked, and a second that has to know of a claim before the owner says yes. Places follow each other
-// under terms that rise, given out by whoever holds an office of the fleet; a new owner has all claims of the places before it,
-// and has sealed them, before its own first yes. Desk is one process's part in all slots. Nothing here does I/O, reads a clock or
+// Package claim decides which app server may run a token, once for the whole fleet. Tokens fall into slots. Each slot has an
+// assignment: an owner that is asked, and a backup that has to have a claim before the owner grants it. Assignments follow each other
+// under terms that rise, given out by the owner of a role of the fleet; a new owner has all claims of the assignments before its own,
+// and has fenced their members, before its own first grant. Table is one process's part in all slots. Nothing here does I/O, reads a clock or
 // knows an address.
 //
-// Why no claim is lost when a place ends: a yes needs both members of the place, under its term. A member that has been asked for
-// its claims under a later term takes no part in the place any more: it is sealed. So one of the two is enough, whichever still
-// answers: what the other one may still say yes to, this one had written down before. Where neither answers, nothing unknown is
-// run until the place's leave to say yes is over, and then for the longest window.
+// Why no claim is lost when an assignment ends: a grant needs both members of the assignment, under its term. A member that has been asked for
+// its claims under a later term takes no part in the assignment any more: it is fenced. So one of the two is enough, whichever still
+// answers: what the other one may still grant, this one had recorded before. Where neither answers, nothing unknown is
+// run until the assignment's lease to grant is over, and then for the longest window.
 package claim
 
 import (
@@ -18,21 +18,21 @@
 	"valveglade/logic/owner"
 )
 
-// Term orders places: by the keeper's term, and by its own count.
-type Term struct{ Keeper, Count uint64 }
+// Term orders assignments: by the term of the role's owner that gave them out, and by its own sequence.
+type Term struct{ Leader, Sequence uint64 }
 
-// Less tells which comes first.
+// Less reports whether t comes before u.
 func (t Term) Less(u Term) bool {
-	return cmp.Or(cmp.Compare(t.Keeper, u.Keeper), cmp.Compare(t.Count, u.Count)) < 0
+	return cmp.Or(cmp.Compare(t.Leader, u.Leader), cmp.Compare(t.Sequence, u.Sequence)) < 0
 }
 
-// Place is who has a slot, under a term.
-type Place struct {
+// Assignment is who has a slot, under a term.
+type Assignment struct {
 	Term          Term
-	Owner, Second owner.Incarnation
+	Owner, Backup owner.Incarnation
 }
 
-func (p Place) has(who owner.Incarnation) bool { return p.Owner == who || p.Second == who }
+func (p Assignment) has(who owner.Incarnation) bool { return p.Owner == who || p.Backup == who }
 
 // Claim is what is known of a token.
 type Claim struct {
@@ -42,165 +42,165 @@
 	Until  float64           // after which it is forgotten: on the clock of whoever has it, and as a span in messages
 }
 
-// Word is what a message says.
-type Word uint8
+// MessageKind is the kind of a message.
+type MessageKind uint8
 
-// What claimers, owners and seconds say to each other.
+// The messages between claimers, owners and backups.
 const (
-	Ask     Word = iota // may I run it?
-	Yes                 // run it
-	Runs                // no: it was claimed by the one named in Claim
-	Other               // no: another body has this token
-	Unknown             // not known, and not to be run yet: Left says for how long
-	Moved               // not ours to say: a later term is known
-	End                 // it has ended well, or was never run
-	Write               // owner to second: write this down
-	Written             // second to owner
-	Gather              // new owner to a member of a place before: seal it, and give what you have
-	Table               // its answer
-	Copy                // new owner to its second: all that is claimed
-	Copied              // its answer
+	Request        MessageKind = iota // claimer to owner: may I run it?
+	Granted                           // the claim is granted: run it
+	AlreadyClaimed                    // no: it was claimed by the one named in Claim
+	BodyMismatch                      // no: another body has this token
+	Unknown                           // not known, and not to be run yet: Remaining says for how long
+	StaleTerm                         // a later term is known: ask its owner
+	Finished                          // the run has ended well, or was never begun
+	Replicate                         // owner to backup: record this claim
+	Replicated                        // backup to owner: recorded
+	Collect                           // new owner to a member of an earlier assignment: fence yourself, and send your claims
+	Collected                         // its answer
+	Transfer                          // new owner to its backup: all claims
+	Transferred                       // its answer
 )
 
 // Message goes between two processes, about one slot.
 type Message struct {
-	Word     Word
-	Slot     int
-	From, To owner.Incarnation
-	Term     Term // of the place that it is about; of Gather and Table the new one
-	Of       Term // of Gather and Table: the place that is ended
-	Token    string
-	Number   uint64 // of a question, for its answer
-	Claim    Claim
-	Left     float64 // of Unknown: in seconds
-	Whole    bool    // of Table: it has all claims of that place; else the place never opened, and never will
-	Claims   map[string]Claim
+	Kind      MessageKind
+	Slot      int
+	From, To  owner.Incarnation
+	Term      Term // of the assignment that it is about; of Collect and Collected the new one
+	Of        Term // of Collect and Collected: the assignment that is ended
+	Token     string
+	Number    uint64 // of a request, for its answer
+	Claim     Claim
+	Remaining float64 // of Unknown: in seconds
+	Complete  bool    // of Collected: it has all claims of that assignment; else that one never served, and never will
+	Claims    map[string]Claim
 }
 
 // Rules are those that can be left out, to show that their loss is noticed: none in service.
 type Rules struct {
-	Second bool // that the second has written a claim down before the yes
-	Seal   bool // that whoever gave its claims away takes no part any more
-	Window bool // that what nobody can tell is waited out
-	Term   bool // that a second looks at the term before it writes down
-	Lag    bool // that whoever asks after a window's end may have come before it
+	BackupFirst bool // that the backup has recorded a claim before it is granted
+	Fencing     bool // that whoever gave its claims away takes no part any more
+	Window      bool // that what nobody can tell is waited out
+	Term        bool // that a backup checks the term before it records
+	Lag         bool // that whoever asks after a window's end may have come before it
 }
 
-// Span is what an installation sets, in seconds.
-type Span struct {
-	Window  float64 // the longest for which a token may come again
-	Lag     float64 // the longest from an RPC's coming until nobody heeds an answer for it any more: the longest deadline
-	Drift   float64 // by which two clocks may drift apart, as a share
-	Without Rules
+// Timing is what an installation sets, in seconds.
+type Timing struct {
+	Window   float64 // the longest for which a token may come again
+	Lag      float64 // the longest from an RPC's coming until nobody heeds an answer for it any more: the longest deadline
+	Drift    float64 // by which two clocks may drift apart, as a share
+	Disabled Rules
 }
 
 // role is how far a process is in a slot. slot.move changes it, and nothing else does.
 type role uint8
 
 const (
-	none      role = iota // has no part in the place in force
-	gathering             // owner: has not all claims of the places before
-	copying               // owner: its second has not all claims yet
-	open                  // owner: says yes
-	waiting               // second: has not been given the claims
-	backing               // second: writes down
+	none         role = iota // has no part in the assignment in force
+	collecting               // owner: has not all claims of the earlier assignments
+	transferring             // owner: its backup has not all claims yet
+	serving                  // owner: grants claims
+	awaiting                 // backup: has not been given the claims
+	backingUp                // backup: records claims
 )
 
 // slot is one slot as one process has it.
 type slot struct {
-	role   role
-	place  Place
-	sealed Term // it takes no part in places below
-	whole  Term // the last place whose claims it has all of
-	claims map[string]Claim
-	before []Place // whose claims are still missing, while gathering
-	quiet  float64 // until when nothing unknown is run
-	asked  map[uint64]Message
-	number uint64 // of the last write
+	role         role
+	assignment   Assignment
+	fencedBelow  Term // it takes no part in assignments below
+	completeUpTo Term // the last assignment of which it has all claims
+	claims       map[string]Claim
+	previous     []Assignment // whose claims are still missing, while collecting
+	quietUntil   float64      // until when nothing unknown is run
+	pending      map[uint64]Message
+	lastWrite    uint64 // of the last Replicate
 }
 
 func (s *slot) move(to role) { s.role = to }
 
-// Desk is one process's part in all slots.
-type Desk struct {
-	self  owner.Incarnation
-	span  Span
-	slots map[int]*slot
-	out   []Message
+// Table is one process's part in all slots.
+type Table struct {
+	self   owner.Incarnation
+	timing Timing
+	slots  map[int]*slot
+	ready  []Message
 }
 
-// NewDesk has no part in any slot.
-func NewDesk(self owner.Incarnation, span Span) *Desk {
-	return &Desk{self: self, span: span, slots: map[int]*slot{}}
+// NewTable has no part in any slot.
+func NewTable(self owner.Incarnation, timing Timing) *Table {
+	return &Table{self: self, timing: timing, slots: map[int]*slot{}}
 }
 
-// Out empties the list of what is to be sent.
-func (d *Desk) Out() []Message {
-	out := d.out
-	d.out = nil
-	return out
+// Ready returns the messages to be sent, and empties the list.
+func (d *Table) Ready() []Message {
+	messages := d.ready
+	d.ready = nil
+	return messages
 }
 
-func (d *Desk) send(m Message) {
+func (d *Table) send(m Message) {
 	m.From = d.self
-	d.out = append(d.out, m)
+	d.ready = append(d.ready, m)
 }
 
-func (d *Desk) slot(k int) *slot {
+func (d *Table) slot(k int) *slot {
 	s := d.slots[k]
 	if s == nil {
-		s = &slot{claims: map[string]Claim{}, asked: map[uint64]Message{}}
+		s = &slot{claims: map[string]Claim{}, pending: map[uint64]Message{}}
 		d.slots[k] = s
 	}
 	return s
 }
 
-// Assign takes in who has a slot from now on. Before are the places since the last one that is known to have opened, that one
+// Assign takes in who has a slot from now on. Previous are the assignments since the last one that is known to have served, that one
 // first: the new owner needs what was claimed in each. None at all is for a slot of which nobody knows: then nothing unknown is
 // run for the longest window.
-func (d *Desk) Assign(k int, p Place, before []Place, now float64) {
+func (d *Table) Assign(k int, p Assignment, previous []Assignment, now float64) {
 	s := d.slot(k)
-	if !s.place.Term.Less(p.Term) || p.Term.Less(s.sealed) {
+	if !s.assignment.Term.Less(p.Term) || p.Term.Less(s.fencedBelow) {
 		return
 	}
-	had := s.whole
-	s.place, s.sealed, s.asked = p, p.Term, map[uint64]Message{}
+	had := s.completeUpTo
+	s.assignment, s.fencedBelow, s.pending = p, p.Term, map[uint64]Message{}
 	switch d.self {
 	case p.Owner:
-		s.move(gathering)
-		s.before = slices.DeleteFunc(slices.Clone(before), func(b Place) bool { return !had.Less(b.Term) })
-		if len(before) == 0 {
-			s.quiet = max(s.quiet, now+d.span.Window*(1+d.span.Drift))
+		s.move(collecting)
+		s.previous = slices.DeleteFunc(slices.Clone(previous), func(b Assignment) bool { return !had.Less(b.Term) })
+		if len(previous) == 0 {
+			s.quietUntil = max(s.quietUntil, now+d.timing.Window*(1+d.timing.Drift))
 		}
-		d.gather(k, s, now)
-	case p.Second:
-		s.move(waiting)
+		d.collect(k, s, now)
+	case p.Backup:
+		s.move(awaiting)
 	default:
 		s.move(none) // what it has stays: the new owner may need it
 	}
 }
 
-// gather asks for what is missing, or goes on once nothing is.
-func (d *Desk) gather(k int, s *slot, now float64) {
-	for _, b := range s.before {
-		for _, who := range []owner.Incarnation{b.Owner, b.Second} {
+// collect asks for what is missing, or goes on once nothing is.
+func (d *Table) collect(k int, s *slot, now float64) {
+	for _, b := range s.previous {
+		for _, who := range []owner.Incarnation{b.Owner, b.Backup} {
 			if who != d.self {
-				d.send(Message{Word: Gather, Slot: k, To: who, Term: s.place.Term, Of: b.Term})
+				d.send(Message{Kind: Collect, Slot: k, To: who, Term: s.assignment.Term, Of: b.Term})
 			}
 		}
 	}
-	if len(s.before) == 0 {
-		s.move(copying)
-		d.copy(k, s, now)
+	if len(s.previous) == 0 {
+		s.move(transferring)
+		d.transfer(k, s, now)
 	}
 }
 
-func (d *Desk) copy(k int, s *slot, now float64) {
-	d.send(Message{Word: Copy, Slot: k, To: s.place.Second, Term: s.place.Term, Claims: s.spans(now), Left: max(s.quiet-now, 0)})
+func (d *Table) transfer(k int, s *slot, now float64) {
+	d.send(Message{Kind: Transfer, Slot: k, To: s.assignment.Backup, Term: s.assignment.Term, Claims: s.remaining(now), Remaining: max(s.quietUntil-now, 0)})
 }
 
-// spans is what is claimed, with what is left of each window: no clock is another's.
-func (s *slot) spans(now float64) map[string]Claim {
+// remaining is what is claimed, with what is left of each window: no clock is another's.
+func (s *slot) remaining(now float64) map[string]Claim {
 	all := map[string]Claim{}
 	for token, c := range s.claims {
 		c.Until -= now
@@ -209,52 +209,52 @@
 	return all
 }
 
-// Again sends once more what may have been lost.
-func (d *Desk) Again(k int, now float64) {
+// Retry sends once more what may have been lost.
+func (d *Table) Retry(k int, now float64) {
 	switch s := d.slot(k); s.role {
-	case gathering:
-		d.gather(k, s, now)
-	case copying:
-		d.copy(k, s, now)
+	case collecting:
+		d.collect(k, s, now)
+	case transferring:
+		d.transfer(k, s, now)
 	}
 }
 
-// Lapsed takes in that the leave of a place before to say yes is over, so that nobody of it is needed: what it claimed is not
+// HandleExpired takes in that an earlier assignment's lease to grant is over, so that nobody of it is needed: what it claimed is not
 // known, and is waited out.
-func (d *Desk) Lapsed(k int, of Term, now float64) {
+func (d *Table) HandleExpired(k int, of Term, now float64) {
 	s := d.slot(k)
-	if s.role != gathering || !slices.ContainsFunc(s.before, func(b Place) bool { return b.Term == of }) {
+	if s.role != collecting || !slices.ContainsFunc(s.previous, func(b Assignment) bool { return b.Term == of }) {
 		return
 	}
-	if !d.span.Without.Window {
-		s.quiet = max(s.quiet, now+d.span.Window*(1+d.span.Drift))
+	if !d.timing.Disabled.Window {
+		s.quietUntil = max(s.quietUntil, now+d.timing.Window*(1+d.timing.Drift))
 	}
-	d.have(k, s, of, false, now)
+	d.finishPrevious(k, s, of, false, now)
 }
 
-// have crosses a place off and, where all was had that was claimed until it ended, what came before it.
-func (d *Desk) have(k int, s *slot, of Term, whole bool, now float64) {
-	s.before = slices.DeleteFunc(s.before, func(b Place) bool { return b.Term == of || whole && b.Term.Less(of) })
-	if len(s.before) == 0 {
-		s.move(copying)
-		d.copy(k, s, now)
+// finishPrevious crosses an assignment off and, where all was had that was claimed until it ended, what came before it.
+func (d *Table) finishPrevious(k int, s *slot, of Term, complete bool, now float64) {
+	s.previous = slices.DeleteFunc(s.previous, func(b Assignment) bool { return b.Term == of || complete && b.Term.Less(of) })
+	if len(s.previous) == 0 {
+		s.move(transferring)
+		d.transfer(k, s, now)
 	}
 }
 
-// Opens tells whether the slot's owner is here and may say yes, and under which term: for whoever gives out places.
-func (d *Desk) Opens(k int) (Term, bool) {
+// Serving reports whether the slot's owner is here and may grant claims, and under which term: for whoever gives out assignments.
+func (d *Table) Serving(k int) (Term, bool) {
 	s := d.slot(k)
-	return s.place.Term, s.role == open
+	return s.assignment.Term, s.role == serving
 }
 
-// Hear takes a message in. May is whether this process has leave to say yes now: it has to have been looked at after the message
+// HandleMessage takes a message in. May is whether this process has a lease to grant claims now: it has to have been looked at after the message
 // came, at the same reading of the clock.
-func (d *Desk) Hear(m Message, may bool, now float64) {
+func (d *Table) HandleMessage(m Message, may bool, now float64) {
 	s := d.slot(m.Slot)
-	switch m.Word {
-	case Ask:
-		d.ask(s, m, may, now)
-	case End:
+	switch m.Kind {
+	case Request:
+		d.handleRequest(s, m, may, now)
+	case Finished:
 		if c, there := s.claims[m.Token]; there && c.Runner == m.From {
 			if c.Done = m.Claim.Done; !c.Done {
 				delete(s.claims, m.Token)
@@ -262,122 +262,122 @@
 				s.claims[m.Token] = c
 			}
 		}
-	case Write:
-		if s.role != backing || m.Term != s.place.Term && !d.span.Without.Term {
-			d.send(Message{Word: Moved, Slot: m.Slot, To: m.From, Term: s.sealed, Number: m.Number})
+	case Replicate:
+		if s.role != backingUp || m.Term != s.assignment.Term && !d.timing.Disabled.Term {
+			d.send(Message{Kind: StaleTerm, Slot: m.Slot, To: m.From, Term: s.fencedBelow, Number: m.Number})
 			return
 		}
 		m.Claim.Until += now
 		s.claims[m.Token] = m.Claim
-		d.send(Message{Word: Written, Slot: m.Slot, To: m.From, Term: m.Term, Number: m.Number})
-	case Written:
-		q, there := s.asked[m.Number]
-		if delete(s.asked, m.Number); !there || s.role != open || m.Term != s.place.Term {
+		d.send(Message{Kind: Replicated, Slot: m.Slot, To: m.From, Term: m.Term, Number: m.Number})
+	case Replicated:
+		q, there := s.pending[m.Number]
+		if delete(s.pending, m.Number); !there || s.role != serving || m.Term != s.assignment.Term {
 			return
 		}
-		s.claims[q.Token] = Claim{Digest: q.Claim.Digest, Runner: q.From, Until: now + q.Claim.Until*(1+d.span.Drift)}
+		s.claims[q.Token] = Claim{Digest: q.Claim.Digest, Runner: q.From, Until: now + q.Claim.Until*(1+d.timing.Drift)}
 		if may { // otherwise it is as if it had been claimed and not run: its window ends by itself
-			d.send(Message{Word: Yes, Slot: m.Slot, To: q.From, Term: s.place.Term, Token: q.Token, Number: q.Number})
+			d.send(Message{Kind: Granted, Slot: m.Slot, To: q.From, Term: s.assignment.Term, Token: q.Token, Number: q.Number})
 		}
-	case Moved:
-		if s.role == open && s.place.Term.Less(m.Term) {
-			s.sealed = m.Term
+	case StaleTerm:
+		if s.role == serving && s.assignment.Term.Less(m.Term) {
+			s.fencedBelow = m.Term
 			s.move(none)
 		}
-	case Gather:
-		d.seal(s, m, now)
-	case Table:
-		if s.role != gathering || m.Term != s.place.Term {
+	case Collect:
+		d.fence(s, m, now)
+	case Collected:
+		if s.role != collecting || m.Term != s.assignment.Term {
 			return
 		}
-		s.take(m.Claims, now)
-		d.hush(s, m.Left, now)
-		d.have(m.Slot, s, m.Of, m.Whole, now)
-	case Copy:
-		if m.Term != s.place.Term || s.role != waiting && s.role != backing {
+		s.merge(m.Claims, now)
+		d.extendQuiet(s, m.Remaining, now)
+		d.finishPrevious(m.Slot, s, m.Of, m.Complete, now)
+	case Transfer:
+		if m.Term != s.assignment.Term || s.role != awaiting && s.role != backingUp {
 			return
 		}
-		if s.role == waiting {
-			s.take(m.Claims, now)
-			d.hush(s, m.Left, now)
-			s.whole = m.Term
-			s.move(backing)
+		if s.role == awaiting {
+			s.merge(m.Claims, now)
+			d.extendQuiet(s, m.Remaining, now)
+			s.completeUpTo = m.Term
+			s.move(backingUp)
 		}
-		d.send(Message{Word: Copied, Slot: m.Slot, To: m.From, Term: m.Term})
-	case Copied:
-		if s.role == copying && m.Term == s.place.Term {
-			s.whole = m.Term
-			s.move(open)
+		d.send(Message{Kind: Transferred, Slot: m.Slot, To: m.From, Term: m.Term})
+	case Transferred:
+		if s.role == transferring && m.Term == s.assignment.Term {
+			s.completeUpTo = m.Term
+			s.move(serving)
 		}
 	}
 }
 
-// hush has nothing unknown run for as long as the place before would not have.
-func (d *Desk) hush(s *slot, left, now float64) {
+// extendQuiet has nothing unknown run for as long as the earlier assignment would not have.
+func (d *Table) extendQuiet(s *slot, left, now float64) {
 	if left > 0 {
-		s.quiet = max(s.quiet, now+left*(1+d.span.Drift))
+		s.quietUntil = max(s.quietUntil, now+left*(1+d.timing.Drift))
 	}
 }
 
-// ask answers a claimer.
-func (d *Desk) ask(s *slot, m Message, may bool, now float64) {
-	a := Message{Word: Moved, Slot: m.Slot, To: m.From, Term: s.place.Term, Token: m.Token, Number: m.Number}
+// handleRequest answers a claimer.
+func (d *Table) handleRequest(s *slot, m Message, may bool, now float64) {
+	a := Message{Kind: StaleTerm, Slot: m.Slot, To: m.From, Term: s.assignment.Term, Token: m.Token, Number: m.Number}
 	c, known := s.claims[m.Token]
-	// What came within a window is a repeat, whenever it is asked for, and however late the question comes.
-	came := now - d.span.Lag*(1+d.span.Drift)
-	if d.span.Without.Lag {
+	// What came within a window is a repeat, whenever it is asked for, and however late the request comes.
+	came := now - d.timing.Lag*(1+d.timing.Drift)
+	if d.timing.Disabled.Lag {
 		came = now
 	}
 	known = known && came < c.Until
 	switch {
-	case s.role != open || !may:
+	case s.role != serving || !may:
 	case known && c.Digest != m.Claim.Digest:
-		a.Word = Other
-	case known && c.Runner == m.From: // its yes was lost, or comes twice: the one that has it knows whether it has run
-		a.Word = Yes
+		a.Kind = BodyMismatch
+	case known && c.Runner == m.From: // its grant was lost, or comes twice: the one that has it knows whether it has run
+		a.Kind = Granted
 	case known:
-		a.Word, a.Claim = Runs, c
-	case came < s.quiet:
-		a.Word, a.Left = Unknown, s.quiet-came
+		a.Kind, a.Claim = AlreadyClaimed, c
+	case came < s.quietUntil:
+		a.Kind, a.Remaining = Unknown, s.quietUntil-came
 	default:
-		for _, q := range s.asked {
-			if q.Token == m.Token && q.From != m.From { // one at a time: the other's is about to be written
-				a.Word, a.Claim = Runs, Claim{Runner: q.From}
+		for _, q := range s.pending {
+			if q.Token == m.Token && q.From != m.From { // one at a time: the other's is about to be recorded
+				a.Kind, a.Claim = AlreadyClaimed, Claim{Runner: q.From}
 				d.send(a)
 				return
 			}
 		}
-		s.number++
-		s.asked[s.number] = m
-		w := Message{Word: Write, Slot: m.Slot, To: s.place.Second, Term: s.place.Term, Token: m.Token, Number: s.number,
-			Claim: Claim{Digest: m.Claim.Digest, Runner: m.From, Until: m.Claim.Until * (1 + d.span.Drift)}}
-		if !d.span.Without.Second {
+		s.lastWrite++
+		s.pending[s.lastWrite] = m
+		w := Message{Kind: Replicate, Slot: m.Slot, To: s.assignment.Backup, Term: s.assignment.Term, Token: m.Token, Number: s.lastWrite,
+			Claim: Claim{Digest: m.Claim.Digest, Runner: m.From, Until: m.Claim.Until * (1 + d.timing.Drift)}}
+		if !d.timing.Disabled.BackupFirst {
 			d.send(w)
 			return
 		}
 		d.send(w)
-		d.Hear(Message{Word: Written, Slot: m.Slot, Term: s.place.Term, Number: s.number}, may, now)
+		d.HandleMessage(Message{Kind: Replicated, Slot: m.Slot, Term: s.assignment.Term, Number: s.lastWrite}, may, now)
 		return
 	}
 	d.send(a)
 }
 
-// seal ends this process's part in the places below a term, and gives what it has.
-func (d *Desk) seal(s *slot, m Message, now float64) {
-	if m.Term.Less(s.sealed) {
+// fence ends this process's part in the assignments below a term, and gives what it has.
+func (d *Table) fence(s *slot, m Message, now float64) {
+	if m.Term.Less(s.fencedBelow) {
 		return // a later owner has asked already
 	}
-	if !d.span.Without.Seal && s.place.Term.Less(m.Term) {
-		s.sealed = m.Term
+	if !d.timing.Disabled.Fencing && s.assignment.Term.Less(m.Term) {
+		s.fencedBelow = m.Term
 		s.move(none)
 	}
-	a := Message{Word: Table, Slot: m.Slot, To: m.From, Term: m.Term, Of: m.Of, Whole: !s.whole.Less(m.Of), Claims: s.spans(now),
-		Left: max(s.quiet-now, 0)}
+	a := Message{Kind: Collected, Slot: m.Slot, To: m.From, Term: m.Term, Of: m.Of, Complete: !s.completeUpTo.Less(m.Of), Claims: s.remaining(now),
+		Remaining: max(s.quietUntil-now, 0)}
 	d.send(a)
 }
 
-// take adds claims that come with spans.
-func (s *slot) take(claims map[string]Claim, now float64) {
+// merge adds claims that come with spans.
+func (s *slot) merge(claims map[string]Claim, now float64) {
 	for token, c := range claims {
 		c.Until += now // that much longer by the way they took
 		if mine, there := s.claims[token]; !there || mine.Until < c.Until {
@@ -386,9 +386,9 @@
 	}
 }
 
-// Forget drops what has passed, and what nobody who came within its window can ask for any more.
-func (d *Desk) Forget(now float64) {
+// DropExpired drops what has passed, and what nobody who came within its window can ask for any more.
+func (d *Table) DropExpired(now float64) {
 	for _, s := range d.slots {
-		maps.DeleteFunc(s.claims, func(_ string, c Claim) bool { return now >= c.Until+d.span.Lag*(1+d.span.Drift) })
+		maps.DeleteFunc(s.claims, func(_ string, c Claim) bool { return now >= c.Until+d.timing.Lag*(1+d.timing.Drift) })
 	}
 }
--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -11,85 +11,85 @@
 	"valveglade/rig/explore"
 )
 
-// town is three desks with a slot that moves twice, and two claimers of one token. Messages come in any order, late or never;
-// a desk may die; the keeper's words may come at any time; and once a place's leave is over, the keeper may say so.
+// town is three tables with a slot that moves twice, and two claimers of one token. Messages come in any order, late or never;
+// a process may die; the role owner's messages may come at any time; and once an assignment's lease is over, the role owner may say so.
 type town struct {
 	at     int
 	units  int
-	desks  [3]*Desk
+	tables [3]*Table
 	dead   [3]bool
 	deaths int8
-	over   [2]bool // the leave of the first two places
-	lapsed [2]bool // the keeper has told the next owner so
-	placed int     // how many places have been given out, of how many
+	over   [2]bool // the leases of the first two assignments
+	lapsed [2]bool // the role owner has told the next owner so
+	placed int     // how many assignments have been given out, of how many
 	places int
 	told   [3][3]bool
-	heard  int // the last place that the keeper knows to have opened
+	heard  int // the last assignment that the role owner knows to serve
 	flight []Message
 	asks   [2]int8
 	came   [2]int // when each claimer's RPC came, -1 before
 	asked  [2]uint64
 	ran    [2]int // when it ran, -1 before
-	span   Span
+	timing Timing
 }
 
 const window, oneUnit = 2.0, 1.0
 
-var places = [3]Place{{Term{1, 1}, life(0), life(1)}, {Term{1, 2}, life(2), life(1)}, {Term{2, 1}, life(0), life(2)}}
+var assignments = [3]Assignment{{Term{1, 1}, incarnation(0), incarnation(1)}, {Term{1, 2}, incarnation(2), incarnation(1)}, {Term{2, 1}, incarnation(0), incarnation(2)}}
 
-func life(k int) owner.Incarnation    { return owner.Incarnation{Name: fmt.Sprint("d", k), ID: 1} }
-func claimer(k int) owner.Incarnation { return owner.Incarnation{Name: fmt.Sprint("c", k), ID: 1} }
-func number(of owner.Incarnation) int { return int(of.Name[1] - '0') }
-func (s *town) now() float64          { return 100 + float64(s.at)*oneUnit }
+func incarnation(k int) owner.Incarnation { return owner.Incarnation{Name: fmt.Sprint("d", k), ID: 1} }
+func claimer(k int) owner.Incarnation     { return owner.Incarnation{Name: fmt.Sprint("c", k), ID: 1} }
+func number(of owner.Incarnation) int     { return int(of.Name[1] - '0') }
+func (s *town) now() float64              { return 100 + float64(s.at)*oneUnit }
 func (s *town) may(k int) bool {
-	for n, p := range places[:2] {
-		if d := s.desks[k]; d.slot(0).place.Term == p.Term && s.over[n] {
+	for n, p := range assignments[:2] {
+		if d := s.tables[k]; d.slot(0).assignment.Term == p.Term && s.over[n] {
 			return false
 		}
 	}
 	return true
 }
 
-func begin(span Span, most, units int, asks [2]int8, deaths int8) *town {
-	s := &town{places: most, units: units, asks: asks, deaths: deaths, placed: 1, came: [2]int{-1, -1}, ran: [2]int{-1, -1}, span: span}
-	for k := range s.desks {
-		s.desks[k] = NewDesk(life(k), span)
+func begin(timing Timing, most, units int, asks [2]int8, deaths int8) *town {
+	s := &town{places: most, units: units, asks: asks, deaths: deaths, placed: 1, came: [2]int{-1, -1}, ran: [2]int{-1, -1}, timing: timing}
+	for k := range s.tables {
+		s.tables[k] = NewTable(incarnation(k), timing)
 		s.told[0][k] = true
 	}
-	for k, r := range []role{open, backing} { // the first place has been open for long
-		x := s.desks[k].slot(0)
-		x.role, x.place, x.sealed, x.whole = r, places[0], places[0].Term, places[0].Term
+	for k, r := range []role{serving, backingUp} { // the first assignment has been serving for long
+		x := s.tables[k].slot(0)
+		x.role, x.assignment, x.fencedBelow, x.completeUpTo = r, assignments[0], assignments[0].Term, assignments[0].Term
 	}
 	return s
 }
 
 const (
-	goesBy  = iota << 8
-	places2 // the keeper gives out the next place
-	tells   // a desk hears of one: low bits which desk, and which place
-	learns  // the keeper hears that a place has opened
-	ends    // a place's leave is over
-	lapses  // the next owner hears so
-	dies    // a desk
-	claims  // a claimer asks, or asks again
-	arrives // a message comes
+	timePasses = iota << 8
+	assigns    // the role owner gives out the next assignment
+	tells      // a process hears of one: low bits which process, and which assignment
+	learns     // the role owner hears that an assignment serves
+	ends       // an assignment's lease is over
+	lapses     // the next owner hears so
+	dies       // a process
+	claims     // a claimer asks, or asks again
+	arrives    // a message comes
 )
 
 func (s *town) acts(all []uint16) []uint16 {
 	if s.units > 0 {
-		all = append(all, goesBy)
+		all = append(all, timePasses)
 	}
 	if s.placed < s.places {
-		all = append(all, places2)
+		all = append(all, assigns)
 	}
 	for p := 1; p < s.placed; p++ {
-		for k := range s.desks {
-			if !s.told[p][k] && !s.dead[k] && p > s.heard && places[p].has(life(k)) {
+		for k := range s.tables {
+			if !s.told[p][k] && !s.dead[k] && p > s.heard && assignments[p].has(incarnation(k)) {
 				all = append(all, tells|uint16(k)<<4|uint16(p))
 			}
 		}
-		next := number(places[p].Owner)
-		if term, ok := s.desks[next].Opens(0); s.heard < p && ok && term == places[p].Term && !s.dead[next] {
+		next := number(assignments[p].Owner)
+		if term, ok := s.tables[next].Serving(0); s.heard < p && ok && term == assignments[p].Term && !s.dead[next] {
 			all = append(all, learns|uint16(p))
 		}
 	}
@@ -101,15 +101,15 @@
 			all = append(all, lapses|uint16(n))
 		}
 	}
-	for k := range s.desks {
+	for k := range s.tables {
 		if s.deaths > 0 && !s.dead[k] {
 			all = append(all, dies|uint16(k))
 		}
 	}
 	for k := range s.asks {
 		if s.asks[k] > 0 && s.ran[k] < 0 {
-			for d := range s.desks {
-				if _, ok := s.desks[d].Opens(0); ok && !s.dead[d] {
+			for d := range s.tables {
+				if _, ok := s.tables[d].Serving(0); ok && !s.dead[d] {
 					all = append(all, claims|uint16(k)<<4|uint16(d))
 				}
 			}
@@ -124,15 +124,15 @@
 func (s *town) clone() *town {
 	n := *s
 	n.flight = slices.Clone(s.flight)
-	for k, d := range s.desks {
+	for k, d := range s.tables {
 		c := *d
 		c.slots = map[int]*slot{}
 		for i, x := range d.slots {
 			y := *x
-			y.claims, y.asked, y.before = maps.Clone(x.claims), maps.Clone(x.asked), slices.Clone(x.before)
+			y.claims, y.pending, y.previous = maps.Clone(x.claims), maps.Clone(x.pending), slices.Clone(x.previous)
 			c.slots[i] = &y
 		}
-		n.desks[k] = &c
+		n.tables[k] = &c
 	}
 	return &n
 }
@@ -141,15 +141,15 @@
 	n := s.clone()
 	k := int(act & 0xff)
 	switch act &^ 0xff {
-	case goesBy:
+	case timePasses:
 		n.at++
 		n.units--
-	case places2:
+	case assigns:
 		n.placed++
 	case tells:
 		p, d := k&15, k>>4
 		n.told[p][d] = true
-		n.desks[d].Assign(0, places[p], places[n.heard:p], n.now())
+		n.tables[d].Assign(0, assignments[p], assignments[n.heard:p], n.now())
 	case learns:
 		n.heard = k
 	case ends:
@@ -157,7 +157,7 @@
 	case lapses:
 		n.lapsed[k] = true
 		for p := k + 1; p < n.placed; p++ {
-			n.desks[number(places[p].Owner)].Lapsed(0, places[k].Term, n.now())
+			n.tables[number(assignments[p].Owner)].HandleExpired(0, assignments[k].Term, n.now())
 		}
 	case dies:
 		n.deaths--
@@ -169,21 +169,21 @@
 			n.came[who] = n.at
 		}
 		n.asked[who]++
-		n.flight = append(n.flight, Message{Word: Ask, From: claimer(who), To: life(d), Token: "t", Number: n.asked[who],
+		n.flight = append(n.flight, Message{Kind: Request, From: claimer(who), To: incarnation(d), Token: "t", Number: n.asked[who],
 			Claim: Claim{Digest: 1, Until: window}})
 	case arrives:
 		m := n.flight[k]
 		n.flight = slices.Delete(n.flight, k, k+1)
 		if m.To.Name[0] == 'c' {
-			if who := number(m.To); m.Word == Yes && m.Number == n.asked[who] && n.ran[who] < 0 && float64(n.at-n.came[who])*oneUnit <= s.span.Lag {
+			if who := number(m.To); m.Kind == Granted && m.Number == n.asked[who] && n.ran[who] < 0 && float64(n.at-n.came[who])*oneUnit <= s.timing.Lag {
 				n.ran[who] = n.at
 			}
 			break
 		}
-		n.desks[number(m.To)].Hear(m, n.may(number(m.To)), n.now())
+		n.tables[number(m.To)].HandleMessage(m, n.may(number(m.To)), n.now())
 	}
-	for k, d := range n.desks {
-		if out := d.Out(); !n.dead[k] {
+	for k, d := range n.tables {
+		if out := d.Ready(); !n.dead[k] {
 			n.flight = append(n.flight, out...)
 		}
 	}
@@ -194,10 +194,10 @@
 // idle tells what can have no effect any more.
 func (s *town) idle(m Message) bool {
 	if m.To.Name[0] == 'c' {
-		return m.Word != Yes || m.Number != s.asked[number(m.To)] || s.ran[number(m.To)] >= 0
+		return m.Kind != Granted || m.Number != s.asked[number(m.To)] || s.ran[number(m.To)] >= 0
 	}
-	x := s.desks[number(m.To)].slot(0)
-	return s.dead[number(m.To)] || m.Word == Moved || (m.Word == Table || m.Word == Copied || m.Word == Written) && m.Term.Less(x.place.Term)
+	x := s.tables[number(m.To)].slot(0)
+	return s.dead[number(m.To)] || m.Kind == StaleTerm || (m.Kind == Collected || m.Kind == Transferred || m.Kind == Replicated) && m.Term.Less(x.assignment.Term)
 }
 
 func (s *town) wrong() string {
@@ -210,7 +210,7 @@
 	return ""
 }
 
-// who is a process as a number: desks, then claimers, and nobody.
+// who is a process as a number: tables, then claimers, and nobody.
 func who(l owner.Incarnation) uint64 {
 	switch {
 	case l.Name == "":
@@ -250,28 +250,28 @@
 	for k := range s.asks {
 		h.Add(uint64(s.asks[k])<<32 | uint64(s.came[k]+1)<<24 | s.asked[k]<<16 | uint64(s.ran[k]+1))
 	}
-	for k, d := range s.desks {
+	for k, d := range s.tables {
 		if s.dead[k] {
 			continue
 		}
 		x := d.slot(0)
-		h.Add(uint64(x.role)<<56 | x.place.Term.Keeper<<48 | x.place.Term.Count<<40 | x.sealed.Keeper<<32 | x.sealed.Count<<24 | x.whole.Keeper<<16 | x.whole.Count<<8 | x.number)
-		h.Add(uint64(x.quiet*10)<<8 | uint64(len(x.claims))<<4 | uint64(len(x.before)))
-		for _, b := range x.before {
-			h.Add(b.Term.Keeper<<8 | b.Term.Count)
+		h.Add(uint64(x.role)<<56 | x.assignment.Term.Leader<<48 | x.assignment.Term.Sequence<<40 | x.fencedBelow.Leader<<32 | x.fencedBelow.Sequence<<24 | x.completeUpTo.Leader<<16 | x.completeUpTo.Sequence<<8 | x.lastWrite)
+		h.Add(uint64(x.quietUntil*10)<<8 | uint64(len(x.claims))<<4 | uint64(len(x.previous)))
+		for _, b := range x.previous {
+			h.Add(b.Term.Leader<<8 | b.Term.Sequence)
 		}
 		if c, there := x.claims["t"]; there {
 			c.key(&h)
 		}
-		for _, n := range slices.Sorted(maps.Keys(x.asked)) {
-			h.Add(n<<8 | who(x.asked[n].From))
+		for _, n := range slices.Sorted(maps.Keys(x.pending)) {
+			h.Add(n<<8 | who(x.pending[n].From))
 		}
 	}
 	var flight []uint64
 	for _, m := range s.flight {
 		one := explore.NewHash()
-		one.Add(uint64(m.Word)<<56 | who(m.From)<<52 | who(m.To)<<48 | m.Term.Keeper<<40 | m.Term.Count<<32 | m.Of.Keeper<<24 | m.Of.Count<<16 | m.Number<<8 | bit(m.Whole))
-		one.Add(uint64(m.Left * 10))
+		one.Add(uint64(m.Kind)<<56 | who(m.From)<<52 | who(m.To)<<48 | m.Term.Leader<<40 | m.Term.Sequence<<32 | m.Of.Leader<<24 | m.Of.Sequence<<16 | m.Number<<8 | bit(m.Complete))
+		one.Add(uint64(m.Remaining * 10))
 		m.Claim.key(&one)
 		if c, there := m.Claims["t"]; there {
 			c.key(&one)
@@ -289,36 +289,36 @@
 	k := act & 0xff
 	what := ""
 	switch act &^ 0xff {
-	case goesBy:
+	case timePasses:
 		what = "time passes"
-	case places2:
-		what = fmt.Sprintf("the keeper gives out place %d", s.placed)
+	case assigns:
+		what = fmt.Sprintf("the role owner gives out assignment %d", s.placed)
 	case tells:
-		what = fmt.Sprintf("d%d hears of place %d", k>>4, k&15)
+		what = fmt.Sprintf("d%d hears of assignment %d", k>>4, k&15)
 	case learns:
-		what = fmt.Sprintf("the keeper hears that place %d has opened", k)
+		what = fmt.Sprintf("the role owner hears that assignment %d serves", k)
 	case ends:
-		what = fmt.Sprintf("the leave of place %d is over", k)
+		what = fmt.Sprintf("the lease of assignment %d is over", k)
 	case lapses:
-		what = fmt.Sprintf("the next owner hears that the leave of place %d is over", k)
+		what = fmt.Sprintf("the next owner hears that the lease of assignment %d is over", k)
 	case dies:
 		what = fmt.Sprintf("d%d dies", k)
 	case claims:
-		what = fmt.Sprintf("c%d asks d%d", k>>4, k&15)
+		what = fmt.Sprintf("c%d requests from d%d", k>>4, k&15)
 	case arrives:
 		m := s.flight[k]
-		what = fmt.Sprintf("%s to %s: %s, term %v", m.From.Name, m.To.Name, []string{"may I?", "yes", "it runs", "another body", "unknown", "moved", "end", "write",
-			"written", "gather", "table", "copy", "copied"}[m.Word], m.Term)
+		what = fmt.Sprintf("%s to %s: %s, term %v", m.From.Name, m.To.Name, []string{"request", "granted", "already claimed", "body mismatch", "unknown", "stale term", "finished", "replicate",
+			"replicated", "collect", "collected", "transfer", "transferred"}[m.Kind], m.Term)
 	}
 	return fmt.Sprintf("%d %s", s.at, what)
 }
 
-func walk(span Span, moves, units int, asks [2]int8, deaths int8, most int) explore.Result {
-	return explore.World[*town]{Begin: begin(span, moves, units, asks, deaths), Acts: (*town).acts, After: (*town).after, Key: (*town).key, Wrong: (*town).wrong,
+func walk(timing Timing, moves, units int, asks [2]int8, deaths int8, most int) explore.Result {
+	return explore.World[*town]{Begin: begin(timing, moves, units, asks, deaths), Acts: (*town).acts, After: (*town).after, Key: (*town).key, Wrong: (*town).wrong,
 		Tell: (*town).tell}.Walk(most)
 }
 
-var usual = Span{Window: window, Lag: 1}
+var usual = Timing{Window: window, Lag: 1}
 
 // Whatever comes when, and whoever dies: no token runs twice within its window; and each rule that is left out is missed.
 func TestExhaustive(t *testing.T) {
@@ -348,15 +348,15 @@
 		places, units int
 		deaths        int8
 	}{
-		{"a yes before the second has it", Rules{Second: true}, 2, 0, 0},
-		{"no seal", Rules{Seal: true}, 2, 0, 0},
-		{"no look at the term", Rules{Term: true}, 2, 0, 0},
+		{"a grant before the backup has it", Rules{BackupFirst: true}, 2, 0, 0},
+		{"no fencing", Rules{Fencing: true}, 2, 0, 0},
+		{"no check of the term", Rules{Term: true}, 2, 0, 0},
 		{"no wait for what nobody can tell", Rules{Window: true}, 2, 0, 1},
 		{"no heed of who came before a window's end", Rules{Lag: true}, 1, 3, 0},
 	} {
-		span := usual
-		span.Without = one.rules
-		r := walk(span, one.places, one.units, [2]int8{1, 1}, one.deaths, 2e6)
+		timing := usual
+		timing.Disabled = one.rules
+		r := walk(timing, one.places, one.units, [2]int8{1, 1}, one.deaths, 2e6)
 		t.Logf("%s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
 			t.Errorf("%s: nothing goes wrong", one.what)
