--- a/member/member.go
+++ b/member/member.go
@@ -29,7 +29,7 @@
 	Allow     []netip.Prefix
 	Probe     time.Duration // between two probes of others
 	Socket    string        // a local socket that tells the view, empty for none
-	Terms     view.Config
+	View      view.Config
 	Now       func() time.Time // the wall clock, for incarnation numbers; time.Now if nil
 }
 
@@ -75,7 +75,7 @@
 	m := &Member{config: p, log: log, wire: w, events: make(chan view.Event, maxEvents), announceDue: make(chan struct{}, 1),
 		subs: map[chan struct{}]struct{}{}}
 	m.killed, m.kill = context.WithCancel(context.Background())
-	w.lag, w.wake = seconds(p.Terms.LagThreshold), seconds(p.Terms.WakeThreshold)
+	w.lag, w.wake = seconds(p.View.LagThreshold), seconds(p.View.WakeThreshold)
 	w.onEvent, w.onProbe, w.onMessage = m.enqueue, m.answerProbe, m.handleMessage
 	var seeds []string
 	for _, a := range p.Join {
@@ -84,7 +84,7 @@
 	self := view.Entry{Name: p.Name, Zone: p.Zone, Address: p.Advertise.String(), State: view.Cold, Proto: protoSpoken,
 		Incarnation: view.Incarnation{Number: uint64(max(p.Now().UnixMilli(), 1)), Nonce: rand.Uint32()}}
 	m.self = view.Event{Kind: view.Self, Entry: self}
-	m.machine = view.New(self, seeds, m.now(), rand.Uint64(), p.Terms)
+	m.machine = view.New(self, seeds, m.now(), rand.Uint64(), p.View)
 	m.publish()
 	return m, nil
 }
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -48,7 +48,7 @@
 	terms := view.Defaults()
 	terms.HoldTime, terms.ForgetTime = settings.Hold, settings.Forget
 	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
-		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket, Terms: terms}, s.log)
+		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket, View: terms}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
