--- a/config/pressure.go
+++ b/config/pressure.go
@@ -14,7 +14,7 @@
 type Pressure struct {
 	On    bool
 	Every float64 // seconds between readings
-	Terms pressure.Terms
+	Terms pressure.Config
 }
 
 var pressureDirectives = []directive{
@@ -54,9 +54,9 @@
 		}},
 	{"pressure.growth", "TIME", "over which growth of memory is looked at",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Pressure.Terms.Span, w, 1, 86400)
+			return readDuration(&settings.Pressure.Terms.GrowthWindow, w, 1, 86400)
 		},
-		func(settings *Settings) string { return showDuration(settings.Pressure.Terms.Span) }},
+		func(settings *Settings) string { return showDuration(settings.Pressure.Terms.GrowthWindow) }},
 	{"pressure.fall", "TIME", "of better readings until the level falls by one",
 		func(settings *Settings, w []string) error {
 			return readDuration(&settings.Pressure.Terms.Fall, w, 0.1, 3600)
@@ -67,19 +67,19 @@
 // durationDirective is the directive of a signal that is a duration.
 func durationDirective(name, about string, s pressure.Signal) directive {
 	return directive{name, "TIME|off", about, func(settings *Settings, w []string) error {
-		marks := &settings.Pressure.Terms.Marks[s]
+		thresholds := &settings.Pressure.Terms.Thresholds[s]
 		if len(w) == 1 && w[0] == "off" {
-			*marks = pressure.Marks{}
+			*thresholds = pressure.Thresholds{}
 			return nil
 		}
 		var t float64
 		if err := readDuration(&t, w, 0.001, 60); err != nil {
 			return err
 		}
-		*marks = pressure.Of(t)
+		*thresholds = pressure.ThresholdsOf(t)
 		return nil
 	}, func(settings *Settings) string {
-		if m := settings.Pressure.Terms.Marks[s]; m[pressure.Pressed-1] > 0 {
+		if m := settings.Pressure.Terms.Thresholds[s]; m[pressure.Pressed-1] > 0 {
 			return showDuration(m[pressure.Pressed-1])
 		}
 		return "off"
@@ -88,15 +88,15 @@
 
 // shareDirective is the directive of a signal that is a share; those that never press are marked where they make wary.
 func shareDirective(name, about string, s pressure.Signal) directive {
-	usual := pressure.Defaults().Marks[s]
+	usual := pressure.Defaults().Thresholds[s]
 	at := pressure.Pressed - 1
 	if math.IsInf(usual[at], 1) {
 		at = pressure.Wary - 1
 	}
 	return directive{name, "SHARE%|off", about, func(settings *Settings, w []string) error {
-		marks := &settings.Pressure.Terms.Marks[s]
+		thresholds := &settings.Pressure.Terms.Thresholds[s]
 		if len(w) == 1 && w[0] == "off" {
-			*marks = pressure.Marks{}
+			*thresholds = pressure.Thresholds{}
 			return nil
 		}
 		if len(w) != 1 || !strings.HasSuffix(w[0], "%") {
@@ -108,15 +108,15 @@
 		}
 		switch v /= 100; {
 		case at == pressure.Wary-1:
-			*marks = pressure.Marks{v, pressure.Never, pressure.Never, pressure.Never}
+			*thresholds = pressure.Thresholds{v, pressure.Never, pressure.Never, pressure.Never}
 		case s == pressure.Collector:
-			*marks = pressure.Marks{v * 2 / 3, v, v * 4 / 3, pressure.Never}
+			*thresholds = pressure.Thresholds{v * 2 / 3, v, v * 4 / 3, pressure.Never}
 		default:
-			*marks = pressure.Toward(v)
+			*thresholds = pressure.ThresholdsToward(v)
 		}
 		return nil
 	}, func(settings *Settings) string {
-		if m := settings.Pressure.Terms.Marks[s]; m[at] > 0 {
+		if m := settings.Pressure.Terms.Thresholds[s]; m[at] > 0 {
 			return strconv.FormatFloat(math.Round(m[at]*1e4)/100, 'g', -1, 64) + "%"
 		}
 		return "off"
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(settings.lines) != len(directives) || settings.Pressure.Terms.Marks != NewSettings().Pressure.Terms.Marks {
+	if len(settings.lines) != len(directives) || settings.Pressure.Terms.Thresholds != NewSettings().Pressure.Terms.Thresholds {
 		t.Errorf("%d of %d directives, %+v", len(settings.lines), len(directives), settings.Pressure)
 	}
 }
--- a/logic/pressure/growth.go
+++ b/logic/pressure/growth.go
@@ -23,10 +23,10 @@
 	slight = 0.02
 )
 
-// forecast gives how many times sooner than the terms' forecast the limit is reached, 0 if nothing grows.
+// forecast gives how many times sooner than the configured forecast the limit is reached, 0 if nothing grows.
 func (w *Watch) forecast(now, memory float64) float64 {
 	g := &w.growth
-	if w.Forecast <= 0 || w.Span <= 0 {
+	if w.Forecast <= 0 || w.GrowthWindow <= 0 {
 		return 0
 	}
 	if memory >= 0 {
@@ -34,7 +34,7 @@
 			g.low, g.began = memory, now
 		}
 		g.low = min(g.low, memory)
-		if now-g.began >= w.Span/stretches {
+		if now-g.began >= w.GrowthWindow/stretches {
 			copy(g.floors[:], g.floors[1:])
 			g.floors[stretches-1] = g.low
 			g.n = min(g.n+1, stretches)
@@ -54,7 +54,7 @@
 	if rise < slight*share || rise < steady*steps || late < lasting*rise {
 		return 0
 	}
-	left := (1 - seen[len(seen)-1]) / rise * share * w.Span
+	left := (1 - seen[len(seen)-1]) / rise * share * w.GrowthWindow
 	if left <= 0 {
 		return math.MaxFloat64
 	}
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -62,53 +62,55 @@
 	return r
 }
 
-// Marks are where a signal's levels begin, from Wary to Shut; +Inf for a level it does not lead to.
-type Marks [levels - 1]float64
+// Thresholds are where a signal's levels begin, from Wary to Shut; +Inf for a level it does not lead to.
+type Thresholds [levels - 1]float64
 
-// Never is no mark.
+// Never is a threshold that is never reached.
 var Never = math.Inf(1)
 
-// Of spreads a signal's mark for Pressed over the levels, for signals that are times: half of it for Wary, four and
+// ThresholdsOf spreads a signal's threshold for Pressed over the levels, for signals that are times: half of it for Wary, four and
 // twelve times for what is worse. Refusing the least worthy is to do it: at twice and six times connections were turned
 // away, with what was worthy on them, before the share let in had found its place.
-func Of(pressed float64) Marks { return Marks{pressed / 2, pressed, 4 * pressed, 12 * pressed} }
+func ThresholdsOf(pressed float64) Thresholds {
+	return Thresholds{pressed / 2, pressed, 4 * pressed, 12 * pressed}
+}
 
-// Toward spreads a mark for Pressed over the levels, for signals that are shares of a limit: the rest of the way to the
+// ThresholdsToward spreads a threshold for Pressed over the levels, for signals that are shares of a limit: the rest of the way to the
 // limit is divided.
-func Toward(pressed float64) Marks {
+func ThresholdsToward(pressed float64) Thresholds {
 	rest := 1 - pressed
-	return Marks{pressed - rest/2, pressed, pressed + rest*0.4, pressed + rest*0.7}
+	return Thresholds{pressed - rest/2, pressed, pressed + rest*0.4, pressed + rest*0.7}
 }
 
-// Terms are what the operators set. The zero value of a signal's marks turns the signal off.
-type Terms struct {
-	Marks    [Signals]Marks
-	Fall     float64   // seconds of better readings until the level falls by one
-	Forecast float64   // seconds until the limit from which steady growth counts as a leak; 0 for never
-	Span     float64   // seconds over which growth is looked at
-	MaxAfter float64   // longest advice to stay away, 0 where callers heed none
-	Worth    []float64 // criticality of each method
+// Config is what the operators set. The zero value of a signal's thresholds turns the signal off.
+type Config struct {
+	Thresholds   [Signals]Thresholds
+	Fall         float64   // seconds of better readings until the level falls by one
+	Forecast     float64   // seconds until the limit from which steady growth counts as a leak; 0 for never
+	GrowthWindow float64   // seconds over which growth is looked at
+	MaxAfter     float64   // longest advice to stay away, 0 where callers heed none
+	Worth        []float64 // criticality of each method
 }
 
-// Defaults are Terms as they are without a word from the operators.
-func Defaults() Terms {
-	t := Terms{Fall: 2, Forecast: 600, Span: 120}
+// Defaults returns the config of an installation that sets nothing.
+func Defaults() Config {
+	t := Config{Fall: 2, Forecast: 600, GrowthWindow: 120}
 	// A timer late by 20 ms has missed one of the module's own looks. What an answer takes waits twice for the processor,
 	// once to be read and once to be written, so this keeps it under 50 ms; twelve times that is a quarter of a second.
 	for _, s := range []Signal{Loop, Lock, Link, Unread, Scheduler} {
-		t.Marks[s] = Of(0.02)
+		t.Thresholds[s] = ThresholdsOf(0.02)
 	}
 	// Lags of the network and of callers' clocks are in this one too.
-	t.Marks[Unread] = Of(0.025)
+	t.Thresholds[Unread] = ThresholdsOf(0.025)
 	// A quarter for the collector is what Go itself aims at; past one half it no longer keeps up.
-	t.Marks[Collector] = Marks{0.3, 0.45, 0.6, Never}
+	t.Thresholds[Collector] = Thresholds{0.3, 0.45, 0.6, Never}
 	// A core that is full is well used: alone it only makes wary. What it delays shows in the signals above.
-	t.Marks[CPU] = Marks{0.9, Never, Never, Never}
-	t.Marks[Throttled] = Marks{0.3, Never, Never, Never}
-	t.Marks[Memory] = Toward(0.75)
-	t.Marks[Descriptors] = Marks{0.85, Never, Never, Never} // the listener makes room by itself
-	t.Marks[Owed] = Toward(0.6)
-	t.Marks[Leak] = Marks{1, 4, Never, Never} // times sooner than the forecast
+	t.Thresholds[CPU] = Thresholds{0.9, Never, Never, Never}
+	t.Thresholds[Throttled] = Thresholds{0.3, Never, Never, Never}
+	t.Thresholds[Memory] = ThresholdsToward(0.75)
+	t.Thresholds[Descriptors] = Thresholds{0.85, Never, Never, Never} // the listener makes room by itself
+	t.Thresholds[Owed] = ThresholdsToward(0.6)
+	t.Thresholds[Leak] = Thresholds{1, 4, Never, Never} // times sooner than the forecast
 	return t
 }
 
@@ -116,13 +118,13 @@
 	again   = 10.0 // a rise so soon after a fall is a flap: the next fall takes twice as long
 	slowest = 8.0  // times the fall's time, at the most
 	forgive = 60.0 // seconds without a flap after which the fall's time is halved
-	better  = 0.8  // share of a mark under which a reading counts as better than its level
+	better  = 0.8  // share of a threshold under which a reading counts as better than its level
 	cut     = 0.2  // of the overshoot, taken off the share of RPCs let in
 	deepest = 0.75 // what one cut leaves at least
 	settle  = 0.1  // seconds for a cut to show before the next: two readings
 	falling = 0.95 // of the last overshoot: what is that much less needs no further cut, only time to be read
 	episode = 0.5  // seconds without a cut after which the next belongs to another overload
-	easy    = 0.7  // of the mark, under which the share grows again
+	easy    = 0.7  // of the threshold, under which the share grows again
 	// A share that was cut grows back quickly to near where the trouble began, feels its way past it slowly, and faster
 	// the longer all is well. Growing evenly, it spent most of its time far below what the process bears.
 	near    = 0.9
@@ -148,7 +150,7 @@
 
 // Watch turns readings into a level and what follows from it.
 type Watch struct {
-	Terms
+	Config
 	level    Level
 	since    float64 // when the level was last changed
 	last     Level   // that the reading before would have
@@ -171,8 +173,8 @@
 }
 
 // New starts calm.
-func New(now float64, t Terms) *Watch {
-	w := &Watch{Terms: t, since: now, read: now, worse: now, fell: math.Inf(-1), flapped: math.Inf(-1), patience: 1,
+func New(now float64, t Config) *Watch {
+	w := &Watch{Config: t, since: now, read: now, worse: now, fell: math.Inf(-1), flapped: math.Inf(-1), patience: 1,
 		share: 1, space: 1, knee: 1, cutAt: now, methods: make([]method, len(t.Worth)), admit: make([]float64, len(t.Worth)),
 		lastSeen: Unknown(), before: Unknown()}
 	for k := range w.admit {
@@ -196,8 +198,8 @@
 // Seen is the last value of a signal.
 func (w *Watch) Seen(s Signal) float64 { return w.lastSeen[s] }
 
-// of gives the level that a value of a signal is at, its marks scaled.
-func (m Marks) of(v, scale float64) Level {
+// of gives the level that a value of a signal is at, its thresholds scaled.
+func (m Thresholds) of(v, scale float64) Level {
 	if !(v >= 0) || m[0] == 0 && m[1] == 0 { // not known, or turned off
 		return Calm
 	}
@@ -241,7 +243,7 @@
 	var at [Signals]Level
 	busy := false // something of the process's own is slow, and not only what others' clocks say
 	for s := range Signals {
-		at[s] = w.Marks[s].of(r[s], scale)
+		at[s] = w.Thresholds[s].of(r[s], scale)
 		if s != Unread && s <= Throttled && at[s] > Calm {
 			busy = true
 		}
@@ -293,23 +295,23 @@
 	return w.level != before
 }
 
-// pressing is by how much the worst of the signals that letting in less relieves at once is over its mark, in this reading
+// pressing is by how much the worst of the signals that letting in less relieves at once is over its threshold, in this reading
 // and the one before: one timer that came late is none.
 func (w *Watch) pressing(r Reading) float64 {
 	worst := 0.0
 	for _, s := range []Signal{Loop, Lock, Link, Unread, Scheduler, Collector} {
-		if mark := w.Marks[s][Pressed-1]; r[s] >= 0 && w.before[s] >= 0 && mark > 0 {
-			worst = max(worst, min(r[s], w.before[s])/mark)
+		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.before[s] >= 0 && threshold > 0 {
+			worst = max(worst, min(r[s], w.before[s])/threshold)
 		}
 	}
 	return worst
 }
 
-// spare is what of all RPCs memory still bears: all of them up to the mark for Pressed, none at that for Shut.
+// spare is what of all RPCs memory still bears: all of them up to the threshold for Pressed, none at that for Shut.
 func (w *Watch) spare(r Reading) float64 {
 	share := 1.0
 	for _, s := range []Signal{Memory, Owed} {
-		m := w.Marks[s]
+		m := w.Thresholds[s]
 		if from, to := m[Pressed-1], m[Shut-1]; r[s] >= 0 && to > from && from > 0 && !math.IsInf(to, 1) {
 			share = min(share, max(0, (to-r[s])/(to-from)))
 		}
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -16,7 +16,7 @@
 	rates     []float64
 }
 
-func newStage(change func(t *Terms)) *stage {
+func newStage(change func(t *Config)) *stage {
 	t := Defaults()
 	t.Worth = []float64{1, 5, 30}
 	t.MaxAfter = 2
@@ -118,7 +118,7 @@
 
 // Memory that grows steadily is foreseen; a load that comes and goes, and a process that has warmed up, are not.
 func Example_leak() {
-	short := func(t *Terms) { t.Span, t.Forecast = 12, 60 }
+	short := func(t *Config) { t.GrowthWindow, t.Forecast = 12, 60 }
 	s := newStage(short)
 	memory := func(f func(t float64) float64) func(float64) Reading {
 		return func(t float64) Reading {
@@ -177,12 +177,12 @@
 
 // A load at the very edge does not flap: each fall that proved too early makes the next take twice as long.
 func TestEdge(t *testing.T) {
-	s := newStage(func(t *Terms) { t.Worth = []float64{1, 5, 30} })
+	s := newStage(func(t *Config) { t.Worth = []float64{1, 5, 30} })
 	changes := 0
 	for k := range 120 * 20 {
 		s.now += 0.05
 		r := Unknown()
-		r[Loop] = 0.019 + 0.002*math.Sin(float64(k)/40) // seconds near the mark
+		r[Loop] = 0.019 + 0.002*math.Sin(float64(k)/40) // seconds near the threshold
 		if s.Read(s.now, r, s.asked, s.ok) {
 			changes++
 		}
--- a/server/press.go
+++ b/server/press.go
@@ -70,8 +70,8 @@
 	return true
 }
 
-func same(a, b pressure.Terms) bool {
-	return a.Marks == b.Marks && a.Fall == b.Fall && a.Forecast == b.Forecast && a.Span == b.Span
+func same(a, b pressure.Config) bool {
+	return a.Thresholds == b.Thresholds && a.Fall == b.Fall && a.Forecast == b.Forecast && a.GrowthWindow == b.GrowthWindow
 }
 
 func (p *press) inForce() config.Pressure {
@@ -149,14 +149,14 @@
 func (s *Server) readSelf(ctx context.Context, settings config.Pressure) {
 	p := s.press
 	rules := s.config.Load().Rules
-	terms := settings.Terms
+	watchConfig := settings.Terms
 	if rules.Ceilings.RetryAfter {
-		terms.MaxAfter = rules.Ceilings.MaxRetryAfter
+		watchConfig.MaxAfter = rules.Ceilings.MaxRetryAfter
 	}
 	for _, m := range rules.Methods {
-		terms.Worth = append(terms.Worth, m.Criticality)
+		watchConfig.Worth = append(watchConfig.Worth, m.Criticality)
 	}
-	watch := pressure.New(0, terms)
+	watch := pressure.New(0, watchConfig)
 	source := vitals.New()
 	var lag pressure.Lag
 	asked, ok := make([]uint64, len(p.asked)), make([]uint64, len(p.ok))
