--- a/fleet/command.go
+++ b/fleet/command.go
@@ -11,7 +11,7 @@
 
 // SendCommands returns a RoleFunc that tells somebody outside, again and again, to do something. Each command is a
 // line, "ORDER ROLE TERM NUMBER OWNER"; it is answered "ok", or "late TERM" where a higher term is known: the owner steps
-// given up then. Whoever carries out orders has to refuse terms below the highest that it has seen; that alone keeps out one
+// down then. Whoever carries out commands has to reject terms below the highest that it has seen; that alone keeps out one
 // that was stopped between its check and its send.
 func SendCommands(role, owner, address string, every time.Duration) RoleFunc {
 	return func(ctx context.Context, term uint64) error {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -216,7 +216,7 @@
 	c.ends[second]()
 	third := c.owned(second)
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("handed over after %v", took)
+		t.Errorf("transferred after %v", took)
 	}
 	c.start(second)
 	// No change for want of a reason, at a loss of a tenth.
@@ -238,7 +238,7 @@
 	c.ends[third]()
 	time.Sleep(lease)
 	if who := c.worker.owner(); who != "" {
-		t.Errorf("%s stands though it is not fit", who)
+		t.Errorf("%s campaigns though it is not fit", who)
 	}
 }
 
@@ -302,7 +302,7 @@
 	}
 	for end := time.Now().Add(20 * time.Second); c.worker.owner() != ""; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("owned without a majority that can keep its word")
+			t.Fatal("owned without a majority that can persist its votes")
 		}
 	}
 	os.Remove(c.folders["a"])
--- a/fleet/share_swarm_test.go
+++ b/fleet/share_swarm_test.go
@@ -123,7 +123,7 @@
 	c.used(0.9)
 }
 
-// Cut off with one other, the allocator gives up; those two fall to their floors, and the rest goes to the others.
+// Cut off with one other, the allocator steps down; those two fall to their reserved permits, and the rest goes to the others.
 func TestAllocatorCut(t *testing.T) {
 	c := newCrowd(t)
 	first := c.allocator("")
--- a/fleet/swarm_test.go
+++ b/fleet/swarm_test.go
@@ -19,7 +19,7 @@
 
 const lease, wait = 1500 * time.Millisecond, 40 * time.Second
 
-// court is four processes of the program, three of which vote, that all stand for one role, and the worker that takes its
+// court is four processes of the program, three of which vote, that all campaign for one role, and the worker that takes its
 // owner's orders.
 type court struct {
 	*rig.Swarm
@@ -114,7 +114,7 @@
 }
 
 // One that is stopped past its lease and continued has no effect any more: whatever it had in its hands is refused, or never
-// sent, and it gives up.
+// sent, and it steps down.
 func TestSleptOwner(t *testing.T) {
 	c := swarm(t, true)
 	for range 2 {
@@ -124,12 +124,12 @@
 		c.owner(sleeper)
 		c.run("0s cont " + sleeper)
 		if _, ok := c.Until(wait, func() bool { n, _ := c.History.Lines(sleeper, "stepped down", from); return n > 0 }); !ok {
-			t.Errorf("%s does not give up", sleeper)
+			t.Errorf("%s does not step down", sleeper)
 		}
 	}
 }
 
-// Cut off with no majority, or deaf, an owner gives up by itself; the others have one, and whoever is back stands behind.
+// Cut off with no majority, or deaf, an owner steps down by itself; the others have one, and whoever is back does not disturb it.
 func TestCutOwner(t *testing.T) {
 	c := swarm(t, true)
 	first := c.owner("")
@@ -180,7 +180,7 @@
 		}
 	}
 	if _, ok := c.Until(wait, func() bool { return c.worker.Owner(lease) == "" }); !ok {
-		t.Error("owned without a majority that can keep its word")
+		t.Error("owned without a majority that can persist its votes")
 	}
 	if err := os.Rename(away("n1"), c.Folder("n1")); err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 	c.owner("n1")
 }
 
-// Whoever leaves hands over at once; operators are shown who owns what.
+// Whoever leaves steps down at once; operators are shown who owns what.
 func TestDrainedOwner(t *testing.T) {
 	c := swarm(t, true)
 	first := c.owner("")
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -69,7 +69,7 @@
 // What can happen, each with whom or what it happens to.
 const (
 	passes  = iota << 8
-	ticks   // a candidate renews, or stands
+	ticks   // a candidate renews, or campaigns
 	takes   // a voter takes a question, and its answer is heard at once
 	loses   // a voter takes a question, and its answer is lost
 	delays  // a voter takes a question, and its answer is on its way
@@ -224,7 +224,7 @@
 
 func (s *state) hear(m Message) { s.cand[m.To[1]-'0'].HandleAnswer(m, s.clock(int(m.To[1]-'0'))) }
 
-// take has a voter answer. A refusal is as good as lost: all that it brings about is that somebody gives up.
+// take has a voter answer. A refusal is as good as lost: all that it brings about is that somebody steps down.
 func (s *state) take(m Message) (Message, bool) {
 	k := int(m.To[1] - '0')
 	v := &s.voters[k]
@@ -360,7 +360,7 @@
 
 // tell says what happens, for people.
 func (s *state) tell(act uint16) string {
-	what := map[uint16]string{passes: "time passes", ticks: "c%d stands, or renews, or sees that its lease is over", starts: "v%d starts again",
+	what := map[uint16]string{passes: "time passes", ticks: "c%d campaigns, or renews, or sees that its lease is over", starts: "v%d starts again",
 		leaves: "c%d leaves", checks: "c%d checks its lease, and has an order in its hands", sends: "c%d sends its order"}[act&^0xff]
 	switch {
 	case strings.Contains(what, "%d"):
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -56,7 +56,7 @@
 	lendNext    // the second owner takes over
 	lendHears   // a requester hears that it has
 	lendAsks    // a requester asks
-	lendDies    // a requester dies, and another life of it begins
+	lendDies    // a requester dies, and another incarnation of it begins
 	lendGrants  // a question comes: low bits whose and what is granted at the most
 	lendDoubles // the same, and the question comes again
 	lendTakes   // an answer comes
@@ -233,7 +233,7 @@
 		holds, _ := s.requesters[k].Holds(s.requestersClock())
 		return when + fmt.Sprintf("a%d asks, holding %d", k, holds)
 	case lendDies:
-		return when + "a0 dies, what it began goes on, and another life of it begins"
+		return when + "a0 dies, what it began goes on, and another incarnation of it begins"
 	case lendTakes:
 		m := s.answers[k]
 		return when + fmt.Sprintf("a%d hears answer %d: %d", m.To.Name[1]-'0', m.Number, m.Grants)
--- a/logic/view/convergence.go
+++ b/logic/view/convergence.go
@@ -70,9 +70,9 @@
 // judge returns the certainty of the view, and keeps what a healthy one was.
 func (m *Machine) judge(now float64) Certainty {
 	m.compareWithHealthy(now)
-	settled := m.converged(now)
+	converged := m.converged(now)
 	switch {
-	case !settled:
+	case !converged:
 		m.convergedAt = math.Inf(1)
 	case math.IsInf(m.convergedAt, 1):
 		m.convergedAt = now
@@ -89,7 +89,7 @@
 		return Partitioned
 	case len(m.members) == 1:
 		return Alone
-	case !settled:
+	case !converged:
 		return Converging
 	}
 	return Converged
@@ -124,12 +124,12 @@
 		}
 	}
 	m.healthy = kept
-	narrow := 2*len(m.members) < len(m.healthy) && m.config.enabled(DetectPartition)
-	if narrow && !m.partitioned {
+	partitioned := 2*len(m.members) < len(m.healthy) && m.config.enabled(DetectPartition)
+	if partitioned && !m.partitioned {
 		m.partitionedSince = now
 	}
-	if narrow && now-m.partitionedSince >= m.config.ForgetTime {
-		m.healthy, narrow = m.members, false // that is the fleet now
+	if partitioned && now-m.partitionedSince >= m.config.ForgetTime {
+		m.healthy, partitioned = m.members, false // that is the fleet now
 	}
-	m.partitioned = narrow
+	m.partitioned = partitioned
 }
--- a/logic/view/identity.go
+++ b/logic/view/identity.go
@@ -24,5 +24,5 @@
 	m.raised, m.dirty = true, true
 	m.self.Incarnation.Number = over.Number + 1
 	m.emit(Action{Kind: Announce, Entry: m.self})
-	m.refresh(now, []Change{{m.self.Name, "reborn", "a former life was born later"}})
+	m.refresh(now, []Change{{m.self.Name, "restarted", "a former incarnation was newer"}})
 }
--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -124,7 +124,7 @@
 func difference(was, is Entry) (what, why string) {
 	switch {
 	case is.Incarnation != was.Incarnation:
-		return "reborn", "a later life"
+		return "restarted", "a newer incarnation"
 	case is.Unhealthy && !was.Unhealthy:
 		return "changed", "work hangs there"
 	case was.Unhealthy && !is.Unhealthy:
--- a/logic/view/view.go
+++ b/logic/view/view.go
@@ -104,7 +104,7 @@
 // Change is one step from the view before to this one.
 type Change struct {
 	Name string
-	What string // came, went, changed, reborn
+	What string // came, went, changed, restarted
 	Why  string // the cause in a few words
 }
 
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -92,7 +92,7 @@
 		o.step(heard("a", 10))
 		o.pass(1)
 		if e := o.View().Find("a"); e == nil || e.Incarnation.Number != 20 {
-			return fmt.Sprint("the earlier life is in the view: ", e)
+			return fmt.Sprint("the older incarnation is in the view: ", e)
 		}
 		return ""
 	},
@@ -139,7 +139,7 @@
 		}
 		o.pass(4)
 		if o.digests(k) > 0 || !o.ordered(Rebuild, "") {
-			return "others were buried for this process's own sleep"
+			return "others were taken for dead for this process's own sleep"
 		}
 		return ""
 	},
@@ -155,7 +155,7 @@
 		}
 		o.pass(o.config.ForgetTime + 1)
 		if v := o.View(); v.Certainty == Partitioned || v.Healthy != nil {
-			return "narrow for ever"
+			return "partitioned for ever"
 		}
 		return ""
 	},
@@ -180,12 +180,12 @@
 	Agreeing: func(o *one) string {
 		o.meet(3)
 		if o.View().Certainty != Converged {
-			return "not settled though nothing is under way"
+			return "not converged though nothing is under way"
 		}
 		o.step(Event{Kind: Echo, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
 		o.pass(0.5)
 		if o.View().Certainty != Converging {
-			return "settled though another sees something else"
+			return "converged though another sees something else"
 		}
 		o.step(Event{Kind: Echo, Name: "o01", Version: 9, Digest: o.View().Digest})
 		o.pass(0.5)
@@ -201,11 +201,11 @@
 		work := func() { o.step(Event{Kind: Reachability, Name: "o01", OK: true}) }
 		o.pass(o.config.VouchTime-1, work)
 		if o.digests(k) > 0 || !o.ordered(Probe, "a-o01") {
-			return "buried while its work answers"
+			return "taken for dead while its work answers"
 		}
 		o.pass(2, work)
 		if o.digests(k) == 0 {
-			return "never buried though gossip is sure"
+			return "never taken for dead though gossip is sure"
 		}
 		for range 3 {
 			o.step(Event{Kind: Reachability, Name: "o02"})
@@ -250,11 +250,11 @@
 		o.pass(2)
 		o.step(heard("a", 40)) // its clock went back
 		if !o.ordered(NotifyNewerIncarnation, "a-a") {
-			return "one that was born too early is not told"
+			return "one with too low an incarnation is not told"
 		}
 		o.step(Event{Kind: NewerIncarnation, Entry: Entry{Name: "me", Incarnation: Incarnation{700, 3}}})
 		if o.Entry().Incarnation.Number != 701 || !o.ordered(Announce, "") {
-			return "not born again after a life that is known"
+			return "not raised above an incarnation that is known"
 		}
 		return ""
 	},
@@ -276,13 +276,13 @@
 }
 
 // Two under one name: whoever is established gives way to the later, says so once and is silent from then on; whoever
-// has only just come is born once more over what it finds.
+// has only just come raises its incarnation above what it finds.
 func TestRivals(t *testing.T) {
 	o := begin(0)
 	o.meet(2)
 	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{90, 9}}})
 	if o.Superseded() {
-		t.Fatal("gave way to an earlier life")
+		t.Fatal("gave way to an older incarnation")
 	}
 	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{200, 9}}})
 	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{300, 9}}})
@@ -296,7 +296,7 @@
 	o.step(died("o01", 10))
 	o.pass(10)
 	if n != 1 || o.View().Certainty != Superseded || len(o.orders) > 0 {
-		t.Errorf("%d times withdrawn, %v, then %v", n, o.View().Certainty, o.orders)
+		t.Errorf("%d times superseded, %v, then %v", n, o.View().Certainty, o.orders)
 	}
 
 	o = begin(0)
@@ -307,7 +307,7 @@
 	}
 	o.step(Event{Kind: Alive, Entry: Entry{Name: "me", Incarnation: Incarnation{500, 9}}})
 	if !o.Superseded() {
-		t.Error("born again a second time")
+		t.Error("raised a second time")
 	}
 	// What nobody could be is not believed.
 	o = begin(0)
@@ -315,7 +315,7 @@
 	o.step(heard("a", math.MaxUint64))
 	o.pass(1)
 	if o.Superseded() || len(o.View().Members) != 1 {
-		t.Errorf("believed an absurd birth: %v", o.View())
+		t.Errorf("believed an absurd incarnation: %v", o.View())
 	}
 }
 
@@ -466,7 +466,7 @@
 	}
 }
 
-// Whatever is cut, killed, started again and put to sleep: once it is over, all see the same, all of it, and are settled.
+// Whatever is cut, killed, started again and put to sleep: once it is over, all see the same, all of it, and have converged.
 func TestConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, birth: 100, chance: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
--- a/member/loop.go
+++ b/member/loop.go
@@ -112,7 +112,7 @@
 				m.log.Error("fleet: gossip cannot begin anew", zap.Error(err))
 			}
 		case view.Withdraw:
-			m.log.Error("fleet: another process has this name and was born later; this one takes no further part",
+			m.log.Error("fleet: a newer incarnation of this name is running; this one takes no further part",
 				zap.String("there", o.Entry.Address), zap.Uint64("its_birth", o.Entry.Incarnation.Number),
 				zap.Uint64("our_birth", m.machine.Entry().Incarnation.Number))
 			go m.stop()
--- a/member/member.go
+++ b/member/member.go
@@ -125,8 +125,8 @@
 }
 
 // UpdateState takes what is to be announced of this app server: its state, whether its work is stuck, its load.
-func (m *Member) UpdateState(state view.State, ill bool, load view.Load) {
-	e := view.Event{Kind: view.Self, Entry: view.Entry{State: state, Unhealthy: ill, Load: load}}
+func (m *Member) UpdateState(state view.State, unhealthy bool, load view.Load) {
+	e := view.Event{Kind: view.Self, Entry: view.Entry{State: state, Unhealthy: unhealthy, Load: load}}
 	m.mu.Lock()
 	same := e == m.self
 	m.self = e
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// alike tells whether all have settled on one view of n members.
+// alike tells whether all have converged on one view of n members.
 func alike(n int, all ...*Member) func() bool {
 	return func() bool {
 		first := all[0].View()
@@ -193,7 +193,7 @@
 	if v := b.View(); v.Digest != before.Digest || v.Find("a") == nil {
 		t.Errorf("the view has changed: %v", v)
 	}
-	until(t, "still settled", 5*time.Second, alike(2, a, b))
+	until(t, "still converged", 5*time.Second, alike(2, a, b))
 	told := 0
 	for _, e := range logged.FilterMessage("fleet packet dropped").All() {
 		if e.ContextMap()["cause"] == "invalid" {
@@ -240,7 +240,7 @@
 	}
 }
 
-// Accusations are taken out of what a late process sends, and its own good-bye is not.
+// Accusations are taken out of what a late process sends, and its own leave message is not.
 func TestOutgoing(t *testing.T) {
 	part := func(kind byte, v any) []byte { return encoded(kind, v) }
 	bye := part(msgDead, claim{Node: "me", From: "me", Incarnation: 3})
@@ -273,8 +273,8 @@
 func TestEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := view.Entry{Name: rapid.StringN(1, 20, 64).Draw(t, "name"), Zone: rapid.StringN(0, 20, 64).Draw(t, "zone"),
-			Incarnation: view.Incarnation{Number: rapid.Uint64Range(0, view.MaxIncarnation-1).Draw(t, "birth"), Nonce: rapid.Uint32().Draw(t, "nonce")},
-			State:       view.State(rapid.IntRange(0, 4).Draw(t, "state")), Unhealthy: rapid.Bool().Draw(t, "ill"), Proto: rapid.Uint8().Draw(t, "proto")}
+			Incarnation: view.Incarnation{Number: rapid.Uint64Range(0, view.MaxIncarnation-1).Draw(t, "number"), Nonce: rapid.Uint32().Draw(t, "nonce")},
+			State:       view.State(rapid.IntRange(0, 4).Draw(t, "state")), Unhealthy: rapid.Bool().Draw(t, "unhealthy"), Proto: rapid.Uint8().Draw(t, "proto")}
 		b := appendEntry(nil, e)
 		later := append(b[:len(b):len(b)], "what a later version adds"...)
 		later[2]++
@@ -300,12 +300,12 @@
 	b := c.start(testConfig("b", a.Address()))
 	until(t, "two see the same", 10*time.Second, alike(2, a, b))
 	former := a.View().Find("b").Incarnation
-	c.ends[1]() // no good-bye was said by its state, so it counts as dead
+	c.ends[1]() // it has announced no leaving, so it counts as dead
 	until(t, "it is lost", 10*time.Second, func() bool { return a.View().Find("b") == nil })
 	p := testConfig("b", a.Address())
 	p.Now = func() time.Time { return time.Now().Add(-time.Hour) }
 	again := c.start(p)
-	until(t, "it is back, born later", 10*time.Second, func() bool {
+	until(t, "it is back, with a newer incarnation", 10*time.Second, func() bool {
 		e := a.View().Find("b")
 		return e != nil && former.Before(e.Incarnation)
 	})
--- a/member/packet.go
+++ b/member/packet.go
@@ -137,7 +137,7 @@
 	return e, nil
 }
 
-var errAbsurd = errors.New("an absurd birth or incarnation")
+var errAbsurd = errors.New("an absurd incarnation")
 
 // handle is the name under which gossip knows one incarnation: a restart is another, so that gossip never takes one for the
 // other.
--- a/member/show.go
+++ b/member/show.go
@@ -33,13 +33,13 @@
 // MemberStatus is one line of it.
 type MemberStatus struct {
 	Name        string `json:"name"`
-	Birth       uint64 `json:"birth"` // milliseconds of Unix time
+	Incarnation uint64 `json:"incarnation"` // milliseconds of Unix time
 	Nonce       string `json:"nonce"`
 	Address     string `json:"address"`
 	Zone        string `json:"zone,omitempty"`
 	State       string `json:"state"`
-	Unhealthy   bool   `json:"ill,omitempty"`
-	Unreachable bool   `json:"fails,omitempty"`
+	Unhealthy   bool   `json:"unhealthy,omitempty"`
+	Unreachable bool   `json:"unreachable,omitempty"`
 	Proto       uint8  `json:"proto"`
 	Open        uint8  `json:"open"`
 	Credit      uint8  `json:"credit"`
@@ -119,7 +119,7 @@
 		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(gone, " "))
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "NAME\tSTATE\tZONE\tADDRESS\tBORN\tLOAD\tREMARKS")
+	fmt.Fprintln(t, "NAME\tSTATE\tZONE\tADDRESS\tSTARTED\tLOAD\tREMARKS")
 	for _, e := range s.Members {
 		var remarks []string
 		if e.Name == s.Name {
@@ -135,7 +135,7 @@
 			remarks = append(remarks, fmt.Sprintf("protocol %d", e.Proto))
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d/%d/%d\t%s\n", e.Name, e.State, e.Zone, e.Address,
-			time.UnixMilli(int64(e.Birth)).UTC().Format(time.DateTime), e.Open, e.Credit, e.Level, strings.Join(remarks, ", "))
+			time.UnixMilli(int64(e.Incarnation)).UTC().Format(time.DateTime), e.Open, e.Credit, e.Level, strings.Join(remarks, ", "))
 	}
 	t.Flush()
 	fmt.Fprintf(to, "packets %d sent, %d got; bytes %d sent, %d got", s.Packets[0], s.Packets[1], s.Bytes[0], s.Bytes[1])
--- a/member/swarm_test.go
+++ b/member/swarm_test.go
@@ -90,7 +90,7 @@
 	}
 	k := slices.IndexFunc(shown.Members, func(e member.MemberStatus) bool { return e.Name == "n5" })
 	was := slices.IndexFunc(former.Members, func(e member.MemberStatus) bool { return e.Name == "n5" })
-	if k < 0 || shown.Members[k].Birth <= former.Members[was].Birth {
+	if k < 0 || shown.Members[k].Incarnation <= former.Members[was].Incarnation {
 		t.Errorf("%+v after %+v", shown.Members, former.Members)
 	}
 	// What operators are shown.
@@ -108,7 +108,7 @@
 	}
 }
 
-// One that is stopped is buried by the others, and buries nobody when it goes on.
+// One that is stopped is taken for dead by the others, and takes nobody for dead when it goes on.
 func TestStopped(t *testing.T) {
 	s, names := swarm(t)
 	run(t, s, "0s stop n5")
@@ -124,7 +124,7 @@
 	}
 }
 
-// Both sides of a cut bury each other, the smaller reports a partition, and they come together again.
+// Both sides of a partition take each other for dead, the smaller reports a partition, and they come together again.
 func TestCut(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
@@ -143,7 +143,7 @@
 	alike(t, s, 5, names)
 }
 
-// A cut one way only buries nobody: others carry the word.
+// A cut one way only kills nobody's membership: others carry the messages.
 func TestOneWay(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
@@ -159,11 +159,11 @@
 	s, names := swarm(t)
 	from := s.History.Now()
 	run(t, s, "0s twin n5")
-	if _, ok := s.Until(patience, func() bool { n, _ := s.History.Lines("n5", "was born later", from); return n > 0 }); !ok {
+	if _, ok := s.Until(patience, func() bool { n, _ := s.History.Lines("n5", "newer incarnation of this name", from); return n > 0 }); !ok {
 		t.Fatal("the earlier never learns of the later")
 	}
 	alike(t, s, 5, append(slices.Clone(names[:4]), "n5-twin"))
-	if n, _ := s.History.Lines("n5", "was born later", from); n != 1 {
+	if n, _ := s.History.Lines("n5", "newer incarnation of this name", from); n != 1 {
 		t.Errorf("said %d times", n)
 	}
 	if !s.Node("n5").Running() {
@@ -181,7 +181,7 @@
 	alike(t, s, 5, names)
 }
 
-// Work that hangs is seen by all, though gossip goes on; gossip that is late, while streams are not, buries nobody.
+// Work that hangs is seen by all, though gossip goes on; gossip that is late, while streams are not, takes nobody for dead.
 func TestHalfDead(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -24,7 +24,7 @@
 // said at most as often as loadEvery, since each word goes to every member.
 const sayEvery, loadEvery = 250 * time.Millisecond, 5 * time.Second
 
-// partBefore is how long before the stop a leaving app server says good-bye to the fleet: a good-bye takes half of it.
+// partBefore is how long before the stop a leaving app server leaves the fleet: the leave message takes half of it.
 const partBefore = 1.2
 
 // reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
@@ -35,7 +35,7 @@
 	return reserve
 }
 
-// joinFleet makes this app server a member, and has it stand for roles, where the operators have said so; nil otherwise.
+// joinFleet makes this app server a member, and has it campaign for roles, where the operators have said so; nil otherwise.
 func (s *Server) joinFleet() (*member.Member, *fleet.Fleet, error) {
 	settings := s.fleetSettings
 	if !settings.On() {
@@ -57,7 +57,7 @@
 	return m, f, err
 }
 
-// takePart keeps the fleet told of this app server until it has left, and says good-bye in time.
+// takePart keeps the fleet told of this app server until it has left, and leaves in time.
 func (s *Server) takePart(ctx, all context.Context, m *member.Member, f *fleet.Fleet) error {
 	part, end := context.WithCancel(all)
 	defer end()
@@ -102,7 +102,7 @@
 // that time.
 const marginShare = 0.1
 
-// standForOffices has this app server vote, and stand for the roles of the operators' file, as far as they have said so; nil
+// campaignForRoles has this app server vote, and campaign for the roles of the operators' file, as far as they have said so; nil
 // otherwise.
 func (s *Server) campaignForRoles(m *member.Member) (*fleet.Fleet, error) {
 	settings, c := s.fleetSettings, s.config.Load()
@@ -161,7 +161,7 @@
 	return all
 }
 
-// fit tells why this app server should not stand for a role now.
+// fit tells why this app server should not campaign for a role now.
 func (s *Server) fit(m *member.Member) error {
 	switch certainty := m.View().Certainty; {
 	case certainty >= view.Partitioned:
