--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -37,6 +37,7 @@
 	{"share", "a limit common to the fleet, between deaths, sleeps, cuts and moving demand, an even split and none beside", playShare},
 	{"share-forty", "ten permits among forty processes", playShareForty},
 	{"share-auto", "a common limit that is found, as what stands behind bears less and more again", playShareAuto},
+	{"restart", "idle clients fill the descriptors, the roster is down, all are killed and started again, some kernels late", playRestart},
 	{"view-cost", "what the view costs: 20, 100 and 300 members in one process, at rest and after a fifth have died", playViewCost},
 	{"scale", "how costs grow with the size of the fleet, each with its fit and its error", playScale},
 	{"pressure-edge", "two minutes of steady load where the program just cannot bear it", playEdge},
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -135,3 +135,9 @@
 		t.Errorf("nothing is said to be worked out:\n%s", &out)
 	}
 }
+
+// Without work clients may hold every descriptor while processes are killed and kernels are late.
+func TestRestart(t *testing.T) {
+	rules(t, "restart", "full.after.s", "kernel.back.max.s", "ready.within.10s", "roster.back.max.s", "descriptors.most",
+		"descriptors.left.over", "breaches")
+}
--- a/rig/check.go
+++ b/rig/check.go
@@ -84,7 +84,7 @@
 }
 
 // Count is a figure that the checker has kept: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
-// unanswered.
+// unanswered, turned.away, crossed.
 func (c *Checker) Count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -308,6 +308,11 @@
 			c.counts["turned.away"]++
 			continue
 		}
+		if c.crossedClose(t) {
+			t.excused = true
+			c.counts["crossed"]++
+			continue
+		}
 		c.counts["unanswered"]++
 		c.breach(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
 		t.excused = true
@@ -315,6 +320,16 @@
 	delete(c.tries, conn)
 }
 
+// closeCrossing is the protocol's figure: a request that crosses the close of a connection within it is sent again.
+const closeCrossing = 50 * time.Millisecond
+
+// crossedClose reports whether a try was written as its app server closed a resting connection: an app server may close any
+// connection that has no open request. One that has been run there was open. Called under the lock.
+func (c *Checker) crossedClose(t *tried) bool {
+	_, ran := c.server(t.server).started[t.id]
+	return !ran && time.Since(t.at) <= closeCrossing+c.slack
+}
+
 // Started tells that a kernel has begun to run an RPC.
 func (c *Checker) Started(server, id string) {
 	now := time.Now()
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -12,22 +12,25 @@
 // Kernel stands in for the process that owns the cores: it takes commands on its link and carries out runs, each of
 // which lasts as long as its body says, longer while more run than there are cores.
 type Kernel struct {
+	address string
+	cores   float64
+	server  string // whose kernel it is, for the checker
+	check   *Checker
+	behind  *Behind // what its runs reach, nil for nothing
+
+	mu       sync.Mutex
 	listener net.Listener
-	cores    float64
-	server   string // whose kernel it is, for the checker
-	check    *Checker
-	behind   *Behind // what its runs reach, nil for nothing
-
-	mu      sync.Mutex
-	link    net.Conn
-	notices []string // numbered from 1
-	runs    map[string]*run
-	slow    float64 // how much longer everything takes
-	hung    bool
-	looked  time.Time
-	timer   *time.Timer
-	closed  bool
-	began   time.Time
+	link     net.Conn
+	linkedAt time.Time     // when BOOTED was last said
+	withheld chan struct{} // closed when links may be answered again; nil while they are
+	notices  []string      // numbered from 1
+	runs     map[string]*run
+	slow     float64 // how much longer everything takes
+	hung     bool
+	looked   time.Time
+	timer    *time.Timer
+	closed   bool
+	began    time.Time
 }
 
 // run is one on the cores.
@@ -45,15 +48,15 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Kernel{listener: listener, cores: float64(cores), server: server, check: check, runs: map[string]*run{}, slow: 1,
+	k := &Kernel{address: listener.Addr().String(), listener: listener, cores: float64(cores), server: server, check: check, runs: map[string]*run{}, slow: 1,
 		looked: time.Now(), began: time.Now()}
 	k.timer = time.AfterFunc(time.Hour, k.turn)
-	go k.serve()
+	go k.serve(listener)
 	return k, nil
 }
 
 // Address is where app servers find it.
-func (k *Kernel) Address() string { return k.listener.Addr().String() }
+func (k *Kernel) Address() string { return k.address }
 
 // Slow makes all work take so many times as long.
 func (k *Kernel) Slow(times float64) {
@@ -90,27 +93,26 @@
 	}
 	k.runs, k.notices = map[string]*run{}, nil
 	k.looked, k.began = time.Now(), time.Now()
-	if k.link != nil {
-		k.link.Close()
-		k.link = nil
-	}
+	k.dropLink()
 }
 
 // Close ends it.
 func (k *Kernel) Close() {
-	k.listener.Close()
 	k.mu.Lock()
 	defer k.mu.Unlock()
+	k.listener.Close()
+	if k.withheld != nil {
+		close(k.withheld)
+		k.withheld = nil
+	}
 	k.closed = true
 	k.timer.Stop()
-	if k.link != nil {
-		k.link.Close()
-	}
+	k.dropLink()
 }
 
-func (k *Kernel) serve() {
+func (k *Kernel) serve(listener net.Listener) {
 	for {
-		nc, err := k.listener.Accept()
+		nc, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -132,13 +134,16 @@
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
 			return
 		}
+		if m.Action == "OPEN" {
+			k.awaitRelease()
+		}
 		k.mu.Lock()
 		switch m.Action {
 		case "OPEN":
 			if k.link != nil && k.link != nc {
 				k.link.Close()
 			}
-			k.link = nc
+			k.link, k.linkedAt = nc, time.Now()
 			fmt.Fprintf(nc, `{"action":"BOOTED","code":"running","wall_ms":%d}`+"\n", time.Since(k.began).Milliseconds()+1)
 			for _, line := range k.notices[min(m.Pos, len(k.notices)):] {
 				fmt.Fprintln(nc, line)
--- a/rig/process.go
+++ b/rig/process.go
@@ -204,6 +204,15 @@
 	return 0
 }
 
+// Descriptors is how many file descriptors the process holds, 0 if that cannot be read.
+func (p *Process) Descriptors() int {
+	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
+	if err != nil {
+		return 0
+	}
+	return len(names)
+}
+
 // started tells whether there ever was a process.
 func (p *Process) started() bool {
 	p.mu.Lock()
--- a/rig/program.go
+++ b/rig/program.go
@@ -175,7 +175,7 @@
 	Check    *Checker
 	Programs []*Program
 	Nets     []*Net
-	roster   net.PacketConn
+	Roster   *Roster
 	dir      string
 	end      chan struct{}
 	group    sync.WaitGroup
@@ -192,16 +192,9 @@
 		return nil, err
 	}
 	f := &Fleet{Check: check, dir: dir, end: make(chan struct{})}
-	if f.roster, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
+	if f.Roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
-	f.group.Go(func() {
-		for b := make([]byte, 256); ; {
-			if _, _, err := f.roster.ReadFrom(b); err != nil {
-				return
-			}
-		}
-	})
 	for k := range n {
 		name := fmt.Sprintf("n%d", k+1)
 		kernel, err := NewKernel(name, site.Cores, check)
@@ -215,7 +208,7 @@
 			return nil, err
 		}
 		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, bin: bin, dir: dir,
-			roster: f.roster.LocalAddr().String(), check: check}
+			roster: f.Roster.Address(), check: check}
 		if err := p.Start(); err != nil {
 			kernel.Close()
 			f.Close()
@@ -297,7 +290,7 @@
 	for _, n := range f.Nets {
 		n.Close()
 	}
-	f.roster.Close()
+	f.Roster.Close()
 	f.group.Wait()
 	os.RemoveAll(f.dir)
 }
--- a/rig/router.go
+++ b/rig/router.go
@@ -61,6 +61,11 @@
 	due, _ := ctx.Deadline()
 	done := make(chan routed, 1)
 	c.write.Lock()
+	if ctx.Err() != nil { // the wait for the connection took until the deadline
+		c.write.Unlock()
+		c.release()
+		return nil, ctx.Err()
+	}
 	c.seq++ // numbers rise in the order of writing
 	seq := c.seq
 	c.mu.Lock()
@@ -90,6 +95,13 @@
 	}
 }
 
+// release gives a booked place back.
+func (c *routerConn) release() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.booked--
+}
+
 // get books a place on a connection.
 func (r *Router) get(ctx context.Context) (*routerConn, error) {
 	r.mu.Lock()
--- a/rig/swarm.go
+++ b/rig/swarm.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"net/netip"
 	"os"
 	"os/exec"
@@ -22,7 +21,7 @@
 	Paths   *Paths
 	plan    Plan
 	dir     string
-	roster  net.PacketConn
+	roster  *Roster
 
 	mu    sync.Mutex
 	nodes map[string]*Node
@@ -79,16 +78,9 @@
 	if s.Paths, err = NewPaths(plan.Seed); err != nil {
 		return nil, err
 	}
-	if s.roster, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
+	if s.roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
-	go func() {
-		for b := make([]byte, 256); ; {
-			if _, _, err := s.roster.ReadFrom(b); err != nil {
-				return
-			}
-		}
-	}()
 	s.slots = plan.DeadEnd
 	for _, name := range plan.Names {
 		if _, err := s.add(name, name, s.slot()); err != nil {
@@ -178,7 +170,7 @@
 		// At its own address no other process can have taken the port meanwhile.
 		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
-			roster: s.roster.LocalAddr().String(), check: s.Check, called: called}
+			roster: s.roster.Address(), check: s.Check, called: called}
 		n.Program.tap = func(line []byte) { s.History.Said(name, line) }
 		if n.Net, err = NewNet(name, address, s.Check); err != nil {
 			return nil, err
