--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -91,6 +91,7 @@
 	site := tillSite(4, 30)
 	site.Sockets = restartSockets
 	check := rig.NewChecker(rigSlack)
+	check.ResendCrossed()
 	fleet, err := rig.NewFleet(p.Program, count, site, check)
 	if err != nil {
 		return nil, err
--- a/rig/check.go
+++ b/rig/check.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"sync"
 	"time"
 
@@ -27,6 +28,7 @@
 	breaches []Breach
 	counts   map[string]int
 	slack    time.Duration
+	crossed  map[string]*tried // by RPC; nil unless ResendCrossed, see there
 }
 
 // asked is one RPC, over all its tries.
@@ -155,6 +157,7 @@
 	defer c.mu.Unlock()
 	s := c.server(server)
 	s.killed = true
+	maps.DeleteFunc(c.crossed, func(_ string, t *tried) bool { return t.server == server })
 	for _, tries := range c.tries {
 		for _, t := range tries {
 			if t.server == server && !t.answered {
@@ -162,6 +165,7 @@
 			}
 		}
 	}
+	c.finishCrossed()
 }
 
 // Paused tells that the rig has stopped its process, or starves it, or lets it go on: what it answers late meanwhile is
@@ -215,6 +219,7 @@
 	if r == nil {
 		return
 	}
+	delete(c.crossed, id)
 	if r.tries++; r.tries > 1 {
 		c.counts["further"]++
 	}
@@ -311,6 +316,7 @@
 		if c.crossedClose(t) {
 			t.excused = true
 			c.counts["crossed"]++
+			c.crossed[t.id] = t
 			continue
 		}
 		c.counts["unanswered"]++
@@ -320,16 +326,6 @@
 	delete(c.tries, conn)
 }
 
-// closeCrossing is the protocol's figure: a request that crosses the close of a connection within it is sent again.
-const closeCrossing = 50 * time.Millisecond
-
-// crossedClose reports whether a try was written as its app server closed a resting connection: an app server may close any
-// connection that has no open request. One that has been run there was open. Called under the lock.
-func (c *Checker) crossedClose(t *tried) bool {
-	_, ran := c.server(t.server).started[t.id]
-	return !ran && time.Since(t.at) <= closeCrossing+c.slack
-}
-
 // Started tells that a kernel has begun to run an RPC.
 func (c *Checker) Started(server, id string) {
 	now := time.Now()
@@ -379,4 +375,5 @@
 			}
 		}
 	}
+	c.finishCrossed()
 }
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -31,6 +31,23 @@
 			c.Started("n1", "a")
 			c.Ended(f, false)
 		}},
+		"lost over a close": {1, "not sent again", func(c *Checker, f *flow) {
+			f.spoke.Store(true)
+			c.ResendCrossed()
+			c.Ended(f, false)
+			c.Finish()
+		}},
+		"lost before a close": {1, "without an answer", func(c *Checker, f *flow) {
+			f.spoke.Store(true)
+			c.ResendCrossed()
+			time.Sleep(closeCrossing + 20*time.Millisecond)
+			c.Ended(f, false)
+		}},
+		"run and lost over a close": {1, "without an answer", func(c *Checker, f *flow) {
+			c.ResendCrossed()
+			c.Started("n1", "a")
+			c.Ended(f, false)
+		}},
 		"no answer": {1, "never answered", func(c *Checker, f *flow) {
 			c.Try("n1", f, 2, "a", time.Now().Add(-time.Second), false)
 			c.Finish()
@@ -118,6 +135,23 @@
 	}
 }
 
+// What crosses a close and is sent again is not lost, where callers do so.
+func TestCheckerCrossed(t *testing.T) {
+	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
+	c.ResendCrossed()
+	far := time.Now().Add(time.Hour)
+	c.Asked("a", rpc.Tokened, far)
+	c.Try("n1", f, 1, "a", far, false)
+	f.spoke.Store(true)
+	c.Ended(f, false)
+	c.Try("n1", g, 1, "a", far, true)
+	c.Answered(g, 1, rpc.OK, false, 0)
+	c.Finish()
+	if b := c.Breaches(); len(b) > 0 || c.Count("crossed") != 1 {
+		t.Errorf("%d crossed, %v", c.Count("crossed"), b)
+	}
+}
+
 // Through the network the checker sees the same: an app server that answers twice, then one that leaves without an
 // answer.
 func TestNetShows(t *testing.T) {
--- /dev/null
+++ b/rig/crossing.go
@@ -0,0 +1,33 @@
+package rig
+
+import "time"
+
+// closeCrossing is the protocol's figure: a request that crosses the close of a connection within it is sent again, once,
+// on a new connection.
+const closeCrossing = 50 * time.Millisecond
+
+// ResendCrossed tells the checker that the callers keep to that: an RPC that crossed a close is lost only if it is not sent
+// again. Without it each RPC on a connection that its app server ends is lost.
+func (c *Checker) ResendCrossed() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.crossed = map[string]*tried{}
+}
+
+// crossedClose reports whether a try was written as its app server closed the connection: an app server may close any
+// connection that has no open request. A request that has been run there was open. Called under the lock.
+func (c *Checker) crossedClose(t *tried) bool {
+	_, ran := c.server(t.server).started[t.id]
+	return c.crossed != nil && !ran && time.Since(t.at) <= closeCrossing+c.slack
+}
+
+// finishCrossed finds what crossed a close and was not sent again, although there was time. Called under the lock.
+func (c *Checker) finishCrossed() {
+	for id, t := range c.crossed {
+		if t.due.Sub(t.at) > 2*(closeCrossing+c.slack) {
+			c.counts["unanswered"]++
+			c.breach(1, "%s lost: %s closed the connection over it, and it was not sent again", id, t.server)
+		}
+		delete(c.crossed, id)
+	}
+}
