--- a/server/conn.go
+++ b/server/conn.go
@@ -45,30 +45,31 @@
 	*Server
 	net.Conn
 
-	mu       sync.Mutex
-	open     map[int32]*call // read, no answer written
-	replies  []reply
-	spare    []reply
-	reading  bool      // a frame is being taken in
-	writing  bool      // an answer is on its way out
-	owing    int64     // bytes of results that wait to be written, or are being written
-	ended    bool      // nobody is there any more
-	mute     bool      // the writer has ended
-	phase    phase     // changed by move alone
-	partial  bool      // the router is in the middle of a message
-	due      time.Time // when what has come of a message must be whole, zero for never
-	stirred  bool      // the read deadline is not due, but wakes the reader
-	evicted  bool      // its descriptor is wanted
-	known    bool      // a whole message has come
-	used     time.Time // last frame either way
-	askedAt  time.Time // when the router was asked to leave, zero before
-	lastAt   time.Time // when it began to close
-	wake     chan struct{}
-	taken    chan struct{} // holds one when the writer has taken up what waited, or nothing more is taken in
-	gone     chan struct{} // closed once the descriptor has been given back
-	last     int32         // number of the last RPC; the reader's own
-	keyError error         // what ends the connection; the reader's own
-	odd      atomic.Int32  // RPCs that could not be run
+	mu            sync.Mutex
+	open          map[int32]*call // read, no answer written
+	replies       []reply
+	spare         []reply
+	reading       bool      // a frame is being taken in
+	writing       bool      // an answer is on its way out
+	owing         int64     // bytes of results that wait to be written, or are being written
+	ended         bool      // nobody is there any more
+	mute          bool      // the writer has ended
+	phase         phase     // changed by move alone
+	partial       bool      // the router is in the middle of a message
+	due           time.Time // when what has come of a message must be whole, zero for never
+	stirred       bool      // the read deadline is not due, but wakes the reader
+	evicted       bool      // its descriptor is wanted
+	known         bool      // a whole message has come
+	used          time.Time // last frame either way
+	askedAt       time.Time // when the router was asked to leave, zero before
+	lastAt        time.Time // when it began to close
+	closeOnce     sync.Once // see Close
+	wake          chan struct{}
+	taken         chan struct{} // holds one when the writer has taken up what waited, or nothing more is taken in
+	gone          chan struct{} // closed once the descriptor has been given back
+	last          int32         // number of the last RPC; the reader's own
+	protocolError error         // what ends the connection; the reader's own
+	odd           atomic.Int32  // RPCs that could not be run
 }
 
 const (
@@ -142,6 +143,13 @@
 	}
 }
 
+// Close gives the descriptor back. Also when another goroutine has begun to close it returns only then: the connection's own
+// Close would return at once, and its place would be free before its descriptor is.
+func (c *conn) Close() error {
+	c.closeOnce.Do(func() { c.Conn.Close() })
+	return nil
+}
+
 // over tells the gate that nobody waits for what the connection carried.
 func (c *conn) over() {
 	c.mu.Lock()
--- /dev/null
+++ b/server/descriptors.go
@@ -0,0 +1,52 @@
+package server
+
+import (
+	"math"
+	"os"
+	"syscall"
+
+	"valveglade/member"
+)
+
+const (
+	// reserve is how many descriptors are kept back from callers at the least: the ten that a process holds at its start (the
+	// standard three, two of the control group, two of the poller, the listener and two that it may have inherited), and spare.
+	reserve = 20
+	// spare is for what is opened after the start, beside connections that are served: the kernel link and the one that
+	// follows it when the kernel moves, the roster's socket, a configuration file, a file of the system's figures, the
+	// connection that is being let in, and mostGoing that are on their way out.
+	spare = 6 + mostGoing
+)
+
+// countOwn takes note of the descriptors that the process holds before it lets anybody in: the listener, those of the
+// runtime, and whatever it was started with, which counts against its limit too.
+func (s *Server) countOwn() {
+	names, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		return // the reserve has room for a usual process
+	}
+	s.atStart.Store(int64(len(names)) - 1) // less the one that reads the folder
+}
+
+// reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
+func (s *Server) reserved() int {
+	kept := max(reserve, int(s.atStart.Load())+spare)
+	if s.fleetSettings.On() {
+		kept += member.Descriptors
+	}
+	return kept
+}
+
+// room is how many connections the descriptors allow: by the configuration, and by the system where that allows less.
+func (s *Server) room() int {
+	return min(s.config.Load().Sockets, s.systemLimit) - s.reserved()
+}
+
+// systemLimit is how many descriptors the system allows to the process.
+func systemLimit() int {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
+		return math.MaxInt32
+	}
+	return int(limit.Cur)
+}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -27,14 +27,6 @@
 // partBefore is how long before the stop a leaving app server leaves the fleet: the leave message takes half of it.
 const partBefore = 1.2
 
-// reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
-func (s *Server) reserved() int {
-	if s.fleetSettings.On() {
-		return reserve + member.Descriptors
-	}
-	return reserve
-}
-
 // joinFleet makes this app server a member, and has it campaign for roles, where the operators have said so; nil otherwise.
 func (s *Server) joinFleet() (*member.Member, *fleet.Fleet, error) {
 	settings := s.fleetSettings
--- a/server/listen.go
+++ b/server/listen.go
@@ -15,7 +15,6 @@
 )
 
 const (
-	reserve   = 16                     // descriptors for the listener, the kernel, the roster, Go itself
 	leaveTime = time.Second            // for a router that was asked to close an idle connection
 	idleEvery = 250 * time.Millisecond // connections are looked at; idle times are many times that
 	asideOnce = 16                     // idle connections asked to make room at a time
@@ -144,7 +143,7 @@
 func (s *Server) evictOne() (out *conn, going int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.config.Load().Sockets-s.reserved() {
+	if len(s.conns) < s.room() {
 		return nil, 0, true
 	}
 	now := time.Now()
@@ -205,7 +204,7 @@
 			idle = append(idle, q)
 		}
 	}
-	if len(s.conns) < (s.config.Load().Sockets-s.reserved())*3/4 {
+	if len(s.conns) < s.room()*3/4 {
 		return
 	}
 	slices.SortFunc(idle, func(a, b quiet) int { return cmp.Compare(a.since.UnixNano(), b.since.UnixNano()) })
--- a/server/reader.go
+++ b/server/reader.go
@@ -63,7 +63,7 @@
 		if full {
 			return errors.New("more open RPCs than a connection may carry")
 		}
-		if err := errors.Join(thrift.Decode(frame, c), c.keyError); err != nil {
+		if err := errors.Join(thrift.Decode(frame, c), c.protocolError); err != nil {
 			return err
 		}
 		in.Take(size)
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -85,7 +85,7 @@
 		c.last = seq
 		return false
 	}
-	c.keyError = &usedTwice{seq}
+	c.protocolError = &usedTwice{seq}
 	return true
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -39,7 +39,9 @@
 	methods map[string]int
 	group   *errgroup.Group
 
-	ownsProcess atomic.Bool // its memory limit is ours to set
+	ownsProcess atomic.Bool  // its memory limit is ours to set
+	atStart     atomic.Int64 // descriptors that the process held when it began to listen, see countOwn
+	systemLimit int          // of descriptors, see room
 
 	fleetSettings     config.Fleet                      // in force from the start
 	fleetSettingsRead config.Fleet                      // as last read; only Reload's goroutine has it
@@ -81,6 +83,7 @@
 		up: make(chan struct{}), left: make(chan struct{}, 1), said: make(chan struct{}, 1), well: make(chan struct{}, 1),
 		spans: usualSpans, half: halfFor, idle: idleEvery, press: newPress(c, b), signal: c.Rules.Machine.Signal, fleetSettings: b.Fleet, fleetSettingsRead: b.Fleet}
 	s.config.Store(c)
+	s.systemLimit = systemLimit()
 	s.read = c
 	for k, name := range c.Methods {
 		s.methods[name] = k
@@ -106,6 +109,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	s.ownsProcess.Store(true)
+	s.countOwn()
 	s.bound(s.config.Load())
 	return s.ServeOn(ctx, listener.(*net.TCPListener))
 }
