--- a/server/conn.go
+++ b/server/conn.go
@@ -107,11 +107,11 @@
 // quiet is what there is to know of a connection on which nothing is going on.
 type quiet struct {
 	*conn
-	since time.Time
-	part  bool // of a message has come
-	known bool // a whole message ever came
-	shut  bool // it has been ended, and is read on
-	going bool // its descriptor is to come back already
+	since time.Time // of its last frame, or of the message that it is in the middle of
+	part  bool      // of a message has come
+	known bool      // a whole message ever came
+	shut  bool      // it has been ended, and is read on
+	going bool      // its descriptor is to come back already
 	asked time.Duration
 }
 
@@ -120,6 +120,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q = quiet{conn: c, since: c.used, part: c.partial, known: c.known, shut: c.phase == shut, going: c.evicted}
+	if c.partial && !c.due.IsZero() {
+		q.since = c.due.Add(-whole)
+	}
 	if !c.askedAt.IsZero() {
 		q.asked = time.Since(c.askedAt)
 	}
--- a/server/crowd_test.go
+++ b/server/crowd_test.go
@@ -21,6 +21,116 @@
 	return t
 }
 
+// serveOne has one RPC answered on a new connection.
+func (t *town) serveOne(seq int) *router {
+	r := t.dial()
+	r.execute(seq)
+	t.asked()
+	t.reap(seq, "fine", "ok")
+	r.hear(1)
+	return r
+}
+
+// Silent clients that arrive faster than they count as silent take the whole table; a router with work still gets in.
+func Example_fastFlood() {
+	t := openCrowded(3)
+	for range 3 {
+		t.dial()
+	}
+	until("full", func() bool { return len(t.connections()) == 3 })
+	time.Sleep(firstBytes)
+	t.serveOne(1)
+	t.close()
+	// Output:
+	// kernel: SCHED 1 look body 1
+	// router: 1 ok "ok" good 1
+	// served: <nil>
+}
+
+// Clients that were served once and then stay in the middle of a message take the whole table; a router with work gets in
+// before their messages are overdue.
+func Example_stalled() {
+	t := openCrowded(2)
+	for k := range 2 {
+		fmt.Fprint(t.serveOne(k+1), "\x00\x00\x00\x40half")
+	}
+	until("halves read", func() bool {
+		for _, c := range t.connections() {
+			if q, _ := c.rested(); !q.part {
+				return false
+			}
+		}
+		return true
+	})
+	time.Sleep(fresh + firstBytes)
+	t.serveOne(3)
+	t.close()
+	// Output:
+	// kernel: SCHED 1 look body 1
+	// router: 1 ok "ok" good 1
+	// kernel: SCHED 2 look body 2
+	// router: 2 ok "ok" good 1
+	// kernel: SCHED 3 look body 3
+	// router: 3 ok "ok" good 1
+	// served: <nil>
+}
+
+// Where accepting fails for want of descriptors idle connections make room, although the configuration allows more; who is
+// at work stays, and any other failure closes nothing.
+func Example_acceptFailed() {
+	t := openCrowded(8)
+	idle := t.serveOne(1)
+	busy := t.dial()
+	busy.execute(2)
+	t.asked()
+	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)})
+	t.Server.mu.Lock()
+	_, going := t.leastWanted()
+	fmt.Println("connections:", len(t.conns), "on their way out:", going)
+	t.Server.mu.Unlock()
+	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
+	idle.ends()
+	t.reap(2, "fine", "two")
+	busy.hear(1)
+	t.close()
+	// Output:
+	// kernel: SCHED 1 look body 1
+	// router: 1 ok "ok" good 1
+	// kernel: SCHED 2 look body 2
+	// connections: 2 on their way out: 0
+	// router: the end, after 0 bytes
+	// router: 2 ok "two" good 1
+	// served: <nil>
+}
+
+// A reload with fewer descriptors closes idle connections at once, down to what is allowed, and none that is at work.
+func Example_fewerSockets() {
+	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 20 }, zap.NewNop(),
+		func(s *Server) { s.idle = 10 * time.Millisecond })
+	t.linkUp()
+	busy := t.dial()
+	busy.execute(1)
+	t.asked()
+	for range 8 {
+		t.dial()
+	}
+	until("taken in", func() bool { return len(t.connections()) == 9 })
+	began := time.Now()
+	next := *t.config
+	next.Sockets = reserve + 3
+	t.adopt(&next)
+	until("room", func() bool { return len(t.connections()) <= 3 })
+	fmt.Println("before silence is overdue:", time.Since(began) < whole/2)
+	t.reap(1, "fine", "one")
+	busy.hear(1)
+	t.close()
+	// Output:
+	// kernel: SCHED 1 look body 1
+	// before silence is overdue: true
+	// router: 1 ok "one" good 1
+	// served: <nil>
+}
+
 // Descriptors that the process was started with count against its limit, and so against its connections.
 func TestOwnDescriptors(t *testing.T) {
 	const inherited = 40
--- a/server/descriptors.go
+++ b/server/descriptors.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"errors"
 	"math"
 	"os"
 	"syscall"
@@ -50,3 +51,8 @@
 	}
 	return int(limit.Cur)
 }
+
+// outOfDescriptors reports whether a call failed because the process or the system has no descriptor left.
+func outOfDescriptors(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+}
--- a/server/listen.go
+++ b/server/listen.go
@@ -25,6 +25,9 @@
 	// runs into the limit. Of what is kept back, mostGoing may be taken by connections that are still on their way out.
 	giveBack  = 5 * time.Millisecond
 	mostGoing = 4
+	// firstBytes is how long any new connection is left to bring its first bytes, also while others arrive faster than
+	// they fall silent.
+	firstBytes = 25 * time.Millisecond
 	// socketBuffer is what the system may hold for a connection in each direction, as that counts as ours: all
 	// that one may carry at once.
 	socketBuffer = 64 << 10
@@ -47,7 +50,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err) // nobody would ever come in again: no app server that looks well
 		default:
-			s.limited.Warn("accept", zap.Error(err))
+			s.acceptFailed(err)
 			if !sleep(ctx, 0.01) {
 				return nil
 			}
@@ -55,6 +58,22 @@
 	}
 }
 
+// acceptFailed makes room where that is what accepting lacks: other parts of the process, and other processes, may have
+// taken descriptors that the configuration allows to this one.
+func (s *Server) acceptFailed(err error) {
+	s.limited.Warn("accept", zap.Error(err))
+	if !outOfDescriptors(err) {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for range mostGoing {
+		if out, _ := s.leastWanted(); out != nil {
+			out.evict()
+		}
+	}
+}
+
 // admit takes one connection in, or turns it away at once: behind it there may be hundreds that say nothing, and then
 // one of a usual router.
 func (s *Server) admit(ctx context.Context, nc net.Conn) {
@@ -146,35 +165,60 @@
 	if len(s.conns) < s.room() {
 		return nil, 0, true
 	}
-	now := time.Now()
 	for len(s.conns) > 0 {
-		var ended, silent, idlest quiet
-		going = 1
-		for c := range s.conns {
-			q, idle := c.rested()
-			switch {
-			case q.going:
-				going++
-			case !idle:
-			case q.shut:
-				ended = q.earlier(ended)
-			case !q.known && now.Sub(q.since) > fresh:
-				silent = q.earlier(silent)
-			case q.known && !q.part:
-				idlest = q.earlier(idlest)
-			}
-		}
-		out := cmp.Or(ended.conn, silent.conn, idlest.conn)
+		out, going := s.leastWanted()
 		if out == nil {
 			return nil, 0, false
 		}
 		if out.evict() {
-			return out, going, true
+			return out, going + 1, true
 		}
 	}
 	return nil, 0, false
 }
 
+// evictExcess closes idle connections down to what the descriptors allow, as after a reload with fewer of them.
+func (s *Server) evictExcess() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	room := s.room()
+	for excess := len(s.conns) - room; excess > 0; excess-- {
+		out, going := s.leastWanted()
+		if out == nil || len(s.conns)-going <= room {
+			return
+		}
+		out.evict()
+	}
+}
+
+// leastWanted gives the idle connection whose descriptor is missed least, nil if all are at work, and how many are on their
+// way out: first what has been ended already, then the oldest that has been silent from the start, then the one idle longest,
+// then the one that has been in the middle of a message longest, then the oldest that had time for its first bytes. Called
+// under the lock.
+func (s *Server) leastWanted() (out *conn, going int) {
+	now := time.Now()
+	var ended, silent, idlest, stalled, young quiet
+	for c := range s.conns {
+		q, idle := c.rested()
+		switch quietFor := now.Sub(q.since); {
+		case q.going:
+			going++
+		case !idle:
+		case q.shut:
+			ended = q.earlier(ended)
+		case !q.known && quietFor > fresh:
+			silent = q.earlier(silent)
+		case q.known && !q.part:
+			idlest = q.earlier(idlest)
+		case q.known && quietFor > fresh:
+			stalled = q.earlier(stalled)
+		case !q.known && quietFor > firstBytes:
+			young = q.earlier(young)
+		}
+	}
+	return cmp.Or(ended.conn, silent.conn, idlest.conn, stalled.conn, young.conn), going
+}
+
 // earlier gives the one of two that has been quiet for longer; none is nobody.
 func (q quiet) earlier(than quiet) quiet {
 	if than.conn == nil || q.since.Before(than.since) {
@@ -186,6 +230,7 @@
 // closeIdle ends what has been idle for as long as the module says, and asks those idle longest to go before the descriptors run
 // out. A router that is in the middle of a message is neither: the reader has a bound for that.
 func (s *Server) closeIdle() {
+	s.evictExcess()
 	after := s.gate.Idle()
 	var idle []quiet
 	room := asideOnce
