--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -21,6 +21,8 @@
 	restartExcess    = 16                      // idle clients over limits.sockets
 	restartReady     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
 	restartBack      = 3 * time.Second         // for a link or report after the other side's return
+	restartFlooded   = 2                       // app servers with more idle clients than the others
+	restartFlood     = 3                       // times as many there
 	restartPause     = 200 * time.Millisecond  // between an idle client's connections
 	restartRate      = 15.0                    // RPCs per second of each caller
 	restartDeadline  = time.Second             // of an RPC
@@ -57,7 +59,7 @@
 	time.Sleep(p.span(time.Second))
 
 	f.Roster.Down()
-	f.startIdle(p.Seed)
+	p.startIdle(f)
 	p.restartFill(f)
 	full := newTableWatch(f)
 	steady := f.window("full", func() { time.Sleep(p.span(6 * time.Second)) })
@@ -154,9 +156,17 @@
 	f.load.Wait()
 }
 
-func (f *restartFleet) startIdle(seed uint64) {
+// startIdle has idle clients hold the tables of all app servers, and flood two that are drawn from the seed: there new ones
+// arrive faster than those before them count as silent.
+func (p *play) startIdle(f *restartFleet) {
+	flooded := rand.New(rand.NewPCG(p.Seed, 3)).Perm(len(f.Programs))[:restartFlooded]
 	for k, s := range f.Programs {
-		f.idle = append(f.idle, rig.NewIdleClients(s.Address, restartSockets, restartPause, seed+uint64(k)<<32))
+		clients := restartSockets
+		if slices.Contains(flooded, k) {
+			clients *= restartFlood
+			p.say("%s is flooded by %d idle clients", s.Name, clients)
+		}
+		f.idle = append(f.idle, rig.NewIdleClients(s.Address, clients, restartPause, p.Seed+uint64(k)<<32))
 	}
 }
 
