--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -12,6 +12,9 @@
 // sixteen million times; three, as there were at 0.8 s, once in a minute.
 const period = 250 * time.Millisecond
 
+// listenUDP opens the socket that reports go out on.
+var listenUDP = func() (*net.UDPConn, error) { return net.ListenUDP("udp", nil) }
+
 // Report sends what say gives, each period and at once on each change, until ctx ends; what it gives may be
 // another roster than before. A roster that is down answers nothing, so a report that could not be sent is one
 // more that was lost.
@@ -21,7 +24,7 @@
 	defer beat.Stop()
 	for {
 		if conn == nil {
-			if c, err := net.ListenUDP("udp", nil); err == nil {
+			if c, err := listenUDP(); err == nil {
 				defer c.Close()
 				conn = c
 			}
