--- a/rig/net.go
+++ b/rig/net.go
@@ -1,6 +1,7 @@
 package rig
 
 import (
+	"io"
 	"math"
 	"net"
 	"sync"
@@ -37,6 +38,7 @@
 	caller, server net.Conn
 	ours           atomic.Bool // ended by the network or by the caller
 	spoke          atomic.Bool // the app server has said something
+	ended          atomic.Bool // the app server has ended it
 }
 
 // NewNet listens on a free port for callers of the app server at target.
@@ -186,20 +188,40 @@
 	}
 	var both sync.WaitGroup
 	both.Go(func() {
-		f.carry(f.caller, server, func(frame []byte) { thrift.Decode(frame, (*asks)(f)) }, nil)
+		f.carry(f.caller, server, func(frame []byte) {
+			if !f.ended.Load() { // else it is not passed on
+				thrift.Decode(frame, (*asks)(f))
+			}
+		}, nil)
 		f.ours.Store(true) // the caller's side ended first, or the server's had and says so itself
 		server.Close()
+		f.discard()
 	})
 	both.Go(func() {
 		f.carry(server, f.caller, func(frame []byte) {
 			f.spoke.Store(true)
 			thrift.DecodeAnswer(frame, (*answers)(f))
 		}, &f.trickle)
+		f.ended.Store(true)
 		f.check.Ended(f, f.ours.Load())
-		f.caller.Close()
+		if half, ok := f.caller.(*net.TCPConn); ok {
+			half.CloseWrite()
+		}
+		f.caller.SetReadDeadline(time.Now().Add(discardTime))
 		server.Close()
 	})
 	both.Wait()
+	f.caller.Close()
+}
+
+// discardTime is how long a caller is read on after its app server has ended the connection.
+const discardTime = 200 * time.Millisecond
+
+// discard reads what the caller still sends and throws it away: a close over it would reset the connection, and answers that
+// the caller has not read yet would go with it.
+func (f *flow) discard() {
+	f.caller.SetReadDeadline(time.Now().Add(discardTime))
+	io.Copy(io.Discard, f.caller)
 }
 
 // carry moves whole frames as they come, told to look before they go on.
