--- a/server/crowd_test.go
+++ b/server/crowd_test.go
@@ -200,3 +200,41 @@
 	// held: 1
 	// served: <nil>
 }
+
+// The kernel link breaks while clients without work hold the whole table: it comes back, what came meanwhile is run, and the
+// clients that are evicted for newcomers are those without work.
+func Example_linkWhileFull() {
+	t := openCrowded(3)
+	r := t.serveOne(1)
+	t.dial()
+	t.dial()
+	until("full", func() bool { return len(t.connections()) == 3 })
+	t.kernel.Close()
+	r.execute(2)
+	time.Sleep(firstBytes)
+	other := t.dial()
+	other.execute(3)
+	until("both read", func() bool {
+		opened := 0
+		for _, c := range t.connections() {
+			opened += len(c.opened())
+		}
+		return opened == 2
+	})
+	t.link()
+	t.asked()
+	t.asked()
+	for k, caller := range []*router{r, other} {
+		t.reap(k+2, "fine", "late")
+		caller.hear(1)
+	}
+	t.close()
+	// Unordered output:
+	// kernel: SCHED 1 look body 1
+	// router: 1 ok "ok" good 1
+	// kernel: SCHED 2 look body 2
+	// kernel: SCHED 3 look body 3
+	// router: 2 ok "late" good 1
+	// router: 3 ok "late" good 1
+	// served: <nil>
+}
