--- /dev/null
+++ b/rig/launch.go
@@ -0,0 +1,66 @@
+package rig
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+)
+
+// Launch starts a command as a process of the rig. said, if it is not nil, is told each line of its standard error.
+func Launch(cmd *exec.Cmd, said func(line []byte)) (*Process, error) {
+	p := &Process{tap: said}
+	if _, err := p.run(cmd, func(error) {}); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// Reload sends SIGHUP.
+func (p *Process) Reload() { p.signal(syscall.SIGHUP) }
+
+// ErrNotEnded is returned for a process that had to be killed.
+var ErrNotEnded = errors.New("the process did not end by itself")
+
+// Terminate sends SIGTERM, waits for the end, and kills the process where that takes too long.
+func (p *Process) Terminate(within time.Duration) error {
+	p.signal(syscall.SIGTERM)
+	select {
+	case <-p.ended():
+		return nil
+	case <-time.After(within):
+		p.kill()
+		return ErrNotEnded
+	}
+}
+
+// clearPeak is what resets the peak of resident memory when it is written to /proc/PID/clear_refs, see proc(5).
+const clearPeak = "5"
+
+// ResetPeak has Peak count from now.
+func (p *Process) ResetPeak() error {
+	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.Pid()), []byte(clearPeak), 0)
+}
+
+// Peak is the most resident memory that the process has taken since its start or the last ResetPeak, in bytes, 0 if that
+// cannot be read.
+func (p *Process) Peak() int64 { return p.statusBytes("VmHWM:") }
+
+// statusBytes reads a size from the process's status.
+func (p *Process) statusBytes(field string) int64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
+	if err != nil {
+		return 0
+	}
+	for line := range strings.Lines(string(text)) {
+		if rest, ok := strings.CutPrefix(line, field); ok {
+			kilobytes, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
+			return kilobytes << 10
+		}
+	}
+	return 0
+}
--- a/rig/process.go
+++ b/rig/process.go
@@ -190,19 +190,7 @@
 }
 
 // Resident is the memory that the process takes, in bytes, 0 if that cannot be read.
-func (p *Process) Resident() int64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
-	if err != nil {
-		return 0
-	}
-	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			kb, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
-			return kb << 10
-		}
-	}
-	return 0
-}
+func (p *Process) Resident() int64 { return p.statusBytes("VmRSS:") }
 
 // started tells whether there ever was a process.
 func (p *Process) started() bool {
--- a/rig/program.go
+++ b/rig/program.go
@@ -167,9 +167,6 @@
 	}
 }
 
-// Reload sends SIGHUP.
-func (p *Program) Reload() { p.signal(syscall.SIGHUP) }
-
 // Fleet is some app servers, each behind a faulty network of its own, and a sink for their reports.
 type Fleet struct {
 	Check    *Checker
