--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -1,4 +1,107 @@
 package main
 
+import (
+	"slices"
+
+	"valveglade/rig/slope"
+)
+
 // configScaleParts are the parts of the scale run that measure configuration, start and RPCs.
-var configScaleParts []scalePart
+var configScaleParts = []scalePart{
+	{"config", measureConfig},
+	{"start-members", measureStartMembers},
+	{"connection-memory", measureConnectionMemory},
+	{"rpc", measureRPC},
+	{"rpc-changes", measureRPCUnderChanges},
+}
+
+// fewEntries is how many there are of what a series does not vary.
+const fewEntries = 100
+
+// changesAtEachSize are made; their median counts.
+const changesAtEachSize = 3
+
+// tableSizes are what the configuration is measured at, of routes or of tenants.
+func (p *play) tableSizes(most int) []int {
+	var sizes []int
+	switch {
+	case p.brief:
+		return []int{10, 40, 160, 640}
+	case p.Long:
+		sizes = []int{1_000, 3_000, 10_000, 30_000, 76_000, 100_000, 400_000, 1_300_000}
+	default:
+		sizes = []int{1_000, 3_000, 10_000, 30_000, 76_000}
+	}
+	return slices.DeleteFunc(sizes, func(n int) bool { return n > most })
+}
+
+// configCost is what one size of the configuration costs.
+type configCost struct {
+	fileBytes, startSeconds, residentBytes float64
+	change                                 changeCost
+}
+
+// weighConfig starts a program with a configuration and changes that some times.
+func (p *play) weighConfig(size tables) (cost configCost, err error) {
+	s, err := p.startScaled(size, roomyMemory, fewSockets)
+	if err != nil {
+		return cost, err
+	}
+	defer s.close()
+	cost.fileBytes, cost.startSeconds, cost.residentBytes = float64(s.fileBytes), s.startSeconds, float64(s.Resident())
+	var wall, cpu, peak []float64
+	for range changesAtEachSize {
+		c, err := s.change()
+		if err != nil {
+			return cost, err
+		}
+		wall, cpu, peak = append(wall, c.wallSeconds), append(cpu, c.cpuSeconds), append(peak, c.peakBytes)
+	}
+	cost.change = changeCost{quantile(wall, 0.5), quantile(cpu, 0.5), quantile(peak, 0.5)}
+	return cost, nil
+}
+
+// fewSockets is what a program may hold that serves few connections.
+const fewSockets = 256
+
+// measureConfig measures what a configuration costs against routes and against tenants: a start with it, and a change
+// of one entry, which the program takes in by reading all of it again.
+func measureConfig(p *play, r *slope.Result) error {
+	byTenants := func(n int) tables { return tables{routes: fewEntries, tenants: n} }
+	if err := p.configSeries(r, "tenants", p.tableSizes(designTenants), byTenants); err != nil {
+		return err
+	}
+	byRoutes := func(n int) tables { return tables{routes: n, tenants: fewEntries} }
+	return p.configSeries(r, "routes", p.tableSizes(designRoutes), byRoutes)
+}
+
+// configSeries measures the costs against one kind of entry.
+func (p *play) configSeries(r *slope.Result, against string, sizes []int, of func(n int) tables) error {
+	var file, start, resident, wall, cpu, peak []slope.Point
+	for _, n := range sizes {
+		cost, err := p.weighConfig(of(n))
+		if err != nil {
+			return err
+		}
+		at := func(y float64) slope.Point { return slope.Point{X: float64(n), Y: y} }
+		file, start = append(file, at(cost.fileBytes)), append(start, at(cost.startSeconds))
+		resident = append(resident, at(cost.residentBytes))
+		wall, cpu = append(wall, at(cost.change.wallSeconds)), append(cpu, at(cost.change.cpuSeconds))
+		peak = append(peak, at(cost.change.peakBytes))
+	}
+	const oneCore = "program on one core, memory limit 4096 MB"
+	for _, s := range []slope.Series{
+		{Name: "config.off.change_seconds", Unit: "s of a core", Points: cpu, Note: oneCore + "; the whole file is read again"},
+		{Name: "config.off.change_wall_seconds", Unit: "s", Points: wall, Note: oneCore + "; from the signal to the line of the log"},
+		{Name: "config.off.change_peak_bytes", Unit: "B", Points: peak, Note: oneCore + "; resident at the most while a change is taken in"},
+		{Name: "config.off.resident_bytes", Unit: "B", Points: resident, Note: oneCore + "; after the start"},
+		{Name: "config.off.start_bytes", Unit: "B", Points: file, Note: "the file, which a start and a change need whole"},
+		{Name: "start.seconds", Unit: "s", Points: start, Note: oneCore + "; from exec to the first RPC served"},
+	} {
+		s.Name, s.Against = s.Name+"."+against, against
+		if err := p.series(r, s); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/rehearse/scale_rpc.go
@@ -0,0 +1,339 @@
+package main
+
+import (
+	"bufio"
+	"cmp"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"strings"
+	"time"
+
+	"valveglade/rig/slope"
+)
+
+// meanRate and highRate are RPCs a second to one app server: the mean of the design size, and ten times that.
+const meanRate, highRate = 140, 1400
+
+// socketsLimit is what a program may hold that serves thousands of connections: past three quarters of it idle ones are
+// asked to leave.
+const socketsLimit = 19_000
+
+// bareServer answers each frame at once, in a process of its own with one core.
+type bareServer struct {
+	address string
+	command *exec.Cmd
+	input   io.Closer
+}
+
+func (p *play) startBareServer() (*bareServer, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	b := &bareServer{command: exec.Command(cmp.Or(p.rehearse, self), "echo")}
+	b.command.Env = append(os.Environ(), "GOMAXPROCS=1")
+	b.command.Stderr = os.Stderr
+	if b.input, err = b.command.StdinPipe(); err != nil {
+		return nil, err
+	}
+	output, err := b.command.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := b.command.Start(); err != nil {
+		return nil, err
+	}
+	line, err := bufio.NewReader(output).ReadString('\n')
+	if err != nil {
+		b.close()
+		return nil, err
+	}
+	b.address = strings.TrimSpace(line)
+	return b, nil
+}
+
+// close ends it with its standard input.
+func (b *bareServer) close() {
+	b.input.Close()
+	b.command.Wait()
+}
+
+// connectionSizes are how many connections are open.
+func (p *play) connectionSizes() []int {
+	switch {
+	case p.brief:
+		return []int{4, 8, 16, 32}
+	case p.Long:
+		return []int{10, 100, 1_000, 2_000, 4_000, 9_000}
+	default:
+		return []int{10, 100, 1_000, 4_000}
+	}
+}
+
+// rpcTables is the configuration under which RPCs are measured: the design size.
+func (p *play) rpcTables() tables {
+	if p.brief {
+		return tables{routes: 100, tenants: 1000}
+	}
+	return tables{routes: designRoutes, tenants: designTenants}
+}
+
+// measureConnectionMemory measures the program's resident memory against open connections, each of which has carried one
+// RPC and is idle then.
+func measureConnectionMemory(p *play, r *slope.Result) error {
+	s, err := p.startScaled(tables{routes: fewEntries}, roomyMemory, socketsLimit)
+	if err != nil {
+		return err
+	}
+	defer s.close()
+	load := newFrameLoad(s.configuration.listen, s.check, fewEntries, "memory")
+	defer load.close()
+	var silent, used []slope.Point
+	for _, n := range p.connectionSizes() {
+		if err := load.connect(n); err != nil {
+			return fmt.Errorf("%d connections: %w", n, err)
+		}
+		silent = append(silent, slope.Point{X: float64(n), Y: float64(s.Resident())})
+		if err := load.onEach(); err != nil {
+			return fmt.Errorf("%d connections: %w", n, err)
+		}
+		used = append(used, slope.Point{X: float64(n), Y: float64(s.Resident())})
+	}
+	if err := p.series(r, slope.Series{Name: "rpc.connection_bytes.idle", Unit: "B", Against: "connections", Points: silent,
+		Note: "resident memory of the program; the new connections have carried a health check"}); err != nil {
+		return err
+	}
+	return p.series(r, slope.Series{Name: "rpc.connection_bytes.used", Unit: "B", Against: "connections", Points: used,
+		Note: "resident memory of the program; each connection has carried an RPC"})
+}
+
+// addedTime is what the program adds to an RPC, over a bare server that answers the same frames at the same time.
+type addedTime struct {
+	median, tail                float64 // added, in seconds
+	programTail, bareTail       float64
+	programSamples, bareSamples int
+}
+
+// compareLoads runs the same rate through both at the same time.
+func compareLoads(program, bare *frameLoad, rate float64, length time.Duration, seed uint64) (added addedTime, err error) {
+	var fromProgram, fromBare []float64
+	sides := make(chan func() error, 2)
+	sides <- func() (err error) {
+		fromProgram, err = program.run(rate, length, seed)
+		return err
+	}
+	sides <- func() (err error) {
+		fromBare, err = bare.run(rate, length, seed+1)
+		return err
+	}
+	if err := together(2, func() error { return (<-sides)() }); err != nil {
+		return added, err
+	}
+	added.programTail, added.bareTail = quantile(fromProgram, 0.99), quantile(fromBare, 0.99)
+	added.median = quantile(fromProgram, 0.5) - quantile(fromBare, 0.5)
+	added.tail = added.programTail - added.bareTail
+	added.programSamples, added.bareSamples = len(fromProgram), len(fromBare)
+	return added, nil
+}
+
+// rpcRate is one rate at which RPCs are measured, and for how long.
+type rpcRate struct {
+	perSecond float64
+	length    time.Duration
+}
+
+func (p *play) rpcRates() []rpcRate {
+	switch {
+	case p.brief:
+		return []rpcRate{{meanRate, 300 * time.Millisecond}, {highRate, 100 * time.Millisecond}}
+	case p.Long:
+		return []rpcRate{{meanRate, 10 * time.Second}, {highRate, 5 * time.Second}}
+	default:
+		return []rpcRate{{meanRate, 2500 * time.Millisecond}, {highRate, 1200 * time.Millisecond}}
+	}
+}
+
+// measureRPC measures what the program adds to an RPC against open connections, with tables of the design size in memory,
+// and what one change costs in the same program.
+func measureRPC(p *play, r *slope.Result) error {
+	size := p.rpcTables()
+	s, err := p.startScaled(size, roomyMemory, socketsLimit)
+	if err != nil {
+		return err
+	}
+	defer s.close()
+	p.inform("rpc.tables.start_seconds", s.startSeconds)
+	p.inform("rpc.tables.file_bytes", float64(s.fileBytes))
+	bare, err := p.startBareServer()
+	if err != nil {
+		return err
+	}
+	defer bare.close()
+	if err := p.rpcSeries(r, s, bare, "tables of "+size.String()+"; program on one core"); err != nil {
+		return err
+	}
+	p.inform("rpc.tables.resident_bytes", float64(s.Resident()))
+	cost, err := s.change()
+	if err != nil {
+		return err
+	}
+	p.inform("rpc.tables.change_seconds", cost.cpuSeconds)
+	p.inform("rpc.tables.change_wall_seconds", cost.wallSeconds)
+	p.inform("rpc.tables.change_peak_bytes", cost.peakBytes)
+	p.exactly("rpc.breaches", float64(s.breaches()), 0)
+	return nil
+}
+
+// rpcSeries measures each rate at each number of connections.
+func (p *play) rpcSeries(r *slope.Result, s *scaledProgram, bare *bareServer, note string) error {
+	through := newFrameLoad(s.configuration.listen, s.check, s.configuration.tables.routes, "rpc")
+	defer through.close()
+	beside := newFrameLoad(bare.address, nil, s.configuration.tables.routes, "bare")
+	defer beside.close()
+	rates := p.rpcRates()
+	medians, tails := make([][]slope.Point, len(rates)), make([][]slope.Point, len(rates))
+	for _, n := range p.connectionSizes() {
+		for _, load := range []*frameLoad{through, beside} {
+			if err := load.connect(n); err != nil {
+				return fmt.Errorf("%d connections: %w", n, err)
+			}
+			if err := load.onEach(); err != nil {
+				return fmt.Errorf("%d connections: %w", n, err)
+			}
+		}
+		for k, rate := range rates {
+			added, err := compareLoads(through, beside, rate.perSecond, rate.length, p.Seed+uint64(n))
+			if err != nil {
+				return fmt.Errorf("%d connections, %g RPCs a second: %w", n, rate.perSecond, err)
+			}
+			p.say("%d connections, %g RPCs/s: p99 %.2f ms, bare %.2f ms, %d samples", n, rate.perSecond, added.programTail*1e3,
+				added.bareTail*1e3, added.programSamples)
+			medians[k] = append(medians[k], slope.Point{X: float64(n), Y: added.median})
+			tails[k] = append(tails[k], slope.Point{X: float64(n), Y: added.tail})
+		}
+	}
+	p.inform("rpc.refused_share", float64(through.refused)/float64(max(through.sent, 1)))
+	for k, rate := range rates {
+		for _, one := range []struct {
+			quantile string
+			points   []slope.Point
+		}{{"p50", medians[k]}, {"p99", tails[k]}} {
+			if err := p.series(r, slope.Series{Name: fmt.Sprintf("rpc.added_%s_seconds.at_%g", one.quantile, rate.perSecond), Unit: "s",
+				Against: "connections", Points: one.points, Note: note}); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// changingTenants are how many tenants the configuration has that changes while RPCs are served.
+func (p *play) changingTenants() []int {
+	switch {
+	case p.brief:
+		return []int{10, 40, 160, 640}
+	case p.Long:
+		return []int{1_000, 3_000, 10_000, 30_000, 100_000, 300_000}
+	default:
+		return []int{1_000, 4_000, 12_000, 40_000}
+	}
+}
+
+// changingLength is how long RPCs are sent at each size.
+func (p *play) changingLength() time.Duration {
+	switch {
+	case p.brief:
+		return time.Second
+	case p.Long:
+		return 12 * time.Second
+	default:
+		return 3 * time.Second
+	}
+}
+
+// measureRPCUnderChanges measures what the program adds to an RPC while its configuration changes as often as at the design
+// size, against tenants, and which share of a core it spends.
+func measureRPCUnderChanges(p *play, r *slope.Result) error {
+	bare, err := p.startBareServer()
+	if err != nil {
+		return err
+	}
+	defer bare.close()
+	var tails, cores []slope.Point
+	for _, n := range p.changingTenants() {
+		added, core, err := p.rpcUnderChanges(bare, tables{routes: fewEntries, tenants: n})
+		if err != nil {
+			return fmt.Errorf("%d tenants: %w", n, err)
+		}
+		tails = append(tails, slope.Point{X: float64(n), Y: added.tail})
+		cores = append(cores, slope.Point{X: float64(n), Y: core})
+	}
+	note := fmt.Sprintf("%d RPCs and %g changes a second; program on one core", meanRate, designChangesPerSecond)
+	if err := p.series(r, slope.Series{Name: "config.off.rpc_added_p99_seconds", Unit: "s", Against: "tenants", Points: tails,
+		Note: note}); err != nil {
+		return err
+	}
+	return p.series(r, slope.Series{Name: "config.off.core_share", Unit: "of a core", Against: "tenants", Points: cores,
+		Note: note + "; above the same RPCs without changes"})
+}
+
+// rpcUnderChanges gives what the program adds to an RPC while its configuration changes, and the share of a core that it
+// spends above the same RPCs without changes.
+func (p *play) rpcUnderChanges(bare *bareServer, size tables) (added addedTime, core float64, err error) {
+	const connections = 10
+	s, err := p.startScaled(size, roomyMemory, fewSockets)
+	if err != nil {
+		return added, 0, err
+	}
+	defer s.close()
+	through := newFrameLoad(s.configuration.listen, s.check, size.routes, "changing")
+	defer through.close()
+	beside := newFrameLoad(bare.address, nil, size.routes, "bare")
+	defer beside.close()
+	for _, load := range []*frameLoad{through, beside} {
+		if err := load.connect(connections); err != nil {
+			return added, 0, err
+		}
+		if err := load.onEach(); err != nil {
+			return added, 0, err
+		}
+	}
+	length := p.changingLength()
+	quietLength := length / 3
+	cpu := s.CPU()
+	if _, err := compareLoads(through, beside, meanRate, quietLength, p.Seed); err != nil {
+		return added, 0, err
+	}
+	quietCore := (s.CPU() - cpu).Seconds() / quietLength.Seconds()
+	end, over := make(chan struct{}), make(chan error, 1)
+	go func() { over <- s.changeUntil(end) }()
+	cpu, began := s.CPU(), time.Now()
+	added, err = compareLoads(through, beside, meanRate, length, p.Seed+1)
+	core = (s.CPU()-cpu).Seconds()/time.Since(began).Seconds() - quietCore
+	close(end)
+	if changed := <-over; err == nil {
+		err = changed
+	}
+	return added, core, err
+}
+
+// changePeriod is the time between two changes at the design size.
+const changePeriod = 961_538 * time.Microsecond
+
+// changeUntil changes the configuration as often as at the design size, or as often as the program takes changes in.
+func (s *scaledProgram) changeUntil(end <-chan struct{}) error {
+	every := time.NewTicker(changePeriod)
+	defer every.Stop()
+	for {
+		if _, err := s.change(); err != nil {
+			return err
+		}
+		select {
+		case <-end:
+			return nil
+		case <-every.C:
+		}
+	}
+}
--- /dev/null
+++ b/cmd/rehearse/scale_start.go
@@ -0,0 +1,151 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/netip"
+	"strings"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/view"
+	"valveglade/member"
+	"valveglade/rig/slope"
+)
+
+// loopback is all of this machine.
+var loopback = netip.MustParsePrefix("127.0.0.0/8")
+
+const (
+	memberProbe   = 300 * time.Millisecond
+	learnedWithin = 60 * time.Second
+	joinAddresses = 3
+)
+
+// hollowMembers are members of the fleet's view in this process, without an app server round them.
+type hollowMembers struct {
+	all   []*member.Member
+	group sync.WaitGroup
+	stop  context.CancelFunc
+	ctx   context.Context
+}
+
+func newHollowMembers() *hollowMembers {
+	h := &hollowMembers{}
+	h.ctx, h.stop = context.WithCancel(context.Background())
+	return h
+}
+
+// grow adds members until there are n.
+func (h *hollowMembers) grow(n int) error {
+	for k := len(h.all); k < n; k++ {
+		m, err := member.New(member.Papers{Name: fmt.Sprintf("hollow-%04d", k), Listen: netip.MustParseAddrPort("127.0.0.1:0"),
+			Join: h.seeds(), Allow: []netip.Prefix{loopback}, Probe: memberProbe, Terms: view.Defaults()}, zap.NewNop())
+		if err != nil {
+			return err
+		}
+		h.all = append(h.all, m)
+		h.group.Go(func() { m.Run(h.ctx) })
+		m.Say(view.Serving, false, view.Load{})
+	}
+	return nil
+}
+
+// seeds are the addresses that others join at.
+func (h *hollowMembers) seeds() (all []netip.AddrPort) {
+	for _, m := range h.all[:min(len(h.all), joinAddresses)] {
+		all = append(all, m.Address())
+	}
+	return all
+}
+
+// settle waits until each member's view has n.
+func (h *hollowMembers) settle(n int) error {
+	for until := time.Now().Add(learnedWithin); time.Now().Before(until); time.Sleep(memberProbe / 10) {
+		settled := true
+		for _, m := range h.all {
+			settled = settled && len(m.View().Members) >= n
+		}
+		if settled {
+			return nil
+		}
+	}
+	return fmt.Errorf("views of %d hollow members: %w", n, errTimeout)
+}
+
+// close drops all members without a word.
+func (h *hollowMembers) close() {
+	h.stop()
+	for _, m := range h.all {
+		m.Drop()
+	}
+	h.group.Wait()
+}
+
+// memberSizes are how many members a start is measured among.
+func (p *play) memberSizes() []int {
+	switch {
+	case p.brief:
+		return []int{2, 3, 4, 5}
+	case p.Long:
+		return []int{10, 30, 60, 100, 200}
+	default:
+		return []int{5, 15, 30, 60}
+	}
+}
+
+// measureStartMembers measures a start against the members of the fleet: until the program serves, and until its view has
+// all members.
+func measureStartMembers(p *play, r *slope.Result) error {
+	hollow := newHollowMembers()
+	defer hollow.close()
+	var ready, learned []slope.Point
+	for _, n := range p.memberSizes() {
+		if err := hollow.grow(n); err != nil {
+			return err
+		}
+		if err := hollow.settle(n); err != nil {
+			return err
+		}
+		served, complete, err := p.startAmong(hollow.seeds(), n)
+		if err != nil {
+			return err
+		}
+		ready = append(ready, slope.Point{X: float64(n), Y: served})
+		learned = append(learned, slope.Point{X: float64(n), Y: complete})
+	}
+	const hollowNote = "other members are hollow, in this process"
+	if err := p.series(r, slope.Series{Name: "start.seconds.members", Unit: "s", Against: "members", Points: ready,
+		Note: hollowNote + "; from exec to the first RPC served"}); err != nil {
+		return err
+	}
+	return p.series(r, slope.Series{Name: "start.view_seconds.members", Unit: "s", Against: "members", Points: learned,
+		Note: hollowNote + "; from exec to a view with all members"})
+}
+
+// startAmong starts the program in a fleet of n others, and gives the seconds until it served and until its view was
+// complete.
+func (p *play) startAmong(seeds []netip.AddrPort, n int) (served, complete float64, err error) {
+	var join []string
+	for _, at := range seeds {
+		join = append(join, at.String())
+	}
+	listen, err := freeAddress()
+	if err != nil {
+		return 0, 0, err
+	}
+	began := time.Now()
+	s, err := p.startScaled(tables{routes: fewEntries, tenants: fewEntries}, roomyMemory, fewSockets, "fleet.listen "+listen,
+		"fleet.join "+strings.Join(join, " "), "fleet.allow "+loopback.String(), "fleet.probe "+memberProbe.String())
+	if err != nil {
+		return 0, 0, err
+	}
+	defer s.close()
+	if err := s.await(learnedWithin, func(l logLine) bool { return l.Message == "view" && l.Members > n }); err != nil {
+		return 0, 0, fmt.Errorf("%d members: %w", n, err)
+	}
+	complete = time.Since(began).Seconds()
+	return s.startSeconds, complete, s.leave()
+}
--- a/rig/launch.go
+++ b/rig/launch.go
@@ -26,6 +26,9 @@
 // ErrNotEnded is returned for a process that had to be killed.
 var ErrNotEnded = errors.New("the process did not end by itself")
 
+// Kill ends it outright and waits for its end.
+func (p *Process) Kill() { p.kill() }
+
 // Terminate sends SIGTERM, waits for the end, and kills the process where that takes too long.
 func (p *Process) Terminate(within time.Duration) error {
 	p.signal(syscall.SIGTERM)
