--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -13,6 +13,7 @@
 	{"connection-memory", measureConnectionMemory},
 	{"rpc", measureRPC},
 	{"rpc-changes", measureRPCUnderChanges},
+	{"config-budgets", measureConfigBudgets},
 }
 
 // fewEntries is how many there are of what a series does not vary.
@@ -95,7 +96,8 @@
 		{Name: "config.off.change_wall_seconds", Unit: "s", Points: wall, Note: oneCore + "; from the signal to the line of the log"},
 		{Name: "config.off.change_peak_bytes", Unit: "B", Points: peak, Note: oneCore + "; resident at the most while a change is taken in"},
 		{Name: "config.off.resident_bytes", Unit: "B", Points: resident, Note: oneCore + "; after the start"},
-		{Name: "config.off.start_bytes", Unit: "B", Points: file, Note: "the file, which a start and a change need whole"},
+		{Name: "config.off.start_bytes", Unit: "B", Points: file, Note: "the file, which a start needs whole"},
+		{Name: "config.off.change_bytes", Unit: "B", Points: file, Note: "a change is the whole file"},
 		{Name: "start.seconds", Unit: "s", Points: start, Note: oneCore + "; from exec to the first RPC served"},
 	} {
 		s.Name, s.Against = s.Name+"."+against, against
--- a/cmd/rehearse/scale_config_test.go
+++ b/cmd/rehearse/scale_config_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"math"
 	"testing"
 
 	"valveglade/charter"
@@ -43,6 +44,23 @@
 	}
 }
 
+// TestSizeAt finds where a series passes a limit: between sizes, past them by the fit, never, or from the start.
+func TestSizeAt(t *testing.T) {
+	points := []slope.Point{{X: 10, Y: 1}, {X: 20, Y: 2}, {X: 30, Y: 3}, {X: 40, Y: 5}}
+	rising := slope.Series{Points: points, Largest: 40, Fit: slope.Fit{Slope: 0.1}}
+	flat := slope.Series{Points: points, Largest: 40}
+	for _, c := range []struct {
+		series   slope.Series
+		limit    float64
+		size     float64
+		measured bool
+	}{{rising, 4, 35, true}, {rising, 2, 20, true}, {rising, 8, 80, false}, {flat, 8, math.Inf(1), false}, {rising, 0.5, 0, true}} {
+		if size, measured := sizeAt(c.series, c.limit); size != c.size || measured != c.measured {
+			t.Errorf("limit %g: %g, measured %t", c.limit, size, measured)
+		}
+	}
+}
+
 // TestScaleConfig plays the shortest form of the parts, each of which has to give its series.
 func TestScaleConfig(t *testing.T) {
 	p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: t.Output()}
