--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -1,11 +1,13 @@
 package main
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"time"
 
 	"valveglade/logic/configtable"
@@ -27,34 +29,52 @@
 	return []int{10_000, 100_000, 400_000, designEntries}
 }
 
-// tableEntry gives entry k of a table of some size, in the table's order: of every service first the routes, then the
-// tenants.
-func tableEntry(service, k, routes int) configtable.Change {
-	change := configtable.Change{Operation: configtable.Put, Kind: configtable.Route, Service: serviceName(service),
-		Name: fmt.Sprintf("route-%06d", k), Value: configtable.Value{Route: configtable.RouteValue{Method: fmt.Sprintf("Method%06d", k),
-			LatencyTargetMilliseconds: 250, DeadlineMilliseconds: 2000, Criticality: 0.5}}}
-	if k >= routes {
-		change.Kind, change.Name = configtable.Tenant, fmt.Sprintf("tenant-%08d", k)
-		change.Value = configtable.Value{Tenant: configtable.TenantValue{QuotaPerSecond: 25}}
-	}
-	return change
-}
-
 func serviceName(service int) string { return fmt.Sprintf("service-%05d", service) }
 
 // tableShape is how the entries of a table are spread over services: as at the design size.
 type tableShape struct {
 	services, entriesEach, routesEach int
+	seed                              uint64 // of names and values
 }
 
-func shapeOf(entries int) tableShape {
+func shapeOf(entries int, seed uint64) tableShape {
 	const entriesEach = (designEntries + designServices - 1) / designServices
 	const routesEach = (designRoutes + designServices - 1) / designServices
-	return tableShape{services: max(entries/entriesEach, 1), entriesEach: entriesEach, routesEach: routesEach}
+	return tableShape{services: max(entries/entriesEach, 1), entriesEach: entriesEach, routesEach: routesEach, seed: seed}
 }
 
 func (s tableShape) entries() int { return s.services * s.entriesEach }
 
+// service gives the entries of one service in the table's order, with names and values by chance: names and values that
+// resemble each other would take less memory than real ones do.
+func (s tableShape) service(service int) []configtable.Change {
+	chance := rand.New(rand.NewPCG(s.seed, uint64(service)))
+	entries := make([]configtable.Change, 0, s.entriesEach)
+	for k := range s.entriesEach {
+		change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: serviceName(service),
+			Name: fmt.Sprintf("tenant-%016x", chance.Uint64()), Value: tenantValue(chance)}
+		if k < s.routesEach {
+			change.Kind, change.Name = configtable.Route, fmt.Sprintf("route-%016x", chance.Uint64())
+			change.Value = routeValue(chance)
+		}
+		entries = append(entries, change)
+	}
+	slices.SortFunc(entries, func(a, b configtable.Change) int {
+		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
+	})
+	return entries
+}
+
+func tenantValue(chance *rand.Rand) configtable.Value {
+	return configtable.Value{Tenant: configtable.TenantValue{QuotaPerSecond: float64(1 + chance.IntN(10_000))}}
+}
+
+func routeValue(chance *rand.Rand) configtable.Value {
+	return configtable.Value{Route: configtable.RouteValue{Method: fmt.Sprintf("Method%06d", chance.IntN(1_000_000)),
+		LatencyTargetMilliseconds: float64(10 * (1 + chance.IntN(100))), DeadlineMilliseconds: float64(1000 * (1 + chance.IntN(60))),
+		Criticality: float64(chance.IntN(1000)) / 1000}}
+}
+
 // build makes the table at once, as from a snapshot.
 func (s tableShape) build() (configtable.Table, error) {
 	var builder configtable.Builder
@@ -62,8 +82,8 @@
 		if err := builder.AddService(serviceName(service), 1); err != nil {
 			return configtable.Table{}, err
 		}
-		for k := range s.entriesEach {
-			if err := builder.Add(tableEntry(service, k, s.routesEach)); err != nil {
+		for _, entry := range s.service(service) {
+			if err := builder.Add(entry); err != nil {
 				return configtable.Table{}, err
 			}
 		}
@@ -81,7 +101,7 @@
 const tableChanges = 4000 // that are applied one by one
 
 // weighTable builds a table, changes it, and takes it through a snapshot on disk.
-func weighTable(shape tableShape, seed uint64) (cost tableCost, err error) {
+func weighTable(shape tableShape) (cost tableCost, err error) {
 	cost.entries = float64(shape.entries())
 	before := heapInUse()
 	table, err := shape.build()
@@ -89,7 +109,7 @@
 		return cost, err
 	}
 	cost.heapBytes = heapInUse() - before
-	if table, err = cost.change(table, shape, seed); err != nil {
+	if table, err = cost.change(table, shape); err != nil {
 		return cost, err
 	}
 	return cost, cost.snapshot(table)
@@ -105,13 +125,15 @@
 }
 
 // change applies changes of entries drawn by chance, encoded and decoded as they come over the network.
-func (t *tableCost) change(table configtable.Table, shape tableShape, seed uint64) (configtable.Table, error) {
-	chance := rand.New(rand.NewPCG(seed, uint64(shape.services)))
+func (t *tableCost) change(table configtable.Table, shape tableShape) (configtable.Table, error) {
+	chance := rand.New(rand.NewPCG(shape.seed, uint64(shape.services)))
 	var encoded [][]byte
 	for range tableChanges {
-		change := tableEntry(chance.IntN(shape.services), chance.IntN(shape.entriesEach), shape.routesEach)
+		change := shape.service(chance.IntN(shape.services))[chance.IntN(shape.entriesEach)]
 		if change.Kind == configtable.Tenant {
-			change.Value.Tenant.QuotaPerSecond = float64(1 + chance.IntN(1000))
+			change.Value = tenantValue(chance)
+		} else {
+			change.Value = routeValue(chance)
 		}
 		data, err := change.Encode()
 		if err != nil {
@@ -204,7 +226,7 @@
 	}
 	points := make([][]slope.Point, len(columns))
 	for _, entries := range p.entrySizes() {
-		cost, err := weighTable(shapeOf(entries), p.Seed)
+		cost, err := weighTable(shapeOf(entries, p.Seed))
 		if err != nil {
 			return fmt.Errorf("%d entries: %w", entries, err)
 		}
