--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -41,7 +41,7 @@
 // grow adds members until there are n.
 func (h *hollowMembers) grow(n int) error {
 	for k := len(h.all); k < n; k++ {
-		m, err := member.New(member.Papers{Name: fmt.Sprintf("hollow-%04d", k), Listen: netip.MustParseAddrPort("127.0.0.1:0"),
+		m, err := member.New(member.Config{Name: fmt.Sprintf("hollow-%04d", k), Listen: netip.MustParseAddrPort("127.0.0.1:0"),
 			Join: h.seeds(), Allow: []netip.Prefix{loopback}, Probe: memberProbe, Terms: view.Defaults()}, zap.NewNop())
 		if err != nil {
 			return err
