--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -109,22 +109,40 @@
 	return p.series(r, slope.Series{Name: "voter.burst.lost", Unit: "% of the questions", Against: "questions at once", Points: lost, Note: note + "; " + thresholdNote})
 }
 
-// measureQuota has hollow holders ask a real allocator.
-func measureQuota(p *play, r *slope.Result) error {
-	holders, kinds, seconds, many := []int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 2.0, 200
+// quotaSizes are the holders and kinds of work that an allocator is measured against.
+type quotaSizes struct {
+	holders, kinds []int
+	many           int // holders beside each number of kinds
+	seconds        float64
+}
+
+func (p *play) quotaSizes() quotaSizes {
+	sizes := quotaSizes{[]int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 200, 2}
 	switch {
 	case p.brief:
-		holders, seconds, many = []int{5, 10, 20, 40}, 0.3, 10
+		sizes.holders, sizes.seconds, sizes.many = []int{5, 10, 20, 40}, 0.3, 10
 	case p.Long:
-		holders, seconds = []int{100, 200, 300, 400, 600, 800, 1000, 1500, 3000, designMembers}, 5
+		sizes.holders, sizes.seconds = append(sizes.holders, 1500, 3000, designMembers), 5
 	}
+	return sizes
+}
+
+// plans are a run for each number of holders, then one for each number of kinds.
+func (s quotaSizes) plans(seed uint64) []hollow.QuotaPlan {
 	var plans []hollow.QuotaPlan
-	for _, n := range holders {
-		plans = append(plans, hollow.QuotaPlan{Holders: n, Kinds: 1, Seconds: seconds, Seed: p.Seed})
+	for _, n := range s.holders {
+		plans = append(plans, hollow.QuotaPlan{Holders: n, Kinds: 1, Seconds: s.seconds, Seed: seed})
 	}
-	for _, n := range kinds {
-		plans = append(plans, hollow.QuotaPlan{Holders: many, Kinds: n, Seconds: seconds, Seed: p.Seed})
+	for _, n := range s.kinds {
+		plans = append(plans, hollow.QuotaPlan{Holders: s.many, Kinds: n, Seconds: s.seconds, Seed: seed})
 	}
+	return plans
+}
+
+// measureQuota has hollow holders ask a real allocator.
+func measureQuota(p *play, r *slope.Result) error {
+	sizes := p.quotaSizes()
+	plans := sizes.plans(p.Seed)
 	costs, err := runHollows[hollow.QuotaCost](p, "quota", plans)
 	if err != nil {
 		return err
@@ -140,37 +158,53 @@
 			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.QuestionsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
 			100*cost.CoreShare, cost.CPUPerQuestion, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
 		x, against := float64(plan.Holders), "holders"
-		if k >= len(holders) {
+		if k >= len(sizes.holders) {
 			x, against = float64(plan.Kinds), "kinds"
 		}
-		found.add("allocator.lost."+against, x, 100*cost.LostShare)
-		found.add("allocator.refused."+against, x, float64(cost.RefusedHolders))
-		if cost.LostShare > mostLost && !p.brief {
-			continue // what it costs to answer says nothing where it does not answer
-		}
-		found.add("allocator.cpu."+against, x, 100*cost.CoreShare)
-		found.add("allocator.sent.bytes."+against, x, cost.BytesPerSecond/1000)
-		found.add("allocator.sent.packets."+against, x, cost.PacketsPerSecond)
+		found.addQuota(against, x, cost, p.brief)
 	}
 	p.inform("allocator.first.lost.holders", float64(firstLost))
-	units := []struct{ name, unit, model string }{
-		{"allocator.cpu", "% of a core", slope.ModelPower}, {"allocator.lost", "% of the questions", slope.ModelLinear},
-		{"allocator.refused", "holders", slope.ModelLinear},
-		{"allocator.sent.bytes", "KB a second", slope.ModelLinear}, {"allocator.sent.packets", "packets a second", slope.ModelLinear},
-	}
-	for _, u := range units {
+	return p.quotaSeries(r, found, sizes.many)
+}
+
+// addQuota adds one run's points. What answering costs says nothing where most is not answered; tiny runs are too short to tell.
+func (p points) addQuota(against string, x float64, cost hollow.QuotaCost, tiny bool) {
+	p.add("allocator.lost."+against, x, 100*cost.LostShare)
+	p.add("allocator.refused."+against, x, float64(cost.RefusedHolders))
+	if cost.LostShare > mostLost && !tiny {
+		return
+	}
+	p.add("allocator.cpu."+against, x, 100*cost.CoreShare)
+	p.add("allocator.sent.bytes."+against, x, cost.BytesPerSecond/1000)
+	p.add("allocator.sent.packets."+against, x, cost.PacketsPerSecond)
+}
+
+// quotaUnits are the series of an allocator.
+var quotaUnits = []struct {
+	name, unit, model string
+	threshold         bool
+}{
+	{"allocator.cpu", "% of a core", slope.ModelPower, false},
+	{"allocator.lost", "% of the questions", slope.ModelLinear, true},
+	{"allocator.refused", "holders", slope.ModelLinear, true},
+	{"allocator.sent.bytes", "KB a second", slope.ModelLinear, false},
+	{"allocator.sent.packets", "packets a second", slope.ModelLinear, false},
+}
+
+const quotaNote = "a real allocator of fleet in real time over an in-memory transport, hollow holders that each ask ten times a second"
+
+// quotaSeries fits what was found. A series whose allocator answered at too few sizes is left out, and that is said.
+func (p *play) quotaSeries(r *slope.Result, found points, many int) error {
+	for _, u := range quotaUnits {
 		for _, against := range []string{"holders", "kinds"} {
-			s := slope.Series{Name: u.name + "." + against, Unit: u.unit, Against: "kinds of work", Fit: slope.Fit{Model: u.model},
-				Note: "a real allocator of fleet in real time over an in-memory transport, hollow holders that each ask ten times a second"}
-			threshold := u.name == "allocator.lost" || u.name == "allocator.refused"
-			if threshold {
+			s := slope.Series{Name: u.name + "." + against, Unit: u.unit, Against: "members", Fit: slope.Fit{Model: u.model}, Note: quotaNote}
+			s.Points = found[s.Name]
+			if u.threshold {
+				s.Against = "holders"
 				s.Note += "; " + thresholdNote
 			}
-			if s.Points = found[s.Name]; against == "holders" && threshold {
-				s.Against = "holders"
-			} else if against == "holders" {
-				s.Against = "members"
-			} else {
+			if against == "kinds" {
+				s.Against = "kinds of work"
 				s.Note += fmt.Sprintf("; %d holders", many)
 			}
 			if err := p.series(r, s); errors.Is(err, slope.ErrTooFewSizes) {
