--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -153,7 +153,7 @@
 	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where a rehearsal draws")
 	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where a rehearsal has parts")
 	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
-	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), hollowCommand())
+	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), capacityCommand(), hollowCommand())
 	return root
 }
 
--- a/cmd/rehearse/scale_budget.go
+++ b/cmd/rehearse/scale_budget.go
@@ -13,22 +13,34 @@
 	series string
 	limit  float64 // in the unit of the series
 	design float64 // size
+	// threshold is true for a series that stays at 0 up to some size, of which a fit says nothing at others.
+	threshold bool
+}
+
+// fleetBudgets are those that hang on the number of members.
+var fleetBudgets = []budget{
+	{name: "core, sockets and all", series: "view.member.cpu", limit: 100 * budgetCore, design: designMembers},
+	{name: "core, the view's machine", series: "view.pure.cpu.one-change", limit: 100 * budgetCore, design: designMembers},
+	{name: "network", series: "view.member.bytes", limit: budgetBytesPerSecond / 1e3, design: designMembers},
+	{name: "memory", series: "view.process.memory", limit: budgetBytes / 1e6, design: designMembers},
+	{name: "voter's queue", series: "voter.burst.lost", design: designMembers, threshold: true},
+	{name: "allocator's queue", series: "allocator.lost.holders", design: designMembers, threshold: true},
 }
 
 // configBudgets are those that hang on the configuration.
 var configBudgets = []budget{
-	{"core", "config.off.change_seconds.tenants", budgetCore / designChangesPerSecond, designTenants},
-	{"core", "config.off.change_seconds.routes", budgetCore / designChangesPerSecond, designRoutes},
-	{"core", "config.on.change_seconds.entries", budgetCore / designChangesPerSecond, designEntries},
-	{"memory_peak", "config.off.change_peak_bytes.tenants", budgetBytes, designTenants},
-	{"memory_peak", "config.off.change_peak_bytes.routes", budgetBytes, designRoutes},
-	{"memory", "config.off.resident_bytes.tenants", budgetBytes, designTenants},
-	{"memory", "config.off.resident_bytes.routes", budgetBytes, designRoutes},
-	{"memory", "config.on.resident_bytes.entries", budgetBytes, designEntries},
-	{"network", "config.off.change_bytes.tenants", budgetBytesPerSecond / designChangesPerSecond, designTenants},
-	{"network", "config.off.change_bytes.routes", budgetBytesPerSecond / designChangesPerSecond, designRoutes},
-	{"network", "config.on.change_bytes.entries", budgetBytesPerSecond / designChangesPerSecond, designEntries},
-	{"added_p99", "config.off.rpc_added_p99_seconds", budgetAddedSeconds, designTenants},
+	{name: "core", series: "config.off.change_seconds.tenants", limit: budgetCore / designChangesPerSecond, design: designTenants},
+	{name: "core", series: "config.off.change_seconds.routes", limit: budgetCore / designChangesPerSecond, design: designRoutes},
+	{name: "core", series: "config.on.change_seconds.entries", limit: budgetCore / designChangesPerSecond, design: designEntries},
+	{name: "memory_peak", series: "config.off.change_peak_bytes.tenants", limit: budgetBytes, design: designTenants},
+	{name: "memory_peak", series: "config.off.change_peak_bytes.routes", limit: budgetBytes, design: designRoutes},
+	{name: "memory", series: "config.off.resident_bytes.tenants", limit: budgetBytes, design: designTenants},
+	{name: "memory", series: "config.off.resident_bytes.routes", limit: budgetBytes, design: designRoutes},
+	{name: "memory", series: "config.on.resident_bytes.entries", limit: budgetBytes, design: designEntries},
+	{name: "network", series: "config.off.change_bytes.tenants", limit: budgetBytesPerSecond / designChangesPerSecond, design: designTenants},
+	{name: "network", series: "config.off.change_bytes.routes", limit: budgetBytesPerSecond / designChangesPerSecond, design: designRoutes},
+	{name: "network", series: "config.on.change_bytes.entries", limit: budgetBytesPerSecond / designChangesPerSecond, design: designEntries},
+	{name: "added_p99", series: "config.off.rpc_added_p99_seconds", limit: budgetAddedSeconds, design: designTenants},
 }
 
 // measureConfigBudgets tells at which size each budget is used up, from the series that were measured before.
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -42,13 +42,13 @@
 func (h *hollowMembers) grow(n int) error {
 	for k := len(h.all); k < n; k++ {
 		m, err := member.New(member.Config{Name: fmt.Sprintf("hollow-%04d", k), Listen: netip.MustParseAddrPort("127.0.0.1:0"),
-			Join: h.seeds(), Allow: []netip.Prefix{loopback}, Probe: memberProbe, Terms: view.Defaults()}, zap.NewNop())
+			Join: h.seeds(), Allow: []netip.Prefix{loopback}, Probe: memberProbe, View: view.Defaults()}, zap.NewNop())
 		if err != nil {
 			return err
 		}
 		h.all = append(h.all, m)
 		h.group.Go(func() { m.Run(h.ctx) })
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 func (h *hollowMembers) close() {
 	h.stop()
 	for _, m := range h.all {
-		m.Drop()
+		m.Kill()
 	}
 	h.group.Wait()
 }
