--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -21,6 +21,7 @@
 	restartExcess    = 16                      // idle clients over limits.sockets
 	restartReady     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
 	restartBack      = 3 * time.Second         // for a link or report after the other side's return
+	restartClients   = restartSockets * 5 / 4  // idle clients of each app server: some are between two connections
 	restartFlood     = 2                       // times as many idle clients at the app server that is flooded
 	restartPause     = 500 * time.Millisecond  // between an idle client's connections
 	restartFastPause = 200 * time.Millisecond  // between those of a flood
@@ -39,7 +40,7 @@
 	load  sync.WaitGroup
 	stop  context.CancelFunc
 	idle  []*rig.IdleClients
-	kills atomic.Int64 // times that all processes were killed
+	kills atomic.Int64 // changes before and after each kill
 }
 
 // playRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
@@ -162,9 +163,9 @@
 	flooded := rand.New(rand.NewPCG(p.Seed, 3)).IntN(len(f.Programs))
 	p.say("%s is flooded", f.Programs[flooded].Name)
 	for k, s := range f.Programs {
-		clients, pause := restartSockets, restartPause
+		clients, pause := restartClients, restartPause
 		if k == flooded {
-			clients, pause = restartFlood*restartSockets, restartFastPause
+			clients, pause = restartFlood*restartClients, restartFastPause
 		}
 		f.idle = append(f.idle, rig.NewIdleClients(s.Address, clients, pause, p.Seed+uint64(k)<<32))
 	}
@@ -261,6 +262,7 @@
 	for k, s := range f.Programs {
 		restarts.Go(func() {
 			s.Kill()
+			f.kills.Add(1) // for what was asked for after the first count and before the kill
 			errs[k] = s.Start()
 		})
 	}
