--- a/config/pressure.go
+++ b/config/pressure.go
@@ -12,9 +12,9 @@
 
 // Pressure is how the program watches itself.
 type Pressure struct {
-	On    bool
-	Every float64 // seconds between readings
-	Terms pressure.Config
+	On     bool
+	Every  float64 // seconds between readings
+	Config pressure.Config
 }
 
 var pressureDirectives = []directive{
@@ -41,33 +41,33 @@
 	{"pressure.forecast", "TIME|off", "memory that grows steadily counts as a leak once its limit is so near",
 		func(settings *Settings, w []string) error {
 			if len(w) == 1 && w[0] == "off" {
-				settings.Pressure.Terms.Forecast = 0
+				settings.Pressure.Config.Forecast = 0
 				return nil
 			}
-			return readDuration(&settings.Pressure.Terms.Forecast, w, 1, 86400)
+			return readDuration(&settings.Pressure.Config.Forecast, w, 1, 86400)
 		},
 		func(settings *Settings) string {
-			if settings.Pressure.Terms.Forecast == 0 {
+			if settings.Pressure.Config.Forecast == 0 {
 				return "off"
 			}
-			return showDuration(settings.Pressure.Terms.Forecast)
+			return showDuration(settings.Pressure.Config.Forecast)
 		}},
 	{"pressure.growth", "TIME", "over which growth of memory is looked at",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Pressure.Terms.GrowthWindow, w, 1, 86400)
+			return readDuration(&settings.Pressure.Config.GrowthWindow, w, 1, 86400)
 		},
-		func(settings *Settings) string { return showDuration(settings.Pressure.Terms.GrowthWindow) }},
+		func(settings *Settings) string { return showDuration(settings.Pressure.Config.GrowthWindow) }},
 	{"pressure.fall", "TIME", "of better readings until the level falls by one",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Pressure.Terms.Fall, w, 0.1, 3600)
+			return readDuration(&settings.Pressure.Config.Fall, w, 0.1, 3600)
 		},
-		func(settings *Settings) string { return showDuration(settings.Pressure.Terms.Fall) }},
+		func(settings *Settings) string { return showDuration(settings.Pressure.Config.Fall) }},
 }
 
 // durationDirective is the directive of a signal that is a duration.
 func durationDirective(name, about string, s pressure.Signal) directive {
 	return directive{name, "TIME|off", about, func(settings *Settings, w []string) error {
-		thresholds := &settings.Pressure.Terms.Thresholds[s]
+		thresholds := &settings.Pressure.Config.Thresholds[s]
 		if len(w) == 1 && w[0] == "off" {
 			*thresholds = pressure.Thresholds{}
 			return nil
@@ -79,7 +79,7 @@
 		*thresholds = pressure.ThresholdsOf(t)
 		return nil
 	}, func(settings *Settings) string {
-		if m := settings.Pressure.Terms.Thresholds[s]; m[pressure.Pressed-1] > 0 {
+		if m := settings.Pressure.Config.Thresholds[s]; m[pressure.Pressed-1] > 0 {
 			return showDuration(m[pressure.Pressed-1])
 		}
 		return "off"
@@ -94,7 +94,7 @@
 		at = pressure.Wary - 1
 	}
 	return directive{name, "SHARE%|off", about, func(settings *Settings, w []string) error {
-		thresholds := &settings.Pressure.Terms.Thresholds[s]
+		thresholds := &settings.Pressure.Config.Thresholds[s]
 		if len(w) == 1 && w[0] == "off" {
 			*thresholds = pressure.Thresholds{}
 			return nil
@@ -116,7 +116,7 @@
 		}
 		return nil
 	}, func(settings *Settings) string {
-		if m := settings.Pressure.Terms.Thresholds[s]; m[at] > 0 {
+		if m := settings.Pressure.Config.Thresholds[s]; m[at] > 0 {
 			return strconv.FormatFloat(math.Round(m[at]*1e4)/100, 'g', -1, 64) + "%"
 		}
 		return "off"
@@ -125,7 +125,7 @@
 
 // checkPressure refuses what contradicts itself.
 func (settings *Settings) checkPressure() error {
-	if settings.lines["pressure.growth"] > 0 && settings.Pressure.Terms.Forecast == 0 {
+	if settings.lines["pressure.growth"] > 0 && settings.Pressure.Config.Forecast == 0 {
 		return settings.directiveError("pressure.growth", "pressure.forecast is off")
 	}
 	return nil
--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(settings.lines) != len(directives) || settings.Pressure.Terms.Thresholds != NewSettings().Pressure.Terms.Thresholds {
+	if len(settings.lines) != len(directives) || settings.Pressure.Config.Thresholds != NewSettings().Pressure.Config.Thresholds {
 		t.Errorf("%d of %d directives, %+v", len(settings.lines), len(directives), settings.Pressure)
 	}
 }
--- a/internal/vitals/vitals.go
+++ b/internal/procstats/procstats.go
@@ -1,6 +1,6 @@
-// Package vitals measures the process for logic/pressure: what the system and Go's runtime say of it. It decides
+// Package procstats measures the process for logic/pressure: what the system and Go's runtime say of it. It decides
 // nothing. What a platform does not show stays unknown.
-package vitals
+package procstats
 
 import (
 	"math"
--- a/internal/vitals/vitals_test.go
+++ b/internal/procstats/procstats_test.go
@@ -1,4 +1,4 @@
-package vitals
+package procstats
 
 import (
 	"math"
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -1,6 +1,6 @@
 // Package pressure decides what the state of the process itself means for admission: how hard it is pressed, and what
 // it does about it. It stands beside the admission module, not in it: what it refuses never reaches the module, whose
-// delay, records and credit go on describing what it was given. The server reads the signals (internal/vitals), asks
+// delay, records and credit go on describing what it was given. The server reads the signals (internal/procstats), asks
 // Read what follows, and asks Admit for each RPC. There is no I/O here and no clock.
 package pressure
 
--- a/server/press.go
+++ b/server/press.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"valveglade/config"
-	"valveglade/internal/vitals"
+	"valveglade/internal/procstats"
 	"valveglade/logic/chance"
 	"valveglade/logic/pressure"
 	"valveglade/rpc"
@@ -62,7 +62,7 @@
 	p.ordering.Lock()
 	defer p.ordering.Unlock()
 	if b.Pressure.On == p.settings.Pressure.On && b.Pressure.Every == p.settings.Pressure.Every &&
-		same(b.Pressure.Terms, p.settings.Pressure.Terms) {
+		same(b.Pressure.Config, p.settings.Pressure.Config) {
 		return false
 	}
 	p.settings = *b
@@ -149,7 +149,7 @@
 func (s *Server) readSelf(ctx context.Context, settings config.Pressure) {
 	p := s.press
 	rules := s.config.Load().Rules
-	watchConfig := settings.Terms
+	watchConfig := settings.Config
 	if rules.Ceilings.RetryAfter {
 		watchConfig.MaxAfter = rules.Ceilings.MaxRetryAfter
 	}
@@ -157,7 +157,7 @@
 		watchConfig.Worth = append(watchConfig.Worth, m.Criticality)
 	}
 	watch := pressure.New(0, watchConfig)
-	source := vitals.New()
+	source := procstats.New()
 	var lag pressure.Lag
 	asked, ok := make([]uint64, len(p.asked)), make([]uint64, len(p.ok))
 	for k := range asked { // what came before is not of late
@@ -202,13 +202,13 @@
 	}
 }
 
-func (s *Server) limits() vitals.Limits {
+func (s *Server) limits() procstats.Limits {
 	c := s.config.Load()
 	cores := c.Cores
 	if all := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > all {
 		cores = all
 	}
-	return vitals.Limits{Cores: cores, Memory: c.Memory, Sockets: c.Sockets}
+	return procstats.Limits{Cores: cores, Memory: c.Memory, Sockets: c.Sockets}
 }
 
 // own adds what only this process knows of itself.
