--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -266,7 +266,9 @@
 		})
 	})
 	both.Go(func() {
-		one(&bad, func(k int, addresses []string) (rig.Caller, error) { return rig.NewNaive(100+k, addresses...), nil })
+		one(&bad, func(k int, addresses []string) (rig.Caller, error) {
+			return rig.NewNaiveClient(100+k, addresses...), nil
+		})
 	})
 	both.Wait()
 	if err := errors.Join(good.err, bad.err); err != nil {
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -209,17 +209,17 @@
 	}
 	p.atLeast("late.refused", float64(worker.Refused()), 1)
 	for k, role := range []string{"", ".second"} {
-		j := rig.Judge(on.workers[k].Orders(time.Time{}), rehearsedLease)
+		j := rig.NewVerdict(on.workers[k].Orders(time.Time{}), rehearsedLease)
 		p.say("role %d: %v", k+1, j)
 		p.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
-		p.exactly("late.effects"+role, float64(j.Late), 0)
-		p.exactly("terms.falling"+role, float64(j.Falling+j.Shared), 0)
+		p.exactly("late.effects"+role, float64(j.LateEffects), 0)
+		p.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
 	}
 	p.exactly("work.overlap.s", rig.Overlap(on.History.LeadershipIntervals()), 0)
-	l := rig.Judge(low.workers[0].Orders(time.Time{}), rehearsedLease)
+	l := rig.NewVerdict(low.workers[0].Orders(time.Time{}), rehearsedLease)
 	p.say("lowest name: %v", l)
 	p.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
-	p.atLeast("late.effects.lowest", float64(l.Late), 1)
+	p.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
 	p.inform("service.on", service(served[on], all))
 	p.atLeast("service.of.off", service(served[on], all)/service(served[off], all), 0.98)
 	p.breaches(on.Swarm, off.Swarm)
@@ -267,7 +267,7 @@
 	}
 	changes := 0
 	for _, w := range on.workers {
-		changes += rig.Judge(w.Orders(began), time.Minute).Changes
+		changes += rig.NewVerdict(w.Orders(began), time.Minute).Changes
 	}
 	p.exactly("needless.changes", float64(changes), 0)
 	return nil
@@ -297,11 +297,11 @@
 			return err
 		}
 	}
-	j := rig.Judge(c.workers[0].Orders(time.Time{}), rehearsedLease)
+	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), rehearsedLease)
 	p.say("drifting: %v", j)
 	p.atMost("owners.at.once.drifting", float64(j.AtOnce), 1)
 	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
-	p.exactly("late.effects.drifting", float64(j.Late+j.Falling+j.Shared), 0)
+	p.exactly("late.effects.drifting", float64(j.LateEffects+j.FallingTerms+j.SharedTerms), 0)
 	p.atLeast("changes.drifting", float64(j.Changes), 4)
 	return nil
 }
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -123,9 +123,9 @@
 	worst := 0.0
 	for _, viewer := range viewers {
 		at := math.Inf(1)
-		for _, sight := range s.History.Sights(viewer, from) {
-			if slices.ContainsFunc(sight.Changes, func(c string) bool { return strings.HasPrefix(c, name+" "+what) }) {
-				at = sight.T - from
+		for _, observation := range s.History.Observations(viewer, from) {
+			if slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" "+what) }) {
+				at = observation.T - from
 				break
 			}
 		}
@@ -138,16 +138,16 @@
 // span. Alive tells whether a member was alive at a time.
 func buried(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
 	for _, viewer := range viewers {
-		sights := s.History.Sights(viewer, from)
-		for k, sight := range sights {
-			for _, c := range sight.Changes {
+		sights := s.History.Observations(viewer, from)
+		for k, observation := range sights {
+			for _, c := range observation.Changes {
 				name, rest, _ := strings.Cut(c, " ")
-				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || sight.T > to || !alive(name, sight.T) {
+				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.T > to || !alive(name, observation.T) {
 					continue
 				}
 				all++
-				back := slices.ContainsFunc(sights[k:], func(l rig.Sight) bool {
-					return l.T < sight.T+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
+				back := slices.ContainsFunc(sights[k:], func(l rig.Observation) bool {
+					return l.T < observation.T+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
 				})
 				if !back {
 					lasting++
@@ -178,8 +178,8 @@
 	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
 	if !ok {
 		for _, name := range who {
-			sight, _ := s.History.Latest(name)
-			p.say("%s: %d members, %s, %s", name, sight.Members, sight.Digest, sight.Certainty)
+			observation, _ := s.History.Latest(name)
+			p.say("%s: %d members, %s, %s", name, observation.Members, observation.Digest, observation.Certainty)
 		}
 		return math.Inf(1)
 	}
@@ -359,8 +359,8 @@
 // flapped counts the views that differ by what became of one member.
 func flapped(s *rig.Swarm, viewer, name string, from, to float64) int {
 	n := 0
-	for _, sight := range s.History.Sights(viewer, from) {
-		if sight.T < to && slices.ContainsFunc(sight.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
+	for _, observation := range s.History.Observations(viewer, from) {
+		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
 			n++
 		}
 	}
@@ -372,13 +372,13 @@
 	seen := map[string]int{}
 	total, most := 0, 0
 	for _, name := range s.Running() {
-		sight, ok := s.History.Latest(name)
-		if !ok || sight.Certainty == "superseded" {
+		observation, ok := s.History.Latest(name)
+		if !ok || observation.Certainty == "superseded" {
 			continue
 		}
 		total++
-		seen[sight.Digest]++
-		most = max(most, seen[sight.Digest])
+		seen[observation.Digest]++
+		most = max(most, seen[observation.Digest])
 	}
 	return float64(total - most)
 }
@@ -441,9 +441,9 @@
 	narrow := 0.0
 	for _, name := range small {
 		at := math.Inf(1)
-		for _, sight := range on.History.Sights(name, from) {
-			if sight.Certainty == "partitioned" {
-				at = sight.T - from
+		for _, observation := range on.History.Observations(name, from) {
+			if observation.Certainty == "partitioned" {
+				at = observation.T - from
 				break
 			}
 		}
--- a/fleet/swarm_test.go
+++ b/fleet/swarm_test.go
@@ -47,8 +47,8 @@
 	}
 	c := &court{s, t, worker}
 	t.Cleanup(func() {
-		j := rig.Judge(worker.Orders(time.Time{}), lease)
-		if j.AtOnce > 1 || j.Late+j.Falling+j.Shared > 0 {
+		j := rig.NewVerdict(worker.Orders(time.Time{}), lease)
+		if j.AtOnce > 1 || j.LateEffects+j.FallingTerms+j.SharedTerms > 0 {
 			t.Errorf("%v", j)
 		}
 		if o := rig.Overlap(s.History.LeadershipIntervals()); o > 0 {
@@ -147,7 +147,7 @@
 	from := time.Now()
 	c.run("0s heal")
 	time.Sleep(2 * lease)
-	if j := rig.Judge(c.worker.Orders(from), time.Minute); j.Changes > 0 || c.worker.Owner(lease) != third {
+	if j := rig.NewVerdict(c.worker.Orders(from), time.Minute); j.Changes > 0 || c.worker.Owner(lease) != third {
 		t.Errorf("%s gave way to one that came back: %v", third, j)
 	}
 }
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -192,7 +192,7 @@
 }
 
 // What owners did is judged by their orders and by what they say: beside each other, late, and anew under a later term.
-func TestJudge(t *testing.T) {
+func TestVerdict(t *testing.T) {
 	at := time.Unix(0, 0)
 	order := func(ms int, owner string, term uint64) Order {
 		return Order{at.Add(time.Duration(ms) * time.Millisecond), owner, term}
@@ -207,7 +207,7 @@
 		"without terms":       {[]Order{order(0, "a", 0), order(10, "b", 0), order(20, "a", 0)}, 1, 2},
 		"long ago":            {[]Order{order(0, "a", 0), order(10, "b", 0), order(2000, "a", 0)}, 0, 1},
 	} {
-		if j := Judge(one.orders, time.Second); j.Late != one.late || j.AtOnce != one.atOnce {
+		if j := NewVerdict(one.orders, time.Second); j.LateEffects != one.late || j.AtOnce != one.atOnce {
 			t.Errorf("%s: %v", name, j)
 		}
 	}
--- a/rig/history.go
+++ b/rig/history.go
@@ -14,7 +14,7 @@
 	mu     sync.Mutex
 	began  time.Time
 	events []Event
-	latest map[string]Sight
+	latest map[string]Observation
 }
 
 // Event is one line of it.
@@ -26,8 +26,8 @@
 	Line json.RawMessage `json:"line,omitempty"`
 }
 
-// Sight is a view as a process's log tells it.
-type Sight struct {
+// Observation is a view as a process's log tells it.
+type Observation struct {
 	T         float64 `json:"-"`
 	Who       string  `json:"-"`
 	Msg       string
@@ -39,7 +39,7 @@
 }
 
 // NewHistory begins one.
-func NewHistory() *History { return &History{began: time.Now(), latest: map[string]Sight{}} }
+func NewHistory() *History { return &History{began: time.Now(), latest: map[string]Observation{}} }
 
 // Now is the time since the start, in seconds.
 func (h *History) Now() float64 { return time.Since(h.began).Seconds() }
@@ -62,7 +62,7 @@
 		e.Text = string(line)
 	}
 	h.add(e)
-	if s, ok := e.Sight(); ok {
+	if s, ok := e.Observation(); ok {
 		h.latest[who] = s
 	}
 }
@@ -76,9 +76,9 @@
 	}
 }
 
-// Sight reads a view out of a line, if it tells one.
-func (e Event) Sight() (Sight, bool) {
-	s := Sight{T: e.T, Who: e.Who}
+// Observation reads a view out of a line, if it tells one.
+func (e Event) Observation() (Observation, bool) {
+	s := Observation{T: e.T, Who: e.Who}
 	if e.Line == nil || json.Unmarshal(e.Line, &s) != nil || s.Msg != "view" {
 		return s, false
 	}
@@ -86,7 +86,7 @@
 }
 
 // Latest is the view that a process told last.
-func (h *History) Latest(who string) (Sight, bool) {
+func (h *History) Latest(who string) (Observation, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, ok := h.latest[who]
@@ -100,16 +100,16 @@
 	delete(h.latest, who)
 }
 
-// Sights are the views of one process, or of all for an empty name, from a time on.
-func (h *History) Sights(who string, from float64) []Sight {
+// Observations are the views of one process, or of all for an empty name, from a time on.
+func (h *History) Observations(who string, from float64) []Observation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var all []Sight
+	var all []Observation
 	for _, e := range h.events {
 		if e.T < from || who != "" && e.Who != who {
 			continue
 		}
-		if s, ok := e.Sight(); ok {
+		if s, ok := e.Observation(); ok {
 			all = append(all, s)
 		}
 	}
--- a/rig/naive.go
+++ b/rig/naiveclient.go
@@ -13,9 +13,9 @@
 	"valveglade/internal/thrift"
 )
 
-// Naive is the baseline: a caller as many are. It takes any app server, keeps to no credit, tries again at once
+// NaiveClient is the baseline: a caller as many are. It takes any app server, keeps to no credit, tries again at once
 // whatever the answer was, up to three times more, and connects whenever it has no connection to spare.
-type Naive struct {
+type NaiveClient struct {
 	addresses []string
 	source    int
 
@@ -29,9 +29,9 @@
 	seq int32
 }
 
-// NewNaive makes one.
-func NewNaive(source int, addresses ...string) *Naive {
-	return &Naive{addresses: addresses, source: source, spare: map[string][]*naiveConn{}}
+// NewNaiveClient makes one.
+func NewNaiveClient(source int, addresses ...string) *NaiveClient {
+	return &NaiveClient{addresses: addresses, source: source, spare: map[string][]*naiveConn{}}
 }
 
 const naiveTries = 4
@@ -39,7 +39,7 @@
 var errNaive = errors.New("not ok")
 
 // Call tries until it is ok, the tries are used up or the deadline has come.
-func (n *Naive) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
+func (n *NaiveClient) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
 	err := errNaive
 	for range naiveTries {
 		if ctx.Err() != nil {
@@ -53,7 +53,7 @@
 	return nil, err
 }
 
-func (n *Naive) try(ctx context.Context, method, token string, body []byte) ([]byte, error) {
+func (n *NaiveClient) try(ctx context.Context, method, token string, body []byte) ([]byte, error) {
 	at := n.addresses[rand.IntN(len(n.addresses))]
 	c, err := n.get(ctx, at)
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (n *Naive) get(ctx context.Context, at string) (*naiveConn, error) {
+func (n *NaiveClient) get(ctx context.Context, at string) (*naiveConn, error) {
 	n.mu.Lock()
 	if spare := n.spare[at]; len(spare) > 0 {
 		c := spare[len(spare)-1]
@@ -112,7 +112,7 @@
 }
 
 // Close ends its connections.
-func (n *Naive) Close() error {
+func (n *NaiveClient) Close() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, spare := range n.spare {
--- a/rig/judge.go
+++ b/rig/verdict.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Judged is what a worker's record says.
-type Judged struct {
-	AtOnce  int // the most owners whose orders had their effects among each other's
-	Late    int // effects of one who ordered before, after another had begun, who went on afterwards
-	Falling int // terms below one before
-	Shared  int // terms with more than one owner
-	Changes int // of owner
+// Verdict is what a worker's record says.
+type Verdict struct {
+	AtOnce       int // the most owners whose orders had their effects among each other's
+	LateEffects  int // effects of one who ordered before, after another had begun, who went on afterwards
+	FallingTerms int // terms below one before
+	SharedTerms  int // terms with more than one owner
+	Changes      int // of owner
 }
 
-// Judge reads the record: an owner whose orders lie between two of another's, within a span, was one at the same time.
-func Judge(orders []Order, span time.Duration) Judged {
-	j := Judged{AtOnce: min(len(orders), 1)}
+// NewVerdict reads the record: an owner whose orders lie between two of another's, within a span, was one at the same time.
+func NewVerdict(orders []Order, span time.Duration) Verdict {
+	j := Verdict{AtOnce: min(len(orders), 1)}
 	byTerm := map[uint64]string{}
 	for k, o := range orders {
 		if k > 0 && o.Term < orders[k-1].Term {
-			j.Falling++
+			j.FallingTerms++
 		}
 		if by, seen := byTerm[o.Term]; seen && by != o.Owner && o.Term > 0 {
-			j.Shared++
+			j.SharedTerms++
 		}
 		byTerm[o.Term] = o.Owner
 		if k == 0 || orders[k-1].Owner == o.Owner {
@@ -52,14 +52,14 @@
 			continue
 		}
 		j.AtOnce = max(j.AtOnce, 1+len(others))
-		j.Late++
+		j.LateEffects++
 	}
 	return j
 }
 
 // Line tells some of a record, for people.
-func (j Judged) String() string {
-	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.AtOnce, j.Late, j.Falling, j.Shared, j.Changes))
+func (j Verdict) String() string {
+	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.AtOnce, j.LateEffects, j.FallingTerms, j.SharedTerms, j.Changes))
 }
 
 // LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
