--- a/client/conn.go
+++ b/client/conn.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 	"valveglade/logic/attempt"
 )
@@ -270,7 +270,7 @@
 
 // read takes frames until the connection ends; its end is no error.
 func (l *link) read() error {
-	in := inlet.New(thrift.MaxFrame + 4)
+	in := readbuffer.New(thrift.MaxFrame + 4)
 	timed := false
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
@@ -288,7 +288,7 @@
 			}
 			switch err := in.Fill(l.nc); {
 			case err == nil:
-			case errors.Is(err, inlet.ErrFull):
+			case errors.Is(err, readbuffer.ErrFull):
 				return &PeerError{Server: l.server, Why: err.Error()}
 			case errors.Is(err, os.ErrDeadlineExceeded):
 				return &PeerError{Server: l.server, Why: "half a message"}
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"valveglade/client"
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 	"valveglade/rig"
 )
@@ -145,7 +145,7 @@
 		return err
 	}
 	defer nc.Close()
-	buffer := inlet.New(thrift.MaxFrame + 4)
+	buffer := readbuffer.New(thrift.MaxFrame + 4)
 	var out []byte
 	for k := range n {
 		now := float64(time.Now().UnixMilli()) / 1000
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 	"valveglade/rig"
 	"valveglade/rpc"
@@ -109,7 +109,7 @@
 }
 
 func wholeFrame(in *bufio.Reader) bool {
-	b := inlet.New(thrift.MaxFrame + 4)
+	b := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		_, size, err := thrift.Frame(b.Bytes())
 		if err != nil {
--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 	"valveglade/rig"
 	"valveglade/rpc"
@@ -223,7 +223,7 @@
 
 // read takes in answers until the connection ends.
 func (c *frameConn) read() {
-	in := inlet.New(thrift.MaxFrame + 4)
+	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err == nil && size == 0 {
--- a/internal/kernel/notices.go
+++ b/internal/kernel/notices.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 )
 
 // maxLine holds a result of 4 KiB in base64 many times over.
@@ -18,7 +18,7 @@
 
 // read takes notices until the connection ends.
 func (l *Link[K]) read(conn net.Conn, up func()) error {
-	in := inlet.New(maxLine)
+	in := readbuffer.New(maxLine)
 	booted, first, blind, gaugeless, strange := false, true, false, false, false
 	for {
 		b := in.Bytes()
--- a/internal/inlet/inlet.go
+++ b/internal/readbuffer/readbuffer.go
@@ -1,5 +1,5 @@
-// Package inlet is the one read buffer that a connection has.
-package inlet
+// Package readbuffer is the one read buffer that a connection has.
+package readbuffer
 
 import (
 	"errors"
@@ -16,10 +16,13 @@
 	limit    int
 }
 
-// first holds a usual message; most connections never need more.
-const first = 4 << 10
+// initialSize holds a usual message; most connections never need more.
+const initialSize = 4 << 10
 
-func New(limit int) *Buffer { return &Buffer{data: make([]byte, min(first, limit)), limit: limit} }
+// New returns an empty buffer that may grow to limit bytes.
+func New(limit int) *Buffer {
+	return &Buffer{data: make([]byte, min(initialSize, limit)), limit: limit}
+}
 
 // Fill reads once from r, behind what has not been taken yet.
 func (b *Buffer) Fill(r io.Reader) error {
--- a/internal/inlet/inlet_test.go
+++ b/internal/readbuffer/readbuffer_test.go
@@ -1,4 +1,4 @@
-package inlet
+package readbuffer
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 
 // The buffer grows as a message needs, moves what is left to its start in place, and stops at its limit.
 func Example() {
-	in := New(first + 100)
-	long := strings.NewReader(strings.Repeat("x", 3*first))
+	in := New(initialSize + 100)
+	long := strings.NewReader(strings.Repeat("x", 3*initialSize))
 	for {
 		if err := in.Fill(long); err != nil {
 			fmt.Println(len(in.Bytes()), err)
 			break
 		}
 	}
-	in.Take(first)
+	in.Take(initialSize)
 	fmt.Println(in.Fill(long), len(in.Bytes()), len(in.data))
-	in.Take(first + 100)
+	in.Take(initialSize + 100)
 	fmt.Println(in.Fill(strings.NewReader("y")), string(in.Bytes()))
 	fmt.Println(in.Fill(strings.NewReader("")), string(in.Bytes()))
 	// Output:
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 )
 
@@ -25,7 +25,7 @@
 
 type naiveConn struct {
 	net.Conn
-	in  *inlet.Buffer
+	in  *readbuffer.Buffer
 	seq int32
 }
 
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &naiveConn{Conn: nc, in: inlet.New(thrift.MaxFrame + 4)}, nil
+	return &naiveConn{Conn: nc, in: readbuffer.New(thrift.MaxFrame + 4)}, nil
 }
 
 // Close ends its connections.
--- a/rig/net.go
+++ b/rig/net.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 	"valveglade/rpc"
 )
@@ -226,7 +226,7 @@
 
 // carry moves whole frames as they come, told to look before they go on.
 func (f *flow) carry(from, to net.Conn, look func([]byte), trickle *atomic.Int64) {
-	in := inlet.New(thrift.MaxFrame + 4)
+	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
--- a/rig/router.go
+++ b/rig/router.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 )
 
@@ -132,7 +132,7 @@
 }
 
 func (c *routerConn) read() {
-	in := inlet.New(thrift.MaxFrame + 4)
+	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err == nil && size == 0 {
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 )
 
@@ -128,7 +128,7 @@
 }
 
 func (s *Stub) serve(nc net.Conn, number int) {
-	in := inlet.New(thrift.MaxFrame + 4)
+	in := readbuffer.New(thrift.MaxFrame + 4)
 	in2 := &stubConn{Stub: s, nc: nc, number: number}
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
--- a/server/end.go
+++ b/server/end.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 )
 
@@ -112,7 +112,7 @@
 // fill reads what comes next. A closing connection on which nothing is owed is shut here, once a last look has found
 // nothing unread. Guards against a shutdown over an RPC that has lain unread for long, as it does while this process is off
 // its core: its router sends again only what crosses within an instant.
-func (c *conn) fill(in *inlet.Buffer) error {
+func (c *conn) fill(in *readbuffer.Buffer) error {
 	if !c.closes() {
 		return in.Fill(c)
 	}
--- a/server/reader.go
+++ b/server/reader.go
@@ -6,13 +6,13 @@
 	"runtime"
 	"time"
 
-	"valveglade/internal/inlet"
+	"valveglade/internal/readbuffer"
 	"valveglade/internal/thrift"
 )
 
 // read takes frames until the connection ends; the end of the connection is no error.
 func (c *conn) read() error {
-	in := inlet.New(thrift.MaxFrame + 4)
+	in := readbuffer.New(thrift.MaxFrame + 4)
 	c.readBy(whole) // silence from the start is half a message too
 	turn := 0       // RPCs since others last had theirs
 	late := false   // what has come of a message was not whole in time
@@ -37,7 +37,7 @@
 			c.inPart(len(in.Bytes()) > 0)
 			switch err := c.fill(in); {
 			case err == nil:
-			case errors.Is(err, inlet.ErrFull):
+			case errors.Is(err, readbuffer.ErrFull):
 				return err
 			case errors.Is(err, errShut) && late:
 				return errHalf
@@ -138,7 +138,7 @@
 
 // passOver refuses an RPC that is not all there, if it is larger than what is read now, and throws away what comes of it.
 // It tells whether it did. Behind an RPC that did not come whole nothing can be read any more.
-func (c *conn) passOver(in *inlet.Buffer) (done bool, err error) {
+func (c *conn) passOver(in *readbuffer.Buffer) (done bool, err error) {
 	size := thrift.Length(in.Bytes())
 	if size <= c.press.effects.Load().Largest || size > thrift.MaxFrame {
 		return false, nil
