--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -232,7 +232,7 @@
 	}
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	const from, slope, behind, look, lag = 2000.0, 1500.0, 0.06, 10 * time.Millisecond, 0.25
+	const from, slope, backend, look, lag = 2000.0, 1500.0, 0.06, 10 * time.Millisecond, 0.25
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	rate := func(t float64) float64 { return from + slope*t }
@@ -244,7 +244,7 @@
 		defer end()
 		for slow := 0; ctx.Err() == nil; time.Sleep(look) {
 			t := time.Since(began).Seconds()
-			if slow++; float64(open.Load()) < behind*rate(t) {
+			if slow++; float64(open.Load()) < backend*rate(t) {
 				slow = 0
 			}
 			if slow == 12 { // by then it has been behind for a while
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -37,7 +37,7 @@
 // pool is a swarm with something behind it, and what was asked of it.
 type pool struct {
 	*rig.Swarm
-	behind *rig.Behind
+	backend *rig.Backend
 
 	mu    sync.Mutex
 	asked []demanded
@@ -56,8 +56,8 @@
 // reservoir starts a pool: under an allocator, split evenly, or without a common limit and without a fleet.
 func (p *play) reservoir(kind string, limit string) (*pool, error) {
 	all := names(sharedOn)
-	r := &pool{behind: rig.NewBehind(sharedLimit, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{}, plain: map[string][2]float64{}}
-	plan := p.sharedPlan(sharedOn, r.behind)
+	r := &pool{backend: rig.NewBackend(sharedLimit, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{}, plain: map[string][2]float64{}}
+	plan := p.sharedPlan(sharedOn, r.backend)
 	floor := 1
 	switch kind {
 	case "off":
@@ -73,9 +73,9 @@
 }
 
 // sharedPlan is a swarm whose runs reach what is behind.
-func (p *play) sharedPlan(n int, behind *rig.Behind) rig.Plan {
+func (p *play) sharedPlan(n int, backend *rig.Backend) rig.Plan {
 	plan := p.plan(n)
-	plan.Behind = behind
+	plan.Backend = backend
 	plan.Site.Cores = 24
 	plan.Site.Methods = nil
 	for _, s := range sharedLoad() {
@@ -278,7 +278,7 @@
 		began := time.Now()
 		took := math.Inf(1)
 		for time.Since(began) < 2*time.Second {
-			if _, n := on.behind.Now(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
+			if _, n := on.backend.Now(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
 				took = time.Since(began).Seconds()
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -291,28 +291,28 @@
 	}
 	move("", 1.5*whole)
 	time.Sleep(time.Second)
-	on.behind.Used()
-	even.behind.Used()
-	packets, runs, began := on.packets(), on.behind.Runs(), time.Now()
+	on.backend.Used()
+	even.backend.Used()
+	packets, runs, began := on.packets(), on.backend.Runs(), time.Now()
 	time.Sleep(3 * time.Second)
-	packets, runs = on.packets()-packets, on.behind.Runs()-runs
+	packets, runs = on.packets()-packets, on.backend.Runs()-runs
 	p.inform("packets.s", packets/time.Since(began).Seconds()/sharedOn)
 	p.inform("packets.a.run", packets/float64(runs))
-	p.atLeast("used.steady", on.behind.Used()/sharedLimit, 0.9)
-	p.inform("used.steady.even", even.behind.Used()/sharedLimit)
+	p.atLeast("used.steady", on.backend.Used()/sharedLimit, 0.9)
+	p.inform("used.steady.even", even.backend.Used()/sharedLimit)
 	on.enter("faults")
 	enough()
 	// Somebody else is to keep it: use stays above the floors, and comes back.
 	change := func(how, script string) {
 		was, _ := on.allocator()
-		on.behind.Used()
+		on.backend.Used()
 		began := time.Now()
 		errs[0] = errors.Join(errs[0], on.Run(strings.ReplaceAll(script, "ALLOCATOR", was)))
 		now, back := "", math.Inf(1)
 		least := 1.0
 		for time.Since(began) < 4*rehearsedLease {
 			time.Sleep(250 * time.Millisecond)
-			used := on.behind.Used() / sharedLimit
+			used := on.backend.Used() / sharedLimit
 			least = min(least, used)
 			if now == "" {
 				if now, _ = on.allocator(); now == was {
@@ -338,8 +338,8 @@
 		}
 	}
 	// What the one that died had, and its new life's floor, are back once its last grant is over.
-	on.behind.Used()
-	on.Until(5*time.Second, func() bool { time.Sleep(300 * time.Millisecond); return on.behind.Used() >= 0.97*sharedLimit })
+	on.backend.Used()
+	on.Until(5*time.Second, func() bool { time.Sleep(300 * time.Millisecond); return on.backend.Used() >= 0.97*sharedLimit })
 	allocator, _ = on.allocator()
 	change("stopped", "0s stop ALLOCATOR")
 	errs[0] = errors.Join(errs[0], on.Run("1500ms cont "+allocator))
@@ -358,7 +358,7 @@
 	})
 	errs[0] = errors.Join(errs[0], on.Run("500ms heal\n500ms kill "+others[0]+"\n500ms stop "+others[1]+"\n1500ms start "+others[0]+"\n4s cont "+others[1]+"\n5s heal"))
 	slow.Wait()
-	p.exactly("over.limit", float64(on.behind.Over()), 0)
+	p.exactly("over.limit", float64(on.backend.Over()), 0)
 	p.exactly("over.limit.lowered", float64(on.lower(p)), 0)
 	stop()
 	loads.Wait()
@@ -377,10 +377,10 @@
 	starts.Wait()
 	on.enter("again")
 	on.ask(context.Background(), p, 4*time.Second, rates)
-	p.exactly("over.limit.restarted", float64(on.behind.Over()), 0)
+	p.exactly("over.limit.restarted", float64(on.backend.Over()), 0)
 	p.inform("served.restarted", on.part("again"))
-	p.atLeast("over.limit.off", float64(off.behind.Over()), 1)
-	p.exactly("over.limit.even", float64(even.behind.Over()), 0)
+	p.atLeast("over.limit.off", float64(off.backend.Over()), 1)
+	p.exactly("over.limit.even", float64(even.backend.Over()), 0)
 	for _, phase := range []string{"skewed", "full"} {
 		p.inform("best."+phase, on.best(phase))
 		p.atLeast("criticality.ok."+phase, on.part(phase)/on.best(phase), 0.9)
@@ -406,19 +406,19 @@
 		r.Node(name).Reload()
 	}
 	time.Sleep(2*rehearsedLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
-	r.behind.Limit(to)
-	r.behind.Used()
+	r.backend.Limit(to)
+	r.backend.Used()
 	time.Sleep(time.Second)
-	p.atLeast("used.lowered", r.behind.Used()/to, 0.8)
-	return r.behind.Over()
+	p.atLeast("used.lowered", r.backend.Used()/to, 0.8)
+	return r.backend.Over()
 }
 
 // playShareForty is the rehearsal of few permits among many: each of forty processes has its turn.
 func playShareForty(p *play) error {
 	const many, few = 40, 10
-	r := &pool{behind: rig.NewBehind(few, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{},
+	r := &pool{backend: rig.NewBackend(few, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{},
 		plain: map[string][2]float64{}}
-	plan := p.sharedPlan(many, r.behind)
+	plan := p.sharedPlan(many, r.backend)
 	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + rehearsedLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
@@ -438,11 +438,11 @@
 		r.ask(context.Background(), p, length, func(string) float64 { return 4 * few / sharedWork / 0.85 / many })
 	})
 	time.Sleep(length / 4)
-	r.behind.Used()
+	r.backend.Used()
 	time.Sleep(length / 2)
-	p.atLeast("used.steady", r.behind.Used()/few, 0.7)
+	p.atLeast("used.steady", r.backend.Used()/few, 0.7)
 	load.Wait()
-	p.exactly("over.limit", float64(r.behind.Over()), 0)
+	p.exactly("over.limit", float64(r.backend.Over()), 0)
 	starved := 0
 	for _, name := range r.Names() {
 		served := 0.0
@@ -476,7 +476,7 @@
 		r.ask(ctx, p, time.Minute, func(string) float64 { return 1.4 * sharedLimit / sharedWork / 0.85 / sharedOn })
 	})
 	for k, bears := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
-		r.behind.Bears(bears)
+		r.backend.Bears(bears)
 		time.Sleep(p.span([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
 		sum, n := 0.0, 0.0                                              // it goes up and down about what is right: the mean over some seconds
 		for end := time.Now().Add(p.span(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/fleet/share_swarm_test.go
+++ b/fleet/share_swarm_test.go
@@ -16,8 +16,8 @@
 // crowd is five processes of the program that may run twelve RPCs at once, and callers that want twice as many.
 type crowd struct {
 	*rig.Swarm
-	t      *testing.T
-	behind *rig.Behind
+	t       *testing.T
+	backend *rig.Backend
 }
 
 const shared, sharedLease = 12, time.Second
@@ -26,9 +26,9 @@
 	t.Helper()
 	t.Parallel()
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
-	c := &crowd{t: t, behind: rig.NewBehind(shared, "lookup")}
+	c := &crowd{t: t, backend: rig.NewBackend(shared, "lookup")}
 	var err error
-	c.Swarm, err = rig.NewSwarm(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Behind: c.behind,
+	c.Swarm, err = rig.NewSwarm(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Backend: c.backend,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + sharedLease.String(), fmt.Sprintf("fleet.share s %d lookup", shared),
 			"fleet.floor 1 " + strings.Join(names, " ")},
 		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
@@ -50,7 +50,7 @@
 	t.Cleanup(func() {
 		stop()
 		loads.Wait()
-		if n := c.behind.Over(); n > 0 {
+		if n := c.backend.Over(); n > 0 {
 			t.Errorf("the limit was passed by %d", n)
 		}
 		c.Check.Finish()
@@ -73,8 +73,8 @@
 // used waits until a part of the limit is used.
 func (c *crowd) used(part float64) {
 	c.t.Helper()
-	c.behind.Used()
-	if _, ok := c.Until(wait, func() bool { time.Sleep(200 * time.Millisecond); return c.behind.Used() >= part*shared }); !ok {
+	c.backend.Used()
+	if _, ok := c.Until(wait, func() bool { time.Sleep(200 * time.Millisecond); return c.backend.Used() >= part*shared }); !ok {
 		c.t.Fatalf("less than %g of the limit are used", part)
 	}
 }
@@ -155,18 +155,18 @@
 	}
 	amend("fleet.share s 12 ", "fleet.share s 7 ")
 	if _, ok := c.Until(wait, func() bool {
-		c.behind.Used()
+		c.backend.Used()
 		time.Sleep(300 * time.Millisecond)
-		return c.behind.Used() <= 7
+		return c.backend.Used() <= 7
 	}); !ok {
 		t.Error("the lower limit is not kept")
 	}
-	c.behind.Limit(7)
+	c.backend.Limit(7)
 	c.used(0.85 * 7 / shared)
-	if n := c.behind.Over(); n > 0 {
+	if n := c.backend.Over(); n > 0 {
 		t.Errorf("the lower limit was passed by %d", n)
 	}
-	c.behind.Limit(shared)
+	c.backend.Limit(shared)
 	amend("fleet.share s 7 ", "fleet.share s 12 ")
 	c.used(0.9)
 }
--- a/rig/behind.go
+++ b/rig/backend.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Behind stands in for what stands behind all app servers and bears only so much at once. Kernels tell it of the runs of some
+// Backend stands in for a service that all app servers call and that bears only so much at once. Kernels tell it of the runs of some
 // methods. A killed app server's runs go on there until their work is done.
-type Behind struct {
+type Backend struct {
 	methods map[string]bool
 
 	mu    sync.Mutex
@@ -22,9 +22,9 @@
 	last  time.Time
 }
 
-// NewBehind counts runs of some methods against a limit.
-func NewBehind(limit int, methods ...string) *Behind {
-	b := &Behind{limit: limit, methods: map[string]bool{}, by: map[string]int{}, from: time.Now(), last: time.Now()}
+// NewBackend counts runs of some methods against a limit.
+func NewBackend(limit int, methods ...string) *Backend {
+	b := &Backend{limit: limit, methods: map[string]bool{}, by: map[string]int{}, from: time.Now(), last: time.Now()}
 	for _, m := range methods {
 		b.methods[m] = true
 	}
@@ -32,9 +32,9 @@
 }
 
 // counts tells whether runs of a method reach it.
-func (b *Behind) counts(method string) bool { return b != nil && b.methods[method] }
+func (b *Backend) counts(method string) bool { return b != nil && b.methods[method] }
 
-func (b *Behind) add(server string, n int) {
+func (b *Backend) add(server string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pass()
@@ -44,28 +44,28 @@
 	b.most = max(b.most, b.now-b.limit)
 }
 
-func (b *Behind) pass() {
+func (b *Backend) pass() {
 	now := time.Now()
 	b.area += float64(b.now) * now.Sub(b.last).Seconds()
 	b.last = now
 }
 
 // Limit changes it, and begins to count anew what passes it.
-func (b *Behind) Limit(limit int) {
+func (b *Backend) Limit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit, b.most = limit, b.now-limit
 }
 
 // Bears has everything take longer past so many runs at once, as many times as there are more.
-func (b *Behind) Bears(runs int) {
+func (b *Backend) Bears(runs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bears = runs
 }
 
 // slower is how many times as long everything takes now.
-func (b *Behind) slower() float64 {
+func (b *Backend) slower() float64 {
 	if b == nil {
 		return 1
 	}
@@ -78,28 +78,28 @@
 }
 
 // Over is by how many runs the limit was passed at the most; 0 if never.
-func (b *Behind) Over() int {
+func (b *Backend) Over() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.most, 0)
 }
 
 // Runs is how many have begun.
-func (b *Behind) Runs() int {
+func (b *Backend) Runs() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs
 }
 
 // Now is how many run, in all and of one app server.
-func (b *Behind) Now(server string) (all, one int) {
+func (b *Backend) Now(server string) (all, one int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.now, b.by[server]
 }
 
 // Used is how many have run at once on the mean, since it was last asked.
-func (b *Behind) Used() float64 {
+func (b *Backend) Used() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pass()
--- a/rig/check.go
+++ b/rig/check.go
@@ -24,7 +24,7 @@
 	mu       sync.Mutex
 	rpcs     map[string]*asked
 	tries    map[*flow]map[int32]*tried // by connection and number, until the connection has ended
-	servers  map[string]*life
+	servers  map[string]*processState
 	breaches []Breach
 	counts   map[string]int
 	slack    time.Duration
@@ -54,8 +54,8 @@
 	late     bool // may be answered late: its app server's process was stopped meanwhile
 }
 
-// life is one app server's.
-type life struct {
+// processState is one app server's.
+type processState struct {
 	up      bool
 	notice  time.Time
 	stop    time.Time
@@ -67,7 +67,7 @@
 
 // NewChecker allows so much beside each time that a rule names, for what the machine itself takes.
 func NewChecker(slack time.Duration) *Checker {
-	return &Checker{rpcs: map[string]*asked{}, tries: map[*flow]map[int32]*tried{}, servers: map[string]*life{},
+	return &Checker{rpcs: map[string]*asked{}, tries: map[*flow]map[int32]*tried{}, servers: map[string]*processState{},
 		counts: map[string]int{}, slack: slack}
 }
 
@@ -128,9 +128,9 @@
 }
 
 // server is called under the lock.
-func (c *Checker) server(name string) *life {
+func (c *Checker) server(name string) *processState {
 	if c.servers[name] == nil {
-		c.servers[name] = &life{started: map[string]time.Time{}}
+		c.servers[name] = &processState{started: map[string]time.Time{}}
 	}
 	return c.servers[name]
 }
@@ -139,7 +139,7 @@
 func (c *Checker) Up(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.servers[server] = &life{up: true, started: map[string]time.Time{}}
+	c.servers[server] = &processState{up: true, started: map[string]time.Time{}}
 }
 
 // Notice tells that it has been told to leave.
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -16,7 +16,7 @@
 	cores   float64
 	server  string // whose kernel it is, for the checker
 	check   *Checker
-	behind  *Behind // what its runs reach, nil for nothing
+	backend *Backend // what its runs reach, nil for nothing
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -39,7 +39,7 @@
 	left    float64 // seconds of work
 	began   time.Time
 	stopped bool // it was asked to stop
-	behind  bool // it counts there
+	backend bool // it counts there
 }
 
 // NewKernel listens on a free port.
@@ -87,8 +87,8 @@
 	defer k.mu.Unlock()
 	k.pass()
 	for _, r := range k.runs {
-		if r.behind { // nobody takes it back there
-			time.AfterFunc(time.Duration(max(r.left, 0)/max(k.rate(), 0.01)*float64(time.Second)), func() { k.behind.add(k.server, -1) })
+		if r.backend { // nobody takes it back there
+			time.AfterFunc(time.Duration(max(r.left, 0)/max(k.rate(), 0.01)*float64(time.Second)), func() { k.backend.add(k.server, -1) })
 		}
 	}
 	k.runs, k.notices = map[string]*run{}, nil
@@ -176,9 +176,9 @@
 		return
 	}
 	k.check.Started(k.server, id)
-	k.runs[uid] = &run{uid: uid, id: id, left: work, began: time.Now(), behind: k.behind.counts(lane)}
-	if k.behind.counts(lane) {
-		k.behind.add(k.server, 1)
+	k.runs[uid] = &run{uid: uid, id: id, left: work, began: time.Now(), backend: k.backend.counts(lane)}
+	if k.backend.counts(lane) {
+		k.backend.add(k.server, 1)
 	}
 	k.set()
 }
@@ -188,7 +188,7 @@
 	if k.hung {
 		return 0
 	}
-	return min(1, k.cores/max(float64(len(k.runs)), 1)) / k.slow / k.behind.slower()
+	return min(1, k.cores/max(float64(len(k.runs)), 1)) / k.slow / k.backend.slower()
 }
 
 // pass takes off the work done since the last look.
@@ -232,8 +232,8 @@
 // end gives notice of a run's end.
 func (k *Kernel) end(r *run, code string, result []byte) {
 	delete(k.runs, r.uid)
-	if r.behind {
-		k.behind.add(k.server, -1)
+	if r.backend {
+		k.backend.add(k.server, -1)
 	}
 	content, _ := json.Marshal(result)
 	line := fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"%s","wall_ms":%.3f,"content":%s}`, len(k.notices)+1,
--- a/rig/swarm.go
+++ b/rig/swarm.go
@@ -42,7 +42,7 @@
 	DeadEnd int      // how many of the addresses given first belong to nobody
 	Slack   time.Duration
 	Seed    uint64
-	Behind  *Behind // what all kernels' runs reach, nil for nothing
+	Backend *Backend // what all kernels' runs reach, nil for nothing
 	// Bare starts another program instead, with no kernel and no callers, and is given where it listens, what it tells
 	// others and whom to join.
 	Bare func(name, listen, advertise string, join []string) *exec.Cmd
@@ -166,7 +166,7 @@
 		if err != nil {
 			return nil, err
 		}
-		kernel.behind = s.plan.Behind
+		kernel.backend = s.plan.Backend
 		// At its own address no other process can have taken the port meanwhile.
 		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
