--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -29,6 +29,7 @@
 
 var rehearsals = []rehearsal{
 	{"client", "the careful client against a naive one: outages, refusals, reconnects, cost", playClient},
+	{"cold", "cold app servers under the sum of what 24 client processes send, naive ones beside", playCold},
 	{"pressure", "shedding before falling behind: a tripling, a leak, few cores, each with it off beside", playPressure},
 	{"view", "the fleet's view: deaths, flapping, two under one name, releases, with the fleet off beside", playView},
 	{"view-faults", "the fleet's view between cuts and loss, the gossip library alone beside", playViewFaults},
@@ -153,7 +154,7 @@
 	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where a rehearsal draws")
 	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where a rehearsal has parts")
 	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
-	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), hollowCommand())
+	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), hollowCommand(), callerCommand())
 	return root
 }
 
--- /dev/null
+++ b/rig/coldstart.go
@@ -0,0 +1,87 @@
+package rig
+
+import (
+	"math"
+	"slices"
+	"sync"
+	"time"
+)
+
+// ColdStart is how app servers come up after a restart, as the settings name it. The zero value is no cold start at all.
+type ColdStart struct {
+	Capacity float64       // share of its speed that an app server opens with: startCapacity
+	Ramp     time.Duration // until it has its full speed, in even steps: rampTimeS
+	Window   time.Duration // over which an overload counts: fallS
+}
+
+// Warmth is the share of its full speed that an app server has so long after its start.
+func (c ColdStart) Warmth(age time.Duration) float64 {
+	if c.Ramp <= 0 {
+		return 1
+	}
+	return min(1, c.Capacity+(1-c.Capacity)*max(age, 0).Seconds()/c.Ramp.Seconds())
+}
+
+// meanWarmth is the mean of Warmth over the window that ends so long after the start. Before the start it counts as the
+// first share.
+func (c ColdStart) meanWarmth(age time.Duration) float64 {
+	const steps = 20
+	sum := 0.0
+	for k := range steps {
+		sum += c.Warmth(age - c.Window*time.Duration(2*k+1)/(2*steps))
+	}
+	return sum / steps
+}
+
+// Arrivals are the RPCs that reached one app server, further tries included. It is safe for use by many goroutines.
+type Arrivals struct {
+	mu  sync.Mutex
+	all []arrival
+}
+
+// arrival is one RPC as it is passed on to the app server.
+type arrival struct {
+	at   time.Time
+	work float64 // seconds on a core
+}
+
+// Add takes note of an arrival, with the seconds of its work.
+func (a *Arrivals) Add(at time.Time, work float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.all = append(a.all, arrival{at, work})
+}
+
+// Peak is the most that arrived within one window of a cold start, over what the app server bears.
+type Peak struct {
+	ByWork  float64 // in requests of mean work
+	ByCount float64 // in requests
+	Age     time.Duration
+}
+
+// Peak looks at all windows that end between the boot and the end of the ramp. The budget of a window is N + 2*sqrt(N) + 2,
+// N being the requests of mean work that the cores carry in it at the speed that the settings allow.
+func (a *Arrivals) Peak(c ColdStart, boot time.Time, cores int, meanWork float64) Peak {
+	a.mu.Lock()
+	all := slices.Clone(a.all)
+	a.mu.Unlock()
+	all = slices.DeleteFunc(all, func(r arrival) bool { return r.at.Before(boot) || r.at.After(boot.Add(c.Ramp)) })
+	slices.SortFunc(all, func(x, y arrival) int { return x.at.Compare(y.at) })
+	var peak Peak
+	work, first := 0.0, 0
+	for k, r := range all {
+		work += r.work
+		for r.at.Sub(all[first].at) >= c.Window {
+			work -= all[first].work
+			first++
+		}
+		age := r.at.Sub(boot)
+		n := float64(cores) * c.meanWarmth(age) * c.Window.Seconds() / meanWork
+		budget := n + 2*math.Sqrt(n) + 2
+		if ratio := work / meanWork / budget; ratio > peak.ByWork {
+			peak.ByWork, peak.Age = ratio, age
+		}
+		peak.ByCount = max(peak.ByCount, float64(k-first+1)/budget)
+	}
+	return peak
+}
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -18,19 +18,21 @@
 	check   *Checker
 	behind  *Behind // what its runs reach, nil for nothing
 
-	mu       sync.Mutex
-	listener net.Listener
-	link     net.Conn
-	linkedAt time.Time     // when BOOTED was last said
-	withheld chan struct{} // closed when links may be answered again; nil while they are
-	notices  []string      // numbered from 1
-	runs     map[string]*run
-	slow     float64 // how much longer everything takes
-	hung     bool
-	looked   time.Time
-	timer    *time.Timer
-	closed   bool
-	began    time.Time
+	mu        sync.Mutex
+	listener  net.Listener
+	link      net.Conn
+	linkedAt  time.Time     // when BOOTED was last said
+	withheld  chan struct{} // closed when links may be answered again; nil while they are
+	notices   []string      // numbered from 1
+	runs      map[string]*run
+	slow      float64 // how much longer everything takes
+	hung      bool
+	looked    time.Time
+	timer     *time.Timer
+	closed    bool
+	began     time.Time
+	coldStart ColdStart // after a restart
+	cold      bool      // it has been restarted
 }
 
 // run is one on the cores.
@@ -93,9 +95,37 @@
 	}
 	k.runs, k.notices = map[string]*run{}, nil
 	k.looked, k.began = time.Now(), time.Now()
+	k.cold = k.coldStart.Ramp > 0
 	k.dropLink()
 }
 
+// Boot has the cold start begin now, if there is one.
+func (k *Kernel) Boot() {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.cold {
+		k.looked, k.began = time.Now(), time.Now()
+	}
+}
+
+// Began is when it started.
+func (k *Kernel) Began() time.Time {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.began
+}
+
+// warming tells whether it is cold and has not yet its full speed.
+func (k *Kernel) warming() bool { return k.cold && time.Since(k.began) < k.coldStart.Ramp }
+
+// warmth is the share of its full speed that it has now.
+func (k *Kernel) warmth() float64 {
+	if !k.warming() {
+		return 1
+	}
+	return k.coldStart.Warmth(time.Since(k.began))
+}
+
 // Close ends it.
 func (k *Kernel) Close() {
 	k.mu.Lock()
@@ -144,7 +174,11 @@
 				k.link.Close()
 			}
 			k.link, k.linkedAt = nc, time.Now()
-			fmt.Fprintf(nc, `{"action":"BOOTED","code":"running","wall_ms":%d}`+"\n", time.Since(k.began).Milliseconds()+1)
+			code := "running"
+			if k.warming() {
+				code = "starting"
+			}
+			fmt.Fprintf(nc, `{"action":"BOOTED","code":"%s","wall_ms":%d}`+"\n", code, time.Since(k.began).Milliseconds()+1)
 			for _, line := range k.notices[min(m.Pos, len(k.notices)):] {
 				fmt.Fprintln(nc, line)
 			}
@@ -188,7 +222,7 @@
 	if k.hung {
 		return 0
 	}
-	return min(1, k.cores/max(float64(len(k.runs)), 1)) / k.slow / k.behind.slower()
+	return min(1, k.cores/max(float64(len(k.runs)), 1)) / k.slow / k.behind.slower() * k.warmth()
 }
 
 // pass takes off the work done since the last look.
@@ -209,6 +243,9 @@
 			first = min(first, r.left/rate)
 		}
 	}
+	if k.warming() {
+		first = min(first, warmingStep.Seconds()) // its speed changes meanwhile
+	}
 	if !k.closed {
 		k.timer.Reset(time.Duration(max(first, 0) * float64(time.Second)))
 	}
@@ -226,6 +263,9 @@
 	k.set()
 }
 
+// warmingStep is between looks while the speed rises.
+const warmingStep = 10 * time.Millisecond
+
 // mostNotices are kept: the protocol's figure.
 const mostNotices = 4000
 
--- a/rig/net.go
+++ b/rig/net.go
@@ -21,6 +21,7 @@
 	check    *Checker
 	listener net.Listener
 	accepted func(time.Time) // told of each connection, if set
+	arrivals *Arrivals       // told of each RPC, if set
 
 	mu    sync.Mutex
 	flows map[*flow]struct{}
@@ -59,6 +60,9 @@
 // Watch has f told of each connection that is taken and passed on; set before there are any.
 func (n *Net) Watch(f func(time.Time)) { n.accepted = f }
 
+// Count has each RPC that is passed on counted; set before there are any.
+func (n *Net) Count(a *Arrivals) { n.arrivals = a }
+
 // Down ends all connections and refuses new ones, or takes them again.
 func (n *Net) Down(down bool) {
 	n.mu.Lock()
@@ -266,7 +270,10 @@
 func (a *asks) Execute(seq int32, _, _ []byte, _ int, recv, ttl, _ float64, again bool, _, body []byte) {
 	due := recv + ttl
 	whole, part := math.Modf(due)
-	if id, _, ok := ReadBody(body); ok {
+	if id, work, ok := ReadBody(body); ok {
+		if a.arrivals != nil {
+			a.arrivals.Add(time.Now(), work)
+		}
 		a.check.Try(a.Net.server, (*flow)(a), seq, id, time.Unix(int64(whole), int64(part*1e9)), again)
 	}
 }
--- a/rig/program.go
+++ b/rig/program.go
@@ -30,9 +30,20 @@
 	Args     []string       // of the program
 	Limit    float64        // cores that it is told it may use, 1 if it is 0
 	OneCore  bool           // the program uses one core, as on the platform
+	Cold     ColdStart      // of app servers that are restarted
 	Kill     bool           // a program over its memory is killed, as the platform does, and that is no breach
 }
 
+// rules are the settings' figures of the rules.
+func (s Site) rules() map[string]any {
+	rules := map[string]any{"overloadFactor": 5, "stopSendingWithinS": s.Grace.Seconds()}
+	if s.Cold.Ramp > 0 {
+		rules["startCapacity"], rules["rampTimeS"] = s.Cold.Capacity, s.Cold.Ramp.Seconds()
+		rules["fallS"] = s.Cold.Window.Seconds()
+	}
+	return rules
+}
+
 // SiteMethod is one method, in the platform's words.
 type SiteMethod struct {
 	Name        string  `json:"name"`
@@ -105,7 +116,7 @@
 		"stop_ms": site.Stop.Milliseconds(),
 		"limits":  map[string]any{"cores": cmp.Or(site.Limit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
-			"rules":    map[string]any{"overloadFactor": 5, "stopSendingWithinS": site.Grace.Seconds()},
+			"rules":    site.rules(),
 			"clients":  map[string]any{"marksRetry": site.Marks},
 			"ceilings": map[string]any{"retryAfter": site.MaxAfter > 0, "maxRetryAfterS": site.MaxAfter}}}
 	text, err := json.Marshal(config)
@@ -123,6 +134,7 @@
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
 	p.check.Up(p.Name)
+	p.Kernel.Boot()
 	done, err := p.run(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	if err != nil {
 		return err
@@ -202,6 +214,7 @@
 			f.Close()
 			return nil, err
 		}
+		kernel.coldStart = site.Cold
 		address, err := freePort()
 		if err != nil {
 			f.Close()
