--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -351,10 +351,10 @@
 	//  0.00 a: ok "1"
 	// booted true credit 2
 	//  0.00 b: run
-	// credit 2
-	// credit 5
+	// credit 0.75
+	// credit 0.75
 	//  1.00 b: ok "1"
-	// credit 12
+	// credit 0.75
 }
 
 // A process that was stopped for longer than a window, with a repeat unread that came within it: whichever is first when it goes
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -118,13 +118,19 @@
 )
 
 const (
-	firstCredit = 2.0  // RPCs out at an app server that has said nothing of late: one, and one to compare it with
-	creditFor   = 1.0  // seconds for which credit is believed: the platform's own routers do the same
-	mostAway    = 60.0 // seconds of advice to stay away that are believed
-	firstRest   = 0.05 // span before a further try where no advice was given, doubling with each
-	mostRest    = 1.0
-	silence     = 5.0 // seconds without a word, with RPCs out, after which a connection is given up
-	learn       = 0.1 // weight of a new measurement
+	firstCredit = 2.0 // RPCs out at an app server that has said nothing of late: one, and one to compare it with
+	creditFor   = 1.0 // seconds for which credit is believed: the platform's own routers do the same
+	// checkedWithin is how many seconds an app server that has not said its credit may take to answer a health check.
+	checkedWithin = 0.5
+	// leastDraw is how many seconds the fraction of a credit stays drawn at the least: tries become slow all at once.
+	leastDraw = 0.25
+	// coldTook is how many seconds a try is taken to take until one was ok at a process, which may be cold.
+	coldTook  = 0.5
+	mostAway  = 60.0 // seconds of advice to stay away that are believed
+	firstRest = 0.05 // span before a further try where no advice was given, doubling with each
+	mostRest  = 1.0
+	silence   = 5.0 // seconds without a word, with RPCs out, after which a connection is given up
+	learn     = 0.1 // weight of a new measurement
 )
 
 // Counts are totals since the start.
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -1,5 +1,7 @@
 package attempt
 
+import "math"
+
 // link is where a connection stands; only pass changes it.
 type link uint8
 
@@ -53,15 +55,26 @@
 		d.dialing++
 		s.dials++
 	case up:
+		if s.up+s.checks == 0 {
+			s.upSince = d.now
+		}
 		*counted++
 	case none:
 		d.free = append(d.free, k)
 		if s.up+s.checks == 0 {
-			s.era++ // what answers there from now on may be another process
+			d.forget(s)
 		}
 	}
 }
 
+// forget lets go of what is known of the process at an app server: what answers there from now on may be another.
+func (d *Desk) forget(s *server) {
+	s.era++
+	s.heard, s.credit = math.Inf(-1), 0
+	s.answered, s.lastTook = false, coldTook
+	s.drawn, s.drawAt = false, 0
+}
+
 // hang has a connection closed that carries nothing.
 func (d *Desk) hang(k int) {
 	d.Orders = append(d.Orders, Order{Do: Hang, Conn: k, Server: d.conns[k].server})
@@ -90,7 +103,7 @@
 		case s.dials > 0:
 		case s.up == 0:
 			want = true
-		case s.checks == 0 && d.Period > 0 && s.heard > 0:
+		case s.checks == 0 && d.Period > 0:
 			want, check = true, true
 		case short && s.up < d.Conns && d.lightest(at) < 0 && float64(s.open) < d.allowance(s):
 			want = true
--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -80,7 +80,7 @@
 	if warm := (d.now - s.back) / gentle; warm < 1 {
 		most *= max(warm, gentleFrom)
 	}
-	c := max(s.took, leastTook) * float64(s.open+1) / max(most, 1)
+	c := max(s.took, leastTook) * float64(s.open+1) / max(most, 1) // a fraction has been drawn
 	if w.server == at && w.tries > 0 {
 		c *= 2
 	}
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -34,11 +34,16 @@
 	name         string
 	rank         uint64  // the client's own order of app servers, so that clients do not all choose the same few
 	credit       float64 // what it last said, believed for creditFor after heard
-	heard        float64
-	open         int    // tries out there
-	up, checks   int    // connections for RPCs, and for health checks
-	dials        int    // connects in progress, of both kinds
-	era          uint32 // counts the times that all connections to it were gone
+	heard        float64 // -Inf until the process that is there now has said its credit
+	answered     bool    // that process has answered something
+	lastTook     float64 // by the last try there that was ok
+	upSince      float64 // when the first connection to it stood
+	drawn        bool    // the fraction of the credit lets one more try out
+	drawAt       float64 // when that is drawn again
+	open         int     // tries out there
+	up, checks   int     // connections for RPCs, and for health checks
+	dials        int     // connects in progress, of both kinds
+	era          uint32  // counts the times that all connections to it were gone
 	away         float64
 	dialAt       float64
 	failed       int // times running that it could not be reached, or ended without a word
@@ -109,7 +114,7 @@
 		h := fnv.New64a()
 		h.Write([]byte(name))
 		d.servers[at] = server{name: name, rank: NewRank(d.Seed, h.Sum64()), era: d.servers[at].era + 1, used: d.now,
-			heard: math.Inf(-1), back: math.Inf(-1), dialAt: d.now + d.chance.Draw()*d.Start}
+			heard: math.Inf(-1), back: math.Inf(-1), lastTook: coldTook, dialAt: d.now + d.chance.Draw()*d.Start}
 		d.stand(at, good)
 		d.by(d.servers[at].dialAt)
 	}
@@ -201,6 +206,7 @@
 		d.tell(at, Met)
 	}
 	s.failed = 0
+	s.answered = true
 }
 
 func (d *Desk) tell(at int, what Change) {
@@ -213,6 +219,7 @@
 	d.met(at)
 	s.strikes = 0
 	s.fine, s.poor = s.fine*recent+1, s.poor*recent
+	s.lastTook = took
 	if s.took == 0 {
 		s.took = took
 	} else {
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -195,6 +195,9 @@
 	if d.conns[c].open == 1 {
 		d.conns[c].asked = d.now
 	}
+	if s := &d.servers[at]; s.open >= int(d.allowance(s)) {
+		s.drawn = false // the fraction has let out what it may
+	}
 	d.servers[at].open++
 	d.servers[at].used = d.now
 	if w.state == out {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -39,6 +39,7 @@
 	updated             float64
 	gaps                hist         // for which callers have nothing here between two RPCs
 	reap                float64      // idle connections are closed after it, 0 for never
+	ran, ranFor         float64      // runs that ended ok of late, and their seconds
 	over                float64      // since when the delay has stood past the mark, 0 if it does not
 	newest              bool         // the hold has stood full for a while
 	limit               float64      // of RPCs on the cores
@@ -64,7 +65,7 @@
 	m := &Module{Settings: c, do: do, now: now, started: now, updated: now, halved: now}
 	m.Machine.Cores = max(c.Machine.Cores, 1)
 	m.Machine.RunFactor = max(c.Machine.RunFactor, 1)
-	m.Rules.Crowd = max(c.Rules.Crowd, 1)
+	m.Rules.Crowd, m.Rules.CrowdSpan = max(c.Rules.Crowd, 1), max(c.Rules.CrowdSpan, 1)
 	if c.Machine.MemoryKB <= 0 {
 		m.Machine.MemoryKB = math.Inf(1)
 	}
@@ -74,6 +75,7 @@
 		m.Machine.CallsOut = 1
 	}
 	m.callLimit, m.callBest = m.cores(), math.Inf(1)
+	m.ran, m.ranFor = 0.2, 0.2*m.cores()*m.Rules.CrowdSpan // one in a span, till more is known
 	m.gauge = slices.Index(c.Machine.Gauges, "on_cores")
 	m.records = make([]record, len(c.Methods))
 	m.tenants = make([]float64, len(c.Tenants))
@@ -198,7 +200,7 @@
 			r.givenUp = 0 // so they wait longer
 		}
 		r.late.add(took)
-		m.well = now
+		m.ran, m.ranFor, m.well = m.ran+1, m.ranFor+took, now
 		if now <= w.asked+m.Methods[w.method].Target {
 			m.records[w.method].ok++
 		}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -828,11 +828,6 @@
 	//   0.00 start 0
 	//   0.00 start 1
 	//   0.00 start 2
-	//   0.22 credit 2.0
-	//   0.46 start 3
-	//   0.50 start 4
-	//   1.10 credit 4.0
-	//   4.50 start 5
 	//   4.50 start 6
 	//   4.50 start 7
 	//   4.50 start 8
--- a/logic/pool.go
+++ b/logic/pool.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 
 	"valveglade/rpc"
 )
@@ -41,24 +42,29 @@
 
 // heard counts the callers heard within a second; before any, it is those that there were at start.
 func (m *Module) heard() float64 {
-	n := 0
-	for _, c := range m.callers {
-		if m.now-c.heard <= 1 {
-			n++
-		}
-	}
+	n := len(slices.DeleteFunc(slices.Clone(m.callers), func(c caller) bool { return m.now-c.heard > 1 }))
 	if n == 0 {
 		n = max(m.Machine.Callers, 1)
 	}
 	return float64(n)
 }
 
+// coldPool bounds what all callers, those too that may yet come, have out while cold: as what ends lets in the
+// next, a span sees it beside the N runs that end, and past N only 2*sqrt(N)+2 are borne.
+func (m *Module) coldPool() float64 {
+	n := m.limit * m.Rules.CrowdSpan * m.ran / m.ranFor
+	return min(1+n/2, 2+2*math.Sqrt(n))
+}
+
 // publish says the free credit, which goes out with every answer, in the terms of the site's signal: as it
 // is, or as the share of what is in hand that the pool covers. One that leaves wants nothing past the grace.
 func (m *Module) publish() {
 	inHand := float64(m.count[held] + m.count[running] + m.count[stalled] + m.count[calling])
 	cover := min(1, m.pool/max(inHand, 1))
 	m.credit = max(1, math.Ceil(m.pool/m.heard()))
+	if m.warmth() < 1 {
+		m.credit = min(m.pool, m.coldPool()) / max(m.heard(), float64(m.Machine.Callers))
+	}
 	if m.leaving && m.now >= min(m.noticed+m.Rules.Grace, m.stop) {
 		m.credit, cover = 0, 0
 	}
--- a/logic/running.go
+++ b/logic/running.go
@@ -36,9 +36,7 @@
 		switch {
 		case m.hopeless(w):
 			m.giveUp(i)
-		case m.memory()+w.kb*(m.Machine.RunFactor-1) > m.room(), calls && off >= m.waits():
-			k++
-		case m.lacks(i):
+		case m.memory()+w.kb*(m.Machine.RunFactor-1) > m.room(), calls && off >= m.waits(), m.lacks(i):
 			k++
 		default:
 			w.began = m.now
@@ -54,9 +52,8 @@
 // lacks tells whether a held RPC waits for a limit that is common to several app servers, whatever the cores
 // say. Others are started past it.
 func (m *Module) lacks(i int) bool {
-	w := &m.rpcs[i]
-	w.short = m.do.Short(w.method)
-	return w.short > 0
+	m.rpcs[i].short = m.do.Short(m.rpcs[i].method)
+	return m.rpcs[i].short > 0
 }
 
 // adjust follows the cores: the limit grows fast while some idle and work waits, and falls back to one RPC a
--- a/logic/states.go
+++ b/logic/states.go
@@ -91,11 +91,7 @@
 
 // weight is how many times its held size an RPC takes.
 func (m *Module) weight(s state) float64 {
-	switch s {
-	case absent:
-		return 0
-	case held, following:
-		return 1
-	}
-	return m.Machine.RunFactor
+	started := m.Machine.RunFactor
+	return [states]float64{held: 1, following: 1, running: started, stalled: started, calling: started,
+		adrift: started, closing: started}[s]
 }
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -105,6 +105,8 @@
 	Grace  float64 `json:"stopSendingWithinS"`
 	ColdAt float64 `json:"startCapacity"`
 	WarmIn float64 `json:"rampTimeS"`
+	// CrowdSpan is the time in seconds over which a crowd counts.
+	CrowdSpan float64 `json:"fallS"`
 }
 
 // What an arrival may repeat, besides an RPC that is still in hand.
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -625,10 +625,10 @@
 	t.close()
 	// Output:
 	// router: 1 ok "" good 0
-	// credit: 2 reports: 0
+	// credit: 1.5 reports: 0
 	// kernel: SCHED 2 look body 2
 	// roster: HERE n1 on
-	// credit: 3
+	// credit: 1.5
 	// router: 3 ok "" good 1
 	// router: 2 ok "two" good 1
 	// served: <nil>
