--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -67,6 +67,10 @@
 		"pushback.forbidden", "pushback.late", "pushback.without.answer", "reconnect.back", "leaked.goroutines")
 }
 
+func TestCold(t *testing.T) {
+	rules(t, "cold", "cold.ratio", "naive.cold.ratio", "refused.retried", "late.sent", "double.runs", "unanswered", "breaches")
+}
+
 func TestPressure(t *testing.T) {
 	rules(t, "pressure", "breaches", "begun.turned.away", "killed", "not.our.own.refused")
 }
