--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -68,7 +68,6 @@
 
 // coldSide is one kind of client against a fleet of its own.
 type coldSide struct {
-	name  string
 	peak  rig.Peak // the worst app server's
 	back  float64  // seconds from the boot until service was back
 	end   float64  // share of the RPCs after the ramp and the recovery that were ok
@@ -120,7 +119,7 @@
 
 // coldSide plays the plan with 24 processes of one kind of client.
 func (p *play) coldSide(plan coldPlan, kind string) (*coldSide, error) {
-	side := &coldSide{name: kind, check: rig.NewChecker(4 * slack)}
+	side := &coldSide{check: rig.NewChecker(4 * slack)}
 	fleet, err := rig.NewFleet(p.Program, coldServers, plan.site(), side.check)
 	if err != nil {
 		return nil, err
--- /dev/null
+++ b/rig/coldstart_test.go
@@ -0,0 +1,70 @@
+package rig
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"strings"
+	"testing"
+	"time"
+)
+
+// What the cores carry at the speed of a cold start stays within the budget; three times as much does not, and what came
+// before the boot or after the ramp counts for nothing.
+func TestPeak(t *testing.T) {
+	start := ColdStart{Capacity: 0.2, Ramp: 10 * time.Second, Window: time.Second}
+	const cores, work = 2, 0.01
+	boot := time.Now()
+	for times, over := range map[float64]bool{1: false, 3: true} {
+		var a Arrivals
+		for range 1000 {
+			a.Add(boot.Add(-time.Millisecond), work)
+			a.Add(boot.Add(start.Ramp+time.Millisecond), work)
+		}
+		for age := time.Duration(0); age < start.Ramp; {
+			a.Add(boot.Add(age), work)
+			age += time.Duration(work / cores / start.Warmth(age) / times * float64(time.Second))
+		}
+		if peak := a.Peak(start, boot, cores, work); peak.ByWork > 1 != over || peak.ByCount > 1 != over {
+			t.Errorf("%g times what is carried: a peak of %+v", times, peak)
+		}
+	}
+}
+
+// echoCaller gives back what it is called with; without a token it fails.
+type echoCaller struct{}
+
+func (echoCaller) Call(_ context.Context, _, token string, _ float64, body []byte) ([]byte, error) {
+	if token == "" {
+		return nil, errors.New("no token")
+	}
+	return body, nil
+}
+func (echoCaller) Close() error { return nil }
+
+// Each call has one reply, with the result or with what was wrong.
+func TestServeCalls(t *testing.T) {
+	var in, out bytes.Buffer
+	calls := json.NewEncoder(&in)
+	due := time.Now().Add(time.Second)
+	calls.Encode(remoteCall{ID: 1, Token: "t", Deadline: due, Body: []byte("one")})
+	calls.Encode(remoteCall{ID: 2, Deadline: due, Body: []byte("two")})
+	if err := ServeCalls(&in, &out, echoCaller{}); err != nil {
+		t.Fatal(err)
+	}
+	replies := map[uint64]remoteReply{}
+	for lines := json.NewDecoder(&out); lines.More(); {
+		var reply remoteReply
+		if err := lines.Decode(&reply); err != nil {
+			t.Fatal(err)
+		}
+		replies[reply.ID] = reply
+	}
+	if len(replies) != 2 || string(replies[1].Result) != "one" || replies[2].Error != "no token" {
+		t.Errorf("replies %+v", replies)
+	}
+	if err := ServeCalls(strings.NewReader("{"), &out, echoCaller{}); err == nil {
+		t.Error("half a call is taken for a whole one")
+	}
+}
