--- /dev/null
+++ b/fleet/distribution_apply.go
@@ -0,0 +1,148 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"valveglade/logic/configlog"
+	"valveglade/logic/configtable"
+)
+
+// MaxChangeText bounds the text of one set of changes, in bytes: it fits a frame with its path.
+const MaxChangeText = 60_000
+
+// maxChangePath bounds the path that faults are told with.
+const maxChangePath = 1024
+
+// How long a set of changes may take: to be committed, and to come back from the leader.
+const (
+	commitTimeout  = 10 * time.Second
+	forwardTimeout = commitTimeout + 2*time.Second
+)
+
+// applyText has the changes of a text committed: by this process if it leads the log, else by way of a voter.
+func (d *Distribution) applyText(ctx context.Context, request applyRequest) applyReply {
+	version, err := d.apply(ctx, request)
+	if err != nil {
+		return applyReply{Error: truncate(err.Error(), MaxChangeText)}
+	}
+	return applyReply{Version: version}
+}
+
+func truncate(text string, most int) string { return text[:min(len(text), most)] }
+
+func (d *Distribution) apply(ctx context.Context, request applyRequest) (configlog.Version, error) {
+	if len(request.Text) > MaxChangeText || len(request.Path) > maxChangePath {
+		return configlog.Version{}, fmt.Errorf("%s: %d bytes are more than the %d of one set of changes", request.Path, len(request.Text), MaxChangeText)
+	}
+	if d.replica == nil || d.replica.status.Load().State != configlog.ReplicaLeads {
+		return d.forward(ctx, request)
+	}
+	changes, err := configtable.ParseChanges(request.Path, request.Text)
+	if err != nil {
+		d.counts.refusedChanges.Add(1)
+		return configlog.Version{}, err
+	}
+	if len(changes) == 0 {
+		return configlog.Version{}, fmt.Errorf("%s: no change is in it", request.Path)
+	}
+	outcome, err := d.propose(ctx, changes)
+	if err != nil {
+		return configlog.Version{}, err
+	}
+	if fault := (*configtable.ChangeError)(nil); errors.As(outcome.Err, &fault) {
+		return configlog.Version{}, &configtable.LineError{Path: request.Path, Line: changeLine(request.Text, outcome.At),
+			Name: changes[outcome.At].Name, Reason: fault.Error()}
+	}
+	return outcome.Version, outcome.Err
+}
+
+// propose has the loop of the log take changes, and waits for their commit.
+func (d *Distribution) propose(ctx context.Context, changes []configtable.Change) (proposalOutcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	proposed := changesProposed{changes, make(chan proposalOutcome, 1)}
+	if err := d.replica.tell(ctx, proposed); err != nil {
+		return proposalOutcome{}, err
+	}
+	select {
+	case outcome := <-proposed.reply:
+		return outcome, nil
+	case <-ctx.Done():
+		return proposalOutcome{}, configlog.ErrOutcomeUnknown
+	}
+}
+
+// changeLine is the line of the change of a number, from 0: blank lines and comments are none.
+func changeLine(text []byte, number int) int {
+	for k, line := range strings.Split(string(text), "\n") {
+		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		if number == 0 {
+			return k + 1
+		}
+		number--
+	}
+	return 0
+}
+
+// forward passes a text on: a voter to the leader, anybody else to a voter.
+func (d *Distribution) forward(ctx context.Context, request applyRequest) (configlog.Version, error) {
+	if request.Forwarded {
+		return configlog.Version{}, errNotLeader
+	}
+	if d.replica != nil {
+		leader, known := d.leader()
+		if !known || leader == d.cfg.Name {
+			return configlog.Version{}, errNotLeader
+		}
+		request.Forwarded = true
+		return d.forwardTo(ctx, leader, request)
+	}
+	failed := errNotLeader
+	for _, voter := range uniqueNames(d.cfg.Voters) {
+		version, err := d.forwardTo(ctx, voter, request)
+		if unreached := (*unreachedError)(nil); !errors.As(err, &unreached) {
+			return version, err
+		}
+		failed = err
+	}
+	return configlog.Version{}, failed
+}
+
+// unreachedError tells that nothing was asked of another app server, as it could not be reached.
+type unreachedError struct{ err error }
+
+func (e *unreachedError) Error() string { return e.err.Error() }
+func (e *unreachedError) Unwrap() error { return e.err }
+
+// forwardTo asks another app server to apply a text.
+func (d *Distribution) forwardTo(ctx context.Context, name string, request applyRequest) (configlog.Version, error) {
+	opening, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := d.opener.OpenStream(opening, name)
+	cancel()
+	if err != nil {
+		return configlog.Version{}, &unreachedError{err}
+	}
+	defer stream.Close()
+	if err := stream.WriteFrame(encodeFrame(request), frameWriteTimeout); err != nil {
+		return configlog.Version{}, errors.Join(configlog.ErrOutcomeUnknown, err)
+	}
+	payload, err := stream.ReadFrame(forwardTimeout)
+	if err != nil {
+		return configlog.Version{}, errors.Join(configlog.ErrOutcomeUnknown, err)
+	}
+	message, err := decodeFrame(payload)
+	reply, ok := message.(applyReply)
+	switch {
+	case err != nil || !ok:
+		return configlog.Version{}, configlog.ErrOutcomeUnknown
+	case reply.Error != "":
+		return configlog.Version{}, errors.New(reply.Error)
+	}
+	return reply.Version, nil
+}
--- /dev/null
+++ b/fleet/distribution_fetch.go
@@ -0,0 +1,78 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"valveglade/logic/configlog"
+)
+
+// snapshotFrameTimeout is how long a part of a snapshot between voters may take: they come at the pace of the distributor's rate.
+const snapshotFrameTimeout = 15 * time.Second
+
+// errNoSnapshot is returned when no other voter has a snapshot that is wanted.
+var errNoSnapshot = errors.New("no other voter has the snapshot that is wanted")
+
+// fetchSnapshot gets the whole table from another voter, of the first version that wanted accepts.
+func (d *Distribution) fetchSnapshot(ctx context.Context, wanted func(configlog.Version) bool) (*TableState, error) {
+	err := errNoSnapshot
+	for _, name := range uniqueNames(d.cfg.Voters) {
+		if name == d.cfg.Name {
+			continue
+		}
+		state, failed := d.fetchSnapshotFrom(ctx, name, wanted)
+		if failed == nil {
+			return state, nil
+		}
+		err = errors.Join(err, fmt.Errorf("%s: %w", name, failed))
+	}
+	return nil, err
+}
+
+func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string, wanted func(configlog.Version) bool) (*TableState, error) {
+	opening, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := d.opener.OpenStream(opening, name)
+	cancel()
+	if err != nil {
+		return nil, err
+	}
+	defer stream.Close()
+	stop := context.AfterFunc(ctx, func() { stream.Close() })
+	defer stop()
+	const number = 1
+	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: number, All: true}), frameWriteTimeout); err != nil {
+		return nil, err
+	}
+	var stage tableStage
+	var version configlog.Version
+	for sequence := uint64(1); ; sequence++ {
+		payload, err := stream.ReadFrame(snapshotFrameTimeout)
+		if err != nil {
+			return nil, err
+		}
+		message, err := decodeFrame(payload)
+		if err != nil {
+			return nil, err
+		}
+		switch m := message.(type) {
+		case configlog.Welcome:
+			if sequence != 1 || m.Mode != configlog.WelcomeSnapshot || !wanted(m.Version) {
+				return nil, errNoSnapshot
+			}
+			version = m.Version
+		case configlog.SnapshotPart:
+			if m.Sequence != sequence || sequence == 1 {
+				return nil, errMalformed
+			}
+			stage.add(m.Records)
+			if m.Done {
+				table, err := stage.table()
+				return &TableState{Table: table, Version: version}, err
+			}
+		default:
+			return nil, errMalformed
+		}
+	}
+}
--- /dev/null
+++ b/fleet/distribution_file.go
@@ -0,0 +1,238 @@
+package fleet
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/google/renameio/v2"
+	"go.uber.org/zap"
+
+	"valveglade/logic/configlog"
+	"valveglade/store/configstore"
+)
+
+// When an app server's own file is written.
+const (
+	fileBatch        = 256  // changes that wait
+	maxFileBatch     = 4096 // past it the whole table is written instead
+	filePause        = 2 * time.Second
+	fileDelay        = 10 * time.Second // of the first change that waits
+	fileVersionDelay = 30 * time.Second // of a version that has moved without a change here
+	fileRetry        = 5 * time.Second
+	fileTick         = 500 * time.Millisecond
+)
+
+// scopeFile holds a digest of the services that the file is of. It is there while the file may be continued from, and gone while it
+// may not.
+const scopeFile = "config-scope"
+
+// tableFile is an app server's own file of its configuration. Who has something to save never waits for the disk.
+type tableFile struct {
+	d      *Distribution
+	digest string // of the scope
+	store  *configstore.Store
+
+	mu        sync.Mutex
+	state     *TableState       // to be saved
+	pending   []configlog.Entry // of it, that are not saved
+	whole     bool              // all of it is to be written
+	invalid   bool              // what is saved is not to be continued from
+	lastSaved uint64            // index that the file reaches
+	first     time.Time         // of what waits
+	last      time.Time
+	failing   bool
+}
+
+func newTableFile(d *Distribution, scope followerScope) *tableFile {
+	text := "all"
+	if !scope.all {
+		text = "services " + strings.Join(slices.Compact(slices.Sorted(slices.Values(scope.services))), " ")
+	}
+	sum := sha256.Sum256([]byte(text))
+	return &tableFile{d: d, digest: hex.EncodeToString(sum[:])}
+}
+
+func (f *tableFile) scopePath() string { return filepath.Join(f.d.cfg.Folder, scopeFile) }
+
+// load opens the file and gives what it has, nil if that is nothing that this app server may continue from.
+func (f *tableFile) load() *TableState {
+	store, found, err := configstore.Open(f.d.cfg.Folder, f.d.cfg.Name)
+	if err != nil {
+		f.d.log.Error("configuration: no file of its own", zap.Error(err))
+		return nil
+	}
+	f.store = store
+	f.d.logRefusedFiles(found.Refused)
+	digest, err := os.ReadFile(f.scopePath())
+	if err != nil || string(digest) != f.digest {
+		return nil
+	}
+	entries, err := readEntries(store)
+	if err != nil {
+		f.d.log.Error("configuration: its own file can not be read", zap.Error(err))
+		return nil
+	}
+	state := f.d.applyEntries(&TableState{Table: found.Table, Version: logVersion(found.Version)}, entries)
+	if state.Version.Index == 0 {
+		return nil
+	}
+	f.lastSaved = state.Version.Index
+	f.d.log.Info("configuration: continues from its own file", zap.Uint64("version", state.Version.Index), zap.Int("entries", state.Table.Len()))
+	return state
+}
+
+// append takes changes to be saved, and the table with them.
+func (f *tableFile) append(entries []configlog.Entry, state *TableState) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.state = state
+	if len(entries) == 0 {
+		return
+	}
+	f.note()
+	if f.whole {
+		return
+	}
+	if len(f.pending)+len(entries) > maxFileBatch {
+		f.d.counts.skippedWrites.Add(int64(len(f.pending) + len(entries)))
+		f.pending, f.whole = nil, true
+		return
+	}
+	f.pending = append(f.pending, entries...)
+}
+
+// replace takes a whole table to be saved.
+func (f *tableFile) replace(state *TableState) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.note()
+	f.state, f.pending, f.whole = state, nil, true
+}
+
+// invalidate has what is saved not be continued from.
+func (f *tableFile) invalidate() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.note()
+	f.invalid = true
+}
+
+// note takes the time of something to be saved.
+func (f *tableFile) note() {
+	f.last = time.Now()
+	if f.first.IsZero() {
+		f.first = f.last
+	}
+}
+
+// run saves what waits, until ctx ends; then all that is left.
+func (f *tableFile) run(ctx context.Context) {
+	if f.store == nil {
+		return
+	}
+	defer func() { f.store.Close() }()
+	tick := time.NewTicker(fileTick)
+	defer tick.Stop()
+	saved, retryAt := time.Now(), time.Time{}
+	for {
+		select {
+		case <-ctx.Done():
+			f.save()
+			return
+		case <-tick.C:
+		}
+		if time.Now().Before(retryAt) || !f.due(saved) {
+			continue
+		}
+		saved = time.Now()
+		if !f.save() {
+			retryAt = time.Now().Add(fileRetry)
+		}
+	}
+}
+
+// due reports whether something is to be saved now.
+func (f *tableFile) due(saved time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := time.Now()
+	if !f.first.IsZero() {
+		return f.invalid || len(f.pending) >= fileBatch || now.Sub(f.last) >= filePause || now.Sub(f.first) >= fileDelay
+	}
+	return f.state != nil && f.state.Version.Index > f.lastSaved && now.Sub(saved) >= fileVersionDelay
+}
+
+// save writes what waits. It reports false after a fault of the disk; the whole table is written then the next time.
+func (f *tableFile) save() bool {
+	f.mu.Lock()
+	state, pending, whole, invalid := f.state, f.pending, f.whole, f.invalid
+	f.pending, f.whole, f.invalid, f.first = nil, false, false, time.Time{}
+	f.mu.Unlock()
+	err := f.write(state, pending, whole, invalid)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err != nil {
+		f.d.counts.failedWrites.Add(1)
+		f.pending, f.whole, f.invalid = nil, true, invalid || f.invalid
+		f.note()
+	} else if state != nil {
+		f.lastSaved = state.Version.Index
+	}
+	if f.failing != (err != nil) {
+		f.failing = err != nil
+		f.d.log.Warn("configuration: its own file", zap.Bool("kept", err == nil), zap.Error(err))
+	}
+	return err == nil
+}
+
+func (f *tableFile) write(state *TableState, pending []configlog.Entry, whole, invalid bool) error {
+	if invalid || whole {
+		if err := os.Remove(f.scopePath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+	}
+	if state == nil || invalid && !whole {
+		return nil // a snapshot comes, and is saved whole
+	}
+	if whole {
+		if err := f.store.Install(state.Table, storedVersion(state.Version)); err != nil {
+			return err
+		}
+		return renameio.WriteFile(f.scopePath(), []byte(f.digest), 0o600, renameio.WithTempDir(f.d.cfg.Folder))
+	}
+	return f.extend(state, pending)
+}
+
+// extend appends changes, and the version where it has gone on without one.
+func (f *tableFile) extend(state *TableState, pending []configlog.Entry) error {
+	entries := storedEntries(pending)
+	last := f.lastSaved
+	if len(pending) > 0 {
+		last = pending[len(pending)-1].Index
+	}
+	if state.Version.Index > last {
+		entries = append(entries, configstore.Entry{Term: state.Version.Term, Index: state.Version.Index})
+	}
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := f.store.Append(entries); err != nil {
+		return err
+	}
+	if err := f.store.Sync(); err != nil {
+		return err
+	}
+	if f.store.LogBytes() < compactLogBytes {
+		return nil
+	}
+	return f.store.Compact(state.Table, storedVersion(state.Version))
+}
--- /dev/null
+++ b/fleet/distribution_follower.go
@@ -0,0 +1,339 @@
+package fleet
+
+import (
+	"context"
+	"math"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/configlog"
+	"valveglade/member"
+)
+
+// Bounds and times of an app server's subscription.
+const (
+	followerInbox      = 64 // events that may wait; the connection's reader waits itself
+	followerQueue      = 32 // frames that wait to be sent to the distributor
+	followerTick       = 250 * time.Millisecond
+	followerSilent     = 7.0 // seconds without a word from the distributor: three heartbeats
+	followerBackoff    = 0.5 // seconds
+	followerMaxBackoff = 8.0 // seconds
+	followerMaxLookups = 16
+	connectTimeout     = 4 * time.Second
+	badSnapshotWait    = 10 * time.Second
+)
+
+// followerScope is what a subscription is for, and whom it may be had from.
+type followerScope struct {
+	all          bool
+	services     []string
+	distributors []string
+}
+
+// Events of the follower's loop. Connections are numbered; what comes of a former one is passed over.
+type (
+	connectionOpened struct {
+		number uint64
+		stream *member.Stream
+	}
+	connectionEnded struct{ number uint64 }
+	frameReceived   struct {
+		number  uint64
+		payload []byte
+	}
+	lookupAsked struct {
+		kind  configlog.Kind
+		name  string
+		reply chan configlog.LookupDone // holds one
+	}
+)
+
+// followerLoop drives an app server's configlog.Follower.
+type followerLoop struct {
+	d       *Distribution
+	scope   followerScope
+	inbox   chan any
+	file    *tableFile // nil where nothing lasts
+	status  atomic.Pointer[configlog.Status]
+	knownAt atomic.Uint64 // bits of the time when the table was last known to be as new as the leader's
+	bytes   atomic.Int64  // read and written by former connections
+
+	machine *configlog.Follower
+	stage   *tableStage
+	number  uint64 // of the connection
+	cancel  context.CancelFunc
+	queue   chan []byte // of the connection, nil without one
+	lastID  uint64
+	lookups map[uint64]chan configlog.LookupDone
+}
+
+func newFollowerLoop(d *Distribution, scope followerScope) *followerLoop {
+	l := &followerLoop{d: d, scope: scope, inbox: make(chan any, followerInbox), lookups: map[uint64]chan configlog.LookupDone{}}
+	l.status.Store(&configlog.Status{Age: math.Inf(1), Stale: true})
+	l.knownAt.Store(math.Float64bits(math.Inf(-1)))
+	if d.cfg.Folder != "" {
+		l.file = newTableFile(d, scope)
+	}
+	return l
+}
+
+// age is how old the knowledge of the configuration is, in seconds; infinite before the first word of a distributor.
+func (l *followerLoop) age() float64 {
+	return max(clock()-math.Float64frombits(l.knownAt.Load()), 0)
+}
+
+// run drives the machine until ctx ends.
+func (l *followerLoop) run(ctx context.Context) {
+	if l.file != nil {
+		if state := l.file.load(); state != nil {
+			l.d.replaceTable(ctx, state)
+		}
+		saved := make(chan struct{})
+		go func() {
+			defer close(saved)
+			defer l.d.recoverPanic("file")
+			l.file.run(ctx)
+		}()
+		defer func() { <-saved }()
+	}
+	l.begin(l.d.Table().Version)
+	defer l.disconnect()
+	tick := time.NewTicker(followerTick)
+	defer tick.Stop()
+	for {
+		l.carryOut(ctx)
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-l.inbox:
+			l.handle(event)
+		case <-tick.C:
+			l.machine.Tick(clock())
+		}
+	}
+}
+
+// begin makes the machine, with a table of a version.
+func (l *followerLoop) begin(version configlog.Version) {
+	l.machine = configlog.NewFollower(configlog.FollowerConfig{Name: l.d.cfg.Name, Services: l.scope.services, All: l.scope.all,
+		Distributors: l.scope.distributors, BytesPerSecond: l.d.cfg.BytesPerSecond, StaleAfter: l.d.cfg.StaleAfter, SilentAfter: followerSilent,
+		BackoffMin: followerBackoff, BackoffMax: followerMaxBackoff, Seed: rand.Uint64(), MaxLookups: followerMaxLookups}, version, clock())
+	l.machine.Tick(clock())
+}
+
+// handle has the machine take one event.
+func (l *followerLoop) handle(event any) {
+	now := clock()
+	switch e := event.(type) {
+	case connectionOpened:
+		if e.number == l.number {
+			l.machine.Connected(now)
+		}
+	case connectionEnded:
+		if e.number == l.number {
+			l.disconnect()
+			l.machine.Disconnected(now)
+		}
+	case frameReceived:
+		if e.number == l.number {
+			l.step(e.payload)
+		}
+	case lookupAsked:
+		l.lastID++
+		if err := l.machine.Lookup(l.lastID, e.kind, e.name, now); err != nil {
+			e.reply <- configlog.LookupDone{Err: err}
+			return
+		}
+		l.lookups[l.lastID] = e.reply
+	}
+}
+
+// step has the machine take one frame. What it refuses is counted, and changes nothing.
+func (l *followerLoop) step(payload []byte) {
+	decoded, err := decodeFrame(payload)
+	message, ok := decoded.(configlog.StreamMessage)
+	if err != nil || !ok {
+		l.d.counts.malformedFrames.Add(1)
+		l.disconnect()
+		l.machine.Disconnected(clock())
+		return
+	}
+	if err := l.machine.Step(message, clock()); err != nil {
+		l.d.counts.refusedFrames.Add(1)
+		l.d.log.Warn("configuration: a message of a distributor was refused", zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
+	}
+}
+
+// carryOut does what the machine has to do, in the order that it asks for.
+func (l *followerLoop) carryOut(ctx context.Context) {
+	for _, action := range l.machine.Ready() {
+		switch a := action.(type) {
+		case configlog.Connect:
+			l.connect(ctx, a.Distributor)
+		case configlog.Send:
+			l.sendFrame(encodeFrame(a.Message))
+		case configlog.Close:
+			l.disconnect()
+		case configlog.LookupDone:
+			l.answer(a)
+		case configlog.Stage:
+			if a.First || l.stage == nil {
+				l.stage = &tableStage{}
+			}
+			l.stage.add(a.Records)
+		case configlog.Discard:
+			l.stage = nil
+		case configlog.Apply:
+			l.apply(ctx, a)
+		case configlog.Replace:
+			if !l.replace(ctx, a.Version) {
+				return
+			}
+		case configlog.Invalidate:
+			if l.file != nil {
+				l.file.invalidate()
+			}
+		}
+	}
+	l.publish()
+}
+
+// publish makes the machine's status that of the process.
+func (l *followerLoop) publish() {
+	now := clock()
+	status := l.machine.Status(now)
+	l.status.Store(&status)
+	l.knownAt.Store(math.Float64bits(now - status.Age))
+}
+
+// apply has entries take effect, and passes them on to the feed and to the file.
+func (l *followerLoop) apply(ctx context.Context, a configlog.Apply) {
+	state := l.d.applyEntries(l.d.Table(), a.Entries)
+	state.Version = a.Version
+	l.d.table.Store(state)
+	if l.d.feed != nil && len(a.Entries) > 0 {
+		l.d.feed.tell(ctx, entriesCommitted{a.Entries})
+	}
+	if l.file != nil {
+		l.file.append(a.Entries, state)
+	}
+}
+
+// replace has a snapshot take effect. One that can not be read changes nothing; the subscription begins anew after a while.
+func (l *followerLoop) replace(ctx context.Context, version configlog.Version) bool {
+	stage := l.stage
+	l.stage = nil
+	if stage == nil {
+		stage = &tableStage{}
+	}
+	table, err := stage.table()
+	if err != nil {
+		l.d.counts.malformedFrames.Add(1)
+		l.d.log.Error("configuration: a snapshot can not be read", zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
+		l.disconnect()
+		sleepContext(ctx, badSnapshotWait)
+		l.begin(l.d.Table().Version)
+		return false
+	}
+	state := &TableState{Table: table, Version: version}
+	l.d.replaceTable(ctx, state)
+	l.d.log.Info("configuration: snapshot taken", zap.Uint64("version", version.Index), zap.Int("entries", table.Len()))
+	if l.file != nil {
+		l.file.replace(state)
+	}
+	return true
+}
+
+// connect opens a connection; the outcome comes back as an event.
+func (l *followerLoop) connect(ctx context.Context, distributor string) {
+	l.disconnect()
+	ctx, l.cancel = context.WithCancel(ctx)
+	number, queue := l.number, make(chan []byte, followerQueue)
+	l.queue = queue
+	go l.serve(ctx, number, distributor, queue)
+}
+
+// disconnect ends the connection, if there is one.
+func (l *followerLoop) disconnect() {
+	l.number++
+	l.queue = nil
+	if l.cancel != nil {
+		l.cancel()
+		l.cancel = nil
+	}
+}
+
+// sendFrame queues a frame for the distributor. A queue that is full ends the connection: the distributor does not read.
+func (l *followerLoop) sendFrame(frame []byte) {
+	if l.queue == nil {
+		return
+	}
+	select {
+	case l.queue <- frame:
+	default:
+		l.cancel()
+	}
+}
+
+// serve is one connection: it reads here, and writes in a goroutine of its own.
+func (l *followerLoop) serve(ctx context.Context, number uint64, distributor string, queue <-chan []byte) {
+	defer l.d.recoverPanic("connection")
+	defer l.post(ctx, connectionEnded{number})
+	opening, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := l.d.opener.OpenStream(opening, distributor)
+	cancel()
+	if err != nil {
+		l.d.log.Debug("configuration: no connection", zap.String("distributor", distributor), zap.Error(err))
+		return
+	}
+	defer func() {
+		stream.Close()
+		read, written := stream.Bytes()
+		l.bytes.Add(read + written)
+	}()
+	stop := context.AfterFunc(ctx, func() { stream.Close() })
+	defer stop()
+	l.post(ctx, connectionOpened{number, stream})
+	go writeFrames(ctx, stream, queue)
+	for {
+		payload, err := stream.ReadFrame(2 * time.Duration(followerSilent*float64(time.Second)))
+		if err != nil {
+			return
+		}
+		l.post(ctx, frameReceived{number, payload})
+	}
+}
+
+// post has the loop take an event, unless the connection that it is of has been given up.
+func (l *followerLoop) post(ctx context.Context, event any) {
+	select {
+	case l.inbox <- event:
+	case <-ctx.Done():
+	}
+}
+
+// writeFrames writes what is queued until the connection ends.
+func writeFrames(ctx context.Context, stream *member.Stream, queue <-chan []byte) {
+	defer stream.Close()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case frame := <-queue:
+			if stream.WriteFrame(frame, frameWriteTimeout) != nil {
+				return
+			}
+		}
+	}
+}
+
+// answer gives the outcome of a lookup to whoever waits for it.
+func (l *followerLoop) answer(done configlog.LookupDone) {
+	if reply := l.lookups[done.ID]; reply != nil {
+		delete(l.lookups, done.ID)
+		reply <- done
+	}
+}
--- /dev/null
+++ b/fleet/distribution_lookup.go
@@ -0,0 +1,153 @@
+package fleet
+
+import (
+	"container/list"
+	"context"
+	"slices"
+	"strings"
+	"sync"
+
+	"valveglade/logic/configlog"
+	"valveglade/logic/configtable"
+)
+
+// Bounds of what is kept of lookups.
+const (
+	lookupCacheEntries = 4096
+	lookupCacheTime    = 9.0 // seconds: half of the time in which a change is to be in force everywhere
+)
+
+// LookupResult is one entry as of a version.
+type LookupResult struct {
+	Found   bool
+	Value   configtable.Value // zero unless Found
+	Version configlog.Version
+	Cached  bool // it was looked up up to lookupCacheTime ago
+}
+
+// Lookup finds an entry: here, where its service is served, or at the distributor. What the distributor answers is kept for some
+// seconds. It waits for the network, so it is not for an RPC's way.
+func (d *Distribution) Lookup(ctx context.Context, kind configtable.Kind, service, name string) (LookupResult, error) {
+	key := lookupKey(service, name)
+	if d.serves(service) {
+		state := d.Table()
+		change, found := lookupTable(state.Table, kind, key)
+		return LookupResult{Found: found, Value: change.Value, Version: state.Version}, nil
+	}
+	if result, ok := d.cache.get(kind, key, clock()); ok {
+		return result, nil
+	}
+	asked := lookupAsked{kind: configlog.Kind(kind), name: key, reply: make(chan configlog.LookupDone, 1)}
+	select {
+	case d.follower.inbox <- asked:
+	case <-ctx.Done():
+		return LookupResult{}, ctx.Err()
+	}
+	select {
+	case done := <-asked.reply:
+		return d.lookedUp(kind, service, key, done)
+	case <-ctx.Done():
+		return LookupResult{}, ctx.Err()
+	}
+}
+
+// lookedUp reads the outcome of a lookup and keeps it.
+func (d *Distribution) lookedUp(kind configtable.Kind, service, key string, done configlog.LookupDone) (LookupResult, error) {
+	if done.Err != nil {
+		return LookupResult{}, done.Err
+	}
+	result := LookupResult{Found: done.Reply.Found, Version: done.Reply.Version}
+	if result.Found {
+		change, err := configtable.DecodeEntry(service, done.Reply.Value)
+		if err != nil {
+			d.counts.malformedFrames.Add(1)
+			return LookupResult{}, err
+		}
+		result.Value = change.Value
+	}
+	d.cache.put(kind, key, result, clock())
+	return result, nil
+}
+
+// serves reports whether the table here has all entries of a service.
+func (d *Distribution) serves(service string) bool {
+	return d.follower == nil || d.follower.scope.all || slices.Contains(d.follower.scope.services, service)
+}
+
+// lookupKey is how service and name are told in a lookup; neither contains the separator.
+func lookupKey(service, name string) string { return service + "\x00" + name }
+
+// lookupTable finds an entry by its key.
+func lookupTable(table configtable.Table, kind configtable.Kind, key string) (configtable.Change, bool) {
+	service, name, ok := strings.Cut(key, "\x00")
+	if !ok {
+		return configtable.Change{}, false
+	}
+	change := configtable.Change{Operation: configtable.Put, Kind: kind, Service: service, Name: name}
+	found := false
+	switch kind {
+	case configtable.Route:
+		change.Value.Route, found = table.Route(service, name)
+	case configtable.Tenant:
+		change.Value.Tenant, found = table.Tenant(service, name)
+	}
+	return change, found
+}
+
+// lookupCache keeps the last results, the least recently used making room.
+type lookupCache struct {
+	mu      sync.Mutex
+	entries map[cacheKey]*list.Element
+	order   *list.List // of cacheEntry, the most recent first
+}
+
+type cacheKey struct {
+	kind configtable.Kind
+	key  string
+}
+
+type cacheEntry struct {
+	key    cacheKey
+	result LookupResult
+	at     float64
+}
+
+func newLookupCache() *lookupCache {
+	return &lookupCache{entries: map[cacheKey]*list.Element{}, order: list.New()}
+}
+
+func (c *lookupCache) get(kind configtable.Kind, key string, now float64) (LookupResult, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	element := c.entries[cacheKey{kind, key}]
+	if element == nil {
+		return LookupResult{}, false
+	}
+	entry := element.Value.(cacheEntry)
+	if now-entry.at > lookupCacheTime {
+		return LookupResult{}, false
+	}
+	c.order.MoveToFront(element)
+	entry.result.Cached = true
+	return entry.result, true
+}
+
+func (c *lookupCache) put(kind configtable.Kind, key string, result LookupResult, now float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	k := cacheKey{kind, key}
+	if element := c.entries[k]; element != nil {
+		c.order.Remove(element)
+	}
+	c.entries[k] = c.order.PushFront(cacheEntry{k, result, now})
+	if c.order.Len() > lookupCacheEntries {
+		oldest := c.order.Remove(c.order.Back()).(cacheEntry)
+		delete(c.entries, oldest.key)
+	}
+}
+
+func (c *lookupCache) len() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.order.Len()
+}
--- /dev/null
+++ b/fleet/distribution_recover.go
@@ -0,0 +1,83 @@
+package fleet
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/configlog"
+	"valveglade/store/configstore"
+)
+
+// recoverFromOthers is for a voter that lost its files, and with them what it promised and acknowledged. It waits for a snapshot
+// of a term that began after that: the leader of such a term recovered the log without this voter. While the term stays the same its
+// leader is asked to end it.
+func (l *replicaLoop) recoverFromOthers(ctx context.Context) error {
+	first := uint64(0)
+	for {
+		state, err := l.d.fetchSnapshot(ctx, func(version configlog.Version) bool {
+			if first == 0 {
+				first = version.Term
+			}
+			return version.Term > first
+		})
+		if err == nil {
+			return l.installRecovered(state)
+		}
+		if first > 0 {
+			l.d.askForNewTerm(ctx, first)
+		}
+		if !l.refuseFor(ctx, snapshotRetryWait) {
+			return ctx.Err()
+		}
+	}
+}
+
+// installRecovered makes a snapshot the voter's files.
+func (l *replicaLoop) installRecovered(state *TableState) error {
+	if err := l.store.SaveVote(configstore.Vote{Term: state.Version.Term}); err != nil {
+		return err
+	}
+	if err := l.store.Install(state.Table, storedVersion(state.Version)); err != nil {
+		return err
+	}
+	l.d.log.Info("configuration: this voter has files again", zap.Uint64("term", state.Version.Term), zap.Uint64("version", state.Version.Index))
+	return l.store.Close()
+}
+
+// askForNewTerm asks all other voters to end a term; the leader among them does.
+func (d *Distribution) askForNewTerm(ctx context.Context, term uint64) {
+	for _, name := range uniqueNames(d.cfg.Voters) {
+		if name == d.cfg.Name {
+			continue
+		}
+		opening, cancel := context.WithTimeout(ctx, connectTimeout)
+		stream, err := d.opener.OpenStream(opening, name)
+		cancel()
+		if err != nil {
+			continue
+		}
+		stream.WriteFrame(encodeFrame(newTermRequest{Term: term}), frameWriteTimeout)
+		stream.Close()
+	}
+}
+
+// termRequestEvery is how often a leader may be asked to end its term.
+const termRequestEvery = 10 * time.Second
+
+// endTerm has this leader give up the role, if it leads under that term and has not been asked just now.
+func (d *Distribution) endTerm(term uint64) {
+	if d.replica == nil {
+		return
+	}
+	status := d.replica.status.Load()
+	last := d.replica.askedAt.Load()
+	if status.State != configlog.ReplicaLeads || status.Term != term || time.Since(epoch) < time.Duration(last)+termRequestEvery {
+		return
+	}
+	if d.replica.askedAt.CompareAndSwap(last, int64(time.Since(epoch))) {
+		d.log.Info("configuration: the term ends for a voter that lost its files", zap.Uint64("term", term))
+		d.replica.loseLeadership(term + 1)
+	}
+}
--- /dev/null
+++ b/fleet/distribution_replica.go
@@ -0,0 +1,393 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/configlog"
+	"valveglade/logic/configtable"
+	"valveglade/store/configstore"
+)
+
+// Bounds and times of a voter's copy of the log.
+const (
+	replicaInbox      = 1024 // events that may wait; packets past it are lost
+	replicaKeep       = 20_000
+	replicaMaxOpen    = 4096
+	replicaInFlight   = 16
+	replicaResend     = 0.3  // seconds
+	replicaHeartbeat  = 0.25 // seconds
+	reopenAfter       = time.Second
+	snapshotRetryWait = 2 * time.Second
+)
+
+// Errors of a proposal beside those of configlog.
+var (
+	errStorage   = errors.New("the log can not be written here")
+	errNotReady  = errors.New("this voter lost its files and has not recovered them yet")
+	errShutdown  = errors.New("this app server stops")
+	errCrowded   = errors.New("too many changes wait already")
+	errNotLeader = errors.New("no leader of the configuration is known")
+)
+
+// Events of the replica's loop.
+type (
+	envelopeReceived struct{ envelope configlog.Envelope }
+	leadBegins       struct {
+		term  uint64
+		reply chan error
+	}
+	leadEnds        struct{}
+	changesProposed struct {
+		changes []configtable.Change
+		reply   chan proposalOutcome // holds one
+	}
+	snapshotFetched struct{ state *TableState }
+	snapshotFailed  struct{}
+)
+
+// proposalOutcome is what became of proposed changes. Of a refusal, At is the first change that is at fault and nothing was changed.
+type proposalOutcome struct {
+	Version configlog.Version
+	At      int
+	Err     error
+}
+
+// proposal is a set of changes that waits for the commit of all of them.
+type proposal struct {
+	waiting int
+	outcome proposalOutcome
+	reply   chan proposalOutcome
+}
+
+// replicaLoop drives a voter's configlog.Replica. Its goroutine does the disk's work too: a slow disk holds up the voter's part
+// in the log, and nothing else.
+type replicaLoop struct {
+	d       *Distribution
+	inbox   chan any
+	lost    chan uint64 // holds the higher term when leadership is lost
+	status  atomic.Pointer[configlog.ReplicaStatus]
+	askedAt atomic.Int64 // when a voter last asked for a new term, nanoseconds since epoch
+	ready   atomic.Bool  // the files are open, so that this voter may campaign
+
+	machine     *configlog.Replica // nil while the files can not be opened
+	store       *configstore.Store
+	speculative configtable.Table // the leader's table with all open proposals applied
+	lastID      uint64
+	proposals   map[uint64]*proposal // by the id of each change
+	fetching    bool
+	failing     bool
+	wait        *time.Timer
+}
+
+func newReplicaLoop(d *Distribution) *replicaLoop {
+	l := &replicaLoop{d: d, inbox: make(chan any, replicaInbox), lost: make(chan uint64, 1), proposals: map[uint64]*proposal{}}
+	l.status.Store(&configlog.ReplicaStatus{Age: maxSeconds})
+	return l
+}
+
+// lead is the work of the elected role.
+func (d *Distribution) lead(ctx context.Context, term uint64) error {
+	l := d.replica
+	select {
+	case <-l.lost: // of an earlier term
+	default:
+	}
+	begins := leadBegins{term, make(chan error, 1)}
+	if err := l.tell(ctx, begins); err != nil {
+		return err
+	}
+	defer l.tell(context.WithoutCancel(ctx), leadEnds{})
+	select {
+	case err := <-begins.reply:
+		if err != nil {
+			d.log.Warn("configuration: not led", zap.Uint64("term", term), zap.Error(err))
+			return &Late{Term: term, Known: term + 1} // another voter is to campaign
+		}
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case known := <-l.lost:
+		return &Late{Term: term, Known: known}
+	}
+}
+
+// tell has the loop take an event; it waits while the disk is slow.
+func (l *replicaLoop) tell(ctx context.Context, event any) error {
+	ctx, cancel := context.WithTimeout(ctx, frameWriteTimeout)
+	defer cancel()
+	select {
+	case l.inbox <- event:
+		return nil
+	case <-ctx.Done():
+		return errCrowded
+	}
+}
+
+// run drives the machine until ctx ends; a fault of the disk has the files be opened anew.
+func (l *replicaLoop) run(ctx context.Context) {
+	defer l.close()
+	tick := time.NewTicker(distributionTick)
+	defer tick.Stop()
+	for {
+		if l.machine == nil && !l.open(ctx) {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-l.inbox:
+			l.handle(ctx, event)
+		case <-tick.C:
+			l.machine.Tick(clock())
+		}
+		if err := l.carryOut(ctx); err != nil {
+			l.fail(err)
+		}
+	}
+}
+
+// open opens the files and makes the machine; it tries again until ctx ends.
+func (l *replicaLoop) open(ctx context.Context) bool {
+	for {
+		stored, err := l.recover(ctx)
+		if err == nil {
+			cfg := configlog.ReplicaConfig{Name: l.d.cfg.Name, Voters: l.d.cfg.Voters, KeepEntries: replicaKeep, MaxOpen: replicaMaxOpen,
+				MessageBytes: maxReplicationEntries, MaxInFlight: replicaInFlight, ResendAfter: replicaResend, HeartbeatEvery: replicaHeartbeat}
+			l.machine = configlog.NewReplica(cfg, stored, clock())
+			l.failing = false
+			l.ready.Store(true)
+			return true
+		}
+		l.fail(err)
+		if !l.refuseFor(ctx, reopenAfter) {
+			return false
+		}
+	}
+}
+
+// recover reads what the disk has, and has the table there take effect.
+func (l *replicaLoop) recover(ctx context.Context) (configlog.Stored, error) {
+	if l.d.cfg.Folder == "" {
+		return configlog.Stored{}, errors.New("a voter of the configuration needs a folder that lasts")
+	}
+	store, found, err := configstore.Open(l.d.cfg.Folder, l.d.cfg.Name)
+	if err != nil {
+		return configlog.Stored{}, err
+	}
+	l.store = store
+	if len(found.Refused) > 0 {
+		l.d.logRefusedFiles(found.Refused)
+		if err := l.recoverFromOthers(ctx); err != nil {
+			return configlog.Stored{}, err
+		}
+		return l.recover(ctx)
+	}
+	entries, err := readEntries(store)
+	if err != nil {
+		return configlog.Stored{}, err
+	}
+	base := logVersion(found.Version)
+	if base.Index > l.d.Table().Version.Index {
+		l.d.replaceTable(ctx, &TableState{Table: found.Table, Version: base})
+	}
+	return configlog.Stored{Promised: found.Vote.Term, Base: base, LastOfService: lastOfService(found.Table), Entries: entries, Commit: base.Index}, nil
+}
+
+// refuseFor refuses all that comes for some time; it reports false once ctx has ended.
+func (l *replicaLoop) refuseFor(ctx context.Context, wait time.Duration) bool {
+	over := time.After(wait)
+	for {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-over:
+			return true
+		case event := <-l.inbox:
+			refuseEvent(event, errNotReady)
+		}
+	}
+}
+
+// refuseEvent answers what waits for an answer.
+func refuseEvent(event any, err error) {
+	switch e := event.(type) {
+	case leadBegins:
+		e.reply <- err
+	case changesProposed:
+		e.reply <- proposalOutcome{Err: err}
+	}
+}
+
+// fail drops the machine after a fault of the disk.
+func (l *replicaLoop) fail(err error) {
+	l.d.counts.failedWrites.Add(1)
+	if !l.failing {
+		l.failing = true
+		l.d.log.Error("the log of the configuration can not be kept: this voter is silent until it can", zap.Error(err))
+	}
+	l.endProposals(errStorage)
+	l.loseLeadership(l.status.Load().Term + 1)
+	l.machine = nil
+	l.ready.Store(false)
+	if l.store != nil {
+		l.store.Close()
+		l.store = nil
+	}
+}
+
+func (l *replicaLoop) close() {
+	l.endProposals(errShutdown)
+	if l.store != nil {
+		l.store.Close()
+	}
+}
+
+func (l *replicaLoop) loseLeadership(known uint64) {
+	select {
+	case l.lost <- known:
+	default:
+	}
+}
+
+// handle has the machine take one event.
+func (l *replicaLoop) handle(ctx context.Context, event any) {
+	switch e := event.(type) {
+	case envelopeReceived:
+		l.machine.Step(e.envelope, clock())
+	case leadBegins:
+		e.reply <- l.machine.Lead(e.term, clock())
+	case leadEnds:
+		l.machine.StepDown()
+	case changesProposed:
+		l.propose(e)
+	case snapshotFetched:
+		l.fetching = false
+		l.install(ctx, e.state)
+	case snapshotFailed:
+		l.fetching = false
+	}
+}
+
+// install has the log go on from another voter's snapshot.
+func (l *replicaLoop) install(ctx context.Context, state *TableState) {
+	if state.Version.Index <= l.d.Table().Version.Index || !l.machine.InstallSnapshot(state.Version, lastOfService(state.Table), clock()) {
+		return
+	}
+	l.d.log.Info("configuration: snapshot taken from another voter", zap.Uint64("version", state.Version.Index))
+	l.d.replaceTable(ctx, state)
+}
+
+// carryOut does what the machine has to do, in the order that it asks for.
+func (l *replicaLoop) carryOut(ctx context.Context) error {
+	ready := l.machine.Ready()
+	if err := l.persist(ready.Persist); err != nil {
+		return err
+	}
+	for _, envelope := range ready.Messages {
+		l.d.send(envelope.To, encodeReplication(envelope.Message))
+	}
+	l.d.applyCommitted(ctx, ready.Committed)
+	for _, result := range ready.Results {
+		l.resolve(result)
+	}
+	if ready.StaleTerm > 0 {
+		l.loseLeadership(ready.StaleTerm)
+	}
+	if ready.NeedSnapshot != (configlog.Version{}) && !l.fetching {
+		l.fetching = true
+		go l.fetch(ctx, ready.NeedSnapshot)
+	}
+	status := l.machine.Status(clock())
+	l.status.Store(&status)
+	return l.compact()
+}
+
+// persist writes, durably, what messages of the same Ready rely on.
+func (l *replicaLoop) persist(p configlog.Persist) error {
+	if p.Promised > 0 {
+		if err := l.store.SaveVote(configstore.Vote{Term: p.Promised}); err != nil {
+			return err
+		}
+	}
+	if p.Reset {
+		state := l.d.Table()
+		if err := l.store.Install(state.Table, storedVersion(p.Base)); err != nil {
+			return err
+		}
+	}
+	if p.TruncateFrom > 0 {
+		if err := l.store.Truncate(p.TruncateFrom); err != nil {
+			return err
+		}
+	}
+	if len(p.Entries) == 0 {
+		return nil
+	}
+	if err := l.store.Append(storedEntries(p.Entries)); err != nil {
+		return err
+	}
+	return l.store.Sync()
+}
+
+// compact writes a snapshot of what is committed once the log's file has grown.
+func (l *replicaLoop) compact() error {
+	if l.store.LogBytes() < compactLogBytes {
+		return nil
+	}
+	state := l.d.Table()
+	return l.store.Compact(state.Table, storedVersion(state.Version))
+}
+
+// fetch gets a snapshot for a voter that is too far behind.
+func (l *replicaLoop) fetch(ctx context.Context, least configlog.Version) {
+	defer l.d.recoverPanic("snapshot")
+	state, err := l.d.fetchSnapshot(ctx, func(version configlog.Version) bool { return version.Index >= least.Index })
+	var event any = snapshotFailed{}
+	if err == nil {
+		event = snapshotFetched{state}
+	} else {
+		sleepContext(ctx, snapshotRetryWait)
+	}
+	select {
+	case l.inbox <- event:
+	case <-ctx.Done():
+	}
+}
+
+func sleepContext(ctx context.Context, wait time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(wait):
+	}
+}
+
+// applyCommitted has committed entries take effect here, and passes them on to the feed. Those that the table has are skipped.
+func (d *Distribution) applyCommitted(ctx context.Context, entries []configlog.Entry) {
+	state := d.Table()
+	for len(entries) > 0 && entries[0].Index <= state.Version.Index {
+		entries = entries[1:]
+	}
+	if len(entries) == 0 {
+		return
+	}
+	d.table.Store(d.applyEntries(state, entries))
+	if d.feed != nil {
+		d.feed.tell(ctx, entriesCommitted{entries})
+	}
+}
+
+// replaceTable has a whole table take effect.
+func (d *Distribution) replaceTable(ctx context.Context, state *TableState) {
+	d.table.Store(state)
+	if d.feed != nil {
+		d.feed.tell(ctx, tableReplaced{state.Version})
+	}
+}
--- /dev/null
+++ b/fleet/distribution_socket.go
@@ -0,0 +1,169 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"maps"
+	"net"
+	"os"
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/configtable"
+)
+
+func sortedCauses(counts map[string]int64) []string { return slices.Sorted(maps.Keys(counts)) }
+
+// ConfigSocket is the local socket of the distribution beside that of the view.
+func ConfigSocket(viewSocket string) string { return viewSocket + ".config" }
+
+// SocketDescriptors is how many descriptors the local socket takes at the most: itself and its clients.
+const SocketDescriptors = 1 + socketClients
+
+// Bounds of the local socket.
+const (
+	socketClients        = 4
+	maxSocketRequest     = 128 << 10 // bytes of JSON
+	socketRequestTimeout = 2 * time.Second
+	socketReplyTimeout   = 20 * time.Second
+)
+
+// socketRequest is what a client of the local socket asks: for changes to be applied, for one entry, or else for the status.
+type socketRequest struct {
+	Apply  bool         `json:"apply,omitempty"`
+	Path   string       `json:"path,omitempty"`
+	Text   []byte       `json:"text,omitempty"`
+	Lookup *EntryLookup `json:"lookup,omitempty"`
+}
+
+// EntryLookup names one entry.
+type EntryLookup struct {
+	Kind    configtable.Kind `json:"kind"`
+	Service string           `json:"service"`
+	Name    string           `json:"name"`
+}
+
+// EntryResult is one entry as an app server has it, or as its distributor does.
+type EntryResult struct {
+	Found   bool   `json:"found"`
+	Entry   string `json:"entry,omitempty"` // as in the text form of changes
+	Version uint64 `json:"version"`
+	Cached  bool   `json:"cached,omitempty"`
+	Error   string `json:"error,omitempty"`
+}
+
+// ApplyResult is the outcome of changes that were to be applied.
+type ApplyResult struct {
+	Version uint64 `json:"version,omitempty"`
+	Term    uint64 `json:"term,omitempty"`
+	Error   string `json:"error,omitempty"` // empty when all changes are committed
+}
+
+// serveSocket answers local clients until ctx ends.
+func (d *Distribution) serveSocket(ctx context.Context) {
+	path := d.cfg.Socket
+	if conn, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
+		conn.Close()
+		d.log.Error("configuration: the local socket belongs to a process that runs")
+		return
+	}
+	if at, err := os.Lstat(path); err == nil && at.Mode()&os.ModeSocket != 0 {
+		os.Remove(path) // of one that has ended
+	}
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err == nil {
+		err = os.Chmod(path, 0o600)
+	}
+	if err != nil {
+		d.log.Error("configuration: no local socket", zap.Error(err))
+		return
+	}
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
+	defer stop()
+	places := make(chan struct{}, socketClients)
+	for {
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(20 * time.Millisecond)
+			continue
+		}
+		places <- struct{}{}
+		go func() {
+			defer func() { <-places }()
+			defer d.recoverPanic("socket")
+			d.serveClient(ctx, conn)
+		}()
+	}
+}
+
+func (d *Distribution) serveClient(ctx context.Context, conn net.Conn) {
+	defer conn.Close()
+	conn.SetReadDeadline(time.Now().Add(socketRequestTimeout))
+	var request socketRequest
+	if json.NewDecoder(io.LimitReader(conn, maxSocketRequest)).Decode(&request) != nil {
+		return
+	}
+	var answer any = d.Status()
+	if request.Apply {
+		reply := d.applyText(ctx, applyRequest{Path: request.Path, Text: request.Text})
+		answer = ApplyResult{reply.Version.Index, reply.Version.Term, reply.Error}
+	}
+	if request.Lookup != nil {
+		answer = d.lookupEntry(ctx, *request.Lookup)
+	}
+	conn.SetWriteDeadline(time.Now().Add(socketRequestTimeout))
+	json.NewEncoder(conn).Encode(answer)
+}
+
+func (d *Distribution) lookupEntry(ctx context.Context, lookup EntryLookup) EntryResult {
+	ctx, cancel := context.WithTimeout(ctx, socketRequestTimeout)
+	defer cancel()
+	found, err := d.Lookup(ctx, lookup.Kind, lookup.Service, lookup.Name)
+	if err != nil {
+		return EntryResult{Error: err.Error()}
+	}
+	result := EntryResult{Found: found.Found, Version: found.Version.Index, Cached: found.Cached}
+	if found.Found {
+		result.Entry = configtable.Change{Operation: configtable.Put, Kind: lookup.Kind, Service: lookup.Service, Name: lookup.Name,
+			Value: found.Value}.String()
+	}
+	return result
+}
+
+// AskDistribution asks the app server behind a local socket for its status.
+func AskDistribution(socket string) (status DistributionStatus, err error) {
+	err = askSocket(socket, socketRequest{}, &status)
+	return status, err
+}
+
+// ApplyChanges has the app server behind a local socket bring the changes of a text to the leader. A refusal is in the result.
+func ApplyChanges(socket, path string, text []byte) (result ApplyResult, err error) {
+	err = askSocket(socket, socketRequest{Apply: true, Path: path, Text: text}, &result)
+	return result, err
+}
+
+// LookupEntry has the app server behind a local socket look up one entry.
+func LookupEntry(socket string, lookup EntryLookup) (result EntryResult, err error) {
+	err = askSocket(socket, socketRequest{Lookup: &lookup}, &result)
+	return result, err
+}
+
+func askSocket(socket string, request socketRequest, answer any) error {
+	conn, err := net.DialTimeout("unix", socket, time.Second)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(socketReplyTimeout))
+	if err := json.NewEncoder(conn).Encode(request); err != nil {
+		return err
+	}
+	return json.NewDecoder(conn).Decode(answer)
+}
--- /dev/null
+++ b/fleet/distribution_test.go
@@ -0,0 +1,308 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/configtable"
+	"valveglade/logic/owner"
+	"valveglade/logic/view"
+	"valveglade/member"
+)
+
+const distributionPatience = 30 * time.Second
+
+// configNode is one app server of a test's fleet, in this process, over loopback sockets.
+type configNode struct {
+	name    string
+	address netip.AddrPort
+	folder  string
+	cfg     DistributionConfig
+	member  *member.Member
+	*Distribution
+	stop func()
+}
+
+// configFleet is three voters and some app servers.
+type configFleet struct {
+	t     *testing.T
+	nodes map[string]*configNode
+	seeds []netip.AddrPort
+}
+
+var configVoters = []string{"v1", "v2", "v3"}
+
+// newConfigFleet starts voters, and app servers that serve the given services.
+func newConfigFleet(t *testing.T, appServers map[string][]string) *configFleet {
+	t.Helper()
+	t.Parallel()
+	f := &configFleet{t: t, nodes: map[string]*configNode{}}
+	for _, name := range configVoters {
+		f.add(name, DistributionConfig{})
+	}
+	for name, services := range appServers {
+		f.add(name, DistributionConfig{Services: services})
+	}
+	t.Cleanup(func() {
+		for _, n := range f.nodes {
+			n.stop()
+		}
+	})
+	return f
+}
+
+func (f *configFleet) add(name string, cfg DistributionConfig) {
+	cfg.Name, cfg.Voters, cfg.Folder = name, [][]string{configVoters}, f.t.TempDir()
+	cfg.BytesPerSecond, cfg.StaleAfter = 1<<20, 6
+	n := &configNode{name: name, cfg: cfg, folder: cfg.Folder, address: netip.MustParseAddrPort("127.0.0.1:0")}
+	f.nodes[name] = n
+	f.start(name)
+}
+
+// start runs a node, at the address that it had before.
+func (f *configFleet) start(name string) {
+	f.t.Helper()
+	n := f.nodes[name]
+	m, err := member.New(member.Papers{Name: name, Listen: n.address, Join: f.seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
+		Probe: 200 * time.Millisecond, Streams: 64, Terms: view.Defaults()}, zap.NewNop())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	n.member, n.address = m, m.Address()
+	f.seeds = append(f.seeds, n.address)
+	fleet, err := New(Seal{Name: name, Voters: n.cfg.Voters, Folder: n.folder, Span: owner.Span{Lease: 1, Drift: 0.01, Margin: 0.1}}, m, zap.NewNop())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	if n.Distribution, err = fleet.Distribute(n.cfg, m); err != nil {
+		f.t.Fatal(err)
+	}
+	m.HandleStreams(n.ServeStream)
+	ctx, cancel := context.WithCancel(context.Background())
+	var over sync.WaitGroup
+	over.Go(func() { m.Run(ctx) })
+	over.Go(func() { fleet.Run(ctx) })
+	over.Go(func() { n.Distribution.Run(ctx) })
+	n.stop = sync.OnceFunc(func() { cancel(); over.Wait() })
+}
+
+// apply has a text of changes committed through a node, trying again while there is no leader.
+func (f *configFleet) apply(through, text string) uint64 {
+	f.t.Helper()
+	var failed error
+	for end := time.Now().Add(distributionPatience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		version, err := f.nodes[through].apply(context.Background(), applyRequest{Path: "changes", Text: []byte(text)})
+		if err == nil {
+			return version.Index
+		}
+		failed = err
+	}
+	f.t.Fatalf("not applied: %v", failed)
+	return 0
+}
+
+// wait waits for a condition.
+func (f *configFleet) wait(what string, holds func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(distributionPatience); !holds(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			for name, n := range f.nodes {
+				f.t.Logf("%s: %+v", name, n.Status())
+			}
+			f.t.Fatalf("not within %v: %s", distributionPatience, what)
+		}
+	}
+}
+
+func (f *configFleet) quota(node, service, tenant string) float64 {
+	value, ok := f.nodes[node].Distribution.Table().Table.Tenant(service, tenant)
+	if !ok {
+		return -1
+	}
+	return value.QuotaPerSecond
+}
+
+func putTenant(service, tenant string, quota int) string {
+	return fmt.Sprintf("put tenant %s service=%s quota=%d\n", tenant, service, quota)
+}
+
+func TestDistributionReachesWhoServes(t *testing.T) {
+	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}, "a2": {"search"}})
+	version := f.apply("a1", putTenant("billing", "acme", 7)+putTenant("search", "acme", 9))
+	f.wait("both app servers have what they serve", func() bool {
+		return f.quota("a1", "billing", "acme") == 7 && f.quota("a2", "search", "acme") == 9
+	})
+	if f.quota("a1", "search", "acme") != -1 {
+		t.Error("an app server has what it does not serve")
+	}
+	f.wait("all are of one version", func() bool {
+		for _, n := range f.nodes {
+			if s := n.Status(); s.Version < version || s.Stale {
+				return false
+			}
+		}
+		return true
+	})
+	ctx, cancel := context.WithTimeout(context.Background(), distributionPatience)
+	defer cancel()
+	for range 2 {
+		result, err := f.nodes["a1"].Lookup(ctx, configtable.Tenant, "search", "acme")
+		if err != nil || !result.Found || result.Value.Tenant.QuotaPerSecond != 9 || result.Version.Index < version {
+			t.Errorf("looked up: %+v, %v", result, err)
+		}
+	}
+	if result, err := f.nodes["a1"].Lookup(ctx, configtable.Tenant, "search", "nobody"); err != nil || result.Found {
+		t.Errorf("looked up what is absent: %+v, %v", result, err)
+	}
+}
+
+// A set of changes with a fault anywhere changes nothing, and the fault is told with file and line.
+func TestFaultyChangesChangeNothing(t *testing.T) {
+	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
+	f.apply("a1", putTenant("billing", "acme", 7))
+	for _, one := range []struct{ text, fault string }{
+		{putTenant("billing", "acme", 8) + "# a comment\n\nput tenant x service=billing quota=-1\n", "changes:4: x: "},
+		{putTenant("billing", "acme", 8) + "\ndelete tenant absent service=billing\n", "changes:3: absent: "},
+		{"nonsense\n", "changes:1: "},
+		{"# nothing\n", "no change"},
+		{strings.Repeat("#", MaxChangeText+1), "bytes are more than"},
+	} {
+		_, err := f.nodes["a1"].apply(context.Background(), applyRequest{Path: "changes", Text: []byte(one.text)})
+		if err == nil || !strings.Contains(err.Error(), one.fault) {
+			t.Errorf("%.60q: %v", one.text, err)
+		}
+	}
+	f.apply("a1", putTenant("billing", "other", 1))
+	f.wait("the next change is in force", func() bool { return f.quota("a1", "billing", "other") == 1 })
+	if f.quota("a1", "billing", "acme") != 7 {
+		t.Error("a refused set of changes had an effect")
+	}
+}
+
+// A restarted app server goes on from its own file; one that wants other services does not.
+func TestRestartFromOwnFile(t *testing.T) {
+	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
+	last := f.apply("a1", putTenant("billing", "acme", 7))
+	f.wait("in force", func() bool { return f.quota("a1", "billing", "acme") == 7 })
+	f.nodes["a1"].stop()
+	missed := f.apply("v1", putTenant("billing", "acme", 8))
+	f.start("a1")
+	f.wait("what was missed is in force", func() bool {
+		return f.quota("a1", "billing", "acme") == 8 && f.nodes["a1"].Status().Version >= missed
+	})
+	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != 0 || s.Version < last {
+		t.Errorf("restarted from its file: %+v", s)
+	}
+	f.nodes["a1"].stop()
+	f.nodes["a1"].cfg.Services = []string{"search"}
+	f.apply("v1", putTenant("search", "acme", 3))
+	f.start("a1")
+	f.wait("other services are in force", func() bool { return f.quota("a1", "search", "acme") == 3 })
+	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != 1 || f.quota("a1", "billing", "acme") != -1 {
+		t.Errorf("restarted for another service: %+v", s)
+	}
+}
+
+// All voters end and start again, with what is on their disks.
+func TestAllVotersAgain(t *testing.T) {
+	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
+	for k := range 20 {
+		f.apply("a1", putTenant("billing", fmt.Sprint("t", k), k))
+	}
+	f.wait("the app server has all", func() bool { return f.quota("a1", "billing", "t19") == 19 })
+	taken := f.nodes["a1"].Status().SnapshotsTaken
+	for _, name := range configVoters {
+		f.nodes[name].stop()
+	}
+	f.wait("the app server says that it is stale", func() bool { return f.nodes["a1"].Status().Stale })
+	for _, name := range configVoters {
+		f.start(name)
+	}
+	f.apply("v1", putTenant("billing", "after", 1))
+	f.wait("everybody has all", func() bool {
+		for name := range f.nodes {
+			for k := range 20 {
+				if f.quota(name, "billing", fmt.Sprint("t", k)) != float64(k) {
+					return false
+				}
+			}
+			if f.quota(name, "billing", "after") != 1 || f.nodes[name].Status().Stale {
+				return false
+			}
+		}
+		return true
+	})
+	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != taken {
+		t.Errorf("an app server that kept running took %d snapshots after %d", s.SnapshotsTaken, taken)
+	}
+}
+
+// A voter whose file is spoilt is silent until it has a snapshot of a later term, and takes part again then.
+func TestVoterWithSpoiltFile(t *testing.T) {
+	f := newConfigFleet(t, nil)
+	f.apply("v1", putTenant("billing", "acme", 7))
+	f.wait("everywhere", func() bool { return f.quota("v3", "billing", "acme") == 7 })
+	f.nodes["v3"].stop()
+	spoil(t, f.nodes["v3"].folder)
+	f.start("v3")
+	f.apply("v1", putTenant("billing", "acme", 8))
+	f.apply("v1", putTenant("billing", "acme", 9))
+	f.wait("the voter has all again", func() bool { return f.quota("v3", "billing", "acme") == 9 })
+}
+
+// spoil changes a byte in the middle of each file of the log.
+func spoil(t *testing.T, folder string) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(folder, "*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	spoilt := 0
+	for _, path := range files {
+		text, err := os.ReadFile(path)
+		if err != nil || len(text) < 40 || filepath.Base(path) == promiseFile {
+			continue
+		}
+		text[len(text)/2] ^= 0x55
+		if err := os.WriteFile(path, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		spoilt++
+	}
+	if spoilt == 0 {
+		t.Fatal("no file to be spoilt")
+	}
+}
+
+func TestApplyWithoutLeader(t *testing.T) {
+	f := newConfigFleet(t, nil)
+	f.apply("v1", putTenant("billing", "acme", 7))
+	f.nodes["v2"].stop()
+	f.nodes["v3"].stop()
+	f.wait("nobody leads", func() bool { return !f.nodes["v1"].Status().Leads })
+	ctx, cancel := context.WithTimeout(context.Background(), distributionPatience)
+	defer cancel()
+	if _, err := f.nodes["v1"].apply(ctx, applyRequest{Path: "changes", Text: []byte(putTenant("billing", "acme", 8))}); err == nil {
+		t.Error("a change was committed without a majority")
+	} else if errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("no answer: %v", err)
+	}
+}
+
+func TestChangeLine(t *testing.T) {
+	for number, line := range []int{2, 5} {
+		if got := changeLine([]byte("# a\nput x\n\n  # b\nput y\n"), number); got != line {
+			t.Errorf("change %d is in line %d, not %d", number, line, got)
+		}
+	}
+}
--- a/member/member.go
+++ b/member/member.go
@@ -35,6 +35,7 @@
 	Allow     []netip.Prefix
 	Probe     time.Duration // between two probes of others
 	Socket    string        // a local socket that tells the view, empty for none
+	Streams   int           // how many incoming streams of HandleStreams are served at a time
 	Terms     view.Terms
 	Now       func() time.Time // the wall clock, for births; time.Now if nil
 }
@@ -87,7 +88,7 @@
 	if p.Now == nil {
 		p.Now = time.Now
 	}
-	w, err := openWire(p.Listen, p.Allow, log)
+	w, err := openWire(p.Listen, p.Allow, p.Streams, log)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/member/stream.go
@@ -0,0 +1,346 @@
+package member
+
+import (
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"valveglade/logic/view"
+)
+
+// kindStream is a stream of frames between two members, for whoever registers a StreamHandler.
+const kindStream = 's'
+
+// MaxFrame is the largest payload of one frame, in bytes.
+const MaxFrame = 64 << 10
+
+// frameHead is the bytes before a frame's payload: its length and its CRC-32C, four bytes each.
+const frameHead = 8
+
+// maxReason bounds the text of a refusal, in bytes.
+const maxReason = 200
+
+// streamOpenTimeout bounds how long the accepting end waits for the hello and the opening end for its answer.
+const streamOpenTimeout = 2 * time.Second
+
+// OutgoingStreams is how many streams a member opens at a time at the most; they count among its descriptors.
+const OutgoingStreams = 8
+
+// ErrFrameCorrupt is returned for a frame whose length or checksum is wrong. The stream is of no further use.
+var ErrFrameCorrupt = errors.New("corrupt frame")
+
+// ErrUnknownMember is returned by OpenStream for a member whose address is not known.
+var ErrUnknownMember = errors.New("no address is known for this member")
+
+// ErrTooManyStreams is returned by OpenStream while OutgoingStreams are open.
+var ErrTooManyStreams = errors.New("too many outgoing streams")
+
+// StreamRefusedError is the accepting end's reason for not taking a stream.
+type StreamRefusedError struct{ Reason string }
+
+func (e *StreamRefusedError) Error() string { return "stream refused: " + e.Reason }
+
+// StreamHandler serves one incoming stream. The stream is closed when it returns; ctx ends with the member.
+type StreamHandler func(ctx context.Context, s *Stream)
+
+// Stream is a connection between two members that carries frames. One goroutine may read while another writes.
+type Stream struct {
+	conn  net.Conn
+	peer  string
+	read  atomic.Int64
+	wrote atomic.Int64
+	once  sync.Once
+	done  func()
+	head  [frameHead]byte // of the frame being read
+}
+
+// Peer is the name that the other end gave, or that was dialed.
+func (s *Stream) Peer() string { return s.peer }
+
+// Bytes tells how many bytes were read and written, heads of frames included.
+func (s *Stream) Bytes() (read, written int64) { return s.read.Load(), s.wrote.Load() }
+
+// Close ends the stream; a read or write under way returns an error.
+func (s *Stream) Close() error {
+	err := s.conn.Close()
+	s.once.Do(s.done)
+	return err
+}
+
+// ReadFrame returns the next frame's payload, which the caller owns. It waits for at most timeout, or without end if that is 0.
+func (s *Stream) ReadFrame(timeout time.Duration) ([]byte, error) {
+	s.conn.SetReadDeadline(deadlineAfter(timeout))
+	if _, err := io.ReadFull(s.conn, s.head[:]); err != nil {
+		return nil, err
+	}
+	size := binary.BigEndian.Uint32(s.head[:4])
+	if size > MaxFrame {
+		return nil, fmt.Errorf("%w: %d bytes", ErrFrameCorrupt, size)
+	}
+	payload := make([]byte, size)
+	if _, err := io.ReadFull(s.conn, payload); err != nil {
+		return nil, err
+	}
+	if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(s.head[4:]) {
+		return nil, fmt.Errorf("%w: wrong checksum", ErrFrameCorrupt)
+	}
+	s.read.Add(int64(frameHead + len(payload)))
+	return payload, nil
+}
+
+func deadlineAfter(timeout time.Duration) time.Time {
+	if timeout == 0 {
+		return time.Time{}
+	}
+	return time.Now().Add(timeout)
+}
+
+// WriteFrame sends one frame. It waits for at most timeout; after an error the stream is of no further use.
+func (s *Stream) WriteFrame(payload []byte, timeout time.Duration) error {
+	if len(payload) > MaxFrame {
+		return fmt.Errorf("frame of %d bytes: at most %d", len(payload), MaxFrame)
+	}
+	s.conn.SetWriteDeadline(time.Now().Add(timeout))
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHead+len(payload)), uint32(len(payload)))
+	frame = binary.BigEndian.AppendUint32(frame, crc32.Checksum(payload, castagnoli))
+	frame = append(frame, payload...)
+	n, err := s.conn.Write(frame)
+	s.wrote.Add(int64(n))
+	return err
+}
+
+// A hello is the opening end's name and the name that it dialed. The answer is a byte, accepted or refused, and a reason.
+const (
+	streamAccepted = 0
+	streamRefused  = 1
+)
+
+func appendHello(out []byte, from, to string) []byte { return appendText(appendText(out, from), to) }
+
+func readHello(b []byte) (from, to string, err error) {
+	r := reader{b: b}
+	from, to = r.text(), r.text()
+	switch {
+	case r.short || len(r.b) > 0:
+		return "", "", errCut
+	case from == "" || len(from) > mostName || len(to) > mostName:
+		return "", "", fmt.Errorf("a hello from a name of %d bytes to one of %d", len(from), len(to))
+	}
+	return from, to, nil
+}
+
+// streams is what a member keeps of its own and others' streams.
+type streams struct {
+	limit   int // of incoming ones
+	handler atomic.Pointer[StreamHandler]
+	ctx     context.Context
+	cancel  context.CancelFunc
+
+	mu       sync.Mutex
+	closed   bool
+	open     map[*Stream]bool // true for incoming ones
+	incoming int
+	outgoing int
+
+	refused atomic.Int64
+}
+
+func newStreams(limit int) *streams {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &streams{limit: limit, ctx: ctx, cancel: cancel, open: map[*Stream]bool{}}
+}
+
+// add takes a stream in, or tells why it may not be.
+func (t *streams) add(s *Stream, incoming bool) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch {
+	case t.closed:
+		return net.ErrClosed
+	case incoming && t.incoming >= t.limit:
+		return fmt.Errorf("%d streams are open", t.incoming)
+	case !incoming && t.outgoing >= OutgoingStreams:
+		return ErrTooManyStreams
+	}
+	t.open[s] = incoming
+	if incoming {
+		t.incoming++
+	} else {
+		t.outgoing++
+	}
+	return nil
+}
+
+func (t *streams) remove(s *Stream) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	incoming, ok := t.open[s]
+	if !ok {
+		return
+	}
+	delete(t.open, s)
+	if incoming {
+		t.incoming--
+	} else {
+		t.outgoing--
+	}
+}
+
+// close ends all streams, and lets none begin.
+func (t *streams) close() {
+	t.cancel()
+	t.mu.Lock()
+	t.closed = true
+	var all []*Stream
+	for s := range t.open {
+		all = append(all, s)
+	}
+	t.mu.Unlock()
+	for _, s := range all {
+		s.Close()
+	}
+}
+
+// HandleStreams has h serve each incoming stream in a goroutine of its own. Without one all streams are refused.
+func (m *Member) HandleStreams(h StreamHandler) { m.wire.frames.handler.Store(&h) }
+
+// StreamCounts tells how many streams are open each way, and how many incoming ones were refused.
+func (m *Member) StreamCounts() (incoming, outgoing int, refused int64) {
+	t := m.wire.frames
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.incoming, t.outgoing, t.refused.Load()
+}
+
+// OpenStream opens a stream to a member by its name. It fails with a *StreamRefusedError if the other end says no. The
+// caller closes it.
+func (m *Member) OpenStream(ctx context.Context, to string) (*Stream, error) {
+	if m.View().Sure == view.Withdrawn {
+		return nil, net.ErrClosed
+	}
+	m.notes.Lock()
+	at, known := m.notes.at[to]
+	m.notes.Unlock()
+	if to == m.config.Name {
+		at, known = m.wire.listen, true
+	}
+	if !known {
+		return nil, fmt.Errorf("%w: %s", ErrUnknownMember, to)
+	}
+	s := &Stream{peer: to}
+	s.done = func() { m.wire.frames.remove(s) }
+	if err := m.wire.frames.add(s, false); err != nil {
+		return nil, err
+	}
+	conn, err := m.wire.dial(ctx, at.String(), kindStream)
+	if err != nil {
+		m.wire.frames.remove(s)
+		return nil, err
+	}
+	s.conn = conn
+	if err := s.sayHello(ctx, m.config.Name, to); err != nil {
+		s.Close()
+		return nil, err
+	}
+	return s, nil
+}
+
+// DialStream opens a stream to the member of a name at an address, for a process that is no member itself. Local is the
+// address to speak from, nil for any.
+func DialStream(ctx context.Context, local net.Addr, address netip.AddrPort, from, to string) (*Stream, error) {
+	conn, err := (&net.Dialer{LocalAddr: local}).DialContext(ctx, "tcp", address.String())
+	if err != nil {
+		return nil, err
+	}
+	s := &Stream{peer: to, conn: conn, done: func() { /* nobody counts it */ }}
+	conn.SetDeadline(time.Now().Add(streamOpenTimeout))
+	if _, err := conn.Write(append([]byte(magic), kindStream)); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	if err := s.sayHello(ctx, from, to); err != nil {
+		s.Close()
+		return nil, err
+	}
+	return s, nil
+}
+
+// sayHello sends the hello and reads its answer.
+func (s *Stream) sayHello(ctx context.Context, from, to string) error {
+	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
+	defer stop()
+	if err := s.WriteFrame(appendHello(nil, from, to), streamOpenTimeout); err != nil {
+		return err
+	}
+	answer, err := s.ReadFrame(streamOpenTimeout)
+	if err != nil {
+		return err
+	}
+	s.conn.SetDeadline(time.Time{})
+	if len(answer) > 0 && answer[0] == streamAccepted {
+		return nil
+	}
+	if len(answer) < 1 || answer[0] != streamRefused || len(answer) > 1+maxReason {
+		return ErrFrameCorrupt
+	}
+	return &StreamRefusedError{Reason: string(answer[1:])}
+}
+
+// serveStream answers a hello and has the handler serve the stream. Release gives back the place among connections that are
+// being read; a stream has one of its own from then on.
+func (w *wire) serveStream(conn net.Conn, release func()) {
+	s := &Stream{conn: conn}
+	s.done = func() { w.frames.remove(s) }
+	defer s.Close()
+	hello, err := s.ReadFrame(headWait)
+	if err != nil {
+		w.tell(unreadable, conn.RemoteAddr().String(), err)
+		return
+	}
+	from, to, err := readHello(hello)
+	if err != nil {
+		w.tell(unreadable, conn.RemoteAddr().String(), err)
+		return
+	}
+	s.peer = from
+	h, err := w.admitStream(s, to)
+	release()
+	if err != nil {
+		w.frames.refused.Add(1)
+		w.tell(crowded, conn.RemoteAddr().String(), err)
+		reason := err.Error()
+		s.WriteFrame(append([]byte{streamRefused}, reason[:min(len(reason), maxReason)]...), headWait)
+		return
+	}
+	if s.WriteFrame([]byte{streamAccepted}, headWait) != nil {
+		return
+	}
+	conn.SetDeadline(time.Time{})
+	h(w.frames.ctx, s)
+}
+
+// admitStream tells who serves a stream, or why nobody does.
+func (w *wire) admitStream(s *Stream, to string) (StreamHandler, error) {
+	if _, here := w.answer(to); !here {
+		return nil, fmt.Errorf("%s is not here", to)
+	}
+	h := w.frames.handler.Load()
+	if h == nil {
+		return nil, errors.New("no streams are served here")
+	}
+	if err := w.frames.add(s, true); err != nil {
+		w.log.Debug("stream refused", zap.String("from", s.peer), zap.Error(err))
+		return nil, err
+	}
+	return *h, nil
+}
--- a/member/wire.go
+++ b/member/wire.go
@@ -38,6 +38,7 @@
 	sent    traffic
 	got     traffic
 	streams chan struct{} // places for connections that are being read
+	frames  *streams      // of other concerns, see stream.go
 
 	mu   sync.Mutex
 	told map[cause]time.Time
@@ -67,10 +68,13 @@
 // others, some knocks and probes), and the local socket with one who asks there.
 const Descriptors = 2 + mostStreams + 12 + 2
 
+// DescriptorsWithStreams is how many a member holds that serves up to limit streams, and may open OutgoingStreams itself.
+func DescriptorsWithStreams(limit int) int { return Descriptors + limit + OutgoingStreams }
+
 // epoch makes times of the monotonic clock small numbers.
 var epoch = time.Now()
 
-func openWire(listen netip.AddrPort, allow []netip.Prefix, log *zap.Logger) (*wire, error) {
+func openWire(listen netip.AddrPort, allow []netip.Prefix, streamLimit int, log *zap.Logger) (*wire, error) {
 	var udp *net.UDPConn
 	var tcp *net.TCPListener
 	var at netip.AddrPort
@@ -90,7 +94,7 @@
 		}
 	}
 	w := &wire{listen: at, allow: allow, udp: udp, tcp: tcp, log: log, told: map[cause]time.Time{},
-		streams: make(chan struct{}, mostStreams), heard: func(view.Event) {},
+		streams: make(chan struct{}, mostStreams), frames: newStreams(streamLimit), heard: func(view.Event) {},
 		noted: func(string, string, []byte) {}}
 	w.beat()
 	return w, nil
@@ -251,7 +255,8 @@
 
 // greet reads what a connection is for. Its place is given back when it is closed, whoever closes it.
 func (w *wire) greet(bare net.Conn) {
-	nc := newStream(bare, w, func() { <-w.streams })
+	release := sync.OnceFunc(func() { <-w.streams })
+	nc := newStream(bare, w, release)
 	kept := false
 	defer func() {
 		if !kept {
@@ -269,6 +274,8 @@
 		w.tell(foreign, nc.RemoteAddr().String(), errForeign)
 	case head[len(magic)] == kindKnock:
 		w.knocked(bare)
+	case head[len(magic)] == kindStream:
+		w.serveStream(bare, release)
 	case head[len(magic)] == kindGossip && t != nil:
 		nc.SetDeadline(time.Time{})
 		select {
@@ -341,6 +348,7 @@
 func (w *wire) close() {
 	w.udp.Close()
 	w.tcp.Close()
+	w.frames.close()
 }
 
 // transport is what the gossip library sends and receives through, until it is begun anew.
