--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -82,6 +82,7 @@
 			}
 			return s.Shares
 		})
+	addConfigCommands(c, settingsPath, &socket, &asJSON)
 	c.PersistentFlags().BoolVar(&asJSON, "json", false, "as JSON")
 	c.PersistentFlags().StringVar(&socket, "socket", "", "the local socket, instead of the operators' file's")
 	return c
@@ -89,14 +90,9 @@
 
 // ask finds the local socket, and reads what is told there.
 func ask(settingsPath, socket string) (member.Shown, error) {
-	if socket == "" {
-		b, err := config.ReadSettings(settingsPath)
-		if err != nil {
-			return member.Shown{}, err
-		}
-		if socket = b.Fleet.Socket; socket == "" {
-			return member.Shown{}, errors.New("no fleet.socket is set: name the operators' file with --settings, or the socket with --socket")
-		}
+	socket, err := findSocket(settingsPath, socket)
+	if err != nil {
+		return member.Shown{}, err
 	}
 	shown, err := member.Ask(socket)
 	if err != nil {
@@ -104,3 +100,18 @@
 	}
 	return shown, nil
 }
+
+// findSocket gives the local socket of the view: the one that is named, or that of the operators' file.
+func findSocket(settingsPath, socket string) (string, error) {
+	if socket != "" {
+		return socket, nil
+	}
+	settings, err := config.ReadSettings(settingsPath)
+	if err != nil {
+		return "", err
+	}
+	if settings.Fleet.Socket == "" {
+		return "", errors.New("no fleet.socket is set: name the operators' file with --settings, or the socket with --socket")
+	}
+	return settings.Fleet.Socket, nil
+}
--- a/cmd/valveglade/fleet_config.go
+++ b/cmd/valveglade/fleet_config.go
@@ -17,9 +17,9 @@
 var errNotApplied = errors.New("nothing was changed")
 
 // addConfigCommands adds what operators do with the configuration that the fleet distributes.
-func addConfigCommands(fleetCommand *cobra.Command, bylaws, socket *string, asJSON *bool) {
+func addConfigCommands(fleetCommand *cobra.Command, settingsPath, socket *string, asJSON *bool) {
 	find := func() (string, error) {
-		view, err := findSocket(*bylaws, *socket)
+		view, err := findSocket(*settingsPath, *socket)
 		return fleet.ConfigSocket(view), err
 	}
 	fleetCommand.AddCommand(&cobra.Command{Use: "config", Short: "show version and age of the configuration that the app server here has", Args: cobra.NoArgs,
--- a/fleet/distribution.go
+++ b/fleet/distribution.go
@@ -83,14 +83,14 @@
 		return nil, errors.New("configuration is distributed only where there are voters")
 	}
 	d := newDistribution(cfg, opener, f.log)
-	d.send = f.carrier.Send
+	d.send = f.transport.Send
 	d.leader = func() (string, bool) { return f.roleOwner(roleName) }
 	if d.replica != nil {
-		if err := f.Stand(roleName, d.lead); err != nil {
+		if err := f.Campaign(roleName, d.lead); err != nil {
 			return nil, err
 		}
 		f.mu.Lock()
-		f.offices[roleName].ready = d.replica.ready.Load
+		f.roles[roleName].ready = d.replica.ready.Load
 		f.mu.Unlock()
 	}
 	f.distribution.Store(d)
@@ -100,7 +100,7 @@
 // roleOwner tells who owns a role, as far as is known here.
 func (f *Fleet) roleOwner(role string) (name string, known bool) {
 	for _, owner := range f.Owners() {
-		if owner.Office == role && owner.Owner != "" {
+		if owner.Role == role && owner.Owner != "" {
 			return owner.Owner, true
 		}
 	}
--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -106,7 +106,7 @@
 	case err := <-begins.reply:
 		if err != nil {
 			d.log.Warn("configuration: not led", zap.Uint64("term", term), zap.Error(err))
-			return &Late{Term: term, Known: term + 1} // another voter is to campaign
+			return &StaleTermError{Term: term, Known: term + 1} // another voter is to campaign
 		}
 	case <-ctx.Done():
 		return ctx.Err()
@@ -115,7 +115,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case known := <-l.lost:
-		return &Late{Term: term, Known: known}
+		return &StaleTermError{Term: term, Known: known}
 	}
 }
 
--- a/fleet/distribution_swarm_test.go
+++ b/fleet/distribution_swarm_test.go
@@ -398,9 +398,10 @@
 		status, err := fleet.AskDistribution(c.socket("a1"))
 		return err == nil && status.Stale && status.Age > configStale.Seconds()
 	})
-	if n, _ := c.History.Lines("a1", "configuration is stale", 0); n != 1 {
-		t.Errorf("%d lines that it is stale", n)
-	}
+	c.wait("it says so, once", func() bool {
+		n, _ := c.History.Lines("a1", "configuration is stale", 0)
+		return n == 1
+	})
 	c.settle()
 	c.wait("it says that it no longer is", func() bool {
 		n, _ := c.History.Lines("a1", "configuration is no longer stale", 0)
--- a/fleet/distribution_test.go
+++ b/fleet/distribution_test.go
@@ -73,14 +73,14 @@
 func (f *configFleet) start(name string) {
 	f.t.Helper()
 	n := f.nodes[name]
-	m, err := member.New(member.Papers{Name: name, Listen: n.address, Join: f.seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
+	m, err := member.New(member.Config{Name: name, Listen: n.address, Join: f.seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Probe: 200 * time.Millisecond, Streams: 64, Terms: view.Defaults()}, zap.NewNop())
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	n.member, n.address = m, m.Address()
 	f.seeds = append(f.seeds, n.address)
-	fleet, err := New(Seal{Name: name, Voters: n.cfg.Voters, Folder: n.folder, Span: owner.Span{Lease: 1, Drift: 0.01, Margin: 0.1}}, m, zap.NewNop())
+	fleet, err := New(Config{Name: name, Voters: n.cfg.Voters, Folder: n.folder, Timing: owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}}, m, zap.NewNop())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 	spoilt := 0
 	for _, path := range files {
 		text, err := os.ReadFile(path)
-		if err != nil || len(text) < 40 || filepath.Base(path) == promiseFile {
+		if err != nil || len(text) < 40 || filepath.Base(path) == voteFileName {
 			continue
 		}
 		text[len(text)/2] ^= 0x55
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -61,6 +61,8 @@
 	rejected atomic.Int64 // commands of ours with a stale term
 	quota    atomic.Pointer[QuotaClient]
 	grants   chan grantMessage
+
+	distribution atomic.Pointer[Distribution]
 }
 
 // role is one role that this process campaigns for.
@@ -73,6 +75,7 @@
 	cancel        context.CancelFunc
 	done          chan struct{} // closed when its function has returned
 	lastRejection string        // the last rejection for a stale term
+	ready         func() bool   // whether this process may campaign for it now; nil for always
 }
 
 // ErrLeaseLost ends the context of a RoleFunc whose role is no longer owned.
@@ -172,7 +175,11 @@
 }
 
 // receive sorts what comes.
-func (f *Fleet) receive(_ string, payload []byte) {
+func (f *Fleet) receive(from string, payload []byte) {
+	if d := f.distribution.Load(); d != nil && isReplication(payload) {
+		d.receive(from, payload)
+		return
+	}
 	if g, err := decodeGrant(payload, f.config.Name); err == nil {
 		select {
 		case f.grants <- g:
@@ -205,7 +212,8 @@
 		at := f.config.Clock()
 		_, _, owns := o.candidate.Owns(at)
 		// Who owns goes on, pressed or not, until its lease or its majority ends; it is new ones that are not to campaign.
-		o.candidate.SetCampaigning(!left && (unfit == nil || owns), at)
+		ready := unfit == nil && (o.ready == nil || o.ready())
+		o.candidate.SetCampaigning(!left && (ready || owns), at)
 		o.candidate.Tick(at)
 		term, left, owns := o.candidate.Owns(at)
 		switch {
--- a/server/distribution.go
+++ b/server/distribution.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"valveglade/charter"
+	"valveglade/config"
 	"valveglade/fleet"
 	"valveglade/member"
 )
@@ -16,37 +16,37 @@
 )
 
 // incomingStreams is how many streams of others this app server serves at a time: none unless it distributes configuration.
-func incomingStreams(laws charter.Fleet, c *charter.Charter) int {
-	if !distributesConfig(laws, c.Name) {
+func incomingStreams(settings config.Fleet, c *config.Config) int {
+	if !distributesConfig(settings, c.Name) {
 		return 0
 	}
 	return min(c.Sockets/streamShare, maxStreams)
 }
 
 // distributesConfig reports whether an app server of that name serves streams: a voter does, for others' snapshots, and a distributor.
-func distributesConfig(laws charter.Fleet, name string) bool {
-	votes := slices.ContainsFunc(laws.Voters, func(list []string) bool { return slices.Contains(list, name) })
-	return laws.Config.On && (votes || slices.Contains(laws.Config.Distributors, name))
+func distributesConfig(settings config.Fleet, name string) bool {
+	votes := slices.ContainsFunc(settings.Voters, func(list []string) bool { return slices.Contains(list, name) })
+	return settings.Distribution.On && (votes || slices.Contains(settings.Distribution.Distributors, name))
 }
 
 // fleetDescriptors is how many descriptors the fleet takes at the most.
-func fleetDescriptors(laws charter.Fleet, c *charter.Charter) int {
-	if !laws.Config.On {
+func fleetDescriptors(settings config.Fleet, c *config.Config) int {
+	if !settings.Distribution.On {
 		return member.Descriptors
 	}
-	return member.DescriptorsWithStreams(incomingStreams(laws, c)) + fleet.SocketDescriptors
+	return member.DescriptorsWithStreams(incomingStreams(settings, c)) + fleet.SocketDescriptors
 }
 
 // distributeConfig has this app server take part in the distribution of configuration, where the operators have said so.
 func (s *Server) distributeConfig(m *member.Member, f *fleet.Fleet) error {
-	laws, c := s.fleetLaws, s.charter.Load()
-	if !laws.Config.On {
+	settings, c := s.fleetSettings, s.config.Load()
+	if !settings.Distribution.On {
 		return nil
 	}
-	cfg := fleet.DistributionConfig{Name: c.Name, Voters: laws.Voters, Distributors: laws.Config.Distributors, Services: laws.Config.Services,
-		AllServices: laws.Config.AllServices, Folder: laws.State, BytesPerSecond: float64(laws.Config.Rate), StaleAfter: laws.Config.Age}
-	if laws.Socket != "" {
-		cfg.Socket = fleet.ConfigSocket(laws.Socket)
+	cfg := fleet.DistributionConfig{Name: c.Name, Voters: settings.Voters, Distributors: settings.Distribution.Distributors, Services: settings.Distribution.Services,
+		AllServices: settings.Distribution.AllServices, Folder: settings.State, BytesPerSecond: settings.Distribution.BytesPerSecond, StaleAfter: settings.Distribution.StaleAfter}
+	if settings.Socket != "" {
+		cfg.Socket = fleet.ConfigSocket(settings.Socket)
 	}
 	d, err := f.Distribute(cfg, m)
 	if err != nil {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -30,7 +30,7 @@
 // reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
 func (s *Server) reserved() int {
 	if s.fleetSettings.On() {
-		return reserve + member.Descriptors
+		return reserve + fleetDescriptors(s.fleetSettings, s.config.Load())
 	}
 	return reserve
 }
@@ -48,7 +48,8 @@
 	terms := view.Defaults()
 	terms.Hold, terms.Forget = settings.Hold, settings.Forget
 	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
-		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket, Terms: terms}, s.log)
+		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket,
+		Streams: incomingStreams(settings, c), Terms: terms}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -69,6 +70,9 @@
 			group.Go(func() error { return f.Run(roles) })
 			context.AfterFunc(part, over)
 		}
+		if s.distribution != nil {
+			group.Go(func() error { return s.distribution.Run(part) })
+		}
 		err := group.Wait()
 		over()
 		return err
@@ -137,7 +141,7 @@
 		s.gate.Under(quota)
 	}
 	m.SetRoles(func() any { return f.Status() })
-	return f, nil
+	return f, s.distributeConfig(m, f)
 }
 
 // lentFor is for how many leases a grant of a share lasts: through a change of allocator, which takes up to two. Longer, what
--- a/server/server.go
+++ b/server/server.go
@@ -44,6 +44,7 @@
 	fleetSettings     config.Fleet                      // in force from the start
 	fleetSettingsRead config.Fleet                      // as last read; only Reload's goroutine has it
 	quota             atomic.Pointer[fleet.QuotaClient] // of permits under common limits; nil where there are none
+	distribution      *fleet.Distribution               // of configuration; nil where it is off
 	warmAt            atomic.Int64                      // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
 
 	stageAt atomic.Int32 // see enter
