--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -40,6 +40,9 @@
 	"outage": func(d *json.Decoder) (any, error) {
 		return decoded(d, func(plan hollow.OutagePlan) (any, error) { return hollow.RunOutage(plan) })
 	},
+	"subscribers": func(d *json.Decoder) (any, error) {
+		return decoded(d, func(plan hollow.SubscriberPlan) (any, error) { return hollow.RunSubscribers(plan) })
+	},
 	"roles": func(d *json.Decoder) (any, error) {
 		return decoded(d, func(plan hollow.RolePlan) (any, error) { return hollow.RunRoles(plan) })
 	},
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -25,7 +25,9 @@
 }
 
 // scaleParts are all parts, in the order in which they run.
-func scaleParts() []scalePart { return slices.Concat(viewScaleParts, roleScaleParts, configScaleParts) }
+func scaleParts() []scalePart {
+	return slices.Concat(viewScaleParts, roleScaleParts, configScaleParts, distributionScaleParts)
+}
 
 // playScale measures how costs grow with the size of the fleet, and fits them. A part that fails does not keep the others
 // from running; the run falls short by it.
--- a/fleet/distribution_fetch.go
+++ b/fleet/distribution_fetch.go
@@ -6,7 +6,10 @@
 	"fmt"
 	"time"
 
+	"go.uber.org/zap"
+
 	"valveglade/logic/configlog"
+	"valveglade/member"
 )
 
 // snapshotFrameTimeout is how long a part of a snapshot between voters may take: they come at the pace of the distributor's rate.
@@ -31,6 +34,35 @@
 	return nil, err
 }
 
+// FetchTable reads the whole table from a distributor, and tells how many bytes that took both ways.
+func FetchTable(ctx context.Context, opener StreamOpener, from string) (state *TableState, bytes int64, err error) {
+	counting := &countingOpener{StreamOpener: opener}
+	d := NewSubscriber(DistributionConfig{Name: "reader", Distributors: []string{from}}, counting, zap.NewNop())
+	state, err = d.fetchSnapshotFrom(ctx, from, func(configlog.Version) bool { return true })
+	return state, counting.bytes(), err
+}
+
+// countingOpener keeps the last stream that it opened, for its bytes.
+type countingOpener struct {
+	StreamOpener
+	last *member.Stream
+}
+
+// OpenStream opens a stream.
+func (o *countingOpener) OpenStream(ctx context.Context, to string) (*member.Stream, error) {
+	stream, err := o.StreamOpener.OpenStream(ctx, to)
+	o.last = stream
+	return stream, err
+}
+
+func (o *countingOpener) bytes() int64 {
+	if o.last == nil {
+		return 0
+	}
+	read, written := o.last.Bytes()
+	return read + written
+}
+
 func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string, wanted func(configlog.Version) bool) (*TableState, error) {
 	opening, cancel := context.WithTimeout(ctx, connectTimeout)
 	stream, err := d.opener.OpenStream(opening, name)
--- a/fleet/distribution_follower.go
+++ b/fleet/distribution_follower.go
@@ -60,6 +60,7 @@
 	status  atomic.Pointer[configlog.Status]
 	knownAt atomic.Uint64 // bits of the time when the table was last known to be as new as the leader's
 	bytes   atomic.Int64  // read and written by former connections
+	current atomic.Pointer[member.Stream]
 
 	machine *configlog.Follower
 	stage   *tableStage
@@ -85,6 +86,16 @@
 	return max(clock()-math.Float64frombits(l.knownAt.Load()), 0)
 }
 
+// streamBytes is how many bytes have been read and written, on all connections.
+func (l *followerLoop) streamBytes() int64 {
+	total := l.bytes.Load()
+	if stream := l.current.Load(); stream != nil {
+		read, written := stream.Bytes()
+		total += read + written
+	}
+	return total
+}
+
 // run drives the machine until ctx ends.
 func (l *followerLoop) run(ctx context.Context) {
 	if l.file != nil {
@@ -289,8 +300,10 @@
 		l.d.log.Debug("configuration: no connection", zap.String("distributor", distributor), zap.Error(err))
 		return
 	}
+	l.current.Store(stream)
 	defer func() {
 		stream.Close()
+		l.current.CompareAndSwap(stream, nil)
 		read, written := stream.Bytes()
 		l.bytes.Add(read + written)
 	}()
--- a/fleet/distribution_status.go
+++ b/fleet/distribution_status.go
@@ -31,7 +31,7 @@
 
 	Applied        uint64           `json:"applied"`         // changes that came over the subscription
 	SnapshotsTaken uint64           `json:"snapshots_taken"` // whole tables that came over the subscription
-	Bytes          int64            `json:"bytes"`           // of former connections, both ways
+	Bytes          int64            `json:"bytes"`           // over the subscription's connections, both ways
 	Lookups        int              `json:"lookups_kept"`
 	Refused        map[string]int64 `json:"refused,omitempty"` // by cause
 }
@@ -61,7 +61,7 @@
 	}
 	status := d.follower.status.Load()
 	s.State, s.Distributor = status.State.String(), status.Distributor
-	s.Applied, s.SnapshotsTaken, s.Bytes = status.Counts.Applied, status.Counts.Snapshots, d.follower.bytes.Load()
+	s.Applied, s.SnapshotsTaken, s.Bytes = status.Counts.Applied, status.Counts.Snapshots, d.follower.streamBytes()
 	return s
 }
 
