--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -16,6 +16,7 @@
 // Bounds and times of a voter's copy of the log.
 const (
 	replicaInbox      = 1024 // events that may wait; packets past it are lost
+	replicaBatch      = 64   // events that one write to the disk serves at the most
 	replicaKeep       = 20_000
 	replicaMaxOpen    = 4096
 	replicaInFlight   = 16
@@ -145,6 +146,7 @@
 			return
 		case event := <-l.inbox:
 			l.handle(ctx, event)
+			l.handleQueued(ctx)
 		case <-tick.C:
 			l.machine.Tick(clock())
 		}
@@ -154,6 +156,18 @@
 	}
 }
 
+// handleQueued takes what else has come meanwhile, so that one write to the disk serves all of it.
+func (l *replicaLoop) handleQueued(ctx context.Context) {
+	for range replicaBatch {
+		select {
+		case event := <-l.inbox:
+			l.handle(ctx, event)
+		default:
+			return
+		}
+	}
+}
+
 // open opens the files and makes the machine; it tries again until ctx ends.
 func (l *replicaLoop) open(ctx context.Context) bool {
 	for {
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -33,20 +33,21 @@
 
 // SeenChange tells when the subscribers of a service had an entry of it.
 type SeenChange struct {
-	Service          string
-	Index            uint64
-	Has, Subscribers int
-	Last             time.Time // when the last of them had it
+	Service string
+	Index   uint64
+	Has     int
+	Last    time.Time // when the last of them had it
 }
 
 // SubscriberCost is what the subscriptions of one process took during the watch.
 type SubscriberCost struct {
-	Ready          int     // subscribers that followed when the watch began
-	CoreSeconds    float64 // of this process, with the watching
-	Bytes          int64   // of all subscribers, both ways
-	Snapshots      uint64  // taken until the watch began
-	LaterSnapshots uint64  // during it
-	Stale          int     // subscribers at its end
+	Ready          int            // subscribers that followed when the watch began
+	CoreSeconds    float64        // of this process, with the watching
+	Bytes          int64          // of all subscribers, both ways
+	Snapshots      uint64         // taken until the watch began
+	LaterSnapshots uint64         // during it
+	Stale          int            // subscribers at its end
+	Serving        map[string]int // subscribers of each service
 	Seen           []SeenChange
 }
 
@@ -117,6 +118,7 @@
 
 func watchSubscribers(plan SubscriberPlan, all []*subscriber, of map[string]int) (cost SubscriberCost) {
 	bytes := int64(0)
+	cost.Serving = of
 	for _, s := range all {
 		status := s.Status()
 		if status.State == "following" {
@@ -169,7 +171,7 @@
 	key := fmt.Sprint(service, " ", index)
 	one := seen[key]
 	if one == nil {
-		one = &SeenChange{Service: service, Index: index, Subscribers: of[service]}
+		one = &SeenChange{Service: service, Index: index}
 		seen[key] = one
 	}
 	one.Has++
