--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -24,7 +24,7 @@
 	var rate, drift float64
 	c := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		p := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
-			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Probe: 300 * time.Millisecond, Terms: view.Defaults()}
+			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Probe: 300 * time.Millisecond, View: view.Defaults()}
 		for _, a := range strings.Split(join, ",") {
 			p.Join = append(p.Join, netip.MustParseAddrPort(a))
 		}
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 		go m.Run(cmd.Context())
 		if len(voters) > 0 {
 			began := time.Now()
@@ -62,7 +62,7 @@
 		owns := false
 		for range changes {
 			v := m.View()
-			if lowest := v.Members[0].Name == name && v.Sure <= view.Narrow; lowest != owns {
+			if lowest := v.Members[0].Name == name && v.Certainty <= view.Partitioned; lowest != owns {
 				if owns = lowest; !owns {
 					end()
 					continue
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -134,18 +134,6 @@
 	return worst
 }
 
-// versions counts the different views that a process told from one time to another.
-func versions(s *rig.Swarm, viewer string, from, to float64) int {
-	n, last := 0, ""
-	for _, sight := range s.History.Sights(viewer, 0) {
-		if sight.T >= from && sight.T < to && sight.Digest != last {
-			n++
-		}
-		last = sight.Digest
-	}
-	return n
-}
-
 // buried counts members that were told dead by viewers though they lived, and how many of these were not back within a
 // span. Alive tells whether a member was alive at a time.
 func buried(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
@@ -191,7 +179,7 @@
 	if !ok {
 		for _, name := range who {
 			sight, _ := s.History.Latest(name)
-			p.say("%s: %d members, %s, %s", name, sight.Members, sight.Digest, sight.Sure)
+			p.say("%s: %d members, %s, %s", name, sight.Members, sight.Digest, sight.Certainty)
 		}
 		return math.Inf(1)
 	}
@@ -287,9 +275,9 @@
 		worst = max(worst, flapped(on, name, "n11", from+1, from+11))
 	}
 	p.atMost("versions.by.flapping", float64(worst), 4)
-	_, told := on.History.Lines("n10", "was born later", from)
+	_, told := on.History.Lines("n10", "newer incarnation of this name", from)
 	p.atMost("named.twice.told", told-from-0.5, 5)
-	p.atMost("named.twice.resolved", known(on, "n10", "reborn", from, still)-0.5, 5)
+	p.atMost("named.twice.resolved", known(on, "n10", "restarted", from, still)-0.5, 5)
 	slept := func(name string, t float64) bool {
 		return !slices.Contains([]string{"n11", "n12", "n10"}, name) && (name != "n9" || t > from+6)
 	}
@@ -340,7 +328,7 @@
 func (p *play) atRest(on, off *rig.Swarm, all []string, span time.Duration) error {
 	look := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
 		for _, name := range all {
-			shown, err := member.Ask(on.Socket(name))
+			shown, err := member.ReadStatus(on.Socket(name))
 			if err != nil {
 				return 0, 0, 0, 0, err
 			}
@@ -385,7 +373,7 @@
 	total, most := 0, 0
 	for _, name := range s.Running() {
 		sight, ok := s.History.Latest(name)
-		if !ok || sight.Sure == "withdrawn" {
+		if !ok || sight.Certainty == "superseded" {
 			continue
 		}
 		total++
@@ -454,7 +442,7 @@
 	for _, name := range small {
 		at := math.Inf(1)
 		for _, sight := range on.History.Sights(name, from) {
-			if sight.Sure == "narrow" {
+			if sight.Certainty == "partitioned" {
 				at = sight.T - from
 				break
 			}
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -60,7 +60,7 @@
 	for k := range n {
 		m, err := member.New(member.Config{Name: fmt.Sprintf("m%03d", k), Zone: fmt.Sprintf("z%d", k%3),
 			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			Probe: 300 * time.Millisecond, Terms: view.Defaults()}, zap.NewNop())
+			Probe: 300 * time.Millisecond, View: view.Defaults()}, zap.NewNop())
 		if err != nil {
 			return 0, err
 		}
@@ -69,13 +69,13 @@
 		}
 		all = append(all, m)
 		group.Go(func() { m.Run(ctx) })
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	began := time.Now()
 	settled := func(members []*member.Member) bool {
 		first := members[0].View()
 		for _, m := range members {
-			if v := m.View(); len(v.Members) != len(members) || v.Digest != first.Digest || v.Sure != view.Settled {
+			if v := m.View(); len(v.Members) != len(members) || v.Digest != first.Digest || v.Certainty != view.Converged {
 				return false
 			}
 		}
@@ -101,7 +101,7 @@
 			for _, e := range v.Members {
 				states[e.State.String()]++
 			}
-			seen[fmt.Sprintf("%d members, %v, version %d, %x, %v", len(v.Members), v.Sure, v.Version, v.Digest, states)]++
+			seen[fmt.Sprintf("%d members, %v, version %d, %x, %v", len(v.Members), v.Certainty, v.Version, v.Digest, states)]++
 		}
 		p.say("%v", seen)
 	}
@@ -142,7 +142,7 @@
 	// A fifth die at one time.
 	dead := all[n-n/5:]
 	for _, m := range dead {
-		m.Drop()
+		m.Kill()
 	}
 	took = wait(25*time.Second, all[:n-n/5])
 	p.atMost(name("settled.after.fifth.s"), took, 15)
--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -89,12 +89,12 @@
 }
 
 // ask finds the local socket, and reads what is told there.
-func ask(settingsPath, socket string) (member.Shown, error) {
+func ask(settingsPath, socket string) (member.Status, error) {
 	socket, err := findSocket(settingsPath, socket)
 	if err != nil {
-		return member.Shown{}, err
+		return member.Status{}, err
 	}
-	shown, err := member.Ask(socket)
+	shown, err := member.ReadStatus(socket)
 	if err != nil {
 		return shown, fmt.Errorf("nobody answers at %s: %w", socket, err)
 	}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -33,7 +33,7 @@
 
 func testConfig(name string, join ...netip.AddrPort) Config {
 	return Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-		Probe: 200 * time.Millisecond, Terms: view.Defaults()}
+		Probe: 200 * time.Millisecond, View: view.Defaults()}
 }
 
 // start runs one more member; its end is the last of c.ends.
@@ -68,13 +68,13 @@
 	}
 }
 
-// alike tells whether all have settled on one view of n members.
+// alike tells whether all have converged on one view of n members.
 func alike(n int, all ...*Member) func() bool {
 	return func() bool {
 		first := all[0].View()
 		for _, m := range all {
 			v := m.View()
-			if len(v.Members) != n || v.Digest != first.Digest || v.Version != first.Version || n > 1 && v.Sure != view.Settled {
+			if len(v.Members) != n || v.Digest != first.Digest || v.Version != first.Version || n > 1 && v.Certainty != view.Converged {
 				return false
 			}
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Members that know one address find each other and come to one view; one that says good-bye leaves at once.
+// Members that know one address find each other and come to one view; one that leaves is gone at once.
 func TestMeet(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
@@ -91,12 +91,12 @@
 		c.start(testConfig(fmt.Sprintf("m%d", k), first.Address()))
 	}
 	until(t, "five see the same", 10*time.Second, alike(5, c.members...))
-	c.members[1].Say(view.Serving, false, view.Load{Open: 3})
+	c.members[1].UpdateState(view.Serving, false, view.Load{Open: 3})
 	until(t, "its word is heard", 5*time.Second, func() bool {
 		e := c.members[4].View().Find("m1")
 		return e != nil && e.State == view.Serving && e.Load.Open == 3
 	})
-	c.members[1].Say(view.Leaving, false, view.Load{})
+	c.members[1].UpdateState(view.Leaving, false, view.Load{})
 	c.ends[1]()
 	rest := append([]*Member{first}, c.members[2:]...)
 	until(t, "four are left", 3*time.Second, alike(4, rest...))
@@ -144,14 +144,14 @@
 		Meta        []byte
 		Vsn         []uint8
 	}
-	name := handle("a", real.Life.Nonce)
+	name := handle("a", real.Incarnation.Nonce)
 	good := appendEntry(nil, real)
 	born := real
-	born.Life.Birth = view.MaxBirth
+	born.Incarnation.Number = view.MaxIncarnation
 	for cause, payloads := range map[cause][][]byte{
-		foreign:    {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
-		unreadable: {[]byte("VGF\x01g____spoilt"), seal(nil, kindGossip, nil), seal(nil, kindGossip, []byte{msgCompound, 9, 0}), seal(nil, kindTeach, []byte{1}), seal(nil, kindGossip, []byte{msgDead, 0xc1}), seal(nil, kindGossip, []byte{99, 1})},
-		lying: {
+		foreign: {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
+		corrupt: {[]byte("VGF\x01g____spoilt"), seal(nil, kindGossip, nil), seal(nil, kindGossip, []byte{msgCompound, 9, 0}), seal(nil, kindNewer, []byte{1}), seal(nil, kindGossip, []byte{msgDead, 0xc1}), seal(nil, kindGossip, []byte{99, 1})},
+		invalid: {
 			seal(nil, kindGossip, encoded(msgDead, claim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
 			seal(nil, kindGossip, encoded(msgAlive, alive{1<<32 - 1, name, addr, port, good, vsn})),
 			seal(nil, kindGossip, encoded(msgAlive, alive{3, "b~12345678", addr, port, good, vsn})),                 // another's name
@@ -174,7 +174,7 @@
 	}
 	defer other.Close()
 	other.Write(seal(nil, kindGossip, []byte{msgPing}))
-	until(t, "outside", 5*time.Second, func() bool { return b.Cost().Dropped["outside"] == 1 })
+	until(t, "not allowed", 5*time.Second, func() bool { return b.Cost().Dropped["not allowed"] == 1 })
 	// Streams of another kind end, and cost nothing.
 	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n", "VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
 		nc, err := net.Dial("tcp", b.Address().String())
@@ -193,10 +193,10 @@
 	if v := b.View(); v.Digest != before.Digest || v.Find("a") == nil {
 		t.Errorf("the view has changed: %v", v)
 	}
-	until(t, "still settled", 5*time.Second, alike(2, a, b))
+	until(t, "still converged", 5*time.Second, alike(2, a, b))
 	told := 0
 	for _, e := range logged.FilterMessage("fleet packet dropped").All() {
-		if e.ContextMap()["cause"] == "lying" {
+		if e.ContextMap()["cause"] == "invalid" {
 			told++
 		}
 	}
@@ -208,7 +208,7 @@
 // An exchange over a stream is believed but for what cannot be true in it.
 func TestExchange(t *testing.T) {
 	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(), told: map[cause]time.Time{}}
-	e := view.Entry{Name: "a", Life: view.Life{Birth: 5, Nonce: 7}, State: view.Serving, Proto: 1}
+	e := view.Entry{Name: "a", Incarnation: view.Incarnation{Number: 5, Nonce: 7}, State: view.Serving, Proto: 1}
 	ok := state{handle("a", 7), []byte{127, 0, 0, 1}, 7946, appendEntry(nil, e), 3, 0, []uint8{1, 5, 2, 0, 0, 0}}
 	bad := ok
 	bad.Incarnation = 1<<32 - 1
@@ -235,12 +235,12 @@
 	if head.Nodes != 1 || !head.Join || head.UserStateLen != 4 || one.Incarnation != 3 || !bytes.HasSuffix(text, []byte("user")) {
 		t.Errorf("%+v %+v %q", head, one, text)
 	}
-	if n := w.counts[lying].Load(); n != 2 {
+	if n := w.counts[invalid].Load(); n != 2 {
 		t.Errorf("%d lies counted", n)
 	}
 }
 
-// Accusations are taken out of what a late process sends, and its own good-bye is not.
+// Accusations are taken out of what a late process sends, and its own leave message is not.
 func TestOutgoing(t *testing.T) {
 	part := func(kind byte, v any) []byte { return encoded(kind, v) }
 	bye := part(msgDead, claim{Node: "me", From: "me", Incarnation: 3})
@@ -273,8 +273,8 @@
 func TestEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := view.Entry{Name: rapid.StringN(1, 20, 64).Draw(t, "name"), Zone: rapid.StringN(0, 20, 64).Draw(t, "zone"),
-			Life:  view.Life{Birth: rapid.Uint64Range(0, view.MaxBirth-1).Draw(t, "birth"), Nonce: rapid.Uint32().Draw(t, "nonce")},
-			State: view.State(rapid.IntRange(0, 4).Draw(t, "state")), Ill: rapid.Bool().Draw(t, "ill"), Proto: rapid.Uint8().Draw(t, "proto")}
+			Incarnation: view.Incarnation{Number: rapid.Uint64Range(0, view.MaxIncarnation-1).Draw(t, "number"), Nonce: rapid.Uint32().Draw(t, "nonce")},
+			State:       view.State(rapid.IntRange(0, 4).Draw(t, "state")), Unhealthy: rapid.Bool().Draw(t, "unhealthy"), Proto: rapid.Uint8().Draw(t, "proto")}
 		b := appendEntry(nil, e)
 		later := append(b[:len(b):len(b)], "what a later version adds"...)
 		later[2]++
@@ -292,22 +292,22 @@
 	}
 }
 
-// A process whose clock went back while it was down is told of its former life, and is born after it.
+// A process whose clock went back while it was down is told of its former incarnation, and takes a newer one.
 func TestClockBack(t *testing.T) {
 	t.Parallel()
 	c := &crew{t: t}
 	a := c.start(testConfig("a"))
 	b := c.start(testConfig("b", a.Address()))
 	until(t, "two see the same", 10*time.Second, alike(2, a, b))
-	former := a.View().Find("b").Life
-	c.ends[1]() // no good-bye was said by its state, so it counts as dead
+	former := a.View().Find("b").Incarnation
+	c.ends[1]() // it has announced no leaving, so it counts as dead
 	until(t, "it is lost", 10*time.Second, func() bool { return a.View().Find("b") == nil })
 	p := testConfig("b", a.Address())
 	p.Now = func() time.Time { return time.Now().Add(-time.Hour) }
 	again := c.start(p)
-	until(t, "it is back, born later", 10*time.Second, func() bool {
+	until(t, "it is back, with a newer incarnation", 10*time.Second, func() bool {
 		e := a.View().Find("b")
-		return e != nil && former.Before(e.Life)
+		return e != nil && former.Before(e.Incarnation)
 	})
 	until(t, "both see the same", 10*time.Second, alike(2, a, again))
 }
@@ -319,10 +319,10 @@
 	p := testConfig("a")
 	p.Socket, p.Zone = t.TempDir()+"/a.sock", "hall-1"
 	a := c.start(p)
-	var s Shown
+	var s Status
 	until(t, "it answers", 5*time.Second, func() (ok bool) {
 		var err error
-		s, err = Ask(p.Socket)
+		s, err = ReadStatus(p.Socket)
 		return err == nil
 	})
 	var table bytes.Buffer
@@ -337,10 +337,10 @@
 	q.Socket = p.Socket
 	c.start(q)
 	time.Sleep(200 * time.Millisecond)
-	if s, err := Ask(p.Socket); err != nil || s.Name != "a" {
+	if s, err := ReadStatus(p.Socket); err != nil || s.Name != "a" {
 		t.Errorf("%s answers, %v", s.Name, err)
 	}
-	if _, err := Ask(p.Socket + "x"); err == nil {
+	if _, err := ReadStatus(p.Socket + "x"); err == nil {
 		t.Error("somebody answers where nobody is")
 	}
 }
@@ -380,6 +380,6 @@
 		}
 		outgoing(payload)
 		readEntry(b)
-		readTeach(b)
+		readNewer(b)
 	})
 }
--- a/member/stream.go
+++ b/member/stream.go
@@ -133,7 +133,7 @@
 	switch {
 	case r.short || len(r.b) > 0:
 		return "", "", errCut
-	case from == "" || len(from) > mostName || len(to) > mostName:
+	case from == "" || len(from) > maxName || len(to) > maxName:
 		return "", "", fmt.Errorf("a hello from a name of %d bytes to one of %d", len(from), len(to))
 	}
 	return from, to, nil
@@ -225,7 +225,7 @@
 // OpenStream opens a stream to a member by its name. It fails with a *StreamRefusedError if the other end says no. The
 // caller closes it.
 func (m *Member) OpenStream(ctx context.Context, to string) (*Stream, error) {
-	if m.View().Sure == view.Withdrawn {
+	if m.View().Certainty == view.Superseded {
 		return nil, net.ErrClosed
 	}
 	m.notes.Lock()
@@ -304,12 +304,12 @@
 	defer s.Close()
 	hello, err := s.ReadFrame(headWait)
 	if err != nil {
-		w.tell(unreadable, conn.RemoteAddr().String(), err)
+		w.countDropped(corrupt, conn.RemoteAddr().String(), err)
 		return
 	}
 	from, to, err := readHello(hello)
 	if err != nil {
-		w.tell(unreadable, conn.RemoteAddr().String(), err)
+		w.countDropped(corrupt, conn.RemoteAddr().String(), err)
 		return
 	}
 	s.peer = from
@@ -317,7 +317,7 @@
 	release()
 	if err != nil {
 		w.frames.refused.Add(1)
-		w.tell(crowded, conn.RemoteAddr().String(), err)
+		w.countDropped(overloaded, conn.RemoteAddr().String(), err)
 		reason := err.Error()
 		s.WriteFrame(append([]byte{streamRefused}, reason[:min(len(reason), maxReason)]...), headWait)
 		return
@@ -331,7 +331,7 @@
 
 // admitStream tells who serves a stream, or why nobody does.
 func (w *wire) admitStream(s *Stream, to string) (StreamHandler, error) {
-	if _, here := w.answer(to); !here {
+	if _, here := w.onProbe(to); !here {
 		return nil, fmt.Errorf("%s is not here", to)
 	}
 	h := w.frames.handler.Load()
--- a/member/stream_test.go
+++ b/member/stream_test.go
@@ -152,7 +152,7 @@
 	if _, err := DialStream(ctx, local, server.Address(), "hollow", "server"); err == nil {
 		t.Error("a stream from outside was taken")
 	}
-	until(t, "it is counted", streamTestTimeout, func() bool { return server.Cost().Dropped["outside"] > 0 })
+	until(t, "it is counted", streamTestTimeout, func() bool { return server.Cost().Dropped["not allowed"] > 0 })
 }
 
 // A frame that is spoilt, too long or cut short ends its stream and nothing else.
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	server.Drop()
+	server.Kill()
 	if _, err := s.ReadFrame(streamTestTimeout); err == nil {
 		t.Error("a frame from a member that has ended")
 	}
--- a/member/swarm_test.go
+++ b/member/swarm_test.go
@@ -68,11 +68,11 @@
 	}
 }
 
-// One that is killed is known dead by all, and back under its name with a later life; one whose notice has come is gone by
+// One that is killed is known dead by all, and back under its name with a newer incarnation; one whose notice has come is gone by
 // its own word.
 func TestKilled(t *testing.T) {
 	s, names := swarm(t)
-	former, err := member.Ask(s.Socket("n5"))
+	former, err := member.ReadStatus(s.Socket("n5"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,13 +84,13 @@
 	}
 	run(t, s, "0s start n5")
 	alike(t, s, 5, names)
-	shown, err := member.Ask(s.Socket("n1"))
+	shown, err := member.ReadStatus(s.Socket("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := slices.IndexFunc(shown.Members, func(e member.ShownMember) bool { return e.Name == "n5" })
-	was := slices.IndexFunc(former.Members, func(e member.ShownMember) bool { return e.Name == "n5" })
-	if k < 0 || shown.Members[k].Birth <= former.Members[was].Birth {
+	k := slices.IndexFunc(shown.Members, func(e member.MemberStatus) bool { return e.Name == "n5" })
+	was := slices.IndexFunc(former.Members, func(e member.MemberStatus) bool { return e.Name == "n5" })
+	if k < 0 || shown.Members[k].Incarnation <= former.Members[was].Incarnation {
 		t.Errorf("%+v after %+v", shown.Members, former.Members)
 	}
 	// What operators are shown.
@@ -108,7 +108,7 @@
 	}
 }
 
-// One that is stopped is buried by the others, and buries nobody when it goes on.
+// One that is stopped is taken for dead by the others, and takes nobody for dead when it goes on.
 func TestStopped(t *testing.T) {
 	s, names := swarm(t)
 	run(t, s, "0s stop n5")
@@ -124,7 +124,7 @@
 	}
 }
 
-// Both sides of a cut bury each other, the smaller says that it is narrow, and they come together again.
+// Both sides of a partition take each other for dead, the smaller reports a partition, and they come together again.
 func TestCut(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
@@ -132,18 +132,18 @@
 	alike(t, s, 2, names[:2])
 	alike(t, s, 3, names[2:])
 	for _, name := range names[:2] {
-		if _, ok := s.Until(patience, func() bool { v, _ := s.History.Latest(name); return v.Sure == "narrow" }); !ok {
-			t.Errorf("%s does not say that it is narrow", name)
+		if _, ok := s.Until(patience, func() bool { v, _ := s.History.Latest(name); return v.Certainty == "partitioned" }); !ok {
+			t.Errorf("%s does not report a partition", name)
 		}
 	}
-	if n, _ := s.History.Lines("n4", `"sure":"narrow"`, from); n != 0 {
-		t.Error("the larger side says that it is narrow")
+	if n, _ := s.History.Lines("n4", `"certainty":"partitioned"`, from); n != 0 {
+		t.Error("the larger side reports a partition")
 	}
 	run(t, s, "0s heal")
 	alike(t, s, 5, names)
 }
 
-// A cut one way only buries nobody: others carry the word.
+// A cut one way only kills nobody's membership: others carry the messages.
 func TestOneWay(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
@@ -159,18 +159,18 @@
 	s, names := swarm(t)
 	from := s.History.Now()
 	run(t, s, "0s twin n5")
-	if _, ok := s.Until(patience, func() bool { n, _ := s.History.Lines("n5", "was born later", from); return n > 0 }); !ok {
+	if _, ok := s.Until(patience, func() bool { n, _ := s.History.Lines("n5", "newer incarnation of this name", from); return n > 0 }); !ok {
 		t.Fatal("the earlier never learns of the later")
 	}
 	alike(t, s, 5, append(slices.Clone(names[:4]), "n5-twin"))
-	if n, _ := s.History.Lines("n5", "was born later", from); n != 1 {
+	if n, _ := s.History.Lines("n5", "newer incarnation of this name", from); n != 1 {
 		t.Errorf("said %d times", n)
 	}
 	if !s.Node("n5").Running() {
 		t.Error("the earlier ended")
 	}
-	if shown, err := member.Ask(s.Socket("n5")); err != nil || shown.Sure != "withdrawn" {
-		t.Errorf("%+v, %v", shown.Sure, err)
+	if shown, err := member.ReadStatus(s.Socket("n5")); err != nil || shown.Certainty != "superseded" {
+		t.Errorf("%+v, %v", shown.Certainty, err)
 	}
 }
 
@@ -181,7 +181,7 @@
 	alike(t, s, 5, names)
 }
 
-// Work that hangs is seen by all, though gossip goes on; gossip that is late, while streams are not, buries nobody.
+// Work that hangs is seen by all, though gossip goes on; gossip that is late, while streams are not, takes nobody for dead.
 func TestHalfDead(t *testing.T) {
 	s, names := swarm(t)
 	from := s.History.Now()
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -83,7 +83,7 @@
 		s.tell(report{Sample: s.sample()})
 	}
 	for _, m := range s.members {
-		m.Drop()
+		m.Kill()
 	}
 	return lines.Err()
 }
@@ -107,7 +107,7 @@
 		name := memberName(plan.First + k)
 		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
 			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			Probe: probeEvery, Terms: boundless(plan.Fleet)}, zap.NewNop())
+			Probe: probeEvery, View: boundless(plan.Fleet)}, zap.NewNop())
 		if err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 	for k, m := range s.members {
 		s.group.Go(func() { m.Run(ctx) })
 		s.group.Go(func() { s.watch(ctx, k, m) })
-		m.Say(view.Serving, false, view.Load{})
+		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 			return
 		case <-changes:
 			v := m.View()
-			s.tell(report{Seen: &Seen{k, v.Version, v.Digest, len(v.Members), v.Sure, time.Now()}})
+			s.tell(report{Seen: &Seen{k, v.Version, v.Digest, len(v.Members), v.Certainty, time.Now()}})
 		}
 	}
 }
@@ -255,7 +255,7 @@
 func (m *Members) Settled(members int) bool {
 	all := m.Latest()
 	for _, s := range all {
-		if s.Members != members || s.Sure != view.Settled || s.Digest != all[0].Digest {
+		if s.Members != members || s.Sure != view.Converged || s.Digest != all[0].Digest {
 			return false
 		}
 	}
@@ -278,15 +278,15 @@
 	defer m.mu.Unlock()
 	settled := time.Duration(0)
 	for k := range m.latest {
-		last := Seen{Sure: view.Unsettled}
+		last := Seen{Sure: view.Converging}
 		since := from
-		for _, s := range append(m.of(k), Seen{Sure: view.Unsettled, At: to}) {
+		for _, s := range append(m.of(k), Seen{Sure: view.Converging, At: to}) {
 			at := s.At
 			if at.After(to) {
 				at = to
 			}
 			if at.After(since) {
-				if last.Sure == view.Settled {
+				if last.Sure == view.Converged {
 					settled += at.Sub(since)
 				}
 				since = at
