--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -82,7 +82,6 @@
 	proposals   map[uint64]*proposal // by the id of each change
 	fetching    bool
 	failing     bool
-	wait        *time.Timer
 }
 
 func newReplicaLoop(d *Distribution) *replicaLoop {
--- a/fleet/distribution_test.go
+++ b/fleet/distribution_test.go
@@ -14,6 +14,7 @@
 
 	"go.uber.org/zap"
 
+	"valveglade/logic/configlog"
 	"valveglade/logic/configtable"
 	"valveglade/logic/owner"
 	"valveglade/logic/view"
@@ -284,6 +285,33 @@
 	}
 }
 
+// Streams that bring what is no message end, are counted, and harm nobody else.
+func TestForeignStreams(t *testing.T) {
+	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
+	f.apply("v1", putTenant("billing", "acme", 7))
+	before := f.nodes["v1"].counts.malformedFrames.Load()
+	hello := encodeFrame(configlog.Subscribe{Stream: 1, All: true})
+	for _, frames := range [][][]byte{{[]byte("nonsense")}, {{}}, {encodeFrame(configlog.Delta{})}, {hello, []byte("nonsense")},
+		{hello, encodeFrame(applyReply{})}} {
+		stream, err := f.nodes["a1"].member.OpenStream(context.Background(), "v1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, frame := range frames {
+			if err := stream.WriteFrame(frame, time.Second); err != nil {
+				t.Fatal(err)
+			}
+		}
+		for err == nil { // what it had to say before
+			_, err = stream.ReadFrame(distributionPatience)
+		}
+		stream.Close()
+	}
+	f.wait("each is counted", func() bool { return f.nodes["v1"].counts.malformedFrames.Load() == before+5 })
+	f.apply("v1", putTenant("billing", "acme", 8))
+	f.wait("the next change is in force", func() bool { return f.quota("a1", "billing", "acme") == 8 })
+}
+
 func TestApplyWithoutLeader(t *testing.T) {
 	f := newConfigFleet(t, nil)
 	f.apply("v1", putTenant("billing", "acme", 7))
