--- a/fleet/distribution_recover.go
+++ b/fleet/distribution_recover.go
@@ -42,6 +42,7 @@
 	if err := l.store.Install(state.Table, storedVersion(state.Version)); err != nil {
 		return err
 	}
+	l.promised, l.saved = state.Version.Term, state.Version.Index
 	l.d.log.Info("configuration: this voter has files again", zap.Uint64("term", state.Version.Term), zap.Uint64("version", state.Version.Index))
 	return l.store.Close()
 }
--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"os"
 	"sync/atomic"
 	"time"
 
@@ -81,6 +82,8 @@
 	lastID      uint64
 	proposals   map[uint64]*proposal // by the id of each change
 	fetching    bool
+	promised    uint64 // the highest term that this process has put on the disk
+	saved       uint64 // the last entry likewise
 	failing     bool
 }
 
@@ -191,12 +194,16 @@
 	if l.d.cfg.Folder == "" {
 		return configlog.Stored{}, errors.New("a voter of the configuration needs a folder that lasts")
 	}
+	if _, err := os.Stat(l.d.cfg.Folder); err != nil {
+		return configlog.Stored{}, err // not created: a folder that is away holds what was promised
+	}
 	store, found, err := configstore.Open(l.d.cfg.Folder, l.d.cfg.Name)
 	if err != nil {
 		return configlog.Stored{}, err
 	}
 	l.store = store
-	if len(found.Refused) > 0 {
+	// A folder that has forgotten what this process has promised in it is another one.
+	if len(found.Refused) > 0 || found.Vote.Term < l.promised || found.Last.Index < l.saved {
 		l.d.logRefusedFiles(found.Refused)
 		if err := l.recoverFromOthers(ctx); err != nil {
 			return configlog.Stored{}, err
@@ -329,17 +336,20 @@
 		if err := l.store.SaveVote(configstore.Vote{Term: p.Promised}); err != nil {
 			return err
 		}
+		l.promised = p.Promised
 	}
 	if p.Reset {
 		state := l.d.Table()
 		if err := l.store.Install(state.Table, storedVersion(p.Base)); err != nil {
 			return err
 		}
+		l.saved = p.Base.Index
 	}
 	if p.TruncateFrom > 0 {
 		if err := l.store.Truncate(p.TruncateFrom); err != nil {
 			return err
 		}
+		l.saved = min(l.saved, p.TruncateFrom-1)
 	}
 	if len(p.Entries) == 0 {
 		return nil
@@ -347,7 +357,11 @@
 	if err := l.store.Append(storedEntries(p.Entries)); err != nil {
 		return err
 	}
-	return l.store.Sync()
+	if err := l.store.Sync(); err != nil {
+		return err
+	}
+	l.saved = p.Entries[len(p.Entries)-1].Index
+	return nil
 }
 
 // compact writes a snapshot of what is committed once the log's file has grown.
--- a/fleet/distribution_swarm_test.go
+++ b/fleet/distribution_swarm_test.go
@@ -508,6 +508,26 @@
 	}
 }
 
+// An empty folder comes in the place of the leader's, which is stopped past its lease then: what was acknowledged stays.
+func TestConfigVoterWithoutFolder(t *testing.T) {
+	c := newConfigCluster(t)
+	first := c.leader("")
+	c.acknowledge(5)
+	folder := c.Folder(first)
+	if err := os.Rename(folder, folder+".away"); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Mkdir(folder, 0o700); err != nil { // as where a disk is no longer mounted
+		t.Fatal(err)
+	}
+	c.play("0s stop " + first)
+	c.leader(first)
+	c.acknowledge(3)
+	c.play("0s cont " + first)
+	c.acknowledge(3)
+	c.settle()
+}
+
 // The commands of operators: a faulty file is told with file and line and changes nothing; versions are printed.
 func TestConfigCommands(t *testing.T) {
 	c := newConfigCluster(t)
