--- a/logic/configlog/configlog.go
+++ b/logic/configlog/configlog.go
@@ -52,14 +52,13 @@
 
 // The rules whose loss the walks in the tests find.
 const (
-	PersistBeforeAnswer Rule = 1 << iota // what an answer says is on the disk before the answer leaves
-	CommitOwnTerm                        // a majority commits an entry of the leader's own term, and all before it
-	PromiseAtRecovery                    // a voter that answered a new leader takes nothing from older ones
-	MostUpToDate                         // a new leader takes the log whose last entry has the highest term, then index
-	ServiceChain                         // a follower checks the index of the entry before of the same service
-	StreamSequence                       // a follower checks the sequence of its stream
-	WholeSnapshot                        // a follower replaces its table only with a whole snapshot
-	TermAtResume                         // a feed resumes only where the term at that index is the subscriber's
+	CommitOwnTerm     Rule = 1 << iota // a majority commits an entry of the leader's own term, and all before it
+	PromiseAtRecovery                  // a voter that answered a new leader takes nothing from older ones
+	MostUpToDate                       // a new leader takes the log whose last entry has the highest term, then index
+	ServiceChain                       // a follower checks the index of the entry before of the same service
+	StreamSequence                     // a follower checks the sequence of its stream
+	WholeSnapshot                      // a follower replaces its table only with a whole snapshot
+	TermAtResume                       // a feed resumes only where the term at that index is the subscriber's
 )
 
-func (r Rule) kept(rule Rule) bool { return r&rule == 0 }
+func (without Rule) keeps(rule Rule) bool { return without&rule == 0 }
--- a/logic/configlog/errors.go
+++ b/logic/configlog/errors.go
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("configlog: message %d came after %d", e.Sequence, e.After)
 }
 
-// StaleEntryError tells of an entry at or below what is applied, or of a message of a former stream.
+// StaleEntryError tells of an entry at or below what is applied.
 type StaleEntryError struct{ Got, Applied Version }
 
 func (e *StaleEntryError) Error() string {
@@ -76,3 +76,10 @@
 func (e *DisconnectedError) Error() string {
 	return "configlog: the connection to " + e.Distributor + " ended"
 }
+
+// StaleStreamError tells of a message of a former subscription.
+type StaleStreamError struct{ Stream, Current uint64 }
+
+func (e *StaleStreamError) Error() string {
+	return fmt.Sprintf("configlog: a message of subscription %d, now is %d", e.Stream, e.Current)
+}
--- a/logic/configlog/feed.go
+++ b/logic/configlog/feed.go
@@ -1,95 +1,186 @@
 package configlog
 
-// FeedConfig is what an installation sets. Times are in seconds.
-type FeedConfig struct {
-	HistoryEntries  int     // entries kept for subscribers that come back
-	BufferBytes     int     // of entries that wait for one subscriber, above which it is closed
-	PartBytes       int     // of records in one snapshot part
-	BytesPerSecond  float64 // most for one subscriber, whatever it asks for
-	HeartbeatEvery  float64
-	LookupsInFlight int  // replies that wait for one subscriber
-	Without         Rule // none in service
-}
-
-// SubscriberID is the caller's number for one subscription: one connection's.
-type SubscriberID uint64
+import "slices"
 
-// Snapshotter is the table that a feed serves snapshots and lookups from. It has all entries that the feed was given, or more.
-type Snapshotter interface {
-	// Open holds the records of some services, or of all, as they are now.
-	Open(services []string, all bool) Snapshot
-	// Lookup finds one record.
-	Lookup(kind Kind, name string) (value []byte, version Version, found bool)
+// Feed is a distributor's part: it serves subscribers from committed entries.
+type Feed struct {
+	cfg         FeedConfig
+	table       Snapshotter
+	history     entryLog
+	now         float64
+	age         float64
+	subscribers map[SubscriberID]*subscriber
+	byService   map[string][]*subscriber
+	all         []*subscriber
+	active      []*subscriber // with something to send
+	heartbeats  []heartbeatDue
+	out         FeedReady
 }
 
-// Snapshot reads the records of one version, in parts.
-type Snapshot interface {
-	Version() Version
-	// Next gives the following records of at most maxBytes, or of one record that is larger; done with the last ones.
-	Next(maxBytes int) (records []Change, done bool)
-	Close()
+// heartbeatDue is when a subscriber gets its next heartbeat. They all wait as long, so that a queue is in the order of time.
+type heartbeatDue struct {
+	subscriber *subscriber
+	at         float64
 }
 
-// Outgoing is a message for one subscriber.
-type Outgoing struct {
-	Subscriber SubscriberID
-	Message    StreamMessage
+// NewFeed begins with a table of a version, and no history.
+func NewFeed(cfg FeedConfig, table Snapshotter, version Version, now float64) *Feed {
+	f := &Feed{cfg: cfg, table: table, now: now, subscribers: map[SubscriberID]*subscriber{}, byService: map[string][]*subscriber{}}
+	f.history = entryLog{base: version, lastOfService: map[string]uint64{}}
+	return f
 }
 
-// CloseReason is why a subscription is ended.
-type CloseReason uint8
-
-// Why subscriptions and connections are closed.
-const (
-	CloseSlow            CloseReason = iota + 1 // the subscriber does not keep up with its entries
-	CloseFeedReset                              // the distributor itself took a snapshot
-	CloseMalformed                              // the other side does not keep the protocol
-	CloseGap                                    // something is missing
-	CloseSilent                                 // nothing was heard for too long
-	CloseBehind                                 // the distributor is behind
-	CloseStaleTerm                              // the distributor follows a leader that is over
-	CloseServicesChanged                        // other services are wanted
-)
-
-// Closed ends a subscription.
-type Closed struct {
-	Subscriber SubscriberID
-	Reason     CloseReason
-}
+// Version is the last entry that it has.
+func (f *Feed) Version() Version { return f.history.last() }
 
-// FeedReady is what there is to do.
-type FeedReady struct {
-	Messages []Outgoing
-	Closed   []Closed
-}
+// Subscribers is how many there are.
+func (f *Feed) Subscribers() int { return len(f.subscribers) }
 
-// Feed is a distributor's part: it serves subscribers from committed entries.
-type Feed struct {
+// Append takes committed entries that follow what it has; it takes none of them if they do not.
+func (f *Feed) Append(entries []Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	last := f.Version()
+	if entries[0].Index != last.Index+1 {
+		return &GapError{What: "index", Want: last.Index + 1, Got: entries[0].Index}
+	}
+	if entries[0].Term < last.Term {
+		return &StaleTermError{Term: entries[0].Term, Known: last.Term}
+	}
+	if !contiguous(last, entries) {
+		return &MalformedError{Why: "entries that do not follow each other"}
+	}
+	for _, entry := range entries {
+		f.history.append(entry)
+		f.offer(f.all, entry)
+		f.offer(f.byService[entry.Service], entry)
+	}
+	f.compact()
+	f.sendActive()
+	return nil
 }
 
-// NewFeed begins with a table of a version, and no history.
-func NewFeed(cfg FeedConfig, table Snapshotter, version Version, now float64) *Feed { return &Feed{} }
+// offer has an entry wait for those who want it, and closes those for whom too much waits already.
+func (f *Feed) offer(wanting []*subscriber, entry Entry) {
+	var slow []*subscriber
+	for _, subscriber := range wanting {
+		if !subscriber.enqueue(entry, f.cfg.BufferBytes) {
+			slow = append(slow, subscriber)
+			continue
+		}
+		f.activate(subscriber)
+	}
+	for _, subscriber := range slow {
+		f.close(subscriber, CloseSlow)
+	}
+}
 
-// Append takes committed entries that follow what it has; it takes none of them if they do not.
-func (f *Feed) Append(entries []Entry) error { return nil }
+// compact drops the oldest entries once there is a quarter more than is to be kept.
+func (f *Feed) compact() {
+	if kept := len(f.history.entries); kept > f.cfg.HistoryEntries+f.cfg.HistoryEntries/4 {
+		f.history.compact(f.history.last().Index - uint64(f.cfg.HistoryEntries))
+	}
+}
 
 // Reset begins anew at a version, as the table was replaced: subscriptions are closed.
-func (f *Feed) Reset(version Version) {}
+func (f *Feed) Reset(version Version) {
+	ids := make([]SubscriberID, 0, len(f.subscribers))
+	for id := range f.subscribers {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		f.close(f.subscribers[id], CloseFeedReset)
+	}
+	f.history = entryLog{base: version, lastOfService: map[string]uint64{}}
+}
 
 // Subscribe begins a subscription, in place of one under the same id.
-func (f *Feed) Subscribe(id SubscriberID, request Subscribe, now float64) {}
+func (f *Feed) Subscribe(id SubscriberID, request Subscribe, now float64) {
+	f.Unsubscribe(id)
+	f.now = max(f.now, now)
+	if request.From.Compare(f.Version()) > 0 {
+		welcome := Welcome{Stream: request.Stream, Sequence: 1, Mode: WelcomeBehind, Version: f.Version()}
+		f.out.Messages = append(f.out.Messages, Outgoing{id, welcome})
+		f.out.Closed = append(f.out.Closed, Closed{id, CloseBehind})
+		return
+	}
+	subscriber := newSubscriber(id, request, f.rate(request), f.now)
+	f.register(subscriber)
+	if entries, ok := f.missed(request.From, subscriber); ok && subscriber.resume(entries, f.cfg.BufferBytes) {
+		f.send(subscriber, Welcome{Mode: WelcomeResume, Version: request.From})
+	} else {
+		subscriber.snapshot = f.table.Open(request.Services, request.All)
+		subscriber.position = subscriber.snapshot.Version()
+		f.send(subscriber, Welcome{Mode: WelcomeSnapshot, Version: subscriber.position})
+	}
+	f.heartbeats = append(f.heartbeats, heartbeatDue{subscriber, f.now + f.cfg.HeartbeatEvery})
+	f.activate(subscriber)
+	f.sendActive()
+}
 
-// Unsubscribe ends a subscription without a word.
-func (f *Feed) Unsubscribe(id SubscriberID) {}
+// rate is how many bytes a second a subscriber gets.
+func (f *Feed) rate(request Subscribe) float64 {
+	if request.BytesPerSecond > 0 {
+		return min(request.BytesPerSecond, f.cfg.BytesPerSecond)
+	}
+	return f.cfg.BytesPerSecond
+}
 
-// Lookup answers a subscriber's question.
-func (f *Feed) Lookup(id SubscriberID, lookup Lookup, now float64) {}
+// missed gives the entries that a subscriber wants after a version, unless they are not kept or the version is not of this log.
+func (f *Feed) missed(from Version, subscriber *subscriber) ([]Entry, bool) {
+	if from == (Version{}) {
+		return nil, false
+	}
+	version, ok := f.history.version(from.Index)
+	if !ok || version != from && f.cfg.Without.keeps(TermAtResume) {
+		return nil, false
+	}
+	if subscriber.all {
+		return f.history.after(from.Index), true
+	}
+	return f.history.ofServices(subscriber.services, from.Index), true
+}
 
-// Tick sends what is due; age is how old the distributor's own knowledge is, in seconds.
-func (f *Feed) Tick(now, age float64) {}
+func (f *Feed) register(subscriber *subscriber) {
+	f.subscribers[subscriber.id] = subscriber
+	if subscriber.all {
+		f.all = append(f.all, subscriber)
+		return
+	}
+	for _, service := range subscriber.services {
+		f.byService[service] = append(f.byService[service], subscriber)
+	}
+}
 
-// Version is the last entry that it has.
-func (f *Feed) Version() Version { return Version{} }
+// Unsubscribe ends a subscription without a word.
+func (f *Feed) Unsubscribe(id SubscriberID) {
+	ending := f.subscribers[id]
+	if ending == nil {
+		return
+	}
+	ending.end()
+	delete(f.subscribers, id)
+	same := func(other *subscriber) bool { return other == ending }
+	f.all = slices.DeleteFunc(f.all, same)
+	f.active = slices.DeleteFunc(f.active, same)
+	for _, service := range ending.services {
+		f.byService[service] = slices.DeleteFunc(f.byService[service], same)
+		if len(f.byService[service]) == 0 {
+			delete(f.byService, service)
+		}
+	}
+}
+
+func (f *Feed) close(subscriber *subscriber, reason CloseReason) {
+	f.Unsubscribe(subscriber.id)
+	f.out.Closed = append(f.out.Closed, Closed{subscriber.id, reason})
+}
 
 // Ready empties what there is to do.
-func (f *Feed) Ready() FeedReady { return FeedReady{} }
+func (f *Feed) Ready() FeedReady {
+	out := f.out
+	f.out = FeedReady{}
+	return out
+}
--- /dev/null
+++ b/logic/configlog/feed_send.go
@@ -0,0 +1,201 @@
+package configlog
+
+import "slices"
+
+// messageOverhead is what a message counts beside entries, records and values, in bytes.
+const messageOverhead = 32
+
+// subscriber is one subscription of a feed.
+type subscriber struct {
+	id       SubscriberID
+	stream   uint64
+	services []string
+	all      bool
+	position Version // all that it wants up to here was sent, or is in its snapshot
+
+	rate       float64 // bytes a second
+	tokens     float64 // bytes that may be sent now; below zero by the rest of the last message
+	refilledAt float64
+
+	sequence     uint64
+	snapshot     Snapshot // nil once it is sent
+	pending      []Entry
+	pendingBytes int
+	replies      []LookupReply
+	active       bool
+	greeted      bool // it has had its first heartbeat, or is to get it in its turn
+}
+
+func newSubscriber(id SubscriberID, request Subscribe, rate, now float64) *subscriber {
+	services := slices.Clone(request.Services)
+	slices.Sort(services)
+	s := &subscriber{id: id, stream: request.Stream, all: request.All, position: request.From, rate: rate, tokens: rate, refilledAt: now}
+	if !request.All {
+		s.services = slices.Compact(services)
+	}
+	return s
+}
+
+// resume has entries wait that were missed; it reports false, and does nothing, if they are too many.
+func (s *subscriber) resume(entries []Entry, maxBytes int) bool {
+	size := 0
+	for _, entry := range entries {
+		size += entry.Size()
+	}
+	if size > maxBytes {
+		return false
+	}
+	s.pending, s.pendingBytes = slices.Clone(entries), size
+	return true
+}
+
+// enqueue has an entry wait, unless the snapshot has it; it reports false if too much would wait.
+func (s *subscriber) enqueue(entry Entry, maxBytes int) bool {
+	if entry.Index <= s.position.Index {
+		return true
+	}
+	if s.pendingBytes+entry.Size() > maxBytes {
+		return false
+	}
+	s.pending = append(s.pending, entry)
+	s.pendingBytes += entry.Size()
+	return true
+}
+
+func (s *subscriber) end() {
+	if s.snapshot != nil {
+		s.snapshot.Close()
+		s.snapshot = nil
+	}
+}
+
+// refill counts the bytes that may be sent; no more than a second's are saved up.
+func (s *subscriber) refill(now float64) {
+	s.tokens = min(s.tokens+(now-s.refilledAt)*s.rate, s.rate)
+	s.refilledAt = now
+}
+
+func (s *subscriber) idle() bool {
+	return s.snapshot == nil && len(s.pending) == 0 && len(s.replies) == 0
+}
+
+// Tick sends what is due; age is how old the distributor's own knowledge is, in seconds.
+func (f *Feed) Tick(now, age float64) {
+	f.now, f.age = max(f.now, now), age
+	f.sendActive()
+	due := 0
+	for due < len(f.heartbeats) && f.heartbeats[due].at <= f.now {
+		due++
+	}
+	now, dueNow := f.now, f.heartbeats[:due]
+	f.heartbeats = f.heartbeats[due:]
+	for _, heartbeat := range dueNow {
+		s := heartbeat.subscriber
+		if f.subscribers[s.id] != s {
+			continue
+		}
+		f.heartbeats = append(f.heartbeats, heartbeatDue{s, now + f.cfg.HeartbeatEvery})
+		f.sendHeartbeat(s)
+	}
+}
+
+// sendHeartbeat tells a subscriber that it has all it wants; one for whom something waits hears that otherwise, later.
+func (f *Feed) sendHeartbeat(s *subscriber) {
+	s.refill(f.now)
+	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.position.Index {
+		return
+	}
+	s.position = f.Version()
+	f.send(s, Heartbeat{Version: s.position, Age: f.age})
+}
+
+func (f *Feed) activate(s *subscriber) {
+	if !s.active {
+		s.active = true
+		f.active = append(f.active, s)
+	}
+}
+
+// sendActive sends what waits, as far as each subscriber's bytes a second go.
+func (f *Feed) sendActive() {
+	f.active = slices.DeleteFunc(f.active, func(s *subscriber) bool {
+		s.refill(f.now)
+		for s.tokens > 0 && !s.idle() {
+			f.sendNext(s)
+		}
+		if s.idle() && !s.greeted {
+			s.greeted = true
+			f.sendHeartbeat(s)
+		}
+		s.active = !s.idle()
+		return !s.active
+	})
+}
+
+// sendNext sends what is first: replies, then the snapshot, then entries.
+func (f *Feed) sendNext(s *subscriber) {
+	switch {
+	case len(s.replies) > 0:
+		reply := s.replies[0]
+		s.replies = s.replies[1:]
+		f.send(s, reply)
+	case s.snapshot != nil:
+		records, done := s.snapshot.Next(f.cfg.PartBytes)
+		if done {
+			s.end()
+		}
+		f.send(s, SnapshotPart{Records: records, Done: done})
+	default:
+		entry := s.pending[0]
+		s.pending = s.pending[1:]
+		s.pendingBytes -= entry.Size()
+		s.position = entry.Version
+		f.send(s, Delta{Entry: entry})
+	}
+}
+
+// send numbers a message and counts its bytes.
+func (f *Feed) send(s *subscriber, message StreamMessage) {
+	size := messageOverhead
+	switch m := message.(type) {
+	case LookupReply:
+		m.Stream = s.stream
+		size += len(m.Value)
+		message = m
+	case Welcome:
+		s.sequence++
+		m.Stream, m.Sequence = s.stream, s.sequence
+		message = m
+	case SnapshotPart:
+		s.sequence++
+		m.Stream, m.Sequence = s.stream, s.sequence
+		for _, record := range m.Records {
+			size += Entry{Change: record}.Size()
+		}
+		message = m
+	case Delta:
+		s.sequence++
+		m.Stream, m.Sequence = s.stream, s.sequence
+		size += m.Entry.Size()
+		message = m
+	case Heartbeat:
+		s.sequence++
+		m.Stream, m.Sequence = s.stream, s.sequence
+		message = m
+	}
+	s.tokens -= float64(size)
+	f.out.Messages = append(f.out.Messages, Outgoing{s.id, message})
+}
+
+// Lookup answers a subscriber's question.
+func (f *Feed) Lookup(id SubscriberID, lookup Lookup, now float64) {
+	s := f.subscribers[id]
+	if s == nil || lookup.Stream != s.stream || len(s.replies) >= f.cfg.LookupsInFlight {
+		return
+	}
+	f.now = max(f.now, now)
+	value, version, found := f.table.Lookup(lookup.Kind, lookup.Name)
+	s.replies = append(s.replies, LookupReply{ID: lookup.ID, Version: version, Found: found, Value: value})
+	f.activate(s)
+	f.sendActive()
+}
--- a/logic/configlog/follower.go
+++ b/logic/configlog/follower.go
@@ -1,131 +1,141 @@
 package configlog
 
-// FollowerConfig is what an installation sets. Times are in seconds.
-type FollowerConfig struct {
-	Name           string
-	Services       []string
-	All            bool
-	Distributors   []string
-	BytesPerSecond float64
-	StaleAfter     float64 // age from which Status says stale
-	SilentAfter    float64 // without a message the connection is closed
-	BackoffMin     float64
-	BackoffMax     float64
-	Seed           uint64
-	MaxLookups     int  // that may wait for a reply
-	Without        Rule // none in service
-}
-
-// FollowerState is how far a follower has come. One function changes it.
-type FollowerState uint8
+import (
+	"cmp"
+	"hash/fnv"
+	"math"
+	"slices"
 
-// The states of a follower.
-const (
-	FollowerDisconnected FollowerState = iota // waits before it connects again, or for the connection
-	FollowerSubscribing                       // connected, and waits for the welcome
-	FollowerSnapshot                          // takes the parts of a snapshot
-	FollowerFollowing
+	"valveglade/logic/chance"
 )
 
-// Counts tells how many messages were refused, by why; none of them was applied.
-type Counts struct {
-	Applied                                                   uint64 // entries
-	Snapshots                                                 uint64 // replaced
-	Gaps, Duplicates, Reordered, Stale, StaleTerms, Malformed uint64
-	Connects, Disconnects                                     uint64
+// Follower is an app server's part, and that of a distributor that is no voter: it keeps one subscription.
+type Follower struct {
+	cfg      FollowerConfig
+	services map[string]bool
+	state    FollowerState
+
+	version     Version
+	term        uint64            // the highest that is known
+	resumable   bool              // the table has all of its services up to version
+	base        uint64            // index of the last snapshot, or of the file
+	lastApplied map[string]uint64 // index of the last entry of each service that was applied above the base
+	knownAt     float64           // when it was as new as the leader; -Inf for never
+	now         float64
+
+	connection connection
+	stream     stream
+	lookups    []uint64 // that wait for a reply
+	toldStale  bool
+	counts     Counts
+	out        []Action
 }
 
-// Status tells where a follower is.
-type Status struct {
-	Version     Version
-	Age         float64 // seconds since it was last known to be as new as the leader
-	Stale       bool
-	Distributor string
-	State       FollowerState
-	Counts      Counts
+// NewFollower begins with a table of a version, which has all of its services; with the zero Version it takes a snapshot first.
+func NewFollower(cfg FollowerConfig, version Version, now float64) *Follower {
+	f := &Follower{cfg: cfg, now: now, knownAt: math.Inf(-1), toldStale: true}
+	f.restart(version)
+	f.setServices(cfg.Services)
+	f.stream.number = uint64(chance.At(cfg.Seed, 0) * (1 << 48))
+	f.connection = connection{ranked: rank(cfg.Name, cfg.Distributors), retryAt: now}
+	return f
 }
 
-// Action is what a follower has its caller do: one of Connect, Send, Close, Apply, Stage, Discard, Replace, StatusChanged,
-// LookupDone. They are carried out in order.
-type Action interface{ action() }
-
-// Connect opens a connection; Connected or Disconnected tells the follower how that went.
-type Connect struct{ Distributor string }
-
-// Send sends a message to the distributor.
-type Send struct{ Message StreamMessage }
-
-// Close ends the connection; Disconnected need not be told.
-type Close struct{ Reason CloseReason }
-
-// Apply changes the table by entries, in order; the table is of Version after it. Without entries only the version is new.
-type Apply struct {
-	Entries []Entry
-	Version Version
+// restart begins from a table of a version.
+func (f *Follower) restart(version Version) {
+	f.version, f.base, f.lastApplied = version, version.Index, map[string]uint64{}
+	f.term = max(f.term, version.Term)
+	f.resumable = version != Version{}
 }
 
-// Stage keeps records of a snapshot beside the table; First drops what was staged before.
-type Stage struct {
-	Records []Change
-	First   bool
+func (f *Follower) setServices(services []string) {
+	f.services = make(map[string]bool, len(services))
+	for _, service := range services {
+		f.services[service] = true
+	}
 }
 
-// Discard drops what is staged.
-type Discard struct{}
-
-// Replace has what is staged take the table's place, whole.
-type Replace struct{ Version Version }
-
-// StatusChanged tells of a new state or of a change of staleness.
-type StatusChanged struct{ Status Status }
-
-// LookupDone is the outcome of a lookup.
-type LookupDone struct {
-	ID    uint64
-	Reply LookupReply
-	Err   error
+// SetServices wants other services: the table has to come whole again, unless none is new.
+func (f *Follower) SetServices(services []string, now float64) {
+	f.now = max(f.now, now)
+	wider := slices.ContainsFunc(services, func(service string) bool { return !f.services[service] })
+	f.cfg.Services = services
+	f.setServices(services)
+	if wider {
+		f.resumable = false
+		f.out = append(f.out, Invalidate{})
+	}
+	if f.state != FollowerDisconnected {
+		f.subscribe()
+	}
 }
 
-func (Connect) action()       {}
-func (Send) action()          {}
-func (Close) action()         {}
-func (Apply) action()         {}
-func (Stage) action()         {}
-func (Discard) action()       {}
-func (Replace) action()       {}
-func (StatusChanged) action() {}
-func (LookupDone) action()    {}
-
-// Follower is an app server's part, and that of a distributor that is no voter: it keeps one subscription.
-type Follower struct {
+// moveTo changes the state, and nothing else does.
+func (f *Follower) moveTo(state FollowerState) {
+	if f.state == state {
+		return
+	}
+	if f.state == FollowerSnapshot && state != FollowerFollowing {
+		f.abandonSnapshot()
+	}
+	if state == FollowerFollowing {
+		f.connection.failures = 0
+	}
+	f.state = state
+	f.tellStatus()
 }
 
-// NewFollower begins with a table of a version, which has all of its services; with the zero Version it takes a snapshot first.
-func NewFollower(cfg FollowerConfig, version Version, now float64) *Follower { return &Follower{} }
-
-// SetDistributors takes another list.
-func (f *Follower) SetDistributors(names []string, now float64) {}
-
-// SetServices wants other services: the table has to come whole again, unless none is new.
-func (f *Follower) SetServices(services []string, now float64) {}
-
-// Connected tells that the connection asked for is there.
-func (f *Follower) Connected(now float64) {}
-
-// Disconnected tells that the connection has ended, or could not be had.
-func (f *Follower) Disconnected(now float64) {}
+// abandonSnapshot drops what has come of a snapshot.
+func (f *Follower) abandonSnapshot() {
+	if !f.cfg.Without.keeps(WholeSnapshot) {
+		f.replace()
+		return
+	}
+	f.out = append(f.out, Discard{})
+}
 
-// Step takes a message of the distributor. An error tells why it was refused; it was not applied then.
-func (f *Follower) Step(message StreamMessage, now float64) error { return nil }
+// Status tells where the follower is.
+func (f *Follower) Status(now float64) Status {
+	age := now - f.knownAt
+	return Status{Version: f.version, Age: age, Stale: age > f.cfg.StaleAfter, Distributor: f.connection.name(), State: f.state,
+		Counts: f.counts}
+}
 
-// Lookup asks for a record on demand; LookupDone has the outcome under the id.
-func (f *Follower) Lookup(id uint64, kind Kind, name string, now float64) error { return nil }
+func (f *Follower) tellStatus() {
+	status := f.Status(f.now)
+	f.toldStale = status.Stale
+	f.out = append(f.out, StatusChanged{status})
+}
 
 // Tick does what is due.
-func (f *Follower) Tick(now float64) {}
-
-// Status tells where the follower is.
-func (f *Follower) Status(now float64) Status { return Status{} }
+func (f *Follower) Tick(now float64) {
+	f.now = max(f.now, now)
+	f.tickConnection()
+	if f.Status(f.now).Stale != f.toldStale {
+		f.tellStatus()
+	}
+}
 
 // Ready empties what there is to do, in order.
-func (f *Follower) Ready() []Action { return nil }
+func (f *Follower) Ready() []Action {
+	out := f.out
+	f.out = nil
+	return out
+}
+
+// rank orders distributors for one app server by rendezvous hashing: each goes to another first, and all change as little as
+// can be when the list does.
+func rank(name string, distributors []string) []string {
+	score := func(distributor string) uint64 {
+		h := fnv.New64a()
+		h.Write([]byte(name))
+		h.Write([]byte{0})
+		h.Write([]byte(distributor))
+		return uint64(chance.At(h.Sum64(), 0) * (1 << 53))
+	}
+	ranked := slices.Clone(distributors)
+	slices.SortFunc(ranked, func(a, b string) int {
+		return cmp.Or(cmp.Compare(score(b), score(a)), cmp.Compare(a, b))
+	})
+	return slices.Compact(ranked)
+}
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -1,115 +1,180 @@
 package configlog
 
-// ReplicaConfig is what an installation sets. Times are in seconds.
-type ReplicaConfig struct {
-	Name           string
-	Voters         [][]string // one list, or two while they are changed: a majority of each is needed
-	KeepEntries    int        // committed entries kept in memory
-	MaxOpen        int        // proposals that may wait for their commit
-	MessageBytes   int        // of entries in one message, by Entry.Size
-	MaxInFlight    int        // messages with entries on their way to one voter
-	ResendAfter    float64
-	HeartbeatEvery float64
-	Without        Rule // none in service
-}
-
-// Stored is what a replica finds on its disk at a start.
-type Stored struct {
-	Promised      uint64            // nothing is taken from leaders of lower terms
-	Base          Version           // entries follow this one
-	LastOfService map[string]uint64 // at Base: the index of the last entry of each service
-	Entries       []Entry
-	Commit        uint64 // at least Base.Index; what is committed by the table on disk
-}
-
-// Persist is what has to be on the disk before the messages of the same Ready leave. Its parts are carried out in order.
-type Persist struct {
-	Promised     uint64  // 0 where unchanged
-	Reset        bool    // all entries are dropped, and Base is where the log goes on from
-	Base         Version // of Reset
-	TruncateFrom uint64  // entries from this index on are dropped; 0 for none
-	Entries      []Entry // to be appended
-}
-
-// IsEmpty reports whether there is nothing to write.
-func (p Persist) IsEmpty() bool {
-	return p.Promised == 0 && !p.Reset && p.TruncateFrom == 0 && len(p.Entries) == 0
-}
+import (
+	"maps"
 
-// Result is the outcome of a proposal: committed under Version, or an error. ErrOutcomeUnknown means that it may yet be committed.
-type Result struct {
-	ID      uint64
-	Version Version
-	Err     error
-}
-
-// ReplicaReady is what there is to do, in this order: write Persist, send Messages, apply Committed, tell Results. All of it is done
-// before the replica is called again. Where writing fails nothing else of it is done, and the replica is dropped and opened again.
-type ReplicaReady struct {
-	Persist       Persist
-	Messages      []Envelope
-	Committed     []Entry // in the order of the log, each once since the start
-	Results       []Result
-	NeedSnapshot  Version // not zero: the log goes on too far above what is here, install a snapshot of at least this version
-	StaleTerm     uint64  // not zero: a term above the one led under is known, so the role is to be given up
-	CompactedUpTo Version // not zero: entries up to this one are not needed on the disk, once the table there has them
-}
-
-// ReplicaState is how far a replica has come. One function changes it.
-type ReplicaState uint8
-
-// The states of a replica.
-const (
-	ReplicaFollows ReplicaState = iota
-	ReplicaAsks                 // leads, and waits for the promises of a majority
-	ReplicaFetches              // leads, and fetches what it lacks
-	ReplicaLeads                // leads, and takes proposals
+	"valveglade/logic/quorum"
 )
 
-// ReplicaStatus tells where a replica is.
-type ReplicaStatus struct {
-	State     ReplicaState
-	Term      uint64 // promised, or led under
-	Last      Version
-	Committed Version
-	Base      Version
-	Open      int
-	Age       float64 // seconds since this replica was last known to have all that is committed
-}
-
 // Replica is a voter's copy of the log.
 type Replica struct {
+	cfg    ReplicaConfig
+	voters quorum.Voters
+	self   int // its number among the voters, -1 for none
+
+	state     ReplicaState
+	promised  uint64 // also the term that it leads under
+	log       entryLog
+	committed uint64
+	freshAt   float64 // when it was last known to have all that is committed
+
+	lead leadership
+
+	savedPromise uint64 // what the disk has, once all that Ready gave is carried out
+	savedTo      uint64
+	truncateFrom uint64
+	reset        bool
+	given        uint64 // committed entries up to this index were given out
+	out          ReplicaReady
 }
 
-// NewReplica opens a replica on what the disk has. Entries of stored up to its Commit are not given out by Ready again.
-func NewReplica(cfg ReplicaConfig, stored Stored, now float64) *Replica { return &Replica{} }
+// NewReplica opens a replica on what the disk has. Entries of stored up to its Commit are not given out by Ready again. The replica
+// keeps what stored refers to.
+func NewReplica(cfg ReplicaConfig, stored Stored, now float64) *Replica {
+	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised, savedPromise: stored.Promised, freshAt: now}
+	r.self = r.voters.Number(cfg.Name)
+	r.log = entryLog{base: stored.Base, lastOfService: maps.Clone(stored.LastOfService)}
+	if r.log.lastOfService == nil {
+		r.log.lastOfService = map[string]uint64{}
+	}
+	for _, entry := range stored.Entries {
+		r.log.append(entry)
+	}
+	r.savedTo = r.log.last().Index
+	r.committed = min(max(stored.Commit, stored.Base.Index), r.savedTo)
+	r.given = r.committed
+	return r
+}
 
-// Lead begins to lead under a term that nobody else has. It fails for a term not above all that this replica has promised.
-func (r *Replica) Lead(term uint64, now float64) error { return nil }
+// moveTo changes the state, and nothing else does.
+func (r *Replica) moveTo(state ReplicaState) {
+	if state == ReplicaFollows {
+		for _, proposal := range r.lead.open {
+			r.out.Results = append(r.out.Results, Result{ID: proposal.id, Err: ErrOutcomeUnknown})
+		}
+		r.lead = leadership{}
+	}
+	r.state = state
+}
 
 // StepDown ends leading; open proposals end with ErrOutcomeUnknown.
-func (r *Replica) StepDown() {}
+func (r *Replica) StepDown() { r.moveTo(ReplicaFollows) }
+
+// promise takes nothing from leaders below a term any more, itself among them.
+func (r *Replica) promise(term uint64) {
+	if term <= r.promised {
+		return
+	}
+	r.overtaken(term)
+	r.promised = term
+}
 
-// Propose appends a change. Its outcome comes out of Ready under the id.
-func (r *Replica) Propose(id uint64, change Change, now float64) error { return nil }
+// overtaken ends leading as a higher term is known.
+func (r *Replica) overtaken(known uint64) {
+	if r.state == ReplicaFollows || known <= r.promised {
+		return
+	}
+	r.out.StaleTerm = known
+	r.moveTo(ReplicaFollows)
+}
 
 // Step takes a message of another replica.
-func (r *Replica) Step(envelope Envelope, now float64) {}
+func (r *Replica) Step(envelope Envelope, now float64) {
+	from := envelope.From
+	if r.voters.Number(from) < 0 || from == r.cfg.Name || envelope.To != r.cfg.Name {
+		return
+	}
+	switch message := envelope.Message.(type) {
+	case RecoverRequest:
+		r.handleRecoverRequest(from, message)
+	case FetchRequest:
+		r.handleFetchRequest(from, message)
+	case AppendRequest:
+		r.handleAppendRequest(from, message, now)
+	case BehindNotice:
+		r.handleBehindNotice(from, message)
+	case RecoverResponse:
+		r.handleRecoverResponse(from, message, now)
+	case FetchResponse:
+		r.handleFetchResponse(from, message, now)
+	case AppendResponse:
+		r.handleAppendResponse(from, message, now)
+	}
+}
 
-// Tick does what is due.
-func (r *Replica) Tick(now float64) {}
+func (r *Replica) send(to string, message Message) {
+	r.out.Messages = append(r.out.Messages, Envelope{From: r.cfg.Name, To: to, Message: message})
+}
 
 // InstallSnapshot has the log go on from a committed version that the table outside now has. It reports false, and does nothing, for
 // one that is not above what is committed here.
 func (r *Replica) InstallSnapshot(version Version, lastOfService map[string]uint64, now float64) bool {
-	return false
+	if version.Index <= r.committed || r.state == ReplicaLeads {
+		return false
+	}
+	if here, ok := r.log.version(version.Index); !ok || here != version {
+		r.log = entryLog{base: version, lastOfService: maps.Clone(lastOfService)}
+		if r.log.lastOfService == nil {
+			r.log.lastOfService = map[string]uint64{}
+		}
+		r.reset, r.truncateFrom, r.savedTo = true, 0, version.Index
+	}
+	r.committed, r.given = version.Index, version.Index
+	if r.state == ReplicaFetches {
+		r.fetch(now)
+	}
+	return true
 }
 
 // LastOfService tells the index of each service's last entry at or below an index that is not below the base; the caller owns it.
-func (r *Replica) LastOfService(index uint64) map[string]uint64 { return nil }
+func (r *Replica) LastOfService(index uint64) map[string]uint64 { return r.log.lastOfServiceAt(index) }
 
 // Status tells where the replica is.
-func (r *Replica) Status(now float64) ReplicaStatus { return ReplicaStatus{} }
+func (r *Replica) Status(now float64) ReplicaStatus {
+	committed, _ := r.log.version(r.committed)
+	status := ReplicaStatus{State: r.state, Term: r.promised, Last: r.log.last(), Committed: committed, Base: r.log.base,
+		Open: len(r.lead.open), Age: now - r.freshAt}
+	if r.state == ReplicaLeads {
+		status.Age = 0
+	}
+	return status
+}
 
 // Ready empties what there is to do.
-func (r *Replica) Ready() ReplicaReady { return ReplicaReady{} }
+func (r *Replica) Ready() ReplicaReady {
+	out := r.out
+	out.Persist = r.unsaved()
+	out.Committed = r.log.between(r.given, r.committed)
+	r.given = r.committed
+	r.out = ReplicaReady{}
+	if r.compact() {
+		out.CompactedUpTo = r.log.base
+	}
+	return out
+}
+
+// unsaved tells what is to be written, and takes it as written.
+func (r *Replica) unsaved() Persist {
+	persist := Persist{Reset: r.reset, TruncateFrom: r.truncateFrom}
+	if r.reset {
+		persist.Base = r.log.base
+	}
+	if r.promised != r.savedPromise {
+		persist.Promised = r.promised
+	}
+	if entries := r.log.after(r.savedTo); len(entries) > 0 {
+		persist.Entries = entries
+	}
+	r.savedPromise, r.savedTo, r.truncateFrom, r.reset = r.promised, r.log.last().Index, 0, false
+	return persist
+}
+
+// compact drops the oldest committed entries once there is a quarter more than is to be kept.
+func (r *Replica) compact() bool {
+	keep := uint64(r.cfg.KeepEntries)
+	if r.committed-r.log.base.Index <= keep+keep/4 {
+		return false
+	}
+	r.log.compact(r.committed - keep)
+	return true
+}
--- /dev/null
+++ b/logic/configlog/replica_leader.go
@@ -0,0 +1,228 @@
+package configlog
+
+import (
+	"slices"
+
+	"valveglade/logic/quorum"
+)
+
+// progress is what a leader knows of one voter's log.
+type progress struct {
+	match     uint64 // its log is the leader's up to here
+	next      uint64 // of the entry to be sent next
+	confirmed bool   // it has taken something under this term; until then entries are tried one message at a time
+	inFlight  int    // messages with entries that are not answered
+	sentAt    float64
+}
+
+// Propose appends a change. Its outcome comes out of Ready under the id.
+func (r *Replica) Propose(id uint64, change Change, now float64) error {
+	switch r.state {
+	case ReplicaFollows:
+		return ErrNotLeader
+	case ReplicaAsks, ReplicaFetches:
+		return ErrRecovering
+	}
+	if change.IsEmpty() {
+		return ErrEmptyChange
+	}
+	if size := (Entry{Change: change}).Size(); size > r.cfg.MessageBytes {
+		return &TooLargeError{Size: size, Limit: r.cfg.MessageBytes}
+	}
+	if len(r.lead.open) >= r.cfg.MaxOpen {
+		return &TooManyOpenError{Limit: r.cfg.MaxOpen}
+	}
+	r.appendOwn(change)
+	r.lead.open = append(r.lead.open, openProposal{id: id, index: r.log.last().Index})
+	r.replicate(now)
+	return nil
+}
+
+// appendOwn appends an entry under the leader's term.
+func (r *Replica) appendOwn(change Change) {
+	version := Version{Term: r.promised, Index: r.log.last().Index + 1}
+	r.log.append(Entry{Version: version, Previous: r.log.lastOfService[change.Service], Change: change})
+}
+
+// replicate sends each voter what it lacks, as far as may be on its way at a time.
+func (r *Replica) replicate(now float64) {
+	for voter := range r.lead.progress {
+		if voter != r.self {
+			r.sendEntries(voter, now)
+		}
+	}
+}
+
+func (r *Replica) sendEntries(voter int, now float64) {
+	progress := &r.lead.progress[voter]
+	limit := r.cfg.MaxInFlight
+	if !progress.confirmed {
+		limit = 1
+	}
+	for progress.inFlight < limit && progress.next <= r.log.last().Index {
+		previous, ok := r.log.version(progress.next - 1)
+		if !ok {
+			progress.sentAt = now
+			r.send(r.voters.Names()[voter], BehindNotice{Term: r.promised, Base: r.log.base})
+			return
+		}
+		entries := batch(r.log.after(previous.Index), r.cfg.MessageBytes)
+		r.sendAppend(voter, previous, entries, now)
+		progress.inFlight++
+		if progress.confirmed {
+			progress.next += uint64(len(entries))
+		}
+	}
+}
+
+func (r *Replica) sendAppend(voter int, previous Version, entries []Entry, now float64) {
+	r.lead.progress[voter].sentAt = now
+	r.send(r.voters.Names()[voter], AppendRequest{Term: r.promised, Previous: previous, Entries: entries, Commit: r.committed})
+}
+
+// sendHeartbeat tells a voter the commit index.
+func (r *Replica) sendHeartbeat(voter int, now float64) {
+	if previous, ok := r.log.version(r.lead.progress[voter].next - 1); ok {
+		r.sendAppend(voter, previous, nil, now)
+	}
+}
+
+func (r *Replica) handleAppendResponse(from string, response AppendResponse, now float64) {
+	if r.state != ReplicaLeads || response.Term != r.promised {
+		return
+	}
+	if response.Known > r.promised {
+		r.overtaken(response.Known)
+		return
+	}
+	voter := r.voters.Number(from)
+	progress := &r.lead.progress[voter]
+	if !response.Accepted {
+		progress.stepBack(response)
+		r.sendEntries(voter, now)
+		return
+	}
+	if response.Match > r.log.last().Index {
+		return
+	}
+	progress.accept(response.Match)
+	if r.commit() {
+		r.tellCommit(now)
+	}
+	r.sendEntries(voter, now)
+}
+
+// accept takes note of what a voter has.
+func (p *progress) accept(match uint64) {
+	p.match = max(p.match, match)
+	p.next = max(p.next, p.match+1)
+	if !p.confirmed {
+		p.confirmed, p.next, p.inFlight = true, p.match+1, 0
+		return
+	}
+	p.inFlight = max(p.inFlight-1, 0)
+}
+
+// stepBack goes on from where a voter's log may be the leader's, after a refusal. Those of earlier messages say nothing new.
+func (p *progress) stepBack(response AppendResponse) {
+	if response.Rejected <= p.match || response.Rejected >= p.next {
+		return
+	}
+	p.inFlight = 0
+	if p.confirmed {
+		p.next = p.match + 1
+		return
+	}
+	p.next = max(min(response.Rejected, response.Match+1), 1)
+}
+
+// commit takes what a majority has as committed, and reports whether that is more than before.
+func (r *Replica) commit() bool {
+	matches := make([]uint64, len(r.lead.progress))
+	for voter, progress := range r.lead.progress {
+		matches[voter] = progress.match
+		if voter == r.self {
+			matches[voter] = r.log.last().Index
+		}
+	}
+	candidates := slices.Clone(matches)
+	slices.Sort(candidates)
+	for _, index := range slices.Backward(candidates) {
+		if index <= r.committed {
+			return false
+		}
+		if !r.voters.Majority(holders(matches, index)) {
+			continue
+		}
+		version, _ := r.log.version(index)
+		if version.Term != r.promised && r.cfg.Without.keeps(CommitOwnTerm) {
+			return false
+		}
+		r.committed = index
+		r.finishProposals()
+		return true
+	}
+	return false
+}
+
+// holders are the voters that have an entry.
+func holders(matches []uint64, index uint64) quorum.Set {
+	var set quorum.Set
+	for voter, match := range matches {
+		if match >= index {
+			set = set.With(voter)
+		}
+	}
+	return set
+}
+
+// finishProposals tells the results of what is committed.
+func (r *Replica) finishProposals() {
+	for len(r.lead.open) > 0 && r.lead.open[0].index <= r.committed {
+		version, _ := r.log.version(r.lead.open[0].index)
+		r.out.Results = append(r.out.Results, Result{ID: r.lead.open[0].id, Version: version})
+		r.lead.open = r.lead.open[1:]
+	}
+}
+
+// tellCommit has voters that wait for nothing else hear of the commit at once.
+func (r *Replica) tellCommit(now float64) {
+	for voter, progress := range r.lead.progress {
+		if voter != r.self && progress.confirmed && progress.inFlight == 0 && progress.next > r.log.last().Index {
+			r.sendHeartbeat(voter, now)
+		}
+	}
+}
+
+// Tick does what is due.
+func (r *Replica) Tick(now float64) {
+	switch r.state {
+	case ReplicaAsks, ReplicaFetches:
+		r.recoverAgain(now)
+	case ReplicaLeads:
+		for voter := range r.lead.progress {
+			if voter != r.self {
+				r.sendAgain(voter, now)
+			}
+		}
+	}
+}
+
+// sendAgain sends what was not answered in time, or a heartbeat.
+func (r *Replica) sendAgain(voter int, now float64) {
+	progress := &r.lead.progress[voter]
+	waited := now - progress.sentAt
+	switch {
+	case progress.next <= r.log.last().Index || progress.inFlight > 0:
+		if waited < r.cfg.ResendAfter {
+			return
+		}
+		if progress.confirmed {
+			progress.next = progress.match + 1
+		}
+		progress.inFlight = 0
+		r.sendEntries(voter, now)
+	case waited >= r.cfg.HeartbeatEvery:
+		r.sendHeartbeat(voter, now)
+	}
+}
--- /dev/null
+++ b/logic/configlog/replica_voter.go
@@ -0,0 +1,111 @@
+package configlog
+
+// A voter's answers to a leader.
+
+func (r *Replica) handleRecoverRequest(from string, request RecoverRequest) {
+	if request.Term < r.promised {
+		r.send(from, RecoverResponse{Term: request.Term, Refused: true, Known: r.promised})
+		return
+	}
+	if r.cfg.Without.keeps(PromiseAtRecovery) {
+		r.promise(request.Term)
+	}
+	r.send(from, RecoverResponse{Term: request.Term, Last: r.log.last(), Commit: r.committed})
+}
+
+func (r *Replica) handleFetchRequest(from string, request FetchRequest) {
+	if request.Term < r.promised {
+		r.send(from, RecoverResponse{Term: request.Term, Refused: true, Known: r.promised})
+		return
+	}
+	response := FetchResponse{Term: request.Term, From: request.From}
+	if request.From <= r.log.base.Index {
+		response.Behind, response.Base = true, r.log.base
+	} else {
+		response.Entries = batch(r.log.after(request.From-1), r.cfg.MessageBytes)
+	}
+	r.send(from, response)
+}
+
+func (r *Replica) handleAppendRequest(from string, request AppendRequest, now float64) {
+	if request.Term < r.promised {
+		r.send(from, AppendResponse{Term: request.Term, Known: r.promised})
+		return
+	}
+	if !contiguous(request.Previous, request.Entries) || request.Term == r.promised && r.state != ReplicaFollows {
+		return
+	}
+	r.promise(request.Term)
+	previous, entries := r.aboveBase(request)
+	if here, ok := r.log.version(previous.Index); !ok || here != previous {
+		hint := min(r.log.last().Index, r.committed)
+		if !ok {
+			hint = r.log.last().Index
+		}
+		r.send(from, AppendResponse{Term: request.Term, Rejected: request.Previous.Index, Match: hint})
+		return
+	}
+	if !r.merge(entries) {
+		return
+	}
+	match := previous.Index + uint64(len(entries))
+	r.committed = max(r.committed, min(request.Commit, match))
+	if match >= request.Commit {
+		r.freshAt = now
+	}
+	r.send(from, AppendResponse{Term: request.Term, Accepted: true, Match: match})
+}
+
+// aboveBase leaves out of a request what is at or below the base: that is committed, so the leader has the same.
+func (r *Replica) aboveBase(request AppendRequest) (Version, []Entry) {
+	base := r.log.base
+	if request.Previous.Index >= base.Index {
+		return request.Previous, request.Entries
+	}
+	below := min(base.Index-request.Previous.Index, uint64(len(request.Entries)))
+	return base, request.Entries[below:]
+}
+
+// merge takes entries whose place in the log is known to be right, and drops its own that differ from them. It reports false, and
+// does nothing, where they differ from what is committed: no leader's log does.
+func (r *Replica) merge(entries []Entry) bool {
+	for k, entry := range entries {
+		here, ok := r.log.version(entry.Index)
+		if ok && here == entry.Version {
+			continue
+		}
+		if ok {
+			if entry.Index <= r.committed {
+				return false
+			}
+			r.truncate(entry.Index)
+		}
+		for _, entry := range entries[k:] {
+			r.log.append(entry)
+		}
+		return true
+	}
+	return true
+}
+
+func (r *Replica) truncate(from uint64) {
+	r.log.truncate(from)
+	if from > r.savedTo {
+		return
+	}
+	r.savedTo = from - 1
+	r.truncateFrom = from
+}
+
+func (r *Replica) handleBehindNotice(from string, notice BehindNotice) {
+	if notice.Term < r.promised || r.state != ReplicaFollows && notice.Term == r.promised {
+		return
+	}
+	r.promise(notice.Term)
+	if notice.Base.Index > r.committed {
+		r.out.NeedSnapshot = notice.Base
+		return
+	}
+	// It has taken a snapshot since: what is committed here is in every later leader's log.
+	r.send(from, AppendResponse{Term: notice.Term, Accepted: true, Match: r.committed})
+}
