--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -253,6 +253,9 @@
 		f.distrust()
 		return &GapError{What: "index", Want: want, Got: heartbeat.Version.Index}
 	}
+	if heartbeat.Version.Index == f.version.Index && heartbeat.Version != f.version {
+		return f.refuseMalformed("a heartbeat of another history")
+	}
 	if heartbeat.Version != f.version {
 		f.advance(heartbeat.Version)
 	}
