--- a/logic/configlog/stream_walk_test.go
+++ b/logic/configlog/stream_walk_test.go
@@ -99,6 +99,8 @@
 	staged    []Change
 	wants     string // the distributor to connect to
 	connected string
+	applied   func(entries []Entry) // nil, or what else to do
+	replaced  func(version Version) // nil, or what else to do
 }
 
 // carryOut does what the follower wants done; subscribe and close are told to the distributor.
@@ -117,6 +119,9 @@
 		case Apply:
 			a.records = slices.Concat(a.records, recordsOf(action.Entries, func(string) bool { return true }))
 			a.version = action.Version
+			if a.applied != nil {
+				a.applied(action.Entries)
+			}
 		case Stage:
 			if action.First {
 				a.staged = nil
@@ -126,6 +131,9 @@
 			a.staged = nil
 		case Replace:
 			a.records, a.staged, a.version = a.staged, nil, action.Version
+			if a.replaced != nil {
+				a.replaced(action.Version)
+			}
 		case Invalidate:
 			a.version = Version{}
 		}
