--- a/logic/configlog/errors.go
+++ b/logic/configlog/errors.go
@@ -13,11 +13,11 @@
 	ErrOutcomeUnknown = errors.New("configlog: leadership ended before the change was known to be committed")
 )
 
-// TooManyOpenError is returned by Propose while as many proposals as allowed wait for their commit.
+// TooManyOpenError is returned while as many proposals wait for their commit, or lookups for their reply, as are allowed.
 type TooManyOpenError struct{ Limit int }
 
 func (e *TooManyOpenError) Error() string {
-	return fmt.Sprintf("configlog: %d proposals are open already", e.Limit)
+	return fmt.Sprintf("configlog: %d are open already, and no more are allowed", e.Limit)
 }
 
 // TooLargeError is returned by Propose for a change that fits in no message. Sizes are in bytes.
@@ -41,7 +41,7 @@
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("configlog: gap in %s: %d after %d", e.What, e.Got, e.Want)
+	return fmt.Sprintf("configlog: gap in %s: %d, not %d", e.What, e.Got, e.Want)
 }
 
 // DuplicateError tells of a stream message that came a second time.
--- /dev/null
+++ b/logic/configlog/example_test.go
@@ -0,0 +1,388 @@
+package configlog_test
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"valveglade/logic/configlog"
+)
+
+func entry(term, index, previous uint64, service string) configlog.Entry {
+	return configlog.Entry{Version: configlog.Version{Term: term, Index: index}, Previous: previous,
+		Change: configlog.Change{Service: service, Payload: []byte("12345678")}}
+}
+
+// tell prints a value with its type's name, and entries as TERM.INDEX SERVICE.
+func tell(now float64, value any) {
+	text := strings.ReplaceAll(fmt.Sprintf("%T%+v", value, value), "configlog.", "")
+	fmt.Printf("%5.1f %s\n", now, strings.NewReplacer("Change:", "", "Version:", "", "Payload:[49 50 51 52 53 54 55 56]", "").Replace(text))
+}
+
+// A leader asks for promises, fetches what it lacks, and appends the first entry of its term; proposals end with their commit, or unknown.
+func ExampleReplica() {
+	names := []string{"x", "y", "z"}
+	replicas := map[string]*configlog.Replica{}
+	for _, name := range names {
+		cfg := configlog.ReplicaConfig{Name: name, Voters: [][]string{names}, KeepEntries: 9, MaxOpen: 1, MessageBytes: 100, MaxInFlight: 2,
+			ResendAfter: 1, HeartbeatEvery: 1}
+		stored := configlog.Stored{}
+		if name == "y" {
+			stored = configlog.Stored{Promised: 1, Entries: []configlog.Entry{entry(1, 1, 0, "a")}}
+		}
+		replicas[name] = configlog.NewReplica(cfg, stored, 0)
+	}
+	settle := func() { // without z, which hears nothing
+		for again := true; again; {
+			again = false
+			for _, name := range names[:2] {
+				ready := replicas[name].Ready()
+				for _, envelope := range ready.Messages {
+					if envelope.To != "z" {
+						again = true
+						tell(0, envelope)
+						replicas[envelope.To].Step(envelope, 0)
+					}
+				}
+				for _, result := range ready.Results {
+					fmt.Println("result:", result.ID, result.Version, result.Err)
+				}
+			}
+		}
+	}
+	x, change := replicas["x"], configlog.Change{Service: "a", Payload: []byte("12345678")}
+	fmt.Println(x.Propose(1, change, 0))
+	fmt.Println(x.Lead(2, 0), x.Propose(1, change, 0))
+	settle()
+	fmt.Println(x.Propose(1, change, 0), x.Propose(2, change, 0))
+	settle()
+	fmt.Println(x.Propose(3, configlog.Change{}, 0), x.Propose(4, configlog.Change{Service: strings.Repeat("a", 100)}, 0), x.Propose(5, change, 0))
+	x.StepDown()
+	settle()
+	fmt.Println(x.Lead(2, 0))
+	// Output:
+	// configlog: this replica does not lead
+	// <nil> configlog: the leader has not recovered the log yet
+	//   0.0 Envelope{From:x To:y Message:{Term:2}}
+	//   0.0 Envelope{From:y To:x Message:{Term:2 Refused:false Known:0 Last:{Term:1 Index:1} Commit:0}}
+	//   0.0 Envelope{From:x To:y Message:{Term:2 From:1}}
+	//   0.0 Envelope{From:y To:x Message:{Term:2 From:1 Entries:[{{Term:1 Index:1} Previous:0 {Service:a }}] Behind:false Base:{Term:0 Index:0}}}
+	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:1 Index:1} Entries:[{{Term:2 Index:2} Previous:0 {Service: Payload:[]}}] Commit:0}}
+	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:2}}
+	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:2} Entries:[] Commit:2}}
+	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:2}}
+	// <nil> configlog: 1 are open already, and no more are allowed
+	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:2} Entries:[{{Term:2 Index:3} Previous:1 {Service:a }}] Commit:2}}
+	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:3}}
+	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[] Commit:3}}
+	// result: 1 {2 3} <nil>
+	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:3}}
+	// configlog: an empty change is reserved for the first entry of a term configlog: the change takes 132 bytes of a message, 100 are allowed <nil>
+	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[{{Term:2 Index:4} Previous:3 {Service:a }}] Commit:3}}
+	// result: 5 {0 0} configlog: leadership ended before the change was known to be committed
+	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:4}}
+	// configlog: term 2 is over, 2 is known
+}
+
+// follow is a follower that is played by hand.
+type follow struct {
+	*configlog.Follower
+	now    float64
+	stream uint64
+}
+
+func (f *follow) pass(seconds float64) {
+	f.now += seconds
+	f.Tick(f.now)
+	f.show()
+}
+
+func (f *follow) show() {
+	for _, action := range f.Ready() {
+		switch action := action.(type) {
+		case configlog.Send:
+			if request, ok := action.Message.(configlog.Subscribe); ok {
+				f.stream = request.Stream
+				fmt.Printf("%5.1f subscribe from %v to %v\n", f.now, request.From, request.Services)
+			}
+		case configlog.StatusChanged:
+			status := action.Status
+			fmt.Printf("%5.1f %v, version %v, stale %v\n", f.now, status.State, status.Version, status.Stale)
+		case configlog.Close:
+			fmt.Printf("%5.1f close: %v\n", f.now, action.Reason)
+		default:
+			tell(f.now, action)
+		}
+	}
+}
+
+func (f *follow) connect() {
+	f.Connected(f.now)
+	f.show()
+}
+
+func (f *follow) take(message configlog.StreamMessage) {
+	if err := f.Step(message, f.now); err != nil {
+		fmt.Printf("%5.1f refused: %s\n", f.now, strings.TrimPrefix(err.Error(), "configlog: "))
+	}
+	f.show()
+}
+
+func newFollow(version configlog.Version) *follow {
+	cfg := configlog.FollowerConfig{Name: "s", Services: []string{"a"}, Distributors: []string{"d0", "d1", "d2"}, StaleAfter: 18, SilentAfter: 5,
+		BackoffMin: 1, BackoffMax: 8, Seed: 1, MaxLookups: 1}
+	return &follow{Follower: configlog.NewFollower(cfg, version, 0)}
+}
+
+// following is one that has resumed from a version.
+func following(version configlog.Version) *follow {
+	f := newFollow(version)
+	f.Tick(0)
+	f.Connected(0)
+	for _, action := range f.Ready() {
+		if send, ok := action.(configlog.Send); ok {
+			f.stream = send.Message.(configlog.Subscribe).Stream
+		}
+	}
+	_ = f.Step(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeResume, Version: version}, 0)
+	f.Ready()
+	return f
+}
+
+// A follower without a file takes a snapshot, whole or not at all; it tells when it is stale, and tries one distributor after another.
+func ExampleFollower() {
+	f := newFollow(configlog.Version{})
+	f.pass(0)
+	f.Disconnected(f.now)
+	f.show()
+	f.pass(1)
+	f.connect()
+	version := configlog.Version{Term: 3, Index: 7}
+	records := []configlog.Change{entry(0, 0, 0, "a").Change}
+	f.take(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
+	f.take(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records})
+	f.pass(6)
+	f.pass(2)
+	f.connect()
+	f.take(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
+	f.take(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records, Done: true})
+	f.take(configlog.Heartbeat{Stream: f.stream, Sequence: 3, Version: version, Age: 2})
+	f.take(configlog.Delta{Stream: f.stream, Sequence: 4, Entry: entry(4, 9, 7, "a")})
+	f.SetServices([]string{"a", "b"}, f.now)
+	f.show()
+	f.SetDistributors([]string{"d3"}, f.now)
+	f.show()
+	f.pass(17)
+	// Output:
+	// 0.0 Connect{Distributor:d1}
+	//   1.0 Connect{Distributor:d2}
+	//   1.0 subscribe from {0 0} to [a]
+	//   1.0 subscribing, version {0 0}, stale true
+	//   1.0 snapshot, version {0 0}, stale true
+	//   1.0 Stage{Records:[{Service:a }] First:true}
+	//   7.0 close: silent
+	//   7.0 Discard{}
+	//   7.0 disconnected, version {0 0}, stale true
+	//   9.0 Connect{Distributor:d0}
+	//   9.0 subscribe from {0 0} to [a]
+	//   9.0 subscribing, version {0 0}, stale true
+	//   9.0 snapshot, version {0 0}, stale true
+	//   9.0 Stage{Records:[{Service:a }] First:true}
+	//   9.0 Replace{{Term:3 Index:7}}
+	//   9.0 following, version {3 7}, stale true
+	//   9.0 following, version {3 7}, stale false
+	//   9.0 Apply{Entries:[{{Term:4 Index:9} Previous:7 {Service:a }}] {Term:4 Index:9}}
+	//   9.0 Invalidate{}
+	//   9.0 subscribe from {0 0} to [a b]
+	//   9.0 subscribing, version {4 9}, stale false
+	//   9.0 close: distributor gone
+	//   9.0 disconnected, version {4 9}, stale false
+	//  26.0 Connect{Distributor:d3}
+	//  26.0 disconnected, version {4 9}, stale true
+}
+
+// What is a gap, doubled, late, stale, of a leader that is over, or malformed is told apart, and not applied.
+func ExampleFollower_Step() {
+	at := configlog.Version{Term: 3, Index: 7}
+	refused := func(what string, messages ...func(stream uint64) configlog.StreamMessage) *follow {
+		f := following(at)
+		stream := f.stream
+		for _, message := range messages {
+			err := f.Step(message(stream), 0)
+			if err != nil {
+				fmt.Printf("%s: %s\n", what, strings.TrimPrefix(err.Error(), "configlog: "))
+			}
+		}
+		return f
+	}
+	delta := func(sequence uint64, e configlog.Entry) func(uint64) configlog.StreamMessage {
+		return func(stream uint64) configlog.StreamMessage {
+			return configlog.Delta{Stream: stream, Sequence: sequence, Entry: e}
+		}
+	}
+	beat := func(version configlog.Version, age float64) func(uint64) configlog.StreamMessage {
+		return func(stream uint64) configlog.StreamMessage {
+			return configlog.Heartbeat{Stream: stream, Sequence: 2, Version: version, Age: age}
+		}
+	}
+	next := entry(3, 9, 7, "a")
+	refused("a message is missing, and late", delta(3, next), delta(2, next), delta(4, next))
+	refused("doubled", delta(2, next), delta(2, next))
+	refused("an entry of the service is missing", delta(2, entry(3, 9, 8, "a")))
+	refused("another one before it", delta(2, next), delta(3, entry(3, 10, 8, "a")))
+	refused("stale", delta(2, entry(3, 7, 5, "a")))
+	refused("an old leader's", delta(2, entry(2, 9, 7, "a")))
+	refused("another service", delta(2, entry(3, 9, 7, "b")))
+	refused("an old leader's heartbeat", beat(configlog.Version{Term: 2, Index: 9}, 0))
+	refused("a stale heartbeat", beat(configlog.Version{Term: 3, Index: 6}, 0))
+	refused("a heartbeat of another log", beat(configlog.Version{Term: 4, Index: 7}, 0))
+	refused("a heartbeat from the future", beat(configlog.Version{Term: 3, Index: 7}, -1))
+	refused("unnumbered", delta(0, next))
+	refused("a second welcome", func(stream uint64) configlog.StreamMessage { return configlog.Welcome{Stream: stream, Sequence: 2} })
+	refused("a part", func(stream uint64) configlog.StreamMessage {
+		return configlog.SnapshotPart{Stream: stream, Sequence: 2}
+	})
+	f := refused("a question", func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
+	fmt.Printf("%+v\n", f.Status(0).Counts)
+	// Output:
+	// a message is missing, and late: gap in sequence: 3, not 2
+	// a message is missing, and late: message 2 came after 3
+	// a message is missing, and late: a message of subscription 26509655619853, now is 26509655619854
+	// doubled: message 2 came a second time
+	// an entry of the service is missing: gap in service: 8, not 7
+	// another one before it: malformed: an entry that follows another one of its service
+	// stale: entry 7 of term 3 is not above 7 of term 3
+	// an old leader's: term 2 is over, 3 is known
+	// another service: malformed: an entry of a service that is not served here
+	// an old leader's heartbeat: term 2 is over, 3 is known
+	// a stale heartbeat: entry 6 of term 3 is not above 7 of term 3
+	// a heartbeat of another log: malformed: a heartbeat of another history
+	// a heartbeat from the future: malformed: a heartbeat before the welcome or the snapshot, or of no age
+	// unnumbered: malformed: a message without a sequence
+	// a second welcome: malformed: a second welcome
+	// a part: malformed: a part of no snapshot
+	// a question: malformed: a message without a sequence
+	// {Applied:0 Snapshots:0 Gaps:0 Duplicates:0 Reordered:0 Stale:0 StaleTerms:0 Malformed:1 Connects:1 Disconnects:1}
+}
+
+// table has one record of each service at a version.
+type table struct{ version configlog.Version }
+
+type snapshot struct {
+	table
+	left int
+}
+
+func (t table) Open([]string, bool) configlog.Snapshot { return &snapshot{t, 3} }
+func (t table) Lookup(_ configlog.Kind, name string) ([]byte, configlog.Version, bool) {
+	return []byte("of " + name), t.version, name != "none"
+}
+func (s *snapshot) Version() configlog.Version { return s.version }
+func (s *snapshot) Close()                     {}
+func (s *snapshot) Next(int) ([]configlog.Change, bool) {
+	s.left--
+	return []configlog.Change{entry(0, 0, 0, "a").Change}, s.left == 0
+}
+
+// A feed sends each subscriber what it wants at the subscriber's pace, and closes one for which too much waits.
+func ExampleFeed() {
+	now, version := 0.0, configlog.Version{Term: 1, Index: 4}
+	cfg := configlog.FeedConfig{HistoryEntries: 4, BufferBytes: 130, PartBytes: 1, BytesPerSecond: 100, HeartbeatEvery: 3, LookupsInFlight: 1}
+	feed := configlog.NewFeed(cfg, table{version}, version, 0)
+	show := func(seconds float64) {
+		now += seconds
+		feed.Tick(now, 0.5)
+		ready := feed.Ready()
+		for _, outgoing := range ready.Messages {
+			tell(now, outgoing.Message)
+		}
+		for _, closed := range ready.Closed {
+			fmt.Printf("%5.1f subscriber %d closed: %v\n", now, closed.Subscriber, closed.Reason)
+		}
+	}
+	feed.Subscribe(1, configlog.Subscribe{Stream: 11, Services: []string{"a"}}, now)
+	for range 4 {
+		show(1)
+	}
+	feed.Lookup(1, configlog.Lookup{Stream: 11, ID: 1, Name: "t"}, now)
+	feed.Lookup(1, configlog.Lookup{Stream: 11, ID: 2, Name: "none"}, now)
+	show(0)
+	fmt.Println(feed.Append([]configlog.Entry{entry(1, 6, 0, "a")}), feed.Append([]configlog.Entry{entry(0, 5, 0, "a")}))
+	fmt.Println(feed.Append([]configlog.Entry{entry(1, 5, 0, "a"), entry(2, 6, 0, "b"), entry(2, 7, 5, "a")}))
+	show(1)
+	show(1)
+	for index := uint64(8); index < 13; index++ {
+		_ = feed.Append([]configlog.Entry{entry(2, index, index-1, "a")})
+	}
+	show(0)
+	feed.Subscribe(2, configlog.Subscribe{Stream: 21, Services: []string{"a", "b", "a"}, From: configlog.Version{Term: 2, Index: 10}, BytesPerSecond: 1000}, now)
+	feed.Subscribe(3, configlog.Subscribe{Stream: 31, All: true, From: configlog.Version{Term: 3, Index: 1}}, now)
+	show(0)
+	feed.Reset(version)
+	show(0)
+	// Output:
+	// 1.0 Welcome{Stream:11 Sequence:1 Mode:2 {Term:1 Index:4}}
+	//   1.0 SnapshotPart{Stream:11 Sequence:2 Records:[{Service:a }] Done:false}
+	//   1.0 SnapshotPart{Stream:11 Sequence:3 Records:[{Service:a }] Done:false}
+	//   1.0 SnapshotPart{Stream:11 Sequence:4 Records:[{Service:a }] Done:true}
+	//   2.0 Heartbeat{Stream:11 Sequence:5 {Term:1 Index:4} Age:0.5}
+	//   3.0 Heartbeat{Stream:11 Sequence:6 {Term:1 Index:4} Age:0.5}
+	//   4.0 LookupReply{Stream:11 ID:1 {Term:1 Index:4} Found:true Value:[111 102 32 116]}
+	//   4.0 LookupReply{Stream:11 ID:2 {Term:1 Index:4} Found:false Value:[111 102 32 110 111 110 101]}
+	// configlog: gap in index: 6, not 5 configlog: term 0 is over, 1 is known
+	// <nil>
+	//   5.0 Delta{Stream:11 Sequence:7 Entry:{{Term:1 Index:5} Previous:0 {Service:a }}}
+	//   5.0 Delta{Stream:11 Sequence:8 Entry:{{Term:2 Index:7} Previous:5 {Service:a }}}
+	//   6.0 Heartbeat{Stream:11 Sequence:9 {Term:2 Index:7} Age:0.5}
+	//   6.0 Delta{Stream:11 Sequence:10 Entry:{{Term:2 Index:8} Previous:7 {Service:a }}}
+	//   6.0 subscriber 1 closed: slow
+	//   6.0 Welcome{Stream:21 Sequence:1 Mode:1 {Term:2 Index:10}}
+	//   6.0 Delta{Stream:21 Sequence:2 Entry:{{Term:2 Index:11} Previous:10 {Service:a }}}
+	//   6.0 Welcome{Stream:31 Sequence:1 Mode:3 {Term:2 Index:12}}
+	//   6.0 subscriber 3 closed: behind
+	//   6.0 subscriber 2 closed: feed reset
+}
+
+// Lookups go over the subscription, and fail with it.
+func ExampleFollower_Lookup() {
+	f := newFollow(configlog.Version{})
+	var gone *configlog.DisconnectedError
+	fmt.Println(errors.As(f.Follower.Lookup(1, 0, "t", 0), &gone))
+	f = following(configlog.Version{Term: 3, Index: 7})
+	fmt.Println(f.Lookup(1, 0, "t", 0), f.Lookup(2, 0, "t", 0))
+	f.take(configlog.LookupReply{Stream: f.stream, ID: 1, Found: true, Value: []byte("v")})
+	f.take(configlog.LookupReply{Stream: f.stream, ID: 1})
+	fmt.Println(f.Lookup(3, 0, "t", 0))
+	f.Disconnected(0)
+	f.show()
+	// Output:
+	// true
+	// <nil> configlog: 1 are open already, and no more are allowed
+	//   0.0 LookupDone{ID:1 Reply:{Stream:26509655619853 ID:1 {Term:0 Index:0} Found:true Value:[118]} Err:<nil>}
+	//   0.0 refused: message 1 came a second time
+	// <nil>
+	//   0.0 LookupDone{ID:3 Reply:{Stream:0 ID:0 {Term:0 Index:0} Found:false Value:[]} Err:configlog: the connection to d2 ended}
+	//   0.0 disconnected, version {3 7}, stale true
+}
+
+// Each app server has a distributor of its own that it tries first; one that goes moves only those that had it.
+func Example_rendezvous() {
+	first := func(name string, distributors []string) string {
+		f := configlog.NewFollower(configlog.FollowerConfig{Name: name, Distributors: distributors}, configlog.Version{}, 0)
+		return f.Status(0).Distributor
+	}
+	all := []string{"d0", "d1", "d2", "d3"}
+	served, moved := make([]int, len(all)), 0
+	for k := range 8600 {
+		name := fmt.Sprint("app", k)
+		was, is := first(name, all), first(name, all[:3])
+		served[slices.Index(all, was)]++
+		if was != is && was != "d3" {
+			moved++
+		}
+	}
+	fmt.Println(served, moved)
+	// Output:
+	// [2136 2150 2156 2158] 0
+}
--- a/logic/configlog/feed_send.go
+++ b/logic/configlog/feed_send.go
@@ -23,7 +23,7 @@
 	pendingBytes int
 	replies      []LookupReply
 	active       bool
-	greeted      bool // it has had its first heartbeat, or is to get it in its turn
+	greeted      bool // it has had its first heartbeat
 }
 
 func newSubscriber(id SubscriberID, request Subscribe, rate, now float64) *subscriber {
@@ -105,7 +105,7 @@
 	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.position.Index {
 		return
 	}
-	s.position = f.Version()
+	s.position, s.greeted = f.Version(), true
 	f.send(s, Heartbeat{Version: s.position, Age: f.age})
 }
 
@@ -124,10 +124,9 @@
 			f.sendNext(s)
 		}
 		if s.idle() && !s.greeted {
-			s.greeted = true
 			f.sendHeartbeat(s)
 		}
-		s.active = !s.idle()
+		s.active = !s.idle() || !s.greeted
 		return !s.active
 	})
 }
--- a/logic/configlog/follower_connect.go
+++ b/logic/configlog/follower_connect.go
@@ -97,22 +97,27 @@
 	c.drawn++
 	c.retryAt = f.now + wait*(0.5+0.5*chance.At(f.cfg.Seed, c.drawn))
 	c.opening = false
-	f.failLookups()
+	f.endStream()
 	f.moveTo(FollowerDisconnected)
 }
 
 // subscribe asks for what is after the table's version, under a new number.
 func (f *Follower) subscribe() {
-	f.stream = stream{number: f.stream.number + 1, lost: f.stream.lost}
+	f.endStream()
 	request := Subscribe{Stream: f.stream.number, Services: f.cfg.Services, All: f.cfg.All, BytesPerSecond: f.cfg.BytesPerSecond}
 	if f.resumable {
 		request.From = f.version
 	}
-	f.failLookups()
 	f.out = append(f.out, Send{request})
 	f.moveTo(FollowerSubscribing)
 }
 
+// endStream has nothing more taken of the former subscription; the next one has another number.
+func (f *Follower) endStream() {
+	f.stream = stream{number: f.stream.number + 1, lost: f.stream.lost}
+	f.failLookups()
+}
+
 // Lookup asks for a record on demand; LookupDone has the outcome under the id.
 func (f *Follower) Lookup(id uint64, kind Kind, name string, now float64) error {
 	f.now = max(f.now, now)
