--- a/logic/configlog/configlog.go
+++ b/logic/configlog/configlog.go
@@ -37,7 +37,7 @@
 // Entry is one place of the log.
 type Entry struct {
 	Version
-	Previous uint64 // index of the entry before this one of the same service; 0 for none
+	Previous uint64 // index of the entry before this one of the same service; 0 for none, and for the first entry of a term
 	Change
 }
 
--- a/logic/configlog/errors.go
+++ b/logic/configlog/errors.go
@@ -9,7 +9,7 @@
 var (
 	ErrNotLeader      = errors.New("configlog: this replica does not lead")
 	ErrRecovering     = errors.New("configlog: the leader has not recovered the log yet")
-	ErrEmptyChange    = errors.New("configlog: an empty change is reserved for the first entry of a term")
+	ErrNoService      = errors.New("configlog: a change without a service is reserved for the first entry of a term")
 	ErrOutcomeUnknown = errors.New("configlog: leadership ended before the change was known to be committed")
 )
 
--- a/logic/configlog/example_test.go
+++ b/logic/configlog/example_test.go
@@ -78,7 +78,7 @@
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[] Commit:3}}
 	// result: 1 {2 3} <nil>
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:3}}
-	// configlog: an empty change is reserved for the first entry of a term configlog: the change takes 132 bytes of a message, 100 are allowed <nil>
+	// configlog: a change without a service is reserved for the first entry of a term configlog: the change takes 132 bytes of a message, 100 are allowed <nil>
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[{{Term:2 Index:4} Previous:3 {Service:a }}] Commit:3}}
 	// result: 5 {0 0} configlog: leadership ended before the change was known to be committed
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:4}}
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -31,9 +31,9 @@
 func chain(entries []Entry) []Entry {
 	last := map[string]uint64{}
 	for k := range entries {
-		entries[k].Previous = last[entries[k].Service]
-		last[entries[k].Service] = entries[k].Index
 		if entries[k].Service != "" {
+			entries[k].Previous = last[entries[k].Service]
+			last[entries[k].Service] = entries[k].Index
 			entries[k].Payload = fmt.Append(nil, entries[k].Version)
 		}
 	}
@@ -82,14 +82,15 @@
 
 // appServer is a follower with its table and its file, which are alike.
 type appServer struct {
-	follower  *Follower
-	version   Version
-	records   []Change
-	staged    []Change
-	wants     string // the distributor to connect to
-	connected string
-	applied   func(entries []Entry) // nil, or what else to do
-	replaced  func(version Version) // nil, or what else to do
+	follower    *Follower
+	version     Version
+	records     []Change
+	staged      []Change
+	wants       string // the distributor to connect to
+	connected   string
+	invalidated bool
+	applied     func(entries []Entry) // nil, or what else to do
+	replaced    func(version Version) // nil, or what else to do
 }
 
 // carryOut does what the follower wants done; subscribe and close are told to the distributor.
@@ -124,7 +125,7 @@
 				a.replaced(action.Version)
 			}
 		case Invalidate:
-			a.version = Version{}
+			a.version, a.invalidated = Version{}, true
 		}
 	}
 }
--- a/logic/configlog/follower.go
+++ b/logic/configlog/follower.go
@@ -62,8 +62,7 @@
 	f.cfg.Services = services
 	f.setServices(services)
 	if wider {
-		f.resumable = false
-		f.out = append(f.out, Invalidate{})
+		f.distrust()
 	}
 	if f.state != FollowerDisconnected {
 		f.subscribe()
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -188,13 +188,15 @@
 	if err := f.checkChain(entry); err != nil {
 		return err
 	}
-	f.lastApplied[entry.Service] = entry.Index
+	if entry.Service != "" {
+		f.lastApplied[entry.Service] = entry.Index
+	}
 	f.advance(entry.Version, entry)
 	f.counts.Applied++
 	return nil
 }
 
-// checkChain takes only the entry that is next of its service.
+// checkChain takes only the entry that is next of its service, and next of all if it wants all.
 func (f *Follower) checkChain(entry Entry) error {
 	if !f.cfg.Without.keeps(ServiceChain) {
 		return nil
@@ -203,26 +205,30 @@
 	if !applied {
 		last = f.base
 	}
-	what, want, got := "service", last, entry.Previous
-	if f.cfg.All && got <= want {
-		what, want, got = "index", f.version.Index+1, entry.Index
-	}
-	if got > want {
+	switch {
+	case entry.Previous > last:
+		return f.refuseMissing("service", last, entry.Previous)
+	case applied && entry.Previous < last:
 		f.distrust()
-		return &GapError{What: what, Want: want, Got: got}
-	}
-	if applied && got < want {
 		return f.refuseMalformed("an entry that follows another one of its service")
+	case f.cfg.All && entry.Index > f.version.Index+1:
+		return f.refuseMissing("index", f.version.Index+1, entry.Index)
 	}
 	return nil
 }
 
-// distrust has the table come whole again: an entry is missing below its version.
-func (f *Follower) distrust() {
+// refuseMissing refuses what comes after an entry that did not.
+func (f *Follower) refuseMissing(what string, want, got uint64) error {
 	f.counts.Gaps++
+	f.distrust()
+	f.close(CloseGap)
+	return &GapError{What: what, Want: want, Got: got}
+}
+
+// distrust has the table come whole again: it may lack an entry below its version.
+func (f *Follower) distrust() {
 	f.resumable = false
 	f.out = append(f.out, Invalidate{})
-	f.close(CloseGap)
 }
 
 // advance takes a higher version, and has the entry applied.
@@ -249,9 +255,7 @@
 		return f.refuseStaleEntry(heartbeat.Version)
 	}
 	if f.cfg.All && heartbeat.Version.Index > f.version.Index && f.cfg.Without.keeps(ServiceChain) {
-		want := f.version.Index
-		f.distrust()
-		return &GapError{What: "index", Want: want, Got: heartbeat.Version.Index}
+		return f.refuseMissing("index", f.version.Index, heartbeat.Version.Index)
 	}
 	if heartbeat.Version.Index == f.version.Index && heartbeat.Version != f.version {
 		return f.refuseMalformed("a heartbeat of another history")
--- a/logic/configlog/log.go
+++ b/logic/configlog/log.go
@@ -42,9 +42,19 @@
 	return entries[:min(uint64(len(entries)), upTo-above)]
 }
 
+// previous is the index of a service's last entry; the first entries of terms are of no service, and have none.
+func (l *entryLog) previous(service string) uint64 {
+	if service == "" {
+		return 0
+	}
+	return l.lastOfService[service]
+}
+
 func (l *entryLog) append(entry Entry) {
 	l.entries = append(l.entries, entry)
-	l.lastOfService[entry.Service] = entry.Index
+	if entry.Service != "" {
+		l.lastOfService[entry.Service] = entry.Index
+	}
 }
 
 // truncate drops the entries from an index on.
@@ -72,11 +82,13 @@
 func rollBack(last map[string]uint64, entries []Entry) {
 	for k := len(entries) - 1; k >= 0; k-- {
 		entry := entries[k]
-		if entry.Previous == 0 {
+		switch {
+		case entry.Service == "":
+		case entry.Previous == 0:
 			delete(last, entry.Service)
-			continue
+		default:
+			last[entry.Service] = entry.Previous
 		}
-		last[entry.Service] = entry.Previous
 	}
 }
 
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -23,8 +23,8 @@
 	case ReplicaAsks, ReplicaFetches:
 		return ErrRecovering
 	}
-	if change.IsEmpty() {
-		return ErrEmptyChange
+	if change.Service == "" {
+		return ErrNoService
 	}
 	if size := (Entry{Change: change}).Size(); size > r.cfg.MessageBytes {
 		return &TooLargeError{Size: size, Limit: r.cfg.MessageBytes}
@@ -41,7 +41,7 @@
 // appendOwn appends an entry under the leader's term.
 func (r *Replica) appendOwn(change Change) {
 	version := Version{Term: r.promised, Index: r.log.last().Index + 1}
-	r.log.append(Entry{Version: version, Previous: r.log.lastOfService[change.Service], Change: change})
+	r.log.append(Entry{Version: version, Previous: r.log.previous(change.Service), Change: change})
 }
 
 // replicate sends each voter what it lacks, as far as may be on its way at a time.
--- a/logic/configlog/whole_walk_test.go
+++ b/logic/configlog/whole_walk_test.go
@@ -324,6 +324,9 @@
 	}
 	for _, s := range []*wholeServer{&w.relay, &w.app} {
 		at := s.follower.version.Index
+		if s.invalidated {
+			return fmt.Sprintf("server %d found an entry missing, and none is", s.id)
+		}
 		if want := recordsOf(w.committed[:at], s.follower.wants); !slices.EqualFunc(s.records, want, sameChange) {
 			return fmt.Sprintf("server %d at version %d has %s, not %s", s.id, at, s.records, want)
 		}
