--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -12,6 +12,13 @@
 
 var voterNames = []string{"v0", "v1", "v2"}
 
+// Lists of voters while v3 takes the place of v0: first all get both lists, then the next one alone.
+var (
+	formerList = [][]string{voterNames}
+	bothLists  = [][]string{voterNames, {"v1", "v2", "v3"}}
+	nextList   = [][]string{{"v1", "v2", "v3"}}
+)
+
 func number(name string) int { return int(name[1] - '0') }
 
 // write carries out what a replica wants on its disk.
--- a/logic/configlog/replica_walk_test.go
+++ b/logic/configlog/replica_walk_test.go
@@ -17,14 +17,15 @@
 	atOnce                                    bool // an answer is heard at once, or lost
 	answerFirst                               bool // the planted fault of a driver that writes after it has sent
 	without                                   Rule
+	lists                                     [4][][]string // that each voter knows, if not the three
 }
 
 // logState is three voters, their disks, and what is on its way.
 type logState struct {
 	logBounds
-	replicas  [3]*Replica
-	disks     [3]Stored
-	unwritten [3]Persist // of a driver that sends first
+	replicas  []*Replica
+	disks     [4]Stored
+	unwritten [4]Persist // of a driver that sends first
 	flight    []Envelope
 	term      uint64
 	committed []Entry  // as any replica has told
@@ -34,7 +35,11 @@
 
 func (b logBounds) config(voter int) ReplicaConfig {
 	one := Entry{Change: proposal(0)}.Size()
-	return ReplicaConfig{Name: voterNames[voter], Voters: [][]string{voterNames}, KeepEntries: 9, MaxOpen: 9, MessageBytes: one,
+	lists := b.lists[voter]
+	if lists == nil {
+		lists = formerList
+	}
+	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: lists, KeepEntries: 9, MaxOpen: 9, MessageBytes: one,
 		MaxInFlight: 2, Without: b.without}
 }
 
@@ -42,8 +47,10 @@
 
 func (b logBounds) begin() *logState {
 	s := &logState{logBounds: b}
-	for voter := range s.replicas {
-		s.replicas[voter] = NewReplica(b.config(voter), Stored{}, 0)
+	for voter, lists := range b.lists {
+		if voter < len(voterNames) || lists != nil {
+			s.replicas = append(s.replicas, NewReplica(b.config(voter), Stored{}, 0))
+		}
 	}
 	return s
 }
@@ -70,25 +77,20 @@
 )
 
 func (s *logState) acts(all []uint16) []uint16 {
-	for voter, replica := range s.replicas {
-		if s.terms > 0 && (s.term > 0 || voter == 0) {
-			all = append(all, actLead|uint16(voter))
-		}
-		if s.proposals > 0 && replica.state == ReplicaLeads {
-			all = append(all, actPropose|uint16(voter))
-		}
-		if s.restarts > 0 {
-			all = append(all, actRestart|uint16(voter))
+	add := func(can bool, act uint16, k int) {
+		if can {
+			all = append(all, act|uint16(k))
 		}
 	}
+	for voter, replica := range s.replicas {
+		add(s.terms > 0 && (s.term > 0 || voter == 0), actLead, voter)
+		add(s.proposals > 0 && replica.state == ReplicaLeads, actPropose, voter)
+		add(s.restarts > 0, actRestart, voter)
+	}
 	for k := range s.flight {
-		all = append(all, actDeliver|uint16(k))
-		if s.doubled > 0 {
-			all = append(all, actDouble|uint16(k))
-		}
-		if s.atOnce && s.lost > 0 {
-			all = append(all, actLose|uint16(k))
-		}
+		add(true, actDeliver, k)
+		add(s.doubled > 0, actDouble, k)
+		add(s.atOnce && s.lost > 0, actLose, k)
 	}
 	return all
 }
@@ -96,7 +98,7 @@
 func (before *logState) after(act uint16) *logState {
 	next := *before
 	s := &next
-	s.flight = slices.Clone(before.flight)
+	s.flight, s.replicas = slices.Clone(before.flight), slices.Clone(before.replicas)
 	s.committed, s.under = slices.Clip(before.committed), slices.Clip(before.under)
 	k := int(act & 0xff)
 	switch act &^ 0xff {
@@ -206,12 +208,15 @@
 // as lost.
 func (s *logState) idle(envelope Envelope) bool {
 	from, to := s.replicas[number(envelope.From)], s.replicas[number(envelope.To)]
+	if to.voters.Number(envelope.From) < 0 {
+		return true
+	}
 	term := envelope.Message.term()
 	if isAnswer(envelope.Message) {
 		answer, ok := envelope.Message.(AppendResponse)
 		progress := to.lead.progress
 		return term != to.promised || to.state == ReplicaFollows ||
-			ok && progress != nil && answer.Accepted && progress[number(envelope.From)].match >= answer.Match
+			ok && progress != nil && answer.Accepted && progress[to.voters.Number(envelope.From)].match >= answer.Match
 	}
 	if term != to.promised {
 		return term < to.promised
@@ -227,7 +232,7 @@
 
 // dropSubsumed drops requests that are on their way a second time, with a commit index as high or higher.
 func (s *logState) dropSubsumed() {
-	order := [3]int{0, 1, 2}
+	order := [4]int{0, 1, 2, 3}
 	seen := map[uint64]int{}
 	kept := s.flight[:0]
 	for _, envelope := range s.flight {
@@ -260,18 +265,21 @@
 	}
 	version, ok := to.log.version(match)
 	return ok && version == last && min(request.Commit, match) <= to.committed && (from.promised != request.Term ||
-		from.state != ReplicaLeads || from.lead.progress[number(to.cfg.Name)].match >= match)
+		from.state != ReplicaLeads || from.lead.progress[from.voters.Number(to.cfg.Name)].match >= match)
 }
 
 // key is the same for states that differ by the names of the voters that were not the first to lead alone.
 func (s *logState) key() uint64 {
-	return min(s.keyInOrder([3]int{0, 1, 2}), s.keyInOrder([3]int{0, 2, 1}))
+	if s.lists[0] != nil {
+		return s.keyInOrder([4]int{0, 1, 2, 3}) // they differ by what they know
+	}
+	return min(s.keyInOrder([4]int{0, 1, 2, 3}), s.keyInOrder([4]int{0, 2, 1, 3}))
 }
 
 // keyInOrder takes the voters in an order that is its own inverse.
-func (s *logState) keyInOrder(order [3]int) uint64 {
+func (s *logState) keyInOrder(order [4]int) uint64 {
 	h := explore.NewHash()
-	for _, voter := range order {
+	for _, voter := range order[:len(s.replicas)] {
 		s.addReplica(&h, voter, order)
 	}
 	hashes := make([]uint64, len(s.flight))
@@ -291,7 +299,7 @@
 	return uint64(h)
 }
 
-func (s *logState) addReplica(h *explore.Hash, voter int, order [3]int) {
+func (s *logState) addReplica(h *explore.Hash, voter int, order [4]int) {
 	r := s.replicas[voter]
 	h.Add(r.promised<<32 | r.committed<<16 | uint64(r.state)<<8 | uint64(len(r.log.entries)))
 	for _, entry := range r.log.entries {
@@ -303,8 +311,12 @@
 	if r.state == ReplicaFollows {
 		return
 	}
-	h.Add(uint64(order[r.lead.source])<<32 | r.lead.fetched<<16 | uint64(len(r.lead.open)))
-	for _, voter := range order {
+	h.Add(uint64(order[number(r.voters.Names()[r.lead.source])])<<32 | r.lead.fetched<<16 | uint64(len(r.lead.open)))
+	for _, other := range order[:len(s.replicas)] {
+		voter := r.voters.Number(fmt.Sprint("v", other))
+		if voter < 0 {
+			continue
+		}
 		if answer, ok := r.lead.answers[voter]; ok && r.state != ReplicaLeads {
 			h.Add(answer.Last.Term<<32 | answer.Last.Index<<16 | answer.Commit + 1)
 		}
@@ -316,7 +328,7 @@
 	}
 }
 
-func hashEnvelope(envelope Envelope, order [3]int) uint64 {
+func hashEnvelope(envelope Envelope, order [4]int) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %T %v", order[number(envelope.From)], order[number(envelope.To)], envelope.Message, envelope.Message)
 	return h.Sum64()
@@ -367,6 +379,8 @@
 		{"each message, a restart", logBounds{terms: 2, restarts: 1}},
 		{"three leaders, a restart", logBounds{terms: 3, restarts: 1, lost: 1, atOnce: true}},
 		{"four leaders", logBounds{terms: 4, atOnce: true}},
+		{"voters changed, the first round", logBounds{terms: 3, atOnce: true, lists: [4][][]string{formerList, formerList, bothLists, bothLists}}},
+		{"voters changed, the second round", logBounds{terms: 3, atOnce: true, lists: [4][][]string{bothLists, bothLists, nextList, nextList}}},
 	}
 	walkAll(t, bounds)
 }
@@ -378,6 +392,7 @@
 		{"commits by count alone", logBounds{terms: 4, atOnce: true, without: CommitOwnTerm}},
 		{"no promise at recovery", logBounds{terms: 2, atOnce: true, without: PromiseAtRecovery}},
 		{"the longest log", logBounds{terms: 3, proposals: 1, atOnce: true, without: MostUpToDate}},
+		{"voters changed in one round", logBounds{terms: 2, atOnce: true, lists: [4][][]string{formerList, formerList, nextList, nextList}}},
 	}
 	findAll(t, faults)
 }
--- a/logic/configlog/whole_walk_test.go
+++ b/logic/configlog/whole_walk_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"slices"
 	"strings"
 	"testing"
@@ -45,6 +44,9 @@
 	flight []StreamMessage
 }
 
+// servers are the followers, by id.
+func (w *whole) servers() []*wholeServer { return []*wholeServer{&w.relay, &w.app} }
+
 func (w *whole) chance() float64 {
 	w.drawn++
 	return chance.At(w.seed, w.drawn)
@@ -57,7 +59,7 @@
 	for voter := range w.voters {
 		w.startVoter(voter)
 	}
-	w.relay.id, w.app.id = 1, 2
+	w.app.id = 1
 	w.startServer(&w.relay)
 	w.startServer(&w.app)
 	return w
@@ -119,14 +121,13 @@
 		w.startVoter(k)
 	case draw < 0.02:
 		w.say("the app server or the relay starts again")
-		s := []*wholeServer{&w.app, &w.relay}[w.pick(2)]
+		s := w.servers()[w.pick(2)]
 		w.leave(s)
 		w.startServer(s)
 	case draw < 0.04:
 		w.lead(k)
 	case draw < 0.05 && len(w.flight) > 0:
 		w.flight = slices.Delete(w.flight, 0, 1+w.pick(len(w.flight)))
-		w.say("messages are lost")
 	case draw < 0.08 && len(w.flight) > 0:
 		w.flight = append(w.flight, w.flight[w.pick(len(w.flight))])
 	case draw < 0.09:
@@ -176,21 +177,20 @@
 	}
 	w.relay.follower.Tick(w.now)
 	w.app.follower.Tick(w.now)
-	if age := w.relay.follower.Status(w.now).Age; !math.IsInf(age, 1) {
-		w.relayFeed.Tick(w.now, age)
-	}
+	w.relayFeed.Tick(w.now, w.relay.follower.Status(w.now).Age)
 }
 
 // disturb loses, doubles or reorders a message of a stream, or breaks it.
 func (w *whole) disturb(s *wholeServer) {
 	n := len(s.flight)
-	switch kind := w.pick(4); {
+	kind := w.pick(4)
+	switch {
 	case kind == 0:
 		w.leave(s)
 		s.follower.Disconnected(w.now)
 	case n == 0:
 	case kind == 1:
-		s.flight = slices.Delete(s.flight, 0, 1)
+		s.flight = s.flight[1:]
 	case kind == 2:
 		s.flight = append(s.flight, s.flight[w.pick(n)])
 	default:
@@ -223,21 +223,18 @@
 	for k := range w.voters {
 		w.carryOut(k)
 	}
-	for _, s := range []*wholeServer{&w.relay, &w.app} {
+	for _, s := range w.servers() {
 		s.carryOut(func(name string, request Subscribe) { w.feed(name).Subscribe(s.id, request, w.now) },
 			func(string) { w.leave(s) })
 	}
 	for _, name := range []string{"v0", "v1", "v2", "relay"} {
 		ready := w.feed(name).Ready()
 		for _, outgoing := range ready.Messages {
-			s := &w.app
-			if outgoing.Subscriber == w.relay.id {
-				s = &w.relay
-			}
+			s := w.servers()[outgoing.Subscriber]
 			s.flight = append(s.flight, outgoing.Message)
 		}
 		for _, closed := range ready.Closed {
-			for _, s := range []*wholeServer{&w.relay, &w.app} {
+			for _, s := range w.servers() {
 				if s.id == closed.Subscriber && s.connected == name {
 					s.connected = ""
 					s.follower.Disconnected(w.now)
@@ -322,7 +319,7 @@
 			return fmt.Sprintf("proposal %d was told committed at %v, there is %+v", id, version, entry)
 		}
 	}
-	for _, s := range []*wholeServer{&w.relay, &w.app} {
+	for _, s := range w.servers() {
 		at := s.follower.version.Index
 		if s.invalidated {
 			return fmt.Sprintf("server %d found an entry missing, and none is", s.id)
@@ -365,7 +362,7 @@
 			return fmt.Sprintf("v%d has %+v, not %v", k, status, want)
 		}
 	}
-	for _, s := range []*wholeServer{&w.relay, &w.app} {
+	for _, s := range w.servers() {
 		if status := s.follower.Status(w.now); status.Version != want || status.Stale {
 			return fmt.Sprintf("server %d has %+v, not %v", s.id, status, want)
 		}
