--- a/logic/configlog/configlog.go
+++ b/logic/configlog/configlog.go
@@ -61,4 +61,4 @@
 	TermAtResume                       // a feed resumes only where the term at that index is the subscriber's
 )
 
-func (without Rule) keeps(rule Rule) bool { return without&rule == 0 }
+func (disabled Rule) enabled(rule Rule) bool { return disabled&rule == 0 }
--- a/logic/configlog/feed.go
+++ b/logic/configlog/feed.go
@@ -134,7 +134,7 @@
 		return nil, false
 	}
 	version, ok := f.history.version(from.Index)
-	if !ok || version != from && f.cfg.Without.keeps(TermAtResume) {
+	if !ok || version != from && f.cfg.Disabled.enabled(TermAtResume) {
 		return nil, false
 	}
 	if subscriber.all {
--- a/logic/configlog/feed_types.go
+++ b/logic/configlog/feed_types.go
@@ -8,7 +8,7 @@
 	BytesPerSecond  float64 // most for one subscriber, whatever it asks for
 	HeartbeatEvery  float64
 	LookupsInFlight int  // replies that wait for one subscriber; further lookups are not answered
-	Without         Rule // none in service
+	Disabled        Rule // none in service
 }
 
 // SubscriberID is the caller's number for one subscription: one connection's.
--- a/logic/configlog/follower.go
+++ b/logic/configlog/follower.go
@@ -86,7 +86,7 @@
 
 // abandonSnapshot drops what has come of a snapshot.
 func (f *Follower) abandonSnapshot() {
-	if !f.cfg.Without.keeps(WholeSnapshot) {
+	if !f.cfg.Disabled.enabled(WholeSnapshot) {
 		f.replace()
 		return
 	}
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -71,7 +71,7 @@
 func (f *Follower) checkSequence(message StreamMessage) error {
 	sequence := sequenceOf(message)
 	want := f.stream.sequence + 1
-	if !f.cfg.Without.keeps(StreamSequence) || sequence == want {
+	if !f.cfg.Disabled.enabled(StreamSequence) || sequence == want {
 		f.stream.sequence = sequence
 		return nil
 	}
@@ -198,7 +198,7 @@
 
 // checkChain takes only the entry that is next of its service, and next of all if it wants all.
 func (f *Follower) checkChain(entry Entry) error {
-	if !f.cfg.Without.keeps(ServiceChain) {
+	if !f.cfg.Disabled.enabled(ServiceChain) {
 		return nil
 	}
 	last, applied := f.lastApplied[entry.Service]
@@ -254,7 +254,7 @@
 	if heartbeat.Version.Index < f.version.Index {
 		return f.refuseStaleEntry(heartbeat.Version)
 	}
-	if f.cfg.All && heartbeat.Version.Index > f.version.Index && f.cfg.Without.keeps(ServiceChain) {
+	if f.cfg.All && heartbeat.Version.Index > f.version.Index && f.cfg.Disabled.enabled(ServiceChain) {
 		return f.refuseMissing("index", f.version.Index, heartbeat.Version.Index)
 	}
 	if heartbeat.Version.Index == f.version.Index && heartbeat.Version != f.version {
--- a/logic/configlog/follower_types.go
+++ b/logic/configlog/follower_types.go
@@ -13,7 +13,7 @@
 	BackoffMax     float64
 	Seed           uint64 // another one at each start: subscriptions are numbered from it
 	MaxLookups     int    // that may wait for a reply
-	Without        Rule   // none in service
+	Disabled       Rule   // none in service
 }
 
 // FollowerState is how far a follower has come. One function changes it.
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		version, _ := r.log.version(index)
-		if version.Term != r.promised && r.cfg.Without.keeps(CommitOwnTerm) {
+		if version.Term != r.promised && r.cfg.Disabled.enabled(CommitOwnTerm) {
 			return false
 		}
 		r.committed = index
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -91,7 +91,7 @@
 
 // moreUpToDate reports whether a log with one end has all that is committed if a log with another end has.
 func (r *Replica) moreUpToDate(last, other Version) bool {
-	if !r.cfg.Without.keeps(MostUpToDate) {
+	if !r.cfg.Disabled.enabled(MostUpToDate) {
 		return last.Index > other.Index
 	}
 	return last.Compare(other) > 0
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -10,7 +10,7 @@
 	MaxInFlight    int        // messages with entries on their way to one voter
 	ResendAfter    float64
 	HeartbeatEvery float64
-	Without        Rule // none in service
+	Disabled       Rule // none in service
 }
 
 // Stored is what a replica finds on its disk at a start.
--- a/logic/configlog/replica_voter.go
+++ b/logic/configlog/replica_voter.go
@@ -7,7 +7,7 @@
 		r.send(from, RecoverResponse{Term: request.Term, Refused: true, Known: r.promised})
 		return
 	}
-	if r.cfg.Without.keeps(PromiseAtRecovery) {
+	if r.cfg.Disabled.enabled(PromiseAtRecovery) {
 		r.promise(request.Term)
 	}
 	r.send(from, RecoverResponse{Term: request.Term, Last: r.log.last(), Commit: r.committed})
--- a/logic/configlog/replica_walk_test.go
+++ b/logic/configlog/replica_walk_test.go
@@ -16,7 +16,7 @@
 	terms, proposals, restarts, doubled, lost int
 	atOnce                                    bool // an answer is heard at once, or lost
 	answerFirst                               bool // the planted fault of a driver that writes after it has sent
-	without                                   Rule
+	disabled                                  Rule
 	lists                                     [4][][]string // that each voter knows, if not the three
 }
 
@@ -40,7 +40,7 @@
 		lists = formerList
 	}
 	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: lists, KeepEntries: 9, MaxOpen: 9, MessageBytes: one,
-		MaxInFlight: 2, Without: b.without}
+		MaxInFlight: 2, Disabled: b.disabled}
 }
 
 func proposal(id uint64) Change { return Change{Service: "a", Payload: []byte{byte(id)}} }
@@ -389,9 +389,9 @@
 func TestExhaustiveReplicaFaults(t *testing.T) {
 	faults := []named[logBounds]{
 		{"answers before it has written", logBounds{terms: 2, restarts: 1, atOnce: true, answerFirst: true}},
-		{"commits by count alone", logBounds{terms: 4, atOnce: true, without: CommitOwnTerm}},
-		{"no promise at recovery", logBounds{terms: 2, atOnce: true, without: PromiseAtRecovery}},
-		{"the longest log", logBounds{terms: 3, proposals: 1, atOnce: true, without: MostUpToDate}},
+		{"commits by count alone", logBounds{terms: 4, atOnce: true, disabled: CommitOwnTerm}},
+		{"no promise at recovery", logBounds{terms: 2, atOnce: true, disabled: PromiseAtRecovery}},
+		{"the longest log", logBounds{terms: 3, proposals: 1, atOnce: true, disabled: MostUpToDate}},
 		{"voters changed in one round", logBounds{terms: 2, atOnce: true, lists: [4][][]string{formerList, formerList, nextList, nextList}}},
 	}
 	findAll(t, faults)
--- a/logic/configlog/stream_walk_test.go
+++ b/logic/configlog/stream_walk_test.go
@@ -18,7 +18,7 @@
 	skipped                                         int  // entries that a distributor at fault does not send
 	foreign                                         bool // the follower's file is of another log
 	faulty                                          bool // a distributor may skip entries
-	without                                         Rule
+	disabled                                        Rule
 }
 
 // committedLog is the log that the distributors are given; the follower serves a and b.
@@ -46,7 +46,7 @@
 	w := &streamWorld{streamBounds: b}
 	for d := range w.feeds {
 		w.tables[d] = &prefixTable{}
-		cfg := FeedConfig{HistoryEntries: b.history, BufferBytes: 1e6, PartBytes: 1, BytesPerSecond: 1e9, Without: b.without}
+		cfg := FeedConfig{HistoryEntries: b.history, BufferBytes: 1e6, PartBytes: 1, BytesPerSecond: 1e9, Disabled: b.disabled}
 		w.feeds[d] = NewFeed(cfg, w.tables[d], Version{}, 0)
 		for range b.have[d] {
 			w.grow(d)
@@ -62,7 +62,7 @@
 func (w *streamWorld) start() {
 	w.starts++
 	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"}, Distributors: distributorNames, SilentAfter: math.Inf(1), StaleAfter: 18,
-		Seed: w.starts, Without: w.without}
+		Seed: w.starts, Disabled: w.disabled}
 	w.app = appServer{follower: NewFollower(cfg, w.app.version, 0), version: w.app.version, records: w.app.records}
 }
 
@@ -278,10 +278,10 @@
 // Each rule of the stream that is left out is found.
 func TestExhaustiveStreamFaults(t *testing.T) {
 	faults := []named[streamBounds]{
-		{"no service chain", streamBounds{have: [2]int{2, 2}, history: 9, ticks: 1, skipped: 1, faulty: true, without: ServiceChain}},
-		{"no stream sequence", streamBounds{have: [2]int{4, 4}, history: 9, ticks: 1, lost: 1, without: StreamSequence}},
-		{"half a snapshot", streamBounds{have: [2]int{3, 3}, history: 9, ticks: 1, broken: 1, without: WholeSnapshot}},
-		{"resumed across another's term", streamBounds{have: [2]int{5, 5}, history: 9, ticks: 1, foreign: true, without: TermAtResume}},
+		{"no service chain", streamBounds{have: [2]int{2, 2}, history: 9, ticks: 1, skipped: 1, faulty: true, disabled: ServiceChain}},
+		{"no stream sequence", streamBounds{have: [2]int{4, 4}, history: 9, ticks: 1, lost: 1, disabled: StreamSequence}},
+		{"half a snapshot", streamBounds{have: [2]int{3, 3}, history: 9, ticks: 1, broken: 1, disabled: WholeSnapshot}},
+		{"resumed across another's term", streamBounds{have: [2]int{5, 5}, history: 9, ticks: 1, foreign: true, disabled: TermAtResume}},
 	}
 	findAll(t, faults)
 }
--- a/logic/owner/owner.go
+++ b/logic/owner/owner.go
@@ -12,10 +12,10 @@
 import (
 	"fmt"
 	"math"
-	"math/bits"
 	"slices"
 
 	"valveglade/logic/chance"
+	"valveglade/logic/quorum"
 )
 
 // Timing is what an installation sets: seconds, and Drift as a share.
@@ -130,8 +130,8 @@
 	timing Timing
 	self   Incarnation
 	role   string
+	quorum quorum.Voters
 	voters []string // of all lists, each once
-	lists  []uint32 // each a set of voters, as bits, a majority of which is needed
 	seed   uint64
 	drawn  uint64
 
@@ -142,7 +142,7 @@
 	round       uint64
 	first       uint64 // the round of the vote request
 	asked       [rounds]float64
-	votes       uint32         // the voters that would grant it, as bits
+	votes       quorum.Set     // the voters that would grant it
 	acked       [2 * 7]float64 // when the last request was made that each voter granted, under this term; -Inf for none
 	until       float64        // it may act, on its own clock
 	due         float64        // of the next step
@@ -154,30 +154,8 @@
 // NewCandidate begins as one that does not campaign. Lists are the voters: one list, or two while they are changed. A
 // majority of each is needed, so that whoever knows the former list alone, or the next alone, shares a voter with it.
 func NewCandidate(self Incarnation, role string, lists [][]string, seed uint64, now float64, timing Timing) *Candidate {
-	c := &Candidate{timing: timing, self: self, role: role, seed: seed, due: now}
-	for _, list := range lists {
-		set := uint32(0)
-		for _, name := range list {
-			k := slices.Index(c.voters, name)
-			if k < 0 {
-				k = len(c.voters)
-				c.voters = append(c.voters, name)
-			}
-			set |= 1 << k
-		}
-		c.lists = append(c.lists, set)
-	}
-	return c
-}
-
-// hasMajority reports whether a majority of each list has said yes.
-func (c *Candidate) hasMajority() bool {
-	for _, set := range c.lists {
-		if bits.OnesCount32(c.votes&set) <= bits.OnesCount32(set)/2 {
-			return false
-		}
-	}
-	return len(c.lists) > 0
+	voters := quorum.New(lists)
+	return &Candidate{timing: timing, self: self, role: role, quorum: voters, voters: voters.Names(), seed: seed, due: now}
 }
 
 // Ready returns the messages to be sent and empties the list.
@@ -304,7 +282,7 @@
 		if c.stage != prevoting || m.Round != c.round {
 			return
 		}
-		if c.votes |= 1 << k; c.hasMajority() {
+		if c.votes = c.votes.With(k); c.quorum.Majority(c.votes) {
 			c.term = max(c.highest, c.term) + 1
 			c.move(campaigning)
 			c.startRound(RequestVote, now)
@@ -345,13 +323,13 @@
 	if !c.timing.enabled(FromRequest) {
 		at = now
 	}
-	c.votes |= 1 << k
+	c.votes = c.votes.With(k)
 	c.acked[k] = max(c.acked[k], at)
 	until := math.Inf(1)
-	for _, set := range c.lists {
+	for _, list := range c.quorum.Lists() {
 		var all []float64
 		for n := range c.voters {
-			if set>>n&1 == 1 {
+			if list.Has(n) {
 				all = append(all, c.acked[n])
 			}
 		}
--- a/logic/quorum/quorum.go
+++ b/logic/quorum/quorum.go
@@ -46,6 +46,9 @@
 // Number is a voter's, or -1 for somebody else.
 func (v Voters) Number(name string) int { return slices.Index(v.names, name) }
 
+// Lists are the sets that need a majority each. The caller leaves them as they are.
+func (v Voters) Lists() []Set { return v.lists }
+
 // Majority reports whether a set holds a majority of each list.
 func (v Voters) Majority(set Set) bool {
 	for _, list := range v.lists {
