--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -167,6 +167,7 @@
 	f.counts.Snapshots++
 	f.stream.applied = true
 	f.restart(f.stream.snapshot)
+	f.resumable = true // also after the snapshot of an empty log
 	f.out = append(f.out, Replace{Version: f.version})
 }
 
