--- a/logic/configlog/example_test.go
+++ b/logic/configlog/example_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	x, change := replicas["x"], configlog.Change{Service: "a", Payload: []byte("12345678")}
-	fmt.Println(x.Propose(1, change, 0))
+	fmt.Println(x.Propose(1, change, 0), x.Status(0).Age)
 	fmt.Println(x.Lead(2, 0), x.Propose(1, change, 0))
 	settle()
 	fmt.Println(x.Propose(1, change, 0), x.Propose(2, change, 0))
@@ -60,9 +60,9 @@
 	fmt.Println(x.Propose(3, configlog.Change{}, 0), x.Propose(4, configlog.Change{Service: strings.Repeat("a", 100)}, 0), x.Propose(5, change, 0))
 	x.StepDown()
 	settle()
-	fmt.Println(x.Lead(2, 0))
+	fmt.Println(x.Lead(2, 0), replicas["y"].Status(1).Age)
 	// Output:
-	// configlog: this replica does not lead
+	// configlog: this replica does not lead +Inf
 	// <nil> configlog: the leader has not recovered the log yet
 	//   0.0 Envelope{From:x To:y Message:{Term:2}}
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Refused:false Known:0 Last:{Term:1 Index:1} Commit:0}}
@@ -82,7 +82,7 @@
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[{{Term:2 Index:4} Previous:3 {Service:a }}] Commit:3}}
 	// result: 5 {0 0} configlog: leadership ended before the change was known to be committed
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:4}}
-	// configlog: term 2 is over, 2 is known
+	// configlog: term 2 is over, 2 is known 1
 }
 
 // follow is a follower that is played by hand.
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"math"
 
 	"valveglade/logic/quorum"
 )
@@ -16,7 +17,7 @@
 	promised  uint64 // also the term that it leads under
 	log       entryLog
 	committed uint64
-	freshAt   float64 // when it was last known to have all that is committed
+	freshAt   float64 // when it was last known to have all that is committed; -Inf for never since the start
 
 	lead leadership
 
@@ -30,8 +31,8 @@
 
 // NewReplica opens a replica on what the disk has. Entries of stored up to its Commit are not given out by Ready again. The replica
 // keeps what stored refers to.
-func NewReplica(cfg ReplicaConfig, stored Stored, now float64) *Replica {
-	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised, savedPromise: stored.Promised, freshAt: now}
+func NewReplica(cfg ReplicaConfig, stored Stored, _ float64) *Replica {
+	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised, savedPromise: stored.Promised, freshAt: math.Inf(-1)}
 	r.self = r.voters.Number(cfg.Name)
 	r.log = entryLog{base: stored.Base, lastOfService: maps.Clone(stored.LastOfService)}
 	if r.log.lastOfService == nil {
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -200,6 +200,7 @@
 	case ReplicaAsks, ReplicaFetches:
 		r.recoverAgain(now)
 	case ReplicaLeads:
+		r.freshAt = now
 		for voter := range r.lead.progress {
 			if voter != r.self {
 				r.sendAgain(voter, now)
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -74,5 +74,5 @@
 	Committed Version
 	Base      Version
 	Open      int
-	Age       float64 // seconds since this replica was last known to have all that is committed
+	Age       float64 // seconds since this replica was last known to have all that is committed; +Inf if it was not since its start
 }
