--- a/logic/configlog/feed.go
+++ b/logic/configlog/feed.go
@@ -1,6 +1,9 @@
 package configlog
 
-import "slices"
+import (
+	"math"
+	"slices"
+)
 
 // Feed is a distributor's part: it serves subscribers from committed entries.
 type Feed struct {
@@ -8,7 +11,7 @@
 	table       Snapshotter
 	history     entryLog
 	now         float64
-	age         float64
+	freshAt     float64 // when the distributor was last known to be as new as the leader; -Inf for never
 	subscribers map[SubscriberID]*subscriber
 	byService   map[string][]*subscriber
 	all         []*subscriber
@@ -25,7 +28,8 @@
 
 // NewFeed begins with a table of a version, and no history.
 func NewFeed(cfg FeedConfig, table Snapshotter, version Version, now float64) *Feed {
-	f := &Feed{cfg: cfg, table: table, now: now, subscribers: map[SubscriberID]*subscriber{}, byService: map[string][]*subscriber{}}
+	f := &Feed{cfg: cfg, table: table, now: now, subscribers: map[SubscriberID]*subscriber{}, byService: map[string][]*subscriber{},
+		freshAt: math.Inf(-1)}
 	f.history = entryLog{base: version, lastOfService: map[string]uint64{}}
 	return f
 }
--- a/logic/configlog/feed_send.go
+++ b/logic/configlog/feed_send.go
@@ -1,6 +1,9 @@
 package configlog
 
-import "slices"
+import (
+	"math"
+	"slices"
+)
 
 // messageOverhead is what a message counts beside entries, records and values, in bytes.
 const messageOverhead = 32
@@ -23,7 +26,7 @@
 	pendingBytes int
 	replies      []LookupReply
 	active       bool
-	greeted      bool // it has had its first heartbeat
+	greeted      bool // it has had a heartbeat of a known age
 }
 
 func newSubscriber(id SubscriberID, request Subscribe, rate, now float64) *subscriber {
@@ -79,9 +82,10 @@
 	return s.snapshot == nil && len(s.pending) == 0 && len(s.replies) == 0
 }
 
-// Tick sends what is due; age is how old the distributor's own knowledge is, in seconds.
+// Tick sends what is due; age is how old the distributor's own knowledge is, in seconds; +Inf for unknown.
 func (f *Feed) Tick(now, age float64) {
-	f.now, f.age = max(f.now, now), age
+	f.now = max(f.now, now)
+	f.freshAt = f.now - age
 	f.sendActive()
 	due := 0
 	for due < len(f.heartbeats) && f.heartbeats[due].at <= f.now {
@@ -105,8 +109,8 @@
 	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.position.Index {
 		return
 	}
-	s.position, s.greeted = f.Version(), true
-	f.send(s, Heartbeat{Version: s.position, Age: f.age})
+	s.position, s.greeted = f.Version(), !math.IsInf(f.freshAt, -1)
+	f.send(s, Heartbeat{Version: s.position, Age: f.now - f.freshAt})
 }
 
 func (f *Feed) activate(s *subscriber) {
@@ -123,7 +127,7 @@
 		for s.tokens > 0 && !s.idle() {
 			f.sendNext(s)
 		}
-		if s.idle() && !s.greeted {
+		if s.idle() && !s.greeted && !math.IsInf(f.freshAt, -1) {
 			f.sendHeartbeat(s)
 		}
 		s.active = !s.idle() || !s.greeted
