--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		version, _ := r.log.version(index)
-		if version.Term != r.promised && r.cfg.Without.keeps(CommitOwnTerm) {
+		if version.Term != r.promised && r.cfg.Disabled.enabled(CommitOwnTerm) {
 			return false
 		}
 		r.committed = index
@@ -200,6 +200,7 @@
 	case ReplicaAsks, ReplicaFetches:
 		r.recoverAgain(now)
 	case ReplicaLeads:
+		r.freshAt = now
 		for voter := range r.lead.progress {
 			if voter != r.self {
 				r.sendAgain(voter, now)
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -10,7 +10,7 @@
 	MaxInFlight    int        // messages with entries on their way to one voter
 	ResendAfter    float64
 	HeartbeatEvery float64
-	Without        Rule // none in service
+	Disabled       Rule // none in service
 }
 
 // Stored is what a replica finds on its disk at a start.
@@ -74,5 +74,5 @@
 	Committed Version
 	Base      Version
 	Open      int
-	Age       float64 // seconds since this replica was last known to have all that is committed
+	Age       float64 // seconds since this replica was last known to have all that is committed; +Inf if it was not since its start
 }
--- a/rig/check.go
+++ b/rig/check.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"sync"
 	"time"
 
@@ -27,6 +28,7 @@
 	breaches []Breach
 	counts   map[string]int
 	slack    time.Duration
+	crossed  map[string]*tried // by RPC; nil unless ResendCrossed, see there
 }
 
 // asked is one RPC, over all its tries.
@@ -84,7 +86,7 @@
 }
 
 // Count is a figure that the checker has kept: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
-// unanswered.
+// unanswered, turned.away, crossed.
 func (c *Checker) Count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,6 +157,7 @@
 	defer c.mu.Unlock()
 	s := c.server(server)
 	s.killed = true
+	maps.DeleteFunc(c.crossed, func(_ string, t *tried) bool { return t.server == server })
 	for _, tries := range c.tries {
 		for _, t := range tries {
 			if t.server == server && !t.answered {
@@ -162,6 +165,7 @@
 			}
 		}
 	}
+	c.finishCrossed()
 }
 
 // Paused tells that the rig has stopped its process, or starves it, or lets it go on: what it answers late meanwhile is
@@ -215,6 +219,7 @@
 	if r == nil {
 		return
 	}
+	delete(c.crossed, id)
 	if r.tries++; r.tries > 1 {
 		c.counts["further"]++
 	}
@@ -308,6 +313,12 @@
 			c.counts["turned.away"]++
 			continue
 		}
+		if c.crossedClose(t) {
+			t.excused = true
+			c.counts["crossed"]++
+			c.crossed[t.id] = t
+			continue
+		}
 		c.counts["unanswered"]++
 		c.breach(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
 		t.excused = true
@@ -364,4 +375,5 @@
 			}
 		}
 	}
+	c.finishCrossed()
 }
