--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -26,15 +26,14 @@
 
 // What is distributed.
 const (
-	designChangesPerSecond = 90_000.0 / 86_400
-	designInForceSeconds   = 18.0
-	designBytesPerSecond   = 20e3
-	distributionServices   = 200
-	servicesEach           = 4  // of one app server
-	tenantsEach            = 50 // of one service
-	perDistributor         = 430
-	perHollowProcess       = 2150
-	distributionSockets    = 4096 // an eighth of them are for subscribers
+	designInForceSeconds = 18.0
+	designBytesPerSecond = 20e3
+	distributionServices = 200
+	servicesEach         = 4  // of one app server
+	tenantsEach          = 50 // of one service
+	perDistributor       = 430
+	perHollowProcess     = 2150
+	distributionSockets  = 4096 // an eighth of them are for subscribers
 )
 
 // distributionSizes are the numbers of app servers.
--- a/server/descriptors.go
+++ b/server/descriptors.go
@@ -5,8 +5,6 @@
 	"math"
 	"os"
 	"syscall"
-
-	"valveglade/member"
 )
 
 const (
