--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -26,7 +26,7 @@
 
 // scaleParts are all parts, in the order in which they run.
 func scaleParts() []scalePart {
-	return slices.Concat(viewScaleParts, roleScaleParts, configScaleParts, distributionScaleParts)
+	return slices.Concat(viewScaleParts, roleScaleParts, distributionScaleParts, configScaleParts)
 }
 
 // playScale measures how costs grow with the size of the fleet, and fits them. A part that fails does not keep the others
--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -42,8 +42,8 @@
 		}
 	}
 	for _, s := range []slope.Series{
-		{Name: "distribution.on.change_bytes", Unit: "B", Note: "one app server with all services, heartbeats of the time included"},
-		{Name: "distribution.off.change_bytes", Unit: "B", Note: "the whole table is read anew from a distributor"},
+		{Name: "config.on.change_bytes.entries", Unit: "B", Note: "one app server with all services, heartbeats of the time included"},
+		{Name: "config.off.change_bytes.entries", Unit: "B", Note: "the whole table is read anew from a distributor"},
 		{Name: "distribution.on.change_seconds", Unit: "s", Note: "from asking for the change until it is in force"},
 		{Name: "distribution.off.change_seconds", Unit: "s", Note: "from asking for the change until the whole table is read, at no bound of bytes a second"},
 	} {
@@ -106,8 +106,8 @@
 		time.Sleep(time.Until(began.Add(time.Second)))
 	}
 	changes := float64(p.changesOfTable())
-	found.add("distribution.on.change_bytes", entries, float64(d.Status().Bytes-bytes)/changes)
-	found.add("distribution.off.change_bytes", entries, float64(wholeBytes)/changes)
+	found.add("config.on.change_bytes.entries", entries, float64(d.Status().Bytes-bytes)/changes)
+	found.add("config.off.change_bytes.entries", entries, float64(wholeBytes)/changes)
 	found.add("distribution.on.change_seconds", entries, quantile(on, 0.5))
 	found.add("distribution.off.change_seconds", entries, quantile(off, 0.5))
 	return nil
