--- a/server/descriptors.go
+++ b/server/descriptors.go
@@ -5,8 +5,6 @@
 	"math"
 	"os"
 	"syscall"
-
-	"valveglade/member"
 )
 
 const (
@@ -33,7 +31,7 @@
 func (s *Server) reserved() int {
 	kept := max(reserve, int(s.atStart.Load())+spare)
 	if s.fleetSettings.On() {
-		kept += member.Descriptors
+		kept += fleetDescriptors(s.fleetSettings, s.config.Load())
 	}
 	return kept
 }
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -40,7 +40,8 @@
 	terms := view.Defaults()
 	terms.HoldTime, terms.ForgetTime = settings.Hold, settings.Forget
 	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
-		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket, View: terms}, s.log)
+		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket,
+		Streams: incomingStreams(settings, c), View: terms}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -61,6 +62,9 @@
 			group.Go(func() error { return f.Run(roles) })
 			context.AfterFunc(part, over)
 		}
+		if s.distribution != nil {
+			group.Go(func() error { return s.distribution.Run(part) })
+		}
 		err := group.Wait()
 		over()
 		return err
@@ -129,7 +133,7 @@
 		s.gate.Under(quota)
 	}
 	m.SetRoles(func() any { return f.Status() })
-	return f, nil
+	return f, s.distributeConfig(m, f)
 }
 
 // lentFor is for how many leases a grant of a share lasts: through a change of allocator, which takes up to two. Longer, what
