--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -17,7 +17,7 @@
 )
 
 // lowestCommand is the baseline of ownership: whoever sees itself as the lowest name of its own view is the owner, without
-// terms and voters, and sends the same orders. With voters it stands as the program does, by a clock that drifts.
+// terms and voters, and sends the same commands. With voters it campaigns as the program does, by a clock that drifts.
 func lowestCommand() *cobra.Command {
 	var name, listen, advertise, join, order string
 	var voters []string
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -35,7 +35,7 @@
 }
 
 // convene starts one: as is the program, with two roles; the same with the fleet off; the lowest name of each view as the
-// owner; or such processes as stand by clocks that drift, at the bound.
+// owner; or such processes as campaign by clocks that drift, at the bound.
 func (p *play) convene(kind string, n int) (*court, error) {
 	c := &court{}
 	for range 2 {
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -22,7 +22,7 @@
 	drained      bool
 
 	core, packets, bytes float64 // of one member under the design's churn: share of a core, packets and bytes a second, both ways
-	settled              float64 // share of that time
+	converged            float64 // share of that time
 	resident             float64 // bytes of one member, the process's own share taken off
 	exchangeBytes        float64 // of one exchange, both ways
 	exchangeCPU          float64 // seconds
@@ -250,7 +250,7 @@
 	}
 	took := time.Since(began)
 	r.cost.core, r.cost.bytes, r.cost.packets = c.cpu, c.bytes, c.packets
-	r.cost.settled = r.members.SettledShare(began, time.Now())
+	r.cost.converged = r.members.ConvergedShare(began, time.Now())
 	r.cost.processCore = (r.processCPU() - cpu).Seconds() / took.Seconds() / crowdProcesses
 	for _, name := range processNames() {
 		r.cost.processResident += float64(r.swarm.Node(name).Resident()) / crowdProcesses
@@ -356,7 +356,7 @@
 		p.say("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
 			"settled %.0f%%; joined after %.1f s and then sends %.0f KB a second (drained %t); zone lost %.1f s, back %.1f s; a process %.3g%% "+
 			"of a core, %.0f MB", c.size, 100*core, 100*exchanges*c.exchangeCPU, c.resident/(1<<20), c.packets, bytes/1000,
-			exchanges*c.exchangeBytes/1000, 100*c.settled, c.joined, c.newcomerSent/1000, c.drained, c.lost, c.back, 100*c.processCore,
+			exchanges*c.exchangeBytes/1000, 100*c.converged, c.joined, c.newcomerSent/1000, c.drained, c.lost, c.back, 100*c.processCore,
 			c.processResident/(1<<20))
 		x := float64(c.size)
 		found.add("view.member.cpu", x, 100*core)
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -64,11 +64,11 @@
 // settle waits until each member's view has n.
 func (h *hollowMembers) settle(n int) error {
 	for until := time.Now().Add(learnedWithin); time.Now().Before(until); time.Sleep(memberProbe / 10) {
-		settled := true
+		converged := true
 		for _, m := range h.all {
-			settled = settled && len(m.View().Members) >= n
+			converged = converged && len(m.View().Members) >= n
 		}
-		if settled {
+		if converged {
 			return nil
 		}
 	}
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -75,9 +75,9 @@
 	for k, cost := range costs {
 		members, kind := plans[k].Members, restartKinds[k%len(restartKinds)].name
 		p.say("pure view, %s, %d members: %.3g%% of a core, settled %.1f%%, %.0f views an hour", kind, members,
-			100*cost.CoreShare, 100*cost.SettledShare, cost.ViewsPerHour)
+			100*cost.CoreShare, 100*cost.ConvergedShare, cost.ViewsPerHour)
 		found.add("view.pure.cpu."+kind, float64(members), 100*cost.CoreShare)
-		found.add("view.pure.settled."+kind, float64(members), 100*cost.SettledShare)
+		found.add("view.pure.settled."+kind, float64(members), 100*cost.ConvergedShare)
 		found.add("view.pure.memory."+kind, float64(members), cost.HeapBytes/(1<<20))
 	}
 	for _, restart := range restartKinds {
@@ -114,7 +114,7 @@
 	found := points{}
 	for k, cost := range costs {
 		found.add("cpu", plans[k].RestartsPerSecond, 100*cost.CoreShare)
-		found.add("settled", plans[k].RestartsPerSecond, 100*cost.SettledShare)
+		found.add("settled", plans[k].RestartsPerSecond, 100*cost.ConvergedShare)
 	}
 	note := fmt.Sprintf("%s; at %d members", pureNote, members)
 	err = p.series(r, slope.Series{Name: "view.pure.churn.cpu", Unit: "% of a core", Against: "restarts a second",
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -18,7 +18,7 @@
 	"valveglade/rpc"
 )
 
-// A rehearsed share: how much it is, among how many, and how long a run takes on the mean. A third of it is floors. Where all
+// A rehearsed share: how much it is, among how many, and how long a run takes on the mean. A third of it is reserved. Where all
 // ask for more, one app server of so many has less than a tenth: that is missing for a while if it dies.
 const (
 	sharedLimit = 48
@@ -58,15 +58,15 @@
 	all := names(sharedOn)
 	r := &pool{backend: rig.NewBackend(sharedLimit, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{}, plain: map[string][2]float64{}}
 	plan := p.sharedPlan(sharedOn, r.backend)
-	floor := 1
+	reserved := 1
 	switch kind {
 	case "off":
 		plan.Off = true
 	case "even":
-		floor = sharedLimit / sharedOn // nothing is left to grant
+		reserved = sharedLimit / sharedOn // nothing is left to grant
 	}
 	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + rehearsedLease.String(), "fleet.share behind " + limit +
-		" lookup check record", fmt.Sprintf("fleet.floor %d %s", floor, strings.Join(all, " "))}
+		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
 	var err error
 	r.Swarm, err = rig.NewSwarm(plan)
 	return r, err
@@ -194,7 +194,7 @@
 	return sum
 }
 
-// allocator asks the processes who keeps the share, and what everybody has.
+// allocator asks the processes who allocates the share, and what everybody has.
 func (r *pool) allocator() (name string, s fleet.Share) {
 	for _, n := range r.Running() {
 		shown, err := member.ReadStatus(r.Socket(n))
@@ -232,7 +232,7 @@
 	took, _ := on.Until(10*time.Second, func() bool { allocator, _ = on.allocator(); return allocator != "" })
 	p.atMost("first.keeper.s", took, 10)
 	p.untilAlike(on.Swarm, 10*time.Second, sharedOn, on.Names())
-	time.Sleep(2 * time.Second) // the floors' wait for former lives is over
+	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
 
 	// The load: at first most of it at one app server, which changes every two seconds; then more than there is, everywhere.
 	const whole = sharedLimit / sharedWork / 0.85 // RPCs a second that fill the limit
@@ -302,7 +302,7 @@
 	p.inform("used.steady.even", even.backend.Used()/sharedLimit)
 	on.enter("faults")
 	enough()
-	// Somebody else is to keep it: use stays above the floors, and comes back.
+	// Somebody else is to allocate it: use stays above the reserved permits, and comes back.
 	change := func(how, script string) {
 		was, _ := on.allocator()
 		on.backend.Used()
@@ -337,7 +337,7 @@
 			errs[0] = errors.Join(errs[0], on.Run("0s start "+name))
 		}
 	}
-	// What the one that died had, and its new life's floor, are back once its last grant is over.
+	// What the one that died had, and the reserved permits of its new incarnation, are back once its last grant is over.
 	on.backend.Used()
 	on.Until(5*time.Second, func() bool { time.Sleep(300 * time.Millisecond); return on.backend.Used() >= 0.97*sharedLimit })
 	allocator, _ = on.allocator()
@@ -430,7 +430,7 @@
 		return errors.New("nobody keeps the share")
 	}
 	p.untilAlike(r.Swarm, 15*time.Second, many, r.Names())
-	time.Sleep(3500 * time.Millisecond) // until the floors may be used
+	time.Sleep(3500 * time.Millisecond) // until the reserved permits may be used
 	r.enter("many")
 	var load sync.WaitGroup
 	length := p.span(12 * time.Second)
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -134,9 +134,9 @@
 	return worst
 }
 
-// buried counts members that were told dead by viewers though they lived, and how many of these were not back within a
+// falseDeaths counts members that were told dead by viewers though they lived, and how many of these were not back within a
 // span. Alive tells whether a member was alive at a time.
-func buried(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
+func falseDeaths(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
 	for _, viewer := range viewers {
 		sights := s.History.Observations(viewer, from)
 		for k, observation := range sights {
@@ -282,7 +282,7 @@
 		return !slices.Contains([]string{"n11", "n12", "n10"}, name) && (name != "n9" || t > from+6)
 	}
 	anyOf := slices.Concat(still, []string{"n7", "n8", "n9"})
-	false1, lasting := buried(on, from, from+12, 3, anyOf, slept)
+	false1, lasting := falseDeaths(on, from, from+12, 3, anyOf, slept)
 	p.inform("false.deaths", float64(false1))
 	p.exactly("false.deaths.lasting", float64(lasting), 0)
 	p.atMost("back.after.all", p.untilAlike(on, 10*time.Second, n, slices.Concat(still, []string{"n7", "n8", "n9", "n10-twin", "n11", "n12"})), 10)
@@ -420,7 +420,7 @@
 	}); err != nil {
 		return err
 	}
-	false1, lasting := buried(on, from, from+6, 3, all, func(string, float64) bool { return true })
+	false1, lasting := falseDeaths(on, from, from+6, 3, all, func(string, float64) bool { return true })
 	p.inform("false.deaths", float64(false1))
 	p.exactly("false.deaths.lasting", float64(lasting), 0)
 	p.untilAlike(on, 4*time.Second, n, all)
@@ -432,13 +432,13 @@
 	if err := f.all(func(s *rig.Swarm) error { return s.Run(cut) }); err != nil {
 		return err
 	}
-	var settledSmall, settledLarge float64
-	group.Go(func() { settledSmall = p.untilAlike(on, 9*time.Second, 4, small) })
-	group.Go(func() { settledLarge = p.untilAlike(on, 9*time.Second, 8, large) })
+	var convergedSmall, convergedLarge float64
+	group.Go(func() { convergedSmall = p.untilAlike(on, 9*time.Second, 4, small) })
+	group.Go(func() { convergedLarge = p.untilAlike(on, 9*time.Second, 8, large) })
 	group.Wait()
-	p.atMost("settled.after.cut.small", settledSmall, 6)
-	p.atMost("settled.after.cut.large", settledLarge, 6)
-	narrow := 0.0
+	p.atMost("settled.after.cut.small", convergedSmall, 6)
+	p.atMost("settled.after.cut.large", convergedLarge, 6)
+	partitioned := 0.0
 	for _, name := range small {
 		at := math.Inf(1)
 		for _, observation := range on.History.Observations(name, from) {
@@ -447,9 +447,9 @@
 				break
 			}
 		}
-		narrow = max(narrow, at)
+		partitioned = max(partitioned, at)
 	}
-	p.atMost("narrow.said", narrow, 6)
+	p.atMost("narrow.said", partitioned, 6)
 	bareCut, _ := bare.Until(10*time.Second, func() bool {
 		return bare.History.Alike(4, small...) && bare.History.Alike(8, large...)
 	})
@@ -466,7 +466,7 @@
 	if err := on.Run("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
 	}
-	_, lasting = buried(on, from, from+4, 3, all, func(string, float64) bool { return true })
+	_, lasting = falseDeaths(on, from, from+4, 3, all, func(string, float64) bool { return true })
 	p.exactly("one.way.deaths.lasting", float64(lasting), 0)
 	if !p.brief {
 		if err := on.Run("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -26,16 +26,16 @@
 	case p.Long:
 		sizes = append(sizes, 300)
 	}
-	var settled []float64
+	var converged []float64
 	for _, n := range sizes {
 		took, err := p.weighView(n)
 		if err != nil {
 			return err
 		}
-		settled = append(settled, took)
+		converged = append(converged, took)
 	}
 	for k := 1; k < len(sizes); k++ {
-		p.inform(fmt.Sprintf("settled.growth.%d.to.%d", sizes[0], sizes[k]), settled[k]/settled[0])
+		p.inform(fmt.Sprintf("settled.growth.%d.to.%d", sizes[0], sizes[k]), converged[k]/converged[0])
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	began := time.Now()
-	settled := func(members []*member.Member) bool {
+	converged := func(members []*member.Member) bool {
 		first := members[0].View()
 		for _, m := range members {
 			if v := m.View(); len(v.Members) != len(members) || v.Digest != first.Digest || v.Certainty != view.Converged {
@@ -83,7 +83,7 @@
 	}
 	wait := func(within time.Duration, members []*member.Member) float64 {
 		for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
-			if settled(members) {
+			if converged(members) {
 				return time.Since(from).Seconds()
 			}
 			if time.Since(from) > within {
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -251,8 +251,8 @@
 	return append([]Seen(nil), m.latest...)
 }
 
-// Settled tells whether all see that many members, alike and settled.
-func (m *Members) Settled(members int) bool {
+// Converged reports whether all see that many members, alike and converged.
+func (m *Members) Converged(members int) bool {
 	all := m.Latest()
 	for _, s := range all {
 		if s.Members != members || s.Sure != view.Converged || s.Digest != all[0].Digest {
@@ -265,18 +265,18 @@
 // UntilSettled waits for that, and gives how many seconds it took; +Inf where it did not come within a time.
 func (m *Members) UntilSettled(members int, within time.Duration) float64 {
 	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
-		if m.Settled(members) {
+		if m.Converged(members) {
 			return time.Since(began).Seconds()
 		}
 	}
 	return math.Inf(1)
 }
 
-// SettledShare is in what share of a span they called themselves settled, on the mean.
-func (m *Members) SettledShare(from, to time.Time) float64 {
+// ConvergedShare is in what share of a span they called themselves converged, on the mean.
+func (m *Members) ConvergedShare(from, to time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	settled := time.Duration(0)
+	converged := time.Duration(0)
 	for k := range m.latest {
 		last := Seen{Sure: view.Converging}
 		since := from
@@ -287,14 +287,14 @@
 			}
 			if at.After(since) {
 				if last.Sure == view.Converged {
-					settled += at.Sub(since)
+					converged += at.Sub(since)
 				}
 				since = at
 			}
 			last = s
 		}
 	}
-	return settled.Seconds() / (to.Sub(from).Seconds() * float64(len(m.latest)))
+	return converged.Seconds() / (to.Sub(from).Seconds() * float64(len(m.latest)))
 }
 
 // of is the history of one member, under the lock.
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -25,17 +25,17 @@
 	Members           int
 	RestartsPerSecond float64 // of the whole fleet
 	Restart           Restart
-	Seconds           float64 // simulated, after the fleet has settled
+	Seconds           float64 // simulated, after the fleet has converged
 	Observers         int     // machines that are run side by side
 	Seed              uint64
 }
 
 // ViewCost is what one machine of the run cost and saw.
 type ViewCost struct {
-	CoreShare    float64 // CPU seconds a simulated second
-	SettledShare float64 // of the simulated time
-	HeapBytes    float64
-	ViewsPerHour float64 // published with another digest
+	CoreShare      float64 // CPU seconds a simulated second
+	ConvergedShare float64 // of the simulated time
+	HeapBytes      float64
+	ViewsPerHour   float64 // published with another digest
 }
 
 const (
@@ -213,7 +213,7 @@
 func (v *pureView) measure() ViewCost {
 	var cost ViewCost
 	digests := make([]uint64, len(v.nodes))
-	settled, samples, changes := 0, 0, 0
+	converged, samples, changes := 0, 0, 0
 	began, cpu := v.now, CPU()
 	for v.now < began+v.plan.Seconds {
 		v.step(true)
@@ -221,7 +221,7 @@
 			seen := node.View()
 			samples++
 			if seen.Certainty == view.Converged {
-				settled++
+				converged++
 			}
 			if digests[k] != seen.Digest {
 				digests[k] = seen.Digest
@@ -231,7 +231,7 @@
 	}
 	played := (v.now - began) * float64(len(v.nodes))
 	cost.CoreShare = (CPU() - cpu).Seconds() / played
-	cost.SettledShare = float64(settled) / float64(samples)
+	cost.ConvergedShare = float64(converged) / float64(samples)
 	cost.ViewsPerHour = float64(changes) / played * time.Hour.Seconds()
 	return cost
 }
@@ -245,15 +245,15 @@
 
 // Outage is how a machine bears it.
 type Outage struct {
-	LostSeconds float64 // until all observers have settled without them
-	BackSeconds float64 // until all observers have settled with them
+	LostSeconds float64 // until all observers have converged without them
+	BackSeconds float64 // until all observers have converged with them
 	CoreShare   float64 // of both, CPU seconds a simulated second
 }
 
-// ErrNotSettled is returned where observers do not settle within settleLimit.
-var ErrNotSettled = errors.New("views have not settled")
+// ErrNotConverged is returned where observers do not settle within settleLimit.
+var ErrNotConverged = errors.New("views have not converged")
 
-// RunOutage plays it. It returns ErrNotSettled if the observers do not settle.
+// RunOutage plays it. It returns ErrNotConverged if the observers do not settle.
 func RunOutage(plan OutagePlan) (Outage, error) {
 	v := newPureView(plan.View)
 	v.start()
@@ -267,25 +267,25 @@
 	for k := left; k < plan.View.Members; k++ {
 		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Dead, Entry: v.entries[k]})
 	}
-	if out.LostSeconds, err = v.untilSettled(left); err != nil {
+	if out.LostSeconds, err = v.untilConverged(left); err != nil {
 		return out, err
 	}
 	for k := left; k < plan.View.Members; k++ {
 		v.entries[k].Incarnation.Number++
 		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Alive, Entry: v.entries[k]})
 	}
-	if out.BackSeconds, err = v.untilSettled(plan.View.Members); err != nil {
+	if out.BackSeconds, err = v.untilConverged(plan.View.Members); err != nil {
 		return out, err
 	}
 	out.CoreShare = (CPU() - cpu).Seconds() / ((v.now - began) * float64(len(v.nodes)))
 	return out, nil
 }
 
-// settleLimit is for how many simulated seconds a settled view is waited for.
+// settleLimit is for how many simulated seconds a converged view is waited for.
 const settleLimit = 60.0
 
-// untilSettled gives how many seconds it takes until all observers are settled and see that many members.
-func (v *pureView) untilSettled(members int) (float64, error) {
+// untilConverged gives how many seconds it takes until all observers have converged and see that many members.
+func (v *pureView) untilConverged(members int) (float64, error) {
 	for began := v.now; v.now < began+settleLimit; {
 		v.step(false)
 		all := true
@@ -297,5 +297,5 @@
 			return v.now - began, nil
 		}
 	}
-	return 0, ErrNotSettled
+	return 0, ErrNotConverged
 }
--- a/rig/hollow/view_test.go
+++ b/rig/hollow/view_test.go
@@ -8,13 +8,13 @@
 	return ViewPlan{Members: 60, RestartsPerSecond: restarts, Restart: AllChanges, Seconds: 30, Observers: 2, Seed: 1}
 }
 
-// TestRunView has a calm fleet settled all the time, and one that restarts hardly ever.
+// TestRunView has a calm fleet converged all the time, and one that restarts hardly ever.
 func TestRunView(t *testing.T) {
 	calm, busy := RunView(tinyPlan(0)), RunView(tinyPlan(2))
-	if calm.SettledShare < 0.99 || calm.ViewsPerHour > 2*3600/30 {
+	if calm.ConvergedShare < 0.99 || calm.ViewsPerHour > 2*3600/30 {
 		t.Errorf("at rest: %+v", calm)
 	}
-	if busy.SettledShare > 0.3 || busy.ViewsPerHour < 3600 {
+	if busy.ConvergedShare > 0.3 || busy.ViewsPerHour < 3600 {
 		t.Errorf("with two restarts a second: %+v", busy)
 	}
 	if calm.CoreShare <= 0 || calm.HeapBytes <= 0 {
