--- /dev/null
+++ b/rig/faults.go
@@ -0,0 +1,155 @@
+package rig
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+)
+
+// Play does what a script says, at its times, counted from now; it returns once all is done.
+func (s *Swarm) Play(ctx context.Context, script Script) error {
+	begin := time.Now()
+	for _, f := range script {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(time.Until(begin.Add(f.At))):
+		}
+		if err := s.Do(f); err != nil {
+			return fmt.Errorf("%s: %w", f, err)
+		}
+	}
+	return nil
+}
+
+// Run plays a script that is written out.
+func (s *Swarm) Run(text string) error {
+	script, err := ParseScript(text)
+	if err != nil {
+		return err
+	}
+	return s.Play(context.Background(), script)
+}
+
+// Do does one thing now.
+func (s *Swarm) Do(f Fault) error {
+	s.History.Add("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
+	if f.Paths != nil {
+		return s.change(f)
+	}
+	if f.Verb == "heal" {
+		s.Paths.Heal()
+		return nil
+	}
+	n := s.Node(f.Who[0])
+	if n == nil {
+		return fmt.Errorf("no process is called %q", f.Who[0])
+	}
+	p := n.process()
+	switch f.Verb {
+	case "kill":
+		s.kill(n)
+	case "start":
+		return s.start(n)
+	case "restart":
+		s.kill(n)
+		return s.start(n)
+	case "stop":
+		s.Check.Paused(n.Name, true)
+		p.Pause(true)
+	case "cont":
+		p.Pause(false)
+		s.Check.Paused(n.Name, false)
+	case "starve":
+		period := 100 * time.Millisecond
+		n.feed = p.Throttle(time.Duration(f.Share*float64(period)), period)
+		s.Check.Paused(n.Name, true)
+	case "feed":
+		if n.feed != nil {
+			n.feed()
+			n.feed = nil
+		}
+		s.Check.Paused(n.Name, false)
+	case "hang", "unhang":
+		if n.bare == nil {
+			n.Kernel.Hang(f.Verb == "hang")
+		}
+	case "notice":
+		if n.bare == nil {
+			n.Notice()
+		}
+	case "replace":
+		s.kill(n)
+		fresh, err := s.add(f.Who[1], f.Who[1], n.slot)
+		if err != nil {
+			return err
+		}
+		return s.start(fresh)
+	case "twin":
+		twin, err := s.add(n.Name+"-twin", n.Name, s.slot())
+		if err != nil {
+			return err
+		}
+		return s.start(twin)
+	}
+	return nil
+}
+
+// change puts a fault on paths.
+func (s *Swarm) change(f Fault) error {
+	var groups [][]int
+	for _, names := range f.Paths {
+		var slots []int
+		if len(names) == 1 && names[0] == "*" {
+			names = s.Names()
+		}
+		for _, name := range names {
+			n := s.Node(name)
+			if n == nil {
+				return fmt.Errorf("no process is called %q", name)
+			}
+			slots = append(slots, n.slot)
+		}
+		groups = append(groups, slots)
+	}
+	on := func(from, to []int) {
+		for _, a := range from {
+			for _, b := range to {
+				if a != b {
+					s.Paths.Change(a, b, f.worsen)
+				}
+			}
+		}
+	}
+	if f.Verb != "split" {
+		on(groups[0], groups[1])
+		return nil
+	}
+	for j := range groups {
+		for k := range groups {
+			if j != k {
+				on(groups[j], groups[k])
+			}
+		}
+	}
+	return nil
+}
+
+// worsen is what a fault does to one path.
+func (f Fault) worsen(p *Path) {
+	switch f.Verb {
+	case "split", "cut":
+		p.Cut = true
+	case "loss":
+		p.Loss = f.Share
+	case "double":
+		p.Double = f.Share
+	case "delay":
+		p.Delay, p.Jitter = f.Mean, f.Most
+	case "mute":
+		p.Mute = f.Mean
+	case "rate":
+		p.Rate = f.Rate
+	}
+}
