--- /dev/null
+++ b/cmd/rehearse/pressuresite.go
@@ -0,0 +1,173 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"math"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"valveglade/internal/readbuffer"
+	"valveglade/internal/thrift"
+	"valveglade/rig"
+	"valveglade/rpc"
+)
+
+// till is the mix of a busy shop: most are lookups, what counts are recordings.
+func till(work float64, deadline time.Duration) []rig.Share {
+	return []rig.Share{
+		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 0.65, Work: work, Deadline: deadline},
+		{Method: "check", Kind: rpc.Idempotent, Criticality: 5, Part: 0.15, Work: work, Deadline: deadline},
+		{Method: "record", Kind: rpc.Tokened, Criticality: 30, Part: 0.2, Work: work, Deadline: deadline},
+	}
+}
+
+func tillSite(cores int, window float64) rig.Site {
+	methods := []rig.SiteMethod{}
+	for _, s := range till(0, time.Second) {
+		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
+		if s.Kind == rpc.Tokened {
+			m.Window = window
+		}
+		methods = append(methods, m)
+	}
+	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 8, OneCore: true,
+		MaxAfter: 2, Methods: methods}
+}
+
+// laws writes an operators' file and gives the arguments that name it.
+func laws(dir, name string, lines ...string) ([]string, error) {
+	path := filepath.Join(dir, name)
+	return []string{"--settings", path}, os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o600)
+}
+
+// shift is one line of the program's log about pressure.
+type shift struct {
+	Msg, Level, From, Causes string
+	TS                       float64
+	Refused                  float64
+}
+
+// shifts are the changes of level in a program's log.
+func shifts(log string) []shift {
+	var all []shift
+	for line := range strings.Lines(log) {
+		var s shift
+		if json.Unmarshal([]byte(line), &s) == nil && s.Msg == "pressure" {
+			all = append(all, s)
+		}
+	}
+	return all
+}
+
+// flaps counts the times that a level was left and taken again within ten seconds.
+func flaps(all []shift) int {
+	n := 0
+	rank := map[string]int{"calm": 0, "wary": 1, "pressed": 2, "strained": 3, "shut": 4}
+	fell := math.Inf(-1)
+	for _, s := range all {
+		if rank[s.Level] < rank[s.From] {
+			fell = s.TS
+		} else if s.TS-fell < 10 {
+			n++
+		}
+	}
+	return n
+}
+
+// probe asks for health on a connection of its own, and keeps how long each answer took: what the program's loops take
+// to come round.
+func probe(ctx context.Context, address string, every time.Duration) []float64 {
+	nc, err := net.Dial("tcp", address)
+	if err != nil {
+		return nil
+	}
+	defer nc.Close()
+	in := bufio.NewReader(nc)
+	var took []float64
+	for seq := int32(1); ctx.Err() == nil; seq++ {
+		began := time.Now()
+		nc.SetDeadline(began.Add(10 * time.Second))
+		if _, err := nc.Write(thrift.Check(nil, seq)); err != nil {
+			return took
+		}
+		if !wholeFrame(in) {
+			return append(took, time.Since(began).Seconds())
+		}
+		took = append(took, time.Since(began).Seconds())
+		time.Sleep(time.Until(began.Add(every)))
+	}
+	return took
+}
+
+func wholeFrame(in *bufio.Reader) bool {
+	b := readbuffer.New(thrift.MaxFrame + 4)
+	for {
+		_, size, err := thrift.Frame(b.Bytes())
+		if err != nil {
+			return false
+		}
+		if size > 0 {
+			return true
+		}
+		if b.Fill(in) != nil {
+			return false
+		}
+	}
+}
+
+func quantile(all []float64, q float64) float64 {
+	if len(all) == 0 {
+		return math.Inf(1)
+	}
+	s := slices.Sorted(slices.Values(all))
+	return s[min(int(q*float64(len(s))), len(s)-1)]
+}
+
+// stand is one program with its fleet, its checker and its callers.
+type stand struct {
+	*rig.Fleet
+	check   *rig.Checker
+	routers []rig.Caller
+}
+
+func (p *play) stand(site rig.Site, args []string, slack time.Duration, callers int) (*stand, error) {
+	site.Args = args
+	check := rig.NewChecker(slack)
+	f, err := rig.NewFleet(p.Program, 1, site, check)
+	if err != nil {
+		return nil, err
+	}
+	s := &stand{Fleet: f, check: check}
+	for k := range callers {
+		s.routers = append(s.routers, rig.NewRouter(k+1, f.Addresses()[0]))
+	}
+	return s, nil
+}
+
+func (s *stand) close() {
+	for _, r := range s.routers {
+		r.Close()
+	}
+	s.Fleet.Close()
+}
+
+// both runs something with the shedding on and off, at the same time.
+func both[T any](f func(on bool) (T, error)) (on, off T, err error) {
+	var all sync.WaitGroup
+	var errOn, errOff error
+	all.Go(func() { on, errOn = f(true) })
+	all.Go(func() { off, errOff = f(false) })
+	all.Wait()
+	return on, off, errors.Join(errOn, errOff)
+}
+
+// The quota that stands for a core that the reading side cannot do with: so much of each period.
+const quotaRun, quotaPeriod = 1600 * time.Microsecond, 10 * time.Millisecond
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"math"
 	"os"
-	"os/exec"
 	"slices"
 	"strings"
 	"sync"
@@ -16,189 +15,6 @@
 	"valveglade/rig"
 )
 
-// names are n1 to the n-th.
-func names(n int) []string {
-	var all []string
-	for k := range n {
-		all = append(all, fmt.Sprintf("n%d", k+1))
-	}
-	return all
-}
-
-// fleetSite is a site whose processes are given little to do, so that what is seen is what the faults did.
-func fleetSite() rig.Site {
-	site := tillSite(4, 30)
-	site.Stop, site.Grace = 1800*time.Millisecond, time.Second
-	return site
-}
-
-// rigSlack is what the checker allows: with many processes on a few cores, that is mostly the machine's.
-const rigSlack = 300 * time.Millisecond
-
-// flock is some swarms that live through the same.
-type flock struct {
-	swarms []*rig.Swarm
-}
-
-// all does something to each swarm at the same time.
-func (f *flock) all(do func(*rig.Swarm) error) error {
-	errs := make([]error, len(f.swarms))
-	var group sync.WaitGroup
-	for k, s := range f.swarms {
-		group.Go(func() { errs[k] = do(s) })
-	}
-	group.Wait()
-	return errors.Join(errs...)
-}
-
-func (f *flock) close() {
-	var group sync.WaitGroup
-	for _, s := range f.swarms {
-		group.Go(s.Close)
-	}
-	group.Wait()
-}
-
-// plan is a swarm of n processes, of which the first two addresses that each is given belong to nobody.
-func (p *play) plan(n int) rig.Plan {
-	return rig.Plan{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
-		Seed: p.Seed}
-}
-
-// bare is the same with the gossip library alone.
-func (p *play) bare(n int) rig.Plan {
-	plan := p.plan(n)
-	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
-		return exec.Command(p.self(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
-			strings.Join(join, ","))
-	}
-	return plan
-}
-
-// self is this program's binary.
-func (p *play) self() string {
-	if p.rehearse != "" {
-		return p.rehearse
-	}
-	self, err := os.Executable()
-	if err != nil {
-		return os.Args[0]
-	}
-	return self
-}
-
-// load asks all of some processes for a length of time, each by a caller of its own.
-func (p *play) load(s *rig.Swarm, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
-	out := map[string]rig.Outcome{}
-	var mu sync.Mutex
-	var group sync.WaitGroup
-	for k, name := range who {
-		group.Go(func() {
-			router := rig.NewRouter(k+1, s.Addresses(name)[0])
-			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: till(0.004, time.Second),
-				Rate: func(float64) float64 { return rate }}
-			o := l.Run(context.Background(), s.Check, router)
-			mu.Lock()
-			out[name] = o
-			mu.Unlock()
-		})
-	}
-	group.Wait()
-	return out
-}
-
-// service is the share of criticality served by some of them together.
-func service(out map[string]rig.Outcome, who []string) float64 {
-	sum := 0.0
-	for _, name := range who {
-		sum += out[name].Criticality
-	}
-	return sum / float64(len(who))
-}
-
-// known gives how long after a time the last of the viewers told of something about a name, in seconds: +Inf if one
-// never did.
-func known(s *rig.Swarm, name, what string, from float64, viewers []string) float64 {
-	worst := 0.0
-	for _, viewer := range viewers {
-		at := math.Inf(1)
-		for _, observation := range s.History.Observations(viewer, from) {
-			if slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" "+what) }) {
-				at = observation.T - from
-				break
-			}
-		}
-		worst = max(worst, at)
-	}
-	return worst
-}
-
-// falseDeaths counts members that were told dead by viewers though they lived, and how many of these were not back within a
-// span. Alive tells whether a member was alive at a time.
-func falseDeaths(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
-	for _, viewer := range viewers {
-		sights := s.History.Observations(viewer, from)
-		for k, observation := range sights {
-			for _, c := range observation.Changes {
-				name, rest, _ := strings.Cut(c, " ")
-				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.T > to || !alive(name, observation.T) {
-					continue
-				}
-				all++
-				back := slices.ContainsFunc(sights[k:], func(l rig.Observation) bool {
-					return l.T < observation.T+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
-				})
-				if !back {
-					lasting++
-				}
-			}
-		}
-	}
-	return all, lasting
-}
-
-// breaches has the checkers' last word.
-func (p *play) breaches(swarms ...*rig.Swarm) {
-	n := 0
-	for _, s := range swarms {
-		s.Check.Finish()
-		for k, b := range s.Check.Breaches() {
-			n++
-			if k < 5 {
-				p.say("%s", b)
-			}
-		}
-	}
-	p.exactly("breaches", float64(n), 0)
-}
-
-// untilAlike waits until all of these see one view of n members; the time counts in a figure.
-func (p *play) untilAlike(s *rig.Swarm, within time.Duration, n int, who []string) float64 {
-	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
-	if !ok {
-		for _, name := range who {
-			observation, _ := s.History.Latest(name)
-			p.say("%s: %d members, %s, %s", name, observation.Members, observation.Digest, observation.Certainty)
-		}
-		return math.Inf(1)
-	}
-	return took
-}
-
-// keep writes the history to a file, if one was asked for.
-func (p *play) keep(s *rig.Swarm) error {
-	if p.History == "" {
-		return nil
-	}
-	f, err := os.Create(p.History)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	return s.History.Write(f)
-}
-
 // playView is the rehearsal of the view: deaths, flapping, two under one name, a sleeper, a rolling release and a start of
 // all at once, beside the same processes with the fleet off.
 func playView(p *play) error {
@@ -356,33 +172,6 @@
 	return nil
 }
 
-// flapped counts the views that differ by what became of one member.
-func flapped(s *rig.Swarm, viewer, name string, from, to float64) int {
-	n := 0
-	for _, observation := range s.History.Observations(viewer, from) {
-		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
-			n++
-		}
-	}
-	return n
-}
-
-// differ counts the processes that run and do not see what most see.
-func differ(s *rig.Swarm) float64 {
-	seen := map[string]int{}
-	total, most := 0, 0
-	for _, name := range s.Running() {
-		observation, ok := s.History.Latest(name)
-		if !ok || observation.Certainty == "superseded" {
-			continue
-		}
-		total++
-		seen[observation.Digest]++
-		most = max(most, seen[observation.Digest])
-	}
-	return float64(total - most)
-}
-
 // playViewFaults is the rehearsal of the view between faults of the network, beside the gossip library alone.
 func playViewFaults(p *play) error {
 	const n = 12
@@ -520,10 +309,3 @@
 	p.breaches(s)
 	return p.keep(s)
 }
-
-func count(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
-}
