--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -36,7 +36,7 @@
 // slack is beside each time that the checker looks at: the platform's own 50 ms.
 const slack = 50 * time.Millisecond
 
-// shop is the mix that rehearsals ask for: lookups, checks that are tokened, and what must not run twice at all.
+// shop is the mix that experiments ask for: lookups, checks that are tokened, and what must not run twice at all.
 func shop(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Part: 0.6, Work: work, Deadline: deadline},
@@ -71,7 +71,7 @@
 	return len(all)
 }
 
-// playClient is the rehearsal of the client library.
+// playClient is the experiment on the client library.
 func playClient(p *play) error {
 	rig.Prepare()
 	goroutines, open := runtime.NumGoroutine(), descriptors()
--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -40,7 +40,7 @@
 		go m.Run(cmd.Context())
 		if len(voters) > 0 {
 			began := time.Now()
-			lease := rehearsedLease.Seconds()
+			lease := experimentLease.Seconds()
 			f, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters}, Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
 				Clock: func() float64 { return rate * time.Since(began).Seconds() }}, m, log)
 			if err != nil {
@@ -83,5 +83,5 @@
 	return c
 }
 
-// orderEvery is how often owners send orders in a rehearsal.
+// orderEvery is how often owners send orders in an experiment.
 const orderEvery = 20 * time.Millisecond
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -21,13 +21,13 @@
 	"valveglade/rig/slope"
 )
 
-// rehearsal is one measurement with a name.
-type rehearsal struct {
+// experiment is one measurement with a name.
+type experiment struct {
 	name, about string
 	play        func(p *play) error
 }
 
-var rehearsals = []rehearsal{
+var experiments = []experiment{
 	{"client", "the careful client against a naive one: outages, refusals, reconnects, cost", playClient},
 	{"cold", "cold app servers under the sum of what 24 client processes send, naive ones beside", playCold},
 	{"pressure", "shedding before falling behind: a tripling, a leak, few cores, each with it off beside", playPressure},
@@ -52,25 +52,25 @@
 	Holds bool    `json:"holds"`
 }
 
-// play is one rehearsal under way.
+// play is one experiment under way.
 type play struct {
 	Seed     uint64
 	Long     bool
 	Program  string // the program's binary
 	History  string // a file for what was said and done, if any
 	Script   string // a file of faults, if any
-	Part     string // the one part to run, if any, where a rehearsal has parts
+	Part     string // the one part to run, if any, where an experiment has parts
 	rehearse string // this program's binary, where it is not the one that runs
 	brief    bool   // the shortest form, for tests
 	out      io.Writer
 	began    time.Time
 
-	mu      sync.Mutex // parts of a rehearsal may be judged side by side
+	mu      sync.Mutex // parts of an experiment may be judged side by side
 	figures []figure
 	scale   *slope.Result // of the scale run
 }
 
-// span is how long a part of a rehearsal takes: a third of it in the shortest form.
+// span is how long a part of an experiment takes: a third of it in the shortest form.
 func (p *play) span(d time.Duration) time.Duration {
 	if p.brief {
 		return d / 3
@@ -129,9 +129,9 @@
 func command() *cobra.Command {
 	root := &cobra.Command{Use: "rehearse", Short: "play the project's own measurements", SilenceUsage: true,
 		SilenceErrors: true}
-	root.AddCommand(&cobra.Command{Use: "list", Short: "name the rehearsals", Args: cobra.NoArgs,
+	root.AddCommand(&cobra.Command{Use: "list", Short: "name the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, r := range rehearsals {
+			for _, r := range experiments {
 				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", r.name, r.about)
 			}
 		}})
@@ -140,19 +140,19 @@
 	run := &cobra.Command{Use: "run NAME", Short: "play one", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p.out = cmd.OutOrStdout()
-			for _, r := range rehearsals {
+			for _, r := range experiments {
 				if r.name == args[0] {
 					return p.run(r, path)
 				}
 			}
-			return fmt.Errorf("no rehearsal is named %q, see list", args[0])
+			return fmt.Errorf("no experiment is named %q, see list", args[0])
 		}}
 	run.Flags().Uint64Var(&p.Seed, "seed", 1, "for all that is left to chance")
 	run.Flags().BoolVar(&p.Long, "long", false, "the long form")
 	run.Flags().StringVar(&p.Program, "program", beside("valveglade"), "the program's binary")
 	run.Flags().StringVar(&p.History, "history", "", "write all that was said and done to this file, as JSON lines")
-	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where a rehearsal draws")
-	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where a rehearsal has parts")
+	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where an experiment draws")
+	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where an experiment has parts")
 	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
 	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), capacityCommand(), hollowCommand(), callerCommand())
 	return root
@@ -167,7 +167,7 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-func (p *play) run(r rehearsal, path string) error {
+func (p *play) run(r experiment, path string) error {
 	p.began = time.Now()
 	p.say("%s, seed %d, %d cores, %s", r.name, p.Seed, runtime.NumCPU(), runtime.Version())
 	if err := r.play(p); err != nil {
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -33,13 +33,13 @@
 	os.Exit(code)
 }
 
-// rules plays the shortest form of a rehearsal. Figures that hang on the machine are for the long forms; what must
+// rules plays the shortest form of an experiment. Figures that hang on the machine are for the long forms; what must
 // hold on any machine are the rules.
 func rules(t *testing.T, name string, must ...string) {
 	t.Helper()
 	var out bytes.Buffer
 	p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
-	for _, r := range rehearsals {
+	for _, r := range experiments {
 		if r.name != name {
 			continue
 		}
@@ -77,7 +77,7 @@
 
 // A faulty call says what is wrong; the list names what there is.
 func TestCommand(t *testing.T) {
-	for args, want := range map[string]string{"run nothing": "no rehearsal is named", "run": "accepts 1 arg",
+	for args, want := range map[string]string{"run nothing": "no experiment is named", "run": "accepts 1 arg",
 		"run client --seed x": "invalid argument"} {
 		c := command()
 		c.SetArgs(strings.Fields(args))
@@ -118,7 +118,7 @@
 	path := filepath.Join(t.TempDir(), "scale.json")
 	var out bytes.Buffer
 	p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
-	if err := p.run(rehearsal{name: "scale", play: playScale}, path); err != nil {
+	if err := p.run(experiment{name: "scale", play: playScale}, path); err != nil {
 		t.Fatalf("%v:\n%s", err, &out)
 	}
 	result, err := slope.ReadResult(path)
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -15,8 +15,8 @@
 	"valveglade/rig"
 )
 
-// The lease of a rehearsal, and for how long after its last order somebody still counts as the owner there.
-const rehearsedLease, lately = time.Second, 200 * time.Millisecond
+// The lease of an experiment, and for how long after its last order somebody still counts as the owner there.
+const experimentLease, lately = time.Second, 200 * time.Millisecond
 
 // court is some processes among which there are owners, and the workers that take their orders.
 type court struct {
@@ -50,7 +50,7 @@
 	switch kind {
 	case "on":
 		plan.Folders = voters
-		plan.Laws = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + rehearsedLease.String(), "fleet.drift 1%",
+		plan.Laws = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
 			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
 	case "off":
 		plan.Off = true
@@ -59,8 +59,8 @@
 			args := []string{"lowest", "--name", name, "--listen", listen, "--advertise", advertise, "--join", strings.Join(join, ","),
 				"--order", c.workers[0].Address()}
 			if kind == "drifting" { // any two drift apart by at most the bound
-				rate := 1 + rehearsedDrift*(float64(slices.Index(voters, name)%3)-1)*0.49
-				args = append(args, "--voters", strings.Join(voters, ","), "--drift", fmt.Sprint(rehearsedDrift), "--rate", fmt.Sprint(rate))
+				rate := 1 + experimentDrift*(float64(slices.Index(voters, name)%3)-1)*0.49
+				args = append(args, "--voters", strings.Join(voters, ","), "--drift", fmt.Sprint(experimentDrift), "--rate", fmt.Sprint(rate))
 			}
 			return exec.Command(p.self(), args...)
 		}
@@ -71,7 +71,7 @@
 }
 
 // rehearsedDrift is far more than clocks do.
-const rehearsedDrift = 0.2
+const experimentDrift = 0.2
 
 // taken waits for an owner of the first role that is not a given one, and gives how long that took.
 func (c *court) taken(not string) (string, float64) {
@@ -86,7 +86,7 @@
 	return who, took
 }
 
-// playOwner is the rehearsal of roles: the owner killed, stopped past its lease with a command in its hands, cut off, left
+// playOwner is the experiment on roles: the owner killed, stopped past its lease with a command in its hands, cut off, left
 // without a majority, drained, while voters are slow, late, dead or without a disk; beside it the same by clocks that drift,
 // processes where the lowest name of the view is the owner, and the same load with the fleet off.
 func playOwner(p *play) error {
@@ -159,9 +159,9 @@
 		sleeper := owner
 		do("0s stop " + sleeper)
 		next("stopped")
-		time.Sleep(2 * rehearsedLease)
+		time.Sleep(2 * experimentLease)
 		do("0s cont " + sleeper)
-		time.Sleep(rehearsedLease / 2)
+		time.Sleep(experimentLease / 2)
 	}
 	on.Run("0s heal")
 	// Killed, while a voter's disk fails; and started again.
@@ -187,21 +187,21 @@
 	for _, name := range all[:3] {
 		do("0s stop " + name)
 	}
-	time.Sleep(3 * rehearsedLease / 2)
+	time.Sleep(3 * experimentLease / 2)
 	lost := time.Now()
-	time.Sleep(rehearsedLease)
+	time.Sleep(experimentLease)
 	p.exactly("orders.without.majority", float64(len(worker.Orders(lost))), 0)
 	for _, name := range all[:3] {
 		do("0s cont " + name)
 	}
 	owner, took = on.taken("")
-	p.atMost("back.with.majority.s", took, 2*rehearsedLease.Seconds())
+	p.atMost("back.with.majority.s", took, 2*experimentLease.Seconds())
 	// Drained, as a voter dies.
 	do("0s kill " + others()[0])
 	do("0s notice " + owner)
 	_, took = on.taken(owner)
 	p.atMost("handover.drain.s", took, 1)
-	p.atMost("new.owner.max.s", worst, 2*rehearsedLease.Seconds())
+	p.atMost("new.owner.max.s", worst, 2*experimentLease.Seconds())
 	loads.Wait()
 	beside.Wait()
 	if err := errors.Join(errs...); err != nil {
@@ -209,14 +209,14 @@
 	}
 	p.atLeast("late.refused", float64(worker.Refused()), 1)
 	for k, role := range []string{"", ".second"} {
-		j := rig.NewVerdict(on.workers[k].Orders(time.Time{}), rehearsedLease)
+		j := rig.NewVerdict(on.workers[k].Orders(time.Time{}), experimentLease)
 		p.say("role %d: %v", k+1, j)
 		p.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
 		p.exactly("late.effects"+role, float64(j.LateEffects), 0)
 		p.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
 	}
 	p.exactly("work.overlap.s", rig.Overlap(on.History.LeadershipIntervals()), 0)
-	l := rig.NewVerdict(low.workers[0].Orders(time.Time{}), rehearsedLease)
+	l := rig.NewVerdict(low.workers[0].Orders(time.Time{}), experimentLease)
 	p.say("lowest name: %v", l)
 	p.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
 	p.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
@@ -297,7 +297,7 @@
 			return err
 		}
 	}
-	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), rehearsedLease)
+	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), experimentLease)
 	p.say("drifting: %v", j)
 	p.atMost("owners.at.once.drifting", float64(j.AtOnce), 1)
 	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -12,7 +12,7 @@
 	"valveglade/rig"
 )
 
-// playPressure is the rehearsal of shedding before falling behind.
+// playPressure is the experiment on shedding before falling behind.
 func playPressure(p *play) error {
 	dir, err := os.MkdirTemp("", "pressure")
 	if err != nil {
@@ -97,7 +97,7 @@
 	end()
 	done.Wait()
 	if found == 0 {
-		return 0, errors.New("the program bears more than this rehearsal can ask for")
+		return 0, errors.New("the program bears more than this experiment can ask for")
 	}
 	return found, nil
 }
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -47,7 +47,7 @@
 	case "even":
 		reserved = sharedLimit / sharedOn // nothing is left to grant
 	}
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + rehearsedLease.String(), "fleet.share behind " + limit +
+	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
 		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
 	var err error
 	r.Swarm, err = rig.NewSwarm(plan)
--- a/cmd/rehearse/scale_distribution_test.go
+++ b/cmd/rehearse/scale_distribution_test.go
@@ -13,7 +13,7 @@
 	for _, part := range distributionScaleParts {
 		var out bytes.Buffer
 		p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, Part: part.name, out: &out}
-		if err := p.run(rehearsal{name: "scale", play: playScale}, ""); err != nil {
+		if err := p.run(experiment{name: "scale", play: playScale}, ""); err != nil {
 			t.Errorf("%s: %v:\n%s", part.name, err, &out)
 		}
 		for _, s := range p.scale.Series {
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -14,7 +14,7 @@
 	"valveglade/rpc"
 )
 
-// A rehearsed share: how much it is, among how many, and how long a run takes on the mean. A third of it is reserved. Where all
+// The share of the experiment: how much it is, among how many, and how long a run takes on the mean. A third of it is reserved. Where all
 // ask for more, one app server of so many has less than a tenth: that is missing for a while if it dies.
 const (
 	sharedLimit = 48
@@ -30,7 +30,7 @@
 		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Part: 0.15, Work: sharedWork, Deadline: time.Second}}, rig.Share{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Part: 0.15, Work: 0.01, Deadline: time.Second})
 }
 
-// playShare is the rehearsal of a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
+// playShare is the experiment on a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
 // limit, all restarted; beside it an even split, and no common limit.
 func playShare(p *play) error {
 	kinds := []string{"on", "even", "off"}
@@ -131,7 +131,7 @@
 		errs[0] = errors.Join(errs[0], on.Run(strings.ReplaceAll(script, "ALLOCATOR", was)))
 		now, back := "", math.Inf(1)
 		least := 1.0
-		for time.Since(began) < 4*rehearsedLease {
+		for time.Since(began) < 4*experimentLease {
 			time.Sleep(250 * time.Millisecond)
 			used := on.backend.Used() / sharedLimit
 			least = min(least, used)
@@ -148,7 +148,7 @@
 		if how == "cut" { // what is on the other side comes back with the cut's end alone
 			p.inform("back.s."+how, back)
 		} else {
-			p.atMost("back.s."+how, back, 3*rehearsedLease.Seconds())
+			p.atMost("back.s."+how, back, 3*experimentLease.Seconds())
 		}
 		p.atLeast("used.least."+how, least, float64(sharedOn-1)/sharedLimit)
 	}
@@ -226,7 +226,7 @@
 		})
 		r.Node(name).Reload()
 	}
-	time.Sleep(2*rehearsedLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
+	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
 	r.backend.Limit(to)
 	r.backend.Used()
 	time.Sleep(time.Second)
@@ -234,13 +234,13 @@
 	return r.backend.Over()
 }
 
-// playShareForty is the rehearsal of few permits among many: each of forty processes has its turn.
+// playShareForty is the experiment on few permits among many: each of forty processes has its turn.
 func playShareForty(p *play) error {
 	const many, few = 40, 10
 	r := &pool{backend: rig.NewBackend(few, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{},
 		plain: map[string][2]float64{}}
 	plan := p.sharedPlan(many, r.backend)
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + rehearsedLease.String(),
+	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
 	if r.Swarm, err = rig.NewSwarm(plan); err != nil {
@@ -279,7 +279,7 @@
 	return p.keep(r.Swarm)
 }
 
-// playShareAuto is the rehearsal of a limit that is found: what stands behind takes longer past so many at once, which changes.
+// playShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
 func playShareAuto(p *play) error {
 	r, err := p.reservoir("on", fmt.Sprintf("auto %d-%d %s", sharedOn, 3*sharedLimit, time.Duration(autoTarget*sharedWork*float64(time.Second))))
 	if err != nil {
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -15,7 +15,7 @@
 	"valveglade/rig"
 )
 
-// playView is the rehearsal of the view: deaths, flapping, two under one name, a sleeper, a rolling release and a start of
+// playView is the experiment on the view: deaths, flapping, two under one name, a sleeper, a rolling release and a start of
 // all at once, beside the same processes with the fleet off.
 func playView(p *play) error {
 	const n = 12
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// playViewFaults is the rehearsal of the view between faults of the network, beside the gossip library alone.
+// playViewFaults is the experiment on the view between faults of the network, beside the gossip library alone.
 func playViewFaults(p *play) error {
 	const n = 12
 	f := &flock{}
--- a/rig/check.go
+++ b/rig/check.go
@@ -17,7 +17,7 @@
 
 func (b Breach) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
 
-// Checker watches everything that a rehearsal does and knows the rules. It is told by callers (Asked), by the
+// Checker watches everything that an experiment does and knows the rules. It is told by callers (Asked), by the
 // network (Try, Interrupted, Answered, Ended), by the kernels (Started) and by whoever starts and stops programs
 // (Up, Notice, Killed, Exited). It is safe for use by many goroutines.
 type Checker struct {
