--- a/logic/calls.go
+++ b/logic/calls.go
@@ -15,8 +15,8 @@
 	switch w := &m.rpcs[i]; w.state {
 	case running:
 		w.tries, w.dialed = 0, m.now
-		m.move(i, stalled)
-	case adrift:
+		m.move(i, paused)
+	case orphaned:
 		m.move(i, closing)
 	}
 	m.place()
@@ -67,7 +67,7 @@
 // off is how many RPCs are at a call or wait for one; waits is how many may: one a core while the layer below
 // is slow, so that a silent one leaves the other methods memory and cores, three while it is well, as calls
 // may take as long as the work beside them.
-func (m *Module) off() int { return m.count[stalled] + m.count[calling] + m.count[closing] }
+func (m *Module) off() int { return m.count[paused] + m.count[calling] + m.count[closing] }
 func (m *Module) waits() int {
 	if m.slow() || len(m.waiting) > 0 {
 		return m.Machine.Cores
@@ -153,7 +153,7 @@
 func (m *Module) Called(now float64, i int, how rpc.Outcome) {
 	m.now = now
 	if w := &m.rpcs[i]; w.state == calling {
-		m.move(i, stalled)
+		m.move(i, paused)
 		m.called(w, how)
 		again := how.NeverRan() || m.Methods[w.method].Kind == rpc.Idempotent
 		if how == rpc.OK {
--- a/logic/health.go
+++ b/logic/health.go
@@ -12,11 +12,11 @@
 // whole loses nothing by an empty list. It could harm where most RPCs take longer; the first to end well
 // takes it back.
 func (m *Module) checkHealth() {
-	hung := m.count[running]+m.count[adrift] > 0 && m.now-m.well > 12*m.dt
-	if hung != m.hung && !m.leaving {
-		m.hung = hung
-		m.do.Health(!hung)
-		m.do.Log(fmt.Sprintf("work hangs: %v", hung))
+	stuck := m.count[running]+m.count[orphaned] > 0 && m.now-m.well > 12*m.dt
+	if stuck != m.stuck && !m.leaving {
+		m.stuck = stuck
+		m.do.Health(!stuck)
+		m.do.Log(fmt.Sprintf("work hangs: %v", stuck))
 	}
 }
 
@@ -38,7 +38,7 @@
 	if m.gaps.sum > 128 {
 		m.gaps.halve()
 	}
-	if m.beside > 6*m.cores() {
+	if m.overhead > 6*m.cores() {
 		reap = m.Machine.KeepAlive
 	}
 	if m.Machine.KeepAlive > 0 && reap != m.reap {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -4,8 +4,8 @@
 // Called, CallerGone, Leave and Tick, each with the time in seconds. The module answers at once by calling
 // rpc.Actions, where its interface is defined. It runs in one goroutine and keeps no globals.
 //
-// The ordinary path is Breakwater's, see docs/design.md: the pool of credit follows the oldest held RPC's
-// delay, every answer carries the credit, and arrivals are refused while that delay passes the mark.
+// The ordinary path is Breakwater's, see docs/design.md: the pool of credit follows the oldest queued RPC's
+// delay, every answer carries the credit, and arrivals are refused while that delay passes the threshold.
 package logic
 
 import (
@@ -23,7 +23,7 @@
 	now, started        float64
 	rpcs                []work
 	count               [states]int
-	hold, waiting       []int // held RPCs, oldest first; stalled ones, longest waiting first
+	queue, waiting      []int // queued RPCs, oldest first; paused ones, longest waiting first
 	kb                  float64
 	keys, lingers       []float64 // ends of remembered tokens, and of abandoned calls
 	callers             []caller
@@ -33,24 +33,24 @@
 	arrived, refused    float64 // of late
 	further             float64
 	walked              float64 // how old what is refused has been, which others read as further tries
-	dt, mark            float64 // d_t, and the delay past which arrivals are refused
+	dt, threshold       float64 // d_t, and the delay past which arrivals are refused
 	pool, credit, said  float64
 	full                bool // some caller had its full credit out since the last update
 	updated             float64
 	gaps                hist         // for which callers have nothing here between two RPCs
 	reap                float64      // idle connections are closed after it, 0 for never
 	ran, ranFor         float64      // runs that ended ok of late, and their seconds
-	over                float64      // since when the delay has stood past the mark, 0 if it does not
-	newest              bool         // the hold has stood full for a while
+	over                float64      // since when the delay has stood past the threshold, 0 if it does not
+	newest              bool         // the queue has stood full for a while
 	limit               float64      // of RPCs on the cores
-	beside              float64      // what else needs a core, of late: reading, new connections
+	overhead            float64      // what else needs a core, of late: reading, new connections
 	gauge               int          // where that gauge stands, -1 if there is none
 	callLimit, nextCall float64      // calls at a time; when the next past the whole share may start
 	extras              [][2]float64 // from when until when calls past the whole share were out, of late
 	callTook            hist
 	callBest            float64 // the best median of late
 	well                float64 // when a run last ended well, or the first one began
-	hung                bool
+	stuck               bool
 	leaving             bool
 	noticed, stop       float64
 }
@@ -92,7 +92,7 @@
 		tightest = min(tightest, method.Target)
 	}
 	m.dt = tightest / 6                     // a quarter made the incidents worse, an eighth the overload days
-	m.mark = 2 * m.dt                       // the design's default
+	m.threshold = 2 * m.dt                  // the design's default
 	m.limit, m.said = m.cores(), math.NaN() // the design's default; nothing yet
 	m.pool = m.limit * float64(max(c.Machine.Callers, 1)) * m.warmth()
 	for range 16 {
@@ -149,14 +149,14 @@
 	}
 	m.records[method].asked++
 	m.arrived++
-	m.move(i, held)
+	m.move(i, queued)
 	m.full = m.full || float64(m.callers[from].out) >= m.credit
 	pastGrace := m.leaving && w.arrival > m.noticed+m.Rules.Grace // rule 3: it is not run
 	switch {
 	case repeats != rpc.None && (pastGrace || now > w.due-margin || !w.reads && m.memory() > m.room()):
 		m.do.Abort(i) // the RPC that it repeats may have been run, so this is no refusal
 		m.move(i, absent)
-	case repeats >= 0 && m.rpcs[repeats].state == held && !w.reads:
+	case repeats >= 0 && m.rpcs[repeats].state == queued && !w.reads:
 		m.takeOver(i, repeats)
 	case repeats != rpc.None && m.memory() <= m.room():
 		m.do.Follow(i)    // a token that was run, or is not known any more, is never run again
@@ -179,14 +179,14 @@
 func (m *Module) Ended(now float64, i int, how rpc.Outcome, took float64) {
 	m.now = now
 	w := &m.rpcs[i]
-	if w.state == absent || w.state == held {
+	if w.state == absent || w.state == queued {
 		return
 	}
 	if how.NeverRan() {
 		m.forget(i)
 		if w.state == following { // what it repeats never ran, so it may itself
 			m.remember(i)
-			m.move(i, held)
+			m.move(i, queued)
 			m.pump()
 			return
 		}
@@ -239,7 +239,7 @@
 	}
 	m.do.Health(false)
 	m.publish()
-	m.do.Log(fmt.Sprintf("leaving: %d held, %d running", len(m.hold), m.count[running]))
+	m.do.Log(fmt.Sprintf("leaving: %d queued, %d running", len(m.queue), m.count[running]))
 	m.sweep()
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -7,9 +7,9 @@
 	"valveglade/rpc"
 )
 
-// The ordinary path: oldest first within the running limit; past the mark the least is refused, whether it has
-// just come or is held.
-func Example_mark() {
+// The ordinary path: oldest first within the running limit; past the threshold the least is refused, whether it has
+// just come or is queued.
+func Example_threshold() {
 	d := open(nil)
 	for i := range 4 {
 		d.arrive(i, read)
@@ -65,7 +65,7 @@
 	//   2.00 start 11
 }
 
-// Once the hold has stood full for a while the newest goes first.
+// Once the queue has stood full for a while the newest goes first.
 func Example_newestFirst() {
 	d := open(func(c *rpc.Settings) { c.Methods[page].Target = 7 })
 	for i := range 6 {
@@ -77,7 +77,7 @@
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.00 start 1
-	//   1.76 log hold full for a while: true, 4 held
+	//   1.76 log queue full for a while: true, 4 queued
 	//   1.80 start 5
 }
 
@@ -103,7 +103,7 @@
 	//   0.50 push back 9, last true, after 0.30
 }
 
-// A tokened RPC runs once: a further try takes the place of one that is held, and follows one that has started,
+// A tokened RPC runs once: a further try takes the place of one that is queued, and follows one that has started,
 // is ok or was answered.
 func Example_tokened() {
 	d := open(func(c *rpc.Settings) { c.Machine.Cores = 1 })
@@ -159,11 +159,11 @@
 	//   1.22 push back 0, last true, after 1.00
 	//   1.22 stop 0
 	//   1.22 push back 2, last true, after 1.00
-	//   1.76 log hold full for a while: true, 1 held
+	//   1.76 log queue full for a while: true, 1 queued
 	//   2.42 abort 1
 	//   2.42 stop 1
 	//   2.42 push back 3, last true, after 1.00
-	//   2.42 log hold full for a while: false, 0 held
+	//   2.42 log queue full for a while: false, 0 queued
 	//   2.42 health false
 	//   2.42 log work hangs: true
 	//   8.10 start 4
@@ -182,9 +182,9 @@
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.00 start 1
-	//   1.76 log hold full for a while: true, 1 held
+	//   1.76 log queue full for a while: true, 1 queued
 	//   2.42 push back 2, last true, after 1.00
-	//   2.42 log hold full for a while: false, 0 held
+	//   2.42 log queue full for a while: false, 0 queued
 	//   2.42 health false
 	//   2.42 log work hangs: true
 	//   7.98 abort 1
@@ -228,12 +228,12 @@
 	//   0.00 start 4
 	//   1.22 push back 4, last true, after 1.00
 	//   1.22 stop 4
-	//   1.76 log hold full for a while: true, 2 held
+	//   1.76 log queue full for a while: true, 2 queued
 	//   2.42 abort 0
 	//   2.42 abort 1
 	//   2.42 push back 2, last true, after 1.00
 	//   2.42 push back 3, last true, after 1.00
-	//   2.42 log hold full for a while: false, 0 held
+	//   2.42 log queue full for a while: false, 0 queued
 	//   2.42 health false
 	//   2.42 log work hangs: true
 }
@@ -257,7 +257,7 @@
 	//   0.00 start 1
 	//   0.00 health false
 	//   0.00 credit 4.0
-	//   0.00 log leaving: 0 held, 2 running
+	//   0.00 log leaving: 0 queued, 2 running
 	//   0.22 credit 5.0
 	//   1.10 credit 0.0
 	//   1.10 push back 2, last false, after 1.00
@@ -297,7 +297,7 @@
 	//   0.00 start 1
 	//   0.00 start 2
 	//   1.12 start 3
-	//   1.76 log hold full for a while: true, 1 held
+	//   1.76 log queue full for a while: true, 1 queued
 }
 
 // Hundreds of callers with one RPC each: idle connections are closed at once. While a storm of new ones takes the
@@ -536,7 +536,7 @@
 }
 
 // A limit common to several app servers is a queue of its own: what waits for it is passed by others, says nothing of the cores
-// and, past the mark, has its own least worthy refused; once there is a permit it starts at the next look.
+// and, past the threshold, has its own least worthy refused; once there is a permit it starts at the next look.
 func Example_commonLimit() {
 	d := open(nil)
 	d.short = read + 1
@@ -544,7 +544,7 @@
 	d.arrive(1, write)
 	d.ended(1, rpc.OK)
 	d.pass(0.42)
-	d.arrive(2, write) // not refused, though an RPC has been held past the mark
+	d.arrive(2, write) // not refused, though an RPC has been queued past the threshold
 	d.arrive(3, read)  // refused, as that waits for the same limit
 	d.ended(2, rpc.OK)
 	d.short = 0
@@ -559,7 +559,7 @@
 	//   0.44 start 0
 }
 
-// Reads of one subject share an answer where the settings allow: what comes while one is held or runs, or just after, follows
+// Reads of one subject share an answer where the settings allow: what comes while one is queued or runs, or just after, follows
 // it. One that others wait for is not taken off the cores for its own caller's sake, and is kept before one that nobody else
 // waits for. Where answers may not be shared nothing is remembered.
 func Example_sharedReads() {
@@ -866,10 +866,10 @@
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.00 remember 1 for 10.02
-	//   1.76 log hold full for a while: true, 1 held
+	//   1.76 log queue full for a while: true, 1 queued
 	//   2.42 forget 1
 	//   2.42 push back 1, last true, after 1.00
-	//   2.42 log hold full for a while: false, 0 held
+	//   2.42 log queue full for a while: false, 0 queued
 	//   2.42 health false
 	//   2.42 log work hangs: true
 	//   3.98 push back 0, last true, after 0.00
--- a/logic/pool.go
+++ b/logic/pool.go
@@ -21,23 +21,23 @@
 	} else if m.full {
 		m.pool += max(alpha*heard, 1)
 	}
-	// What runs at once, and half as much held for the gaps, is bearable whatever the delay says: below that
+	// What runs at once, and half as much queued for the gaps, is bearable whatever the delay says: below that
 	// callers decline RPCs while cores idle. Once the limit costs an overload day 0.03, three times it more.
 	m.pool = max(m.pool, 1.5*m.limit)
 	m.full = false
 	m.publish()
-	if d <= m.mark {
+	if d <= m.threshold {
 		m.over = 0
 	} else if m.over == 0 {
 		m.over = m.now
 	}
 	if newest := m.over > 0 && m.now-m.over > fullFor*m.dt; newest != m.newest {
 		m.newest = newest
-		m.do.Log(fmt.Sprintf("hold full for a while: %v, %d held", newest, len(m.hold)))
+		m.do.Log(fmt.Sprintf("queue full for a while: %v, %d queued", newest, len(m.queue)))
 	}
 }
 
-// fullFor is how many d_t the delay stands past the mark before the newest start first: one latency target.
+// fullFor is how many d_t the delay stands past the threshold before the newest start first: one latency target.
 const fullFor = 6
 
 // heard counts the callers heard within a second; before any, it is those that there were at start.
@@ -59,7 +59,7 @@
 // publish says the free credit, which goes out with every answer, in the terms of the site's signal: as it
 // is, or as the share of what is in hand that the pool covers. One that leaves wants nothing past the grace.
 func (m *Module) publish() {
-	inHand := float64(m.count[held] + m.count[running] + m.count[stalled] + m.count[calling])
+	inHand := float64(m.count[queued] + m.count[running] + m.count[paused] + m.count[calling])
 	cover := min(1, m.pool/max(inHand, 1))
 	m.credit = max(1, math.Ceil(m.pool/m.heard()))
 	if m.warmth() < 1 {
--- a/logic/hold.go
+++ b/logic/queue.go
@@ -2,25 +2,25 @@
 
 import "valveglade/rpc"
 
-// What is held, what is refused of it, and what is given up.
+// What is queued, what is refused of it, and what is given up.
 
-// shed refuses one RPC while the delay passes the mark, and as many as it takes while memory runs short.
+// shed refuses one RPC while the delay passes the threshold, and as many as it takes while memory runs short.
 // Which one goes by criticality over the share of its method that has lately been ok, so that no method
 // starves; among equals it is the one that has just come.
 //
-// What waits for a limit common to several app servers is a queue of its own, with the same mark: it says
+// What waits for a limit common to several app servers is a queue of its own, with the same threshold: it says
 // nothing of the cores, and is no reason to refuse what does not need that limit.
 func (m *Module) shed(i int) {
 	queue := 0
-	if m.rpcs[i].state == held && m.lacks(i) {
+	if m.rpcs[i].state == queued && m.lacks(i) {
 		queue = m.rpcs[i].short
 	}
-	for over := m.oldest(queue) > m.mark; len(m.hold) > 0 && (over || m.memory() > m.room()); over = false {
-		least := m.hold[len(m.hold)-1]
-		if m.rpcs[i].state == held {
+	for over := m.oldest(queue) > m.threshold; len(m.queue) > 0 && (over || m.memory() > m.room()); over = false {
+		least := m.queue[len(m.queue)-1]
+		if m.rpcs[i].state == queued {
 			least = i
 		}
-		for _, j := range m.hold {
+		for _, j := range m.queue {
 			if m.value(j) < m.value(least) && (!over || m.rpcs[j].short == queue) {
 				least = j
 			}
@@ -44,12 +44,12 @@
 	return m.refused > 0.3*(m.arrived+4) && (!m.Clients.MarksRetry || m.further > 0.3*m.arrived)
 }
 
-// delay is d_m: the age of the oldest held RPC that waits for the cores, reading wait included.
+// delay is d_m: the age of the oldest queued RPC that waits for the cores, reading wait included.
 func (m *Module) delay() float64 { return max(m.oldest(0), 0) }
 
-// oldest is the age of the oldest held RPC that waits for a limit, 0 for the cores; -1 if none does.
+// oldest is the age of the oldest queued RPC that waits for a limit, 0 for the cores; -1 if none does.
 func (m *Module) oldest(short int) float64 {
-	for _, i := range m.hold {
+	for _, i := range m.queue {
 		if m.rpcs[i].short == short {
 			return m.now - m.rpcs[i].arrival
 		}
@@ -62,14 +62,14 @@
 	return min(max(w.asked+m.Methods[w.method].Target, w.wanted), w.due-margin)
 }
 
-// hopeless tells whether a held RPC would come too late even if it were started now. While half the cores are
+// hopeless tells whether a queued RPC would come too late even if it were started now. While half the cores are
 // free of RPCs it is tried all the same, so that run times stay fresh and recovery is seen.
 func (m *Module) hopeless(w *work) bool {
 	until := m.goodUntil(w)
 	if r := &m.records[w.method]; r.givenUp >= 4 {
 		until = min(until, w.arrival+r.patience)
 	}
-	return m.now > until || (w.short > 0 || m.count[running]+m.count[adrift] >= (m.Machine.Cores+1)/2) &&
+	return m.now > until || (w.short > 0 || m.count[running]+m.count[orphaned] >= (m.Machine.Cores+1)/2) &&
 		m.now+runMargin*m.records[w.method].late.median() > until
 }
 
@@ -81,7 +81,7 @@
 func (m *Module) giveUp(i int) {
 	w := &m.rpcs[i]
 	switch {
-	case w.state == held:
+	case w.state == queued:
 		// Another app server may be quicker, unless most of the time is gone.
 		m.refuse(i, m.swamped() || m.now-w.asked > m.Methods[w.method].Target/2)
 		return
@@ -93,7 +93,7 @@
 	m.unwind(i)
 }
 
-// refuse pushes back a held RPC, which has not been started.
+// refuse pushes back a queued RPC, which has not been started.
 func (m *Module) refuse(i int, last bool) {
 	m.refused++
 	if !last {
@@ -108,18 +108,18 @@
 func (m *Module) unwind(i int) {
 	w := &m.rpcs[i]
 	switch w.state {
-	case held, following:
+	case queued, following:
 		m.forget(i)
 		m.move(i, absent)
 	case running:
 		// It took at least so long: else only the quick would be measured, and a slow spell not be seen.
 		m.records[w.method].late.add(m.now - w.began)
-		m.move(i, adrift)
+		m.move(i, orphaned)
 		// A tokened RPC runs on: its repeat may ask for the outcome, and could not be run again.
 		if m.Machine.Preemption != rpc.Unstoppable && m.Methods[w.method].Kind != rpc.Tokened && w.leads == 0 {
 			m.do.Stop(i)
 		}
-	case stalled, calling:
+	case paused, calling:
 		if w.state == calling {
 			m.called(w, rpc.TimedOut)
 		}
@@ -144,8 +144,8 @@
 	for i := range m.rpcs {
 		w := &m.rpcs[i]
 		lost := w.state.owed() && m.now > m.goodUntil(w) && m.Methods[w.method].LateShare == 0
-		if w.state.owed() && (m.now > w.due-margin || w.state == held && m.hopeless(w) ||
-			lost && (w.state == stalled || w.state == calling || w.state == running &&
+		if w.state.owed() && (m.now > w.due-margin || w.state == queued && m.hopeless(w) ||
+			lost && (w.state == paused || w.state == calling || w.state == running &&
 				m.oldest(0) >= 0 && m.Machine.Preemption != rpc.Unstoppable)) {
 			m.giveUp(i)
 		}
--- a/logic/running.go
+++ b/logic/running.go
@@ -18,18 +18,18 @@
 	return max(1, 0.9*m.cores()*(1+(m.Rules.Crowd-1)*m.warmth()))
 }
 
-// pump starts held RPCs while the limits leave room: oldest first, newest first once the hold has stood full
+// pump starts queued RPCs while the limits leave room: oldest first, newest first once the queue has stood full
 // for a while.
 func (m *Module) pump() {
-	for k := 0; k < len(m.hold); {
-		on := m.count[running] + m.count[adrift]
+	for k := 0; k < len(m.queue); {
+		on := m.count[running] + m.count[orphaned]
 		off := m.off()
 		if float64(on+1) > m.limit || float64(on+off+1) > m.survivable() {
 			return
 		}
-		i := m.hold[k]
+		i := m.queue[k]
 		if m.newest {
-			i = m.hold[len(m.hold)-1-k]
+			i = m.queue[len(m.queue)-1-k]
 		}
 		w := &m.rpcs[i]
 		calls := w.method < len(m.Machine.Calls) && m.Machine.Calls[w.method]
@@ -49,7 +49,7 @@
 	}
 }
 
-// lacks tells whether a held RPC waits for a limit that is common to several app servers, whatever the cores
+// lacks tells whether a queued RPC waits for a limit that is common to several app servers, whatever the cores
 // say. Others are started past it.
 func (m *Module) lacks(i int) bool {
 	m.rpcs[i].short = m.do.Short(m.rpcs[i].method)
@@ -59,12 +59,12 @@
 // adjust follows the cores: the limit grows fast while some idle and work waits, and falls back to one RPC a
 // core, as more would only slow each other.
 func (m *Module) adjust(gauges []float64) {
-	on := float64(m.count[running] + m.count[adrift])
+	on := float64(m.count[running] + m.count[orphaned])
 	if m.gauge >= 0 && m.gauge < len(gauges) {
 		on = gauges[m.gauge]
 	}
-	rise := on - float64(m.count[running]+m.count[adrift]) - m.beside
-	m.beside += max(rise, 0.1*rise) * tick // up within a second, down over ten
+	rise := on - float64(m.count[running]+m.count[orphaned]) - m.overhead
+	m.overhead += max(rise, 0.1*rise) * tick // up within a second, down over ten
 	if m.oldest(0) >= 0 {
 		m.limit += max(m.cores()-on, 0) * gain * tick
 	}
--- a/logic/states.go
+++ b/logic/states.go
@@ -9,17 +9,17 @@
 
 const (
 	absent    state = iota // not in hand
-	held                   // read, not started
+	queued                 // read, not started
 	following              // waits for the outcome of the RPC that it repeats
 	running                // started, an answer is owed
-	stalled                // started, off the cores until it may place its call
+	paused                 // started, off the cores until it may place its call
 	calling                // started, off the cores until its call ends
-	adrift                 // no answer is owed any more, its work is still on the cores
+	orphaned               // no answer is owed any more, its work is still on the cores
 	closing                // no answer is owed any more, its call is being wound up
 	states
 )
 
-func (s state) owed() bool { return s >= held && s <= calling }
+func (s state) owed() bool { return s >= queued && s <= calling }
 
 // work is one RPC in hand.
 type work struct {
@@ -68,30 +68,30 @@
 	switch from {
 	case absent:
 		m.callers[w.caller].out++
-	case held:
-		k := slices.Index(m.hold, i)
-		m.hold = slices.Delete(m.hold, k, k+1)
-	case stalled:
+	case queued:
+		k := slices.Index(m.queue, i)
+		m.queue = slices.Delete(m.queue, k, k+1)
+	case paused:
 		k := slices.Index(m.waiting, i)
 		m.waiting = slices.Delete(m.waiting, k, k+1)
 	}
 	switch to {
-	case held:
-		k := len(m.hold)
-		for k > 0 && m.rpcs[m.hold[k-1]].arrival > w.arrival {
+	case queued:
+		k := len(m.queue)
+		for k > 0 && m.rpcs[m.queue[k-1]].arrival > w.arrival {
 			k--
 		}
-		m.hold = slices.Insert(m.hold, k, i)
-	case stalled:
+		m.queue = slices.Insert(m.queue, k, i)
+	case paused:
 		m.waiting = append(m.waiting, i)
 	case absent:
 		m.do.Release(i)
 	}
 }
 
-// weight is how many times its held size an RPC takes.
+// weight is how many times its queued size an RPC takes.
 func (m *Module) weight(s state) float64 {
 	started := m.Machine.RunFactor
-	return [states]float64{held: 1, following: 1, running: started, stalled: started, calling: started,
-		adrift: started, closing: started}[s]
+	return [states]float64{queued: 1, following: 1, running: started, paused: started, calling: started,
+		orphaned: started, closing: started}[s]
 }
--- a/logic/tokens.go
+++ b/logic/tokens.go
@@ -8,7 +8,7 @@
 
 // Tokens, and the memory that they and RPCs take.
 
-// takeOver puts a further try in the place of a held one: the caller has most likely given up on the earlier.
+// takeOver puts a further try in the place of a queued one: the caller has most likely given up on the earlier.
 func (m *Module) takeOver(i, earlier int) {
 	e, w := &m.rpcs[earlier], &m.rpcs[i]
 	m.dropKey(e) // its entry goes over to the further try
@@ -19,7 +19,7 @@
 	w.arrival, w.asked = min(w.arrival, arrival), min(w.asked, asked)
 }
 
-// remember keeps the token of a held RPC, so that two held tries are known for one, until its window has
+// remember keeps the token of a queued RPC, so that two queued tries are known for one, until its window has
 // passed.
 func (m *Module) remember(i int) {
 	w := &m.rpcs[i]
@@ -51,7 +51,7 @@
 	}
 }
 
-// memory is what held and started RPCs and remembered tokens need. room leaves a twentieth for what is
+// memory is what queued and started RPCs and remembered tokens need. room leaves a twentieth for what is
 // rounded on the way here.
 func (m *Module) memory() float64 { return m.kb + m.keyKB() }
 func (m *Module) keyKB() float64  { return float64(len(m.keys)) * m.Machine.EntryKB }
