--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -75,11 +75,11 @@
 func playClient(p *play) error {
 	rig.Prepare()
 	goroutines, open := runtime.NumGoroutine(), descriptors()
-	var breaches []rig.Breach
+	var violations []rig.Violation
 	sums := map[string]float64{}
 	note := func(c *rig.Checker) {
 		c.Finish()
-		breaches = append(breaches, c.Breaches()...)
+		violations = append(violations, c.Violations()...)
 		for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
 			sums[name] += float64(c.Count(name))
 		}
@@ -96,8 +96,8 @@
 	for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
 		p.exactly(name, sums[name], 0)
 	}
-	p.exactly("breaches", float64(len(breaches)), 0)
-	for k, b := range breaches {
+	p.exactly("breaches", float64(len(violations)), 0)
+	for k, b := range violations {
 		if k == 10 {
 			break
 		}
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -106,9 +106,9 @@
 	for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
 		p.exactly(name, float64(careful.check.Count(name)), 0)
 	}
-	breaches := careful.check.Breaches()
-	p.exactly("breaches", float64(len(breaches)), 0)
-	for _, b := range breaches[:min(len(breaches), 10)] {
+	violations := careful.check.Violations()
+	p.exactly("breaches", float64(len(violations)), 0)
+	for _, b := range violations[:min(len(violations), 10)] {
 		p.say("%s", b)
 	}
 	return nil
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -20,7 +20,7 @@
 
 // court is some processes among which there are owners, and the workers that take their orders.
 type court struct {
-	*rig.Swarm
+	*rig.Cluster
 	workers []*rig.Worker // of each role
 }
 
@@ -28,7 +28,7 @@
 	if c == nil {
 		return
 	}
-	c.Swarm.Close()
+	c.Cluster.Close()
 	for _, w := range c.workers {
 		w.Close()
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	var err error
-	c.Swarm, err = rig.NewSwarm(plan)
+	c.Cluster, err = rig.NewCluster(plan)
 	return c, err
 }
 
@@ -110,8 +110,8 @@
 	worker := on.workers[0]
 	owner, took := on.taken("")
 	p.atMost("first.owner.s", took, 10)
-	p.untilAlike(on.Swarm, 10*time.Second, n, all)
-	p.untilAlike(low.Swarm, 10*time.Second, n, all)
+	p.untilAlike(on.Cluster, 10*time.Second, n, all)
+	p.untilAlike(low.Cluster, 10*time.Second, n, all)
 
 	length := p.span(33 * time.Second)
 	served := map[*court]map[string]rig.Outcome{}
@@ -119,7 +119,7 @@
 	var loads, beside sync.WaitGroup
 	for _, c := range []*court{on, off} {
 		loads.Go(func() {
-			out := p.load(c.Swarm, length, 20, all)
+			out := p.load(c.Cluster, length, 20, all)
 			mu.Lock()
 			served[c] = out
 			mu.Unlock()
@@ -222,8 +222,8 @@
 	p.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
 	p.inform("service.on", service(served[on], all))
 	p.atLeast("service.of.off", service(served[on], all)/service(served[off], all), 0.98)
-	p.breaches(on.Swarm, off.Swarm)
-	return p.keep(on.Swarm)
+	p.violations(on.Cluster, off.Cluster)
+	return p.keep(on.Cluster)
 }
 
 // calm is when nothing happens to the owner: first nothing at all, then messages are lost, one voter is slow and one answers
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -33,10 +33,10 @@
 		}
 		return offArgs
 	}
-	var breaches []rig.Breach
+	var violations []rig.Violation
 	note := func(c *rig.Checker) {
 		c.Finish()
-		breaches = append(breaches, c.Breaches()...)
+		violations = append(violations, c.Violations()...)
 	}
 	if err := p.tripling(of, note); err != nil {
 		return err
@@ -55,8 +55,8 @@
 			return err
 		}
 	}
-	p.exactly("breaches", float64(len(breaches)), 0)
-	for _, b := range breaches[:min(len(breaches), 10)] {
+	p.exactly("breaches", float64(len(violations)), 0)
+	for _, b := range violations[:min(len(violations), 10)] {
 		p.say("%s", b)
 	}
 	return nil
@@ -352,15 +352,15 @@
 	}
 	p.inform("bears.rpcs.per.s", bears)
 	p.Long = true
-	var breaches []rig.Breach
+	var violations []rig.Violation
 	if err := p.edge(of, func(c *rig.Checker) {
 		c.Finish()
-		breaches = append(breaches, c.Breaches()...)
+		violations = append(violations, c.Violations()...)
 	}); err != nil {
 		return err
 	}
-	p.exactly("breaches", float64(len(breaches)), 0)
-	for _, b := range breaches[:min(len(breaches), 10)] {
+	p.exactly("breaches", float64(len(violations)), 0)
+	for _, b := range violations[:min(len(violations), 10)] {
 		p.say("%s", b)
 	}
 	return nil
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -16,9 +16,9 @@
 	"valveglade/rpc"
 )
 
-// pool is a swarm with something behind it, and what was asked of it.
+// pool is a process cluster with something behind it, and what was asked of it.
 type pool struct {
-	*rig.Swarm
+	*rig.Cluster
 	backend *rig.Backend
 
 	mu    sync.Mutex
@@ -50,11 +50,11 @@
 	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
 		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
 	var err error
-	r.Swarm, err = rig.NewSwarm(plan)
+	r.Cluster, err = rig.NewCluster(plan)
 	return r, err
 }
 
-// sharedPlan is a swarm whose runs reach what is behind.
+// sharedPlan is a process cluster whose runs reach what is behind.
 func (p *play) sharedPlan(n int, backend *rig.Backend) rig.Plan {
 	plan := p.plan(n)
 	plan.Backend = backend
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -79,12 +79,12 @@
 	f.stopLoad()
 	p.restartLeftOver(f, before)
 	f.check.Finish()
-	breaches := f.check.Breaches()
+	violations := f.check.Violations()
 	for _, name := range []string{"turned.away", "crossed"} {
 		p.inform(name, float64(f.check.Count(name)))
 	}
-	p.exactly("breaches", float64(len(breaches)), 0)
-	for _, b := range breaches[:min(len(breaches), 10)] {
+	p.exactly("breaches", float64(len(violations)), 0)
+	for _, b := range violations[:min(len(violations), 10)] {
 		p.say("%s", b)
 	}
 	return nil
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -54,7 +54,7 @@
 	p       *play
 	size    int
 	seconds float64
-	swarm   *rig.Swarm
+	cluster *rig.Cluster
 	crowd   *hollow.Crowd
 	members *hollow.Members
 	targets []*hollow.Target // members first, then processes
@@ -89,8 +89,8 @@
 	if r.crowd != nil {
 		r.crowd.Close()
 	}
-	if r.swarm != nil {
-		r.swarm.Close()
+	if r.cluster != nil {
+		r.cluster.Close()
 	}
 }
 
@@ -98,10 +98,10 @@
 func (r *crowdRun) start() (err error) {
 	site := fleetSite()
 	site.MemoryMB = 128
-	if r.swarm, err = rig.NewSwarm(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
+	if r.cluster, err = rig.NewCluster(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
 		return err
 	}
-	network := r.swarm.Paths.Network().Addr().As4()
+	network := r.cluster.Paths.Network().Addr().As4()
 	if err := r.reachDirectly(); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, Pinged: node.Node})
 	}
 	for k, name := range processNames() {
-		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.swarm.Paths.Own(k + 1)})
+		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Paths.Own(k + 1)})
 	}
 	for _, t := range r.targets {
 		r.crowd.Add(t)
@@ -133,22 +133,22 @@
 	return nil
 }
 
-// reachDirectly starts the processes again with addresses that members outside the swarm reach too.
+// reachDirectly starts the processes again with addresses that members outside the process cluster reach too.
 func (r *crowdRun) reachDirectly() error {
 	for k, name := range processNames() {
-		own, via := r.swarm.Paths.Own(k+1).String(), r.swarm.Paths.Via(k+1).String()
-		err := r.swarm.Amend(name, func(laws string) string {
+		own, via := r.cluster.Paths.Own(k+1).String(), r.cluster.Paths.Via(k+1).String()
+		err := r.cluster.Amend(name, func(laws string) string {
 			return strings.Replace(laws, "fleet.advertise "+via, "fleet.advertise "+own, 1)
 		})
 		if err != nil {
 			return err
 		}
-		if err := r.swarm.Run("0s kill " + name); err != nil {
+		if err := r.cluster.Run("0s kill " + name); err != nil {
 			return err
 		}
 	}
 	for _, name := range processNames() {
-		if err := r.swarm.Run("0s start " + name); err != nil {
+		if err := r.cluster.Run("0s start " + name); err != nil {
 			return err
 		}
 	}
@@ -253,7 +253,7 @@
 	r.cost.converged = r.members.ConvergedShare(began, time.Now())
 	r.cost.processCore = (r.processCPU() - cpu).Seconds() / took.Seconds() / crowdProcesses
 	for _, name := range processNames() {
-		r.cost.processResident += float64(r.swarm.Node(name).Resident()) / crowdProcesses
+		r.cost.processResident += float64(r.cluster.Node(name).Resident()) / crowdProcesses
 	}
 	sample, err := r.members.Sample()
 	r.cost.resident = sample.HeapBytes / crowdMembers
@@ -263,7 +263,7 @@
 func (r *crowdRun) processCPU() time.Duration {
 	all := time.Duration(0)
 	for _, name := range processNames() {
-		all += r.swarm.CPU(name)
+		all += r.cluster.CPU(name)
 	}
 	return all
 }
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -210,8 +210,8 @@
 // reloaded tells whether a line says that a configuration has been taken in.
 func reloaded(l logLine) bool { return l.Message == "config reloaded" }
 
-// breaches are the rules that the program has broken.
-func (s *scaledProgram) breaches() int { return len(s.check.Breaches()) }
+// violations are the rules that the program has broken.
+func (s *scaledProgram) violations() int { return len(s.check.Violations()) }
 
 // leave has the program leave the fleet and end by itself.
 func (s *scaledProgram) leave() error { return s.Terminate(stopWithin) }
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -208,7 +208,7 @@
 	p.inform("rpc.tables.change_seconds", cost.cpuSeconds)
 	p.inform("rpc.tables.change_wall_seconds", cost.wallSeconds)
 	p.inform("rpc.tables.change_peak_bytes", cost.peakBytes)
-	p.exactly("rpc.breaches", float64(s.breaches()), 0)
+	p.exactly("rpc.breaches", float64(s.violations()), 0)
 	return nil
 }
 
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -41,7 +41,7 @@
 	}
 	group.Wait()
 	for _, r := range pools {
-		if r != nil && r.Swarm != nil {
+		if r != nil && r.Cluster != nil {
 			defer r.Close()
 		}
 	}
@@ -52,7 +52,7 @@
 	allocator := ""
 	took, _ := on.Until(10*time.Second, func() bool { allocator, _ = on.allocator(); return allocator != "" })
 	p.atMost("first.keeper.s", took, 10)
-	p.untilAlike(on.Swarm, 10*time.Second, sharedOn, on.Names())
+	p.untilAlike(on.Cluster, 10*time.Second, sharedOn, on.Names())
 	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
 
 	// The load: at first most of it at one app server, which changes every two seconds; then more than there is, everywhere.
@@ -213,8 +213,8 @@
 		a, b := on.plain[phase], off.plain[phase]
 		p.atLeast("plain.of.off."+phase, a[0]/a[1]/(b[0]/b[1]), 0.98)
 	}
-	p.breaches(on.Swarm, even.Swarm, off.Swarm)
-	return p.keep(on.Swarm)
+	p.violations(on.Cluster, even.Cluster, off.Cluster)
+	return p.keep(on.Cluster)
 }
 
 // lower has a reload lower the limit by a third, and gives by how much that is passed once what was granted before is over.
@@ -243,14 +243,14 @@
 	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
-	if r.Swarm, err = rig.NewSwarm(plan); err != nil {
+	if r.Cluster, err = rig.NewCluster(plan); err != nil {
 		return err
 	}
 	defer r.Close()
 	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
-	p.untilAlike(r.Swarm, 15*time.Second, many, r.Names())
+	p.untilAlike(r.Cluster, 15*time.Second, many, r.Names())
 	time.Sleep(3500 * time.Millisecond) // until the reserved permits may be used
 	r.enter("many")
 	var load sync.WaitGroup
@@ -275,8 +275,8 @@
 		}
 	}
 	p.exactly("app.servers.starved", float64(starved), 0)
-	p.breaches(r.Swarm)
-	return p.keep(r.Swarm)
+	p.violations(r.Cluster)
+	return p.keep(r.Cluster)
 }
 
 // playShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
@@ -312,8 +312,8 @@
 	}
 	stop()
 	loads.Wait()
-	p.breaches(r.Swarm)
-	return p.keep(r.Swarm)
+	p.violations(r.Cluster)
+	return p.keep(r.Cluster)
 }
 
 // autoTarget is how many times as long as their work runs may take.
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -21,18 +21,18 @@
 	const n = 12
 	f := &flock{}
 	defer f.close()
-	var on, off *rig.Swarm
+	var on, off *rig.Cluster
 	var group sync.WaitGroup
 	var errOn, errOff error
 	began := time.Now()
-	group.Go(func() { on, errOn = rig.NewSwarm(p.plan(n)) })
+	group.Go(func() { on, errOn = rig.NewCluster(p.plan(n)) })
 	plan := p.plan(n)
 	plan.Off = true
-	group.Go(func() { off, errOff = rig.NewSwarm(plan) })
+	group.Go(func() { off, errOff = rig.NewCluster(plan) })
 	group.Wait()
-	for _, s := range []*rig.Swarm{on, off} {
+	for _, s := range []*rig.Cluster{on, off} {
 		if s != nil {
-			f.swarms = append(f.swarms, s)
+			f.clusters = append(f.clusters, s)
 		}
 	}
 	if err := errors.Join(errOn, errOff); err != nil {
@@ -53,10 +53,10 @@
 	// Nobody does anything to the first half; to the second, all kinds of things.
 	still := all[:6]
 	length := 12 * time.Second
-	served := map[*rig.Swarm]map[string]rig.Outcome{}
+	served := map[*rig.Cluster]map[string]rig.Outcome{}
 	var mu sync.Mutex
 	var loads sync.WaitGroup
-	for _, s := range f.swarms {
+	for _, s := range f.clusters {
 		loads.Go(func() {
 			out := p.load(s, length, 25, all)
 			mu.Lock()
@@ -81,7 +81,7 @@
 		9s    restart n11
 		10s   start n12
 	`
-	if err := f.all(func(s *rig.Swarm) error { return s.Run(script) }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.Run(script) }); err != nil {
 		return err
 	}
 	loads.Wait()
@@ -135,13 +135,13 @@
 		p.atMost("restart.of.all", p.untilAlike(on, 12*time.Second, n, fresh), 10)
 	}
 	p.exactly("views.differ.at.end", differ(on), 0)
-	p.breaches(on, off)
+	p.violations(on, off)
 	return p.keep(on)
 }
 
 // atRest measures what the fleet costs a process that has nothing to do: bytes and packets of the fleet, and processor time on
 // top of the same process with the fleet off.
-func (p *play) atRest(on, off *rig.Swarm, all []string, span time.Duration) error {
+func (p *play) atRest(on, off *rig.Cluster, all []string, span time.Duration) error {
 	look := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
 		for _, name := range all {
 			shown, err := member.ReadStatus(on.Socket(name))
@@ -177,15 +177,15 @@
 	const n = 12
 	f := &flock{}
 	defer f.close()
-	var on, bare *rig.Swarm
+	var on, bare *rig.Cluster
 	var group sync.WaitGroup
 	var errOn, errBare error
-	group.Go(func() { on, errOn = rig.NewSwarm(p.plan(n)) })
-	group.Go(func() { bare, errBare = rig.NewSwarm(p.bare(n)) })
+	group.Go(func() { on, errOn = rig.NewCluster(p.plan(n)) })
+	group.Go(func() { bare, errBare = rig.NewCluster(p.bare(n)) })
 	group.Wait()
-	for _, s := range []*rig.Swarm{on, bare} {
+	for _, s := range []*rig.Cluster{on, bare} {
 		if s != nil {
-			f.swarms = append(f.swarms, s)
+			f.clusters = append(f.clusters, s)
 		}
 	}
 	if err := errors.Join(errOn, errBare); err != nil {
@@ -204,7 +204,7 @@
 		out = p.load(on, length, 15, all)
 	}()
 	from := on.History.Now()
-	if err := f.all(func(s *rig.Swarm) error {
+	if err := f.all(func(s *rig.Cluster) error {
 		return s.Run("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
 	}); err != nil {
 		return err
@@ -218,7 +218,7 @@
 	small, large := all[:4], all[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
 	from = on.History.Now()
-	if err := f.all(func(s *rig.Swarm) error { return s.Run(cut) }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.Run(cut) }); err != nil {
 		return err
 	}
 	var convergedSmall, convergedLarge float64
@@ -243,7 +243,7 @@
 		return bare.History.Alike(4, small...) && bare.History.Alike(8, large...)
 	})
 	p.inform("settled.after.cut.bare", bareCut)
-	if err := f.all(func(s *rig.Swarm) error { return s.Run("0s heal") }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.Run("0s heal") }); err != nil {
 		return err
 	}
 	p.atMost("rejoined.max", p.untilAlike(on, 12*time.Second, n, all), 10)
@@ -266,7 +266,7 @@
 	<-loadOver
 	p.inform("service", service(out, all))
 	p.exactly("views.differ.at.end", differ(on), 0)
-	p.breaches(on)
+	p.violations(on)
 	return p.keep(on)
 }
 
@@ -288,7 +288,7 @@
 	for line := range strings.Lines(script.String()) {
 		p.say("%s", strings.TrimSpace(line))
 	}
-	s, err := rig.NewSwarm(p.plan(n))
+	s, err := rig.NewCluster(p.plan(n))
 	if err != nil {
 		return err
 	}
@@ -306,6 +306,6 @@
 	loading.Wait()
 	p.inform("service", service(out, all))
 	p.exactly("views.differ.at.end", differ(s), 0)
-	p.breaches(s)
+	p.violations(s)
 	return p.keep(s)
 }
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -34,16 +34,16 @@
 // rigSlack is what the checker allows: with many processes on a few cores, that is mostly the machine's.
 const rigSlack = 300 * time.Millisecond
 
-// flock is some swarms that live through the same.
+// flock is some process clusters that live through the same.
 type flock struct {
-	swarms []*rig.Swarm
+	clusters []*rig.Cluster
 }
 
-// all does something to each swarm at the same time.
-func (f *flock) all(do func(*rig.Swarm) error) error {
-	errs := make([]error, len(f.swarms))
+// all does something to each process cluster at the same time.
+func (f *flock) all(do func(*rig.Cluster) error) error {
+	errs := make([]error, len(f.clusters))
 	var group sync.WaitGroup
-	for k, s := range f.swarms {
+	for k, s := range f.clusters {
 		group.Go(func() { errs[k] = do(s) })
 	}
 	group.Wait()
@@ -52,13 +52,13 @@
 
 func (f *flock) close() {
 	var group sync.WaitGroup
-	for _, s := range f.swarms {
+	for _, s := range f.clusters {
 		group.Go(s.Close)
 	}
 	group.Wait()
 }
 
-// plan is a swarm of n processes, of which the first two addresses that each is given belong to nobody.
+// plan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
 func (p *play) plan(n int) rig.Plan {
 	return rig.Plan{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
 		Seed: p.Seed}
@@ -87,7 +87,7 @@
 }
 
 // load asks all of some processes for a length of time, each by a caller of its own.
-func (p *play) load(s *rig.Swarm, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
+func (p *play) load(s *rig.Cluster, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
 	out := map[string]rig.Outcome{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -118,7 +118,7 @@
 
 // known gives how long after a time the last of the viewers told of something about a name, in seconds: +Inf if one
 // never did.
-func known(s *rig.Swarm, name, what string, from float64, viewers []string) float64 {
+func known(s *rig.Cluster, name, what string, from float64, viewers []string) float64 {
 	worst := 0.0
 	for _, viewer := range viewers {
 		at := math.Inf(1)
@@ -135,7 +135,7 @@
 
 // falseDeaths counts members that were told dead by viewers though they lived, and how many of these were not back within a
 // span. Alive tells whether a member was alive at a time.
-func falseDeaths(s *rig.Swarm, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
+func falseDeaths(s *rig.Cluster, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
 	for _, viewer := range viewers {
 		sights := s.History.Observations(viewer, from)
 		for k, observation := range sights {
@@ -157,12 +157,12 @@
 	return all, lasting
 }
 
-// breaches has the checkers' last word.
-func (p *play) breaches(swarms ...*rig.Swarm) {
+// violations has the checkers' last word.
+func (p *play) violations(clusters ...*rig.Cluster) {
 	n := 0
-	for _, s := range swarms {
+	for _, s := range clusters {
 		s.Check.Finish()
-		for k, b := range s.Check.Breaches() {
+		for k, b := range s.Check.Violations() {
 			n++
 			if k < 5 {
 				p.say("%s", b)
@@ -173,7 +173,7 @@
 }
 
 // untilAlike waits until all of these see one view of n members; the time counts in a figure.
-func (p *play) untilAlike(s *rig.Swarm, within time.Duration, n int, who []string) float64 {
+func (p *play) untilAlike(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
 	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
 	if !ok {
 		for _, name := range who {
@@ -186,7 +186,7 @@
 }
 
 // keep writes the history to a file, if one was asked for.
-func (p *play) keep(s *rig.Swarm) error {
+func (p *play) keep(s *rig.Cluster) error {
 	if p.History == "" {
 		return nil
 	}
@@ -199,7 +199,7 @@
 }
 
 // flapped counts the views that differ by what became of one member.
-func flapped(s *rig.Swarm, viewer, name string, from, to float64) int {
+func flapped(s *rig.Cluster, viewer, name string, from, to float64) int {
 	n := 0
 	for _, observation := range s.History.Observations(viewer, from) {
 		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
@@ -210,7 +210,7 @@
 }
 
 // differ counts the processes that run and do not see what most see.
-func differ(s *rig.Swarm) float64 {
+func differ(s *rig.Cluster) float64 {
 	seen := map[string]int{}
 	total, most := 0, 0
 	for _, name := range s.Running() {
--- a/fleet/distribution_swarm_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -33,7 +33,7 @@
 // configCluster is real processes that distribute configuration, somebody who changes it all the time, and somebody who watches
 // that versions mean the same everywhere.
 type configCluster struct {
-	*rig.Swarm
+	*rig.Cluster
 	t    *testing.T
 	stop chan struct{}
 	both sync.WaitGroup
@@ -52,7 +52,7 @@
 	t.Helper()
 	t.Parallel()
 	names := append(append([]string{}, configVoters...), configAppServers...)
-	s, err := rig.NewSwarm(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Folders: names,
+	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Folders: names,
 		Laws: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
 			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2", "fleet.config-age " + configStale.String()},
 		Site: rig.Site{Cores: 1, MemoryMB: 96, Sockets: 512, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &configCluster{Swarm: s, t: t, stop: make(chan struct{}), acknowledged: map[int]uint64{}, unknown: map[int]bool{},
+	c := &configCluster{Cluster: s, t: t, stop: make(chan struct{}), acknowledged: map[int]uint64{}, unknown: map[int]bool{},
 		refused: map[int]bool{}, digests: map[string]string{}, versions: map[string]uint64{}}
 	t.Cleanup(c.close)
 	c.acknowledge(1)
@@ -72,7 +72,7 @@
 func (c *configCluster) close() {
 	c.endWork()
 	c.Check.Finish()
-	for _, violation := range c.Check.Breaches() {
+	for _, violation := range c.Check.Violations() {
 		c.t.Error(violation)
 	}
 	if c.t.Failed() {
--- a/fleet/swarm_test.go
+++ b/fleet/roles_cluster_test.go
@@ -22,12 +22,12 @@
 // court is four processes of the program, three of which vote, that all campaign for one role, and the worker that takes its
 // owner's orders.
 type court struct {
-	*rig.Swarm
+	*rig.Cluster
 	t      *testing.T
 	worker *rig.Worker
 }
 
-func swarm(t *testing.T, folders bool) *court {
+func startCluster(t *testing.T, folders bool) *court {
 	t.Helper()
 	t.Parallel()
 	worker, err := rig.NewWorker(true, rig.NewHistory())
@@ -38,7 +38,7 @@
 	if folders {
 		keep = []string{"n1", "n2", "n3"}
 	}
-	s, err := rig.NewSwarm(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"}, Slack: time.Second, Seed: 1, Folders: keep,
+	s, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"}, Slack: time.Second, Seed: 1, Folders: keep,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(), "fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
@@ -55,7 +55,7 @@
 			t.Errorf("two worked as owners at the same time for %g s", o)
 		}
 		s.Check.Finish()
-		for _, b := range s.Check.Breaches() {
+		for _, b := range s.Check.Violations() {
 			t.Error(b)
 		}
 		if t.Failed() {
@@ -91,7 +91,7 @@
 func TestKilledOwner(t *testing.T) {
 	for _, folders := range []bool{true, false} {
 		t.Run(fmt.Sprint("folders ", folders), func(t *testing.T) {
-			c := swarm(t, folders)
+			c := startCluster(t, folders)
 			first := c.owner("")
 			c.run("0s kill " + first)
 			c.owner(first)
@@ -116,7 +116,7 @@
 // One that is stopped past its lease and continued has no effect any more: whatever it had in its hands is refused, or never
 // sent, and it steps down.
 func TestSleptOwner(t *testing.T) {
-	c := swarm(t, true)
+	c := startCluster(t, true)
 	for range 2 {
 		sleeper := c.owner("")
 		from := c.History.Now()
@@ -131,7 +131,7 @@
 
 // Cut off with no majority, or deaf, an owner steps down by itself; the others have one, and whoever is back does not disturb it.
 func TestCutOwner(t *testing.T) {
-	c := swarm(t, true)
+	c := startCluster(t, true)
 	first := c.owner("")
 	c.run("0s cut *>" + first) // it speaks, and does not hear
 	second := c.owner(first)
@@ -155,7 +155,7 @@
 // Messages are doubled, and those of one that does not vote come over several terms too late: none of that brings about two owners, or keeps the fleet
 // without one for long.
 func TestLateMessages(t *testing.T) {
-	c := swarm(t, true)
+	c := startCluster(t, true)
 	first := c.owner("")
 	c.run("0s double *>* 50%\n0s delay *>* 40ms 40ms\n0s mute n4>* 4s")
 	for range 2 {
@@ -168,7 +168,7 @@
 
 // A voter whose disk fails is silent, and the others go on; without a majority that keeps its votes nobody owns anything.
 func TestVoterWithoutDisk(t *testing.T) {
-	c := swarm(t, true)
+	c := startCluster(t, true)
 	c.owner("")
 	away := func(name string) string { return c.Folder(name) + ".away" }
 	for _, name := range []string{"n1", "n2"} {
@@ -190,7 +190,7 @@
 
 // The voters are changed one process after another: first all know both lists, then the next one alone.
 func TestVotersChanged(t *testing.T) {
-	c := swarm(t, false)
+	c := startCluster(t, false)
 	c.owner("")
 	for _, next := range []string{"n1 n2 n3 / n4 n2 n3", "n4 n2 n3"} {
 		for _, name := range c.Names() {
@@ -216,7 +216,7 @@
 
 // Whoever leaves steps down at once; operators are shown who owns what.
 func TestDrainedOwner(t *testing.T) {
-	c := swarm(t, true)
+	c := startCluster(t, true)
 	first := c.owner("")
 	table, err := exec.Command(program, "fleet", "owners", "--socket", c.Socket(first)).CombinedOutput()
 	if err != nil || !strings.Contains(string(table), first+" (this one)") || !strings.Contains(string(table), "\no ") {
--- a/fleet/share_swarm_test.go
+++ b/fleet/share_cluster_test.go
@@ -15,7 +15,7 @@
 
 // crowd is five processes of the program that may run twelve RPCs at once, and callers that want twice as many.
 type crowd struct {
-	*rig.Swarm
+	*rig.Cluster
 	t       *testing.T
 	backend *rig.Backend
 }
@@ -28,7 +28,7 @@
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
 	c := &crowd{t: t, backend: rig.NewBackend(shared, "lookup")}
 	var err error
-	c.Swarm, err = rig.NewSwarm(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Backend: c.backend,
+	c.Cluster, err = rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Backend: c.backend,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + sharedLease.String(), fmt.Sprintf("fleet.share s %d lookup", shared),
 			"fleet.floor 1 " + strings.Join(names, " ")},
 		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
@@ -54,7 +54,7 @@
 			t.Errorf("the limit was passed by %d", n)
 		}
 		c.Check.Finish()
-		for _, b := range c.Check.Breaches() {
+		for _, b := range c.Check.Violations() {
 			t.Error(b)
 		}
 		c.Close()
--- a/member/swarm_test.go
+++ b/member/cluster_test.go
@@ -18,13 +18,13 @@
 
 func TestMain(m *testing.M) { rig.Main(m, &program) }
 
-// swarm is five processes of the program that have found each other, though the first two addresses that each was given are
+// process cluster is five processes of the program that have found each other, though the first two addresses that each was given are
 // dead.
-func swarm(t *testing.T) (*rig.Swarm, []string) {
+func startCluster(t *testing.T) (*rig.Cluster, []string) {
 	t.Helper()
 	t.Parallel()
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
-	s, err := rig.NewSwarm(rig.Plan{Program: program, Names: names, Seeds: 2, DeadEnd: 2, Slack: time.Second, Seed: 1,
+	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Seeds: 2, DeadEnd: 2, Slack: time.Second, Seed: 1,
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 1500 * time.Millisecond, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "enter", Kind: string(rpc.NonIdempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	t.Cleanup(func() {
 		s.Check.Finish()
-		for _, b := range s.Check.Breaches() {
+		for _, b := range s.Check.Violations() {
 			t.Error(b)
 		}
 		if t.Failed() {
@@ -54,14 +54,14 @@
 // patience is for a machine that has other things to do: a wait ends with its condition.
 const patience = 30 * time.Second
 
-func alike(t *testing.T, s *rig.Swarm, n int, who []string) {
+func alike(t *testing.T, s *rig.Cluster, n int, who []string) {
 	t.Helper()
 	if _, ok := s.Until(patience, func() bool { return s.History.Alike(n, who...) }); !ok {
 		t.Fatalf("%v do not all see %d", who, n)
 	}
 }
 
-func run(t *testing.T, s *rig.Swarm, script string) {
+func run(t *testing.T, s *rig.Cluster, script string) {
 	t.Helper()
 	if err := s.Run(script); err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 // One that is killed is known dead by all, and back under its name with a newer incarnation; one whose notice has come is gone by
 // its own word.
 func TestKilled(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	former, err := member.ReadStatus(s.Socket("n5"))
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 
 // One that is stopped is taken for dead by the others, and takes nobody for dead when it goes on.
 func TestStopped(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	run(t, s, "0s stop n5")
 	alike(t, s, 4, names[:4])
 	from := s.History.Now()
@@ -126,7 +126,7 @@
 
 // Both sides of a partition take each other for dead, the smaller reports a partition, and they come together again.
 func TestCut(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	from := s.History.Now()
 	run(t, s, "0s split n1,n2|n3,n4,n5")
 	alike(t, s, 2, names[:2])
@@ -145,7 +145,7 @@
 
 // A cut one way only kills nobody's membership: others carry the messages.
 func TestOneWay(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	from := s.History.Now()
 	run(t, s, "0s cut n1>n2\n5s heal")
 	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
@@ -156,7 +156,7 @@
 
 // Of two processes under one name the later stays; the earlier says so once and serves on.
 func TestTwins(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	from := s.History.Now()
 	run(t, s, "0s twin n5")
 	if _, ok := s.Until(patience, func() bool { n, _ := s.History.Lines("n5", "newer incarnation of this name", from); return n > 0 }); !ok {
@@ -176,14 +176,14 @@
 
 // All are started again at one time, and find each other with nothing kept.
 func TestAllAgain(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	run(t, s, "0s kill n1\n0s kill n2\n0s kill n3\n0s kill n4\n0s kill n5\n10ms start n1\n10ms start n2\n10ms start n3\n10ms start n4\n10ms start n5")
 	alike(t, s, 5, names)
 }
 
 // Work that hangs is seen by all, though gossip goes on; gossip that is late, while streams are not, takes nobody for dead.
 func TestHalfDead(t *testing.T) {
-	s, names := swarm(t)
+	s, names := startCluster(t)
 	from := s.History.Now()
 	router := rig.NewRouter(1, s.Addresses("n5")[0])
 	defer router.Close()
--- a/rig/check.go
+++ b/rig/check.go
@@ -9,26 +9,26 @@
 	"valveglade/rpc"
 )
 
-// Breach is one rule broken: 1 to 4 are the app server's, 5 is the caller's, 0 the rig's own fault.
-type Breach struct {
+// Violation is one rule broken: 1 to 4 are the app server's, 5 is the caller's, 0 the rig's own fault.
+type Violation struct {
 	Rule int
 	What string
 }
 
-func (b Breach) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
 
 // Checker watches everything that an experiment does and knows the rules. It is told by callers (Asked), by the
 // network (Try, Interrupted, Answered, Ended), by the kernels (Started) and by whoever starts and stops programs
 // (Up, Notice, Killed, Exited). It is safe for use by many goroutines.
 type Checker struct {
-	mu       sync.Mutex
-	rpcs     map[string]*asked
-	tries    map[*flow]map[int32]*tried // by connection and number, until the connection has ended
-	servers  map[string]*processState
-	breaches []Breach
-	counts   map[string]int
-	slack    time.Duration
-	crossed  map[string]*tried // by RPC; nil unless ResendCrossed, see there
+	mu         sync.Mutex
+	rpcs       map[string]*asked
+	tries      map[*flow]map[int32]*tried // by connection and number, until the connection has ended
+	servers    map[string]*processState
+	violations []Violation
+	counts     map[string]int
+	slack      time.Duration
+	crossed    map[string]*tried // by RPC; nil unless ResendCrossed, see there
 }
 
 // asked is one RPC, over all its tries.
@@ -71,10 +71,10 @@
 		counts: map[string]int{}, slack: slack}
 }
 
-// breach is called under the lock. So many are enough to see what is wrong.
-func (c *Checker) breach(rule int, format string, args ...any) {
-	if len(c.breaches) < 1000 {
-		c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf(format, args...)})
+// violate is called under the lock. So many are enough to see what is wrong.
+func (c *Checker) violate(rule int, format string, args ...any) {
+	if len(c.violations) < 1000 {
+		c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -82,7 +82,7 @@
 func (c *Checker) Failed(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breach(0, format, args...)
+	c.violate(0, format, args...)
 }
 
 // Count is a figure that the checker has kept: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
@@ -93,11 +93,11 @@
 	return c.counts[name]
 }
 
-// Breaches is what has been seen to break a rule.
-func (c *Checker) Breaches() []Breach {
+// Violations is what has been seen to break a rule.
+func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]Breach(nil), c.breaches...)
+	return append([]Violation(nil), c.violations...)
 }
 
 // Asked tells of an RPC that a caller is about to ask for.
@@ -123,7 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(Answer(id))) {
-		c.breach(1, "%s was served with what no run of it made: %.40q", id, body)
+		c.violate(1, "%s was served with what no run of it made: %.40q", id, body)
 	}
 }
 
@@ -191,11 +191,11 @@
 	switch {
 	case s.killed:
 	case s.notice.IsZero():
-		c.breach(4, "%s ended by itself: code %d, %v", server, code, err)
+		c.violate(4, "%s ended by itself: code %d, %v", server, code, err)
 	case code != 0:
-		c.breach(4, "%s ended with code %d after its notice: %v", server, code, err)
+		c.violate(4, "%s ended with code %d after its notice: %v", server, code, err)
 	case time.Now().After(s.stop.Add(c.slack)):
-		c.breach(3, "%s ended %v after its stop", server, time.Since(s.stop))
+		c.violate(3, "%s ended %v after its stop", server, time.Since(s.stop))
 	}
 	s.up = false
 }
@@ -205,7 +205,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes > limit {
-		c.breach(4, "%s takes %d MB of %d", server, bytes>>20, limit>>20)
+		c.violate(4, "%s takes %d MB of %d", server, bytes>>20, limit>>20)
 	}
 }
 
@@ -226,26 +226,26 @@
 	switch {
 	case r.last, now.Before(r.until):
 		c.counts["refused.retried"]++
-		c.breach(5, "%s tried again at %s, %v before it was allowed to", id, server, time.Until(r.until))
+		c.violate(5, "%s tried again at %s, %v before it was allowed to", id, server, time.Until(r.until))
 	}
 	// A millisecond is what the wire's figures are rounded to; the slack is for this process, which may be off its
 	// core between the caller's look at the clock and this one.
 	if now.After(r.deadline.Add(c.slack)) {
 		c.counts["late.sent"]++
-		c.breach(5, "%s sent %v after its deadline", id, now.Sub(r.deadline))
+		c.violate(5, "%s sent %v after its deadline", id, now.Sub(r.deadline))
 	}
 	if due.After(r.deadline.Add(2*time.Millisecond + c.slack/5)) {
-		c.breach(5, "%s sent with a deadline %v later than its own", id, due.Sub(r.deadline))
+		c.violate(5, "%s sent with a deadline %v later than its own", id, due.Sub(r.deadline))
 	}
 	if r.kind == rpc.NonIdempotent && r.sent {
-		c.breach(5, "%s is non-idempotent and was sent twice", id)
+		c.violate(5, "%s is non-idempotent and was sent twice", id)
 	}
 	r.sent = true
 	if c.tries[conn] == nil {
 		c.tries[conn] = map[int32]*tried{}
 	}
 	if c.tries[conn][seq] != nil {
-		c.breach(5, "%s sent under number %d, which is in use", id, seq)
+		c.violate(5, "%s sent under number %d, which is in use", id, seq)
 	}
 	c.tries[conn][seq] = &tried{id: id, server: server, at: now, due: due, excused: c.server(server).killed,
 		late: c.server(server).paused}
@@ -268,16 +268,16 @@
 	t := c.tries[conn][seq]
 	switch {
 	case t == nil:
-		c.breach(1, "an answer to number %d, which was not asked", seq)
+		c.violate(1, "an answer to number %d, which was not asked", seq)
 		return
 	case t.answered:
-		c.breach(2, "two answers to %s", t.id)
+		c.violate(2, "two answers to %s", t.id)
 		return
 	}
 	t.answered = true
 	if now.After(t.due.Add(c.slack)) && !t.excused && !t.late {
 		c.counts["late.answers"]++
-		c.breach(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
+		c.violate(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
 	r, s := c.rpcs[t.id], c.server(t.server)
 	if r == nil || how != rpc.PushedBack {
@@ -289,7 +289,7 @@
 		r.until = until
 	}
 	if at, ran := s.started[t.id]; ran && r.kind != rpc.Idempotent && at.After(t.at) {
-		c.breach(2, "%s pushed back by %s, where it had been run", t.id, t.server)
+		c.violate(2, "%s pushed back by %s, where it had been run", t.id, t.server)
 	}
 }
 
@@ -320,7 +320,7 @@
 			continue
 		}
 		c.counts["unanswered"]++
-		c.breach(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
+		c.violate(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
 		t.excused = true
 	}
 	delete(c.tries, conn)
@@ -333,7 +333,7 @@
 	defer c.mu.Unlock()
 	r, s := c.rpcs[id], c.server(server)
 	if r == nil {
-		c.breach(1, "%s ran %q, which nobody asked for", server, id)
+		c.violate(1, "%s ran %q, which nobody asked for", server, id)
 		return
 	}
 	c.counts["runs"]++
@@ -342,7 +342,7 @@
 	s.started[id] = now
 	if r.runs > 1 && r.kind != rpc.Idempotent {
 		c.counts["double.runs"]++
-		c.breach(2, "%s (%s) run a second time, at %s", id, r.kind, server)
+		c.violate(2, "%s (%s) run a second time, at %s", id, r.kind, server)
 	}
 	if s.notice.IsZero() {
 		return
@@ -357,7 +357,7 @@
 		}
 	}
 	if came.After(s.notice.Add(s.grace + c.slack)) {
-		c.breach(3, "%s came to %s %v after its notice and was run", id, server, came.Sub(s.notice))
+		c.violate(3, "%s came to %s %v after its notice and was run", id, server, came.Sub(s.notice))
 	}
 }
 
@@ -370,7 +370,7 @@
 		for _, t := range tries {
 			if !t.answered && !t.excused && !t.late && now.After(t.due.Add(c.slack)) {
 				c.counts["unanswered"]++
-				c.breach(1, "%s never answered by %s", t.id, t.server)
+				c.violate(1, "%s never answered by %s", t.id, t.server)
 				t.excused = true
 			}
 		}
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -11,7 +11,7 @@
 	"valveglade/rpc"
 )
 
-// Each kind of breach is planted, and found; the same without it is not.
+// Each kind of violation is planted, and found; the same without it is not.
 func TestCheckerCatches(t *testing.T) {
 	far := time.Now().Add(time.Hour)
 	for name, plant := range map[string]struct {
@@ -101,18 +101,18 @@
 		c.Up("n1")
 		c.Asked("a", rpc.Tokened, far)
 		c.Try("n1", f, 1, "a", far, false)
-		if b := c.Breaches(); len(b) > 0 {
-			t.Fatalf("a breach where there is none: %v", b)
+		if b := c.Violations(); len(b) > 0 {
+			t.Fatalf("a violation where there is none: %v", b)
 		}
 		plant.do(c, f)
-		b := c.Breaches()
+		b := c.Violations()
 		if len(b) != 1 || b[0].Rule != plant.rule || !strings.Contains(b[0].What, plant.what) {
 			t.Errorf("%s: %v", name, b)
 		}
 	}
 }
 
-// What is excused is no breach: a caller that is gone, an app server that was killed.
+// What is excused is no violation: a caller that is gone, an app server that was killed.
 func TestCheckerExcuses(t *testing.T) {
 	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
 	c.Asked("turned away", rpc.Tokened, time.Now())
@@ -130,7 +130,7 @@
 	c.Exited("n2", -1, nil)
 	time.Sleep(20 * time.Millisecond)
 	c.Finish()
-	if b := c.Breaches(); len(b) > 0 {
+	if b := c.Violations(); len(b) > 0 {
 		t.Errorf("%v", b)
 	}
 }
@@ -147,7 +147,7 @@
 	c.Try("n1", g, 1, "a", far, true)
 	c.Answered(g, 1, rpc.OK, false, 0)
 	c.Finish()
-	if b := c.Breaches(); len(b) > 0 || c.Count("crossed") != 1 {
+	if b := c.Violations(); len(b) > 0 || c.Count("crossed") != 1 {
 		t.Errorf("%d crossed, %v", c.Count("crossed"), b)
 	}
 }
@@ -179,13 +179,13 @@
 	c.Asked("b", rpc.Idempotent, time.Now().Add(10*time.Second))
 	nc.Write(thrift.Execute(nil, 1, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("a", 0)))
 	nc.Read(make([]byte, 4096))
-	for end := time.Now().Add(10 * time.Second); len(c.Breaches()) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); len(c.Violations()) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	s.Behave(func(_ Heard, out []byte) []byte { s.Cut(); return out })
 	nc.Write(thrift.Execute(nil, 2, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("b", 0)))
-	for end := time.Now().Add(10 * time.Second); len(c.Breaches()) < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); len(c.Violations()) < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	b := c.Breaches()
+	b := c.Violations()
 	if len(b) != 2 || b[0].Rule != 2 || b[1].Rule != 1 {
 		t.Errorf("%v", b)
 	}
--- a/rig/swarm.go
+++ b/rig/cluster.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Swarm is many processes of the real program that may talk to each other, with a path between each two, and what is done
+// Cluster is many processes of the real program that may talk to each other, with a path between each two, and what is done
 // to them by a script.
-type Swarm struct {
+type Cluster struct {
 	Check   *Checker
 	History *History
 	Paths   *Paths
@@ -28,7 +28,7 @@
 	slots int
 }
 
-// Plan is what a swarm is to be.
+// Plan is what a process cluster is to be.
 type Plan struct {
 	Program string   // the program's binary
 	Names   []string // of the first processes
@@ -47,7 +47,7 @@
 	Bare func(name, listen, advertise string, join []string) *exec.Cmd
 }
 
-// Node is one process of a swarm.
+// Node is one process of a process cluster.
 type Node struct {
 	*Program
 	Net  *Net // for callers
@@ -67,13 +67,13 @@
 	return &n.Program.Process
 }
 
-// NewSwarm starts one; all processes are started together.
-func NewSwarm(plan Plan) (*Swarm, error) {
-	dir, err := os.MkdirTemp("", "swarm")
+// NewCluster starts one; all processes are started together.
+func NewCluster(plan Plan) (*Cluster, error) {
+	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return nil, err
 	}
-	s := &Swarm{Check: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
+	s := &Cluster{Check: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
 	if s.Paths, err = NewPaths(plan.Seed); err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 }
 
 // each does something to some at the same time.
-func (s *Swarm) each(names []string, f func(*Node) error) error {
+func (s *Cluster) each(names []string, f func(*Node) error) error {
 	errs := make([]error, len(names))
 	var all sync.WaitGroup
 	for k, name := range names {
@@ -111,26 +111,26 @@
 }
 
 // Node is the process of that name in the rig, nil if there is none.
-func (s *Swarm) Node(name string) *Node {
+func (s *Cluster) Node(name string) *Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[name]
 }
 
 // Names are all processes so far, in the order in which they were added.
-func (s *Swarm) Names() []string {
+func (s *Cluster) Names() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.order)
 }
 
 // Running are those that have not ended.
-func (s *Swarm) Running() []string {
+func (s *Cluster) Running() []string {
 	return slices.DeleteFunc(s.Names(), func(name string) bool { return !s.Node(name).process().Running() })
 }
 
 // seeds are the addresses that a process is given: the first slots, of which some may belong to nobody.
-func (s *Swarm) seeds() []string {
+func (s *Cluster) seeds() []string {
 	n := s.plan.Seeds
 	if n == 0 {
 		n = 3
@@ -143,7 +143,7 @@
 }
 
 // slot is the next address that nobody has had.
-func (s *Swarm) slot() int {
+func (s *Cluster) slot() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slots++
@@ -151,7 +151,7 @@
 }
 
 // add makes a process that calls itself called, at an address, and does not start it.
-func (s *Swarm) add(name, called string, slot int) (*Node, error) {
+func (s *Cluster) add(name, called string, slot int) (*Node, error) {
 	if err := s.Paths.Add(slot); err != nil {
 		return nil, err
 	}
@@ -203,7 +203,7 @@
 }
 
 // Amend changes a process's operators' file, for its next start.
-func (s *Swarm) Amend(name string, f func(laws string) string) error {
+func (s *Cluster) Amend(name string, f func(laws string) string) error {
 	path := filepath.Join(s.dir, name+".conf")
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -213,12 +213,12 @@
 }
 
 // Socket is the local socket of a process.
-func (s *Swarm) Socket(name string) string { return filepath.Join(s.dir, name+".sock") }
+func (s *Cluster) Socket(name string) string { return filepath.Join(s.dir, name+".sock") }
 
 // Folder is where what a process keeps lasts, under a plan with folders.
-func (s *Swarm) Folder(name string) string { return filepath.Join(s.dir, name+".state") }
+func (s *Cluster) Folder(name string) string { return filepath.Join(s.dir, name+".state") }
 
-func (s *Swarm) start(n *Node) error {
+func (s *Cluster) start(n *Node) error {
 	if n.bare == nil {
 		return n.Program.Start()
 	}
@@ -227,7 +227,7 @@
 	return err
 }
 
-func (s *Swarm) kill(n *Node) {
+func (s *Cluster) kill(n *Node) {
 	if n.feed != nil {
 		n.feed()
 		n.feed = nil
@@ -241,7 +241,7 @@
 }
 
 // Addresses is where callers reach some of them.
-func (s *Swarm) Addresses(names ...string) []string {
+func (s *Cluster) Addresses(names ...string) []string {
 	var all []string
 	for _, name := range names {
 		all = append(all, s.Node(name).Net.Address())
@@ -250,7 +250,7 @@
 }
 
 // Until waits for something to hold, and gives how long that took, in seconds; false if it never did.
-func (s *Swarm) Until(within time.Duration, holds func() bool) (float64, bool) {
+func (s *Cluster) Until(within time.Duration, holds func() bool) (float64, bool) {
 	for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		took := time.Since(begin)
 		if holds() {
@@ -263,10 +263,10 @@
 }
 
 // CPU is the processor time of one process so far.
-func (s *Swarm) CPU(name string) time.Duration { return s.Node(name).process().CPU() }
+func (s *Cluster) CPU(name string) time.Duration { return s.Node(name).process().CPU() }
 
 // Close ends all of it.
-func (s *Swarm) Close() {
+func (s *Cluster) Close() {
 	var all sync.WaitGroup
 	for _, name := range s.Names() {
 		n := s.Node(name)
--- a/rig/crossing.go
+++ b/rig/crossing.go
@@ -26,7 +26,7 @@
 	for id, t := range c.crossed {
 		if t.due.Sub(t.at) > 2*(closeCrossing+c.slack) {
 			c.counts["unanswered"]++
-			c.breach(1, "%s lost: %s closed the connection over it, and it was not sent again", id, t.server)
+			c.violate(1, "%s lost: %s closed the connection over it, and it was not sent again", id, t.server)
 		}
 		delete(c.crossed, id)
 	}
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -8,7 +8,7 @@
 )
 
 // Play does what a script says, at its times, counted from now; it returns once all is done.
-func (s *Swarm) Play(ctx context.Context, script Script) error {
+func (s *Cluster) Play(ctx context.Context, script Script) error {
 	begin := time.Now()
 	for _, f := range script {
 		select {
@@ -24,7 +24,7 @@
 }
 
 // Run plays a script that is written out.
-func (s *Swarm) Run(text string) error {
+func (s *Cluster) Run(text string) error {
 	script, err := ParseScript(text)
 	if err != nil {
 		return err
@@ -33,7 +33,7 @@
 }
 
 // Do does one thing now.
-func (s *Swarm) Do(f Fault) error {
+func (s *Cluster) Do(f Fault) error {
 	s.History.Add("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
 	if f.Paths != nil {
 		return s.change(f)
@@ -97,7 +97,7 @@
 }
 
 // change puts a fault on paths.
-func (s *Swarm) change(f Fault) error {
+func (s *Cluster) change(f Fault) error {
 	var groups [][]int
 	for _, names := range f.Paths {
 		var slots []int
--- a/rig/program.go
+++ b/rig/program.go
@@ -31,7 +31,7 @@
 	Limit    float64        // cores that it is told it may use, 1 if it is 0
 	OneCore  bool           // the program uses one core, as on the platform
 	Cold     ColdStart      // of app servers that are restarted
-	Kill     bool           // a program over its memory is killed, as the platform does, and that is no breach
+	Kill     bool           // a program over its memory is killed, as the platform does, and that is no violation
 }
 
 // rules are the settings' figures of the rules.
