--- a/member/wire.go
+++ b/member/wire.go
@@ -1,10 +1,8 @@
 package member
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/netip"
 	"sync"
@@ -223,9 +221,6 @@
 // maxEntry is the size of an announced entry at the most, and room for what a later version adds.
 const maxEntry = 512
 
-// headWait is how long a connection may take to say what it is for.
-const headWait = time.Second
-
 // accept takes connections until the listener is closed.
 func (w *wire) accept() error {
 	for {
@@ -253,170 +248,8 @@
 	}
 }
 
-// handleStream reads what a connection is for. Its place is given back when it is closed, whoever closes it.
-func (w *wire) handleStream(bare net.Conn) {
-	release := sync.OnceFunc(func() { <-w.streams })
-	nc := newStream(bare, w, release)
-	kept := false
-	defer func() {
-		if !kept {
-			nc.Close()
-		}
-	}()
-	nc.SetDeadline(time.Now().Add(headWait))
-	head := make([]byte, streamHead)
-	if _, err := io.ReadFull(bare, head); err != nil {
-		return
-	}
-	t := w.transport.Load()
-	switch {
-	case string(head[:len(magic)]) != magic:
-		w.countDropped(foreign, nc.RemoteAddr().String(), errForeign)
-	case head[len(magic)] == kindProbe:
-		w.answerProbe(bare)
-	case head[len(magic)] == kindStream:
-		w.serveStream(bare, release)
-	case head[len(magic)] == kindGossip && t != nil:
-		nc.SetDeadline(time.Time{})
-		select {
-		case t.streams <- nc:
-			kept = true
-		case <-t.done:
-		case <-time.After(headWait):
-		}
-	default:
-		w.countDropped(foreign, nc.RemoteAddr().String(), fmt.Errorf("a stream of kind %q", head[len(magic)]))
-	}
-}
-
-// answerProbe answers who is here.
-func (w *wire) answerProbe(nc net.Conn) {
-	var size [1]byte
-	if _, err := io.ReadFull(nc, size[:]); err != nil {
-		return
-	}
-	name := make([]byte, size[0])
-	if _, err := io.ReadFull(nc, name); err != nil {
-		return
-	}
-	if e, ok := w.onProbe(string(name)); ok {
-		nc.Write(appendEntry(nil, e))
-	}
-}
-
-// dial opens a stream from our own address, so that the other end knows who speaks.
-func (w *wire) dial(ctx context.Context, address string, kind byte) (net.Conn, error) {
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: w.listen.Addr().AsSlice()}}
-	if w.listen.Addr().IsUnspecified() {
-		d.LocalAddr = nil
-	}
-	nc, err := d.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	if due, ok := ctx.Deadline(); ok {
-		nc.SetDeadline(due)
-	}
-	if _, err := nc.Write(append([]byte(magic), kind)); err != nil {
-		nc.Close()
-		return nil, err
-	}
-	return nc, nil
-}
-
-// probe asks whoever is at an address whether it is that member; it gives what it says of itself.
-func (w *wire) probe(ctx context.Context, address, name string) (view.Entry, error) {
-	nc, err := w.dial(ctx, address, kindProbe)
-	if err != nil {
-		return view.Entry{}, err
-	}
-	defer nc.Close()
-	if _, err := nc.Write(appendText(nil, name)); err != nil {
-		return view.Entry{}, err
-	}
-	b, err := io.ReadAll(io.LimitReader(nc, maxEntry))
-	if err != nil {
-		return view.Entry{}, err
-	}
-	e, err := readEntry(b)
-	if err == nil && e.Name != name {
-		err = fmt.Errorf("%s answers there", e.Name)
-	}
-	return e, err
-}
-
 func (w *wire) close() {
 	w.udp.Close()
 	w.tcp.Close()
 	w.frames.close()
 }
-
-// transport is what the gossip library sends and receives through, until it is begun anew.
-type transport struct {
-	*wire
-	advertise netip.AddrPort
-	packets   chan *memberlist.Packet
-	streams   chan net.Conn
-	done      chan struct{}
-	once      sync.Once
-}
-
-func (w *wire) newTransport(advertise netip.AddrPort) *transport {
-	return &transport{wire: w, advertise: advertise, packets: make(chan *memberlist.Packet, 512), streams: make(chan net.Conn),
-		done: make(chan struct{})}
-}
-
-// FinalAdvertiseAddr gives the address that others are told.
-func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
-}
-
-// over tells whether this transport is to be silent: another is in force, or the process has only just woken.
-func (t *transport) over() bool { return t.wire.transport.Load() != t || t.late() > t.wake }
-
-// WriteTo sends a packet, without its accusations while this process is late itself.
-func (t *transport) WriteTo(b []byte, address string) (time.Time, error) {
-	now := time.Now()
-	if t.over() {
-		return now, nil
-	}
-	if !t.accuses.Load() || t.late() > t.lag {
-		if b = outgoing(b); b == nil {
-			return now, nil
-		}
-	}
-	to, err := netip.ParseAddrPort(address)
-	if err != nil {
-		return now, err
-	}
-	return now, t.send(kindGossip, b, to)
-}
-
-// PacketCh is where packets come in.
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-
-var errOver = errors.New("gossip has been begun anew")
-
-// DialTimeout opens a stream.
-func (t *transport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
-	if t.over() {
-		return nil, errOver
-	}
-	ctx, end := context.WithTimeout(context.Background(), within)
-	defer end()
-	nc, err := t.dial(ctx, address, kindGossip)
-	if err != nil {
-		return nil, err
-	}
-	nc.SetDeadline(time.Time{})
-	return newStream(nc, t.wire, func() {}), nil
-}
-
-// StreamCh is where streams come in.
-func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
-
-// Shutdown ends it; the sockets stay.
-func (t *transport) Shutdown() error {
-	t.once.Do(func() { close(t.done) })
-	return nil
-}
