--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -36,7 +36,7 @@
 // slack is beside each time that the checker looks at: the platform's own 50 ms.
 const slack = 50 * time.Millisecond
 
-// shop is the mix that rehearsals ask for: lookups, checks that are tokened, and what must not run twice at all.
+// shop is the mix that experiments ask for: lookups, checks that are tokened, and what must not run twice at all.
 func shop(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Part: 0.6, Work: work, Deadline: deadline},
@@ -71,15 +71,15 @@
 	return len(all)
 }
 
-// playClient is the rehearsal of the client library.
+// playClient is the experiment on the client library.
 func playClient(p *play) error {
 	rig.Prepare()
 	goroutines, open := runtime.NumGoroutine(), descriptors()
-	var breaches []rig.Breach
+	var violations []rig.Violation
 	sums := map[string]float64{}
 	note := func(c *rig.Checker) {
 		c.Finish()
-		breaches = append(breaches, c.Breaches()...)
+		violations = append(violations, c.Violations()...)
 		for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
 			sums[name] += float64(c.Count(name))
 		}
@@ -96,8 +96,8 @@
 	for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
 		p.exactly(name, sums[name], 0)
 	}
-	p.exactly("breaches", float64(len(breaches)), 0)
-	for k, b := range breaches {
+	p.exactly("breaches", float64(len(violations)), 0)
+	for k, b := range violations {
 		if k == 10 {
 			break
 		}
--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -17,7 +17,7 @@
 )
 
 // lowestCommand is the baseline of ownership: whoever sees itself as the lowest name of its own view is the owner, without
-// terms and voters, and sends the same orders. With voters it stands as the program does, by a clock that drifts.
+// terms and voters, and sends the same commands. With voters it campaigns as the program does, by a clock that drifts.
 func lowestCommand() *cobra.Command {
 	var name, listen, advertise, join, order string
 	var voters []string
@@ -40,7 +40,7 @@
 		go m.Run(cmd.Context())
 		if len(voters) > 0 {
 			began := time.Now()
-			lease := rehearsedLease.Seconds()
+			lease := experimentLease.Seconds()
 			f, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters}, Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
 				Clock: func() float64 { return rate * time.Since(began).Seconds() }}, m, log)
 			if err != nil {
@@ -83,5 +83,5 @@
 	return c
 }
 
-// orderEvery is how often owners send orders in a rehearsal.
+// orderEvery is how often owners send orders in an experiment.
 const orderEvery = 20 * time.Millisecond
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -22,7 +22,7 @@
 	drained      bool
 
 	core, packets, bytes float64 // of one member under the design's churn: share of a core, packets and bytes a second, both ways
-	settled              float64 // share of that time
+	converged            float64 // share of that time
 	resident             float64 // bytes of one member, the process's own share taken off
 	exchangeBytes        float64 // of one exchange, both ways
 	exchangeCPU          float64 // seconds
@@ -54,7 +54,7 @@
 	p       *play
 	size    int
 	seconds float64
-	swarm   *rig.Swarm
+	cluster *rig.Cluster
 	crowd   *hollow.Crowd
 	members *hollow.Members
 	targets []*hollow.Target // members first, then processes
@@ -89,8 +89,8 @@
 	if r.crowd != nil {
 		r.crowd.Close()
 	}
-	if r.swarm != nil {
-		r.swarm.Close()
+	if r.cluster != nil {
+		r.cluster.Close()
 	}
 }
 
@@ -98,10 +98,10 @@
 func (r *crowdRun) start() (err error) {
 	site := fleetSite()
 	site.MemoryMB = 128
-	if r.swarm, err = rig.NewSwarm(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
+	if r.cluster, err = rig.NewCluster(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
 		return err
 	}
-	network := r.swarm.Paths.Network().Addr().As4()
+	network := r.cluster.Paths.Network().Addr().As4()
 	if err := r.reachDirectly(); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, Pinged: node.Node})
 	}
 	for k, name := range processNames() {
-		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.swarm.Paths.Own(k + 1)})
+		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Paths.Own(k + 1)})
 	}
 	for _, t := range r.targets {
 		r.crowd.Add(t)
@@ -133,22 +133,22 @@
 	return nil
 }
 
-// reachDirectly starts the processes again with addresses that members outside the swarm reach too.
+// reachDirectly starts the processes again with addresses that members outside the process cluster reach too.
 func (r *crowdRun) reachDirectly() error {
 	for k, name := range processNames() {
-		own, via := r.swarm.Paths.Own(k+1).String(), r.swarm.Paths.Via(k+1).String()
-		err := r.swarm.Amend(name, func(laws string) string {
+		own, via := r.cluster.Paths.Own(k+1).String(), r.cluster.Paths.Via(k+1).String()
+		err := r.cluster.Amend(name, func(laws string) string {
 			return strings.Replace(laws, "fleet.advertise "+via, "fleet.advertise "+own, 1)
 		})
 		if err != nil {
 			return err
 		}
-		if err := r.swarm.Run("0s kill " + name); err != nil {
+		if err := r.cluster.Run("0s kill " + name); err != nil {
 			return err
 		}
 	}
 	for _, name := range processNames() {
-		if err := r.swarm.Run("0s start " + name); err != nil {
+		if err := r.cluster.Run("0s start " + name); err != nil {
 			return err
 		}
 	}
@@ -250,10 +250,10 @@
 	}
 	took := time.Since(began)
 	r.cost.core, r.cost.bytes, r.cost.packets = c.cpu, c.bytes, c.packets
-	r.cost.settled = r.members.SettledShare(began, time.Now())
+	r.cost.converged = r.members.ConvergedShare(began, time.Now())
 	r.cost.processCore = (r.processCPU() - cpu).Seconds() / took.Seconds() / crowdProcesses
 	for _, name := range processNames() {
-		r.cost.processResident += float64(r.swarm.Node(name).Resident()) / crowdProcesses
+		r.cost.processResident += float64(r.cluster.Node(name).Resident()) / crowdProcesses
 	}
 	sample, err := r.members.Sample()
 	r.cost.resident = sample.HeapBytes / crowdMembers
@@ -263,7 +263,7 @@
 func (r *crowdRun) processCPU() time.Duration {
 	all := time.Duration(0)
 	for _, name := range processNames() {
-		all += r.swarm.CPU(name)
+		all += r.cluster.CPU(name)
 	}
 	return all
 }
@@ -356,7 +356,7 @@
 		p.say("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
 			"settled %.0f%%; joined after %.1f s and then sends %.0f KB a second (drained %t); zone lost %.1f s, back %.1f s; a process %.3g%% "+
 			"of a core, %.0f MB", c.size, 100*core, 100*exchanges*c.exchangeCPU, c.resident/(1<<20), c.packets, bytes/1000,
-			exchanges*c.exchangeBytes/1000, 100*c.settled, c.joined, c.newcomerSent/1000, c.drained, c.lost, c.back, 100*c.processCore,
+			exchanges*c.exchangeBytes/1000, 100*c.converged, c.joined, c.newcomerSent/1000, c.drained, c.lost, c.back, 100*c.processCore,
 			c.processResident/(1<<20))
 		x := float64(c.size)
 		found.add("view.member.cpu", x, 100*core)
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
@@ -12,13 +10,11 @@
 	"sync"
 	"time"
 
-	"valveglade/fleet"
-	"valveglade/member"
 	"valveglade/rig"
 	"valveglade/rpc"
 )
 
-// A rehearsed share: how much it is, among how many, and how long a run takes on the mean. A third of it is floors. Where all
+// The share of the experiment: how much it is, among how many, and how long a run takes on the mean. A third of it is reserved. Where all
 // ask for more, one app server of so many has less than a tenth: that is missing for a while if it dies.
 const (
 	sharedLimit = 48
@@ -34,182 +30,7 @@
 		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Part: 0.15, Work: sharedWork, Deadline: time.Second}}, rig.Share{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Part: 0.15, Work: 0.01, Deadline: time.Second})
 }
 
-// pool is a swarm with something behind it, and what was asked of it.
-type pool struct {
-	*rig.Swarm
-	backend *rig.Backend
-
-	mu    sync.Mutex
-	asked []demanded
-	ok    map[string][2]float64 // by phase, criticality that was served and that was asked, of what needs the share
-	each  map[string][2]float64 // the same of each app server and method
-	plain map[string][2]float64 // of what does not
-	phase string
-}
-
-// demanded is one RPC that needs the share, as it was asked.
-type demanded struct {
-	at, work, criticality float64
-	phase                 string
-}
-
-// reservoir starts a pool: under an allocator, split evenly, or without a common limit and without a fleet.
-func (p *play) reservoir(kind string, limit string) (*pool, error) {
-	all := names(sharedOn)
-	r := &pool{backend: rig.NewBackend(sharedLimit, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{}, plain: map[string][2]float64{}}
-	plan := p.sharedPlan(sharedOn, r.backend)
-	floor := 1
-	switch kind {
-	case "off":
-		plan.Off = true
-	case "even":
-		floor = sharedLimit / sharedOn // nothing is left to grant
-	}
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + rehearsedLease.String(), "fleet.share behind " + limit +
-		" lookup check record", fmt.Sprintf("fleet.floor %d %s", floor, strings.Join(all, " "))}
-	var err error
-	r.Swarm, err = rig.NewSwarm(plan)
-	return r, err
-}
-
-// sharedPlan is a swarm whose runs reach what is behind.
-func (p *play) sharedPlan(n int, backend *rig.Backend) rig.Plan {
-	plan := p.plan(n)
-	plan.Backend = backend
-	plan.Site.Cores = 24
-	plan.Site.Methods = nil
-	for _, s := range sharedLoad() {
-		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
-		if s.Kind == rpc.Tokened {
-			m.Window = 30
-		}
-		plan.Site.Methods = append(plan.Site.Methods, m)
-	}
-	return plan
-}
-
-// enter names the part of the run that what is asked from now on belongs to.
-func (r *pool) enter(phase string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.phase = phase
-}
-
-// ask has callers ask all app servers, each at a rate of its own that may change.
-func (r *pool) ask(ctx context.Context, p *play, length time.Duration, rate func(name string) float64) {
-	began := time.Now()
-	var group sync.WaitGroup
-	for k, name := range r.Names() {
-		group.Go(func() {
-			router := rig.NewRouter(k+1, r.Addresses(name)[0])
-			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: sharedLoad(),
-				Rate: func(float64) float64 { return rate(name) },
-				Before: func(s rig.Share, work float64) {
-					r.mu.Lock()
-					defer r.mu.Unlock()
-					if s.Method != "plain" {
-						r.asked = append(r.asked, demanded{time.Since(began).Seconds(), work, s.Criticality, r.phase})
-					}
-				},
-				After: func(s rig.Share, _, _ string, _ []byte, err error) {
-					r.mu.Lock()
-					defer r.mu.Unlock()
-					got := 0.0
-					if err == nil {
-						got = s.Criticality
-					}
-					into := r.ok
-					if s.Method == "plain" {
-						into = r.plain
-					}
-					count := func(into map[string][2]float64, key string) {
-						o := into[key]
-						into[key] = [2]float64{o[0] + got, o[1] + s.Criticality}
-					}
-					count(into, r.phase)
-					count(r.each, r.phase+" "+name+" "+s.Method)
-				}}
-			l.Run(ctx, r.Check, router)
-		})
-	}
-	group.Wait()
-}
-
-// part is what was served of what was asked in a phase, by criticality.
-func (r *pool) part(phase string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	o := r.ok[phase]
-	return o[0] / max(o[1], 1e-9)
-}
-
-// least is the same of the app server and method of which the least was served.
-func (r *pool) least(phase string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	least := 1.0
-	for key, o := range r.each {
-		if strings.HasPrefix(key, phase+" ") {
-			least = min(least, o[0]/o[1])
-		}
-	}
-	return least
-}
-
-// best is what somebody would serve who knew everything at once, with no way to go and nothing at random: in each half second
-// the most worthy first, as far as the limit goes.
-func (r *pool) best(phase string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	const span = 0.5
-	windows := map[int][]demanded{}
-	all, got := 0.0, 0.0
-	for _, d := range r.asked {
-		if d.phase == phase {
-			windows[int(d.at/span)] = append(windows[int(d.at/span)], d)
-			all += d.criticality
-		}
-	}
-	for _, w := range windows {
-		slices.SortStableFunc(w, func(a, b demanded) int { return cmp.Compare(b.criticality, a.criticality) })
-		left := span * sharedLimit
-		for _, d := range w {
-			if left -= d.work; left < 0 {
-				break
-			}
-			got += d.criticality
-		}
-	}
-	return got / max(all, 1e-9)
-}
-
-// packets is how many of the fleet's all processes have sent.
-func (r *pool) packets() (sum float64) {
-	for _, n := range r.Running() {
-		if shown, err := member.ReadStatus(r.Socket(n)); err == nil {
-			sum += float64(shown.Packets[0])
-		}
-	}
-	return sum
-}
-
-// allocator asks the processes who keeps the share, and what everybody has.
-func (r *pool) allocator() (name string, s fleet.Share) {
-	for _, n := range r.Running() {
-		shown, err := member.ReadStatus(r.Socket(n))
-		if err != nil || shown.Roles == nil {
-			continue
-		}
-		var f fleet.Status
-		if json.Unmarshal(shown.Roles, &f) == nil && len(f.Shares) > 0 && f.Shares[0].Limit > 0 {
-			return n, f.Shares[0]
-		}
-	}
-	return "", fleet.Share{}
-}
-
-// playShare is the rehearsal of a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
+// playShare is the experiment on a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
 // limit, all restarted; beside it an even split, and no common limit.
 func playShare(p *play) error {
 	kinds := []string{"on", "even", "off"}
@@ -220,7 +41,7 @@
 	}
 	group.Wait()
 	for _, r := range pools {
-		if r != nil && r.Swarm != nil {
+		if r != nil && r.Cluster != nil {
 			defer r.Close()
 		}
 	}
@@ -231,8 +52,8 @@
 	allocator := ""
 	took, _ := on.Until(10*time.Second, func() bool { allocator, _ = on.allocator(); return allocator != "" })
 	p.atMost("first.keeper.s", took, 10)
-	p.untilAlike(on.Swarm, 10*time.Second, sharedOn, on.Names())
-	time.Sleep(2 * time.Second) // the floors' wait for former lives is over
+	p.untilAlike(on.Cluster, 10*time.Second, sharedOn, on.Names())
+	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
 
 	// The load: at first most of it at one app server, which changes every two seconds; then more than there is, everywhere.
 	const whole = sharedLimit / sharedWork / 0.85 // RPCs a second that fill the limit
@@ -302,7 +123,7 @@
 	p.inform("used.steady.even", even.backend.Used()/sharedLimit)
 	on.enter("faults")
 	enough()
-	// Somebody else is to keep it: use stays above the floors, and comes back.
+	// Somebody else is to allocate it: use stays above the reserved permits, and comes back.
 	change := func(how, script string) {
 		was, _ := on.allocator()
 		on.backend.Used()
@@ -310,7 +131,7 @@
 		errs[0] = errors.Join(errs[0], on.Run(strings.ReplaceAll(script, "ALLOCATOR", was)))
 		now, back := "", math.Inf(1)
 		least := 1.0
-		for time.Since(began) < 4*rehearsedLease {
+		for time.Since(began) < 4*experimentLease {
 			time.Sleep(250 * time.Millisecond)
 			used := on.backend.Used() / sharedLimit
 			least = min(least, used)
@@ -327,7 +148,7 @@
 		if how == "cut" { // what is on the other side comes back with the cut's end alone
 			p.inform("back.s."+how, back)
 		} else {
-			p.atMost("back.s."+how, back, 3*rehearsedLease.Seconds())
+			p.atMost("back.s."+how, back, 3*experimentLease.Seconds())
 		}
 		p.atLeast("used.least."+how, least, float64(sharedOn-1)/sharedLimit)
 	}
@@ -337,7 +158,7 @@
 			errs[0] = errors.Join(errs[0], on.Run("0s start "+name))
 		}
 	}
-	// What the one that died had, and its new life's floor, are back once its last grant is over.
+	// What the one that died had, and the reserved permits of its new incarnation, are back once its last grant is over.
 	on.backend.Used()
 	on.Until(5*time.Second, func() bool { time.Sleep(300 * time.Millisecond); return on.backend.Used() >= 0.97*sharedLimit })
 	allocator, _ = on.allocator()
@@ -392,8 +213,8 @@
 		a, b := on.plain[phase], off.plain[phase]
 		p.atLeast("plain.of.off."+phase, a[0]/a[1]/(b[0]/b[1]), 0.98)
 	}
-	p.breaches(on.Swarm, even.Swarm, off.Swarm)
-	return p.keep(on.Swarm)
+	p.violations(on.Cluster, even.Cluster, off.Cluster)
+	return p.keep(on.Cluster)
 }
 
 // lower has a reload lower the limit by a third, and gives by how much that is passed once what was granted before is over.
@@ -405,7 +226,7 @@
 		})
 		r.Node(name).Reload()
 	}
-	time.Sleep(2*rehearsedLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
+	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
 	r.backend.Limit(to)
 	r.backend.Used()
 	time.Sleep(time.Second)
@@ -413,24 +234,24 @@
 	return r.backend.Over()
 }
 
-// playShareForty is the rehearsal of few permits among many: each of forty processes has its turn.
+// playShareForty is the experiment on few permits among many: each of forty processes has its turn.
 func playShareForty(p *play) error {
 	const many, few = 40, 10
 	r := &pool{backend: rig.NewBackend(few, "lookup", "check", "record"), ok: map[string][2]float64{}, each: map[string][2]float64{},
 		plain: map[string][2]float64{}}
 	plan := p.sharedPlan(many, r.backend)
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + rehearsedLease.String(),
+	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
-	if r.Swarm, err = rig.NewSwarm(plan); err != nil {
+	if r.Cluster, err = rig.NewCluster(plan); err != nil {
 		return err
 	}
 	defer r.Close()
 	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
-	p.untilAlike(r.Swarm, 15*time.Second, many, r.Names())
-	time.Sleep(3500 * time.Millisecond) // until the floors may be used
+	p.untilAlike(r.Cluster, 15*time.Second, many, r.Names())
+	time.Sleep(3500 * time.Millisecond) // until the reserved permits may be used
 	r.enter("many")
 	var load sync.WaitGroup
 	length := p.span(12 * time.Second)
@@ -454,11 +275,11 @@
 		}
 	}
 	p.exactly("app.servers.starved", float64(starved), 0)
-	p.breaches(r.Swarm)
-	return p.keep(r.Swarm)
+	p.violations(r.Cluster)
+	return p.keep(r.Cluster)
 }
 
-// playShareAuto is the rehearsal of a limit that is found: what stands behind takes longer past so many at once, which changes.
+// playShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
 func playShareAuto(p *play) error {
 	r, err := p.reservoir("on", fmt.Sprintf("auto %d-%d %s", sharedOn, 3*sharedLimit, time.Duration(autoTarget*sharedWork*float64(time.Second))))
 	if err != nil {
@@ -491,8 +312,8 @@
 	}
 	stop()
 	loads.Wait()
-	p.breaches(r.Swarm)
-	return p.keep(r.Swarm)
+	p.violations(r.Cluster)
+	return p.keep(r.Cluster)
 }
 
 // autoTarget is how many times as long as their work runs may take.
