--- /dev/null
+++ b/fleet/distribution_persist.go
@@ -0,0 +1,74 @@
+package fleet
+
+import (
+	"context"
+
+	"valveglade/logic/configlog"
+	"valveglade/store/configstore"
+)
+
+// persist writes, durably, what messages of the same Ready rely on.
+func (l *replicaLoop) persist(p configlog.Persist) error {
+	if p.Promised > 0 {
+		if err := l.store.SaveVote(configstore.Vote{Term: p.Promised}); err != nil {
+			return err
+		}
+		l.promised = p.Promised
+	}
+	if p.Reset {
+		state := l.d.Table()
+		if err := l.store.Install(state.Table, storedVersion(p.Base)); err != nil {
+			return err
+		}
+		l.saved = p.Base.Index
+	}
+	if p.TruncateFrom > 0 {
+		if err := l.store.Truncate(p.TruncateFrom); err != nil {
+			return err
+		}
+		l.saved = min(l.saved, p.TruncateFrom-1)
+	}
+	if len(p.Entries) == 0 {
+		return nil
+	}
+	if err := l.store.Append(storedEntries(p.Entries)); err != nil {
+		return err
+	}
+	if err := l.store.Sync(); err != nil {
+		return err
+	}
+	l.saved = p.Entries[len(p.Entries)-1].Index
+	return nil
+}
+
+// compact writes a snapshot of what is committed once the log's file has grown.
+func (l *replicaLoop) compact() error {
+	if l.store.LogBytes() < compactLogBytes {
+		return nil
+	}
+	state := l.d.Table()
+	return l.store.Compact(state.Table, storedVersion(state.Version))
+}
+
+// applyCommitted has committed entries take effect here, and passes them on to the feed. Those that the table has are skipped.
+func (d *Distribution) applyCommitted(ctx context.Context, entries []configlog.Entry) {
+	state := d.Table()
+	for len(entries) > 0 && entries[0].Index <= state.Version.Index {
+		entries = entries[1:]
+	}
+	if len(entries) == 0 {
+		return
+	}
+	d.table.Store(d.applyEntries(state, entries))
+	if d.feed != nil {
+		d.feed.tell(ctx, entriesCommitted{entries})
+	}
+}
+
+// replaceTable has a whole table take effect.
+func (d *Distribution) replaceTable(ctx context.Context, state *TableState) {
+	d.table.Store(state)
+	if d.feed != nil {
+		d.feed.tell(ctx, tableReplaced{state.Version})
+	}
+}
