--- a/logic/pool.go
+++ b/logic/pool.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// fullFor is how many d_t the delay stands past the threshold before the newest start first: one latency target.
+// fullFor is how many d_t the delay stands past the threshold before the newest go first: one latency target.
 const fullFor = 6
 
 // heard counts the callers heard within a second; before any, it is those that there were at start.
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -8,20 +8,20 @@
 // Which one goes by criticality over the share of its method that has lately been ok, so that no method
 // starves; among equals it is the one that has just come.
 //
-// What waits for a limit common to several app servers is a queue of its own, with the same threshold: it says
-// nothing of the cores, and is no reason to refuse what does not need that limit.
+// What waits for a limit common to several app servers is a queue of its own, with the same threshold: it
+// says nothing of the cores, and is no reason to refuse what does not need that limit.
 func (m *Module) shed(i int) {
-	queue := 0
+	line := 0
 	if m.rpcs[i].state == queued && m.lacks(i) {
-		queue = m.rpcs[i].short
+		line = m.rpcs[i].short
 	}
-	for over := m.oldest(queue) > m.threshold; len(m.queue) > 0 && (over || m.memory() > m.room()); over = false {
+	for over := m.oldest(line) > m.threshold; len(m.queue) > 0 && (over || m.memory() > m.room()); over = false {
 		least := m.queue[len(m.queue)-1]
 		if m.rpcs[i].state == queued {
 			least = i
 		}
 		for _, j := range m.queue {
-			if m.value(j) < m.value(least) && (!over || m.rpcs[j].short == queue) {
+			if m.value(j) < m.value(least) && (!over || m.rpcs[j].short == line) {
 				least = j
 			}
 		}
@@ -62,8 +62,8 @@
 	return min(max(w.asked+m.Methods[w.method].Target, w.wanted), w.due-margin)
 }
 
-// hopeless tells whether a queued RPC would come too late even if it were started now. While half the cores are
-// free of RPCs it is tried all the same, so that run times stay fresh and recovery is seen.
+// hopeless tells whether a queued RPC would come too late even if it were started now. While half the cores
+// are free of RPCs it is tried all the same, so that run times stay fresh and recovery is seen.
 func (m *Module) hopeless(w *work) bool {
 	until := m.goodUntil(w)
 	if r := &m.records[w.method]; r.givenUp >= 4 {
--- a/logic/running.go
+++ b/logic/running.go
@@ -18,8 +18,8 @@
 	return max(1, 0.9*m.cores()*(1+(m.Rules.Crowd-1)*m.warmth()))
 }
 
-// pump starts queued RPCs while the limits leave room: oldest first, newest first once the queue has stood full
-// for a while.
+// pump starts queued RPCs while the limits leave room: oldest first, newest first once the queue has stood
+// full for a while.
 func (m *Module) pump() {
 	for k := 0; k < len(m.queue); {
 		on := m.count[running] + m.count[orphaned]
@@ -49,8 +49,8 @@
 	}
 }
 
-// lacks tells whether a queued RPC waits for a limit that is common to several app servers, whatever the cores
-// say. Others are started past it.
+// lacks tells whether a queued RPC waits for a limit that is common to several app servers, whatever the
+// cores say. Others are started past it.
 func (m *Module) lacks(i int) bool {
 	m.rpcs[i].short = m.do.Short(m.rpcs[i].method)
 	return m.rpcs[i].short > 0
--- a/logic/tokens.go
+++ b/logic/tokens.go
@@ -8,7 +8,7 @@
 
 // Tokens, and the memory that they and RPCs take.
 
-// takeOver puts a further try in the place of a queued one: the caller has most likely given up on the earlier.
+// takeOver puts a further try in the place of a queued one: the caller has most likely given up on that.
 func (m *Module) takeOver(i, earlier int) {
 	e, w := &m.rpcs[earlier], &m.rpcs[i]
 	m.dropKey(e) // its entry goes over to the further try
