--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -84,7 +84,7 @@
 	if _, ok := f.Until(time.Minute, func() bool { return d.Status().Age >= 0 }); !ok {
 		return errors.New("the subscriber does not come to follow")
 	}
-	entries, bytes := float64(distributionServices*each), d.Status().Bytes
+	entries, bytes := float64(len(f.services)*each), d.Status().Bytes
 	var on, off []float64
 	wholeBytes := int64(0)
 	for k := range p.changesOfTable() {
