--- a/logic/states.go
+++ b/logic/states.go
@@ -16,40 +16,40 @@
 	calling                // started, off the cores until its call ends
 	orphaned               // needs no answer any more, its work is still on the cores
 	closing                // needs no answer any more, its call is being ended
-	states
+	stateCount
 )
 
-func (s state) owed() bool { return s >= queued && s <= calling }
+func (s state) pending() bool { return s >= queued && s <= calling }
 
-// work is one open RPC.
-type work struct {
-	state                 state
-	method, caller, tries int // tries of its call
-	tenant                int
-	short                 int     // the limit common to the fleet that it waits for, 0 for none
-	arrival, asked        float64 // here, and of its first try, as far as is known
-	due, kb               float64
-	began, dialed         float64 // when it was started, and its call made
-	extra, told           bool    // its call exceeds the whole part of the share; its caller sent its deadline
-	reads                 bool    // others may share its answer
-	leads                 int     // RPCs that share its answer
-	wanted                float64 // the latest goodUntil among them
-	key                   float64 // until when its token is remembered, 0 if it is not
+// request is one open RPC.
+type request struct {
+	state                     state
+	method, caller, callTries int // tries of its call
+	tenant                    int
+	sharedLimit               int     // the limit common to the fleet that it waits for, 0 for none
+	arrival, firstAttempt     float64 // here, and of its first try, as far as is known
+	deadline, sizeKB          float64
+	runStarted, callStarted   float64 // when it was started, and its call made
+	extraCall, deadlineSent   bool    // its call exceeds the whole part of the share; its caller sent its deadline
+	shareable                 bool    // others may share its answer
+	followers                 int     // RPCs that share its answer
+	wantedUntil               float64 // the latest goodUntil among them
+	tokenExpiry               float64 // until when its token is remembered, 0 if it is not
 }
 
-// caller records when one caller last sent something and last had all answers, and its unanswered RPCs.
-type caller struct {
-	heard, idle float64
-	out         int
+// callerState records when one callerState last sent something and last had all answers, and its unanswered RPCs.
+type callerState struct {
+	lastArrival, idleSince float64
+	outstanding            int
 }
 
-// record is the recent history of a method: run times, arrivals, RPCs ok in time, and the age at which its
+// methodStats is the recent history of a method: run times, arrivals, RPCs ok in time, and the age at which its
 // callers gave up, with how many did so in a row.
-type record struct {
-	late      hist
-	asked, ok float64
-	patience  float64
-	givenUp   int
+type methodStats struct {
+	runTimes     histogram
+	arrivals, ok float64
+	giveUpAge    float64
+	giveUps      int
 }
 
 // move makes every change of state and maintains the counts and lists that depend on it.
@@ -58,22 +58,22 @@
 	from := w.state
 	m.count[from]--
 	m.count[to]++
-	m.kb += w.kb * (m.weight(to) - m.weight(from))
-	if from.owed() && !to.owed() {
-		if m.callers[w.caller].out--; m.callers[w.caller].out == 0 {
-			m.callers[w.caller].idle = m.now
+	m.rpcKB += w.sizeKB * (m.memoryFactor(to) - m.memoryFactor(from))
+	if from.pending() && !to.pending() {
+		if m.callers[w.caller].outstanding--; m.callers[w.caller].outstanding == 0 {
+			m.callers[w.caller].idleSince = m.now
 		}
 	}
 	w.state = to
 	switch from {
 	case absent:
-		m.callers[w.caller].out++
+		m.callers[w.caller].outstanding++
 	case queued:
 		k := slices.Index(m.queue, i)
 		m.queue = slices.Delete(m.queue, k, k+1)
 	case paused:
-		k := slices.Index(m.waiting, i)
-		m.waiting = slices.Delete(m.waiting, k, k+1)
+		k := slices.Index(m.callQueue, i)
+		m.callQueue = slices.Delete(m.callQueue, k, k+1)
 	}
 	switch to {
 	case queued:
@@ -83,15 +83,15 @@
 		}
 		m.queue = slices.Insert(m.queue, k, i)
 	case paused:
-		m.waiting = append(m.waiting, i)
+		m.callQueue = append(m.callQueue, i)
 	case absent:
-		m.do.Release(i)
+		m.actions.Release(i)
 	}
 }
 
-// weight is the memory of an RPC in a state, as a multiple of its size while queued.
-func (m *Module) weight(s state) float64 {
+// memoryFactor is the memory of an RPC in a state, as a multiple of its size while queued.
+func (m *Module) memoryFactor(s state) float64 {
 	started := m.Machine.RunFactor
-	return [states]float64{queued: 1, following: 1, running: started, paused: started, calling: started,
+	return [stateCount]float64{queued: 1, following: 1, running: started, paused: started, calling: started,
 		orphaned: started, closing: started}[s]
 }
--- a/logic/tokens.go
+++ b/logic/tokens.go
@@ -11,48 +11,48 @@
 // takeOver replaces a queued RPC by a retry of it: the caller has most likely given up on the first.
 func (m *Module) takeOver(i, earlier int) {
 	e, w := &m.rpcs[earlier], &m.rpcs[i]
-	m.dropKey(e) // its entry passes to the retry
-	m.remember(i)
-	m.do.PushBack(earlier, true, m.advice(0))
-	arrival, asked := e.arrival, e.asked
+	m.dropToken(e) // its entry passes to the retry
+	m.rememberToken(i)
+	m.actions.PushBack(earlier, true, m.retryAfter(0))
+	arrival, asked := e.arrival, e.firstAttempt
 	m.move(earlier, absent)
-	w.arrival, w.asked = min(w.arrival, arrival), min(w.asked, asked)
+	w.arrival, w.firstAttempt = min(w.arrival, arrival), min(w.firstAttempt, asked)
 }
 
-// remember keeps the token of a queued RPC until its window has passed, so that two queued tries are
+// rememberToken keeps the token of a queued RPC until its window has passed, so that two queued tries are
 // recognised as one.
-func (m *Module) remember(i int) {
+func (m *Module) rememberToken(i int) {
 	w := &m.rpcs[i]
 	method := &m.Methods[w.method]
-	if w.reads && m.keyKB()+m.Machine.EntryKB < 0.75*m.room() { // the rest is for work
+	if w.shareable && m.tokenKB()+m.Machine.EntryKB < 0.75*m.memoryLimit() { // the rest is for work
 		// Until it should have been answered, and while its answer is fresh after that.
-		w.key = m.now + min(method.Target, w.due-m.now, 60) + m.Machine.Fresh
-		m.keys = append(m.keys, w.key)
-		m.do.Remember(i, w.key-m.now)
+		w.tokenExpiry = m.now + min(method.Target, w.deadline-m.now, 60) + m.Machine.Fresh
+		m.tokenExpiries = append(m.tokenExpiries, w.tokenExpiry)
+		m.actions.Remember(i, w.tokenExpiry-m.now)
 	} else if method.Kind == rpc.Tokened {
-		w.key = m.now + method.Window + tick // the window counts from its arrival, which was before
-		m.keys = append(m.keys, w.key)
-		m.do.Remember(i, w.key-m.now)
+		w.tokenExpiry = m.now + method.Window + tickInterval // the window counts from its arrival, which was before
+		m.tokenExpiries = append(m.tokenExpiries, w.tokenExpiry)
+		m.actions.Remember(i, w.tokenExpiry-m.now)
 	}
 }
 
-func (m *Module) dropKey(w *work) {
-	if k := slices.Index(m.keys, w.key); k >= 0 {
-		m.keys = slices.Delete(m.keys, k, k+1)
+func (m *Module) dropToken(w *request) {
+	if k := slices.Index(m.tokenExpiries, w.tokenExpiry); k >= 0 {
+		m.tokenExpiries = slices.Delete(m.tokenExpiries, k, k+1)
 	}
-	w.key = 0
+	w.tokenExpiry = 0
 }
 
-// forget drops the token of an RPC that will never run.
-func (m *Module) forget(i int) {
-	if w := &m.rpcs[i]; w.key > 0 {
-		m.do.Forget(i)
-		m.dropKey(w)
+// forgetToken drops the token of an RPC that will never run.
+func (m *Module) forgetToken(i int) {
+	if w := &m.rpcs[i]; w.tokenExpiry > 0 {
+		m.actions.Forget(i)
+		m.dropToken(w)
 	}
 }
 
-// memory is what queued and started RPCs and remembered tokens need. room leaves a twentieth for rounding of
+// memoryUsed is what queued and started RPCs and remembered tokens need. room leaves a twentieth for rounding of
 // the settings.
-func (m *Module) memory() float64 { return m.kb + m.keyKB() }
-func (m *Module) keyKB() float64  { return float64(len(m.keys)) * m.Machine.EntryKB }
-func (m *Module) room() float64   { return 0.95 * m.Machine.MemoryKB }
+func (m *Module) memoryUsed() float64  { return m.rpcKB + m.tokenKB() }
+func (m *Module) tokenKB() float64     { return float64(len(m.tokenExpiries)) * m.Machine.EntryKB }
+func (m *Module) memoryLimit() float64 { return 0.95 * m.Machine.MemoryKB }
