--- a/logic/tokens.go
+++ b/logic/tokens.go
@@ -6,53 +6,55 @@
 	"valveglade/rpc"
 )
 
-// Tokens, and the memory of tokens and RPCs.
+// Idempotency tokens, and the memory taken by tokens and RPCs.
 
-// takeOver replaces a queued RPC by a retry of it: the caller has most likely given up on the first.
-func (m *Module) takeOver(i, earlier int) {
-	e, w := &m.rpcs[earlier], &m.rpcs[i]
-	m.dropToken(e) // its entry passes to the retry
+// replaceQueued replaces a queued RPC by a retry of it, as the caller has most likely given up on the
+// first.
+func (m *Module) replaceQueued(i, oldIndex int) {
+	old, req := &m.rpcs[oldIndex], &m.rpcs[i]
+	m.dropToken(old) // the retry takes over its entry
 	m.rememberToken(i)
-	m.actions.PushBack(earlier, true, m.retryAfter(0))
-	arrival, asked := e.arrival, e.firstAttempt
-	m.move(earlier, absent)
-	w.arrival, w.firstAttempt = min(w.arrival, arrival), min(w.firstAttempt, asked)
+	m.actions.PushBack(oldIndex, true, m.retryAfter(0))
+	arrival, firstAttempt := old.arrival, old.firstAttempt
+	m.move(oldIndex, absent)
+	req.arrival, req.firstAttempt = min(req.arrival, arrival), min(req.firstAttempt, firstAttempt)
 }
 
-// rememberToken keeps the token of a queued RPC until its window has passed, so that two queued tries are
-// recognised as one.
+// rememberToken keeps the token of a queued RPC until its window has passed, so that a retry of it is
+// recognised.
 func (m *Module) rememberToken(i int) {
-	w := &m.rpcs[i]
-	method := &m.Methods[w.method]
-	if w.shareable && m.tokenKB()+m.Machine.EntryKB < 0.75*m.memoryLimit() { // the rest is for work
-		// Until it should have been answered, and while its answer is fresh after that.
-		w.tokenExpiry = m.now + min(method.Target, w.deadline-m.now, 60) + m.Machine.Fresh
-		m.tokenExpiries = append(m.tokenExpiries, w.tokenExpiry)
-		m.actions.Remember(i, w.tokenExpiry-m.now)
+	req := &m.rpcs[i]
+	method := &m.Methods[req.method]
+	if req.shareable && m.tokenKB()+m.Machine.EntryKB < 0.75*m.memoryLimit() { // the rest is for RPCs
+		// Until it should be answered, and then as long as its answer is fresh.
+		req.tokenExpiry = m.now + min(method.Target, req.deadline-m.now, 60) + m.Machine.Fresh
+		m.tokenExpiries = append(m.tokenExpiries, req.tokenExpiry)
+		m.actions.Remember(i, req.tokenExpiry-m.now)
 	} else if method.Kind == rpc.Tokened {
-		w.tokenExpiry = m.now + method.Window + tickInterval // the window counts from its arrival, which was before
-		m.tokenExpiries = append(m.tokenExpiries, w.tokenExpiry)
-		m.actions.Remember(i, w.tokenExpiry-m.now)
+		// The window counts from its arrival, which was earlier.
+		req.tokenExpiry = m.now + method.Window + tickInterval
+		m.tokenExpiries = append(m.tokenExpiries, req.tokenExpiry)
+		m.actions.Remember(i, req.tokenExpiry-m.now)
 	}
 }
 
-func (m *Module) dropToken(w *request) {
-	if k := slices.Index(m.tokenExpiries, w.tokenExpiry); k >= 0 {
+func (m *Module) dropToken(req *request) {
+	if k := slices.Index(m.tokenExpiries, req.tokenExpiry); k >= 0 {
 		m.tokenExpiries = slices.Delete(m.tokenExpiries, k, k+1)
 	}
-	w.tokenExpiry = 0
+	req.tokenExpiry = 0
 }
 
 // forgetToken drops the token of an RPC that will never run.
 func (m *Module) forgetToken(i int) {
-	if w := &m.rpcs[i]; w.tokenExpiry > 0 {
+	if req := &m.rpcs[i]; req.tokenExpiry > 0 {
 		m.actions.Forget(i)
-		m.dropToken(w)
+		m.dropToken(req)
 	}
 }
 
-// memoryUsed is what queued and started RPCs and remembered tokens need. room leaves a twentieth for rounding of
-// the settings.
+// memoryUsed is the memory taken by open RPCs and remembered tokens. memoryLimit leaves a twentieth for
+// rounding in the settings.
 func (m *Module) memoryUsed() float64  { return m.rpcKB + m.tokenKB() }
 func (m *Module) tokenKB() float64     { return float64(len(m.tokenExpiries)) * m.Machine.EntryKB }
 func (m *Module) memoryLimit() float64 { return 0.95 * m.Machine.MemoryKB }
