--- a/logic/calls.go
+++ b/logic/calls.go
@@ -12,9 +12,9 @@
 // NeedsCall records that a running RPC waits to make a call.
 func (m *Module) NeedsCall(now float64, i int) {
 	m.now = now
-	switch w := &m.rpcs[i]; w.state {
+	switch req := &m.rpcs[i]; req.state {
 	case running:
-		w.callTries, w.callStarted = 0, m.now
+		req.callTries, req.callStarted = 0, m.now
 		m.move(i, paused)
 	case orphaned:
 		m.move(i, closing)
@@ -23,50 +23,54 @@
 	m.startQueued()
 }
 
-// startCalls starts calls, longest waiting first, within this app server's share of what the dependency survives,
-// abandoned calls included. Its fraction holds as a mean over every span: one call more at times,
-// with a timeout that the span can bear should it not be answered.
+// startCalls starts calls, longest waiting first, within this app server's share of the calls that the
+// dependency withstands; abandoned calls that are still open there count too. The fraction of the share
+// beyond a whole number holds as a mean over every interval of CallsSpan: now and then one more call is
+// started, with a timeout that keeps the mean even if the call is never answered.
 func (m *Module) startCalls() {
 	m.lingerEnds = slices.DeleteFunc(m.lingerEnds, func(end float64) bool { return end <= m.now })
-	whole, part := math.Modf(m.Machine.CallsOut)
-	// An RPC that cannot have its call in time goes without, and so does one that delays others by waiting,
-	// while the layer below is slow or for a share of it.
-	crowded := m.queueDelay() > m.targetDelay && (m.dependencySlow() && m.offCores() >= m.maxOffCores() || part > 0 && len(m.callQueue) > 1)
+	wholeCalls, fraction := math.Modf(m.Machine.CallsOut)
+	// An RPC whose call cannot finish in time skips the call. So does one that delays others by waiting, while
+	// the layer below is slow or its share has a fractional part.
+	congested := m.queueDelay() > m.targetDelay &&
+		(m.dependencySlow() && m.offCores() >= m.maxOffCores() || fraction > 0 && len(m.callQueue) > 1)
 	for _, i := range slices.Clone(m.callQueue) {
-		w := &m.rpcs[i]
-		if m.valueWithoutCall(w) > 0 && (crowded || m.fullValueUntil(w)-m.now < runMargin*m.callTimes.median()) {
+		req := &m.rpcs[i]
+		if m.valueWithoutCall(req) > 0 &&
+			(congested || m.fullValueUntil(req)-m.now < runMargin*m.callTimes.median()) {
 			m.skipCall(i)
 		}
 	}
 	for len(m.callQueue) > 0 {
-		out := float64(m.count[calling] + len(m.lingerEnds) + 1)
-		extra := out > whole
-		room := part*m.Machine.CallsSpan - m.extraCallTime() - m.Machine.Linger
-		short := out > whole+1 || m.now < m.nextExtraCall || room < max(runMargin*m.callTimes.median(), deadlineMargin)
-		if out > m.callLimit || extra && short {
+		calls := float64(m.count[calling] + len(m.lingerEnds) + 1)
+		isExtra := calls > wholeCalls
+		extraTime := fraction*m.Machine.CallsSpan - m.extraCallTime() - m.Machine.Linger
+		mustWait := calls > wholeCalls+1 || m.now < m.nextExtraCall ||
+			extraTime < max(runMargin*m.callTimes.median(), deadlineMargin)
+		if calls > m.callLimit || isExtra && mustWait {
 			return
 		}
 		i := m.callQueue[0]
-		w := &m.rpcs[i]
-		left := m.fullValueUntil(w) - m.now
-		if left <= 0 {
+		req := &m.rpcs[i]
+		timeout := m.fullValueUntil(req) - m.now
+		if timeout <= 0 {
 			m.giveUp(i)
 			continue
 		}
-		if w.extraCall = extra; extra {
-			left = min(left, room)
-			m.extraCalls = append(m.extraCalls, [2]float64{m.now, m.now + left + m.Machine.Linger})
+		if req.extraCall = isExtra; isExtra {
+			timeout = min(timeout, extraTime)
+			m.extraCalls = append(m.extraCalls, [2]float64{m.now, m.now + timeout + m.Machine.Linger})
 		}
-		w.callTries++
-		w.callStarted = m.now
-		m.actions.Call(i, left)
+		req.callTries++
+		req.callStarted = m.now
+		m.actions.Call(i, timeout)
 		m.move(i, calling)
 	}
 }
 
-// offCores is the number of RPCs at a call or waiting for one; waits bounds it: one a core while the layer below
-// is slow, so that a silent one leaves the other methods memory and cores; three otherwise, as calls may take
-// as long as the rest of the work.
+// offCores is the number of RPCs that are at a call or wait for one. maxOffCores bounds it: one per core
+// while the layer below is slow, so that an unresponsive one leaves memory and cores to the other methods;
+// otherwise three per core, as calls may take as long as the rest of the work.
 func (m *Module) offCores() int { return m.count[paused] + m.count[calling] + m.count[closing] }
 func (m *Module) maxOffCores() int {
 	if m.dependencySlow() || len(m.callQueue) > 0 {
@@ -75,26 +79,29 @@
 	return 3 * m.Machine.Cores
 }
 
-// dependencySlow reports whether calls take three times the best median, by those that have ended or one in flight; it
-// is true until some have ended.
+// dependencySlow reports whether calls take three times the best median, judged by ended calls and by those
+// in flight. It is true until some calls have ended.
 func (m *Module) dependencySlow() bool {
-	long := m.now - 3*m.bestCallMedian
+	slowBefore := m.now - 3*m.bestCallMedian
 	return math.IsInf(m.bestCallMedian, 1) || m.callTimes.median() > 3*m.bestCallMedian ||
-		slices.ContainsFunc(m.rpcs, func(w request) bool { return w.state == calling && w.callStarted < long })
+		slices.ContainsFunc(m.rpcs, func(req request) bool {
+			return req.state == calling && req.callStarted < slowBefore
+		})
 }
 
-// valueWithoutCall is the share of its value that a method's answer keeps without a call.
-func (m *Module) valueWithoutCall(w *request) float64 {
-	if w.method < len(m.Machine.SkipWorth) {
-		return m.Machine.SkipWorth[w.method]
+// valueWithoutCall is the share of its value that an RPC's answer keeps without its call.
+func (m *Module) valueWithoutCall(req *request) float64 {
+	if req.method < len(m.Machine.SkipWorth) {
+		return m.Machine.SkipWorth[req.method]
 	}
 	return 0
 }
 
-// skipCall continues an RPC without its call where its answer still has a value, or gives it up.
+// skipCall continues an RPC without its call if its answer still has a value, and gives it up otherwise.
 func (m *Module) skipCall(i int) {
-	w := &m.rpcs[i]
-	if m.valueWithoutCall(w) == 0 || m.now > w.deadline || m.now > m.fullValueUntil(w) && m.Methods[w.method].LateShare == 0 {
+	req := &m.rpcs[i]
+	if m.valueWithoutCall(req) == 0 || m.now > req.deadline ||
+		m.now > m.fullValueUntil(req) && m.Methods[req.method].LateShare == 0 {
 		m.giveUp(i)
 		return
 	}
@@ -102,30 +109,32 @@
 	m.move(i, running)
 }
 
-// extraCallTime is the time in the last span with a call past the whole share open, +Inf while one is. Gaps that
-// hold a mean leave more to spans that begin with a call; with a slow dependency the whole fleet does that.
+// extraCallTime is the time in the last CallsSpan during which a call beyond the whole part of the share
+// was open, +Inf while one is. Spacing calls by the mean alone would let an interval that begins with a
+// call exceed the share, and with a slow dependency the whole fleet would do so at once.
 func (m *Module) extraCallTime() (sum float64) {
-	begin := m.now - m.Machine.CallsSpan
-	m.extraCalls = slices.DeleteFunc(m.extraCalls, func(e [2]float64) bool { return e[1] <= begin })
-	for _, e := range m.extraCalls {
-		if e[1] > m.now {
+	windowStart := m.now - m.Machine.CallsSpan
+	m.extraCalls = slices.DeleteFunc(m.extraCalls, func(call [2]float64) bool { return call[1] <= windowStart })
+	for _, call := range m.extraCalls {
+		if call[1] > m.now {
 			return math.Inf(1)
 		}
-		sum += e[1] - max(e[0], begin)
+		sum += call[1] - max(call[0], windowStart)
 	}
 	return sum
 }
 
-// recordCall adapts to the layer below: calls that take three times the best median, or are abandoned, cut the
-// calls at a time, others let them grow. The share is what it survives, not where it works well: overloaded,
-// it slows down and all callers wait. A twentieth and a tenth give about three calls at a time while one in
-// twenty is that long; harder cuts starved the methods that call.
-func (m *Module) recordCall(w *request, how rpc.Outcome) {
-	took, abandoned := m.now-w.callStarted, how == rpc.TimedOut
-	if abandoned { // it stays open at the dependency for a while
+// recordCall records the end of a call and adapts the number of calls at a time to the layer below: calls
+// that take three times the best median, or are abandoned, lower the limit, others raise it. The share
+// alone is no good limit: it is what the dependency withstands, but overloaded it slows down and all
+// callers wait. A cut of a twentieth and a growth of a tenth give about three calls at a time while one in
+// twenty takes that long; harder cuts starved the methods that call.
+func (m *Module) recordCall(req *request, outcome rpc.Outcome) {
+	took, abandoned := m.now-req.callStarted, outcome == rpc.TimedOut
+	if abandoned { // it stays open at the dependency for the linger time
 		took += m.Machine.Linger
 		m.lingerEnds = append(m.lingerEnds, m.now+m.Machine.Linger)
-	} else if how == rpc.OK { // a call that fails at once does not show the dependency's speed
+	} else if outcome == rpc.OK { // a call that fails at once says nothing about the dependency's speed
 		m.callTimes.add(took)
 	}
 	if median := m.callTimes.median(); median > 0 {
@@ -134,31 +143,33 @@
 	if abandoned || took > 3*m.bestCallMedian {
 		m.callLimit = max(0.95*m.callLimit, 1)
 	} else {
-		most := m.cores()
-		if math.IsInf(m.Machine.CallsOut, 1) { // a tier, which decides for itself
-			most *= 3
+		maxCalls := m.cores()
+		if math.IsInf(m.Machine.CallsOut, 1) { // a tier of app servers does its own admission control
+			maxCalls *= 3
 		}
-		m.callLimit = min(m.callLimit+0.1, most)
+		m.callLimit = min(m.callLimit+0.1, maxCalls)
 	}
-	if w.extraCall {
-		w.extraCall = false
-		m.extraCalls = append(m.extraCalls[:max(len(m.extraCalls)-1, 0)], [2]float64{w.callStarted, w.callStarted + took})
-		_, part := math.Modf(m.Machine.CallsOut)
-		m.nextExtraCall = m.now + took*(1/part-1) // evenly, else the first of a span leave nothing for the last
+	if req.extraCall {
+		req.extraCall = false
+		m.extraCalls = append(m.extraCalls[:max(len(m.extraCalls)-1, 0)],
+			[2]float64{req.callStarted, req.callStarted + took})
+		_, fraction := math.Modf(m.Machine.CallsOut)
+		// Extra calls are spaced evenly, else the first ones in an interval leave nothing for the last.
+		m.nextExtraCall = m.now + took*(1/fraction-1)
 	}
 }
 
-// Called records how a call ended. Quick retries do not outlast most faults, so three tries are the most;
-// a call that may have taken effect is retried only for an idempotent RPC.
-func (m *Module) Called(now float64, i int, how rpc.Outcome) {
+// Called records how a call ended. Most faults outlast quick retries, so an RPC's call has at most three
+// tries. A call that may have taken effect is retried only for an idempotent RPC.
+func (m *Module) Called(now float64, i int, outcome rpc.Outcome) {
 	m.now = now
-	if w := &m.rpcs[i]; w.state == calling {
+	if req := &m.rpcs[i]; req.state == calling {
 		m.move(i, paused)
-		m.recordCall(w, how)
-		again := how.NeverRan() || m.Methods[w.method].Kind == rpc.Idempotent
-		if how == rpc.OK {
+		m.recordCall(req, outcome)
+		retryable := outcome.NeverRan() || m.Methods[req.method].Kind == rpc.Idempotent
+		if outcome == rpc.OK {
 			m.move(i, running)
-		} else if !again || w.callTries >= 3 {
+		} else if !retryable || req.callTries >= 3 {
 			m.skipCall(i)
 		}
 	}
