--- a/logic/pool.go
+++ b/logic/pool.go
@@ -9,74 +9,81 @@
 	"valveglade/rpc"
 )
 
-// The pool of credit, as the design has it, and what is said of it.
+// The credit pool and the value published from it.
 
-// updatePool is the design's: additive growth below d_t unless no caller has its full credit out, a cut by the
-// overshoot, at most half, above.
+// updatePool adapts the credit pool as in Breakwater: additive growth while the delay is below d_t, unless
+// no caller has its full credit outstanding; above d_t a cut in proportion to the overshoot, by half at
+// most.
 func (m *Module) updatePool() {
-	const alpha, beta = 0.01, 0.5 // the design's defaults
+	const alpha, beta = 0.01, 0.5 // Breakwater's defaults
 	m.lastUpdate = m.now
-	d, heard := m.queueDelay(), m.activeCallers()
-	if d > m.targetDelay {
-		m.creditPool *= max(1-beta*(d-m.targetDelay)/m.targetDelay, 0.5)
+	delay, callers := m.queueDelay(), m.activeCallers()
+	if delay > m.targetDelay {
+		m.creditPool *= max(1-beta*(delay-m.targetDelay)/m.targetDelay, 0.5)
 	} else if m.creditExhausted {
-		m.creditPool += max(alpha*heard, 1)
+		m.creditPool += max(alpha*callers, 1)
 	}
 	m.creditExhausted = false
 	m.publish()
-	if d <= m.delayThreshold {
+	if delay <= m.delayThreshold {
 		m.overThresholdSince = 0
 	} else if m.overThresholdSince == 0 {
 		m.overThresholdSince = m.now
 	}
-	if newest := m.overThresholdSince > 0 && m.now-m.overThresholdSince > 6*m.targetDelay; newest != m.newestFirst { // for one latency target
-		m.newestFirst = newest
-		m.actions.Log(fmt.Sprintf("queue full for a while: %v, %d queued", newest, len(m.queue)))
+	// Six target delays are one latency target.
+	if newestFirst := m.overThresholdSince > 0 &&
+		m.now-m.overThresholdSince > 6*m.targetDelay; newestFirst != m.newestFirst {
+		m.newestFirst = newestFirst
+		m.actions.Log(fmt.Sprintf("queue full for a while: %v, %d queued", newestFirst, len(m.queue)))
 	}
 }
 
-// activeCallers counts the callers activeCallers within a second; before any, it is those that there were at start.
+// activeCallers counts the callers that have sent something within the last second. While there is none it
+// is the configured number of callers.
 func (m *Module) activeCallers() float64 {
-	n := len(slices.DeleteFunc(slices.Clone(m.callers), func(c callerState) bool { return m.now-c.lastArrival > 1 }))
-	return float64(cmp.Or(n, max(m.Machine.Callers, 1)))
+	active := len(slices.DeleteFunc(slices.Clone(m.callers),
+		func(c callerState) bool { return m.now-c.lastArrival > 1 }))
+	return float64(cmp.Or(active, max(m.Machine.Callers, 1)))
 }
 
-// warmingUp tells whether the machine comes up slowly, or did so in the span that ends now.
+// warmingUp reports whether the app server is warming up, or was within the last Rules.CrowdSpan.
 func (m *Module) warmingUp() bool {
 	return m.Machine.Cold && m.now-m.started < max(m.Rules.WarmIn, m.Rules.CrowdSpan)
 }
 
-// warmUpPool bounds what all callers, those too that may yet come, have out while cold: as what ends lets in
-// the next, a span sees it beside the N runs that end, and past N only some 2*sqrt(N)+2 are borne. What is
-// refused lets in the next too, at once: so the bound shrinks with what came past N of late.
+// warmUpPool bounds the total credit of all callers, including those that may yet connect, during warm-up.
+// Each RPC that ends lets in the next one, so an interval of Rules.CrowdSpan sees the credit in addition to
+// the N runs that end in it, and only some 2*sqrt(N)+2 arrivals past N are tolerated. A rejected RPC lets
+// in the next one too, at once, so the bound shrinks with the recent arrivals past N.
 func (m *Module) warmUpPool() float64 {
-	const prior = 0.2 // of a run that takes all cores for a span, till more is known
-	full := m.cores() * m.Rules.CrowdSpan * max(m.warmUpFactor(), 0.01)
-	n := full * (m.okRuns + prior) / (m.okRunSeconds + prior*full)
-	most, each := 1+1.2*math.Sqrt(n), m.Rules.CrowdSpan/n
-	m.excessArrivals, m.excessUpdated = max(m.excessArrivals-(m.now-m.excessUpdated)/each, 0), m.now
-	return min((1+n)/2, most) * max(min(2-2*m.excessArrivals/most, 1), 1.0/16)
+	const prior = 0.2 // weight of the initial sample: one run that takes all cores for the whole interval
+	coreSeconds := m.cores() * m.Rules.CrowdSpan * max(m.warmUpFactor(), 0.01)
+	runs := coreSeconds * (m.okRuns + prior) / (m.okRunSeconds + prior*coreSeconds)
+	maxExcess, secondsPerRun := 1+1.2*math.Sqrt(runs), m.Rules.CrowdSpan/runs
+	m.excessArrivals, m.excessUpdated = max(m.excessArrivals-(m.now-m.excessUpdated)/secondsPerRun, 0), m.now
+	return min((1+runs)/2, maxExcess) * max(min(2-2*m.excessArrivals/maxExcess, 1), 1.0/16)
 }
 
-// publish says the free credit, which goes out with every answer, in the terms of the site's signal: as it
-// is, or as the share of what is in hand that the pool covers. One that leaves wants nothing past the grace.
+// publish publishes the free credit, which every answer carries, in the form of the configured signal: the
+// credit itself, or the share of the open RPCs that the pool covers. Once the grace after the shutdown
+// notice is over, the credit is 0.
 func (m *Module) publish() {
-	// What runs at once, and half as much queued for the gaps, is bearable whatever the delay says.
+	// The RPCs that may run at a time, and half as many queued to fill gaps, are always acceptable.
 	m.creditPool = max(m.creditPool, 1.5*m.runLimit)
-	inHand := float64(m.count[queued] + m.count[running] + m.count[paused] + m.count[calling])
-	cover := min(1, m.creditPool/max(inHand, 1))
+	open := float64(m.count[queued] + m.count[running] + m.count[paused] + m.count[calling])
+	covered := min(1, m.creditPool/max(open, 1))
 	m.credit = max(1, math.Ceil(m.creditPool/m.activeCallers()))
 	if m.warmingUp() {
-		bound := min(m.creditPool, m.warmUpPool())
-		m.credit = bound / max(m.activeCallers(), float64(m.Machine.Callers))
-		cover = min(1, bound/max(inHand, 1)) * m.warmUpFactor()
+		limit := min(m.creditPool, m.warmUpPool())
+		m.credit = limit / max(m.activeCallers(), float64(m.Machine.Callers))
+		covered = min(1, limit/max(open, 1)) * m.warmUpFactor()
 	}
 	if m.draining && m.now >= min(m.shutdownNotice+m.Rules.Grace, m.drainDeadline) {
-		m.credit, cover = 0, 0
+		m.credit, covered = 0, 0
 	}
-	value, heeded := map[rpc.Signal]float64{rpc.Allowance: m.credit, rpc.Weight: cover,
-		rpc.Floor: 1 - cover}[m.Machine.Signal]
-	if heeded && value != m.publishedValue {
+	value, isPublished := map[rpc.Signal]float64{rpc.Allowance: m.credit, rpc.Weight: covered,
+		rpc.Floor: 1 - covered}[m.Machine.Signal]
+	if isPublished && value != m.publishedValue {
 		m.publishedValue = value
 		m.actions.Publish(value)
 	}
