--- a/logic/running.go
+++ b/logic/running.go
@@ -1,10 +1,11 @@
 package logic
 
-// The number of RPCs that run at a time, and their order.
+// The number of RPCs that run at a time and the order in which they start.
 
 func (m *Module) cores() float64 { return float64(m.Machine.Cores) }
 
-// warmUpFactor is the least share of its full speed that an app server has while it warms up, 1 once warm.
+// warmUpFactor is the lowest fraction of its full speed that the app server has at this point of its
+// warm-up, 1 once warm.
 func (m *Module) warmUpFactor() float64 {
 	if !m.Machine.Cold || m.Rules.WarmIn <= 0 {
 		return 1
@@ -12,38 +13,39 @@
 	return min(1, m.Rules.ColdAt+(1-m.Rules.ColdAt)*max(m.now-m.started, 0)/m.Rules.WarmIn)
 }
 
-// maxStarted is the number of started RPCs that the cores bear at once, fewer while cold. A tenth is left for
-// RPCs that return from their calls.
+// maxStarted is the number of started RPCs that the cores withstand at once, fewer during warm-up. A tenth
+// is reserved for RPCs that return from their calls.
 func (m *Module) maxStarted() float64 {
 	return max(1, 0.9*m.cores()*(1+(m.Rules.Crowd-1)*m.warmUpFactor()))
 }
 
-// startQueued starts queued RPCs while the limits leave room: oldest first, newest first once the queue has been
-// full for a while.
+// startQueued starts queued RPCs while the limits allow it: oldest first, or newest first once the queue
+// has been over its delay threshold for long.
 func (m *Module) startQueued() {
 	if m.warmingUp() {
 		m.publish()
 	}
 	for k := 0; k < len(m.queue); {
-		on := m.count[running] + m.count[orphaned]
-		off := m.offCores()
-		if float64(on+1) > m.runLimit || float64(on+off+1) > m.maxStarted() {
+		onCores := m.count[running] + m.count[orphaned]
+		offCores := m.offCores()
+		if float64(onCores+1) > m.runLimit || float64(onCores+offCores+1) > m.maxStarted() {
 			return
 		}
 		i := m.queue[k]
 		if m.newestFirst {
 			i = m.queue[len(m.queue)-1-k]
 		}
-		w := &m.rpcs[i]
-		calls := w.method < len(m.Machine.Calls) && m.Machine.Calls[w.method]
+		req := &m.rpcs[i]
+		mayCall := req.method < len(m.Machine.Calls) && m.Machine.Calls[req.method]
 		switch {
-		case m.wouldBeLate(w):
+		case m.wouldBeLate(req):
 			m.giveUp(i)
-		case m.memoryUsed()+w.sizeKB*(m.Machine.RunFactor-1) > m.memoryLimit(), calls && off >= m.maxOffCores(), m.awaitsSharedLimit(i):
+		case m.memoryUsed()+req.sizeKB*(m.Machine.RunFactor-1) > m.memoryLimit(),
+			mayCall && offCores >= m.maxOffCores(), m.awaitsSharedLimit(i):
 			k++
 		default:
-			w.runStarted = m.now
-			if on == 0 {
+			req.runStarted = m.now
+			if onCores == 0 {
 				m.lastProgress = m.now
 			}
 			m.actions.Start(i)
@@ -52,28 +54,36 @@
 	}
 }
 
-// awaitsSharedLimit reports whether a queued RPC waits for a limit common to several app servers, whatever the cores
-// allow. Others are started before it.
+// awaitsSharedLimit reports whether a queued RPC must wait for a limit shared by several app servers, even
+// if cores are idle. RPCs without such a limit are started before it.
 func (m *Module) awaitsSharedLimit(i int) bool {
 	m.rpcs[i].sharedLimit = m.actions.Short(m.rpcs[i].method)
 	return m.rpcs[i].sharedLimit > 0
 }
 
-// adjustRunLimit adapts the limit to the cores: it grows fast while some are idle and RPCs wait, and decays to one
-// RPC a core, as more only slow each other down.
+// adjustRunLimit adapts the run limit to the cores: it grows fast while some are idle and RPCs wait, and
+// decays to one RPC per core, as more only slow each other down.
 func (m *Module) adjustRunLimit(gauges []float64) {
-	on := float64(m.count[running] + m.count[orphaned])
-	if k := m.coresGauge; k >= 0 && k < len(gauges) && gauges[k] >= 0 && gauges[k] < 1e6 { // else it is no count
-		on = gauges[k]
+	onCores := float64(m.count[running] + m.count[orphaned])
+	// Values outside this range are not counts of RPCs.
+	if index := m.coresGauge; index >= 0 && index < len(gauges) && gauges[index] >= 0 && gauges[index] < 1e6 {
+		onCores = gauges[index]
 	}
-	rise := on - float64(m.count[running]+m.count[orphaned]) - m.overheadCores
-	m.overheadCores += max(rise, 0.1*rise) * tickInterval // up within a second, down over ten
+	overhead := onCores - float64(m.count[running]+m.count[orphaned]) - m.overheadCores
+	m.overheadCores += max(overhead, 0.1*overhead) * tickInterval // rises within a second, falls over ten
 	if m.oldestAge(0) >= 0 {
-		m.runLimit += max(m.cores()-on, 0) * limitGrowthRate * tickInterval
+		m.runLimit += max(m.cores()-onCores, 0) * limitGrowthRate * tickInterval
 	}
 	m.runLimit += (m.cores() - m.runLimit) * limitDecayRate * tickInterval
-	m.runLimit = max(1, min(m.runLimit, 2*m.cores(), m.maxStarted())) // 3 a core gains nothing
+	m.runLimit = max(1, min(m.runLimit, 2*m.cores(), m.maxStarted())) // 3 per core gains nothing
 }
 
-// limitGrowthRate fills an idle core within a tenth of a second; limitDecayRate is over the time that a few RPCs take.
-const limitGrowthRate, limitDecayRate = 10, 0.2
+const (
+	// limitGrowthRate is the growth of the run limit per second and idle core: an idle core is filled within a
+	// tenth of a second.
+	limitGrowthRate = 10
+
+	// limitDecayRate is the share of its distance from one RPC per core that the run limit loses per second. The
+	// limit decays over about the time that a few RPCs take.
+	limitDecayRate = 0.2
+)
--- a/logic/states.go
+++ b/logic/states.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The states of an RPC, and the records of RPCs, callers and methods.
+// The states of RPCs, and what is recorded of RPCs, callers and methods.
 
 // state is the state of an RPC; only move changes it.
 type state uint8
@@ -14,60 +14,69 @@
 	running                // started and not answered
 	paused                 // started, off the cores until it may make its call
 	calling                // started, off the cores until its call ends
-	orphaned               // needs no answer any more, its work is still on the cores
-	closing                // needs no answer any more, its call is being ended
+	orphaned               // answered or abandoned, its work is still on the cores
+	closing                // answered or abandoned, its call is being ended
 	stateCount
 )
 
+// pending reports whether the RPC still needs an answer.
 func (s state) pending() bool { return s >= queued && s <= calling }
 
-// request is one open RPC.
+// request is one open RPC. Times are in seconds on the module's clock.
 type request struct {
-	state                     state
-	method, caller, callTries int // tries of its call
-	tenant                    int
-	sharedLimit               int     // the limit common to the fleet that it waits for, 0 for none
-	arrival, firstAttempt     float64 // here, and of its first try, as far as is known
-	deadline, sizeKB          float64
-	runStarted, callStarted   float64 // when it was started, and its call made
-	extraCall, deadlineSent   bool    // its call exceeds the whole part of the share; its caller sent its deadline
-	shareable                 bool    // others may share its answer
-	followers                 int     // RPCs that share its answer
-	wantedUntil               float64 // the latest goodUntil among them
-	tokenExpiry               float64 // until when its token is remembered, 0 if it is not
+	state        state
+	method       int // index in Settings.Methods
+	caller       int
+	callTries    int // tries of its current call
+	tenant       int
+	sharedLimit  int     // the limit shared by several app servers that it waits for, 0 for none
+	arrival      float64 // when it arrived at the machine
+	firstAttempt float64 // when its first attempt arrived at an app server, as far as is known
+	deadline     float64 // when it must be answered, less a margin
+	sizeKB       float64
+	runStarted   float64
+	callStarted  float64
+	extraCall    bool    // its call exceeds the whole part of the share
+	deadlineSent bool    // its caller sent its deadline
+	shareable    bool    // other RPCs may share its answer
+	followers    int     // RPCs that share its answer
+	wantedUntil  float64 // the latest fullValueUntil among its followers
+	tokenExpiry  float64 // when its token expires, 0 if the token is not remembered
 }
 
-// callerState records when one callerState last sent something and last had all answers, and its unanswered RPCs.
+// callerState is what the module knows of one caller.
 type callerState struct {
-	lastArrival, idleSince float64
-	outstanding            int
+	lastArrival float64
+	idleSince   float64 // when it last had all its answers
+	outstanding int     // RPCs without an answer
 }
 
-// methodStats is the recent history of a method: run times, arrivals, RPCs ok in time, and the age at which its
-// callers gave up, with how many did so in a row.
+// methodStats is the recent history of a method.
 type methodStats struct {
-	runTimes     histogram
-	arrivals, ok float64
-	giveUpAge    float64
-	giveUps      int
+	runTimes  histogram
+	arrivals  float64
+	ok        float64 // RPCs that were ok in time
+	giveUpAge float64 // age of an RPC at which its callers give up
+	giveUps   int     // how many callers in a row gave up at about that age
 }
 
-// move makes every change of state and maintains the counts and lists that depend on it.
+// move changes the state of an RPC and maintains the counts and lists that depend on it. All changes of
+// state go through it.
 func (m *Module) move(i int, to state) {
-	w := &m.rpcs[i]
-	from := w.state
+	req := &m.rpcs[i]
+	from := req.state
 	m.count[from]--
 	m.count[to]++
-	m.rpcKB += w.sizeKB * (m.memoryFactor(to) - m.memoryFactor(from))
+	m.rpcKB += req.sizeKB * (m.memoryFactor(to) - m.memoryFactor(from))
 	if from.pending() && !to.pending() {
-		if m.callers[w.caller].outstanding--; m.callers[w.caller].outstanding == 0 {
-			m.callers[w.caller].idleSince = m.now
+		if m.callers[req.caller].outstanding--; m.callers[req.caller].outstanding == 0 {
+			m.callers[req.caller].idleSince = m.now
 		}
 	}
-	w.state = to
+	req.state = to
 	switch from {
 	case absent:
-		m.callers[w.caller].outstanding++
+		m.callers[req.caller].outstanding++
 	case queued:
 		k := slices.Index(m.queue, i)
 		m.queue = slices.Delete(m.queue, k, k+1)
@@ -78,7 +87,7 @@
 	switch to {
 	case queued:
 		k := len(m.queue)
-		for k > 0 && m.rpcs[m.queue[k-1]].arrival > w.arrival {
+		for k > 0 && m.rpcs[m.queue[k-1]].arrival > req.arrival {
 			k--
 		}
 		m.queue = slices.Insert(m.queue, k, i)
