--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -11,521 +11,541 @@
 	"valveglade/rpc"
 )
 
-// answerSlack is the time in seconds past its due time in which an answer still counts: the platform's on sockets.
-const answerSlack = 0.05
+// answerTolerance is the time in seconds past its deadline in which an answer on a socket still counts.
+const answerTolerance = 0.05
 
-// longestLay is for how many seconds at most an RPC lies at a machine before it is read.
-const longestLay = 0.5
+// maxReadDelay is the longest time in seconds between the arrival of an RPC and its read.
+const maxReadDelay = 0.5
 
-// phase is where an RPC of a machine stands.
+// phase is the state of an RPC in a fakeServer.
 type phase uint8
 
 const (
-	phaseHeld phase = iota
+	phaseQueued phase = iota
 	phaseFollowing
 	phaseRunning // on the cores
-	phaseStalled // off the cores, waits for the module to place its call
+	phasePaused  // off the cores, waits for the module to start its call
 	phaseCalling
 	phaseReleased
 )
 
-// request is one RPC at a machine.
+// request is one RPC of a fakeServer.
 type request struct {
-	method, caller       int
-	phase                phase
-	arrival, read, due   float64
-	began                float64 // of its run, or of its wait for another's
-	kb                   float64
-	token                int // 0 for none
-	entry                *keyEntry
-	started, answered    bool
-	gone, stopped, ended bool
-	calls                int // that its run still needs
-}
-
-func (r *request) owed() bool { return !r.answered && !r.gone }
-
-// keyEntry is one entry of a machine's token table.
-type keyEntry struct {
+	method    int
+	caller    int
+	phase     phase
+	arrival   float64
+	read      float64
+	deadline  float64
+	waitStart float64 // when its run began, or its wait for the run that it follows
+	kb        float64
+	token     int // 0 for none
+	entry     *tokenEntry
+	started   bool
+	answered  bool
+	gone      bool // its caller no longer waits
+	stopped   bool
+	ended     bool
+	calls     int // that its run still needs
+}
+
+func (r *request) pending() bool { return !r.answered && !r.gone }
+
+// tokenEntry is one entry of a fakeServer's token table.
+type tokenEntry struct {
 	runner    int
-	request   *request // the runner, as its index comes back for another
-	until     float64
-	begun     bool
-	kept      bool
+	request   *request // the runner, as its index is reused
+	expiry    float64
+	started   bool
+	succeeded bool // the result is kept for followers
 	forgotten bool
 	followers []int
 }
 
-// pending is something that happens at a machine later.
-type pending struct {
-	at    float64
-	order int
-	do    func()
+// event is an action that a fakeServer takes at a later time.
+type event struct {
+	at       float64
+	sequence int // orders events of the same time
+	action   func()
 }
 
-type pendings []pending
+type eventQueue []event
 
-func (p pendings) Len() int { return len(p) }
-func (p pendings) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(p[a].at, p[b].at), cmp.Compare(p[a].order, p[b].order)) < 0
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(a, b int) bool {
+	return cmp.Or(cmp.Compare(q[a].at, q[b].at), cmp.Compare(q[a].sequence, q[b].sequence)) < 0
 }
-func (p pendings) Swap(a, b int) { p[a], p[b] = p[b], p[a] }
-func (p *pendings) Push(x any)   { *p = append(*p, x.(pending)) }
-func (p *pendings) Pop() any {
-	last := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// machine stands in for an app server whose runs end when they are drawn to. It checks each action of the module
-// against the rules and keeps the first few violations.
-type machine struct {
-	settings rpc.Settings
-	module   *logic.Module
-	chance   *rand.Rand
-	now      float64
-	began    float64
-	later    pendings
-	orders   int
-
-	requests []*request // by index
-	spare    []int
-	tokens   map[int]*keyEntry
-	lastRun  map[int]float64 // by token, arrival of the try that ran last
-	finished []int           // followers whose outcome is there
-	noticed  float64         // +Inf before the notice
-
-	runTime func(r *request) float64 // +Inf for one that never ends
-	gauges  func() []float64
-	onRun   func(i int, r *request)
-	onEnd   func(r *request) // an RPC has its answer
-
-	credit                    float64
-	health                    bool
-	wake                      float64
-	served, refused, aborted  int
-	logs, healthChanges, says int
-	violations                []string
-}
-
-func newMachine(settings rpc.Settings, chance *rand.Rand) *machine {
-	m := &machine{settings: settings, chance: chance, now: 1000, began: 1000, tokens: map[int]*keyEntry{},
-		lastRun: map[int]float64{}, noticed: math.Inf(1), credit: math.NaN()}
-	m.runTime = func(*request) float64 { return 0.01 }
-	m.gauges = func() []float64 { return nil }
-	m.module = logic.New(m.now, settings, m)
-	m.tickAfter(m.wake)
-	return m
-}
-
-func (m *machine) violate(format string, args ...any) {
-	if len(m.violations) < 5 {
-		m.violations = append(m.violations, fmt.Sprintf("%.3f: ", m.now-m.began)+fmt.Sprintf(format, args...))
-	}
-}
-
-// after has something done so many seconds from now.
-func (m *machine) after(seconds float64, do func()) {
+// fakeServer is a fake app server with simulated time and random run times. It checks each action of the
+// module against the rules and keeps the first few violations.
+type fakeServer struct {
+	settings   rpc.Settings
+	module     *logic.Module
+	rng        *rand.Rand
+	now        float64
+	startTime  float64
+	events     eventQueue
+	eventCount int
+
+	requests       []*request // by index
+	freeIndices    []int
+	tokens         map[int]*tokenEntry
+	lastRun        map[int]float64 // by token, arrival of the try that ran last
+	settled        []int           // followers whose outcome is known
+	shutdownNotice float64         // +Inf before the notice
+
+	runTime  func(r *request) float64 // +Inf for a run that never ends
+	gauges   func() []float64
+	onRun    func(i int, r *request)
+	onAnswer func(r *request)
+
+	credit        float64
+	health        bool
+	nextTick      float64 // seconds until the next tick that the module asked for
+	served        int
+	rejected      int
+	aborted       int
+	logs          int
+	healthChanges int
+	published     int // number of calls of Publish
+	violations    []string
+}
+
+func newFakeServer(settings rpc.Settings, rng *rand.Rand) *fakeServer {
+	s := &fakeServer{settings: settings, rng: rng, now: 1000, startTime: 1000, tokens: map[int]*tokenEntry{},
+		lastRun: map[int]float64{}, shutdownNotice: math.Inf(1), credit: math.NaN()}
+	s.runTime = func(*request) float64 { return 0.01 }
+	s.gauges = func() []float64 { return nil }
+	s.module = logic.New(s.now, settings, s)
+	s.scheduleTick(s.nextTick)
+	return s
+}
+
+func (s *fakeServer) addViolation(format string, args ...any) {
+	if len(s.violations) < 5 {
+		s.violations = append(s.violations, fmt.Sprintf("%.3f: ", s.now-s.startTime)+fmt.Sprintf(format, args...))
+	}
+}
+
+// after schedules an action for the given number of seconds from now.
+func (s *fakeServer) after(seconds float64, action func()) {
 	if !math.IsInf(seconds, 1) {
-		m.orders++
-		heap.Push(&m.later, pending{m.now + seconds, m.orders, do})
+		s.eventCount++
+		heap.Push(&s.events, event{s.now + seconds, s.eventCount, action})
 	}
 }
 
-func (m *machine) tickAfter(seconds float64) {
-	m.after(seconds+0.01*m.chance.Float64(), func() {
-		gauges := m.gauges()
-		m.call(func() { m.module.Tick(m.now, gauges) })
-		m.tickAfter(m.wake)
+func (s *fakeServer) scheduleTick(seconds float64) {
+	s.after(seconds+0.01*s.rng.Float64(), func() {
+		gauges := s.gauges()
+		s.notify(func() { s.module.Tick(s.now, gauges) })
+		s.scheduleTick(s.nextTick)
 	})
 }
 
-// pass lets time go by.
-func (m *machine) pass(seconds float64) {
-	end := m.now + seconds
-	for len(m.later) > 0 && m.later[0].at <= end {
-		next := heap.Pop(&m.later).(pending)
-		m.now = max(m.now, next.at)
-		next.do()
+// advance lets time pass and takes the actions that fall due.
+func (s *fakeServer) advance(seconds float64) {
+	end := s.now + seconds
+	for len(s.events) > 0 && s.events[0].at <= end {
+		next := heap.Pop(&s.events).(event)
+		s.now = max(s.now, next.at)
+		next.action()
 	}
-	m.now = end
+	s.now = end
 }
 
-// call tells the module something, then of what its actions brought about at once, and checks what must hold.
-func (m *machine) call(tell func()) {
-	tell()
-	for len(m.finished) > 0 {
-		i := m.finished[0]
-		m.finished = m.finished[1:]
-		if r := m.requests[i]; r.phase == phaseFollowing {
-			m.settleFollower(i, r)
+// notify reports an event to the module, then the outcomes of RPCs that follow others and were settled by
+// the event, and checks the invariants.
+func (s *fakeServer) notify(event func()) {
+	event()
+	for len(s.settled) > 0 {
+		i := s.settled[0]
+		s.settled = s.settled[1:]
+		if r := s.requests[i]; r.phase == phaseFollowing {
+			s.settleFollower(i, r)
 		}
 	}
-	m.check()
+	s.check()
 }
 
-// settleFollower tells the module how the RPC that another followed has ended.
-func (m *machine) settleFollower(i int, r *request) {
+// settleFollower ends RPC i, a follower, with the outcome of the RPC that it follows.
+func (s *fakeServer) settleFollower(i int, r *request) {
 	entry := r.entry
 	switch {
-	case entry.forgotten && m.tokens[r.token] != nil: // it never ran, another does
-		r.entry = m.tokens[r.token]
-		m.settleFollower(i, r)
+	case entry.forgotten && s.tokens[r.token] != nil: // it never ran, but another RPC with its token does
+		r.entry = s.tokens[r.token]
+		s.settleFollower(i, r)
 	case entry.forgotten:
-		r.phase = phaseHeld
-		m.module.Ended(m.now, i, rpc.Moot, 0)
-	case entry.kept:
-		m.answer(i)
-		m.served++
-		m.end(i, rpc.OK)
-	case entry.begun && !m.holds(entry):
-		m.answer(i)
-		m.end(i, rpc.Error)
+		r.phase = phaseQueued
+		s.module.Ended(s.now, i, rpc.Moot, 0)
+	case entry.succeeded:
+		s.answer(i)
+		s.served++
+		s.end(i, rpc.OK)
+	case entry.started && !s.isOpen(entry):
+		s.answer(i)
+		s.end(i, rpc.Error)
 	default:
 		entry.followers = append(entry.followers, i)
 	}
 }
 
-func (m *machine) holds(entry *keyEntry) bool {
+func (s *fakeServer) isOpen(entry *tokenEntry) bool {
 	return entry.request.phase != phaseReleased && !entry.request.ended
 }
 
-// end tells the module that a run, or an RPC that followed, has ended.
-func (m *machine) end(i int, how rpc.Outcome) {
-	r := m.requests[i]
+// end reports to the module the end of a run, or of an RPC that followed.
+func (s *fakeServer) end(i int, outcome rpc.Outcome) {
+	r := s.requests[i]
 	r.ended = true
-	m.module.Ended(m.now, i, how, m.now-r.began)
+	s.module.Ended(s.now, i, outcome, s.now-r.waitStart)
 }
 
-// check looks at memory, cores and dues.
-func (m *machine) check() {
-	kb, on := 0.0, 0
-	for i, r := range m.requests {
+// check verifies the bounds on memory and cores, and the deadlines.
+func (s *fakeServer) check() {
+	kb, onCores := 0.0, 0
+	for i, r := range s.requests {
 		switch r.phase {
-		case phaseHeld, phaseFollowing:
+		case phaseQueued, phaseFollowing:
 			kb += r.kb
 		case phaseRunning:
-			on++
+			onCores++
 			fallthrough
-		case phaseStalled, phaseCalling:
-			kb += r.kb * m.settings.Machine.RunFactor
+		case phasePaused, phaseCalling:
+			kb += r.kb * s.settings.Machine.RunFactor
 		}
-		if r.phase != phaseReleased && r.owed() && m.now > max(r.due, r.read)+answerSlack {
-			m.violate("RPC %d of method %d was due %.3f s ago and has no answer", i, r.method, m.now-r.due)
-			r.answered = true // told once
+		if r.phase != phaseReleased && r.pending() && s.now > max(r.deadline, r.read)+answerTolerance {
+			s.addViolation("RPC %d of method %d is %.3f s past its deadline and has no answer",
+				i, r.method, s.now-r.deadline)
+			r.answered = true // reported once
 		}
 	}
-	for token, entry := range m.tokens {
+	for token, entry := range s.tokens {
 		switch {
-		case entry.until+longestLay < m.now:
-			delete(m.tokens, token)
-		case entry.until > m.now:
-			kb += m.settings.Machine.EntryKB
+		case entry.expiry+maxReadDelay < s.now:
+			delete(s.tokens, token)
+		case entry.expiry > s.now:
+			kb += s.settings.Machine.EntryKB
 		}
 	}
-	if most := m.settings.Machine.MemoryKB; most > 0 && kb > most {
-		m.violate("%g KB of %g are taken", kb, most)
+	if limit := s.settings.Machine.MemoryKB; limit > 0 && kb > limit {
+		s.addViolation("%g KB of %g are taken", kb, limit)
 	}
-	if most := m.survivable(); float64(on) > most {
-		m.violate("%d RPCs are on cores that survive %.1f", on, most)
+	if limit := s.maxRunning(); float64(onCores) > limit {
+		s.addViolation("%d RPCs are on cores that withstand %.1f", onCores, limit)
 	}
 }
 
-func (m *machine) survivable() float64 {
-	rules, cores := m.settings.Rules, float64(max(m.settings.Machine.Cores, 1))
-	warmth := 1.0
-	if m.settings.Machine.Cold && rules.WarmIn > 0 {
-		warmth = min(1, rules.ColdAt+(1-rules.ColdAt)*(m.now-m.began)/rules.WarmIn)
+// maxRunning is the number of RPCs that the cores withstand at once.
+func (s *fakeServer) maxRunning() float64 {
+	rules, cores := s.settings.Rules, float64(max(s.settings.Machine.Cores, 1))
+	warmUpFactor := 1.0
+	if s.settings.Machine.Cold && rules.WarmIn > 0 {
+		warmUpFactor = min(1, rules.ColdAt+(1-rules.ColdAt)*(s.now-s.startTime)/rules.WarmIn)
 	}
-	return max(1, cores*(1+(max(rules.Crowd, 1)-1)*warmth))
+	return max(1, cores*(1+(max(rules.Crowd, 1)-1)*warmUpFactor))
 }
 
-// arrive has an RPC read that reached the machine lay seconds ago. due is 0 where its caller does not tell it.
-func (m *machine) arrive(method, caller, token int, lay, due, kb float64) int {
-	i := len(m.requests)
-	if n := len(m.spare); n > 0 {
-		i = m.spare[n-1]
-		m.spare = m.spare[:n-1]
-		m.requests[i] = nil
+// arrive reads an RPC that reached the server readDelay seconds ago. deadline is 0 where its caller does
+// not send one.
+func (s *fakeServer) arrive(method, caller, token int, readDelay, deadline, kb float64) int {
+	i := len(s.requests)
+	if n := len(s.freeIndices); n > 0 {
+		i = s.freeIndices[n-1]
+		s.freeIndices = s.freeIndices[:n-1]
+		s.requests[i] = nil
 	} else {
-		m.requests = append(m.requests, nil)
-	}
-	r := &request{method: method, caller: caller, arrival: m.now - lay, read: m.now, due: due, kb: kb}
-	if due == 0 {
-		r.due = math.Inf(1)
-		if d := m.settings.Methods[method].Deadline; d > 0 {
-			r.due = r.arrival + d
+		s.requests = append(s.requests, nil)
+	}
+	r := &request{method: method, caller: caller, arrival: s.now - readDelay, read: s.now,
+		deadline: deadline, kb: kb}
+	if deadline == 0 {
+		r.deadline = math.Inf(1)
+		if d := s.settings.Methods[method].Deadline; d > 0 {
+			r.deadline = r.arrival + d
 		}
 	}
-	if m.settings.Machine.Fresh > 0 || m.settings.Methods[method].Kind == rpc.Tokened {
+	if s.settings.Machine.Fresh > 0 || s.settings.Methods[method].Kind == rpc.Tokened {
 		r.token = method*1000 + token // a token belongs to its method
 	}
-	m.requests[i] = r
-	repeats := rpc.None
-	if entry := m.tokens[r.token]; r.token != 0 && entry != nil && entry.until > r.arrival {
+	s.requests[i] = r
+	repeatOf := rpc.None
+	if entry := s.tokens[r.token]; r.token != 0 && entry != nil && entry.expiry > r.arrival {
 		r.entry = entry
-		if repeats = rpc.Gone; m.holds(entry) {
-			repeats = entry.runner
+		if repeatOf = rpc.Gone; s.isOpen(entry) {
+			repeatOf = entry.runner
 		}
 	}
-	reads := m.settings.Methods[method].Kind == rpc.Idempotent
-	m.call(func() { m.module.Arrive(m.now, i, method, caller, 0, lay, false, reads, due, kb, repeats) })
+	readOnly := s.settings.Methods[method].Kind == rpc.Idempotent
+	s.notify(func() {
+		s.module.Arrive(s.now, i, method, caller, 0, readDelay, false, readOnly, deadline, kb, repeatOf)
+	})
 	return i
 }
 
-// leaveCaller has the caller of an RPC go, if it still waits.
-func (m *machine) leaveCaller(i int, r *request) {
-	if m.requests[i] == r && r.phase != phaseReleased && r.owed() {
+// callerGone lets the caller of an RPC go, if it still waits.
+func (s *fakeServer) callerGone(i int, r *request) {
+	if s.requests[i] == r && r.phase != phaseReleased && r.pending() {
 		r.gone = true
-		m.call(func() { m.module.CallerGone(m.now, i) })
+		s.notify(func() { s.module.CallerGone(s.now, i) })
 	}
 }
 
-// leave gives notice that the process is stopped so many seconds from now.
-func (m *machine) leave(seconds float64) {
-	m.noticed = m.now
-	stop := m.now + seconds
-	for _, r := range m.requests {
-		r.due = min(r.due, stop)
+// leave sends the shutdown notice: the process is stopped in the given number of seconds.
+func (s *fakeServer) leave(seconds float64) {
+	s.shutdownNotice = s.now
+	stop := s.now + seconds
+	for _, r := range s.requests {
+		r.deadline = min(r.deadline, stop)
 	}
-	m.call(func() { m.module.Leave(m.now, stop) })
+	s.notify(func() { s.module.Leave(s.now, stop) })
 }
 
-func (m *machine) answer(i int) {
-	r := m.requests[i]
+func (s *fakeServer) answer(i int) {
+	r := s.requests[i]
 	if r.phase == phaseReleased || r.answered {
-		m.violate("RPC %d is answered twice", i)
+		s.addViolation("RPC %d is answered twice", i)
 	}
 	r.answered = true
-	if m.onEnd != nil {
-		m.onEnd(r)
+	if s.onAnswer != nil {
+		s.onAnswer(r)
 	}
 }
 
-// runOver is the end of a run.
-func (m *machine) runOver(i int, r *request) {
-	if m.requests[i] != r || r.phase != phaseRunning || r.ended {
+// runEnded handles the end of a run, or of a part of it that ends with a call.
+func (s *fakeServer) runEnded(i int, r *request) {
+	if s.requests[i] != r || r.phase != phaseRunning || r.ended {
 		return
 	}
-	if r.calls > 0 && r.owed() {
+	if r.calls > 0 && r.pending() {
 		r.calls--
-		r.phase = phaseStalled
-		m.call(func() { m.module.NeedsCall(m.now, i) })
+		r.phase = phasePaused
+		s.notify(func() { s.module.NeedsCall(s.now, i) })
 		return
 	}
-	how := rpc.OK
+	outcome := rpc.OK
 	switch {
 	case r.stopped:
-		how = rpc.Cancelled
-	case r.owed():
-		m.answer(i)
-		m.served++
+		outcome = rpc.Cancelled
+	case r.pending():
+		s.answer(i)
+		s.served++
 	}
-	m.keep(i, r, how)
-	m.call(func() { m.end(i, how) })
+	s.recordOutcome(i, r, outcome)
+	s.notify(func() { s.end(i, outcome) })
 }
 
-// keep notes in the token table how a run has ended.
-func (m *machine) keep(i int, r *request, how rpc.Outcome) {
+// recordOutcome records in the token table how a run has ended.
+func (s *fakeServer) recordOutcome(i int, r *request, outcome rpc.Outcome) {
 	if entry := r.entry; entry != nil && entry.request == r {
-		entry.kept = how == rpc.OK
-		m.finished = append(m.finished, entry.followers...)
+		entry.succeeded = outcome == rpc.OK
+		s.settled = append(s.settled, entry.followers...)
 		entry.followers = nil
 	}
 }
 
-func (m *machine) Start(i int) {
-	r := m.requests[i]
-	if r.phase != phaseHeld || r.started || !r.owed() {
-		m.violate("RPC %d is started in phase %d", i, r.phase)
+func (s *fakeServer) Start(i int) {
+	r := s.requests[i]
+	if r.phase != phaseQueued || r.started || !r.pending() {
+		s.addViolation("RPC %d is started in phase %d", i, r.phase)
 	}
-	if r.arrival > m.noticed+m.settings.Rules.Grace {
-		m.violate("RPC %d came %.3f s after the notice and is started", i, r.arrival-m.noticed)
+	if r.arrival > s.shutdownNotice+s.settings.Rules.Grace {
+		s.addViolation("RPC %d arrived %.3f s after the shutdown notice and is started",
+			i, r.arrival-s.shutdownNotice)
 	}
-	method := m.settings.Methods[r.method]
+	method := s.settings.Methods[r.method]
 	if method.Kind == rpc.Tokened && r.token != 0 {
-		if last, ran := m.lastRun[r.token]; ran && r.arrival >= last && r.arrival <= last+method.Window {
-			m.violate("token %d runs a second time, %.3f s after the first, window %g", r.token, r.arrival-last, method.Window)
+		if last, ran := s.lastRun[r.token]; ran && r.arrival >= last && r.arrival <= last+method.Window {
+			s.addViolation("token %d runs a second time, %.3f s after the first, window %g",
+				r.token, r.arrival-last, method.Window)
 		}
-		m.lastRun[r.token] = r.arrival
+		s.lastRun[r.token] = r.arrival
 	}
 	if entry := r.entry; entry != nil && entry.request == r {
-		entry.begun = true
+		entry.started = true
 	}
-	r.started, r.phase, r.began = true, phaseRunning, m.now
-	if m.onRun != nil {
-		m.onRun(i, r)
+	r.started, r.phase, r.waitStart = true, phaseRunning, s.now
+	if s.onRun != nil {
+		s.onRun(i, r)
 	}
-	m.after(m.runTime(r), func() { m.runOver(i, r) })
+	s.after(s.runTime(r), func() { s.runEnded(i, r) })
 }
 
-func (m *machine) Stop(i int) {
-	r := m.requests[i]
-	if m.settings.Machine.Preemption == rpc.Unstoppable || m.settings.Machine.Preemption == "" {
-		m.violate("RPC %d is stopped where nothing can be", i)
+func (s *fakeServer) Stop(i int) {
+	r := s.requests[i]
+	if s.settings.Machine.Preemption == rpc.Unstoppable || s.settings.Machine.Preemption == "" {
+		s.addViolation("RPC %d is stopped without preemption", i)
 	}
 	r.stopped = true
-	m.after(0.0005, func() { m.runOver(i, r) })
+	s.after(0.0005, func() { s.runEnded(i, r) })
 }
 
-func (m *machine) Call(i int, patience float64) {
-	r := m.requests[i]
-	if r.phase != phaseStalled || math.IsNaN(patience) || patience <= 0 {
-		m.violate("RPC %d calls in phase %d with patience %g", i, r.phase, patience)
+func (s *fakeServer) Call(i int, timeout float64) {
+	r := s.requests[i]
+	if r.phase != phasePaused || math.IsNaN(timeout) || timeout <= 0 {
+		s.addViolation("RPC %d calls in phase %d with timeout %g", i, r.phase, timeout)
 	}
 	r.phase = phaseCalling
-	took, how := m.chance.ExpFloat64()*0.02, rpc.OK
-	if m.chance.IntN(5) == 0 {
+	took, outcome := s.rng.ExpFloat64()*0.02, rpc.OK
+	if s.rng.IntN(5) == 0 {
 		took = math.Inf(1)
 	}
-	if took >= patience {
-		took, how = patience+pick(m.chance, 0, 0.03, 3)*m.chance.Float64(), rpc.TimedOut // the word of it may come late
+	if took >= timeout {
+		// The timeout may be reported late.
+		took, outcome = timeout+pick(s.rng, 0, 0.03, 3)*s.rng.Float64(), rpc.TimedOut
 	}
-	m.after(took, func() {
-		if m.requests[i] != r || r.phase != phaseCalling {
+	s.after(took, func() {
+		if s.requests[i] != r || r.phase != phaseCalling {
 			return
 		}
-		if !r.owed() {
-			m.keep(i, r, rpc.Cancelled)
-			m.call(func() { m.end(i, rpc.Cancelled) })
+		if !r.pending() {
+			s.recordOutcome(i, r, rpc.Cancelled)
+			s.notify(func() { s.end(i, rpc.Cancelled) })
 			return
 		}
-		r.phase = phaseStalled
-		if how == rpc.OK {
+		r.phase = phasePaused
+		if outcome == rpc.OK {
 			r.phase = phaseRunning
-			m.after(m.runTime(r), func() { m.runOver(i, r) })
+			s.after(s.runTime(r), func() { s.runEnded(i, r) })
 		}
-		m.call(func() { m.module.Called(m.now, i, how) })
+		s.notify(func() { s.module.Called(s.now, i, outcome) })
 	})
 }
 
-func (m *machine) Skip(i int) {
-	r := m.requests[i]
-	if r.phase != phaseStalled {
-		m.violate("RPC %d skips a call in phase %d", i, r.phase)
+func (s *fakeServer) Skip(i int) {
+	r := s.requests[i]
+	if r.phase != phasePaused {
+		s.addViolation("RPC %d skips a call in phase %d", i, r.phase)
 	}
 	r.phase = phaseRunning
-	m.after(m.runTime(r), func() { m.runOver(i, r) })
+	s.after(s.runTime(r), func() { s.runEnded(i, r) })
 }
 
-func (m *machine) PushBack(i int, _ bool, after float64) {
-	r := m.requests[i]
-	if kind := m.settings.Methods[r.method].Kind; r.started && kind != rpc.Idempotent {
-		m.violate("RPC %d is %s, has been started and is pushed back", i, kind)
+func (s *fakeServer) PushBack(i int, _ bool, after float64) {
+	r := s.requests[i]
+	if kind := s.settings.Methods[r.method].Kind; r.started && kind != rpc.Idempotent {
+		s.addViolation("RPC %d is %s, has been started and is pushed back", i, kind)
 	}
-	if math.IsNaN(after) || after < 0 || after > m.settings.Ceilings.MaxRetryAfter {
-		m.violate("advice to stay away for %g s", after)
+	if math.IsNaN(after) || after < 0 || after > s.settings.Ceilings.MaxRetryAfter {
+		s.addViolation("retry-after delay of %g s", after)
 	}
-	m.answer(i)
-	m.refused++
-	m.closeStalled(i, r)
+	s.answer(i)
+	s.rejected++
+	s.endPaused(i, r)
 }
 
-func (m *machine) Abort(i int) {
-	m.answer(i)
-	m.aborted++
-	m.closeStalled(i, m.requests[i])
+func (s *fakeServer) Abort(i int) {
+	s.answer(i)
+	s.aborted++
+	s.endPaused(i, s.requests[i])
 }
 
-// closeStalled winds up an RPC that is answered while it waits for a call.
-func (m *machine) closeStalled(i int, r *request) {
-	if r.phase == phaseStalled {
-		m.after(0, func() {
-			if m.requests[i] == r && !r.ended && r.phase == phaseStalled {
-				m.keep(i, r, rpc.Cancelled)
-				m.call(func() { m.end(i, rpc.Cancelled) })
+// endPaused ends an RPC that was answered while it waited for a call.
+func (s *fakeServer) endPaused(i int, r *request) {
+	if r.phase == phasePaused {
+		s.after(0, func() {
+			if s.requests[i] == r && !r.ended && r.phase == phasePaused {
+				s.recordOutcome(i, r, rpc.Cancelled)
+				s.notify(func() { s.end(i, rpc.Cancelled) })
 			}
 		})
 	}
 }
 
-func (m *machine) Remember(i int, span float64) {
-	r := m.requests[i]
-	if math.IsNaN(span) || math.IsInf(span, 0) || span < 0 {
-		m.violate("RPC %d is remembered for %g s", i, span)
+func (s *fakeServer) Remember(i int, ttl float64) {
+	r := s.requests[i]
+	if math.IsNaN(ttl) || math.IsInf(ttl, 0) || ttl < 0 {
+		s.addViolation("RPC %d is remembered for %g s", i, ttl)
 	}
 	if r.token == 0 {
 		return
 	}
-	entry := &keyEntry{runner: i, request: r, until: m.now + span}
-	if old := m.tokens[r.token]; old != nil && !old.begun {
+	entry := &tokenEntry{runner: i, request: r, expiry: s.now + ttl}
+	if old := s.tokens[r.token]; old != nil && !old.started {
 		entry.followers, old.followers = old.followers, nil
 		for _, k := range entry.followers {
-			m.requests[k].entry = entry
+			s.requests[k].entry = entry
 		}
 	}
-	r.entry, m.tokens[r.token] = entry, entry
+	r.entry, s.tokens[r.token] = entry, entry
 }
 
-func (m *machine) Forget(i int) {
-	r := m.requests[i]
+func (s *fakeServer) Forget(i int) {
+	r := s.requests[i]
 	if entry := r.entry; entry != nil && entry.request == r {
-		if entry.begun && m.settings.Methods[r.method].Kind == rpc.Tokened {
-			m.violate("token %d has been run and is forgotten", r.token)
+		if entry.started && s.settings.Methods[r.method].Kind == rpc.Tokened {
+			s.addViolation("token %d has been run and is forgotten", r.token)
 		}
 		entry.forgotten = true
-		m.finished = append(m.finished, entry.followers...)
-		if m.tokens[r.token] == entry {
-			delete(m.tokens, r.token)
+		s.settled = append(s.settled, entry.followers...)
+		if s.tokens[r.token] == entry {
+			delete(s.tokens, r.token)
 		}
 	}
 }
 
-func (m *machine) Follow(i int) {
-	r := m.requests[i]
-	if r.phase != phaseHeld {
-		m.violate("RPC %d follows in phase %d", i, r.phase)
+func (s *fakeServer) Follow(i int) {
+	r := s.requests[i]
+	if r.phase != phaseQueued {
+		s.addViolation("RPC %d follows another in phase %d", i, r.phase)
 	}
-	r.phase, r.began = phaseFollowing, m.now
+	r.phase, r.waitStart = phaseFollowing, s.now
 	entry := r.entry
-	if entry.kept || entry.begun && !m.holds(entry) {
-		m.finished = append(m.finished, i)
+	if entry.succeeded || entry.started && !s.isOpen(entry) {
+		s.settled = append(s.settled, i)
 		return
 	}
 	entry.followers = append(entry.followers, i)
 }
 
-func (m *machine) Release(i int) {
-	r := m.requests[i]
+func (s *fakeServer) Release(i int) {
+	r := s.requests[i]
 	if r.phase == phaseReleased {
-		m.violate("RPC %d is released twice", i)
+		s.addViolation("RPC %d is released twice", i)
 	}
-	if r.owed() {
-		m.violate("RPC %d is released and has no answer", i)
+	if r.pending() {
+		s.addViolation("RPC %d is released and has no answer", i)
 	}
 	if r.phase == phaseRunning && !r.ended {
-		m.violate("RPC %d is released while it runs", i)
+		s.addViolation("RPC %d is released while it runs", i)
 	}
 	r.phase = phaseReleased
-	m.spare = append(m.spare, i)
+	s.freeIndices = append(s.freeIndices, i)
 }
 
-func (m *machine) Publish(value float64) {
+func (s *fakeServer) Publish(value float64) {
 	if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-		m.violate("a credit of %g is published", value)
+		s.addViolation("a credit of %g is published", value)
 	}
-	m.credit = value
-	m.says++
+	s.credit = value
+	s.published++
 }
 
-func (m *machine) Wake(after float64) {
+func (s *fakeServer) Wake(after float64) {
 	if !(after > 0 && after <= 1) {
-		m.violate("the next tick is wanted in %g s", after)
+		s.addViolation("the next tick is requested in %g s", after)
 		after = 0.02
 	}
-	m.wake = after
+	s.nextTick = after
 }
 
-func (m *machine) Reap(idle float64) {
-	if !(idle > 0 && idle <= m.settings.Machine.KeepAlive) {
-		m.violate("idle connections are closed after %g s of %g", idle, m.settings.Machine.KeepAlive)
+func (s *fakeServer) Reap(idle float64) {
+	if !(idle > 0 && idle <= s.settings.Machine.KeepAlive) {
+		s.addViolation("idle connections are closed after %g s of %g", idle, s.settings.Machine.KeepAlive)
 	}
 }
 
-func (m *machine) Health(good bool) {
-	m.health = good
-	m.healthChanges++
+func (s *fakeServer) Health(healthy bool) {
+	s.health = healthy
+	s.healthChanges++
 }
 
-func (m *machine) Short(int) int { return 0 }
-func (m *machine) Log(string)    { m.logs++ }
+func (s *fakeServer) Short(int) int { return 0 }
+func (s *fakeServer) Log(string)    { s.logs++ }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -7,17 +7,17 @@
 	"valveglade/rpc"
 )
 
-// The ordinary path: oldest first within the running limit; past the threshold the least is refused, whether it has
-// just come or is queued.
+// RPCs start oldest first within the run limit. Past the delay threshold the RPC with the lowest value is
+// rejected, whether it has just arrived or is queued.
 func Example_threshold() {
-	d := open(nil)
+	h := newHarness(nil)
 	for i := range 4 {
-		d.arrive(i, read)
+		h.arrive(i, read)
 	}
-	d.pass(0.42)
-	d.arrive(4, read)
-	d.arrive(5, page)
-	d.ended(0, rpc.OK)
+	h.advance(0.42)
+	h.arrive(4, read)
+	h.arrive(5, page)
+	h.end(0, rpc.OK)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -27,24 +27,25 @@
 	//   0.42 start 3
 }
 
-// The credit grows while a caller has its full credit out, is cut with the delay, and comes back.
+// The credit grows while a caller has its full credit outstanding, is cut when the delay grows, and
+// recovers.
 func Example_credit() {
-	d := open(nil)
-	d.credits = true
-	d.arriveAs(0, read, 0, 0, rpc.None)
-	d.arriveAs(1, read, 1, 0, rpc.None)
-	d.pass(0.3)
+	h := newHarness(nil)
+	h.printCredit = true
+	h.arriveFrom(0, read, 0, 0, rpc.None)
+	h.arriveFrom(1, read, 1, 0, rpc.None)
+	h.advance(0.3)
 	for i := 2; i < 5; i++ {
-		d.arriveAs(i, read, 0, 0, rpc.None)
+		h.arriveFrom(i, read, 0, 0, rpc.None)
 	}
-	d.pass(0.5)
+	h.advance(0.5)
 	for i := range 5 {
-		d.ended(i, rpc.OK)
+		h.end(i, rpc.OK)
 	}
 	for i := 5; i < 12; i++ {
-		d.arriveAs(i, read, 0, 0, rpc.None)
-		d.pass(0.2)
-		d.ended(i, rpc.OK)
+		h.arriveFrom(i, read, 0, 0, rpc.None)
+		h.advance(0.2)
+		h.end(i, rpc.OK)
 	}
 	// Output:
 	//   0.00 health true
@@ -65,14 +66,14 @@
 	//   2.00 start 11
 }
 
-// Once the queue has stood full for a while the newest goes first.
+// Once the queue has been over its threshold for long, the newest RPC is started first.
 func Example_newestFirst() {
-	d := open(func(c *rpc.Settings) { c.Methods[page].Target = 7 })
+	h := newHarness(func(c *rpc.Settings) { c.Methods[page].Target = 7 })
 	for i := range 6 {
-		d.arrive(i, page)
+		h.arrive(i, page)
 	}
-	d.pass(1.8)
-	d.ended(0, rpc.OK)
+	h.advance(1.8)
+	h.end(0, rpc.OK)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -81,15 +82,15 @@
 	//   1.80 start 5
 }
 
-// Many refusals: callers are asked not to go on through their lists.
-func Example_swamped() {
-	d := open(nil)
+// After many rejections callers are asked not to try further app servers.
+func Example_fleetOverloaded() {
+	h := newHarness(nil)
 	for i := range 4 {
-		d.arrive(i, page)
+		h.arrive(i, page)
 	}
-	d.pass(0.5)
+	h.advance(0.5)
 	for i := 4; i < 10; i++ {
-		d.arrive(i, read)
+		h.arrive(i, read)
 	}
 	// Output:
 	//   0.00 health true
@@ -103,19 +104,19 @@
 	//   0.50 push back 9, last true, after 0.30
 }
 
-// A tokened RPC runs once: a further try takes the place of one that is queued, and follows one that has started,
-// is ok or was answered.
+// A tokened RPC runs once: a retry replaces the RPC if that is queued, and follows it if it has started, is
+// ok or was answered.
 func Example_tokened() {
-	d := open(func(c *rpc.Settings) { c.Machine.Cores = 1 })
-	d.arrive(0, page)
-	d.arrive(1, write)
-	d.repeat(2, write, 1)
-	d.ended(0, rpc.OK)
-	d.repeat(3, write, 2)
-	d.m.CallerGone(d.now, 2)
-	d.ended(2, rpc.Cancelled)
-	d.ended(3, rpc.OK)
-	d.repeat(4, write, rpc.Gone)
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Cores = 1 })
+	h.arrive(0, page)
+	h.arrive(1, write)
+	h.arriveRepeat(2, write, 1)
+	h.end(0, rpc.OK)
+	h.arriveRepeat(3, write, 2)
+	h.m.CallerGone(h.now, 2)
+	h.end(2, rpc.Cancelled)
+	h.end(3, rpc.OK)
+	h.arriveRepeat(4, write, rpc.Gone)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -127,12 +128,12 @@
 	//   0.00 follow 4
 }
 
-// A token of an RPC that will never run is forgotten, with its memory.
+// The token of an RPC that will never run is forgotten and its memory freed.
 func Example_tokenForgotten() {
-	d := open(func(c *rpc.Settings) { c.Machine.Cores = 1 })
-	d.arrive(0, page)
-	d.arrive(1, write)
-	d.m.CallerGone(d.now, 1)
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Cores = 1 })
+	h.arrive(0, page)
+	h.arrive(1, write)
+	h.m.CallerGone(h.now, 1)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -140,18 +141,18 @@
 	//   0.00 forget 1
 }
 
-// Work that hangs: every RPC is answered in time all the same, what was run is refused only if it is idempotent,
-// and cores that come back are used.
-func Example_hang() {
-	d := open(nil)
-	d.arrive(0, read)
-	d.arrive(1, page)
-	d.arrive(2, read)
-	d.arrive(3, page)
-	d.pass(8.1)
-	d.ended(0, rpc.Cancelled)
-	d.ended(1, rpc.Cancelled)
-	d.arrive(4, read)
+// Work is stuck: every RPC is still answered in time, one that has started is pushed back only if it is
+// idempotent, and cores that become free are used.
+func Example_stuckWork() {
+	h := newHarness(nil)
+	h.arrive(0, read)
+	h.arrive(1, page)
+	h.arrive(2, read)
+	h.arrive(3, page)
+	h.advance(8.1)
+	h.end(0, rpc.Cancelled)
+	h.end(1, rpc.Cancelled)
+	h.arrive(4, read)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -169,15 +170,16 @@
 	//   8.10 start 4
 }
 
-// Work that cannot be stopped keeps its place, answered by its due time, and the crowd stays within the limit.
+// Work that cannot be stopped keeps its core after its RPC has been answered by its deadline, and the
+// number of started RPCs stays within the limit.
 func Example_unstoppable() {
-	d := open(func(c *rpc.Settings) { c.Machine.Preemption = rpc.Unstoppable })
-	d.arrive(0, read)
-	d.arrive(1, page)
-	d.m.CallerGone(d.now, 0)
-	d.arrive(2, page)
-	d.pass(8)
-	d.ended(1, rpc.OK)
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Preemption = rpc.Unstoppable })
+	h.arrive(0, read)
+	h.arrive(1, page)
+	h.m.CallerGone(h.now, 0)
+	h.arrive(2, page)
+	h.advance(8)
+	h.end(1, rpc.OK)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -190,40 +192,42 @@
 	//   7.98 abort 1
 }
 
-// A non-idempotent RPC's call is repeated only if it never ran; an abandoned one keeps its share for a while.
+// The call of a non-idempotent RPC is retried only if it never ran. An abandoned call counts in the share
+// for the linger time.
 func Example_calls() {
-	d := open(nil)
-	d.arrive(0, page)
-	d.arrive(1, page)
-	d.m.NeedsCall(d.now, 0)
-	d.m.NeedsCall(d.now, 1)
-	d.m.Called(d.now, 0, rpc.PushedBack)
-	d.pass(0.1)
-	d.m.Called(d.now, 1, rpc.TimedOut)
-	d.pass(0.3)
+	h := newHarness(nil)
+	h.arrive(0, page)
+	h.arrive(1, page)
+	h.m.NeedsCall(h.now, 0)
+	h.m.NeedsCall(h.now, 1)
+	h.m.Called(h.now, 0, rpc.PushedBack)
+	h.advance(0.1)
+	h.m.Called(h.now, 1, rpc.TimedOut)
+	h.advance(0.3)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.00 start 1
-	//   0.00 call 0, patience 2.40
-	//   0.00 call 1, patience 2.40
+	//   0.00 call 0, timeout 2.40
+	//   0.00 call 1, timeout 2.40
 	//   0.10 abort 1
-	//   0.32 call 0, patience 2.08
+	//   0.32 call 0, timeout 2.08
 }
 
-// A silent dependency leaves room for the methods that do not call, and a bounded crowd that waits.
+// An unresponsive dependency leaves cores to the methods that do not call it, and the number of RPCs that
+// wait for it is bounded.
 func Example_silentDependency() {
-	d := open(nil)
+	h := newHarness(nil)
 	for i := range 4 {
-		d.arrive(i, page)
-		d.m.NeedsCall(d.now, i)
+		h.arrive(i, page)
+		h.m.NeedsCall(h.now, i)
 	}
-	d.arrive(4, read)
-	d.pass(2.42)
+	h.arrive(4, read)
+	h.advance(2.42)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
-	//   0.00 call 0, patience 2.40
+	//   0.00 call 0, timeout 2.40
 	//   0.00 start 1
 	//   0.00 start 4
 	//   1.22 push back 4, last true, after 1.00
@@ -238,18 +242,19 @@
 	//   2.42 log work hangs: true
 }
 
-// The notice: callers are told to stay away once the grace is over, and not before, as what comes until then is
-// run; what came past it is not, a repeat of what ran is not refused, and all is answered before the stop.
+// After the shutdown notice the credit drops to 0 once the grace is over, and not before, as RPCs that
+// arrive until then are run. Those that arrive later are not, a retry of an RPC that ran is not pushed
+// back, and all are answered before the stop.
 func Example_leave() {
-	d := open(nil)
-	d.credits = true
-	d.arrive(0, write)
-	d.arrive(1, page)
-	d.m.Leave(d.now, d.now+3)
-	d.pass(1.1)
-	d.arrive(2, read)
-	d.repeat(3, write, 0)
-	d.pass(1.5)
+	h := newHarness(nil)
+	h.printCredit = true
+	h.arrive(0, write)
+	h.arrive(1, page)
+	h.m.Leave(h.now, h.now+3)
+	h.advance(1.1)
+	h.arrive(2, read)
+	h.arriveRepeat(3, write, 0)
+	h.advance(1.5)
 	// Output:
 	//   0.00 health true
 	//   0.00 remember 0 for 10.02
@@ -267,14 +272,15 @@
 	//   2.48 stop 1
 }
 
-// Memory: what does not fit beside the rest waits; what never fits is refused at once.
+// An RPC waits while there is no memory for it beside the others. One that can never fit is rejected at
+// once.
 func Example_memory() {
-	d := open(func(c *rpc.Settings) { c.Machine.MemoryKB = 200 })
-	d.arrive(0, read)
-	d.arrive(1, read)
-	d.arrive(2, read)
-	d.m.Arrive(d.now, 3, read, 0, 0, 0, false, false, 0, 60, rpc.None)
-	d.ended(0, rpc.OK)
+	h := newHarness(func(c *rpc.Settings) { c.Machine.MemoryKB = 200 })
+	h.arrive(0, read)
+	h.arrive(1, read)
+	h.arrive(2, read)
+	h.m.Arrive(h.now, 3, read, 0, 0, 0, false, false, 0, 60, rpc.None)
+	h.end(0, rpc.OK)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -283,14 +289,16 @@
 	//   0.00 start 2
 }
 
-// A cold app server takes less: the survivable crowd rises with its warmth.
+// A cold app server starts fewer RPCs; the limit rises as it warms up.
 func Example_cold() {
-	d := open(func(c *rpc.Settings) { c.Machine.Cold, c.Machine.Cores, c.Rules.Crowd, c.Rules.ColdAt = true, 4, 2, 0 })
+	h := newHarness(func(c *rpc.Settings) {
+		c.Machine.Cold, c.Machine.Cores, c.Rules.Crowd, c.Rules.ColdAt = true, 4, 2, 0
+	})
 	for i := range 5 {
-		d.arrive(i, page)
+		h.arrive(i, page)
 	}
-	d.cores = 1
-	d.pass(2)
+	h.onCores = 1
+	h.advance(2)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -300,19 +308,20 @@
 	//   1.76 log queue full for a while: true, 1 queued
 }
 
-// Hundreds of callers with one RPC each: idle connections are closed at once. While a storm of new ones takes the
-// cores they are kept, as a full table holds it off. Callers that come back keep theirs.
-func Example_connections() {
+// With hundreds of callers that send one RPC each, idle connections are closed at once. While a burst of
+// new ones takes the cores they are kept, as a full table holds the burst off. Callers that return keep
+// their connections.
+func Example_idleConnections() {
 	for _, callers := range []int{160, 2} {
-		d := open(nil)
-		d.reaps = true
+		h := newHarness(nil)
+		h.onlyIdleTimeouts = true
 		for i := range 160 {
-			d.arriveAs(i%2, page, i%callers, 0, rpc.None)
-			d.pass(0.1)
-			d.ended(i%2, rpc.OK)
+			h.arriveFrom(i%2, page, i%callers, 0, rpc.None)
+			h.advance(0.1)
+			h.end(i%2, rpc.OK)
 		}
-		d.cores = 30
-		d.pass(1)
+		h.onCores = 30
+		h.advance(1)
 	}
 	// Output:
 	//   0.00 health true
@@ -324,20 +333,21 @@
 	//  16.50 close idle connections after 30.00
 }
 
-// Where tries are marked, many refusals alone do not say that others are full: callers are asked not to go on only
-// while many arrivals are further tries. Those count as old as what is refused here, and are given up sooner.
-func Example_furtherTries() {
-	d := open(func(c *rpc.Settings) { c.Clients.MarksRetry = true })
+// Where retries are marked, many rejections alone do not show that other app servers are full: callers are
+// asked to stop only while many arrivals are retries. The age of a retry includes the average age at which
+// RPCs are rejected here, so it is given up sooner.
+func Example_markedRetries() {
+	h := newHarness(func(c *rpc.Settings) { c.Clients.MarksRetry = true })
 	for i := range 4 {
-		d.arrive(i, page)
+		h.arrive(i, page)
 	}
-	d.pass(0.5)
+	h.advance(0.5)
 	for i := 4; i < 10; i++ {
-		d.arrive(i, read)
+		h.arrive(i, read)
 	}
-	d.further = true
+	h.markRetries = true
 	for i := 10; i < 16; i++ {
-		d.arrive(i, read)
+		h.arrive(i, read)
 	}
 	// Output:
 	//   0.00 health true
@@ -357,26 +367,27 @@
 	//   0.50 push back 15, last true, after 0.30
 }
 
-// A caller that says how long it waits and takes back many at once teaches no patience: with it the last two would
-// be pushed back though there is time. What repeats an RPC that turns out never to have run is run itself.
-func Example_takenBack() {
-	d := open(nil)
-	tell := func(i int) { d.m.Arrive(d.now, i, read, 0, 0, 0, false, false, d.now+3, 20, rpc.None) }
+// A caller that sends deadlines and cancels many RPCs at once does not change the give-up age; if it did,
+// the last two RPCs would be pushed back although there is time. A retry of an RPC that turns out never to
+// have run is run itself.
+func Example_cancelledWithDeadline() {
+	h := newHarness(nil)
+	arrive := func(i int) { h.m.Arrive(h.now, i, read, 0, 0, 0, false, false, h.now+3, 20, rpc.None) }
 	for i := range 5 {
-		tell(i)
-		d.m.CallerGone(d.now, i)
-		d.ended(i, rpc.Cancelled)
+		arrive(i)
+		h.m.CallerGone(h.now, i)
+		h.end(i, rpc.Cancelled)
 	}
-	tell(5)
-	d.arrive(6, write)
-	tell(7)
-	d.repeat(8, write, 6)
-	d.pass(0.1)
-	d.ended(5, rpc.OK)
-	d.ended(6, rpc.Moot)
-	d.ended(8, rpc.Moot)
-	d.ended(7, rpc.OK)
-	d.ended(8, rpc.OK)
+	arrive(5)
+	h.arrive(6, write)
+	arrive(7)
+	h.arriveRepeat(8, write, 6)
+	h.advance(0.1)
+	h.end(5, rpc.OK)
+	h.end(6, rpc.Moot)
+	h.end(8, rpc.Moot)
+	h.end(7, rpc.OK)
+	h.end(8, rpc.OK)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -400,19 +411,19 @@
 	//   0.10 start 8
 }
 
-// Callers that each come once give up at one age: what cannot be done by then is pushed back.
-func Example_patience() {
-	d := open(nil)
+// Callers that send one RPC each give up at the same age: RPCs that cannot be done by then are pushed back.
+func Example_giveUpAge() {
+	h := newHarness(nil)
 	for i := range 4 {
-		d.arriveAs(i, page, i, 0, rpc.None)
-		d.pass(0.8)
-		d.m.CallerGone(d.now, i)
-		d.ended(i, rpc.Cancelled)
+		h.arriveFrom(i, page, i, 0, rpc.None)
+		h.advance(0.8)
+		h.m.CallerGone(h.now, i)
+		h.end(i, rpc.Cancelled)
 	}
-	d.arriveAs(4, page, 4, 0, rpc.None)
-	d.arriveAs(5, page, 5, 0, rpc.None)
-	d.arriveAs(6, page, 6, 0, rpc.None)
-	d.pass(0.1)
+	h.arriveFrom(4, page, 4, 0, rpc.None)
+	h.arriveFrom(5, page, 5, 0, rpc.None)
+	h.arriveFrom(6, page, 6, 0, rpc.None)
+	h.advance(0.1)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -428,14 +439,14 @@
 	//   3.20 push back 6, last false, after 0.00
 }
 
-// RPCs that wait for a disk leave cores idle: the limit grows at once, and no further than twice the cores.
+// RPCs that wait for a disk leave cores idle: the run limit grows at once, up to twice the cores.
 func Example_idleCores() {
-	d := open(nil)
+	h := newHarness(nil)
 	for i := range 6 {
-		d.arrive(i, page)
+		h.arrive(i, page)
 	}
-	d.cores = 1
-	d.pass(0.3)
+	h.onCores = 1
+	h.advance(0.3)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -444,15 +455,15 @@
 	//   0.22 start 3
 }
 
-// The signals by share say how much of what is in hand the pool covers, whenever that changes.
+// The signals that are shares publish how much of the open RPCs the pool covers, whenever that changes.
 func Example_signals() {
 	for _, signal := range []rpc.Signal{rpc.Weight, rpc.Floor, "none"} {
-		d := open(func(c *rpc.Settings) { c.Machine.Signal = signal })
-		d.credits = true
+		h := newHarness(func(c *rpc.Settings) { c.Machine.Signal = signal })
+		h.printCredit = true
 		for i := range 6 {
-			d.arriveAs(i, page, i, 0, rpc.None)
+			h.arriveFrom(i, page, i, 0, rpc.None)
 		}
-		d.pass(0.9)
+		h.advance(0.9)
 	}
 	// Output:
 	//   0.00 health true
@@ -470,15 +481,15 @@
 	//   0.00 start 1
 }
 
-// Odd settings keep the rules: no figures at all, and a deadline shorter than the latency target.
-func Example_odd() {
-	d := open(func(c *rpc.Settings) { *c = rpc.Settings{} })
-	d.arrive(0, read)
-	d.pass(0.1)
-	d = open(func(c *rpc.Settings) { c.Machine.Cores, c.Methods[read].Deadline = 1, 0.5 })
-	d.arrive(0, read)
-	d.arrive(1, read)
-	d.pass(0.6)
+// Incomplete settings keep the rules: none at all, and a deadline shorter than the latency target.
+func Example_incompleteSettings() {
+	h := newHarness(func(c *rpc.Settings) { *c = rpc.Settings{} })
+	h.arrive(0, read)
+	h.advance(0.1)
+	h = newHarness(func(c *rpc.Settings) { c.Machine.Cores, c.Methods[read].Deadline = 1, 0.5 })
+	h.arrive(0, read)
+	h.arrive(1, read)
+	h.advance(0.6)
 	// Output:
 	//   0.00 health true
 	//   0.00 abort 0
@@ -489,66 +500,68 @@
 	//   0.48 push back 1, last false, after 0.28
 }
 
-// A dependency that slows down gets fewer calls at a time, and more once it is well.
-func Example_crowdedDependency() {
-	d := open(func(c *rpc.Settings) { c.Machine.CallsOut = 4 })
-	d.arrive(0, page)
-	d.arrive(1, page)
+// A dependency that slows down gets fewer calls at a time, and more once it is fast again.
+func Example_overloadedDependency() {
+	h := newHarness(func(c *rpc.Settings) { c.Machine.CallsOut = 4 })
+	h.arrive(0, page)
+	h.arrive(1, page)
 	for _, took := range []float64{0.1, 0.6, 0.1, 0.1} {
-		d.m.NeedsCall(d.now, 0)
-		d.m.NeedsCall(d.now, 1)
-		d.now += took
-		d.m.Called(d.now, 0, rpc.OK)
-		d.m.Called(d.now, 1, rpc.OK)
+		h.m.NeedsCall(h.now, 0)
+		h.m.NeedsCall(h.now, 1)
+		h.now += took
+		h.m.Called(h.now, 0, rpc.OK)
+		h.m.Called(h.now, 1, rpc.OK)
 	}
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.00 start 1
-	//   0.00 call 0, patience 2.40
-	//   0.00 call 1, patience 2.40
-	//   0.10 call 0, patience 2.30
-	//   0.10 call 1, patience 2.30
-	//   0.70 call 0, patience 1.70
-	//   0.80 call 1, patience 1.60
-	//   0.80 call 0, patience 1.60
-	//   0.80 call 1, patience 1.60
-}
-
-// The fraction of a share past a whole number is used too: one call more at times, shorter in patience.
+	//   0.00 call 0, timeout 2.40
+	//   0.00 call 1, timeout 2.40
+	//   0.10 call 0, timeout 2.30
+	//   0.10 call 1, timeout 2.30
+	//   0.70 call 0, timeout 1.70
+	//   0.80 call 1, timeout 1.60
+	//   0.80 call 0, timeout 1.60
+	//   0.80 call 1, timeout 1.60
+}
+
+// The fraction of a share beyond a whole number is used too: now and then one more call, with a shorter
+// timeout.
 func Example_shareFraction() {
-	d := open(func(c *rpc.Settings) { c.Machine.CallsOut = 1.25 })
-	d.arrive(0, page)
-	d.arrive(1, page)
-	d.m.NeedsCall(d.now, 0)
-	d.m.NeedsCall(d.now, 1)
-	d.now += 0.1
-	d.m.Called(d.now, 1, rpc.OK)
-	d.m.NeedsCall(d.now, 1)
-	d.pass(0.4)
+	h := newHarness(func(c *rpc.Settings) { c.Machine.CallsOut = 1.25 })
+	h.arrive(0, page)
+	h.arrive(1, page)
+	h.m.NeedsCall(h.now, 0)
+	h.m.NeedsCall(h.now, 1)
+	h.now += 0.1
+	h.m.Called(h.now, 1, rpc.OK)
+	h.m.NeedsCall(h.now, 1)
+	h.advance(0.4)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.00 start 1
-	//   0.00 call 0, patience 2.40
-	//   0.00 call 1, patience 1.05
-	//   0.42 call 1, patience 0.95
-}
-
-// A limit common to several app servers is a queue of its own: what waits for it is passed by others, says nothing of the cores
-// and, past the threshold, has its own least worthy refused; once there is a permit it starts at the next look.
-func Example_commonLimit() {
-	d := open(nil)
-	d.short = read + 1
-	d.arrive(0, read)
-	d.arrive(1, write)
-	d.ended(1, rpc.OK)
-	d.pass(0.42)
-	d.arrive(2, write) // not refused, though an RPC has been queued past the threshold
-	d.arrive(3, read)  // refused, as that waits for the same limit
-	d.ended(2, rpc.OK)
-	d.short = 0
-	d.pass(0.02)
+	//   0.00 call 0, timeout 2.40
+	//   0.00 call 1, timeout 1.05
+	//   0.42 call 1, timeout 0.95
+}
+
+// RPCs that wait for a limit shared by several app servers form a queue of their own. Others are started
+// before them, their delay says nothing about the cores and, past the threshold, the one with the lowest
+// value among them is rejected. Once the limit allows it, the RPC starts at the next tick.
+func Example_sharedLimit() {
+	h := newHarness(nil)
+	h.limitedMethod = read + 1
+	h.arrive(0, read)
+	h.arrive(1, write)
+	h.end(1, rpc.OK)
+	h.advance(0.42)
+	h.arrive(2, write) // not rejected, though an RPC has been queued past the threshold
+	h.arrive(3, read)  // rejected, as that RPC waits for the same limit
+	h.end(2, rpc.OK)
+	h.limitedMethod = 0
+	h.advance(0.02)
 	// Output:
 	//   0.00 health true
 	//   0.00 remember 1 for 10.02
@@ -559,26 +572,26 @@
 	//   0.44 start 0
 }
 
-// Reads of one subject share an answer where the settings allow: what comes while one is queued or runs, or just after, follows
-// it. One that others wait for is not taken off the cores for its own caller's sake, and is kept before one that nobody else
-// waits for. Where answers may not be shared nothing is remembered.
+// Reads of one subject share an answer where the settings allow it: a read that arrives while another is
+// queued or runs, or just after, follows it. A read with followers is not stopped when its own caller goes,
+// and is kept before one without followers. Where answers may not be shared, nothing is remembered.
 func Example_sharedReads() {
-	d := open(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores = 1, 1 })
-	d.arrive(0, read)
-	d.repeat(1, read, 0)
-	d.m.CallerGone(d.now, 0)
-	d.arrive(2, read)
-	d.repeat(3, read, 2)
-	d.arrive(4, read)
-	d.pass(0.5)
-	d.repeat(5, read, 2)
-	d.arrive(6, page)
-	d.ended(0, rpc.OK)
-	d.ended(1, rpc.OK)
-	d.repeat(7, read, rpc.Gone)
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores = 1, 1 })
+	h.arrive(0, read)
+	h.arriveRepeat(1, read, 0)
+	h.m.CallerGone(h.now, 0)
+	h.arrive(2, read)
+	h.arriveRepeat(3, read, 2)
+	h.arrive(4, read)
+	h.advance(0.5)
+	h.arriveRepeat(5, read, 2)
+	h.arrive(6, page)
+	h.end(0, rpc.OK)
+	h.end(1, rpc.OK)
+	h.arriveRepeat(7, read, rpc.Gone)
 	fmt.Println("not shared:")
-	d = open(nil)
-	d.arrive(0, read)
+	h = newHarness(nil)
+	h.arrive(0, read)
 	// Output:
 	//   0.00 health true
 	//   0.00 remember 0 for 2.20
@@ -597,153 +610,157 @@
 	//   0.00 start 0
 }
 
-// An answer that keeps a part of its worth without a call goes without one that cannot come in time, or that failed for good;
-// others wait for theirs, or are given up.
-func Example_leftOut() {
-	d := open(func(c *rpc.Settings) {
-		c.Machine.SkipWorth, c.Machine.Calls, c.Machine.CallsOut = []float64{0, 0, 0.5}, []bool{true, false, true}, 9
+// An RPC whose answer keeps a part of its value without its call skips a call that cannot end in time or
+// has failed for good. Other RPCs wait for their calls, or are given up.
+func Example_skippedCalls() {
+	h := newHarness(func(c *rpc.Settings) {
+		c.Machine.SkipWorth, c.Machine.Calls, c.Machine.CallsOut =
+			[]float64{0, 0, 0.5}, []bool{true, false, true}, 9
 	})
 	for i := range 4 {
-		d.arrive(i%2, page)
-		d.m.NeedsCall(d.now, i%2)
-		d.pass(0.2)
-		d.m.Called(d.now, i%2, rpc.OK)
-		d.ended(i%2, rpc.OK)
+		h.arrive(i%2, page)
+		h.m.NeedsCall(h.now, i%2)
+		h.advance(0.2)
+		h.m.Called(h.now, i%2, rpc.OK)
+		h.end(i%2, rpc.OK)
 	}
-	d.arrive(2, page)
-	d.arrive(3, read)
-	d.pass(1.06)
-	d.m.NeedsCall(d.now, 3)
-	d.pass(1.1)
-	d.m.NeedsCall(d.now, 2)
-	d.ended(2, rpc.OK)
-	d.arrive(4, page)
-	d.m.NeedsCall(d.now, 4)
-	d.m.Called(d.now, 4, rpc.Error)
+	h.arrive(2, page)
+	h.arrive(3, read)
+	h.advance(1.06)
+	h.m.NeedsCall(h.now, 3)
+	h.advance(1.1)
+	h.m.NeedsCall(h.now, 2)
+	h.end(2, rpc.OK)
+	h.arrive(4, page)
+	h.m.NeedsCall(h.now, 4)
+	h.m.Called(h.now, 4, rpc.Error)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
-	//   0.00 call 0, patience 2.40
+	//   0.00 call 0, timeout 2.40
 	//   0.20 start 1
-	//   0.20 call 1, patience 2.40
+	//   0.20 call 1, timeout 2.40
 	//   0.40 start 0
-	//   0.40 call 0, patience 2.40
+	//   0.40 call 0, timeout 2.40
 	//   0.60 start 1
-	//   0.60 call 1, patience 2.40
+	//   0.60 call 1, timeout 2.40
 	//   0.80 start 2
 	//   0.80 start 3
-	//   1.86 call 3, patience 0.14
+	//   1.86 call 3, timeout 0.14
 	//   2.02 push back 3, last true, after 0.00
 	//   2.96 skip 2's call
 	//   2.96 start 4
-	//   2.96 call 4, patience 2.40
+	//   2.96 call 4, timeout 2.40
 	//   2.96 skip 4's call
 }
 
-// meter follows for how long calls are out.
+// meter is a harness that measures for how long calls are open.
 type meter struct {
-	*desk
-	outs    [][2]float64
-	ids     map[int]int
-	started []int
-	over    []int // answered; their runs have still to end
+	*harness
+	calls    [][2]float64 // start and end of each call
+	open     map[int]int  // index in calls by RPC
+	started  []int
+	answered []int // their runs have still to end
 
-	patience float64 // of the last call; no two are out
+	timeout float64 // of the last call; at most one is open
 }
 
 func (m *meter) Start(i int)                       { m.started = append(m.started, i) }
-func (m *meter) PushBack(i int, _ bool, _ float64) { m.over = append(m.over, i) }
+func (m *meter) PushBack(i int, _ bool, _ float64) { m.answered = append(m.answered, i) }
 
-func (m *meter) Call(i int, patience float64) {
-	m.ids[i] = len(m.outs)
-	m.outs = append(m.outs, [2]float64{m.now, m.now + patience + 0.2})
-	m.patience = patience
+func (m *meter) Call(i int, timeout float64) {
+	m.open[i] = len(m.calls)
+	m.calls = append(m.calls, [2]float64{m.now, m.now + timeout + 0.2})
+	m.timeout = timeout
 }
 
-// A share below one, all of it wanted, calls of all lengths: over no span is more of it used than it is, wherever the span begins;
-// and most of it is. Gaps that keep the mean alone pass it.
-func Example_shareOverSpan() {
+// With a share below one, demand for all of it and calls of all lengths, the use in any interval of
+// CallsSpan must stay within the share, wherever the interval begins, and most of the share must be used.
+// Spacing calls by their mean alone exceeds it.
+func Example_shareOverIntervals() {
 	const share = 0.5
-	d := &meter{desk: &desk{now: 100, reaps: true}, ids: map[int]int{}}
+	h := &meter{harness: &harness{now: 100, onlyIdleTimeouts: true}, open: map[int]int{}}
 	c := rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
-		Machine: rpc.Machine{Below: "one_for_all", Calls: []bool{true}, CallsOut: share, CallsSpan: 5, Linger: 0.2, Cores: 4,
-			MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
-	d.m = logic.New(d.now, c, d)
+		Machine: rpc.Machine{Below: "one_for_all", Calls: []bool{true}, CallsOut: share, CallsSpan: 5,
+			Linger: 0.2, Cores: 4, MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
+	h.m = logic.New(h.now, c, h)
 	next := 0
 	for k := range 6000 {
-		if k%10 == 0 { // more than the share bears
-			d.arriveAs(next, 0, 0, 0, rpc.None)
+		if k%10 == 0 { // more than the share allows
+			h.arriveFrom(next, 0, 0, 0, rpc.None)
 			next++
 		}
-		for _, i := range d.over {
-			d.ended(i, rpc.Cancelled)
+		for _, i := range h.answered {
+			h.end(i, rpc.Cancelled)
 		}
-		d.over = nil
-		for len(d.started) > 0 {
-			i := d.started[0]
-			d.started = d.started[1:]
-			d.m.NeedsCall(d.now, i)
+		h.answered = nil
+		for len(h.started) > 0 {
+			i := h.started[0]
+			h.started = h.started[1:]
+			h.m.NeedsCall(h.now, i)
 		}
-		for i, at := range d.ids {
-			switch took := d.now - d.outs[at][0]; {
+		for i, at := range h.open {
+			switch took := h.now - h.calls[at][0]; {
 			case took >= 0.1+0.1*float64(i*7%13):
-				d.outs[at][1] = d.now
-				delete(d.ids, i)
-				d.m.Called(d.now, i, rpc.OK)
-				d.ended(i, rpc.OK)
-			case took >= d.patience-1e-9:
-				d.outs[at][1] = d.now + 0.2
-				delete(d.ids, i)
-				d.m.Called(d.now, i, rpc.TimedOut)
+				h.calls[at][1] = h.now
+				delete(h.open, i)
+				h.m.Called(h.now, i, rpc.OK)
+				h.end(i, rpc.OK)
+			case took >= h.timeout-1e-9:
+				h.calls[at][1] = h.now + 0.2
+				delete(h.open, i)
+				h.m.Called(h.now, i, rpc.TimedOut)
 			}
 		}
-		d.pass(0.02)
+		h.advance(0.02)
 	}
-	most, all := 0.0, 0.0
-	for _, from := range d.outs {
+	highest, total := 0.0, 0.0
+	for _, first := range h.calls {
 		used := 0.0
-		for _, o := range d.outs {
-			used += max(min(o[1], from[0]+5)-max(o[0], from[0]), 0)
+		for _, call := range h.calls {
+			used += max(min(call[1], first[0]+5)-max(call[0], first[0]), 0)
 		}
-		most = max(most, used/5)
-		all += min(from[1], d.now) - from[0]
+		highest = max(highest, used/5)
+		total += min(first[1], h.now) - first[0]
 	}
-	fmt.Println("within the share:", most <= share+1e-6, "most of it used:", all/(d.now-100) > 0.8*share)
+	fmt.Println("within the share:", highest <= share+1e-6, "most of it used:", total/(h.now-100) > 0.8*share)
 	// Output:
 	// within the share: true most of it used: true
 }
 
-// Tenants: the one past its share goes first, whichever came last; within their shares all are alike.
+// RPCs of a tenant past its share of the quota are rejected first, even if others arrived later. Within
+// their shares all tenants are equal.
 func Example_tenants() {
-	d := open(func(c *rpc.Settings) {
+	h := newHarness(func(c *rpc.Settings) {
 		c.Tenants, c.Replicas, c.OverShareWorth = []rpc.Tenant{{Quota: 1}, {Quota: 1}}, 10, 0.1
 		c.Machine.Cores = 1
 	})
-	tell := func(i, tenant int) { d.m.Arrive(d.now, i, read, 0, tenant, 0, false, false, 0, 20, rpc.None) }
-	tell(0, 1)
+	arrive := func(i, tenant int) { h.m.Arrive(h.now, i, read, 0, tenant, 0, false, false, 0, 20, rpc.None) }
+	arrive(0, 1)
 	for i := range 6 {
-		tell(1+i, 0)
+		arrive(1+i, 0)
 	}
-	d.pass(0.5)
-	tell(7, 1)
+	h.advance(0.5)
+	arrive(7, 1)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
 	//   0.50 push back 1, last false, after 0.30
 }
 
-// What follows takes memory too, and waits as long as what it follows: once there is none left a read is refused or has another
-// make room, and the repeat of a token is aborted, as what it repeats may have run.
-func Example_followersFill() {
-	d := open(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
-	d.arrive(0, read)
+// Followers take memory too, and wait as long as the RPC that they follow. Once there is none left, a read
+// is rejected or another one is rejected for it, and a retry of a tokened RPC is aborted, as the first try
+// may have run.
+func Example_followersFillMemory() {
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
+	h.arrive(0, read)
 	for i := range 6 {
-		d.repeat(1+i, read, 0)
+		h.arriveRepeat(1+i, read, 0)
 	}
-	d = open(func(c *rpc.Settings) { c.Machine.Cores, c.Machine.MemoryKB = 1, 200 })
-	d.arrive(0, write)
+	h = newHarness(func(c *rpc.Settings) { c.Machine.Cores, c.Machine.MemoryKB = 1, 200 })
+	h.arrive(0, write)
 	for i := range 6 {
-		d.repeat(1+i, write, 0)
+		h.arriveRepeat(1+i, write, 0)
 	}
 	// Output:
 	//   0.00 health true
@@ -768,60 +785,61 @@
 	//   0.00 abort 6
 }
 
-// A layer below that fails calls at once is not quick: what its calls take is known from those that end well alone, so that one
-// which would come too late is still left out.
-func Example_fastFailing() {
-	d := open(func(c *rpc.Settings) { c.Machine.SkipWorth, c.Machine.CallsOut = []float64{0, 0, 0.5}, 9 })
+// A layer below that fails calls at once is not fast: only successful calls count as call times, so that a
+// call that would end too late is still skipped.
+func Example_fastFailingCalls() {
+	h := newHarness(func(c *rpc.Settings) { c.Machine.SkipWorth, c.Machine.CallsOut = []float64{0, 0, 0.5}, 9 })
 	for range 4 {
-		d.arrive(0, page)
-		d.m.NeedsCall(d.now, 0)
-		d.pass(0.2)
-		d.m.Called(d.now, 0, rpc.OK)
-		d.ended(0, rpc.OK)
+		h.arrive(0, page)
+		h.m.NeedsCall(h.now, 0)
+		h.advance(0.2)
+		h.m.Called(h.now, 0, rpc.OK)
+		h.end(0, rpc.OK)
 	}
-	d.arrive(1, page)
-	d.reaps = true // nothing printed
+	h.arrive(1, page)
+	h.onlyIdleTimeouts = true // nothing printed
 	for range 12 {
-		d.arrive(0, page)
-		d.m.NeedsCall(d.now, 0)
-		d.pass(0.02)
-		d.m.Called(d.now, 0, rpc.Error)
-		d.ended(0, rpc.OK)
+		h.arrive(0, page)
+		h.m.NeedsCall(h.now, 0)
+		h.advance(0.02)
+		h.m.Called(h.now, 0, rpc.Error)
+		h.end(0, rpc.OK)
 	}
-	d.pass(1.9)
-	d.reaps = false
-	d.m.NeedsCall(d.now, 1)
+	h.advance(1.9)
+	h.onlyIdleTimeouts = false
+	h.m.NeedsCall(h.now, 1)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
-	//   0.00 call 0, patience 2.40
+	//   0.00 call 0, timeout 2.40
 	//   0.20 start 0
-	//   0.20 call 0, patience 2.40
+	//   0.20 call 0, timeout 2.40
 	//   0.40 start 0
-	//   0.40 call 0, patience 2.40
+	//   0.40 call 0, timeout 2.40
 	//   0.60 start 0
-	//   0.60 call 0, patience 2.40
+	//   0.60 call 0, timeout 2.40
 	//   0.80 start 1
 	//   2.94 skip 1's call
 }
 
-// A fleet that grows: this one has just come up cold, and callers move to it as its list spreads. What each is told to have out
-// here follows its warmth and their number, and so does what runs at once.
-func Example_growsCold() {
-	d := open(func(c *rpc.Settings) {
+// An app server has just joined a growing fleet cold, and callers connect to it as the list of servers
+// spreads. The credit of each caller follows the warm-up and the number of callers, and so does the run
+// limit.
+func Example_growingColdFleet() {
+	h := newHarness(func(c *rpc.Settings) {
 		c.Machine.Cold, c.Machine.Cores, c.Rules.Crowd, c.Rules.ColdAt, c.Rules.WarmIn = true, 4, 2, 0, 4
 	})
-	d.credits = true
+	h.printCredit = true
 	for i := range 5 {
-		d.arriveAs(i, page, i, 0, rpc.None)
+		h.arriveFrom(i, page, i, 0, rpc.None)
 	}
-	d.pass(0.5)
+	h.advance(0.5)
 	for i := range 5 {
-		d.ended(i, rpc.OK)
+		h.end(i, rpc.OK)
 	}
-	d.pass(4)
+	h.advance(4)
 	for i := range 5 {
-		d.arriveAs(5+i, page, i, 0, rpc.None)
+		h.arriveFrom(5+i, page, i, 0, rpc.None)
 	}
 	// Output:
 	// 0.00 health true
@@ -856,13 +874,13 @@
 	//   4.50 start 8
 }
 
-// Callers that never say how long they wait, and are never heard to give up: the deadline after arrival decides, for what is held
-// and what runs.
-func Example_untold() {
-	d := open(func(c *rpc.Settings) { c.Machine.Cores, c.Methods[read].LateShare = 1, 0.2 })
-	d.arrive(0, read)
-	d.arrive(1, write)
-	d.pass(9)
+// Callers send no deadlines and never give up: the deadline of the method, counted from the arrival,
+// applies to queued and running RPCs.
+func Example_noDeadlineSent() {
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Cores, c.Methods[read].LateShare = 1, 0.2 })
+	h.arrive(0, read)
+	h.arrive(1, write)
+	h.advance(9)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -877,20 +895,20 @@
 	//   3.98 stop 0
 }
 
-// Remembered tokens take half of the memory: the next tokened RPC is refused, as the other half is for work; reads go on, and
-// once a window has passed so do tokened RPCs.
-func Example_tokensFill() {
-	d := open(func(c *rpc.Settings) { c.Machine.MemoryKB, c.Methods[write].Window = 200, 1 })
-	d.reaps = true // of the first ten nothing is printed
+// Once remembered tokens take half of the memory, the next tokened RPC is rejected, as the other half is
+// for RPCs. Reads go on, and so do tokened RPCs once a window has passed.
+func Example_tokensFillMemory() {
+	h := newHarness(func(c *rpc.Settings) { c.Machine.MemoryKB, c.Methods[write].Window = 200, 1 })
+	h.onlyIdleTimeouts = true // print nothing for the first ten
 	for range 10 {
-		d.arrive(0, write)
-		d.ended(0, rpc.OK)
+		h.arrive(0, write)
+		h.end(0, rpc.OK)
 	}
-	d.reaps = false
-	d.arrive(0, write)
-	d.arrive(0, read)
-	d.pass(1.1)
-	d.arrive(1, write)
+	h.onlyIdleTimeouts = false
+	h.arrive(0, write)
+	h.arrive(0, read)
+	h.advance(1.1)
+	h.arrive(1, write)
 	// Output:
 	//   0.00 health true
 	//   0.00 push back 0, last false, after 0.00
