--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -175,7 +175,7 @@
 		if s.served < rpcs-1 || s.healthChanges > 1 || s.logs > 0 {
 			if failed++; failed <= 8 {
 				t.Errorf(
-					"seed %d: %d RPCs, %d served, %d pushed back, %d aborted, %d health reports, %d logs; %+v, runs %g, read %g",
+					"seed %d: %d RPCs, %d served, %d pushed back, %d aborted, %d health, %d logs; %+v, runs %g, read %g",
 					seed, rpcs, s.served, s.rejected, s.aborted,
 					s.healthChanges, s.logs, settings.Methods[method], took, readDelay)
 			}
