--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -129,11 +129,11 @@
 	d.running[k] = d.running[len(d.running)-1]
 	d.running = d.running[:len(d.running)-1]
 	t.over = true
-	how := []rpc.Outcome{rpc.OK, rpc.OK, rpc.OK, rpc.Error, rpc.Moot, rpc.Cancelled}[d.r.IntN(6)]
+	how := []rpc.Outcome{rpc.OK, rpc.OK, rpc.OK, rpc.Error, rpc.NotStarted, rpc.Cancelled}[d.r.IntN(6)]
 	if t.bad {
-		how = rpc.Moot
+		how = rpc.NotStarted
 	}
-	t.proven = how == rpc.Moot
+	t.proven = how == rpc.NotStarted
 	result := []byte(nil)
 	if how == rpc.OK {
 		result = []byte(fmt.Sprintf("%d %s of %s", t.method, t.token, t.name))
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -255,7 +255,7 @@
 			if s.entry = g.tokens.find(tokenID{s.method, s.token}, s.recv); s.entry != nil {
 				(*actions[T])(g).Follow(i)
 			} else {
-				g.end(i, rpc.Moot, 0, nil)
+				g.end(i, rpc.NotStarted, 0, nil)
 			}
 		default:
 			g.end(i, rpc.Error, 0, nil)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -103,7 +103,7 @@
 	s.gone("c")
 	s.arrive("d", read, "")
 	s.gone("a") // a's index is d's by now
-	s.report("d", rpc.Moot, "")
+	s.report("d", rpc.NotStarted, "")
 	// Output:
 	//  0.00 a: run
 	//  0.00 a: ok "1"
@@ -249,7 +249,7 @@
 	s.pass(0.02)
 	s.report("a", rpc.Cancelled, "")
 	s.pass(0.02)
-	s.report("b", rpc.Moot, "")
+	s.report("b", rpc.NotStarted, "")
 	s.report("c", rpc.OK, "1")
 	fmt.Printf("%d run, %d wait\n", p.running, p.waiting)
 	// Output:
--- a/gate/tokens_test.go
+++ b/gate/tokens_test.go
@@ -42,7 +42,7 @@
 	s.arrive("a3", write, "t")
 	s.arrive("b1", write, "u")
 	s.gone("b1")
-	s.report("b1", rpc.Moot, "")
+	s.report("b1", rpc.NotStarted, "")
 	s.arrive("b2", write, "u")
 	// Output:
 	//  0.00 a1: run
@@ -130,7 +130,7 @@
 	s.came("bad3", write, s.now, "u", "other")
 	s.came("b1", write, s.now, "u", "body")
 	s.came("b2", write, s.now, "u", "body")
-	s.report("bad3", rpc.Moot, "")
+	s.report("bad3", rpc.NotStarted, "")
 	s.report("b1", rpc.OK, "too")
 	s.arrive("busy", read, "")
 	s.came("bad4", write, s.now, "v", "other") // held
@@ -336,7 +336,7 @@
 	s.report("busy", rpc.OK, "")
 	s.arrive("b2", write, "t")
 	s.came("a4", write, s.now-1, "t", "body")
-	s.report("b2", rpc.Moot, "")
+	s.report("b2", rpc.NotStarted, "")
 	s.came("a5", write, s.now-1, "t", "body")
 	s.arrive("b3", write, "t")
 	s.report("b3", rpc.OK, "second")
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -184,7 +184,7 @@
 		s.settleFollower(i, r)
 	case entry.forgotten:
 		r.phase = phaseQueued
-		s.module.Ended(s.now, i, rpc.Moot, 0)
+		s.module.Ended(s.now, i, rpc.NotStarted, 0)
 	case entry.succeeded:
 		s.answer(i)
 		s.served++
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -384,8 +384,8 @@
 	h.arriveRepeat(8, write, 6)
 	h.advance(0.1)
 	h.end(5, rpc.OK)
-	h.end(6, rpc.Moot)
-	h.end(8, rpc.Moot)
+	h.end(6, rpc.NotStarted)
+	h.end(8, rpc.NotStarted)
 	h.end(7, rpc.OK)
 	h.end(8, rpc.OK)
 	// Output:
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -22,11 +22,11 @@
 	Unreachable Outcome = 502 // proves that it never ran
 	Cut         Outcome = 598
 	Cancelled   Outcome = 499
-	Moot        Outcome = 410 // proves that it never ran
+	NotStarted  Outcome = 410 // proves that it never ran
 )
 
 // NeverRan tells whether the outcome proves that nothing was run.
-func (o Outcome) NeverRan() bool { return o == PushedBack || o == Unreachable || o == Moot }
+func (o Outcome) NeverRan() bool { return o == PushedBack || o == Unreachable || o == NotStarted }
 
 // Preemption says what stopping a running RPC does.
 type Preemption string
--- a/server/duties.go
+++ b/server/duties.go
@@ -37,7 +37,7 @@
 		repeatable := c.Rules.Methods[k.method].Kind == rpc.Idempotent
 		if err := s.link.Run(&run{job.RPC, k}, k.uid, c.Methods[k.method], k.body, repeatable); err != nil {
 			s.limited.Warn("run not asked for", zap.Error(err))
-			s.gate.Report(s.clock.now(), job.RPC, rpc.Moot, 0, nil)
+			s.gate.Report(s.clock.now(), job.RPC, rpc.NotStarted, 0, nil)
 		}
 	case gate.Pause:
 		s.link.Pause(k.uid)
--- a/server/runs.go
+++ b/server/runs.go
@@ -42,7 +42,7 @@
 	if errors.As(err, &attempt) {
 		switch {
 		case attempt.Reach == kernel.NeverRan:
-			how = rpc.Moot
+			how = rpc.NotStarted
 		case attempt.Stopped:
 			how = rpc.Cancelled
 		default:
