--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -15,14 +15,14 @@
 type Outcome uint16
 
 const (
-	OK          Outcome = 200
-	Error       Outcome = 500
-	PushedBack  Outcome = 503 // proves that it never ran
-	TimedOut    Outcome = 504
-	Unreachable Outcome = 502 // proves that it never ran
-	Cut         Outcome = 598
-	Cancelled   Outcome = 499
-	NotStarted  Outcome = 410 // proves that it never ran
+	OK             Outcome = 200
+	Error          Outcome = 500
+	PushedBack     Outcome = 503 // proves that it never ran
+	TimedOut       Outcome = 504
+	Unreachable    Outcome = 502 // proves that it never ran
+	ConnectionLost Outcome = 598
+	Cancelled      Outcome = 499
+	NotStarted     Outcome = 410 // proves that it never ran
 )
 
 // NeverRan tells whether the outcome proves that nothing was run.
