--- a/config/allowed_test.go
+++ b/config/allowed_test.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p := c.Rules.Machine.Preemption; p != rpc.Unstoppable {
+	if p := c.Rules.Machine.Preemption; p != rpc.NoPreemption {
 		t.Errorf("preemption %q", p)
 	}
 	for k, want := range []rpc.Method{{Deadline: 12, Window: 12}, {Window: 7200}, {}, {Deadline: 12, Window: 2}} {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -82,7 +82,7 @@
 }
 
 func readMachine(m *rpc.Machine, domain *jsonobject.Object) {
-	preemption, signal := string(rpc.Unstoppable), "none"
+	preemption, signal := string(rpc.NoPreemption), "none"
 	domain.Text("preemption", &preemption)
 	domain.Text("signal", &signal)
 	m.Preemption, m.Signal, m.Below = rpc.Preemption(preemption), rpc.Signal(signal), "none"
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -380,7 +380,7 @@
 
 func (s *fakeServer) Stop(i int) {
 	r := s.requests[i]
-	if s.settings.Machine.Preemption == rpc.Unstoppable || s.settings.Machine.Preemption == "" {
+	if s.settings.Machine.Preemption == rpc.NoPreemption || s.settings.Machine.Preemption == "" {
 		s.addViolation("RPC %d is stopped without preemption", i)
 	}
 	r.stopped = true
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -173,7 +173,7 @@
 // Work that cannot be stopped keeps its core after its RPC has been answered by its deadline, and the
 // number of started RPCs stays within the limit.
 func Example_unstoppable() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.Preemption = rpc.Unstoppable })
+	h := newHarness(func(c *rpc.Settings) { c.Machine.Preemption = rpc.NoPreemption })
 	h.arrive(0, read)
 	h.arrive(1, page)
 	h.m.CallerGone(h.now, 0)
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -58,7 +58,7 @@
 // checkWords names the first setting whose word is not known.
 func (m *Machine) checkWords() error {
 	switch m.Preemption {
-	case "", Unstoppable, Discards, Freezes:
+	case "", NoPreemption, Discards, Freezes:
 	default:
 		return settingError("domain.preemption", "%q is not known", string(m.Preemption))
 	}
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -32,9 +32,9 @@
 type Preemption string
 
 const (
-	Unstoppable Preemption = "none"
-	Discards    Preemption = "discard"
-	Freezes     Preemption = "freeze"
+	NoPreemption Preemption = "none"
+	Discards     Preemption = "discard"
+	Freezes      Preemption = "freeze"
 )
 
 // Stops tells whether a running RPC may be stopped. Left out, the word names no way to do it.
