--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -267,7 +267,7 @@
 
 // Runs are stopped only where the settings name a way to stop them: a site that names none allows no such command.
 func Example_preemption() {
-	for _, way := range []rpc.Preemption{"", rpc.NoPreemption, rpc.Discards, rpc.Freezes} {
+	for _, way := range []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.Freezes} {
 		s := openTold(1, 1000, func(c *rpc.Settings) { c.Machine.Preemption = way })
 		fmt.Printf("%q\n", way)
 		s.arrive("a", read, "")
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -58,7 +58,7 @@
 // checkWords names the first setting whose word is not known.
 func (m *Machine) checkWords() error {
 	switch m.Preemption {
-	case "", NoPreemption, Discards, Freezes:
+	case "", NoPreemption, DiscardOnStop, Freezes:
 	default:
 		return settingError("domain.preemption", "%q is not known", string(m.Preemption))
 	}
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -32,13 +32,13 @@
 type Preemption string
 
 const (
-	NoPreemption Preemption = "none"
-	Discards     Preemption = "discard"
-	Freezes      Preemption = "freeze"
+	NoPreemption  Preemption = "none"
+	DiscardOnStop Preemption = "discard"
+	Freezes       Preemption = "freeze"
 )
 
 // Stops tells whether a running RPC may be stopped. Left out, the word names no way to do it.
-func (p Preemption) Stops() bool { return p == Discards || p == Freezes }
+func (p Preemption) Stops() bool { return p == DiscardOnStop || p == Freezes }
 
 // Signal says what callers make of the published value.
 type Signal string
