--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -28,7 +28,7 @@
 			{Kind: rpc.Tokened, Target: 2.4, Deadline: 8, Window: 10, Criticality: 3, LateShare: 0.2},
 		},
 		Machine: rpc.Machine{Callers: 2, Cores: cores, EntryKB: 10, MemoryKB: 4000, RunFactor: 4, KeepAlive: 30,
-			Preemption: rpc.Freezes, Signal: rpc.Allowance},
+			Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
 		Rules: rpc.Rules{Crowd: 5, Grace: 1},
 	}
 	change(&c)
@@ -267,7 +267,7 @@
 
 // Runs are stopped only where the settings name a way to stop them: a site that names none allows no such command.
 func Example_preemption() {
-	for _, way := range []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.Freezes} {
+	for _, way := range []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop} {
 		s := openTold(1, 1000, func(c *rpc.Settings) { c.Machine.Preemption = way })
 		fmt.Printf("%q\n", way)
 		s.arrive("a", read, "")
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -39,7 +39,7 @@
 			[]string{"links", "on_cores"}, []string{"core_use"}),
 		EntryKB: pick(rng, 0, 1, 30, 1e6, 1e300), Fresh: pick(rng, 0, 0, 0.05, 10, day),
 		MemoryKB: pick(rng, 0, 1, 500, 13000, 1e9, 1e300), RunFactor: pick(rng, 0, 0.5, 1, 4, 1000, 1e300, 1e308),
-		Preemption: pick(rng, "", rpc.NoPreemption, rpc.DiscardOnStop, rpc.Freezes),
+		Preemption: pick(rng, "", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop),
 		Signal:     pick(rng, rpc.Allowance, rpc.Allowance, rpc.Floor, rpc.Weight, "none", "")}
 	if c.Machine.Below == "one_for_all" || c.Machine.Below == "tier" {
 		for range c.Methods {
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -41,7 +41,7 @@
 		Machine: rpc.Machine{Below: "one_for_all", Callers: 2, Calls: []bool{false, false, true}, CallsOut: 1,
 			CallsSpan: 5, Linger: 0.2, Cores: 2, Gauges: []string{"heap_share", "on_cores"},
 			EntryKB: 10, KeepAlive: 30,
-			MemoryKB: 4000, RunFactor: 4, Preemption: rpc.Freezes, Signal: rpc.Allowance},
+			MemoryKB: 4000, RunFactor: 4, Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
 		Rules: rpc.Rules{Crowd: 5, Grace: 1, ColdAt: 0.2, WarmIn: 10},
 	}
 	settings.Ceilings.RetryAfter, settings.Ceilings.MaxRetryAfter = true, 1
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -58,7 +58,7 @@
 // checkWords names the first setting whose word is not known.
 func (m *Machine) checkWords() error {
 	switch m.Preemption {
-	case "", NoPreemption, DiscardOnStop, Freezes:
+	case "", NoPreemption, DiscardOnStop, FreezeOnStop:
 	default:
 		return settingError("domain.preemption", "%q is not known", string(m.Preemption))
 	}
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -34,11 +34,11 @@
 const (
 	NoPreemption  Preemption = "none"
 	DiscardOnStop Preemption = "discard"
-	Freezes       Preemption = "freeze"
+	FreezeOnStop  Preemption = "freeze"
 )
 
 // Stops tells whether a running RPC may be stopped. Left out, the word names no way to do it.
-func (p Preemption) Stops() bool { return p == DiscardOnStop || p == Freezes }
+func (p Preemption) Stops() bool { return p == DiscardOnStop || p == FreezeOnStop }
 
 // Signal says what callers make of the published value.
 type Signal string
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -78,7 +78,7 @@
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent, Target: 30, Deadline: 60, Criticality: 1},
 		{Kind: rpc.Tokened, Target: 30, Deadline: 60, Window: 90, Criticality: 3}}
 	c.Rules.Machine = rpc.Machine{Callers: 1, Cores: 2, EntryKB: 1, MemoryKB: 4000, RunFactor: 4, KeepAlive: 60,
-		Preemption: rpc.Freezes, Signal: rpc.Allowance}
+		Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance}
 	c.Rules.Rules = rpc.Rules{Crowd: 5, Grace: 1}
 	if change != nil {
 		change(c)
