--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -174,7 +174,7 @@
 			d.begun(t)
 			continue
 		case Pause:
-			if !d.c.Machine.Preemption.Stops() || t.answers == 0 && !t.gone || t.token != "" {
+			if !d.c.Machine.Preemption.CanStop() || t.answers == 0 && !t.gone || t.token != "" {
 				d.fault(t, "stopped")
 			}
 			continue
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -124,7 +124,7 @@
 		m.methodStats[req.method].runTimes.add(m.now - req.runStarted)
 		m.move(i, orphaned)
 		// A tokened RPC runs on: a retry may ask for its outcome and could not run again.
-		if m.Machine.Preemption.Stops() && m.Methods[req.method].Kind != rpc.Tokened && req.followers == 0 {
+		if m.Machine.Preemption.CanStop() && m.Methods[req.method].Kind != rpc.Tokened && req.followers == 0 {
 			m.actions.Stop(i)
 		}
 	case paused, calling:
@@ -155,7 +155,7 @@
 		worthless := req.state.pending() && m.now > m.fullValueUntil(req) && m.Methods[req.method].LateShare == 0
 		if req.state.pending() && (m.now > req.deadline || req.state == queued && m.wouldBeLate(req) ||
 			worthless && (req.state == paused || req.state == calling || req.state == running &&
-				m.oldestAge(0) >= 0 && m.Machine.Preemption.Stops())) {
+				m.oldestAge(0) >= 0 && m.Machine.Preemption.CanStop())) {
 			m.giveUp(i)
 		}
 	}
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -37,8 +37,8 @@
 	FreezeOnStop  Preemption = "freeze"
 )
 
-// Stops tells whether a running RPC may be stopped. Left out, the word names no way to do it.
-func (p Preemption) Stops() bool { return p == DiscardOnStop || p == FreezeOnStop }
+// CanStop tells whether a running RPC may be stopped. Left out, the word names no way to do it.
+func (p Preemption) CanStop() bool { return p == DiscardOnStop || p == FreezeOnStop }
 
 // Signal says what callers make of the published value.
 type Signal string
