--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -100,7 +100,7 @@
 		caller = len(g.callers)
 		g.callers[from] = caller
 	}
-	earlier := rpc.None
+	earlier := rpc.RepeatsNone
 	if repeats != 0 {
 		if earlier, ok = g.index[repeats]; !ok {
 			earlier = rpc.Gone
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -159,7 +159,7 @@
 		g.wait(i)
 	}
 	id = ID{i, s.life}
-	repeats := rpc.None
+	repeats := rpc.RepeatsNone
 	if e != nil {
 		s.entry = e
 		// With another body one of the two is none of a usual router's, and the kernel will tell which: until then
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -22,7 +22,7 @@
 	bound := 2*math.Sqrt(4*span/took) + 2
 	largest := 0.0
 	for i := range 60 {
-		h.arriveFrom(i%4, read, i%3, 0, rpc.None) // three of the forty callers are active
+		h.arriveFrom(i%4, read, i%3, 0, rpc.RepeatsNone) // three of the forty callers are active
 		h.advance(0.1)
 		largest = max(largest, h.credit*callers)
 		h.m.Ended(h.now, i%4, rpc.OK, took)
@@ -44,7 +44,7 @@
 		})
 		h.quiet = true
 		for i := range 40 {
-			h.arriveFrom(i%4, read, 0, 0, rpc.None)
+			h.arriveFrom(i%4, read, 0, 0, rpc.RepeatsNone)
 			h.advance(0.02)
 			h.m.Ended(h.now, i%4, rpc.OK, took)
 		}
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -276,7 +276,7 @@
 		r.token = method*1000 + token // a token belongs to its method
 	}
 	s.requests[i] = r
-	repeatOf := rpc.None
+	repeatOf := rpc.RepeatsNone
 	if entry := s.tokens[r.token]; r.token != 0 && entry != nil && entry.expiry > r.arrival {
 		r.entry = entry
 		if repeatOf = rpc.Gone; s.isOpen(entry) {
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -53,7 +53,7 @@
 	return h
 }
 
-func (h *harness) arrive(i, method int)           { h.arriveFrom(i, method, 0, 0, rpc.None) }
+func (h *harness) arrive(i, method int)           { h.arriveFrom(i, method, 0, 0, rpc.RepeatsNone) }
 func (h *harness) arriveRepeat(i, method, of int) { h.arriveFrom(i, method, 0, 0, of) }
 func (h *harness) end(i int, outcome rpc.Outcome) { h.m.Ended(h.now, i, outcome, 0.3) }
 func (h *harness) printEvent(format string, args ...any) {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -181,13 +181,13 @@
 	m.creditExhausted = m.creditExhausted || float64(m.callers[caller].outstanding) >= m.credit
 	pastGrace := m.draining && req.arrival > m.shutdownNotice+m.Rules.Grace // rule 3: must not be run
 	switch {
-	case repeatOf != rpc.None && (pastGrace || now > req.deadline ||
+	case repeatOf != rpc.RepeatsNone && (pastGrace || now > req.deadline ||
 		!req.shareable && m.memoryUsed() > m.memoryLimit()):
 		m.actions.Abort(i) // the repeated RPC may have run, so this one is aborted, not pushed back
 		m.move(i, absent)
 	case repeatOf >= 0 && m.rpcs[repeatOf].state == queued && !req.shareable:
 		m.replaceQueued(i, repeatOf)
-	case repeatOf != rpc.None && m.memoryUsed() <= m.memoryLimit():
+	case repeatOf != rpc.RepeatsNone && m.memoryUsed() <= m.memoryLimit():
 		m.actions.Follow(i) // a token that has run, or whose outcome is no longer known, never runs again
 		if repeatOf >= 0 {  // its answer now serves one more RPC
 			m.rpcs[repeatOf].followers++
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -32,18 +32,18 @@
 func Example_credit() {
 	h := newHarness(nil)
 	h.printCredit = true
-	h.arriveFrom(0, read, 0, 0, rpc.None)
-	h.arriveFrom(1, read, 1, 0, rpc.None)
+	h.arriveFrom(0, read, 0, 0, rpc.RepeatsNone)
+	h.arriveFrom(1, read, 1, 0, rpc.RepeatsNone)
 	h.advance(0.3)
 	for i := 2; i < 5; i++ {
-		h.arriveFrom(i, read, 0, 0, rpc.None)
+		h.arriveFrom(i, read, 0, 0, rpc.RepeatsNone)
 	}
 	h.advance(0.5)
 	for i := range 5 {
 		h.end(i, rpc.OK)
 	}
 	for i := 5; i < 12; i++ {
-		h.arriveFrom(i, read, 0, 0, rpc.None)
+		h.arriveFrom(i, read, 0, 0, rpc.RepeatsNone)
 		h.advance(0.2)
 		h.end(i, rpc.OK)
 	}
@@ -279,7 +279,7 @@
 	h.arrive(0, read)
 	h.arrive(1, read)
 	h.arrive(2, read)
-	h.m.Arrive(h.now, 3, read, 0, 0, 0, false, false, 0, 60, rpc.None)
+	h.m.Arrive(h.now, 3, read, 0, 0, 0, false, false, 0, 60, rpc.RepeatsNone)
 	h.end(0, rpc.OK)
 	// Output:
 	//   0.00 health true
@@ -316,7 +316,7 @@
 		h := newHarness(nil)
 		h.onlyIdleTimeouts = true
 		for i := range 160 {
-			h.arriveFrom(i%2, page, i%callers, 0, rpc.None)
+			h.arriveFrom(i%2, page, i%callers, 0, rpc.RepeatsNone)
 			h.advance(0.1)
 			h.end(i%2, rpc.OK)
 		}
@@ -372,7 +372,7 @@
 // have run is run itself.
 func Example_cancelledWithDeadline() {
 	h := newHarness(nil)
-	arrive := func(i int) { h.m.Arrive(h.now, i, read, 0, 0, 0, false, false, h.now+3, 20, rpc.None) }
+	arrive := func(i int) { h.m.Arrive(h.now, i, read, 0, 0, 0, false, false, h.now+3, 20, rpc.RepeatsNone) }
 	for i := range 5 {
 		arrive(i)
 		h.m.CallerGone(h.now, i)
@@ -415,14 +415,14 @@
 func Example_giveUpAge() {
 	h := newHarness(nil)
 	for i := range 4 {
-		h.arriveFrom(i, page, i, 0, rpc.None)
+		h.arriveFrom(i, page, i, 0, rpc.RepeatsNone)
 		h.advance(0.8)
 		h.m.CallerGone(h.now, i)
 		h.end(i, rpc.Cancelled)
 	}
-	h.arriveFrom(4, page, 4, 0, rpc.None)
-	h.arriveFrom(5, page, 5, 0, rpc.None)
-	h.arriveFrom(6, page, 6, 0, rpc.None)
+	h.arriveFrom(4, page, 4, 0, rpc.RepeatsNone)
+	h.arriveFrom(5, page, 5, 0, rpc.RepeatsNone)
+	h.arriveFrom(6, page, 6, 0, rpc.RepeatsNone)
 	h.advance(0.1)
 	// Output:
 	//   0.00 health true
@@ -461,7 +461,7 @@
 		h := newHarness(func(c *rpc.Settings) { c.Machine.Signal = signal })
 		h.printCredit = true
 		for i := range 6 {
-			h.arriveFrom(i, page, i, 0, rpc.None)
+			h.arriveFrom(i, page, i, 0, rpc.RepeatsNone)
 		}
 		h.advance(0.9)
 	}
@@ -687,7 +687,7 @@
 	next := 0
 	for k := range 6000 {
 		if k%10 == 0 { // more than the share allows
-			h.arriveFrom(next, 0, 0, 0, rpc.None)
+			h.arriveFrom(next, 0, 0, 0, rpc.RepeatsNone)
 			next++
 		}
 		for _, i := range h.answered {
@@ -735,7 +735,7 @@
 		c.Tenants, c.Replicas, c.OverShareWorth = []rpc.Tenant{{Quota: 1}, {Quota: 1}}, 10, 0.1
 		c.Machine.Cores = 1
 	})
-	arrive := func(i, tenant int) { h.m.Arrive(h.now, i, read, 0, tenant, 0, false, false, 0, 20, rpc.None) }
+	arrive := func(i, tenant int) { h.m.Arrive(h.now, i, read, 0, tenant, 0, false, false, 0, 20, rpc.RepeatsNone) }
 	arrive(0, 1)
 	for i := range 6 {
 		arrive(1+i, 0)
@@ -831,7 +831,7 @@
 	})
 	h.printCredit = true
 	for i := range 5 {
-		h.arriveFrom(i, page, i, 0, rpc.None)
+		h.arriveFrom(i, page, i, 0, rpc.RepeatsNone)
 	}
 	h.advance(0.5)
 	for i := range 5 {
@@ -839,7 +839,7 @@
 	}
 	h.advance(4)
 	for i := range 5 {
-		h.arriveFrom(5+i, page, i, 0, rpc.None)
+		h.arriveFrom(5+i, page, i, 0, rpc.RepeatsNone)
 	}
 	// Output:
 	// 0.00 health true
--- a/logic/mass_cancel_test.go
+++ b/logic/mass_cancel_test.go
@@ -15,7 +15,7 @@
 	started := 0
 	h.onStart = func(int) { started++ }
 	for i := range 10 {
-		h.arriveFrom(i, read, 0, 0, rpc.None)
+		h.arriveFrom(i, read, 0, 0, rpc.RepeatsNone)
 	}
 	h.now += 0.004
 	for i := range 10 {
@@ -27,7 +27,7 @@
 	h.advance(1)
 	started = 0
 	for range 10 {
-		h.arriveFrom(0, read, 1, 0.01, rpc.None)
+		h.arriveFrom(0, read, 1, 0.01, rpc.RepeatsNone)
 		h.advance(0.1)
 		h.end(0, rpc.OK)
 	}
--- a/logic/slow_read_test.go
+++ b/logic/slow_read_test.go
@@ -17,7 +17,7 @@
 	started := 0
 	h.onStart = func(int) { started++ }
 	for range 20 {
-		h.arriveFrom(0, read, 0, 0.15, rpc.None)
+		h.arriveFrom(0, read, 0, 0.15, rpc.RepeatsNone)
 		h.advance(0.1)
 		h.end(0, rpc.OK)
 	}
