--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -103,7 +103,7 @@
 	earlier := rpc.RepeatsNone
 	if repeats != 0 {
 		if earlier, ok = g.index[repeats]; !ok {
-			earlier = rpc.Gone
+			earlier = rpc.RepeatsReleased
 		}
 	}
 	i := len(g.handles)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -164,7 +164,7 @@
 		s.entry = e
 		// With another body one of the two is none of a usual router's, and the kernel will tell which: until then
 		// the later one follows, and takes no held one's place.
-		if repeats = rpc.Gone; e.body == digest && g.holds(e.runner) {
+		if repeats = rpc.RepeatsReleased; e.body == digest && g.holds(e.runner) {
 			repeats = e.runner.i
 		}
 	}
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -279,7 +279,7 @@
 	repeatOf := rpc.RepeatsNone
 	if entry := s.tokens[r.token]; r.token != 0 && entry != nil && entry.expiry > r.arrival {
 		r.entry = entry
-		if repeatOf = rpc.Gone; s.isOpen(entry) {
+		if repeatOf = rpc.RepeatsReleased; s.isOpen(entry) {
 			repeatOf = entry.runner
 		}
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -116,7 +116,7 @@
 	h.m.CallerGone(h.now, 2)
 	h.end(2, rpc.Cancelled)
 	h.end(3, rpc.OK)
-	h.arriveRepeat(4, write, rpc.Gone)
+	h.arriveRepeat(4, write, rpc.RepeatsReleased)
 	// Output:
 	//   0.00 health true
 	//   0.00 start 0
@@ -588,7 +588,7 @@
 	h.arrive(6, page)
 	h.end(0, rpc.OK)
 	h.end(1, rpc.OK)
-	h.arriveRepeat(7, read, rpc.Gone)
+	h.arriveRepeat(7, read, rpc.RepeatsReleased)
 	fmt.Println("not shared:")
 	h = newHarness(nil)
 	h.arrive(0, read)
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -114,8 +114,8 @@
 
 // What an arrival may repeat, besides an RPC that is still in hand.
 const (
-	RepeatsNone = -1 // it repeats nothing
-	Gone        = -2 // it repeats one that has been let go
+	RepeatsNone     = -1 // it repeats nothing
+	RepeatsReleased = -2 // it repeats one that has been let go
 )
 
 // Actions is all that the module can do. RPCs are named by small indices;
