--- a/rpc/check.go
+++ b/rpc/check.go
@@ -80,8 +80,8 @@
 	return c.Machine.Below != "" && c.Machine.Below != "none" && method < len(c.Machine.Calls) && c.Machine.Calls[method]
 }
 
-// LongestAdvice is the longest time in seconds for which callers heed the advice to stay away, 0 where they are given none.
-func (c *Settings) LongestAdvice() float64 {
+// MaxRetryAfter is the longest time in seconds for which callers heed the advice to stay away, 0 where they are given none.
+func (c *Settings) MaxRetryAfter() float64 {
 	if !c.Ceilings.RetryAfter {
 		return 0
 	}
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -82,7 +82,7 @@
 
 // refuse answers an RPC that never ran, with the longest advice that callers heed; last asks that no other app server be tried.
 func (c *conn) refuse(seq int32, last bool) {
-	after := c.config.Load().Rules.LongestAdvice()
+	after := c.config.Load().Rules.MaxRetryAfter()
 	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
 }
 
