--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,7 +40,7 @@
 	s.Methods, names = readMethods(o)
 	readMachine(&s.Machine, o.Object("domain"))
 	rules := o.Object("rules")
-	rules.Number("overloadFactor", &s.Rules.Crowd)
+	rules.Number("overloadFactor", &s.Rules.OverloadFactor)
 	rules.Number("stopSendingWithinS", &s.Rules.Grace)
 	rules.Number("startCapacity", &s.Rules.ColdAt)
 	rules.Number("rampTimeS", &s.Rules.WarmIn)
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -250,7 +250,7 @@
 	if s.settings.Machine.Cold && rules.WarmIn > 0 {
 		warmUpFactor = min(1, rules.ColdAt+(1-rules.ColdAt)*(s.now-s.startTime)/rules.WarmIn)
 	}
-	return max(1, cores*(1+(max(rules.Crowd, 1)-1)*warmUpFactor))
+	return max(1, cores*(1+(max(rules.OverloadFactor, 1)-1)*warmUpFactor))
 }
 
 // arrive reads an RPC that reached the server readDelay seconds ago. deadline is 0 where its caller does
--- a/logic/running.go
+++ b/logic/running.go
@@ -16,7 +16,7 @@
 // maxStarted is the number of started RPCs that the cores withstand at once, fewer during warm-up. A tenth
 // is reserved for RPCs that return from their calls.
 func (m *Module) maxStarted() float64 {
-	return max(1, 0.9*m.cores()*(1+(m.Rules.Crowd-1)*m.warmUpFactor()))
+	return max(1, 0.9*m.cores()*(1+(m.Rules.OverloadFactor-1)*m.warmUpFactor()))
 }
 
 // startQueued starts queued RPCs while the limits allow it: oldest first, or newest first once the queue
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -50,7 +50,7 @@
 	return checkFigures([]figure{{"domain.callers", float64(c.Machine.Callers)}, {"domain.nCores", float64(c.Machine.Cores)},
 		{"domain.memoryKb", c.Machine.MemoryKB}, {"domain.runFactor", c.Machine.RunFactor}, {"domain.entryKb", c.Machine.EntryKB},
 		{"domain.keepaliveMaxS", c.Machine.KeepAlive}, {"domain.freshS", c.Machine.Fresh}, {"domain.callsOut", c.Machine.CallsOut},
-		{"domain.shareSpanS", c.Machine.CallsSpan}, {"domain.lingerS", c.Machine.Linger}, {"rules.overloadFactor", c.Rules.Crowd},
+		{"domain.shareSpanS", c.Machine.CallsSpan}, {"domain.lingerS", c.Machine.Linger}, {"rules.overloadFactor", c.Rules.OverloadFactor},
 		{"rules.stopSendingWithinS", c.Rules.Grace}, {"rules.startCapacity", c.Rules.ColdAt}, {"rules.rampTimeS", c.Rules.WarmIn},
 		{"rules.fallS", c.Rules.CrowdSpan}, {"ceilings.maxRetryAfterS", c.Ceilings.MaxRetryAfter}, {"overShareWorth", c.OverShareWorth}})
 }
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -104,10 +104,10 @@
 
 // Rules are the figures of the rules that each app server keeps.
 type Rules struct {
-	Crowd  float64
-	Grace  float64
-	ColdAt float64
-	WarmIn float64
+	OverloadFactor float64
+	Grace          float64
+	ColdAt         float64
+	WarmIn         float64
 	// CrowdSpan is the time in seconds over which a crowd counts.
 	CrowdSpan float64
 }
