--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -29,7 +29,7 @@
 		},
 		Machine: rpc.Machine{Callers: 2, Cores: cores, EntryKB: 10, MemoryKB: 4000, RunFactor: 4, KeepAlive: 30,
 			Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
-		Rules: rpc.Rules{OverloadFactor: 5, Grace: 1},
+		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1},
 	}
 	change(&c)
 	return &street{Gate: New[string](100, c, keep), now: 100, ids: map[string]ID{}}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -41,7 +41,7 @@
 	readMachine(&s.Machine, o.Object("domain"))
 	rules := o.Object("rules")
 	rules.Number("overloadFactor", &s.Rules.OverloadFactor)
-	rules.Number("stopSendingWithinS", &s.Rules.Grace)
+	rules.Number("stopSendingWithinS", &s.Rules.DrainGrace)
 	rules.Number("startCapacity", &s.Rules.ColdAt)
 	rules.Number("rampTimeS", &s.Rules.WarmIn)
 	rules.Number("fallS", &s.Rules.CrowdSpan)
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -47,7 +47,7 @@
 			c.Machine.SkipWorth = append(c.Machine.SkipWorth, pick(rng, 0, 0.5))
 		}
 	}
-	c.Rules = rpc.Rules{OverloadFactor: pick(rng, 0, 0.5, 1, 5, 1000), Grace: pick(rng, 0, 0.5, 3600),
+	c.Rules = rpc.Rules{OverloadFactor: pick(rng, 0, 0.5, 1, 5, 1000), DrainGrace: pick(rng, 0, 0.5, 3600),
 		ColdAt: pick(rng, 0, 0.2, 1), WarmIn: pick(rng, 0, 0.1, 10, 1e6), CrowdSpan: pick(rng, 0, 0.05, 1.5, 1e6)}
 	c.Replicas = pick(rng, 0, 1, 300)
 	c.Ceilings.RetryAfter, c.Ceilings.MaxRetryAfter = rng.IntN(2) == 0, pick(rng, 0, 1, 3600.0)
@@ -267,7 +267,7 @@
 func TestSecondShutdownNotice(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 46))
 	s := newFakeServer(rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Deadline: 4}},
-		Rules: rpc.Rules{Grace: 0.5}}, rng)
+		Rules: rpc.Rules{DrainGrace: 0.5}}, rng)
 	s.leave(5)
 	first := s.shutdownNotice
 	s.advance(0.4)
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -356,7 +356,7 @@
 	if r.phase != phaseQueued || r.started || !r.pending() {
 		s.addViolation("RPC %d is started in phase %d", i, r.phase)
 	}
-	if r.arrival > s.shutdownNotice+s.settings.Rules.Grace {
+	if r.arrival > s.shutdownNotice+s.settings.Rules.DrainGrace {
 		s.addViolation("RPC %d arrived %.3f s after the shutdown notice and is started",
 			i, r.arrival-s.shutdownNotice)
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -179,7 +179,7 @@
 	m.arrivals, m.excessArrivals = m.arrivals+1, m.excessArrivals+1
 	m.move(i, queued)
 	m.creditExhausted = m.creditExhausted || float64(m.callers[caller].outstanding) >= m.credit
-	pastGrace := m.draining && req.arrival > m.shutdownNotice+m.Rules.Grace // rule 3: must not be run
+	pastGrace := m.draining && req.arrival > m.shutdownNotice+m.Rules.DrainGrace // rule 3: must not be run
 	switch {
 	case repeatOf != rpc.RepeatsNone && (pastGrace || now > req.deadline ||
 		!req.shareable && m.memoryUsed() > m.memoryLimit()):
--- a/logic/pool.go
+++ b/logic/pool.go
@@ -78,7 +78,7 @@
 		m.credit = limit / max(m.activeCallers(), float64(m.Machine.Callers))
 		covered = min(1, limit/max(open, 1)) * m.warmUpFactor()
 	}
-	if m.draining && m.now >= min(m.shutdownNotice+m.Rules.Grace, m.drainDeadline) {
+	if m.draining && m.now >= min(m.shutdownNotice+m.Rules.DrainGrace, m.drainDeadline) {
 		m.credit, covered = 0, 0
 	}
 	value, isPublished := map[rpc.Signal]float64{rpc.Allowance: m.credit, rpc.Weight: covered,
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -105,7 +105,7 @@
 // Rules are the figures of the rules that each app server keeps.
 type Rules struct {
 	OverloadFactor float64
-	Grace          float64
+	DrainGrace     float64
 	ColdAt         float64
 	WarmIn         float64
 	// CrowdSpan is the time in seconds over which a crowd counts.
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -195,7 +195,7 @@
 // the process ends before its stop.
 func Example_clockDrain() {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
-		t, system := openStepped(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 2.4, 0.6 })
+		t, system := openStepped(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 2.4, 0.6 })
 		r := t.dial()
 		began := time.Now()
 		t.notice()
@@ -255,7 +255,7 @@
 func TestRestsUnderExtremeSettings(t *testing.T) {
 	for _, figure := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
 		town := openPrepared(func(c *config.Config) {
-			c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn, c.Rules.Rules.Grace = figure, figure, figure
+			c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn, c.Rules.Rules.DrainGrace = figure, figure, figure
 			c.Stop, c.Rules.Rules.ColdAt = 0.3, 0.25
 			for k := range c.Rules.Methods {
 				m := &c.Rules.Methods[k]
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -18,7 +18,7 @@
 // The notice comes before the kernel is up, and the kernel comes up during the drain: what came within the grace is run, what comes past
 // it is not, as on any other drain.
 func Example_noticeBeforeKernel() {
-	t := openHeld(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 3, 0.2 })
+	t := openHeld(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 3, 0.2 })
 	t.kernel = must(t.cores.Accept()) // it does not say that it is up
 	r := t.dial()
 	began := time.Now()
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -269,7 +269,7 @@
 // hears the end in good order. Before, the process ended over it; or the RPC was read when nobody was there any more to answer
 // it.
 func Example_exitCrossed() {
-	t := openPrepared(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
+	t := openPrepared(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 39.5, closing: 39.4, cutShort: 0.2, exit: 0.1}
 		}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -79,7 +79,7 @@
 		{Kind: rpc.Tokened, Target: 30, Deadline: 60, Window: 90, Criticality: 3}}
 	c.Rules.Machine = rpc.Machine{Callers: 1, Cores: 2, EntryKB: 1, MemoryKB: 4000, RunFactor: 4, KeepAlive: 60,
 		Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance}
-	c.Rules.Rules = rpc.Rules{OverloadFactor: 5, Grace: 1}
+	c.Rules.Rules = rpc.Rules{OverloadFactor: 5, DrainGrace: 1}
 	if change != nil {
 		change(c)
 	}
