--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,7 +42,7 @@
 	rules := o.Object("rules")
 	rules.Number("overloadFactor", &s.Rules.OverloadFactor)
 	rules.Number("stopSendingWithinS", &s.Rules.DrainGrace)
-	rules.Number("startCapacity", &s.Rules.ColdAt)
+	rules.Number("startCapacity", &s.Rules.StartCapacity)
 	rules.Number("rampTimeS", &s.Rules.WarmIn)
 	rules.Number("fallS", &s.Rules.CrowdSpan)
 	o.ObjectIfAny("clients").Flag("marksRetry", &s.Clients.MarksRetry)
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -248,7 +248,7 @@
 	rules, cores := s.settings.Rules, float64(max(s.settings.Machine.Cores, 1))
 	warmUpFactor := 1.0
 	if s.settings.Machine.Cold && rules.WarmIn > 0 {
-		warmUpFactor = min(1, rules.ColdAt+(1-rules.ColdAt)*(s.now-s.startTime)/rules.WarmIn)
+		warmUpFactor = min(1, rules.StartCapacity+(1-rules.StartCapacity)*(s.now-s.startTime)/rules.WarmIn)
 	}
 	return max(1, cores*(1+(max(rules.OverloadFactor, 1)-1)*warmUpFactor))
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -292,7 +292,7 @@
 // A cold app server starts fewer RPCs; the limit rises as it warms up.
 func Example_cold() {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.ColdAt = true, 4, 2, 0
+		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.StartCapacity = true, 4, 2, 0
 	})
 	for i := range 5 {
 		h.arrive(i, page)
@@ -827,7 +827,7 @@
 // limit.
 func Example_growingColdFleet() {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.ColdAt, c.Rules.WarmIn = true, 4, 2, 0, 4
+		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.StartCapacity, c.Rules.WarmIn = true, 4, 2, 0, 4
 	})
 	h.printCredit = true
 	for i := range 5 {
--- a/logic/running.go
+++ b/logic/running.go
@@ -10,7 +10,7 @@
 	if !m.Machine.Cold || m.Rules.WarmIn <= 0 {
 		return 1
 	}
-	return min(1, m.Rules.ColdAt+(1-m.Rules.ColdAt)*max(m.now-m.started, 0)/m.Rules.WarmIn)
+	return min(1, m.Rules.StartCapacity+(1-m.Rules.StartCapacity)*max(m.now-m.started, 0)/m.Rules.WarmIn)
 }
 
 // maxStarted is the number of started RPCs that the cores withstand at once, fewer during warm-up. A tenth
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -106,7 +106,7 @@
 type Rules struct {
 	OverloadFactor float64
 	DrainGrace     float64
-	ColdAt         float64
+	StartCapacity  float64
 	WarmIn         float64
 	// CrowdSpan is the time in seconds over which a crowd counts.
 	CrowdSpan float64
