--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -186,7 +186,7 @@
 	s.report("a", rpc.OK, "1")
 	fmt.Println("booted", s.Booted(), "credit", s.Credit())
 
-	early := openTold(2, 1000, func(c *rpc.Settings) { c.Rules.StartCapacity, c.Rules.WarmIn, c.Machine.Cores = 0.25, 100, 8 })
+	early := openTold(2, 1000, func(c *rpc.Settings) { c.Rules.StartCapacity, c.Rules.RampTime, c.Machine.Cores = 0.25, 100, 8 })
 	early.arrive("b", read, "")
 	fmt.Println("credit", early.Credit())
 	early.Boot(early.now, 99.9, true)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -43,7 +43,7 @@
 	rules.Number("overloadFactor", &s.Rules.OverloadFactor)
 	rules.Number("stopSendingWithinS", &s.Rules.DrainGrace)
 	rules.Number("startCapacity", &s.Rules.StartCapacity)
-	rules.Number("rampTimeS", &s.Rules.WarmIn)
+	rules.Number("rampTimeS", &s.Rules.RampTime)
 	rules.Number("fallS", &s.Rules.CrowdSpan)
 	o.ObjectIfAny("clients").Flag("marksRetry", &s.Clients.MarksRetry)
 	ceilings := o.Object("ceilings")
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -247,8 +247,8 @@
 func (s *fakeServer) maxRunning() float64 {
 	rules, cores := s.settings.Rules, float64(max(s.settings.Machine.Cores, 1))
 	warmUpFactor := 1.0
-	if s.settings.Machine.Cold && rules.WarmIn > 0 {
-		warmUpFactor = min(1, rules.StartCapacity+(1-rules.StartCapacity)*(s.now-s.startTime)/rules.WarmIn)
+	if s.settings.Machine.Cold && rules.RampTime > 0 {
+		warmUpFactor = min(1, rules.StartCapacity+(1-rules.StartCapacity)*(s.now-s.startTime)/rules.RampTime)
 	}
 	return max(1, cores*(1+(max(rules.OverloadFactor, 1)-1)*warmUpFactor))
 }
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -42,7 +42,7 @@
 			CallsSpan: 5, Linger: 0.2, Cores: 2, Gauges: []string{"heap_share", "on_cores"},
 			EntryKB: 10, KeepAlive: 30,
 			MemoryKB: 4000, RunFactor: 4, Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
-		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: 0.2, WarmIn: 10},
+		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: 0.2, RampTime: 10},
 	}
 	settings.Ceilings.RetryAfter, settings.Ceilings.MaxRetryAfter = true, 1
 	if change != nil {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -827,7 +827,7 @@
 // limit.
 func Example_growingColdFleet() {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.StartCapacity, c.Rules.WarmIn = true, 4, 2, 0, 4
+		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.StartCapacity, c.Rules.RampTime = true, 4, 2, 0, 4
 	})
 	h.printCredit = true
 	for i := range 5 {
--- a/logic/pool.go
+++ b/logic/pool.go
@@ -48,7 +48,7 @@
 
 // warmingUp reports whether the app server is warming up, or was within the last Rules.CrowdSpan.
 func (m *Module) warmingUp() bool {
-	return m.Machine.Cold && m.now-m.started < max(m.Rules.WarmIn, m.Rules.CrowdSpan)
+	return m.Machine.Cold && m.now-m.started < max(m.Rules.RampTime, m.Rules.CrowdSpan)
 }
 
 // warmUpPool bounds the total credit of all callers, including those that may yet connect, during warm-up.
--- a/logic/running.go
+++ b/logic/running.go
@@ -7,10 +7,10 @@
 // warmUpFactor is the lowest fraction of its full speed that the app server has at this point of its
 // warm-up, 1 once warm.
 func (m *Module) warmUpFactor() float64 {
-	if !m.Machine.Cold || m.Rules.WarmIn <= 0 {
+	if !m.Machine.Cold || m.Rules.RampTime <= 0 {
 		return 1
 	}
-	return min(1, m.Rules.StartCapacity+(1-m.Rules.StartCapacity)*max(m.now-m.started, 0)/m.Rules.WarmIn)
+	return min(1, m.Rules.StartCapacity+(1-m.Rules.StartCapacity)*max(m.now-m.started, 0)/m.Rules.RampTime)
 }
 
 // maxStarted is the number of started RPCs that the cores withstand at once, fewer during warm-up. A tenth
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -51,7 +51,7 @@
 		{"domain.memoryKb", c.Machine.MemoryKB}, {"domain.runFactor", c.Machine.RunFactor}, {"domain.entryKb", c.Machine.EntryKB},
 		{"domain.keepaliveMaxS", c.Machine.KeepAlive}, {"domain.freshS", c.Machine.Fresh}, {"domain.callsOut", c.Machine.CallsOut},
 		{"domain.shareSpanS", c.Machine.CallsSpan}, {"domain.lingerS", c.Machine.Linger}, {"rules.overloadFactor", c.Rules.OverloadFactor},
-		{"rules.stopSendingWithinS", c.Rules.DrainGrace}, {"rules.startCapacity", c.Rules.StartCapacity}, {"rules.rampTimeS", c.Rules.WarmIn},
+		{"rules.stopSendingWithinS", c.Rules.DrainGrace}, {"rules.startCapacity", c.Rules.StartCapacity}, {"rules.rampTimeS", c.Rules.RampTime},
 		{"rules.fallS", c.Rules.CrowdSpan}, {"ceilings.maxRetryAfterS", c.Ceilings.MaxRetryAfter}, {"overShareWorth", c.OverShareWorth}})
 }
 
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -107,7 +107,7 @@
 	OverloadFactor float64
 	DrainGrace     float64
 	StartCapacity  float64
-	WarmIn         float64
+	RampTime       float64
 	// CrowdSpan is the time in seconds over which a crowd counts.
 	CrowdSpan float64
 }
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -255,7 +255,7 @@
 func TestRestsUnderExtremeSettings(t *testing.T) {
 	for _, figure := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
 		town := openPrepared(func(c *config.Config) {
-			c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn, c.Rules.Rules.DrainGrace = figure, figure, figure
+			c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime, c.Rules.Rules.DrainGrace = figure, figure, figure
 			c.Stop, c.Rules.Rules.StartCapacity = 0.3, 0.25
 			for k := range c.Rules.Methods {
 				m := &c.Rules.Methods[k]
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -634,7 +634,7 @@
 // not know how little it can bear. What comes all the same is held, and the module learns then that the machine is cold.
 func Example_early() {
 	t := openHeld(func(c *config.Config) {
-		c.Rules.Machine.Cores, c.Rules.Rules.StartCapacity, c.Rules.Rules.WarmIn = 8, 0.25, 1000
+		c.Rules.Machine.Cores, c.Rules.Rules.StartCapacity, c.Rules.Rules.RampTime = 8, 0.25, 1000
 	})
 	r := t.dial()
 	r.send(1, "check", 1, "\x00")
--- a/server/fields_test.go
+++ b/server/fields_test.go
@@ -214,7 +214,7 @@
 		fmt.Println(span, seconds(span) > 0)
 	}
 	t := openPrepared(func(c *config.Config) {
-		c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn = jsonobject.Largest, jsonobject.Largest
+		c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime = jsonobject.Largest, jsonobject.Largest
 		c.Rules.Machine.Below, c.Rules.Machine.Calls = "tier", []bool{false, true}
 		c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = true, jsonobject.Largest
 	}, zap.NewNop(), func(s *Server) { s.idle = time.Millisecond })
--- a/server/runs.go
+++ b/server/runs.go
@@ -23,7 +23,7 @@
 	now := s.clock.now()
 	warm := now - ago
 	if cold {
-		warm += s.config.Load().Rules.Rules.WarmIn
+		warm += s.config.Load().Rules.Rules.RampTime
 	}
 	s.warmAt.Store(int64(min(warm*1e9, math.MaxInt64/2)))
 	s.stopPanic(func() error {
