--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -45,7 +45,7 @@
 	}
 	c.Replicas, c.OverShareWorth = r.IntN(20), one(0, 0.1)
 	c.Rules = rpc.Rules{OverloadFactor: one(0, 1, 5, 100), DrainGrace: one(0, 0.05, 2.5), StartCapacity: one(0, 0.2, 1), RampTime: one(0, 0.01, 18, 1e4),
-		CrowdSpan: one(0, 0.1, 1.5, 100)}
+		OverloadWindow: one(0, 0.1, 1.5, 100)}
 	c.Clients.MarksRetry = r.IntN(2) == 0
 	c.Ceilings.RetryAfter, c.Ceilings.MaxRetryAfter = r.IntN(2) == 0, one(0, 1, 60)
 	return c
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,7 +44,7 @@
 	rules.Number("stopSendingWithinS", &s.Rules.DrainGrace)
 	rules.Number("startCapacity", &s.Rules.StartCapacity)
 	rules.Number("rampTimeS", &s.Rules.RampTime)
-	rules.Number("fallS", &s.Rules.CrowdSpan)
+	rules.Number("fallS", &s.Rules.OverloadWindow)
 	o.ObjectIfAny("clients").Flag("marksRetry", &s.Clients.MarksRetry)
 	ceilings := o.Object("ceilings")
 	ceilings.Flag("retryAfter", &s.Ceilings.RetryAfter)
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -16,7 +16,7 @@
 	const callers, span, took = 40, 1.5, 0.3
 	h := newHarness(func(c *rpc.Settings) {
 		c.Machine.Cold, c.Machine.Callers, c.Machine.Cores = true, callers, 4
-		c.Rules.CrowdSpan, c.Rules.StartCapacity, c.Rules.RampTime = span, 0.2, 10
+		c.Rules.OverloadWindow, c.Rules.StartCapacity, c.Rules.RampTime = span, 0.2, 10
 	})
 	h.quiet = true
 	bound := 2*math.Sqrt(4*span/took) + 2
@@ -40,7 +40,7 @@
 func TestColdImplausibleRunTimes(t *testing.T) {
 	for _, took := range []float64{-1e9, 1e300, 0} {
 		h := newHarness(func(c *rpc.Settings) {
-			c.Machine.Cold, c.Rules.RampTime, c.Rules.CrowdSpan = true, 1000, 1.5
+			c.Machine.Cold, c.Rules.RampTime, c.Rules.OverloadWindow = true, 1000, 1.5
 		})
 		h.quiet = true
 		for i := range 40 {
@@ -114,7 +114,7 @@
 		Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: c.target, Deadline: 2 * c.target, Criticality: 1}},
 		Machine: rpc.Machine{Cores: c.cores, Callers: c.configured, Cold: true,
 			Signal: rpc.Allowance, RunFactor: 1, Preemption: rpc.FreezeOnStop},
-		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: c.coldAt, RampTime: c.warmIn, CrowdSpan: c.interval}}
+		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: c.coldAt, RampTime: c.warmIn, OverloadWindow: c.interval}}
 	s := newFakeServer(settings, rng)
 	s.runTime = func(*request) float64 {
 		return work * (0.5 + rng.Float64()) / c.warmUpFactor(s.now-s.startTime)
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	c.Rules = rpc.Rules{OverloadFactor: pick(rng, 0, 0.5, 1, 5, 1000), DrainGrace: pick(rng, 0, 0.5, 3600),
-		StartCapacity: pick(rng, 0, 0.2, 1), RampTime: pick(rng, 0, 0.1, 10, 1e6), CrowdSpan: pick(rng, 0, 0.05, 1.5, 1e6)}
+		StartCapacity: pick(rng, 0, 0.2, 1), RampTime: pick(rng, 0, 0.1, 10, 1e6), OverloadWindow: pick(rng, 0, 0.05, 1.5, 1e6)}
 	c.Replicas = pick(rng, 0, 1, 300)
 	c.Ceilings.RetryAfter, c.Ceilings.MaxRetryAfter = rng.IntN(2) == 0, pick(rng, 0, 1, 3600.0)
 	return c
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -96,8 +96,8 @@
 	m := &Module{Settings: settings, actions: actions, now: now, started: now, lastUpdate: now, lastDecay: now,
 		shutdownNotice: math.Inf(1)}
 	m.Machine.Cores, m.Machine.RunFactor = max(settings.Machine.Cores, 1), max(settings.Machine.RunFactor, 1)
-	m.Rules.OverloadFactor, m.Rules.CrowdSpan = max(settings.Rules.OverloadFactor, 1),
-		min(cmp.Or(max(settings.Rules.CrowdSpan, 0), 1), 10)
+	m.Rules.OverloadFactor, m.Rules.OverloadWindow = max(settings.Rules.OverloadFactor, 1),
+		min(cmp.Or(max(settings.Rules.OverloadWindow, 0), 1), 10)
 	m.Machine.CallsOut = cmp.Or(max(settings.Machine.CallsOut, 0), 1)
 	// Without a limit the memory is finite all the same, so that sums do not become NaN.
 	m.Machine.MemoryKB = cmp.Or(max(settings.Machine.MemoryKB, 0), math.MaxFloat64)
--- a/logic/pool.go
+++ b/logic/pool.go
@@ -48,7 +48,7 @@
 
 // warmingUp reports whether the app server is warming up, or was within the last Rules.CrowdSpan.
 func (m *Module) warmingUp() bool {
-	return m.Machine.Cold && m.now-m.started < max(m.Rules.RampTime, m.Rules.CrowdSpan)
+	return m.Machine.Cold && m.now-m.started < max(m.Rules.RampTime, m.Rules.OverloadWindow)
 }
 
 // warmUpPool bounds the total credit of all callers, including those that may yet connect, during warm-up.
@@ -57,9 +57,9 @@
 // in the next one too, at once, so the bound shrinks with the recent arrivals past N.
 func (m *Module) warmUpPool() float64 {
 	const prior = 0.2 // weight of the initial sample: one run that takes all cores for the whole interval
-	coreSeconds := m.cores() * m.Rules.CrowdSpan * max(m.warmUpFactor(), 0.01)
+	coreSeconds := m.cores() * m.Rules.OverloadWindow * max(m.warmUpFactor(), 0.01)
 	runs := coreSeconds * (m.okRuns + prior) / (m.okRunSeconds + prior*coreSeconds)
-	maxExcess, secondsPerRun := 1+1.2*math.Sqrt(runs), m.Rules.CrowdSpan/runs
+	maxExcess, secondsPerRun := 1+1.2*math.Sqrt(runs), m.Rules.OverloadWindow/runs
 	m.excessArrivals, m.excessUpdated = max(m.excessArrivals-(m.now-m.excessUpdated)/secondsPerRun, 0), m.now
 	return min((1+runs)/2, maxExcess) * max(min(2-2*m.excessArrivals/maxExcess, 1), 1.0/16)
 }
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -52,7 +52,7 @@
 		{"domain.keepaliveMaxS", c.Machine.KeepAlive}, {"domain.freshS", c.Machine.Fresh}, {"domain.callsOut", c.Machine.CallsOut},
 		{"domain.shareSpanS", c.Machine.CallsSpan}, {"domain.lingerS", c.Machine.Linger}, {"rules.overloadFactor", c.Rules.OverloadFactor},
 		{"rules.stopSendingWithinS", c.Rules.DrainGrace}, {"rules.startCapacity", c.Rules.StartCapacity}, {"rules.rampTimeS", c.Rules.RampTime},
-		{"rules.fallS", c.Rules.CrowdSpan}, {"ceilings.maxRetryAfterS", c.Ceilings.MaxRetryAfter}, {"overShareWorth", c.OverShareWorth}})
+		{"rules.fallS", c.Rules.OverloadWindow}, {"ceilings.maxRetryAfterS", c.Ceilings.MaxRetryAfter}, {"overShareWorth", c.OverShareWorth}})
 }
 
 // checkWords names the first setting whose word is not known.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -108,8 +108,8 @@
 	DrainGrace     float64
 	StartCapacity  float64
 	RampTime       float64
-	// CrowdSpan is the time in seconds over which a crowd counts.
-	CrowdSpan float64
+	// OverloadWindow is the time in seconds over which a crowd counts.
+	OverloadWindow float64
 }
 
 // What an arrival may repeat, besides an RPC that is still in hand.
