--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -85,9 +85,9 @@
 	preemption, signal := string(rpc.NoPreemption), "none"
 	domain.Text("preemption", &preemption)
 	domain.Text("signal", &signal)
-	m.Preemption, m.Signal, m.Below = rpc.Preemption(preemption), rpc.Signal(signal), "none"
-	domain.Text("below", &m.Below)
-	if m.Below != "none" {
+	m.Preemption, m.Signal, m.Downstream = rpc.Preemption(preemption), rpc.Signal(signal), "none"
+	domain.Text("below", &m.Downstream)
+	if m.Downstream != "none" {
 		m.Calls = domain.Flags("callsByClass")
 	}
 	domain.Whole("callers", &m.Callers)
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -29,7 +29,7 @@
 		}
 		c.Methods = append(c.Methods, method)
 	}
-	c.Machine = rpc.Machine{Below: pick(rng, "", "none", "one_for_all", "tier"),
+	c.Machine = rpc.Machine{Downstream: pick(rng, "", "none", "one_for_all", "tier"),
 		Callers:  pick(rng, 0, 1, 24, 1_000_000),
 		CallsOut: pick(rng, 0, 0.3, 1, 2.5, 100), CallsSpan: pick(rng, 0, 0.1, 5, 1e6),
 		Linger: pick(rng, 0, 0.2, 100),
@@ -41,7 +41,7 @@
 		MemoryKB: pick(rng, 0, 1, 500, 13000, 1e9, 1e300), RunFactor: pick(rng, 0, 0.5, 1, 4, 1000, 1e300, 1e308),
 		Preemption: pick(rng, "", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop),
 		Signal:     pick(rng, rpc.Allowance, rpc.Allowance, rpc.Floor, rpc.Weight, "none", "")}
-	if c.Machine.Below == "one_for_all" || c.Machine.Below == "tier" {
+	if c.Machine.Downstream == "one_for_all" || c.Machine.Downstream == "tier" {
 		for range c.Methods {
 			c.Machine.Calls = append(c.Machine.Calls, rng.IntN(2) == 0)
 			c.Machine.SkipWorth = append(c.Machine.SkipWorth, pick(rng, 0, 0.5))
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -101,7 +101,7 @@
 	m.Machine.CallsOut = cmp.Or(max(settings.Machine.CallsOut, 0), 1)
 	// Without a limit the memory is finite all the same, so that sums do not become NaN.
 	m.Machine.MemoryKB = cmp.Or(max(settings.Machine.MemoryKB, 0), math.MaxFloat64)
-	if settings.Machine.Below != "one_for_all" {
+	if settings.Machine.Downstream != "one_for_all" {
 		m.Machine.CallsOut = math.Inf(1) // calls to a tier of app servers have no share
 	}
 	m.callLimit, m.bestCallMedian = m.cores(), math.Inf(1)
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -67,17 +67,17 @@
 	default:
 		return settingError("domain.signal", "%q is not known", string(m.Signal))
 	}
-	switch m.Below {
+	switch m.Downstream {
 	case "", "none", "one_for_all", "tier":
 	default:
-		return settingError("domain.below", "%q is not known", m.Below)
+		return settingError("domain.below", "%q is not known", m.Downstream)
 	}
 	return nil
 }
 
 // MayCall reports whether RPCs of a method, by its index, may call the layer below. A method of which nothing is told does not.
 func (c *Settings) MayCall(method int) bool {
-	return c.Machine.Below != "" && c.Machine.Below != "none" && method < len(c.Machine.Calls) && c.Machine.Calls[method]
+	return c.Machine.Downstream != "" && c.Machine.Downstream != "none" && method < len(c.Machine.Calls) && c.Machine.Calls[method]
 }
 
 // MaxRetryAfter is the longest time in seconds for which callers heed the advice to stay away, 0 where they are given none.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -83,7 +83,7 @@
 
 // Machine is the app server itself and what it calls.
 type Machine struct {
-	Below      string
+	Downstream string
 	Callers    int
 	Calls      []bool
 	SkipWorth  []float64
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -92,7 +92,7 @@
 	for method, name := range c.Methods {
 		if c.Rules.MayCall(method) {
 			s.log.Warn("method not served, as it may call the layer below", zap.String("method", name),
-				zap.String("below", c.Rules.Machine.Below))
+				zap.String("below", c.Rules.Machine.Downstream))
 		}
 	}
 }
