--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -37,7 +37,7 @@
 	c.Machine.Downstream = []string{"", "none", "one_for_all", "tier"}[r.IntN(4)]
 	c.Machine.CallsOut, c.Machine.CallsSpan, c.Machine.Linger = one(0, 0.3, 5), one(0, 0.1, 5), one(0, 0.2)
 	for range r.IntN(8) {
-		c.Machine.Calls = append(c.Machine.Calls, r.IntN(2) == 0)
+		c.Machine.CallsDownstream = append(c.Machine.CallsDownstream, r.IntN(2) == 0)
 		c.Machine.SkipWorth = append(c.Machine.SkipWorth, one(0, 0.5))
 	}
 	for range r.IntN(3) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -88,7 +88,7 @@
 	m.Preemption, m.Signal, m.Downstream = rpc.Preemption(preemption), rpc.Signal(signal), "none"
 	domain.Text("below", &m.Downstream)
 	if m.Downstream != "none" {
-		m.Calls = domain.Flags("callsByClass")
+		m.CallsDownstream = domain.Flags("callsByClass")
 	}
 	domain.Whole("callers", &m.Callers)
 	domain.Whole("nCores", &m.Cores)
@@ -101,7 +101,7 @@
 
 // readCalls reads what matters only where calls to the layer below are made, or the machine's start is told with the settings.
 func readCalls(m *rpc.Machine, domain *jsonobject.Object) {
-	m.Calls, m.SkipWorth = domain.Flags("callsByClass"), domain.Numbers("classSkipWorth")
+	m.CallsDownstream, m.SkipWorth = domain.Flags("callsByClass"), domain.Numbers("classSkipWorth")
 	domain.Number("callsOut", &m.CallsOut)
 	domain.Number("shareSpanS", &m.CallsSpan)
 	domain.Number("lingerS", &m.Linger)
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -43,7 +43,7 @@
 		Signal:     pick(rng, rpc.Allowance, rpc.Allowance, rpc.Floor, rpc.Weight, "none", "")}
 	if c.Machine.Downstream == "one_for_all" || c.Machine.Downstream == "tier" {
 		for range c.Methods {
-			c.Machine.Calls = append(c.Machine.Calls, rng.IntN(2) == 0)
+			c.Machine.CallsDownstream = append(c.Machine.CallsDownstream, rng.IntN(2) == 0)
 			c.Machine.SkipWorth = append(c.Machine.SkipWorth, pick(rng, 0, 0.5))
 		}
 	}
@@ -80,7 +80,7 @@
 		return rng.ExpFloat64() * meanRun
 	}
 	s.gauges = randomGauges(rng, rng.IntN(2) == 0)
-	calls := s.settings.Machine.Calls
+	calls := s.settings.Machine.CallsDownstream
 	s.onRun = func(_ int, r *request) {
 		if r.method < len(calls) && calls[r.method] && r.calls == 0 {
 			r.calls = rng.IntN(3)
@@ -144,7 +144,7 @@
 		memory = math.MaxFloat64
 	}
 	deadline := c.Methods[method].Deadline
-	calls := method < len(c.Machine.Calls) && c.Machine.Calls[method]
+	calls := method < len(c.Machine.CallsDownstream) && c.Machine.CallsDownstream[method]
 	return (deadline <= 0 || deadline >= 0.005+safetyFactor*took) && !calls &&
 		safetyFactor*(kb*max(c.Machine.RunFactor, 1)+20*c.Machine.EntryKB) <= memory
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -614,7 +614,7 @@
 // has failed for good. Other RPCs wait for their calls, or are given up.
 func Example_skippedCalls() {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.SkipWorth, c.Machine.Calls, c.Machine.CallsOut =
+		c.Machine.SkipWorth, c.Machine.CallsDownstream, c.Machine.CallsOut =
 			[]float64{0, 0, 0.5}, []bool{true, false, true}, 9
 	})
 	for i := range 4 {
@@ -681,7 +681,7 @@
 	const share = 0.5
 	h := &meter{harness: &harness{now: 100, onlyIdleTimeouts: true}, open: map[int]int{}}
 	c := rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
-		Machine: rpc.Machine{Downstream: "one_for_all", Calls: []bool{true}, CallsOut: share, CallsSpan: 5,
+		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, CallsOut: share, CallsSpan: 5,
 			Linger: 0.2, Cores: 4, MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
 	h.m = logic.New(h.now, c, h)
 	next := 0
--- a/logic/running.go
+++ b/logic/running.go
@@ -36,7 +36,7 @@
 			i = m.queue[len(m.queue)-1-k]
 		}
 		req := &m.rpcs[i]
-		mayCall := req.method < len(m.Machine.Calls) && m.Machine.Calls[req.method]
+		mayCall := req.method < len(m.Machine.CallsDownstream) && m.Machine.CallsDownstream[req.method]
 		switch {
 		case m.wouldBeLate(req):
 			m.giveUp(i)
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -77,7 +77,7 @@
 
 // MayCall reports whether RPCs of a method, by its index, may call the layer below. A method of which nothing is told does not.
 func (c *Settings) MayCall(method int) bool {
-	return c.Machine.Downstream != "" && c.Machine.Downstream != "none" && method < len(c.Machine.Calls) && c.Machine.Calls[method]
+	return c.Machine.Downstream != "" && c.Machine.Downstream != "none" && method < len(c.Machine.CallsDownstream) && c.Machine.CallsDownstream[method]
 }
 
 // MaxRetryAfter is the longest time in seconds for which callers heed the advice to stay away, 0 where they are given none.
--- a/server/fields_test.go
+++ b/server/fields_test.go
@@ -59,7 +59,7 @@
 	for _, below := range []string{"one_for_all", "tier"} {
 		core, logged := observer.New(zap.WarnLevel)
 		t := openLogged(func(c *config.Config) {
-			c.Rules.Machine.Downstream, c.Rules.Machine.Calls = below, []bool{true}
+			c.Rules.Machine.Downstream, c.Rules.Machine.CallsDownstream = below, []bool{true}
 			c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = below == "tier", 0.75
 		}, zap.New(core))
 		r := t.dial()
@@ -215,7 +215,7 @@
 	}
 	t := openPrepared(func(c *config.Config) {
 		c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime = jsonobject.Largest, jsonobject.Largest
-		c.Rules.Machine.Downstream, c.Rules.Machine.Calls = "tier", []bool{false, true}
+		c.Rules.Machine.Downstream, c.Rules.Machine.CallsDownstream = "tier", []bool{false, true}
 		c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = true, jsonobject.Largest
 	}, zap.NewNop(), func(s *Server) { s.idle = time.Millisecond })
 	t.cold = true
