--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -102,7 +102,7 @@
 // readCalls reads what matters only where calls to the layer below are made, or the machine's start is told with the settings.
 func readCalls(m *rpc.Machine, domain *jsonobject.Object) {
 	m.CallsDownstream, m.SkipWorth = domain.Flags("callsByClass"), domain.Numbers("classSkipWorth")
-	domain.Number("callsOut", &m.CallsOut)
+	domain.Number("callsOut", &m.MaxDownstreamCalls)
 	domain.Number("shareSpanS", &m.CallsSpan)
 	domain.Number("lingerS", &m.Linger)
 	domain.Flag("justStarted", &m.Cold)
--- a/logic/calls.go
+++ b/logic/calls.go
@@ -29,7 +29,7 @@
 // started, with a timeout that keeps the mean even if the call is never answered.
 func (m *Module) startCalls() {
 	m.lingerEnds = slices.DeleteFunc(m.lingerEnds, func(end float64) bool { return end <= m.now })
-	wholeCalls, fraction := math.Modf(m.Machine.CallsOut)
+	wholeCalls, fraction := math.Modf(m.Machine.MaxDownstreamCalls)
 	// An RPC whose call cannot finish in time skips the call. So does one that delays others by waiting, while
 	// the layer below is slow or its share has a fractional part.
 	congested := m.queueDelay() > m.targetDelay &&
@@ -144,7 +144,7 @@
 		m.callLimit = max(0.95*m.callLimit, 1)
 	} else {
 		maxCalls := m.cores()
-		if math.IsInf(m.Machine.CallsOut, 1) { // a tier of app servers does its own admission control
+		if math.IsInf(m.Machine.MaxDownstreamCalls, 1) { // a tier of app servers does its own admission control
 			maxCalls *= 3
 		}
 		m.callLimit = min(m.callLimit+0.1, maxCalls)
@@ -153,7 +153,7 @@
 		req.extraCall = false
 		m.extraCalls = append(m.extraCalls[:max(len(m.extraCalls)-1, 0)],
 			[2]float64{req.callStarted, req.callStarted + took})
-		_, fraction := math.Modf(m.Machine.CallsOut)
+		_, fraction := math.Modf(m.Machine.MaxDownstreamCalls)
 		// Extra calls are spaced evenly, else the first ones in an interval leave nothing for the last.
 		m.nextExtraCall = m.now + took*(1/fraction-1)
 	}
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -38,7 +38,7 @@
 			{Kind: rpc.Tokened, Target: 2.4, Deadline: 8, Window: 10, Criticality: 3, LateShare: 0.2},
 			{Kind: rpc.NonIdempotent, Target: 2.4, Deadline: 8, Criticality: 4},
 		},
-		Machine: rpc.Machine{Downstream: "one_for_all", Callers: 2, CallsDownstream: []bool{false, false, true}, CallsOut: 1,
+		Machine: rpc.Machine{Downstream: "one_for_all", Callers: 2, CallsDownstream: []bool{false, false, true}, MaxDownstreamCalls: 1,
 			CallsSpan: 5, Linger: 0.2, Cores: 2, Gauges: []string{"heap_share", "on_cores"},
 			EntryKB: 10, KeepAlive: 30,
 			MemoryKB: 4000, RunFactor: 4, Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -98,11 +98,11 @@
 	m.Machine.Cores, m.Machine.RunFactor = max(settings.Machine.Cores, 1), max(settings.Machine.RunFactor, 1)
 	m.Rules.OverloadFactor, m.Rules.OverloadWindow = max(settings.Rules.OverloadFactor, 1),
 		min(cmp.Or(max(settings.Rules.OverloadWindow, 0), 1), 10)
-	m.Machine.CallsOut = cmp.Or(max(settings.Machine.CallsOut, 0), 1)
+	m.Machine.MaxDownstreamCalls = cmp.Or(max(settings.Machine.MaxDownstreamCalls, 0), 1)
 	// Without a limit the memory is finite all the same, so that sums do not become NaN.
 	m.Machine.MemoryKB = cmp.Or(max(settings.Machine.MemoryKB, 0), math.MaxFloat64)
 	if settings.Machine.Downstream != "one_for_all" {
-		m.Machine.CallsOut = math.Inf(1) // calls to a tier of app servers have no share
+		m.Machine.MaxDownstreamCalls = math.Inf(1) // calls to a tier of app servers have no share
 	}
 	m.callLimit, m.bestCallMedian = m.cores(), math.Inf(1)
 	m.coresGauge = slices.Index(settings.Machine.Gauges, "on_cores")
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -502,7 +502,7 @@
 
 // A dependency that slows down gets fewer calls at a time, and more once it is fast again.
 func Example_overloadedDependency() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.CallsOut = 4 })
+	h := newHarness(func(c *rpc.Settings) { c.Machine.MaxDownstreamCalls = 4 })
 	h.arrive(0, page)
 	h.arrive(1, page)
 	for _, took := range []float64{0.1, 0.6, 0.1, 0.1} {
@@ -529,7 +529,7 @@
 // The fraction of a share beyond a whole number is used too: now and then one more call, with a shorter
 // timeout.
 func Example_shareFraction() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.CallsOut = 1.25 })
+	h := newHarness(func(c *rpc.Settings) { c.Machine.MaxDownstreamCalls = 1.25 })
 	h.arrive(0, page)
 	h.arrive(1, page)
 	h.m.NeedsCall(h.now, 0)
@@ -614,7 +614,7 @@
 // has failed for good. Other RPCs wait for their calls, or are given up.
 func Example_skippedCalls() {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.SkipWorth, c.Machine.CallsDownstream, c.Machine.CallsOut =
+		c.Machine.SkipWorth, c.Machine.CallsDownstream, c.Machine.MaxDownstreamCalls =
 			[]float64{0, 0, 0.5}, []bool{true, false, true}, 9
 	})
 	for i := range 4 {
@@ -681,7 +681,7 @@
 	const share = 0.5
 	h := &meter{harness: &harness{now: 100, onlyIdleTimeouts: true}, open: map[int]int{}}
 	c := rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
-		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, CallsOut: share, CallsSpan: 5,
+		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, MaxDownstreamCalls: share, CallsSpan: 5,
 			Linger: 0.2, Cores: 4, MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
 	h.m = logic.New(h.now, c, h)
 	next := 0
@@ -788,7 +788,7 @@
 // A layer below that fails calls at once is not fast: only successful calls count as call times, so that a
 // call that would end too late is still skipped.
 func Example_fastFailingCalls() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.SkipWorth, c.Machine.CallsOut = []float64{0, 0, 0.5}, 9 })
+	h := newHarness(func(c *rpc.Settings) { c.Machine.SkipWorth, c.Machine.MaxDownstreamCalls = []float64{0, 0, 0.5}, 9 })
 	for range 4 {
 		h.arrive(0, page)
 		h.m.NeedsCall(h.now, 0)
