--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -35,7 +35,7 @@
 		Signal:     []rpc.Signal{"", "none", rpc.Floor, rpc.Allowance, rpc.Weight}[r.IntN(5)],
 		Gauges:     [][]string{nil, {"on_cores"}, {"core_use", "on_cores"}, {"heap_share"}}[r.IntN(4)]}
 	c.Machine.Downstream = []string{"", "none", "one_for_all", "tier"}[r.IntN(4)]
-	c.Machine.MaxDownstreamCalls, c.Machine.CallsSpan, c.Machine.Linger = one(0, 0.3, 5), one(0, 0.1, 5), one(0, 0.2)
+	c.Machine.MaxDownstreamCalls, c.Machine.DownstreamCallWindow, c.Machine.Linger = one(0, 0.3, 5), one(0, 0.1, 5), one(0, 0.2)
 	for range r.IntN(8) {
 		c.Machine.CallsDownstream = append(c.Machine.CallsDownstream, r.IntN(2) == 0)
 		c.Machine.SkipWorth = append(c.Machine.SkipWorth, one(0, 0.5))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -103,7 +103,7 @@
 func readCalls(m *rpc.Machine, domain *jsonobject.Object) {
 	m.CallsDownstream, m.SkipWorth = domain.Flags("callsByClass"), domain.Numbers("classSkipWorth")
 	domain.Number("callsOut", &m.MaxDownstreamCalls)
-	domain.Number("shareSpanS", &m.CallsSpan)
+	domain.Number("shareSpanS", &m.DownstreamCallWindow)
 	domain.Number("lingerS", &m.Linger)
 	domain.Flag("justStarted", &m.Cold)
 }
--- a/logic/calls.go
+++ b/logic/calls.go
@@ -44,7 +44,7 @@
 	for len(m.callQueue) > 0 {
 		calls := float64(m.count[calling] + len(m.lingerEnds) + 1)
 		isExtra := calls > wholeCalls
-		extraTime := fraction*m.Machine.CallsSpan - m.extraCallTime() - m.Machine.Linger
+		extraTime := fraction*m.Machine.DownstreamCallWindow - m.extraCallTime() - m.Machine.Linger
 		mustWait := calls > wholeCalls+1 || m.now < m.nextExtraCall ||
 			extraTime < max(runMargin*m.callTimes.median(), deadlineMargin)
 		if calls > m.callLimit || isExtra && mustWait {
@@ -113,7 +113,7 @@
 // was open, +Inf while one is. Spacing calls by the mean alone would let an interval that begins with a
 // call exceed the share, and with a slow dependency the whole fleet would do so at once.
 func (m *Module) extraCallTime() (sum float64) {
-	windowStart := m.now - m.Machine.CallsSpan
+	windowStart := m.now - m.Machine.DownstreamCallWindow
 	m.extraCalls = slices.DeleteFunc(m.extraCalls, func(call [2]float64) bool { return call[1] <= windowStart })
 	for _, call := range m.extraCalls {
 		if call[1] > m.now {
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -31,7 +31,7 @@
 	}
 	c.Machine = rpc.Machine{Downstream: pick(rng, "", "none", "one_for_all", "tier"),
 		Callers:            pick(rng, 0, 1, 24, 1_000_000),
-		MaxDownstreamCalls: pick(rng, 0, 0.3, 1, 2.5, 100), CallsSpan: pick(rng, 0, 0.1, 5, 1e6),
+		MaxDownstreamCalls: pick(rng, 0, 0.3, 1, 2.5, 100), DownstreamCallWindow: pick(rng, 0, 0.1, 5, 1e6),
 		Linger: pick(rng, 0, 0.2, 100),
 		Cold:   rng.IntN(2) == 0, Cores: pick(rng, 0, 1, 2, 6, 64, 4096),
 		KeepAlive: pick(rng, 0, 0.001, 1, 30, 1e6),
@@ -249,7 +249,7 @@
 // is no longer in the list then, and the module must not panic.
 func TestCallEndReportedLate(t *testing.T) {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.MaxDownstreamCalls, c.Machine.CallsSpan, c.Machine.Linger = 0.5, 0.4, 0
+		c.Machine.MaxDownstreamCalls, c.Machine.DownstreamCallWindow, c.Machine.Linger = 0.5, 0.4, 0
 		c.Methods[page].LateShare = 0.5
 	})
 	h.quiet = true
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -681,7 +681,7 @@
 	const share = 0.5
 	h := &meter{harness: &harness{now: 100, onlyIdleTimeouts: true}, open: map[int]int{}}
 	c := rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
-		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, MaxDownstreamCalls: share, CallsSpan: 5,
+		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, MaxDownstreamCalls: share, DownstreamCallWindow: 5,
 			Linger: 0.2, Cores: 4, MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
 	h.m = logic.New(h.now, c, h)
 	next := 0
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -83,23 +83,23 @@
 
 // Machine is the app server itself and what it calls.
 type Machine struct {
-	Downstream         string
-	Callers            int
-	CallsDownstream    []bool
-	SkipWorth          []float64
-	MaxDownstreamCalls float64
-	CallsSpan          float64
-	Linger             float64
-	Cold               bool
-	Cores              int
-	Gauges             []string
-	KeepAlive          float64
-	EntryKB            float64
-	Fresh              float64
-	MemoryKB           float64
-	RunFactor          float64
-	Preemption         Preemption
-	Signal             Signal
+	Downstream           string
+	Callers              int
+	CallsDownstream      []bool
+	SkipWorth            []float64
+	MaxDownstreamCalls   float64
+	DownstreamCallWindow float64
+	Linger               float64
+	Cold                 bool
+	Cores                int
+	Gauges               []string
+	KeepAlive            float64
+	EntryKB              float64
+	Fresh                float64
+	MemoryKB             float64
+	RunFactor            float64
+	Preemption           Preemption
+	Signal               Signal
 }
 
 // Rules are the figures of the rules that each app server keeps.
