--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -29,7 +29,7 @@
 		c.Methods = append(c.Methods, m)
 	}
 	c.Machine = rpc.Machine{Callers: r.IntN(50), Cores: r.IntN(17), EntryKB: one(0, 0.001, 1, 27.8, 1e4),
-		MemoryKB: one(0, 50, 2000, 13164, 1e9), RunFactor: one(0, 1, 4, 50), KeepAlive: one(0, 0.01, 30), Fresh: one(0, 2),
+		MemoryKB: one(0, 50, 2000, 13164, 1e9), RunFactor: one(0, 1, 4, 50), KeepAlive: one(0, 0.01, 30), ResultTTL: one(0, 2),
 		Cold:       r.IntN(2) == 0,
 		Preemption: []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop}[r.IntN(4)],
 		Signal:     []rpc.Signal{"", "none", rpc.Floor, rpc.Allowance, rpc.Weight}[r.IntN(5)],
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -117,5 +117,5 @@
 	}
 	o.Number("overShareWorth", &s.OverShareWorth)
 	o.Whole("replicasOfMe", &s.Replicas)
-	o.Object("domain").Number("freshS", &s.Machine.Fresh)
+	o.Object("domain").Number("freshS", &s.Machine.ResultTTL)
 }
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -37,7 +37,7 @@
 		KeepAlive: pick(rng, 0, 0.001, 1, 30, 1e6),
 		Gauges: pick(rng, nil, []string{"on_cores"}, []string{"core_use", "on_cores", "heap_share", "links"},
 			[]string{"links", "on_cores"}, []string{"core_use"}),
-		EntryKB: pick(rng, 0, 1, 30, 1e6, 1e300), Fresh: pick(rng, 0, 0, 0.05, 10, day),
+		EntryKB: pick(rng, 0, 1, 30, 1e6, 1e300), ResultTTL: pick(rng, 0, 0, 0.05, 10, day),
 		MemoryKB: pick(rng, 0, 1, 500, 13000, 1e9, 1e300), RunFactor: pick(rng, 0, 0.5, 1, 4, 1000, 1e300, 1e308),
 		Preemption: pick(rng, "", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop),
 		Signal:     pick(rng, rpc.Allowance, rpc.Allowance, rpc.Floor, rpc.Weight, "none", "")}
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -272,7 +272,7 @@
 			r.deadline = r.arrival + d
 		}
 	}
-	if s.settings.Machine.Fresh > 0 || s.settings.Methods[method].Kind == rpc.Tokened {
+	if s.settings.Machine.ResultTTL > 0 || s.settings.Methods[method].Kind == rpc.Tokened {
 		r.token = method*1000 + token // a token belongs to its method
 	}
 	s.requests[i] = r
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -156,7 +156,7 @@
 	req := &m.rpcs[i]
 	*req = request{method: method, caller: caller, tenant: tenant, arrival: now - readDelay,
 		firstAttempt: now - readDelay, deadline: deadline, sizeKB: sizeKB,
-		shareable: readOnly && m.Machine.Fresh > 0 && m.Methods[method].Kind == rpc.Idempotent}
+		shareable: readOnly && m.Machine.ResultTTL > 0 && m.Methods[method].Kind == rpc.Idempotent}
 	if tenant < len(m.tenantRPCs) {
 		m.tenantRPCs[tenant]++
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -576,7 +576,7 @@
 // queued or runs, or just after, follows it. A read with followers is not stopped when its own caller goes,
 // and is kept before one without followers. Where answers may not be shared, nothing is remembered.
 func Example_sharedReads() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores = 1, 1 })
+	h := newHarness(func(c *rpc.Settings) { c.Machine.ResultTTL, c.Machine.Cores = 1, 1 })
 	h.arrive(0, read)
 	h.arriveRepeat(1, read, 0)
 	h.m.CallerGone(h.now, 0)
@@ -752,7 +752,7 @@
 // is rejected or another one is rejected for it, and a retry of a tokened RPC is aborted, as the first try
 // may have run.
 func Example_followersFillMemory() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.Fresh, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
+	h := newHarness(func(c *rpc.Settings) { c.Machine.ResultTTL, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
 	h.arrive(0, read)
 	for i := range 6 {
 		h.arriveRepeat(1+i, read, 0)
--- a/logic/tokens.go
+++ b/logic/tokens.go
@@ -27,7 +27,7 @@
 	method := &m.Methods[req.method]
 	if req.shareable && m.tokenKB()+m.Machine.EntryKB < 0.75*m.memoryLimit() { // the rest is for RPCs
 		// Until it should be answered, and then as long as its answer is fresh.
-		req.tokenExpiry = m.now + min(method.Target, req.deadline-m.now, 60) + m.Machine.Fresh
+		req.tokenExpiry = m.now + min(method.Target, req.deadline-m.now, 60) + m.Machine.ResultTTL
 		m.tokenExpiries = append(m.tokenExpiries, req.tokenExpiry)
 		m.actions.Remember(i, req.tokenExpiry-m.now)
 	} else if method.Kind == rpc.Tokened {
--- a/rpc/check.go
+++ b/rpc/check.go
@@ -49,7 +49,7 @@
 	}
 	return checkFigures([]figure{{"domain.callers", float64(c.Machine.Callers)}, {"domain.nCores", float64(c.Machine.Cores)},
 		{"domain.memoryKb", c.Machine.MemoryKB}, {"domain.runFactor", c.Machine.RunFactor}, {"domain.entryKb", c.Machine.EntryKB},
-		{"domain.keepaliveMaxS", c.Machine.KeepAlive}, {"domain.freshS", c.Machine.Fresh}, {"domain.callsOut", c.Machine.MaxDownstreamCalls},
+		{"domain.keepaliveMaxS", c.Machine.KeepAlive}, {"domain.freshS", c.Machine.ResultTTL}, {"domain.callsOut", c.Machine.MaxDownstreamCalls},
 		{"domain.shareSpanS", c.Machine.DownstreamCallWindow}, {"domain.lingerS", c.Machine.Linger}, {"rules.overloadFactor", c.Rules.OverloadFactor},
 		{"rules.stopSendingWithinS", c.Rules.DrainGrace}, {"rules.startCapacity", c.Rules.StartCapacity}, {"rules.rampTimeS", c.Rules.RampTime},
 		{"rules.fallS", c.Rules.OverloadWindow}, {"ceilings.maxRetryAfterS", c.Ceilings.MaxRetryAfter}, {"overShareWorth", c.OverShareWorth}})
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -95,7 +95,7 @@
 	Gauges               []string
 	KeepAlive            float64
 	EntryKB              float64
-	Fresh                float64
+	ResultTTL            float64
 	MemoryKB             float64
 	RunFactor            float64
 	Preemption           Preemption
