--- a/rpc/check.go
+++ b/rpc/check.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// MayCall reports whether RPCs of a method, by its index, may call the layer below. A method of which nothing is told does not.
-func (c *Settings) MayCall(method int) bool {
+// MayCallDownstream reports whether RPCs of a method, by its index, may call the layer below. A method of which nothing is told does not.
+func (c *Settings) MayCallDownstream(method int) bool {
 	return c.Machine.Downstream != "" && c.Machine.Downstream != "none" && method < len(c.Machine.CallsDownstream) && c.Machine.CallsDownstream[method]
 }
 
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -23,7 +23,7 @@
 		c.unreadable(seq, "dedupe")
 		return
 	}
-	if c.config.Load().Rules.MayCall(method) {
+	if c.config.Load().Rules.MayCallDownstream(method) {
 		c.refuse(seq, true) // no app server of this build can call, so no try of it has run either
 		return
 	}
@@ -90,7 +90,7 @@
 func (s *Server) logUnserved() {
 	c := s.config.Load()
 	for method, name := range c.Methods {
-		if c.Rules.MayCall(method) {
+		if c.Rules.MayCallDownstream(method) {
 			s.log.Warn("method not served, as it may call the layer below", zap.String("method", name),
 				zap.String("below", c.Rules.Machine.Downstream))
 		}
