--- a/logic/pressure/growth.go
+++ b/logic/pressure/growth.go
@@ -24,7 +24,7 @@
 )
 
 // forecast gives how many times sooner than the configured forecast the limit is reached, 0 if nothing grows.
-func (w *Watch) forecast(now, memory float64) float64 {
+func (w *Monitor) forecast(now, memory float64) float64 {
 	g := &w.growth
 	if w.Forecast <= 0 || w.GrowthWindow <= 0 {
 		return 0
@@ -62,7 +62,7 @@
 }
 
 // Until is how many seconds are left until the memory limit if it goes on growing so, +Inf if it does not grow.
-func (w *Watch) Until() float64 {
+func (w *Monitor) Until() float64 {
 	if times := w.lastSeen[Leak]; times > 0 {
 		return w.Forecast / times
 	}
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -44,8 +44,8 @@
 	askedEver, okEver uint64
 }
 
-// Watch turns readings into a level and what follows from it.
-type Watch struct {
+// Monitor turns readings into a level and what follows from it.
+type Monitor struct {
 	Config
 	level    Level
 	since    float64 // when the level was last changed
@@ -69,8 +69,8 @@
 }
 
 // New starts calm.
-func New(now float64, t Config) *Watch {
-	w := &Watch{Config: t, since: now, read: now, worse: now, fell: math.Inf(-1), flapped: math.Inf(-1), patience: 1,
+func New(now float64, t Config) *Monitor {
+	w := &Monitor{Config: t, since: now, read: now, worse: now, fell: math.Inf(-1), flapped: math.Inf(-1), patience: 1,
 		share: 1, space: 1, knee: 1, cutAt: now, methods: make([]method, len(t.Worth)), admit: make([]float64, len(t.Worth)),
 		lastSeen: Unknown(), before: Unknown()}
 	for k := range w.admit {
@@ -80,10 +80,10 @@
 }
 
 // Level is the level in force.
-func (w *Watch) Level() Level { return w.level }
+func (w *Monitor) Level() Level { return w.level }
 
 // Causes names the signals that last raised or held the level, and Seen is the last reading.
-func (w *Watch) Causes() string {
+func (w *Monitor) Causes() string {
 	var s []string
 	for _, c := range w.causes {
 		s = append(s, c.String())
@@ -92,11 +92,11 @@
 }
 
 // Seen is the last value of a signal.
-func (w *Watch) Seen(s Signal) float64 { return w.lastSeen[s] }
+func (w *Monitor) Seen(s Signal) float64 { return w.lastSeen[s] }
 
 // Read takes a look at the process. asked and ok are totals by method since the start. It tells whether the level has
 // changed.
-func (w *Watch) Read(now float64, r Reading, asked, ok []uint64) bool {
+func (w *Monitor) Read(now float64, r Reading, asked, ok []uint64) bool {
 	now = max(now, w.read) // a clock that is set back stands still here
 	passed := now - w.read
 	w.read = now
@@ -112,7 +112,7 @@
 }
 
 // judge gives the worst level of all signals, and which are at it.
-func (w *Watch) judge(r Reading, scale float64) (worst Level, causes []Signal) {
+func (w *Monitor) judge(r Reading, scale float64) (worst Level, causes []Signal) {
 	var at [Signals]Level
 	busy := false // something of the process's own is slow, and not only what others' clocks say
 	for s := range Signals {
@@ -136,7 +136,7 @@
 }
 
 // steer moves the level: up once two readings running are above it, down by one after a time of better ones.
-func (w *Watch) steer(now float64, level, better Level, causes []Signal) bool {
+func (w *Monitor) steer(now float64, level, better Level, causes []Signal) bool {
 	before := w.level
 	rise := min(level, w.last)
 	w.last = level
@@ -170,7 +170,7 @@
 
 // pressing is by how much the worst of the signals that letting in less relieves at once is over its threshold, in this reading
 // and the one before: one timer that came late is none.
-func (w *Watch) pressing(r Reading) float64 {
+func (w *Monitor) pressing(r Reading) float64 {
 	worst := 0.0
 	for _, s := range []Signal{Loop, Lock, Link, Unread, Scheduler, Collector} {
 		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.before[s] >= 0 && threshold > 0 {
@@ -181,7 +181,7 @@
 }
 
 // spare is what of all RPCs memory still bears: all of them up to the threshold for Pressed, none at that for Shut.
-func (w *Watch) spare(r Reading) float64 {
+func (w *Monitor) spare(r Reading) float64 {
 	share := 1.0
 	for _, s := range []Signal{Memory, Owed} {
 		m := w.Thresholds[s]
@@ -193,7 +193,7 @@
 }
 
 // ration says how much of each method is let in.
-func (w *Watch) ration(now, passed float64, r Reading) {
+func (w *Monitor) ration(now, passed float64, r Reading) {
 	w.space = w.spare(r)
 	over := w.pressing(r)
 	switch {
@@ -257,13 +257,13 @@
 }
 
 // value orders methods as the module does: by criticality over the share that has lately been ok, so that none starves.
-func (w *Watch) value(k int) float64 {
+func (w *Monitor) value(k int) float64 {
 	m := &w.methods[k]
 	return w.Worth[k] / max((m.ok+1)/(m.asked+1), starving)
 }
 
 // count takes over what has been asked and ok since the last reading.
-func (w *Watch) count(passed float64, asked, ok []uint64) {
+func (w *Monitor) count(passed float64, asked, ok []uint64) {
 	keep := math.Exp2(-passed / fade)
 	for k := range w.methods {
 		m := &w.methods[k]
@@ -277,7 +277,7 @@
 }
 
 // Admit gives the share of a method's RPCs that is let in.
-func (w *Watch) Admit(method int) float64 { return w.admit[method] }
+func (w *Monitor) Admit(method int) float64 { return w.admit[method] }
 
 // Effects are what the level does, beside refusing.
 type Effects struct {
@@ -294,7 +294,7 @@
 const largest = 1200
 
 // Effects gives what the level in force does, mildest first.
-func (w *Watch) Effects() Effects {
+func (w *Monitor) Effects() Effects {
 	e := Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 	if w.level >= Wary {
 		e.Turn = 8 // a third of what one read brings
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -10,7 +10,7 @@
 
 // stage plays a watch by hand; asked RPCs come at given rates, and what is let in is ok.
 type stage struct {
-	*Watch
+	*Monitor
 	now       float64
 	asked, ok []uint64
 	rates     []float64
@@ -24,7 +24,7 @@
 		change(&t)
 	}
 	s := &stage{asked: make([]uint64, 3), ok: make([]uint64, 3), rates: []float64{650, 150, 200}}
-	s.Watch = New(0, t)
+	s.Monitor = New(0, t)
 	return s
 }
 
--- a/server/press.go
+++ b/server/press.go
@@ -238,7 +238,7 @@
 }
 
 // tellPressure is the one line at each change of level.
-func (s *Server) tellPressure(w *pressure.Watch, from pressure.Level, e pressure.Effects) {
+func (s *Server) tellPressure(w *pressure.Monitor, from pressure.Level, e pressure.Effects) {
 	fields := []zap.Field{zap.Stringer("level", w.Level()), zap.Stringer("from", from), zap.String("causes", w.Causes())}
 	for k := range pressure.Signals {
 		if v := w.Seen(k); !math.IsNaN(v) {
