--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -94,9 +94,9 @@
 // Seen is the last value of a signal.
 func (w *Monitor) Seen(s Signal) float64 { return w.lastSeen[s] }
 
-// Read takes a look at the process. asked and ok are totals by method since the start. It tells whether the level has
+// Update takes a look at the process. asked and ok are totals by method since the start. It tells whether the level has
 // changed.
-func (w *Monitor) Read(now float64, r Reading, asked, ok []uint64) bool {
+func (w *Monitor) Update(now float64, r Reading, asked, ok []uint64) bool {
 	now = max(now, w.read) // a clock that is set back stands still here
 	passed := now - w.read
 	w.read = now
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -38,7 +38,7 @@
 			s.ok[k] += uint64(n * s.Admit(k))
 		}
 		from := s.Level()
-		if s.Read(s.now, r(s.now), s.asked, s.ok) {
+		if s.Update(s.now, r(s.now), s.asked, s.ok) {
 			fmt.Printf("%6.2f %s from %s by %s\n", s.now, s.Level(), from, s.Causes())
 		}
 	}
@@ -166,7 +166,7 @@
 			w := newStage(nil)
 			for range 10 {
 				w.now += 0.05
-				w.Read(w.now, r(w.now), w.asked, w.ok)
+				w.Update(w.now, r(w.now), w.asked, w.ok)
 			}
 			if w.Level() != Pressed {
 				t.Errorf("%v of %g hides the others: %v", k, bad, w.Level())
@@ -183,7 +183,7 @@
 		s.now += 0.05
 		r := Unknown()
 		r[Loop] = 0.019 + 0.002*math.Sin(float64(k)/40) // seconds near the threshold
-		if s.Read(s.now, r, s.asked, s.ok) {
+		if s.Update(s.now, r, s.asked, s.ok) {
 			changes++
 		}
 	}
@@ -209,7 +209,7 @@
 					s.asked[k] += uint64(rapid.IntRange(0, 50).Draw(t, "asked"))
 				}
 				from := s.Level()
-				s.Read(s.now, r, s.asked, s.ok)
+				s.Update(s.now, r, s.asked, s.ok)
 				if s.Level() < from && s.Level() != from-1 {
 					t.Fatalf("from %v to %v", from, s.Level())
 				}
@@ -230,7 +230,7 @@
 			s.now = s.read + 0.05
 			r := Unknown()
 			r[Loop], r[Memory] = 0, 0.1
-			s.Read(s.now, r, s.asked, s.ok)
+			s.Update(s.now, r, s.asked, s.ok)
 		}
 		if s.Level() != Calm || s.Admit(0) != 1 {
 			t.Fatalf("%v after minutes of calm, %g let in", s.Level(), s.Admit(0))
--- a/server/press.go
+++ b/server/press.go
@@ -163,7 +163,7 @@
 	for k := range asked { // what came before is not of late
 		asked[k], ok[k] = p.asked[k].Load(), p.ok[k].Load()
 	}
-	watch.Read(0, pressure.Unknown(), asked, ok)
+	watch.Update(0, pressure.Unknown(), asked, ok)
 	every := seconds(settings.Every)
 	timer := time.NewTimer(every)
 	defer timer.Stop()
@@ -186,7 +186,7 @@
 		r, stepped := source.Read(s.limits())
 		s.own(&r, &lag, now, stepped)
 		was, from := *p.effects.Load(), watch.Level()
-		changed := watch.Read(now, r, asked, ok)
+		changed := watch.Update(now, r, asked, ok)
 		for k := range p.admit {
 			p.admit[k].Store(uint32(watch.Admit(k) * allOf))
 		}
