--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -91,8 +91,8 @@
 	return strings.Join(s, " ")
 }
 
-// Seen is the last value of a signal.
-func (w *Monitor) Seen(s Signal) float64 { return w.lastSeen[s] }
+// LastValue is the last value of a signal.
+func (w *Monitor) LastValue(s Signal) float64 { return w.lastSeen[s] }
 
 // Update takes a look at the process. asked and ok are totals by method since the start. It tells whether the level has
 // changed.
--- a/server/press.go
+++ b/server/press.go
@@ -241,7 +241,7 @@
 func (s *Server) tellPressure(w *pressure.Monitor, from pressure.Level, e pressure.Effects) {
 	fields := []zap.Field{zap.Stringer("level", w.Level()), zap.Stringer("from", from), zap.String("causes", w.Causes())}
 	for k := range pressure.Signals {
-		if v := w.Seen(k); !math.IsNaN(v) {
+		if v := w.LastValue(k); !math.IsNaN(v) {
 			fields = append(fields, zap.Float64(k.String(), math.Round(v*1e5)/1e5))
 		}
 	}
