--- a/logic/pressure/growth.go
+++ b/logic/pressure/growth.go
@@ -61,8 +61,8 @@
 	return w.Forecast / left
 }
 
-// Until is how many seconds are left until the memory limit if it goes on growing so, +Inf if it does not grow.
-func (w *Monitor) Until() float64 {
+// TimeToMemoryLimit is how many seconds are left until the memory limit if it goes on growing so, +Inf if it does not grow.
+func (w *Monitor) TimeToMemoryLimit() float64 {
 	if times := w.lastSeen[Leak]; times > 0 {
 		return w.Forecast / times
 	}
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -132,7 +132,7 @@
 	s.pass(30, memory(func(t float64) float64 { return 0.4 * (1 - math.Exp(-t)) }))
 	s = newStage(short)
 	s.pass(40, memory(func(t float64) float64 { return 0.2 + 0.01*t + 0.02*math.Abs(math.Sin(9*t)) }))
-	fmt.Printf("%.0f s left, and %.0f\n", s.Until(), (0.8-0.01*40)/0.01)
+	fmt.Printf("%.0f s left, and %.0f\n", s.TimeToMemoryLimit(), (0.8-0.01*40)/0.01)
 	s.pass(50, memory(func(t float64) float64 { return min(0.2+0.01*t, 0.98) }))
 	fmt.Println(s.Admit(0), s.Admit(2))
 	// Output:
--- a/server/press.go
+++ b/server/press.go
@@ -245,7 +245,7 @@
 			fields = append(fields, zap.Float64(k.String(), math.Round(v*1e5)/1e5))
 		}
 	}
-	if until := w.Until(); !math.IsInf(until, 1) {
+	if until := w.TimeToMemoryLimit(); !math.IsInf(until, 1) {
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
 	fields = append(fields, zap.Float64("credit", math.Round(e.Credit*1e3)/1e3), zap.Int("turn", e.Turn),
