--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// Admit gives the share of a method's RPCs that is let in.
-func (w *Monitor) Admit(method int) float64 { return w.admit[method] }
+// AdmitShare gives the share of a method's RPCs that is let in.
+func (w *Monitor) AdmitShare(method int) float64 { return w.admit[method] }
 
 // Effects are what the level does, beside refusing.
 type Effects struct {
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -35,7 +35,7 @@
 		for k, rate := range s.rates {
 			n := rate * 0.05
 			s.asked[k] += uint64(n)
-			s.ok[k] += uint64(n * s.Admit(k))
+			s.ok[k] += uint64(n * s.AdmitShare(k))
 		}
 		from := s.Level()
 		if s.Update(s.now, r(s.now), s.asked, s.ok) {
@@ -85,7 +85,7 @@
 	s := newStage(nil)
 	over := with(float64(Unread), 0.06, float64(Loop), 0.03)
 	s.pass(0.5, over)
-	show := func() { fmt.Printf("let in: %.2f %.2f %.2f\n", s.Admit(0), s.Admit(1), s.Admit(2)) }
+	show := func() { fmt.Printf("let in: %.2f %.2f %.2f\n", s.AdmitShare(0), s.AdmitShare(1), s.AdmitShare(2)) }
 	show()
 	s.pass(1, over)
 	show()
@@ -105,7 +105,7 @@
 func Example_clocks() {
 	s := newStage(nil)
 	s.pass(3, with(float64(Unread), 3600, float64(Loop), 0.001, float64(CPU), 0.2))
-	fmt.Println(s.Level(), s.Admit(0))
+	fmt.Println(s.Level(), s.AdmitShare(0))
 	var l Lag
 	fmt.Println(l.Read(0, 10, 10, false), l.Read(1, 10.5, 10, false), l.Read(2, -35000, 10, true), l.Read(3, -35000, 10, false))
 	fmt.Println(l.Read(4, math.NaN(), 10, false), l.Read(5, 0, 0, false))
@@ -134,7 +134,7 @@
 	s.pass(40, memory(func(t float64) float64 { return 0.2 + 0.01*t + 0.02*math.Abs(math.Sin(9*t)) }))
 	fmt.Printf("%.0f s left, and %.0f\n", s.TimeToMemoryLimit(), (0.8-0.01*40)/0.01)
 	s.pass(50, memory(func(t float64) float64 { return min(0.2+0.01*t, 0.98) }))
-	fmt.Println(s.Admit(0), s.Admit(2))
+	fmt.Println(s.AdmitShare(0), s.AdmitShare(2))
 	// Output:
 	//  23.35 wary from calm by leak
 	// 42 s left, and 40
@@ -216,7 +216,7 @@
 			},
 			"": func(t *rapid.T) {
 				for k := range s.asked {
-					if a := s.Admit(k); !(a >= 0 && a <= 1) || s.Level() < Shut && s.space > 0 && a < trickle {
+					if a := s.AdmitShare(k); !(a >= 0 && a <= 1) || s.Level() < Shut && s.space > 0 && a < trickle {
 						t.Fatalf("method %d is let in by %g at %v", k, a, s.Level())
 					}
 				}
@@ -232,8 +232,8 @@
 			r[Loop], r[Memory] = 0, 0.1
 			s.Update(s.now, r, s.asked, s.ok)
 		}
-		if s.Level() != Calm || s.Admit(0) != 1 {
-			t.Fatalf("%v after minutes of calm, %g let in", s.Level(), s.Admit(0))
+		if s.Level() != Calm || s.AdmitShare(0) != 1 {
+			t.Fatalf("%v after minutes of calm, %g let in", s.Level(), s.AdmitShare(0))
 		}
 	})
 }
--- a/server/press.go
+++ b/server/press.go
@@ -188,7 +188,7 @@
 		was, from := *p.effects.Load(), watch.Level()
 		changed := watch.Update(now, r, asked, ok)
 		for k := range p.admit {
-			p.admit[k].Store(uint32(watch.Admit(k) * allOf))
+			p.admit[k].Store(uint32(watch.AdmitShare(k) * allOf))
 		}
 		effects := watch.Effects()
 		p.effects.Store(&effects)
