--- a/logic/pressure/lag.go
+++ b/logic/pressure/lag.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Lag makes the signal Unread out of what callers write on their RPCs: when they came to the machine. Their clocks may
+// ReadDelayEstimator makes the signal Unread out of what callers write on their RPCs: when they came to the machine. Their clocks may
 // be off, and the way takes time, so only what lies beyond the least of late counts.
-type Lag struct {
+type ReadDelayEstimator struct {
 	floor [2]float64 // the least mean of the stretch before this one, and of this one
 	began float64
 	known bool
@@ -16,9 +16,9 @@
 
 // Read takes the sum and the number of the lags since the last reading, in seconds. stepped tells that this machine's
 // clock was set meanwhile: all that was known of the usual is void then.
-func (l *Lag) Read(now, sum float64, n int, stepped bool) float64 {
+func (l *ReadDelayEstimator) Read(now, sum float64, n int, stepped bool) float64 {
 	if stepped {
-		*l = Lag{}
+		*l = ReadDelayEstimator{}
 		return math.NaN()
 	}
 	if n == 0 {
--- a/server/press.go
+++ b/server/press.go
@@ -158,7 +158,7 @@
 	}
 	watch := pressure.New(0, watchConfig)
 	source := procstats.New()
-	var lag pressure.Lag
+	var lag pressure.ReadDelayEstimator
 	asked, ok := make([]uint64, len(p.asked)), make([]uint64, len(p.ok))
 	for k := range asked { // what came before is not of late
 		asked[k], ok[k] = p.asked[k].Load(), p.ok[k].Load()
@@ -212,7 +212,7 @@
 }
 
 // own adds what only this process knows of itself.
-func (s *Server) own(r *pressure.Reading, lag *pressure.Lag, now float64, stepped bool) {
+func (s *Server) own(r *pressure.Reading, lag *pressure.ReadDelayEstimator, now float64, stepped bool) {
 	p, c := s.press, s.config.Load()
 	r[pressure.Loop] = time.Duration(p.late.Swap(0)).Seconds()
 	asked := time.Now()
