--- a/logic/pressure/lag.go
+++ b/logic/pressure/lag.go
@@ -14,9 +14,9 @@
 // an overload for the usual.
 const lagSpan = 30.0
 
-// Read takes the sum and the number of the lags since the last reading, in seconds. stepped tells that this machine's
+// Update takes the sum and the number of the lags since the last reading, in seconds. stepped tells that this machine's
 // clock was set meanwhile: all that was known of the usual is void then.
-func (l *ReadDelayEstimator) Read(now, sum float64, n int, stepped bool) float64 {
+func (l *ReadDelayEstimator) Update(now, sum float64, n int, stepped bool) float64 {
 	if stepped {
 		*l = ReadDelayEstimator{}
 		return math.NaN()
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -107,8 +107,8 @@
 	s.pass(3, with(float64(Unread), 3600, float64(Loop), 0.001, float64(CPU), 0.2))
 	fmt.Println(s.Level(), s.AdmitShare(0))
 	var l ReadDelayEstimator
-	fmt.Println(l.Read(0, 10, 10, false), l.Read(1, 10.5, 10, false), l.Read(2, -35000, 10, true), l.Read(3, -35000, 10, false))
-	fmt.Println(l.Read(4, math.NaN(), 10, false), l.Read(5, 0, 0, false))
+	fmt.Println(l.Update(0, 10, 10, false), l.Update(1, 10.5, 10, false), l.Update(2, -35000, 10, true), l.Update(3, -35000, 10, false))
+	fmt.Println(l.Update(4, math.NaN(), 10, false), l.Update(5, 0, 0, false))
 	// Output:
 	//   0.10 wary from calm by unread
 	// wary 1
