--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -58,12 +58,12 @@
 // Up within two readings, down by one after two seconds of better ones each; one bad reading is none.
 func Example_levels() {
 	s := newStage(nil)
-	calm := with(float64(Loop), 0.001)
+	calm := with(float64(LoopDelay), 0.001)
 	s.pass(1, calm)
-	s.pass(0.05, with(float64(Loop), 5)) // a pause of the machine
+	s.pass(0.05, with(float64(LoopDelay), 5)) // a pause of the machine
 	s.pass(1, calm)
-	s.pass(0.3, with(float64(Loop), 0.03))
-	s.pass(0.3, with(float64(Loop), 0.1))
+	s.pass(0.3, with(float64(LoopDelay), 0.03))
+	s.pass(0.3, with(float64(LoopDelay), 0.1))
 	s.pass(0.3, with(float64(Scheduler), 0.3, float64(Memory), 0.2))
 	fmt.Printf("%+v\n", s.Effects())
 	s.pass(20, calm)
@@ -83,7 +83,7 @@
 // The least worthy go first, a method that is refused whole keeps a trickle, and the most critical is the last to be cut.
 func Example_order() {
 	s := newStage(nil)
-	over := with(float64(Unread), 0.06, float64(Loop), 0.03)
+	over := with(float64(Unread), 0.06, float64(LoopDelay), 0.03)
 	s.pass(0.5, over)
 	show := func() { fmt.Printf("let in: %.2f %.2f %.2f\n", s.AdmitShare(0), s.AdmitShare(1), s.AdmitShare(2)) }
 	show()
@@ -104,7 +104,7 @@
 // Callers' clocks that jump, with nothing else slow, make wary and no more: nobody is refused for them.
 func Example_clocks() {
 	s := newStage(nil)
-	s.pass(3, with(float64(Unread), 3600, float64(Loop), 0.001, float64(CPU), 0.2))
+	s.pass(3, with(float64(Unread), 3600, float64(LoopDelay), 0.001, float64(CPU), 0.2))
 	fmt.Println(s.Level(), s.AdmitShare(0))
 	var l ReadDelayEstimator
 	fmt.Println(l.Update(0, 10, 10, false), l.Update(1, 10.5, 10, false), l.Update(2, -35000, 10, true), l.Update(3, -35000, 10, false))
@@ -155,11 +155,11 @@
 			}
 			r := func(float64) Reading {
 				r := Unknown()
-				r[Loop], r[Scheduler] = 0.03, 0.03
-				if k != Loop {
+				r[LoopDelay], r[Scheduler] = 0.03, 0.03
+				if k != LoopDelay {
 					r[k] = bad
 				} else {
-					r[Loop] = bad
+					r[LoopDelay] = bad
 				}
 				return r
 			}
@@ -182,7 +182,7 @@
 	for k := range 120 * 20 {
 		s.now += 0.05
 		r := Unknown()
-		r[Loop] = 0.019 + 0.002*math.Sin(float64(k)/40) // seconds near the threshold
+		r[LoopDelay] = 0.019 + 0.002*math.Sin(float64(k)/40) // seconds near the threshold
 		if s.Update(s.now, r, s.asked, s.ok) {
 			changes++
 		}
@@ -229,7 +229,7 @@
 		for range 4000 {
 			s.now = s.read + 0.05
 			r := Unknown()
-			r[Loop], r[Memory] = 0, 0.1
+			r[LoopDelay], r[Memory] = 0, 0.1
 			s.Update(s.now, r, s.asked, s.ok)
 		}
 		if s.Level() != Calm || s.AdmitShare(0) != 1 {
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -6,7 +6,7 @@
 type Signal int
 
 const (
-	Loop        Signal = iota // seconds by which a timer of the program's own came late
+	LoopDelay   Signal = iota // seconds by which a timer of the program's own came late
 	Lock                      // seconds that the gate's lock was waited for
 	Link                      // age in seconds of the oldest command that the kernel link's writer has not taken up
 	Unread                    // seconds that RPCs lay unread beyond the usual
--- a/server/press.go
+++ b/server/press.go
@@ -214,7 +214,7 @@
 // own adds what only this process knows of itself.
 func (s *Server) own(r *pressure.Reading, lag *pressure.ReadDelayEstimator, now float64, stepped bool) {
 	p, c := s.press, s.config.Load()
-	r[pressure.Loop] = time.Duration(p.late.Swap(0)).Seconds()
+	r[pressure.LoopDelay] = time.Duration(p.late.Swap(0)).Seconds()
 	asked := time.Now()
 	s.gate.Credit()
 	r[pressure.Lock] = time.Since(asked).Seconds()
