--- a/config/pressure.go
+++ b/config/pressure.go
@@ -28,7 +28,7 @@
 		func(settings *Settings, w []string) error { return readDuration(&settings.Pressure.Every, w, 0.01, 1) },
 		func(settings *Settings) string { return showDuration(settings.Pressure.Every) }},
 	durationDirective("pressure.loop-delay", "lateness of the program's own timers at which it counts as pressed", pressure.LoopDelay),
-	durationDirective("pressure.lock-wait", "wait for the gate's lock at which it does", pressure.Lock),
+	durationDirective("pressure.lock-wait", "wait for the gate's lock at which it does", pressure.LockWait),
 	durationDirective("pressure.link-queue", "age of a command that the kernel link's writer has not taken up", pressure.Link),
 	durationDirective("pressure.unread", "time that RPCs lie unread, beyond the usual", pressure.Unread),
 	durationDirective("pressure.scheduler", "wait of goroutines for a processor, at the 99th percentile", pressure.Scheduler),
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -7,7 +7,7 @@
 
 const (
 	LoopDelay   Signal = iota // seconds by which a timer of the program's own came late
-	Lock                      // seconds that the gate's lock was waited for
+	LockWait                  // seconds that the gate's lock was waited for
 	Link                      // age in seconds of the oldest command that the kernel link's writer has not taken up
 	Unread                    // seconds that RPCs lay unread beyond the usual
 	Scheduler                 // seconds that goroutines waited for a processor, at the 99th percentile
--- a/server/press.go
+++ b/server/press.go
@@ -217,7 +217,7 @@
 	r[pressure.LoopDelay] = time.Duration(p.late.Swap(0)).Seconds()
 	asked := time.Now()
 	s.gate.Credit()
-	r[pressure.Lock] = time.Since(asked).Seconds()
+	r[pressure.LockWait] = time.Since(asked).Seconds()
 	if waits, known := s.link.Waits(); known {
 		r[pressure.Link] = waits.Seconds()
 	}
