--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -15,7 +15,7 @@
 	t := Config{Fall: 2, Forecast: 600, GrowthWindow: 120}
 	// A timer late by 20 ms has missed one of the module's own looks. What an answer takes waits twice for the processor,
 	// once to be read and once to be written, so this keeps it under 50 ms; twelve times that is a quarter of a second.
-	for _, s := range []Signal{LoopDelay, LockWait, Link, Unread, Scheduler} {
+	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, Unread, Scheduler} {
 		t.Thresholds[s] = ThresholdsOf(0.02)
 	}
 	// Lags of the network and of callers' clocks are in this one too.
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -172,7 +172,7 @@
 // and the one before: one timer that came late is none.
 func (w *Monitor) pressing(r Reading) float64 {
 	worst := 0.0
-	for _, s := range []Signal{LoopDelay, LockWait, Link, Unread, Scheduler, Collector} {
+	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, Unread, Scheduler, Collector} {
 		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.before[s] >= 0 && threshold > 0 {
 			worst = max(worst, min(r[s], w.before[s])/threshold)
 		}
--- a/server/press.go
+++ b/server/press.go
@@ -219,7 +219,7 @@
 	s.gate.Credit()
 	r[pressure.LockWait] = time.Since(asked).Seconds()
 	if waits, known := s.link.Waits(); known {
-		r[pressure.Link] = waits.Seconds()
+		r[pressure.LinkQueue] = waits.Seconds()
 	}
 	sum, n := p.lags.Swap(0), p.lagged.Swap(0)
 	r[pressure.Unread] = lag.Update(now, float64(sum)/1e6, int(n), stepped)
