--- a/config/pressure.go
+++ b/config/pressure.go
@@ -30,7 +30,7 @@
 	durationDirective("pressure.loop-delay", "lateness of the program's own timers at which it counts as pressed", pressure.LoopDelay),
 	durationDirective("pressure.lock-wait", "wait for the gate's lock at which it does", pressure.LockWait),
 	durationDirective("pressure.link-queue", "age of a command that the kernel link's writer has not taken up", pressure.LinkQueue),
-	durationDirective("pressure.unread", "time that RPCs lie unread, beyond the usual", pressure.Unread),
+	durationDirective("pressure.unread", "time that RPCs lie unread, beyond the usual", pressure.ReadDelay),
 	durationDirective("pressure.scheduler", "wait of goroutines for a processor, at the 99th percentile", pressure.Scheduler),
 	shareDirective("pressure.collector", "processor time that the garbage collector takes", pressure.Collector),
 	shareDirective("pressure.cpu", "processor time used, of what may be: makes wary, no more", pressure.CPU),
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -117,12 +117,12 @@
 	busy := false // something of the process's own is slow, and not only what others' clocks say
 	for s := range Signals {
 		at[s] = w.Thresholds[s].of(r[s], scale)
-		if s != Unread && s <= Throttled && at[s] > Calm {
+		if s != ReadDelay && s <= Throttled && at[s] > Calm {
 			busy = true
 		}
 	}
 	if !busy {
-		at[Unread] = min(at[Unread], Wary) // guards against callers' clocks, or our own, being set
+		at[ReadDelay] = min(at[ReadDelay], Wary) // guards against callers' clocks, or our own, being set
 	}
 	for s := range Signals {
 		switch {
@@ -172,7 +172,7 @@
 // and the one before: one timer that came late is none.
 func (w *Monitor) pressing(r Reading) float64 {
 	worst := 0.0
-	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, Unread, Scheduler, Collector} {
+	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, ReadDelay, Scheduler, Collector} {
 		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.before[s] >= 0 && threshold > 0 {
 			worst = max(worst, min(r[s], w.before[s])/threshold)
 		}
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -83,7 +83,7 @@
 // The least worthy go first, a method that is refused whole keeps a trickle, and the most critical is the last to be cut.
 func Example_order() {
 	s := newStage(nil)
-	over := with(float64(Unread), 0.06, float64(LoopDelay), 0.03)
+	over := with(float64(ReadDelay), 0.06, float64(LoopDelay), 0.03)
 	s.pass(0.5, over)
 	show := func() { fmt.Printf("let in: %.2f %.2f %.2f\n", s.AdmitShare(0), s.AdmitShare(1), s.AdmitShare(2)) }
 	show()
@@ -104,7 +104,7 @@
 // Callers' clocks that jump, with nothing else slow, make wary and no more: nobody is refused for them.
 func Example_clocks() {
 	s := newStage(nil)
-	s.pass(3, with(float64(Unread), 3600, float64(LoopDelay), 0.001, float64(CPU), 0.2))
+	s.pass(3, with(float64(ReadDelay), 3600, float64(LoopDelay), 0.001, float64(CPU), 0.2))
 	fmt.Println(s.Level(), s.AdmitShare(0))
 	var l ReadDelayEstimator
 	fmt.Println(l.Update(0, 10, 10, false), l.Update(1, 10.5, 10, false), l.Update(2, -35000, 10, true), l.Update(3, -35000, 10, false))
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -9,7 +9,7 @@
 	LoopDelay   Signal = iota // seconds by which a timer of the program's own came late
 	LockWait                  // seconds that the gate's lock was waited for
 	LinkQueue                 // age in seconds of the oldest command that the kernel link's writer has not taken up
-	Unread                    // seconds that RPCs lay unread beyond the usual
+	ReadDelay                 // seconds that RPCs lay unread beyond the usual
 	Scheduler                 // seconds that goroutines waited for a processor, at the 99th percentile
 	Collector                 // share of the processor time that the garbage collector took
 	CPU                       // share of the processor time that the process may take
--- a/server/press.go
+++ b/server/press.go
@@ -222,7 +222,7 @@
 		r[pressure.LinkQueue] = waits.Seconds()
 	}
 	sum, n := p.lags.Swap(0), p.lagged.Swap(0)
-	r[pressure.Unread] = lag.Update(now, float64(sum)/1e6, int(n), stepped)
+	r[pressure.ReadDelay] = lag.Update(now, float64(sum)/1e6, int(n), stepped)
 	s.mu.Lock()
 	r[pressure.Descriptors] = float64(len(s.conns)+s.reserved()) / float64(max(c.Sockets, 1))
 	s.mu.Unlock()
