--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -165,7 +165,7 @@
 
 func (h *host) Stop(who uint32) { delete(h.guests, who) }
 
-func (g *guest) Short(int) int                { return 0 } // app servers share no limit there
+func (g *guest) BlockingLimit(int) int        { return 0 } // app servers share no limit there
 func (g *guest) Start(i int)                  { g.reply.Take(g.who, g.handles[i]) }
 func (g *guest) Stop(i int)                   { g.reply.Interrupt(g.who, g.handles[i]) }
 func (g *guest) Call(i int, patience float64) { g.reply.Dial(g.who, g.handles[i], patience) }
--- a/gate/actions.go
+++ b/gate/actions.go
@@ -14,7 +14,7 @@
 	a.jobs = append(a.jobs, Job[T]{Do: do, RPC: ID{i, s.life}, For: s.who})
 }
 
-func (a *actions[T]) Short(method int) int {
+func (a *actions[T]) BlockingLimit(method int) int {
 	if a.permits == nil {
 		return 0
 	}
--- a/logic/fake_server_test.go
+++ b/logic/fake_server_test.go
@@ -547,5 +547,5 @@
 	s.healthChanges++
 }
 
-func (s *fakeServer) Short(int) int { return 0 }
-func (s *fakeServer) Log(string)    { s.logs++ }
+func (s *fakeServer) BlockingLimit(int) int { return 0 }
+func (s *fakeServer) Log(string)            { s.logs++ }
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func (h *harness) Short(method int) int {
+func (h *harness) BlockingLimit(method int) int {
 	if method+1 == h.limitedMethod {
 		return 1
 	}
--- a/logic/running.go
+++ b/logic/running.go
@@ -57,7 +57,7 @@
 // awaitsSharedLimit reports whether a queued RPC must wait for a limit shared by several app servers, even
 // if cores are idle. RPCs without such a limit are started before it.
 func (m *Module) awaitsSharedLimit(i int) bool {
-	m.rpcs[i].sharedLimit = m.actions.Short(m.rpcs[i].method)
+	m.rpcs[i].sharedLimit = m.actions.BlockingLimit(m.rpcs[i].method)
 	return m.rpcs[i].sharedLimit > 0
 }
 
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -121,8 +121,8 @@
 // Actions is all that the module can do. RPCs are named by small indices;
 // after Release an index may come back for another RPC.
 type Actions interface {
-	// Short tells which limit common to several app servers, from 1, keeps RPCs of a method from being started now; 0 if none.
-	Short(method int) int
+	// BlockingLimit tells which limit common to several app servers, from 1, keeps RPCs of a method from being started now; 0 if none.
+	BlockingLimit(method int) int
 	Start(i int)
 	Stop(i int)
 	Call(i int, patience float64)
