--- a/config/pressure.go
+++ b/config/pressure.go
@@ -37,7 +37,7 @@
 	shareDirective("pressure.throttled", "time that the system keeps the process off its cores: makes wary, no more", pressure.Throttled),
 	shareDirective("pressure.memory", "resident memory, of the limit", pressure.Memory),
 	shareDirective("pressure.descriptors", "descriptors, of the limit: makes wary, no more", pressure.Descriptors),
-	shareDirective("pressure.owed", "answers that callers do not read, of what is set aside for them", pressure.Owed),
+	shareDirective("pressure.owed", "answers that callers do not read, of what is set aside for them", pressure.PendingReplies),
 	{"pressure.forecast", "TIME|off", "memory that grows steadily counts as a leak once its limit is so near",
 		func(settings *Settings, w []string) error {
 			if len(w) == 1 && w[0] == "off" {
--- a/internal/procstats/procstats_test.go
+++ b/internal/procstats/procstats_test.go
@@ -33,7 +33,7 @@
 	if !(r[pressure.Memory] > 0 && r[pressure.Memory] < 1) || !(r[pressure.CPU] > 0 && r[pressure.CPU] < 1) {
 		t.Errorf("memory %g, processor %g", r[pressure.Memory], r[pressure.CPU])
 	}
-	if r, _ := s.Read(Limits{}); !math.IsNaN(r[pressure.LoopDelay]) || !math.IsNaN(r[pressure.Owed]) {
+	if r, _ := s.Read(Limits{}); !math.IsNaN(r[pressure.LoopDelay]) || !math.IsNaN(r[pressure.PendingReplies]) {
 		t.Error("what is not measured here is not unknown")
 	}
 }
--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -27,7 +27,7 @@
 	t.Thresholds[Throttled] = Thresholds{0.3, Never, Never, Never}
 	t.Thresholds[Memory] = ThresholdsToward(0.75)
 	t.Thresholds[Descriptors] = Thresholds{0.85, Never, Never, Never} // the listener makes room by itself
-	t.Thresholds[Owed] = ThresholdsToward(0.6)
+	t.Thresholds[PendingReplies] = ThresholdsToward(0.6)
 	t.Thresholds[Leak] = Thresholds{1, 4, Never, Never} // times sooner than the forecast
 	return t
 }
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -183,7 +183,7 @@
 // spare is what of all RPCs memory still bears: all of them up to the threshold for Pressed, none at that for Shut.
 func (w *Monitor) spare(r Reading) float64 {
 	share := 1.0
-	for _, s := range []Signal{Memory, Owed} {
+	for _, s := range []Signal{Memory, PendingReplies} {
 		m := w.Thresholds[s]
 		if from, to := m[Pressed-1], m[Shut-1]; r[s] >= 0 && to > from && from > 0 && !math.IsInf(to, 1) {
 			share = min(share, max(0, (to-r[s])/(to-from)))
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -6,18 +6,18 @@
 type Signal int
 
 const (
-	LoopDelay   Signal = iota // seconds by which a timer of the program's own came late
-	LockWait                  // seconds that the gate's lock was waited for
-	LinkQueue                 // age in seconds of the oldest command that the kernel link's writer has not taken up
-	ReadDelay                 // seconds that RPCs lay unread beyond the usual
-	Scheduler                 // seconds that goroutines waited for a processor, at the 99th percentile
-	Collector                 // share of the processor time that the garbage collector took
-	CPU                       // share of the processor time that the process may take
-	Throttled                 // share of the time for which the system kept the process off its cores
-	Memory                    // resident, as a share of the limit
-	Descriptors               // in use, as a share of the limit
-	Owed                      // bytes of answers that callers do not read, as a share of what is set aside for them
-	Leak                      // how soon steady growth reaches the memory limit; made by Read, not measured
+	LoopDelay      Signal = iota // seconds by which a timer of the program's own came late
+	LockWait                     // seconds that the gate's lock was waited for
+	LinkQueue                    // age in seconds of the oldest command that the kernel link's writer has not taken up
+	ReadDelay                    // seconds that RPCs lay unread beyond the usual
+	Scheduler                    // seconds that goroutines waited for a processor, at the 99th percentile
+	Collector                    // share of the processor time that the garbage collector took
+	CPU                          // share of the processor time that the process may take
+	Throttled                    // share of the time for which the system kept the process off its cores
+	Memory                       // resident, as a share of the limit
+	Descriptors                  // in use, as a share of the limit
+	PendingReplies               // bytes of answers that callers do not read, as a share of what is set aside for them
+	Leak                         // how soon steady growth reaches the memory limit; made by Read, not measured
 	Signals
 )
 
--- a/server/press.go
+++ b/server/press.go
@@ -226,7 +226,7 @@
 	s.mu.Lock()
 	r[pressure.Descriptors] = float64(len(s.conns)+s.reserved()) / float64(max(c.Sockets, 1))
 	s.mu.Unlock()
-	r[pressure.Owed] = float64(p.owed.Load()) / (float64(c.Memory) / heldShare)
+	r[pressure.PendingReplies] = float64(p.owed.Load()) / (float64(c.Memory) / heldShare)
 }
 
 // applied puts into force what does not ask for itself.
