--- a/config/pressure.go
+++ b/config/pressure.go
@@ -59,9 +59,9 @@
 		func(settings *Settings) string { return showDuration(settings.Pressure.Config.GrowthWindow) }},
 	{"pressure.fall", "TIME", "of better readings until the level falls by one",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Pressure.Config.Fall, w, 0.1, 3600)
+			return readDuration(&settings.Pressure.Config.FallTime, w, 0.1, 3600)
 		},
-		func(settings *Settings) string { return showDuration(settings.Pressure.Config.Fall) }},
+		func(settings *Settings) string { return showDuration(settings.Pressure.Config.FallTime) }},
 }
 
 // durationDirective is the directive of a signal that is a duration.
--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -3,7 +3,7 @@
 // Config is what the operators set. The zero value of a signal's thresholds turns the signal off.
 type Config struct {
 	Thresholds   [Signals]Thresholds
-	Fall         float64   // seconds of better readings until the level falls by one
+	FallTime     float64   // seconds of better readings until the level falls by one
 	Forecast     float64   // seconds until the limit from which steady growth counts as a leak; 0 for never
 	GrowthWindow float64   // seconds over which growth is looked at
 	MaxAfter     float64   // longest advice to stay away, 0 where callers heed none
@@ -12,7 +12,7 @@
 
 // Defaults returns the config of an installation that sets nothing.
 func Defaults() Config {
-	t := Config{Fall: 2, Forecast: 600, GrowthWindow: 120}
+	t := Config{FallTime: 2, Forecast: 600, GrowthWindow: 120}
 	// A timer late by 20 ms has missed one of the module's own looks. What an answer takes waits twice for the processor,
 	// once to be read and once to be written, so this keeps it under 50 ms; twelve times that is a quarter of a second.
 	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, ReadDelay, Scheduler} {
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -155,7 +155,7 @@
 		}
 	case w.level > Wary && w.level <= Pressed && w.share < recovers:
 		w.worse = now // it is calm because so few are let in
-	case w.level > Calm && now-w.worse >= w.Fall*w.patience:
+	case w.level > Calm && now-w.worse >= w.FallTime*w.patience:
 		w.level--
 		w.worse, w.fell = now, now
 	}
--- a/server/press.go
+++ b/server/press.go
@@ -71,7 +71,7 @@
 }
 
 func same(a, b pressure.Config) bool {
-	return a.Thresholds == b.Thresholds && a.Fall == b.Fall && a.Forecast == b.Forecast && a.GrowthWindow == b.GrowthWindow
+	return a.Thresholds == b.Thresholds && a.FallTime == b.FallTime && a.Forecast == b.Forecast && a.GrowthWindow == b.GrowthWindow
 }
 
 func (p *press) inForce() config.Pressure {
