--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -2,12 +2,12 @@
 
 // Config is what the operators set. The zero value of a signal's thresholds turns the signal off.
 type Config struct {
-	Thresholds   [Signals]Thresholds
-	FallTime     float64   // seconds of better readings until the level falls by one
-	Forecast     float64   // seconds until the limit from which steady growth counts as a leak; 0 for never
-	GrowthWindow float64   // seconds over which growth is looked at
-	MaxAfter     float64   // longest advice to stay away, 0 where callers heed none
-	Worth        []float64 // criticality of each method
+	Thresholds    [Signals]Thresholds
+	FallTime      float64   // seconds of better readings until the level falls by one
+	Forecast      float64   // seconds until the limit from which steady growth counts as a leak; 0 for never
+	GrowthWindow  float64   // seconds over which growth is looked at
+	MaxRetryAfter float64   // longest advice to stay away, 0 where callers heed none
+	Worth         []float64 // criticality of each method
 }
 
 // Defaults returns the config of an installation that sets nothing.
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -304,7 +304,7 @@
 		e.Turn = 4
 		e.Credit = 0.75 * max(min(w.share, w.space), least)
 		// By then the share has had time to move.
-		e.After = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxAfter)
+		e.After = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
 	}
 	if w.level >= Strained {
 		e.Accept, e.Largest, e.Keep = false, largest, 0.5
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -19,7 +19,7 @@
 func newStage(change func(t *Config)) *stage {
 	t := Defaults()
 	t.Worth = []float64{1, 5, 30}
-	t.MaxAfter = 2
+	t.MaxRetryAfter = 2
 	if change != nil {
 		change(&t)
 	}
--- a/server/press.go
+++ b/server/press.go
@@ -151,7 +151,7 @@
 	rules := s.config.Load().Rules
 	watchConfig := settings.Config
 	if rules.Ceilings.RetryAfter {
-		watchConfig.MaxAfter = rules.Ceilings.MaxRetryAfter
+		watchConfig.MaxRetryAfter = rules.Ceilings.MaxRetryAfter
 	}
 	for _, m := range rules.Methods {
 		watchConfig.Worth = append(watchConfig.Worth, m.Criticality)
