--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -7,7 +7,7 @@
 	Forecast      float64   // seconds until the limit from which steady growth counts as a leak; 0 for never
 	GrowthWindow  float64   // seconds over which growth is looked at
 	MaxRetryAfter float64   // longest advice to stay away, 0 where callers heed none
-	Worth         []float64 // criticality of each method
+	Criticality   []float64 // criticality of each method
 }
 
 // Defaults returns the config of an installation that sets nothing.
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -71,7 +71,7 @@
 // New starts calm.
 func New(now float64, t Config) *Monitor {
 	w := &Monitor{Config: t, since: now, read: now, worse: now, fell: math.Inf(-1), flapped: math.Inf(-1), patience: 1,
-		share: 1, space: 1, knee: 1, cutAt: now, methods: make([]method, len(t.Worth)), admit: make([]float64, len(t.Worth)),
+		share: 1, space: 1, knee: 1, cutAt: now, methods: make([]method, len(t.Criticality)), admit: make([]float64, len(t.Criticality)),
 		lastSeen: Unknown(), before: Unknown()}
 	for k := range w.admit {
 		w.admit[k] = 1
@@ -259,7 +259,7 @@
 // value orders methods as the module does: by criticality over the share that has lately been ok, so that none starves.
 func (w *Monitor) value(k int) float64 {
 	m := &w.methods[k]
-	return w.Worth[k] / max((m.ok+1)/(m.asked+1), starving)
+	return w.Criticality[k] / max((m.ok+1)/(m.asked+1), starving)
 }
 
 // count takes over what has been asked and ok since the last reading.
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -18,7 +18,7 @@
 
 func newStage(change func(t *Config)) *stage {
 	t := Defaults()
-	t.Worth = []float64{1, 5, 30}
+	t.Criticality = []float64{1, 5, 30}
 	t.MaxRetryAfter = 2
 	if change != nil {
 		change(&t)
@@ -177,7 +177,7 @@
 
 // A load at the very edge does not flap: each fall that proved too early makes the next take twice as long.
 func TestEdge(t *testing.T) {
-	s := newStage(func(t *Config) { t.Worth = []float64{1, 5, 30} })
+	s := newStage(func(t *Config) { t.Criticality = []float64{1, 5, 30} })
 	changes := 0
 	for k := range 120 * 20 {
 		s.now += 0.05
--- a/server/press.go
+++ b/server/press.go
@@ -154,7 +154,7 @@
 		watchConfig.MaxRetryAfter = rules.Ceilings.MaxRetryAfter
 	}
 	for _, m := range rules.Methods {
-		watchConfig.Worth = append(watchConfig.Worth, m.Criticality)
+		watchConfig.Criticality = append(watchConfig.Criticality, m.Criticality)
 	}
 	watch := pressure.New(0, watchConfig)
 	source := procstats.New()
