--- a/config/pressure.go
+++ b/config/pressure.go
@@ -76,7 +76,7 @@
 		if err := readDuration(&t, w, 0.001, 60); err != nil {
 			return err
 		}
-		*thresholds = pressure.ThresholdsOf(t)
+		*thresholds = pressure.TimeThresholds(t)
 		return nil
 	}, func(settings *Settings) string {
 		if m := settings.Pressure.Config.Thresholds[s]; m[pressure.Pressed-1] > 0 {
--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -16,10 +16,10 @@
 	// A timer late by 20 ms has missed one of the module's own looks. What an answer takes waits twice for the processor,
 	// once to be read and once to be written, so this keeps it under 50 ms; twelve times that is a quarter of a second.
 	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, ReadDelay, Scheduler} {
-		t.Thresholds[s] = ThresholdsOf(0.02)
+		t.Thresholds[s] = TimeThresholds(0.02)
 	}
 	// Lags of the network and of callers' clocks are in this one too.
-	t.Thresholds[ReadDelay] = ThresholdsOf(0.025)
+	t.Thresholds[ReadDelay] = TimeThresholds(0.025)
 	// A quarter for the collector is what Go itself aims at; past one half it no longer keeps up.
 	t.Thresholds[Collector] = Thresholds{0.3, 0.45, 0.6, Never}
 	// A core that is full is well used: alone it only makes wary. What it delays shows in the signals above.
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -60,10 +60,10 @@
 // Never is a threshold that is never reached.
 var Never = math.Inf(1)
 
-// ThresholdsOf spreads a signal's threshold for Pressed over the levels, for signals that are times: half of it for Wary, four and
+// TimeThresholds spreads a signal's threshold for Pressed over the levels, for signals that are times: half of it for Wary, four and
 // twelve times for what is worse. Refusing the least worthy is to do it: at twice and six times connections were turned
 // away, with what was worthy on them, before the share let in had found its place.
-func ThresholdsOf(pressed float64) Thresholds {
+func TimeThresholds(pressed float64) Thresholds {
 	return Thresholds{pressed / 2, pressed, 4 * pressed, 12 * pressed}
 }
 
