--- a/config/pressure.go
+++ b/config/pressure.go
@@ -112,7 +112,7 @@
 		case s == pressure.Collector:
 			*thresholds = pressure.Thresholds{v * 2 / 3, v, v * 4 / 3, pressure.Never}
 		default:
-			*thresholds = pressure.ThresholdsToward(v)
+			*thresholds = pressure.ShareThresholds(v)
 		}
 		return nil
 	}, func(settings *Settings) string {
--- a/logic/pressure/config.go
+++ b/logic/pressure/config.go
@@ -25,9 +25,9 @@
 	// A core that is full is well used: alone it only makes wary. What it delays shows in the signals above.
 	t.Thresholds[CPU] = Thresholds{0.9, Never, Never, Never}
 	t.Thresholds[Throttled] = Thresholds{0.3, Never, Never, Never}
-	t.Thresholds[Memory] = ThresholdsToward(0.75)
+	t.Thresholds[Memory] = ShareThresholds(0.75)
 	t.Thresholds[Descriptors] = Thresholds{0.85, Never, Never, Never} // the listener makes room by itself
-	t.Thresholds[PendingReplies] = ThresholdsToward(0.6)
+	t.Thresholds[PendingReplies] = ShareThresholds(0.6)
 	t.Thresholds[Leak] = Thresholds{1, 4, Never, Never} // times sooner than the forecast
 	return t
 }
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -67,9 +67,9 @@
 	return Thresholds{pressed / 2, pressed, 4 * pressed, 12 * pressed}
 }
 
-// ThresholdsToward spreads a threshold for Pressed over the levels, for signals that are shares of a limit: the rest of the way to the
+// ShareThresholds spreads a threshold for Pressed over the levels, for signals that are shares of a limit: the rest of the way to the
 // limit is divided.
-func ThresholdsToward(pressed float64) Thresholds {
+func ShareThresholds(pressed float64) Thresholds {
 	rest := 1 - pressed
 	return Thresholds{pressed - rest/2, pressed, pressed + rest*0.4, pressed + rest*0.7}
 }
