--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -281,7 +281,7 @@
 
 // Effects are what the level does, beside refusing.
 type Effects struct {
-	Turn    int     // RPCs that one connection may bring in before others have their turn, 0 for no bound
+	MaxTurn int     // RPCs that one connection may bring in before others have their turn, 0 for no bound
 	Credit  float64 // times the module's
 	Accept  bool    // new connections are taken
 	Largest int     // bytes of a frame that is still read whole
@@ -297,11 +297,11 @@
 func (w *Monitor) Effects() Effects {
 	e := Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 	if w.level >= Wary {
-		e.Turn = 8 // a third of what one read brings
+		e.MaxTurn = 8 // a third of what one read brings
 		e.Credit = 0.75
 	}
 	if w.level >= Pressed {
-		e.Turn = 4
+		e.MaxTurn = 4
 		e.Credit = 0.75 * max(min(w.share, w.space), least)
 		// By then the share has had time to move.
 		e.After = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -72,7 +72,7 @@
 	//   2.15 pressed from calm by loop
 	//   2.45 strained from pressed by loop
 	//   2.75 shut from strained by scheduler
-	// {Turn:4 Credit:0 Accept:false Largest:1200 Keep:0.1 Health:false After:1}
+	// {MaxTurn:4 Credit:0 Accept:false Largest:1200 Keep:0.1 Health:false After:1}
 	//   5.00 strained from shut by scheduler
 	//   7.05 pressed from strained by scheduler
 	//   9.05 wary from pressed by scheduler
--- a/server/press.go
+++ b/server/press.go
@@ -248,7 +248,7 @@
 	if until := w.TimeToMemoryLimit(); !math.IsInf(until, 1) {
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
-	fields = append(fields, zap.Float64("credit", math.Round(e.Credit*1e3)/1e3), zap.Int("turn", e.Turn),
+	fields = append(fields, zap.Float64("credit", math.Round(e.Credit*1e3)/1e3), zap.Int("turn", e.MaxTurn),
 		zap.Bool("accepts", e.Accept), zap.Float64("results_kept", e.Keep), zap.Bool("healthy", e.Health),
 		zap.Uint64("refused", s.press.refused.Load()))
 	if w.Level() > from {
--- a/server/reader.go
+++ b/server/reader.go
@@ -67,7 +67,7 @@
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
-		if turn++; turn >= c.press.effects.Load().Turn && turn > 1 {
+		if turn++; turn >= c.press.effects.Load().MaxTurn && turn > 1 {
 			turn = 0
 			runtime.Gosched()
 		}
