--- a/server/press.go
+++ b/server/press.go
@@ -43,7 +43,7 @@
 const allOf = 1 << 16
 
 // calm is what holds while nothing presses.
-var calm = pressure.Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
+var calm = pressure.Effects{CreditFactor: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 
 func newPress(c *config.Config, b *config.Settings) *press {
 	n := len(c.Methods)
@@ -248,7 +248,7 @@
 	if until := w.TimeToMemoryLimit(); !math.IsInf(until, 1) {
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
-	fields = append(fields, zap.Float64("credit", math.Round(e.Credit*1e3)/1e3), zap.Int("turn", e.MaxTurn),
+	fields = append(fields, zap.Float64("credit", math.Round(e.CreditFactor*1e3)/1e3), zap.Int("turn", e.MaxTurn),
 		zap.Bool("accepts", e.Accept), zap.Float64("results_kept", e.Keep), zap.Bool("healthy", e.Health),
 		zap.Uint64("refused", s.press.refused.Load()))
 	if w.Level() > from {
@@ -267,7 +267,7 @@
 // credit is what goes out with every answer: the module's, less what the process itself cannot bear. Below 0 there is
 // none.
 func (s *Server) credit() float64 {
-	credit, times := s.gate.Credit(), s.press.effects.Load().Credit
+	credit, times := s.gate.Credit(), s.press.effects.Load().CreditFactor
 	switch {
 	case credit <= 0 || times >= 1 || s.signal != rpc.Allowance:
 		return credit
--- a/server/press_test.go
+++ b/server/press_test.go
@@ -38,7 +38,7 @@
 	r.hear(1)
 	r.execute(2, "op", "record", "dedupe", "b")
 	t.asked()
-	t.under(pressure.Effects{Credit: 0.5, Accept: true, Largest: 1 << 20, Keep: 1, Health: true, After: 0.25}, 0, 0)
+	t.under(pressure.Effects{CreditFactor: 0.5, Accept: true, Largest: 1 << 20, Keep: 1, Health: true, After: 0.25}, 0, 0)
 	r.execute(3)
 	r.execute(4, "op", "record", "dedupe", "c")
 	r.execute(5, "op", "record", "dedupe", "a")
@@ -76,7 +76,7 @@
 	t.asked()
 	t.reap(1, "fine", "one")
 	r.hear(1)
-	t.under(pressure.Effects{Credit: 1, Accept: true, Largest: 1200, Keep: 1, Health: true}, 1, 1)
+	t.under(pressure.Effects{CreditFactor: 1, Accept: true, Largest: 1200, Keep: 1, Health: true}, 1, 1)
 	cut, rest := r.begin(2, strings.Repeat("b", 2000))
 	fmt.Fprint(r, cut)
 	r.hear(1) // with its end still to come
