--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -281,13 +281,13 @@
 
 // Effects are what the level does, beside refusing.
 type Effects struct {
-	MaxTurn      int     // RPCs that one connection may bring in before others have their turn, 0 for no bound
-	CreditFactor float64 // times the module's
-	Accept       bool    // new connections are taken
-	Largest      int     // bytes of a frame that is still read whole
-	Keep         float64 // times the room for kept results
-	Health       bool
-	After        float64 // seconds of advice on a refusal
+	MaxTurn       int     // RPCs that one connection may bring in before others have their turn, 0 for no bound
+	CreditFactor  float64 // times the module's
+	Accept        bool    // new connections are taken
+	MaxFrameBytes int     // bytes of a frame that is still read whole
+	Keep          float64 // times the room for kept results
+	Health        bool
+	After         float64 // seconds of advice on a refusal
 }
 
 // largest lets through what the usual RPC needs; a body of 2 KiB is refused with it.
@@ -295,7 +295,7 @@
 
 // Effects gives what the level in force does, mildest first.
 func (w *Monitor) Effects() Effects {
-	e := Effects{CreditFactor: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
+	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, Keep: 1, Health: true}
 	if w.level >= Wary {
 		e.MaxTurn = 8 // a third of what one read brings
 		e.CreditFactor = 0.75
@@ -307,7 +307,7 @@
 		e.After = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
 	}
 	if w.level >= Strained {
-		e.Accept, e.Largest, e.Keep = false, largest, 0.5
+		e.Accept, e.MaxFrameBytes, e.Keep = false, largest, 0.5
 	}
 	if w.level >= Shut {
 		e.Keep, e.Health, e.CreditFactor = 0.1, false, 0
--- a/server/press.go
+++ b/server/press.go
@@ -43,7 +43,7 @@
 const allOf = 1 << 16
 
 // calm is what holds while nothing presses.
-var calm = pressure.Effects{CreditFactor: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
+var calm = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, Keep: 1, Health: true}
 
 func newPress(c *config.Config, b *config.Settings) *press {
 	n := len(c.Methods)
--- a/server/reader.go
+++ b/server/reader.go
@@ -168,7 +168,7 @@
 // It tells whether it did. Behind an RPC that did not come whole nothing can be read any more.
 func (c *conn) passOver(in *readbuffer.Buffer) (done bool, err error) {
 	size := thrift.Length(in.Bytes())
-	if size <= c.press.effects.Load().Largest || size > thrift.MaxFrame {
+	if size <= c.press.effects.Load().MaxFrameBytes || size > thrift.MaxFrame {
 		return false, nil
 	}
 	k, there := thrift.Peek(in.Bytes()[4:])
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -62,7 +62,7 @@
 // has begun is not refused: a repeat of it goes to the gate.
 func (c *conn) turnsAway(seq int32, method int, token []byte, recv float64, size int) bool {
 	e := c.press.effects.Load()
-	if size <= e.Largest && c.press.lets(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
+	if size <= e.MaxFrameBytes && c.press.lets(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
 		return false
 	}
 	c.press.refused.Add(1)
