--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -285,7 +285,7 @@
 	CreditFactor  float64 // times the module's
 	Accept        bool    // new connections are taken
 	MaxFrameBytes int     // bytes of a frame that is still read whole
-	Keep          float64 // times the room for kept results
+	ResultFactor  float64 // times the room for kept results
 	Health        bool
 	After         float64 // seconds of advice on a refusal
 }
@@ -295,7 +295,7 @@
 
 // Effects gives what the level in force does, mildest first.
 func (w *Monitor) Effects() Effects {
-	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, Keep: 1, Health: true}
+	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Health: true}
 	if w.level >= Wary {
 		e.MaxTurn = 8 // a third of what one read brings
 		e.CreditFactor = 0.75
@@ -307,10 +307,10 @@
 		e.After = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
 	}
 	if w.level >= Strained {
-		e.Accept, e.MaxFrameBytes, e.Keep = false, largest, 0.5
+		e.Accept, e.MaxFrameBytes, e.ResultFactor = false, largest, 0.5
 	}
 	if w.level >= Shut {
-		e.Keep, e.Health, e.CreditFactor = 0.1, false, 0
+		e.ResultFactor, e.Health, e.CreditFactor = 0.1, false, 0
 	}
 	return e
 }
