--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -286,7 +286,7 @@
 	Accept        bool    // new connections are taken
 	MaxFrameBytes int     // bytes of a frame that is still read whole
 	ResultFactor  float64 // times the room for kept results
-	Health        bool
+	Healthy       bool
 	After         float64 // seconds of advice on a refusal
 }
 
@@ -295,7 +295,7 @@
 
 // Effects gives what the level in force does, mildest first.
 func (w *Monitor) Effects() Effects {
-	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Health: true}
+	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Healthy: true}
 	if w.level >= Wary {
 		e.MaxTurn = 8 // a third of what one read brings
 		e.CreditFactor = 0.75
@@ -310,7 +310,7 @@
 		e.Accept, e.MaxFrameBytes, e.ResultFactor = false, largest, 0.5
 	}
 	if w.level >= Shut {
-		e.ResultFactor, e.Health, e.CreditFactor = 0.1, false, 0
+		e.ResultFactor, e.Healthy, e.CreditFactor = 0.1, false, 0
 	}
 	return e
 }
--- a/server/press.go
+++ b/server/press.go
@@ -43,7 +43,7 @@
 const allOf = 1 << 16
 
 // calm is what holds while nothing presses.
-var calm = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Health: true}
+var calm = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Healthy: true}
 
 func newPress(c *config.Config, b *config.Settings) *press {
 	n := len(c.Methods)
@@ -232,7 +232,7 @@
 // applied puts into force what does not ask for itself.
 func (s *Server) applied(was, is pressure.Effects) {
 	s.gate.Keep(int(float64(s.config.Load().Memory/keepShare) * is.ResultFactor))
-	if was.Health != is.Health {
+	if was.Healthy != is.Healthy {
 		signal(s.well)
 	}
 }
@@ -249,7 +249,7 @@
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
 	fields = append(fields, zap.Float64("credit", math.Round(e.CreditFactor*1e3)/1e3), zap.Int("turn", e.MaxTurn),
-		zap.Bool("accepts", e.Accept), zap.Float64("results_kept", e.ResultFactor), zap.Bool("healthy", e.Health),
+		zap.Bool("accepts", e.Accept), zap.Float64("results_kept", e.ResultFactor), zap.Bool("healthy", e.Healthy),
 		zap.Uint64("refused", s.press.refused.Load()))
 	if w.Level() > from {
 		s.log.Warn("pressure", fields...)
@@ -261,7 +261,7 @@
 // healthy is what is said to health checks and to the roster. Before the kernel is up nothing can be served, and it is
 // not known how little at first.
 func (s *Server) healthy() bool {
-	return s.gate.Booted() && s.gate.Healthy() && s.press.effects.Load().Health
+	return s.gate.Booted() && s.gate.Healthy() && s.press.effects.Load().Healthy
 }
 
 // credit is what goes out with every answer: the module's, less what the process itself cannot bear. Below 0 there is
