--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -287,7 +287,7 @@
 	MaxFrameBytes int     // bytes of a frame that is still read whole
 	ResultFactor  float64 // times the room for kept results
 	Healthy       bool
-	After         float64 // seconds of advice on a refusal
+	RetryAfter    float64 // seconds of advice on a refusal
 }
 
 // largest lets through what the usual RPC needs; a body of 2 KiB is refused with it.
@@ -304,7 +304,7 @@
 		e.MaxTurn = 4
 		e.CreditFactor = 0.75 * max(min(w.share, w.space), least)
 		// By then the share has had time to move.
-		e.After = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
+		e.RetryAfter = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
 	}
 	if w.level >= Strained {
 		e.Accept, e.MaxFrameBytes, e.ResultFactor = false, largest, 0.5
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -72,7 +72,7 @@
 	//   2.15 pressed from calm by loop
 	//   2.45 strained from pressed by loop
 	//   2.75 shut from strained by scheduler
-	// {MaxTurn:4 CreditFactor:0 Accept:false MaxFrameBytes:1200 ResultFactor:0.1 Healthy:false After:1}
+	// {MaxTurn:4 CreditFactor:0 Accept:false MaxFrameBytes:1200 ResultFactor:0.1 Healthy:false RetryAfter:1}
 	//   5.00 strained from shut by scheduler
 	//   7.05 pressed from strained by scheduler
 	//   9.05 wary from pressed by scheduler
@@ -221,7 +221,7 @@
 					}
 				}
 				e := s.Effects()
-				if !(e.CreditFactor >= 0 && e.CreditFactor <= 1) || e.After < 0 || e.After > 2 || (s.Level() == Shut) == e.Healthy {
+				if !(e.CreditFactor >= 0 && e.CreditFactor <= 1) || e.RetryAfter < 0 || e.RetryAfter > 2 || (s.Level() == Shut) == e.Healthy {
 					t.Fatalf("%v: %+v", s.Level(), e)
 				}
 			},
--- a/server/press_test.go
+++ b/server/press_test.go
@@ -38,7 +38,7 @@
 	r.hear(1)
 	r.execute(2, "op", "record", "dedupe", "b")
 	t.asked()
-	t.under(pressure.Effects{CreditFactor: 0.5, Accept: true, MaxFrameBytes: 1 << 20, ResultFactor: 1, Healthy: true, After: 0.25}, 0, 0)
+	t.under(pressure.Effects{CreditFactor: 0.5, Accept: true, MaxFrameBytes: 1 << 20, ResultFactor: 1, Healthy: true, RetryAfter: 0.25}, 0, 0)
 	r.execute(3)
 	r.execute(4, "op", "record", "dedupe", "c")
 	r.execute(5, "op", "record", "dedupe", "a")
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -62,7 +62,7 @@
 		r.abort(seq)
 		return
 	}
-	after := r.press.effects.Load().After
+	after := r.press.effects.Load().RetryAfter
 	r.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, after, load) })
 }
 
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	c.press.refused.Add(1)
-	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, e.After, load) })
+	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, e.RetryAfter, load) })
 	return true
 }
 
