--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -241,7 +241,7 @@
 func Example_permits() {
 	s := open(4, 1000)
 	p := &permits{most: 1}
-	s.Under(p)
+	s.SetPermits(p)
 	s.arrive("a", read, "")
 	s.arrive("b", read, "")
 	s.arrive("c", write, "t")
--- a/gate/permits.go
+++ b/gate/permits.go
@@ -12,8 +12,8 @@
 	Over(method int, criticality, took float64)
 }
 
-// Under has the gate start nothing without permits. It is called before anything arrives.
-func (g *Gate[T]) Under(p Permits) {
+// SetPermits has the gate start nothing without permits. It is called before anything arrives.
+func (g *Gate[T]) SetPermits(p Permits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.permits = p
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -133,7 +133,7 @@
 			return nil, err
 		}
 		s.quota.Store(quota)
-		s.gate.Under(quota)
+		s.gate.SetPermits(quota)
 	}
 	m.SetRoles(func() any { return f.Status() })
 	return f, s.distributeConfig(m, f)
