--- a/gate/gate.go
+++ b/gate/gate.go
@@ -173,9 +173,9 @@
 	return id, true
 }
 
-// Knows tells whether an RPC repeats one that is in hand or has run: such a one is not refused beside the module, as what
+// IsRepeat tells whether an RPC repeats one that is in hand or has run: such a one is not refused beside the module, as what
 // has begun is never turned away.
-func (g *Gate[T]) Knows(method int, token string, recv float64) bool {
+func (g *Gate[T]) IsRepeat(method int, token string, recv float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tokens.find(tokenID{method, token}, recv) != nil
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	_, came := r.clock.arrival(recv, r.longestWait(method, ttl))
-	return r.gate.Knows(method, string(token), came)
+	return r.gate.IsRepeat(method, string(token), came)
 }
 
 // Unreadable answers an RPC that could not have been run.
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -62,7 +62,7 @@
 // has begun is not refused: a repeat of it goes to the gate.
 func (c *conn) turnsAway(seq int32, method int, token []byte, recv float64, size int) bool {
 	e := c.press.effects.Load()
-	if size <= e.MaxFrameBytes && c.press.lets(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
+	if size <= e.MaxFrameBytes && c.press.lets(method) || c.tokened(method) && len(token) > 0 && c.gate.IsRepeat(method, string(token), recv) {
 		return false
 	}
 	c.press.refused.Add(1)
@@ -73,7 +73,7 @@
 // lacksMemory answers an RPC for which there is no room: it has not run, unless it repeats one that may have.
 func (c *conn) lacksMemory(seq int32, method int, token string, recv float64) {
 	c.limited.Warn("no memory for an RPC", zap.Stringer("router", c.RemoteAddr()))
-	if token != "" && c.gate.Knows(method, token, recv) {
+	if token != "" && c.gate.IsRepeat(method, token, recv) {
 		c.say(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 		return
 	}
