--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -261,7 +261,7 @@
 		}
 	case 6:
 		if d.r.IntN(20) == 0 {
-			d.Keep(d.r.IntN(1000))
+			d.SetResultLimit(d.r.IntN(1000))
 		}
 	}
 	d.pick()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -181,8 +181,8 @@
 	return g.tokens.find(tokenID{method, token}, recv) != nil
 }
 
-// Keep bounds the bytes of kept results anew; the oldest past it go at once, and their repeats are aborted, never run.
-func (g *Gate[T]) Keep(bytes int) {
+// SetResultLimit bounds the bytes of kept results anew; the oldest past it go at once, and their repeats are aborted, never run.
+func (g *Gate[T]) SetResultLimit(bytes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.tokens.limit != bytes {
--- a/server/press.go
+++ b/server/press.go
@@ -231,7 +231,7 @@
 
 // applied puts into force what does not ask for itself.
 func (s *Server) applied(was, is pressure.Effects) {
-	s.gate.Keep(int(float64(s.config.Load().Memory/keepShare) * is.ResultFactor))
+	s.gate.SetResultLimit(int(float64(s.config.Load().Memory/keepShare) * is.ResultFactor))
 	if was.Healthy != is.Healthy {
 		signal(s.well)
 	}
