--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -256,7 +256,7 @@
 		if len(d.tries) > 0 && d.r.IntN(4) == 0 {
 			if t := d.tries[len(d.tries)-1-d.r.IntN(min(len(d.tries), 20))]; t.answers == 0 {
 				t.gone = true
-				d.Gone(d.now, t.id)
+				d.CallerGone(d.now, t.id)
 			}
 		}
 	case 6:
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -196,8 +196,8 @@
 	return id.i < len(g.slots) && g.slots[id.i].life == id.life && g.slots[id.i].state != free
 }
 
-// Gone tells that nobody waits for the RPC any more.
-func (g *Gate[T]) Gone(now float64, id ID) {
+// CallerGone tells that nobody waits for the RPC any more.
+func (g *Gate[T]) CallerGone(now float64, id ID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.holds(id) && g.slots[id.i].state == owed {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -53,7 +53,7 @@
 }
 
 func (s *street) gone(name string) {
-	s.Gone(s.now, s.ids[name])
+	s.CallerGone(s.now, s.ids[name])
 	s.say()
 }
 
--- a/gate/tokens_test.go
+++ b/gate/tokens_test.go
@@ -89,7 +89,7 @@
 	s.arrive("a", write, "a")
 	for k := range 1000 {
 		s.ids["b"], _ = s.Arrive(s.now, write, 0, s.now, s.now+4, 20, false, "b", fmt.Sprint(k), nil, "b")
-		s.Gone(s.now, s.ids["b"])
+		s.CallerGone(s.now, s.ids["b"])
 	}
 	fmt.Println(len(s.tokens.entries), len(s.tokens.expiry) == 1, len(s.slots))
 	// Output:
--- a/server/end.go
+++ b/server/end.go
@@ -236,7 +236,7 @@
 func (c *conn) giveUp(open map[int32]*call) {
 	for _, k := range open {
 		c.held.Add(-k.size())
-		c.gate.Gone(c.clock.now(), k.id)
+		c.gate.CallerGone(c.clock.now(), k.id)
 	}
 }
 
