--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -167,7 +167,7 @@
 func (d *drawn) pick() {
 	none, stop := context.WithCancel(context.Background())
 	stop()
-	for job, err := d.Pick(none); err == nil; job, err = d.Pick(none) {
+	for job, err := d.NextJob(none); err == nil; job, err = d.NextJob(none) {
 		t := job.For
 		switch job.Do {
 		case Run:
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -69,7 +69,7 @@
 	none, stop := context.WithCancel(context.Background())
 	stop()
 	for {
-		job, err := s.Pick(none)
+		job, err := s.NextJob(none)
 		if err != nil {
 			return
 		}
@@ -212,7 +212,7 @@
 	s := open(1, 1000)
 	picked := make(chan Job[string])
 	go func() {
-		job, _ := s.Pick(context.Background())
+		job, _ := s.NextJob(context.Background())
 		picked <- job
 	}()
 	s.Arrive(s.now, read, 0, s.now, s.now+4, 20, false, "a", "", nil, "a")
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -23,8 +23,8 @@
 	After  float64 // with PushBack: seconds to stay away, 0 for no advice
 }
 
-// Pick blocks until there is something to do for an RPC. Jobs come in the order in which they were decided.
-func (g *Gate[T]) Pick(ctx context.Context) (Job[T], error) {
+// NextJob blocks until there is something to do for an RPC. Jobs come in the order in which they were decided.
+func (g *Gate[T]) NextJob(ctx context.Context) (Job[T], error) {
 	for {
 		g.mu.Lock()
 		if len(g.jobs) > 0 {
--- a/gate/tokens_test.go
+++ b/gate/tokens_test.go
@@ -234,7 +234,7 @@
 	}
 	none, stop := context.WithCancel(context.Background())
 	stop()
-	for job, err := s.Pick(none); err == nil; job, err = s.Pick(none) {
+	for job, err := s.NextJob(none); err == nil; job, err = s.NextJob(none) {
 		_ = job
 	}
 	s.pass(unread + 2)
@@ -297,7 +297,7 @@
 				id, _ := s.Arrive(s.now, write, 0, s.now, s.now+4, 20, false, "x", fmt.Sprint(k), nil, "x")
 				s.Report(s.now, id, rpc.OK, 0.01, nil)
 				s.now += 0.1
-				for job, err := s.Pick(none); err == nil; job, err = s.Pick(none) {
+				for job, err := s.NextJob(none); err == nil; job, err = s.NextJob(none) {
 					did[job.Do]++
 				}
 			}
--- a/server/duties.go
+++ b/server/duties.go
@@ -16,7 +16,7 @@
 // dispatch does what the gate picks.
 func (s *Server) dispatch(ctx context.Context) error {
 	for {
-		job, err := s.gate.Pick(ctx)
+		job, err := s.gate.NextJob(ctx)
 		if err != nil {
 			return nil
 		}
