--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -278,7 +278,7 @@
 	}
 	d.left = d.now
 	stop := d.now + 0.6 + 3*d.r.Float64()
-	d.Leave(d.now, stop)
+	d.Drain(d.now, stop)
 	d.pick()
 	for d.now < stop+0.1 && !d.Failed() {
 		d.step()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -284,8 +284,8 @@
 	return g.wake
 }
 
-// Leave gives notice that the process is stopped at the given time.
-func (g *Gate[T]) Leave(now, at float64) {
+// Drain gives notice that the process is stopped at the given time.
+func (g *Gate[T]) Drain(now, at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaving, g.noticed, g.stop = true, g.clock(now), at
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -158,7 +158,7 @@
 	s.arrive("a1", write, "t")
 	s.arrive("a2", write, "t")
 	s.arrive("b", read, "")
-	s.Leave(s.now, s.now+1.5)
+	s.Drain(s.now, s.now+1.5)
 	s.say()
 	fmt.Println("healthy", s.Healthy(), "credit", s.Credit())
 	s.pass(1.1)
--- a/server/drain.go
+++ b/server/drain.go
@@ -53,7 +53,7 @@
 	span := s.config.Load().Stop
 	spans, stop := s.spans(span), s.clock.now()+span
 	s.enter(stageDraining)
-	s.gate.Leave(s.clock.now(), stop)
+	s.gate.Drain(s.clock.now(), stop)
 	if !sleep(all, stop-spans.notAccepting-s.clock.now()) {
 		return nil
 	}
