--- a/gate/condition.go
+++ b/gate/condition.go
@@ -19,8 +19,8 @@
 // Changed holds a value after the health, the time for idle connections or the notes have changed.
 func (g *Gate[T]) Changed() <-chan struct{} { return g.changed }
 
-// Idle is after how many seconds idle connections are closed, 0 for never.
-func (g *Gate[T]) Idle() float64 {
+// IdleTimeout is after how many seconds idle connections are closed, 0 for never.
+func (g *Gate[T]) IdleTimeout() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.reap
--- a/server/listen.go
+++ b/server/listen.go
@@ -250,7 +250,7 @@
 		s.noteShort()
 	}
 	s.evictExcess()
-	after := s.gate.Idle()
+	after := s.gate.IdleTimeout()
 	var idle []quiet
 	room := asideOnce
 	s.mu.Lock()
