--- a/gate/condition.go
+++ b/gate/condition.go
@@ -26,8 +26,8 @@
 	return g.reap
 }
 
-// Notes are the module's remarks since the last call.
-func (g *Gate[T]) Notes() []string {
+// TakeMessages are the module's remarks since the last call.
+func (g *Gate[T]) TakeMessages() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	notes := g.notes
--- a/server/duties.go
+++ b/server/duties.go
@@ -102,7 +102,7 @@
 		case <-s.well:
 		}
 		s.stopPanic(func() error {
-			for _, note := range s.gate.Notes() {
+			for _, note := range s.gate.TakeMessages() {
 				s.log.Info(note)
 			}
 			if now := s.healthy(); now != healthy {
