--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -268,7 +268,7 @@
 }
 
 func (d *drawn) play() {
-	d.Boot(d.now, d.now-d.r.Float64()*10, d.r.IntN(2) == 0)
+	d.SetBootTime(d.now, d.now-d.r.Float64()*10, d.r.IntN(2) == 0)
 	for range 2000 {
 		d.step()
 		d.overdue(math.Inf(1))
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -84,10 +84,10 @@
 	return g
 }
 
-// Boot tells when the machine came up, and whether cold. Only the first word counts, and Boot says whether this is it. Until
+// SetBootTime tells when the machine came up, and whether cold. Only the first word counts, and SetBootTime says whether this is it. Until
 // then the machine counts as cold as it may be. Mostly nothing has been read before; if it has, the module that read it goes
 // on.
-func (g *Gate[T]) Boot(now, at float64, cold bool) (first bool) {
+func (g *Gate[T]) SetBootTime(now, at float64, cold bool) (first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.booted {
--- a/server/runs.go
+++ b/server/runs.go
@@ -27,7 +27,7 @@
 	}
 	s.warmAt.Store(int64(min(warm*1e9, math.MaxInt64/2)))
 	s.stopPanic(func() error {
-		if s.gate.Boot(now, now-ago, cold) {
+		if s.gate.SetBootTime(now, now-ago, cold) {
 			defer signal(s.well)
 			close(s.up)
 		}
