--- a/gate/actions.go
+++ b/gate/actions.go
@@ -9,7 +9,7 @@
 
 func (a *actions[T]) gate() *Gate[T] { return (*Gate[T])(a) }
 
-func (a *actions[T]) job(i int, do Do) {
+func (a *actions[T]) job(i int, do Action) {
 	s := &a.slots[i]
 	a.jobs = append(a.jobs, Job[T]{Do: do, RPC: ID{i, s.life}, For: s.who})
 }
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// Do is what is to be done for an RPC.
-type Do uint8
+// Action is what is to be done for an RPC.
+type Action uint8
 
 const (
-	Run Do = iota + 1
+	Run Action = iota + 1
 	Pause
 	Serve    // answer with the result
 	PushBack // answer that it never ran
@@ -15,7 +15,7 @@
 
 // Job is one thing to do; For is what came with the RPC.
 type Job[T any] struct {
-	Do     Do
+	Do     Action
 	RPC    ID
 	For    T
 	Result []byte
--- a/gate/tokens_test.go
+++ b/gate/tokens_test.go
@@ -290,7 +290,7 @@
 				c.Methods[write].Window = 30 * 86400
 				c.Machine.EntryKB, c.Machine.MemoryKB = entry, memory
 			})
-			did := map[Do]int{}
+			did := map[Action]int{}
 			none, stop := context.WithCancel(context.Background())
 			stop()
 			for k := range 2 * leastTokens {
