--- a/gate/actions.go
+++ b/gate/actions.go
@@ -11,7 +11,7 @@
 
 func (a *actions[T]) job(i int, do Action) {
 	s := &a.slots[i]
-	a.jobs = append(a.jobs, Job[T]{Do: do, RPC: ID{i, s.life}, For: s.who})
+	a.jobs = append(a.jobs, Job[T]{Action: do, RPC: ID{i, s.life}, For: s.who})
 }
 
 func (a *actions[T]) BlockingLimit(method int) int {
@@ -36,13 +36,13 @@
 func (a *actions[T]) Stop(i int)         { a.job(i, Pause) }
 func (a *actions[T]) Call(int, float64)  {} // methods that may call are refused before they get here
 func (a *actions[T]) Skip(int)           {}
-func (a *actions[T]) Abort(i int)        { a.gate().answer(i, Job[T]{Do: Abort}) }
+func (a *actions[T]) Abort(i int)        { a.gate().answer(i, Job[T]{Action: Abort}) }
 func (a *actions[T]) Publish(v float64)  { a.credit = v }
 func (a *actions[T]) Wake(after float64) { a.wake = after }
 func (a *actions[T]) Release(i int)      { a.gate().move(i, free) }
 
 func (a *actions[T]) PushBack(i int, last bool, after float64) {
-	a.gate().answer(i, Job[T]{Do: PushBack, Last: last, After: after})
+	a.gate().answer(i, Job[T]{Action: PushBack, Last: last, After: after})
 }
 
 func (a *actions[T]) Remember(i int, span float64) {
--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -169,7 +169,7 @@
 	stop()
 	for job, err := d.NextJob(none); err == nil; job, err = d.NextJob(none) {
 		t := job.For
-		switch job.Do {
+		switch job.Action {
 		case Run:
 			d.begun(t)
 			continue
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -234,9 +234,9 @@
 func (g *Gate[T]) end(i int, how rpc.Outcome, took float64, result []byte) {
 	switch how {
 	case rpc.OK:
-		g.answer(i, Job[T]{Do: Serve, Result: result})
+		g.answer(i, Job[T]{Action: Serve, Result: result})
 	case rpc.Error:
-		g.answer(i, Job[T]{Do: Abort})
+		g.answer(i, Job[T]{Action: Abort})
 	}
 	g.module.Ended(g.now, i, how, took)
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -74,7 +74,7 @@
 			return
 		}
 		fmt.Printf("%5.2f %s: ", s.now-100, job.For)
-		switch job.Do {
+		switch job.Action {
 		case Run:
 			fmt.Println("run")
 		case Pause:
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -15,7 +15,7 @@
 
 // Job is one thing to do; For is what came with the RPC.
 type Job[T any] struct {
-	Do     Action
+	Action Action
 	RPC    ID
 	For    T
 	Result []byte
--- a/gate/tokens_test.go
+++ b/gate/tokens_test.go
@@ -298,7 +298,7 @@
 				s.Report(s.now, id, rpc.OK, 0.01, nil)
 				s.now += 0.1
 				for job, err := s.NextJob(none); err == nil; job, err = s.NextJob(none) {
-					did[job.Do]++
+					did[job.Action]++
 				}
 			}
 			fmt.Println(memory, entry, did[Run] == len(s.tokens.entries), did[Run] > leastTokens*9/10, did[Run] <= leastTokens+1,
--- a/server/duties.go
+++ b/server/duties.go
@@ -23,7 +23,7 @@
 		if s.stopPanic(func() error {
 			s.do(job)
 			return nil
-		}) != nil && job.Do == gate.Run { // whether it was asked for is not known
+		}) != nil && job.Action == gate.Run { // whether it was asked for is not known
 			s.gate.Report(s.clock.now(), job.RPC, rpc.Error, 0, nil)
 		}
 	}
@@ -31,7 +31,7 @@
 
 func (s *Server) do(job gate.Job[*call]) {
 	k := job.For
-	switch job.Do {
+	switch job.Action {
 	case gate.Run:
 		c := s.config.Load()
 		repeatable := c.Rules.Methods[k.method].Kind == rpc.Idempotent
