--- a/gate/actions.go
+++ b/gate/actions.go
@@ -11,7 +11,7 @@
 
 func (a *actions[T]) job(i int, do Action) {
 	s := &a.slots[i]
-	a.jobs = append(a.jobs, Job[T]{Action: do, RPC: ID{i, s.life}, For: s.who})
+	a.jobs = append(a.jobs, Job[T]{Action: do, RPC: ID{i, s.life}, Request: s.who})
 }
 
 func (a *actions[T]) BlockingLimit(method int) int {
--- a/gate/drawn_test.go
+++ b/gate/drawn_test.go
@@ -168,7 +168,7 @@
 	none, stop := context.WithCancel(context.Background())
 	stop()
 	for job, err := d.NextJob(none); err == nil; job, err = d.NextJob(none) {
-		t := job.For
+		t := job.Request
 		switch job.Action {
 		case Run:
 			d.begun(t)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			return
 		}
-		fmt.Printf("%5.2f %s: ", s.now-100, job.For)
+		fmt.Printf("%5.2f %s: ", s.now-100, job.Request)
 		switch job.Action {
 		case Run:
 			fmt.Println("run")
@@ -216,7 +216,7 @@
 		picked <- job
 	}()
 	s.Arrive(s.now, read, 0, s.now, s.now+4, 20, false, "a", "", nil, "a")
-	fmt.Println((<-picked).For)
+	fmt.Println((<-picked).Request)
 	// Output: a
 }
 
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -15,12 +15,12 @@
 
 // Job is one thing to do; For is what came with the RPC.
 type Job[T any] struct {
-	Action Action
-	RPC    ID
-	For    T
-	Result []byte
-	Last   bool    // with PushBack: no other app server is to be tried
-	After  float64 // with PushBack: seconds to stay away, 0 for no advice
+	Action  Action
+	RPC     ID
+	Request T
+	Result  []byte
+	Last    bool    // with PushBack: no other app server is to be tried
+	After   float64 // with PushBack: seconds to stay away, 0 for no advice
 }
 
 // NextJob blocks until there is something to do for an RPC. Jobs come in the order in which they were decided.
@@ -52,7 +52,7 @@
 	if s.state != owed {
 		return
 	}
-	job.RPC, job.For = ID{i, s.life}, s.who
+	job.RPC, job.Request = ID{i, s.life}, s.who
 	g.jobs = append(g.jobs, job)
 	g.move(i, done)
 }
--- a/server/duties.go
+++ b/server/duties.go
@@ -30,7 +30,7 @@
 }
 
 func (s *Server) do(job gate.Job[*call]) {
-	k := job.For
+	k := job.Request
 	switch job.Action {
 	case gate.Run:
 		c := s.config.Load()
