--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -19,7 +19,7 @@
 	RPC     ID
 	Request T
 	Result  []byte
-	Last    bool    // with PushBack: no other app server is to be tried
+	NoRetry bool    // with PushBack: no other app server is to be tried
 	After   float64 // with PushBack: seconds to stay away, 0 for no advice
 }
 
