--- a/gate/actions.go
+++ b/gate/actions.go
@@ -42,7 +42,7 @@
 func (a *actions[T]) Release(i int)      { a.gate().move(i, free) }
 
 func (a *actions[T]) PushBack(i int, last bool, after float64) {
-	a.gate().answer(i, Job[T]{Action: PushBack, NoRetry: last, After: after})
+	a.gate().answer(i, Job[T]{Action: PushBack, NoRetry: last, RetryAfter: after})
 }
 
 func (a *actions[T]) Remember(i int, span float64) {
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -15,12 +15,12 @@
 
 // Job is one thing to do; For is what came with the RPC.
 type Job[T any] struct {
-	Action  Action
-	RPC     ID
-	Request T
-	Result  []byte
-	NoRetry bool    // with PushBack: no other app server is to be tried
-	After   float64 // with PushBack: seconds to stay away, 0 for no advice
+	Action     Action
+	RPC        ID
+	Request    T
+	Result     []byte
+	NoRetry    bool    // with PushBack: no other app server is to be tried
+	RetryAfter float64 // with PushBack: seconds to stay away, 0 for no advice
 }
 
 // NextJob blocks until there is something to do for an RPC. Jobs come in the order in which they were decided.
--- a/server/duties.go
+++ b/server/duties.go
@@ -48,7 +48,7 @@
 		})
 	case gate.PushBack:
 		k.answer(0, func(out []byte, load float64) []byte {
-			return thrift.PushedBack(out, k.seq, job.NoRetry, job.After, load)
+			return thrift.PushedBack(out, k.seq, job.NoRetry, job.RetryAfter, load)
 		})
 	case gate.Abort:
 		k.answer(0, func(out []byte, load float64) []byte { return thrift.Aborted(out, k.seq, load) })
