--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -64,8 +64,8 @@
 	return l, nil
 }
 
-// Short tells which share has no permit left for a method, from one; 0 where it may start.
-func (l *QuotaClient) Short(method int) int {
+// BlockingLimit tells which share has no permit left for a method, from one; 0 where it may start.
+func (l *QuotaClient) BlockingLimit(method int) int {
 	k := l.method[method]
 	if k == 0 {
 		return 0
--- a/gate/actions.go
+++ b/gate/actions.go
@@ -18,7 +18,7 @@
 	if a.permits == nil {
 		return 0
 	}
-	return a.permits.Short(method)
+	return a.permits.BlockingLimit(method)
 }
 
 func (a *actions[T]) Start(i int) {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -223,7 +223,7 @@
 // permits lets some RPCs of the first method run at once, and says what it is told.
 type permits struct{ most, running, waiting int }
 
-func (p *permits) Short(method int) int {
+func (p *permits) BlockingLimit(method int) int {
 	if method == read && p.running >= p.most {
 		return 1
 	}
--- a/gate/permits.go
+++ b/gate/permits.go
@@ -3,8 +3,8 @@
 // Permits are what common limits of several app servers leave to this one. They are asked under the gate's lock, and call
 // nothing of it; a method's index is the config's.
 type Permits interface {
-	// Short tells which limit keeps RPCs of a method from being started now, from 1; 0 if none does.
-	Short(method int) int
+	// BlockingLimit tells which limit keeps RPCs of a method from being started now, from 1; 0 if none does.
+	BlockingLimit(method int) int
 	// Waits takes in one more RPC that waits to be started, or with -1 one less.
 	Waits(method, n int, criticality float64)
 	// Began and Over take in that one was started, and that its run has ended after so many seconds; 0 where it never ran.
