--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -79,8 +79,8 @@
 	return k
 }
 
-// Waits takes in that an RPC of a method and a criticality waits, or with -1 that it no longer does.
-func (l *QuotaClient) Waits(method, n int, criticality float64) {
+// AddWaiting takes in that an RPC of a method and a criticality waits, or with -1 that it no longer does.
+func (l *QuotaClient) AddWaiting(method, n int, criticality float64) {
 	l.with(method, func(s *quota) { s.leaseholder.Wait(n, criticality, s.f.config.Clock()) })
 }
 
--- a/gate/permits.go
+++ b/gate/permits.go
@@ -5,8 +5,8 @@
 type Permits interface {
 	// BlockingLimit tells which limit keeps RPCs of a method from being started now, from 1; 0 if none does.
 	BlockingLimit(method int) int
-	// Waits takes in one more RPC that waits to be started, or with -1 one less.
-	Waits(method, n int, criticality float64)
+	// AddWaiting takes in one more RPC that waits to be started, or with -1 one less.
+	AddWaiting(method, n int, criticality float64)
 	// Began and Over take in that one was started, and that its run has ended after so many seconds; 0 where it never ran.
 	Began(method int, criticality float64)
 	Over(method int, criticality, took float64)
@@ -23,14 +23,14 @@
 func (g *Gate[T]) wait(i int) {
 	if s := &g.slots[i]; g.permits != nil {
 		s.waits = true
-		g.permits.Waits(s.method, 1, (*actions[T])(g).criticality(i))
+		g.permits.AddWaiting(s.method, 1, (*actions[T])(g).criticality(i))
 	}
 }
 
 func (g *Gate[T]) unwait(i int) {
 	if s := &g.slots[i]; s.waits {
 		s.waits = false
-		g.permits.Waits(s.method, -1, (*actions[T])(g).criticality(i))
+		g.permits.AddWaiting(s.method, -1, (*actions[T])(g).criticality(i))
 	}
 }
 
