--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -84,8 +84,8 @@
 	l.with(method, func(s *quota) { s.leaseholder.Wait(n, criticality, s.f.config.Clock()) })
 }
 
-// Began takes in that one has started.
-func (l *QuotaClient) Began(method int, criticality float64) {
+// RunStarted takes in that one has started.
+func (l *QuotaClient) RunStarted(method int, criticality float64) {
 	l.with(method, func(s *quota) { s.leaseholder.Started(criticality, s.f.config.Clock()) })
 }
 
--- a/gate/actions.go
+++ b/gate/actions.go
@@ -25,7 +25,7 @@
 	a.gate().unwait(i)
 	a.slots[i].runs = true
 	if a.permits != nil {
-		a.permits.Began(a.slots[i].method, a.criticality(i))
+		a.permits.RunStarted(a.slots[i].method, a.criticality(i))
 	}
 	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.life}) {
 		s.entry.state = started
--- a/gate/permits.go
+++ b/gate/permits.go
@@ -7,8 +7,8 @@
 	BlockingLimit(method int) int
 	// AddWaiting takes in one more RPC that waits to be started, or with -1 one less.
 	AddWaiting(method, n int, criticality float64)
-	// Began and Over take in that one was started, and that its run has ended after so many seconds; 0 where it never ran.
-	Began(method int, criticality float64)
+	// RunStarted and Over take in that one was started, and that its run has ended after so many seconds; 0 where it never ran.
+	RunStarted(method int, criticality float64)
 	Over(method int, criticality, took float64)
 }
 
