--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -89,8 +89,8 @@
 	l.with(method, func(s *quota) { s.leaseholder.Started(criticality, s.f.config.Clock()) })
 }
 
-// Over takes in that one is over, after so many seconds, 0 where it never ran.
-func (l *QuotaClient) Over(method int, criticality, took float64) {
+// RunEnded takes in that one is over, after so many seconds, 0 where it never ran.
+func (l *QuotaClient) RunEnded(method int, criticality, took float64) {
 	l.with(method, func(s *quota) { s.leaseholder.Finished(criticality, took, s.f.config.Clock()) })
 }
 
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -232,7 +232,7 @@
 
 func (p *permits) AddWaiting(method, n int, criticality float64) { p.waiting += n }
 func (p *permits) RunStarted(method int, criticality float64)    { p.running += 1 - method }
-func (p *permits) Over(method int, criticality, took float64) {
+func (p *permits) RunEnded(method int, criticality, took float64) {
 	p.running -= 1 - method
 	fmt.Printf("      over after %.2f; %d run, %d wait\n", took, p.running, p.waiting)
 }
--- a/gate/permits.go
+++ b/gate/permits.go
@@ -9,7 +9,7 @@
 	AddWaiting(method, n int, criticality float64)
 	// RunStarted and Over take in that one was started, and that its run has ended after so many seconds; 0 where it never ran.
 	RunStarted(method int, criticality float64)
-	Over(method int, criticality, took float64)
+	RunEnded(method int, criticality, took float64)
 }
 
 // SetPermits has the gate start nothing without permits. It is called before anything arrives.
@@ -38,7 +38,7 @@
 func (g *Gate[T]) over(i int, took float64) {
 	if s := &g.slots[i]; s.runs {
 		if s.runs = false; g.permits != nil {
-			g.permits.Over(s.method, (*actions[T])(g).criticality(i), took)
+			g.permits.RunEnded(s.method, (*actions[T])(g).criticality(i), took)
 		}
 	}
 }
