--- a/logic/chance/chance.go
+++ b/logic/chance/chance.go
@@ -1,5 +1,5 @@
-// Package chance draws numbers that follow from a seed and a counter alone, so that whatever hangs on them can be played
-// again. Decisions under logic/ take all their chance from here.
+// Package chance provides deterministic pseudo-random numbers that depend on a seed and a counter alone, so
+// that runs can be replayed. All random decisions under logic/ use this package.
 package chance
 
 import (
@@ -7,7 +7,7 @@
 	"hash/fnv"
 )
 
-// At gives the n-th number of a seed's row, from 0 to under 1.
+// At returns the n-th number of the sequence for a seed, in [0, 1).
 func At(seed, n uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], seed)
@@ -15,7 +15,8 @@
 	h := fnv.New64a()
 	h.Write(b[:])
 	x := h.Sum64()
-	// The last bytes of a counter hardly reach FNV's upper bits; without this neighbours would draw alike.
+	// The last bytes of the counter hardly affect the upper bits of FNV. Without this mixing, consecutive
+	// counters would give similar numbers.
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
 	x ^= x >> 32
