--- a/logic/quorum/quorum.go
+++ b/logic/quorum/quorum.go
@@ -1,5 +1,6 @@
-// Package quorum tells whether a set of voters decides: a majority of each list of voters. There is one list, or two while the
-// voters are changed, so that whoever knows the former list alone, or the next alone, shares a voter with it.
+// Package quorum decides whether a set of voters forms a quorum: a majority of each list of voters. There is
+// one list, or two while the voters are being changed. A quorum of both lists shares a voter with each quorum
+// of the former list and with each quorum of the next one.
 package quorum
 
 import (
@@ -7,18 +8,18 @@
 	"slices"
 )
 
-// Set is a set of voters: bit k stands for the voter of number k.
+// Set is a set of voters. Bit k stands for voter number k.
 type Set uint32
 
-// With gives the set with one voter more.
+// With returns the set with one more voter.
 func (s Set) With(voter int) Set { return s | 1<<voter }
 
-// Has reports whether a voter is in it.
+// Has reports whether a voter is in the set.
 func (s Set) Has(voter int) bool { return s&(1<<voter) != 0 }
 
-// Voters are those of all lists, each with a number.
+// Voters holds the voters of all lists, each with a number.
 type Voters struct {
-	names []string
+	names []string // by number
 	lists []Set
 }
 
@@ -40,16 +41,16 @@
 	return voters
 }
 
-// Names are the voters of all lists, each once, by number. The caller leaves them as they are.
+// Names returns the voters of all lists, each once, by number. The slice must not be modified.
 func (v Voters) Names() []string { return v.names }
 
-// Number is a voter's, or -1 for somebody else.
+// Number returns the number of a voter, or -1 if the name is no voter.
 func (v Voters) Number(name string) int { return slices.Index(v.names, name) }
 
-// Lists are the sets that need a majority each. The caller leaves them as they are.
+// Lists returns the sets that each need a majority. The slice must not be modified.
 func (v Voters) Lists() []Set { return v.lists }
 
-// Majority reports whether a set holds a majority of each list.
+// Majority reports whether a set holds a majority of each list. Without any list, no set does.
 func (v Voters) Majority(set Set) bool {
 	for _, list := range v.lists {
 		if bits.OnesCount32(uint32(set&list)) <= bits.OnesCount32(uint32(list))/2 {
--- a/logic/quorum/quorum_test.go
+++ b/logic/quorum/quorum_test.go
@@ -6,7 +6,7 @@
 	"valveglade/logic/quorum"
 )
 
-// A majority of each list is needed while the voters are changed.
+// While the voters are being changed, a majority of each list is needed.
 func Example() {
 	voters := quorum.New([][]string{{"a", "b", "c"}, {"d", "b", "c"}})
 	set := func(names ...string) (set quorum.Set) {
@@ -16,7 +16,8 @@
 		return set
 	}
 	fmt.Println(voters.Names(), voters.Number("e"))
-	fmt.Println(voters.Majority(set("a", "b")), voters.Majority(set("b", "c")), voters.Majority(set("a", "b", "d")))
+	fmt.Println(voters.Majority(set("a", "b")), voters.Majority(set("b", "c")),
+		voters.Majority(set("a", "b", "d")))
 	fmt.Println(quorum.New(nil).Majority(0))
 	// Output:
 	// [a b c d] -1
