--- a/logic/pressure/read_delay.go
+++ b/logic/pressure/read_delay.go
@@ -2,20 +2,21 @@
 
 import "math"
 
-// ReadDelayEstimator makes the signal Unread out of what callers write on their RPCs: when they came to the machine. Their clocks may
-// be off, and the way takes time, so only what lies beyond the least of late counts.
+// ReadDelayEstimator computes the signal ReadDelay from the arrival times that callers write on their RPCs.
+// Callers' clocks may be off and the network adds latency, so only the delay beyond a recent minimum counts.
 type ReadDelayEstimator struct {
-	floor [2]float64 // the least mean of the stretch before this one, and of this one
-	began float64
-	known bool
+	lowestMeans  [2]float64 // lowest mean delay of the previous segment and of the current one
+	segmentStart float64
+	initialized  bool
 }
 
-// lagSpan is how long the least of late is held to: short enough to follow a clock that drifts, long enough not to take
-// an overload for the usual.
-const lagSpan = 30.0
+// baselineWindow is the length of a segment in seconds. It is short enough to follow a drifting clock, and
+// long enough that an overload does not become the baseline.
+const baselineWindow = 30.0
 
-// Update takes the sum and the number of the lags since the last reading, in seconds. stepped tells that this machine's
-// clock was set meanwhile: all that was known of the usual is void then.
+// Update takes the sum in seconds and the number of the delays since the last reading, and returns the delay
+// beyond the baseline, NaN if unknown. stepped reports that this machine's clock was set meanwhile, which
+// invalidates the baseline.
 func (l *ReadDelayEstimator) Update(now, sum float64, n int, stepped bool) float64 {
 	if stepped {
 		*l = ReadDelayEstimator{}
@@ -28,12 +29,12 @@
 	if math.IsNaN(mean) || math.IsInf(mean, 0) {
 		return math.NaN()
 	}
-	if !l.known {
-		l.floor, l.began, l.known = [2]float64{mean, mean}, now, true
+	if !l.initialized {
+		l.lowestMeans, l.segmentStart, l.initialized = [2]float64{mean, mean}, now, true
 	}
-	if now-l.began > lagSpan {
-		l.floor, l.began = [2]float64{l.floor[1], mean}, now
+	if now-l.segmentStart > baselineWindow {
+		l.lowestMeans, l.segmentStart = [2]float64{l.lowestMeans[1], mean}, now
 	}
-	l.floor[1] = min(l.floor[1], mean)
-	return mean - min(l.floor[0], l.floor[1])
+	l.lowestMeans[1] = min(l.lowestMeans[1], mean)
+	return mean - min(l.lowestMeans[0], l.lowestMeans[1])
 }
