--- a/logic/pressure/growth.go
+++ b/logic/pressure/growth.go
@@ -2,69 +2,73 @@
 
 import "math"
 
-// growth looks for a leak: memory whose floor rises steadily. The lowest reading of each of a few stretches is kept, as
-// memory that a collector gives back goes up and down.
-type growth struct {
-	floors [stretches]float64
-	n      int
-	began  float64
-	low    float64
+// growthTracker detects a memory leak: memory whose minimum rises steadily. It keeps the lowest reading of
+// each of the last segments of the window, as memory under a garbage collector goes up and down.
+type growthTracker struct {
+	floors       [segments]float64 // lowest reading of each segment, oldest first
+	filled       int               // number of segments recorded so far
+	segmentStart float64
+	lowest       float64 // lowest reading of the current segment
 }
 
 const (
-	stretches = 12
-	// steady is how much of the rise must be left when the steps are added without their sign: a load that comes and
-	// goes rises and falls.
-	steady = 0.7
-	// lasting is the share of the rise that the later half must have: what warms up slows down.
-	lasting = 0.35
-	// slight growth, over the whole span, is none: 2% of the limit in two minutes is half a day's way, and what a
-	// process takes while it warms up is more.
-	slight = 0.02
+	segments = 12
+	// minMonotonicShare is the least ratio of the total rise to the sum of the absolute changes between
+	// segments. A load that comes and goes both rises and falls, and stays below it.
+	minMonotonicShare = 0.7
+	// minLateShare is the least share of the rise that the later half must have. Growth during a warm-up
+	// slows down, and stays below it.
+	minLateShare = 0.35
+	// minGrowth is the least rise over the whole window that counts. 2% of the limit in two minutes, the
+	// default window, takes more than an hour and a half to reach the limit, and a process that warms up
+	// grows by more.
+	minGrowth = 0.02
 )
 
-// forecast gives how many times sooner than the configured forecast the limit is reached, 0 if nothing grows.
-func (w *Monitor) forecast(now, memory float64) float64 {
+// leakFactor returns the configured forecast divided by the time left to the memory limit, or 0 without
+// steady growth.
+func (w *Monitor) leakFactor(now, memory float64) float64 {
 	g := &w.growth
 	if w.Forecast <= 0 || w.GrowthWindow <= 0 {
 		return 0
 	}
 	if memory >= 0 {
-		if g.low == 0 {
-			g.low, g.began = memory, now
+		if g.lowest == 0 {
+			g.lowest, g.segmentStart = memory, now
 		}
-		g.low = min(g.low, memory)
-		if now-g.began >= w.GrowthWindow/stretches {
+		g.lowest = min(g.lowest, memory)
+		if now-g.segmentStart >= w.GrowthWindow/segments {
 			copy(g.floors[:], g.floors[1:])
-			g.floors[stretches-1] = g.low
-			g.n = min(g.n+1, stretches)
-			g.low, g.began = memory, now
+			g.floors[segments-1] = g.lowest
+			g.filled = min(g.filled+1, segments)
+			g.lowest, g.segmentStart = memory, now
 		}
 	}
-	if g.n < stretches {
+	if g.filled < segments {
 		return 0
 	}
-	seen := g.floors[:]
-	rise, steps := seen[len(seen)-1]-seen[0], 0.0
-	for k := 1; k < len(seen); k++ {
-		steps += math.Abs(seen[k] - seen[k-1])
+	floors := g.floors[:]
+	rise, variation := floors[len(floors)-1]-floors[0], 0.0
+	for k := 1; k < len(floors); k++ {
+		variation += math.Abs(floors[k] - floors[k-1])
 	}
-	share := float64(len(seen)-1) / stretches
-	late := seen[len(seen)-1] - seen[len(seen)/2]
-	if rise < slight*share || rise < steady*steps || late < lasting*rise {
+	share := float64(len(floors)-1) / segments
+	lateRise := floors[len(floors)-1] - floors[len(floors)/2]
+	if rise < minGrowth*share || rise < minMonotonicShare*variation || lateRise < minLateShare*rise {
 		return 0
 	}
-	left := (1 - seen[len(seen)-1]) / rise * share * w.GrowthWindow
-	if left <= 0 {
+	secondsLeft := (1 - floors[len(floors)-1]) / rise * share * w.GrowthWindow
+	if secondsLeft <= 0 {
 		return math.MaxFloat64
 	}
-	return w.Forecast / left
+	return w.Forecast / secondsLeft
 }
 
-// TimeToMemoryLimit is how many seconds are left until the memory limit if it goes on growing so, +Inf if it does not grow.
+// TimeToMemoryLimit returns the seconds left until memory reaches its limit if it keeps growing, or +Inf if
+// it does not grow.
 func (w *Monitor) TimeToMemoryLimit() float64 {
-	if times := w.lastSeen[Leak]; times > 0 {
-		return w.Forecast / times
+	if factor := w.current[Leak]; factor > 0 {
+		return w.Forecast / factor
 	}
 	return math.Inf(1)
 }
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -1,7 +1,7 @@
-// Package pressure decides what the state of the process itself means for admission: how hard it is pressed, and what
-// it does about it. It stands beside the admission module, not in it: what it refuses never reaches the module, whose
-// delay, records and credit go on describing what it was given. The server reads the signals (internal/procstats), asks
-// Read what follows, and asks Admit for each RPC. There is no I/O here and no clock.
+// Package pressure derives from the state of the process how much pressure it is under and how to respond. It
+// works beside the admission module: RPCs that it refuses never reach the module, whose delay, records and
+// credit keep describing the RPCs it was given. The server measures the signals (internal/procstats), passes
+// them to Update, and checks AdmitShare for each RPC. The package performs no I/O and reads no clock.
 package pressure
 
 import (
@@ -11,229 +11,240 @@
 )
 
 const (
-	again   = 10.0 // a rise so soon after a fall is a flap: the next fall takes twice as long
-	slowest = 8.0  // times the fall's time, at the most
-	forgive = 60.0 // seconds without a flap after which the fall's time is halved
-	better  = 0.8  // share of a threshold under which a reading counts as better than its level
-	cut     = 0.2  // of the overshoot, taken off the share of RPCs let in
-	deepest = 0.75 // what one cut leaves at least
-	settle  = 0.1  // seconds for a cut to show before the next: two readings
-	falling = 0.95 // of the last overshoot: what is that much less needs no further cut, only time to be read
-	episode = 0.5  // seconds without a cut after which the next belongs to another overload
-	easy    = 0.7  // of the threshold, under which the share grows again
-	// A share that was cut grows back quickly to near where the trouble began, feels its way past it slowly, and faster
-	// the longer all is well. Growing evenly, it spent most of its time far below what the process bears.
-	near    = 0.9
-	quick   = 3.0  // of the way, in a second
-	feel    = 0.03 // of all RPCs in a second
-	hasten  = 0.05 // more of them with each second
-	patient = 1.5  // seconds before that begins
-	grow    = 0.4  // of all RPCs in a second, once the level is below Pressed
-	least   = 0.05 // share let in for loops' sake at the least; a standstill would measure nothing
-	trickle = 0.05 // share of any method that is let in while any is, so that it is seen whether it is ok
-	// starving is the share ok below which methods are alike. At a tenth, as in the module, a method of a quarter of the
-	// criticality took the place of the most critical one once it was refused whole.
-	starving = 0.3
-	fade     = 2.0  // seconds after which what was asked and ok counts half
-	recovers = 0.98 // share let in from which the level may fall below Pressed
+	flapWindow     = 10.0 // seconds: a rise this soon after a fall is a flap; the next fall takes twice as long
+	maxFallBackoff = 8.0  // largest factor on the fall time
+	flapMemory     = 60.0 // seconds without a flap after which that factor is halved
+	hysteresis     = 0.8  // share of a threshold below which a reading counts as better than its level
+	cutGain        = 0.2  // share of the overshoot by which one cut reduces the admitted share
+	minCutFactor   = 0.75 // least share of the admitted share that one cut leaves
+	cutInterval    = 0.1  // seconds for a cut to take effect before the next one: two readings
+	fallingRatio   = 0.95 // an overshoot below this share of the last one is falling and needs no cut
+	overloadGap    = 0.5  // seconds without a cut after which the next cut belongs to a new overload
+	growBelow      = 0.7  // share of the threshold below which the admitted share grows again
+	// After a cut the admitted share returns quickly to near the share at which the overload began. Beyond
+	// that it probes slowly, and faster the longer there is no overload. With a constant rate it spent most
+	// of the time far below what the process can bear.
+	kneeShare         = 0.9  // share of the knee up to which the admitted share grows quickly
+	kneeApproachRate  = 3.0  // share of the remaining distance per second
+	probeRate         = 0.03 // share of all RPCs per second
+	probeAcceleration = 0.05 // additional probe rate per second
+	probeDelay        = 1.5  // seconds after a cut before the probe rate increases
+	calmGrowthRate    = 0.4  // share of all RPCs per second while the level is below Pressed
+	minShare          = 0.05 // least share admitted under overload; without any, nothing is measured
+	minMethodShare    = 0.05 // least share of each method, to keep measuring its success
+	// minSuccessShare is the success share below which methods are treated alike. At 0.1, the module's value,
+	// a method with a quarter of the criticality displaced the most critical one once that was refused
+	// entirely.
+	minSuccessShare = 0.3
+	halfLife        = 2.0  // seconds after which counts of RPCs decay to one half
+	recoveredShare  = 0.98 // admitted share from which the level may fall below Pressed
 )
 
-// Method is what has been seen of one of late.
-type method struct {
-	asked, ok, rate   float64
-	askedEver, okEver uint64
+// methodStats holds the recent counts of one method.
+type methodStats struct {
+	arrived        float64 // RPCs that arrived, exponentially decayed
+	succeeded      float64 // RPCs that ended ok, exponentially decayed
+	rate           float64 // arrivals per second, as a moving average
+	arrivedTotal   uint64  // at the last reading
+	succeededTotal uint64  // at the last reading
 }
 
-// Monitor turns readings into a level and what follows from it.
+// Monitor turns readings into a level and its effects.
 type Monitor struct {
 	Config
-	level    Level
-	since    float64 // when the level was last changed
-	last     Level   // that the reading before would have
-	worse    float64 // when a reading last was as bad as the level
-	fell     float64
-	flapped  float64
-	patience float64 // times Fall
-	share    float64 // of RPCs let in, as the loops bear
-	space    float64 // the same, as memory bears
-	knee     float64 // the share at which the trouble of late began
-	over     float64 // by how much the last reading was over
-	cutAt    float64
-	read     float64
-	methods  []method
-	admit    []float64
-	growth   growth
-	causes   []Signal
-	lastSeen Reading
-	before   Reading // the one before
+	level        Level
+	levelSince   float64 // time of the last change of level
+	lastLevel    Level   // level of the previous reading alone
+	worseAt      float64 // time of the last reading that was as bad as the level
+	fellAt       float64 // time of the last fall of the level
+	flappedAt    float64
+	fallBackoff  float64 // factor on FallTime
+	loadShare    float64 // share of RPCs to admit according to the load signals
+	memoryShare  float64 // share of RPCs to admit according to memory
+	knee         float64 // admitted share at which the current overload began
+	lastOverload float64 // overload of the previous reading, as a multiple of the threshold
+	cutAt        float64 // time of the last cut
+	updatedAt    float64
+	methods      []methodStats
+	admitShares  []float64 // by method
+	growth       growthTracker
+	causes       []Signal
+	current      Reading
+	previous     Reading
 }
 
-// New starts calm.
-func New(now float64, t Config) *Monitor {
-	w := &Monitor{Config: t, since: now, read: now, worse: now, fell: math.Inf(-1), flapped: math.Inf(-1), patience: 1,
-		share: 1, space: 1, knee: 1, cutAt: now, methods: make([]method, len(t.Criticality)), admit: make([]float64, len(t.Criticality)),
-		lastSeen: Unknown(), before: Unknown()}
-	for k := range w.admit {
-		w.admit[k] = 1
+// New returns a monitor at level Calm.
+func New(now float64, config Config) *Monitor {
+	w := &Monitor{Config: config, levelSince: now, updatedAt: now, worseAt: now, fellAt: math.Inf(-1),
+		flappedAt: math.Inf(-1), fallBackoff: 1, loadShare: 1, memoryShare: 1, knee: 1, cutAt: now,
+		methods:     make([]methodStats, len(config.Criticality)),
+		admitShares: make([]float64, len(config.Criticality)),
+		current:     Unknown(), previous: Unknown()}
+	for k := range w.admitShares {
+		w.admitShares[k] = 1
 	}
 	return w
 }
 
-// Level is the level in force.
+// Level returns the current level.
 func (w *Monitor) Level() Level { return w.level }
 
-// Causes names the signals that last raised or held the level, and Seen is the last reading.
+// Causes returns the names of the signals that last raised or held the level, separated by spaces.
 func (w *Monitor) Causes() string {
-	var s []string
-	for _, c := range w.causes {
-		s = append(s, c.String())
+	var causeNames []string
+	for _, cause := range w.causes {
+		causeNames = append(causeNames, cause.String())
 	}
-	return strings.Join(s, " ")
+	return strings.Join(causeNames, " ")
 }
 
-// LastValue is the last value of a signal.
-func (w *Monitor) LastValue(s Signal) float64 { return w.lastSeen[s] }
+// LastValue returns the value of a signal in the last reading.
+func (w *Monitor) LastValue(s Signal) float64 { return w.current[s] }
 
-// Update takes a look at the process. asked and ok are totals by method since the start. It tells whether the level has
-// changed.
-func (w *Monitor) Update(now float64, r Reading, asked, ok []uint64) bool {
-	now = max(now, w.read) // a clock that is set back stands still here
-	passed := now - w.read
-	w.read = now
-	r = sane(r)
-	r[Leak] = w.forecast(now, r[Memory])
-	w.before, w.lastSeen = w.lastSeen, r
-	w.count(passed, asked, ok)
-	level, causes := w.judge(r, 1)
-	better, _ := w.judge(r, better)
-	changed := w.steer(now, level, better, causes)
-	w.ration(now, passed, r)
+// Update processes a reading and reports whether the level has changed. arrived and succeeded are the totals
+// by method since the start.
+func (w *Monitor) Update(now float64, r Reading, arrived, succeeded []uint64) bool {
+	now = max(now, w.updatedAt) // time does not go back here when the clock is set back
+	elapsed := now - w.updatedAt
+	w.updatedAt = now
+	r = sanitize(r)
+	r[Leak] = w.leakFactor(now, r[Memory])
+	w.previous, w.current = w.current, r
+	w.updateRates(elapsed, arrived, succeeded)
+	level, causes := w.evaluate(r, 1)
+	holdLevel, _ := w.evaluate(r, hysteresis)
+	changed := w.updateLevel(now, level, holdLevel, causes)
+	w.updateShares(now, elapsed, r)
 	return changed
 }
 
-// judge gives the worst level of all signals, and which are at it.
-func (w *Monitor) judge(r Reading, scale float64) (worst Level, causes []Signal) {
-	var at [Signals]Level
-	busy := false // something of the process's own is slow, and not only what others' clocks say
+// evaluate returns the worst level of all signals, and the signals at that level.
+func (w *Monitor) evaluate(r Reading, scale float64) (worst Level, causes []Signal) {
+	var levelOf [Signals]Level
+	busy := false // a signal other than those that depend on callers' clocks is above Calm
 	for s := range Signals {
-		at[s] = w.Thresholds[s].of(r[s], scale)
-		if s != ReadDelay && s <= Throttled && at[s] > Calm {
+		levelOf[s] = w.Thresholds[s].levelAt(r[s], scale)
+		if s != ReadDelay && s <= Throttled && levelOf[s] > Calm {
 			busy = true
 		}
 	}
 	if !busy {
-		at[ReadDelay] = min(at[ReadDelay], Wary) // guards against callers' clocks, or our own, being set
+		levelOf[ReadDelay] = min(levelOf[ReadDelay], Wary) // a clock, here or at a caller, may have been set
 	}
 	for s := range Signals {
 		switch {
-		case at[s] > worst:
-			worst, causes = at[s], []Signal{s}
-		case at[s] == worst && worst > Calm:
+		case levelOf[s] > worst:
+			worst, causes = levelOf[s], []Signal{s}
+		case levelOf[s] == worst && worst > Calm:
 			causes = append(causes, s)
 		}
 	}
 	return worst, causes
 }
 
-// steer moves the level: up once two readings running are above it, down by one after a time of better ones.
-func (w *Monitor) steer(now float64, level, better Level, causes []Signal) bool {
+// updateLevel raises the level once two consecutive readings are above it, and lowers it by one after a time
+// of better readings. holdLevel is the level of the reading with hysteresis applied.
+func (w *Monitor) updateLevel(now float64, level, holdLevel Level, causes []Signal) bool {
 	before := w.level
-	rise := min(level, w.last)
-	w.last = level
+	confirmed := min(level, w.lastLevel)
+	w.lastLevel = level
 	switch {
-	case rise > w.level:
-		if now-w.fell < again {
-			w.patience = min(2*w.patience, slowest)
-			w.flapped = now
+	case confirmed > w.level:
+		if now-w.fellAt < flapWindow {
+			w.fallBackoff = min(2*w.fallBackoff, maxFallBackoff)
+			w.flappedAt = now
 		}
-		w.level, w.worse = rise, now
+		w.level, w.worseAt = confirmed, now
 		w.causes = causes
-	case better >= w.level:
-		w.worse = now
-		if better > Calm {
+	case holdLevel >= w.level:
+		w.worseAt = now
+		if holdLevel > Calm {
 			w.causes = causes
 		}
-	case w.level > Wary && w.level <= Pressed && w.share < recovers:
-		w.worse = now // it is calm because so few are let in
-	case w.level > Calm && now-w.worse >= w.FallTime*w.patience:
+	case w.level > Wary && w.level <= Pressed && w.loadShare < recoveredShare:
+		w.worseAt = now // the readings are good only because so few RPCs are admitted
+	case w.level > Calm && now-w.worseAt >= w.FallTime*w.fallBackoff:
 		w.level--
-		w.worse, w.fell = now, now
+		w.worseAt, w.fellAt = now, now
 	}
-	if w.patience > 1 && now-w.flapped > forgive {
-		w.patience, w.flapped = w.patience/2, now
+	if w.fallBackoff > 1 && now-w.flappedAt > flapMemory {
+		w.fallBackoff, w.flappedAt = w.fallBackoff/2, now
 	}
 	if w.level != before {
-		w.since = now
+		w.levelSince = now
 	}
 	return w.level != before
 }
 
-// pressing is by how much the worst of the signals that letting in less relieves at once is over its threshold, in this reading
-// and the one before: one timer that came late is none.
-func (w *Monitor) pressing(r Reading) float64 {
+// overload returns the worst ratio of a signal to its Pressed threshold, over the signals that admitting
+// fewer RPCs relieves at once. The lower of the last two readings counts, so that a single late timer is no
+// overload.
+func (w *Monitor) overload(r Reading) float64 {
 	worst := 0.0
 	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, ReadDelay, Scheduler, Collector} {
-		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.before[s] >= 0 && threshold > 0 {
-			worst = max(worst, min(r[s], w.before[s])/threshold)
+		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.previous[s] >= 0 && threshold > 0 {
+			worst = max(worst, min(r[s], w.previous[s])/threshold)
 		}
 	}
 	return worst
 }
 
-// spare is what of all RPCs memory still bears: all of them up to the threshold for Pressed, none at that for Shut.
-func (w *Monitor) spare(r Reading) float64 {
+// memoryCapacity returns the share of RPCs that memory can bear: all of them up to the Pressed threshold,
+// none at the Shut threshold.
+func (w *Monitor) memoryCapacity(r Reading) float64 {
 	share := 1.0
 	for _, s := range []Signal{Memory, PendingReplies} {
-		m := w.Thresholds[s]
-		if from, to := m[Pressed-1], m[Shut-1]; r[s] >= 0 && to > from && from > 0 && !math.IsInf(to, 1) {
+		thresholds := w.Thresholds[s]
+		if from, to := thresholds[Pressed-1], thresholds[Shut-1]; r[s] >= 0 && to > from && from > 0 &&
+			!math.IsInf(to, 1) {
 			share = min(share, max(0, (to-r[s])/(to-from)))
 		}
 	}
 	return share
 }
 
-// ration says how much of each method is let in.
-func (w *Monitor) ration(now, passed float64, r Reading) {
-	w.space = w.spare(r)
-	over := w.pressing(r)
+// updateShares sets the admitted share of each method.
+func (w *Monitor) updateShares(now, elapsed float64, r Reading) {
+	w.memoryShare = w.memoryCapacity(r)
+	overload := w.overload(r)
 	switch {
 	case w.level < Pressed:
-		w.share = min(1, w.share+grow*passed)
+		w.loadShare = min(1, w.loadShare+calmGrowthRate*elapsed)
 		w.knee = 1
-	case over > 1 && over >= falling*w.over && now-w.cutAt >= settle:
-		if now-w.cutAt > episode {
-			w.knee = w.share
+	case overload > 1 && overload >= fallingRatio*w.lastOverload && now-w.cutAt >= cutInterval:
+		if now-w.cutAt > overloadGap {
+			w.knee = w.loadShare
 		}
-		w.share = max(least, w.share*max(deepest, 1-cut*(over-1)))
+		w.loadShare = max(minShare, w.loadShare*max(minCutFactor, 1-cutGain*(overload-1)))
 		w.cutAt = now
-	case over < easy:
-		if goal := near * w.knee; w.share < goal {
-			w.share += (goal - w.share) * min(1, quick*passed)
+	case overload < growBelow:
+		if goal := kneeShare * w.knee; w.loadShare < goal {
+			w.loadShare += (goal - w.loadShare) * min(1, kneeApproachRate*elapsed)
 		}
-		w.share = min(1, w.share+(feel+hasten*max(0, now-w.cutAt-patient))*passed)
+		w.loadShare = min(1, w.loadShare+(probeRate+probeAcceleration*max(0, now-w.cutAt-probeDelay))*elapsed)
 	}
-	w.over = over
-	share := min(w.share, w.space)
+	w.lastOverload = overload
+	share := min(w.loadShare, w.memoryShare)
 	if w.level == Shut {
-		share = min(share, least)
-		if w.space == 0 {
+		share = min(share, minShare)
+		if w.memoryShare == 0 {
 			share = 0
 		}
 	}
-	if share >= 1 || w.level < Pressed && w.space >= 1 {
-		for k := range w.admit {
-			w.admit[k] = 1
+	if share >= 1 || w.level < Pressed && w.memoryShare >= 1 {
+		for k := range w.admitShares {
+			w.admitShares[k] = 1
 		}
 		return
 	}
 	order := make([]int, len(w.methods))
-	total := 0.0
+	totalRate := 0.0
 	for k := range order {
 		order[k] = k
-		total += w.methods[k].rate
+		totalRate += w.methods[k].rate
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		switch x, y := w.value(a), w.value(b); {
+		switch x, y := w.effectiveCriticality(a), w.effectiveCriticality(b); {
 		case x > y:
 			return -1
 		case x < y:
@@ -241,73 +252,75 @@
 		}
 		return 0
 	})
-	left := share * total
+	remaining := share * totalRate
 	for _, k := range order {
 		rate := w.methods[k].rate
-		part := 1.0
+		methodShare := 1.0
 		if rate > 0 {
-			part = min(1, max(0, left)/rate)
-			left -= rate
+			methodShare = min(1, max(0, remaining)/rate)
+			remaining -= rate
 		}
 		if share > 0 {
-			part = max(part, trickle)
+			methodShare = max(methodShare, minMethodShare)
 		}
-		w.admit[k] = part
+		w.admitShares[k] = methodShare
 	}
 }
 
-// value orders methods as the module does: by criticality over the share that has lately been ok, so that none starves.
-func (w *Monitor) value(k int) float64 {
+// effectiveCriticality returns the value that methods are ordered by, as in the module: the criticality
+// divided by the recent success share, so that no method starves.
+func (w *Monitor) effectiveCriticality(k int) float64 {
 	m := &w.methods[k]
-	return w.Criticality[k] / max((m.ok+1)/(m.asked+1), starving)
+	return w.Criticality[k] / max((m.succeeded+1)/(m.arrived+1), minSuccessShare)
 }
 
-// count takes over what has been asked and ok since the last reading.
-func (w *Monitor) count(passed float64, asked, ok []uint64) {
-	keep := math.Exp2(-passed / fade)
+// updateRates adds the RPCs that arrived and succeeded since the last reading.
+func (w *Monitor) updateRates(elapsed float64, arrived, succeeded []uint64) {
+	keep := math.Exp2(-elapsed / halfLife)
 	for k := range w.methods {
 		m := &w.methods[k]
-		a, o := float64(asked[k]-m.askedEver), float64(ok[k]-m.okEver)
-		m.askedEver, m.okEver = asked[k], ok[k]
-		m.asked, m.ok = m.asked*keep+a, m.ok*keep+o
-		if passed > 0 {
-			m.rate += (a/passed - m.rate) * (1 - math.Exp2(-passed/(fade/4)))
+		newArrived, newSucceeded := float64(arrived[k]-m.arrivedTotal), float64(succeeded[k]-m.succeededTotal)
+		m.arrivedTotal, m.succeededTotal = arrived[k], succeeded[k]
+		m.arrived, m.succeeded = m.arrived*keep+newArrived, m.succeeded*keep+newSucceeded
+		if elapsed > 0 {
+			m.rate += (newArrived/elapsed - m.rate) * (1 - math.Exp2(-elapsed/(halfLife/4)))
 		}
 	}
 }
 
-// AdmitShare gives the share of a method's RPCs that is let in.
-func (w *Monitor) AdmitShare(method int) float64 { return w.admit[method] }
+// AdmitShare returns the share of a method's RPCs to admit.
+func (w *Monitor) AdmitShare(method int) float64 { return w.admitShares[method] }
 
-// Effects are what the level does, beside refusing.
+// Effects holds what the server does at a level, besides refusing RPCs.
 type Effects struct {
-	MaxTurn       int     // RPCs that one connection may bring in before others have their turn, 0 for no bound
-	CreditFactor  float64 // times the module's
-	Accept        bool    // new connections are taken
-	MaxFrameBytes int     // bytes of a frame that is still read whole
-	ResultFactor  float64 // times the room for kept results
-	Healthy       bool
-	RetryAfter    float64 // seconds of advice on a refusal
+	MaxTurn       int     // RPCs of one connection before others get their turn, 0 for no bound
+	CreditFactor  float64 // factor on the module's credit
+	Accept        bool    // new connections are accepted
+	MaxFrameBytes int     // largest frame that is still read whole
+	ResultFactor  float64 // factor on the memory for kept results
+	Healthy       bool    // answer to health checks
+	RetryAfter    float64 // retry-after delay of a refusal in seconds
 }
 
-// largest lets through what the usual RPC needs; a body of 2 KiB is refused with it.
-const largest = 1200
+// strainedFrameBytes admits an RPC of usual size; one with a body of 2 KiB is refused.
+const strainedFrameBytes = 1200
 
-// Effects gives what the level in force does, mildest first.
+// Effects returns the effects of the current level; each level adds to those of the milder ones.
 func (w *Monitor) Effects() Effects {
-	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Healthy: true}
+	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1,
+		Healthy: true}
 	if w.level >= Wary {
-		e.MaxTurn = 8 // a third of what one read brings
+		e.MaxTurn = 8 // a third of what one read returns
 		e.CreditFactor = 0.75
 	}
 	if w.level >= Pressed {
 		e.MaxTurn = 4
-		e.CreditFactor = 0.75 * max(min(w.share, w.space), least)
-		// By then the share has had time to move.
+		e.CreditFactor = 0.75 * max(min(w.loadShare, w.memoryShare), minShare)
+		// The delay gives the admitted share time to change before the retry.
 		e.RetryAfter = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
 	}
 	if w.level >= Strained {
-		e.Accept, e.MaxFrameBytes, e.ResultFactor = false, largest, 0.5
+		e.Accept, e.MaxFrameBytes, e.ResultFactor = false, strainedFrameBytes, 0.5
 	}
 	if w.level >= Shut {
 		e.ResultFactor, e.Healthy, e.CreditFactor = 0.1, false, 0
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -2,51 +2,51 @@
 
 import "math"
 
-// Signal is one thing that is measured of the process.
+// Signal is one measured property of the process.
 type Signal int
 
 const (
-	LoopDelay      Signal = iota // seconds by which a timer of the program's own came late
-	LockWait                     // seconds that the gate's lock was waited for
-	LinkQueue                    // age in seconds of the oldest command that the kernel link's writer has not taken up
-	ReadDelay                    // seconds that RPCs lay unread beyond the usual
-	Scheduler                    // seconds that goroutines waited for a processor, at the 99th percentile
-	Collector                    // share of the processor time that the garbage collector took
-	CPU                          // share of the processor time that the process may take
-	Throttled                    // share of the time for which the system kept the process off its cores
-	Memory                       // resident, as a share of the limit
-	Descriptors                  // in use, as a share of the limit
-	PendingReplies               // bytes of answers that callers do not read, as a share of what is set aside for them
-	Leak                         // how soon steady growth reaches the memory limit; made by Read, not measured
-	Signals
+	LoopDelay      Signal = iota // seconds by which a timer of the program fired late
+	LockWait                     // seconds spent waiting for the gate's lock
+	LinkQueue                    // age in seconds of the oldest command waiting for the kernel link's writer
+	ReadDelay                    // seconds between arrival and read of RPCs, beyond the usual
+	Scheduler                    // seconds that goroutines waited for a processor, 99th percentile
+	Collector                    // share of the processor time used by the garbage collector
+	CPU                          // used share of the processor time available to the process
+	Throttled                    // share of the time during which the system throttled the process
+	Memory                       // resident memory, as a share of the limit
+	Descriptors                  // descriptors in use, as a share of the limit
+	PendingReplies               // bytes of replies that callers have not read, as a share of their memory
+	Leak                         // configured forecast divided by the time to the memory limit; see Update
+	Signals                      // number of signals
 )
 
-var names = [Signals]string{"loop", "lock", "link", "unread", "scheduler", "collector", "cpu", "throttled", "memory",
-	"descriptors", "owed", "leak"}
+var signalNames = [Signals]string{"loop", "lock", "link", "unread", "scheduler", "collector", "cpu",
+	"throttled", "memory", "descriptors", "owed", "leak"}
 
-func (s Signal) String() string { return names[s] }
+func (s Signal) String() string { return signalNames[s] }
 
-// Level is how hard the process is pressed.
+// Level is the degree of pressure that the process is under.
 type Level uint8
 
 const (
 	Calm     Level = iota
-	Wary           // shorter turns of reading, less credit
-	Pressed        // the least worthy are refused
-	Strained       // no new connections, large bodies refused unread, kept results trimmed
-	Shut           // bad health, nothing new but repeats of what has begun
-	levels
+	Wary           // fewer RPCs per read turn, less credit
+	Pressed        // RPCs of the lowest criticality are refused
+	Strained       // no new connections, large bodies refused unread, less memory for kept results
+	Shut           // health checks fail, nothing new is admitted except repeats of RPCs that have begun
+	levels         // number of levels
 )
 
 func (l Level) String() string {
 	return [...]string{"calm", "wary", "pressed", "strained", "shut"}[l]
 }
 
-// Reading is one look at all signals. NaN is for what the platform does not show; so is every other figure without
-// sense.
+// Reading holds one sample of all signals. NaN stands for a value that the platform does not provide or that
+// is invalid.
 type Reading [Signals]float64
 
-// Unknown is a reading of nothing.
+// Unknown returns a reading without any known value.
 func Unknown() (r Reading) {
 	for k := range r {
 		r[k] = math.NaN()
@@ -54,41 +54,43 @@
 	return r
 }
 
-// Thresholds are where a signal's levels begin, from Wary to Shut; +Inf for a level it does not lead to.
+// Thresholds holds the values at which a signal's levels begin, from Wary to Shut; +Inf for a level it never
+// causes.
 type Thresholds [levels - 1]float64
 
 // Never is a threshold that is never reached.
 var Never = math.Inf(1)
 
-// TimeThresholds spreads a signal's threshold for Pressed over the levels, for signals that are times: half of it for Wary, four and
-// twelve times for what is worse. Refusing the least worthy is to do it: at twice and six times connections were turned
-// away, with what was worthy on them, before the share let in had found its place.
+// TimeThresholds derives the thresholds of a signal that is a time from its threshold for Pressed: half of it
+// for Wary, four and twelve times for Strained and Shut. Refusing RPCs of low criticality should be enough:
+// at two and six times, connections were rejected along with the critical RPCs on them before the admitted
+// share had settled.
 func TimeThresholds(pressed float64) Thresholds {
 	return Thresholds{pressed / 2, pressed, 4 * pressed, 12 * pressed}
 }
 
-// ShareThresholds spreads a threshold for Pressed over the levels, for signals that are shares of a limit: the rest of the way to the
-// limit is divided.
+// ShareThresholds derives the thresholds of a signal that is a share of a limit from its threshold for
+// Pressed, by dividing the distance to the limit.
 func ShareThresholds(pressed float64) Thresholds {
 	rest := 1 - pressed
 	return Thresholds{pressed - rest/2, pressed, pressed + rest*0.4, pressed + rest*0.7}
 }
 
-// of gives the level that a value of a signal is at, its thresholds scaled.
-func (m Thresholds) of(v, scale float64) Level {
-	if !(v >= 0) || m[0] == 0 && m[1] == 0 { // not known, or turned off
+// levelAt returns the level for a value of the signal, with the thresholds scaled.
+func (m Thresholds) levelAt(value, scale float64) Level {
+	if !(value >= 0) || m[0] == 0 && m[1] == 0 { // unknown, or turned off
 		return Calm
 	}
 	for l := Shut; l > Calm; l-- {
-		if v >= m[l-1]*scale {
+		if value >= m[l-1]*scale {
 			return l
 		}
 	}
 	return Calm
 }
 
-// sane takes out what no measurement can have given.
-func sane(r Reading) Reading {
+// sanitize replaces impossible values with NaN.
+func sanitize(r Reading) Reading {
 	for k, v := range r {
 		if v < 0 || math.IsInf(v, 0) {
 			r[k] = math.NaN()
