--- a/gate/actions.go
+++ b/gate/actions.go
@@ -1,6 +1,6 @@
 package gate
 
-// actions is the gate as the module sees it.
+// actions implements rpc.Actions, through which the module acts on the gate.
 type actions[T any] Gate[T]
 
 func (a *actions[T]) criticality(i int) float64 {
@@ -9,9 +9,9 @@
 
 func (a *actions[T]) gate() *Gate[T] { return (*Gate[T])(a) }
 
-func (a *actions[T]) job(i int, do Action) {
+func (a *actions[T]) addJob(i int, action Action) {
 	s := &a.slots[i]
-	a.jobs = append(a.jobs, Job[T]{Action: do, RPC: ID{i, s.life}, Request: s.who})
+	a.jobs = append(a.jobs, Job[T]{Action: action, RPC: ID{i, s.generation}, Request: s.request})
 }
 
 func (a *actions[T]) BlockingLimit(method int) int {
@@ -22,64 +22,64 @@
 }
 
 func (a *actions[T]) Start(i int) {
-	a.gate().unwait(i)
-	a.slots[i].runs = true
+	a.gate().stopWaiting(i)
+	a.slots[i].holdsPermit = true
 	if a.permits != nil {
 		a.permits.RunStarted(a.slots[i].method, a.criticality(i))
 	}
-	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.life}) {
+	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.generation}) {
 		s.entry.state = started
 	}
-	a.job(i, Run)
+	a.addJob(i, Run)
 }
 
-func (a *actions[T]) Stop(i int)         { a.job(i, Pause) }
-func (a *actions[T]) Call(int, float64)  {} // methods that may call are refused before they get here
+func (a *actions[T]) Stop(i int)         { a.addJob(i, Pause) }
+func (a *actions[T]) Call(int, float64)  {} // methods with downstream calls are refused before they reach the gate
 func (a *actions[T]) Skip(int)           {}
 func (a *actions[T]) Abort(i int)        { a.gate().answer(i, Job[T]{Action: Abort}) }
 func (a *actions[T]) Publish(v float64)  { a.credit = v }
-func (a *actions[T]) Wake(after float64) { a.wake = after }
-func (a *actions[T]) Release(i int)      { a.gate().move(i, free) }
+func (a *actions[T]) Wake(after float64) { a.wakeAfter = after }
+func (a *actions[T]) Release(i int)      { a.gate().setState(i, free) }
 
-func (a *actions[T]) PushBack(i int, last bool, after float64) {
-	a.gate().answer(i, Job[T]{Action: PushBack, NoRetry: last, RetryAfter: after})
+func (a *actions[T]) PushBack(i int, noRetry bool, retryAfter float64) {
+	a.gate().answer(i, Job[T]{Action: PushBack, NoRetry: noRetry, RetryAfter: retryAfter})
 }
 
-func (a *actions[T]) Remember(i int, span float64) {
+func (a *actions[T]) Remember(i int, ttl float64) {
 	s := &a.slots[i]
 	if s.token == "" {
-		return // what is read about is not told here
+		return // the module also remembers reads by their subject, which the gate does not know
 	}
-	s.entry = a.tokens.remember(tokenID{s.method, s.token}, s.body, ID{i, s.life}, a.now+s.ahead+span)
+	s.entry = a.tokens.remember(tokenID{s.method, s.token}, s.bodyDigest, ID{i, s.generation}, a.now+s.clockSkew+ttl)
 }
 
 func (a *actions[T]) Forget(i int) {
-	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.life}) {
-		a.ended = append(a.ended, a.tokens.forget(s.entry)...)
+	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.generation}) {
+		a.endedFollowers = append(a.endedFollowers, a.tokens.forget(s.entry)...)
 		s.entry = nil
 	}
 }
 
 func (a *actions[T]) Follow(i int) {
-	a.gate().unwait(i) // it runs nothing
-	if e := a.slots[i].entry; e.proven() {
-		a.ended = append(a.ended, i)
+	a.gate().stopWaiting(i) // a follower does not run
+	if e := a.slots[i].entry; e.isVerified() {
+		a.endedFollowers = append(a.endedFollowers, i)
 	} else {
 		e.followers = append(e.followers, i)
 	}
 }
 
-func (a *actions[T]) Health(good bool) {
-	a.healthy = good
-	signal(a.changed)
+func (a *actions[T]) Health(healthy bool) {
+	a.healthy = healthy
+	notify(a.changed)
 }
 
 func (a *actions[T]) Reap(idle float64) {
-	a.reap = idle
-	signal(a.changed)
+	a.idleTimeout = idle
+	notify(a.changed)
 }
 
 func (a *actions[T]) Log(text string) {
-	a.notes = append(a.notes, text)
-	signal(a.changed)
+	a.messages = append(a.messages, text)
+	notify(a.changed)
 }
--- a/gate/callers.go
+++ b/gate/callers.go
@@ -1,33 +1,35 @@
 package gate
 
-// caller is what is kept by its index: the number it goes by, its RPCs in hand, when it last sent one.
-type caller struct {
-	number, out int
-	heard       float64
+// callerRecord is the state of the caller at an index.
+type callerRecord struct {
+	number       int // that the caller identifies itself with
+	pending      int // RPCs in the gate
+	lastReceived float64
 }
 
-// maxCallers bounds what new numbers can take, as routers that restart come under others: many times the
-// routers that there are at once. Past it the one longest unheard that has nothing here makes room.
+// maxCallers bounds the records of callers, as routers that restart come back under new numbers. It is many times the
+// number of routers at any time. Beyond it, the record without RPCs that was last used longest ago is replaced.
 const maxCallers = 1 << 10
 
-// caller gives the index of a caller. While all known ones are busy, newcomers count as one.
-func (g *Gate[T]) caller(number int, now float64) int {
-	from, ok := g.callers[number]
+// callerIndex returns the index of a caller. While all records have RPCs, new callers share one.
+func (g *Gate[T]) callerIndex(number int, now float64) int {
+	index, ok := g.callerIndexes[number]
 	switch {
 	case ok:
-	case len(g.known) < maxCallers:
-		from = len(g.known)
-		g.known = append(g.known, caller{})
+	case len(g.callerRecords) < maxCallers:
+		index = len(g.callerRecords)
+		g.callerRecords = append(g.callerRecords, callerRecord{})
 	default:
-		from = maxCallers - 1
-		for k, c := range g.known {
-			if c.out == 0 && (g.known[from].out > 0 || c.heard < g.known[from].heard) {
-				from = k
+		index = maxCallers - 1
+		for k, c := range g.callerRecords {
+			if c.pending == 0 && (g.callerRecords[index].pending > 0 ||
+				c.lastReceived < g.callerRecords[index].lastReceived) {
+				index = k
 			}
 		}
-		delete(g.callers, g.known[from].number)
+		delete(g.callerIndexes, g.callerRecords[index].number)
 	}
-	g.callers[number] = from
-	g.known[from].number, g.known[from].heard = number, now
-	return from
+	g.callerIndexes[number] = index
+	g.callerRecords[index].number, g.callerRecords[index].lastReceived = number, now
+	return index
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate puts the decision module behind a facade in blocking style. Network code says what came in
-// (Arrive, Gone, Report, Tick, Leave) and takes what there is to do from Pick; the module's events and
-// actions stay inside. The gate owns the lock, the small indices and the token table.
+// Package gate wraps the admission module in a thread-safe, blocking API. Network code reports events (Arrive,
+// CallerGone, Report, Tick, Drain) and takes the resulting jobs from NextJob; the module's own events and actions stay
+// hidden. The gate owns the lock, the indices that the module knows RPCs by, and the token table.
 package gate
 
 import (
@@ -12,81 +12,83 @@
 	"valveglade/rpc"
 )
 
-// ID names an RPC in hand. An index comes back for another RPC, its life never does.
+// ID identifies an RPC in the gate. An index is reused for other RPCs, each time with another generation.
 type ID struct {
-	i    int
-	life uint32
+	index      int
+	generation uint32
 }
 
-// state is where an RPC stands with its caller; only move changes it.
+// state is the state of a slot towards the caller of its RPC. Only setState changes it.
 type state uint8
 
 const (
-	free state = iota // the index is spare
-	owed              // an answer is owed
-	done              // answered, or nobody waits any more; the module has not let go of it
+	free    state = iota // the slot is unused
+	pending              // the reply is pending
+	done                 // answered or abandoned by the caller, but not yet released by the module
 )
 
+// slot holds an RPC in the gate.
 type slot[T any] struct {
-	state state
-	life  uint32
-	who   T
-	uid   string // its name outside, given to one RPC in hand at a time
-	token string
-	body  uint64  // digest of it
-	recv  float64 // when it came to the machine
-	from  int     // its caller's index
-	ahead float64 // by how much recv lies ahead of the clock
-	entry *entry  // under which the module knows its token
+	state      state
+	generation uint32
+	request    T      // passed in with the RPC and handed out with its jobs
+	uid        string // external name, unique among the RPCs in the gate
+	token      string
+	bodyDigest uint64
+	arrivedAt  float64 // time of arrival at the machine
+	caller     int     // index of the caller
+	clockSkew  float64 // by how much arrivedAt lies ahead of the clock
+	entry      *entry  // entry of its token, nil if there is none
 
-	method int
-	waits  bool // it has been told to the permits as waiting
-	runs   bool // it holds a permit
+	method         int
+	countedWaiting bool // the permits count it as waiting
+	holdsPermit    bool
 }
 
-// Gate is safe for use by many goroutines. No method but Pick blocks.
+// Gate is safe for concurrent use. No method but NextJob blocks.
 type Gate[T any] struct {
-	mu       sync.Mutex
-	settings rpc.Settings
-	module   *logic.Module
-	now      float64
-	slots    []slot[T]
-	spare    []int
-	uids     map[string]struct{}
-	seed     maphash.Seed
-	callers  map[int]int // indices by the numbers that callers give themselves
-	known    []caller
-	tokens   table
-	ended    []int // followers whose outcome is there, to be told to the module
-	jobs     []Job[T]
-	ready    chan struct{} // holds one while there are jobs
-	changed  chan struct{} // holds one after a change of health, reaping or the notes
-	credit   float64
-	healthy  bool
-	booted   bool // the machine is up
-	leaving  bool // notice has been given, at noticed, that the process is stopped at stop
-	noticed  float64
-	stop     float64
-	reap     float64
-	wake     float64
-	notes    []string
-	permits  Permits // nil where there are no common limits
+	mu             sync.Mutex
+	settings       rpc.Settings
+	module         *logic.Module
+	now            float64
+	slots          []slot[T]
+	freeSlots      []int
+	uids           map[string]struct{}
+	digestSeed     maphash.Seed
+	callerIndexes  map[int]int // by the numbers that callers identify themselves with
+	callerRecords  []callerRecord
+	tokens         table
+	endedFollowers []int // followers whose outcome is known but not yet reported to the module
+	jobs           []Job[T]
+	ready          chan struct{} // holds a value while there are jobs
+	changed        chan struct{} // holds a value after a change of health, idle timeout or messages
+	credit         float64
+	healthy        bool
+	booted         bool // the machine is up
+	draining       bool // a shutdown was announced at drainStart; the process is stopped at stopAt
+	drainStart     float64
+	stopAt         float64
+	idleTimeout    float64
+	wakeAfter      float64
+	messages       []string
+	permits        Permits // nil if there are no common limits
 }
 
-// New starts a gate; keep bounds the bytes of kept results.
-func New[T any](now float64, c rpc.Settings, keep int) *Gate[T] {
-	boundTokens(&c.Machine, keep)
-	g := &Gate[T]{settings: c, now: now, callers: map[int]int{}, uids: map[string]struct{}{}, seed: maphash.MakeSeed(), tokens: newTable(keep), credit: -1,
-		reap: c.Machine.KeepAlive, ready: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
-	g.module = logic.New(now, c, (*actions[T])(g))
-	// A caller that asks for its credit now may go by it once the machine is up, and that may be cold.
+// New returns a gate that keeps at most resultLimit bytes of results.
+func New[T any](now float64, settings rpc.Settings, resultLimit int) *Gate[T] {
+	limitTokens(&settings.Machine, resultLimit)
+	g := &Gate[T]{settings: settings, now: now, callerIndexes: map[int]int{}, uids: map[string]struct{}{},
+		digestSeed: maphash.MakeSeed(), tokens: newTable(resultLimit), credit: -1,
+		idleTimeout: settings.Machine.KeepAlive, ready: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
+	g.module = logic.New(now, settings, (*actions[T])(g))
+	// Callers that read the credit now may use it once the machine is up, and the machine may be cold then.
 	g.module.Boot(now, math.Inf(1), true)
 	return g
 }
 
-// SetBootTime tells when the machine came up, and whether cold. Only the first word counts, and SetBootTime says whether this is it. Until
-// then the machine counts as cold as it may be. Mostly nothing has been read before; if it has, the module that read it goes
-// on.
+// SetBootTime records when the machine came up and whether it is cold, and reports whether this is the first such call;
+// later calls have no effect. Until then the machine counts as entirely cold. If no RPC has arrived yet, as is usual,
+// the module is created anew with this start time; otherwise it continues.
 func (g *Gate[T]) SetBootTime(now, at float64, cold bool) (first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,91 +99,92 @@
 	g.settings.Machine.Cold = cold
 	if len(g.slots) == 0 {
 		g.module = logic.New(at, g.settings, (*actions[T])(g))
-		if g.leaving {
-			g.module.Leave(g.noticed, g.stop)
+		if g.draining {
+			g.module.Leave(g.drainStart, g.stopAt)
 		}
 	} else {
-		g.module.Boot(g.clock(now), at, cold)
+		g.module.Boot(g.advanceClock(now), at, cold)
 	}
 	return true
 }
 
-// Booted tells whether the machine is up.
+// Booted reports whether the machine is up.
 func (g *Gate[T]) Booted() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.booted
 }
 
-func (g *Gate[T]) clock(now float64) float64 {
-	g.now = max(g.now, now) // the module's time never goes back, whatever the system's does
+func (g *Gate[T]) advanceClock(now float64) float64 {
+	g.now = max(g.now, now) // the module's time never goes back, even if the system clock does
 	return g.now
 }
 
-// maxAhead bounds by how many seconds a recv may lie ahead of the clock: what is further ahead was not marked by a clock of this machine,
-// and its token would be kept for as long.
-const maxAhead = 60.0
+// maxClockSkew bounds by how many seconds an arrival time may lie ahead of the clock. A time further ahead was not
+// written by this machine's clock, and its token would be kept for as long.
+const maxClockSkew = 60.0
 
-// Arrive takes in an RPC that has been read: recv is when it came to the machine, due when its caller gives
-// up; again marks a further try, which counts only where the config says that callers mark them. It is not
-// taken, and the module does not hear of it, if its uid is in hand or its token is known to belong to another
-// body.
-func (g *Gate[T]) Arrive(now float64, method, src int, recv, due, kb float64, again bool, uid, token string,
-	body []byte, who T) (id ID, ok bool) {
+// Arrive adds an RPC that has been read. arrivedAt is when it came to the machine, deadline when its caller gives up;
+// retry marks a retry and counts only if the settings say that callers mark them. The RPC is rejected without reaching
+// the module if its uid is in use, or if its token is known to belong to another body.
+func (g *Gate[T]) Arrive(now float64, method, callerNumber int, arrivedAt, deadline, sizeKB float64, retry bool,
+	uid, token string, body []byte, request T) (id ID, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now = g.clock(now)
+	now = g.advanceClock(now)
 	if _, taken := g.uids[uid]; taken {
 		return ID{}, false
 	}
 	var e *entry
 	digest := uint64(0)
 	if token != "" {
-		digest = maphash.Bytes(g.seed, body)
-		if e = g.tokens.find(tokenID{method, token}, recv); e != nil && e.body != digest && e.proven() {
+		digest = maphash.Bytes(g.digestSeed, body)
+		if e = g.tokens.find(tokenID{method, token}, arrivedAt); e != nil && e.bodyDigest != digest && e.isVerified() {
 			return ID{}, false
 		}
 	}
 	g.uids[uid] = struct{}{}
-	from := g.caller(src, now)
-	g.known[from].out++
-	if n := len(g.spare); n == 0 {
-		g.spare = append(g.spare, len(g.slots))
+	caller := g.callerIndex(callerNumber, now)
+	g.callerRecords[caller].pending++
+	if n := len(g.freeSlots); n == 0 {
+		g.freeSlots = append(g.freeSlots, len(g.slots))
 		g.slots = append(g.slots, slot[T]{})
 	}
-	i := g.spare[len(g.spare)-1]
-	g.spare = g.spare[:len(g.spare)-1]
+	i := g.freeSlots[len(g.freeSlots)-1]
+	g.freeSlots = g.freeSlots[:len(g.freeSlots)-1]
 	s := &g.slots[i]
-	*s = slot[T]{life: s.life + 1, who: who, uid: uid, token: token, body: digest, recv: recv, from: from,
-		ahead: min(max(recv-now, 0), maxAhead), method: method}
-	g.move(i, owed)
+	*s = slot[T]{generation: s.generation + 1, request: request, uid: uid, token: token, bodyDigest: digest,
+		arrivedAt: arrivedAt, caller: caller, clockSkew: min(max(arrivedAt-now, 0), maxClockSkew), method: method}
+	g.setState(i, pending)
 	if method < len(g.settings.Methods) {
-		g.wait(i)
+		g.startWaiting(i)
 	}
-	id = ID{i, s.life}
+	id = ID{i, s.generation}
 	repeats := rpc.RepeatsNone
 	if e != nil {
 		s.entry = e
-		// With another body one of the two is none of a usual router's, and the kernel will tell which: until then
-		// the later one follows, and takes no held one's place.
-		if repeats = rpc.RepeatsReleased; e.body == digest && g.holds(e.runner) {
-			repeats = e.runner.i
+		// If the bodies differ, one of the two RPCs is not from a regular router, and the kernel will tell which one.
+		// Until then the later RPC follows the earlier and does not replace it in the queue.
+		if repeats = rpc.RepeatsReleased; e.bodyDigest == digest && g.isHeld(e.runner) {
+			repeats = e.runner.index
 		}
 	}
-	g.module.Arrive(now, i, method, from, 0, max(now-recv, 0), again && g.settings.Clients.MarksRetry, false, due, kb, repeats)
-	g.settle()
+	g.module.Arrive(now, i, method, caller, 0, max(now-arrivedAt, 0), retry && g.settings.Clients.MarksRetry, false,
+		deadline, sizeKB, repeats)
+	g.completeFollowers()
 	return id, true
 }
 
-// IsRepeat tells whether an RPC repeats one that is in hand or has run: such a one is not refused beside the module, as what
-// has begun is never turned away.
-func (g *Gate[T]) IsRepeat(method int, token string, recv float64) bool {
+// IsRepeat reports whether an RPC repeats one that is in the gate or has run. The server does not refuse such an RPC by
+// itself, as work that has begun is never refused.
+func (g *Gate[T]) IsRepeat(method int, token string, arrivedAt float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tokens.find(tokenID{method, token}, recv) != nil
+	return g.tokens.find(tokenID{method, token}, arrivedAt) != nil
 }
 
-// SetResultLimit bounds the bytes of kept results anew; the oldest past it go at once, and their repeats are aborted, never run.
+// SetResultLimit changes the limit on the bytes of kept results. The oldest results beyond it are dropped at once;
+// repeats of their RPCs are aborted and never run.
 func (g *Gate[T]) SetResultLimit(bytes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -191,123 +194,125 @@
 	}
 }
 
-// holds tells whether the module still has the RPC.
-func (g *Gate[T]) holds(id ID) bool {
-	return id.i < len(g.slots) && g.slots[id.i].life == id.life && g.slots[id.i].state != free
+// isHeld reports whether the module has not released the RPC.
+func (g *Gate[T]) isHeld(id ID) bool {
+	return id.index < len(g.slots) && g.slots[id.index].generation == id.generation && g.slots[id.index].state != free
 }
 
-// CallerGone tells that nobody waits for the RPC any more.
+// CallerGone reports that the caller no longer waits for the RPC.
 func (g *Gate[T]) CallerGone(now float64, id ID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.holds(id) && g.slots[id.i].state == owed {
-		g.move(id.i, done)
-		g.module.CallerGone(g.clock(now), id.i)
-		g.settle()
+	if g.isHeld(id) && g.slots[id.index].state == pending {
+		g.setState(id.index, done)
+		g.module.CallerGone(g.advanceClock(now), id.index)
+		g.completeFollowers()
 	}
 }
 
-// Report tells how a run ended. took is in seconds; result is kept, not copied.
-func (g *Gate[T]) Report(now float64, id ID, how rpc.Outcome, took float64, result []byte) {
+// Report records the outcome of a run that took the given seconds. The result is kept without copying.
+func (g *Gate[T]) Report(now float64, id ID, outcome rpc.Outcome, took float64, result []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.holds(id) {
+	if !g.isHeld(id) {
 		return
 	}
-	g.clock(now)
-	if how.NeverRan() {
+	g.advanceClock(now)
+	if outcome.NeverRan() {
 		took = 0
 	}
-	g.over(id.i, took)
-	if e := g.slots[id.i].entry; e != nil && e.runner == id {
-		g.ended = append(g.ended, g.tokens.finish(e, how, result)...)
-		if how.NeverRan() {
-			g.slots[id.i].entry = nil
+	g.releasePermit(id.index, took)
+	if e := g.slots[id.index].entry; e != nil && e.runner == id {
+		g.endedFollowers = append(g.endedFollowers, g.tokens.finish(e, outcome, result)...)
+		if outcome.NeverRan() {
+			g.slots[id.index].entry = nil
 		}
 	}
-	g.end(id.i, how, took, result)
-	g.settle()
+	g.complete(id.index, outcome, took, result)
+	g.completeFollowers()
 	g.tokens.trim()
 }
 
-// end answers an RPC whose outcome is there, if an answer is owed, and tells the module.
-func (g *Gate[T]) end(i int, how rpc.Outcome, took float64, result []byte) {
-	switch how {
+// complete answers an RPC whose outcome is known, if its reply is pending, and reports the outcome to the module.
+func (g *Gate[T]) complete(i int, outcome rpc.Outcome, took float64, result []byte) {
+	switch outcome {
 	case rpc.OK:
 		g.answer(i, Job[T]{Action: Serve, Result: result})
 	case rpc.Error:
 		g.answer(i, Job[T]{Action: Abort})
 	}
-	g.module.Ended(g.now, i, how, took)
+	g.module.Ended(g.now, i, outcome, took)
 }
 
-// settle ends the followers of what has an outcome; the module may not be called while it acts.
-func (g *Gate[T]) settle() {
-	for len(g.ended) > 0 {
-		i := g.ended[0]
-		g.ended = g.ended[1:]
+// completeFollowers completes the RPCs whose leader's outcome is known, and signals that there are jobs. It is separate
+// from the module's actions because the module must not be called while it acts.
+func (g *Gate[T]) completeFollowers() {
+	for len(g.endedFollowers) > 0 {
+		i := g.endedFollowers[0]
+		g.endedFollowers = g.endedFollowers[1:]
 		s := &g.slots[i]
 		switch e := s.entry; {
 		case s.state == free || e == nil:
-		case e.state == kept && e.body == s.body:
-			g.end(i, rpc.OK, 0, e.result)
-		case e.state == forgotten: // it never ran: the next may
-			if s.entry = g.tokens.find(tokenID{s.method, s.token}, s.recv); s.entry != nil {
+		case e.state == succeeded && e.bodyDigest == s.bodyDigest:
+			g.complete(i, rpc.OK, 0, e.result)
+		case e.state == forgotten: // it never ran, so the next attempt may
+			if s.entry = g.tokens.find(tokenID{s.method, s.token}, s.arrivedAt); s.entry != nil {
 				(*actions[T])(g).Follow(i)
 			} else {
-				g.end(i, rpc.NotStarted, 0, nil)
+				g.complete(i, rpc.NotStarted, 0, nil)
 			}
 		default:
-			g.end(i, rpc.Error, 0, nil)
+			g.complete(i, rpc.Error, 0, nil)
 		}
 	}
 	if len(g.jobs) > 0 {
-		signal(g.ready)
+		notify(g.ready)
 	}
 }
 
-func signal(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Tick brings the time and the machine's gauges, nil if they are not known; it says when to come again.
+// Tick passes the time and the machine's gauges, nil if unknown, to the module. It returns the seconds until the next
+// tick is due.
 func (g *Gate[T]) Tick(now float64, gauges []float64) (after float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now = g.clock(now)
+	now = g.advanceClock(now)
 	g.tokens.expire(now)
 	g.module.Tick(now, gauges)
-	g.settle()
-	return g.wake
+	g.completeFollowers()
+	return g.wakeAfter
 }
 
-// Drain gives notice that the process is stopped at the given time.
+// Drain announces that the process is stopped at the given time.
 func (g *Gate[T]) Drain(now, at float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.leaving, g.noticed, g.stop = true, g.clock(now), at
-	g.module.Leave(g.noticed, at)
-	g.settle()
+	g.draining, g.drainStart, g.stopAt = true, g.advanceClock(now), at
+	g.module.Leave(g.drainStart, at)
+	g.completeFollowers()
 }
 
-func (g *Gate[T]) move(i int, to state) {
+func (g *Gate[T]) setState(i int, to state) {
 	s := &g.slots[i]
 	s.state = to
 	if to == done {
-		g.unwait(i) // whoever was answered waits no longer
+		g.stopWaiting(i) // an answered RPC no longer waits to be started
 	}
 	if to == free {
-		g.unwait(i)
-		g.over(i, 0)
+		g.stopWaiting(i)
+		g.releasePermit(i, 0)
 		if s.entry != nil {
-			s.entry.unfollow(i)
+			s.entry.removeFollower(i)
 		}
 		delete(g.uids, s.uid)
-		g.known[s.from].out--
-		*s = slot[T]{life: s.life}
-		g.spare = append(g.spare, i)
+		g.callerRecords[s.caller].pending--
+		*s = slot[T]{generation: s.generation}
+		g.freeSlots = append(g.freeSlots, i)
 	}
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -7,22 +7,25 @@
 	"valveglade/rpc"
 )
 
+// Methods of the test settings.
 const (
-	read = iota
-	write
+	read  = iota // idempotent
+	write        // tokened
 )
 
-// street plays the network to a gate: it prints what Pick gives, and knows RPCs by name.
-type street struct {
+// harness acts as the network code of a gate. It prints the jobs that NextJob returns, and identifies RPCs by name.
+type harness struct {
 	*Gate[string]
 	now float64
 	ids map[string]ID
 }
 
-func open(cores, keep int) *street { return openTold(cores, keep, func(*rpc.Settings) {}) }
+func newHarness(cores, resultLimit int) *harness {
+	return newHarnessWith(cores, resultLimit, func(*rpc.Settings) {})
+}
 
-func openTold(cores, keep int, change func(c *rpc.Settings)) *street {
-	c := rpc.Settings{
+func newHarnessWith(cores, resultLimit int, change func(settings *rpc.Settings)) *harness {
+	settings := rpc.Settings{
 		Methods: []rpc.Method{
 			{Kind: rpc.Idempotent, Target: 1.2, Deadline: 4, Criticality: 1},
 			{Kind: rpc.Tokened, Target: 2.4, Deadline: 8, Window: 10, Criticality: 3, LateShare: 0.2},
@@ -31,49 +34,49 @@
 			Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
 		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1},
 	}
-	change(&c)
-	return &street{Gate: New[string](100, c, keep), now: 100, ids: map[string]ID{}}
+	change(&settings)
+	return &harness{Gate: New[string](100, settings, resultLimit), now: 100, ids: map[string]ID{}}
 }
 
-func (s *street) arrive(name string, method int, token string) {
-	s.came(name, method, s.now, token, "body")
+func (h *harness) arrive(name string, method int, token string) {
+	h.arriveAt(name, method, h.now, token, "body")
 }
 
-func (s *street) came(name string, method int, recv float64, token, body string) {
+func (h *harness) arriveAt(name string, method int, arrivedAt float64, token, body string) {
 	var ok bool
-	if s.ids[name], ok = s.Arrive(s.now, method, 0, recv, s.now+4, 20, false, name, token, []byte(body), name); !ok {
-		fmt.Printf("%5.2f %s: not taken\n", s.now-100, name)
+	if h.ids[name], ok = h.Arrive(h.now, method, 0, arrivedAt, h.now+4, 20, false, name, token, []byte(body), name); !ok {
+		fmt.Printf("%5.2f %s: rejected\n", h.now-100, name)
 	}
-	s.say()
+	h.printJobs()
 }
 
-func (s *street) report(name string, how rpc.Outcome, result string) {
-	s.Report(s.now, s.ids[name], how, 0.3, []byte(result))
-	s.say()
+func (h *harness) report(name string, outcome rpc.Outcome, result string) {
+	h.Report(h.now, h.ids[name], outcome, 0.3, []byte(result))
+	h.printJobs()
 }
 
-func (s *street) gone(name string) {
-	s.CallerGone(s.now, s.ids[name])
-	s.say()
+func (h *harness) callerGone(name string) {
+	h.CallerGone(h.now, h.ids[name])
+	h.printJobs()
 }
 
-func (s *street) pass(t float64) {
-	for end := s.now + t - 1e-9; s.now < end; {
-		s.now += s.Tick(s.now+0.02, nil)
-		s.say()
+func (h *harness) advance(seconds float64) {
+	for end := h.now + seconds - 1e-9; h.now < end; {
+		h.now += h.Tick(h.now+0.02, nil)
+		h.printJobs()
 	}
 }
 
-// say prints what there is to do by now.
-func (s *street) say() {
-	none, stop := context.WithCancel(context.Background())
-	stop()
+// printJobs prints the jobs that are ready.
+func (h *harness) printJobs() {
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
 	for {
-		job, err := s.NextJob(none)
+		job, err := h.NextJob(cancelled)
 		if err != nil {
 			return
 		}
-		fmt.Printf("%5.2f %s: ", s.now-100, job.Request)
+		fmt.Printf("%5.2f %s: ", h.now-100, job.Request)
 		switch job.Action {
 		case Run:
 			fmt.Println("run")
@@ -89,21 +92,21 @@
 	}
 }
 
-// One answer, whichever of an outcome, the caller's end and a further outcome comes first.
-func Example_life() {
-	s := open(2, 1000)
-	s.arrive("a", read, "")
-	s.report("a", rpc.OK, "1")
-	s.report("a", rpc.OK, "again")
-	s.arrive("b", read, "")
-	s.gone("b")
-	s.report("b", rpc.Cancelled, "")
-	s.arrive("c", read, "")
-	s.report("c", rpc.Error, "")
-	s.gone("c")
-	s.arrive("d", read, "")
-	s.gone("a") // a's index is d's by now
-	s.report("d", rpc.NotStarted, "")
+// An RPC gets a single reply, in whatever order its outcome, the end of its caller and a second outcome arrive.
+func Example_singleReply() {
+	h := newHarness(2, 1000)
+	h.arrive("a", read, "")
+	h.report("a", rpc.OK, "1")
+	h.report("a", rpc.OK, "again")
+	h.arrive("b", read, "")
+	h.callerGone("b")
+	h.report("b", rpc.Cancelled, "")
+	h.arrive("c", read, "")
+	h.report("c", rpc.Error, "")
+	h.callerGone("c")
+	h.arrive("d", read, "")
+	h.callerGone("a") // the index of a now belongs to d
+	h.report("d", rpc.NotStarted, "")
 	// Output:
 	//  0.00 a: run
 	//  0.00 a: ok "1"
@@ -115,56 +118,57 @@
 	//  0.00 d: aborted
 }
 
-// An RPC under the name of one in hand is not taken; once that is over the name is free.
-func Example_names() {
-	s := open(1, 1000)
-	s.arrive("a", read, "")
-	s.arrive("a", read, "")
-	s.ids["a"] = ID{0, 1}
-	s.report("a", rpc.OK, "1")
-	s.arrive("a", read, "")
+// An RPC with the uid of a pending one is rejected; once that one has ended, the uid is free again.
+func Example_uids() {
+	h := newHarness(1, 1000)
+	h.arrive("a", read, "")
+	h.arrive("a", read, "")
+	h.ids["a"] = ID{0, 1}
+	h.report("a", rpc.OK, "1")
+	h.arrive("a", read, "")
 	// Output:
 	//  0.00 a: run
-	//  0.00 a: not taken
+	//  0.00 a: rejected
 	//  0.00 a: ok "1"
 	//  0.00 a: run
 }
 
-// Routers that come back under new numbers for ever: the table stays bounded, a number that is in use keeps its
-// index, and the rest are not counted as one, which would make the credit many times what it should be.
-func Example_numbers() {
-	s := open(2, 1000)
-	send := func(src int) ID {
-		id, _ := s.Arrive(s.now, read, src, s.now, s.now+4, 20, false, fmt.Sprint(src), "", nil, "")
-		s.now += 0.001
+// Routers come back under new numbers again and again. The table stays bounded, a number in use keeps its index, and
+// the others do not share one record, which would multiply the credit.
+func Example_callerNumbers() {
+	h := newHarness(2, 1000)
+	send := func(callerNumber int) ID {
+		id, _ := h.Arrive(h.now, read, callerNumber, h.now, h.now+4, 20, false, fmt.Sprint(callerNumber), "", nil, "")
+		h.now += 0.001
 		return id
 	}
 	busy := send(7)
-	for src := 100; src < 100+3*maxCallers; src++ {
-		s.Report(s.now, send(src), rpc.OK, 0.1, nil)
+	for number := 100; number < 100+3*maxCallers; number++ {
+		h.Report(h.now, send(number), rpc.OK, 0.1, nil)
 	}
-	s.Report(s.now, send(100), rpc.OK, 0.1, nil)
-	fmt.Println(len(s.callers), len(s.known), s.known[s.callers[7]], s.known[s.callers[100]].out)
-	s.Report(s.now, busy, rpc.OK, 0.1, nil)
-	fmt.Println(s.known[s.callers[7]].out)
+	h.Report(h.now, send(100), rpc.OK, 0.1, nil)
+	fmt.Println(len(h.callerIndexes), len(h.callerRecords), h.callerRecords[h.callerIndexes[7]],
+		h.callerRecords[h.callerIndexes[100]].pending)
+	h.Report(h.now, busy, rpc.OK, 0.1, nil)
+	fmt.Println(h.callerRecords[h.callerIndexes[7]].pending)
 	// Output:
 	// 1024 1024 {7 1 100} 0
 	// 0
 }
 
-// Leaving: all is answered before the stop, also a repeat whose outcome has not come.
-func Example_leave() {
-	s := open(1, 1000)
-	s.arrive("a1", write, "t")
-	s.arrive("a2", write, "t")
-	s.arrive("b", read, "")
-	s.Drain(s.now, s.now+1.5)
-	s.say()
-	fmt.Println("healthy", s.Healthy(), "credit", s.Credit())
-	s.pass(1.1)
-	fmt.Println("credit", s.Credit())
-	s.arrive("late", read, "")
-	s.report("a1", rpc.OK, "done")
+// While draining, every RPC is answered before the stop, including a repeat whose outcome is still to come.
+func Example_drain() {
+	h := newHarness(1, 1000)
+	h.arrive("a1", write, "t")
+	h.arrive("a2", write, "t")
+	h.arrive("b", read, "")
+	h.Drain(h.now, h.now+1.5)
+	h.printJobs()
+	fmt.Println("healthy", h.Healthy(), "credit", h.Credit())
+	h.advance(1.1)
+	fmt.Println("credit", h.Credit())
+	h.arrive("late", read, "")
+	h.report("a1", rpc.OK, "done")
 	// Output:
 	//  0.00 a1: run
 	// healthy false credit 0.03125
@@ -175,24 +179,26 @@
 	//  1.10 late: pushed back
 }
 
-// The kernel says when it came up: a module that has read nothing starts then; one that has goes on, and knows from then on
-// that the machine is cold. Only the first word counts: a link that is made anew tells the same again.
-func Example_boot() {
-	s := open(2, 1000)
-	fmt.Println("booted", s.Booted(), "credit", s.Credit())
-	s.SetBootTime(s.now, 99, true)
-	s.arrive("a", read, "")
-	s.SetBootTime(s.now, 100, true)
-	s.report("a", rpc.OK, "1")
-	fmt.Println("booted", s.Booted(), "credit", s.Credit())
+// The kernel reports when the machine came up. A module without RPCs starts at that time; one with RPCs continues, and
+// knows from then on that the machine is cold. Only the first report counts, as a new kernel link repeats it.
+func Example_bootTime() {
+	h := newHarness(2, 1000)
+	fmt.Println("booted", h.Booted(), "credit", h.Credit())
+	h.SetBootTime(h.now, 99, true)
+	h.arrive("a", read, "")
+	h.SetBootTime(h.now, 100, true)
+	h.report("a", rpc.OK, "1")
+	fmt.Println("booted", h.Booted(), "credit", h.Credit())
 
-	early := openTold(2, 1000, func(c *rpc.Settings) { c.Rules.StartCapacity, c.Rules.RampTime, c.Machine.Cores = 0.25, 100, 8 })
+	early := newHarnessWith(2, 1000, func(settings *rpc.Settings) {
+		settings.Rules.StartCapacity, settings.Rules.RampTime, settings.Machine.Cores = 0.25, 100, 8
+	})
 	early.arrive("b", read, "")
 	fmt.Println("credit", early.Credit())
 	early.SetBootTime(early.now, 99.9, true)
 	fmt.Println("credit", early.Credit())
 	early.SetBootTime(early.now, 0, false)
-	early.pass(1)
+	early.advance(1)
 	early.report("b", rpc.OK, "1")
 	fmt.Printf("credit %.2f\n", early.Credit())
 	// Output:
@@ -207,75 +213,81 @@
 	// credit 1.17
 }
 
-// Pick gives what is decided while it waits.
-func Example_pick() {
-	s := open(1, 1000)
+// NextJob returns a job that is decided while it waits.
+func Example_nextJob() {
+	h := newHarness(1, 1000)
 	picked := make(chan Job[string])
 	go func() {
-		job, _ := s.NextJob(context.Background())
+		job, _ := h.NextJob(context.Background())
 		picked <- job
 	}()
-	s.Arrive(s.now, read, 0, s.now, s.now+4, 20, false, "a", "", nil, "a")
+	h.Arrive(h.now, read, 0, h.now, h.now+4, 20, false, "a", "", nil, "a")
 	fmt.Println((<-picked).Request)
 	// Output: a
 }
 
-// permits lets some RPCs of the first method run at once, and says what it is told.
-type permits struct{ most, running, waiting int }
+// fakePermits limits the concurrent runs of read, method 0, and prints each end of a run. Runs of write, method 1, are
+// not counted.
+type fakePermits struct {
+	limit   int // on concurrent runs of read
+	running int // runs of read
+	waiting int
+}
 
-func (p *permits) BlockingLimit(method int) int {
-	if method == read && p.running >= p.most {
+func (p *fakePermits) BlockingLimit(method int) int {
+	if method == read && p.running >= p.limit {
 		return 1
 	}
 	return 0
 }
 
-func (p *permits) AddWaiting(method, n int, criticality float64) { p.waiting += n }
-func (p *permits) RunStarted(method int, criticality float64)    { p.running += 1 - method }
-func (p *permits) RunEnded(method int, criticality, took float64) {
+func (p *fakePermits) AddWaiting(method, n int, criticality float64) { p.waiting += n }
+func (p *fakePermits) RunStarted(method int, criticality float64)    { p.running += 1 - method }
+func (p *fakePermits) RunEnded(method int, criticality, took float64) {
 	p.running -= 1 - method
-	fmt.Printf("      over after %.2f; %d run, %d wait\n", took, p.running, p.waiting)
+	fmt.Printf("      ended after %.2f; %d run, %d wait\n", took, p.running, p.waiting)
 }
 
-// Nothing starts without a permit, which is kept to the end of the run, whoever still waits for it; each is given back once.
+// No RPC starts without a permit. The permit is held until the run ends, even if the caller is gone, and is returned
+// once.
 func Example_permits() {
-	s := open(4, 1000)
-	p := &permits{most: 1}
-	s.SetPermits(p)
-	s.arrive("a", read, "")
-	s.arrive("b", read, "")
-	s.arrive("c", write, "t")
-	s.gone("a") // it goes on until the kernel has stopped it
-	s.pass(0.02)
-	s.report("a", rpc.Cancelled, "")
-	s.pass(0.02)
-	s.report("b", rpc.NotStarted, "")
-	s.report("c", rpc.OK, "1")
+	h := newHarness(4, 1000)
+	p := &fakePermits{limit: 1}
+	h.SetPermits(p)
+	h.arrive("a", read, "")
+	h.arrive("b", read, "")
+	h.arrive("c", write, "t")
+	h.callerGone("a") // the run continues until the kernel has stopped it
+	h.advance(0.02)
+	h.report("a", rpc.Cancelled, "")
+	h.advance(0.02)
+	h.report("b", rpc.NotStarted, "")
+	h.report("c", rpc.OK, "1")
 	fmt.Printf("%d run, %d wait\n", p.running, p.waiting)
 	// Output:
 	//  0.00 a: run
 	//  0.00 c: run
 	//  0.00 a: pause
-	//       over after 0.30; 0 run, 1 wait
+	//       ended after 0.30; 0 run, 1 wait
 	//  0.02 b: run
-	//       over after 0.00; 0 run, 0 wait
+	//       ended after 0.00; 0 run, 0 wait
 	//  0.04 b: aborted
-	//       over after 0.30; 0 run, 0 wait
+	//       ended after 0.30; 0 run, 0 wait
 	//  0.04 c: ok "1"
 	// 0 run, 0 wait
 }
 
-// Runs are stopped only where the settings name a way to stop them: a site that names none allows no such command.
+// Runs are stopped only if the settings give a way to stop them; without one the kernel allows no such command.
 func Example_preemption() {
-	for _, way := range []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop} {
-		s := openTold(1, 1000, func(c *rpc.Settings) { c.Machine.Preemption = way })
-		fmt.Printf("%q\n", way)
-		s.arrive("a", read, "")
-		s.arrive("b", read, "")
-		s.pass(1.3) // a has lost its worth, b waits
-		s.gone("a")
-		s.arrive("c", write, "t")
-		s.gone("c")
+	for _, preemption := range []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop} {
+		h := newHarnessWith(1, 1000, func(settings *rpc.Settings) { settings.Machine.Preemption = preemption })
+		fmt.Printf("%q\n", preemption)
+		h.arrive("a", read, "")
+		h.arrive("b", read, "")
+		h.advance(1.3) // the latency target of a is over, b waits
+		h.callerGone("a")
+		h.arrive("c", write, "t")
+		h.callerGone("c")
 	}
 	// Output:
 	// ""
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -2,28 +2,28 @@
 
 import "context"
 
-// Action is what is to be done for an RPC.
+// Action is what a job asks for.
 type Action uint8
 
 const (
-	Run Action = iota + 1
-	Pause
-	Serve    // answer with the result
-	PushBack // answer that it never ran
-	Abort    // answer without a promise
+	Run      Action = iota + 1 // start the RPC
+	Pause                      // stop the running RPC
+	Serve                      // answer with the result
+	PushBack                   // answer that the RPC never ran
+	Abort                      // answer without saying whether the RPC ran
 )
 
-// Job is one thing to do; For is what came with the RPC.
+// Job is one action for an RPC.
 type Job[T any] struct {
 	Action     Action
 	RPC        ID
-	Request    T
-	Result     []byte
-	NoRetry    bool    // with PushBack: no other app server is to be tried
-	RetryAfter float64 // with PushBack: seconds to stay away, 0 for no advice
+	Request    T       // as passed to Arrive
+	Result     []byte  // with Serve
+	NoRetry    bool    // with PushBack: the caller is to try no other app server
+	RetryAfter float64 // with PushBack: retry-after delay in seconds, 0 for none
 }
 
-// NextJob blocks until there is something to do for an RPC. Jobs come in the order in which they were decided.
+// NextJob blocks until there is a job. Jobs are returned in the order in which they were decided.
 func (g *Gate[T]) NextJob(ctx context.Context) (Job[T], error) {
 	for {
 		g.mu.Lock()
@@ -31,7 +31,7 @@
 			job := g.jobs[0]
 			g.jobs[0] = Job[T]{}
 			if g.jobs = g.jobs[1:]; len(g.jobs) > 0 {
-				signal(g.ready)
+				notify(g.ready)
 			}
 			g.mu.Unlock()
 			return job, nil
@@ -46,13 +46,13 @@
 	}
 }
 
-// answer gives the one answer that an RPC gets.
+// answer adds the job with the single reply that an RPC gets.
 func (g *Gate[T]) answer(i int, job Job[T]) {
 	s := &g.slots[i]
-	if s.state != owed {
+	if s.state != pending {
 		return
 	}
-	job.RPC, job.Request = ID{i, s.life}, s.who
+	job.RPC, job.Request = ID{i, s.generation}, s.request
 	g.jobs = append(g.jobs, job)
-	g.move(i, done)
+	g.setState(i, done)
 }
--- a/gate/random_test.go
+++ b/gate/random_test.go
@@ -10,292 +10,302 @@
 	"valveglade/rpc"
 )
 
-// drawnSettings draws a deployment of everything that the settings may say.
-func drawnSettings(r *rand.Rand) rpc.Settings {
-	one := func(values ...float64) float64 { return values[r.IntN(len(values))] }
-	span := func() float64 { return math.Pow(10, r.Float64()*7-3) } // a millisecond to three hours
-	c := rpc.Settings{}
+// randomSettings returns random settings that cover every field.
+func randomSettings(random *rand.Rand) rpc.Settings {
+	oneOf := func(values ...float64) float64 { return values[random.IntN(len(values))] }
+	duration := func() float64 { return math.Pow(10, random.Float64()*7-3) } // a millisecond to three hours
+	settings := rpc.Settings{}
 	kinds := []rpc.Kind{rpc.Idempotent, rpc.Tokened, rpc.NonIdempotent}
-	if r.IntN(3) == 0 {
-		kinds = kinds[r.IntN(3):][:1]
+	if random.IntN(3) == 0 {
+		kinds = kinds[random.IntN(3):][:1]
 	}
-	for range 1 + r.IntN(6) {
-		m := rpc.Method{Kind: kinds[r.IntN(len(kinds))], Target: span(), Window: one(0, 0.001, span(), 1e6),
-			Criticality: one(0, 0.1, 1, 3), LateShare: one(0, 0.2, 1)}
-		m.Deadline = one(0, m.Target, m.Target*3, m.Target*100)
-		if r.IntN(10) == 0 {
+	for range 1 + random.IntN(6) {
+		m := rpc.Method{Kind: kinds[random.IntN(len(kinds))], Target: duration(), Window: oneOf(0, 0.001, duration(), 1e6),
+			Criticality: oneOf(0, 0.1, 1, 3), LateShare: oneOf(0, 0.2, 1)}
+		m.Deadline = oneOf(0, m.Target, m.Target*3, m.Target*100)
+		if random.IntN(10) == 0 {
 			m.Target = 0
 		}
-		c.Methods = append(c.Methods, m)
+		settings.Methods = append(settings.Methods, m)
 	}
-	c.Machine = rpc.Machine{Callers: r.IntN(50), Cores: r.IntN(17), EntryKB: one(0, 0.001, 1, 27.8, 1e4),
-		MemoryKB: one(0, 50, 2000, 13164, 1e9), RunFactor: one(0, 1, 4, 50), KeepAlive: one(0, 0.01, 30), ResultTTL: one(0, 2),
-		Cold:       r.IntN(2) == 0,
-		Preemption: []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop}[r.IntN(4)],
-		Signal:     []rpc.Signal{"", "none", rpc.Floor, rpc.Allowance, rpc.Weight}[r.IntN(5)],
-		Gauges:     [][]string{nil, {"on_cores"}, {"core_use", "on_cores"}, {"heap_share"}}[r.IntN(4)]}
-	c.Machine.Downstream = []string{"", "none", "one_for_all", "tier"}[r.IntN(4)]
-	c.Machine.MaxDownstreamCalls, c.Machine.DownstreamCallWindow, c.Machine.Linger = one(0, 0.3, 5), one(0, 0.1, 5), one(0, 0.2)
-	for range r.IntN(8) {
-		c.Machine.CallsDownstream = append(c.Machine.CallsDownstream, r.IntN(2) == 0)
-		c.Machine.SkipWorth = append(c.Machine.SkipWorth, one(0, 0.5))
+	settings.Machine = rpc.Machine{Callers: random.IntN(50), Cores: random.IntN(17),
+		EntryKB: oneOf(0, 0.001, 1, 27.8, 1e4), MemoryKB: oneOf(0, 50, 2000, 13164, 1e9),
+		RunFactor: oneOf(0, 1, 4, 50), KeepAlive: oneOf(0, 0.01, 30), ResultTTL: oneOf(0, 2),
+		Cold:       random.IntN(2) == 0,
+		Preemption: []rpc.Preemption{"", rpc.NoPreemption, rpc.DiscardOnStop, rpc.FreezeOnStop}[random.IntN(4)],
+		Signal:     []rpc.Signal{"", "none", rpc.Floor, rpc.Allowance, rpc.Weight}[random.IntN(5)],
+		Gauges:     [][]string{nil, {"on_cores"}, {"core_use", "on_cores"}, {"heap_share"}}[random.IntN(4)]}
+	settings.Machine.Downstream = []string{"", "none", "one_for_all", "tier"}[random.IntN(4)]
+	settings.Machine.MaxDownstreamCalls, settings.Machine.DownstreamCallWindow, settings.Machine.Linger =
+		oneOf(0, 0.3, 5), oneOf(0, 0.1, 5), oneOf(0, 0.2)
+	for range random.IntN(8) {
+		settings.Machine.CallsDownstream = append(settings.Machine.CallsDownstream, random.IntN(2) == 0)
+		settings.Machine.SkipWorth = append(settings.Machine.SkipWorth, oneOf(0, 0.5))
 	}
-	for range r.IntN(3) {
-		c.Tenants = append(c.Tenants, rpc.Tenant{Quota: one(0, 1, 1e6)})
+	for range random.IntN(3) {
+		settings.Tenants = append(settings.Tenants, rpc.Tenant{Quota: oneOf(0, 1, 1e6)})
 	}
-	c.Replicas, c.OverShareWorth = r.IntN(20), one(0, 0.1)
-	c.Rules = rpc.Rules{OverloadFactor: one(0, 1, 5, 100), DrainGrace: one(0, 0.05, 2.5), StartCapacity: one(0, 0.2, 1), RampTime: one(0, 0.01, 18, 1e4),
-		OverloadWindow: one(0, 0.1, 1.5, 100)}
-	c.Clients.MarksRetry = r.IntN(2) == 0
-	c.Ceilings.RetryAfter, c.Ceilings.MaxRetryAfter = r.IntN(2) == 0, one(0, 1, 60)
-	return c
+	settings.Replicas, settings.OverShareWorth = random.IntN(20), oneOf(0, 0.1)
+	settings.Rules = rpc.Rules{OverloadFactor: oneOf(0, 1, 5, 100), DrainGrace: oneOf(0, 0.05, 2.5),
+		StartCapacity: oneOf(0, 0.2, 1), RampTime: oneOf(0, 0.01, 18, 1e4), OverloadWindow: oneOf(0, 0.1, 1.5, 100)}
+	settings.Clients.MarksRetry = random.IntN(2) == 0
+	settings.Ceilings.RetryAfter, settings.Ceilings.MaxRetryAfter = random.IntN(2) == 0, oneOf(0, 1, 60)
+	return settings
 }
 
-// try is one RPC as the drawn clients sent it, and what has come of it.
-type try struct {
-	name           string
-	id             ID
-	method         int
-	kb             float64
-	token          string
-	came           float64 // to the machine; this and what follows by the true time
-	read, answerBy float64
-	ran            bool
-	proven         bool // it never ran, the kernel has said
-	over           bool // the kernel has told its end
-	gone           bool
-	bad            bool // no router sent it: its token is another RPC\'s, and the kernel knows nothing of its body
-	answers        int
+// attempt is one RPC of the simulated clients, and what has happened to it.
+type attempt struct {
+	name          string
+	id            ID
+	method        int
+	sizeKB        float64
+	token         string
+	arrivedAt     float64 // at the machine; this and the following times are true times
+	readAt        float64
+	replyDeadline float64
+	started       bool
+	provenNotRun  bool // the kernel has reported that it never ran
+	ended         bool // the kernel has reported its end
+	callerGone    bool
+	forged        bool // not from a router: its token belongs to another RPC, and the kernel does not know its body
+	replies       int
 }
 
-// drawn plays drawn clients and a drawn kernel to a gate, and judges what it does.
-type drawn struct {
+// simulation drives a gate with random clients and a random kernel, and checks what it does.
+type simulation struct {
 	*testing.T
-	*Gate[*try]
-	r       *rand.Rand
-	c       rpc.Settings
-	now     float64
-	tries   []*try
-	running []*try
-	owed    []*try
-	results map[string]bool
-	left    float64 // when the notice came, 0 before
-	tick    float64 // when the next is due
+	*Gate[*attempt]
+	random     *rand.Rand
+	settings   rpc.Settings
+	now        float64
+	attempts   []*attempt
+	running    []*attempt
+	unanswered []*attempt
+	results    map[string]bool
+	drainStart float64 // time of the shutdown notice, 0 before
+	nextTick   float64
 }
 
-func (d *drawn) fault(t *try, what string) {
-	d.Errorf("%8.3f %s of %s method: %s", d.now, t.name, d.c.Methods[t.method].Kind, what)
+func (s *simulation) violation(a *attempt, description string) {
+	s.Errorf("%8.3f %s of %s method: %s", s.now, a.name, s.settings.Methods[a.method].Kind, description)
 }
 
-// arrive sends a new RPC or a further try.
-func (d *drawn) arrive() {
-	t := &try{read: d.now, kb: 1 + d.r.Float64()*100, name: fmt.Sprintf("%016x", len(d.tries)), method: d.r.IntN(len(d.c.Methods))}
-	if d.c.Methods[t.method].Kind == rpc.Tokened {
-		t.token = fmt.Sprint(d.r.IntN(1 + len(d.tries)/4))
+// arrive sends a new RPC or a retry.
+func (s *simulation) arrive() {
+	a := &attempt{readAt: s.now, sizeKB: 1 + s.random.Float64()*100, name: fmt.Sprintf("%016x", len(s.attempts)),
+		method: s.random.IntN(len(s.settings.Methods))}
+	if s.settings.Methods[a.method].Kind == rpc.Tokened {
+		a.token = fmt.Sprint(s.random.IntN(1 + len(s.attempts)/4))
 	}
-	body := "body " + t.token
-	if t.bad = t.token != "" && d.r.IntN(10) == 0; t.bad {
+	body := "body " + a.token
+	if a.forged = a.token != "" && s.random.IntN(10) == 0; a.forged {
 		body = "another"
 	}
-	lay := []float64{0, 0.001, 0.02, 1, -0.5}[d.r.IntN(5)] * d.r.Float64() // below 0, recv lies ahead of the clock
-	t.came = d.now - lay
-	due := 0.0
-	deadline := d.c.Methods[t.method].Deadline
-	if deadline == 0 {
-		deadline = math.Inf(1)
+	// With a negative read delay, the arrival time lies ahead of the clock.
+	readDelay := []float64{0, 0.001, 0.02, 1, -0.5}[s.random.IntN(5)] * s.random.Float64()
+	a.arrivedAt = s.now - readDelay
+	callerDeadline := 0.0
+	methodDeadline := s.settings.Methods[a.method].Deadline
+	if methodDeadline == 0 {
+		methodDeadline = math.Inf(1)
 	}
-	waits := deadline
-	if d.r.IntN(3) > 0 {
-		waits = []float64{0.001, 0.05, 1, 10, 4000}[d.r.IntN(5)]
-		due = d.now - max(lay, 0) + waits
+	timeout := methodDeadline
+	if s.random.IntN(3) > 0 {
+		timeout = []float64{0.001, 0.05, 1, 10, 4000}[s.random.IntN(5)]
+		callerDeadline = s.now - max(readDelay, 0) + timeout
 	}
-	t.answerBy = max(d.now, min(t.came, d.now)+waits)
-	var taken bool
-	t.id, taken = d.Arrive(d.now, t.method, d.r.IntN(20), d.now-lay, due, t.kb, d.r.IntN(4) == 0, t.name, t.token,
-		[]byte(body), t)
-	if !taken {
-		if !t.bad {
-			d.fault(t, "not taken")
+	a.replyDeadline = max(s.now, min(a.arrivedAt, s.now)+timeout)
+	var accepted bool
+	a.id, accepted = s.Arrive(s.now, a.method, s.random.IntN(20), s.now-readDelay, callerDeadline, a.sizeKB,
+		s.random.IntN(4) == 0, a.name, a.token, []byte(body), a)
+	if !accepted {
+		if !a.forged {
+			s.violation(a, "rejected")
 		}
 		return
 	}
-	d.tries = append(d.tries, t)
-	d.owed = append(d.owed, t)
+	s.attempts = append(s.attempts, a)
+	s.unanswered = append(s.unanswered, a)
 }
 
-// end has the kernel tell the end of a run.
-func (d *drawn) end(k int) {
-	t := d.running[k]
-	d.running[k] = d.running[len(d.running)-1]
-	d.running = d.running[:len(d.running)-1]
-	t.over = true
-	how := []rpc.Outcome{rpc.OK, rpc.OK, rpc.OK, rpc.Error, rpc.NotStarted, rpc.Cancelled}[d.r.IntN(6)]
-	if t.bad {
-		how = rpc.NotStarted
+// endRun lets the kernel report the end of a run.
+func (s *simulation) endRun(k int) {
+	a := s.running[k]
+	s.running[k] = s.running[len(s.running)-1]
+	s.running = s.running[:len(s.running)-1]
+	a.ended = true
+	outcome := []rpc.Outcome{rpc.OK, rpc.OK, rpc.OK, rpc.Error, rpc.NotStarted, rpc.Cancelled}[s.random.IntN(6)]
+	if a.forged {
+		outcome = rpc.NotStarted
 	}
-	t.proven = how == rpc.NotStarted
+	a.provenNotRun = outcome == rpc.NotStarted
 	result := []byte(nil)
-	if how == rpc.OK {
-		result = []byte(fmt.Sprintf("%d %s of %s", t.method, t.token, t.name))
-		d.results[string(result)] = true
+	if outcome == rpc.OK {
+		result = []byte(fmt.Sprintf("%d %s of %s", a.method, a.token, a.name))
+		s.results[string(result)] = true
 	}
-	d.Report(d.now, t.id, how, 0.1, result)
+	s.Report(s.now, a.id, outcome, 0.1, result)
 }
 
-// begun judges that a run may begin.
-func (d *drawn) begun(t *try) {
-	if t.ran {
-		d.fault(t, "run twice")
+// start checks that an attempt may run, and starts it.
+func (s *simulation) start(a *attempt) {
+	if a.started {
+		s.violation(a, "run twice")
 	}
-	if t.answers > 0 || t.gone {
-		d.fault(t, "run, and over")
+	if a.replies > 0 || a.callerGone {
+		s.violation(a, "run after its reply or its caller's end")
 	}
-	if d.left > 0 && min(t.came, t.read) > d.left+d.c.Rules.DrainGrace {
-		d.fault(t, "run past the grace")
+	if s.drainStart > 0 && min(a.arrivedAt, a.readAt) > s.drainStart+s.settings.Rules.DrainGrace {
+		s.violation(a, "run past the grace period")
 	}
-	for _, other := range d.tries {
-		if t.token != "" && other != t && other.method == t.method && other.token == t.token && other.ran && !other.proven && !other.bad && !t.bad &&
-			(!other.over || t.came <= other.came+d.c.Methods[t.method].Window) {
-			d.fault(t, fmt.Sprintf("came %.4f, run within the window %g of %s, came %.4f, over %v, proven %v", t.came, d.c.Methods[t.method].Window, other.name, other.came, other.over, other.proven))
+	for _, other := range s.attempts {
+		if a.token != "" && other != a && other.method == a.method && other.token == a.token && other.started &&
+			!other.provenNotRun && !other.forged && !a.forged &&
+			(!other.ended || a.arrivedAt <= other.arrivedAt+s.settings.Methods[a.method].Window) {
+			s.violation(a, fmt.Sprintf("arrived at %.4f, run within the window %g of %s, arrived at %.4f, ended %v, never ran %v",
+				a.arrivedAt, s.settings.Methods[a.method].Window, other.name, other.arrivedAt, other.ended,
+				other.provenNotRun))
 		}
 	}
-	t.ran = true
-	d.running = append(d.running, t)
+	a.started = true
+	s.running = append(s.running, a)
 }
 
-// pick takes what there is to do and judges it.
-func (d *drawn) pick() {
-	none, stop := context.WithCancel(context.Background())
-	stop()
-	for job, err := d.NextJob(none); err == nil; job, err = d.NextJob(none) {
-		t := job.Request
+// doJobs takes the jobs that are ready and checks them.
+func (s *simulation) doJobs() {
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	for job, err := s.NextJob(cancelled); err == nil; job, err = s.NextJob(cancelled) {
+		a := job.Request
 		switch job.Action {
 		case Run:
-			d.begun(t)
+			s.start(a)
 			continue
 		case Pause:
-			if !d.c.Machine.Preemption.CanStop() || t.answers == 0 && !t.gone || t.token != "" {
-				d.fault(t, "stopped")
+			if !s.settings.Machine.Preemption.CanStop() || a.replies == 0 && !a.callerGone || a.token != "" {
+				s.violation(a, "stopped")
 			}
 			continue
 		case PushBack:
-			if t.ran && d.c.Methods[t.method].Kind != rpc.Idempotent {
-				d.fault(t, "pushed back and run")
+			if a.started && s.settings.Methods[a.method].Kind != rpc.Idempotent {
+				s.violation(a, "pushed back after its start")
 			}
 		case Serve:
 			var method int
-			var token, of string
-			fmt.Sscanf(string(job.Result), "%d %s of %s", &method, &token, &of)
-			own := fmt.Sprintf("%d %s of %s", t.method, t.token, t.name)
-			if t.bad || !d.results[string(job.Result)] || string(job.Result) != own && (t.token == "" || method != t.method || token != t.token) {
-				d.fault(t, "served with "+string(job.Result))
+			var token, name string
+			fmt.Sscanf(string(job.Result), "%d %s of %s", &method, &token, &name)
+			ownResult := fmt.Sprintf("%d %s of %s", a.method, a.token, a.name)
+			if a.forged || !s.results[string(job.Result)] ||
+				string(job.Result) != ownResult && (a.token == "" || method != a.method || token != a.token) {
+				s.violation(a, "served with "+string(job.Result))
 			}
 		}
-		if t.answers++; t.answers > 1 || t.gone {
-			d.fault(t, "answered again, or though its caller is gone")
+		if a.replies++; a.replies > 1 || a.callerGone {
+			s.violation(a, "answered twice, or after its caller's end")
 		}
 	}
-	d.memory()
-	if v := d.Credit(); math.IsNaN(v) || math.IsInf(v, 0) {
-		d.Errorf("credit %g", v)
+	s.checkMemory()
+	if v := s.Credit(); math.IsNaN(v) || math.IsInf(v, 0) {
+		s.Errorf("credit %g", v)
 	}
 }
 
-// memory judges that what is held, and what runs by its factor, fits.
-func (d *drawn) memory() {
+// checkMemory checks that queued RPCs, and running ones times the run factor, fit into memory.
+func (s *simulation) checkMemory() {
 	sum := 0.0
-	for _, t := range d.owed {
-		if !t.ran && t.answers == 0 && !t.gone {
-			sum += t.kb
+	for _, a := range s.unanswered {
+		if !a.started && a.replies == 0 && !a.callerGone {
+			sum += a.sizeKB
 		}
 	}
-	for _, t := range d.running {
-		sum += t.kb * max(d.c.Machine.RunFactor, 1)
+	for _, a := range s.running {
+		sum += a.sizeKB * max(s.settings.Machine.RunFactor, 1)
 	}
-	if limit := d.c.Machine.MemoryKB; limit > 0 && sum > limit {
-		d.Errorf("%8.3f memory %.1f of %g", d.now, sum, limit)
+	if limit := s.settings.Machine.MemoryKB; limit > 0 && sum > limit {
+		s.Errorf("%8.3f memory %.1f of %g", s.now, sum, limit)
 	}
 }
 
-// overdue judges that what is due has been answered; the gate is looked at fifty times a second.
-func (d *drawn) overdue(until float64) {
-	kept := d.owed[:0]
-	for _, t := range d.owed {
+// checkDeadlines checks that replies come in time. The tolerance covers the ticks, which come fifty times a second.
+func (s *simulation) checkDeadlines(until float64) {
+	kept := s.unanswered[:0]
+	for _, a := range s.unanswered {
 		switch {
-		case t.answers > 0 || t.gone:
-		case d.now > min(t.answerBy, until)+0.045:
-			d.fault(t, fmt.Sprintf("not answered by %.3f", min(t.answerBy, until)))
+		case a.replies > 0 || a.callerGone:
+		case s.now > min(a.replyDeadline, until)+0.045:
+			s.violation(a, fmt.Sprintf("not answered by %.3f", min(a.replyDeadline, until)))
 		default:
-			kept = append(kept, t)
+			kept = append(kept, a)
 		}
 	}
-	d.owed = kept
+	s.unanswered = kept
 }
 
-func (d *drawn) step() {
-	d.now += d.r.ExpFloat64() * 0.005
-	if d.r.IntN(2000) == 0 {
-		d.now += 10 * d.r.Float64() // it stood still
+func (s *simulation) step() {
+	s.now += s.random.ExpFloat64() * 0.005
+	if s.random.IntN(2000) == 0 {
+		s.now += 10 * s.random.Float64() // the process was paused
 	}
-	for ; d.tick <= d.now; d.tick = max(d.tick+0.02, d.now+0.001) {
+	for ; s.nextTick <= s.now; s.nextTick = max(s.nextTick+0.02, s.now+0.001) {
 		var gauges []float64
-		for range d.r.IntN(4) {
-			gauges = append(gauges, []float64{0, 1, 30, 1e9}[d.r.IntN(4)])
+		for range s.random.IntN(4) {
+			gauges = append(gauges, []float64{0, 1, 30, 1e9}[s.random.IntN(4)])
 		}
-		d.Tick(d.now, gauges)
-		d.pick()
+		s.Tick(s.now, gauges)
+		s.doJobs()
 	}
-	switch d.r.IntN(8) {
+	switch s.random.IntN(8) {
 	case 0, 1, 2:
-		d.arrive()
+		s.arrive()
 	case 3, 4:
-		if len(d.running) > 0 {
-			d.end(d.r.IntN(len(d.running)))
+		if len(s.running) > 0 {
+			s.endRun(s.random.IntN(len(s.running)))
 		}
 	case 5:
-		if len(d.tries) > 0 && d.r.IntN(4) == 0 {
-			if t := d.tries[len(d.tries)-1-d.r.IntN(min(len(d.tries), 20))]; t.answers == 0 {
-				t.gone = true
-				d.CallerGone(d.now, t.id)
+		if len(s.attempts) > 0 && s.random.IntN(4) == 0 {
+			if a := s.attempts[len(s.attempts)-1-s.random.IntN(min(len(s.attempts), 20))]; a.replies == 0 {
+				a.callerGone = true
+				s.CallerGone(s.now, a.id)
 			}
 		}
 	case 6:
-		if d.r.IntN(20) == 0 {
-			d.SetResultLimit(d.r.IntN(1000))
+		if s.random.IntN(20) == 0 {
+			s.SetResultLimit(s.random.IntN(1000))
 		}
 	}
-	d.pick()
+	s.doJobs()
 }
 
-func (d *drawn) play() {
-	d.SetBootTime(d.now, d.now-d.r.Float64()*10, d.r.IntN(2) == 0)
+func (s *simulation) run() {
+	s.SetBootTime(s.now, s.now-s.random.Float64()*10, s.random.IntN(2) == 0)
 	for range 2000 {
-		d.step()
-		d.overdue(math.Inf(1))
-		if d.Failed() {
+		s.step()
+		s.checkDeadlines(math.Inf(1))
+		if s.Failed() {
 			return
 		}
 	}
-	d.left = d.now
-	stop := d.now + 0.6 + 3*d.r.Float64()
-	d.Drain(d.now, stop)
-	d.pick()
-	for d.now < stop+0.1 && !d.Failed() {
-		d.step()
-		d.overdue(stop - 0.2) // what is read past that is answered as well, but not judged
+	s.drainStart = s.now
+	stop := s.now + 0.6 + 3*s.random.Float64()
+	s.Drain(s.now, stop)
+	s.doJobs()
+	for s.now < stop+0.1 && !s.Failed() {
+		s.step()
+		s.checkDeadlines(stop - 0.2) // RPCs read later are answered as well, but not checked
 	}
 }
 
-// Drawn settings, clients and kernels: each RPC gets its one answer in time, with a result of its own, nothing runs twice
-// within a window, nothing that ran is pushed back, nothing past the grace runs, and nothing is stopped without leave.
-func TestDrawn(t *testing.T) {
+// With random settings, clients and kernels, each RPC gets a single reply in time with its own result, no RPC runs
+// twice within a window, none that ran is pushed back, none past the grace period runs, and none is stopped without
+// permission.
+func TestRandomWorkload(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := rand.New(rand.NewPCG(seed, 42))
-			d := &drawn{T: t, r: r, c: drawnSettings(r), now: 1e6, results: map[string]bool{}}
-			d.tick = d.now
-			d.Gate = New[*try](d.now, d.c, r.IntN(2000))
-			d.play()
+			random := rand.New(rand.NewPCG(seed, 42))
+			s := &simulation{T: t, random: random, settings: randomSettings(random), now: 1e6, results: map[string]bool{}}
+			s.nextTick = s.now
+			s.Gate = New[*attempt](s.now, s.settings, random.IntN(2000))
+			s.run()
 		})
 	}
 }
--- a/gate/tokens.go
+++ b/gate/tokens.go
@@ -8,35 +8,40 @@
 	"valveglade/rpc"
 )
 
-// standing is how far the RPC behind a token has come.
-type standing uint8
+// progress is the progress of the RPC behind a token.
+type progress uint8
 
 const (
-	waiting standing = iota // held, nothing has run
-	started
-	kept      // it ran, and its result may be kept
-	failed    // it may have run, and has no result
-	forgotten // it never ran, or its window has passed
+	waiting   progress = iota // queued, nothing has run
+	started                   // the run has started
+	succeeded                 // it ran, and its result may be kept
+	failed                    // it may have run, and there is no result
+	forgotten                 // it never ran, or its window has passed
 )
 
-// entryBytes is about what a remembered token takes in this process, beside its result: its entry, its places in the table,
-// and the module's note of it. leastTokens are remembered however little memory there is.
-const entryBytes, leastTokens = 384, 1 << 10
+const (
+	// entryBytes is the approximate memory of a remembered token in this process, without its result: its entry, its
+	// places in the table and the module's record of it.
+	entryBytes = 384
+	// minTokens is how many tokens are remembered even with very little memory.
+	minTokens = 1 << 10
+)
 
-// unlimitedKB stands in for a machine whose memory is not told.
-const unlimitedKB = 1e12
+// unknownMemoryKB is used if the settings give no memory for the machine, and imposes no limit.
+const unknownMemoryKB = 1e12
 
-// boundTokens sees to it that what the module lets tokens take of the machine's memory, half of it, is never more of them
-// than fit into so many bytes of this process: at some sites a token costs the machine nothing, and its window is days.
-func boundTokens(m *rpc.Machine, bytes int) {
+// limitTokens raises the memory that a token counts for, so that the tokens that the module allows, which fill half of
+// the machine's memory, fit into the given bytes of this process. Without it the process could run out of memory: at
+// some sites a token costs the machine nothing, and its window is days.
+func limitTokens(m *rpc.Machine, bytes int) {
 	if m.MemoryKB <= 0 {
-		m.MemoryKB = unlimitedKB
+		m.MemoryKB = unknownMemoryKB
 	}
-	most := max(bytes/entryBytes, leastTokens)
-	m.EntryKB = max(m.EntryKB, m.MemoryKB/2/float64(most))
+	maxTokens := max(bytes/entryBytes, minTokens)
+	m.EntryKB = max(m.EntryKB, m.MemoryKB/2/float64(maxTokens))
 }
 
-// tokenID names a tokened request: each method numbers its own.
+// tokenID identifies a tokened request. Each method has its own token space.
 type tokenID struct {
 	method int
 	token  string
@@ -44,122 +49,129 @@
 
 // entry is one remembered token.
 type entry struct {
-	id        tokenID
-	body      uint64 // digest of what all its tries carry
-	runner    ID     // the try that runs or ran, or is held
-	end       float64
-	place     int // in the table's expiry queue, noPlace if it is not there
-	state     standing
-	result    []byte
-	stored    *list.Element // among the table's results, nil if it is not there
-	followers []int
-	prior     *entry // the token's use before this one, which ran, while a repeat of it may still lie unread
+	id            tokenID
+	bodyDigest    uint64 // of the body of all attempts
+	runner        ID     // the attempt that is queued, runs or ran
+	expiresAt     float64
+	heapIndex     int // in the table's expiry queue, or notQueued
+	state         progress
+	result        []byte
+	resultElement *list.Element // in the table's list of results, nil if the result is not kept
+	followers     []int         // attempts that wait for the outcome
+	previous      *entry        // earlier use of the token that ran, while repeats of it may still be unread
 }
 
-// noPlace is of an entry that is not in the expiry queue: its window is over and its outcome still to come, or it has been
-// let go.
-const noPlace = -1
+// notQueued is the heap index of an entry outside the expiry queue: its window is over while its outcome is still to
+// come, or it was forgotten.
+const notQueued = -1
 
-// inHand tells whether an outcome is still to come.
-func (e *entry) inHand() bool { return e.state == waiting || e.state == started }
+// isPending reports whether the outcome is still to come.
+func (e *entry) isPending() bool { return e.state == waiting || e.state == started }
 
-// proven tells whether the kernel has taken the runner for genuine.
-func (e *entry) proven() bool { return e.state == kept || e.state == failed }
+// isVerified reports whether the kernel has accepted the runner as genuine.
+func (e *entry) isVerified() bool { return e.state == succeeded || e.state == failed }
 
-func (e *entry) unfollow(i int) {
+func (e *entry) removeFollower(i int) {
 	if k := slices.Index(e.followers, i); k >= 0 {
 		e.followers = slices.Delete(e.followers, k, k+1)
 	}
 }
 
-// expiryQueue is a heap of entries, the first to end first: methods have windows of seconds and of days side by side.
+// expiryQueue is a heap of entries ordered by expiry. A heap is needed because windows of seconds and of days coexist.
 type expiryQueue []*entry
 
 func (q expiryQueue) Len() int           { return len(q) }
-func (q expiryQueue) Less(a, b int) bool { return q[a].end < q[b].end }
+func (q expiryQueue) Less(a, b int) bool { return q[a].expiresAt < q[b].expiresAt }
 
 func (q expiryQueue) Swap(a, b int) {
 	q[a], q[b] = q[b], q[a]
-	q[a].place, q[b].place = a, b
+	q[a].heapIndex, q[b].heapIndex = a, b
 }
 
-// Push is the heap's own.
+// Push implements heap.Interface.
 func (q *expiryQueue) Push(x any) {
 	e := x.(*entry)
-	e.place = len(*q)
+	e.heapIndex = len(*q)
 	*q = append(*q, e)
 }
 
-// Pop is the heap's own.
+// Pop implements heap.Interface.
 func (q *expiryQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	e.place = noPlace
+	e.heapIndex = notQueued
 	return e
 }
 
-// table remembers tokens for as long as the module says. It keeps them a little longer, as a repeat counts
-// by when it came to the machine, not by when it is read.
+// table remembers tokens for as long as the module asks, and slightly longer, as a repeat counts by its arrival at the
+// machine and not by when it is read.
 type table struct {
-	entries map[tokenID]*entry // the latest use of each
-	expiry  expiryQueue
-	results *list.List // of entries with a result, the first to be kept first
-	bytes   int
-	limit   int
-	looked  float64 // when it was last looked through
-	holds   float64 // until when nothing is forgotten
+	entries    map[tokenID]*entry // latest use of each token
+	expiry     expiryQueue
+	results    *list.List // entries with a result, oldest result first
+	bytes      int        // of kept results
+	limit      int        // on bytes
+	lastExpiry float64    // time of the last call of expire
+	holdUntil  float64    // nothing expires before this time
 }
 
-// unread is how long a repeat may lie unread on a machine that still reads at all; asleep, without a look for so long, it has
-// not. Looks come fifty times a second; half of unread leaves the other half for reading what came meanwhile.
-const unread, asleep = 5.0, unread / 2
+const (
+	// maxReadDelay is how many seconds a repeat may stay unread on a machine that keeps reading.
+	maxReadDelay = 5.0
+	// pauseThreshold is the gap in seconds between calls of expire from which the process counts as having been paused.
+	// They normally come fifty times a second. It is half of maxReadDelay, so that the other half is left for reading
+	// the backlog.
+	pauseThreshold = maxReadDelay / 2
+)
 
 func newTable(limit int) table {
 	return table{entries: map[tokenID]*entry{}, results: list.New(), limit: limit}
 }
 
-// find gives the entry that was live when the repeat came to the machine. One whose outcome is still to come lives on past
-// its window: windows may be shorter than RPCs are held and run, and the repeat would run beside what it repeats.
-func (t *table) find(id tokenID, recv float64) *entry {
+// find returns the entry that was valid when a repeat arrived at the machine, or nil. An entry whose outcome is still
+// to come stays valid past its window: windows may be shorter than RPCs are queued and run, and otherwise the repeat
+// would run concurrently with the RPC that it repeats.
+func (t *table) find(id tokenID, arrivedAt float64) *entry {
 	e := t.entries[id]
 	if e == nil {
 		return nil
 	}
-	for e.prior != nil && recv <= e.prior.end {
-		e = e.prior
+	for e.previous != nil && arrivedAt <= e.previous.expiresAt {
+		e = e.previous
 	}
-	if recv <= e.end || e.inHand() {
+	if arrivedAt <= e.expiresAt || e.isPending() {
 		return e
 	}
 	return nil
 }
 
-// remember keeps a token, or hands its entry over to a further try.
-func (t *table) remember(id tokenID, body uint64, runner ID, end float64) *entry {
+// remember adds an entry for a token, or passes its waiting entry on to a later attempt.
+func (t *table) remember(id tokenID, bodyDigest uint64, runner ID, expiresAt float64) *entry {
 	old := t.entries[id]
 	if old != nil && old.state == waiting {
-		old.body, old.runner, old.end = body, runner, end // those that follow it go on doing so
-		t.list(old)
+		old.bodyDigest, old.runner, old.expiresAt = bodyDigest, runner, expiresAt // its followers stay
+		t.enqueue(old)
 		return old
 	}
-	e := &entry{id: id, body: body, runner: runner, end: end, place: noPlace, prior: old}
+	e := &entry{id: id, bodyDigest: bodyDigest, runner: runner, expiresAt: expiresAt, heapIndex: notQueued,
+		previous: old}
 	t.entries[id] = e
-	t.list(e)
+	t.enqueue(e)
 	return e
 }
 
-// list puts an entry where its end belongs in the expiry queue.
-func (t *table) list(e *entry) {
-	if e.place == noPlace {
+// enqueue adds an entry to the expiry queue, or moves it after a change of its expiry.
+func (t *table) enqueue(e *entry) {
+	if e.heapIndex == notQueued {
 		heap.Push(&t.expiry, e)
 	} else {
-		heap.Fix(&t.expiry, e.place)
+		heap.Fix(&t.expiry, e.heapIndex)
 	}
 }
 
-// forget gives those that waited for what has never run.
+// forget removes an entry and returns its followers.
 func (t *table) forget(e *entry) []int {
 	t.unlink(e)
 	t.drop(e)
@@ -169,55 +181,55 @@
 	return followers
 }
 
-// unlink takes an entry out of its token's uses.
+// unlink removes an entry from the uses of its token.
 func (t *table) unlink(e *entry) {
 	last := t.entries[e.id]
 	switch {
 	case last != e:
-		for last != nil && last.prior != e {
-			last = last.prior
+		for last != nil && last.previous != e {
+			last = last.previous
 		}
 		if last != nil {
-			last.prior = e.prior
+			last.previous = e.previous
 		}
-	case e.prior != nil:
-		t.entries[e.id] = e.prior
+	case e.previous != nil:
+		t.entries[e.id] = e.previous
 	default:
 		delete(t.entries, e.id)
 	}
-	e.prior = nil
+	e.previous = nil
 }
 
-// drop takes an entry's result and its place in the expiry queue.
+// drop removes an entry's result and takes the entry out of the expiry queue.
 func (t *table) drop(e *entry) {
 	t.dropResult(e)
-	if e.place != noPlace {
-		heap.Remove(&t.expiry, e.place)
+	if e.heapIndex != notQueued {
+		heap.Remove(&t.expiry, e.heapIndex)
 	}
 }
 
 func (t *table) dropResult(e *entry) {
 	t.bytes -= len(e.result)
 	e.result = nil
-	if e.stored != nil {
-		t.results.Remove(e.stored)
-		e.stored = nil
+	if e.resultElement != nil {
+		t.results.Remove(e.resultElement)
+		e.resultElement = nil
 	}
 }
 
-// finish notes the outcome of the try that ran and gives those that wait for it. A result may pass the limit until the next
-// trim: those that wait for it are served first.
-func (t *table) finish(e *entry, how rpc.Outcome, result []byte) []int {
-	if how.NeverRan() {
-		return t.forget(e) // so a further try may run
+// finish records the outcome of the attempt that ran, and returns the followers that wait for it. The result may exceed
+// the limit until the next trim, so that the followers are served first.
+func (t *table) finish(e *entry, outcome rpc.Outcome, result []byte) []int {
+	if outcome.NeverRan() {
+		return t.forget(e) // so that a retry may run
 	}
 	e.state = failed
-	if e.place == noPlace { // its followers get the outcome, and then it goes
-		t.list(e)
+	if e.heapIndex == notQueued { // its window is over: it expires once its followers have the outcome
+		t.enqueue(e)
 	}
-	if how == rpc.OK {
-		e.state, e.result = kept, result
-		e.stored = t.results.PushBack(e)
+	if outcome == rpc.OK {
+		e.state, e.result = succeeded, result
+		e.resultElement = t.results.PushBack(e)
 		t.bytes += len(result)
 	}
 	followers := e.followers
@@ -225,7 +237,7 @@
 	return followers
 }
 
-// trim drops the oldest results past the limit. A repeat of theirs is aborted, and still never run.
+// trim drops the oldest results beyond the limit. Repeats of their RPCs are aborted and still never run.
 func (t *table) trim() {
 	for t.bytes > t.limit && t.results.Len() > 0 {
 		e := t.results.Front().Value.(*entry)
@@ -234,16 +246,16 @@
 	}
 }
 
-// expire forgets tokens past their time. Guards against a process that was stopped, and looks here before it has read what came
-// meanwhile: a repeat among that counts by when it came, and its token is still needed.
+// expire forgets tokens whose time is over. After a pause of the process nothing expires for a while: expire may run
+// before the backlog is read, and a repeat in it, which counts by its arrival, still needs its token.
 func (t *table) expire(now float64) {
-	if now-t.looked > asleep {
-		t.holds = now + unread
+	if now-t.lastExpiry > pauseThreshold {
+		t.holdUntil = now + maxReadDelay
 	}
-	t.looked = now
-	for now >= t.holds && len(t.expiry) > 0 && t.expiry[0].end+unread < now {
+	t.lastExpiry = now
+	for now >= t.holdUntil && len(t.expiry) > 0 && t.expiry[0].expiresAt+maxReadDelay < now {
 		e := heap.Pop(&t.expiry).(*entry)
-		if !e.inHand() { // else it stays until its outcome is there
+		if !e.isPending() { // a pending entry stays until its outcome is known
 			t.forget(e)
 		}
 	}
--- a/gate/tokens_test.go
+++ b/gate/tokens_test.go
@@ -7,21 +7,21 @@
 	"valveglade/rpc"
 )
 
-// A repeat takes the place of a held try, waits for one that runs, gets the kept result of one that ran, and
-// runs again only after the window.
+// A repeat replaces a queued attempt, waits for one that runs, and gets the kept result of one that ran. It runs again
+// only after the window.
 func Example_repeats() {
-	s := open(1, 1000)
-	s.arrive("busy", read, "")
-	s.arrive("a1", write, "t")
-	s.arrive("a2", write, "t")
-	s.report("busy", rpc.OK, "")
-	s.arrive("a3", write, "t")
-	s.arrive("a4", write, "t")
-	s.gone("a4")
-	s.report("a2", rpc.OK, "done")
-	s.arrive("a5", write, "t")
-	s.pass(10.1)
-	s.arrive("a6", write, "t")
+	h := newHarness(1, 1000)
+	h.arrive("busy", read, "")
+	h.arrive("a1", write, "t")
+	h.arrive("a2", write, "t")
+	h.report("busy", rpc.OK, "")
+	h.arrive("a3", write, "t")
+	h.arrive("a4", write, "t")
+	h.callerGone("a4")
+	h.report("a2", rpc.OK, "done")
+	h.arrive("a5", write, "t")
+	h.advance(10.1)
+	h.arrive("a6", write, "t")
 	// Output:
 	//  0.00 busy: run
 	//  0.00 a1: pushed back
@@ -33,17 +33,17 @@
 	// 10.10 a6: run
 }
 
-// A failed run is never run again; one that is proven not to have started is forgotten.
+// A failed RPC never runs again. One that is proven not to have started is forgotten.
 func Example_failed() {
-	s := open(1, 1000)
-	s.arrive("a1", write, "t")
-	s.arrive("a2", write, "t")
-	s.report("a1", rpc.Error, "")
-	s.arrive("a3", write, "t")
-	s.arrive("b1", write, "u")
-	s.gone("b1")
-	s.report("b1", rpc.NotStarted, "")
-	s.arrive("b2", write, "u")
+	h := newHarness(1, 1000)
+	h.arrive("a1", write, "t")
+	h.arrive("a2", write, "t")
+	h.report("a1", rpc.Error, "")
+	h.arrive("a3", write, "t")
+	h.arrive("b1", write, "u")
+	h.callerGone("b1")
+	h.report("b1", rpc.NotStarted, "")
+	h.arrive("b2", write, "u")
 	// Output:
 	//  0.00 a1: run
 	//  0.00 a1: aborted
@@ -53,27 +53,27 @@
 	//  0.00 b2: run
 }
 
-// The outcome of a tokened RPC whose caller has left is kept for the repeat.
+// The result of a tokened RPC whose caller is gone is kept for a repeat.
 func Example_kept() {
-	s := open(1, 1000)
-	s.arrive("a1", write, "t")
-	s.gone("a1")
-	s.arrive("a2", write, "t")
-	s.report("a1", rpc.OK, "done")
+	h := newHarness(1, 1000)
+	h.arrive("a1", write, "t")
+	h.callerGone("a1")
+	h.arrive("a2", write, "t")
+	h.report("a1", rpc.OK, "done")
 	// Output:
 	//  0.00 a1: run
 	//  0.00 a2: ok "done"
 }
 
-// Past the room for results the oldest is dropped; its repeat is aborted, and not run.
-func Example_room() {
-	s := open(2, 8)
+// Beyond the limit on results the oldest one is dropped. A repeat of its RPC is aborted and does not run.
+func Example_resultLimit() {
+	h := newHarness(2, 8)
 	for _, name := range []string{"a", "b"} {
-		s.arrive(name, write, name)
-		s.report(name, rpc.OK, "12345")
+		h.arrive(name, write, name)
+		h.report(name, rpc.OK, "12345")
 	}
-	s.arrive("a2", write, "a")
-	s.arrive("b2", write, "b")
+	h.arrive("a2", write, "a")
+	h.arrive("b2", write, "b")
 	// Output:
 	//  0.00 a: run
 	//  0.00 a: ok "12345"
@@ -83,31 +83,31 @@
 	//  0.00 b2: ok "12345"
 }
 
-// Tokens of refused RPCs leave no trace behind one that is remembered.
+// Tokens of refused RPCs do not stay in the table.
 func Example_refused() {
-	s := open(1, 1000)
-	s.arrive("a", write, "a")
+	h := newHarness(1, 1000)
+	h.arrive("a", write, "a")
 	for k := range 1000 {
-		s.ids["b"], _ = s.Arrive(s.now, write, 0, s.now, s.now+4, 20, false, "b", fmt.Sprint(k), nil, "b")
-		s.CallerGone(s.now, s.ids["b"])
+		h.ids["b"], _ = h.Arrive(h.now, write, 0, h.now, h.now+4, 20, false, "b", fmt.Sprint(k), nil, "b")
+		h.CallerGone(h.now, h.ids["b"])
 	}
-	fmt.Println(len(s.tokens.entries), len(s.tokens.expiry) == 1, len(s.slots))
+	fmt.Println(len(h.tokens.entries), len(h.tokens.expiry) == 1, len(h.slots))
 	// Output:
 	//  0.00 a: run
 	// 1 true 2
 }
 
-// The window counts from recv: a repeat that came to the machine in time is known however late it is read, and
-// one of a try whose recv lies ahead of the clock for as much longer.
+// The window counts from the arrival at the machine. A repeat that arrived in time is recognised however late it is
+// read. If the arrival time of the first attempt lies ahead of the clock, the window is longer by as much.
 func Example_window() {
-	s := open(2, 1000)
-	s.arrive("a1", write, "t")
-	s.report("a1", rpc.OK, "done")
-	s.came("b1", write, s.now+3, "u", "body")
-	s.pass(12)
-	s.came("a2", write, s.now-2.5, "t", "body")
-	s.arrive("b2", write, "u")
-	s.report("b1", rpc.OK, "too")
+	h := newHarness(2, 1000)
+	h.arrive("a1", write, "t")
+	h.report("a1", rpc.OK, "done")
+	h.arriveAt("b1", write, h.now+3, "u", "body")
+	h.advance(12)
+	h.arriveAt("a2", write, h.now-2.5, "t", "body")
+	h.arrive("b2", write, "u")
+	h.report("b1", rpc.OK, "too")
 	// Output:
 	//  0.00 a1: run
 	//  0.00 a1: ok "done"
@@ -117,33 +117,33 @@
 	// 12.00 b2: ok "too"
 }
 
-// A token with another body: once the kernel has proved one body genuine, the other is not taken, and never gets
-// the kept result. Before that the later waits, and runs only if the kernel knew nothing of the earlier; so the
-// genuine RPC and its repeats are served whichever came first. Guards against clients that send what they saw.
+// Guards against clients that send a token they have seen with another body. Once the kernel has accepted one body as
+// genuine, the other is rejected and never gets the kept result. Before that the later RPC waits, and runs only if the
+// kernel did not know the earlier one, so the genuine RPC and its repeats are served in any order of arrival.
 func Example_bodies() {
-	s := open(1, 1000)
-	s.came("a1", write, s.now, "t", "body")
-	s.came("bad1", write, s.now, "t", "other")
-	s.report("a1", rpc.OK, "done")
-	s.came("bad2", write, s.now, "t", "other")
-	s.came("a2", write, s.now, "t", "body")
-	s.came("bad3", write, s.now, "u", "other")
-	s.came("b1", write, s.now, "u", "body")
-	s.came("b2", write, s.now, "u", "body")
-	s.report("bad3", rpc.NotStarted, "")
-	s.report("b1", rpc.OK, "too")
-	s.arrive("busy", read, "")
-	s.came("bad4", write, s.now, "v", "other") // held
-	s.came("c1", write, s.now, "v", "body")
-	s.gone("bad4")
-	s.report("busy", rpc.OK, "")
-	s.report("c1", rpc.OK, "three")
-	fmt.Println(len(s.uids), len(s.tokens.entries))
+	h := newHarness(1, 1000)
+	h.arriveAt("a1", write, h.now, "t", "body")
+	h.arriveAt("bad1", write, h.now, "t", "other")
+	h.report("a1", rpc.OK, "done")
+	h.arriveAt("bad2", write, h.now, "t", "other")
+	h.arriveAt("a2", write, h.now, "t", "body")
+	h.arriveAt("bad3", write, h.now, "u", "other")
+	h.arriveAt("b1", write, h.now, "u", "body")
+	h.arriveAt("b2", write, h.now, "u", "body")
+	h.report("bad3", rpc.NotStarted, "")
+	h.report("b1", rpc.OK, "too")
+	h.arrive("busy", read, "")
+	h.arriveAt("bad4", write, h.now, "v", "other") // queued
+	h.arriveAt("c1", write, h.now, "v", "body")
+	h.callerGone("bad4")
+	h.report("busy", rpc.OK, "")
+	h.report("c1", rpc.OK, "three")
+	fmt.Println(len(h.uids), len(h.tokens.entries))
 	// Output:
 	//  0.00 a1: run
 	//  0.00 a1: ok "done"
 	//  0.00 bad1: aborted
-	//  0.00 bad2: not taken
+	//  0.00 bad2: rejected
 	//  0.00 a2: ok "done"
 	//  0.00 bad3: run
 	//  0.00 bad3: aborted
@@ -157,22 +157,22 @@
 	// 0 3
 }
 
-// A process that was stopped for longer than a window, with a repeat unread that came within it: whichever is first when it goes
-// on, the look at the time or the reader, the repeat does not run. Once it has been reading for a while the token is free.
-func Example_stopped() {
-	for _, lookFirst := range []bool{true, false} {
-		s := open(2, 1000)
-		s.arrive("a1", write, "t")
-		s.pass(0.1)
-		s.report("a1", rpc.OK, "done")
-		s.now += 30 // stopped
-		if lookFirst {
-			s.pass(0.1)
+// The process is paused for longer than a window, with an unread repeat that arrived within it. Whether the tick or the
+// read comes first afterwards, the repeat does not run. After some time of reading the token is free again.
+func Example_pausedProcess() {
+	for _, tickFirst := range []bool{true, false} {
+		h := newHarness(2, 1000)
+		h.arrive("a1", write, "t")
+		h.advance(0.1)
+		h.report("a1", rpc.OK, "done")
+		h.now += 30 // paused
+		if tickFirst {
+			h.advance(0.1)
 		}
-		s.came("a2", write, s.now-25, "t", "body")
-		s.pass(unread + 0.1)
-		s.arrive("b1", write, "t")
-		fmt.Println(len(s.tokens.entries), len(s.tokens.expiry))
+		h.arriveAt("a2", write, h.now-25, "t", "body")
+		h.advance(maxReadDelay + 0.1)
+		h.arrive("b1", write, "t")
+		fmt.Println(len(h.tokens.entries), len(h.tokens.expiry))
 	}
 	// Output:
 	//  0.00 a1: run
@@ -187,26 +187,28 @@
 	// 1 1
 }
 
-// A window shorter than a run: its repeats wait for the outcome, also those past the window and those that follow for
-// longer than tokens are kept, and none runs beside it. Then the token is free.
+// With a window shorter than a run, repeats wait for the outcome, even after the window and for longer than tokens are
+// kept, and none runs concurrently. Then the token is free again.
 func Example_shortWindow() {
-	s := openTold(2, 1000, func(c *rpc.Settings) { c.Methods[write].Window, c.Methods[write].Deadline = 1, 20 })
+	h := newHarnessWith(2, 1000, func(settings *rpc.Settings) {
+		settings.Methods[write].Window, settings.Methods[write].Deadline = 1, 20
+	})
 	send := func(name string) {
-		s.ids[name], _ = s.Arrive(s.now, write, 0, s.now, s.now+20, 20, false, name, "t", []byte("body"), name)
-		s.say()
+		h.ids[name], _ = h.Arrive(h.now, write, 0, h.now, h.now+20, 20, false, name, "t", []byte("body"), name)
+		h.printJobs()
 	}
 	send("a1")
-	s.pass(0.5)
+	h.advance(0.5)
 	send("a2")
-	s.pass(1)
+	h.advance(1)
 	send("a3")
-	s.pass(unread + 1)
+	h.advance(maxReadDelay + 1)
 	send("a4")
-	s.report("a1", rpc.OK, "done")
-	s.pass(0.1)
-	fmt.Println(len(s.tokens.entries), len(s.tokens.expiry), s.tokens.results.Len(), s.tokens.bytes)
+	h.report("a1", rpc.OK, "done")
+	h.advance(0.1)
+	fmt.Println(len(h.tokens.entries), len(h.tokens.expiry), h.tokens.results.Len(), h.tokens.bytes)
 	send("b1")
-	s.pass(1)
+	h.advance(1)
 	// Output:
 	//  0.00 a1: run
 	//  7.50 a1: ok "done"
@@ -217,29 +219,29 @@
 	//  7.60 b1: run
 }
 
-// One method's window is a day, another's a second: tokens of the second go after theirs, however many of the first came
-// before them.
+// One method has a window of a day, another of a second. Tokens of the second expire after theirs, also behind earlier
+// tokens of the first.
 func Example_windowsApart() {
-	s := openTold(2, 1000, func(c *rpc.Settings) {
-		c.Methods = append(c.Methods, c.Methods[write])
-		c.Methods[write].Window = 86400
-		c.Methods[write+1].Window = 1
-		c.Machine.EntryKB = 0.01
+	h := newHarnessWith(2, 1000, func(settings *rpc.Settings) {
+		settings.Methods = append(settings.Methods, settings.Methods[write])
+		settings.Methods[write].Window = 86400
+		settings.Methods[write+1].Window = 1
+		settings.Machine.EntryKB = 0.01
 	})
-	s.arrive("day", write, "day")
-	s.report("day", rpc.OK, "1")
+	h.arrive("day", write, "day")
+	h.report("day", rpc.OK, "1")
 	for k := range 100 {
-		s.ids["x"], _ = s.Arrive(s.now, write+1, 0, s.now, s.now+4, 20, false, "x", fmt.Sprint(k), nil, "x")
-		s.Report(s.now, s.ids["x"], rpc.OK, 0.1, []byte("result"))
+		h.ids["x"], _ = h.Arrive(h.now, write+1, 0, h.now, h.now+4, 20, false, "x", fmt.Sprint(k), nil, "x")
+		h.Report(h.now, h.ids["x"], rpc.OK, 0.1, []byte("result"))
 	}
-	none, stop := context.WithCancel(context.Background())
-	stop()
-	for job, err := s.NextJob(none); err == nil; job, err = s.NextJob(none) {
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	for job, err := h.NextJob(cancelled); err == nil; job, err = h.NextJob(cancelled) {
 		_ = job
 	}
-	s.pass(unread + 2)
-	fmt.Println(len(s.tokens.entries), s.tokens.bytes)
-	s.arrive("day again", write, "day")
+	h.advance(maxReadDelay + 2)
+	fmt.Println(len(h.tokens.entries), h.tokens.bytes)
+	h.arrive("day again", write, "day")
 	// Output:
 	//  0.00 day: run
 	//  0.00 day: ok "1"
@@ -247,15 +249,17 @@
 	//  7.00 day again: ok "1"
 }
 
-// Two methods number their tokens each on its own: the same token under both is two RPCs, and each has its own result.
+// Each method has its own tokens: the same token under two methods means two RPCs, each with its own result.
 func Example_tokensOfTwoMethods() {
-	s := openTold(2, 1000, func(c *rpc.Settings) { c.Methods = append(c.Methods, c.Methods[write]) })
-	s.arrive("a1", write, "t")
-	s.arrive("b1", write+1, "t")
-	s.report("a1", rpc.OK, "of a")
-	s.report("b1", rpc.OK, "of b")
-	s.arrive("b2", write+1, "t")
-	s.arrive("a2", write, "t")
+	h := newHarnessWith(2, 1000, func(settings *rpc.Settings) {
+		settings.Methods = append(settings.Methods, settings.Methods[write])
+	})
+	h.arrive("a1", write, "t")
+	h.arrive("b1", write+1, "t")
+	h.report("a1", rpc.OK, "of a")
+	h.report("b1", rpc.OK, "of b")
+	h.arrive("b2", write+1, "t")
+	h.arrive("a2", write, "t")
 	// Output:
 	//  0.00 a1: run
 	//  0.00 b1: run
@@ -265,14 +269,14 @@
 	//  0.00 a2: ok "of a"
 }
 
-// Where no results are kept at all, those that waited for one get it all the same, and later repeats are aborted, not run.
-func Example_keepNothing() {
-	s := open(1, 0)
-	s.arrive("a1", write, "t")
-	s.arrive("a2", write, "t")
-	s.report("a1", rpc.OK, "done")
-	s.arrive("a3", write, "t")
-	fmt.Println(s.tokens.bytes, s.tokens.results.Len())
+// Without memory for results, waiting repeats still get the result, and later repeats are aborted and do not run.
+func Example_noKeptResults() {
+	h := newHarness(1, 0)
+	h.arrive("a1", write, "t")
+	h.arrive("a2", write, "t")
+	h.report("a1", rpc.OK, "done")
+	h.arrive("a3", write, "t")
+	fmt.Println(h.tokens.bytes, h.tokens.results.Len())
 	// Output:
 	//  0.00 a1: run
 	//  0.00 a1: ok "done"
@@ -281,29 +285,29 @@
 	// 0 0
 }
 
-// A window of days and tokens that cost the machine nothing, or next to it: the process's own memory bounds them. Past that
-// tokened RPCs are pushed back, others run.
-func Example_tokensBound() {
+// With a window of days and tokens that cost the machine no or hardly any memory, the process's own memory bounds their
+// number. Beyond it tokened RPCs are pushed back and others run.
+func Example_tokenLimit() {
 	for _, memory := range []float64{0, 4000, 1e12} {
 		for _, entry := range []float64{0, 1e-9} {
-			s := openTold(2, 0, func(c *rpc.Settings) {
-				c.Methods[write].Window = 30 * 86400
-				c.Machine.EntryKB, c.Machine.MemoryKB = entry, memory
+			h := newHarnessWith(2, 0, func(settings *rpc.Settings) {
+				settings.Methods[write].Window = 30 * 86400
+				settings.Machine.EntryKB, settings.Machine.MemoryKB = entry, memory
 			})
-			did := map[Action]int{}
-			none, stop := context.WithCancel(context.Background())
-			stop()
-			for k := range 2 * leastTokens {
-				id, _ := s.Arrive(s.now, write, 0, s.now, s.now+4, 20, false, "x", fmt.Sprint(k), nil, "x")
-				s.Report(s.now, id, rpc.OK, 0.01, nil)
-				s.now += 0.1
-				for job, err := s.NextJob(none); err == nil; job, err = s.NextJob(none) {
-					did[job.Action]++
+			count := map[Action]int{}
+			cancelled, cancel := context.WithCancel(context.Background())
+			cancel()
+			for k := range 2 * minTokens {
+				id, _ := h.Arrive(h.now, write, 0, h.now, h.now+4, 20, false, "x", fmt.Sprint(k), nil, "x")
+				h.Report(h.now, id, rpc.OK, 0.01, nil)
+				h.now += 0.1
+				for job, err := h.NextJob(cancelled); err == nil; job, err = h.NextJob(cancelled) {
+					count[job.Action]++
 				}
 			}
-			fmt.Println(memory, entry, did[Run] == len(s.tokens.entries), did[Run] > leastTokens*9/10, did[Run] <= leastTokens+1,
-				did[Serve] == did[Run], did[Run]+did[PushBack] == 2*leastTokens)
-			s.arrive("read", read, "")
+			fmt.Println(memory, entry, count[Run] == len(h.tokens.entries), count[Run] > minTokens*9/10,
+				count[Run] <= minTokens+1, count[Serve] == count[Run], count[Run]+count[PushBack] == 2*minTokens)
+			h.arrive("read", read, "")
 		}
 	}
 	// Output:
@@ -321,30 +325,30 @@
 	// 204.80 read: run
 }
 
-// A window is over and the token comes again, but what it came with within the window is read only now: this neither takes
-// the place of the later one, nor runs once that is given up or was told apart by the kernel.
+// A token is used again after its window, and then a repeat that arrived within the window is read. It neither replaces
+// the later RPC, nor runs once that one is abandoned or found not genuine by the kernel.
 func Example_readLate() {
-	s := openTold(1, 1000, func(c *rpc.Settings) { c.Methods[write].Window = 1 })
-	s.arrive("a1", write, "t")
-	s.report("a1", rpc.OK, "first")
-	s.pass(1.5)
-	s.arrive("busy", read, "")
-	s.arrive("b1", write, "t") // held
-	s.came("a2", write, s.now-1, "t", "body")
-	s.gone("b1")
-	s.came("a3", write, s.now-0.6, "t", "body")
-	s.report("busy", rpc.OK, "")
-	s.arrive("b2", write, "t")
-	s.came("a4", write, s.now-1, "t", "body")
-	s.report("b2", rpc.NotStarted, "")
-	s.came("a5", write, s.now-1, "t", "body")
-	s.arrive("b3", write, "t")
-	s.report("b3", rpc.OK, "second")
-	s.came("a6", write, s.now-1, "t", "body")
-	s.arrive("b4", write, "t")
-	fmt.Println(len(s.tokens.expiry), s.tokens.bytes)
-	s.pass(1 + unread + 0.1)
-	fmt.Println(len(s.tokens.expiry), len(s.tokens.entries), s.tokens.bytes)
+	h := newHarnessWith(1, 1000, func(settings *rpc.Settings) { settings.Methods[write].Window = 1 })
+	h.arrive("a1", write, "t")
+	h.report("a1", rpc.OK, "first")
+	h.advance(1.5)
+	h.arrive("busy", read, "")
+	h.arrive("b1", write, "t") // queued
+	h.arriveAt("a2", write, h.now-1, "t", "body")
+	h.callerGone("b1")
+	h.arriveAt("a3", write, h.now-0.6, "t", "body")
+	h.report("busy", rpc.OK, "")
+	h.arrive("b2", write, "t")
+	h.arriveAt("a4", write, h.now-1, "t", "body")
+	h.report("b2", rpc.NotStarted, "")
+	h.arriveAt("a5", write, h.now-1, "t", "body")
+	h.arrive("b3", write, "t")
+	h.report("b3", rpc.OK, "second")
+	h.arriveAt("a6", write, h.now-1, "t", "body")
+	h.arrive("b4", write, "t")
+	fmt.Println(len(h.tokens.expiry), h.tokens.bytes)
+	h.advance(1 + maxReadDelay + 0.1)
+	fmt.Println(len(h.tokens.expiry), len(h.tokens.entries), h.tokens.bytes)
 	// Output:
 	//  0.00 a1: run
 	//  0.00 a1: ok "first"
@@ -364,13 +368,13 @@
 	// 0 0 0
 }
 
-// A try whose recv lies years ahead of the clock keeps its token for its window and maxAhead, and no longer.
-func Example_farAhead() {
-	s := open(1, 1000)
-	s.came("a", write, s.now+1e9, "t", "body")
-	s.report("a", rpc.OK, "done")
-	s.pass(11 + maxAhead + unread)
-	fmt.Println(len(s.tokens.entries))
+// An attempt whose arrival time lies years ahead of the clock keeps its token for its window and maxClockSkew only.
+func Example_clockSkew() {
+	h := newHarness(1, 1000)
+	h.arriveAt("a", write, h.now+1e9, "t", "body")
+	h.report("a", rpc.OK, "done")
+	h.advance(11 + maxClockSkew + maxReadDelay)
+	fmt.Println(len(h.tokens.entries))
 	// Output:
 	//  0.00 a: run
 	//  0.00 a: ok "done"
