--- a/gate/random_test.go
+++ b/gate/random_test.go
@@ -162,7 +162,7 @@
 		if a.token != "" && other != a && other.method == a.method && other.token == a.token && other.started &&
 			!other.provenNotRun && !other.forged && !a.forged &&
 			(!other.ended || a.arrivedAt <= other.arrivedAt+s.settings.Methods[a.method].Window) {
-			s.violation(a, fmt.Sprintf("arrived at %.4f, run within the window %g of %s, arrived at %.4f, ended %v, never ran %v",
+			s.violation(a, fmt.Sprintf("arrived %.4f, run within the window %g of %s, arrived %.4f, ended %v, never ran %v",
 				a.arrivedAt, s.settings.Methods[a.method].Window, other.name, other.arrivedAt, other.ended,
 				other.provenNotRun))
 		}
--- a/logic/pressure/growth.go
+++ b/logic/pressure/growth.go
@@ -27,9 +27,9 @@
 
 // leakFactor returns the configured forecast divided by the time left to the memory limit, or 0 without
 // steady growth.
-func (w *Monitor) leakFactor(now, memory float64) float64 {
-	g := &w.growth
-	if w.Forecast <= 0 || w.GrowthWindow <= 0 {
+func (m *Monitor) leakFactor(now, memory float64) float64 {
+	g := &m.growth
+	if m.Forecast <= 0 || m.GrowthWindow <= 0 {
 		return 0
 	}
 	if memory >= 0 {
@@ -37,7 +37,7 @@
 			g.lowest, g.segmentStart = memory, now
 		}
 		g.lowest = min(g.lowest, memory)
-		if now-g.segmentStart >= w.GrowthWindow/segments {
+		if now-g.segmentStart >= m.GrowthWindow/segments {
 			copy(g.floors[:], g.floors[1:])
 			g.floors[segments-1] = g.lowest
 			g.filled = min(g.filled+1, segments)
@@ -57,18 +57,18 @@
 	if rise < minGrowth*share || rise < minMonotonicShare*variation || lateRise < minLateShare*rise {
 		return 0
 	}
-	secondsLeft := (1 - floors[len(floors)-1]) / rise * share * w.GrowthWindow
+	secondsLeft := (1 - floors[len(floors)-1]) / rise * share * m.GrowthWindow
 	if secondsLeft <= 0 {
 		return math.MaxFloat64
 	}
-	return w.Forecast / secondsLeft
+	return m.Forecast / secondsLeft
 }
 
 // TimeToMemoryLimit returns the seconds left until memory reaches its limit if it keeps growing, or +Inf if
 // it does not grow.
-func (w *Monitor) TimeToMemoryLimit() float64 {
-	if factor := w.current[Leak]; factor > 0 {
-		return w.Forecast / factor
+func (m *Monitor) TimeToMemoryLimit() float64 {
+	if factor := m.current[Leak]; factor > 0 {
+		return m.Forecast / factor
 	}
 	return math.Inf(1)
 }
--- a/logic/pressure/pressure.go
+++ b/logic/pressure/pressure.go
@@ -75,55 +75,55 @@
 
 // New returns a monitor at level Calm.
 func New(now float64, config Config) *Monitor {
-	w := &Monitor{Config: config, levelSince: now, updatedAt: now, worseAt: now, fellAt: math.Inf(-1),
+	m := &Monitor{Config: config, levelSince: now, updatedAt: now, worseAt: now, fellAt: math.Inf(-1),
 		flappedAt: math.Inf(-1), fallBackoff: 1, loadShare: 1, memoryShare: 1, knee: 1, cutAt: now,
 		methods:     make([]methodStats, len(config.Criticality)),
 		admitShares: make([]float64, len(config.Criticality)),
 		current:     Unknown(), previous: Unknown()}
-	for k := range w.admitShares {
-		w.admitShares[k] = 1
+	for k := range m.admitShares {
+		m.admitShares[k] = 1
 	}
-	return w
+	return m
 }
 
 // Level returns the current level.
-func (w *Monitor) Level() Level { return w.level }
+func (m *Monitor) Level() Level { return m.level }
 
 // Causes returns the names of the signals that last raised or held the level, separated by spaces.
-func (w *Monitor) Causes() string {
+func (m *Monitor) Causes() string {
 	var causeNames []string
-	for _, cause := range w.causes {
+	for _, cause := range m.causes {
 		causeNames = append(causeNames, cause.String())
 	}
 	return strings.Join(causeNames, " ")
 }
 
 // LastValue returns the value of a signal in the last reading.
-func (w *Monitor) LastValue(s Signal) float64 { return w.current[s] }
+func (m *Monitor) LastValue(s Signal) float64 { return m.current[s] }
 
 // Update processes a reading and reports whether the level has changed. arrived and succeeded are the totals
 // by method since the start.
-func (w *Monitor) Update(now float64, r Reading, arrived, succeeded []uint64) bool {
-	now = max(now, w.updatedAt) // time does not go back here when the clock is set back
-	elapsed := now - w.updatedAt
-	w.updatedAt = now
+func (m *Monitor) Update(now float64, r Reading, arrived, succeeded []uint64) bool {
+	now = max(now, m.updatedAt) // time does not go back here when the clock is set back
+	elapsed := now - m.updatedAt
+	m.updatedAt = now
 	r = sanitize(r)
-	r[Leak] = w.leakFactor(now, r[Memory])
-	w.previous, w.current = w.current, r
-	w.updateRates(elapsed, arrived, succeeded)
-	level, causes := w.evaluate(r, 1)
-	holdLevel, _ := w.evaluate(r, hysteresis)
-	changed := w.updateLevel(now, level, holdLevel, causes)
-	w.updateShares(now, elapsed, r)
+	r[Leak] = m.leakFactor(now, r[Memory])
+	m.previous, m.current = m.current, r
+	m.updateRates(elapsed, arrived, succeeded)
+	level, causes := m.evaluate(r, 1)
+	holdLevel, _ := m.evaluate(r, hysteresis)
+	changed := m.updateLevel(now, level, holdLevel, causes)
+	m.updateShares(now, elapsed, r)
 	return changed
 }
 
 // evaluate returns the worst level of all signals, and the signals at that level.
-func (w *Monitor) evaluate(r Reading, scale float64) (worst Level, causes []Signal) {
+func (m *Monitor) evaluate(r Reading, scale float64) (worst Level, causes []Signal) {
 	var levelOf [Signals]Level
 	busy := false // a signal other than those that depend on callers' clocks is above Calm
 	for s := range Signals {
-		levelOf[s] = w.Thresholds[s].levelAt(r[s], scale)
+		levelOf[s] = m.Thresholds[s].levelAt(r[s], scale)
 		if s != ReadDelay && s <= Throttled && levelOf[s] > Calm {
 			busy = true
 		}
@@ -144,46 +144,46 @@
 
 // updateLevel raises the level once two consecutive readings are above it, and lowers it by one after a time
 // of better readings. holdLevel is the level of the reading with hysteresis applied.
-func (w *Monitor) updateLevel(now float64, level, holdLevel Level, causes []Signal) bool {
-	before := w.level
-	confirmed := min(level, w.lastLevel)
-	w.lastLevel = level
+func (m *Monitor) updateLevel(now float64, level, holdLevel Level, causes []Signal) bool {
+	before := m.level
+	confirmed := min(level, m.lastLevel)
+	m.lastLevel = level
 	switch {
-	case confirmed > w.level:
-		if now-w.fellAt < flapWindow {
-			w.fallBackoff = min(2*w.fallBackoff, maxFallBackoff)
-			w.flappedAt = now
+	case confirmed > m.level:
+		if now-m.fellAt < flapWindow {
+			m.fallBackoff = min(2*m.fallBackoff, maxFallBackoff)
+			m.flappedAt = now
 		}
-		w.level, w.worseAt = confirmed, now
-		w.causes = causes
-	case holdLevel >= w.level:
-		w.worseAt = now
+		m.level, m.worseAt = confirmed, now
+		m.causes = causes
+	case holdLevel >= m.level:
+		m.worseAt = now
 		if holdLevel > Calm {
-			w.causes = causes
+			m.causes = causes
 		}
-	case w.level > Wary && w.level <= Pressed && w.loadShare < recoveredShare:
-		w.worseAt = now // the readings are good only because so few RPCs are admitted
-	case w.level > Calm && now-w.worseAt >= w.FallTime*w.fallBackoff:
-		w.level--
-		w.worseAt, w.fellAt = now, now
+	case m.level > Wary && m.level <= Pressed && m.loadShare < recoveredShare:
+		m.worseAt = now // the readings are good only because so few RPCs are admitted
+	case m.level > Calm && now-m.worseAt >= m.FallTime*m.fallBackoff:
+		m.level--
+		m.worseAt, m.fellAt = now, now
 	}
-	if w.fallBackoff > 1 && now-w.flappedAt > flapMemory {
-		w.fallBackoff, w.flappedAt = w.fallBackoff/2, now
+	if m.fallBackoff > 1 && now-m.flappedAt > flapMemory {
+		m.fallBackoff, m.flappedAt = m.fallBackoff/2, now
 	}
-	if w.level != before {
-		w.levelSince = now
+	if m.level != before {
+		m.levelSince = now
 	}
-	return w.level != before
+	return m.level != before
 }
 
 // overload returns the worst ratio of a signal to its Pressed threshold, over the signals that admitting
 // fewer RPCs relieves at once. The lower of the last two readings counts, so that a single late timer is no
 // overload.
-func (w *Monitor) overload(r Reading) float64 {
+func (m *Monitor) overload(r Reading) float64 {
 	worst := 0.0
 	for _, s := range []Signal{LoopDelay, LockWait, LinkQueue, ReadDelay, Scheduler, Collector} {
-		if threshold := w.Thresholds[s][Pressed-1]; r[s] >= 0 && w.previous[s] >= 0 && threshold > 0 {
-			worst = max(worst, min(r[s], w.previous[s])/threshold)
+		if threshold := m.Thresholds[s][Pressed-1]; r[s] >= 0 && m.previous[s] >= 0 && threshold > 0 {
+			worst = max(worst, min(r[s], m.previous[s])/threshold)
 		}
 	}
 	return worst
@@ -191,10 +191,10 @@
 
 // memoryCapacity returns the share of RPCs that memory can bear: all of them up to the Pressed threshold,
 // none at the Shut threshold.
-func (w *Monitor) memoryCapacity(r Reading) float64 {
+func (m *Monitor) memoryCapacity(r Reading) float64 {
 	share := 1.0
 	for _, s := range []Signal{Memory, PendingReplies} {
-		thresholds := w.Thresholds[s]
+		thresholds := m.Thresholds[s]
 		if from, to := thresholds[Pressed-1], thresholds[Shut-1]; r[s] >= 0 && to > from && from > 0 &&
 			!math.IsInf(to, 1) {
 			share = min(share, max(0, (to-r[s])/(to-from)))
@@ -204,47 +204,47 @@
 }
 
 // updateShares sets the admitted share of each method.
-func (w *Monitor) updateShares(now, elapsed float64, r Reading) {
-	w.memoryShare = w.memoryCapacity(r)
-	overload := w.overload(r)
+func (m *Monitor) updateShares(now, elapsed float64, r Reading) {
+	m.memoryShare = m.memoryCapacity(r)
+	overload := m.overload(r)
 	switch {
-	case w.level < Pressed:
-		w.loadShare = min(1, w.loadShare+calmGrowthRate*elapsed)
-		w.knee = 1
-	case overload > 1 && overload >= fallingRatio*w.lastOverload && now-w.cutAt >= cutInterval:
-		if now-w.cutAt > overloadGap {
-			w.knee = w.loadShare
+	case m.level < Pressed:
+		m.loadShare = min(1, m.loadShare+calmGrowthRate*elapsed)
+		m.knee = 1
+	case overload > 1 && overload >= fallingRatio*m.lastOverload && now-m.cutAt >= cutInterval:
+		if now-m.cutAt > overloadGap {
+			m.knee = m.loadShare
 		}
-		w.loadShare = max(minShare, w.loadShare*max(minCutFactor, 1-cutGain*(overload-1)))
-		w.cutAt = now
+		m.loadShare = max(minShare, m.loadShare*max(minCutFactor, 1-cutGain*(overload-1)))
+		m.cutAt = now
 	case overload < growBelow:
-		if goal := kneeShare * w.knee; w.loadShare < goal {
-			w.loadShare += (goal - w.loadShare) * min(1, kneeApproachRate*elapsed)
+		if goal := kneeShare * m.knee; m.loadShare < goal {
+			m.loadShare += (goal - m.loadShare) * min(1, kneeApproachRate*elapsed)
 		}
-		w.loadShare = min(1, w.loadShare+(probeRate+probeAcceleration*max(0, now-w.cutAt-probeDelay))*elapsed)
+		m.loadShare = min(1, m.loadShare+(probeRate+probeAcceleration*max(0, now-m.cutAt-probeDelay))*elapsed)
 	}
-	w.lastOverload = overload
-	share := min(w.loadShare, w.memoryShare)
-	if w.level == Shut {
+	m.lastOverload = overload
+	share := min(m.loadShare, m.memoryShare)
+	if m.level == Shut {
 		share = min(share, minShare)
-		if w.memoryShare == 0 {
+		if m.memoryShare == 0 {
 			share = 0
 		}
 	}
-	if share >= 1 || w.level < Pressed && w.memoryShare >= 1 {
-		for k := range w.admitShares {
-			w.admitShares[k] = 1
+	if share >= 1 || m.level < Pressed && m.memoryShare >= 1 {
+		for k := range m.admitShares {
+			m.admitShares[k] = 1
 		}
 		return
 	}
-	order := make([]int, len(w.methods))
+	order := make([]int, len(m.methods))
 	totalRate := 0.0
 	for k := range order {
 		order[k] = k
-		totalRate += w.methods[k].rate
+		totalRate += m.methods[k].rate
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		switch x, y := w.effectiveCriticality(a), w.effectiveCriticality(b); {
+		switch x, y := m.effectiveCriticality(a), m.effectiveCriticality(b); {
 		case x > y:
 			return -1
 		case x < y:
@@ -254,7 +254,7 @@
 	})
 	remaining := share * totalRate
 	for _, k := range order {
-		rate := w.methods[k].rate
+		rate := m.methods[k].rate
 		methodShare := 1.0
 		if rate > 0 {
 			methodShare = min(1, max(0, remaining)/rate)
@@ -263,33 +263,34 @@
 		if share > 0 {
 			methodShare = max(methodShare, minMethodShare)
 		}
-		w.admitShares[k] = methodShare
+		m.admitShares[k] = methodShare
 	}
 }
 
 // effectiveCriticality returns the value that methods are ordered by, as in the module: the criticality
 // divided by the recent success share, so that no method starves.
-func (w *Monitor) effectiveCriticality(k int) float64 {
-	m := &w.methods[k]
-	return w.Criticality[k] / max((m.succeeded+1)/(m.arrived+1), minSuccessShare)
+func (m *Monitor) effectiveCriticality(k int) float64 {
+	stats := &m.methods[k]
+	return m.Criticality[k] / max((stats.succeeded+1)/(stats.arrived+1), minSuccessShare)
 }
 
 // updateRates adds the RPCs that arrived and succeeded since the last reading.
-func (w *Monitor) updateRates(elapsed float64, arrived, succeeded []uint64) {
+func (m *Monitor) updateRates(elapsed float64, arrived, succeeded []uint64) {
 	keep := math.Exp2(-elapsed / halfLife)
-	for k := range w.methods {
-		m := &w.methods[k]
-		newArrived, newSucceeded := float64(arrived[k]-m.arrivedTotal), float64(succeeded[k]-m.succeededTotal)
-		m.arrivedTotal, m.succeededTotal = arrived[k], succeeded[k]
-		m.arrived, m.succeeded = m.arrived*keep+newArrived, m.succeeded*keep+newSucceeded
+	for k := range m.methods {
+		stats := &m.methods[k]
+		newArrived, newSucceeded := float64(arrived[k]-stats.arrivedTotal),
+			float64(succeeded[k]-stats.succeededTotal)
+		stats.arrivedTotal, stats.succeededTotal = arrived[k], succeeded[k]
+		stats.arrived, stats.succeeded = stats.arrived*keep+newArrived, stats.succeeded*keep+newSucceeded
 		if elapsed > 0 {
-			m.rate += (newArrived/elapsed - m.rate) * (1 - math.Exp2(-elapsed/(halfLife/4)))
+			stats.rate += (newArrived/elapsed - stats.rate) * (1 - math.Exp2(-elapsed/(halfLife/4)))
 		}
 	}
 }
 
 // AdmitShare returns the share of a method's RPCs to admit.
-func (w *Monitor) AdmitShare(method int) float64 { return w.admitShares[method] }
+func (m *Monitor) AdmitShare(method int) float64 { return m.admitShares[method] }
 
 // Effects holds what the server does at a level, besides refusing RPCs.
 type Effects struct {
@@ -306,23 +307,23 @@
 const strainedFrameBytes = 1200
 
 // Effects returns the effects of the current level; each level adds to those of the milder ones.
-func (w *Monitor) Effects() Effects {
+func (m *Monitor) Effects() Effects {
 	e := Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1,
 		Healthy: true}
-	if w.level >= Wary {
+	if m.level >= Wary {
 		e.MaxTurn = 8 // a third of what one read returns
 		e.CreditFactor = 0.75
 	}
-	if w.level >= Pressed {
+	if m.level >= Pressed {
 		e.MaxTurn = 4
-		e.CreditFactor = 0.75 * max(min(w.loadShare, w.memoryShare), minShare)
+		e.CreditFactor = 0.75 * max(min(m.loadShare, m.memoryShare), minShare)
 		// The delay gives the admitted share time to change before the retry.
-		e.RetryAfter = min(0.25*math.Exp2(float64(w.level-Pressed)), w.MaxRetryAfter)
+		e.RetryAfter = min(0.25*math.Exp2(float64(m.level-Pressed)), m.MaxRetryAfter)
 	}
-	if w.level >= Strained {
+	if m.level >= Strained {
 		e.Accept, e.MaxFrameBytes, e.ResultFactor = false, strainedFrameBytes, 0.5
 	}
-	if w.level >= Shut {
+	if m.level >= Shut {
 		e.ResultFactor, e.Healthy, e.CreditFactor = 0.1, false, 0
 	}
 	return e
--- a/logic/pressure/pressure_test.go
+++ b/logic/pressure/pressure_test.go
@@ -18,7 +18,7 @@
 	rates     []float64 // arrivals per second by method
 }
 
-func newHarness(change func(t *Config)) *harness {
+func newHarness(change func(c *Config)) *harness {
 	config := Defaults()
 	config.Criticality = []float64{1, 5, 30}
 	config.MaxRetryAfter = 2
@@ -129,7 +129,7 @@
 // Steady growth of memory is forecast as a leak. A load that comes and goes, or a process that has warmed up,
 // is not.
 func Example_leak() {
-	short := func(t *Config) { t.GrowthWindow, t.Forecast = 12, 60 }
+	short := func(c *Config) { c.GrowthWindow, c.Forecast = 12, 60 }
 	h := newHarness(short)
 	memory := func(usage func(now float64) float64) func(float64) Reading {
 		return func(now float64) Reading {
@@ -189,7 +189,7 @@
 // A signal that oscillates around a threshold does not make the level flap: each fall that proves too early
 // doubles the time until the next.
 func TestNoFlappingAtThreshold(t *testing.T) {
-	h := newHarness(func(t *Config) { t.Criticality = []float64{1, 5, 30} })
+	h := newHarness(func(c *Config) { c.Criticality = []float64{1, 5, 30} })
 	changes := 0
 	for k := range 120 * 20 {
 		h.now += 0.05
--- a/logic/pressure/read_delay.go
+++ b/logic/pressure/read_delay.go
@@ -17,9 +17,9 @@
 // Update takes the sum in seconds and the number of the delays since the last reading, and returns the delay
 // beyond the baseline, NaN if unknown. stepped reports that this machine's clock was set meanwhile, which
 // invalidates the baseline.
-func (l *ReadDelayEstimator) Update(now, sum float64, n int, stepped bool) float64 {
+func (e *ReadDelayEstimator) Update(now, sum float64, n int, stepped bool) float64 {
 	if stepped {
-		*l = ReadDelayEstimator{}
+		*e = ReadDelayEstimator{}
 		return math.NaN()
 	}
 	if n == 0 {
@@ -29,12 +29,12 @@
 	if math.IsNaN(mean) || math.IsInf(mean, 0) {
 		return math.NaN()
 	}
-	if !l.initialized {
-		l.lowestMeans, l.segmentStart, l.initialized = [2]float64{mean, mean}, now, true
+	if !e.initialized {
+		e.lowestMeans, e.segmentStart, e.initialized = [2]float64{mean, mean}, now, true
 	}
-	if now-l.segmentStart > baselineWindow {
-		l.lowestMeans, l.segmentStart = [2]float64{l.lowestMeans[1], mean}, now
+	if now-e.segmentStart > baselineWindow {
+		e.lowestMeans, e.segmentStart = [2]float64{e.lowestMeans[1], mean}, now
 	}
-	l.lowestMeans[1] = min(l.lowestMeans[1], mean)
-	return mean - min(l.lowestMeans[0], l.lowestMeans[1])
+	e.lowestMeans[1] = min(e.lowestMeans[1], mean)
+	return mean - min(e.lowestMeans[0], e.lowestMeans[1])
 }
--- a/logic/pressure/signal.go
+++ b/logic/pressure/signal.go
@@ -77,12 +77,12 @@
 }
 
 // levelAt returns the level for a value of the signal, with the thresholds scaled.
-func (m Thresholds) levelAt(value, scale float64) Level {
-	if !(value >= 0) || m[0] == 0 && m[1] == 0 { // unknown, or turned off
+func (t Thresholds) levelAt(value, scale float64) Level {
+	if !(value >= 0) || t[0] == 0 && t[1] == 0 { // unknown, or turned off
 		return Calm
 	}
 	for l := Shut; l > Calm; l-- {
-		if value >= m[l-1]*scale {
+		if value >= t[l-1]*scale {
 			return l
 		}
 	}
