--- a/client/client.go
+++ b/client/client.go
@@ -216,7 +216,7 @@
 }
 
 func (c *Client) errorOf(k *call, e attempt.Outcome) error {
-	return &Error{Method: k.name, Server: k.server, Cause: e.Cause, Reach: e.Reach, Tries: e.Tries, Again: e.Again,
+	return &Error{Method: k.name, Server: k.server, Cause: e.Cause, Progress: e.Progress, Tries: e.Tries, Again: e.Again,
 		After: time.Duration(e.After * float64(time.Second)), Why: k.why}
 }
 
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -42,7 +42,7 @@
 	if !errors.As(err, &e) {
 		return fmt.Sprintf("ok %q, %d tries", r.Body, r.Tries)
 	}
-	return fmt.Sprintf("%s, %s, %d tries, again %v", e.Cause, e.Reach, e.Tries, e.Again)
+	return fmt.Sprintf("%s, %s, %d tries, again %v", e.Cause, e.Progress, e.Tries, e.Again)
 }
 
 func eventually(t *testing.T, what string, f func() bool) {
@@ -161,7 +161,7 @@
 	began := time.Now()
 	_, err := c.Call(within(100*time.Millisecond), "m", nil)
 	var e *client.Error
-	if took := time.Since(began); !errors.As(err, &e) || !errors.Is(err, context.DeadlineExceeded) || e.Reach != client.Sent ||
+	if took := time.Since(began); !errors.As(err, &e) || !errors.Is(err, context.DeadlineExceeded) || e.Progress != client.Sent ||
 		took < 100*time.Millisecond || took > time.Second {
 		t.Errorf("late after %v: %v", took, err)
 	}
@@ -177,7 +177,7 @@
 	c.Call(within(50*time.Millisecond), "m", nil) // by then the first connect has failed
 	_, err := c.Call(within(20*time.Millisecond), "m", nil)
 	var e *client.Error
-	if !errors.As(err, &e) || e.Reach != client.NeverSent || !e.Again {
+	if !errors.As(err, &e) || e.Progress != client.NeverSent || !e.Again {
 		t.Errorf("%v", err)
 	}
 }
--- a/client/errors.go
+++ b/client/errors.go
@@ -8,8 +8,8 @@
 	"valveglade/logic/attempt"
 )
 
-// Reach is how far the furthest try of an RPC had come.
-type Reach = attempt.Reach
+// Progress is how far the furthest try of an RPC had come.
+type Progress = attempt.Progress
 
 // What Reach can be.
 const (
@@ -36,11 +36,11 @@
 
 // Error is the outcome of an RPC that was not ok. Find it with errors.As.
 type Error struct {
-	Method string
-	Server string // that had the last try, empty if there was none
-	Cause  Cause
-	Reach  Reach
-	Tries  int
+	Method   string
+	Server   string // that had the last try, empty if there was none
+	Cause    Cause
+	Progress Progress
+	Tries    int
 	// Again reports whether the RPC may be asked for again without the risk of a second effect: it never ran, or it is
 	// idempotent, and no app server has forbidden it.
 	Again bool
@@ -49,7 +49,7 @@
 }
 
 func (e *Error) Error() string {
-	s := fmt.Sprintf("%s: %s (%s, %d tries", e.Method, e.Cause, e.Reach, e.Tries)
+	s := fmt.Sprintf("%s: %s (%s, %d tries", e.Method, e.Cause, e.Progress, e.Tries)
 	if e.Server != "" {
 		s += ", last at " + e.Server
 	}
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -6,17 +6,17 @@
 // have run, unless the RPC is idempotent or its token guards it at the app server that had it.
 package attempt
 
-// Reach is how far the furthest try of an RPC had come.
-type Reach uint8
+// Progress is how far the furthest try of an RPC had come.
+type Progress uint8
 
 const (
-	NeverSent  Reach = iota // no byte of it left
-	PushedBack              // sent, and refused: it never ran
-	Sent                    // sent, and its outcome is unknown
-	Ran                     // an app server said that it ran, or may have
+	NeverSent  Progress = iota // no byte of it left
+	PushedBack                 // sent, and refused: it never ran
+	Sent                       // sent, and its outcome is unknown
+	Ran                        // an app server said that it ran, or may have
 )
 
-func (r Reach) String() string { return [...]string{"never sent", "pushed back", "sent", "ran"}[r] }
+func (r Progress) String() string { return [...]string{"never sent", "pushed back", "sent", "ran"}[r] }
 
 // Cause is why an RPC ended.
 type Cause uint8
@@ -40,12 +40,12 @@
 
 // Outcome is the one outcome of an RPC.
 type Outcome struct {
-	Cause  Cause
-	Reach  Reach
-	Tries  int
-	Server int     // of the last try, -1 if there was none
-	Again  bool    // whether the caller may ask for it again without the risk of a second effect
-	After  float64 // not before that many seconds; 0 where nothing was said
+	Cause    Cause
+	Progress Progress
+	Tries    int
+	Server   int     // of the last try, -1 if there was none
+	Again    bool    // whether the caller may ask for it again without the risk of a second effect
+	After    float64 // not before that many seconds; 0 where nothing was said
 }
 
 // ID identifies an open RPC. An index is used again for another RPC, with another generation.
--- a/logic/attempt/requests.go
+++ b/logic/attempt/requests.go
@@ -45,7 +45,7 @@
 	deadline    float64
 	sequence    uint64  // of arrival
 	retryAt     float64 // while backing off
-	reach       Reach
+	reach       Progress
 	tries       int
 	server      int    // of the last try, -1 before the first
 	pinned      bool   // to that app server, as it may have run there
@@ -115,7 +115,7 @@
 	if cause == Late && w.cause == Refused && w.reach == PushedBack {
 		cause = Refused // that is what the caller can make use of
 	}
-	e := Outcome{Cause: cause, Reach: w.reach, Tries: w.tries, Server: w.server, After: w.after}
+	e := Outcome{Cause: cause, Progress: w.reach, Tries: w.tries, Server: w.server, After: w.after}
 	if cause == Served {
 		e.After = 0
 	} else {
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -84,7 +84,7 @@
 
 // retryOrFinish decides what becomes of an RPC of which a try has failed, having come as far as reach. Nothing is kept
 // back: what cannot be retried in time is returned to the caller now.
-func (d *Dispatcher) retryOrFinish(i int, reach Reach, cause Cause, after float64) {
+func (d *Dispatcher) retryOrFinish(i int, reach Progress, cause Cause, after float64) {
 	w := &d.rpcs[i]
 	w.reach = max(w.reach, reach)
 	w.cause, w.after = cause, after
