--- a/client/client.go
+++ b/client/client.go
@@ -174,7 +174,7 @@
 		return Result{}, &Error{Method: method, Cause: Aborted, Why: err.Error()}
 	}
 	if err := ctx.Err(); err != nil {
-		return Result{}, c.errorOf(k, attempt.Outcome{Cause: causeOf(err), Again: true})
+		return Result{}, c.errorOf(k, attempt.Outcome{Cause: causeOf(err), SafeToRetry: true})
 	}
 	due, ok := ctx.Deadline()
 	if !ok {
@@ -216,7 +216,7 @@
 }
 
 func (c *Client) errorOf(k *call, e attempt.Outcome) error {
-	return &Error{Method: k.name, Server: k.server, Cause: e.Cause, Progress: e.Progress, Tries: e.Tries, Again: e.Again,
+	return &Error{Method: k.name, Server: k.server, Cause: e.Cause, Progress: e.Progress, Tries: e.Tries, SafeToRetry: e.SafeToRetry,
 		After: time.Duration(e.After * float64(time.Second)), Why: k.why}
 }
 
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -42,7 +42,7 @@
 	if !errors.As(err, &e) {
 		return fmt.Sprintf("ok %q, %d tries", r.Body, r.Tries)
 	}
-	return fmt.Sprintf("%s, %s, %d tries, again %v", e.Cause, e.Progress, e.Tries, e.Again)
+	return fmt.Sprintf("%s, %s, %d tries, again %v", e.Cause, e.Progress, e.Tries, e.SafeToRetry)
 }
 
 func eventually(t *testing.T, what string, f func() bool) {
@@ -177,7 +177,7 @@
 	c.Call(within(50*time.Millisecond), "m", nil) // by then the first connect has failed
 	_, err := c.Call(within(20*time.Millisecond), "m", nil)
 	var e *client.Error
-	if !errors.As(err, &e) || e.Progress != client.NeverSent || !e.Again {
+	if !errors.As(err, &e) || e.Progress != client.NeverSent || !e.SafeToRetry {
 		t.Errorf("%v", err)
 	}
 }
@@ -195,7 +195,7 @@
 	eventually(t, "the RPC is out", func() bool { return len(s.Heard()) == 1 })
 	c.Close()
 	var e *client.Error
-	if err := <-ended; !errors.As(err, &e) || e.Cause != client.Closed || e.Again {
+	if err := <-ended; !errors.As(err, &e) || e.Cause != client.Closed || e.SafeToRetry {
 		t.Errorf("%v", err)
 	}
 	if _, err := c.Call(within(patience), "m", nil); !errors.As(err, &e) || e.Cause != client.Closed {
--- a/client/errors.go
+++ b/client/errors.go
@@ -41,11 +41,11 @@
 	Cause    Cause
 	Progress Progress
 	Tries    int
-	// Again reports whether the RPC may be asked for again without the risk of a second effect: it never ran, or it is
+	// SafeToRetry reports whether the RPC may be asked for again without the risk of a second effect: it never ran, or it is
 	// idempotent, and no app server has forbidden it.
-	Again bool
-	After time.Duration // and not before so long, 0 where nothing was said
-	Why   string        // an app server's reason, or what was wrong with the call
+	SafeToRetry bool
+	After       time.Duration // and not before so long, 0 where nothing was said
+	Why         string        // an app server's reason, or what was wrong with the call
 }
 
 func (e *Error) Error() string {
@@ -57,7 +57,7 @@
 	if e.Why != "" {
 		s += ": " + e.Why
 	}
-	if e.Again && e.After > 0 {
+	if e.SafeToRetry && e.After > 0 {
 		s += fmt.Sprintf("; again after %v", e.After.Round(time.Millisecond))
 	}
 	return s
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -40,12 +40,12 @@
 
 // Outcome is the one outcome of an RPC.
 type Outcome struct {
-	Cause    Cause
-	Progress Progress
-	Tries    int
-	Server   int     // of the last try, -1 if there was none
-	Again    bool    // whether the caller may ask for it again without the risk of a second effect
-	After    float64 // not before that many seconds; 0 where nothing was said
+	Cause       Cause
+	Progress    Progress
+	Tries       int
+	Server      int     // of the last try, -1 if there was none
+	SafeToRetry bool    // whether the caller may ask for it again without the risk of a second effect
+	After       float64 // not before that many seconds; 0 where nothing was said
 }
 
 // ID identifies an open RPC. An index is used again for another RPC, with another generation.
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -45,7 +45,7 @@
 			fmt.Printf("%6.2f %s %s\n", s.now-100, s.Name(o.Server), o.Change)
 		case Finish:
 			fmt.Printf("%6.2f end %d: %s, %s, %d tries, again %v", s.now-100, o.RPC.Index, o.Outcome.Cause, o.Outcome.Progress,
-				o.Outcome.Tries, o.Outcome.Again)
+				o.Outcome.Tries, o.Outcome.SafeToRetry)
 			if o.Outcome.After > 0 {
 				fmt.Printf(" after %.2f", o.Outcome.After)
 			}
--- a/logic/attempt/requests.go
+++ b/logic/attempt/requests.go
@@ -119,8 +119,8 @@
 	if cause == Served {
 		e.After = 0
 	} else {
-		e.Again = w.kind == rpc.Idempotent || w.reach <= PushedBack
-		e.Again = e.Again && !w.noRetry
+		e.SafeToRetry = w.kind == rpc.Idempotent || w.reach <= PushedBack
+		e.SafeToRetry = e.SafeToRetry && !w.noRetry
 		if cause == NoServer || cause == Refused && w.reach == NeverSent {
 			e.After = max(e.After, d.nextAvailable()-d.now)
 		}
