--- a/client/client.go
+++ b/client/client.go
@@ -217,7 +217,7 @@
 
 func (c *Client) errorOf(k *call, e attempt.Outcome) error {
 	return &Error{Method: k.name, Server: k.server, Cause: e.Cause, Progress: e.Progress, Tries: e.Tries, SafeToRetry: e.SafeToRetry,
-		After: time.Duration(e.After * float64(time.Second)), Why: k.why}
+		RetryAfter: time.Duration(e.RetryAfter * float64(time.Second)), Why: k.why}
 }
 
 // check refuses, before anything is sent, what no app server would accept, and fills in what is left out.
--- a/client/errors.go
+++ b/client/errors.go
@@ -44,7 +44,7 @@
 	// SafeToRetry reports whether the RPC may be asked for again without the risk of a second effect: it never ran, or it is
 	// idempotent, and no app server has forbidden it.
 	SafeToRetry bool
-	After       time.Duration // and not before so long, 0 where nothing was said
+	RetryAfter  time.Duration // and not before so long, 0 where nothing was said
 	Why         string        // an app server's reason, or what was wrong with the call
 }
 
@@ -57,8 +57,8 @@
 	if e.Why != "" {
 		s += ": " + e.Why
 	}
-	if e.SafeToRetry && e.After > 0 {
-		s += fmt.Sprintf("; again after %v", e.After.Round(time.Millisecond))
+	if e.SafeToRetry && e.RetryAfter > 0 {
+		s += fmt.Sprintf("; again after %v", e.RetryAfter.Round(time.Millisecond))
 	}
 	return s
 }
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -45,7 +45,7 @@
 	Tries       int
 	Server      int     // of the last try, -1 if there was none
 	SafeToRetry bool    // whether the caller may ask for it again without the risk of a second effect
-	After       float64 // not before that many seconds; 0 where nothing was said
+	RetryAfter  float64 // not before that many seconds; 0 where nothing was said
 }
 
 // ID identifies an open RPC. An index is used again for another RPC, with another generation.
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -46,8 +46,8 @@
 		case Finish:
 			fmt.Printf("%6.2f end %d: %s, %s, %d tries, again %v", s.now-100, o.RPC.Index, o.Outcome.Cause, o.Outcome.Progress,
 				o.Outcome.Tries, o.Outcome.SafeToRetry)
-			if o.Outcome.After > 0 {
-				fmt.Printf(" after %.2f", o.Outcome.After)
+			if o.Outcome.RetryAfter > 0 {
+				fmt.Printf(" after %.2f", o.Outcome.RetryAfter)
 			}
 			fmt.Println()
 		}
--- a/logic/attempt/requests.go
+++ b/logic/attempt/requests.go
@@ -115,14 +115,14 @@
 	if cause == Late && w.cause == Refused && w.reach == PushedBack {
 		cause = Refused // that is what the caller can make use of
 	}
-	e := Outcome{Cause: cause, Progress: w.reach, Tries: w.tries, Server: w.server, After: w.after}
+	e := Outcome{Cause: cause, Progress: w.reach, Tries: w.tries, Server: w.server, RetryAfter: w.after}
 	if cause == Served {
-		e.After = 0
+		e.RetryAfter = 0
 	} else {
 		e.SafeToRetry = w.kind == rpc.Idempotent || w.reach <= PushedBack
 		e.SafeToRetry = e.SafeToRetry && !w.noRetry
 		if cause == NoServer || cause == Refused && w.reach == NeverSent {
-			e.After = max(e.After, d.nextAvailable()-d.now)
+			e.RetryAfter = max(e.RetryAfter, d.nextAvailable()-d.now)
 		}
 	}
 	d.Actions = append(d.Actions, Action{Kind: Finish, RPC: id, Outcome: e})
