--- a/client/errors.go
+++ b/client/errors.go
@@ -24,14 +24,14 @@
 
 // What Cause can be.
 const (
-	Refused  = attempt.Refused
-	Aborted  = attempt.Aborted
-	Lost     = attempt.Lost
-	Late     = attempt.Late
-	Canceled = attempt.Canceled
-	Crowded  = attempt.Crowded
-	NoServer = attempt.NoServer
-	Closed   = attempt.Closed
+	Refused   = attempt.Refused
+	Aborted   = attempt.Aborted
+	Lost      = attempt.Lost
+	Late      = attempt.Late
+	Canceled  = attempt.Canceled
+	QueueFull = attempt.QueueFull
+	NoServer  = attempt.NoServer
+	Closed    = attempt.Closed
 )
 
 // Error is the outcome of an RPC that was not ok. Find it with errors.As.
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -22,15 +22,15 @@
 type Cause uint8
 
 const (
-	Served   Cause = iota + 1
-	Refused        // pushed back, and not to be tried again in time
-	Aborted        // the app server gave it up
-	Lost           // the connection ended under it
-	Late           // its deadline came
-	Canceled       // its caller gave it up
-	Crowded        // too many wait, and it is among the least worthy
-	NoServer       // no app server can be reached before its deadline
-	Closed         // the client was closed
+	Served    Cause = iota + 1
+	Refused         // pushed back, and not to be tried again in time
+	Aborted         // the app server gave it up
+	Lost            // the connection ended under it
+	Late            // its deadline came
+	Canceled        // its caller gave it up
+	QueueFull       // too many wait, and it is among the least worthy
+	NoServer        // no app server can be reached before its deadline
+	Closed          // the client was closed
 )
 
 func (c Cause) String() string {
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -84,7 +84,7 @@
 	case d.now >= deadline:
 		d.finish(i, Late)
 	case len(d.queue) > d.MaxWaiting:
-		d.finish(d.queue[len(d.queue)-1], Crowded)
+		d.finish(d.queue[len(d.queue)-1], QueueFull)
 	}
 	if d.isOpen(id) {
 		d.dispatch()
