--- a/client/options.go
+++ b/client/options.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// ServersRemember tells that app servers know their tokens again after a restart, so that a tokened RPC may be tried
+// PersistentTokens tells that app servers know their tokens again after a restart, so that a tokened RPC may be tried
 // again at the same address whatever happened there.
-func ServersRemember() Option { return func(o *options) { o.config.TokensPersist = true } }
+func PersistentTokens() Option { return func(o *options) { o.config.TokensPersist = true } }
 
 // Dialer replaces the TCP dialer.
 func Dialer(dial func(ctx context.Context, address string) (net.Conn, error)) Option {
