--- a/client/client.go
+++ b/client/client.go
@@ -348,9 +348,9 @@
 	for _, m := range []struct {
 		name    string
 		to, far uint64
-	}{{"further", now.Further, was.Further}, {"hedged", now.Hedges, was.Hedges}, {"pushed_back", now.Refused, was.Refused},
+	}{{"further", now.Retries, was.Retries}, {"hedged", now.Hedges, was.Hedges}, {"pushed_back", now.Refused, was.Refused},
 		{"lost", now.Lost, was.Lost}, {"dial_failed", now.DialsFailed, was.DialsFailed},
-		{"left_out", now.Excluded, was.Excluded}, {"denied", now.Denied, was.Denied}} {
+		{"left_out", now.Excluded, was.Excluded}, {"denied", now.RetriesDenied, was.RetriesDenied}} {
 		if m.to > m.far {
 			c.meter.Add(m.name, m.to-m.far)
 		}
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -136,5 +136,5 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Asked, Tries, Further, Hedges, Refused, Lost, Served, Dials, DialsFailed, Excluded, Denied uint64
+	Submitted, Tries, Retries, Hedges, Refused, Lost, Served, Dials, DialsFailed, Excluded, RetriesDenied uint64
 }
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -72,7 +72,7 @@
 	*w = request{generation: w.generation + 1, kind: kind, method: method, criticality: criticality, asked: d.now,
 		deadline: deadline, sequence: d.arrivals, server: -1}
 	d.arrivals++
-	d.Count.Asked++
+	d.Count.Submitted++
 	for method >= len(d.durations) {
 		d.durations = append(d.durations, 0)
 	}
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -115,7 +115,7 @@
 		}
 	}
 	if reach != NeverSent && !d.budget.Spend(d.now) {
-		d.Count.Denied++
+		d.Count.RetriesDenied++
 		d.finish(i, cause)
 		return
 	}
@@ -179,7 +179,7 @@
 	further := w.tries > 1 && w.reach != NeverSent || w.state == inFlight
 	d.Count.Tries++
 	if further {
-		d.Count.Further++
+		d.Count.Retries++
 	} else if w.tries == 1 {
 		d.budget.Earn(d.now)
 	}
