--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -84,7 +84,7 @@
 type Change uint8
 
 const (
-	Ejected     Change = iota + 1 // it failed too often
+	Excluded    Change = iota + 1 // it failed too often
 	Readmitted                    // it serves again
 	Unreachable                   // it cannot be reached
 	Reachable                     // it can again
@@ -113,8 +113,8 @@
 
 // Fixed by the protocol.
 const (
-	MaxOpen  = 32   // RPCs open on one connection
-	Crossing = 0.05 // a close that an RPC can have crossed
+	MaxOpen        = 32   // RPCs open on one connection
+	CrossingWindow = 0.05 // a close that an RPC can have crossed
 )
 
 const (
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -260,7 +260,7 @@
 	s.failuresInRow = 0
 	d.Count.Excluded++
 	if s.serverState == good {
-		d.report(at, Ejected)
+		d.report(at, Excluded)
 	}
 	d.setServerState(at, excluded)
 	d.wakeBy(s.excludedUntil)
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -242,7 +242,7 @@
 // is sent again once, outside the budget, as the protocol has it; still only if a second run does no harm.
 func (d *Dispatcher) connectionLost(i int, t try) {
 	w := &d.rpcs[i]
-	if w.state == inFlight && !w.resent && d.now-t.sent <= Crossing && !d.conns[t.conn].checkPending &&
+	if w.state == inFlight && !w.resent && d.now-t.sent <= CrossingWindow && !d.conns[t.conn].checkPending &&
 		d.conns[t.conn].open == 1 && w.kind == rpc.Idempotent && d.servers[w.server].up+d.servers[w.server].checks > 0 {
 		w.resent = true
 		w.reach, w.cause = max(w.reach, Sent), Lost
