--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -315,9 +315,9 @@
 func TestSpread(t *testing.T) {
 	in := make([]int, 80)
 	for seed := range uint64(1000) {
-		c := NewChance(seed)
+		c := NewRandom(seed)
 		for failed := range 12 {
-			x := c.Spread(0.5, 8, failed)
+			x := c.Backoff(0.5, 8, failed)
 			if x < 0 || x >= min(8, 0.5*math.Pow(2, float64(failed))) {
 				t.Fatalf("a span of %g after %d failures", x, failed)
 			}
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -164,7 +164,7 @@
 // backOff delays the next connect, longer with each one that failed.
 func (d *Dispatcher) backOff(at int) {
 	s := &d.servers[at]
-	s.dialAt = d.now + d.chance.Spread(d.FirstBackoff, d.MaxBackoff, s.failedDials)
+	s.dialAt = d.now + d.chance.Backoff(d.FirstBackoff, d.MaxBackoff, s.failedDials)
 	if s.failedDials++; s.failedDials == unreachableAfter {
 		d.report(at, Unreachable)
 	}
@@ -193,7 +193,7 @@
 		// them.
 		d.backOff(at)
 	case c.open > 0, c.healthCheck:
-		s.dialAt = max(s.dialAt, d.now+d.chance.Spread(firstRetryDelay, d.FirstBackoff, 0))
+		s.dialAt = max(s.dialAt, d.now+d.chance.Backoff(firstRetryDelay, d.FirstBackoff, 0))
 		d.wakeBy(s.dialAt)
 	}
 	for i := range d.rpcs {
@@ -246,7 +246,7 @@
 			d.dropSilent(k)
 		case c.healthCheck:
 			c.checkPending = true
-			c.nextCheck = d.now + d.CheckPeriod*(0.75+d.chance.Draw()/2)
+			c.nextCheck = d.now + d.CheckPeriod*(0.75+d.chance.Float64()/2)
 			d.Actions = append(d.Actions, Action{Kind: CheckHealth, Conn: k, Server: c.server})
 			d.wakeBy(c.nextCheck)
 		case c.open > 0 && d.now-max(c.askedAt, c.lastHeard) >= silenceTimeout:
--- a/logic/attempt/credit.go
+++ b/logic/attempt/credit.go
@@ -49,7 +49,7 @@
 // takes: drawn with each event, the smallest fraction would soon let one out.
 func (d *Dispatcher) allowFraction(s *server, part float64) bool {
 	if d.now >= s.redrawAt {
-		s.fractionAllowed = d.chance.Draw() < part
+		s.fractionAllowed = d.chance.Float64() < part
 		s.redrawAt = d.now + max(s.lastDuration, minRedrawDelay)
 	}
 	if !s.fractionAllowed {
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -12,7 +12,7 @@
 	Config
 	Actions    []Action // what is to be done; the caller empties it
 	now        float64
-	chance     Chance
+	chance     Random
 	budget     Budget
 	rpcs       []request
 	freeRPCs   []int
@@ -44,7 +44,7 @@
 	t.MaxWaiting, t.MaxServers = cmp.Or(t.MaxWaiting, 1024), cmp.Or(t.MaxServers, 8)
 	t.MaxDials, t.MaxConns = cmp.Or(t.MaxDials, 4), cmp.Or(t.MaxConns, 4)
 	t.MaxBackoff = max(t.MaxBackoff, t.FirstBackoff)
-	return &Dispatcher{Config: t, now: now, chance: NewChance(t.Seed), budget: Budget{Share: max(t.RetryShare, 0)},
+	return &Dispatcher{Config: t, now: now, chance: NewRandom(t.Seed), budget: Budget{Share: max(t.RetryShare, 0)},
 		wakeAt: math.Inf(1)}
 }
 
--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -55,8 +55,8 @@
 	case 1:
 		return can[0]
 	}
-	a := d.chance.Below(len(can))
-	b := d.chance.Below(len(can) - 1)
+	a := d.chance.IntN(len(can))
+	b := d.chance.IntN(len(can) - 1)
 	if b >= a {
 		b++
 	}
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -114,7 +114,7 @@
 		h := fnv.New64a()
 		h.Write([]byte(name))
 		d.servers[at] = server{name: name, rank: NewRank(d.Seed, h.Sum64()), incarnation: d.servers[at].incarnation + 1, lastUsed: d.now,
-			creditAt: math.Inf(-1), readmittedAt: math.Inf(-1), lastDuration: coldDuration, dialAt: d.now + d.chance.Draw()*d.StartSpread}
+			creditAt: math.Inf(-1), readmittedAt: math.Inf(-1), lastDuration: coldDuration, dialAt: d.now + d.chance.Float64()*d.StartSpread}
 		d.setServerState(at, good)
 		d.wakeBy(d.servers[at].dialAt)
 	}
@@ -255,7 +255,7 @@
 		return
 	}
 	span := min(maxExclusion, firstExclusion*math.Pow(2, float64(s.exclusions)))
-	s.excludedUntil = d.now + span*(0.5+d.chance.Draw()/2)
+	s.excludedUntil = d.now + span*(0.5+d.chance.Float64()/2)
 	s.exclusions++
 	s.failuresInRow = 0
 	d.Count.Excluded++
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -94,7 +94,7 @@
 	}
 	ready := d.now + after
 	if after == 0 && reach != NeverSent {
-		ready += d.chance.Spread(firstRetryDelay, maxRetryDelay, w.tries-1)
+		ready += d.chance.Backoff(firstRetryDelay, maxRetryDelay, w.tries-1)
 	}
 	switch {
 	case d.now >= w.deadline:
