--- a/client/client.go
+++ b/client/client.go
@@ -109,7 +109,7 @@
 		c.end()
 		return nil, err
 	}
-	c.dispatcher.Servers(c.clock(), c.servers)
+	c.dispatcher.SetServers(c.clock(), c.servers)
 	c.run()
 	return c, nil
 }
@@ -277,7 +277,7 @@
 func (c *Client) Counts() attempt.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dispatcher.Count
+	return c.dispatcher.Counts
 }
 
 // tick runs when the timer fires.
@@ -305,7 +305,7 @@
 		return
 	}
 	now := c.clock()
-	if wake := min(c.dispatcher.Wake(), now+longestSleep); c.timerDue <= now || wake < c.timerDue {
+	if wake := min(c.dispatcher.NextTick(), now+longestSleep); c.timerDue <= now || wake < c.timerDue {
 		c.timerDue = max(wake, now)
 		c.timer.Reset(time.Duration((c.timerDue - now) * float64(time.Second)))
 	}
@@ -318,7 +318,7 @@
 	switch o.Kind {
 	case attempt.Send:
 		k := c.calls[o.RPC.Index]
-		k.server = c.dispatcher.Name(o.Server)
+		k.server = c.dispatcher.ServerName(o.Server)
 		c.connections[o.Conn].send(outgoing{id: o.RPC, try: o.Try, call: k, deadline: o.Deadline, retry: o.Retry})
 	case attempt.Interrupt:
 		c.connections[o.Conn].interrupt(o.RPC, o.Try)
@@ -328,7 +328,7 @@
 		for len(c.connections) <= o.Conn {
 			c.connections = append(c.connections, nil)
 		}
-		l := newConnection(c, o.Conn, c.dispatcher.Name(o.Server))
+		l := newConnection(c, o.Conn, c.dispatcher.ServerName(o.Server))
 		c.connections[o.Conn] = l
 		c.group.Go(l.connect)
 	case attempt.Disconnect:
@@ -338,12 +338,12 @@
 		c.calls[o.RPC.Index] = nil
 		k.done <- o.Outcome
 	case attempt.ReportServer:
-		c.log.Info("app server "+o.Change.String(), zap.String("server", c.dispatcher.Name(o.Server)))
+		c.log.Info("app server "+o.Change.String(), zap.String("server", c.dispatcher.ServerName(o.Server)))
 	}
 }
 
 func (c *Client) measure() {
-	now, was := c.dispatcher.Count, c.reported
+	now, was := c.dispatcher.Counts, c.reported
 	c.reported = now
 	for _, m := range []struct {
 		name    string
--- a/client/conn.go
+++ b/client/conn.go
@@ -69,7 +69,7 @@
 	if l.closed || err != nil {
 		if !l.ended {
 			l.ended = true
-			l.dispatcher.NotConnected(l.clock(), l.index)
+			l.dispatcher.ConnectFailed(l.clock(), l.index)
 			l.run()
 		}
 		l.mu.Unlock()
--- a/client/lists.go
+++ b/client/lists.go
@@ -99,7 +99,7 @@
 		c.log.Warn("list of app servers faulty, the last one stays", zap.Error(err))
 		return
 	}
-	if !c.dispatcher.Servers(c.clock(), names) {
+	if !c.dispatcher.SetServers(c.clock(), names) {
 		c.log.Warn("list of app servers empty, the last one stays")
 	}
 	c.run()
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -19,7 +19,7 @@
 	t.Seed = 7
 	s := &stage{now: 100}
 	s.Dispatcher = New(s.now, t)
-	s.Servers(s.now, servers)
+	s.SetServers(s.now, servers)
 	return s
 }
 
@@ -32,17 +32,17 @@
 			if o.Retry {
 				again = " again"
 			}
-			fmt.Printf("%6.2f send %d.%d to %s%s\n", s.now-100, o.RPC.Index, o.Try, s.Name(o.Server), again)
+			fmt.Printf("%6.2f send %d.%d to %s%s\n", s.now-100, o.RPC.Index, o.Try, s.ServerName(o.Server), again)
 		case Interrupt:
 			fmt.Printf("%6.2f interrupt %d.%d\n", s.now-100, o.RPC.Index, o.Try)
 		case Dial:
-			fmt.Printf("%6.2f dial %s\n", s.now-100, s.Name(o.Server))
+			fmt.Printf("%6.2f dial %s\n", s.now-100, s.ServerName(o.Server))
 		case Disconnect:
-			fmt.Printf("%6.2f hang %s\n", s.now-100, s.Name(o.Server))
+			fmt.Printf("%6.2f hang %s\n", s.now-100, s.ServerName(o.Server))
 		case CheckHealth:
-			fmt.Printf("%6.2f check %s\n", s.now-100, s.Name(o.Server))
+			fmt.Printf("%6.2f check %s\n", s.now-100, s.ServerName(o.Server))
 		case ReportServer:
-			fmt.Printf("%6.2f %s %s\n", s.now-100, s.Name(o.Server), o.Change)
+			fmt.Printf("%6.2f %s %s\n", s.now-100, s.ServerName(o.Server), o.Change)
 		case Finish:
 			fmt.Printf("%6.2f end %d: %s, %s, %d tries, again %v", s.now-100, o.RPC.Index, o.Outcome.Cause, o.Outcome.Progress,
 				o.Outcome.Tries, o.Outcome.SafeToRetry)
@@ -57,8 +57,8 @@
 
 // until lets time pass, tick by tick.
 func (s *stage) until(t float64) {
-	for s.Wake() < 100+t {
-		s.now = max(s.now, s.Wake())
+	for s.NextTick() < 100+t {
+		s.now = max(s.now, s.NextTick())
 		s.Tick(s.now)
 		s.flush()
 	}
@@ -231,7 +231,7 @@
 		id := s.Submit(s.now, 0, rpc.Idempotent, 0, s.now+1)
 		for _, o := range s.Actions {
 			if o.Kind == ReportServer {
-				fmt.Printf("%s %s\n", s.Name(o.Server), o.Change)
+				fmt.Printf("%s %s\n", s.ServerName(o.Server), o.Change)
 				if o.Change == Readmitted {
 					back = s.now
 				}
@@ -261,10 +261,10 @@
 func Example_list() {
 	s := newStage(Config{CheckPeriod: -1}, "a:1", "b:1")
 	s.meet()
-	fmt.Println(s.Servers(s.now, nil))
+	fmt.Println(s.SetServers(s.now, nil))
 	id := s.ask(rpc.Idempotent, 0, 10)
-	other := map[string]string{"a:1": "b:1", "b:1": "a:1"}[s.Name(s.rpcs[id.Index].server)]
-	s.Servers(s.now, []string{other})
+	other := map[string]string{"a:1": "b:1", "b:1": "a:1"}[s.ServerName(s.rpcs[id.Index].server)]
+	s.SetServers(s.now, []string{other})
 	s.flush()
 	s.ask(rpc.Idempotent, 0, 10)
 	s.answer(id, 1, Served, false, 0, 9)
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -127,7 +127,7 @@
 	d.freeConns = d.freeConns[:len(d.freeConns)-1]
 	d.conns[k] = conn{server: at, healthCheck: check, lastUsed: d.now}
 	d.setConnState(k, dialing)
-	d.Count.Dials++
+	d.Counts.Dials++
 	d.Actions = append(d.Actions, Action{Kind: Dial, Conn: k, Server: at})
 }
 
@@ -150,12 +150,12 @@
 	d.dispatch()
 }
 
-// NotConnected reports that a connect failed.
-func (d *Dispatcher) NotConnected(now float64, k int) {
+// ConnectFailed reports that a connect failed.
+func (d *Dispatcher) ConnectFailed(now float64, k int) {
 	d.advance(now)
 	c := &d.conns[k]
 	d.setConnState(k, none)
-	d.Count.DialsFailed++
+	d.Counts.DialsFailed++
 	d.backOff(c.server)
 	d.closeDrained(c.server)
 	d.dispatch()
@@ -184,7 +184,7 @@
 	asked := c.state == ending
 	d.setConnState(k, none)
 	if c.open > 0 || faulty {
-		d.Count.Lost++
+		d.Counts.Lost++
 		d.recordFailure(at)
 	}
 	switch {
--- a/logic/attempt/credit_test.go
+++ b/logic/attempt/credit_test.go
@@ -44,7 +44,7 @@
 	dispatchers := make([]*stage, clients)
 	for k := range dispatchers {
 		dispatchers[k] = &stage{Dispatcher: New(100, Config{Seed: uint64(k + 1)}), now: 100}
-		dispatchers[k].Servers(100, []string{"cold:1"})
+		dispatchers[k].SetServers(100, []string{"cold:1"})
 	}
 	type out struct {
 		dispatcher int
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -26,7 +26,7 @@
 	durations  []float64 // by method: moving mean of the seconds until a try was ok
 	wakeAt     float64
 	closed     bool
-	Count      Counts
+	Counts     Counts
 }
 
 // New returns a dispatcher.
@@ -51,8 +51,8 @@
 // wakeBy asks for a Tick at that time at the latest.
 func (d *Dispatcher) wakeBy(at float64) { d.wakeAt = min(d.wakeAt, at) }
 
-// Wake returns the time at which Tick has to be called.
-func (d *Dispatcher) Wake() float64 { return d.wakeAt }
+// NextTick returns the time at which Tick has to be called.
+func (d *Dispatcher) NextTick() float64 { return d.wakeAt }
 
 func (d *Dispatcher) advance(now float64) { d.now = max(d.now, now) }
 
@@ -72,7 +72,7 @@
 	*w = request{generation: w.generation + 1, kind: kind, method: method, criticality: criticality, asked: d.now,
 		deadline: deadline, sequence: d.arrivals, server: -1}
 	d.arrivals++
-	d.Count.Submitted++
+	d.Counts.Submitted++
 	for method >= len(d.durations) {
 		d.durations = append(d.durations, 0)
 	}
--- a/logic/attempt/model_test.go
+++ b/logic/attempt/model_test.go
@@ -33,7 +33,7 @@
 			RetryShare: rapid.SampledFrom([]float64{-1, 0.1, 0.5}).Draw(t, "share")}
 		d := New(100, terms)
 		names := []string{"a:1", "b:1", "c:1", "d:1"}
-		d.Servers(100, names)
+		d.SetServers(100, names)
 		now := 100.0
 		rpcs := map[ID]*model{}
 		conns := map[int]connState{}
@@ -206,7 +206,7 @@
 				}
 				if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
 					conns[k] = none
-					d.NotConnected(now, k)
+					d.ConnectFailed(now, k)
 				} else {
 					conns[k] = up
 					d.Connected(now, k)
@@ -252,7 +252,7 @@
 				t.Skip()
 			},
 			"list": func(t *rapid.T) {
-				d.Servers(now, names[:rapid.IntRange(0, 4).Draw(t, "names")])
+				d.SetServers(now, names[:rapid.IntRange(0, 4).Draw(t, "names")])
 				settle()
 			},
 			"time": func(t *rapid.T) {
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -80,9 +80,9 @@
 	s.serverState = to
 }
 
-// Servers replaces the list of app servers. An empty list changes nothing, as no caller is better off with it; it
+// SetServers replaces the list of app servers. An empty list changes nothing, as no caller is better off with it; it
 // reports false.
-func (d *Dispatcher) Servers(now float64, names []string) bool {
+func (d *Dispatcher) SetServers(now float64, names []string) bool {
 	d.advance(now)
 	if len(names) == 0 {
 		return false
@@ -147,8 +147,8 @@
 	return uint64(chance.At(seed, name) * (1 << 53))
 }
 
-// Name returns the app server's name in the list.
-func (d *Dispatcher) Name(at int) string {
+// ServerName returns the app server's name in the list.
+func (d *Dispatcher) ServerName(at int) string {
 	if at < 0 || at >= len(d.servers) {
 		return ""
 	}
@@ -258,7 +258,7 @@
 	s.excludedUntil = d.now + span*(0.5+d.chance.Float64()/2)
 	s.exclusions++
 	s.failuresInRow = 0
-	d.Count.Excluded++
+	d.Counts.Excluded++
 	if s.serverState == good {
 		d.report(at, Excluded)
 	}
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -10,7 +10,7 @@
 func (d *Dispatcher) Unsent(now float64, id ID, number int) {
 	d.advance(now)
 	if d.isOpen(id) && d.endTry(id.Index, number) {
-		d.Count.Tries-- // it never left
+		d.Counts.Tries-- // it never left
 		d.retryOrFinish(id.Index, NeverSent, Lost, 0)
 		d.dispatch()
 	}
@@ -34,7 +34,7 @@
 	d.endTry(id.Index, number)
 	switch how {
 	case Served:
-		d.Count.Served++
+		d.Counts.Served++
 		d.recordSuccess(at, d.now-sent)
 		if took := &d.durations[w.method]; *took == 0 {
 			*took = d.now - sent
@@ -44,7 +44,7 @@
 		w.reach = Ran
 		d.finish(id.Index, Served)
 	case Refused:
-		d.Count.Refused++
+		d.Counts.Refused++
 		after = min(max(after, 0), maxRetryAfter)
 		s := &d.servers[at]
 		d.recordAnswer(at)
@@ -115,7 +115,7 @@
 		}
 	}
 	if reach != NeverSent && !d.budget.Spend(d.now) {
-		d.Count.RetriesDenied++
+		d.Counts.RetriesDenied++
 		d.finish(i, cause)
 		return
 	}
@@ -177,9 +177,9 @@
 	c := d.leastLoadedConn(at)
 	w.tries++
 	further := w.tries > 1 && w.reach != NeverSent || w.state == inFlight
-	d.Count.Tries++
+	d.Counts.Tries++
 	if further {
-		d.Count.Retries++
+		d.Counts.Retries++
 	} else if w.tries == 1 {
 		d.budget.Earn(d.now)
 	}
@@ -232,7 +232,7 @@
 			continue
 		}
 		if at := d.chooseServer(w, w.server); at >= 0 && d.budget.Spend(d.now) {
-			d.Count.Hedges++
+			d.Counts.Hedges++
 			d.send(i, at)
 		}
 	}
