--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -118,7 +118,7 @@
 )
 
 const (
-	firstCredit    = 2.0 // RPCs out at an app server that has reported no credit lately: one, and one to compare it with
+	defaultCredit  = 2.0 // RPCs out at an app server that has reported no credit lately: one, and one to compare it with
 	creditLifetime = 1.0 // seconds for which credit is believed: the platform's own routers do the same
 	// firstCheckTimeout is how many seconds an app server that has not reported its credit may take to answer a health check.
 	firstCheckTimeout = 0.5
@@ -131,7 +131,7 @@
 	firstRetryDelay = 0.05 // seconds before a retry where no advice was given, doubling with each
 	maxRetryDelay   = 1.0
 	silenceTimeout  = 5.0 // seconds without an answer, with RPCs open, after which a connection is closed
-	smoothing       = 0.1 // weight of a new measurement
+	averageWeight   = 0.1 // weight of a new measurement
 )
 
 // Counts are totals since the start.
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -9,22 +9,22 @@
 	"valveglade/rpc"
 )
 
-// stage drives a dispatcher by hand and prints its actions.
-type stage struct {
+// harness drives a dispatcher by hand and prints its actions.
+type harness struct {
 	*Dispatcher
 	now float64
 }
 
-func newStage(t Config, servers ...string) *stage {
+func newHarness(t Config, servers ...string) *harness {
 	t.Seed = 7
-	s := &stage{now: 100}
+	s := &harness{now: 100}
 	s.Dispatcher = New(s.now, t)
 	s.SetServers(s.now, servers)
 	return s
 }
 
 // flush prints the actions since the last one.
-func (s *stage) flush() {
+func (s *harness) flush() {
 	for _, o := range s.Actions {
 		switch o.Kind {
 		case Send:
@@ -56,7 +56,7 @@
 }
 
 // until lets time pass, tick by tick.
-func (s *stage) until(t float64) {
+func (s *harness) until(t float64) {
 	for s.NextTick() < 100+t {
 		s.now = max(s.now, s.NextTick())
 		s.Tick(s.now)
@@ -68,7 +68,7 @@
 }
 
 // meet lets all dials succeed.
-func (s *stage) meet() {
+func (s *harness) meet() {
 	for k := range s.conns {
 		if s.conns[k].state == dialing {
 			s.Connected(s.now, k)
@@ -78,30 +78,30 @@
 }
 
 // meetQuietly lets all dials succeed and has health checks answered.
-func (s *stage) meetQuietly(credit float64) {
+func (s *harness) meetQuietly(credit float64) {
 	for k := 0; k < len(s.conns); k++ {
 		if s.conns[k].state == dialing {
 			s.Connected(s.now, k)
 		}
-		if s.conns[k].state == up && s.conns[k].checkPending {
+		if s.conns[k].state == established && s.conns[k].checkPending {
 			s.Checked(s.now, k, true, credit)
 		}
 	}
 }
 
 // checked has the health checks that are out answered.
-func (s *stage) checked(credit float64) {
+func (s *harness) checked(credit float64) {
 	s.meetQuietly(credit)
 	s.flush()
 }
 
-func (s *stage) ask(kind rpc.Kind, criticality, within float64) ID {
+func (s *harness) ask(kind rpc.Kind, criticality, within float64) ID {
 	id := s.Submit(s.now, 0, kind, criticality, s.now+within)
 	s.flush()
 	return id
 }
 
-func (s *stage) answer(id ID, try int, how Cause, last bool, after, credit float64) {
+func (s *harness) answer(id ID, try int, how Cause, last bool, after, credit float64) {
 	s.Answered(s.now, id, try, how, last, after, credit)
 	s.flush()
 }
@@ -109,7 +109,7 @@
 // What waits goes out by criticality, then in order, as credit allows; a refusal rests for its time, one that forbids
 // further tries ends the RPC.
 func Example_credit() {
-	s := newStage(Config{CheckPeriod: -1}, "a:1")
+	s := newHarness(Config{CheckPeriod: -1}, "a:1")
 	first := s.ask(rpc.Idempotent, 0.5, 10)
 	low := s.ask(rpc.Idempotent, 0.1, 10)
 	high := s.ask(rpc.Idempotent, 0.9, 10)
@@ -133,7 +133,7 @@
 
 // A refusal whose time would pass the deadline, or that leaves no time to be served, is told at once.
 func Example_tooLate() {
-	s := newStage(Config{CheckPeriod: -1}, "a:1")
+	s := newHarness(Config{CheckPeriod: -1}, "a:1")
 	s.meet()
 	one := s.ask(rpc.Idempotent, 0, 10)
 	s.now += 0.2
@@ -157,7 +157,7 @@
 // second connection, by which the tokened one could tell that its app server is the same process; here that is gone
 // too.
 func Example_death() {
-	s := newStage(Config{MaxServers: 1}, "a:1")
+	s := newHarness(Config{MaxServers: 1}, "a:1")
 	s.meet()
 	s.meet()
 	s.checked(9)
@@ -190,14 +190,14 @@
 
 // A connection is reset and the app server lives: the tokened RPC is tried again there, and nowhere else.
 func Example_reset() {
-	s := newStage(Config{RetryShare: 1}, "a:1", "b:1")
+	s := newHarness(Config{RetryShare: 1}, "a:1", "b:1")
 	s.meet()
 	s.meet()
 	s.checked(9)
 	id := s.ask(rpc.Tokened, 0, 10)
-	at := s.rpcs[id.Index].server
+	at := s.requests[id.Index].server
 	for k := range s.conns {
-		if s.conns[k].open > 0 {
+		if s.conns[k].inFlight > 0 {
 			s.now += 0.2
 			s.Dropped(s.now, k, false)
 		}
@@ -205,7 +205,7 @@
 	s.flush()
 	s.until(0.6)
 	s.meet()
-	fmt.Println("there again:", s.rpcs[id.Index].server == at, s.rpcs[id.Index].pinned)
+	fmt.Println("there again:", s.requests[id.Index].server == at, s.requests[id.Index].pinned)
 	// Output:
 	// 0.00 dial b:1
 	//   0.00 dial a:1
@@ -221,7 +221,7 @@
 
 // One of four fails every RPC: it is left out, tried with one RPC after a while, and let back gently.
 func Example_leftOut() {
-	s := newStage(Config{CheckPeriod: -1, RetryShare: -1}, "a:1", "b:1", "c:1", "d:1")
+	s := newHarness(Config{CheckPeriod: -1, RetryShare: -1}, "a:1", "b:1", "c:1", "d:1")
 	s.Actions = nil
 	s.meet()
 	bad, sentBad, back := 0, 0, 0.0
@@ -242,7 +242,7 @@
 			continue
 		}
 		how := Served
-		if s.rpcs[id.Index].server == bad {
+		if s.requests[id.Index].server == bad {
 			sentBad++
 			if s.now < 102 {
 				how = Aborted
@@ -259,11 +259,11 @@
 
 // An empty list changes nothing; a shorter one ends what is no longer named once it is empty.
 func Example_list() {
-	s := newStage(Config{CheckPeriod: -1}, "a:1", "b:1")
+	s := newHarness(Config{CheckPeriod: -1}, "a:1", "b:1")
 	s.meet()
 	fmt.Println(s.SetServers(s.now, nil))
 	id := s.ask(rpc.Idempotent, 0, 10)
-	other := map[string]string{"a:1": "b:1", "b:1": "a:1"}[s.ServerName(s.rpcs[id.Index].server)]
+	other := map[string]string{"a:1": "b:1", "b:1": "a:1"}[s.ServerName(s.requests[id.Index].server)]
 	s.SetServers(s.now, []string{other})
 	s.flush()
 	s.ask(rpc.Idempotent, 0, 10)
@@ -281,7 +281,7 @@
 // A second try goes elsewhere once the first has been out for long; the answer that comes first counts, the other try
 // is taken back.
 func Example_hedge() {
-	s := newStage(Config{CheckPeriod: -1, HedgeAfter: 0.1}, "a:1", "b:1")
+	s := newHarness(Config{CheckPeriod: -1, HedgeAfter: 0.1}, "a:1", "b:1")
 	s.meet()
 	id := s.ask(rpc.Idempotent, 0, 10)
 	s.ask(rpc.Tokened, 0, 10)
--- a/logic/attempt/budget.go
+++ b/logic/attempt/budget.go
@@ -13,35 +13,35 @@
 }
 
 const (
-	// budgetSpan is how many seconds of first tries count: long enough for callers with a few RPCs a second to
+	// budgetDecayTime is how many seconds of first tries count: long enough for callers with a few RPCs a second to
 	// earn one, far shorter than an outage.
-	budgetSpan = 10.0
-	// budgetStart lets a caller who has just begun try once more.
-	budgetStart = 1.0
+	budgetDecayTime = 10.0
+	// initialBudget lets a caller who has just begun try once more.
+	initialBudget = 1.0
 )
 
-// fade brings both figures up to now.
-func (b *Budget) fade(now float64) {
+// decay brings both figures up to now.
+func (b *Budget) decay(now float64) {
 	if !b.started {
-		b.started, b.tokens, b.updatedAt = true, budgetStart, now
+		b.started, b.tokens, b.updatedAt = true, initialBudget, now
 	}
 	if now > b.updatedAt {
-		b.firstTries *= math.Exp(-(now - b.updatedAt) / budgetSpan)
+		b.firstTries *= math.Exp(-(now - b.updatedAt) / budgetDecayTime)
 		b.updatedAt = now
 	}
-	b.tokens = min(b.tokens, max(budgetStart, b.Share*b.firstTries))
+	b.tokens = min(b.tokens, max(initialBudget, b.Share*b.firstTries))
 }
 
 // Earn records a first try.
 func (b *Budget) Earn(now float64) {
-	b.fade(now)
+	b.decay(now)
 	b.firstTries++
-	b.tokens = min(b.tokens+b.Share, max(budgetStart, b.Share*b.firstTries))
+	b.tokens = min(b.tokens+b.Share, max(initialBudget, b.Share*b.firstTries))
 }
 
 // Available returns how many retries may be spent now.
 func (b *Budget) Available(now float64) float64 {
-	b.fade(now)
+	b.decay(now)
 	if b.Share <= 0 {
 		return 0
 	}
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -6,18 +6,18 @@
 type connState uint8
 
 const (
-	none connState = iota
+	disconnected connState = iota
 	dialing
-	up
-	ending // no new RPC goes there; closed when it is empty
+	established
+	draining // no new RPC goes there; closed when it is empty
 	connStateCount
 )
 
 var validConnTransitions = [connStateCount][connStateCount]bool{
-	none:    {dialing: true},
-	dialing: {up: true, none: true},
-	up:      {ending: true, none: true},
-	ending:  {none: true},
+	disconnected: {dialing: true},
+	dialing:      {established: true, disconnected: true},
+	established:  {draining: true, disconnected: true},
+	draining:     {disconnected: true},
 }
 
 // conn is one connection, or the attempt to have one.
@@ -25,50 +25,50 @@
 	state        connState
 	server       int
 	healthCheck  bool // it is used for health checks alone
-	open         int
+	inFlight     int
 	lastUsed     float64
-	lastHeard    float64 // 0 before the first answer
-	askedAt      float64 // when it last had something to answer and had nothing before
+	lastReceived float64 // 0 before the first answer
+	busySince    float64 // when it last had something to answer and had nothing before
 	nextCheck    float64 // time of the next health check
 	checkPending bool    // a health check is not answered yet
 }
 
-func (d *Dispatcher) setConnState(k int, to connState) {
-	c := &d.conns[k]
+func (d *Dispatcher) setConnState(connIndex int, to connState) {
+	c := &d.conns[connIndex]
 	if !validConnTransitions[c.state][to] {
 		panic("attempt: no such change of a connection")
 	}
 	s := &d.servers[c.server]
-	counted := &s.up
+	connCount := &s.rpcConns
 	if c.healthCheck {
-		counted = &s.checks
+		connCount = &s.checkConns
 	}
 	if c.state == dialing {
-		d.dialing--
-		s.dials--
-	} else if c.state != none && to == none {
-		*counted--
+		d.pendingDials--
+		s.pendingDials--
+	} else if c.state != disconnected && to == disconnected {
+		*connCount--
 	}
 	c.state = to
 	switch to {
 	case dialing:
-		d.dialing++
-		s.dials++
-	case up:
-		if s.up+s.checks == 0 {
+		d.pendingDials++
+		s.pendingDials++
+	case established:
+		if s.rpcConns+s.checkConns == 0 {
 			s.upSince = d.now
 		}
-		*counted++
-	case none:
-		d.freeConns = append(d.freeConns, k)
-		if s.up+s.checks == 0 {
-			d.forget(s)
+		*connCount++
+	case disconnected:
+		d.freeConns = append(d.freeConns, connIndex)
+		if s.rpcConns+s.checkConns == 0 {
+			d.resetProcessState(s)
 		}
 	}
 }
 
-// forget drops what is known of the process at an app server: what answers there from now on may be another one.
-func (d *Dispatcher) forget(s *server) {
+// resetProcessState drops what is known of the process at an app server: what answers there from now on may be another one.
+func (d *Dispatcher) resetProcessState(s *server) {
 	s.incarnation++
 	s.creditAt, s.credit = math.Inf(-1), 0
 	s.answered, s.lastDuration = false, coldDuration
@@ -76,72 +76,72 @@
 }
 
 // disconnect closes a connection on which nothing is open.
-func (d *Dispatcher) disconnect(k int) {
-	d.Actions = append(d.Actions, Action{Kind: Disconnect, Conn: k, Server: d.conns[k].server})
-	d.setConnState(k, none)
+func (d *Dispatcher) disconnect(connIndex int) {
+	d.Actions = append(d.Actions, Action{Kind: Disconnect, Conn: connIndex, Server: d.conns[connIndex].server})
+	d.setConnState(connIndex, disconnected)
 }
 
-// connect opens what is wanted: a connection to each app server near that is in use, another where those there are
+// openConnections opens what is wanted: a connection to each app server near that is in use, another where those there are
 // full, and one for health checks.
-func (d *Dispatcher) connect(short bool) {
+func (d *Dispatcher) openConnections(shortOfCapacity bool) {
 	if d.closed {
 		return
 	}
-	if short {
+	if shortOfCapacity {
 		d.wakeBy(max(d.nextAvailable(), d.now+firstRetryDelay))
 	}
-	for _, at := range d.nearest() {
-		s := &d.servers[at]
-		if short {
+	for _, serverIndex := range d.preferredServers() {
+		s := &d.servers[serverIndex]
+		if shortOfCapacity {
 			s.lastUsed = d.now
 		}
 		if d.now-s.lastUsed >= d.IdleTimeout && len(d.queue) == 0 {
 			continue
 		}
-		want, check := false, false
+		want, healthCheck := false, false
 		switch {
-		case s.dials > 0:
-		case s.up == 0:
+		case s.pendingDials > 0:
+		case s.rpcConns == 0:
 			want = true
-		case s.checks == 0 && d.CheckPeriod > 0:
-			want, check = true, true
-		case short && s.up < d.MaxConns && d.leastLoadedConn(at) < 0 && float64(s.open) < d.allowance(s):
+		case s.checkConns == 0 && d.CheckPeriod > 0:
+			want, healthCheck = true, true
+		case shortOfCapacity && s.rpcConns < d.MaxConns && d.leastLoadedConn(serverIndex) < 0 && float64(s.inFlight) < d.allowance(s):
 			want = true
 		}
 		switch {
 		case !want:
-		case d.now < s.dialAt:
-			d.wakeBy(s.dialAt)
-		case d.dialing < d.MaxDials:
-			d.dial(at, check)
+		case d.now < s.nextDialAt:
+			d.wakeBy(s.nextDialAt)
+		case d.pendingDials < d.MaxDials:
+			d.dial(serverIndex, healthCheck)
 		}
 	}
 }
 
-func (d *Dispatcher) dial(at int, check bool) {
+func (d *Dispatcher) dial(serverIndex int, healthCheck bool) {
 	if len(d.freeConns) == 0 {
 		d.freeConns = append(d.freeConns, len(d.conns))
 		d.conns = append(d.conns, conn{})
 	}
-	k := d.freeConns[len(d.freeConns)-1]
+	connIndex := d.freeConns[len(d.freeConns)-1]
 	d.freeConns = d.freeConns[:len(d.freeConns)-1]
-	d.conns[k] = conn{server: at, healthCheck: check, lastUsed: d.now}
-	d.setConnState(k, dialing)
+	d.conns[connIndex] = conn{server: serverIndex, healthCheck: healthCheck, lastUsed: d.now}
+	d.setConnState(connIndex, dialing)
 	d.Counts.Dials++
-	d.Actions = append(d.Actions, Action{Kind: Dial, Conn: k, Server: at})
+	d.Actions = append(d.Actions, Action{Kind: Dial, Conn: connIndex, Server: serverIndex})
 }
 
 // ServerOf is the app server of a connection.
-func (d *Dispatcher) ServerOf(k int) int { return d.conns[k].server }
+func (d *Dispatcher) ServerOf(connIndex int) int { return d.conns[connIndex].server }
 
 // Connected reports that a connection has been established.
-func (d *Dispatcher) Connected(now float64, k int) {
+func (d *Dispatcher) Connected(now float64, connIndex int) {
 	d.advance(now)
-	c := &d.conns[k]
-	d.setConnState(k, up)
+	c := &d.conns[connIndex]
+	d.setConnState(connIndex, established)
 	c.lastUsed, c.nextCheck = d.now, d.now
-	if d.servers[c.server].serverState == leaving || d.closed {
-		d.setConnState(k, ending)
+	if d.servers[c.server].serverState == removing || d.closed {
+		d.setConnState(connIndex, draining)
 		d.closeDrained(c.server)
 	}
 	if c.healthCheck {
@@ -151,10 +151,10 @@
 }
 
 // ConnectFailed reports that a connect failed.
-func (d *Dispatcher) ConnectFailed(now float64, k int) {
+func (d *Dispatcher) ConnectFailed(now float64, connIndex int) {
 	d.advance(now)
-	c := &d.conns[k]
-	d.setConnState(k, none)
+	c := &d.conns[connIndex]
+	d.setConnState(connIndex, disconnected)
 	d.Counts.DialsFailed++
 	d.backOff(c.server)
 	d.closeDrained(c.server)
@@ -162,62 +162,62 @@
 }
 
 // backOff delays the next connect, longer with each one that failed.
-func (d *Dispatcher) backOff(at int) {
-	s := &d.servers[at]
-	s.dialAt = d.now + d.chance.Backoff(d.FirstBackoff, d.MaxBackoff, s.failedDials)
+func (d *Dispatcher) backOff(serverIndex int) {
+	s := &d.servers[serverIndex]
+	s.nextDialAt = d.now + d.random.Backoff(d.FirstBackoff, d.MaxBackoff, s.failedDials)
 	if s.failedDials++; s.failedDials == unreachableAfter {
-		d.report(at, Unreachable)
+		d.reportChange(serverIndex, Unreachable)
 	}
-	d.wakeBy(s.dialAt)
+	d.wakeBy(s.nextDialAt)
 }
 
 // Dropped reports that a connection was ended by the other side, or for what arrived on it (faulty). Its tries are
 // lost: how far they came, nobody knows.
-func (d *Dispatcher) Dropped(now float64, k int, faulty bool) {
+func (d *Dispatcher) Dropped(now float64, connIndex int, faulty bool) {
 	d.advance(now)
-	c := d.conns[k]
-	if c.state == none {
+	c := d.conns[connIndex]
+	if c.state == disconnected {
 		return
 	}
-	at := c.server
-	s := &d.servers[at]
-	asked := c.state == ending
-	d.setConnState(k, none)
-	if c.open > 0 || faulty {
+	serverIndex := c.server
+	s := &d.servers[serverIndex]
+	wasDraining := c.state == draining
+	d.setConnState(connIndex, disconnected)
+	if c.inFlight > 0 || faulty {
 		d.Counts.Lost++
-		d.recordFailure(at)
+		d.recordFailure(serverIndex)
 	}
 	switch {
-	case faulty, s.up+s.checks == 0 && !asked, c.lastHeard == 0 && !c.healthCheck:
+	case faulty, s.rpcConns+s.checkConns == 0 && !wasDraining, c.lastReceived == 0 && !c.healthCheck:
 		// The process may be gone, and then all its callers come back together; or it takes connections only to end
 		// them.
-		d.backOff(at)
-	case c.open > 0, c.healthCheck:
-		s.dialAt = max(s.dialAt, d.now+d.chance.Backoff(firstRetryDelay, d.FirstBackoff, 0))
-		d.wakeBy(s.dialAt)
+		d.backOff(serverIndex)
+	case c.inFlight > 0, c.healthCheck:
+		s.nextDialAt = max(s.nextDialAt, d.now+d.random.Backoff(firstRetryDelay, d.FirstBackoff, 0))
+		d.wakeBy(s.nextDialAt)
 	}
-	for i := range d.rpcs {
-		w := &d.rpcs[i]
-		for j := range w.inFlight {
-			if t := w.inFlight[j]; t.number > 0 && t.conn == k {
-				w.inFlight[j] = try{}
-				s.open--
-				d.connectionLost(i, t)
+	for requestIndex := range d.requests {
+		r := &d.requests[requestIndex]
+		for slot := range r.inFlight {
+			if t := r.inFlight[slot]; t.number > 0 && t.conn == connIndex {
+				r.inFlight[slot] = try{}
+				s.inFlight--
+				d.handleLostTry(requestIndex, t)
 				break // of a hedged RPC the other try is elsewhere
 			}
 		}
 	}
-	d.conns[k].open = 0
-	d.closeDrained(at)
+	d.conns[connIndex].inFlight = 0
+	d.closeDrained(serverIndex)
 	d.dispatch()
 }
 
 // Draining reports that an app server asked for no new RPC on a connection.
-func (d *Dispatcher) Draining(now float64, k int) {
+func (d *Dispatcher) Draining(now float64, connIndex int) {
 	d.advance(now)
-	if c := &d.conns[k]; c.state == up {
-		c.lastHeard = d.now
-		d.setConnState(k, ending)
+	if c := &d.conns[connIndex]; c.state == established {
+		c.lastReceived = d.now
+		d.setConnState(connIndex, draining)
 		d.closeDrained(c.server)
 		d.dispatch()
 	}
@@ -225,46 +225,46 @@
 
 // checkTimers handles what is due at app servers and connections.
 func (d *Dispatcher) checkTimers() {
-	for at := range d.servers {
-		if s := &d.servers[at]; s.serverState == excluded {
+	for serverIndex := range d.servers {
+		if s := &d.servers[serverIndex]; s.serverState == excluded {
 			if d.now >= s.excludedUntil {
-				d.setServerState(at, probing)
+				d.setServerState(serverIndex, probing)
 			} else {
 				d.wakeBy(s.excludedUntil)
 			}
 		}
 	}
-	for k := range d.conns {
-		c := &d.conns[k]
+	for connIndex := range d.conns {
+		c := &d.conns[connIndex]
 		switch {
-		case c.state != up:
-		case c.healthCheck && d.servers[c.server].up == 0 && d.now-d.servers[c.server].lastUsed >= d.IdleTimeout:
-			d.disconnect(k)
+		case c.state != established:
+		case c.healthCheck && d.servers[c.server].rpcConns == 0 && d.now-d.servers[c.server].lastUsed >= d.IdleTimeout:
+			d.disconnect(connIndex)
 		case c.healthCheck && d.now < c.nextCheck:
 			d.wakeBy(c.nextCheck)
 		case c.healthCheck && c.checkPending: // a whole period without an answer
-			d.dropSilent(k)
+			d.dropUnresponsive(connIndex)
 		case c.healthCheck:
 			c.checkPending = true
-			c.nextCheck = d.now + d.CheckPeriod*(0.75+d.chance.Float64()/2)
-			d.Actions = append(d.Actions, Action{Kind: CheckHealth, Conn: k, Server: c.server})
+			c.nextCheck = d.now + d.CheckPeriod*(0.75+d.random.Float64()/2)
+			d.Actions = append(d.Actions, Action{Kind: CheckHealth, Conn: connIndex, Server: c.server})
 			d.wakeBy(c.nextCheck)
-		case c.open > 0 && d.now-max(c.askedAt, c.lastHeard) >= silenceTimeout:
-			d.dropSilent(k)
-		case c.open > 0:
-			d.wakeBy(max(c.askedAt, c.lastHeard) + silenceTimeout)
+		case c.inFlight > 0 && d.now-max(c.busySince, c.lastReceived) >= silenceTimeout:
+			d.dropUnresponsive(connIndex)
+		case c.inFlight > 0:
+			d.wakeBy(max(c.busySince, c.lastReceived) + silenceTimeout)
 		case d.now-c.lastUsed >= d.IdleTimeout:
-			at := c.server
-			d.disconnect(k)
-			d.closeDrained(at)
+			serverIndex := c.server
+			d.disconnect(connIndex)
+			d.closeDrained(serverIndex)
 		default:
 			d.wakeBy(c.lastUsed + d.IdleTimeout)
 		}
 	}
 }
 
-// dropSilent closes a connection on which nothing is answered any more, and treats it as faulty.
-func (d *Dispatcher) dropSilent(k int) {
-	d.Actions = append(d.Actions, Action{Kind: Disconnect, Conn: k, Server: d.conns[k].server})
-	d.Dropped(d.now, k, true)
+// dropUnresponsive closes a connection on which nothing is answered any more, and treats it as faulty.
+func (d *Dispatcher) dropUnresponsive(connIndex int) {
+	d.Actions = append(d.Actions, Action{Kind: Disconnect, Conn: connIndex, Server: d.conns[connIndex].server})
+	d.Dropped(d.now, connIndex, true)
 }
--- a/logic/attempt/credit.go
+++ b/logic/attempt/credit.go
@@ -16,40 +16,40 @@
 	if s.serverState == probing {
 		return 1
 	}
-	most := firstCredit
+	limit := defaultCredit
 	switch {
-	case !s.creditKnown() && d.awaitsCheck(s):
+	case !s.creditKnown() && d.awaitsHealthCheck(s):
 		return 0
 	case s.creditFresh(d.now):
-		most = s.credit
+		limit = s.credit
 	case s.creditKnown() && s.credit > 0:
-		most = min(firstCredit, s.credit)
+		limit = min(defaultCredit, s.credit)
 	}
-	if warm := (d.now - s.readmittedAt) / rampUp; warm < 1 {
-		most = min(most, max(1, most*max(warm, rampUpFrom)))
+	if rampShare := (d.now - s.readmittedAt) / rampUpDuration; rampShare < 1 {
+		limit = min(limit, max(1, limit*max(rampShare, initialRampShare)))
 	}
-	return most
+	return limit
 }
 
-// awaitsCheck reports whether a health check is still to return the credit of an app server that has reported none.
-func (d *Dispatcher) awaitsCheck(s *server) bool {
+// awaitsHealthCheck reports whether a health check is still to return the credit of an app server that has reported none.
+func (d *Dispatcher) awaitsHealthCheck(s *server) bool {
 	return d.CheckPeriod > 0 && !s.answered && d.now < s.upSince+firstCheckTimeout
 }
 
-// hasRoom reports whether one more try may go to an app server, its connections aside.
-func (d *Dispatcher) hasRoom(s *server) bool {
-	if s.serverState != good && s.serverState != probing || d.now < s.avoidUntil {
+// hasCapacity reports whether one more try may go to an app server, its connections aside.
+func (d *Dispatcher) hasCapacity(s *server) bool {
+	if s.serverState != active && s.serverState != probing || d.now < s.avoidUntil {
 		return false
 	}
-	whole, part := math.Modf(d.allowance(s))
-	return s.open < int(whole) || s.open == int(whole) && part > 0 && d.allowFraction(s, part)
+	whole, fraction := math.Modf(d.allowance(s))
+	return s.inFlight < int(whole) || s.inFlight == int(whole) && fraction > 0 && d.allowFraction(s, fraction)
 }
 
 // allowFraction reports whether the fraction of a credit allows one more try. It is drawn again only after the time that a try
 // takes: drawn with each event, the smallest fraction would soon let one out.
-func (d *Dispatcher) allowFraction(s *server, part float64) bool {
+func (d *Dispatcher) allowFraction(s *server, fraction float64) bool {
 	if d.now >= s.redrawAt {
-		s.fractionAllowed = d.chance.Float64() < part
+		s.fractionAllowed = d.random.Float64() < fraction
 		s.redrawAt = d.now + max(s.lastDuration, minRedrawDelay)
 	}
 	if !s.fractionAllowed {
@@ -59,23 +59,23 @@
 }
 
 // Checked reports the answer to a health check.
-func (d *Dispatcher) Checked(now float64, k int, well bool, credit float64) {
+func (d *Dispatcher) Checked(now float64, connIndex int, healthy bool, credit float64) {
 	d.advance(now)
-	c := &d.conns[k]
-	if c.state == none {
+	c := &d.conns[connIndex]
+	if c.state == disconnected {
 		return
 	}
 	s := &d.servers[c.server]
-	c.checkPending, c.lastHeard, c.lastUsed = false, d.now, d.now
-	s.unhealthy = !well
+	c.checkPending, c.lastReceived, c.lastUsed = false, d.now, d.now
+	s.unhealthy = !healthy
 	d.recordAnswer(c.server)
 	d.setCredit(c.server, credit)
 	d.dispatch()
 }
 
 // setCredit records the credit that an app server reported; below 0 it reported none.
-func (d *Dispatcher) setCredit(at int, credit float64) {
-	if s := &d.servers[at]; credit >= 0 {
+func (d *Dispatcher) setCredit(serverIndex int, credit float64) {
+	if s := &d.servers[serverIndex]; credit >= 0 {
 		s.credit, s.creditAt = credit, d.now
 	}
 }
--- a/logic/attempt/credit_test.go
+++ b/logic/attempt/credit_test.go
@@ -11,7 +11,7 @@
 // An app server that may be cold is asked by a health check before anything is sent to it, and again once it may be
 // another process.
 func Example_asksFirst() {
-	s := newStage(Config{}, "a:1")
+	s := newHarness(Config{}, "a:1")
 	first := s.ask(rpc.Idempotent, 0, 10)
 	s.meet()
 	s.meet()
@@ -41,9 +41,9 @@
 // of the fractions allow, but for chance.
 func TestFractionsSum(t *testing.T) {
 	const clients, share, took, seconds = 24, 4.0, 0.5, 20
-	dispatchers := make([]*stage, clients)
+	dispatchers := make([]*harness, clients)
 	for k := range dispatchers {
-		dispatchers[k] = &stage{Dispatcher: New(100, Config{Seed: uint64(k + 1)}), now: 100}
+		dispatchers[k] = &harness{Dispatcher: New(100, Config{Seed: uint64(k + 1)}), now: 100}
 		dispatchers[k].SetServers(100, []string{"cold:1"})
 	}
 	type out struct {
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -10,41 +10,41 @@
 // Dispatcher decides for one client. It is not safe for use by many goroutines.
 type Dispatcher struct {
 	Config
-	Actions    []Action // what is to be done; the caller empties it
-	now        float64
-	chance     Random
-	budget     Budget
-	rpcs       []request
-	freeRPCs   []int
-	queue      []int // waiting RPCs: the most critical first, then in order of arrival
-	backingOff []int // RPCs that wait for their retry
-	arrivals   uint64
-	servers    []server
-	conns      []conn
-	freeConns  []int // indices of connections
-	dialing    int
-	durations  []float64 // by method: moving mean of the seconds until a try was ok
-	wakeAt     float64
-	closed     bool
-	Counts     Counts
+	Actions         []Action // what is to be done; the caller empties it
+	now             float64
+	random          Random
+	budget          Budget
+	requests        []request
+	freeRequests    []int
+	queue           []int // waiting RPCs: the most critical first, then in order of arrival
+	backingOff      []int // RPCs that wait for their retry
+	nextSequence    uint64
+	servers         []server
+	conns           []conn
+	freeConns       []int // indices of connections
+	pendingDials    int
+	methodDurations []float64 // by method: moving mean of the seconds until a try was ok
+	wakeAt          float64
+	closed          bool
+	Counts          Counts
 }
 
 // New returns a dispatcher.
-func New(now float64, t Config) *Dispatcher {
-	def := func(v *float64, to float64) {
+func New(now float64, config Config) *Dispatcher {
+	setDefault := func(v *float64, value float64) {
 		if *v == 0 {
-			*v = to
+			*v = value
 		}
 	}
-	def(&t.RetryShare, 0.1)
-	def(&t.FirstBackoff, 0.5)
-	def(&t.MaxBackoff, 8)
-	def(&t.IdleTimeout, 20)
-	def(&t.CheckPeriod, 5)
-	t.MaxWaiting, t.MaxServers = cmp.Or(t.MaxWaiting, 1024), cmp.Or(t.MaxServers, 8)
-	t.MaxDials, t.MaxConns = cmp.Or(t.MaxDials, 4), cmp.Or(t.MaxConns, 4)
-	t.MaxBackoff = max(t.MaxBackoff, t.FirstBackoff)
-	return &Dispatcher{Config: t, now: now, chance: NewRandom(t.Seed), budget: Budget{Share: max(t.RetryShare, 0)},
+	setDefault(&config.RetryShare, 0.1)
+	setDefault(&config.FirstBackoff, 0.5)
+	setDefault(&config.MaxBackoff, 8)
+	setDefault(&config.IdleTimeout, 20)
+	setDefault(&config.CheckPeriod, 5)
+	config.MaxWaiting, config.MaxServers = cmp.Or(config.MaxWaiting, 1024), cmp.Or(config.MaxServers, 8)
+	config.MaxDials, config.MaxConns = cmp.Or(config.MaxDials, 4), cmp.Or(config.MaxConns, 4)
+	config.MaxBackoff = max(config.MaxBackoff, config.FirstBackoff)
+	return &Dispatcher{Config: config, now: now, random: NewRandom(config.Seed), budget: Budget{Share: max(config.RetryShare, 0)},
 		wakeAt: math.Inf(1)}
 }
 
@@ -57,32 +57,32 @@
 func (d *Dispatcher) advance(now float64) { d.now = max(d.now, now) }
 
 // Open returns the number of open RPCs.
-func (d *Dispatcher) Open() int { return len(d.rpcs) - len(d.freeRPCs) }
+func (d *Dispatcher) Open() int { return len(d.requests) - len(d.freeRequests) }
 
 // Submit adds an RPC. Its outcome is a Finish action, perhaps at once.
 func (d *Dispatcher) Submit(now float64, method int, kind rpc.Kind, criticality, deadline float64) ID {
 	d.advance(now)
-	if len(d.freeRPCs) == 0 {
-		d.freeRPCs = append(d.freeRPCs, len(d.rpcs))
-		d.rpcs = append(d.rpcs, request{})
+	if len(d.freeRequests) == 0 {
+		d.freeRequests = append(d.freeRequests, len(d.requests))
+		d.requests = append(d.requests, request{})
 	}
-	i := d.freeRPCs[len(d.freeRPCs)-1]
-	d.freeRPCs = d.freeRPCs[:len(d.freeRPCs)-1]
-	w := &d.rpcs[i]
-	*w = request{generation: w.generation + 1, kind: kind, method: method, criticality: criticality, asked: d.now,
-		deadline: deadline, sequence: d.arrivals, server: -1}
-	d.arrivals++
+	requestIndex := d.freeRequests[len(d.freeRequests)-1]
+	d.freeRequests = d.freeRequests[:len(d.freeRequests)-1]
+	r := &d.requests[requestIndex]
+	*r = request{generation: r.generation + 1, kind: kind, method: method, criticality: criticality, submittedAt: d.now,
+		deadline: deadline, sequence: d.nextSequence, server: -1}
+	d.nextSequence++
 	d.Counts.Submitted++
-	for method >= len(d.durations) {
-		d.durations = append(d.durations, 0)
+	for method >= len(d.methodDurations) {
+		d.methodDurations = append(d.methodDurations, 0)
 	}
-	id := d.id(i)
-	d.setState(i, waiting)
+	id := d.id(requestIndex)
+	d.setState(requestIndex, waiting)
 	switch {
 	case d.closed:
-		d.finish(i, Closed)
+		d.finish(requestIndex, Closed)
 	case d.now >= deadline:
-		d.finish(i, Late)
+		d.finish(requestIndex, Late)
 	case len(d.queue) > d.MaxWaiting:
 		d.finish(d.queue[len(d.queue)-1], QueueFull)
 	}
@@ -98,11 +98,11 @@
 	if !d.isOpen(id) {
 		return
 	}
-	w := &d.rpcs[id.Index]
+	r := &d.requests[id.Index]
 	cause := Canceled
 	if late {
 		cause = Late
-		for _, t := range w.inFlight {
+		for _, t := range r.inFlight {
 			if t.number > 0 { // Guards against one that accepts and never answers: its silence counts.
 				d.recordFailure(d.conns[t.conn].server)
 			}
@@ -117,15 +117,15 @@
 	d.advance(now)
 	d.wakeAt = math.Inf(1)
 	for k := 0; k < len(d.backingOff); {
-		if i := d.backingOff[k]; d.rpcs[i].retryAt <= d.now {
+		if i := d.backingOff[k]; d.requests[i].retryAt <= d.now {
 			d.setState(i, waiting)
 		} else {
-			d.wakeBy(d.rpcs[i].retryAt)
+			d.wakeBy(d.requests[i].retryAt)
 			k++
 		}
 	}
 	d.checkTimers()
-	d.hedge()
+	d.sendHedges()
 	d.dispatch()
 }
 
@@ -133,13 +133,13 @@
 func (d *Dispatcher) Close(now float64) {
 	d.advance(now)
 	d.closed = true
-	for i := range d.rpcs {
-		if d.rpcs[i].state != absent {
+	for i := range d.requests {
+		if d.requests[i].state != freeSlot {
 			d.finish(i, Closed)
 		}
 	}
 	for k := range d.conns {
-		if d.conns[k].state != none {
+		if d.conns[k].state != disconnected {
 			d.disconnect(k)
 		}
 	}
--- a/logic/attempt/model_test.go
+++ b/logic/attempt/model_test.go
@@ -44,14 +44,14 @@
 				o := d.Actions[k]
 				switch o.Kind {
 				case Dial:
-					if conns[o.Conn] != none {
+					if conns[o.Conn] != disconnected {
 						t.Fatalf("connection %d is dialled while in use", o.Conn)
 					}
 					conns[o.Conn] = dialing
 				case Disconnect:
-					conns[o.Conn] = none
+					conns[o.Conn] = disconnected
 				case CheckHealth:
-					if conns[o.Conn] != up {
+					if conns[o.Conn] != established {
 						t.Fatalf("a health check on connection %d, which is not up", o.Conn)
 					}
 				case Interrupt:
@@ -71,12 +71,12 @@
 				case Send:
 					m := rpcs[o.RPC]
 					if m == nil { // sent before Ask returned
-						m = &model{kind: d.rpcs[o.RPC.Index].kind, deadline: o.Deadline, out: map[int]Action{}}
+						m = &model{kind: d.requests[o.RPC.Index].kind, deadline: o.Deadline, out: map[int]Action{}}
 						rpcs[o.RPC] = m
 					}
 					s := &d.servers[o.Server]
 					switch {
-					case conns[o.Conn] != up:
+					case conns[o.Conn] != established:
 						t.Fatalf("%v sent on a connection that is not up", o.RPC)
 					case m.ended || now >= m.deadline:
 						t.Fatalf("%v sent after its end or its deadline", o.RPC)
@@ -86,8 +86,8 @@
 						t.Fatalf("%v is non-idempotent and sent again", o.RPC)
 					case m.kind == rpc.Tokened && m.mayHave && (m.at != o.Server || m.incarnation != s.incarnation):
 						t.Fatalf("%v may have run at another", o.RPC)
-					case d.conns[o.Conn].open > MaxOpen:
-						t.Fatalf("%d open on one connection", d.conns[o.Conn].open)
+					case d.conns[o.Conn].inFlight > MaxOpen:
+						t.Fatalf("%d open on one connection", d.conns[o.Conn].inFlight)
 					case now < s.avoidUntil:
 						t.Fatalf("sent to one that is to be left alone")
 					}
@@ -205,20 +205,20 @@
 					t.Skip()
 				}
 				if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
-					conns[k] = none
+					conns[k] = disconnected
 					d.ConnectFailed(now, k)
 				} else {
-					conns[k] = up
+					conns[k] = established
 					d.Connected(now, k)
 				}
 				settle()
 			},
 			"dropped": func(t *rapid.T) {
-				k, ok := conn(up)
+				k, ok := conn(established)
 				if !ok {
 					t.Skip()
 				}
-				conns[k] = none
+				conns[k] = disconnected
 				for _, m := range asked {
 					for n, o := range m.out {
 						if o.Conn == k {
@@ -234,7 +234,7 @@
 				settle()
 			},
 			"draining": func(t *rapid.T) {
-				k, ok := conn(up)
+				k, ok := conn(established)
 				if !ok {
 					t.Skip()
 				}
@@ -243,7 +243,7 @@
 			},
 			"checked": func(t *rapid.T) {
 				for k := range d.conns {
-					if d.conns[k].state == up && d.conns[k].healthCheck && d.conns[k].checkPending {
+					if d.conns[k].state == established && d.conns[k].healthCheck && d.conns[k].checkPending {
 						d.Checked(now, k, rapid.Bool().Draw(t, "well"), 2)
 						settle()
 						return
@@ -274,7 +274,7 @@
 			}
 		}
 		for k := range d.conns {
-			if d.conns[k].state != none {
+			if d.conns[k].state != disconnected {
 				t.Fatalf("connection %d stays", k)
 			}
 		}
--- a/logic/attempt/random.go
+++ b/logic/attempt/random.go
@@ -8,7 +8,7 @@
 
 // Random draws numbers that follow from a seed and a counter alone, so that a run can be played again.
 type Random struct {
-	seed, drawn uint64
+	seed, draws uint64
 }
 
 // NewRandom starts a row of draws.
@@ -16,8 +16,8 @@
 
 // Float64 gives the next number, from 0 to under 1.
 func (c *Random) Float64() float64 {
-	c.drawn++
-	return chance.At(c.seed, c.drawn-1)
+	c.draws++
+	return chance.At(c.seed, c.draws-1)
 }
 
 // IntN draws a whole number from 0 to under n.
@@ -25,6 +25,6 @@
 
 // Backoff says how long to stay away from what failed: full jitter, so that many who failed together come back
 // apart. The span doubles with each failure in a row, from first to most seconds.
-func (c *Random) Backoff(first, most float64, failed int) float64 {
-	return c.Float64() * min(most, first*math.Pow(2, float64(min(failed, 30))))
+func (c *Random) Backoff(firstSpread, maxSpread float64, failures int) float64 {
+	return c.Float64() * min(maxSpread, firstSpread*math.Pow(2, float64(min(failures, 30))))
 }
--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -9,139 +9,139 @@
 )
 
 // leastLoadedConn returns the connection with the fewest open RPCs, -1 if none has room.
-func (d *Dispatcher) leastLoadedConn(at int) int {
+func (d *Dispatcher) leastLoadedConn(serverIndex int) int {
 	best := -1
-	for k := range d.conns {
-		c := &d.conns[k]
-		if c.server == at && c.state == up && !c.healthCheck && c.open < MaxOpen && (best < 0 || c.open < d.conns[best].open) {
-			best = k
+	for connIndex := range d.conns {
+		c := &d.conns[connIndex]
+		if c.server == serverIndex && c.state == established && !c.healthCheck && c.inFlight < MaxOpen && (best < 0 || c.inFlight < d.conns[best].inFlight) {
+			best = connIndex
 		}
 	}
 	return best
 }
 
 // chooseServer returns the app server for an RPC, -1 if none has room: the better of two drawn at random.
-func (d *Dispatcher) chooseServer(w *request, not int) int {
-	if w.pinned {
-		if s := &d.servers[w.server]; d.now >= s.avoidUntil && s.open < max(int(d.allowance(s)), 1) && d.leastLoadedConn(w.server) >= 0 {
-			return w.server
+func (d *Dispatcher) chooseServer(r *request, excludedIndex int) int {
+	if r.pinned {
+		if s := &d.servers[r.server]; d.now >= s.avoidUntil && s.inFlight < max(int(d.allowance(s)), 1) && d.leastLoadedConn(r.server) >= 0 {
+			return r.server
 		}
 		return -1
 	}
-	var can, sick []int
-	for at := range d.servers {
-		s := &d.servers[at]
-		if at == not || s.up == 0 || !d.hasRoom(s) || d.leastLoadedConn(at) < 0 {
+	var candidates, unhealthy []int
+	for serverIndex := range d.servers {
+		s := &d.servers[serverIndex]
+		if serverIndex == excludedIndex || s.rpcConns == 0 || !d.hasCapacity(s) || d.leastLoadedConn(serverIndex) < 0 {
 			continue
 		}
 		if s.serverState == probing { // its one RPC goes first, or it would never be seen whether it is back
-			if w.kind == rpc.Idempotent || d.now > s.excludedUntil+probeAnyKindAfter {
-				return at
+			if r.kind == rpc.Idempotent || d.now > s.excludedUntil+probeAnyKindAfter {
+				return serverIndex
 			}
 			continue
 		}
 		if s.unhealthy {
-			sick = append(sick, at)
+			unhealthy = append(unhealthy, serverIndex)
 		} else {
-			can = append(can, at)
+			candidates = append(candidates, serverIndex)
 		}
 	}
-	if len(can) == 0 && not < 0 {
-		can = sick // never all left out
+	if len(candidates) == 0 && excludedIndex < 0 {
+		candidates = unhealthy // never all left out
 	}
-	switch len(can) {
+	switch len(candidates) {
 	case 0:
 		return -1
 	case 1:
-		return can[0]
+		return candidates[0]
 	}
-	a := d.chance.IntN(len(can))
-	b := d.chance.IntN(len(can) - 1)
-	if b >= a {
-		b++
+	first := d.random.IntN(len(candidates))
+	second := d.random.IntN(len(candidates) - 1)
+	if second >= first {
+		second++
 	}
 	// A further try goes where the last one was not, if both are as good.
-	x, y := d.cost(can[a], w), d.cost(can[b], w)
-	if y < x {
-		return can[b]
+	firstCost, secondCost := d.cost(candidates[first], r), d.cost(candidates[second], r)
+	if secondCost < firstCost {
+		return candidates[second]
 	}
-	return can[a]
+	return candidates[first]
 }
 
 // cost estimates what a try would take at an app server: how full it is, times how slow it has been.
-func (d *Dispatcher) cost(at int, w *request) float64 {
-	s := &d.servers[at]
+func (d *Dispatcher) cost(serverIndex int, r *request) float64 {
+	s := &d.servers[serverIndex]
 	// Its last credit counts here even when it is too old to send by: an app server that is passed over for a credit
 	// that is not recent would never be asked again.
-	most := firstCredit
+	credit := defaultCredit
 	if !math.IsInf(s.creditAt, -1) {
-		most = s.credit
+		credit = s.credit
 	}
-	if warm := (d.now - s.readmittedAt) / rampUp; warm < 1 {
-		most *= max(warm, rampUpFrom)
+	if rampShare := (d.now - s.readmittedAt) / rampUpDuration; rampShare < 1 {
+		credit *= max(rampShare, initialRampShare)
 	}
-	c := max(s.meanDuration, minDuration) * float64(s.open+1) / max(most, 1) // a fraction has been drawn
-	if w.server == at && w.tries > 0 {
-		c *= 2
+	estimate := max(s.meanDuration, minDuration) * float64(s.inFlight+1) / max(credit, 1) // a fraction has been drawn
+	if r.server == serverIndex && r.tries > 0 {
+		estimate *= 2
 	}
-	return c
+	return estimate
 }
 
 // availableAt estimates the earliest time at which an app server may take one more try.
-func (d *Dispatcher) availableAt(at int) float64 {
-	s := &d.servers[at]
-	opens := max(d.now, s.avoidUntil)
+func (d *Dispatcher) availableAt(serverIndex int) float64 {
+	s := &d.servers[serverIndex]
+	earliest := max(d.now, s.avoidUntil)
 	if s.creditFresh(d.now) && s.credit <= 0 {
-		opens = max(opens, s.creditAt+creditLifetime)
+		earliest = max(earliest, s.creditAt+creditLifetime)
 	}
 	if s.serverState == excluded {
-		opens = max(opens, s.excludedUntil)
+		earliest = max(earliest, s.excludedUntil)
 	}
-	if s.up == 0 && s.dials == 0 {
-		opens = max(opens, s.dialAt)
+	if s.rpcConns == 0 && s.pendingDials == 0 {
+		earliest = max(earliest, s.nextDialAt)
 	}
-	return opens
+	return earliest
 }
 
 func (d *Dispatcher) nextAvailable() float64 {
-	opens := math.Inf(1)
-	for at := range d.servers {
-		if s := d.servers[at].serverState; s != unlisted && s != leaving {
-			opens = min(opens, d.availableAt(at))
+	earliest := math.Inf(1)
+	for serverIndex := range d.servers {
+		if state := d.servers[serverIndex].serverState; state != unlisted && state != removing {
+			earliest = min(earliest, d.availableAt(serverIndex))
 		}
 	}
-	if math.IsInf(opens, 1) {
+	if math.IsInf(earliest, 1) {
 		return d.now + 1 // nothing is listed yet
 	}
-	return opens
+	return earliest
 }
 
-func (d *Dispatcher) availableFor(w *request) float64 {
-	if w.pinned {
-		return d.availableAt(w.server)
+func (d *Dispatcher) availableFor(r *request) float64 {
+	if r.pinned {
+		return d.availableAt(r.server)
 	}
 	return d.nextAvailable()
 }
 
 // unavailableCause returns why nothing could be sent at all.
 func (d *Dispatcher) unavailableCause() Cause {
-	for at := range d.servers {
-		if s := &d.servers[at]; s.up > 0 && s.serverState != leaving {
+	for serverIndex := range d.servers {
+		if s := &d.servers[serverIndex]; s.rpcConns > 0 && s.serverState != removing {
 			return Refused
 		}
 	}
 	return NoServer
 }
 
-// nearest returns the app servers that this client uses: the first ones, in its own order, that can be reached.
-func (d *Dispatcher) nearest() []int {
-	var all []int
-	for at := range d.servers {
-		if s := &d.servers[at]; s.serverState != unlisted && s.serverState != leaving {
-			all = append(all, at)
+// preferredServers returns the app servers that this client uses: the first ones, in its own order, that can be reached.
+func (d *Dispatcher) preferredServers() []int {
+	var indices []int
+	for serverIndex := range d.servers {
+		if s := &d.servers[serverIndex]; s.serverState != unlisted && s.serverState != removing {
+			indices = append(indices, serverIndex)
 		}
 	}
-	slices.SortFunc(all, func(a, b int) int {
+	slices.SortFunc(indices, func(a, b int) int {
 		x, y := &d.servers[a], &d.servers[b]
 		failing := func(s *server) int {
 			if s.serverState == excluded || s.failedDials >= unreachableAfter {
@@ -151,5 +151,5 @@
 		}
 		return cmp.Or(cmp.Compare(failing(x), failing(y)), cmp.Compare(x.rank, y.rank))
 	})
-	return all[:min(len(all), d.MaxServers)]
+	return indices[:min(len(indices), d.MaxServers)]
 }
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -9,7 +9,7 @@
 // Unsent reports that no byte of a try was written, as its connection had ended.
 func (d *Dispatcher) Unsent(now float64, id ID, number int) {
 	d.advance(now)
-	if d.isOpen(id) && d.endTry(id.Index, number) {
+	if d.isOpen(id) && d.removeTry(id.Index, number) {
 		d.Counts.Tries-- // it never left
 		d.retryOrFinish(id.Index, NeverSent, Lost, 0)
 		d.dispatch()
@@ -18,65 +18,65 @@
 
 // Answered reports an app server's answer to a try: how it ended, whether no other is to be tried, for how many
 // seconds to stay away, and the credit (below 0 for none).
-func (d *Dispatcher) Answered(now float64, id ID, number int, how Cause, last bool, after, credit float64) {
+func (d *Dispatcher) Answered(now float64, id ID, number int, result Cause, noRetry bool, retryAfter, credit float64) {
 	d.advance(now)
 	if !d.isOpen(id) {
 		return
 	}
-	w := &d.rpcs[id.Index]
-	t := w.findTry(number)
+	r := &d.requests[id.Index]
+	t := r.findTry(number)
 	if t == nil {
 		return
 	}
-	at, sent := d.conns[t.conn].server, t.sent
-	d.conns[t.conn].lastHeard = d.now
-	d.setCredit(at, credit)
-	d.endTry(id.Index, number)
-	switch how {
+	serverIndex, sent := d.conns[t.conn].server, t.sent
+	d.conns[t.conn].lastReceived = d.now
+	d.setCredit(serverIndex, credit)
+	d.removeTry(id.Index, number)
+	switch result {
 	case Served:
 		d.Counts.Served++
-		d.recordSuccess(at, d.now-sent)
-		if took := &d.durations[w.method]; *took == 0 {
-			*took = d.now - sent
+		d.recordSuccess(serverIndex, d.now-sent)
+		if mean := &d.methodDurations[r.method]; *mean == 0 {
+			*mean = d.now - sent
 		} else {
-			*took += smoothing * (d.now - sent - *took)
+			*mean += averageWeight * (d.now - sent - *mean)
 		}
-		w.reach = Ran
+		r.progress = Ran
 		d.finish(id.Index, Served)
 	case Refused:
 		d.Counts.Refused++
-		after = min(max(after, 0), maxRetryAfter)
-		s := &d.servers[at]
-		d.recordAnswer(at)
-		s.avoidUntil = max(s.avoidUntil, d.now+after)
-		w.noRetry = w.noRetry || last
-		d.retryOrFinish(id.Index, PushedBack, Refused, after)
+		retryAfter = min(max(retryAfter, 0), maxRetryAfter)
+		s := &d.servers[serverIndex]
+		d.recordAnswer(serverIndex)
+		s.avoidUntil = max(s.avoidUntil, d.now+retryAfter)
+		r.noRetry = r.noRetry || noRetry
+		d.retryOrFinish(id.Index, PushedBack, Refused, retryAfter)
 	default:
-		d.recordFailure(at)
+		d.recordFailure(serverIndex)
 		d.retryOrFinish(id.Index, Ran, Aborted, 0)
 	}
 	d.dispatch()
 }
 
-func (w *request) findTry(number int) *try {
-	for k := range w.inFlight {
-		if number > 0 && w.inFlight[k].number == number {
-			return &w.inFlight[k]
+func (r *request) findTry(number int) *try {
+	for slot := range r.inFlight {
+		if number > 0 && r.inFlight[slot].number == number {
+			return &r.inFlight[slot]
 		}
 	}
 	return nil
 }
 
-// endTry removes a try from its connection, and reports whether it was in flight.
-func (d *Dispatcher) endTry(i, number int) bool {
-	t := d.rpcs[i].findTry(number)
+// removeTry removes a try from its connection, and reports whether it was in flight.
+func (d *Dispatcher) removeTry(requestIndex, number int) bool {
+	t := d.requests[requestIndex].findTry(number)
 	if t == nil {
 		return false
 	}
 	c := &d.conns[t.conn]
-	c.open--
+	c.inFlight--
 	c.lastUsed = d.now
-	d.servers[c.server].open--
+	d.servers[c.server].inFlight--
 	*t = try{}
 	d.closeDrained(c.server)
 	return true
@@ -84,170 +84,170 @@
 
 // retryOrFinish decides what becomes of an RPC of which a try has failed, having come as far as reach. Nothing is kept
 // back: what cannot be retried in time is returned to the caller now.
-func (d *Dispatcher) retryOrFinish(i int, reach Progress, cause Cause, after float64) {
-	w := &d.rpcs[i]
-	w.reach = max(w.reach, reach)
-	w.cause, w.after = cause, after
-	if w.state == inFlightTwice { // the other try may still bring it
-		d.setState(i, inFlight)
+func (d *Dispatcher) retryOrFinish(requestIndex int, reach Progress, cause Cause, retryAfter float64) {
+	r := &d.requests[requestIndex]
+	r.progress = max(r.progress, reach)
+	r.cause, r.retryAfter = cause, retryAfter
+	if r.state == inFlightTwice { // the other try may still bring it
+		d.setState(requestIndex, inFlight)
 		return
 	}
-	ready := d.now + after
-	if after == 0 && reach != NeverSent {
-		ready += d.chance.Backoff(firstRetryDelay, maxRetryDelay, w.tries-1)
+	retryAt := d.now + retryAfter
+	if retryAfter == 0 && reach != NeverSent {
+		retryAt += d.random.Backoff(firstRetryDelay, maxRetryDelay, r.tries-1)
 	}
 	switch {
-	case d.now >= w.deadline:
-		d.finish(i, Late)
+	case d.now >= r.deadline:
+		d.finish(requestIndex, Late)
 		return
-	case w.noRetry, d.closed, w.kind == rpc.NonIdempotent && w.reach != NeverSent:
-		d.finish(i, cause)
+	case r.noRetry, d.closed, r.kind == rpc.NonIdempotent && r.progress != NeverSent:
+		d.finish(requestIndex, cause)
 		return
-	case ready+d.durations[w.method]/2 >= w.deadline: // it could not end in time
-		d.finish(i, cause)
+	case retryAt+d.methodDurations[r.method]/2 >= r.deadline: // it could not end in time
+		d.finish(requestIndex, cause)
 		return
 	}
-	if w.kind == rpc.Tokened && w.reach >= Sent {
-		w.pinned = true // to the incarnation of the last try
-		if !d.sameIncarnation(w) {
-			d.finish(i, cause)
+	if r.kind == rpc.Tokened && r.progress >= Sent {
+		r.pinned = true // to the incarnation of the last try
+		if !d.sameIncarnation(r) {
+			d.finish(requestIndex, cause)
 			return
 		}
 	}
 	if reach != NeverSent && !d.budget.Spend(d.now) {
 		d.Counts.RetriesDenied++
-		d.finish(i, cause)
+		d.finish(requestIndex, cause)
 		return
 	}
-	w.retryAt = ready
-	if ready <= d.now {
-		d.setState(i, waiting)
+	r.retryAt = retryAt
+	if retryAt <= d.now {
+		d.setState(requestIndex, waiting)
 		return
 	}
-	d.setState(i, backingOff)
-	d.wakeBy(ready)
+	d.setState(requestIndex, backingOff)
+	d.wakeBy(retryAt)
 }
 
 // sameIncarnation reports whether the app server that may have run a tokened RPC is still the same process: only
 // that one knows the token. Another under its address would run it a second time.
-func (d *Dispatcher) sameIncarnation(w *request) bool {
-	s := &d.servers[w.server]
-	return d.TokensPersist || s.up+s.checks > 0 && s.incarnation == w.incarnation
+func (d *Dispatcher) sameIncarnation(r *request) bool {
+	s := &d.servers[r.server]
+	return d.TokensPersist || s.rpcConns+s.checkConns > 0 && s.incarnation == r.incarnation
 }
 
 // dispatch sends what waits to where there is room, and connects where there is none.
 func (d *Dispatcher) dispatch() {
-	short := false // something that waits found no room
-	for k := 0; k < len(d.queue); {
-		i := d.queue[k]
-		w := &d.rpcs[i]
+	shortOfCapacity := false // something that waits found no room
+	for position := 0; position < len(d.queue); {
+		requestIndex := d.queue[position]
+		r := &d.requests[requestIndex]
 		switch {
-		case w.pinned && !d.sameIncarnation(w):
-			d.finish(i, w.cause)
+		case r.pinned && !d.sameIncarnation(r):
+			d.finish(requestIndex, r.cause)
 			continue
-		case d.now >= w.deadline, w.tries > 0 && d.now+d.durations[w.method]/2 >= w.deadline: // it could not end in time
-			d.finish(i, cmp.Or(w.cause, Late))
+		case d.now >= r.deadline, r.tries > 0 && d.now+d.methodDurations[r.method]/2 >= r.deadline: // it could not end in time
+			d.finish(requestIndex, cmp.Or(r.cause, Late))
 			continue
 		}
-		if short && !w.pinned {
-			k++
-			if len(d.queue) > 64 && k > 64 { // only pinned ones are looked for past the first
+		if shortOfCapacity && !r.pinned {
+			position++
+			if len(d.queue) > 64 && position > 64 { // only pinned ones are looked for past the first
 				break
 			}
 			continue
 		}
-		at := d.chooseServer(w, -1)
-		if at >= 0 {
-			d.send(i, at)
+		serverIndex := d.chooseServer(r, -1)
+		if serverIndex >= 0 {
+			d.send(requestIndex, serverIndex)
 			continue
 		}
-		if opens := d.availableFor(w); opens+d.durations[w.method]/2 >= w.deadline {
-			d.finish(i, cmp.Or(w.cause, d.unavailableCause()))
+		if earliest := d.availableFor(r); earliest+d.methodDurations[r.method]/2 >= r.deadline {
+			d.finish(requestIndex, cmp.Or(r.cause, d.unavailableCause()))
 			continue
 		}
-		short = short || !w.pinned
-		k++
+		shortOfCapacity = shortOfCapacity || !r.pinned
+		position++
 	}
-	d.connect(short)
+	d.openConnections(shortOfCapacity)
 }
 
 // send sends a waiting RPC to an app server, or a second try of one in flight.
-func (d *Dispatcher) send(i, at int) {
-	w := &d.rpcs[i]
-	c := d.leastLoadedConn(at)
-	w.tries++
-	further := w.tries > 1 && w.reach != NeverSent || w.state == inFlight
+func (d *Dispatcher) send(requestIndex, serverIndex int) {
+	r := &d.requests[requestIndex]
+	connIndex := d.leastLoadedConn(serverIndex)
+	r.tries++
+	isRetry := r.tries > 1 && r.progress != NeverSent || r.state == inFlight
 	d.Counts.Tries++
-	if further {
+	if isRetry {
 		d.Counts.Retries++
-	} else if w.tries == 1 {
+	} else if r.tries == 1 {
 		d.budget.Earn(d.now)
 	}
-	k := 0
-	if w.inFlight[0].number > 0 {
-		k = 1
+	slot := 0
+	if r.inFlight[0].number > 0 {
+		slot = 1
 	}
-	w.inFlight[k] = try{number: w.tries, conn: c, sent: d.now}
-	w.server = at
-	w.incarnation = d.servers[at].incarnation
-	d.conns[c].open++
-	d.conns[c].lastUsed = d.now
-	if d.conns[c].open == 1 {
-		d.conns[c].askedAt = d.now
+	r.inFlight[slot] = try{number: r.tries, conn: connIndex, sent: d.now}
+	r.server = serverIndex
+	r.incarnation = d.servers[serverIndex].incarnation
+	d.conns[connIndex].inFlight++
+	d.conns[connIndex].lastUsed = d.now
+	if d.conns[connIndex].inFlight == 1 {
+		d.conns[connIndex].busySince = d.now
 	}
-	if s := &d.servers[at]; s.open >= int(d.allowance(s)) {
+	if s := &d.servers[serverIndex]; s.inFlight >= int(d.allowance(s)) {
 		s.fractionAllowed = false // the fraction is used up until the next draw
 	}
-	d.servers[at].open++
-	d.servers[at].lastUsed = d.now
-	if w.state == inFlight {
-		d.setState(i, inFlightTwice)
+	d.servers[serverIndex].inFlight++
+	d.servers[serverIndex].lastUsed = d.now
+	if r.state == inFlight {
+		d.setState(requestIndex, inFlightTwice)
 	} else {
-		d.setState(i, inFlight)
+		d.setState(requestIndex, inFlight)
 	}
-	d.Actions = append(d.Actions, Action{Kind: Send, RPC: d.id(i), Try: w.tries, Conn: c, Server: at, Retry: further,
-		Deadline: w.deadline})
-	if d.HedgeAfter > 0 && w.kind == rpc.Idempotent && !w.hedged {
-		d.wakeBy(w.inFlight[0].sent + d.HedgeAfter)
+	d.Actions = append(d.Actions, Action{Kind: Send, RPC: d.id(requestIndex), Try: r.tries, Conn: connIndex, Server: serverIndex, Retry: isRetry,
+		Deadline: r.deadline})
+	if d.HedgeAfter > 0 && r.kind == rpc.Idempotent && !r.hedged {
+		d.wakeBy(r.inFlight[0].sent + d.HedgeAfter)
 	}
 }
 
-// hedge sends a second try of idempotent RPCs that have been in flight for long to another app server, out of the same budget.
-func (d *Dispatcher) hedge() {
+// sendHedges sends a second try of idempotent RPCs that have been in flight for long to another app server, out of the same budget.
+func (d *Dispatcher) sendHedges() {
 	if d.HedgeAfter <= 0 {
 		return
 	}
-	for i := range d.rpcs {
-		w := &d.rpcs[i]
-		if w.state != inFlight || w.kind != rpc.Idempotent || w.hedged || w.noRetry {
+	for requestIndex := range d.requests {
+		r := &d.requests[requestIndex]
+		if r.state != inFlight || r.kind != rpc.Idempotent || r.hedged || r.noRetry {
 			continue
 		}
-		sent := max(w.inFlight[0].sent, w.inFlight[1].sent)
+		sent := max(r.inFlight[0].sent, r.inFlight[1].sent)
 		if d.now < sent+d.HedgeAfter {
 			d.wakeBy(sent + d.HedgeAfter)
 			continue
 		}
-		w.hedged = true
-		if d.now+d.durations[w.method]/2 >= w.deadline {
+		r.hedged = true
+		if d.now+d.methodDurations[r.method]/2 >= r.deadline {
 			continue
 		}
-		if at := d.chooseServer(w, w.server); at >= 0 && d.budget.Spend(d.now) {
+		if serverIndex := d.chooseServer(r, r.server); serverIndex >= 0 && d.budget.Spend(d.now) {
 			d.Counts.Hedges++
-			d.send(i, at)
+			d.send(requestIndex, serverIndex)
 		}
 	}
 }
 
-// connectionLost decides about an RPC whose connection has ended under a try. One that crossed a close of an idle connection
+// handleLostTry decides about an RPC whose connection has ended under a try. One that crossed a close of an idle connection
 // is sent again once, outside the budget, as the protocol has it; still only if a second run does no harm.
-func (d *Dispatcher) connectionLost(i int, t try) {
-	w := &d.rpcs[i]
-	if w.state == inFlight && !w.resent && d.now-t.sent <= CrossingWindow && !d.conns[t.conn].checkPending &&
-		d.conns[t.conn].open == 1 && w.kind == rpc.Idempotent && d.servers[w.server].up+d.servers[w.server].checks > 0 {
-		w.resent = true
-		w.reach, w.cause = max(w.reach, Sent), Lost
-		d.setState(i, waiting)
+func (d *Dispatcher) handleLostTry(requestIndex int, t try) {
+	r := &d.requests[requestIndex]
+	if r.state == inFlight && !r.resent && d.now-t.sent <= CrossingWindow && !d.conns[t.conn].checkPending &&
+		d.conns[t.conn].inFlight == 1 && r.kind == rpc.Idempotent && d.servers[r.server].rpcConns+d.servers[r.server].checkConns > 0 {
+		r.resent = true
+		r.progress, r.cause = max(r.progress, Sent), Lost
+		d.setState(requestIndex, waiting)
 		return
 	}
-	d.retryOrFinish(i, Sent, Lost, 0)
+	d.retryOrFinish(requestIndex, Sent, Lost, 0)
 }
