--- a/client/client.go
+++ b/client/client.go
@@ -48,12 +48,12 @@
 	methodIndexes map[string]int
 	closed        bool
 	timer         *time.Timer
-	timerDue      float64 // when the timer fires
+	timerFiresAt  float64 // when the timer fires
 	reported      attempt.Counts
 
-	ctx   context.Context // ends with Close
-	end   context.CancelFunc
-	group sync.WaitGroup
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // call is one open RPC.
@@ -61,7 +61,7 @@
 	Method
 	name, token, row string
 	body, result     []byte
-	why              string
+	reason           string
 	done             chan attempt.Outcome // of capacity 1
 	server           string
 }
@@ -70,8 +70,8 @@
 	defaultDeadline       = 5 * time.Second
 	defaultConnectTimeout = 2 * time.Second // for a connect: the platform's own links take milliseconds
 	maxMethods            = 256             // methods measured separately; all further ones share the last index
-	maxToken              = 128
-	maxMethodName         = 256
+	maxTokenBytes         = 128
+	maxMethodNameBytes    = 256
 )
 
 // Dial is New for a fixed list of app servers.
@@ -85,12 +85,12 @@
 	for _, o := range opts {
 		o(&c.options)
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	c.config.Seed = cmp.Or(c.config.Seed, rand.Uint64())
 	c.source = cmp.Or(c.source, 1+rand.IntN(1<<30))
-	c.deadline, c.connect = cmp.Or(c.deadline, defaultDeadline), cmp.Or(c.connect, defaultConnectTimeout)
+	c.deadline, c.connectTimeout = cmp.Or(c.deadline, defaultDeadline), cmp.Or(c.connectTimeout, defaultConnectTimeout)
 	if c.log == nil {
 		c.log = zap.NewNop()
 	}
@@ -99,35 +99,35 @@
 			return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		}
 	}
-	c.ctx, c.end = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.dispatcher = attempt.New(c.clock(), c.config)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timer = time.AfterFunc(time.Hour, c.tick)
 	if err := c.startWatching(); err != nil {
 		c.timer.Stop()
-		c.end()
+		c.cancel()
 		return nil, err
 	}
 	c.dispatcher.SetServers(c.clock(), c.servers)
-	c.run()
+	c.performActions()
 	return c, nil
 }
 
-func (c *Client) check() error {
-	t := &c.config
+func (c *Client) validate() error {
+	config := &c.config
 	switch {
 	case len(c.servers) == 0 && c.file == "" && c.resolve == nil:
 		return errors.New("client: no app servers, no file and no resolver are given")
-	case c.resolve != nil && c.every <= 0:
+	case c.resolve != nil && c.resolveInterval <= 0:
 		return errors.New("client: the resolver's period is not above 0")
-	case t.HedgeAfter < 0 || t.StartSpread < 0 || t.IdleTimeout < 0 || t.FirstBackoff < 0 || t.MaxBackoff < 0 || c.deadline < 0:
+	case config.HedgeAfter < 0 || config.StartSpread < 0 || config.IdleTimeout < 0 || config.FirstBackoff < 0 || config.MaxBackoff < 0 || c.deadline < 0:
 		return errors.New("client: a time is negative")
-	case t.MaxServers < 0 || t.MaxConns < 0 || t.MaxDials < 0 || t.MaxWaiting < 0:
+	case config.MaxServers < 0 || config.MaxConns < 0 || config.MaxDials < 0 || config.MaxWaiting < 0:
 		return errors.New("client: a bound is negative")
 	}
 	for name, m := range c.methods {
-		if err := m.check(name); err != nil {
+		if err := m.validate(name); err != nil {
 			return fmt.Errorf("client: method %q: %w", name, err)
 		}
 	}
@@ -139,9 +139,9 @@
 	return nil
 }
 
-func (m *Method) check(name string) error {
+func (m *Method) validate(name string) error {
 	switch {
-	case name == "" || len(name) > maxMethodName:
+	case name == "" || len(name) > maxMethodNameBytes:
 		return errors.New("its name is empty or too long")
 	case m.Kind != "" && m.Kind != Idempotent && m.Kind != Tokened && m.Kind != NonIdempotent:
 		return fmt.Errorf("kind %q is not known", m.Kind)
@@ -153,10 +153,10 @@
 	return nil
 }
 
-func checkAddress(s string) error {
-	host, port, err := net.SplitHostPort(s)
+func checkAddress(address string) error {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" || port == "" {
-		return fmt.Errorf("%q is no host and port", s)
+		return fmt.Errorf("%q is no host and port", address)
 	}
 	return nil
 }
@@ -166,96 +166,96 @@
 
 // Call sends one RPC to an app server and returns its answer. The deadline is the context's. The error is an *Error.
 func (c *Client) Call(ctx context.Context, method string, body []byte, opts ...CallOption) (Result, error) {
-	k := &call{Method: c.methods[method], name: method, body: body, done: make(chan attempt.Outcome, 1)}
+	pending := &call{Method: c.methods[method], name: method, body: body, done: make(chan attempt.Outcome, 1)}
 	for _, o := range opts {
-		o(k)
+		o(pending)
 	}
-	if err := k.check(); err != nil {
+	if err := pending.validate(); err != nil {
 		return Result{}, &Error{Method: method, Cause: Aborted, Why: err.Error()}
 	}
 	if err := ctx.Err(); err != nil {
-		return Result{}, c.errorOf(k, attempt.Outcome{Cause: causeOf(err), SafeToRetry: true})
+		return Result{}, c.errorOf(pending, attempt.Outcome{Cause: contextCause(err), SafeToRetry: true})
 	}
-	due, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		due = time.Now().Add(c.deadline)
-		var stop context.CancelFunc
-		ctx, stop = context.WithDeadline(ctx, due)
-		defer stop()
+		deadline = time.Now().Add(c.deadline)
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithDeadline(ctx, deadline)
+		defer cancel()
 	}
 	now := c.clock()
 	c.mu.Lock()
-	id := c.dispatcher.Submit(now, c.methodIndex(method), k.Kind, k.Criticality, now+time.Until(due).Seconds())
+	id := c.dispatcher.Submit(now, c.methodIndex(method), pending.Kind, pending.Criticality, now+time.Until(deadline).Seconds())
 	for len(c.calls) <= id.Index {
 		c.calls = append(c.calls, nil)
 	}
-	c.calls[id.Index] = k
-	c.run()
+	c.calls[id.Index] = pending
+	c.performActions()
 	c.mu.Unlock()
-	var end attempt.Outcome
+	var outcome attempt.Outcome
 	select {
-	case end = <-k.done:
+	case outcome = <-pending.done:
 	case <-ctx.Done():
 		c.mu.Lock()
-		c.dispatcher.Abandon(c.clock(), id, causeOf(ctx.Err()) == Late)
-		c.run()
+		c.dispatcher.Abandon(c.clock(), id, contextCause(ctx.Err()) == Late)
+		c.performActions()
 		c.mu.Unlock()
-		end = <-k.done
+		outcome = <-pending.done
 	}
-	if end.Cause != attempt.Served {
-		return Result{}, c.errorOf(k, end)
+	if outcome.Cause != attempt.Served {
+		return Result{}, c.errorOf(pending, outcome)
 	}
-	return Result{Body: k.result, Server: k.server, Tries: end.Tries}, nil
+	return Result{Body: pending.result, Server: pending.server, Tries: outcome.Tries}, nil
 }
 
-func causeOf(err error) Cause {
+func contextCause(err error) Cause {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return Late
 	}
 	return Canceled
 }
 
-func (c *Client) errorOf(k *call, e attempt.Outcome) error {
-	return &Error{Method: k.name, Server: k.server, Cause: e.Cause, Progress: e.Progress, Tries: e.Tries, SafeToRetry: e.SafeToRetry,
-		RetryAfter: time.Duration(e.RetryAfter * float64(time.Second)), Why: k.why}
+func (c *Client) errorOf(pending *call, outcome attempt.Outcome) error {
+	return &Error{Method: pending.name, Server: pending.server, Cause: outcome.Cause, Progress: outcome.Progress, Tries: outcome.Tries, SafeToRetry: outcome.SafeToRetry,
+		RetryAfter: time.Duration(outcome.RetryAfter * float64(time.Second)), Why: pending.reason}
 }
 
-// check refuses, before anything is sent, what no app server would accept, and fills in what is left out.
-func (k *call) check() error {
-	if err := k.Method.check(k.name); err != nil {
+// validate refuses, before anything is sent, what no app server would accept, and fills in what is left out.
+func (c *call) validate() error {
+	if err := c.Method.validate(c.name); err != nil {
 		return err
 	}
-	k.Kind = cmp.Or(k.Kind, NonIdempotent)
+	c.Kind = cmp.Or(c.Kind, NonIdempotent)
 	switch {
-	case len(k.body) > thrift.MaxBody:
-		return fmt.Errorf("a body of %d bytes, %d at most", len(k.body), thrift.MaxBody)
-	case len(k.token) > maxToken:
-		return fmt.Errorf("a token of %d bytes, %d at most", len(k.token), maxToken)
-	case len(k.row) > maxToken:
-		return fmt.Errorf("a row of %d bytes, %d at most", len(k.row), maxToken)
-	case k.token != "" && k.Kind != Tokened:
-		return fmt.Errorf("a token with a method of kind %q", k.Kind)
-	case k.token == "" && k.Kind == Tokened:
-		var b [16]byte
-		crand.Read(b[:])
-		k.token = hex.EncodeToString(b[:])
+	case len(c.body) > thrift.MaxBody:
+		return fmt.Errorf("a body of %d bytes, %d at most", len(c.body), thrift.MaxBody)
+	case len(c.token) > maxTokenBytes:
+		return fmt.Errorf("a token of %d bytes, %d at most", len(c.token), maxTokenBytes)
+	case len(c.row) > maxTokenBytes:
+		return fmt.Errorf("a row of %d bytes, %d at most", len(c.row), maxTokenBytes)
+	case c.token != "" && c.Kind != Tokened:
+		return fmt.Errorf("a token with a method of kind %q", c.Kind)
+	case c.token == "" && c.Kind == Tokened:
+		var token [16]byte
+		crand.Read(token[:])
+		c.token = hex.EncodeToString(token[:])
 	}
-	if k.KB == 0 {
-		k.KB = 1 + 2*float64(len(k.body))/1024
+	if c.KB == 0 {
+		c.KB = 1 + 2*float64(len(c.body))/1024
 	}
 	return nil
 }
 
 // methodIndex returns the index under which a method is measured.
 func (c *Client) methodIndex(method string) int {
-	n, ok := c.methodIndexes[method]
+	index, ok := c.methodIndexes[method]
 	if !ok {
-		if n = len(c.methodIndexes); n >= maxMethods {
+		if index = len(c.methodIndexes); index >= maxMethods {
 			return maxMethods
 		}
-		c.methodIndexes[method] = n
+		c.methodIndexes[method] = index
 	}
-	return n
+	return index
 }
 
 // Close ends all calls and connections and returns once nothing of the client is left.
@@ -263,13 +263,13 @@
 	c.mu.Lock()
 	if !c.closed {
 		c.closed = true
-		c.end()
+		c.cancel()
 		c.timer.Stop()
 		c.dispatcher.Close(c.clock())
-		c.run()
+		c.performActions()
 	}
 	c.mu.Unlock()
-	c.group.Wait()
+	c.goroutines.Wait()
 	return nil
 }
 
@@ -287,72 +287,72 @@
 	if c.closed {
 		return
 	}
-	c.timerDue = 0
+	c.timerFiresAt = 0
 	c.dispatcher.Tick(c.clock())
-	c.run()
+	c.performActions()
 }
 
-// longestSleep bounds the timer in seconds, should the dispatcher ask for no Tick.
-const longestSleep = 60.0
+// maxTimerDelay bounds the timer in seconds, should the dispatcher ask for no Tick.
+const maxTimerDelay = 60.0
 
-// run carries out the dispatcher's actions and sets the timer. It is called under the lock.
-func (c *Client) run() {
+// performActions carries out the dispatcher's actions and sets the timer. It is called under the lock.
+func (c *Client) performActions() {
 	for k := 0; k < len(c.dispatcher.Actions); k++ {
-		c.do(c.dispatcher.Actions[k])
+		c.perform(c.dispatcher.Actions[k])
 	}
 	c.dispatcher.Actions = c.dispatcher.Actions[:0]
 	if c.closed {
 		return
 	}
 	now := c.clock()
-	if wake := min(c.dispatcher.NextTick(), now+longestSleep); c.timerDue <= now || wake < c.timerDue {
-		c.timerDue = max(wake, now)
-		c.timer.Reset(time.Duration((c.timerDue - now) * float64(time.Second)))
+	if wake := min(c.dispatcher.NextTick(), now+maxTimerDelay); c.timerFiresAt <= now || wake < c.timerFiresAt {
+		c.timerFiresAt = max(wake, now)
+		c.timer.Reset(time.Duration((c.timerFiresAt - now) * float64(time.Second)))
 	}
 	if c.meter != nil {
-		c.measure()
+		c.reportCounts()
 	}
 }
 
-func (c *Client) do(o attempt.Action) {
-	switch o.Kind {
+func (c *Client) perform(action attempt.Action) {
+	switch action.Kind {
 	case attempt.Send:
-		k := c.calls[o.RPC.Index]
-		k.server = c.dispatcher.ServerName(o.Server)
-		c.connections[o.Conn].send(outgoing{id: o.RPC, try: o.Try, call: k, deadline: o.Deadline, retry: o.Retry})
+		pending := c.calls[action.RPC.Index]
+		pending.server = c.dispatcher.ServerName(action.Server)
+		c.connections[action.Conn].send(outgoing{id: action.RPC, try: action.Try, call: pending, deadline: action.Deadline, retry: action.Retry})
 	case attempt.Interrupt:
-		c.connections[o.Conn].interrupt(o.RPC, o.Try)
+		c.connections[action.Conn].interrupt(action.RPC, action.Try)
 	case attempt.CheckHealth:
-		c.connections[o.Conn].send(outgoing{healthCheck: true})
+		c.connections[action.Conn].send(outgoing{healthCheck: true})
 	case attempt.Dial:
-		for len(c.connections) <= o.Conn {
+		for len(c.connections) <= action.Conn {
 			c.connections = append(c.connections, nil)
 		}
-		l := newConnection(c, o.Conn, c.dispatcher.ServerName(o.Server))
-		c.connections[o.Conn] = l
-		c.group.Go(l.connect)
+		conn := newConnection(c, action.Conn, c.dispatcher.ServerName(action.Server))
+		c.connections[action.Conn] = conn
+		c.goroutines.Go(conn.connect)
 	case attempt.Disconnect:
-		c.connections[o.Conn].closeNow()
+		c.connections[action.Conn].closeNow()
 	case attempt.Finish:
-		k := c.calls[o.RPC.Index]
-		c.calls[o.RPC.Index] = nil
-		k.done <- o.Outcome
+		pending := c.calls[action.RPC.Index]
+		c.calls[action.RPC.Index] = nil
+		pending.done <- action.Outcome
 	case attempt.ReportServer:
-		c.log.Info("app server "+o.Change.String(), zap.String("server", c.dispatcher.ServerName(o.Server)))
+		c.log.Info("app server "+action.Change.String(), zap.String("server", c.dispatcher.ServerName(action.Server)))
 	}
 }
 
-func (c *Client) measure() {
-	now, was := c.dispatcher.Counts, c.reported
-	c.reported = now
+func (c *Client) reportCounts() {
+	counts, reported := c.dispatcher.Counts, c.reported
+	c.reported = counts
 	for _, m := range []struct {
-		name    string
-		to, far uint64
-	}{{"further", now.Retries, was.Retries}, {"hedged", now.Hedges, was.Hedges}, {"pushed_back", now.Refused, was.Refused},
-		{"lost", now.Lost, was.Lost}, {"dial_failed", now.DialsFailed, was.DialsFailed},
-		{"left_out", now.Excluded, was.Excluded}, {"denied", now.RetriesDenied, was.RetriesDenied}} {
-		if m.to > m.far {
-			c.meter.Add(m.name, m.to-m.far)
+		name              string
+		current, previous uint64
+	}{{"further", counts.Retries, reported.Retries}, {"hedged", counts.Hedges, reported.Hedges}, {"pushed_back", counts.Refused, reported.Refused},
+		{"lost", counts.Lost, reported.Lost}, {"dial_failed", counts.DialsFailed, reported.DialsFailed},
+		{"left_out", counts.Excluded, reported.Excluded}, {"denied", counts.RetriesDenied, reported.RetriesDenied}} {
+		if m.current > m.previous {
+			c.meter.Add(m.name, m.current-m.previous)
 		}
 	}
 }
--- a/client/conn_write.go
+++ b/client/conn_write.go
@@ -15,27 +15,27 @@
 
 // write sends what is queued, several messages at once where they are ready. A frame is made only when it is
 // written, so nothing leaves after its deadline.
-func (l *connection) write(ctx context.Context) error {
+func (conn *connection) write(ctx context.Context) error {
 	var out []byte
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.wake:
+		case <-conn.writeSignal:
 		}
 		for {
-			batch, bytes, over := l.gather(out[:0])
-			if over {
+			batch, frames, ended := conn.encodeBatch(out[:0])
+			if ended {
 				return nil
 			}
-			if out = bytes; len(out) == 0 {
+			if out = frames; len(out) == 0 {
 				break
 			}
-			l.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if n, err := l.nc.Write(out); err != nil {
-				l.unsent(batch, n)
+			conn.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if n, err := conn.nc.Write(out); err != nil {
+				conn.reportUnsent(batch, n)
 				if errors.Is(err, os.ErrDeadlineExceeded) {
-					return &PeerError{Server: l.server, Why: "it does not read"}
+					return &PeerError{Server: conn.server, Why: "it does not read"}
 				}
 				return nil
 			}
@@ -43,63 +43,63 @@
 	}
 }
 
-// gather makes the frames of what waits, up to a bound, and leaves out what has become too late.
-func (l *connection) gather(out []byte) (batch []outgoing, frames []byte, over bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+// encodeBatch makes the frames of what waits, up to a bound, and leaves out what has become too late.
+func (conn *connection) encodeBatch(out []byte) (batch []outgoing, frames []byte, ended bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.ended {
 		return nil, nil, true
 	}
-	now := l.clock()
-	batch = l.spare[:0]
-	k := 0
-	for ; k < len(l.queue) && len(out) < maxWrite; k++ {
-		m := l.queue[k]
+	now := conn.clock()
+	batch = conn.batchBuffer[:0]
+	count := 0
+	for ; count < len(conn.queue) && len(out) < maxWriteBytes; count++ {
+		m := conn.queue[count]
 		if m.call != nil && now >= m.deadline {
-			l.dispatcher.Unsent(now, m.id, m.try)
+			conn.dispatcher.Unsent(now, m.id, m.try)
 			continue
 		}
-		l.lastSeq++
-		m.seq = l.lastSeq
+		conn.lastSeq++
+		m.seq = conn.lastSeq
 		switch {
 		case m.healthCheck:
-			l.pendingCheck = m.seq
+			conn.pendingCheck = m.seq
 			out = thrift.Check(out, m.seq)
-		case m.target != 0:
-			out = thrift.Interrupt(out, m.seq, m.target)
+		case m.interruptTarget != 0:
+			out = thrift.Interrupt(out, m.seq, m.interruptTarget)
 		default:
-			l.open = append(l.open, sent{m.seq, m.id, m.try})
-			c := m.call
+			conn.inFlight = append(conn.inFlight, sent{m.seq, m.id, m.try})
+			pending := m.call
 			// The number is new with every try, so that two are never taken for one.
-			var uid [16]byte
+			var attemptID [16]byte
 			var raw [8]byte
 			binary.BigEndian.PutUint64(raw[:], rand.Uint64())
-			hex.Encode(uid[:], raw[:])
-			out = thrift.Execute(out, m.seq, c.name, string(uid[:]), l.source, now, m.deadline-now, max(c.KB, 0.1),
-				min(c.Criticality, 0.9999), m.retry, c.token, c.row, c.body)
+			hex.Encode(attemptID[:], raw[:])
+			out = thrift.Execute(out, m.seq, pending.name, string(attemptID[:]), conn.source, now, m.deadline-now, max(pending.KB, 0.1),
+				min(pending.Criticality, 0.9999), m.retry, pending.token, pending.row, pending.body)
 		}
 		m.frameEnd = len(out)
 		batch = append(batch, m)
 	}
-	l.queue = slices.Delete(l.queue, 0, k)
-	l.spare = batch
-	l.run()
+	conn.queue = slices.Delete(conn.queue, 0, count)
+	conn.batchBuffer = batch
+	conn.performActions()
 	return batch, out, false
 }
 
-// unsent finds the tries of which not a byte was written before the connection ended: those never left.
-func (l *connection) unsent(batch []outgoing, written int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	from := 0
+// reportUnsent finds the tries of which not a byte was written before the connection ended: those never left.
+func (conn *connection) reportUnsent(batch []outgoing, written int) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	frameStart := 0
 	for _, m := range batch {
-		if m.call != nil && from >= written {
-			if k := slices.IndexFunc(l.open, func(s sent) bool { return s.seq == m.seq }); k >= 0 {
-				l.open = slices.Delete(l.open, k, k+1)
-				l.dispatcher.Unsent(l.clock(), m.id, m.try)
+		if m.call != nil && frameStart >= written {
+			if k := slices.IndexFunc(conn.inFlight, func(s sent) bool { return s.seq == m.seq }); k >= 0 {
+				conn.inFlight = slices.Delete(conn.inFlight, k, k+1)
+				conn.dispatcher.Unsent(conn.clock(), m.id, m.try)
 			}
 		}
-		from = m.frameEnd
+		frameStart = m.frameEnd
 	}
-	l.run()
+	conn.performActions()
 }
--- a/client/lists.go
+++ b/client/lists.go
@@ -16,24 +16,24 @@
 // path would be noticed by nobody.
 func (c *Client) startWatching() error {
 	if c.file != "" {
-		names, err := readList(c.file)
+		names, err := readServerList(c.file)
 		if err != nil {
 			return err
 		}
-		w, err := fsnotify.NewWatcher()
+		watcher, err := fsnotify.NewWatcher()
 		if err != nil {
 			return fmt.Errorf("client: watching %s: %w", c.file, err)
 		}
 		// The folder is watched, as a list is best replaced whole by renaming.
-		if err := w.Add(filepath.Dir(c.file)); err != nil {
-			w.Close()
+		if err := watcher.Add(filepath.Dir(c.file)); err != nil {
+			watcher.Close()
 			return fmt.Errorf("client: watching %s: %w", c.file, err)
 		}
 		c.servers = append(c.servers, names...)
-		c.group.Go(func() { c.follow(w) })
+		c.goroutines.Go(func() { c.watchFile(watcher) })
 	}
 	if c.resolve != nil {
-		c.group.Go(c.pollResolver)
+		c.goroutines.Go(c.pollResolver)
 	}
 	return nil
 }
@@ -41,26 +41,26 @@
 // fileSettleTime is the wait after a change, as a file that is written in place changes several times.
 const fileSettleTime = 50 * time.Millisecond
 
-func (c *Client) follow(w *fsnotify.Watcher) {
-	defer w.Close()
-	later := time.NewTimer(time.Hour)
-	defer later.Stop()
+func (c *Client) watchFile(watcher *fsnotify.Watcher) {
+	defer watcher.Close()
+	settled := time.NewTimer(time.Hour)
+	defer settled.Stop()
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case e, ok := <-w.Events:
+		case e, ok := <-watcher.Events:
 			if !ok {
 				return
 			}
 			if filepath.Base(e.Name) == filepath.Base(c.file) {
-				later.Reset(fileSettleTime)
+				settled.Reset(fileSettleTime)
 			}
-		case err := <-w.Errors:
+		case err := <-watcher.Errors:
 			c.log.Warn("watching the list of app servers", zap.Error(err))
-			later.Reset(fileSettleTime)
-		case <-later.C:
-			names, err := readList(c.file)
+			settled.Reset(fileSettleTime)
+		case <-settled.C:
+			names, err := readServerList(c.file)
 			c.setServers(names, err)
 		}
 	}
@@ -68,8 +68,8 @@
 
 // pollResolver calls the embedder's resolver.
 func (c *Client) pollResolver() {
-	every := time.NewTicker(c.every)
-	defer every.Stop()
+	ticker := time.NewTicker(c.resolveInterval)
+	defer ticker.Stop()
 	for {
 		names, err := c.resolve(c.ctx)
 		for _, name := range names {
@@ -83,7 +83,7 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -102,20 +102,20 @@
 	if !c.dispatcher.SetServers(c.clock(), names) {
 		c.log.Warn("list of app servers empty, the last one stays")
 	}
-	c.run()
+	c.performActions()
 }
 
-// readList reads an address a line.
-func readList(path string) ([]string, error) {
+// readServerList reads an address a line.
+func readServerList(path string) ([]string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	defer f.Close()
 	var names []string
-	in := bufio.NewScanner(f)
-	for line := 1; in.Scan(); line++ {
-		text, _, _ := strings.Cut(in.Text(), "#")
+	scanner := bufio.NewScanner(f)
+	for line := 1; scanner.Scan(); line++ {
+		text, _, _ := strings.Cut(scanner.Text(), "#")
 		if text = strings.TrimSpace(text); text == "" {
 			continue
 		}
@@ -124,5 +124,5 @@
 		}
 		names = append(names, text)
 	}
-	return names, in.Err()
+	return names, scanner.Err()
 }
--- a/client/options.go
+++ b/client/options.go
@@ -38,18 +38,18 @@
 type Option func(*options)
 
 type options struct {
-	config   attempt.Config
-	servers  []string
-	file     string
-	resolve  func(context.Context) ([]string, error)
-	every    time.Duration
-	methods  map[string]Method
-	log      *zap.Logger
-	meter    Meter
-	deadline time.Duration
-	connect  time.Duration
-	dial     func(ctx context.Context, address string) (net.Conn, error)
-	source   int
+	config          attempt.Config
+	servers         []string
+	file            string
+	resolve         func(context.Context) ([]string, error)
+	resolveInterval time.Duration
+	methods         map[string]Method
+	log             *zap.Logger
+	meter           Meter
+	deadline        time.Duration
+	connectTimeout  time.Duration
+	dial            func(ctx context.Context, address string) (net.Conn, error)
+	source          int
 }
 
 // Servers names the app servers, as host:port.
@@ -64,7 +64,7 @@
 // Resolver sets a function that returns the app servers, called at the start and then at an interval. An error or an empty list changes
 // nothing.
 func Resolver(every time.Duration, resolve func(context.Context) ([]string, error)) Option {
-	return func(o *options) { o.every, o.resolve = every, resolve }
+	return func(o *options) { o.resolveInterval, o.resolve = every, resolve }
 }
 
 // Methods says what is known of methods. One that is not named is non-idempotent unless a call says otherwise.
@@ -104,16 +104,16 @@
 
 // Reconnects sets the spans that connects are spread over: after a first failure, doubling up to the most. 0.5 s
 // and 8 s if it is not given.
-func Reconnects(first, most time.Duration) Option {
-	return func(o *options) { o.config.FirstBackoff, o.config.MaxBackoff = first.Seconds(), most.Seconds() }
+func Reconnects(initial, maximum time.Duration) Option {
+	return func(o *options) { o.config.FirstBackoff, o.config.MaxBackoff = initial.Seconds(), maximum.Seconds() }
 }
 
 // Bounds sets how many app servers to be connected to (8), connections to each (4), connects in progress (4) and RPCs
 // that wait (1024). 0 leaves one as it is.
 func Bounds(servers, connections, connects, waiting int) Option {
 	return func(o *options) {
-		t := &o.config
-		t.MaxServers, t.MaxConns, t.MaxDials, t.MaxWaiting = servers, connections, connects, waiting
+		config := &o.config
+		config.MaxServers, config.MaxConns, config.MaxDials, config.MaxWaiting = servers, connections, connects, waiting
 	}
 }
 
@@ -148,11 +148,11 @@
 type CallOption func(*call)
 
 // As replaces what is known of the method, for this call.
-func As(m Method) CallOption { return func(k *call) { k.Method = m } }
+func As(m Method) CallOption { return func(c *call) { c.Method = m } }
 
 // Token is the same for all tries of one tokened RPC, at most 128 bytes; drawn if it is not given. Calls that an
 // embedder makes again for the same effect carry the same token and body.
-func Token(token string) CallOption { return func(k *call) { k.token = token } }
+func Token(token string) CallOption { return func(c *call) { c.token = token } }
 
 // Row is what a read is about, for those in between who route by it.
-func Row(row string) CallOption { return func(k *call) { k.row = row } }
+func Row(row string) CallOption { return func(c *call) { c.row = row } }
