--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -1,140 +1,161 @@
-// Package attempt decides for a caller of app servers: where an RPC goes, how many may be out there, whether,
-// when and where one is tried again, and when a lost app server is called on again.
+// Package attempt implements the decisions of a client of app servers: which app server receives an RPC, how many
+// RPCs may be in flight there, whether, when and where a failed RPC is retried, and when to reconnect.
 //
-// A Dispatcher takes events, each with the time in seconds, and appends what is to be done to Actions. It has no
-// clock, no goroutine and no sockets: those are the client package's. It never sends a further try of what may
-// have run, unless the RPC is idempotent or its token guards it at the app server that had it.
+// A Dispatcher takes events, each with the time in seconds, and appends the resulting work to Actions. It has no
+// clock, goroutines or sockets; package client provides those. An RPC that may have run is retried only if it is
+// idempotent, or if it carries a token and goes to the same app server process, which recognizes the token.
 package attempt
 
-// Progress is how far the furthest try of an RPC had come.
+// Progress is the furthest stage that any try of an RPC reached.
 type Progress uint8
 
 const (
-	NeverSent  Progress = iota // no byte of it left
-	PushedBack                 // sent, and refused: it never ran
-	Sent                       // sent, and its outcome is unknown
-	Ran                        // an app server said that it ran, or may have
+	NeverSent  Progress = iota // no byte was written
+	PushedBack                 // sent and rejected: it did not run
+	Sent                       // sent, outcome unknown
+	Ran                        // an app server reported that it ran or may have run
 )
 
 func (r Progress) String() string { return [...]string{"never sent", "pushed back", "sent", "ran"}[r] }
 
-// Cause is why an RPC ended.
+// Cause is the reason why an RPC or one of its tries ended.
 type Cause uint8
 
 const (
 	Served    Cause = iota + 1
-	Refused         // pushed back, and not to be tried again in time
-	Aborted         // the app server gave it up
-	Lost            // the connection ended under it
-	Late            // its deadline came
-	Canceled        // its caller gave it up
-	QueueFull       // too many wait, and it is among the least worthy
+	Refused         // pushed back; of a whole RPC: without time for a retry before its deadline
+	Aborted         // the app server gave it up; it may have run
+	Lost            // the connection ended while it was in flight
+	Late            // its deadline passed
+	Canceled        // its caller canceled it
+	QueueFull       // the queue was full, and it was the last in it by criticality and arrival
 	NoServer        // no app server can be reached before its deadline
 	Closed          // the client was closed
 )
 
 func (c Cause) String() string {
 	return [...]string{"", "ok", "pushed back", "aborted", "connection lost", "deadline passed", "canceled",
-		"too many wait", "no app server in reach", "client closed"}[c]
+		"queue full", "no app server reachable", "client closed"}[c]
 }
 
-// Outcome is the one outcome of an RPC.
+// Outcome is the final result of an RPC; each RPC has exactly one.
 type Outcome struct {
 	Cause       Cause
 	Progress    Progress
 	Tries       int
-	Server      int     // of the last try, -1 if there was none
-	SafeToRetry bool    // whether the caller may ask for it again without the risk of a second effect
-	RetryAfter  float64 // not before that many seconds; 0 where nothing was said
+	Server      int     // index of the app server of the last try, -1 if there was none
+	SafeToRetry bool    // the caller may submit it again without the risk of a second effect
+	RetryAfter  float64 // seconds to wait before submitting it again; 0 if none were given
 }
 
-// ID identifies an open RPC. An index is used again for another RPC, with another generation.
+// ID identifies an open RPC. An index is reused for later RPCs, each with another generation.
 type ID struct {
 	Index      int
 	Generation uint32
 }
 
-// ActionKind is what an action does.
+// ActionKind is the kind of work that an Action asks for.
 type ActionKind uint8
 
 const (
 	Send         ActionKind = iota + 1 // write the RPC to the connection
-	Interrupt                          // interrupt this try at the app server: nobody waits for it
+	Interrupt                          // interrupt a try at the app server, as no caller waits for it any more
 	Dial                               // open a connection
 	Disconnect                         // close a connection
 	CheckHealth                        // write a health check
 	Finish                             // return the outcome to the caller
-	ReportServer                       // log that an app server's condition has changed
+	ReportServer                       // log a change in the state of an app server
 )
 
-// Action is one thing that the caller of a Dispatcher has to do. Fields that its kind does not use are zero.
+// Action is one piece of work for the user of a Dispatcher. Fields that its kind does not use are zero.
 type Action struct {
 	Kind     ActionKind
 	RPC      ID
-	Try      int // its number, from 1
-	Conn     int
-	Server   int
-	Retry    bool    // with Send: a further try
+	Try      int     // number of the try, from 1
+	Conn     int     // index of the connection
+	Server   int     // index of the app server
+	Retry    bool    // with Send: a retry of what was sent before, or a hedge
 	Deadline float64 // with Send
 	Outcome  Outcome // with Finish
 	Change   Change  // with ReportServer
 }
 
-// Change is a change in the condition of an app server.
+// Change is a change in the state of an app server.
 type Change uint8
 
 const (
-	Excluded    Change = iota + 1 // it failed too often
-	Readmitted                    // it serves again
-	Unreachable                   // it cannot be reached
-	Reachable                     // it can again
+	Excluded    Change = iota + 1 // it failed too often and receives no RPCs for a time
+	Readmitted                    // it receives RPCs again
+	Unreachable                   // several connects in a row failed
+	Reachable                     // it answered after being unreachable
 )
 
 func (c Change) String() string {
-	return [...]string{"", "left out", "let back", "not reached", "reached again"}[c]
+	return [...]string{"", "excluded", "readmitted", "not reached", "reached again"}[c]
 }
 
-// Config holds the tuned values of a Dispatcher. Zero values get the defaults of New.
+// Config holds the settings of a Dispatcher. New replaces zero values by the defaults given after the colons.
 type Config struct {
 	Seed          uint64
-	RetryShare    float64 // retries for each first try: 0.1; none if below 0
-	HedgeAfter    float64 // seconds after which an idempotent RPC is sent a second time, 0 for never
+	RetryShare    float64 // retries allowed for each first try: 0.1; no retries if negative
+	HedgeAfter    float64 // seconds in flight after which an idempotent RPC is hedged: 0, never
 	MaxWaiting    int     // RPCs that may be queued: 1024
-	MaxServers    int     // app servers connected to at once: 8
-	MaxDials      int     // connects in progress: 4
-	MaxConns      int     // connections to one app server: 4
+	MaxServers    int     // app servers in use at once: 8
+	MaxDials      int     // connects in progress at once: 4
+	MaxConns      int     // connections for RPCs to one app server: 4
 	FirstBackoff  float64 // seconds over which the first reconnect is spread: 0.5
-	MaxBackoff    float64 // most seconds over which a reconnect is spread: 8
-	StartSpread   float64 // seconds over which the first connects are spread, for clients that start together: 0
+	MaxBackoff    float64 // maximum seconds over which a reconnect is spread: 8
+	StartSpread   float64 // seconds over which first connects are spread when many clients start at once: 0
 	IdleTimeout   float64 // seconds until an idle connection is closed: 20
-	CheckPeriod   float64 // seconds between health checks: 5; none if below 0
+	CheckPeriod   float64 // mean seconds between health checks: 5; no health checks if negative
 	TokensPersist bool    // app servers keep their tokens over a restart
 }
 
-// Fixed by the protocol.
+// Limits fixed by the protocol.
 const (
-	MaxOpen        = 32   // RPCs open on one connection
-	CrossingWindow = 0.05 // a close that an RPC can have crossed
+	MaxOpen = 32 // RPCs in flight on one connection
+
+	// CrossingWindow is the time in seconds within which an RPC can have crossed the close of an idle connection.
+	CrossingWindow = 0.05
 )
 
 const (
-	defaultCredit  = 2.0 // RPCs out at an app server that has reported no credit lately: one, and one to compare it with
-	creditLifetime = 1.0 // seconds for which credit is believed: the platform's own routers do the same
-	// firstCheckTimeout is how many seconds an app server that has not reported its credit may take to answer a health check.
+	// defaultCredit is the number of RPCs in flight allowed at an app server without a recent credit: one, and a
+	// second to compare it with.
+	defaultCredit = 2.0
+	// creditLifetime is how long a reported credit is used, in seconds, as in the platform's own routers.
+	creditLifetime = 1.0
+	// firstCheckTimeout is how long, in seconds, RPCs wait for a health check to return the first credit.
 	firstCheckTimeout = 0.5
-	// minRedrawDelay is the least time in seconds between two draws on the fraction of a credit: an app server that has just come up
-	// learns what it can do from the tries that it gets.
+	// minRedrawDelay is the minimum time in seconds between two draws on the fraction of a credit. It is short, as
+	// an app server that has just started learns its capacity from the tries that it receives.
 	minRedrawDelay = 0.05
-	// coldDuration is the assumed duration in seconds of a try at a process that has not served one yet and may be cold.
-	coldDuration    = 0.25
-	maxRetryAfter   = 60.0 // the longest advice to stay away that is followed, in seconds
-	firstRetryDelay = 0.05 // seconds before a retry where no advice was given, doubling with each
+	// coldDuration is the assumed duration in seconds of a try at a process that has served none yet and may be cold.
+	coldDuration = 0.25
+	// maxRetryAfter limits the retry-after delay of an app server, in seconds.
+	maxRetryAfter = 60.0
+	// firstRetryDelay is the range in seconds of the jittered delay before a first retry without a retry-after
+	// delay. It doubles with each try, up to maxRetryDelay.
+	firstRetryDelay = 0.05
 	maxRetryDelay   = 1.0
-	silenceTimeout  = 5.0 // seconds without an answer, with RPCs open, after which a connection is closed
-	averageWeight   = 0.1 // weight of a new measurement
+	// silenceTimeout is the time in seconds after which a connection with RPCs in flight is closed if it receives
+	// nothing.
+	silenceTimeout = 5.0
+	// averageWeight is the weight of a new measurement in a moving average.
+	averageWeight = 0.1
 )
 
 // Counts are totals since the start.
 type Counts struct {
-	Submitted, Tries, Retries, Hedges, Refused, Lost, Served, Dials, DialsFailed, Excluded, RetriesDenied uint64
+	Submitted     uint64 // RPCs submitted
+	Tries         uint64 // tries sent, first ones and retries
+	Retries       uint64 // retries of what was sent before, hedges included
+	Hedges        uint64 // second tries of RPCs that were still in flight
+	Refused       uint64 // tries pushed back
+	Lost          uint64 // connections that ended with RPCs in flight or by a protocol error
+	Served        uint64 // RPCs that ended ok
+	Dials         uint64 // connects started
+	DialsFailed   uint64 // connects failed
+	Excluded      uint64 // exclusions of app servers
+	RetriesDenied uint64 // retries that the budget did not allow
 }
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -252,8 +252,8 @@
 	}
 	fmt.Println("back after a while:", back > 102 && back < 106, "and used again:", sentBad > 100)
 	// Output:
-	// a:1 left out
-	// a:1 let back
+	// a:1 excluded
+	// a:1 readmitted
 	// back after a while: true and used again: true
 }
 
--- a/logic/attempt/budget.go
+++ b/logic/attempt/budget.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// Budget bounds retries to a share of the first tries. Each first try earns a share of a retry. What is not spent
-// is lost within budgetSpan, so that a long outage does not save up a retry storm for its end.
+// Budget limits retries to a share of the first tries. Each first try earns a share of a retry. Unspent retries
+// expire as first tries decay over budgetDecayTime, so that a long outage is not followed by a retry storm.
 type Budget struct {
 	Share      float64 // retries for each first try; 0 for none
-	tokens     float64
-	firstTries float64 // recent first tries, decaying over budgetSpan
-	updatedAt  float64 // when both were last brought up to date
+	tokens     float64 // retries that may be spent
+	firstTries float64 // number of first tries, exponentially decayed over budgetDecayTime
+	updatedAt  float64 // time of the last decay
 	started    bool
 }
 
 const (
-	// budgetDecayTime is how many seconds of first tries count: long enough for callers with a few RPCs a second to
-	// earn one, far shorter than an outage.
+	// budgetDecayTime is the time constant, in seconds, of the decay of first tries: long enough for a caller with a
+	// few RPCs a second to earn a retry, and much shorter than an outage.
 	budgetDecayTime = 10.0
-	// initialBudget lets a caller who has just begun try once more.
+	// initialBudget is the number of retries that a new client may spend, and the lowest limit of the budget.
 	initialBudget = 1.0
 )
 
-// decay brings both figures up to now.
+// decay applies the decay of first tries up to now and lowers the budget to the new maximum.
 func (b *Budget) decay(now float64) {
 	if !b.started {
 		b.started, b.tokens, b.updatedAt = true, initialBudget, now
