--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -1,9 +1,10 @@
-// Package attempt implements the decisions of a client of app servers: which app server receives an RPC, how many
-// RPCs may be in flight there, whether, when and where a failed RPC is retried, and when to reconnect.
+// Package attempt implements the decisions of a client of app servers: which app server receives an RPC, how
+// many RPCs may be in flight there, whether, when and where a failed RPC is retried, and when to reconnect.
 //
-// A Dispatcher takes events, each with the time in seconds, and appends the resulting work to Actions. It has no
-// clock, goroutines or sockets; package client provides those. An RPC that may have run is retried only if it is
-// idempotent, or if it carries a token and goes to the same app server process, which recognizes the token.
+// A Dispatcher takes events, each with the time in seconds, and appends the resulting work to Actions. It has
+// no clock, goroutines or sockets; package client provides those. An RPC that may have run is retried only if
+// it is idempotent, or if it carries a token and goes to the same app server process, which recognizes the
+// token.
 package attempt
 
 // Progress is the furthest stage that any try of an RPC reached.
@@ -59,7 +60,7 @@
 
 const (
 	Send         ActionKind = iota + 1 // write the RPC to the connection
-	Interrupt                          // interrupt a try at the app server, as no caller waits for it any more
+	Interrupt                          // interrupt a try at the app server: its RPC no longer needs it
 	Dial                               // open a connection
 	Disconnect                         // close a connection
 	CheckHealth                        // write a health check
@@ -115,31 +116,33 @@
 const (
 	MaxOpen = 32 // RPCs in flight on one connection
 
-	// CrossingWindow is the time in seconds within which an RPC can have crossed the close of an idle connection.
+	// CrossingWindow is the time in seconds within which an RPC can have crossed the close of an idle
+	// connection.
 	CrossingWindow = 0.05
 )
 
 const (
-	// defaultCredit is the number of RPCs in flight allowed at an app server without a recent credit: one, and a
-	// second to compare it with.
+	// defaultCredit is the number of RPCs in flight allowed at an app server without a recent credit: one,
+	// and a second to compare it with.
 	defaultCredit = 2.0
 	// creditLifetime is how long a reported credit is used, in seconds, as in the platform's own routers.
 	creditLifetime = 1.0
 	// firstCheckTimeout is how long, in seconds, RPCs wait for a health check to return the first credit.
 	firstCheckTimeout = 0.5
-	// minRedrawDelay is the minimum time in seconds between two draws on the fraction of a credit. It is short, as
-	// an app server that has just started learns its capacity from the tries that it receives.
+	// minRedrawDelay is the minimum time in seconds between two draws on the fraction of a credit. It is
+	// short, as an app server that has just started learns its capacity from the tries that it receives.
 	minRedrawDelay = 0.05
-	// coldDuration is the assumed duration in seconds of a try at a process that has served none yet and may be cold.
+	// coldDuration is the assumed duration in seconds of a try at a process that has served none yet and may
+	// be cold.
 	coldDuration = 0.25
 	// maxRetryAfter limits the retry-after delay of an app server, in seconds.
 	maxRetryAfter = 60.0
-	// firstRetryDelay is the range in seconds of the jittered delay before a first retry without a retry-after
-	// delay. It doubles with each try, up to maxRetryDelay.
+	// firstRetryDelay is the range in seconds of the jittered delay before a first retry without a
+	// retry-after delay. It doubles with each try, up to maxRetryDelay.
 	firstRetryDelay = 0.05
 	maxRetryDelay   = 1.0
-	// silenceTimeout is the time in seconds after which a connection with RPCs in flight is closed if it receives
-	// nothing.
+	// silenceTimeout is the time in seconds after which a connection with RPCs in flight is closed if it
+	// receives nothing.
 	silenceTimeout = 5.0
 	// averageWeight is the weight of a new measurement in a moving average.
 	averageWeight = 0.1
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -106,8 +106,8 @@
 	s.flush()
 }
 
-// What waits goes out by criticality, then in order, as credit allows; a refusal rests for its time, one that forbids
-// further tries ends the RPC.
+// What waits goes out by criticality, then in order, as credit allows; a refusal rests for its time, one that
+// forbids further tries ends the RPC.
 func Example_credit() {
 	s := newHarness(Config{CheckPeriod: -1}, "a:1")
 	first := s.ask(rpc.Idempotent, 0.5, 10)
@@ -153,9 +153,9 @@
 	//   1.20 end 0: deadline passed, never sent, 0 tries, again true
 }
 
-// An app server dies holding one of each kind: only the idempotent one goes on, elsewhere. Health checks keep a
-// second connection, by which the tokened one could tell that its app server is the same process; here that is gone
-// too.
+// An app server dies holding one of each kind: only the idempotent one goes on, elsewhere. Health checks keep
+// a second connection, by which the tokened one could tell that its app server is the same process; here that
+// is gone too.
 func Example_death() {
 	s := newHarness(Config{MaxServers: 1}, "a:1")
 	s.meet()
@@ -278,8 +278,8 @@
 	//   0.00 end 0: ok, ran, 1 tries, again false
 }
 
-// A second try goes elsewhere once the first has been out for long; the answer that comes first counts, the other try
-// is taken back.
+// A second try goes elsewhere once the first has been out for long; the answer that comes first counts, the
+// other try is taken back.
 func Example_hedge() {
 	s := newHarness(Config{CheckPeriod: -1, HedgeAfter: 0.1}, "a:1", "b:1")
 	s.meet()
--- a/logic/attempt/budget.go
+++ b/logic/attempt/budget.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// Budget limits retries to a share of the first tries. Each first try earns a share of a retry. Unspent retries
-// expire as first tries decay over budgetDecayTime, so that a long outage is not followed by a retry storm.
+// Budget limits retries to a share of the first tries. Each first try earns a share of a retry. Unspent
+// retries expire as first tries decay over budgetDecayTime, so that a long outage is not followed by a retry
+// storm.
 type Budget struct {
 	Share      float64 // retries for each first try; 0 for none
 	tokens     float64 // retries that may be spent
@@ -13,8 +14,8 @@
 }
 
 const (
-	// budgetDecayTime is the time constant, in seconds, of the decay of first tries: long enough for a caller with a
-	// few RPCs a second to earn a retry, and much shorter than an outage.
+	// budgetDecayTime is the time constant, in seconds, of the decay of first tries: long enough for a caller
+	// with a few RPCs a second to earn a retry, and much shorter than an outage.
 	budgetDecayTime = 10.0
 	// initialBudget is the number of retries that a new client may spend, and the lowest limit of the budget.
 	initialBudget = 1.0
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// connState is the state of a connection; only setConnState changes it.
+// connState is the state of a connection. Only setConnState changes it.
 type connState uint8
 
 const (
 	disconnected connState = iota
 	dialing
 	established
-	draining // no new RPC goes there; closed when it is empty
+	draining // receives no new RPCs; closed once none is in flight
 	connStateCount
 )
 
@@ -20,23 +20,23 @@
 	draining:     {disconnected: true},
 }
 
-// conn is one connection, or the attempt to have one.
+// conn is a connection, or a connect in progress. Its index is reused once it is disconnected.
 type conn struct {
 	state        connState
-	server       int
-	healthCheck  bool // it is used for health checks alone
-	inFlight     int
-	lastUsed     float64
-	lastReceived float64 // 0 before the first answer
-	busySince    float64 // when it last had something to answer and had nothing before
+	server       int     // index of the app server
+	healthCheck  bool    // used for health checks only
+	inFlight     int     // number of RPCs in flight
+	lastUsed     float64 // time of the last send, answer or health check
+	lastReceived float64 // time of the last answer; 0 before the first
+	busySince    float64 // when inFlight last rose from 0
 	nextCheck    float64 // time of the next health check
-	checkPending bool    // a health check is not answered yet
+	checkPending bool    // a health check has not been answered yet
 }
 
 func (d *Dispatcher) setConnState(connIndex int, to connState) {
 	c := &d.conns[connIndex]
 	if !validConnTransitions[c.state][to] {
-		panic("attempt: no such change of a connection")
+		panic("attempt: invalid transition of a connection")
 	}
 	s := &d.servers[c.server]
 	connCount := &s.rpcConns
@@ -67,7 +67,8 @@
 	}
 }
 
-// resetProcessState drops what is known of the process at an app server: what answers there from now on may be another one.
+// resetProcessState clears the state that belongs to the current process of an app server. Without a
+// connection, the next answer from its address may come from another process.
 func (d *Dispatcher) resetProcessState(s *server) {
 	s.incarnation++
 	s.creditAt, s.credit = math.Inf(-1), 0
@@ -75,14 +76,16 @@
 	s.fractionAllowed, s.redrawAt = false, 0
 }
 
-// disconnect closes a connection on which nothing is open.
+// disconnect closes a connection that has no RPC in flight.
 func (d *Dispatcher) disconnect(connIndex int) {
-	d.Actions = append(d.Actions, Action{Kind: Disconnect, Conn: connIndex, Server: d.conns[connIndex].server})
+	d.Actions = append(d.Actions,
+		Action{Kind: Disconnect, Conn: connIndex, Server: d.conns[connIndex].server})
 	d.setConnState(connIndex, disconnected)
 }
 
-// openConnections opens what is wanted: a connection to each app server near that is in use, another where those there are
-// full, and one for health checks.
+// openConnections opens the missing connections: one to each preferred app server in use, another where the
+// existing ones are full, and one for health checks. shortOfCapacity means that a queued RPC found no
+// capacity.
 func (d *Dispatcher) openConnections(shortOfCapacity bool) {
 	if d.closed {
 		return
@@ -105,7 +108,8 @@
 			want = true
 		case s.checkConns == 0 && d.CheckPeriod > 0:
 			want, healthCheck = true, true
-		case shortOfCapacity && s.rpcConns < d.MaxConns && d.leastLoadedConn(serverIndex) < 0 && float64(s.inFlight) < d.allowance(s):
+		case shortOfCapacity && s.rpcConns < d.MaxConns && d.leastLoadedConn(serverIndex) < 0 &&
+			float64(s.inFlight) < d.allowance(s):
 			want = true
 		}
 		switch {
@@ -131,10 +135,10 @@
 	d.Actions = append(d.Actions, Action{Kind: Dial, Conn: connIndex, Server: serverIndex})
 }
 
-// ServerOf is the app server of a connection.
+// ServerOf returns the index of the app server of a connection.
 func (d *Dispatcher) ServerOf(connIndex int) int { return d.conns[connIndex].server }
 
-// Connected reports that a connection has been established.
+// Connected handles an established connection.
 func (d *Dispatcher) Connected(now float64, connIndex int) {
 	d.advance(now)
 	c := &d.conns[connIndex]
@@ -150,7 +154,7 @@
 	d.dispatch()
 }
 
-// ConnectFailed reports that a connect failed.
+// ConnectFailed handles a failed connect.
 func (d *Dispatcher) ConnectFailed(now float64, connIndex int) {
 	d.advance(now)
 	c := &d.conns[connIndex]
@@ -161,7 +165,7 @@
 	d.dispatch()
 }
 
-// backOff delays the next connect, longer with each one that failed.
+// backOff delays the next connect to an app server, by an exponentially growing delay with jitter.
 func (d *Dispatcher) backOff(serverIndex int) {
 	s := &d.servers[serverIndex]
 	s.nextDialAt = d.now + d.random.Backoff(d.FirstBackoff, d.MaxBackoff, s.failedDials)
@@ -171,8 +175,8 @@
 	d.wakeBy(s.nextDialAt)
 }
 
-// Dropped reports that a connection was ended by the other side, or for what arrived on it (faulty). Its tries are
-// lost: how far they came, nobody knows.
+// Dropped handles a connection that the app server closed, or that was closed because of a protocol error or
+// its silence (faulty). Its tries in flight are lost, with unknown outcome.
 func (d *Dispatcher) Dropped(now float64, connIndex int, faulty bool) {
 	d.advance(now)
 	c := d.conns[connIndex]
@@ -189,8 +193,8 @@
 	}
 	switch {
 	case faulty, s.rpcConns+s.checkConns == 0 && !wasDraining, c.lastReceived == 0 && !c.healthCheck:
-		// The process may be gone, and then all its callers come back together; or it takes connections only to end
-		// them.
+		// The process may have ended, and then all its clients reconnect at once; or it accepts connections
+		// only to close them.
 		d.backOff(serverIndex)
 	case c.inFlight > 0, c.healthCheck:
 		s.nextDialAt = max(s.nextDialAt, d.now+d.random.Backoff(firstRetryDelay, d.FirstBackoff, 0))
@@ -203,7 +207,7 @@
 				r.inFlight[slot] = try{}
 				s.inFlight--
 				d.handleLostTry(requestIndex, t)
-				break // of a hedged RPC the other try is elsewhere
+				break // the other try of a hedged RPC is at another app server
 			}
 		}
 	}
@@ -212,7 +216,7 @@
 	d.dispatch()
 }
 
-// Draining reports that an app server asked for no new RPC on a connection.
+// Draining handles an app server's request for no new RPCs on a connection.
 func (d *Dispatcher) Draining(now float64, connIndex int) {
 	d.advance(now)
 	if c := &d.conns[connIndex]; c.state == established {
@@ -223,7 +227,8 @@
 	}
 }
 
-// checkTimers handles what is due at app servers and connections.
+// checkTimers handles the timers of app servers and connections: ends of exclusions, health checks, silence
+// and idle timeouts.
 func (d *Dispatcher) checkTimers() {
 	for serverIndex := range d.servers {
 		if s := &d.servers[serverIndex]; s.serverState == excluded {
@@ -238,11 +243,12 @@
 		c := &d.conns[connIndex]
 		switch {
 		case c.state != established:
-		case c.healthCheck && d.servers[c.server].rpcConns == 0 && d.now-d.servers[c.server].lastUsed >= d.IdleTimeout:
+		case c.healthCheck && d.servers[c.server].rpcConns == 0 &&
+			d.now-d.servers[c.server].lastUsed >= d.IdleTimeout:
 			d.disconnect(connIndex)
 		case c.healthCheck && d.now < c.nextCheck:
 			d.wakeBy(c.nextCheck)
-		case c.healthCheck && c.checkPending: // a whole period without an answer
+		case c.healthCheck && c.checkPending: // not answered for a whole period
 			d.dropUnresponsive(connIndex)
 		case c.healthCheck:
 			c.checkPending = true
@@ -263,8 +269,9 @@
 	}
 }
 
-// dropUnresponsive closes a connection on which nothing is answered any more, and treats it as faulty.
+// dropUnresponsive closes a connection that has stopped answering, and treats it as faulty.
 func (d *Dispatcher) dropUnresponsive(connIndex int) {
-	d.Actions = append(d.Actions, Action{Kind: Disconnect, Conn: connIndex, Server: d.conns[connIndex].server})
+	d.Actions = append(d.Actions,
+		Action{Kind: Disconnect, Conn: connIndex, Server: d.conns[connIndex].server})
 	d.Dropped(d.now, connIndex, true)
 }
--- a/logic/attempt/credit.go
+++ b/logic/attempt/credit.go
@@ -4,14 +4,15 @@
 	"math"
 )
 
-// creditFresh reports whether the app server's credit is recent enough to be used.
+// creditFresh reports whether the credit of the app server is recent enough to be used.
 func (s *server) creditFresh(now float64) bool { return now < s.creditAt+creditLifetime }
 
 // creditKnown reports whether the current process of the app server has reported its credit.
 func (s *server) creditKnown() bool { return !math.IsInf(s.creditAt, -1) }
 
-// allowance is how many tries may be out at an app server. One that has not reported its credit yet may be cold, and then
-// many clients that each try what one alone may be allowed are too much for it: a health check asks it first.
+// allowance returns how many tries may be in flight at an app server. A process that has not reported its
+// credit may be cold, and the default credit of many clients together would overload it; a health check asks
+// for its credit first.
 func (d *Dispatcher) allowance(s *server) float64 {
 	if s.serverState == probing {
 		return 1
@@ -31,12 +32,12 @@
 	return limit
 }
 
-// awaitsHealthCheck reports whether a health check is still to return the credit of an app server that has reported none.
+// awaitsHealthCheck reports whether a health check may still return the first credit of an app server.
 func (d *Dispatcher) awaitsHealthCheck(s *server) bool {
 	return d.CheckPeriod > 0 && !s.answered && d.now < s.upSince+firstCheckTimeout
 }
 
-// hasCapacity reports whether one more try may go to an app server, its connections aside.
+// hasCapacity reports whether an app server may receive one more try; it does not consider its connections.
 func (d *Dispatcher) hasCapacity(s *server) bool {
 	if s.serverState != active && s.serverState != probing || d.now < s.avoidUntil {
 		return false
@@ -45,8 +46,8 @@
 	return s.inFlight < int(whole) || s.inFlight == int(whole) && fraction > 0 && d.allowFraction(s, fraction)
 }
 
-// allowFraction reports whether the fraction of a credit allows one more try. It is drawn again only after the time that a try
-// takes: drawn with each event, the smallest fraction would soon let one out.
+// allowFraction reports whether the fraction of a credit allows one more try, by a random draw that it keeps
+// for the duration of a try. With a draw for each event, the smallest fraction would soon allow a try.
 func (d *Dispatcher) allowFraction(s *server, fraction float64) bool {
 	if d.now >= s.redrawAt {
 		s.fractionAllowed = d.random.Float64() < fraction
@@ -58,7 +59,7 @@
 	return s.fractionAllowed
 }
 
-// Checked reports the answer to a health check.
+// Checked handles the answer to a health check.
 func (d *Dispatcher) Checked(now float64, connIndex int, healthy bool, credit float64) {
 	d.advance(now)
 	c := &d.conns[connIndex]
@@ -73,7 +74,7 @@
 	d.dispatch()
 }
 
-// setCredit records the credit that an app server reported; below 0 it reported none.
+// setCredit records the credit that an app server reported; a negative one means that it reported none.
 func (d *Dispatcher) setCredit(serverIndex int, credit float64) {
 	if s := &d.servers[serverIndex]; credit >= 0 {
 		s.credit, s.creditAt = credit, d.now
--- a/logic/attempt/credit_test.go
+++ b/logic/attempt/credit_test.go
@@ -8,8 +8,8 @@
 	"valveglade/rpc"
 )
 
-// An app server that may be cold is asked by a health check before anything is sent to it, and again once it may be
-// another process.
+// An app server that may be cold is asked by a health check before anything is sent to it, and again once it
+// may be another process.
 func Example_asksFirst() {
 	s := newHarness(Config{}, "a:1")
 	first := s.ask(rpc.Idempotent, 0, 10)
@@ -36,9 +36,9 @@
 	//   1.00 send 0.1 to a:1
 }
 
-// Two dozen clients with more to send than a cold app server bears, none of which knows of the others: it lets each
-// have a fraction out, and by what all send together no second brings more than the tries that end in it and the sum
-// of the fractions allow, but for chance.
+// Two dozen clients with more to send than a cold app server bears, none of which knows of the others: it
+// lets each have a fraction out, and by what all send together no second brings more than the tries that end
+// in it and the sum of the fractions allow, but for chance.
 func TestFractionsSum(t *testing.T) {
 	const clients, share, took, seconds = 24, 4.0, 0.5, 20
 	dispatchers := make([]*harness, clients)
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -7,29 +7,29 @@
 	"valveglade/rpc"
 )
 
-// Dispatcher decides for one client. It is not safe for use by many goroutines.
+// Dispatcher schedules the RPCs and connections of one client. It is not safe for concurrent use.
 type Dispatcher struct {
 	Config
-	Actions         []Action // what is to be done; the caller empties it
-	now             float64
+	Actions         []Action // pending work; the user of the Dispatcher empties the slice
+	now             float64  // time of the latest event
 	random          Random
 	budget          Budget
 	requests        []request
-	freeRequests    []int
-	queue           []int // waiting RPCs: the most critical first, then in order of arrival
-	backingOff      []int // RPCs that wait for their retry
-	nextSequence    uint64
+	freeRequests    []int  // unused indices of requests
+	queue           []int  // waiting RPCs, by descending criticality and then in order of arrival
+	backingOff      []int  // RPCs that wait out the delay before their retry
+	nextSequence    uint64 // arrival number of the next RPC
 	servers         []server
 	conns           []conn
-	freeConns       []int // indices of connections
-	pendingDials    int
-	methodDurations []float64 // by method: moving mean of the seconds until a try was ok
-	wakeAt          float64
+	freeConns       []int     // unused indices of conns
+	pendingDials    int       // connects in progress
+	methodDurations []float64 // by method: moving average of the seconds that a successful try takes
+	wakeAt          float64   // time of the next Tick
 	closed          bool
 	Counts          Counts
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher without app servers; call SetServers next.
 func New(now float64, config Config) *Dispatcher {
 	setDefault := func(v *float64, value float64) {
 		if *v == 0 {
@@ -44,22 +44,22 @@
 	config.MaxWaiting, config.MaxServers = cmp.Or(config.MaxWaiting, 1024), cmp.Or(config.MaxServers, 8)
 	config.MaxDials, config.MaxConns = cmp.Or(config.MaxDials, 4), cmp.Or(config.MaxConns, 4)
 	config.MaxBackoff = max(config.MaxBackoff, config.FirstBackoff)
-	return &Dispatcher{Config: config, now: now, random: NewRandom(config.Seed), budget: Budget{Share: max(config.RetryShare, 0)},
-		wakeAt: math.Inf(1)}
+	return &Dispatcher{Config: config, now: now, random: NewRandom(config.Seed),
+		budget: Budget{Share: max(config.RetryShare, 0)}, wakeAt: math.Inf(1)}
 }
 
-// wakeBy asks for a Tick at that time at the latest.
+// wakeBy schedules the next Tick no later than at.
 func (d *Dispatcher) wakeBy(at float64) { d.wakeAt = min(d.wakeAt, at) }
 
-// NextTick returns the time at which Tick has to be called.
+// NextTick returns the time at which Tick must be called.
 func (d *Dispatcher) NextTick() float64 { return d.wakeAt }
 
 func (d *Dispatcher) advance(now float64) { d.now = max(d.now, now) }
 
-// Open returns the number of open RPCs.
+// Open returns the number of RPCs without an outcome.
 func (d *Dispatcher) Open() int { return len(d.requests) - len(d.freeRequests) }
 
-// Submit adds an RPC. Its outcome is a Finish action, perhaps at once.
+// Submit adds an RPC. Its outcome follows as a Finish action, possibly before Submit returns.
 func (d *Dispatcher) Submit(now float64, method int, kind rpc.Kind, criticality, deadline float64) ID {
 	d.advance(now)
 	if len(d.freeRequests) == 0 {
@@ -69,8 +69,8 @@
 	requestIndex := d.freeRequests[len(d.freeRequests)-1]
 	d.freeRequests = d.freeRequests[:len(d.freeRequests)-1]
 	r := &d.requests[requestIndex]
-	*r = request{generation: r.generation + 1, kind: kind, method: method, criticality: criticality, submittedAt: d.now,
-		deadline: deadline, sequence: d.nextSequence, server: -1}
+	*r = request{generation: r.generation + 1, kind: kind, method: method, criticality: criticality,
+		submittedAt: d.now, deadline: deadline, sequence: d.nextSequence, server: -1}
 	d.nextSequence++
 	d.Counts.Submitted++
 	for method >= len(d.methodDurations) {
@@ -92,7 +92,8 @@
 	return id
 }
 
-// Abandon reports that the caller no longer waits: its deadline has passed (late), or it gave up.
+// Abandon ends an RPC whose caller no longer waits, because the deadline has passed (late) or the call was
+// canceled.
 func (d *Dispatcher) Abandon(now float64, id ID, late bool) {
 	d.advance(now)
 	if !d.isOpen(id) {
@@ -103,7 +104,7 @@
 	if late {
 		cause = Late
 		for _, t := range r.inFlight {
-			if t.number > 0 { // Guards against one that accepts and never answers: its silence counts.
+			if t.number > 0 { // An app server that accepts RPCs and never answers is excluded too.
 				d.recordFailure(d.conns[t.conn].server)
 			}
 		}
@@ -112,7 +113,7 @@
 	d.dispatch()
 }
 
-// Tick handles what is due.
+// Tick handles all timers that have expired: retry delays, timers of app servers and connections, hedges.
 func (d *Dispatcher) Tick(now float64) {
 	d.advance(now)
 	d.wakeAt = math.Inf(1)
--- a/logic/attempt/model_test.go
+++ b/logic/attempt/model_test.go
@@ -24,8 +24,8 @@
 	out         map[int]Action
 }
 
-// Whatever happens, in any order: each RPC ends once; nothing is sent after its deadline, past the credit or to where
-// it could take effect twice; the budget holds; some app servers are always left.
+// Whatever happens, in any order: each RPC ends once; nothing is sent after its deadline, past the credit or
+// to where it could take effect twice; the budget holds; some app servers are always left.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Config{Seed: rapid.Uint64().Draw(t, "seed"), MaxServers: rapid.IntRange(1, 4).Draw(t, "near"),
--- a/logic/attempt/random.go
+++ b/logic/attempt/random.go
@@ -25,8 +25,8 @@
 func (r *Random) IntN(n int) int { return int(r.Float64() * float64(n)) }
 
 // Backoff returns the delay in seconds before the next attempt, with full jitter, so that clients that failed
-// together do not retry together. The range of the delay doubles with each failure in a row, from firstSpread to
-// at most maxSpread seconds.
+// together do not retry together. The range of the delay doubles with each failure in a row, from firstSpread
+// to at most maxSpread seconds.
 func (r *Random) Backoff(firstSpread, maxSpread float64, failures int) float64 {
 	return r.Float64() * min(maxSpread, firstSpread*math.Pow(2, float64(min(failures, 30))))
 }
--- a/logic/attempt/requests.go
+++ b/logic/attempt/requests.go
@@ -7,19 +7,19 @@
 	"valveglade/rpc"
 )
 
-// requestState is the requestState of an RPC; only setState changes it.
+// requestState is the state of an RPC. Only setState changes it.
 type requestState uint8
 
 const (
-	freeSlot      requestState = iota
-	waiting                    // for room at an app server
-	backingOff                 // until it may be tried again
-	inFlight                   // one try is at an app server
-	inFlightTwice              // two are
+	freeSlot      requestState = iota // the index is unused
+	waiting                           // queued for capacity at an app server
+	backingOff                        // waiting out the delay before a retry
+	inFlight                          // with one try in flight
+	inFlightTwice                     // hedged, with two tries in flight
 	stateCount
 )
 
-// validTransitions are the changes of state that may happen.
+// validTransitions are the permitted changes of state, by the old and the new state.
 var validTransitions = [stateCount][stateCount]bool{
 	freeSlot:      {waiting: true},
 	waiting:       {inFlight: true, freeSlot: true},
@@ -28,34 +28,35 @@
 	inFlightTwice: {inFlight: true, freeSlot: true},
 }
 
-// try is one that has been sent and not answered.
+// try is a try in flight. Its number is 0 where there is none.
 type try struct {
-	number, conn int
-	sent         float64
+	number int     // from 1 for each RPC
+	conn   int     // index of the connection
+	sent   float64 // time of the send
 }
 
-// request is one open RPC.
+// request is an open RPC. Its index is reused after its outcome.
 type request struct {
 	state       requestState
-	generation  uint32
+	generation  uint32 // tells the RPCs of one index apart
 	kind        rpc.Kind
-	method      int
+	method      int // index of the method's average duration
 	criticality float64
 	submittedAt float64
 	deadline    float64
-	sequence    uint64  // of arrival
-	retryAt     float64 // while backing off
-	progress    Progress
-	tries       int
-	server      int    // of the last try, -1 before the first
-	pinned      bool   // to that app server, as it may have run there
-	incarnation uint32 // of the app server, at the last try
-	resent      bool   // has had its one resend after a close
-	retryAfter  float64
-	cause       Cause // of the last failed try
-	inFlight    [2]try
-	noRetry     bool // an app server asked that no other be tried
-	hedged      bool
+	sequence    uint64   // arrival number
+	retryAt     float64  // end of the delay, while backing off
+	progress    Progress // of the furthest try
+	tries       int      // number of tries sent
+	server      int      // index of the app server of the last try, -1 before the first
+	pinned      bool     // bound to that app server, as it may have run there
+	incarnation uint32   // of the app server at the last try
+	resent      bool     // resent once after the close of an idle connection
+	retryAfter  float64  // retry-after delay of the last failed try, in seconds
+	cause       Cause    // of the last failed try
+	inFlight    [2]try   // two only if hedged
+	noRetry     bool     // an app server forbade further tries
+	hedged      bool     // considered for a second try; this happens once
 }
 
 // isOpen reports whether an RPC has no outcome yet.
@@ -68,11 +69,12 @@
 	return ID{requestIndex, d.requests[requestIndex].generation}
 }
 
-// setState changes an RPC's state, and the lists that follow from it.
+// setState changes the state of an RPC and keeps the queue, backingOff and the free indices consistent with
+// it.
 func (d *Dispatcher) setState(requestIndex int, to requestState) {
 	r := &d.requests[requestIndex]
 	if !validTransitions[r.state][to] {
-		panic("attempt: no such change of state")
+		panic("attempt: invalid transition of an RPC")
 	}
 	switch r.state {
 	case waiting:
@@ -93,7 +95,7 @@
 	}
 }
 
-// queuePosition returns the index of an RPC in the queue, or the one at which it would be inserted.
+// queuePosition returns the position of an RPC in the queue, or that at which it belongs.
 func (d *Dispatcher) queuePosition(requestIndex int) int {
 	k, _ := slices.BinarySearchFunc(d.queue, requestIndex, func(a, b int) int {
 		x, y := &d.requests[a], &d.requests[b]
@@ -102,7 +104,7 @@
 	return k
 }
 
-// finish returns the one outcome of an RPC and interrupts its tries that are not answered.
+// finish ends an RPC with its outcome and interrupts the tries that are still in flight.
 func (d *Dispatcher) finish(requestIndex int, cause Cause) {
 	r := &d.requests[requestIndex]
 	id := d.id(requestIndex)
@@ -115,9 +117,10 @@
 		d.removeTry(requestIndex, t.number)
 	}
 	if cause == Late && r.cause == Refused && r.progress == PushedBack {
-		cause = Refused // that is what the caller can make use of
+		cause = Refused // tells the caller more than the deadline does
 	}
-	outcome := Outcome{Cause: cause, Progress: r.progress, Tries: r.tries, Server: r.server, RetryAfter: r.retryAfter}
+	outcome := Outcome{Cause: cause, Progress: r.progress, Tries: r.tries, Server: r.server,
+		RetryAfter: r.retryAfter}
 	if cause == Served {
 		outcome.RetryAfter = 0
 	} else {
--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -71,8 +71,8 @@
 // cost estimates what a try would take at an app server: how full it is, times how slow it has been.
 func (d *Dispatcher) cost(serverIndex int, r *request) float64 {
 	s := &d.servers[serverIndex]
-	// Its last credit counts here even when it is too old to send by: an app server that is passed over for a credit
-	// that is not recent would never be asked again.
+	// Its last credit counts here even when it is too old to send by: an app server that is passed over for a
+	// credit that is not recent would never be asked again.
 	credit := defaultCredit
 	if !math.IsInf(s.creditAt, -1) {
 		credit = s.credit
@@ -133,7 +133,8 @@
 	return NoServer
 }
 
-// preferredServers returns the app servers that this client uses: the first ones, in its own order, that can be reached.
+// preferredServers returns the app servers that this client uses: the first ones, in its own order, that can
+// be reached.
 func (d *Dispatcher) preferredServers() []int {
 	var indices []int
 	for serverIndex := range d.servers {
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -80,8 +80,8 @@
 	s.serverState = to
 }
 
-// SetServers replaces the list of app servers. An empty list changes nothing, as no caller is better off with it; it
-// reports false.
+// SetServers replaces the list of app servers. An empty list changes nothing, as no caller is better off with
+// it; it reports false.
 func (d *Dispatcher) SetServers(now float64, names []string) bool {
 	d.advance(now)
 	if len(names) == 0 {
@@ -123,8 +123,8 @@
 	return true
 }
 
-// readmitExcess readmits those whose exclusion ends first, while too many of the listed are excluded. It guards against
-// a list that shrinks to just those.
+// readmitExcess readmits those whose exclusion ends first, while too many of the listed are excluded. It
+// guards against a list that shrinks to just those.
 func (d *Dispatcher) readmitExcess() {
 	for {
 		first, until := -1, math.Inf(1)
@@ -179,8 +179,8 @@
 	d.closeDrained(serverIndex)
 }
 
-// closeDrained closes ending connections that are empty, and removes an app server that has none left and is not
-// listed.
+// closeDrained closes ending connections that are empty, and removes an app server that has none left and is
+// not listed.
 func (d *Dispatcher) closeDrained(serverIndex int) {
 	for connIndex := range d.conns {
 		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == draining && c.inFlight == 0 {
@@ -242,8 +242,8 @@
 	return s.failuresInRow > 1 && enough && s.failures > maxFailureShare*(s.failures+s.successes)
 }
 
-// recordFailure records a failed try, and excludes the app server once it fails too often, unless too many are
-// excluded already: then the fault is not theirs.
+// recordFailure records a failed try, and excludes the app server once it fails too often, unless too many
+// are excluded already: then the fault is not theirs.
 func (d *Dispatcher) recordFailure(serverIndex int) {
 	s := &d.servers[serverIndex]
 	s.failuresInRow++
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Answered reports an app server's answer to a try: how it ended, whether no other is to be tried, for how many
-// seconds to stay away, and the credit (below 0 for none).
+// Answered reports an app server's answer to a try: how it ended, whether no other is to be tried, for how
+// many seconds to stay away, and the credit (below 0 for none).
 func (d *Dispatcher) Answered(now float64, id ID, number int, result Cause, noRetry bool, retryAfter, credit float64) {
 	d.advance(now)
 	if !d.isOpen(id) {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// retryOrFinish decides what becomes of an RPC of which a try has failed, having come as far as reach. Nothing is kept
-// back: what cannot be retried in time is returned to the caller now.
+// retryOrFinish decides what becomes of an RPC of which a try has failed, having come as far as reach.
+// Nothing is kept back: what cannot be retried in time is returned to the caller now.
 func (d *Dispatcher) retryOrFinish(requestIndex int, reach Progress, cause Cause, retryAfter float64) {
 	r := &d.requests[requestIndex]
 	r.progress = max(r.progress, reach)
@@ -128,8 +128,8 @@
 	d.wakeBy(retryAt)
 }
 
-// sameIncarnation reports whether the app server that may have run a tokened RPC is still the same process: only
-// that one knows the token. Another under its address would run it a second time.
+// sameIncarnation reports whether the app server that may have run a tokened RPC is still the same process:
+// only that one knows the token. Another under its address would run it a second time.
 func (d *Dispatcher) sameIncarnation(r *request) bool {
 	s := &d.servers[r.server]
 	return d.TokensPersist || s.rpcConns+s.checkConns > 0 && s.incarnation == r.incarnation
@@ -212,7 +212,8 @@
 	}
 }
 
-// sendHedges sends a second try of idempotent RPCs that have been in flight for long to another app server, out of the same budget.
+// sendHedges sends a second try of idempotent RPCs that have been in flight for long to another app server,
+// out of the same budget.
 func (d *Dispatcher) sendHedges() {
 	if d.HedgeAfter <= 0 {
 		return
@@ -238,8 +239,9 @@
 	}
 }
 
-// handleLostTry decides about an RPC whose connection has ended under a try. One that crossed a close of an idle connection
-// is sent again once, outside the budget, as the protocol has it; still only if a second run does no harm.
+// handleLostTry decides about an RPC whose connection has ended under a try. One that crossed a close of an
+// idle connection is sent again once, outside the budget, as the protocol has it; still only if a second run
+// does no harm.
 func (d *Dispatcher) handleLostTry(requestIndex int, t try) {
 	r := &d.requests[requestIndex]
 	if r.state == inFlight && !r.resent && d.now-t.sent <= CrossingWindow && !d.conns[t.conn].checkPending &&
