--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -8,22 +8,25 @@
 	"valveglade/rpc"
 )
 
-// leastLoadedConn returns the connection with the fewest open RPCs, -1 if none has room.
+// leastLoadedConn returns the connection to an app server with the fewest RPCs in flight, -1 if all are full.
 func (d *Dispatcher) leastLoadedConn(serverIndex int) int {
 	best := -1
 	for connIndex := range d.conns {
 		c := &d.conns[connIndex]
-		if c.server == serverIndex && c.state == established && !c.healthCheck && c.inFlight < MaxOpen && (best < 0 || c.inFlight < d.conns[best].inFlight) {
+		if c.server == serverIndex && c.state == established && !c.healthCheck && c.inFlight < MaxOpen &&
+			(best < 0 || c.inFlight < d.conns[best].inFlight) {
 			best = connIndex
 		}
 	}
 	return best
 }
 
-// chooseServer returns the app server for an RPC, -1 if none has room: the better of two drawn at random.
+// chooseServer returns the app server for an RPC, -1 if none has capacity. It draws two at random and takes
+// the one with the lower cost. excludedIndex is never chosen; it is -1 to permit all.
 func (d *Dispatcher) chooseServer(r *request, excludedIndex int) int {
 	if r.pinned {
-		if s := &d.servers[r.server]; d.now >= s.avoidUntil && s.inFlight < max(int(d.allowance(s)), 1) && d.leastLoadedConn(r.server) >= 0 {
+		if s := &d.servers[r.server]; d.now >= s.avoidUntil && s.inFlight < max(int(d.allowance(s)), 1) &&
+			d.leastLoadedConn(r.server) >= 0 {
 			return r.server
 		}
 		return -1
@@ -31,10 +34,11 @@
 	var candidates, unhealthy []int
 	for serverIndex := range d.servers {
 		s := &d.servers[serverIndex]
-		if serverIndex == excludedIndex || s.rpcConns == 0 || !d.hasCapacity(s) || d.leastLoadedConn(serverIndex) < 0 {
+		if serverIndex == excludedIndex || s.rpcConns == 0 || !d.hasCapacity(s) ||
+			d.leastLoadedConn(serverIndex) < 0 {
 			continue
 		}
-		if s.serverState == probing { // its one RPC goes first, or it would never be seen whether it is back
+		if s.serverState == probing { // the probe goes first, or the app server would stay excluded
 			if r.kind == rpc.Idempotent || d.now > s.excludedUntil+probeAnyKindAfter {
 				return serverIndex
 			}
@@ -47,7 +51,7 @@
 		}
 	}
 	if len(candidates) == 0 && excludedIndex < 0 {
-		candidates = unhealthy // never all left out
+		candidates = unhealthy // if all are unhealthy, use them
 	}
 	switch len(candidates) {
 	case 0:
@@ -60,7 +64,7 @@
 	if second >= first {
 		second++
 	}
-	// A further try goes where the last one was not, if both are as good.
+	// The cost doubles at the app server of the last try, so a retry prefers another one of similar cost.
 	firstCost, secondCost := d.cost(candidates[first], r), d.cost(candidates[second], r)
 	if secondCost < firstCost {
 		return candidates[second]
@@ -68,11 +72,12 @@
 	return candidates[first]
 }
 
-// cost estimates what a try would take at an app server: how full it is, times how slow it has been.
+// cost estimates the cost of a try at an app server: its average duration times its load relative to its
+// credit.
 func (d *Dispatcher) cost(serverIndex int, r *request) float64 {
 	s := &d.servers[serverIndex]
-	// Its last credit counts here even when it is too old to send by: an app server that is passed over for a
-	// credit that is not recent would never be asked again.
+	// The last credit counts here even when it is too old for sending: an app server that is not chosen
+	// because of its old credit would never get a try that renews it.
 	credit := defaultCredit
 	if !math.IsInf(s.creditAt, -1) {
 		credit = s.credit
@@ -80,7 +85,8 @@
 	if rampShare := (d.now - s.readmittedAt) / rampUpDuration; rampShare < 1 {
 		credit *= max(rampShare, initialRampShare)
 	}
-	estimate := max(s.meanDuration, minDuration) * float64(s.inFlight+1) / max(credit, 1) // a fraction has been drawn
+	// A credit below 1 counts as 1, as hasCapacity has already applied the fraction by its draw.
+	estimate := max(s.meanDuration, minDuration) * float64(s.inFlight+1) / max(credit, 1)
 	if r.server == serverIndex && r.tries > 0 {
 		estimate *= 2
 	}
@@ -103,6 +109,7 @@
 	return earliest
 }
 
+// nextAvailable estimates the earliest time at which any listed app server may take one more try.
 func (d *Dispatcher) nextAvailable() float64 {
 	earliest := math.Inf(1)
 	for serverIndex := range d.servers {
@@ -111,11 +118,12 @@
 		}
 	}
 	if math.IsInf(earliest, 1) {
-		return d.now + 1 // nothing is listed yet
+		return d.now + 1 // no app server is listed yet
 	}
 	return earliest
 }
 
+// availableFor estimates the earliest time at which an app server may take a try of this RPC.
 func (d *Dispatcher) availableFor(r *request) float64 {
 	if r.pinned {
 		return d.availableAt(r.server)
@@ -123,7 +131,8 @@
 	return d.nextAvailable()
 }
 
-// unavailableCause returns why nothing could be sent at all.
+// unavailableCause returns the cause for an RPC of which no try was sent: Refused if an app server is
+// connected, as it then has no capacity, and NoServer if none is.
 func (d *Dispatcher) unavailableCause() Cause {
 	for serverIndex := range d.servers {
 		if s := &d.servers[serverIndex]; s.rpcConns > 0 && s.serverState != removing {
@@ -133,8 +142,8 @@
 	return NoServer
 }
 
-// preferredServers returns the app servers that this client uses: the first ones, in its own order, that can
-// be reached.
+// preferredServers returns the app servers that this client uses, up to MaxServers, in its own order.
+// Excluded and unreachable ones come last.
 func (d *Dispatcher) preferredServers() []int {
 	var indices []int
 	for serverIndex := range d.servers {
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -8,15 +8,15 @@
 	"valveglade/logic/chance"
 )
 
-// serverState is the state of an app server as the dispatcher sees it; only setServerState changes it.
+// serverState is the state of an app server in the view of this client. Only setServerState changes it.
 type serverState uint8
 
 const (
-	unlisted serverState = iota // the index is spare
+	unlisted serverState = iota // the index is unused
 	active
-	excluded // sent nothing for a time, as it failed
-	probing  // one RPC at a time, to see whether it is back
-	removing // no longer listed; what is open there ends, nothing new goes there
+	excluded // receives no RPCs for a time, as it failed too often
+	probing  // receives one RPC at a time, to find out whether it serves again
+	removing // no longer listed; receives no new RPCs, those in flight continue
 	serverStateCount
 )
 
@@ -28,60 +28,67 @@
 	removing: {unlisted: true, active: true},
 }
 
-// server is one app server as this client sees it.
+// server is the state that this client keeps of an app server.
 type server struct {
 	serverState
-	name                 string
-	rank                 uint64  // the client's own order of app servers, so that clients do not all choose the same few
-	credit               float64 // as last reported, used for creditLifetime after creditAt
-	creditAt             float64 // -Inf until the current process has reported its credit
-	answered             bool    // the current process has answered something
-	lastDuration         float64 // of the last try there that was ok
-	upSince              float64 // when the first connection to it was established
-	fractionAllowed      bool    // the fraction of the credit allows one more try
-	redrawAt             float64 // time of the next draw on the fraction
-	inFlight             int     // tries that are not answered
-	rpcConns, checkConns int     // connections for RPCs, and for health checks
-	pendingDials         int     // connects in progress, of both kinds
-	incarnation          uint32  // rises each time that no connection to it is left
-	avoidUntil           float64
-	nextDialAt           float64
-	failedDials          int // failed connects in a row, and ends without an answer
-	failuresInRow        int // failed tries in a row
-	successes, failures  float64
-	exclusions           int     // in a row
-	excludedUntil        float64 // while excluded
-	readmittedAt         float64 // its share is ramped up after it
-	meanDuration         float64
-	lastUsed             float64
-	unhealthy            bool // its health checks say so
+	name            string
+	rank            uint64  // its place in this client's order; random, to spread clients over app servers
+	credit          float64 // last reported credit, used for creditLifetime after creditAt
+	creditAt        float64 // -Inf until the current process has reported its credit
+	answered        bool    // the current process has answered an RPC or a health check
+	lastDuration    float64 // seconds that the last successful try took
+	upSince         float64 // when the first of the current connections was established
+	fractionAllowed bool    // the fraction of the credit allows one more try
+	redrawAt        float64 // time of the next draw on the fraction
+	inFlight        int     // tries in flight
+	rpcConns        int     // established connections for RPCs
+	checkConns      int     // established connections for health checks
+	pendingDials    int     // connects in progress, for RPCs or health checks
+	incarnation     uint32  // incremented when no connection is left
+	avoidUntil      float64 // end of the retry-after delay that it asked for
+	nextDialAt      float64 // earliest time of the next connect
+	failedDials     int     // failed connects in a row, including connections closed without an answer
+	failuresInRow   int     // failed tries in a row
+	successes       float64 // number of successful tries, decayed by sampleDecay for each later try
+	failures        float64 // number of failed tries, decayed likewise
+	exclusions      int     // exclusions in a row, without a successful probe between them
+	excludedUntil   float64 // end of the exclusion
+	readmittedAt    float64 // start of the ramp-up of its share
+	meanDuration    float64 // moving average of the seconds that a successful try takes
+	lastUsed        float64 // time of the last send, or of the last need for capacity
+	unhealthy       bool    // reported by its last health check
 }
 
 const (
-	maxFailuresInRow  = 5   // failed tries in a row until an app server is excluded: fewer are common in a surge
-	maxFailureShare   = 0.5 // or that share of failures among the last tries
-	minSamples        = 8.0 // of at least so many
-	sampleDecay       = 0.9 // factor on the weight of a try with each later one
-	firstExclusion    = 1.0 // seconds, doubling each time that it fails again
-	maxExclusion      = 30.0
-	maxExcludedShare  = 0.5 // share of the listed app servers: past it the fault is not theirs
-	rampUpDuration    = 5.0 // seconds over which a readmitted app server gets its share again
-	initialRampShare  = 0.1
-	probeAnyKindAfter = 2.0    // seconds after which an RPC of any kind may probe an excluded app server
-	minDuration       = 0.0005 // below it differences between app servers are noise
-	unreachableAfter  = 2      // failed connects in a row after which another app server is used instead
+	// maxFailuresInRow is the number of failed tries in a row that exclude an app server. Fewer are common
+	// under a surge of load.
+	maxFailuresInRow = 5
+	// maxFailureShare is the share of failures among the recent tries above which an app server is excluded.
+	maxFailureShare = 0.5
+	minSamples      = 8.0 // minimum decayed number of recent tries for maxFailureShare to apply
+	sampleDecay     = 0.9 // factor on the weight of a try for each later try
+	firstExclusion  = 1.0 // seconds; doubles with each exclusion in a row
+	maxExclusion    = 30.0
+	// maxExcludedShare is the maximum share of the listed app servers that may be excluded. If more fail, the
+	// cause probably lies elsewhere.
+	maxExcludedShare  = 0.5
+	rampUpDuration    = 5.0    // seconds over which a readmitted app server returns to its full share
+	initialRampShare  = 0.1    // share at the start of the ramp-up
+	probeAnyKindAfter = 2.0    // seconds after the exclusion until an RPC of any kind may be the probe
+	minDuration       = 0.0005 // seconds; shorter durations are noise when app servers are compared
+	unreachableAfter  = 2      // failed connects in a row after which another app server is preferred
 )
 
 func (d *Dispatcher) setServerState(serverIndex int, to serverState) {
 	s := &d.servers[serverIndex]
 	if !validServerTransitions[s.serverState][to] {
-		panic("attempt: no such change of standing")
+		panic("attempt: invalid transition of an app server")
 	}
 	s.serverState = to
 }
 
-// SetServers replaces the list of app servers. An empty list changes nothing, as no caller is better off with
-// it; it reports false.
+// SetServers replaces the list of app servers. An empty list is ignored, as it would leave the client without
+// any; SetServers then returns false.
 func (d *Dispatcher) SetServers(now float64, names []string) bool {
 	d.advance(now)
 	if len(names) == 0 {
@@ -113,8 +120,10 @@
 		}
 		h := fnv.New64a()
 		h.Write([]byte(name))
-		d.servers[serverIndex] = server{name: name, rank: NewRank(d.Seed, h.Sum64()), incarnation: d.servers[serverIndex].incarnation + 1, lastUsed: d.now,
-			creditAt: math.Inf(-1), readmittedAt: math.Inf(-1), lastDuration: coldDuration, nextDialAt: d.now + d.random.Float64()*d.StartSpread}
+		d.servers[serverIndex] = server{name: name, rank: NewRank(d.Seed, h.Sum64()),
+			incarnation: d.servers[serverIndex].incarnation + 1, lastUsed: d.now,
+			creditAt: math.Inf(-1), readmittedAt: math.Inf(-1), lastDuration: coldDuration,
+			nextDialAt: d.now + d.random.Float64()*d.StartSpread}
 		d.setServerState(serverIndex, active)
 		d.wakeBy(d.servers[serverIndex].nextDialAt)
 	}
@@ -123,17 +132,19 @@
 	return true
 }
 
-// readmitExcess readmits those whose exclusion ends first, while too many of the listed are excluded. It
-// guards against a list that shrinks to just those.
+// readmitExcess readmits excluded app servers, those whose exclusion ends first, while too many of the listed
+// ones are excluded. This happens when a new list keeps mostly excluded ones.
 func (d *Dispatcher) readmitExcess() {
 	for {
 		first, until := -1, math.Inf(1)
 		for serverIndex := range d.servers {
-			if s := &d.servers[serverIndex]; (s.serverState == excluded || s.serverState == probing) && s.excludedUntil < until {
+			if s := &d.servers[serverIndex]; (s.serverState == excluded || s.serverState == probing) &&
+				s.excludedUntil < until {
 				first, until = serverIndex, s.excludedUntil
 			}
 		}
-		if listed, excludedCount := d.Listed(); first < 0 || float64(excludedCount) <= maxExcludedShare*float64(listed) {
+		if listed, excludedCount := d.Listed(); first < 0 ||
+			float64(excludedCount) <= maxExcludedShare*float64(listed) {
 			return
 		}
 		d.reportChange(first, Readmitted)
@@ -142,12 +153,13 @@
 	}
 }
 
-// NewRank places a name in a client's own order.
+// NewRank returns the rank of an app server, from the hash of its name, in the order of the client with this
+// seed.
 func NewRank(seed, name uint64) uint64 {
 	return uint64(chance.At(seed, name) * (1 << 53))
 }
 
-// ServerName returns the app server's name in the list.
+// ServerName returns the name of an app server, empty for an invalid index.
 func (d *Dispatcher) ServerName(serverIndex int) string {
 	if serverIndex < 0 || serverIndex >= len(d.servers) {
 		return ""
@@ -155,7 +167,7 @@
 	return d.servers[serverIndex].name
 }
 
-// Listed returns how many app servers are listed, and how many of them are excluded.
+// Listed returns how many app servers are listed, and how many of them are excluded or being probed.
 func (d *Dispatcher) Listed() (listed, excludedCount int) {
 	for serverIndex := range d.servers {
 		switch d.servers[serverIndex].serverState {
@@ -169,7 +181,7 @@
 	return listed, excludedCount
 }
 
-// drain closes an app server's connections once nothing is open on them.
+// drain closes the connections to an app server once no RPC is in flight on them.
 func (d *Dispatcher) drain(serverIndex int) {
 	for connIndex := range d.conns {
 		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == established {
@@ -179,8 +191,8 @@
 	d.closeDrained(serverIndex)
 }
 
-// closeDrained closes ending connections that are empty, and removes an app server that has none left and is
-// not listed.
+// closeDrained closes draining connections without RPCs in flight, and frees the index of an app server that
+// is no longer listed and has no connections left.
 func (d *Dispatcher) closeDrained(serverIndex int) {
 	for connIndex := range d.conns {
 		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == draining && c.inFlight == 0 {
@@ -192,14 +204,15 @@
 		return
 	}
 	d.setServerState(serverIndex, unlisted)
-	for requestIndex := range d.requests { // its index may come back for another
-		if r := &d.requests[requestIndex]; r.pinned && r.server == serverIndex && (r.state == waiting || r.state == backingOff) {
+	for requestIndex := range d.requests { // the index may be reused for another app server
+		if r := &d.requests[requestIndex]; r.pinned && r.server == serverIndex &&
+			(r.state == waiting || r.state == backingOff) {
 			d.finish(requestIndex, r.cause)
 		}
 	}
 }
 
-// recordAnswer records that an app server has answered.
+// recordAnswer records an answer of any kind: the app server is reachable.
 func (d *Dispatcher) recordAnswer(serverIndex int) {
 	s := &d.servers[serverIndex]
 	if s.failedDials >= unreachableAfter {
@@ -213,7 +226,7 @@
 	d.Actions = append(d.Actions, Action{Kind: ReportServer, Server: serverIndex, Change: change})
 }
 
-// recordSuccess records a try that was ok.
+// recordSuccess records a successful try and its duration, and readmits an app server that was being probed.
 func (d *Dispatcher) recordSuccess(serverIndex int, duration float64) {
 	s := &d.servers[serverIndex]
 	d.recordAnswer(serverIndex)
@@ -233,7 +246,7 @@
 	}
 }
 
-// failsTooOften reports whether the tries there failed several times in a row, or for the most part.
+// failsTooOften reports whether recent tries failed several times in a row, or most of them failed.
 func (s *server) failsTooOften() bool {
 	if s.failuresInRow >= maxFailuresInRow {
 		return true
@@ -242,8 +255,8 @@
 	return s.failuresInRow > 1 && enough && s.failures > maxFailureShare*(s.failures+s.successes)
 }
 
-// recordFailure records a failed try, and excludes the app server once it fails too often, unless too many
-// are excluded already: then the fault is not theirs.
+// recordFailure records a failed try and excludes an app server that fails too often, unless too many are
+// excluded already. A failed probe always excludes it again.
 func (d *Dispatcher) recordFailure(serverIndex int) {
 	s := &d.servers[serverIndex]
 	s.failuresInRow++
@@ -251,7 +264,8 @@
 	listed, excludedCount := d.Listed()
 	switch {
 	case s.serverState == probing:
-	case s.serverState != active, !s.failsTooOften(), float64(excludedCount+1) > maxExcludedShare*float64(listed):
+	case s.serverState != active, !s.failsTooOften(),
+		float64(excludedCount+1) > maxExcludedShare*float64(listed):
 		return
 	}
 	duration := min(maxExclusion, firstExclusion*math.Pow(2, float64(s.exclusions)))
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -6,19 +6,21 @@
 	"valveglade/rpc"
 )
 
-// Unsent reports that no byte of a try was written, as its connection had ended.
+// Unsent handles a try of which no byte was written, because its connection ended or its deadline passed
+// first.
 func (d *Dispatcher) Unsent(now float64, id ID, number int) {
 	d.advance(now)
 	if d.isOpen(id) && d.removeTry(id.Index, number) {
-		d.Counts.Tries-- // it never left
+		d.Counts.Tries-- // send counted it
 		d.retryOrFinish(id.Index, NeverSent, Lost, 0)
 		d.dispatch()
 	}
 }
 
-// Answered reports an app server's answer to a try: how it ended, whether no other is to be tried, for how
-// many seconds to stay away, and the credit (below 0 for none).
-func (d *Dispatcher) Answered(now float64, id ID, number int, result Cause, noRetry bool, retryAfter, credit float64) {
+// Answered handles an app server's answer to a try: its result, whether further tries are forbidden, the
+// retry-after delay in seconds, and the credit (negative if none was reported).
+func (d *Dispatcher) Answered(now float64, id ID, number int, result Cause, noRetry bool,
+	retryAfter, credit float64) {
 	d.advance(now)
 	if !d.isOpen(id) {
 		return
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// removeTry removes a try from its connection, and reports whether it was in flight.
+// removeTry removes a try from its RPC and its connection, and reports whether it was in flight.
 func (d *Dispatcher) removeTry(requestIndex, number int) bool {
 	t := d.requests[requestIndex].findTry(number)
 	if t == nil {
@@ -82,13 +84,13 @@
 	return true
 }
 
-// retryOrFinish decides what becomes of an RPC of which a try has failed, having come as far as reach.
-// Nothing is kept back: what cannot be retried in time is returned to the caller now.
+// retryOrFinish retries or finishes an RPC after a failed try with the given progress. An RPC that cannot be
+// retried before its deadline finishes at once.
 func (d *Dispatcher) retryOrFinish(requestIndex int, reach Progress, cause Cause, retryAfter float64) {
 	r := &d.requests[requestIndex]
 	r.progress = max(r.progress, reach)
 	r.cause, r.retryAfter = cause, retryAfter
-	if r.state == inFlightTwice { // the other try may still bring it
+	if r.state == inFlightTwice { // the other try may still succeed
 		d.setState(requestIndex, inFlight)
 		return
 	}
@@ -103,7 +105,7 @@
 	case r.noRetry, d.closed, r.kind == rpc.NonIdempotent && r.progress != NeverSent:
 		d.finish(requestIndex, cause)
 		return
-	case retryAt+d.methodDurations[r.method]/2 >= r.deadline: // it could not end in time
+	case retryAt+d.methodDurations[r.method]/2 >= r.deadline: // a retry is unlikely to end in time
 		d.finish(requestIndex, cause)
 		return
 	}
@@ -128,16 +130,17 @@
 	d.wakeBy(retryAt)
 }
 
-// sameIncarnation reports whether the app server that may have run a tokened RPC is still the same process:
-// only that one knows the token. Another under its address would run it a second time.
+// sameIncarnation reports whether the app server that may have run a tokened RPC is still the same process.
+// Only that process knows the token; another one at the same address would run the RPC a second time.
 func (d *Dispatcher) sameIncarnation(r *request) bool {
 	s := &d.servers[r.server]
 	return d.TokensPersist || s.rpcConns+s.checkConns > 0 && s.incarnation == r.incarnation
 }
 
-// dispatch sends what waits to where there is room, and connects where there is none.
+// dispatch sends queued RPCs to app servers that have capacity, and opens connections where it is short. It
+// finishes RPCs that cannot end before their deadline.
 func (d *Dispatcher) dispatch() {
-	shortOfCapacity := false // something that waits found no room
+	shortOfCapacity := false // a queued RPC found no app server with capacity
 	for position := 0; position < len(d.queue); {
 		requestIndex := d.queue[position]
 		r := &d.requests[requestIndex]
@@ -145,13 +148,15 @@
 		case r.pinned && !d.sameIncarnation(r):
 			d.finish(requestIndex, r.cause)
 			continue
-		case d.now >= r.deadline, r.tries > 0 && d.now+d.methodDurations[r.method]/2 >= r.deadline: // it could not end in time
+		case d.now >= r.deadline, r.tries > 0 && d.now+d.methodDurations[r.method]/2 >= r.deadline:
+			// A retry is unlikely to end in time.
 			d.finish(requestIndex, cmp.Or(r.cause, Late))
 			continue
 		}
 		if shortOfCapacity && !r.pinned {
 			position++
-			if len(d.queue) > 64 && position > 64 { // only pinned ones are looked for past the first
+			// Only pinned RPCs may still find capacity. The search for them ends after 64 positions.
+			if len(d.queue) > 64 && position > 64 {
 				break
 			}
 			continue
@@ -171,7 +176,7 @@
 	d.openConnections(shortOfCapacity)
 }
 
-// send sends a waiting RPC to an app server, or a second try of one in flight.
+// send sends a waiting RPC to an app server, or a second try (hedge) of one in flight.
 func (d *Dispatcher) send(requestIndex, serverIndex int) {
 	r := &d.requests[requestIndex]
 	connIndex := d.leastLoadedConn(serverIndex)
@@ -196,7 +201,7 @@
 		d.conns[connIndex].busySince = d.now
 	}
 	if s := &d.servers[serverIndex]; s.inFlight >= int(d.allowance(s)) {
-		s.fractionAllowed = false // the fraction is used up until the next draw
+		s.fractionAllowed = false // this try uses the fraction, until the next draw
 	}
 	d.servers[serverIndex].inFlight++
 	d.servers[serverIndex].lastUsed = d.now
@@ -205,15 +210,15 @@
 	} else {
 		d.setState(requestIndex, inFlight)
 	}
-	d.Actions = append(d.Actions, Action{Kind: Send, RPC: d.id(requestIndex), Try: r.tries, Conn: connIndex, Server: serverIndex, Retry: isRetry,
-		Deadline: r.deadline})
+	d.Actions = append(d.Actions, Action{Kind: Send, RPC: d.id(requestIndex), Try: r.tries, Conn: connIndex,
+		Server: serverIndex, Retry: isRetry, Deadline: r.deadline})
 	if d.HedgeAfter > 0 && r.kind == rpc.Idempotent && !r.hedged {
 		d.wakeBy(r.inFlight[0].sent + d.HedgeAfter)
 	}
 }
 
-// sendHedges sends a second try of idempotent RPCs that have been in flight for long to another app server,
-// out of the same budget.
+// sendHedges sends a second try of each idempotent RPC that has been in flight for HedgeAfter to another app
+// server. It draws on the retry budget.
 func (d *Dispatcher) sendHedges() {
 	if d.HedgeAfter <= 0 {
 		return
@@ -239,13 +244,14 @@
 	}
 }
 
-// handleLostTry decides about an RPC whose connection has ended under a try. One that crossed a close of an
-// idle connection is sent again once, outside the budget, as the protocol has it; still only if a second run
-// does no harm.
+// handleLostTry handles a try whose connection has ended. A try that may have crossed the close of an idle
+// connection is resent once, outside the retry budget, as the protocol specifies, but only if the RPC is
+// idempotent.
 func (d *Dispatcher) handleLostTry(requestIndex int, t try) {
 	r := &d.requests[requestIndex]
 	if r.state == inFlight && !r.resent && d.now-t.sent <= CrossingWindow && !d.conns[t.conn].checkPending &&
-		d.conns[t.conn].inFlight == 1 && r.kind == rpc.Idempotent && d.servers[r.server].rpcConns+d.servers[r.server].checkConns > 0 {
+		d.conns[t.conn].inFlight == 1 && r.kind == rpc.Idempotent &&
+		d.servers[r.server].rpcConns+d.servers[r.server].checkConns > 0 {
 		r.resent = true
 		r.progress, r.cause = max(r.progress, Sent), Lost
 		d.setState(requestIndex, waiting)
