--- a/logic/attempt/credit_test.go
+++ b/logic/attempt/credit_test.go
@@ -8,82 +8,88 @@
 	"valveglade/rpc"
 )
 
-// An app server that may be cold is asked by a health check before anything is sent to it, and again once it
-// may be another process.
-func Example_asksFirst() {
-	s := newHarness(Config{}, "a:1")
-	first := s.ask(rpc.Idempotent, 0, 10)
-	s.meet()
-	s.meet()
-	s.checked(1)
-	s.answer(first, 1, Served, false, 0, 1)
-	s.Dropped(s.now, 0, false)
-	s.Dropped(s.now, 1, false)
-	s.ask(rpc.Idempotent, 0, 10)
-	s.until(1)
-	s.meet()
-	s.meet()
-	s.checked(1)
+// A process that may be cold gets a health check before the first RPC; after all connections have ended the
+// next process does too.
+func Example_checkBeforeFirstTry() {
+	h := newHarness(Config{}, "a:1")
+	first := h.submit(rpc.Idempotent, 0, 10)
+	h.acceptDials()
+	h.acceptDials()
+	h.answerChecks(1)
+	h.answer(first, 1, Served, false, 0, 1)
+	h.Dropped(h.now, 0, false)
+	h.Dropped(h.now, 1, false)
+	h.submit(rpc.Idempotent, 0, 10)
+	h.advanceTo(1)
+	h.acceptDials()
+	h.acceptDials()
+	h.answerChecks(1)
 	// Output:
 	// 0.00 dial a:1
 	//   0.00 dial a:1
 	//   0.00 check a:1
 	//   0.00 send 0.1 to a:1
-	//   0.00 end 0: ok, ran, 1 tries, again false
+	//   0.00 finish 0: ok, ran, 1 tries, safe to retry false
 	//   0.00 dial a:1
 	//   1.00 dial a:1
 	//   1.00 check a:1
 	//   1.00 send 0.1 to a:1
 }
 
-// Two dozen clients with more to send than a cold app server bears, none of which knows of the others: it
-// lets each have a fraction out, and by what all send together no second brings more than the tries that end
-// in it and the sum of the fractions allow, but for chance.
-func TestFractionsSum(t *testing.T) {
-	const clients, share, took, seconds = 24, 4.0, 0.5, 20
+// 24 clients that do not know of each other have more to send than a cold app server can serve. It grants
+// each a fraction of a credit. In no second may they send more than the sum of these fractions allows, with a
+// margin for chance.
+func TestCreditFractionsAddUp(t *testing.T) {
+	const (
+		clients  = 24
+		share    = 4.0 // credit of the app server, divided among the clients
+		duration = 0.5 // seconds that each try takes
+		seconds  = 20  // length of the run
+	)
 	dispatchers := make([]*harness, clients)
-	for k := range dispatchers {
-		dispatchers[k] = &harness{Dispatcher: New(100, Config{Seed: uint64(k + 1)}), now: 100}
-		dispatchers[k].SetServers(100, []string{"cold:1"})
+	for index := range dispatchers {
+		dispatchers[index] = &harness{Dispatcher: New(100, Config{Seed: uint64(index + 1)}), now: 100}
+		dispatchers[index].SetServers(100, []string{"cold:1"})
 	}
-	type out struct {
+	type pendingTry struct {
 		dispatcher int
-		order      Action
+		action     Action
 		ends       float64
 	}
-	var open []out
+	var inFlight []pendingTry
 	arrivals := make([]int, seconds)
 	for step := range seconds * 100 {
 		now := 100 + float64(step)/100
-		for k, d := range dispatchers {
-			d.now = now
+		for index, h := range dispatchers {
+			h.now = now
 			if step%10 == 0 {
-				d.Submit(now, 0, rpc.Idempotent, 0, now+2)
+				h.Submit(now, 0, rpc.Idempotent, 0, now+2)
 			}
-			d.Tick(now)
-			d.meetQuietly(share / clients)
-			for _, o := range d.Actions {
-				if o.Kind == Send {
+			h.Tick(now)
+			h.connectAndCheck(share / clients)
+			for _, action := range h.Actions {
+				if action.Kind == Send {
 					arrivals[step/100]++
-					open = append(open, out{k, o, now + took})
+					inFlight = append(inFlight, pendingTry{index, action, now + duration})
 				}
 			}
-			d.Actions = d.Actions[:0]
+			h.Actions = h.Actions[:0]
 		}
-		open = slices.DeleteFunc(open, func(o out) bool {
-			if o.ends > now {
+		inFlight = slices.DeleteFunc(inFlight, func(pending pendingTry) bool {
+			if pending.ends > now {
 				return false
 			}
-			dispatchers[o.dispatcher].Answered(now, o.order.RPC, o.order.Try, Served, false, 0, share/clients)
+			dispatchers[pending.dispatcher].Answered(now, pending.action.RPC, pending.action.Try, Served,
+				false, 0, share/clients)
 			return true
 		})
 	}
-	// As many as share are out on the mean, and each ends after took.
-	mean := share / took
-	if most := float64(slices.Max(arrivals)); most > mean+2*math.Sqrt(mean)+2 {
-		t.Errorf("%.0f tries in one second, %.0f on the mean are allowed: %v", most, mean, arrivals)
+	// share tries are in flight on average, and each takes duration.
+	mean := share / duration
+	if maximum := float64(slices.Max(arrivals)); maximum > mean+2*math.Sqrt(mean)+2 {
+		t.Errorf("%.0f tries in one second, an average of %.0f is allowed: %v", maximum, mean, arrivals)
 	}
-	if all := slices.Sorted(slices.Values(arrivals)); all[seconds/2] < 3 {
-		t.Errorf("%d tries in the middle second: the fraction lets out next to nothing", all[seconds/2])
+	if sorted := slices.Sorted(slices.Values(arrivals)); sorted[seconds/2] < 3 {
+		t.Errorf("%d tries in the median second, want at least 3", sorted[seconds/2])
 	}
 }
--- a/logic/attempt/model_test.go
+++ b/logic/attempt/model_test.go
@@ -9,114 +9,120 @@
 	"valveglade/rpc"
 )
 
-// model is what a property run knows of an RPC.
+// model tracks what a property run expects of an RPC.
 type model struct {
 	kind        rpc.Kind
 	deadline    float64
 	tries       int
-	last        bool    // refused for good
-	until       float64 // refused until
-	mayHave     bool    // some try may have run
-	at          int     // where it may have
-	incarnation uint32
-	crossings   int
+	noRetry     bool    // an app server forbade further tries
+	avoidUntil  float64 // end of the retry-after delay
+	mayHaveRun  bool    // some try may have run
+	lastServer  int     // index of the app server of the last try
+	incarnation uint32  // of that app server
+	resends     int     // tries lost with their connection that may be resent outside the budget
 	ended       bool
-	out         map[int]Action
+	inFlight    map[int]Action // by the number of the try
 }
 
-// Whatever happens, in any order: each RPC ends once; nothing is sent after its deadline, past the credit or
-// to where it could take effect twice; the budget holds; some app servers are always left.
+// Under any order of events: each RPC finishes once; nothing is sent after its deadline, during a retry-after
+// delay or where it could have a second effect; the retry budget holds; at least half of the app servers stay
+// in use.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Config{Seed: rapid.Uint64().Draw(t, "seed"), MaxServers: rapid.IntRange(1, 4).Draw(t, "near"),
-			HedgeAfter: rapid.SampledFrom([]float64{0, 0.05}).Draw(t, "hedge"), MaxWaiting: 5, IdleTimeout: 3, CheckPeriod: 1,
+		config := Config{Seed: rapid.Uint64().Draw(t, "seed"),
+			MaxServers: rapid.IntRange(1, 4).Draw(t, "maxServers"),
+			HedgeAfter: rapid.SampledFrom([]float64{0, 0.05}).Draw(t, "hedge"),
+			MaxWaiting: 5, IdleTimeout: 3, CheckPeriod: 1,
 			RetryShare: rapid.SampledFrom([]float64{-1, 0.1, 0.5}).Draw(t, "share")}
-		d := New(100, terms)
+		d := New(100, config)
 		names := []string{"a:1", "b:1", "c:1", "d:1"}
 		d.SetServers(100, names)
 		now := 100.0
 		rpcs := map[ID]*model{}
 		conns := map[int]connState{}
-		var asked []*model
-		first, further := 0, 0
-		settle := func() {
-			for k := 0; k < len(d.Actions); k++ {
-				o := d.Actions[k]
-				switch o.Kind {
+		var submitted []*model
+		firstTries, retries := 0, 0
+		checkActions := func() {
+			for index := 0; index < len(d.Actions); index++ {
+				action := d.Actions[index]
+				switch action.Kind {
 				case Dial:
-					if conns[o.Conn] != disconnected {
-						t.Fatalf("connection %d is dialled while in use", o.Conn)
+					if conns[action.Conn] != disconnected {
+						t.Fatalf("connection %d is dialed while in use", action.Conn)
 					}
-					conns[o.Conn] = dialing
+					conns[action.Conn] = dialing
 				case Disconnect:
-					conns[o.Conn] = disconnected
+					conns[action.Conn] = disconnected
 				case CheckHealth:
-					if conns[o.Conn] != established {
-						t.Fatalf("a health check on connection %d, which is not up", o.Conn)
+					if conns[action.Conn] != established {
+						t.Fatalf("health check on connection %d, which is not established", action.Conn)
 					}
 				case Interrupt:
-					if m := rpcs[o.RPC]; m != nil {
-						delete(m.out, o.Try)
+					if m := rpcs[action.RPC]; m != nil {
+						delete(m.inFlight, action.Try)
 					}
 				case Finish:
-					m := rpcs[o.RPC]
+					m := rpcs[action.RPC]
 					if m == nil {
 						m = &model{}
-						rpcs[o.RPC] = m
+						rpcs[action.RPC] = m
 					}
 					if m.ended {
-						t.Fatalf("%v ends twice", o.RPC)
+						t.Fatalf("%v finishes twice", action.RPC)
 					}
 					m.ended = true
 				case Send:
-					m := rpcs[o.RPC]
-					if m == nil { // sent before Ask returned
-						m = &model{kind: d.requests[o.RPC.Index].kind, deadline: o.Deadline, out: map[int]Action{}}
-						rpcs[o.RPC] = m
+					m := rpcs[action.RPC]
+					if m == nil { // sent before Submit returned
+						m = &model{kind: d.requests[action.RPC.Index].kind, deadline: action.Deadline,
+							inFlight: map[int]Action{}}
+						rpcs[action.RPC] = m
 					}
-					s := &d.servers[o.Server]
+					s := &d.servers[action.Server]
 					switch {
-					case conns[o.Conn] != established:
-						t.Fatalf("%v sent on a connection that is not up", o.RPC)
+					case conns[action.Conn] != established:
+						t.Fatalf("%v sent on a connection that is not established", action.RPC)
 					case m.ended || now >= m.deadline:
-						t.Fatalf("%v sent after its end or its deadline", o.RPC)
-					case m.last || now < m.until:
-						t.Fatalf("%v sent though refused", o.RPC)
+						t.Fatalf("%v sent after its outcome or its deadline", action.RPC)
+					case m.noRetry || now < m.avoidUntil:
+						t.Fatalf("%v sent although a pushback forbids it", action.RPC)
 					case m.kind == rpc.NonIdempotent && m.tries > 0:
-						t.Fatalf("%v is non-idempotent and sent again", o.RPC)
-					case m.kind == rpc.Tokened && m.mayHave && (m.at != o.Server || m.incarnation != s.incarnation):
-						t.Fatalf("%v may have run at another", o.RPC)
-					case d.conns[o.Conn].inFlight > MaxOpen:
-						t.Fatalf("%d open on one connection", d.conns[o.Conn].inFlight)
+						t.Fatalf("%v is non-idempotent and was retried", action.RPC)
+					case m.kind == rpc.Tokened && m.mayHaveRun &&
+						(m.lastServer != action.Server || m.incarnation != s.incarnation):
+						t.Fatalf("%v may have run in another process", action.RPC)
+					case d.conns[action.Conn].inFlight > MaxOpen:
+						t.Fatalf("%d RPCs in flight on one connection", d.conns[action.Conn].inFlight)
 					case now < s.avoidUntil:
-						t.Fatalf("sent to one that is to be left alone")
+						t.Fatalf("RPC sent during the retry-after delay of its app server")
 					}
 					if m.tries++; m.tries == 1 {
-						first++
-					} else if o.Retry {
-						further++
+						firstTries++
+					} else if action.Retry {
+						retries++
 					}
-					m.at, m.incarnation = o.Server, s.incarnation
-					m.out[o.Try] = o
+					m.lastServer, m.incarnation = action.Server, s.incarnation
+					m.inFlight[action.Try] = action
 				}
 			}
 			d.Actions = d.Actions[:0]
-			if all, out := d.Listed(); out > all/2 {
-				t.Fatalf("%d of %d are left out", out, all)
+			if listed, excludedCount := d.Listed(); excludedCount > listed/2 {
+				t.Fatalf("%d of %d app servers are excluded", excludedCount, listed)
 			}
-			crossed := 0
-			for _, m := range asked {
-				crossed += m.crossings
+			resends := 0
+			for _, m := range submitted {
+				resends += m.resends
 			}
-			if share := max(terms.RetryShare, 0); float64(further-crossed) > 1+share*float64(first)+1e-6 {
-				t.Fatalf("%d further tries for %d first ones", further, first)
+			if share := max(config.RetryShare, 0); float64(retries-resends) >
+				1+share*float64(firstTries)+1e-6 {
+				t.Fatalf("%d retries for %d first tries", retries, firstTries)
 			}
 		}
-		settle()
-		some := func(what string) (ID, *model, int) {
+		checkActions()
+		pickInFlight := func(label string) (ID, *model, int) {
 			var ids []ID
 			for id, m := range rpcs {
-				if len(m.out) > 0 && !m.ended {
+				if len(m.inFlight) > 0 && !m.ended {
 					ids = append(ids, id)
 				}
 			}
@@ -124,128 +130,134 @@
 				return ID{}, nil, 0
 			}
 			slices.SortFunc(ids, func(a, b ID) int { return a.Index - b.Index })
-			id := rapid.SampledFrom(ids).Draw(t, what)
+			id := rapid.SampledFrom(ids).Draw(t, label)
 			m := rpcs[id]
 			try := slices.MinFunc(slices.Collect(func(yield func(int) bool) {
-				for n := range m.out {
+				for n := range m.inFlight {
 					yield(n)
 				}
 			}), func(a, b int) int { return a - b })
 			return id, m, try
 		}
-		conn := func(want ...connState) (int, bool) {
-			var all []int
-			for k := range len(d.conns) {
-				if slices.Contains(want, conns[k]) {
-					all = append(all, k)
+		pickConn := func(want ...connState) (int, bool) {
+			var matching []int
+			for index := range len(d.conns) {
+				if slices.Contains(want, conns[index]) {
+					matching = append(matching, index)
 				}
 			}
-			if len(all) == 0 {
+			if len(matching) == 0 {
 				return 0, false
 			}
-			return rapid.SampledFrom(all).Draw(t, "conn"), true
+			return rapid.SampledFrom(matching).Draw(t, "conn"), true
 		}
+		// Rapid orders the events by their keys, so a changed key invalidates the failures recorded in
+		// testdata.
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { settle() },
+			"": func(*rapid.T) { checkActions() },
 			"ask": func(t *rapid.T) {
-				kind := rapid.SampledFrom([]rpc.Kind{rpc.Idempotent, rpc.Tokened, rpc.NonIdempotent}).Draw(t, "kind")
-				due := now + rapid.Float64Range(-0.1, 3).Draw(t, "within")
-				id := d.Submit(now, rapid.IntRange(0, 2).Draw(t, "method"), kind, rapid.Float64Range(0, 0.9).Draw(t, "crit"), due)
+				kind := rapid.SampledFrom([]rpc.Kind{rpc.Idempotent, rpc.Tokened,
+					rpc.NonIdempotent}).Draw(t, "kind")
+				deadline := now + rapid.Float64Range(-0.1, 3).Draw(t, "timeout")
+				id := d.Submit(now, rapid.IntRange(0, 2).Draw(t, "method"), kind,
+					rapid.Float64Range(0, 0.9).Draw(t, "criticality"), deadline)
 				if rpcs[id] == nil {
-					rpcs[id] = &model{kind: kind, deadline: due, out: map[int]Action{}}
+					rpcs[id] = &model{kind: kind, deadline: deadline, inFlight: map[int]Action{}}
 				}
-				asked = append(asked, rpcs[id])
-				settle()
+				submitted = append(submitted, rpcs[id])
+				checkActions()
 			},
 			"answer": func(t *rapid.T) {
-				id, m, try := some("answered")
+				id, m, try := pickInFlight("answered")
 				if m == nil {
 					t.Skip()
 				}
-				how := rapid.SampledFrom([]Cause{Served, Served, Refused, Aborted}).Draw(t, "how")
-				last := rapid.IntRange(0, 5).Draw(t, "last") == 0
-				after := rapid.SampledFrom([]float64{0, 0, 0.1, 1}).Draw(t, "after")
-				switch how {
+				result := rapid.SampledFrom([]Cause{Served, Served, Refused, Aborted}).Draw(t, "result")
+				noRetry := rapid.IntRange(0, 5).Draw(t, "noRetry") == 0
+				retryAfter := rapid.SampledFrom([]float64{0, 0, 0.1, 1}).Draw(t, "retryAfter")
+				switch result {
 				case Refused:
-					m.last = m.last || last
-					m.until = now + after
+					m.noRetry = m.noRetry || noRetry
+					m.avoidUntil = now + retryAfter
 				case Aborted:
-					m.mayHave = true
+					m.mayHaveRun = true
 				}
-				delete(m.out, try)
-				d.Answered(now, id, try, how, last, after, rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 4}).Draw(t, "credit"))
-				settle()
+				delete(m.inFlight, try)
+				d.Answered(now, id, try, result, noRetry, retryAfter,
+					rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 4}).Draw(t, "credit"))
+				checkActions()
 			},
 			"unsent": func(t *rapid.T) {
-				id, m, try := some("unsent")
+				id, m, try := pickInFlight("unsent")
 				if m == nil {
 					t.Skip()
 				}
-				if m.out[try].Retry {
-					further--
+				if m.inFlight[try].Retry {
+					retries--
 				}
-				delete(m.out, try)
+				delete(m.inFlight, try)
 				if m.tries--; m.tries == 0 {
-					first--
+					firstTries--
 				}
 				d.Unsent(now, id, try)
-				settle()
+				checkActions()
 			},
 			"gone": func(t *rapid.T) {
-				id, m, _ := some("gone")
+				id, m, _ := pickInFlight("gone")
 				if m == nil {
 					t.Skip()
 				}
 				d.Abandon(now, id, rapid.Bool().Draw(t, "late"))
-				settle()
+				checkActions()
 			},
 			"connected": func(t *rapid.T) {
-				k, ok := conn(dialing)
+				index, ok := pickConn(dialing)
 				if !ok {
 					t.Skip()
 				}
 				if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
-					conns[k] = disconnected
-					d.ConnectFailed(now, k)
+					conns[index] = disconnected
+					d.ConnectFailed(now, index)
 				} else {
-					conns[k] = established
-					d.Connected(now, k)
+					conns[index] = established
+					d.Connected(now, index)
 				}
-				settle()
+				checkActions()
 			},
 			"dropped": func(t *rapid.T) {
-				k, ok := conn(established)
+				index, ok := pickConn(established)
 				if !ok {
 					t.Skip()
 				}
-				conns[k] = disconnected
-				for _, m := range asked {
-					for n, o := range m.out {
-						if o.Conn == k {
-							delete(m.out, n)
-							m.mayHave = true
-							if m.crossings == 0 && m.kind == rpc.Idempotent {
-								m.crossings++
+				conns[index] = disconnected
+				for _, m := range submitted {
+					for n, action := range m.inFlight {
+						if action.Conn == index {
+							delete(m.inFlight, n)
+							m.mayHaveRun = true
+							if m.resends == 0 && m.kind == rpc.Idempotent {
+								m.resends++
 							}
 						}
 					}
 				}
-				d.Dropped(now, k, rapid.Bool().Draw(t, "faulty"))
-				settle()
+				d.Dropped(now, index, rapid.Bool().Draw(t, "faulty"))
+				checkActions()
 			},
 			"draining": func(t *rapid.T) {
-				k, ok := conn(established)
+				index, ok := pickConn(established)
 				if !ok {
 					t.Skip()
 				}
-				d.Draining(now, k)
-				settle()
+				d.Draining(now, index)
+				checkActions()
 			},
 			"checked": func(t *rapid.T) {
-				for k := range d.conns {
-					if d.conns[k].state == established && d.conns[k].healthCheck && d.conns[k].checkPending {
-						d.Checked(now, k, rapid.Bool().Draw(t, "well"), 2)
-						settle()
+				for index := range d.conns {
+					if d.conns[index].state == established && d.conns[index].healthCheck &&
+						d.conns[index].checkPending {
+						d.Checked(now, index, rapid.Bool().Draw(t, "healthy"), 2)
+						checkActions()
 						return
 					}
 				}
@@ -253,7 +265,7 @@
 			},
 			"list": func(t *rapid.T) {
 				d.SetServers(now, names[:rapid.IntRange(0, 4).Draw(t, "names")])
-				settle()
+				checkActions()
 			},
 			"time": func(t *rapid.T) {
 				now += rapid.SampledFrom([]float64{0.001, 0.02, 0.2, 2}).Draw(t, "passes")
@@ -263,19 +275,19 @@
 					}
 				}
 				d.Tick(now)
-				settle()
+				checkActions()
 			},
 		})
 		d.Close(now)
-		settle()
-		for _, m := range asked {
+		checkActions()
+		for _, m := range submitted {
 			if !m.ended {
-				t.Fatalf("an RPC never ends")
+				t.Fatalf("an RPC has no outcome")
 			}
 		}
-		for k := range d.conns {
-			if d.conns[k].state != disconnected {
-				t.Fatalf("connection %d stays", k)
+		for index := range d.conns {
+			if d.conns[index].state != disconnected {
+				t.Fatalf("connection %d is still open", index)
 			}
 		}
 	})
