--- a/client/client.go
+++ b/client/client.go
@@ -1,13 +1,14 @@
-// Package client calls app servers, carefully: it keeps to their credit, heeds what they refuse, retries only what
-// cannot take effect twice, and spreads its reconnects after an outage.
+// Package client implements a client of app servers that protects them from overload: it sends no more than their
+// credit allows, waits out their retry-after delays, retries only RPCs that cannot take effect twice, and spreads its
+// reconnects after an outage.
 //
 //	c, err := client.Dial("10.0.0.4:7001", "10.0.0.5:7001")
 //	...
 //	defer c.Close()
 //	r, err := c.Call(ctx, "checkout", body)
 //
-// All decisions are made by logic/attempt. This package owns the sockets, the clock and the goroutines: a reader and a
-// writer for each connection, a timer, and one for lists that change. See docs/client.md.
+// Package logic/attempt makes all decisions. This package owns the sockets, the clock and the goroutines: a reader and
+// a writer for each connection, a timer, and watchers of the list of app servers. See docs/client.md.
 package client
 
 import (
@@ -31,11 +32,11 @@
 // Result is the answer to an RPC that was served.
 type Result struct {
 	Body   []byte
-	Server string
-	Tries  int
+	Server string // address of the app server that served the RPC
+	Tries  int    // number of tries sent
 }
 
-// Client is safe for use by many goroutines.
+// Client calls app servers. It is safe for concurrent use.
 type Client struct {
 	options
 	started     time.Time
@@ -43,15 +44,15 @@
 
 	mu            sync.Mutex
 	dispatcher    *attempt.Dispatcher
-	calls         []*call       // by the dispatcher's index
-	connections   []*connection // by the dispatcher's index of the connection
+	calls         []*call       // by the index of the RPC in the dispatcher
+	connections   []*connection // by the index of the connection in the dispatcher
 	methodIndexes map[string]int
 	closed        bool
-	timer         *time.Timer
-	timerFiresAt  float64 // when the timer fires
-	reported      attempt.Counts
+	timer         *time.Timer // calls tick
+	timerFiresAt  float64
+	reported      attempt.Counts // counts already passed to the meter
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
@@ -59,26 +60,29 @@
 // call is one open RPC.
 type call struct {
 	Method
-	name, token, row string
-	body, result     []byte
-	reason           string
-	done             chan attempt.Outcome // of capacity 1
-	server           string
+	name   string // of the method
+	token  string // identifies a tokened RPC to the app server
+	row    string // routing key of a read
+	body   []byte
+	result []byte               // body of the answer
+	reason string               // the app server's reason for an abort
+	done   chan attempt.Outcome // receives the outcome; its capacity is 1
+	server string               // address of the app server of the last try
 }
 
 const (
 	defaultDeadline       = 5 * time.Second
-	defaultConnectTimeout = 2 * time.Second // for a connect: the platform's own links take milliseconds
-	maxMethods            = 256             // methods measured separately; all further ones share the last index
+	defaultConnectTimeout = 2 * time.Second // for a connect, which takes milliseconds on the platform's links
+	maxMethods            = 256             // methods measured separately; all others share one index
 	maxTokenBytes         = 128
 	maxMethodNameBytes    = 256
 )
 
-// Dial is New for a fixed list of app servers.
+// Dial returns a client of a fixed list of app servers.
 func Dial(servers ...string) (*Client, error) { return New(Servers(servers...)) }
 
-// New makes a client. It begins to connect at once and does not wait for it: calls wait as long as their deadline
-// allows.
+// New returns a client. It starts to connect and does not wait for it: calls wait for a connection until their
+// deadline.
 func New(opts ...Option) (*Client, error) {
 	c := &Client{methodIndexes: map[string]int{}, started: time.Now()}
 	c.startedUnix = float64(c.started.UnixNano()) / 1e9
@@ -118,13 +122,14 @@
 	config := &c.config
 	switch {
 	case len(c.servers) == 0 && c.file == "" && c.resolve == nil:
-		return errors.New("client: no app servers, no file and no resolver are given")
+		return errors.New("client: no app servers, file or resolver given")
 	case c.resolve != nil && c.resolveInterval <= 0:
-		return errors.New("client: the resolver's period is not above 0")
-	case config.HedgeAfter < 0 || config.StartSpread < 0 || config.IdleTimeout < 0 || config.FirstBackoff < 0 || config.MaxBackoff < 0 || c.deadline < 0:
-		return errors.New("client: a time is negative")
+		return errors.New("client: interval of the resolver must be positive")
+	case config.HedgeAfter < 0 || config.StartSpread < 0 || config.IdleTimeout < 0 || config.FirstBackoff < 0 ||
+		config.MaxBackoff < 0 || c.deadline < 0:
+		return errors.New("client: durations must not be negative")
 	case config.MaxServers < 0 || config.MaxConns < 0 || config.MaxDials < 0 || config.MaxWaiting < 0:
-		return errors.New("client: a bound is negative")
+		return errors.New("client: limits must not be negative")
 	}
 	for name, m := range c.methods {
 		if err := m.validate(name); err != nil {
@@ -142,13 +147,13 @@
 func (m *Method) validate(name string) error {
 	switch {
 	case name == "" || len(name) > maxMethodNameBytes:
-		return errors.New("its name is empty or too long")
+		return errors.New("name is empty or too long")
 	case m.Kind != "" && m.Kind != Idempotent && m.Kind != Tokened && m.Kind != NonIdempotent:
-		return fmt.Errorf("kind %q is not known", m.Kind)
+		return fmt.Errorf("unknown kind %q", m.Kind)
 	case !(m.Criticality >= 0 && m.Criticality < 1):
-		return fmt.Errorf("criticality %g is not from 0 to under 1", m.Criticality)
+		return fmt.Errorf("criticality %g is outside [0, 1)", m.Criticality)
 	case !(m.KB >= 0 && m.KB < 2000):
-		return fmt.Errorf("%g KB are not from 0 to under 2000", m.KB)
+		return fmt.Errorf("memory of %g KB is outside [0, 2000)", m.KB)
 	}
 	return nil
 }
@@ -156,15 +161,16 @@
 func checkAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" || port == "" {
-		return fmt.Errorf("%q is no host and port", address)
+		return fmt.Errorf("%q is not of the form host:port", address)
 	}
 	return nil
 }
 
-// clock is the time in Unix seconds, and does not jump.
+// clock returns the time in Unix seconds, from the monotonic clock.
 func (c *Client) clock() float64 { return c.startedUnix + time.Since(c.started).Seconds() }
 
-// Call sends one RPC to an app server and returns its answer. The deadline is the context's. The error is an *Error.
+// Call sends an RPC to an app server and returns its answer. The deadline is that of ctx, or else the default deadline.
+// The error is an *Error.
 func (c *Client) Call(ctx context.Context, method string, body []byte, opts ...CallOption) (Result, error) {
 	pending := &call{Method: c.methods[method], name: method, body: body, done: make(chan attempt.Outcome, 1)}
 	for _, o := range opts {
@@ -185,7 +191,8 @@
 	}
 	now := c.clock()
 	c.mu.Lock()
-	id := c.dispatcher.Submit(now, c.methodIndex(method), pending.Kind, pending.Criticality, now+time.Until(deadline).Seconds())
+	id := c.dispatcher.Submit(now, c.methodIndex(method), pending.Kind, pending.Criticality,
+		now+time.Until(deadline).Seconds())
 	for len(c.calls) <= id.Index {
 		c.calls = append(c.calls, nil)
 	}
@@ -208,6 +215,7 @@
 	return Result{Body: pending.result, Server: pending.server, Tries: outcome.Tries}, nil
 }
 
+// contextCause returns the cause that an error of a context stands for.
 func contextCause(err error) Cause {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return Late
@@ -216,11 +224,12 @@
 }
 
 func (c *Client) errorOf(pending *call, outcome attempt.Outcome) error {
-	return &Error{Method: pending.name, Server: pending.server, Cause: outcome.Cause, Progress: outcome.Progress, Tries: outcome.Tries, SafeToRetry: outcome.SafeToRetry,
+	return &Error{Method: pending.name, Server: pending.server, Cause: outcome.Cause, Progress: outcome.Progress,
+		Tries: outcome.Tries, SafeToRetry: outcome.SafeToRetry,
 		RetryAfter: time.Duration(outcome.RetryAfter * float64(time.Second)), Why: pending.reason}
 }
 
-// validate refuses, before anything is sent, what no app server would accept, and fills in what is left out.
+// validate checks a call against the limits of app servers, before anything is sent, and fills in defaults.
 func (c *call) validate() error {
 	if err := c.Method.validate(c.name); err != nil {
 		return err
@@ -228,13 +237,13 @@
 	c.Kind = cmp.Or(c.Kind, NonIdempotent)
 	switch {
 	case len(c.body) > thrift.MaxBody:
-		return fmt.Errorf("a body of %d bytes, %d at most", len(c.body), thrift.MaxBody)
+		return fmt.Errorf("body of %d bytes exceeds the limit of %d", len(c.body), thrift.MaxBody)
 	case len(c.token) > maxTokenBytes:
-		return fmt.Errorf("a token of %d bytes, %d at most", len(c.token), maxTokenBytes)
+		return fmt.Errorf("token of %d bytes exceeds the limit of %d", len(c.token), maxTokenBytes)
 	case len(c.row) > maxTokenBytes:
-		return fmt.Errorf("a row of %d bytes, %d at most", len(c.row), maxTokenBytes)
+		return fmt.Errorf("row of %d bytes exceeds the limit of %d", len(c.row), maxTokenBytes)
 	case c.token != "" && c.Kind != Tokened:
-		return fmt.Errorf("a token with a method of kind %q", c.Kind)
+		return fmt.Errorf("token given for a method of kind %q", c.Kind)
 	case c.token == "" && c.Kind == Tokened:
 		var token [16]byte
 		crand.Read(token[:])
@@ -246,7 +255,7 @@
 	return nil
 }
 
-// methodIndex returns the index under which a method is measured.
+// methodIndex returns the index under which the dispatcher measures the durations of a method.
 func (c *Client) methodIndex(method string) int {
 	index, ok := c.methodIndexes[method]
 	if !ok {
@@ -258,7 +267,7 @@
 	return index
 }
 
-// Close ends all calls and connections and returns once nothing of the client is left.
+// Close ends all calls and connections, and returns once all goroutines of the client have ended.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	if !c.closed {
@@ -273,7 +282,7 @@
 	return nil
 }
 
-// Counts are totals since the start.
+// Counts returns totals since the start.
 func (c *Client) Counts() attempt.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -292,10 +301,10 @@
 	c.performActions()
 }
 
-// maxTimerDelay bounds the timer in seconds, should the dispatcher ask for no Tick.
+// maxTimerDelay is the maximum delay of the timer in seconds, even if the dispatcher asks for no Tick.
 const maxTimerDelay = 60.0
 
-// performActions carries out the dispatcher's actions and sets the timer. It is called under the lock.
+// performActions carries out the actions of the dispatcher and sets the timer. The caller holds the lock.
 func (c *Client) performActions() {
 	for k := 0; k < len(c.dispatcher.Actions); k++ {
 		c.perform(c.dispatcher.Actions[k])
@@ -314,12 +323,14 @@
 	}
 }
 
+// perform carries out one action of the dispatcher. The caller holds the lock.
 func (c *Client) perform(action attempt.Action) {
 	switch action.Kind {
 	case attempt.Send:
 		pending := c.calls[action.RPC.Index]
 		pending.server = c.dispatcher.ServerName(action.Server)
-		c.connections[action.Conn].send(outgoing{id: action.RPC, try: action.Try, call: pending, deadline: action.Deadline, retry: action.Retry})
+		c.connections[action.Conn].send(outgoing{id: action.RPC, try: action.Try, call: pending,
+			deadline: action.Deadline, retry: action.Retry})
 	case attempt.Interrupt:
 		c.connections[action.Conn].interrupt(action.RPC, action.Try)
 	case attempt.CheckHealth:
@@ -342,14 +353,16 @@
 	}
 }
 
+// reportCounts passes to the meter what the counts have grown by since the last call.
 func (c *Client) reportCounts() {
 	counts, reported := c.dispatcher.Counts, c.reported
 	c.reported = counts
 	for _, m := range []struct {
 		name              string
 		current, previous uint64
-	}{{"further", counts.Retries, reported.Retries}, {"hedged", counts.Hedges, reported.Hedges}, {"pushed_back", counts.Refused, reported.Refused},
-		{"lost", counts.Lost, reported.Lost}, {"dial_failed", counts.DialsFailed, reported.DialsFailed},
+	}{{"further", counts.Retries, reported.Retries}, {"hedged", counts.Hedges, reported.Hedges},
+		{"pushed_back", counts.Refused, reported.Refused}, {"lost", counts.Lost, reported.Lost},
+		{"dial_failed", counts.DialsFailed, reported.DialsFailed},
 		{"left_out", counts.Excluded, reported.Excluded}, {"denied", counts.RetriesDenied, reported.RetriesDenied}} {
 		if m.current > m.previous {
 			c.meter.Add(m.name, m.current-m.previous)
--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -140,12 +140,12 @@
 		fmt.Println(err)
 	}
 	// Output:
-	// m: aborted (never sent, 0 tries): a body of 2049 bytes, 2048 at most
-	// : aborted (never sent, 0 tries): its name is empty or too long
-	// m: aborted (never sent, 0 tries): criticality 1 is not from 0 to under 1
-	// m: aborted (never sent, 0 tries): a token with a method of kind "fragile"
-	// client: no app servers, no file and no resolver are given
-	// client: "nowhere" is no host and port
-	// client: a time is negative
-	// client: method "m": kind "odd" is not known
+	// m: aborted (never sent, 0 tries): body of 2049 bytes exceeds the limit of 2048
+	// : aborted (never sent, 0 tries): name is empty or too long
+	// m: aborted (never sent, 0 tries): criticality 1 is outside [0, 1)
+	// m: aborted (never sent, 0 tries): token given for a method of kind "fragile"
+	// client: no app servers, file or resolver given
+	// client: "nowhere" is not of the form host:port
+	// client: durations must not be negative
+	// client: method "m": unknown kind "odd"
 }
