--- a/client/client.go
+++ b/client/client.go
@@ -306,8 +306,8 @@
 
 // performActions carries out the actions of the dispatcher and sets the timer. The caller holds the lock.
 func (c *Client) performActions() {
-	for k := 0; k < len(c.dispatcher.Actions); k++ {
-		c.perform(c.dispatcher.Actions[k])
+	for next := 0; next < len(c.dispatcher.Actions); next++ {
+		c.perform(c.dispatcher.Actions[next])
 	}
 	c.dispatcher.Actions = c.dispatcher.Actions[:0]
 	if c.closed {
--- a/client/conn.go
+++ b/client/conn.go
@@ -13,54 +13,60 @@
 	"valveglade/logic/attempt"
 )
 
-// outgoing is one message that waits to be written.
+// outgoing is a queued message: an RPC, an interrupt or a health check.
 type outgoing struct {
 	healthCheck     bool
-	interruptTarget int32 // of an interrupt, 0 if it is none
+	interruptTarget int32 // sequence number of the RPC to interrupt, 0 for other messages
 	id              attempt.ID
 	try             int
-	call            *call
+	call            *call // nil for interrupts and health checks
 	deadline        float64
 	retry           bool
-	frameEnd        int // where its frame ends in what is written
+	frameEnd        int // end of its frame in the batch that is written
 	seq             int32
 }
 
-// sent is a try that was written and not answered.
+// sent is a try that has been written and not answered.
 type sent struct {
 	seq int32
 	id  attempt.ID
 	try int
 }
 
-// connection is one connection. All but the writer's buffer is guarded by the client's lock.
+// connection is a connection to an app server. The lock of the client guards all fields except batchBuffer, which only
+// the writer uses.
 type connection struct {
 	*Client
 	index        int // the dispatcher's index
 	server       string
 	nc           net.Conn
-	ended        bool // the dispatcher knows that it has ended, or has ended it
-	queue        []outgoing
-	batchBuffer  []outgoing
-	inFlight     []sent  // at most 32
-	interrupted  []int32 // numbers of interrupted RPCs, whose answers may still come
-	pendingCheck int32   // number of the health check that is not answered, 0 for none
-	lastSeq      int32
+	ended        bool       // closed by the dispatcher, or reported to it as ended
+	queue        []outgoing // messages to be written
+	batchBuffer  []outgoing // storage reused for batches
+	inFlight     []sent     // at most attempt.MaxOpen
+	interrupted  []int32    // sequence numbers of interrupted RPCs, whose answers may still arrive
+	pendingCheck int32      // sequence number of the pending health check, 0 for none
+	lastSeq      int32      // sequence number of the last message written
 	writeSignal  chan struct{}
 }
 
 const (
-	maxInterrupted = 256                     // interrupted RPCs that are remembered; a server that leaves more open answers nothing
-	writeTimeout   = time.Second             // for one write of at most maxWrite: an app server that reads takes microseconds
-	maxWriteBytes  = 16 << 10                // bytes, gathered for one write
-	frameTimeout   = 1500 * time.Millisecond // for the rest of a frame that has begun
+	// maxInterrupted limits the interrupted RPCs whose answers are still expected. An app server that leaves more
+	// unanswered answers nothing at all.
+	maxInterrupted = 256
+	// writeTimeout is for one batch, which takes microseconds if the app server reads.
+	writeTimeout = time.Second
+	// maxWriteBytes is the size from which a batch takes no further message.
+	maxWriteBytes = 16 << 10
+	// frameTimeout is the time within which the rest of a frame must arrive.
+	frameTimeout = 1500 * time.Millisecond
 )
 
 func newConnection(c *Client, index int, server string) *connection {
 	return &connection{Client: c, index: index, server: server, writeSignal: make(chan struct{}, 1)}
 }
 
-// connect dials and then reads until the connection ends. It runs in a goroutine of its own.
+// connect dials and then reads until the connection ends. It runs in its own goroutine.
 func (conn *connection) connect() {
 	ctx, cancelDial := context.WithTimeout(conn.ctx, conn.Client.connectTimeout)
 	nc, err := conn.dial(ctx, conn.server)
@@ -94,7 +100,7 @@
 	nc.Close()
 }
 
-// supervise runs one side of the connection; its end or a panic ends the connection, and nothing else.
+// supervise runs the reader or the writer. An error, a return or a panic in it ends this connection and nothing else.
 func (conn *connection) supervise(loop func() error) {
 	err := func() (err error) {
 		defer func() {
@@ -112,7 +118,7 @@
 	}
 }
 
-// handleEnd reports the end of the connection to the dispatcher; what was not written has not been sent.
+// handleEnd reports the end of the connection to the dispatcher. Messages still in the queue count as unsent.
 func (conn *connection) handleEnd(err error) {
 	conn.ended = true
 	var peerErr *PeerError
@@ -133,7 +139,7 @@
 	conn.performActions()
 }
 
-// closeNow closes the connection as the dispatcher asked.
+// closeNow closes the connection at the request of the dispatcher.
 func (conn *connection) closeNow() {
 	conn.ended = true
 	if conn.nc != nil {
@@ -153,18 +159,20 @@
 	}
 }
 
-// interrupt withdraws a try. What has not been written yet never is.
+// interrupt withdraws a try: it removes a try that is still queued, and sends an interrupt for one that was written.
 func (conn *connection) interrupt(id attempt.ID, try int) {
-	if k := slices.IndexFunc(conn.queue, func(m outgoing) bool { return m.call != nil && m.id == id && m.try == try }); k >= 0 {
-		conn.queue = slices.Delete(conn.queue, k, k+1)
+	if position := slices.IndexFunc(conn.queue, func(m outgoing) bool {
+		return m.call != nil && m.id == id && m.try == try
+	}); position >= 0 {
+		conn.queue = slices.Delete(conn.queue, position, position+1)
 		return
 	}
-	k := slices.IndexFunc(conn.inFlight, func(s sent) bool { return s.id == id && s.try == try })
-	if k < 0 || conn.ended {
+	position := slices.IndexFunc(conn.inFlight, func(s sent) bool { return s.id == id && s.try == try })
+	if position < 0 || conn.ended {
 		return
 	}
-	seq := conn.inFlight[k].seq
-	conn.inFlight = slices.Delete(conn.inFlight, k, k+1)
+	seq := conn.inFlight[position].seq
+	conn.inFlight = slices.Delete(conn.inFlight, position, position+1)
 	if conn.interrupted = append(conn.interrupted, seq); len(conn.interrupted) > maxInterrupted {
 		conn.interrupted = slices.Delete(conn.interrupted, 0, 1)
 	}
--- a/client/conn_read.go
+++ b/client/conn_read.go
@@ -11,17 +11,17 @@
 	"valveglade/logic/attempt"
 )
 
-// read takes frames until the connection ends; its end is no error.
+// read handles frames until the connection ends. The end itself is no error, a violation of the protocol is.
 func (conn *connection) read() error {
-	in := readbuffer.New(thrift.MaxFrame + 4)
+	buffer := readbuffer.New(thrift.MaxFrame + 4)
 	timed := false
 	for {
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(buffer.Bytes())
 		if err != nil {
 			return &PeerError{Server: conn.server, Why: err.Error()}
 		}
 		if size == 0 {
-			if partial := len(in.Bytes()) > 0; partial != timed {
+			if partial := len(buffer.Bytes()) > 0; partial != timed {
 				timed = partial
 				var deadline time.Time
 				if partial {
@@ -29,7 +29,7 @@
 				}
 				conn.nc.SetReadDeadline(deadline)
 			}
-			switch err := in.Fill(conn.nc); {
+			switch err := buffer.Fill(conn.nc); {
 			case err == nil:
 			case errors.Is(err, readbuffer.ErrFull):
 				return &PeerError{Server: conn.server, Why: err.Error()}
@@ -47,43 +47,44 @@
 		if handler.err != nil {
 			return handler.err
 		}
-		in.Take(size)
-		if timed { // the frame that had begun is whole; another that has begun gets its own time
+		buffer.Take(size)
+		if timed { // The frame is complete. If the next one has begun, it gets its own timeout.
 			timed = false
 			conn.nc.SetReadDeadline(time.Time{})
 		}
 	}
 }
 
-// answerHandler passes one answer to the dispatcher.
+// answerHandler passes one answer to the dispatcher. err is set if the answer violates the protocol.
 type answerHandler struct {
 	*connection
 	err error
 }
 
-// removeTry removes and returns the try of a number. It reports false for one that was interrupted, and sets err for
-// one that is not open.
+// removeTry removes and returns the try with a sequence number. It returns false for a try that was interrupted, and
+// also sets err if no such try is in flight.
 func (a *answerHandler) removeTry(seq int32) (sent, bool) {
-	if k := slices.IndexFunc(a.inFlight, func(s sent) bool { return s.seq == seq }); k >= 0 {
-		s := a.inFlight[k]
-		a.inFlight = slices.Delete(a.inFlight, k, k+1)
+	if position := slices.IndexFunc(a.inFlight, func(s sent) bool { return s.seq == seq }); position >= 0 {
+		s := a.inFlight[position]
+		a.inFlight = slices.Delete(a.inFlight, position, position+1)
 		return s, true
 	}
-	if k := slices.Index(a.interrupted, seq); k >= 0 {
-		a.interrupted = slices.Delete(a.interrupted, k, k+1)
+	if position := slices.Index(a.interrupted, seq); position >= 0 {
+		a.interrupted = slices.Delete(a.interrupted, position, position+1)
 		return sent{}, false
 	}
-	reason := "it has been answered before"
+	reason := "it has already been answered"
 	if seq > a.lastSeq || seq < 1 {
-		reason = "it was never sent"
+		reason = "it was never used"
 	} else if len(a.interrupted) == maxInterrupted && seq < a.interrupted[0] {
-		return sent{}, false // interrupted long ago
+		return sent{}, false // interrupted, and no longer among the last maxInterrupted
 	}
 	a.err = &PeerError{Server: a.server, Number: seq, Why: reason}
 	return sent{}, false
 }
 
-func (a *answerHandler) answered(seq int32, cause Cause, result []byte, noRetry bool, retryAfter, credit float64, reason string) {
+func (a *answerHandler) answered(seq int32, cause Cause, result []byte, noRetry bool,
+	retryAfter, credit float64, reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ended {
@@ -94,10 +95,10 @@
 		return
 	}
 	if s.id.Index < len(a.calls) {
-		if k := a.calls[s.id.Index]; k != nil {
-			if k.reason = reason; cause == attempt.Served {
-				k.result = append([]byte(nil), result...)
-				k.server = a.server
+		if pending := a.calls[s.id.Index]; pending != nil {
+			if pending.reason = reason; cause == attempt.Served {
+				pending.result = append([]byte(nil), result...)
+				pending.server = a.server
 			}
 		}
 	}
@@ -105,29 +106,29 @@
 	a.performActions()
 }
 
-// Served is an RPC that was ok.
+// Served handles the answer to an RPC that was ok.
 func (a *answerHandler) Served(seq int32, result []byte, credit float64) {
 	a.answered(seq, attempt.Served, result, false, 0, credit, "")
 }
 
-// PushedBack is an RPC that never ran.
+// PushedBack handles the answer to an RPC that was rejected and did not run.
 func (a *answerHandler) PushedBack(seq int32, noRetry bool, retryAfter, credit float64) {
 	a.answered(seq, Refused, nil, noRetry, retryAfter, credit, "")
 }
 
-// Aborted is an RPC of which nothing is known.
+// Aborted handles the answer to an RPC that was aborted and may have run.
 func (a *answerHandler) Aborted(seq int32, reason string, credit float64) {
 	a.answered(seq, Aborted, nil, false, 0, credit, reason)
 }
 
-// Checked is the answer to a health check.
+// Checked handles the answer to a health check.
 func (a *answerHandler) Checked(seq int32, healthy bool, credit float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.ended:
 	case seq != a.pendingCheck:
-		a.err = &PeerError{Server: a.server, Number: seq, Why: "no health check has it"}
+		a.err = &PeerError{Server: a.server, Number: seq, Why: "no health check with it is pending"}
 	default:
 		a.pendingCheck = 0
 		a.dispatcher.Checked(a.clock(), a.index, healthy, credit)
@@ -135,7 +136,7 @@
 	}
 }
 
-// Draining asks for no new RPC on this connection.
+// Draining handles the app server's request for no new RPCs on this connection.
 func (a *answerHandler) Draining() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/client/conn_write.go
+++ b/client/conn_write.go
@@ -13,8 +13,8 @@
 	"valveglade/internal/thrift"
 )
 
-// write sends what is queued, several messages at once where they are ready. A frame is made only when it is
-// written, so nothing leaves after its deadline.
+// write writes queued messages in batches. A message is encoded only just before it is written, so that none is sent
+// after its deadline.
 func (conn *connection) write(ctx context.Context) error {
 	var out []byte
 	for {
@@ -35,7 +35,7 @@
 			if n, err := conn.nc.Write(out); err != nil {
 				conn.reportUnsent(batch, n)
 				if errors.Is(err, os.ErrDeadlineExceeded) {
-					return &PeerError{Server: conn.server, Why: "it does not read"}
+					return &PeerError{Server: conn.server, Why: "a write timed out, as it does not read"}
 				}
 				return nil
 			}
@@ -43,7 +43,8 @@
 	}
 }
 
-// encodeBatch makes the frames of what waits, up to a bound, and leaves out what has become too late.
+// encodeBatch encodes queued messages up to maxWriteBytes and reports those past their deadline as unsent. ended means
+// that the connection has ended.
 func (conn *connection) encodeBatch(out []byte) (batch []outgoing, frames []byte, ended bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -70,13 +71,14 @@
 		default:
 			conn.inFlight = append(conn.inFlight, sent{m.seq, m.id, m.try})
 			pending := m.call
-			// The number is new with every try, so that two are never taken for one.
+			// Every try has its own identifier, so that no two tries are taken for one.
 			var attemptID [16]byte
 			var raw [8]byte
 			binary.BigEndian.PutUint64(raw[:], rand.Uint64())
 			hex.Encode(attemptID[:], raw[:])
-			out = thrift.Execute(out, m.seq, pending.name, string(attemptID[:]), conn.source, now, m.deadline-now, max(pending.KB, 0.1),
-				min(pending.Criticality, 0.9999), m.retry, pending.token, pending.row, pending.body)
+			out = thrift.Execute(out, m.seq, pending.name, string(attemptID[:]), conn.source, now, m.deadline-now,
+				max(pending.KB, 0.1), min(pending.Criticality, 0.9999), m.retry, pending.token, pending.row,
+				pending.body)
 		}
 		m.frameEnd = len(out)
 		batch = append(batch, m)
@@ -87,7 +89,7 @@
 	return batch, out, false
 }
 
-// reportUnsent finds the tries of which not a byte was written before the connection ended: those never left.
+// reportUnsent reports the tries of a batch of which no byte was written before the connection ended.
 func (conn *connection) reportUnsent(batch []outgoing, written int) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/client/errors.go
+++ b/client/errors.go
@@ -8,10 +8,10 @@
 	"valveglade/logic/attempt"
 )
 
-// Progress is how far the furthest try of an RPC had come.
+// Progress is the furthest stage that any try of an RPC reached.
 type Progress = attempt.Progress
 
-// What Reach can be.
+// The values of Progress.
 const (
 	NeverSent  = attempt.NeverSent
 	PushedBack = attempt.PushedBack
@@ -19,10 +19,10 @@
 	Ran        = attempt.Ran
 )
 
-// Cause is why an RPC was not ok.
+// Cause is the reason why an RPC was not ok.
 type Cause = attempt.Cause
 
-// What Cause can be.
+// The values of Cause.
 const (
 	Refused   = attempt.Refused
 	Aborted   = attempt.Aborted
@@ -34,18 +34,18 @@
 	Closed    = attempt.Closed
 )
 
-// Error is the outcome of an RPC that was not ok. Find it with errors.As.
+// Error is the outcome of an RPC that was not ok. Use errors.As to obtain it from an error.
 type Error struct {
 	Method   string
-	Server   string // that had the last try, empty if there was none
+	Server   string // address of the app server of the last try, empty if there was none
 	Cause    Cause
 	Progress Progress
 	Tries    int
-	// SafeToRetry reports whether the RPC may be asked for again without the risk of a second effect: it never ran, or it is
-	// idempotent, and no app server has forbidden it.
+	// SafeToRetry reports whether the RPC may be called again without the risk of a second effect: it never ran or is
+	// idempotent, and no app server forbade further tries.
 	SafeToRetry bool
-	RetryAfter  time.Duration // and not before so long, 0 where nothing was said
-	Why         string        // an app server's reason, or what was wrong with the call
+	RetryAfter  time.Duration // time to wait before calling again, 0 if none was given
+	Why         string        // the app server's reason, or what is invalid about the call
 }
 
 func (e *Error) Error() string {
@@ -58,12 +58,12 @@
 		s += ": " + e.Why
 	}
 	if e.SafeToRetry && e.RetryAfter > 0 {
-		s += fmt.Sprintf("; again after %v", e.RetryAfter.Round(time.Millisecond))
+		s += fmt.Sprintf("; retry after %v", e.RetryAfter.Round(time.Millisecond))
 	}
 	return s
 }
 
-// Unwrap returns the context's error where that ended the RPC.
+// Unwrap returns context.DeadlineExceeded or context.Canceled where one of them ended the RPC.
 func (e *Error) Unwrap() error {
 	switch e.Cause {
 	case Late:
@@ -74,17 +74,16 @@
 	return nil
 }
 
-// PeerError is a breach of the protocol by an app server. The connection that it came on is closed, nothing else is
-// touched.
+// PeerError is a violation of the protocol by an app server. It closes the connection and nothing else.
 type PeerError struct {
 	Server string
-	Number int32 // the RPC's on that connection, 0 where it is about none
+	Number int32 // sequence number of the RPC on that connection, 0 if it is about none
 	Why    string
 }
 
 func (e *PeerError) Error() string {
 	if e.Number != 0 {
-		return fmt.Sprintf("app server %s: answer to number %d: %s", e.Server, e.Number, e.Why)
+		return fmt.Sprintf("app server %s: answer with sequence number %d: %s", e.Server, e.Number, e.Why)
 	}
 	return fmt.Sprintf("app server %s: %s", e.Server, e.Why)
 }
--- a/client/lists.go
+++ b/client/lists.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 )
 
-// startWatching begins to follow the file and the resolver. A file that cannot be read at the start is an error, as a wrong
-// path would be noticed by nobody.
+// startWatching starts to watch the file and to poll the resolver. A file that cannot be read at the start is an error,
+// as a wrong path would otherwise go unnoticed.
 func (c *Client) startWatching() error {
 	if c.file != "" {
 		names, err := readServerList(c.file)
@@ -24,7 +24,7 @@
 		if err != nil {
 			return fmt.Errorf("client: watching %s: %w", c.file, err)
 		}
-		// The folder is watched, as a list is best replaced whole by renaming.
+		// The directory is watched, as the file is best replaced as a whole, by a rename.
 		if err := watcher.Add(filepath.Dir(c.file)); err != nil {
 			watcher.Close()
 			return fmt.Errorf("client: watching %s: %w", c.file, err)
@@ -38,9 +38,11 @@
 	return nil
 }
 
-// fileSettleTime is the wait after a change, as a file that is written in place changes several times.
+// fileSettleTime is the delay between a change of the file and its read, as a file that is written in place changes
+// several times.
 const fileSettleTime = 50 * time.Millisecond
 
+// watchFile reads the file again after each change, until the client is closed.
 func (c *Client) watchFile(watcher *fsnotify.Watcher) {
 	defer watcher.Close()
 	settled := time.NewTimer(time.Hour)
@@ -49,15 +51,15 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case e, ok := <-watcher.Events:
+		case event, ok := <-watcher.Events:
 			if !ok {
 				return
 			}
-			if filepath.Base(e.Name) == filepath.Base(c.file) {
+			if filepath.Base(event.Name) == filepath.Base(c.file) {
 				settled.Reset(fileSettleTime)
 			}
 		case err := <-watcher.Errors:
-			c.log.Warn("watching the list of app servers", zap.Error(err))
+			c.log.Warn("watching the list of app servers failed", zap.Error(err))
 			settled.Reset(fileSettleTime)
 		case <-settled.C:
 			names, err := readServerList(c.file)
@@ -66,7 +68,7 @@
 	}
 }
 
-// pollResolver calls the embedder's resolver.
+// pollResolver calls the resolver function at its interval.
 func (c *Client) pollResolver() {
 	ticker := time.NewTicker(c.resolveInterval)
 	defer ticker.Stop()
@@ -88,7 +90,7 @@
 	}
 }
 
-// setServers replaces the list of app servers; a faulty or an empty list leaves the last one.
+// setServers replaces the list of app servers. An invalid or empty list leaves the previous one in place.
 func (c *Client) setServers(names []string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,16 +98,16 @@
 		return
 	}
 	if err != nil {
-		c.log.Warn("list of app servers faulty, the last one stays", zap.Error(err))
+		c.log.Warn("invalid list of app servers, keeping the previous one", zap.Error(err))
 		return
 	}
 	if !c.dispatcher.SetServers(c.clock(), names) {
-		c.log.Warn("list of app servers empty, the last one stays")
+		c.log.Warn("empty list of app servers, keeping the previous one")
 	}
 	c.performActions()
 }
 
-// readServerList reads an address a line.
+// readServerList reads the addresses of app servers from a file with one address a line.
 func readServerList(path string) ([]string, error) {
 	f, err := os.Open(path)
 	if err != nil {
