--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -15,111 +15,114 @@
 	"valveglade/rig"
 )
 
-// What no app server should say ends the connection it came on, names itself in the log, and harms no RPC elsewhere.
-func TestBadPeers(t *testing.T) {
-	frame := func(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
-	for name, say := range map[string]func(nc net.Conn, seq int32){
-		"garbage":    func(nc net.Conn, _ int32) { nc.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
-		"huge":       func(nc net.Conn, _ int32) { nc.Write([]byte{0x7f, 0xff, 0xff, 0xff}) },
-		"half":       func(nc net.Conn, _ int32) { nc.Write([]byte{0, 0, 0, 50, 0x80, 1, 0, 2}) },
-		"never sent": func(nc net.Conn, seq int32) { nc.Write(thrift.Served(nil, seq+7, nil, 1)) },
-		"empty answer": func(nc net.Conn, _ int32) {
-			nc.Write(frame([]byte("\x80\x01\x00\x02\x00\x00\x00\x07execute\x00\x00\x00\x01\x00")))
+// An app server that violates the protocol loses the connection, and RPCs at other app servers are not affected.
+func TestProtocolErrors(t *testing.T) {
+	frame := func(payload []byte) []byte {
+		return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
+	}
+	for name, answer := range map[string]func(conn net.Conn, seq int32){
+		"garbage":    func(conn net.Conn, _ int32) { conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
+		"huge":       func(conn net.Conn, _ int32) { conn.Write([]byte{0x7f, 0xff, 0xff, 0xff}) },
+		"half":       func(conn net.Conn, _ int32) { conn.Write([]byte{0, 0, 0, 50, 0x80, 1, 0, 2}) },
+		"never sent": func(conn net.Conn, seq int32) { conn.Write(thrift.Served(nil, seq+7, nil, 1)) },
+		"empty answer": func(conn net.Conn, _ int32) {
+			conn.Write(frame([]byte("\x80\x01\x00\x02\x00\x00\x00\x07execute\x00\x00\x00\x01\x00")))
 		},
-		"credit is no number": func(nc net.Conn, seq int32) {
-			b := thrift.Served(nil, seq, nil, 12345)
-			copy(b[strings.Index(string(b), "12345"):], "x2345")
-			nc.Write(b)
+		"credit is no number": func(conn net.Conn, seq int32) {
+			buffer := thrift.Served(nil, seq, nil, 12345)
+			copy(buffer[strings.Index(string(buffer), "12345"):], "x2345")
+			conn.Write(buffer)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			good := must(rig.NewStub(nil))
-			defer good.Close()
+			healthy := must(rig.NewStub(nil))
+			defer healthy.Close()
 			done := make(chan struct{})
-			bad := must(rig.NewRawStub(func(nc net.Conn) {
-				b := make([]byte, 4096)
-				n, err := nc.Read(b)
-				if err != nil || !strings.Contains(string(b[:n]), "execute") {
-					<-done // a health check's connection: silent
+			faulty := must(rig.NewRawStub(func(conn net.Conn) {
+				buffer := make([]byte, 4096)
+				n, err := conn.Read(buffer)
+				if err != nil || !strings.Contains(string(buffer[:n]), "execute") {
+					<-done // the connection for health checks gets no answer
 					return
 				}
-				say(nc, 1)
+				answer(conn, 1)
 				for err == nil { // until the client closes it
-					_, err = nc.Read(b)
+					_, err = conn.Read(buffer)
 				}
 			}))
-			defer bad.Close()
+			defer faulty.Close()
 			defer close(done)
-			c := must(client.New(client.Servers(good.Address(), bad.Address()), client.Seed(3), client.Budget(5)))
+			c := must(client.New(client.Servers(healthy.Address(), faulty.Address()), client.Seed(3), client.Budget(5)))
 			defer c.Close()
-			// In rounds, as the first may be over before the bad one is connected to.
-			eventually(t, "the bad app server is met", func() bool {
-				var all sync.WaitGroup
-				for k := range 8 {
-					all.Go(func() {
-						for j := range 20 {
-							if _, err := c.Call(within(patience), "m", rig.Body(fmt.Sprint(k, j), 0), idempotent); err != nil {
-								t.Errorf("RPC %d %d: %v", k, j, err)
+			// Calls run in rounds, as the first round may end before the faulty app server is connected.
+			eventually(t, "the faulty app server loses a connection", func() bool {
+				var group sync.WaitGroup
+				for worker := range 8 {
+					group.Go(func() {
+						for index := range 20 {
+							if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body(fmt.Sprint(worker, index), 0),
+								idempotent); err != nil {
+								t.Errorf("RPC %d %d: %v", worker, index, err)
 							}
 						}
 					})
 				}
-				all.Wait()
+				group.Wait()
 				return t.Failed() || c.Counts().Lost > 0
 			})
 		})
 	}
 }
 
-// Two answers to one RPC: the caller has the first, the second ends the connection.
-func TestTwoAnswers(t *testing.T) {
-	s := must(rig.NewStub(func(h rig.Heard, out []byte) []byte {
-		if h.CheckOnly {
-			return thrift.Checked(out, h.Seq, true, 100)
+// After two answers to one RPC, the caller gets the first, and the second closes the connection.
+func TestDuplicateAnswer(t *testing.T) {
+	stub := must(rig.NewStub(func(message rig.Heard, out []byte) []byte {
+		if message.CheckOnly {
+			return thrift.Checked(out, message.Seq, true, 100)
 		}
-		return thrift.Aborted(thrift.Served(out, h.Seq, rig.Answer(h.ID), 100), h.Seq, 100)
+		return thrift.Aborted(thrift.Served(out, message.Seq, rig.Answer(message.ID), 100), message.Seq, 100)
 	}))
-	defer s.Close()
-	c := must(client.Dial(s.Address()))
+	defer stub.Close()
+	c := must(client.Dial(stub.Address()))
 	defer c.Close()
-	if _, err := c.Call(within(patience), "m", rig.Body("x", 0)); err != nil {
+	if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body("x", 0)); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the connection is dropped", func() bool { return c.Counts().Lost == 1 })
+	eventually(t, "the connection is closed", func() bool { return c.Counts().Lost == 1 })
 }
 
-// One that never reads is left within a second or so of the socket's buffers being full, and takes no caller past its
-// deadline.
-func TestNeverReads(t *testing.T) {
+// An app server that never reads is disconnected once the socket's buffers are full and a write times out. No call
+// lasts much beyond its deadline.
+func TestServerThatNeverReads(t *testing.T) {
 	done := make(chan struct{})
-	s := must(rig.NewRawStub(func(net.Conn) { <-done }))
-	defer s.Close()
+	stub := must(rig.NewRawStub(func(net.Conn) { <-done }))
+	defer stub.Close()
 	defer close(done)
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
-		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		if err == nil {
-			nc.(*net.TCPConn).SetWriteBuffer(4096)
+			conn.(*net.TCPConn).SetWriteBuffer(4096)
 		}
-		return nc, err
+		return conn, err
 	}
-	c := must(client.New(client.Servers(s.Address()), client.Dialer(dial), client.HealthEvery(0)))
+	c := must(client.New(client.Servers(stub.Address()), client.Dialer(dial), client.HealthEvery(0)))
 	defer c.Close()
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		group.Go(func() {
 			for range 20 {
-				began := time.Now()
-				_, err := c.Call(within(100*time.Millisecond), "m", make([]byte, 2000), idempotent)
-				if took := time.Since(began); err == nil || took > time.Second {
-					t.Errorf("%v after %v", err, took)
+				start := time.Now()
+				_, err := c.Call(withTimeout(100*time.Millisecond), "m", make([]byte, 2000), idempotent)
+				if duration := time.Since(start); err == nil || duration > time.Second {
+					t.Errorf("call ended after %v with error %v", duration, err)
 				}
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// Calls that no app server would take are refused before anything is sent; so are options without sense.
+// Calls that no app server would accept fail before anything is sent, and New rejects invalid options.
 func Example_badInput() {
 	c := must(client.Dial("127.0.0.1:1"))
 	defer c.Close()
