--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -114,7 +114,7 @@
 				start := time.Now()
 				_, err := c.Call(withTimeout(100*time.Millisecond), "m", make([]byte, 2000), idempotent)
 				if duration := time.Since(start); err == nil || duration > time.Second {
-					t.Errorf("call ended after %v with error %v", duration, err)
+					t.Errorf("error %v after %v", err, duration)
 				}
 			}
 		})
