--- a/client/client.go
+++ b/client/client.go
@@ -286,7 +286,7 @@
 func (c *Client) Counts() attempt.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dispatcher.Counts
+	return c.dispatcher.Totals
 }
 
 // tick runs when the timer fires.
@@ -355,7 +355,7 @@
 
 // reportCounts passes to the meter what the counts have grown by since the last call.
 func (c *Client) reportCounts() {
-	counts, reported := c.dispatcher.Counts, c.reported
+	counts, reported := c.dispatcher.Totals, c.reported
 	c.reported = counts
 	for _, m := range []struct {
 		name              string
@@ -363,7 +363,7 @@
 	}{{"further", counts.Retries, reported.Retries}, {"hedged", counts.Hedges, reported.Hedges},
 		{"pushed_back", counts.Refused, reported.Refused}, {"lost", counts.Lost, reported.Lost},
 		{"dial_failed", counts.DialsFailed, reported.DialsFailed},
-		{"left_out", counts.Excluded, reported.Excluded}, {"denied", counts.RetriesDenied, reported.RetriesDenied}} {
+		{"left_out", counts.Exclusions, reported.Exclusions}, {"denied", counts.RetriesDenied, reported.RetriesDenied}} {
 		if m.current > m.previous {
 			c.meter.Add(m.name, m.current-m.previous)
 		}
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -159,6 +159,6 @@
 	Served        uint64 // RPCs that ended ok
 	Dials         uint64 // connects started
 	DialsFailed   uint64 // connects failed
-	Excluded      uint64 // exclusions of app servers
+	Exclusions    uint64 // exclusions of app servers
 	RetriesDenied uint64 // retries that the budget did not allow
 }
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -131,7 +131,7 @@
 	d.freeConns = d.freeConns[:len(d.freeConns)-1]
 	d.conns[connIndex] = conn{server: serverIndex, healthCheck: healthCheck, lastUsed: d.now}
 	d.setConnState(connIndex, dialing)
-	d.Counts.Dials++
+	d.Totals.Dials++
 	d.Actions = append(d.Actions, Action{Kind: Dial, Conn: connIndex, Server: serverIndex})
 }
 
@@ -159,7 +159,7 @@
 	d.advance(now)
 	c := &d.conns[connIndex]
 	d.setConnState(connIndex, disconnected)
-	d.Counts.DialsFailed++
+	d.Totals.DialsFailed++
 	d.backOff(c.server)
 	d.closeDrained(c.server)
 	d.dispatch()
@@ -188,7 +188,7 @@
 	wasDraining := c.state == draining
 	d.setConnState(connIndex, disconnected)
 	if c.inFlight > 0 || faulty {
-		d.Counts.Lost++
+		d.Totals.Lost++
 		d.recordFailure(serverIndex)
 	}
 	switch {
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -26,7 +26,7 @@
 	methodDurations []float64 // by method: moving average of the seconds that a successful try takes
 	wakeAt          float64   // time of the next Tick
 	closed          bool
-	Counts          Counts
+	Totals          Counts
 }
 
 // New returns a Dispatcher without app servers; call SetServers next.
@@ -72,7 +72,7 @@
 	*r = request{generation: r.generation + 1, kind: kind, method: method, criticality: criticality,
 		submittedAt: d.now, deadline: deadline, sequence: d.nextSequence, server: -1}
 	d.nextSequence++
-	d.Counts.Submitted++
+	d.Totals.Submitted++
 	for method >= len(d.methodDurations) {
 		d.methodDurations = append(d.methodDurations, 0)
 	}
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -272,7 +272,7 @@
 	s.excludedUntil = d.now + duration*(0.5+d.random.Float64()/2)
 	s.exclusions++
 	s.failuresInRow = 0
-	d.Counts.Excluded++
+	d.Totals.Exclusions++
 	if s.serverState == active {
 		d.reportChange(serverIndex, Excluded)
 	}
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -11,7 +11,7 @@
 func (d *Dispatcher) Unsent(now float64, id ID, number int) {
 	d.advance(now)
 	if d.isOpen(id) && d.removeTry(id.Index, number) {
-		d.Counts.Tries-- // send counted it
+		d.Totals.Tries-- // send counted it
 		d.retryOrFinish(id.Index, NeverSent, Lost, 0)
 		d.dispatch()
 	}
@@ -36,7 +36,7 @@
 	d.removeTry(id.Index, number)
 	switch result {
 	case Served:
-		d.Counts.Served++
+		d.Totals.Served++
 		d.recordSuccess(serverIndex, d.now-sent)
 		if mean := &d.methodDurations[r.method]; *mean == 0 {
 			*mean = d.now - sent
@@ -46,7 +46,7 @@
 		r.progress = Ran
 		d.finish(id.Index, Served)
 	case Refused:
-		d.Counts.Refused++
+		d.Totals.Refused++
 		retryAfter = min(max(retryAfter, 0), maxRetryAfter)
 		s := &d.servers[serverIndex]
 		d.recordAnswer(serverIndex)
@@ -117,7 +117,7 @@
 		}
 	}
 	if reach != NeverSent && !d.budget.Spend(d.now) {
-		d.Counts.RetriesDenied++
+		d.Totals.RetriesDenied++
 		d.finish(requestIndex, cause)
 		return
 	}
@@ -182,9 +182,9 @@
 	connIndex := d.leastLoadedConn(serverIndex)
 	r.tries++
 	isRetry := r.tries > 1 && r.progress != NeverSent || r.state == inFlight
-	d.Counts.Tries++
+	d.Totals.Tries++
 	if isRetry {
-		d.Counts.Retries++
+		d.Totals.Retries++
 	} else if r.tries == 1 {
 		d.budget.Earn(d.now)
 	}
@@ -238,7 +238,7 @@
 			continue
 		}
 		if serverIndex := d.chooseServer(r, r.server); serverIndex >= 0 && d.budget.Spend(d.now) {
-			d.Counts.Hedges++
+			d.Totals.Hedges++
 			d.send(requestIndex, serverIndex)
 		}
 	}
