--- a/client/client.go
+++ b/client/client.go
@@ -119,16 +119,16 @@
 }
 
 func (c *Client) validate() error {
-	config := &c.config
+	cfg := &c.config
 	switch {
 	case len(c.servers) == 0 && c.file == "" && c.resolve == nil:
 		return errors.New("client: no app servers, file or resolver given")
 	case c.resolve != nil && c.resolveInterval <= 0:
 		return errors.New("client: interval of the resolver must be positive")
-	case config.HedgeAfter < 0 || config.StartSpread < 0 || config.IdleTimeout < 0 || config.FirstBackoff < 0 ||
-		config.MaxBackoff < 0 || c.deadline < 0:
+	case cfg.HedgeAfter < 0 || cfg.StartSpread < 0 || cfg.IdleTimeout < 0 || cfg.FirstBackoff < 0 ||
+		cfg.MaxBackoff < 0 || c.deadline < 0:
 		return errors.New("client: durations must not be negative")
-	case config.MaxServers < 0 || config.MaxConns < 0 || config.MaxDials < 0 || config.MaxWaiting < 0:
+	case cfg.MaxServers < 0 || cfg.MaxConns < 0 || cfg.MaxDials < 0 || cfg.MaxWaiting < 0:
 		return errors.New("client: limits must not be negative")
 	}
 	for name, m := range c.methods {
@@ -182,17 +182,17 @@
 	if err := ctx.Err(); err != nil {
 		return Result{}, c.errorOf(pending, attempt.Outcome{Cause: contextCause(err), SafeToRetry: true})
 	}
-	deadline, ok := ctx.Deadline()
+	callDeadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(c.deadline)
+		callDeadline = time.Now().Add(c.deadline)
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, deadline)
+		ctx, cancel = context.WithDeadline(ctx, callDeadline)
 		defer cancel()
 	}
 	now := c.clock()
 	c.mu.Lock()
 	id := c.dispatcher.Submit(now, c.methodIndex(method), pending.Kind, pending.Criticality,
-		now+time.Until(deadline).Seconds())
+		now+time.Until(callDeadline).Seconds())
 	for len(c.calls) <= id.Index {
 		c.calls = append(c.calls, nil)
 	}
@@ -245,9 +245,9 @@
 	case c.token != "" && c.Kind != Tokened:
 		return fmt.Errorf("token given for a method of kind %q", c.Kind)
 	case c.token == "" && c.Kind == Tokened:
-		var token [16]byte
-		crand.Read(token[:])
-		c.token = hex.EncodeToString(token[:])
+		var random [16]byte
+		crand.Read(random[:])
+		c.token = hex.EncodeToString(random[:])
 	}
 	if c.KB == 0 {
 		c.KB = 1 + 2*float64(len(c.body))/1024
@@ -355,15 +355,16 @@
 
 // reportCounts passes to the meter what the counts have grown by since the last call.
 func (c *Client) reportCounts() {
-	counts, reported := c.dispatcher.Totals, c.reported
+	counts, lastCounts := c.dispatcher.Totals, c.reported
 	c.reported = counts
 	for _, m := range []struct {
 		name              string
 		current, previous uint64
-	}{{"further", counts.Retries, reported.Retries}, {"hedged", counts.Hedges, reported.Hedges},
-		{"pushed_back", counts.Refused, reported.Refused}, {"lost", counts.Lost, reported.Lost},
-		{"dial_failed", counts.DialsFailed, reported.DialsFailed},
-		{"left_out", counts.Exclusions, reported.Exclusions}, {"denied", counts.RetriesDenied, reported.RetriesDenied}} {
+	}{{"further", counts.Retries, lastCounts.Retries}, {"hedged", counts.Hedges, lastCounts.Hedges},
+		{"pushed_back", counts.Refused, lastCounts.Refused}, {"lost", counts.Lost, lastCounts.Lost},
+		{"dial_failed", counts.DialsFailed, lastCounts.DialsFailed},
+		{"left_out", counts.Exclusions, lastCounts.Exclusions},
+		{"denied", counts.RetriesDenied, lastCounts.RetriesDenied}} {
 		if m.current > m.previous {
 			c.meter.Add(m.name, m.current-m.previous)
 		}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -142,9 +142,9 @@
 
 // A canceled call is interrupted at the app server at once, and a call ends when its deadline passes.
 func TestCanceledAndLate(t *testing.T) {
-	stub := must(rig.NewStub(func(message rig.Heard, out []byte) []byte {
-		if message.CheckOnly {
-			return thrift.Checked(out, message.Seq, true, 100)
+	stub := must(rig.NewStub(func(received rig.Heard, out []byte) []byte {
+		if received.CheckOnly {
+			return thrift.Checked(out, received.Seq, true, 100)
 		}
 		return out
 	}))
--- a/client/conn.go
+++ b/client/conn.go
@@ -62,8 +62,8 @@
 	frameTimeout = 1500 * time.Millisecond
 )
 
-func newConnection(c *Client, index int, server string) *connection {
-	return &connection{Client: c, index: index, server: server, writeSignal: make(chan struct{}, 1)}
+func newConnection(c *Client, connIndex int, server string) *connection {
+	return &connection{Client: c, index: connIndex, server: server, writeSignal: make(chan struct{}, 1)}
 }
 
 // connect dials and then reads until the connection ends. It runs in its own goroutine.
--- a/client/conn_write.go
+++ b/client/conn_write.go
@@ -45,7 +45,7 @@
 
 // encodeBatch encodes queued messages up to maxWriteBytes and reports those past their deadline as unsent. ended means
 // that the connection has ended.
-func (conn *connection) encodeBatch(out []byte) (batch []outgoing, frames []byte, ended bool) {
+func (conn *connection) encodeBatch(out []byte) (batch []outgoing, frames []byte, done bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.ended {
--- a/client/options.go
+++ b/client/options.go
@@ -64,8 +64,8 @@
 
 // Resolver sets a function that returns the app servers, called at the start and then at an interval. An error or an
 // empty list changes nothing.
-func Resolver(every time.Duration, resolve func(context.Context) ([]string, error)) Option {
-	return func(o *options) { o.resolveInterval, o.resolve = every, resolve }
+func Resolver(resolveInterval time.Duration, resolve func(context.Context) ([]string, error)) Option {
+	return func(o *options) { o.resolveInterval, o.resolve = resolveInterval, resolve }
 }
 
 // Methods describes methods by name. A method that is not described is non-idempotent, unless a call uses As.
@@ -113,8 +113,8 @@
 // queued RPCs (1024). 0 keeps the default.
 func Bounds(servers, connections, connects, waiting int) Option {
 	return func(o *options) {
-		config := &o.config
-		config.MaxServers, config.MaxConns, config.MaxDials, config.MaxWaiting = servers, connections, connects, waiting
+		cfg := &o.config
+		cfg.MaxServers, cfg.MaxConns, cfg.MaxDials, cfg.MaxWaiting = servers, connections, connects, waiting
 	}
 }
 
--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -17,8 +17,8 @@
 
 // An app server that violates the protocol loses the connection, and RPCs at other app servers are not affected.
 func TestProtocolErrors(t *testing.T) {
-	frame := func(payload []byte) []byte {
-		return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
+	frame := func(buffer []byte) []byte {
+		return append(binary.BigEndian.AppendUint32(nil, uint32(len(buffer))), buffer...)
 	}
 	for name, answer := range map[string]func(conn net.Conn, seq int32){
 		"garbage":    func(conn net.Conn, _ int32) { conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -85,7 +85,7 @@
 		if h.conns[connIndex].state == dialing {
 			h.Connected(h.now, connIndex)
 		}
-		if h.conns[connIndex].state == established && h.conns[connIndex].checkPending {
+		if h.conns[connIndex].state == connected && h.conns[connIndex].checkPending {
 			h.Checked(h.now, connIndex, true, credit)
 		}
 	}
@@ -199,7 +199,7 @@
 	id := h.submit(rpc.Tokened, 0, 10)
 	serverIndex := h.requests[id.Index].server
 	for connIndex := range h.conns {
-		if h.conns[connIndex].inFlight > 0 {
+		if h.conns[connIndex].openTries > 0 {
 			h.now += 0.2
 			h.Dropped(h.now, connIndex, false)
 		}
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -8,15 +8,15 @@
 const (
 	disconnected connState = iota
 	dialing
-	established
+	connected
 	draining // receives no new RPCs; closed once none is in flight
 	connStateCount
 )
 
 var validConnTransitions = [connStateCount][connStateCount]bool{
 	disconnected: {dialing: true},
-	dialing:      {established: true, disconnected: true},
-	established:  {draining: true, disconnected: true},
+	dialing:      {connected: true, disconnected: true},
+	connected:    {draining: true, disconnected: true},
 	draining:     {disconnected: true},
 }
 
@@ -25,10 +25,10 @@
 	state        connState
 	server       int     // index of the app server
 	healthCheck  bool    // used for health checks only
-	inFlight     int     // number of RPCs in flight
+	openTries    int     // number of RPCs in flight
 	lastUsed     float64 // time of the last send, answer or health check
 	lastReceived float64 // time of the last answer; 0 before the first
-	busySince    float64 // when inFlight last rose from 0
+	busySince    float64 // when openTries last rose from 0
 	nextCheck    float64 // time of the next health check
 	checkPending bool    // a health check has not been answered yet
 }
@@ -39,12 +39,12 @@
 		panic("attempt: invalid transition of a connection")
 	}
 	s := &d.servers[c.server]
-	connCount := &s.rpcConns
+	connCount := &s.connected
 	if c.healthCheck {
 		connCount = &s.checkConns
 	}
 	if c.state == dialing {
-		d.pendingDials--
+		d.dialing--
 		s.pendingDials--
 	} else if c.state != disconnected && to == disconnected {
 		*connCount--
@@ -52,16 +52,16 @@
 	c.state = to
 	switch to {
 	case dialing:
-		d.pendingDials++
+		d.dialing++
 		s.pendingDials++
-	case established:
-		if s.rpcConns+s.checkConns == 0 {
+	case connected:
+		if s.connected+s.checkConns == 0 {
 			s.upSince = d.now
 		}
 		*connCount++
 	case disconnected:
 		d.freeConns = append(d.freeConns, connIndex)
-		if s.rpcConns+s.checkConns == 0 {
+		if s.connected+s.checkConns == 0 {
 			d.resetProcessState(s)
 		}
 	}
@@ -101,35 +101,35 @@
 		if d.now-s.lastUsed >= d.IdleTimeout && len(d.queue) == 0 {
 			continue
 		}
-		want, healthCheck := false, false
+		want, forHealthChecks := false, false
 		switch {
 		case s.pendingDials > 0:
-		case s.rpcConns == 0:
+		case s.connected == 0:
 			want = true
 		case s.checkConns == 0 && d.CheckPeriod > 0:
-			want, healthCheck = true, true
-		case shortOfCapacity && s.rpcConns < d.MaxConns && d.leastLoadedConn(serverIndex) < 0 &&
-			float64(s.inFlight) < d.allowance(s):
+			want, forHealthChecks = true, true
+		case shortOfCapacity && s.connected < d.MaxConns && d.leastLoadedConn(serverIndex) < 0 &&
+			float64(s.openTries) < d.allowance(s):
 			want = true
 		}
 		switch {
 		case !want:
 		case d.now < s.nextDialAt:
 			d.wakeBy(s.nextDialAt)
-		case d.pendingDials < d.MaxDials:
-			d.dial(serverIndex, healthCheck)
+		case d.dialing < d.MaxDials:
+			d.dial(serverIndex, forHealthChecks)
 		}
 	}
 }
 
-func (d *Dispatcher) dial(serverIndex int, healthCheck bool) {
+func (d *Dispatcher) dial(serverIndex int, forHealthChecks bool) {
 	if len(d.freeConns) == 0 {
 		d.freeConns = append(d.freeConns, len(d.conns))
 		d.conns = append(d.conns, conn{})
 	}
 	connIndex := d.freeConns[len(d.freeConns)-1]
 	d.freeConns = d.freeConns[:len(d.freeConns)-1]
-	d.conns[connIndex] = conn{server: serverIndex, healthCheck: healthCheck, lastUsed: d.now}
+	d.conns[connIndex] = conn{server: serverIndex, healthCheck: forHealthChecks, lastUsed: d.now}
 	d.setConnState(connIndex, dialing)
 	d.Totals.Dials++
 	d.Actions = append(d.Actions, Action{Kind: Dial, Conn: connIndex, Server: serverIndex})
@@ -142,7 +142,7 @@
 func (d *Dispatcher) Connected(now float64, connIndex int) {
 	d.advance(now)
 	c := &d.conns[connIndex]
-	d.setConnState(connIndex, established)
+	d.setConnState(connIndex, connected)
 	c.lastUsed, c.nextCheck = d.now, d.now
 	if d.servers[c.server].serverState == removing || d.closed {
 		d.setConnState(connIndex, draining)
@@ -187,16 +187,16 @@
 	s := &d.servers[serverIndex]
 	wasDraining := c.state == draining
 	d.setConnState(connIndex, disconnected)
-	if c.inFlight > 0 || faulty {
+	if c.openTries > 0 || faulty {
 		d.Totals.Lost++
 		d.recordFailure(serverIndex)
 	}
 	switch {
-	case faulty, s.rpcConns+s.checkConns == 0 && !wasDraining, c.lastReceived == 0 && !c.healthCheck:
+	case faulty, s.connected+s.checkConns == 0 && !wasDraining, c.lastReceived == 0 && !c.healthCheck:
 		// The process may have ended, and then all its clients reconnect at once; or it accepts connections
 		// only to close them.
 		d.backOff(serverIndex)
-	case c.inFlight > 0, c.healthCheck:
+	case c.openTries > 0, c.healthCheck:
 		s.nextDialAt = max(s.nextDialAt, d.now+d.random.Backoff(firstRetryDelay, d.FirstBackoff, 0))
 		d.wakeBy(s.nextDialAt)
 	}
@@ -205,13 +205,13 @@
 		for slot := range r.inFlight {
 			if t := r.inFlight[slot]; t.number > 0 && t.conn == connIndex {
 				r.inFlight[slot] = try{}
-				s.inFlight--
+				s.openTries--
 				d.handleLostTry(requestIndex, t)
 				break // the other try of a hedged RPC is at another app server
 			}
 		}
 	}
-	d.conns[connIndex].inFlight = 0
+	d.conns[connIndex].openTries = 0
 	d.closeDrained(serverIndex)
 	d.dispatch()
 }
@@ -219,7 +219,7 @@
 // Draining handles an app server's request for no new RPCs on a connection.
 func (d *Dispatcher) Draining(now float64, connIndex int) {
 	d.advance(now)
-	if c := &d.conns[connIndex]; c.state == established {
+	if c := &d.conns[connIndex]; c.state == connected {
 		c.lastReceived = d.now
 		d.setConnState(connIndex, draining)
 		d.closeDrained(c.server)
@@ -242,8 +242,8 @@
 	for connIndex := range d.conns {
 		c := &d.conns[connIndex]
 		switch {
-		case c.state != established:
-		case c.healthCheck && d.servers[c.server].rpcConns == 0 &&
+		case c.state != connected:
+		case c.healthCheck && d.servers[c.server].connected == 0 &&
 			d.now-d.servers[c.server].lastUsed >= d.IdleTimeout:
 			d.disconnect(connIndex)
 		case c.healthCheck && d.now < c.nextCheck:
@@ -255,9 +255,9 @@
 			c.nextCheck = d.now + d.CheckPeriod*(0.75+d.random.Float64()/2)
 			d.Actions = append(d.Actions, Action{Kind: CheckHealth, Conn: connIndex, Server: c.server})
 			d.wakeBy(c.nextCheck)
-		case c.inFlight > 0 && d.now-max(c.busySince, c.lastReceived) >= silenceTimeout:
+		case c.openTries > 0 && d.now-max(c.busySince, c.lastReceived) >= silenceTimeout:
 			d.dropUnresponsive(connIndex)
-		case c.inFlight > 0:
+		case c.openTries > 0:
 			d.wakeBy(max(c.busySince, c.lastReceived) + silenceTimeout)
 		case d.now-c.lastUsed >= d.IdleTimeout:
 			serverIndex := c.server
--- a/logic/attempt/credit.go
+++ b/logic/attempt/credit.go
@@ -43,7 +43,8 @@
 		return false
 	}
 	whole, fraction := math.Modf(d.allowance(s))
-	return s.inFlight < int(whole) || s.inFlight == int(whole) && fraction > 0 && d.allowFraction(s, fraction)
+	return s.openTries < int(whole) || s.openTries == int(whole) && fraction > 0 &&
+		d.allowFraction(s, fraction)
 }
 
 // allowFraction reports whether the fraction of a credit allows one more try, by a random draw that it keeps
--- a/logic/attempt/credit_test.go
+++ b/logic/attempt/credit_test.go
@@ -53,7 +53,7 @@
 	}
 	type pendingTry struct {
 		dispatcher int
-		action     Action
+		sentAction Action
 		ends       float64
 	}
 	var inFlight []pendingTry
@@ -67,19 +67,19 @@
 			}
 			h.Tick(now)
 			h.connectAndCheck(share / clients)
-			for _, action := range h.Actions {
-				if action.Kind == Send {
+			for _, entry := range h.Actions {
+				if entry.Kind == Send {
 					arrivals[step/100]++
-					inFlight = append(inFlight, pendingTry{index, action, now + duration})
+					inFlight = append(inFlight, pendingTry{index, entry, now + duration})
 				}
 			}
 			h.Actions = h.Actions[:0]
 		}
-		inFlight = slices.DeleteFunc(inFlight, func(pending pendingTry) bool {
-			if pending.ends > now {
+		inFlight = slices.DeleteFunc(inFlight, func(entry pendingTry) bool {
+			if entry.ends > now {
 				return false
 			}
-			dispatchers[pending.dispatcher].Answered(now, pending.action.RPC, pending.action.Try, Served,
+			dispatchers[entry.dispatcher].Answered(now, entry.sentAction.RPC, entry.sentAction.Try, Served,
 				false, 0, share/clients)
 			return true
 		})
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -22,7 +22,7 @@
 	servers         []server
 	conns           []conn
 	freeConns       []int     // unused indices of conns
-	pendingDials    int       // connects in progress
+	dialing         int       // connects in progress
 	methodDurations []float64 // by method: moving average of the seconds that a successful try takes
 	wakeAt          float64   // time of the next Tick
 	closed          bool
--- a/logic/attempt/model_test.go
+++ b/logic/attempt/model_test.go
@@ -11,17 +11,17 @@
 
 // model tracks what a property run expects of an RPC.
 type model struct {
-	kind        rpc.Kind
-	deadline    float64
-	tries       int
-	noRetry     bool    // an app server forbade further tries
-	avoidUntil  float64 // end of the retry-after delay
-	mayHaveRun  bool    // some try may have run
-	lastServer  int     // index of the app server of the last try
-	incarnation uint32  // of that app server
-	resends     int     // tries lost with their connection that may be resent outside the budget
-	ended       bool
-	inFlight    map[int]Action // by the number of the try
+	kind            rpc.Kind
+	deadline        float64
+	tries           int
+	noRetry         bool    // an app server forbade further tries
+	pushedBackUntil float64 // end of the retry-after delay
+	mayHaveRun      bool    // some try may have run
+	lastServer      int     // index of the app server of the last try
+	incarnation     uint32  // of that app server
+	resends         int     // tries lost with their connection that may be resent outside the budget
+	ended           bool
+	out             map[int]Action // tries in flight, by number
 }
 
 // Under any order of events: each RPC finishes once; nothing is sent after its deadline, during a retry-after
@@ -38,7 +38,7 @@
 		names := []string{"a:1", "b:1", "c:1", "d:1"}
 		d.SetServers(100, names)
 		now := 100.0
-		rpcs := map[ID]*model{}
+		requests := map[ID]*model{}
 		conns := map[int]connState{}
 		var submitted []*model
 		firstTries, retries := 0, 0
@@ -54,45 +54,45 @@
 				case Disconnect:
 					conns[action.Conn] = disconnected
 				case CheckHealth:
-					if conns[action.Conn] != established {
+					if conns[action.Conn] != connected {
 						t.Fatalf("health check on connection %d, which is not established", action.Conn)
 					}
 				case Interrupt:
-					if m := rpcs[action.RPC]; m != nil {
-						delete(m.inFlight, action.Try)
+					if m := requests[action.RPC]; m != nil {
+						delete(m.out, action.Try)
 					}
 				case Finish:
-					m := rpcs[action.RPC]
+					m := requests[action.RPC]
 					if m == nil {
 						m = &model{}
-						rpcs[action.RPC] = m
+						requests[action.RPC] = m
 					}
 					if m.ended {
 						t.Fatalf("%v finishes twice", action.RPC)
 					}
 					m.ended = true
 				case Send:
-					m := rpcs[action.RPC]
+					m := requests[action.RPC]
 					if m == nil { // sent before Submit returned
 						m = &model{kind: d.requests[action.RPC.Index].kind, deadline: action.Deadline,
-							inFlight: map[int]Action{}}
-						rpcs[action.RPC] = m
+							out: map[int]Action{}}
+						requests[action.RPC] = m
 					}
 					s := &d.servers[action.Server]
 					switch {
-					case conns[action.Conn] != established:
+					case conns[action.Conn] != connected:
 						t.Fatalf("%v sent on a connection that is not established", action.RPC)
 					case m.ended || now >= m.deadline:
 						t.Fatalf("%v sent after its outcome or its deadline", action.RPC)
-					case m.noRetry || now < m.avoidUntil:
+					case m.noRetry || now < m.pushedBackUntil:
 						t.Fatalf("%v sent although a pushback forbids it", action.RPC)
 					case m.kind == rpc.NonIdempotent && m.tries > 0:
 						t.Fatalf("%v is non-idempotent and was retried", action.RPC)
 					case m.kind == rpc.Tokened && m.mayHaveRun &&
 						(m.lastServer != action.Server || m.incarnation != s.incarnation):
 						t.Fatalf("%v may have run in another process", action.RPC)
-					case d.conns[action.Conn].inFlight > MaxOpen:
-						t.Fatalf("%d RPCs in flight on one connection", d.conns[action.Conn].inFlight)
+					case d.conns[action.Conn].openTries > MaxOpen:
+						t.Fatalf("%d RPCs in flight on one connection", d.conns[action.Conn].openTries)
 					case now < s.avoidUntil:
 						t.Fatalf("RPC sent during the retry-after delay of its app server")
 					}
@@ -102,18 +102,18 @@
 						retries++
 					}
 					m.lastServer, m.incarnation = action.Server, s.incarnation
-					m.inFlight[action.Try] = action
+					m.out[action.Try] = action
 				}
 			}
 			d.Actions = d.Actions[:0]
-			if listed, excludedCount := d.Listed(); excludedCount > listed/2 {
-				t.Fatalf("%d of %d app servers are excluded", excludedCount, listed)
+			if all, out := d.Listed(); out > all/2 {
+				t.Fatalf("%d of %d app servers are excluded", out, all)
 			}
-			resends := 0
+			crossed := 0
 			for _, m := range submitted {
-				resends += m.resends
+				crossed += m.resends
 			}
-			if share := max(config.RetryShare, 0); float64(retries-resends) >
+			if share := max(config.RetryShare, 0); float64(retries-crossed) >
 				1+share*float64(firstTries)+1e-6 {
 				t.Fatalf("%d retries for %d first tries", retries, firstTries)
 			}
@@ -121,8 +121,8 @@
 		checkActions()
 		pickInFlight := func(label string) (ID, *model, int) {
 			var ids []ID
-			for id, m := range rpcs {
-				if len(m.inFlight) > 0 && !m.ended {
+			for id, m := range requests {
+				if len(m.out) > 0 && !m.ended {
 					ids = append(ids, id)
 				}
 			}
@@ -131,25 +131,25 @@
 			}
 			slices.SortFunc(ids, func(a, b ID) int { return a.Index - b.Index })
 			id := rapid.SampledFrom(ids).Draw(t, label)
-			m := rpcs[id]
+			m := requests[id]
 			try := slices.MinFunc(slices.Collect(func(yield func(int) bool) {
-				for n := range m.inFlight {
+				for n := range m.out {
 					yield(n)
 				}
 			}), func(a, b int) int { return a - b })
 			return id, m, try
 		}
 		pickConn := func(want ...connState) (int, bool) {
-			var matching []int
+			var all []int
 			for index := range len(d.conns) {
 				if slices.Contains(want, conns[index]) {
-					matching = append(matching, index)
+					all = append(all, index)
 				}
 			}
-			if len(matching) == 0 {
+			if len(all) == 0 {
 				return 0, false
 			}
-			return rapid.SampledFrom(matching).Draw(t, "conn"), true
+			return rapid.SampledFrom(all).Draw(t, "conn"), true
 		}
 		// Rapid orders the events by their keys, so a changed key invalidates the failures recorded in
 		// testdata.
@@ -158,13 +158,13 @@
 			"ask": func(t *rapid.T) {
 				kind := rapid.SampledFrom([]rpc.Kind{rpc.Idempotent, rpc.Tokened,
 					rpc.NonIdempotent}).Draw(t, "kind")
-				deadline := now + rapid.Float64Range(-0.1, 3).Draw(t, "timeout")
+				replyDeadline := now + rapid.Float64Range(-0.1, 3).Draw(t, "timeout")
 				id := d.Submit(now, rapid.IntRange(0, 2).Draw(t, "method"), kind,
-					rapid.Float64Range(0, 0.9).Draw(t, "criticality"), deadline)
-				if rpcs[id] == nil {
-					rpcs[id] = &model{kind: kind, deadline: deadline, inFlight: map[int]Action{}}
+					rapid.Float64Range(0, 0.9).Draw(t, "criticality"), replyDeadline)
+				if requests[id] == nil {
+					requests[id] = &model{kind: kind, deadline: replyDeadline, out: map[int]Action{}}
 				}
-				submitted = append(submitted, rpcs[id])
+				submitted = append(submitted, requests[id])
 				checkActions()
 			},
 			"answer": func(t *rapid.T) {
@@ -178,11 +178,11 @@
 				switch result {
 				case Refused:
 					m.noRetry = m.noRetry || noRetry
-					m.avoidUntil = now + retryAfter
+					m.pushedBackUntil = now + retryAfter
 				case Aborted:
 					m.mayHaveRun = true
 				}
-				delete(m.inFlight, try)
+				delete(m.out, try)
 				d.Answered(now, id, try, result, noRetry, retryAfter,
 					rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 4}).Draw(t, "credit"))
 				checkActions()
@@ -192,10 +192,10 @@
 				if m == nil {
 					t.Skip()
 				}
-				if m.inFlight[try].Retry {
+				if m.out[try].Retry {
 					retries--
 				}
-				delete(m.inFlight, try)
+				delete(m.out, try)
 				if m.tries--; m.tries == 0 {
 					firstTries--
 				}
@@ -219,21 +219,21 @@
 					conns[index] = disconnected
 					d.ConnectFailed(now, index)
 				} else {
-					conns[index] = established
+					conns[index] = connected
 					d.Connected(now, index)
 				}
 				checkActions()
 			},
 			"dropped": func(t *rapid.T) {
-				index, ok := pickConn(established)
+				index, ok := pickConn(connected)
 				if !ok {
 					t.Skip()
 				}
 				conns[index] = disconnected
 				for _, m := range submitted {
-					for n, action := range m.inFlight {
+					for n, action := range m.out {
 						if action.Conn == index {
-							delete(m.inFlight, n)
+							delete(m.out, n)
 							m.mayHaveRun = true
 							if m.resends == 0 && m.kind == rpc.Idempotent {
 								m.resends++
@@ -245,7 +245,7 @@
 				checkActions()
 			},
 			"draining": func(t *rapid.T) {
-				index, ok := pickConn(established)
+				index, ok := pickConn(connected)
 				if !ok {
 					t.Skip()
 				}
@@ -254,7 +254,7 @@
 			},
 			"checked": func(t *rapid.T) {
 				for index := range d.conns {
-					if d.conns[index].state == established && d.conns[index].healthCheck &&
+					if d.conns[index].state == connected && d.conns[index].healthCheck &&
 						d.conns[index].checkPending {
 						d.Checked(now, index, rapid.Bool().Draw(t, "healthy"), 2)
 						checkActions()
@@ -269,7 +269,7 @@
 			},
 			"time": func(t *rapid.T) {
 				now += rapid.SampledFrom([]float64{0.001, 0.02, 0.2, 2}).Draw(t, "passes")
-				for id, m := range rpcs {
+				for id, m := range requests {
 					if !m.ended && now >= m.deadline {
 						d.Abandon(now, id, true)
 					}
--- a/logic/attempt/requests.go
+++ b/logic/attempt/requests.go
@@ -7,15 +7,15 @@
 	"valveglade/rpc"
 )
 
-// requestState is the state of an RPC. Only setState changes it.
-type requestState uint8
+// state is the state of an RPC. Only setState changes it.
+type state uint8
 
 const (
-	freeSlot      requestState = iota // the index is unused
-	waiting                           // queued for capacity at an app server
-	backingOff                        // waiting out the delay before a retry
-	inFlight                          // with one try in flight
-	inFlightTwice                     // hedged, with two tries in flight
+	freeSlot      state = iota // the index is unused
+	waiting                    // queued for capacity at an app server
+	backingOff                 // waiting out the delay before a retry
+	inFlight                   // with one try in flight
+	inFlightTwice              // hedged, with two tries in flight
 	stateCount
 )
 
@@ -37,7 +37,7 @@
 
 // request is an open RPC. Its index is reused after its outcome.
 type request struct {
-	state       requestState
+	state       state
 	generation  uint32 // tells the RPCs of one index apart
 	kind        rpc.Kind
 	method      int // index of the method's average duration
@@ -71,7 +71,7 @@
 
 // setState changes the state of an RPC and keeps the queue, backingOff and the free indices consistent with
 // it.
-func (d *Dispatcher) setState(requestIndex int, to requestState) {
+func (d *Dispatcher) setState(requestIndex int, to state) {
 	r := &d.requests[requestIndex]
 	if !validTransitions[r.state][to] {
 		panic("attempt: invalid transition of an RPC")
--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -13,8 +13,8 @@
 	best := -1
 	for connIndex := range d.conns {
 		c := &d.conns[connIndex]
-		if c.server == serverIndex && c.state == established && !c.healthCheck && c.inFlight < MaxOpen &&
-			(best < 0 || c.inFlight < d.conns[best].inFlight) {
+		if c.server == serverIndex && c.state == connected && !c.healthCheck && c.openTries < MaxOpen &&
+			(best < 0 || c.openTries < d.conns[best].openTries) {
 			best = connIndex
 		}
 	}
@@ -25,16 +25,16 @@
 // the one with the lower cost. excludedIndex is never chosen; it is -1 to permit all.
 func (d *Dispatcher) chooseServer(r *request, excludedIndex int) int {
 	if r.pinned {
-		if s := &d.servers[r.server]; d.now >= s.avoidUntil && s.inFlight < max(int(d.allowance(s)), 1) &&
+		if s := &d.servers[r.server]; d.now >= s.avoidUntil && s.openTries < max(int(d.allowance(s)), 1) &&
 			d.leastLoadedConn(r.server) >= 0 {
 			return r.server
 		}
 		return -1
 	}
-	var candidates, unhealthy []int
+	var candidates, fallback []int
 	for serverIndex := range d.servers {
 		s := &d.servers[serverIndex]
-		if serverIndex == excludedIndex || s.rpcConns == 0 || !d.hasCapacity(s) ||
+		if serverIndex == excludedIndex || s.connected == 0 || !d.hasCapacity(s) ||
 			d.leastLoadedConn(serverIndex) < 0 {
 			continue
 		}
@@ -45,13 +45,13 @@
 			continue
 		}
 		if s.unhealthy {
-			unhealthy = append(unhealthy, serverIndex)
+			fallback = append(fallback, serverIndex)
 		} else {
 			candidates = append(candidates, serverIndex)
 		}
 	}
 	if len(candidates) == 0 && excludedIndex < 0 {
-		candidates = unhealthy // if all are unhealthy, use them
+		candidates = fallback // if all are unhealthy, use them
 	}
 	switch len(candidates) {
 	case 0:
@@ -78,15 +78,15 @@
 	s := &d.servers[serverIndex]
 	// The last credit counts here even when it is too old for sending: an app server that is not chosen
 	// because of its old credit would never get a try that renews it.
-	credit := defaultCredit
+	effectiveCredit := defaultCredit
 	if !math.IsInf(s.creditAt, -1) {
-		credit = s.credit
+		effectiveCredit = s.credit
 	}
 	if rampShare := (d.now - s.readmittedAt) / rampUpDuration; rampShare < 1 {
-		credit *= max(rampShare, initialRampShare)
+		effectiveCredit *= max(rampShare, initialRampShare)
 	}
 	// A credit below 1 counts as 1, as hasCapacity has already applied the fraction by its draw.
-	estimate := max(s.meanDuration, minDuration) * float64(s.inFlight+1) / max(credit, 1)
+	estimate := max(s.meanDuration, minDuration) * float64(s.openTries+1) / max(effectiveCredit, 1)
 	if r.server == serverIndex && r.tries > 0 {
 		estimate *= 2
 	}
@@ -103,7 +103,7 @@
 	if s.serverState == excluded {
 		earliest = max(earliest, s.excludedUntil)
 	}
-	if s.rpcConns == 0 && s.pendingDials == 0 {
+	if s.connected == 0 && s.pendingDials == 0 {
 		earliest = max(earliest, s.nextDialAt)
 	}
 	return earliest
@@ -135,7 +135,7 @@
 // connected, as it then has no capacity, and NoServer if none is.
 func (d *Dispatcher) unavailableCause() Cause {
 	for serverIndex := range d.servers {
-		if s := &d.servers[serverIndex]; s.rpcConns > 0 && s.serverState != removing {
+		if s := &d.servers[serverIndex]; s.connected > 0 && s.serverState != removing {
 			return Refused
 		}
 	}
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -40,8 +40,8 @@
 	upSince         float64 // when the first of the current connections was established
 	fractionAllowed bool    // the fraction of the credit allows one more try
 	redrawAt        float64 // time of the next draw on the fraction
-	inFlight        int     // tries in flight
-	rpcConns        int     // established connections for RPCs
+	openTries       int     // tries in flight
+	connected       int     // established connections for RPCs
 	checkConns      int     // established connections for health checks
 	pendingDials    int     // connects in progress, for RPCs or health checks
 	incarnation     uint32  // incremented when no connection is left
@@ -184,7 +184,7 @@
 // drain closes the connections to an app server once no RPC is in flight on them.
 func (d *Dispatcher) drain(serverIndex int) {
 	for connIndex := range d.conns {
-		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == established {
+		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == connected {
 			d.setConnState(connIndex, draining)
 		}
 	}
@@ -195,12 +195,12 @@
 // is no longer listed and has no connections left.
 func (d *Dispatcher) closeDrained(serverIndex int) {
 	for connIndex := range d.conns {
-		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == draining && c.inFlight == 0 {
+		if c := &d.conns[connIndex]; c.server == serverIndex && c.state == draining && c.openTries == 0 {
 			d.disconnect(connIndex)
 		}
 	}
 	s := &d.servers[serverIndex]
-	if s.serverState != removing || s.rpcConns+s.checkConns+s.pendingDials > 0 {
+	if s.serverState != removing || s.connected+s.checkConns+s.pendingDials > 0 {
 		return
 	}
 	d.setServerState(serverIndex, unlisted)
--- a/logic/attempt/tries.go
+++ b/logic/attempt/tries.go
@@ -19,7 +19,7 @@
 
 // Answered handles an app server's answer to a try: its result, whether further tries are forbidden, the
 // retry-after delay in seconds, and the credit (negative if none was reported).
-func (d *Dispatcher) Answered(now float64, id ID, number int, result Cause, noRetry bool,
+func (d *Dispatcher) Answered(now float64, id ID, number int, result Cause, forbidsRetry bool,
 	retryAfter, credit float64) {
 	d.advance(now)
 	if !d.isOpen(id) {
@@ -51,7 +51,7 @@
 		s := &d.servers[serverIndex]
 		d.recordAnswer(serverIndex)
 		s.avoidUntil = max(s.avoidUntil, d.now+retryAfter)
-		r.noRetry = r.noRetry || noRetry
+		r.noRetry = r.noRetry || forbidsRetry
 		d.retryOrFinish(id.Index, PushedBack, Refused, retryAfter)
 	default:
 		d.recordFailure(serverIndex)
@@ -76,9 +76,9 @@
 		return false
 	}
 	c := &d.conns[t.conn]
-	c.inFlight--
+	c.openTries--
 	c.lastUsed = d.now
-	d.servers[c.server].inFlight--
+	d.servers[c.server].openTries--
 	*t = try{}
 	d.closeDrained(c.server)
 	return true
@@ -86,17 +86,17 @@
 
 // retryOrFinish retries or finishes an RPC after a failed try with the given progress. An RPC that cannot be
 // retried before its deadline finishes at once.
-func (d *Dispatcher) retryOrFinish(requestIndex int, reach Progress, cause Cause, retryAfter float64) {
+func (d *Dispatcher) retryOrFinish(requestIndex int, progress Progress, cause Cause, retryAfter float64) {
 	r := &d.requests[requestIndex]
-	r.progress = max(r.progress, reach)
+	r.progress = max(r.progress, progress)
 	r.cause, r.retryAfter = cause, retryAfter
 	if r.state == inFlightTwice { // the other try may still succeed
 		d.setState(requestIndex, inFlight)
 		return
 	}
-	retryAt := d.now + retryAfter
-	if retryAfter == 0 && reach != NeverSent {
-		retryAt += d.random.Backoff(firstRetryDelay, maxRetryDelay, r.tries-1)
+	readyAt := d.now + retryAfter
+	if retryAfter == 0 && progress != NeverSent {
+		readyAt += d.random.Backoff(firstRetryDelay, maxRetryDelay, r.tries-1)
 	}
 	switch {
 	case d.now >= r.deadline:
@@ -105,7 +105,7 @@
 	case r.noRetry, d.closed, r.kind == rpc.NonIdempotent && r.progress != NeverSent:
 		d.finish(requestIndex, cause)
 		return
-	case retryAt+d.methodDurations[r.method]/2 >= r.deadline: // a retry is unlikely to end in time
+	case readyAt+d.methodDurations[r.method]/2 >= r.deadline: // a retry is unlikely to end in time
 		d.finish(requestIndex, cause)
 		return
 	}
@@ -116,25 +116,25 @@
 			return
 		}
 	}
-	if reach != NeverSent && !d.budget.Spend(d.now) {
+	if progress != NeverSent && !d.budget.Spend(d.now) {
 		d.Totals.RetriesDenied++
 		d.finish(requestIndex, cause)
 		return
 	}
-	r.retryAt = retryAt
-	if retryAt <= d.now {
+	r.retryAt = readyAt
+	if readyAt <= d.now {
 		d.setState(requestIndex, waiting)
 		return
 	}
 	d.setState(requestIndex, backingOff)
-	d.wakeBy(retryAt)
+	d.wakeBy(readyAt)
 }
 
 // sameIncarnation reports whether the app server that may have run a tokened RPC is still the same process.
 // Only that process knows the token; another one at the same address would run the RPC a second time.
 func (d *Dispatcher) sameIncarnation(r *request) bool {
 	s := &d.servers[r.server]
-	return d.TokensPersist || s.rpcConns+s.checkConns > 0 && s.incarnation == r.incarnation
+	return d.TokensPersist || s.connected+s.checkConns > 0 && s.incarnation == r.incarnation
 }
 
 // dispatch sends queued RPCs to app servers that have capacity, and opens connections where it is short. It
@@ -195,15 +195,15 @@
 	r.inFlight[slot] = try{number: r.tries, conn: connIndex, sent: d.now}
 	r.server = serverIndex
 	r.incarnation = d.servers[serverIndex].incarnation
-	d.conns[connIndex].inFlight++
+	d.conns[connIndex].openTries++
 	d.conns[connIndex].lastUsed = d.now
-	if d.conns[connIndex].inFlight == 1 {
+	if d.conns[connIndex].openTries == 1 {
 		d.conns[connIndex].busySince = d.now
 	}
-	if s := &d.servers[serverIndex]; s.inFlight >= int(d.allowance(s)) {
+	if s := &d.servers[serverIndex]; s.openTries >= int(d.allowance(s)) {
 		s.fractionAllowed = false // this try uses the fraction, until the next draw
 	}
-	d.servers[serverIndex].inFlight++
+	d.servers[serverIndex].openTries++
 	d.servers[serverIndex].lastUsed = d.now
 	if r.state == inFlight {
 		d.setState(requestIndex, inFlightTwice)
@@ -250,8 +250,8 @@
 func (d *Dispatcher) handleLostTry(requestIndex int, t try) {
 	r := &d.requests[requestIndex]
 	if r.state == inFlight && !r.resent && d.now-t.sent <= CrossingWindow && !d.conns[t.conn].checkPending &&
-		d.conns[t.conn].inFlight == 1 && r.kind == rpc.Idempotent &&
-		d.servers[r.server].rpcConns+d.servers[r.server].checkConns > 0 {
+		d.conns[t.conn].openTries == 1 && r.kind == rpc.Idempotent &&
+		d.servers[r.server].connected+d.servers[r.server].checkConns > 0 {
 		r.resent = true
 		r.progress, r.cause = max(r.progress, Sent), Lost
 		d.setState(requestIndex, waiting)
