--- a/client/client.go
+++ b/client/client.go
@@ -86,8 +86,8 @@
 func New(opts ...Option) (*Client, error) {
 	c := &Client{methodIndexes: map[string]int{}, started: time.Now()}
 	c.startedUnix = float64(c.started.UnixNano()) / 1e9
-	for _, o := range opts {
-		o(&c.options)
+	for _, option := range opts {
+		option(&c.options)
 	}
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -173,8 +173,8 @@
 // The error is an *Error.
 func (c *Client) Call(ctx context.Context, method string, body []byte, opts ...CallOption) (Result, error) {
 	pending := &call{Method: c.methods[method], name: method, body: body, done: make(chan attempt.Outcome, 1)}
-	for _, o := range opts {
-		o(pending)
+	for _, option := range opts {
+		option(pending)
 	}
 	if err := pending.validate(); err != nil {
 		return Result{}, &Error{Method: method, Cause: Aborted, Why: err.Error()}
--- a/client/conn.go
+++ b/client/conn.go
@@ -37,9 +37,9 @@
 // the writer uses.
 type connection struct {
 	*Client
-	index        int // the dispatcher's index
-	server       string
-	nc           net.Conn
+	index        int        // index of the connection in the dispatcher
+	server       string     // address
+	nc           net.Conn   // nil until connected
 	ended        bool       // closed by the dispatcher, or reported to it as ended
 	queue        []outgoing // messages to be written
 	batchBuffer  []outgoing // storage reused for batches
@@ -51,14 +51,14 @@
 }
 
 const (
-	// maxInterrupted limits the interrupted RPCs whose answers are still expected. An app server that leaves more
-	// unanswered answers nothing at all.
+	// maxInterrupted limits the interrupted RPCs whose answers are still expected. An app server that leaves more of
+	// them unanswered is not responding at all.
 	maxInterrupted = 256
 	// writeTimeout is for one batch, which takes microseconds if the app server reads.
 	writeTimeout = time.Second
 	// maxWriteBytes is the size from which a batch takes no further message.
 	maxWriteBytes = 16 << 10
-	// frameTimeout is the time within which the rest of a frame must arrive.
+	// frameTimeout is the time within which the rest of a frame must arrive after its first bytes.
 	frameTimeout = 1500 * time.Millisecond
 )
 
--- a/client/conn_write.go
+++ b/client/conn_write.go
@@ -96,8 +96,8 @@
 	frameStart := 0
 	for _, m := range batch {
 		if m.call != nil && frameStart >= written {
-			if k := slices.IndexFunc(conn.inFlight, func(s sent) bool { return s.seq == m.seq }); k >= 0 {
-				conn.inFlight = slices.Delete(conn.inFlight, k, k+1)
+			if position := slices.IndexFunc(conn.inFlight, func(s sent) bool { return s.seq == m.seq }); position >= 0 {
+				conn.inFlight = slices.Delete(conn.inFlight, position, position+1)
 				conn.dispatcher.Unsent(conn.clock(), m.id, m.try)
 			}
 		}
--- a/client/options.go
+++ b/client/options.go
@@ -58,8 +58,8 @@
 	return func(o *options) { o.servers = append(o.servers, addresses...) }
 }
 
-// ServersFile reads the app servers from a file with one address a line, and reads it again whenever it changes. #
-// begins a comment. An invalid or empty file changes nothing.
+// ServersFile reads the app servers from a file with one address a line, and reads it again whenever it changes.
+// A comment begins with #. An invalid or empty file changes nothing.
 func ServersFile(path string) Option { return func(o *options) { o.file = path } }
 
 // Resolver sets a function that returns the app servers, called at the start and then at an interval. An error or an
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -17,7 +17,7 @@
 	Ran                        // an app server reported that it ran or may have run
 )
 
-func (r Progress) String() string { return [...]string{"never sent", "pushed back", "sent", "ran"}[r] }
+func (p Progress) String() string { return [...]string{"never sent", "pushed back", "sent", "ran"}[p] }
 
 // Cause is the reason why an RPC or one of its tries ended.
 type Cause uint8
--- a/logic/attempt/connections.go
+++ b/logic/attempt/connections.go
@@ -33,6 +33,7 @@
 	checkPending bool    // a health check has not been answered yet
 }
 
+// setConnState changes the state of a connection and keeps the counts of connections consistent with it.
 func (d *Dispatcher) setConnState(connIndex int, to connState) {
 	c := &d.conns[connIndex]
 	if !validConnTransitions[c.state][to] {
@@ -56,7 +57,7 @@
 		s.pendingDials++
 	case connected:
 		if s.connected+s.checkConns == 0 {
-			s.upSince = d.now
+			s.connectedSince = d.now
 		}
 		*connCount++
 	case disconnected:
@@ -122,6 +123,7 @@
 	}
 }
 
+// dial starts a connect, for a connection that carries RPCs or only health checks.
 func (d *Dispatcher) dial(serverIndex int, forHealthChecks bool) {
 	if len(d.freeConns) == 0 {
 		d.freeConns = append(d.freeConns, len(d.conns))
--- a/logic/attempt/credit.go
+++ b/logic/attempt/credit.go
@@ -34,7 +34,7 @@
 
 // awaitsHealthCheck reports whether a health check may still return the first credit of an app server.
 func (d *Dispatcher) awaitsHealthCheck(s *server) bool {
-	return d.CheckPeriod > 0 && !s.answered && d.now < s.upSince+firstCheckTimeout
+	return d.CheckPeriod > 0 && !s.answered && d.now < s.connectedSince+firstCheckTimeout
 }
 
 // hasCapacity reports whether an app server may receive one more try; it does not consider its connections.
--- a/logic/attempt/dispatcher.go
+++ b/logic/attempt/dispatcher.go
@@ -117,12 +117,12 @@
 func (d *Dispatcher) Tick(now float64) {
 	d.advance(now)
 	d.wakeAt = math.Inf(1)
-	for k := 0; k < len(d.backingOff); {
-		if i := d.backingOff[k]; d.requests[i].retryAt <= d.now {
-			d.setState(i, waiting)
+	for position := 0; position < len(d.backingOff); {
+		if requestIndex := d.backingOff[position]; d.requests[requestIndex].retryAt <= d.now {
+			d.setState(requestIndex, waiting)
 		} else {
-			d.wakeBy(d.requests[i].retryAt)
-			k++
+			d.wakeBy(d.requests[requestIndex].retryAt)
+			position++
 		}
 	}
 	d.checkTimers()
@@ -134,14 +134,14 @@
 func (d *Dispatcher) Close(now float64) {
 	d.advance(now)
 	d.closed = true
-	for i := range d.requests {
-		if d.requests[i].state != freeSlot {
-			d.finish(i, Closed)
+	for requestIndex := range d.requests {
+		if d.requests[requestIndex].state != freeSlot {
+			d.finish(requestIndex, Closed)
 		}
 	}
-	for k := range d.conns {
-		if d.conns[k].state != disconnected {
-			d.disconnect(k)
+	for connIndex := range d.conns {
+		if d.conns[connIndex].state != disconnected {
+			d.disconnect(connIndex)
 		}
 	}
 	d.wakeAt = math.Inf(1)
--- a/logic/attempt/requests.go
+++ b/logic/attempt/requests.go
@@ -80,8 +80,8 @@
 	case waiting:
 		d.queue = slices.Delete(d.queue, d.queuePosition(requestIndex), d.queuePosition(requestIndex)+1)
 	case backingOff:
-		k := slices.Index(d.backingOff, requestIndex)
-		d.backingOff = slices.Delete(d.backingOff, k, k+1)
+		position := slices.Index(d.backingOff, requestIndex)
+		d.backingOff = slices.Delete(d.backingOff, position, position+1)
 	}
 	r.state = to
 	switch to {
@@ -97,11 +97,12 @@
 
 // queuePosition returns the position of an RPC in the queue, or that at which it belongs.
 func (d *Dispatcher) queuePosition(requestIndex int) int {
-	k, _ := slices.BinarySearchFunc(d.queue, requestIndex, func(a, b int) int {
-		x, y := &d.requests[a], &d.requests[b]
-		return cmp.Or(cmp.Compare(y.criticality, x.criticality), cmp.Compare(x.sequence, y.sequence))
+	position, _ := slices.BinarySearchFunc(d.queue, requestIndex, func(a, b int) int {
+		first, second := &d.requests[a], &d.requests[b]
+		return cmp.Or(cmp.Compare(second.criticality, first.criticality),
+			cmp.Compare(first.sequence, second.sequence))
 	})
-	return k
+	return position
 }
 
 // finish ends an RPC with its outcome and interrupts the tries that are still in flight.
--- a/logic/attempt/selection.go
+++ b/logic/attempt/selection.go
@@ -152,14 +152,14 @@
 		}
 	}
 	slices.SortFunc(indices, func(a, b int) int {
-		x, y := &d.servers[a], &d.servers[b]
+		first, second := &d.servers[a], &d.servers[b]
 		failing := func(s *server) int {
 			if s.serverState == excluded || s.failedDials >= unreachableAfter {
 				return 1
 			}
 			return 0
 		}
-		return cmp.Or(cmp.Compare(failing(x), failing(y)), cmp.Compare(x.rank, y.rank))
+		return cmp.Or(cmp.Compare(failing(first), failing(second)), cmp.Compare(first.rank, second.rank))
 	})
 	return indices[:min(len(indices), d.MaxServers)]
 }
--- a/logic/attempt/servers.go
+++ b/logic/attempt/servers.go
@@ -37,7 +37,7 @@
 	creditAt        float64 // -Inf until the current process has reported its credit
 	answered        bool    // the current process has answered an RPC or a health check
 	lastDuration    float64 // seconds that the last successful try took
-	upSince         float64 // when the first of the current connections was established
+	connectedSince  float64 // when the first of the current connections was established
 	fractionAllowed bool    // the fraction of the credit allows one more try
 	redrawAt        float64 // time of the next draw on the fraction
 	openTries       int     // tries in flight
@@ -118,9 +118,9 @@
 			serverIndex = len(d.servers)
 			d.servers = append(d.servers, server{})
 		}
-		h := fnv.New64a()
-		h.Write([]byte(name))
-		d.servers[serverIndex] = server{name: name, rank: NewRank(d.Seed, h.Sum64()),
+		hash := fnv.New64a()
+		hash.Write([]byte(name))
+		d.servers[serverIndex] = server{name: name, rank: NewRank(d.Seed, hash.Sum64()),
 			incarnation: d.servers[serverIndex].incarnation + 1, lastUsed: d.now,
 			creditAt: math.Inf(-1), readmittedAt: math.Inf(-1), lastDuration: coldDuration,
 			nextDialAt: d.now + d.random.Float64()*d.StartSpread}
