--- a/client/lists.go
+++ b/client/lists.go
@@ -98,11 +98,11 @@
 		return
 	}
 	if err != nil {
-		c.log.Warn("invalid list of app servers, keeping the previous one", zap.Error(err))
+		c.log.Warn("list of app servers faulty, the last one stays", zap.Error(err))
 		return
 	}
 	if !c.dispatcher.SetServers(c.clock(), names) {
-		c.log.Warn("empty list of app servers, keeping the previous one")
+		c.log.Warn("list of app servers empty, the last one stays")
 	}
 	c.performActions()
 }
--- a/logic/attempt/attempt.go
+++ b/logic/attempt/attempt.go
@@ -92,7 +92,7 @@
 )
 
 func (c Change) String() string {
-	return [...]string{"", "excluded", "readmitted", "not reached", "reached again"}[c]
+	return [...]string{"", "left out", "let back", "not reached", "reached again"}[c]
 }
 
 // Config holds the settings of a Dispatcher. New replaces zero values by the defaults given after the colons.
--- a/logic/attempt/attempt_test.go
+++ b/logic/attempt/attempt_test.go
@@ -257,8 +257,8 @@
 	fmt.Println("readmitted after a while:", readmittedAt > 102 && readmittedAt < 106,
 		"and used again:", sentFailing > 100)
 	// Output:
-	// a:1 excluded
-	// a:1 readmitted
+	// a:1 left out
+	// a:1 let back
 	// readmitted after a while: true and used again: true
 }
 
