--- a/cmd/valveglade/main.go
+++ b/cmd/valveglade/main.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	s := server.NewUnder(c, b, stderr.logger(c.Name))
+	s := server.NewWithSettings(c, b, stderr.logger(c.Name))
 	go s.Reload(context.WithoutCancel(ctx), reload, func() (*config.Config, *config.Settings, error) {
 		c, err := config.FromEnv()
 		if err != nil {
--- a/server/server.go
+++ b/server/server.go
@@ -69,10 +69,12 @@
 const keepShare, heldShare = 8, 4
 
 // New prepares an app server; nothing is opened before Serve.
-func New(c *config.Config, log *zap.Logger) *Server { return NewUnder(c, config.NewSettings(), log) }
+func New(c *config.Config, log *zap.Logger) *Server {
+	return NewWithSettings(c, config.NewSettings(), log)
+}
 
-// NewUnder is New under the operators' own settings.
-func NewUnder(c *config.Config, b *config.Settings, log *zap.Logger) *Server {
+// NewWithSettings is New under the operators' own settings.
+func NewWithSettings(c *config.Config, b *config.Settings, log *zap.Logger) *Server {
 	s := &Server{clock: systemClock(), log: log, limited: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, lineEvery, 1, 0)
 	})), methods: map[string]int{}, conns: map[*conn]struct{}{},
