--- a/server/clock.go
+++ b/server/clock.go
@@ -14,21 +14,21 @@
 	read   func() (wall, steady float64)
 	origin float64 // the system's clock at the start
 
-	mu    sync.Mutex
-	leads [maxLeads]float64 // how far this clock was ahead of the system's, the present lead first
+	mu      sync.Mutex
+	offsets [maxOffsets]float64 // how far this clock was ahead of the system's, the present lead first
 }
 
 const (
-	// maxLeads is how many settings of the system's clock are told apart. RPCs marked before the last one are still to be read; the
+	// maxOffsets is how many settings of the system's clock are told apart. RPCs marked before the last one are still to be read; the
 	// first lead, which is none, stands for routers that do not see the system's clock being set at all.
-	maxLeads = 3
-	// stepped is by how much the system's clock has to be off for it to have been set: a clock that is steered gains or loses less
+	maxOffsets = 3
+	// stepThreshold is by how much the system's clock has to be off for it to have been set: a clock that is steered gains or loses less
 	// than a thousandth.
-	stepped = 0.05
-	// steered is by how much a clock that is steered may be off before that counts: RPCs marked alike are to come alike.
-	steered = 0.001
-	// earliest is how far ahead of the clock an RPC may have come: marks are whole milliseconds, and clocks are read one after another.
-	earliest = 0.05
+	stepThreshold = 0.05
+	// slewThreshold is by how much a clock that is slewThreshold may be off before that counts: RPCs marked alike are to come alike.
+	slewThreshold = 0.001
+	// futureTolerance is how far ahead of the clock an RPC may have come: marks are whole milliseconds, and clocks are read one after another.
+	futureTolerance = 0.05
 )
 
 func systemClock() *clock {
@@ -53,42 +53,42 @@
 // arrival gives the time and, on the same clock, when an RPC came that is marked with the system's time and is waited for ttl seconds
 // from then. The mark counts by the system's clock as it is set now. Where that makes no sense, as the RPC would come from the future
 // or be past its end, it counts by one of the earlier settings if by that it makes sense.
-func (c *clock) arrival(mark, ttl float64) (now, came float64) {
+func (c *clock) arrival(timestamp, ttl float64) (now, arrivedAt float64) {
 	wall, steady := c.read()
 	now = c.origin + steady
-	leads := c.observe(now - wall)
-	for _, lead := range leads {
-		if came = mark + lead; came <= now+earliest && now-came <= ttl {
-			return now, came
+	offsets := c.observe(now - wall)
+	for _, offset := range offsets {
+		if arrivedAt = timestamp + offset; arrivedAt <= now+futureTolerance && now-arrivedAt <= ttl {
+			return now, arrivedAt
 		}
 	}
-	return now, mark + leads[0]
+	return now, timestamp + offsets[0]
 }
 
 // observe takes note of how far this clock is ahead of the system's.
-func (c *clock) observe(lead float64) [maxLeads]float64 {
+func (c *clock) observe(lead float64) [maxOffsets]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	off := math.Abs(lead - c.leads[0])
-	if off > stepped {
-		copy(c.leads[1:maxLeads-1], c.leads[:]) // the last one stays: none
+	off := math.Abs(lead - c.offsets[0])
+	if off > stepThreshold {
+		copy(c.offsets[1:maxOffsets-1], c.offsets[:]) // the last one stays: none
 	}
-	if off > steered {
-		c.leads[0] = lead
+	if off > slewThreshold {
+		c.offsets[0] = lead
 	}
-	return c.leads
+	return c.offsets
 }
 
-// longest is as long as anything is waited for: a century, which is half of what can be added to a time.
-const longest = 100 * 365 * 24 * time.Hour
+// maxDuration is as long as anything is waited for: a century, which is half of what can be added to a time.
+const maxDuration = 100 * 365 * 24 * time.Hour
 
 // seconds converts a number of seconds of any size: below 0 and what is no number are 0, and nothing is longer than longest.
 func seconds(s float64) time.Duration {
 	switch {
 	case !(s > 0):
 		return 0
-	case s >= longest.Seconds():
-		return longest
+	case s >= maxDuration.Seconds():
+		return maxDuration
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -199,7 +199,7 @@
 		r := t.dial()
 		began := time.Now()
 		t.notice()
-		until("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
+		until("leaving", func() bool { return stage(t.currentStage.Load()) == stageDraining })
 		system.step(by)
 		r.execute(1, "recv", system.recv())
 		t.asked()
@@ -288,7 +288,7 @@
 func (c *conn) asked() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.askedAt.IsZero()
+	return !c.drainSentAt.IsZero()
 }
 
 // The gate asks to be woken at times that are none: the app server neither spins nor sleeps for ever.
--- a/server/crowd_test.go
+++ b/server/crowd_test.go
@@ -16,7 +16,7 @@
 
 // openCrowded opens an app server with room for so many connections, which asks nobody to leave beforehand.
 func openCrowded(room int) *town {
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + room }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t := openPrepared(func(c *config.Config) { c.Sockets = minReserved + room }, zap.NewNop(), func(s *Server) { s.idleCheckInterval = time.Hour })
 	t.linkUp()
 	return t
 }
@@ -38,7 +38,7 @@
 		t.dial()
 	}
 	until("full", func() bool { return len(t.connections()) == 3 })
-	time.Sleep(firstBytes)
+	time.Sleep(firstBytesTimeout)
 	t.serveOne(1)
 	t.close()
 	// Output:
@@ -56,13 +56,13 @@
 	}
 	until("halves read", func() bool {
 		for _, c := range t.connections() {
-			if q, _ := c.rested(); !q.part {
+			if q, _ := c.idleSnapshot(); !q.midMessage {
 				return false
 			}
 		}
 		return true
 	})
-	time.Sleep(fresh + firstBytes)
+	time.Sleep(firstMessageTimeout + firstBytesTimeout)
 	t.serveOne(3)
 	t.close()
 	// Output:
@@ -83,12 +83,12 @@
 	busy := t.dial()
 	busy.execute(2)
 	t.asked()
-	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)})
+	t.handleAcceptError(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)})
 	t.Server.mu.Lock()
-	_, going := t.leastWanted()
+	_, going := t.evictionCandidate()
 	fmt.Println("connections:", len(t.conns), "on their way out:", going)
 	t.Server.mu.Unlock()
-	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
+	t.handleAcceptError(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
 	idle.ends()
 	t.reap(2, "fine", "two")
 	busy.hear(1)
@@ -105,8 +105,8 @@
 
 // A reload with fewer descriptors closes idle connections at once, down to what is allowed, and none that is at work.
 func Example_fewerSockets() {
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 20 }, zap.NewNop(),
-		func(s *Server) { s.idle = 10 * time.Millisecond })
+	t := openPrepared(func(c *config.Config) { c.Sockets = minReserved + 20 }, zap.NewNop(),
+		func(s *Server) { s.idleCheckInterval = 10 * time.Millisecond })
 	t.linkUp()
 	busy := t.dial()
 	busy.execute(1)
@@ -117,8 +117,8 @@
 	until("taken in", func() bool { return len(t.connections()) == 9 })
 	began := time.Now()
 	next := *t.config
-	next.Sockets = reserve + 3
-	t.adopt(&next)
+	next.Sockets = minReserved + 3
+	t.applyConfig(&next)
 	until("room", func() bool { return len(t.connections()) <= 3 })
 	fmt.Println("before silence is overdue:", time.Since(began) < messageTimeout/2)
 	t.reap(1, "fine", "one")
@@ -143,13 +143,13 @@
 	}
 	c := &config.Config{Sockets: 512}
 	s := New(c, zap.NewNop())
-	usual := s.room()
-	s.countOwn()
-	if room := s.room(); usual != 512-reserve || room > 512-inherited-spare {
+	usual := s.connectionCapacity()
+	s.countOwnDescriptors()
+	if room := s.connectionCapacity(); usual != 512-minReserved || room > 512-inherited-spareDescriptors {
 		t.Errorf("room for %d connections, %d with %d descriptors taken", usual, room, inherited)
 	}
 	s.systemLimit = 256
-	if room := s.room(); room > 256-inherited-spare {
+	if room := s.connectionCapacity(); room > 256-inherited-spareDescriptors {
 		t.Errorf("room for %d connections under the system's limit of 256", room)
 	}
 }
@@ -188,13 +188,13 @@
 	until("close begun", func() bool { return len(slow.begun) == 1 })
 	r.Close()
 	select {
-	case <-c.gone:
+	case <-c.descriptorClosed:
 		fmt.Println("free while its descriptor is held")
 	case <-time.After(100 * time.Millisecond):
 		fmt.Println("held:", len(t.connections()))
 	}
 	close(slow.release)
-	<-c.gone
+	<-c.descriptorClosed
 	t.close()
 	// Output:
 	// held: 1
@@ -211,7 +211,7 @@
 	until("full", func() bool { return len(t.connections()) == 3 })
 	t.kernel.Close()
 	r.execute(2)
-	time.Sleep(firstBytes)
+	time.Sleep(firstBytesTimeout)
 	other := t.dial()
 	other.execute(3)
 	until("both read", func() bool {
--- a/server/descriptors.go
+++ b/server/descriptors.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// reserve is how many descriptors are kept back from callers at the least: the ten that a process holds at its start (the
+	// minReserved is how many descriptors are kept back from callers at the least: the ten that a process holds at its start (the
 	// standard three, two of the control group, two of the poller, the listener and two that it may have inherited), and spare.
-	reserve = 10 + spare
-	// spare is for what is opened after the start, beside connections that are served: the kernel link and the one that
+	minReserved = 10 + spareDescriptors
+	// spareDescriptors is for what is opened after the start, beside connections that are served: the kernel link and the one that
 	// follows it when the kernel moves, the roster's socket, a configuration file, a file of the system's figures, the
 	// connection that is being let in, the one held back for newcomers, and mostGoing that are on their way out.
-	spare = 7 + mostGoing
-	// shortFor is how long after the last descriptor was taken one has to be left over for a newcomer to be served: the kernel link
+	spareDescriptors = 7 + maxEvicting
+	// shortageWindow is how long after the last descriptor was taken one has to be left over for a newcomer to be served: the kernel link
 	// and a new configuration come first.
-	shortFor = 5 * time.Second
+	shortageWindow = 5 * time.Second
 )
 
 // openDescriptor takes a descriptor.
@@ -36,14 +36,14 @@
 	return true
 }
 
-// heldBack is one descriptor that the acceptor holds, so that it can turn newcomers away where the system has none left: those would
+// emergencyDescriptor is one descriptor that the acceptor holds, so that it can turn newcomers away where the system has none left: those would
 // wait unheard in the listener's queue. The acceptor's goroutine alone has it.
-type heldBack struct {
+type emergencyDescriptor struct {
 	fd   int
 	held bool
 }
 
-func (h *heldBack) take() {
+func (h *emergencyDescriptor) take() {
 	if h.held {
 		return
 	}
@@ -52,53 +52,53 @@
 	}
 }
 
-func (h *heldBack) release() {
+func (h *emergencyDescriptor) release() {
 	if h.held {
 		syscall.Close(h.fd)
 		h.held = false
 	}
 }
 
-// noteShort takes note that no descriptor was left, and has idle connections give theirs back. It reports whether any does.
-func (s *Server) noteShort() (evicted bool) {
-	s.shortAt.Store(int64(s.clock.now()))
+// handleShortage takes note that no descriptor was left, and has idle connections give theirs back. It reports whether any does.
+func (s *Server) handleShortage() (evicted bool) {
+	s.lastShortageAt.Store(int64(s.clock.now()))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for range mostGoing {
-		if out, _ := s.leastWanted(); out != nil && out.evict() {
+	for range maxEvicting {
+		if out, _ := s.evictionCandidate(); out != nil && out.evict() {
 			evicted = true
 		}
 	}
 	return evicted
 }
 
-// short reports whether no descriptor is left for one more connection, where there was none some seconds ago.
-func (s *Server) short() bool {
-	at := s.shortAt.Load()
-	return at > 0 && s.clock.now()-float64(at) < shortFor.Seconds() && !descriptorLeft()
+// isShort reports whether no descriptor is left for one more connection, where there was none some seconds ago.
+func (s *Server) isShort() bool {
+	at := s.lastShortageAt.Load()
+	return at > 0 && s.clock.now()-float64(at) < shortageWindow.Seconds() && !descriptorLeft()
 }
 
-// countOwn takes note of the descriptors that the process holds before it lets anybody in: the listener, those of the
+// countOwnDescriptors takes note of the descriptors that the process holds before it lets anybody in: the listener, those of the
 // runtime, and whatever it was started with, which counts against its limit too.
-func (s *Server) countOwn() {
+func (s *Server) countOwnDescriptors() {
 	names, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return // the reserve has room for a usual process
 	}
-	s.atStart.Store(int64(len(names)) - 1) // less the one that reads the folder
+	s.startDescriptors.Store(int64(len(names)) - 1) // less the one that reads the folder
 }
 
 // reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
 func (s *Server) reserved() int {
-	kept := max(reserve, int(s.atStart.Load())+spare)
+	kept := max(minReserved, int(s.startDescriptors.Load())+spareDescriptors)
 	if s.fleetSettings.On() {
 		kept += fleetDescriptors(s.fleetSettings, s.config.Load())
 	}
 	return kept
 }
 
-// room is how many connections the descriptors allow: by the configuration, and by the system where that allows less.
-func (s *Server) room() int {
+// connectionCapacity is how many connections the descriptors allow: by the configuration, and by the system where that allows less.
+func (s *Server) connectionCapacity() int {
 	return min(s.config.Load().Sockets, s.systemLimit) - s.reserved()
 }
 
--- a/server/drain.go
+++ b/server/drain.go
@@ -23,27 +23,27 @@
 	return [...]string{"serving", "draining", "not accepting", "closing connections", "stopped"}[g]
 }
 
-func (s *Server) enter(to stage) {
-	s.stageAt.Store(int32(to))
+func (s *Server) enterStage(to stage) {
+	s.currentStage.Store(int32(to))
 	s.log.Info("drain", zap.Stringer("stage", to))
 }
 
-// drainSpans are what is left of the time before the kill once nobody new is let in; once connections are ended, of which a
+// drainSchedule are what is left of the time before the kill once nobody new is let in; once connections are ended, of which a
 // router has heard a tenth of a second before; once nothing more is taken in, of who sends on all the same; and once the
 // process ends whatever is still open: a connection is given up by its router within some tens of milliseconds.
-type drainSpans struct{ notAccepting, closing, cutShort, exit float64 }
+type drainSchedule struct{ notAccepting, closing, rejecting, exit float64 }
 
-var usualSpans = drainSpans{notAccepting: 0.4, closing: 0.3, cutShort: 0.2, exit: 0.08}
+var defaultSchedule = drainSchedule{notAccepting: 0.4, closing: 0.3, rejecting: 0.2, exit: 0.08}
 
-// within gives spans that leave at least half of the time from the notice to the kill for what still comes.
-func (d drainSpans) within(stop float64) drainSpans {
+// scaledTo gives spans that leave at least half of the time from the notice to the kill for what still comes.
+func (d drainSchedule) scaledTo(stop float64) drainSchedule {
 	share := min(1, stop/2/d.notAccepting)
-	return drainSpans{notAccepting: d.notAccepting * share, closing: d.closing * share, cutShort: d.cutShort * share, exit: d.exit * share}
+	return drainSchedule{notAccepting: d.notAccepting * share, closing: d.closing * share, rejecting: d.rejecting * share, exit: d.exit * share}
 }
 
-// leave waits for the notice and then sees the process out. The others go on until it returns: what is read by then is
+// runDrain waits for the notice and then sees the process out. The others go on until it returns: what is read by then is
 // answered.
-func (s *Server) leave(ctx, all context.Context, listener *net.TCPListener, closed <-chan struct{}) error {
+func (s *Server) runDrain(ctx, all context.Context, listener *net.TCPListener, closed <-chan struct{}) error {
 	defer listener.Close()
 	select {
 	case <-all.Done():
@@ -51,14 +51,14 @@
 	case <-ctx.Done():
 	}
 	span := s.config.Load().Stop
-	spans, stop := s.spans(span), s.clock.now()+span
-	s.enter(stageDraining)
+	spans, stop := s.drainSchedule(span), s.clock.now()+span
+	s.enterStage(stageDraining)
 	s.gate.Leave(s.clock.now(), stop)
 	if !sleep(all, stop-spans.notAccepting-s.clock.now()) {
 		return nil
 	}
 	listener.SetDeadline(time.Unix(1, 0))
-	s.enter(stageNotAccepting)
+	s.enterStage(stageNotAccepting)
 	select {
 	case <-all.Done():
 		return nil
@@ -67,17 +67,17 @@
 		listener.Close()
 	}
 	for {
-		if s.clock.now() > stop-spans.closing && s.stageAt.Load() == int32(stageNotAccepting) {
-			s.enter(stageClosing)
+		if s.clock.now() > stop-spans.closing && s.currentStage.Load() == int32(stageNotAccepting) {
+			s.enterStage(stageClosing)
 		}
 		s.mu.Lock()
 		for c := range s.conns {
 			c.drain() // whatever the stage: its router is told before it sees the end
 			switch {
-			case s.clock.now() > stop-spans.cutShort:
-				c.cutShort()
-			case s.stageAt.Load() == int32(stageClosing):
-				c.end()
+			case s.clock.now() > stop-spans.rejecting:
+				c.shutDownNow()
+			case s.currentStage.Load() == int32(stageClosing):
+				c.shutDown()
 			}
 		}
 		n := len(s.conns)
@@ -87,13 +87,13 @@
 			n = 0
 		}
 		if n == 0 {
-			s.enter(stageStopped)
+			s.enterStage(stageStopped)
 			return nil
 		}
 		select {
 		case <-all.Done():
 			return nil
-		case <-s.left:
+		case <-s.connEnded:
 		case <-time.After(seconds(0.02)):
 		}
 	}
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -23,7 +23,7 @@
 	r := t.dial()
 	began := time.Now()
 	t.notice()
-	until("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
+	until("leaving", func() bool { return stage(t.currentStage.Load()) == stageDraining })
 	time.Sleep(300*time.Millisecond - time.Since(began))
 	go t.work(t.kernel)
 	until("kernel up", t.gate.Booted)
@@ -64,12 +64,12 @@
 // The time from the notice to the kill is shorter than what a drain usually takes from its end: its parts shrink with it.
 func TestShortStop(t *testing.T) {
 	for _, stop := range []float64{0.1, 0.3, 0.8, 3.2, 3600} {
-		s := usualSpans.within(stop)
-		if !(stop/2 >= s.notAccepting && s.notAccepting > s.closing && s.closing > s.cutShort && s.cutShort > s.exit && s.exit > 0) {
+		s := defaultSchedule.scaledTo(stop)
+		if !(stop/2 >= s.notAccepting && s.notAccepting > s.closing && s.closing > s.rejecting && s.rejecting > s.exit && s.exit > 0) {
 			t.Errorf("stop %g: %+v", stop, s)
 		}
 	}
-	if s := usualSpans.within(3.2); s != usualSpans {
+	if s := defaultSchedule.scaledTo(3.2); s != defaultSchedule {
 		t.Errorf("not the usual: %+v", s)
 	}
 }
@@ -106,7 +106,7 @@
 	notice, give := context.WithCancel(context.Background())
 	give()
 	over := make(chan error, 1)
-	go func() { over <- s.leave(notice, context.Background(), listener, make(chan struct{})) }()
+	go func() { over <- s.runDrain(notice, context.Background(), listener, make(chan struct{})) }()
 	select {
 	case err := <-over:
 		if err != nil {
@@ -143,7 +143,7 @@
 // Panics where the embedder reads the configuration, as the kernel comes up, and while the process looks after itself: each is
 // logged, and the app server goes on.
 func Example_panicsInDuties() {
-	t := openPrepared(nil, zap.NewNop(), func(s *Server) { close(s.up) }) // closed twice
+	t := openPrepared(nil, zap.NewNop(), func(s *Server) { close(s.kernelUp) }) // closed twice
 	t.linkUp()
 	hup := make(chan os.Signal, 1)
 	var looks atomic.Int32
@@ -162,11 +162,11 @@
 	}()
 	hup <- syscall.SIGHUP
 	until("reloaded", func() bool { return t.Server.config.Load().Stop == next.Stop })
-	calm := t.press.effects.Swap(nil) // so that health cannot be told
-	signal(t.well)
-	signal(t.said)
-	until("both looked", func() bool { return len(t.well) == 0 && len(t.said) == 0 })
-	t.press.effects.Store(calm)
+	calm := t.monitor.effects.Swap(nil) // so that health cannot be told
+	notify(t.healthChanged)
+	notify(t.reportNow)
+	until("both looked", func() bool { return len(t.healthChanged) == 0 && len(t.reportNow) == 0 })
+	t.monitor.effects.Store(calm)
 	r := t.dial()
 	r.execute(1)
 	t.asked()
@@ -185,10 +185,10 @@
 // A panic over one newcomer costs that one.
 func Example_panicAtNewcomer() {
 	t := open(nil)
-	calm := t.press.effects.Swap(nil) // which is asked about each newcomer
+	calm := t.monitor.effects.Swap(nil) // which is asked about each newcomer
 	lost := t.dial()
 	lost.ends()
-	t.press.effects.Store(calm)
+	t.monitor.effects.Store(calm)
 	r := t.dial()
 	r.execute(1)
 	t.asked()
--- a/server/edge_test.go
+++ b/server/edge_test.go
@@ -22,7 +22,7 @@
 func (t *town) leftNothing(test *testing.T) {
 	test.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		connections, held, owed := len(t.connections()), t.held.Load(), t.press.owed.Load()
+		connections, held, owed := len(t.connections()), t.requestBytes.Load(), t.monitor.replyBytes.Load()
 		if connections == 0 && held == 0 && owed == 0 {
 			return
 		}
@@ -49,7 +49,7 @@
 		seq := cut
 		f := frame(seq)
 		r.Write(f[:cut])
-		until("half", func() bool { q, _ := c.rested(); return q.part })
+		until("half", func() bool { q, _ := c.idleSnapshot(); return q.midMessage })
 		r.Write(f[cut:])
 		next(t.runs)
 		t.reap(seq, "fine", "ok")
@@ -124,7 +124,7 @@
 // Hundreds of connections that say nothing: RPCs of usual routers on connections old and new are answered, also of one that writes a
 // byte at a time, and no processor is taken by the silent.
 func TestSilentCrowd(test *testing.T) {
-	t := openPrepared(func(c *config.Config) { c.Stop, c.Sockets = 0.2, reserve+64 }, zap.NewNop(), func(*Server) {})
+	t := openPrepared(func(c *config.Config) { c.Stop, c.Sockets = 0.2, minReserved+64 }, zap.NewNop(), func(*Server) {})
 	t.linkUp()
 	usual := t.dial()
 	usual.execute(1)
@@ -134,7 +134,7 @@
 		silent = append(silent, t.dial())
 	}
 	until("let in or turned away", func() bool { return len(t.connections()) == 64 })
-	time.Sleep(2 * firstBytes)
+	time.Sleep(2 * firstBytesTimeout)
 	slow := t.dial()
 	wrote := make(chan bool)
 	go func() {
@@ -172,7 +172,7 @@
 func TestReaderWaitsForWriter(test *testing.T) {
 	for name, end := range map[string]func(t *town, c *conn, r *router){
 		"reset":     func(_ *town, _ *conn, r *router) { r.Conn.(*net.TCPConn).SetLinger(0); r.Close() },
-		"cut short": func(_ *town, c *conn, _ *router) { c.cutShort() },
+		"cut short": func(_ *town, c *conn, _ *router) { c.shutDownNow() },
 		"notice":    func(t *town, _ *conn, _ *router) { t.notice() },
 		"reads":     func(_ *town, _ *conn, r *router) { go func() { fmt.Fprint(discardAll{}, r.answeredAll()) }() },
 	} {
@@ -191,7 +191,7 @@
 			until("waits", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				return len(c.replies) >= mostOpen && c.writing
+				return len(c.replies) >= maxOpenCalls && c.writing
 			})
 			end(t, c, r)
 			if name == "reads" {
--- a/server/end.go
+++ b/server/end.go
@@ -18,89 +18,89 @@
 type phase uint8
 
 const (
-	serving  phase = iota // what comes is taken in
-	draining              // the router has been asked to send nothing more; what comes all the same is taken in
-	closing               // it is shut as soon as nothing is owed on it and nothing lies unread
-	ending                // nothing more runs; what has come is refused, and what is owed is still written
-	shut                  // all has been written and our side is shut; what comes is read and thrown away
+	phaseServing  phase = iota // what comes is taken in
+	phaseDraining              // the router has been asked to send nothing more; what comes all the same is taken in
+	phaseClosing               // it is shut as soon as nothing is owed on it and nothing lies unread
+	phaseEnding                // nothing more runs; what has come is refused, and what is owed is still written
+	phaseShut                  // all has been written and our side is shut; what comes is read and thrown away
 )
 
 const (
-	// linger is how long a shut connection is read on before it is closed, and how long its last answers may take to be
+	// lingerTimeout is how long a shut connection is read on before it is closed, and how long its last answers may take to be
 	// written. A router sends an RPC that crosses the shutdown again if it does so within 50 ms; four times that leaves room
 	// for a process that is off its core. Without it the close is one over unread bytes, so a reset, which takes along what
 	// was written last.
-	linger = 200 * time.Millisecond
-	// lingerSize is how much is read meanwhile: who sends more than a connection may carry at once has not crossed a
+	lingerTimeout = 200 * time.Millisecond
+	// maxLingerBytes is how much is read meanwhile: who sends more than a connection may carry at once has not crossed a
 	// shutdown, but sends without looking.
-	lingerSize = 64 << 10
-	// halfFor is how long a closing connection waits for the rest of a message: what a router has begun to write is there
+	maxLingerBytes = 64 << 10
+	// partialTimeout is how long a closing connection waits for the rest of a message: what a router has begun to write is there
 	// within some milliseconds, and what is whole only after the shutdown has crossed it and is sent again.
-	halfFor = 50 * time.Millisecond
-	// lookFor is how long a connection whose time is up waits for its reader's last look: the rest of linger is for what the look finds
+	partialTimeout = 50 * time.Millisecond
+	// finalReadTimeout is how long a connection whose time is up waits for its reader's last look: the rest of linger is for what the look finds
 	// to be written.
-	lookFor = linger / 4
+	finalReadTimeout = lingerTimeout / 4
 )
 
-// past is a deadline that wakes whoever reads.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that wakes whoever reads.
+var expiredDeadline = time.Unix(1, 0)
 
-// move takes the connection on to a phase, and wakes whoever waits on it; called under the lock.
-func (c *conn) move(to phase) {
+// enterPhase takes the connection on to a phase, and wakes whoever waits on it; called under the lock.
+func (c *conn) enterPhase(to phase) {
 	if to <= c.phase {
 		return
 	}
 	c.phase = to
 	now := time.Now()
 	switch to {
-	case closing:
-		c.lastAt = now
-	case ending:
-		c.endedAt = now
-		signal(c.taken)
-		c.SetReadDeadline(past)
-		c.SetWriteDeadline(now.Add(linger)) // for who does not read its answers
-	case shut:
-		close(c.shutDown)
+	case phaseClosing:
+		c.closingAt = now
+	case phaseEnding:
+		c.endingAt = now
+		notify(c.repliesTaken)
+		c.SetReadDeadline(expiredDeadline)
+		c.SetWriteDeadline(now.Add(lingerTimeout)) // for who does not read its answers
+	case phaseShut:
+		close(c.writeShut)
 		if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 			half.CloseWrite()
 		}
-		c.SetReadDeadline(now.Add(linger))
+		c.SetReadDeadline(now.Add(lingerTimeout))
 	}
 }
 
-// settle takes a connection that is on its way out on, once nothing more is to be written; called under the lock.
-func (c *conn) settle() {
+// advanceShutdown takes a connection that is on its way out on, once nothing more is to be written; called under the lock.
+func (c *conn) advanceShutdown() {
 	switch {
-	case c.phase == closing && c.rests():
-		c.woken = true
-		c.SetReadDeadline(past) // the reader alone knows what lies unread
-	case c.phase == ending && (c.writerEnded || c.looked && len(c.open) == 0 && len(c.replies) == 0 && !c.writing):
-		c.move(shut)
+	case c.phase == phaseClosing && c.isIdle():
+		c.wakeDeadlineSet = true
+		c.SetReadDeadline(expiredDeadline) // the reader alone knows what lies unread
+	case c.phase == phaseEnding && (c.writerEnded || c.finalReadDone && len(c.openCalls) == 0 && len(c.replies) == 0 && !c.writing):
+		c.enterPhase(phaseShut)
 	}
 }
 
-// end is the one way in which the app server ends a connection: what has come by then is taken in, what is owed is written,
+// shutDown is the one way in which the app server ends a connection: what has come by then is taken in, what is owed is written,
 // our side is shut, what crosses that is read and thrown away, and then the descriptor is given back.
-func (c *conn) end() { c.endIn(closing) }
+func (c *conn) shutDown() { c.shutDownFrom(phaseClosing) }
 
-// cutShort is end where the time is up: what has come is refused. Guards against a reader that does not come to its turn: the
+// shutDownNow is end where the time is up: what has come is refused. Guards against a reader that does not come to its turn: the
 // connection does not wait for it longer than lookFor.
-func (c *conn) cutShort() {
-	c.endIn(ending)
+func (c *conn) shutDownNow() {
+	c.shutDownFrom(phaseEnding)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.looked && c.phase == ending && time.Since(c.endedAt) > lookFor {
-		c.looked = true
-		c.settle()
+	if !c.finalReadDone && c.phase == phaseEnding && time.Since(c.endingAt) > finalReadTimeout {
+		c.finalReadDone = true
+		c.advanceShutdown()
 	}
 }
 
-func (c *conn) endIn(p phase) {
+func (c *conn) shutDownFrom(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.move(p)
-	c.settle()
+	c.enterPhase(p)
+	c.advanceShutdown()
 }
 
 // evict is end for a resting connection whose descriptor is wanted: it is given back without waiting for what crosses. It
@@ -108,65 +108,65 @@
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.rests() {
+	if !c.isIdle() {
 		return false
 	}
 	c.evicted = true
-	c.move(closing)
-	c.settle()
-	if c.phase == shut {
-		c.SetReadDeadline(past)
+	c.enterPhase(phaseClosing)
+	c.advanceShutdown()
+	if c.phase == phaseShut {
+		c.SetReadDeadline(expiredDeadline)
 	}
 	return true
 }
 
-// errShut tells the reader that it has shut its connection.
-var errShut = errors.New("shut")
+// errConnShut tells the reader that it has shut its connection.
+var errConnShut = errors.New("shut")
 
 // fill reads what comes next. A closing connection on which nothing is owed is shut here, once a last look has found
 // nothing unread. Guards against a shutdown over an RPC that has lain unread for long, as it does while this process is off
 // its core: its router sends again only what crosses within an instant.
 func (c *conn) fill(in *readbuffer.Buffer) error {
-	if !c.closes() {
+	if !c.readyToShut() {
 		return in.Fill(c)
 	}
-	if err := in.Fill(unread{c.Conn}); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := in.Fill(nonBlockingReader{c.Conn}); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.move(shut)
-	return errShut
+	c.enterPhase(phaseShut)
+	return errConnShut
 }
 
-// closes tells whether the connection is shut now, if nothing lies unread; else it bounds the next read. Only the reader
+// readyToShut tells whether the connection is shut now, if nothing lies unread; else it bounds the next read. Only the reader
 // makes a resting connection busy, so this holds until it has looked.
-func (c *conn) closes() bool {
+func (c *conn) readyToShut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	by := c.due
+	by := c.messageDeadline
 	switch {
-	case c.phase >= ending:
+	case c.phase >= phaseEnding:
 		return false
-	case c.phase == closing && c.rests():
-		if half := c.lastAt.Add(c.half); by.IsZero() || half.Before(by) {
+	case c.phase == phaseClosing && c.isIdle():
+		if half := c.closingAt.Add(c.partialTimeout); by.IsZero() || half.Before(by) {
 			by = half
 		}
 		if !c.partial || c.evicted || time.Until(by) <= timerSlack {
 			return true
 		}
-	case !c.woken:
+	case !c.wakeDeadlineSet:
 		return false
 	}
-	c.woken = by != c.due
+	c.wakeDeadlineSet = by != c.messageDeadline
 	c.SetReadDeadline(by)
 	return false
 }
 
-// unread reads what has come on a connection, without waiting for more; os.ErrDeadlineExceeded if there is nothing.
-type unread struct{ net.Conn }
+// nonBlockingReader reads what has come on a connection, without waiting for more; os.ErrDeadlineExceeded if there is nothing.
+type nonBlockingReader struct{ net.Conn }
 
-func (u unread) Read(b []byte) (n int, err error) {
+func (u nonBlockingReader) Read(b []byte) (n int, err error) {
 	open, ok := u.Conn.(syscall.Conn)
 	if !ok { // none of the system's
 		u.SetReadDeadline(time.Now().Add(timerSlack))
@@ -198,78 +198,78 @@
 // fail ends a connection on which came what no router sends. What is open on it is aborted, as its client cannot be believed any
 // more.
 func (c *conn) fail(err error) {
-	c.limited.Warn("connection closed", zap.Stringer("router", c.RemoteAddr()), zap.Error(err))
+	c.limitedLog.Warn("connection closed", zap.Stringer("router", c.RemoteAddr()), zap.Error(err))
 	c.mu.Lock()
-	open := c.open
-	c.open, c.reading = map[int32]*call{}, false
+	open := c.openCalls
+	c.openCalls, c.reading = map[int32]*call{}, false
 	for seq := range open {
 		c.queue(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 	}
-	c.move(ending)
+	c.enterPhase(phaseEnding)
 	c.mu.Unlock()
-	c.giveUp(open)
+	c.abandon(open)
 }
 
-// lastLook answers what has been read, or lies unread, on a connection that takes nothing in any more. Where what came cannot be made
+// rejectUnread answers what has been read, or lies unread, on a connection that takes nothing in any more. Where what came cannot be made
 // sense of, nothing behind it can.
-func (c *conn) lastLook(in *readbuffer.Buffer, readable bool) {
+func (c *conn) rejectUnread(in *readbuffer.Buffer, readable bool) {
 	c.mu.Lock()
-	look := readable && c.phase == ending && !c.looked
+	look := readable && c.phase == phaseEnding && !c.finalReadDone
 	c.mu.Unlock()
 	defer func() { // whatever becomes of the look
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.looked, c.reading = true, false
-		c.settle()
+		c.finalReadDone, c.reading = true, false
+		c.advanceShutdown()
 	}()
 	if look {
-		c.refuser().refuse(in, c.Conn)
+		c.rejecter().rejectAll(in, c.Conn)
 	}
 }
 
-// refuser answers for the connection what it takes in no more.
-func (c *conn) refuser() refuser {
-	return refuser{Server: c.Server, numbers: &c.numbers, say: c.say, interrupt: c.Interrupt}
+// rejecter answers for the connection what it takes in no more.
+func (c *conn) rejecter() rejecter {
+	return rejecter{Server: c.Server, seqs: &c.seqTracker, send: c.send, interrupt: c.Interrupt}
 }
 
-// giveUp tells the gate that nobody waits any more for RPCs that were open.
-func (c *conn) giveUp(open map[int32]*call) {
+// abandon tells the gate that nobody waits any more for RPCs that were open.
+func (c *conn) abandon(open map[int32]*call) {
 	for _, k := range open {
-		c.held.Add(-k.size())
+		c.requestBytes.Add(-k.size())
 		c.gate.Gone(c.clock.now(), k.id)
 	}
 }
 
-// ends tells whether nothing more is taken in.
-func (c *conn) ends() bool {
+// isEnding tells whether nothing more is taken in.
+func (c *conn) isEnding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.phase >= ending
+	return c.phase >= phaseEnding
 }
 
-// writeBy bounds the next write.
-func (c *conn) writeBy() {
+// boundNextWrite bounds the next write.
+func (c *conn) boundNextWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase < ending { // else move has set the bound
+	if c.phase < phaseEnding { // else move has set the bound
 		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
 }
 
-// readOn reads a shut connection to its end, within bounds, and takes nothing in. Before it is shut, nothing more is read.
-func (c *conn) readOn() {
+// discardInput reads a shut connection to its end, within bounds, and takes nothing in. Before it is shut, nothing more is read.
+func (c *conn) discardInput() {
 	c.mu.Lock()
-	gone, evicted := c.phase < ending, c.evicted
+	gone, evicted := c.phase < phaseEnding, c.evicted
 	c.mu.Unlock()
 	if gone { // the router has ended it
 		return
 	}
-	<-c.shutDown // a connection that ends has a bound for its last write
-	if evicted { // there is no time
+	<-c.writeShut // a connection that ends has a bound for its last write
+	if evicted {  // there is no time
 		return
 	}
 	buf := make([]byte, 4<<10)
-	for size := 0; size < lingerSize; {
+	for size := 0; size < maxLingerBytes; {
 		n, err := c.Read(buf)
 		if err != nil {
 			return
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -94,7 +94,7 @@
 }
 
 func (c *conn) resting() bool {
-	_, idle := c.rested()
+	_, idle := c.idleSnapshot()
 	return idle
 }
 
@@ -118,7 +118,7 @@
 	r, c, g := t.gatedRouter()
 	t.rest(r, c, g)
 	r.execute(2) // lies unread
-	c.end()
+	c.shutDown()
 	g.free()
 	t.asked()
 	t.reap(2, "fine", "two")
@@ -130,7 +130,7 @@
 	r.execute(3)
 	g.steps <- true
 	<-g.got // read, and held there
-	c.end()
+	c.shutDown()
 	g.free()
 	t.asked()
 	t.reap(3, "fine", "three")
@@ -139,7 +139,7 @@
 
 	r, c, g = t.gatedRouter()
 	t.rest(r, c, g)
-	c.end()
+	c.shutDown()
 	g.free()
 	r.ends()
 	r.execute(4)
@@ -182,13 +182,13 @@
 	t.reap(2, "fine", "two")
 	r.hear(1)
 	r.ends()
-	<-c.gone
+	<-c.descriptorClosed
 
 	r, c, g = t.gatedRouter()
 	t.rest(r, c, g)
 	g.free()
 	fmt.Println("evicted:", c.evict())
-	<-c.gone
+	<-c.descriptorClosed
 	r.ends()
 	t.close()
 	// Output:
@@ -208,11 +208,11 @@
 // A full table, the connection that has to go with an RPC unread: it stays until that is answered,
 // and the newcomer is let in meanwhile.
 func Example_fullCrossed() {
-	t := open(func(c *config.Config) { c.Sockets = reserve + 1 })
+	t := open(func(c *config.Config) { c.Sockets = minReserved + 1 })
 	first, c, g := t.gatedRouter()
 	t.rest(first, c, g)
 	c.mu.Lock()
-	c.move(draining) // so that it is not asked to, which would be heard
+	c.enterPhase(phaseDraining) // so that it is not asked to, which would be heard
 	c.mu.Unlock()
 	first.execute(2)
 	newcomer := t.dial()
@@ -252,7 +252,7 @@
 	})
 	c := &config.Config{Memory: 64 << 20, Methods: []string{"look"}}
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent}}
-	New(c, zap.NewNop()).turnAway(nc)
+	New(c, zap.NewNop()).rejectConn(nc)
 	must(r.Conn.(*net.TCPConn).SyscallConn()).Control(func(fd uintptr) {
 		keyError, _ := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
 		fmt.Println("reset:", keyError != 0)
@@ -270,8 +270,8 @@
 // it.
 func Example_exitCrossed() {
 	t := openPrepared(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
-		s.spans = func(float64) drainSpans {
-			return drainSpans{notAccepting: 39.5, closing: 39.4, cutShort: 0.2, exit: 0.1}
+		s.drainSchedule = func(float64) drainSchedule {
+			return drainSchedule{notAccepting: 39.5, closing: 39.4, rejecting: 0.2, exit: 0.1}
 		}
 	})
 	t.linkUp()
@@ -289,7 +289,7 @@
 	other.execute(4)
 	other.hear(1)
 	other.ends()
-	until("closing", c.is(closing))
+	until("closing", c.is(phaseClosing))
 	g.free()
 	r.hear(1)
 	r.ends()
@@ -316,8 +316,8 @@
 // good order all the same.
 func Example_cutShort() {
 	t := openPrepared(func(c *config.Config) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
-		s.spans = func(float64) drainSpans {
-			return drainSpans{notAccepting: 39.9, closing: 39.8, cutShort: 39.7, exit: 0.1}
+		s.drainSchedule = func(float64) drainSchedule {
+			return drainSchedule{notAccepting: 39.9, closing: 39.8, rejecting: 39.7, exit: 0.1}
 		}
 	})
 	t.linkUp()
@@ -326,7 +326,7 @@
 	t.notice()
 	r.hear(1)
 	r.execute(2)
-	until("shut", c.is(shut))
+	until("shut", c.is(phaseShut))
 	g.free()
 	r.ends()
 	r.Close()
@@ -346,17 +346,17 @@
 func Example_endHalf() {
 	second := &recorder{}
 	for _, bound := range []time.Duration{patience, 0} {
-		t := openPrepared(nil, zap.NewNop(), func(s *Server) { s.half = bound })
+		t := openPrepared(nil, zap.NewNop(), func(s *Server) { s.partialTimeout = bound })
 		t.linkUp()
 		r, c, g := t.gatedRouter()
 		t.rest(r, c, g)
 		second.sent = nil
 		(&router{Conn: second}).execute(2)
 		r.Write(second.sent[:20])
-		c.end()
+		c.shutDown()
 		g.free()
 		if bound > 0 {
-			until("half", func() bool { q, _ := c.rested(); return q.part })
+			until("half", func() bool { q, _ := c.idleSnapshot(); return q.midMessage })
 			r.Write(second.sent[20:])
 			t.asked()
 			t.reap(2, "fine", "two")
@@ -383,8 +383,8 @@
 // those in the queue.
 func Example_notAccepting() {
 	t := openPrepared(func(c *config.Config) { c.Stop = 20 }, zap.NewNop(), func(s *Server) {
-		s.spans = func(float64) drainSpans {
-			return drainSpans{notAccepting: 19.5, closing: 17.5, cutShort: 0.2, exit: 0.1}
+		s.drainSchedule = func(float64) drainSchedule {
+			return drainSchedule{notAccepting: 19.5, closing: 17.5, rejecting: 0.2, exit: 0.1}
 		}
 	})
 	t.linkUp()
@@ -394,7 +394,7 @@
 		r.execute(k + 1)
 	}
 	t.notice()
-	until("not accepting", func() bool { return stage(t.stageAt.Load()) >= stageNotAccepting })
+	until("not accepting", func() bool { return stage(t.currentStage.Load()) >= stageNotAccepting })
 	t.Server.mu.Unlock()
 	for _, r := range []*router{first, queued, last} {
 		r.hear(2)
@@ -433,11 +433,11 @@
 	t.asked()
 
 	odd, c, g := t.gatedRouter()
-	for seq := range 2 * mostOdd {
+	for seq := range 2 * maxUnusableRPCs {
 		odd.execute(seq+1, "op", "sing")
 	}
 	g.free() // all in few reads
-	odd.hear(2 * mostOdd)
+	odd.hear(2 * maxUnusableRPCs)
 	odd.ends()
 	until("gone", func() bool { return !c.there() })
 
@@ -501,9 +501,9 @@
 	second := &recorder{}
 	(&router{Conn: second}).execute(2)
 	r.Write(second.sent[:20])
-	until("half", func() bool { q, _ := c.rested(); return q.part })
+	until("half", func() bool { q, _ := c.idleSnapshot(); return q.midMessage })
 	c.mu.Lock()
-	c.askedAt = c.askedAt.Add(-2 * leaveTime)
+	c.drainSentAt = c.drainSentAt.Add(-2 * drainTimeout)
 	c.mu.Unlock()
 	t.closeIdle()
 	r.Write(second.sent[20:])
@@ -543,7 +543,7 @@
 	r.execute(1)
 	t.asked()
 	t.door.Close()
-	until("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
+	until("leaving", func() bool { return stage(t.currentStage.Load()) == stageDraining })
 	t.reap(1, "fine", "one")
 	r.hear(2)
 	r.ends()
@@ -618,8 +618,8 @@
 	io.ReadFull(r.in, answer)
 	fmt.Println("router: a long answer:", len(answer) > 3000)
 	next := *t.config
-	next.Memory = 2000 * keepShare
-	t.adopt(&next)
+	next.Memory = 2000 * resultMemoryShare
+	t.applyConfig(&next)
 	r.execute(2, "op", "record", "dedupe", "t")
 	r.hear(1)
 	t.close()
@@ -666,7 +666,7 @@
 func (c *conn) opened() (seqs []int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for seq := range c.open {
+	for seq := range c.openCalls {
 		seqs = append(seqs, seq)
 	}
 	return seqs
@@ -685,7 +685,7 @@
 // router's RPCs, before, between and on a new connection, are answered; no more connections are open than descriptors allow, but
 // for the few on their way out; and all come back.
 func Example_connectionFlood() {
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 8 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t := openPrepared(func(c *config.Config) { c.Sockets = minReserved + 8 }, zap.NewNop(), func(s *Server) { s.idleCheckInterval = time.Hour })
 	t.linkUp()
 	r := t.dial()
 	r.execute(1)
@@ -717,7 +717,7 @@
 	t.asked()
 	t.reap(2, "fine", "two")
 	other.hear(1)
-	fmt.Println("within bounds:", most <= 8+mostGoing)
+	fmt.Println("within bounds:", most <= 8+maxEvicting)
 	for _, c := range flood {
 		c.Close()
 	}
--- a/server/fields_test.go
+++ b/server/fields_test.go
@@ -63,10 +63,10 @@
 			c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = below == "tier", 0.75
 		}, zap.New(core))
 		r := t.dial()
-		for seq := 1; seq <= mostOdd+1; seq++ {
+		for seq := 1; seq <= maxUnusableRPCs+1; seq++ {
 			r.execute(seq)
 		}
-		r.hearAll(mostOdd + 1)
+		r.hearAll(maxUnusableRPCs + 1)
 		r.execute(20, "op", "record", "dedupe", "t")
 		t.asked()
 		t.reap(20, "fine", "twenty")
@@ -113,14 +113,14 @@
 func Example_noTTL() {
 	t := open(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
 	r := t.dial()
-	for seq := 1; seq <= mostOdd+1; seq++ {
+	for seq := 1; seq <= maxUnusableRPCs+1; seq++ {
 		r.executeWithout("ttl", seq)
 	}
-	for seq := 1; seq <= mostOdd+1; seq++ {
+	for seq := 1; seq <= maxUnusableRPCs+1; seq++ {
 		t.asked()
 		t.reap(seq, "fine", fmt.Sprint(seq))
 	}
-	r.hear(mostOdd + 1)
+	r.hear(maxUnusableRPCs + 1)
 	deadline := t.config.Rules.Methods[0].Deadline
 	r.executeWithout("ttl", 20, "recv", fmt.Sprint(time.Now().Add(-seconds(deadline)).UnixMilli()))
 	r.hear(1)
@@ -217,7 +217,7 @@
 		c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn = jsonobject.Largest, jsonobject.Largest
 		c.Rules.Machine.Below, c.Rules.Machine.Calls = "tier", []bool{false, true}
 		c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = true, jsonobject.Largest
-	}, zap.NewNop(), func(s *Server) { s.idle = time.Millisecond })
+	}, zap.NewNop(), func(s *Server) { s.idleCheckInterval = time.Millisecond })
 	t.cold = true
 	t.linkUp()
 	r := t.dial()
@@ -274,7 +274,7 @@
 	t := open(nil)
 	r := t.dial()
 	counts := map[string]int{}
-	for seq := 1; seq <= 6*mostOdd; seq += 3 {
+	for seq := 1; seq <= 6*maxUnusableRPCs; seq += 3 {
 		r.execute(seq, "op", "sing")
 		r.execute(seq + 1)
 		if next(t.runs) == "nothing" {
@@ -291,14 +291,14 @@
 	fmt.Println(counts)
 	t.close()
 
-	t = open(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
+	t = open(func(c *config.Config) { c.Memory = requestMemoryShare * 3 * callSize / 2 })
 	r, other := t.dial(), t.dial()
 	r.execute(1, "op", "record", "dedupe", "t")
 	t.asked()
-	for seq := 2; seq <= 2*mostOdd; seq++ {
+	for seq := 2; seq <= 2*maxUnusableRPCs; seq++ {
 		r.execute(seq)
 	}
-	r.hear(2*mostOdd - 1)
+	r.hear(2*maxUnusableRPCs - 1)
 	other.execute(20, "op", "record", "dedupe", "t")
 	other.hear(1)
 	t.reap(1, "fine", "one")
@@ -404,11 +404,11 @@
 		method          int
 		recv, ttl, want float64
 	}{
-		{0, now, math.Inf(1), now + unknownWait}, {0, now, 7200, now + 7200}, {0, now, 0, now},
+		{0, now, math.Inf(1), now + defaultClientWait}, {0, now, 7200, now + 7200}, {0, now, 0, now},
 		{1, now, math.Inf(1), untold}, {1, now - 1, 5, now + 4}, {1, now - 1, 7200, now + 11}, {1, now + 90, 5, now + 5},
 		{1, now, -5, now - 5}, {1, 0.017, 0.48, 1}, {2, now, 7000, now + 7000}, {2, now, 1e12, now + 7200},
 	} {
-		if at := c.givenUpAt(one.method, now, one.recv, one.ttl); at != one.want {
+		if at := c.clientDeadline(one.method, now, one.recv, one.ttl); at != one.want {
 			t.Errorf("%+v: %f", one, at)
 		}
 	}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -20,12 +20,12 @@
 	"valveglade/member"
 )
 
-// announceEvery is how often the app server looks whether there is something new to say of itself; a load that has moved is
-// said at most as often as loadEvery, since each word goes to every member.
-const announceEvery, loadEvery = 250 * time.Millisecond, 5 * time.Second
+// announceInterval is how often the app server looks whether there is something new to say of itself; a load that has moved is
+// said at most as often as loadInterval, since each word goes to every member.
+const announceInterval, loadInterval = 250 * time.Millisecond, 5 * time.Second
 
-// leaveBefore is how long before the stop a leaving app server leaves the fleet: the leave message takes half of it.
-const leaveBefore = 1.2
+// leaveLeadTime is how long before the stop a leaving app server leaves the fleet: the leave message takes half of it.
+const leaveLeadTime = 1.2
 
 // joinFleet makes this app server a member, and has it campaign for roles, where the operators have said so; nil otherwise.
 func (s *Server) joinFleet() (*member.Member, *fleet.Fleet, error) {
@@ -50,8 +50,8 @@
 	return m, f, err
 }
 
-// takePart keeps the fleet told of this app server until it has left, and leaves in time.
-func (s *Server) takePart(ctx, all context.Context, m *member.Member, f *fleet.Fleet) error {
+// runFleet keeps the fleet told of this app server until it has left, and leaves in time.
+func (s *Server) runFleet(ctx, all context.Context, m *member.Member, f *fleet.Fleet) error {
 	part, end := context.WithCancel(all)
 	defer end()
 	s.group.Go(func() error {
@@ -69,14 +69,14 @@
 		over()
 		return err
 	})
-	every := time.NewTicker(announceEvery)
+	every := time.NewTicker(announceInterval)
 	defer every.Stop()
 	var load view.Load
 	loaded := time.Time{}
 	for {
-		s.stopPanic(func() error {
-			if time.Since(loaded) >= loadEvery {
-				load, loaded = s.load(), time.Now()
+		s.recoverPanic(func() error {
+			if time.Since(loaded) >= loadInterval {
+				load, loaded = s.loadDigest(), time.Now()
 			}
 			state := s.fleetState()
 			m.UpdateState(state, state == view.Serving && !s.healthy(), load)
@@ -90,16 +90,16 @@
 			if f != nil {
 				f.Leave()
 			}
-			sleep(all, s.config.Load().Stop-leaveBefore)
+			sleep(all, s.config.Load().Stop-leaveLeadTime)
 			return nil
 		case <-every.C:
 		}
 	}
 }
 
-// marginShare of a lease is what an owner stops before its end, on top of what clocks may drift: its work has to return in
+// leaseMarginShare of a lease is what an owner stops before its end, on top of what clocks may drift: its work has to return in
 // that time.
-const marginShare = 0.1
+const leaseMarginShare = 0.1
 
 // campaignForRoles has this app server vote, and campaign for the roles of the operators' file, as far as they have said so; nil
 // otherwise.
@@ -108,7 +108,7 @@
 	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	f, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.fit(m) },
+	f, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.checkFitness(m) },
 		Others: func() []string {
 			var all []string
 			for _, e := range m.View().Members {
@@ -118,7 +118,7 @@
 			}
 			return all
 		},
-		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * marginShare}}, m, s.log)
+		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * leaseMarginShare}}, m, s.log)
 	if err != nil {
 		return nil, err
 	}
@@ -160,14 +160,14 @@
 	return all
 }
 
-// fit tells why this app server should not campaign for a role now.
-func (s *Server) fit(m *member.Member) error {
+// checkFitness tells why this app server should not campaign for a role now.
+func (s *Server) checkFitness(m *member.Member) error {
 	switch certainty := m.View().Certainty; {
 	case certainty >= view.Partitioned:
 		return fmt.Errorf("the view is %v", certainty)
 	case s.fleetState() != view.Serving:
 		return errors.New("it is cold")
-	case !s.healthy() || s.press.level.Load() >= int32(pressure.Pressed):
+	case !s.healthy() || s.monitor.level.Load() >= int32(pressure.Pressed):
 		return errors.New("it is pressed, or its work hangs")
 	}
 	return nil
@@ -181,21 +181,21 @@
 	return view.Serving
 }
 
-// load is a digest of what it has to do.
-func (s *Server) load() view.Load {
+// loadDigest is a digest of what it has to do.
+func (s *Server) loadDigest() view.Load {
 	open := 0
 	s.mu.Lock()
 	for c := range s.conns {
 		c.mu.Lock()
-		open += len(c.open)
+		open += len(c.openCalls)
 		c.mu.Unlock()
 	}
 	s.mu.Unlock()
-	return view.Load{Open: view.Band(open), Credit: view.Band(int(max(s.credit(), 0))), Level: uint8(s.press.level.Load())}
+	return view.Load{Open: view.Band(open), Credit: view.Band(int(max(s.credit(), 0))), Level: uint8(s.monitor.level.Load())}
 }
 
-// adoptFleet tells whether the settings on the fleet are others than those in force; they stay until the next start.
-func (s *Server) adoptFleet(b *config.Settings) (changed bool) {
+// applyFleetSettings tells whether the settings on the fleet are others than those in force; they stay until the next start.
+func (s *Server) applyFleetSettings(b *config.Settings) (changed bool) {
 	if reflect.DeepEqual(b.Fleet, s.fleetSettingsRead) {
 		return false
 	}
--- a/server/listen.go
+++ b/server/listen.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	leaveTime = time.Second            // for a router that was asked to close an idle connection
-	idleEvery = 250 * time.Millisecond // connections are looked at; idle times are many times that
-	asideOnce = 16                     // idle connections asked to make room at a time
-	// fresh is how long a new connection may take to bring its first RPC before it counts as silent: routers open
+	drainTimeout             = time.Second            // for a router that was asked to close an idle connection
+	defaultIdleCheckInterval = 250 * time.Millisecond // connections are looked at; idle times are many times that
+	maxDrainingIdle          = 16                     // idle connections asked to make room at a time
+	// firstMessageTimeout is how long a new connection may take to bring its first RPC before it counts as silent: routers open
 	// one when they have something to send, but this process may be off its core for a tenth of a second.
-	fresh = 250 * time.Millisecond
-	// giveBack is waited for a descriptor to be free again: a close takes microseconds, and accepting without it
+	firstMessageTimeout = 250 * time.Millisecond
+	// closeWait is waited for a descriptor to be free again: a close takes microseconds, and accepting without it
 	// runs into the limit. Of what is kept back, mostGoing may be taken by connections that are still on their way out.
-	giveBack  = 5 * time.Millisecond
-	mostGoing = 4
-	// firstBytes is how long any new connection is left to bring its first bytes, also while others arrive faster than
+	closeWait   = 5 * time.Millisecond
+	maxEvicting = 4
+	// firstBytesTimeout is how long any new connection is left to bring its first bytes, also while others arrive faster than
 	// they fall silent.
-	firstBytes = 25 * time.Millisecond
+	firstBytesTimeout = 25 * time.Millisecond
 	// socketBuffer is what the system may hold for a connection in each direction, as that counts as ours: all
 	// that one may carry at once.
 	socketBuffer = 64 << 10
@@ -37,14 +37,14 @@
 // closes the listener.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) error {
 	defer listener.Close()
-	var back heldBack
+	var back emergencyDescriptor
 	defer back.release()
 	for {
 		back.take()
 		nc, err := listener.AcceptTCP()
 		switch {
 		case err == nil:
-			s.letIn(ctx, nc)
+			s.admitRecovering(ctx, nc)
 		case ctx.Err() != nil:
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -53,8 +53,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err) // nobody would ever come in again: no app server that looks well
 		default:
-			if short := s.acceptFailed(err); short && back.held {
-				s.acceptOnHeldBack(ctx, listener, &back)
+			if short := s.handleAcceptError(err); short && back.held {
+				s.acceptOnEmergencyDescriptor(ctx, listener, &back)
 			} else if !sleep(ctx, 0.01) {
 				return nil
 			}
@@ -62,25 +62,25 @@
 	}
 }
 
-// acceptFailed makes room where that is what accepting lacks: other parts of the process, and other processes, may have
+// handleAcceptError makes room where that is what accepting lacks: other parts of the process, and other processes, may have
 // taken descriptors that the configuration allows to this one. It reports whether that is so and there is no room to be made.
-func (s *Server) acceptFailed(err error) (short bool) {
-	s.limited.Warn("accept", zap.Error(err))
-	return outOfDescriptors(err) && !s.noteShort()
+func (s *Server) handleAcceptError(err error) (short bool) {
+	s.limitedLog.Warn("accept", zap.Error(err))
+	return outOfDescriptors(err) && !s.handleShortage()
 }
 
-// acceptOnHeldBack turns the next newcomer away, unless there are descriptors again when it comes.
-func (s *Server) acceptOnHeldBack(ctx context.Context, listener *net.TCPListener, back *heldBack) {
+// acceptOnEmergencyDescriptor turns the next newcomer away, unless there are descriptors again when it comes.
+func (s *Server) acceptOnEmergencyDescriptor(ctx context.Context, listener *net.TCPListener, back *emergencyDescriptor) {
 	back.release()
 	defer back.take()
 	if nc, err := listener.AcceptTCP(); err == nil {
-		s.letIn(ctx, nc)
+		s.admitRecovering(ctx, nc)
 	}
 }
 
-// letIn is admit, guarded against a panic, which costs the one connection.
-func (s *Server) letIn(ctx context.Context, nc net.Conn) {
-	if s.stopPanic(func() error {
+// admitRecovering is admit, guarded against a panic, which costs the one connection.
+func (s *Server) admitRecovering(ctx context.Context, nc net.Conn) {
+	if s.recoverPanic(func() error {
 		s.admit(ctx, nc)
 		return nil
 	}) != nil {
@@ -93,24 +93,24 @@
 func (s *Server) admit(ctx context.Context, nc net.Conn) {
 	why := ""
 	switch {
-	case !s.press.effects.Load().Accept:
+	case !s.monitor.effects.Load().Accept:
 		why = "connection turned away under pressure"
-	case !s.makeRoom():
+	case !s.freeCapacity():
 		why = "connection turned away, all others are at work"
-	case s.short():
+	case s.isShort():
 		why = "connection turned away, no descriptor is left"
 	}
 	if why != "" {
-		s.limited.Warn(why, zap.Stringer("router", nc.RemoteAddr()))
-		s.turnAway(nc)
+		s.limitedLog.Warn(why, zap.Stringer("router", nc.RemoteAddr()))
+		s.rejectConn(nc)
 		return
 	}
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		tcp.SetReadBuffer(socketBuffer)
 		tcp.SetWriteBuffer(socketBuffer)
 	}
-	c := &conn{Server: s, Conn: nc, open: map[int32]*call{}, used: time.Now(), wake: make(chan struct{}, 1),
-		taken: make(chan struct{}, 1), shutDown: make(chan struct{}), gone: make(chan struct{})}
+	c := &conn{Server: s, Conn: nc, openCalls: map[int32]*call{}, lastUsed: time.Now(), wake: make(chan struct{}, 1),
+		repliesTaken: make(chan struct{}, 1), writeShut: make(chan struct{}), descriptorClosed: make(chan struct{})}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -138,35 +138,35 @@
 			file := os.NewFile(uintptr(fd), "router")
 			defer file.Close()
 			if nc, e = net.FileConn(file); e != nil {
-				s.limited.Warn("accept", zap.Error(e))
+				s.limitedLog.Warn("accept", zap.Error(e))
 			}
 		})
 		switch {
 		case nc != nil:
-			s.letIn(ctx, nc)
+			s.admitRecovering(ctx, nc)
 		case err != 0 && err != syscall.EINTR && err != syscall.ECONNABORTED:
 			return
 		}
 	}
 }
 
-// makeRoom tells whether there is room for another connection. Once there is none it closes one: the oldest that
+// freeCapacity tells whether there is room for another connection. Once there is none it closes one: the oldest that
 // has been silent from the start, else the one idle longest. One on which something lies unread stays until that is answered,
 // and the newcomer does not wait for it; a few of those fit into what is kept back.
-func (s *Server) makeRoom() bool {
-	for range mostGoing {
+func (s *Server) freeCapacity() bool {
+	for range maxEvicting {
 		out, going, ok := s.evictOne()
 		if out == nil {
 			return ok
 		}
-		late := time.NewTimer(giveBack)
+		late := time.NewTimer(closeWait)
 		defer late.Stop()
 		select {
-		case <-out.gone:
+		case <-out.descriptorClosed:
 			return true
 		case <-late.C:
 		}
-		if going <= mostGoing {
+		if going <= maxEvicting {
 			return true
 		}
 	}
@@ -178,11 +178,11 @@
 func (s *Server) evictOne() (out *conn, going int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.room() {
+	if len(s.conns) < s.connectionCapacity() {
 		return nil, 0, true
 	}
 	for len(s.conns) > 0 {
-		out, going := s.leastWanted()
+		out, going := s.evictionCandidate()
 		if out == nil {
 			return nil, 0, false
 		}
@@ -197,9 +197,9 @@
 func (s *Server) evictExcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	room := s.room()
+	room := s.connectionCapacity()
 	for excess := len(s.conns) - room; excess > 0; excess-- {
-		out, going := s.leastWanted()
+		out, going := s.evictionCandidate()
 		if out == nil || len(s.conns)-going <= room {
 			return
 		}
@@ -207,28 +207,28 @@
 	}
 }
 
-// leastWanted gives the idle connection whose descriptor is missed least, nil if all are at work, and how many are on their
+// evictionCandidate gives the idle connection whose descriptor is missed least, nil if all are at work, and how many are on their
 // way out: first what has been ended already, then the oldest that has been silent from the start, then the one idle longest,
 // then the one that has been in the middle of a message longest, then the oldest that had time for its first bytes. Called
 // under the lock.
-func (s *Server) leastWanted() (out *conn, going int) {
+func (s *Server) evictionCandidate() (out *conn, going int) {
 	now := time.Now()
-	var ended, silent, idlest, stalled, young quiet
+	var ended, silent, idlest, stalled, young idleConn
 	for c := range s.conns {
-		q, idle := c.rested()
+		q, idle := c.idleSnapshot()
 		switch quietFor := now.Sub(q.since); {
-		case q.going:
+		case q.evicting:
 			going++
 		case !idle:
-		case q.shut:
+		case q.halfClosed:
 			ended = q.earlier(ended)
-		case !q.known && quietFor > fresh:
+		case !q.heardFrom && quietFor > firstMessageTimeout:
 			silent = q.earlier(silent)
-		case q.known && !q.part:
+		case q.heardFrom && !q.midMessage:
 			idlest = q.earlier(idlest)
-		case q.known && quietFor > fresh:
+		case q.heardFrom && quietFor > firstMessageTimeout:
 			stalled = q.earlier(stalled)
-		case !q.known && quietFor > firstBytes:
+		case !q.heardFrom && quietFor > firstBytesTimeout:
 			young = q.earlier(young)
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // earlier gives the one of two that has been quiet for longer; none is nobody.
-func (q quiet) earlier(than quiet) quiet {
+func (q idleConn) earlier(than idleConn) idleConn {
 	if than.conn == nil || q.since.Before(than.since) {
 		return q
 	}
@@ -247,20 +247,20 @@
 // out. A router that is in the middle of a message is neither: the reader has a bound for that.
 func (s *Server) closeIdle() {
 	if !descriptorLeft() { // for the kernel link, the roster, a configuration
-		s.noteShort()
+		s.handleShortage()
 	}
 	s.evictExcess()
 	after := s.gate.Idle()
-	var idle []quiet
-	room := asideOnce
+	var idle []idleConn
+	room := maxDrainingIdle
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		switch q, free := c.rested(); {
-		case !free || !q.known || q.part || q.shut:
-		case q.asked > leaveTime:
-			c.end()
-		case q.asked > 0:
+		switch q, free := c.idleSnapshot(); {
+		case !free || !q.heardFrom || q.midMessage || q.halfClosed:
+		case q.sinceDrain > drainTimeout:
+			c.shutDown()
+		case q.sinceDrain > 0:
 			room--
 		case after > 0 && time.Since(q.since) > seconds(after):
 			c.drain()
@@ -268,10 +268,10 @@
 			idle = append(idle, q)
 		}
 	}
-	if len(s.conns) < s.room()*3/4 {
+	if len(s.conns) < s.connectionCapacity()*3/4 {
 		return
 	}
-	slices.SortFunc(idle, func(a, b quiet) int { return a.since.Compare(b.since) })
+	slices.SortFunc(idle, func(a, b idleConn) int { return a.since.Compare(b.since) })
 	for _, q := range idle[:max(min(room, len(idle)), 0)] {
 		q.drain()
 	}
--- a/server/owed_test.go
+++ b/server/owed_test.go
@@ -66,15 +66,15 @@
 	t := open(nil)
 	r := t.dial()
 	go func() {
-		for seq := range mostOpen + 10 {
+		for seq := range maxOpenCalls + 10 {
 			r.execute(seq+1, "ttl", "400")
 		}
 	}()
 	answers := map[int]int{}
-	for range mostOpen + 10 {
+	for range maxOpenCalls + 10 {
 		answers[r.answered()]++
 	}
-	fmt.Println("answered once:", len(answers) == mostOpen+10 && answers[mostOpen+10] == 1)
+	fmt.Println("answered once:", len(answers) == maxOpenCalls+10 && answers[maxOpenCalls+10] == 1)
 	for range 2 {
 		next(t.runs)
 	}
@@ -109,7 +109,7 @@
 	g.steps <- true
 	<-g.got // both read, and held there
 	r.execute(4)
-	c.cutShort()
+	c.shutDownNow()
 	g.free()
 	r.hear(3)
 	r.ends()
@@ -131,7 +131,7 @@
 	t := open(nil)
 	r, c, g := t.gatedRouter()
 	t.rest(r, c, g)
-	until("shut", func() bool { c.cutShort(); return c.is(shut)() })
+	until("shut", func() bool { c.shutDownNow(); return c.is(phaseShut)() })
 	g.free()
 	r.ends()
 	t.close()
@@ -210,7 +210,7 @@
 		nc := must(listener.Accept()).(*net.TCPConn)
 		send(r)
 		unreadOn(nc)
-		t.turnAway(nc)
+		t.rejectConn(nc)
 		r.hearEnd()
 	}
 	t.close()
@@ -231,7 +231,7 @@
 	t := open(nil)
 	r, c, g := t.gatedRouter()
 	t.rest(r, c, g)
-	for seq := 2; seq < mostOpen; seq++ {
+	for seq := 2; seq < maxOpenCalls; seq++ {
 		r.execute(seq, "op", "record", "dedupe", fmt.Sprint(seq))
 	}
 	r.execute(2)
@@ -241,7 +241,7 @@
 	for seq := r.answered(); seq != 0; seq = r.answered() {
 		answers[seq]++
 	}
-	fmt.Println("answered:", len(answers) == mostOpen-2)
+	fmt.Println("answered:", len(answers) == maxOpenCalls-2)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
--- a/server/press.go
+++ b/server/press.go
@@ -17,111 +17,111 @@
 	"valveglade/rpc"
 )
 
-// press is how the app server watches itself. What each RPC asks of it is a few atomics; what is decided, and when, is
+// monitor is how the app server watches itself. What each RPC asks of it is a few atomics; what is decided, and when, is
 // logic/pressure's. While it is off, nothing here is touched but one flag.
-type press struct {
-	on      atomic.Bool
-	effects atomic.Pointer[pressure.Effects]
-	level   atomic.Int32
-	admit   []atomic.Uint32 // share of each method that is let in, of whole
-	asked   []atomic.Uint64
-	ok      []atomic.Uint64
-	seed    uint64
-	drawn   atomic.Uint64
+type monitor struct {
+	enabled    atomic.Bool
+	effects    atomic.Pointer[pressure.Effects]
+	level      atomic.Int32
+	admitShare []atomic.Uint32 // share of each method that is let in, of whole
+	received   []atomic.Uint64
+	succeeded  []atomic.Uint64
+	seed       uint64
+	draws      atomic.Uint64
 
-	late     atomic.Int64 // the most that a timer was late by since the last reading, in nanoseconds
-	lags     atomic.Int64 // sum of how long RPCs lay unread, in microseconds
-	lagged   atomic.Int64 // how many they are
-	owed     atomic.Int64 // bytes of answers that wait to be written
-	refused  atomic.Uint64
-	ordering sync.Mutex // of what adopts settings
-	settings config.Settings
-	again    chan struct{} // holds one when the settings are new
+	maxTimerDelay   atomic.Int64 // the most that a timer was late by since the last reading, in nanoseconds
+	readDelaySum    atomic.Int64 // sum of how long RPCs lay unread, in microseconds
+	readDelayCount  atomic.Int64 // how many they are
+	replyBytes      atomic.Int64 // bytes of answers that wait to be written
+	rejected        atomic.Uint64
+	settingsMu      sync.Mutex // of what adopts settings
+	settings        config.Settings
+	settingsChanged chan struct{} // holds one when the settings are new
 }
 
-// allOf stands for all RPCs of a method.
-const allOf = 1 << 16
+// fullShare stands for all RPCs of a method.
+const fullShare = 1 << 16
 
-// calm is what holds while nothing presses.
-var calm = pressure.Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
+// calmEffects is what holds while nothing presses.
+var calmEffects = pressure.Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 
-func newPress(c *config.Config, b *config.Settings) *press {
+func newMonitor(c *config.Config, b *config.Settings) *monitor {
 	n := len(c.Methods)
-	p := &press{admit: make([]atomic.Uint32, n), asked: make([]atomic.Uint64, n), ok: make([]atomic.Uint64, n),
-		seed: uint64(time.Now().UnixNano()), again: make(chan struct{}, 1)}
-	p.effects.Store(&calm)
-	for k := range p.admit {
-		p.admit[k].Store(allOf)
+	p := &monitor{admitShare: make([]atomic.Uint32, n), received: make([]atomic.Uint64, n), succeeded: make([]atomic.Uint64, n),
+		seed: uint64(time.Now().UnixNano()), settingsChanged: make(chan struct{}, 1)}
+	p.effects.Store(&calmEffects)
+	for k := range p.admitShare {
+		p.admitShare[k].Store(fullShare)
 	}
-	p.adopt(b)
+	p.updateSettings(b)
 	return p
 }
 
-// adopt takes over settings; it tells whether anything is new.
-func (p *press) adopt(b *config.Settings) bool {
-	p.ordering.Lock()
-	defer p.ordering.Unlock()
+// updateSettings takes over settings; it tells whether anything is new.
+func (p *monitor) updateSettings(b *config.Settings) bool {
+	p.settingsMu.Lock()
+	defer p.settingsMu.Unlock()
 	if b.Pressure.On == p.settings.Pressure.On && b.Pressure.Every == p.settings.Pressure.Every &&
-		same(b.Pressure.Config, p.settings.Pressure.Config) {
+		samePressureConfig(b.Pressure.Config, p.settings.Pressure.Config) {
 		return false
 	}
 	p.settings = *b
-	signal(p.again)
+	notify(p.settingsChanged)
 	return true
 }
 
-func same(a, b pressure.Config) bool {
+func samePressureConfig(a, b pressure.Config) bool {
 	return a.Thresholds == b.Thresholds && a.Fall == b.Fall && a.Forecast == b.Forecast && a.GrowthWindow == b.GrowthWindow
 }
 
-func (p *press) inForce() config.Pressure {
-	p.ordering.Lock()
-	defer p.ordering.Unlock()
+func (p *monitor) currentSettings() config.Pressure {
+	p.settingsMu.Lock()
+	defer p.settingsMu.Unlock()
 	return p.settings.Pressure
 }
 
-// came takes note of an RPC that has been read.
-func (p *press) came(method int, lag float64) {
-	p.asked[method].Add(1)
-	p.lags.Add(int64(lag * 1e6))
-	p.lagged.Add(1)
+// recordArrival takes note of an RPC that has been read.
+func (p *monitor) recordArrival(method int, lag float64) {
+	p.received[method].Add(1)
+	p.readDelaySum.Add(int64(lag * 1e6))
+	p.readDelayCount.Add(1)
 }
 
-// lets tells whether one more RPC of a method is let in.
-func (p *press) lets(method int) bool {
-	share := p.admit[method].Load()
-	return share >= allOf || chance.At(p.seed, p.drawn.Add(1))*allOf < float64(share)
+// admits tells whether one more RPC of a method is let in.
+func (p *monitor) admits(method int) bool {
+	share := p.admitShare[method].Load()
+	return share >= fullShare || chance.At(p.seed, p.draws.Add(1))*fullShare < float64(share)
 }
 
-// lateBy takes note of how late a timer was.
-func (p *press) lateBy(d time.Duration) {
+// recordTimerDelay takes note of how late a timer was.
+func (p *monitor) recordTimerDelay(d time.Duration) {
 	for {
-		was := p.late.Load()
-		if int64(d) <= was || p.late.CompareAndSwap(was, int64(d)) {
+		was := p.maxTimerDelay.Load()
+		if int64(d) <= was || p.maxTimerDelay.CompareAndSwap(was, int64(d)) {
 			return
 		}
 	}
 }
 
-// watchSelf reads the process's state as often as the settings say, and puts into force what follows from it.
-func (s *Server) watchSelf(ctx context.Context) error {
-	p := s.press
+// monitorSelf reads the process's state as often as the settings say, and puts into force what follows from it.
+func (s *Server) monitorSelf(ctx context.Context) error {
+	p := s.monitor
 	for {
 		select {
-		case <-p.again:
+		case <-p.settingsChanged:
 		default:
 		}
-		settings := p.inForce()
-		p.on.Store(settings.On)
+		settings := p.currentSettings()
+		p.enabled.Store(settings.On)
 		if settings.On {
 			// A panic of the watching does not end the process: without it the app server goes on as if calm.
-			s.stopPanic(func() error {
-				s.readSelf(ctx, settings)
+			s.recoverPanic(func() error {
+				s.sampleUntilChanged(ctx, settings)
 				return nil
 			})
 		}
-		p.ease()
-		s.applied(calm, calm)
+		p.reset()
+		s.applyEffects(calmEffects, calmEffects)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -129,25 +129,25 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-p.again:
-				signal(p.again)
+			case <-p.settingsChanged:
+				notify(p.settingsChanged)
 			}
 		}
 	}
 }
 
-// ease lets everything in.
-func (p *press) ease() {
-	for k := range p.admit {
-		p.admit[k].Store(allOf)
+// reset lets everything in.
+func (p *monitor) reset() {
+	for k := range p.admitShare {
+		p.admitShare[k].Store(fullShare)
 	}
-	p.effects.Store(&calm)
+	p.effects.Store(&calmEffects)
 	p.level.Store(int32(pressure.Calm))
 }
 
-// readSelf goes on until the settings are new or ctx ends.
-func (s *Server) readSelf(ctx context.Context, settings config.Pressure) {
-	p := s.press
+// sampleUntilChanged goes on until the settings are new or ctx ends.
+func (s *Server) sampleUntilChanged(ctx context.Context, settings config.Pressure) {
+	p := s.monitor
 	rules := s.config.Load().Rules
 	watchConfig := settings.Config
 	if rules.Ceilings.RetryAfter {
@@ -159,9 +159,9 @@
 	watch := pressure.New(0, watchConfig)
 	source := procstats.New()
 	var lag pressure.Lag
-	asked, ok := make([]uint64, len(p.asked)), make([]uint64, len(p.ok))
+	asked, ok := make([]uint64, len(p.received)), make([]uint64, len(p.succeeded))
 	for k := range asked { // what came before is not of late
-		asked[k], ok[k] = p.asked[k].Load(), p.ok[k].Load()
+		asked[k], ok[k] = p.received[k].Load(), p.succeeded[k].Load()
 	}
 	watch.Read(0, pressure.Unknown(), asked, ok)
 	every := seconds(settings.Every)
@@ -173,29 +173,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.again:
-			signal(p.again)
+		case <-p.settingsChanged:
+			notify(p.settingsChanged)
 			return
 		case <-timer.C:
 		}
-		p.lateBy(time.Since(due))
+		p.recordTimerDelay(time.Since(due))
 		for k := range asked {
-			asked[k], ok[k] = p.asked[k].Load(), p.ok[k].Load()
+			asked[k], ok[k] = p.received[k].Load(), p.succeeded[k].Load()
 		}
 		now := time.Since(born).Seconds() // steady, whatever the wall clock does
 		r, stepped := source.Read(s.limits())
-		s.own(&r, &lag, now, stepped)
+		s.addOwnSignals(&r, &lag, now, stepped)
 		was, from := *p.effects.Load(), watch.Level()
 		changed := watch.Read(now, r, asked, ok)
-		for k := range p.admit {
-			p.admit[k].Store(uint32(watch.Admit(k) * allOf))
+		for k := range p.admitShare {
+			p.admitShare[k].Store(uint32(watch.Admit(k) * fullShare))
 		}
 		effects := watch.Effects()
 		p.effects.Store(&effects)
 		p.level.Store(int32(watch.Level()))
-		s.applied(was, effects)
+		s.applyEffects(was, effects)
 		if changed {
-			s.tellPressure(watch, from, effects)
+			s.logPressure(watch, from, effects)
 		}
 		due = time.Now().Add(every)
 		timer.Reset(every)
@@ -211,34 +211,34 @@
 	return procstats.Limits{Cores: cores, Memory: c.Memory, Sockets: c.Sockets}
 }
 
-// own adds what only this process knows of itself.
-func (s *Server) own(r *pressure.Reading, lag *pressure.Lag, now float64, stepped bool) {
-	p, c := s.press, s.config.Load()
-	r[pressure.Loop] = time.Duration(p.late.Swap(0)).Seconds()
+// addOwnSignals adds what only this process knows of itself.
+func (s *Server) addOwnSignals(r *pressure.Reading, lag *pressure.Lag, now float64, stepped bool) {
+	p, c := s.monitor, s.config.Load()
+	r[pressure.Loop] = time.Duration(p.maxTimerDelay.Swap(0)).Seconds()
 	asked := time.Now()
 	s.gate.Credit()
 	r[pressure.Lock] = time.Since(asked).Seconds()
 	if waits, known := s.link.Waits(); known {
 		r[pressure.Link] = waits.Seconds()
 	}
-	sum, n := p.lags.Swap(0), p.lagged.Swap(0)
+	sum, n := p.readDelaySum.Swap(0), p.readDelayCount.Swap(0)
 	r[pressure.Unread] = lag.Read(now, float64(sum)/1e6, int(n), stepped)
 	s.mu.Lock()
 	r[pressure.Descriptors] = float64(len(s.conns)+s.reserved()) / float64(max(c.Sockets, 1))
 	s.mu.Unlock()
-	r[pressure.Owed] = float64(p.owed.Load()) / (float64(c.Memory) / heldShare)
+	r[pressure.Owed] = float64(p.replyBytes.Load()) / (float64(c.Memory) / requestMemoryShare)
 }
 
-// applied puts into force what does not ask for itself.
-func (s *Server) applied(was, is pressure.Effects) {
-	s.gate.Keep(int(float64(s.config.Load().Memory/keepShare) * is.Keep))
+// applyEffects puts into force what does not ask for itself.
+func (s *Server) applyEffects(was, is pressure.Effects) {
+	s.gate.Keep(int(float64(s.config.Load().Memory/resultMemoryShare) * is.Keep))
 	if was.Health != is.Health {
-		signal(s.well)
+		notify(s.healthChanged)
 	}
 }
 
-// tellPressure is the one line at each change of level.
-func (s *Server) tellPressure(w *pressure.Watch, from pressure.Level, e pressure.Effects) {
+// logPressure is the one line at each change of level.
+func (s *Server) logPressure(w *pressure.Watch, from pressure.Level, e pressure.Effects) {
 	fields := []zap.Field{zap.Stringer("level", w.Level()), zap.Stringer("from", from), zap.String("causes", w.Causes())}
 	for k := range pressure.Signals {
 		if v := w.Seen(k); !math.IsNaN(v) {
@@ -250,7 +250,7 @@
 	}
 	fields = append(fields, zap.Float64("credit", math.Round(e.Credit*1e3)/1e3), zap.Int("turn", e.Turn),
 		zap.Bool("accepts", e.Accept), zap.Float64("results_kept", e.Keep), zap.Bool("healthy", e.Health),
-		zap.Uint64("refused", s.press.refused.Load()))
+		zap.Uint64("refused", s.monitor.rejected.Load()))
 	if w.Level() > from {
 		s.log.Warn("pressure", fields...)
 	} else {
@@ -261,15 +261,15 @@
 // healthy is what is said to health checks and to the roster. Before the kernel is up nothing can be served, and it is
 // not known how little at first.
 func (s *Server) healthy() bool {
-	return s.gate.Booted() && s.gate.Healthy() && s.press.effects.Load().Health
+	return s.gate.Booted() && s.gate.Healthy() && s.monitor.effects.Load().Health
 }
 
 // credit is what goes out with every answer: the module's, less what the process itself cannot bear. Below 0 there is
 // none.
 func (s *Server) credit() float64 {
-	credit, times := s.gate.Credit(), s.press.effects.Load().Credit
+	credit, times := s.gate.Credit(), s.monitor.effects.Load().Credit
 	switch {
-	case credit <= 0 || times >= 1 || s.signal != rpc.Allowance:
+	case credit <= 0 || times >= 1 || s.creditSignal != rpc.Allowance:
 		return credit
 	case times <= 0:
 		return 0
--- a/server/press_test.go
+++ b/server/press_test.go
@@ -18,13 +18,13 @@
 
 // under puts effects into force by hand, as a level would; methods are let in by the given shares.
 func (t *town) under(e pressure.Effects, shares ...float64) {
-	t.press.on.Store(true)
+	t.monitor.enabled.Store(true)
 	for k, x := range shares {
-		t.press.admit[k].Store(uint32(x * allOf))
+		t.monitor.admitShare[k].Store(uint32(x * fullShare))
 	}
-	was := *t.press.effects.Load()
-	t.press.effects.Store(&e)
-	t.applied(was, e)
+	was := *t.monitor.effects.Load()
+	t.monitor.effects.Store(&e)
+	t.applyEffects(was, e)
 }
 
 // What is not let in is pushed back at once, beside the gate; what has begun is not: a repeat of what ran has its answer,
@@ -46,8 +46,8 @@
 	r.execute(6, "op", "record", "dedupe", "b")
 	t.reap(2, "fine", "two")
 	r.hear(2)
-	fmt.Println("refused:", t.press.refused.Load())
-	t.under(calm, 1, 1)
+	fmt.Println("refused:", t.monitor.rejected.Load())
+	t.under(calmEffects, 1, 1)
 	r.execute(7)
 	t.asked()
 	t.reap(7, "fine", "seven")
@@ -152,22 +152,22 @@
 	r := t.dial()
 	r.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	const n = 60
-	for k := 0; k < n && t.press.owed.Load() == 0; k++ {
+	for k := 0; k < n && t.monitor.replyBytes.Load() == 0; k++ {
 		r.execute(k + 1)
 		next(t.runs)
 		t.reap(k+1, "fine", strings.Repeat("r", 4096))
 		time.Sleep(time.Millisecond)
 	}
-	for end := time.Now().Add(patience); t.press.owed.Load() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); t.monitor.replyBytes.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	most := t.press.owed.Load()
+	most := t.monitor.replyBytes.Load()
 	fmt.Println("owed:", most > 0 && most <= n*4096)
 	r.Close()
-	for end := time.Now().Add(patience); t.press.owed.Load() != 0 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); t.monitor.replyBytes.Load() != 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	fmt.Println("owed:", t.press.owed.Load())
+	fmt.Println("owed:", t.monitor.replyBytes.Load())
 	t.close()
 	// Output:
 	// owed: true
@@ -213,13 +213,13 @@
 	text <- "pressure perhaps"
 	hup <- os.Interrupt
 	heard("settings invalid, the previous stays")
-	fmt.Println("on:", t.press.on.Load())
+	fmt.Println("on:", t.monitor.enabled.Load())
 	text <- "pressure off"
 	hup <- os.Interrupt
-	for end := time.Now().Add(patience); t.press.on.Load() && time.Now().Before(end); {
+	for end := time.Now().Add(patience); t.monitor.enabled.Load() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	fmt.Println("on:", t.press.on.Load(), "lets all in:", t.press.lets(0))
+	fmt.Println("on:", t.monitor.enabled.Load(), "lets all in:", t.monitor.admits(0))
 	end()
 	<-over
 	t.close()
--- a/server/reader.go
+++ b/server/reader.go
@@ -13,9 +13,9 @@
 
 // read takes frames until the connection ends; the end of the connection is no error.
 func (c *conn) read(in *readbuffer.Buffer) error {
-	c.readBy(messageTimeout) // silence from the start is half a message too
-	turn := 0                // RPCs since others last had theirs
-	late := false            // what has come of a message was not whole in time
+	c.boundNextRead(messageTimeout) // silence from the start is half a message too
+	turn := 0                       // RPCs since others last had theirs
+	late := false                   // what has come of a message was not whole in time
 	for timed := true; ; {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
@@ -23,42 +23,42 @@
 		}
 		if size == 0 {
 			turn = 0
-			if done, err := c.passOver(in); err != nil {
+			if done, err := c.discardLarge(in); err != nil {
 				return err
 			} else if done {
 				timed = false
-				c.readBy(0)
+				c.boundNextRead(0)
 				continue
 			}
 			if !timed && len(in.Bytes()) > 0 {
 				timed = true
-				c.readBy(messageTimeout)
+				c.boundNextRead(messageTimeout)
 			}
-			c.inPart(len(in.Bytes()) > 0)
+			c.setPartial(len(in.Bytes()) > 0)
 			switch err := c.fill(in); {
 			case err == nil:
 			case errors.Is(err, readbuffer.ErrFull):
 				return err
-			case errors.Is(err, errShut) && late:
-				return errHalf
-			case !errors.Is(err, os.ErrDeadlineExceeded) || c.ends():
+			case errors.Is(err, errConnShut) && late:
+				return errPartialMessage
+			case !errors.Is(err, os.ErrDeadlineExceeded) || c.isEnding():
 				return nil
 			default:
-				late = c.overdue()
+				late = c.handleOverdue()
 			}
 			continue
 		}
 		if timed {
 			timed = false
-			c.readBy(0)
+			c.boundNextRead(0)
 		}
 		late = false
-		ends, full := c.takeIn()
+		ends, full := c.beginFrame()
 		if ends {
 			return nil
 		}
-		if c.odd.Load() >= mostOdd {
-			return errTooManyOdd
+		if c.unusableRPCs.Load() >= maxUnusableRPCs {
+			return errTooManyUnusable
 		}
 		if err := c.decode(frame, full); err != nil {
 			return err
@@ -67,7 +67,7 @@
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
-		if turn++; turn >= c.press.effects.Load().Turn && turn > 1 {
+		if turn++; turn >= c.monitor.effects.Load().Turn && turn > 1 {
 			turn = 0
 			runtime.Gosched()
 		}
@@ -77,109 +77,109 @@
 // decode takes in a frame, or refuses it where the connection is full.
 func (c *conn) decode(frame []byte, full bool) error {
 	if full {
-		return thrift.Decode(frame, c.refuser())
+		return thrift.Decode(frame, c.rejecter())
 	}
-	before := c.last
+	before := c.lastSeq
 	err := errors.Join(thrift.Decode(frame, c), c.protocolError)
-	if now := c.last; now > before {
-		c.last = before
-		c.rise(now)
+	if now := c.lastSeq; now > before {
+		c.lastSeq = before
+		c.advanceTo(now)
 	}
 	return err
 }
 
 var (
-	errHalf       = errors.New("half a message, or none")
-	errTooManyOdd = errors.New("too many RPCs that cannot be run")
+	errPartialMessage  = errors.New("half a message, or none")
+	errTooManyUnusable = errors.New("too many RPCs that cannot be run")
 )
 
 // isRefusable reports whether the messages behind the one that ended a connection can be read, and so refused.
 func isRefusable(err error) bool {
-	twice := (*usedTwice)(nil)
-	return errors.Is(err, errTooManyOdd) || errors.As(err, &twice)
+	twice := (*duplicateSeqError)(nil)
+	return errors.Is(err, errTooManyUnusable) || errors.As(err, &twice)
 }
 
-// readBy bounds how long the next bytes may take, 0 for as long as it likes. Once nothing more is taken in, move has set
+// boundNextRead bounds how long the next bytes may take, 0 for as long as it likes. Once nothing more is taken in, move has set
 // the bound, and the reader's own come too late.
-func (c *conn) readBy(within time.Duration) {
+func (c *conn) boundNextRead(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.due = time.Time{}
+	c.messageDeadline = time.Time{}
 	if within > 0 {
-		c.due = time.Now().Add(within)
+		c.messageDeadline = time.Now().Add(within)
 	}
-	if c.phase < ending {
-		c.woken = false
-		c.SetReadDeadline(c.due)
+	if c.phase < phaseEnding {
+		c.wakeDeadlineSet = false
+		c.SetReadDeadline(c.messageDeadline)
 	}
 }
 
-// overdue tells whether a message should have been whole by now. Then the connection closes; what has been read is answered
+// handleOverdue tells whether a message should have been whole by now. Then the connection closes; what has been read is answered
 // first.
-func (c *conn) overdue() bool {
+func (c *conn) handleOverdue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.due.IsZero() || time.Until(c.due) > timerSlack {
+	if c.messageDeadline.IsZero() || time.Until(c.messageDeadline) > timerSlack {
 		return false // only woken
 	}
-	if c.rests() {
-		c.move(closing)
+	if c.isIdle() {
+		c.enterPhase(phaseClosing)
 	} else {
-		c.due = time.Now().Add(messageTimeout / 10)
-		c.woken = true
+		c.messageDeadline = time.Now().Add(messageTimeout / 10)
+		c.wakeDeadlineSet = true
 	}
 	return true
 }
 
-// inPart takes note whether a part of a message lies in the buffer.
-func (c *conn) inPart(part bool) {
+// setPartial takes note whether a part of a message lies in the buffer.
+func (c *conn) setPartial(part bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.partial = part
 }
 
-// takeIn marks that a frame is being taken in; full tells that it is one more than the connection may have open, and is refused. While
+// beginFrame marks that a frame is being taken in; full tells that it is one more than the connection may have open, and is refused. While
 // too many answers wait to be written it waits for the writer first: under overload callers give up and ask anew faster than it comes
 // to its turn.
-func (c *conn) takeIn() (ends, full bool) {
+func (c *conn) beginFrame() (ends, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.phase < ending && !c.writerEnded && c.answersWait() {
+	for c.phase < phaseEnding && !c.writerEnded && c.repliesBackedUp() {
 		c.mu.Unlock()
-		<-c.taken
+		<-c.repliesTaken
 		c.mu.Lock()
 	}
-	if c.phase >= ending {
+	if c.phase >= phaseEnding {
 		return true, false
 	}
-	c.used, c.reading, c.known = time.Now(), true, true
-	return false, len(c.open) >= mostOpen
+	c.lastUsed, c.reading, c.receivedMessage = time.Now(), true, true
+	return false, len(c.openCalls) >= maxOpenCalls
 }
 
-// answersWait is called under the lock.
-func (c *conn) answersWait() bool {
-	if len(c.open) < mostOpen {
-		return len(c.open)+len(c.replies) >= mostOpen
+// repliesBackedUp is called under the lock.
+func (c *conn) repliesBackedUp() bool {
+	if len(c.openCalls) < maxOpenCalls {
+		return len(c.openCalls)+len(c.replies) >= maxOpenCalls
 	}
-	return len(c.replies) >= mostOpen
+	return len(c.replies) >= maxOpenCalls
 }
 
-// passOver refuses an RPC that is not all there, if it is larger than what is read now, and throws away what comes of it.
+// discardLarge refuses an RPC that is not all there, if it is larger than what is read now, and throws away what comes of it.
 // It tells whether it did. Behind an RPC that did not come whole nothing can be read any more.
-func (c *conn) passOver(in *readbuffer.Buffer) (done bool, err error) {
+func (c *conn) discardLarge(in *readbuffer.Buffer) (done bool, err error) {
 	size := thrift.Length(in.Bytes())
-	if size <= c.press.effects.Load().Largest || size > thrift.MaxFrame {
+	if size <= c.monitor.effects.Load().Largest || size > thrift.MaxFrame {
 		return false, nil
 	}
 	k, there := thrift.Peek(in.Bytes()[4:])
 	method, known := c.methods[string(k.Method)]
-	if !there || !known || c.tokened(method) && len(k.Token) == 0 || k.Seq <= c.last {
+	if !there || !known || c.tokened(method) && len(k.Token) == 0 || k.Seq <= c.lastSeq {
 		return false, nil // read it then, and let it end as it would
 	}
 	c.mu.Lock()
-	busy := c.phase >= ending || len(c.open)+len(c.replies) >= mostOpen
+	busy := c.phase >= phaseEnding || len(c.openCalls)+len(c.replies) >= maxOpenCalls
 	if !busy {
-		c.reading, c.used, c.known = true, time.Now(), true
+		c.reading, c.lastUsed, c.receivedMessage = true, time.Now(), true
 	}
 	c.mu.Unlock()
 	defer func() {
@@ -190,12 +190,12 @@
 	if busy {
 		return false, nil
 	}
-	if _, came := c.clock.arrival(k.Recv, c.longestWait(method, math.Inf(1))); !c.turnsAway(k.Seq, method, k.Token, came, size) {
+	if _, came := c.clock.arrival(k.Recv, c.longestWait(method, math.Inf(1))); !c.shed(k.Seq, method, k.Token, came, size) {
 		return false, nil
 	}
-	c.press.came(method, 0)
-	c.rise(k.Seq)
-	c.readBy(messageTimeout)
+	c.monitor.recordArrival(method, 0)
+	c.advanceTo(k.Seq)
+	c.boundNextRead(messageTimeout)
 	for rest := size; ; {
 		n := min(rest, len(in.Bytes()))
 		in.Take(n)
@@ -203,7 +203,7 @@
 			return true, nil
 		}
 		if err := in.Fill(c); err != nil {
-			return true, errHalf
+			return true, errPartialMessage
 		}
 	}
 }
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -10,51 +10,51 @@
 	"valveglade/internal/thrift"
 )
 
-// numbers are those under which RPCs came on one connection.
-type numbers struct {
-	last    int32
-	skipped []numberRange // the first few below last that were never used
+// seqTracker are those under which RPCs came on one connection.
+type seqTracker struct {
+	lastSeq     int32
+	skippedSeqs []seqRange // the first few below last that were never used
 }
 
-type numberRange struct{ first, last int32 }
+type seqRange struct{ first, last int32 }
 
-// mostSkipped bounds numbers.skipped: a router's numbers rise by one.
-const mostSkipped = 8
+// maxSkippedRanges bounds numbers.skipped: a router's numbers rise by one.
+const maxSkippedRanges = 8
 
-// rise takes note of a number above all before.
-func (n *numbers) rise(to int32) {
-	if to > n.last+1 && len(n.skipped) < mostSkipped {
-		n.skipped = append(n.skipped, numberRange{n.last + 1, to - 1})
+// advanceTo takes note of a number above all before.
+func (n *seqTracker) advanceTo(to int32) {
+	if to > n.lastSeq+1 && len(n.skippedSeqs) < maxSkippedRanges {
+		n.skippedSeqs = append(n.skippedSeqs, seqRange{n.lastSeq + 1, to - 1})
 	}
-	n.last = to
+	n.lastSeq = to
 }
 
-// unused reports whether no RPC came under a number, and takes note of it.
-func (n *numbers) unused(seq int32) bool {
-	if seq > n.last {
-		n.rise(seq)
+// claim reports whether no RPC came under a number, and takes note of it.
+func (n *seqTracker) claim(seq int32) bool {
+	if seq > n.lastSeq {
+		n.advanceTo(seq)
 		return true
 	}
-	for k, s := range n.skipped {
+	for k, s := range n.skippedSeqs {
 		if seq >= s.first && seq <= s.last {
-			n.skipped[k].first = seq + 1 // those below are given up: they were sent the wrong way round
+			n.skippedSeqs[k].first = seq + 1 // those below are given up: they were sent the wrong way round
 			return true
 		}
 	}
 	return false
 }
 
-// refuser answers what has been read on a connection that takes nothing in: no RPC of it runs. It is a thrift.Router.
-type refuser struct {
+// rejecter answers what has been read on a connection that takes nothing in: no RPC of it runs. It is a thrift.Router.
+type rejecter struct {
 	*Server
-	numbers   *numbers
-	say       func(reply)
+	seqs      *seqTracker
+	send      func(reply)
 	interrupt func(target int32)
 }
 
 // Execute refuses an RPC: pushed back, unless another try of it may have run, or none can. A second message under a number is no RPC.
-func (r refuser) Execute(seq int32, op, _ []byte, _ int, recv, ttl, _ float64, _ bool, dedupe, _ []byte) {
-	if !r.numbers.unused(seq) {
+func (r rejecter) Execute(seq int32, op, _ []byte, _ int, recv, ttl, _ float64, _ bool, dedupe, _ []byte) {
+	if !r.seqs.claim(seq) {
 		return
 	}
 	method, known := r.methods[string(op)]
@@ -62,12 +62,12 @@
 		r.abort(seq)
 		return
 	}
-	after := r.press.effects.Load().After
-	r.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, after, load) })
+	after := r.monitor.effects.Load().After
+	r.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, after, load) })
 }
 
 // mayHaveRun reports whether another try of an RPC is in hand or has run.
-func (r refuser) mayHaveRun(method int, token []byte, recv, ttl float64) bool {
+func (r rejecter) mayHaveRun(method int, token []byte, recv, ttl float64) bool {
 	if !r.tokened(method) || len(token) == 0 {
 		return false
 	}
@@ -76,32 +76,32 @@
 }
 
 // Unreadable answers an RPC that could not have been run.
-func (r refuser) Unreadable(seq int32, _ string) {
-	if r.numbers.unused(seq) {
+func (r rejecter) Unreadable(seq int32, _ string) {
+	if r.seqs.claim(seq) {
 		r.abort(seq)
 	}
 }
 
-func (r refuser) abort(seq int32) {
-	r.say(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
+func (r rejecter) abort(seq int32) {
+	r.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 }
 
 // Interrupt passes on that nobody waits for an RPC any more.
-func (r refuser) Interrupt(target int32) { r.interrupt(target) }
+func (r rejecter) Interrupt(target int32) { r.interrupt(target) }
 
 // Check answers a health check as ever.
-func (r refuser) Check(seq int32) {
-	r.say(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, r.healthy(), load) })
+func (r rejecter) Check(seq int32) {
+	r.send(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, r.healthy(), load) })
 }
 
 // Unknown answers a call of a method that there is not.
-func (r refuser) Unknown(seq int32, method string) {
-	r.say(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
+func (r rejecter) Unknown(seq int32, method string) {
+	r.send(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
 }
 
-// refuse answers the whole messages that lie in a buffer, and those that lie unread on the connection, up to lingerSize. It reads
+// rejectAll answers the whole messages that lie in a buffer, and those that lie unread on the connection, up to lingerSize. It reads
 // without waiting, and stops where nothing can be made of what came.
-func (r refuser) refuse(in *readbuffer.Buffer, nc net.Conn) {
+func (r rejecter) rejectAll(in *readbuffer.Buffer, nc net.Conn) {
 	for read := 0; ; {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
@@ -109,7 +109,7 @@
 		}
 		if size == 0 {
 			had := len(in.Bytes())
-			if read >= lingerSize || in.Fill(unread{nc}) != nil {
+			if read >= maxLingerBytes || in.Fill(nonBlockingReader{nc}) != nil {
 				return
 			}
 			read += len(in.Bytes()) - had
@@ -122,22 +122,22 @@
 	}
 }
 
-// turnAway ends a new connection that is not served. What has come on it is answered; what comes later is not read, so that the
+// rejectConn ends a new connection that is not served. What has come on it is answered; what comes later is not read, so that the
 // close proves that nothing of it ran. It waits for nobody: behind this one others wait to be let in.
-func (s *Server) turnAway(nc net.Conn) {
+func (s *Server) rejectConn(nc net.Conn) {
 	defer nc.Close()
 	var out []byte
 	load := s.credit()
-	r := refuser{Server: s, numbers: &numbers{}, say: func(r reply) { out = r(out, load) }, interrupt: func(int32) {}}
-	err := s.stopPanic(func() error {
-		r.refuse(readbuffer.New(thrift.MaxFrame+4), nc)
+	r := rejecter{Server: s, seqs: &seqTracker{}, send: func(r reply) { out = r(out, load) }, interrupt: func(int32) {}}
+	err := s.recoverPanic(func() error {
+		r.rejectAll(readbuffer.New(thrift.MaxFrame+4), nc)
 		return nil
 	})
 	if err != nil || len(out) == 0 {
 		return
 	}
-	nc.SetWriteDeadline(time.Now().Add(giveBack))
+	nc.SetWriteDeadline(time.Now().Add(closeWait))
 	if _, err := nc.Write(out); err != nil {
-		s.limited.Warn("answers lost", zap.Stringer("router", nc.RemoteAddr()), zap.Error(err))
+		s.limitedLog.Warn("answers lost", zap.Stringer("router", nc.RemoteAddr()), zap.Error(err))
 	}
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -13,9 +13,9 @@
 	"valveglade/config"
 )
 
-// settle is how long a file may take to be replaced after the word has come. One that is faulty, or the same as
+// reloadWindow is how long a file may take to be replaced after the word has come. One that is faulty, or the same as
 // before, is looked at again until then.
-const settle, lookAtFile = 2 * time.Second, 50 * time.Millisecond
+const reloadWindow, reloadPollInterval = 2 * time.Second, 50 * time.Millisecond
 
 // Reload reads the config and the settings again whenever asked to, until ctx ends. If either is faulty nothing changes;
 // no settings are those that there are.
@@ -29,16 +29,16 @@
 		}
 		var faulty error
 		changed := false
-		for end := time.Now().Add(settle); !changed && time.Now().Before(end); {
-			faulty = s.stopPanic(func() (err error) {
-				changed, err = s.readAgain(read)
+		for end := time.Now().Add(reloadWindow); !changed && time.Now().Before(end); {
+			faulty = s.recoverPanic(func() (err error) {
+				changed, err = s.reloadOnce(read)
 				return err
 			})
 			if faulty != nil && !descriptorLeft() { // it is not the file that is faulty
-				s.noteShort()
-				end = time.Now().Add(settle)
+				s.handleShortage()
+				end = time.Now().Add(reloadWindow)
 			}
-			if !changed && !sleep(ctx, lookAtFile.Seconds()) {
+			if !changed && !sleep(ctx, reloadPollInterval.Seconds()) {
 				return
 			}
 		}
@@ -58,31 +58,31 @@
 	}
 }
 
-// readAgain reads the config and the settings, and takes over what is new.
-func (s *Server) readAgain(read func() (*config.Config, *config.Settings, error)) (changed bool, err error) {
+// reloadOnce reads the config and the settings, and takes over what is new.
+func (s *Server) reloadOnce(read func() (*config.Config, *config.Settings, error)) (changed bool, err error) {
 	c, b, err := read()
 	if err != nil {
 		return false, err
 	}
-	changed = s.adopt(c)
+	changed = s.applyConfig(c)
 	if b == nil {
 		return changed, nil
 	}
-	if s.press.adopt(b) {
+	if s.monitor.updateSettings(b) {
 		changed = true
 		s.log.Info("settings reloaded", zap.String("file", b.Path), zap.Bool("pressure", b.Pressure.On))
 	}
-	return s.adoptFleet(b) || changed, nil
+	return s.applyFleetSettings(b) || changed, nil
 }
 
-// adopt takes over what may change while running and tells whether anything is new. Runs and all that is held
+// applyConfig takes over what may change while running and tells whether anything is new. Runs and all that is held
 // go on; what cannot change stays as it was, with a line that says so.
-func (s *Server) adopt(c *config.Config) (changed bool) {
+func (s *Server) applyConfig(c *config.Config) (changed bool) {
 	old := s.config.Load()
-	if reflect.DeepEqual(c, s.read) {
+	if reflect.DeepEqual(c, s.lastReadConfig) {
 		return false
 	}
-	s.read = c
+	s.lastReadConfig = c
 	next := *c
 	var left []string
 	for _, fixed := range []struct {
@@ -99,11 +99,11 @@
 		s.log.Warn("config changed where a restart is needed", zap.Strings("keys", left))
 	}
 	s.config.Store(&next)
-	s.bound(&next)
-	effects := *s.press.effects.Load()
-	s.applied(effects, effects) // bounds that hang on the limits
+	s.setMemoryLimit(&next)
+	effects := *s.monitor.effects.Load()
+	s.applyEffects(effects, effects) // bounds that hang on the limits
 	s.link.Move(next.Kernel)
-	signal(s.said)
+	notify(s.reportNow)
 	s.log.Info("config reloaded", zap.Stringer("kernel", next.Kernel), zap.Stringer("roster", next.Roster))
 	return true
 }
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -10,7 +10,7 @@
 
 // Execute takes in one RPC.
 func (c *conn) Execute(seq int32, op, uid []byte, src int, recv, ttl, heap float64, again bool, dedupe, body []byte) {
-	if c.out(seq) {
+	if c.isDuplicate(seq) {
 		return
 	}
 	method, known := c.methods[string(op)]
@@ -24,13 +24,13 @@
 		return
 	}
 	if c.config.Load().Rules.MayCall(method) {
-		c.refuse(seq, true) // no app server of this build can call, so no try of it has run either
+		c.pushBack(seq, true) // no app server of this build can call, so no try of it has run either
 		return
 	}
 	now, recv := c.clock.arrival(recv, c.longestWait(method, ttl))
-	if c.press.on.Load() {
-		c.press.came(method, min(max(now-recv, 0), mostLag))
-		if c.turnsAway(seq, method, dedupe, recv, len(body)) {
+	if c.monitor.enabled.Load() {
+		c.monitor.recordArrival(method, min(max(now-recv, 0), maxReadDelay))
+		if c.shed(seq, method, dedupe, recv, len(body)) {
 			return
 		}
 	}
@@ -39,51 +39,51 @@
 		token = string(dedupe)
 	}
 	k := &call{conn: c, seq: seq, method: method, uid: string(uid), body: append([]byte(nil), body...)}
-	if c.held.Add(k.size()) > int64(c.config.Load().Memory/heldShare) {
-		c.held.Add(-k.size())
-		c.lacksMemory(seq, method, token, recv)
+	if c.requestBytes.Add(k.size()) > int64(c.config.Load().Memory/requestMemoryShare) {
+		c.requestBytes.Add(-k.size())
+		c.rejectForMemory(seq, method, token, recv)
 		return
 	}
 	c.mu.Lock()
-	c.open[seq] = k
+	c.openCalls[seq] = k
 	c.mu.Unlock()
 	var ok bool
-	if k.id, ok = c.gate.Arrive(now, method, src, recv, c.givenUpAt(method, now, recv, ttl), heap, again, k.uid, token, body,
+	if k.id, ok = c.gate.Arrive(now, method, src, recv, c.clientDeadline(method, now, recv, ttl), heap, again, k.uid, token, body,
 		k); !ok {
 		c.mu.Lock()
-		delete(c.open, seq)
+		delete(c.openCalls, seq)
 		c.mu.Unlock()
-		c.held.Add(-k.size())
+		c.requestBytes.Add(-k.size())
 		c.unreadable(seq, "call or dedupe of another RPC")
 	}
 }
 
-// turnsAway refuses an RPC that the process cannot bear now, at once and beside the gate, which never hears of it. What
+// shed refuses an RPC that the process cannot bear now, at once and beside the gate, which never hears of it. What
 // has begun is not refused: a repeat of it goes to the gate.
-func (c *conn) turnsAway(seq int32, method int, token []byte, recv float64, size int) bool {
-	e := c.press.effects.Load()
-	if size <= e.Largest && c.press.lets(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
+func (c *conn) shed(seq int32, method int, token []byte, recv float64, size int) bool {
+	e := c.monitor.effects.Load()
+	if size <= e.Largest && c.monitor.admits(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
 		return false
 	}
-	c.press.refused.Add(1)
-	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, e.After, load) })
+	c.monitor.rejected.Add(1)
+	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, e.After, load) })
 	return true
 }
 
-// lacksMemory answers an RPC for which there is no room: it has not run, unless it repeats one that may have.
-func (c *conn) lacksMemory(seq int32, method int, token string, recv float64) {
-	c.limited.Warn("no memory for an RPC", zap.Stringer("router", c.RemoteAddr()))
+// rejectForMemory answers an RPC for which there is no room: it has not run, unless it repeats one that may have.
+func (c *conn) rejectForMemory(seq int32, method int, token string, recv float64) {
+	c.limitedLog.Warn("no memory for an RPC", zap.Stringer("router", c.RemoteAddr()))
 	if token != "" && c.gate.Knows(method, token, recv) {
-		c.say(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
+		c.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 		return
 	}
-	c.refuse(seq, false)
+	c.pushBack(seq, false)
 }
 
-// refuse answers an RPC that never ran, with the longest advice that callers heed; last asks that no other app server be tried.
-func (c *conn) refuse(seq int32, last bool) {
+// pushBack answers an RPC that never ran, with the longest advice that callers heed; last asks that no other app server be tried.
+func (c *conn) pushBack(seq int32, last bool) {
 	after := c.config.Load().Rules.LongestAdvice()
-	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
+	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
 }
 
 // logUnserved names each method whose RPCs are all refused.
@@ -97,20 +97,20 @@
 	}
 }
 
-// mostLag is the longest time in seconds that one RPC counts as having lain unread: recv is its client's word, and one
+// maxReadDelay is the longest time in seconds that one RPC counts as having lain unread: recv is its client's word, and one
 // client's alone is not to put the process under pressure.
-const mostLag = 5.0
+const maxReadDelay = 5.0
 
-// unknownWait is how long in seconds a client counts as waiting where neither its router nor the settings tell.
-const unknownWait = 3600.0
+// defaultClientWait is how long in seconds a client counts as waiting where neither its router nor the settings tell.
+const defaultClientWait = 3600.0
 
-// givenUpAt is when an RPC's client gives up, 0 where its router does not tell: then the module goes by the method's deadline. No
+// clientDeadline is when an RPC's client gives up, 0 where its router does not tell: then the module goes by the method's deadline. No
 // client waits longer than that, whatever the router says.
-func (c *conn) givenUpAt(method int, now, recv, ttl float64) float64 {
+func (c *conn) clientDeadline(method int, now, recv, ttl float64) float64 {
 	wait := c.longestWait(method, ttl)
 	switch told := !math.IsInf(ttl, 1); {
 	case !told && math.IsInf(wait, 1):
-		wait = unknownWait
+		wait = defaultClientWait
 	case !told:
 		return 0
 	}
@@ -118,63 +118,63 @@
 	return max(min(recv, now)+wait, someTime)
 }
 
-// usedTwice is a number that two RPCs of one connection came under.
-type usedTwice struct{ seq int32 }
+// duplicateSeqError is a number that two RPCs of one connection came under.
+type duplicateSeqError struct{ seq int32 }
 
-func (e *usedTwice) Error() string { return "sequence number used before" }
+func (e *duplicateSeqError) Error() string { return "sequence number used before" }
 
-// out ends a connection whose RPCs' numbers do not rise: to answer one of two with the same number would be to
+// isDuplicate ends a connection whose RPCs' numbers do not rise: to answer one of two with the same number would be to
 // answer both.
-func (c *conn) out(seq int32) bool {
-	if seq > c.last {
-		c.last = seq
+func (c *conn) isDuplicate(seq int32) bool {
+	if seq > c.lastSeq {
+		c.lastSeq = seq
 		return false
 	}
-	c.protocolError = &usedTwice{seq}
+	c.protocolError = &duplicateSeqError{seq}
 	return true
 }
 
 // Unreadable answers what cannot be run.
 func (c *conn) Unreadable(seq int32, why string) {
-	if !c.out(seq) {
+	if !c.isDuplicate(seq) {
 		c.unreadable(seq, why)
 	}
 }
 
 func (c *conn) unreadable(seq int32, why string) {
-	c.limited.Warn("RPC unreadable", zap.Stringer("router", c.RemoteAddr()), zap.String("field", why))
-	c.say(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
-	c.odd.Add(1)
+	c.limitedLog.Warn("RPC unreadable", zap.Stringer("router", c.RemoteAddr()), zap.String("field", why))
+	c.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
+	c.unusableRPCs.Add(1)
 }
 
-// judge takes note of the kernel's word on an RPC of this connection: of what a client had not sent it knows nothing. One that it
+// recordKernelVerdict takes note of the kernel's word on an RPC of this connection: of what a client had not sent it knows nothing. One that it
 // does know shows a usual router, whose odd RPCs count afresh: its connection may live for as long as it likes.
-func (c *conn) judge(known bool) {
+func (c *conn) recordKernelVerdict(known bool) {
 	if known {
-		c.odd.Store(0)
+		c.unusableRPCs.Store(0)
 	} else {
-		c.odd.Add(1)
+		c.unusableRPCs.Add(1)
 	}
 }
 
 // Interrupt tells that nobody waits for an RPC any more.
 func (c *conn) Interrupt(target int32) {
 	c.mu.Lock()
-	k := c.open[target]
-	delete(c.open, target)
-	c.settle()
+	k := c.openCalls[target]
+	delete(c.openCalls, target)
+	c.advanceShutdown()
 	c.mu.Unlock()
 	if k != nil {
-		c.giveUp(map[int32]*call{target: k})
+		c.abandon(map[int32]*call{target: k})
 	}
 }
 
 // Check answers a health check.
 func (c *conn) Check(seq int32) {
-	c.say(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, c.healthy(), load) })
+	c.send(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, c.healthy(), load) })
 }
 
 // Unknown answers a call of a method that there is not.
 func (c *conn) Unknown(seq int32, method string) {
-	c.say(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
+	c.send(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
 }
--- a/server/runs.go
+++ b/server/runs.go
@@ -26,10 +26,10 @@
 		warm += s.config.Load().Rules.Rules.WarmIn
 	}
 	s.warmAt.Store(int64(min(warm*1e9, math.MaxInt64/2)))
-	s.stopPanic(func() error {
+	s.recoverPanic(func() error {
 		if s.gate.Boot(now, now-ago, cold) {
-			defer signal(s.well)
-			close(s.up)
+			defer notify(s.healthChanged)
+			close(s.kernelUp)
 		}
 		return nil
 	})
@@ -50,9 +50,9 @@
 		}
 	}
 	if attempt == nil || attempt.Reach != kernel.Sent {
-		r.conn.judge(attempt == nil || !attempt.Unknown)
+		r.conn.recordKernelVerdict(attempt == nil || !attempt.Unknown)
 	}
-	s.stopPanic(func() error {
+	s.recoverPanic(func() error {
 		s.gate.Report(s.clock.now(), r.id, how, took, result)
 		return nil
 	})
--- a/server/server.go
+++ b/server/server.go
@@ -27,22 +27,22 @@
 
 // Server is one app server.
 type Server struct {
-	config  atomic.Pointer[config.Config] // the one in force
-	read    *config.Config                // as last read; only Reload's goroutine has it
-	clock   *clock
-	log     *zap.Logger
-	limited *zap.Logger // for what any client can cause, as often as it likes: limited in rate
-	gate    *gate.Gate[*call]
-	press   *press
-	signal  rpc.Signal // what callers make of the credit
-	link    *kernel.Link[*run]
-	methods map[string]int
-	group   *errgroup.Group
-
-	ownsProcess atomic.Bool  // its memory limit is ours to set
-	atStart     atomic.Int64 // descriptors that the process held when it began to listen, see countOwn
-	systemLimit int          // of descriptors, see room
-	shortAt     atomic.Int64 // when no descriptor was left, in whole seconds; 0 for never
+	config         atomic.Pointer[config.Config] // the one in force
+	lastReadConfig *config.Config                // as last read; only Reload's goroutine has it
+	clock          *clock
+	log            *zap.Logger
+	limitedLog     *zap.Logger // for what any client can cause, as often as it likes: limited in rate
+	gate           *gate.Gate[*call]
+	monitor        *monitor
+	creditSignal   rpc.Signal // what callers make of the credit
+	link           *kernel.Link[*run]
+	methods        map[string]int
+	group          *errgroup.Group
+
+	ownsProcess      atomic.Bool  // its memory limit is ours to set
+	startDescriptors atomic.Int64 // descriptors that the process held when it began to listen, see countOwn
+	systemLimit      int          // of descriptors, see room
+	lastShortageAt   atomic.Int64 // when no descriptor was left, in whole seconds; 0 for never
 
 	fleetSettings     config.Fleet                      // in force from the start
 	fleetSettingsRead config.Fleet                      // as last read; only Reload's goroutine has it
@@ -50,23 +50,23 @@
 	distribution      *fleet.Distribution               // of configuration; nil where it is off
 	warmAt            atomic.Int64                      // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
 
-	stageAt atomic.Int32                  // see enter
-	spans   func(stop float64) drainSpans // of a drain in so many seconds
-	half    time.Duration                 // see halfFor
-	idle    time.Duration                 // between looks at idle connections, see idleEvery
-	held    atomic.Int64                  // bytes of RPCs whose answer is owed, about
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	left    chan struct{} // holds one after a connection has ended
-	up      chan struct{} // closed once the kernel is up
-	said    chan struct{} // holds one when the roster is to hear at once
-	well    chan struct{} // holds one when health may have changed by the process's own doing
+	currentStage      atomic.Int32                     // see enter
+	drainSchedule     func(stop float64) drainSchedule // of a drain in so many seconds
+	partialTimeout    time.Duration                    // see halfFor
+	idleCheckInterval time.Duration                    // between looks at idle connections, see idleEvery
+	requestBytes      atomic.Int64                     // bytes of RPCs whose answer is owed, about
+	mu                sync.Mutex
+	conns             map[*conn]struct{}
+	connEnded         chan struct{} // holds one after a connection has ended
+	kernelUp          chan struct{} // closed once the kernel is up
+	reportNow         chan struct{} // holds one when the roster is to hear at once
+	healthChanged     chan struct{} // holds one when health may have changed by the process's own doing
 }
 
 // These parts of the memory are for kept results and for RPCs whose answer is owed. The collector lets
 // garbage grow to as much again; the rest is for buffers and stacks, a quarter on the largest number of
 // connections.
-const keepShare, heldShare = 8, 4
+const resultMemoryShare, requestMemoryShare = 8, 4
 
 // New prepares an app server; nothing is opened before Serve.
 func New(c *config.Config, log *zap.Logger) *Server {
@@ -75,24 +75,24 @@
 
 // NewWithSettings is New under the operators' own settings.
 func NewWithSettings(c *config.Config, b *config.Settings, log *zap.Logger) *Server {
-	s := &Server{clock: systemClock(), log: log, limited: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(core, lineEvery, 1, 0)
+	s := &Server{clock: systemClock(), log: log, limitedLog: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
+		return zapcore.NewSamplerWithOptions(core, logInterval, 1, 0)
 	})), methods: map[string]int{}, conns: map[*conn]struct{}{},
-		up: make(chan struct{}), left: make(chan struct{}, 1), said: make(chan struct{}, 1), well: make(chan struct{}, 1),
-		spans: usualSpans.within, half: halfFor, idle: idleEvery, press: newPress(c, b), signal: c.Rules.Machine.Signal, fleetSettings: b.Fleet, fleetSettingsRead: b.Fleet}
+		kernelUp: make(chan struct{}), connEnded: make(chan struct{}, 1), reportNow: make(chan struct{}, 1), healthChanged: make(chan struct{}, 1),
+		drainSchedule: defaultSchedule.scaledTo, partialTimeout: partialTimeout, idleCheckInterval: defaultIdleCheckInterval, monitor: newMonitor(c, b), creditSignal: c.Rules.Machine.Signal, fleetSettings: b.Fleet, fleetSettingsRead: b.Fleet}
 	s.config.Store(c)
 	s.systemLimit = systemLimit()
-	s.read = c
+	s.lastReadConfig = c
 	for k, name := range c.Methods {
 		s.methods[name] = k
 	}
-	s.gate = gate.New[*call](s.clock.now(), c.Rules, c.Memory/keepShare)
-	s.link = kernel.New[*run](c.Kernel, s, s.limited)
+	s.gate = gate.New[*call](s.clock.now(), c.Rules, c.Memory/resultMemoryShare)
+	s.link = kernel.New[*run](c.Kernel, s, s.limitedLog)
 	return s
 }
 
-// lineEvery is how often one and the same line about clients may be logged: often enough to be seen.
-const lineEvery = time.Second
+// logInterval is how often one and the same line about clients may be logged: often enough to be seen.
+const logInterval = time.Second
 
 // Serve listens where the config says and runs until ctx ends, which is the notice to leave, and then until
 // all that was read is answered and the connections are closed, at the latest shortly before the config's
@@ -103,14 +103,14 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	s.ownsProcess.Store(true)
-	s.countOwn()
-	s.bound(s.config.Load())
+	s.countOwnDescriptors()
+	s.setMemoryLimit(s.config.Load())
 	return s.ServeOn(ctx, listener.(*net.TCPListener))
 }
 
-// bound tells Go's collector of the memory limit, which it holds to as to a target; stacks and what the system
+// setMemoryLimit tells Go's collector of the memory limit, which it holds to as to a target; stacks and what the system
 // keeps for the process come on top, so a quarter stays free.
-func (s *Server) bound(c *config.Config) {
+func (s *Server) setMemoryLimit(c *config.Config) {
 	if s.ownsProcess.Load() {
 		debug.SetMemoryLimit(int64(c.Memory) / 4 * 3)
 	}
@@ -142,29 +142,29 @@
 		return nil
 	})
 	if member != nil {
-		s.group.Go(func() error { return s.takePart(ctx, all, member, roles) })
+		s.group.Go(func() error { return s.runFleet(ctx, all, member, roles) })
 	}
-	s.group.Go(func() error { return s.keepUp(all, s.link.Serve) })
+	s.group.Go(func() error { return s.restartOnPanic(all, s.link.Serve) })
 	s.group.Go(func() error { return s.dispatch(all) })
-	s.group.Go(func() error { return s.beat(all) })
-	s.group.Go(func() error { return s.watch(all) })
-	s.group.Go(func() error { return s.watchSelf(all) })
+	s.group.Go(func() error { return s.runTicks(all) })
+	s.group.Go(func() error { return s.watchHealth(all) })
+	s.group.Go(func() error { return s.monitorSelf(all) })
 	s.group.Go(func() error {
 		select { // before it can answer anything it is not to be found
 		case <-all.Done():
 			return nil
-		case <-s.up:
+		case <-s.kernelUp:
 		}
-		return s.keepUp(all, func(ctx context.Context) error {
+		return s.restartOnPanic(all, func(ctx context.Context) error {
 			return roster.Report(ctx, func() (netip.AddrPort, string, bool) {
 				c := s.config.Load()
 				return c.Roster, c.Name, s.healthy()
-			}, s.said)
+			}, s.reportNow)
 		})
 	})
 	s.group.Go(func() error {
 		defer end()
-		return s.stopPanic(func() error { return s.leave(ctx, all, listener, closed) })
+		return s.recoverPanic(func() error { return s.runDrain(ctx, all, listener, closed) })
 	})
 	s.logUnserved()
 	s.log.Info("serving", zap.Stringer("listen", listener.Addr()))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -463,7 +463,7 @@
 // at once, as behind it others wait to be let in.
 func Example_crowded() {
 	// Nobody is asked to make room beforehand: while that is being written the connection does not rest.
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 2 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t := openPrepared(func(c *config.Config) { c.Sockets = minReserved + 2 }, zap.NewNop(), func(s *Server) { s.idleCheckInterval = time.Hour })
 	t.linkUp()
 	first, second := t.dial(), t.dial()
 	for k, r := range []*router{first, second} {
@@ -499,7 +499,7 @@
 // Who says nothing, or half of something, is let go in time; what had been read before is answered. The oldest
 // silent connection goes before an idle one that was used.
 func Example_silent() {
-	t := open(func(c *config.Config) { c.Sockets = reserve + 3 })
+	t := open(func(c *config.Config) { c.Sockets = minReserved + 3 })
 	r, silent, half := t.dial(), t.dial(), t.dial()
 	r.execute(1)
 	t.asked()
@@ -508,7 +508,7 @@
 	half.execute(2)
 	t.asked()
 	fmt.Fprint(half, "\x00\x00\x00\x09half")
-	time.Sleep(fresh)
+	time.Sleep(firstMessageTimeout)
 	other := t.dial()
 	silent.hear(1)
 	began := time.Now()
@@ -548,10 +548,10 @@
 	t.asked()
 	fmt.Fprintf(t.kernel, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", 12)
 	bad.hear(1)
-	for k := range mostOdd - 3 {
+	for k := range maxUnusableRPCs - 3 {
 		bad.execute(13+k, "crit", "1")
 	}
-	bad.hear(mostOdd - 3)
+	bad.hear(maxUnusableRPCs - 3)
 	bad.execute(18)
 	bad.hear(2)
 	t.reap(1, "fine", "one")
@@ -592,10 +592,10 @@
 
 // Making room never waits for the one that goes: else one close would keep all newcomers out.
 func Example_room() {
-	t := open(func(c *config.Config) { c.Sockets = reserve + 1 })
+	t := open(func(c *config.Config) { c.Sockets = minReserved + 1 })
 	stuck := waits{end: make(chan bool)}
 	t.Server.mu.Lock()
-	t.conns[&conn{Server: t.Server, Conn: stuck, known: true, shutDown: make(chan struct{}), gone: make(chan struct{})}] = struct{}{}
+	t.conns[&conn{Server: t.Server, Conn: stuck, receivedMessage: true, writeShut: make(chan struct{}), descriptorClosed: make(chan struct{})}] = struct{}{}
 	t.Server.mu.Unlock()
 	r := t.dial()
 	r.execute(1)
@@ -609,7 +609,7 @@
 
 // Past the memory for RPCs whose answer is owed the next are refused, until there is room again.
 func Example_memory() {
-	t := open(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
+	t := open(func(c *config.Config) { c.Memory = requestMemoryShare * 3 * callSize / 2 })
 	r := t.dial()
 	r.execute(1)
 	t.asked()
@@ -634,10 +634,10 @@
 	flood, r := t.dial(), t.dial()
 	for seq := 1; ; seq++ {
 		if _, err := flood.Write([]byte(str("\x80\x01\x00\x01" + str("check") + "\x00\x00\x00\x01\x00"))); err != nil {
-			fmt.Println("cut off:", seq > mostOpen && seq < 1e6)
+			fmt.Println("cut off:", seq > maxOpenCalls && seq < 1e6)
 			break
 		}
-		if seq == mostOpen {
+		if seq == maxOpenCalls {
 			r.execute(1)
 			t.asked()
 			t.reap(1, "fine", "one")
--- a/server/writer.go
+++ b/server/writer.go
@@ -10,8 +10,8 @@
 // reply writes one message behind others, with the credit of that moment.
 type reply func(out []byte, load float64) []byte
 
-// say leaves a reply that no RPC waits for to the connection's writer.
-func (c *conn) say(r reply) {
+// send leaves a reply that no RPC waits for to the connection's writer.
+func (c *conn) send(r reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue(r)
@@ -19,11 +19,11 @@
 
 // queue is called under the lock, so that a connection with an answer to write never looks idle.
 func (c *conn) queue(r reply) {
-	if c.phase == shut {
+	if c.phase == phaseShut {
 		return // nothing can be written any more
 	}
 	c.replies = append(c.replies, r)
-	signal(c.wake)
+	notify(c.wake)
 }
 
 // write sends replies, several at once where they are ready, with the credit of that moment.
@@ -31,9 +31,9 @@
 	defer func() {
 		c.mu.Lock()
 		c.writerEnded = true
-		c.settle()
+		c.advanceShutdown()
 		c.mu.Unlock()
-		signal(c.taken)
+		notify(c.repliesTaken)
 	}()
 	var out []byte
 	for {
@@ -44,17 +44,17 @@
 		}
 		c.mu.Lock()
 		replies := c.replies
-		c.replies, c.spare = c.spare[:0], nil
+		c.replies, c.spareReplies = c.spareReplies[:0], nil
 		c.writing = true
-		owing := c.owing
+		owing := c.replyBytes
 		c.mu.Unlock()
-		signal(c.taken)
+		notify(c.repliesTaken)
 		for rest := replies; len(rest) > 0; {
 			load := c.credit()
 			for out = out[:0]; len(rest) > 0 && len(out) < writeSize; rest = rest[1:] {
 				out = rest[0](out, load)
 			}
-			c.writeBy()
+			c.boundNextWrite()
 			if _, err := c.Write(out); errors.Is(err, os.ErrDeadlineExceeded) {
 				return errors.New("the router does not read its answers")
 			} else if err != nil { // it has left
@@ -64,12 +64,12 @@
 		}
 		clear(replies)
 		c.mu.Lock()
-		c.spare, c.writing, c.used = replies, false, time.Now()
-		if !c.ended {
-			c.owing -= owing
-			c.press.owed.Add(-owing)
+		c.spareReplies, c.writing, c.lastUsed = replies, false, time.Now()
+		if !c.released {
+			c.replyBytes -= owing
+			c.monitor.replyBytes.Add(-owing)
 		}
-		c.settle()
+		c.advanceShutdown()
 		c.mu.Unlock()
 	}
 }
