--- a/server/clock.go
+++ b/server/clock.go
@@ -66,15 +66,15 @@
 }
 
 // observe takes note of how far this clock is ahead of the system's.
-func (c *clock) observe(lead float64) [maxOffsets]float64 {
+func (c *clock) observe(offset float64) [maxOffsets]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	off := math.Abs(lead - c.offsets[0])
-	if off > stepThreshold {
+	change := math.Abs(offset - c.offsets[0])
+	if change > stepThreshold {
 		copy(c.offsets[1:maxOffsets-1], c.offsets[:]) // the last one stays: none
 	}
-	if off > slewThreshold {
-		c.offsets[0] = lead
+	if change > slewThreshold {
+		c.offsets[0] = offset
 	}
 	return c.offsets
 }
--- a/server/conn.go
+++ b/server/conn.go
@@ -28,15 +28,15 @@
 
 // respond takes the RPC's respond, with a result of so many bytes, to its connection, unless nobody there waits for it any
 // more.
-func (k *call) respond(bytes int, r reply) {
+func (k *call) respond(resultBytes int, r reply) {
 	c := k.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.openCalls[k.seq] == k {
 		delete(c.openCalls, k.seq)
 		c.requestBytes.Add(-k.size())
-		c.replyBytes += int64(bytes)
-		c.monitor.replyBytes.Add(int64(bytes))
+		c.replyBytes += int64(resultBytes)
+		c.monitor.replyBytes.Add(int64(resultBytes))
 		c.queue(r)
 	}
 }
@@ -88,28 +88,28 @@
 
 // serve reads and writes until the connection ends.
 func (c *conn) serve(ctx context.Context) {
-	live, end := context.WithCancel(ctx)
-	context.AfterFunc(live, func() { c.Close() })
+	connCtx, cancel := context.WithCancel(ctx)
+	context.AfterFunc(connCtx, func() { c.Close() })
 	c.group.Go(func() error {
-		if err := c.recoverPanic(func() error { return c.write(live) }); err != nil {
+		if err := c.recoverPanic(func() error { return c.write(connCtx) }); err != nil {
 			c.limitedLog.Warn("connection cut off", zap.Stringer("router", c.RemoteAddr()), zap.Error(err))
-			end()
+			cancel()
 		}
 		return nil
 	})
 	c.group.Go(func() error {
 		defer c.release()
-		defer end()
+		defer cancel()
 		in := readbuffer.New(thrift.MaxFrame + 4)
 		err := c.recoverPanic(func() error { return c.read(in) })
 		if err != nil && c.recoverPanic(func() error {
 			c.fail(err)
 			return nil
 		}) != nil {
-			end()
+			cancel()
 		}
 		c.recoverPanic(func() error {
-			c.rejectUnread(in, err == nil || isRefusable(err))
+			c.rejectUnread(in, err == nil || isRejectable(err))
 			return nil
 		})
 		c.discardInput()
@@ -120,19 +120,19 @@
 // idleConn is what there is to know of a connection on which nothing is going on.
 type idleConn struct {
 	*conn
-	since      time.Time // of its last frame, or of the message that it is in the middle of
-	midMessage bool      // of a message has come
-	heardFrom  bool      // a whole message ever came
-	halfClosed bool      // it has been ended, and is read on
-	evicting   bool      // its descriptor is to come back already
-	sinceDrain time.Duration
+	since       time.Time // of its last frame, or of the message that it is in the middle of
+	midMessage  bool      // of a message has come
+	hasReceived bool      // a whole message ever came
+	halfClosed  bool      // it has been ended, and is read on
+	evicting    bool      // its descriptor is to come back already
+	sinceDrain  time.Duration
 }
 
 // idleSnapshot tells what there is to know of the connection, if it is idle.
 func (c *conn) idleSnapshot() (q idleConn, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q = idleConn{conn: c, since: c.lastUsed, midMessage: c.partial, heardFrom: c.receivedMessage, halfClosed: c.phase == phaseShut, evicting: c.evicted}
+	q = idleConn{conn: c, since: c.lastUsed, midMessage: c.partial, hasReceived: c.receivedMessage, halfClosed: c.phase == phaseShut, evicting: c.evicted}
 	if c.partial && !c.messageDeadline.IsZero() {
 		q.since = c.messageDeadline.Add(-messageTimeout)
 	}
@@ -169,12 +169,12 @@
 // release tells the gate that nobody waits for what the connection carried.
 func (c *conn) release() {
 	c.mu.Lock()
-	open := c.openCalls
+	calls := c.openCalls
 	c.openCalls, c.released = nil, true
 	c.monitor.replyBytes.Add(-c.replyBytes)
 	c.mu.Unlock()
 	c.recoverPanic(func() error {
-		c.abandon(open)
+		c.abandon(calls)
 		return nil
 	})
 	c.Close() // before its place is free; over what was never read it is a reset
--- a/server/descriptors.go
+++ b/server/descriptors.go
@@ -65,7 +65,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range maxEvicting {
-		if out, _ := s.evictionCandidate(); out != nil && out.evict() {
+		if victim, _ := s.evictionCandidate(); victim != nil && victim.evict() {
 			evicted = true
 		}
 	}
--- a/server/distribution.go
+++ b/server/distribution.go
@@ -25,7 +25,7 @@
 
 // distributesConfig reports whether an app server of that name serves streams: a voter does, for others' snapshots, and a distributor.
 func distributesConfig(settings config.Fleet, name string) bool {
-	votes := slices.ContainsFunc(settings.Voters, func(list []string) bool { return slices.Contains(list, name) })
+	votes := slices.ContainsFunc(settings.Voters, func(names []string) bool { return slices.Contains(names, name) })
 	return settings.Distribution.On && (votes || slices.Contains(settings.Distribution.Distributors, name))
 }
 
@@ -38,7 +38,7 @@
 }
 
 // distributeConfig has this app server take part in the distribution of configuration, where the operators have said so.
-func (s *Server) distributeConfig(m *member.Member, f *fleet.Fleet) error {
+func (s *Server) distributeConfig(fleetMember *member.Member, roles *fleet.Fleet) error {
 	settings, c := s.fleetSettings, s.config.Load()
 	if !settings.Distribution.On {
 		return nil
@@ -48,11 +48,11 @@
 	if settings.Socket != "" {
 		cfg.Socket = fleet.ConfigSocket(settings.Socket)
 	}
-	d, err := f.Distribute(cfg, m)
+	d, err := roles.Distribute(cfg, fleetMember)
 	if err != nil {
 		return err
 	}
-	m.HandleStreams(d.ServeStream)
+	fleetMember.HandleStreams(d.ServeStream)
 	s.distribution = d
 	return nil
 }
--- a/server/drain.go
+++ b/server/drain.go
@@ -36,45 +36,45 @@
 var defaultSchedule = drainSchedule{notAccepting: 0.4, closing: 0.3, rejecting: 0.2, exit: 0.08}
 
 // scaledTo gives spans that leave at least half of the time from the notice to the kill for what still comes.
-func (d drainSchedule) scaledTo(stop float64) drainSchedule {
-	share := min(1, stop/2/d.notAccepting)
+func (d drainSchedule) scaledTo(stopDelay float64) drainSchedule {
+	share := min(1, stopDelay/2/d.notAccepting)
 	return drainSchedule{notAccepting: d.notAccepting * share, closing: d.closing * share, rejecting: d.rejecting * share, exit: d.exit * share}
 }
 
 // runDrain waits for the notice and then sees the process out. The others go on until it returns: what is read by then is
 // answered.
-func (s *Server) runDrain(ctx, all context.Context, listener *net.TCPListener, closed <-chan struct{}) error {
+func (s *Server) runDrain(ctx, runCtx context.Context, listener *net.TCPListener, closed <-chan struct{}) error {
 	defer listener.Close()
 	select {
-	case <-all.Done():
+	case <-runCtx.Done():
 		return nil
 	case <-ctx.Done():
 	}
-	span := s.config.Load().Stop
-	spans, stop := s.drainSchedule(span), s.clock.now()+span
+	stopDelay := s.config.Load().Stop
+	schedule, stopAt := s.drainSchedule(stopDelay), s.clock.now()+stopDelay
 	s.enterStage(stageDraining)
-	s.gate.Leave(s.clock.now(), stop)
-	if !sleep(all, stop-spans.notAccepting-s.clock.now()) {
+	s.gate.Leave(s.clock.now(), stopAt)
+	if !sleep(runCtx, stopAt-schedule.notAccepting-s.clock.now()) {
 		return nil
 	}
 	listener.SetDeadline(time.Unix(1, 0))
 	s.enterStage(stageNotAccepting)
 	select {
-	case <-all.Done():
+	case <-runCtx.Done():
 		return nil
 	case <-closed: // all that were let in are among the connections
-	case <-time.After(seconds(stop - spans.closing - s.clock.now())): // newcomers still flood in
+	case <-time.After(seconds(stopAt - schedule.closing - s.clock.now())): // newcomers still flood in
 		listener.Close()
 	}
 	for {
-		if s.clock.now() > stop-spans.closing && s.currentStage.Load() == int32(stageNotAccepting) {
+		if s.clock.now() > stopAt-schedule.closing && s.currentStage.Load() == int32(stageNotAccepting) {
 			s.enterStage(stageClosing)
 		}
 		s.mu.Lock()
 		for c := range s.conns {
 			c.drain() // whatever the stage: its router is told before it sees the end
 			switch {
-			case s.clock.now() > stop-spans.rejecting:
+			case s.clock.now() > stopAt-schedule.rejecting:
 				c.shutDownNow()
 			case s.currentStage.Load() == int32(stageClosing):
 				c.shutDown()
@@ -82,7 +82,7 @@
 		}
 		n := len(s.conns)
 		s.mu.Unlock()
-		if n > 0 && s.clock.now() > stop-spans.exit {
+		if n > 0 && s.clock.now() > stopAt-schedule.exit {
 			s.log.Warn("connections cut off", zap.Int("connections", n))
 			n = 0
 		}
@@ -91,7 +91,7 @@
 			return nil
 		}
 		select {
-		case <-all.Done():
+		case <-runCtx.Done():
 			return nil
 		case <-s.connEnded:
 		case <-time.After(seconds(0.02)):
--- a/server/duties.go
+++ b/server/duties.go
@@ -30,28 +30,28 @@
 }
 
 func (s *Server) perform(job gate.Job[*call]) {
-	k := job.For
+	pending := job.For
 	switch job.Do {
 	case gate.Run:
 		c := s.config.Load()
-		repeatable := c.Rules.Methods[k.method].Kind == rpc.Idempotent
-		if err := s.link.Run(&run{job.RPC, k}, k.uid, c.Methods[k.method], k.body, repeatable); err != nil {
+		idempotent := c.Rules.Methods[pending.method].Kind == rpc.Idempotent
+		if err := s.link.Run(&run{job.RPC, pending}, pending.uid, c.Methods[pending.method], pending.body, idempotent); err != nil {
 			s.limitedLog.Warn("run not asked for", zap.Error(err))
 			s.gate.Report(s.clock.now(), job.RPC, rpc.Moot, 0, nil)
 		}
 	case gate.Pause:
-		s.link.Pause(k.uid)
+		s.link.Pause(pending.uid)
 	case gate.Serve:
-		s.monitor.succeeded[k.method].Add(1)
-		k.respond(len(job.Result), func(out []byte, load float64) []byte {
-			return thrift.Served(out, k.seq, job.Result, load)
+		s.monitor.succeeded[pending.method].Add(1)
+		pending.respond(len(job.Result), func(out []byte, load float64) []byte {
+			return thrift.Served(out, pending.seq, job.Result, load)
 		})
 	case gate.PushBack:
-		k.respond(0, func(out []byte, load float64) []byte {
-			return thrift.PushedBack(out, k.seq, job.Last, job.After, load)
+		pending.respond(0, func(out []byte, load float64) []byte {
+			return thrift.PushedBack(out, pending.seq, job.Last, job.After, load)
 		})
 	case gate.Abort:
-		k.respond(0, func(out []byte, load float64) []byte { return thrift.Aborted(out, k.seq, load) })
+		pending.respond(0, func(out []byte, load float64) []byte { return thrift.Aborted(out, pending.seq, load) })
 	}
 }
 
@@ -64,23 +64,23 @@
 
 // runTicks brings the gate the time and the gauges as often as it asks.
 func (s *Server) runTicks(ctx context.Context) error {
-	due := s.clock.now()
+	nextTick := s.clock.now()
 	for {
-		now, after := s.clock.now(), retryInterval
+		now, delay := s.clock.now(), retryInterval
 		s.recoverPanic(func() error {
 			gauges := s.link.Gauges(gaugeTimeout)
 			now = s.clock.now()
-			after = s.gate.Tick(now, gauges)
+			delay = s.gate.Tick(now, gauges)
 			return nil
 		})
-		if !(after > 0) {
-			after = retryInterval
+		if !(delay > 0) {
+			delay = retryInterval
 		}
-		due = max(due+after, now) // what was missed is not made up for
-		if !sleep(ctx, due-now) {
+		nextTick = max(nextTick+delay, now) // what was missed is not made up for
+		if !sleep(ctx, nextTick-now) {
 			return nil
 		}
-		s.monitor.recordTimerDelay(seconds(s.clock.now() - due))
+		s.monitor.recordTimerDelay(seconds(s.clock.now() - nextTick))
 	}
 }
 
@@ -116,9 +116,9 @@
 }
 
 // restartOnPanic has a duty begin again after a panic, until ctx ends.
-func (s *Server) restartOnPanic(ctx context.Context, duty func(ctx context.Context) error) error {
+func (s *Server) restartOnPanic(ctx context.Context, task func(ctx context.Context) error) error {
 	for {
-		err := s.recoverPanic(func() error { return duty(ctx) })
+		err := s.recoverPanic(func() error { return task(ctx) })
 		if !errors.Is(err, errPanic) {
 			return err
 		}
--- a/server/end.go
+++ b/server/end.go
@@ -62,8 +62,8 @@
 		c.SetWriteDeadline(now.Add(lingerTimeout)) // for who does not read its answers
 	case phaseShut:
 		close(c.writeShut)
-		if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-			half.CloseWrite()
+		if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+			halfCloser.CloseWrite()
 		}
 		c.SetReadDeadline(now.Add(lingerTimeout))
 	}
@@ -144,22 +144,22 @@
 func (c *conn) readyToShut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	by := c.messageDeadline
+	deadline := c.messageDeadline
 	switch {
 	case c.phase >= phaseEnding:
 		return false
 	case c.phase == phaseClosing && c.isIdle():
-		if half := c.closingAt.Add(c.partialTimeout); by.IsZero() || half.Before(by) {
-			by = half
+		if partialDeadline := c.closingAt.Add(c.partialTimeout); deadline.IsZero() || partialDeadline.Before(deadline) {
+			deadline = partialDeadline
 		}
-		if !c.partial || c.evicted || time.Until(by) <= timerSlack {
+		if !c.partial || c.evicted || time.Until(deadline) <= timerSlack {
 			return true
 		}
 	case !c.wakeDeadlineSet:
 		return false
 	}
-	c.wakeDeadlineSet = by != c.messageDeadline
-	c.SetReadDeadline(by)
+	c.wakeDeadlineSet = deadline != c.messageDeadline
+	c.SetReadDeadline(deadline)
 	return false
 }
 
@@ -167,28 +167,28 @@
 type nonBlockingReader struct{ net.Conn }
 
 func (u nonBlockingReader) Read(b []byte) (n int, err error) {
-	open, ok := u.Conn.(syscall.Conn)
+	sysConn, ok := u.Conn.(syscall.Conn)
 	if !ok { // none of the system's
 		u.SetReadDeadline(time.Now().Add(timerSlack))
 		return u.Conn.Read(b)
 	}
-	raw, err := open.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var failed error
+	var readErr error
 	if err := raw.Control(func(fd uintptr) {
-		for failed = syscall.EINTR; failed == syscall.EINTR; {
-			n, failed = syscall.Read(int(fd), b)
+		for readErr = syscall.EINTR; readErr == syscall.EINTR; {
+			n, readErr = syscall.Read(int(fd), b)
 		}
 	}); err != nil {
 		return 0, err
 	}
 	switch {
-	case failed == syscall.EAGAIN:
+	case readErr == syscall.EAGAIN:
 		return 0, os.ErrDeadlineExceeded
-	case failed != nil:
-		return 0, failed
+	case readErr != nil:
+		return 0, readErr
 	case n == 0:
 		return 0, io.EOF
 	}
@@ -200,21 +200,21 @@
 func (c *conn) fail(err error) {
 	c.limitedLog.Warn("connection closed", zap.Stringer("router", c.RemoteAddr()), zap.Error(err))
 	c.mu.Lock()
-	open := c.openCalls
+	calls := c.openCalls
 	c.openCalls, c.reading = map[int32]*call{}, false
-	for seq := range open {
+	for seq := range calls {
 		c.queue(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 	}
 	c.enterPhase(phaseEnding)
 	c.mu.Unlock()
-	c.abandon(open)
+	c.abandon(calls)
 }
 
 // rejectUnread answers what has been read, or lies unread, on a connection that takes nothing in any more. Where what came cannot be made
 // sense of, nothing behind it can.
 func (c *conn) rejectUnread(in *readbuffer.Buffer, readable bool) {
 	c.mu.Lock()
-	look := readable && c.phase == phaseEnding && !c.finalReadDone
+	shouldReject := readable && c.phase == phaseEnding && !c.finalReadDone
 	c.mu.Unlock()
 	defer func() { // whatever becomes of the look
 		c.mu.Lock()
@@ -222,7 +222,7 @@
 		c.finalReadDone, c.reading = true, false
 		c.advanceShutdown()
 	}()
-	if look {
+	if shouldReject {
 		c.rejecter().rejectAll(in, c.Conn)
 	}
 }
@@ -233,10 +233,10 @@
 }
 
 // abandon tells the gate that nobody waits any more for RPCs that were open.
-func (c *conn) abandon(open map[int32]*call) {
-	for _, k := range open {
-		c.requestBytes.Add(-k.size())
-		c.gate.Gone(c.clock.now(), k.id)
+func (c *conn) abandon(calls map[int32]*call) {
+	for _, pending := range calls {
+		c.requestBytes.Add(-pending.size())
+		c.gate.Gone(c.clock.now(), pending.id)
 	}
 }
 
@@ -259,9 +259,9 @@
 // discardInput reads a shut connection to its end, within bounds, and takes nothing in. Before it is shut, nothing more is read.
 func (c *conn) discardInput() {
 	c.mu.Lock()
-	gone, evicted := c.phase < phaseEnding, c.evicted
+	endedByRouter, evicted := c.phase < phaseEnding, c.evicted
 	c.mu.Unlock()
-	if gone { // the router has ended it
+	if endedByRouter { // the router has ended it
 		return
 	}
 	<-c.writeShut // a connection that ends has a bound for its last write
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -39,60 +39,60 @@
 	}
 	viewConfig := view.Defaults()
 	viewConfig.HoldTime, viewConfig.ForgetTime = settings.Hold, settings.Forget
-	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
+	fleetMember, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
 		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket,
 		Streams: incomingStreams(settings, c), View: viewConfig}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
-	s.log.Info("fleet joined", zap.Stringer("listen", m.Address()), zap.Int("join", len(settings.Join)))
-	f, err := s.campaignForRoles(m)
-	return m, f, err
+	s.log.Info("fleet joined", zap.Stringer("listen", fleetMember.Address()), zap.Int("join", len(settings.Join)))
+	roles, err := s.campaignForRoles(fleetMember)
+	return fleetMember, roles, err
 }
 
 // runFleet keeps the fleet told of this app server until it has left, and leaves in time.
-func (s *Server) runFleet(ctx, all context.Context, m *member.Member, f *fleet.Fleet) error {
-	part, end := context.WithCancel(all)
-	defer end()
+func (s *Server) runFleet(ctx, runCtx context.Context, fleetMember *member.Member, roles *fleet.Fleet) error {
+	memberCtx, cancel := context.WithCancel(runCtx)
+	defer cancel()
 	s.group.Go(func() error {
 		var group errgroup.Group
-		roles, over := context.WithCancel(context.WithoutCancel(part))
-		group.Go(func() error { return m.Run(part) })
-		if f != nil {
-			group.Go(func() error { return f.Run(roles) })
-			context.AfterFunc(part, over)
+		rolesCtx, cancelRoles := context.WithCancel(context.WithoutCancel(memberCtx))
+		group.Go(func() error { return fleetMember.Run(memberCtx) })
+		if roles != nil {
+			group.Go(func() error { return roles.Run(rolesCtx) })
+			context.AfterFunc(memberCtx, cancelRoles)
 		}
 		if s.distribution != nil {
-			group.Go(func() error { return s.distribution.Run(part) })
+			group.Go(func() error { return s.distribution.Run(memberCtx) })
 		}
 		err := group.Wait()
-		over()
+		cancelRoles()
 		return err
 	})
-	every := time.NewTicker(announceInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(announceInterval)
+	defer ticker.Stop()
 	var load view.Load
-	loaded := time.Time{}
+	loadedAt := time.Time{}
 	for {
 		s.recoverPanic(func() error {
-			if time.Since(loaded) >= loadInterval {
-				load, loaded = s.loadDigest(), time.Now()
+			if time.Since(loadedAt) >= loadInterval {
+				load, loadedAt = s.loadDigest(), time.Now()
 			}
 			state := s.fleetState()
-			m.UpdateState(state, state == view.Serving && !s.healthy(), load)
+			fleetMember.UpdateState(state, state == view.Serving && !s.healthy(), load)
 			return nil
 		})
 		select {
-		case <-all.Done():
+		case <-runCtx.Done():
 			return nil
 		case <-ctx.Done():
-			m.UpdateState(view.Leaving, false, load)
-			if f != nil {
-				f.Leave()
+			fleetMember.UpdateState(view.Leaving, false, load)
+			if roles != nil {
+				roles.Leave()
 			}
-			sleep(all, s.config.Load().Stop-leaveLeadTime)
+			sleep(runCtx, s.config.Load().Stop-leaveLeadTime)
 			return nil
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -103,40 +103,40 @@
 
 // campaignForRoles has this app server vote, and campaign for the roles of the operators' file, as far as they have said so; nil
 // otherwise.
-func (s *Server) campaignForRoles(m *member.Member) (*fleet.Fleet, error) {
+func (s *Server) campaignForRoles(fleetMember *member.Member) (*fleet.Fleet, error) {
 	settings, c := s.fleetSettings, s.config.Load()
 	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	f, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.checkFitness(m) },
+	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.checkFitness(fleetMember) },
 		Others: func() []string {
-			var all []string
-			for _, e := range m.View().Members {
+			var names []string
+			for _, e := range fleetMember.View().Members {
 				if e.Name != c.Name {
-					all = append(all, e.Name)
+					names = append(names, e.Name)
 				}
 			}
-			return all
+			return names
 		},
-		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * leaseMarginShare}}, m, s.log)
+		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * leaseMarginShare}}, fleetMember, s.log)
 	if err != nil {
 		return nil, err
 	}
-	for _, o := range settings.Roles {
-		if err := f.Campaign(o.Name, fleet.SendCommands(o.Name, c.Name, o.Address.String(), seconds(o.Every))); err != nil {
+	for _, role := range settings.Roles {
+		if err := roles.Campaign(role.Name, fleet.SendCommands(role.Name, c.Name, role.Address.String(), seconds(role.Every))); err != nil {
 			return nil, err
 		}
 	}
 	if len(settings.Shares) > 0 {
-		quota, err := f.AddQuota(shareConfigs(settings, c), len(c.Methods))
+		quota, err := roles.AddQuota(shareConfigs(settings, c), len(c.Methods))
 		if err != nil {
 			return nil, err
 		}
 		s.quota.Store(quota)
 		s.gate.Under(quota)
 	}
-	m.SetRoles(func() any { return f.Status() })
-	return f, s.distributeConfig(m, f)
+	fleetMember.SetRoles(func() any { return roles.Status() })
+	return roles, s.distributeConfig(fleetMember, roles)
 }
 
 // grantLeases is for how many leases a grant of a share lasts: through a change of allocator, which takes up to two. Longer, what
@@ -146,23 +146,23 @@
 // shareConfigs puts the shares of the operators' file in the words of those who decide on them. What was begun under a grant goes on
 // for as long as its RPC may take.
 func shareConfigs(settings config.Fleet, c *config.Config) []share.Config {
-	var all []share.Config
-	for _, one := range settings.Shares {
-		t := share.Config{Name: one.Name, Limit: one.Limit, MinLimit: one.MinLimit, Target: one.Target, Reserved: settings.Reserved, ReservedMembers: settings.ReservedMembers,
+	var configs []share.Config
+	for _, setting := range settings.Shares {
+		shareConfig := share.Config{Name: setting.Name, Limit: setting.Limit, MinLimit: setting.MinLimit, Target: setting.Target, Reserved: settings.Reserved, ReservedMembers: settings.ReservedMembers,
 			Lease: owner.Lease{Length: grantLeases * settings.Lease, Drift: settings.Drift}}
-		for _, name := range one.Methods {
-			k := slices.Index(c.Methods, name)
-			t.Methods = append(t.Methods, k)
-			t.Lease.Tail = max(t.Lease.Tail, c.Rules.Methods[k].Deadline)
+		for _, name := range setting.Methods {
+			method := slices.Index(c.Methods, name)
+			shareConfig.Methods = append(shareConfig.Methods, method)
+			shareConfig.Lease.Tail = max(shareConfig.Lease.Tail, c.Rules.Methods[method].Deadline)
 		}
-		all = append(all, t)
+		configs = append(configs, shareConfig)
 	}
-	return all
+	return configs
 }
 
 // checkFitness tells why this app server should not campaign for a role now.
-func (s *Server) checkFitness(m *member.Member) error {
-	switch certainty := m.View().Certainty; {
+func (s *Server) checkFitness(fleetMember *member.Member) error {
+	switch certainty := fleetMember.View().Certainty; {
 	case certainty >= view.Partitioned:
 		return fmt.Errorf("the view is %v", certainty)
 	case s.fleetState() != view.Serving:
@@ -195,21 +195,21 @@
 }
 
 // applyFleetSettings tells whether the settings on the fleet are others than those in force; they stay until the next start.
-func (s *Server) applyFleetSettings(b *config.Settings) (changed bool) {
-	if reflect.DeepEqual(b.Fleet, s.fleetSettingsRead) {
+func (s *Server) applyFleetSettings(settings *config.Settings) (changed bool) {
+	if reflect.DeepEqual(settings.Fleet, s.fleetSettingsRead) {
 		return false
 	}
-	s.fleetSettingsRead = b.Fleet
+	s.fleetSettingsRead = settings.Fleet
 	// Limits of shares are taken over, if all else is as it was.
-	fixed := b.Fleet
+	fixed := settings.Fleet
 	fixed.Shares = s.fleetSettings.Shares
-	if l := s.quota.Load(); l != nil && reflect.DeepEqual(fixed, s.fleetSettings) {
-		if err := l.UpdateLimits(shareConfigs(b.Fleet, s.config.Load())); err != nil {
+	if quota := s.quota.Load(); quota != nil && reflect.DeepEqual(fixed, s.fleetSettings) {
+		if err := quota.UpdateLimits(shareConfigs(settings.Fleet, s.config.Load())); err != nil {
 			s.log.Warn("settings changed where a restart is needed", zap.Strings("directives", []string{"fleet.share"}), zap.Error(err))
 		}
 		return true
 	}
-	if !reflect.DeepEqual(b.Fleet, s.fleetSettings) {
+	if !reflect.DeepEqual(settings.Fleet, s.fleetSettings) {
 		s.log.Warn("settings changed where a restart is needed", zap.Strings("directives", []string{"fleet.*"}))
 	}
 	return true
--- a/server/listen.go
+++ b/server/listen.go
@@ -37,10 +37,10 @@
 // closes the listener.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) error {
 	defer listener.Close()
-	var back emergencyDescriptor
-	defer back.release()
+	var emergency emergencyDescriptor
+	defer emergency.release()
 	for {
-		back.take()
+		emergency.take()
 		nc, err := listener.AcceptTCP()
 		switch {
 		case err == nil:
@@ -53,8 +53,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err) // nobody would ever come in again: no app server that looks well
 		default:
-			if short := s.handleAcceptError(err); short && back.held {
-				s.acceptOnEmergencyDescriptor(ctx, listener, &back)
+			if short := s.handleAcceptError(err); short && emergency.held {
+				s.acceptOnEmergencyDescriptor(ctx, listener, &emergency)
 			} else if !sleep(ctx, 0.01) {
 				return nil
 			}
@@ -70,9 +70,9 @@
 }
 
 // acceptOnEmergencyDescriptor turns the next newcomer away, unless there are descriptors again when it comes.
-func (s *Server) acceptOnEmergencyDescriptor(ctx context.Context, listener *net.TCPListener, back *emergencyDescriptor) {
-	back.release()
-	defer back.take()
+func (s *Server) acceptOnEmergencyDescriptor(ctx context.Context, listener *net.TCPListener, emergency *emergencyDescriptor) {
+	emergency.release()
+	defer emergency.take()
 	if nc, err := listener.AcceptTCP(); err == nil {
 		s.admitRecovering(ctx, nc)
 	}
@@ -90,26 +90,26 @@
 
 // admit takes one connection in, or turns it away at once: behind it there may be hundreds that say nothing, and then
 // one of a usual router.
-func (s *Server) admit(ctx context.Context, nc net.Conn) {
-	why := ""
+func (s *Server) admit(ctx context.Context, netConn net.Conn) {
+	rejection := ""
 	switch {
 	case !s.monitor.effects.Load().Accept:
-		why = "connection turned away under pressure"
+		rejection = "connection turned away under pressure"
 	case !s.freeCapacity():
-		why = "connection turned away, all others are at work"
+		rejection = "connection turned away, all others are at work"
 	case s.isShort():
-		why = "connection turned away, no descriptor is left"
+		rejection = "connection turned away, no descriptor is left"
 	}
-	if why != "" {
-		s.limitedLog.Warn(why, zap.Stringer("router", nc.RemoteAddr()))
-		s.rejectConn(nc)
+	if rejection != "" {
+		s.limitedLog.Warn(rejection, zap.Stringer("router", netConn.RemoteAddr()))
+		s.rejectConn(netConn)
 		return
 	}
-	if tcp, ok := nc.(*net.TCPConn); ok {
+	if tcp, ok := netConn.(*net.TCPConn); ok {
 		tcp.SetReadBuffer(socketBuffer)
 		tcp.SetWriteBuffer(socketBuffer)
 	}
-	c := &conn{Server: s, Conn: nc, openCalls: map[int32]*call{}, lastUsed: time.Now(), wake: make(chan struct{}, 1),
+	c := &conn{Server: s, Conn: netConn, openCalls: map[int32]*call{}, lastUsed: time.Now(), wake: make(chan struct{}, 1),
 		repliesTaken: make(chan struct{}, 1), writeShut: make(chan struct{}), descriptorClosed: make(chan struct{})}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
@@ -128,8 +128,8 @@
 	for {
 		var nc net.Conn
 		err := syscall.EAGAIN
-		raw.Control(func(at uintptr) {
-			fd, _, e := syscall.Accept4(int(at), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		raw.Control(func(listenerFD uintptr) {
+			fd, _, e := syscall.Accept4(int(listenerFD), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if e != nil {
 				errors.As(e, &err)
 				return
@@ -155,18 +155,18 @@
 // and the newcomer does not wait for it; a few of those fit into what is kept back.
 func (s *Server) freeCapacity() bool {
 	for range maxEvicting {
-		out, going, ok := s.evictOne()
-		if out == nil {
+		victim, evicting, ok := s.evictOne()
+		if victim == nil {
 			return ok
 		}
-		late := time.NewTimer(closeWait)
-		defer late.Stop()
+		timer := time.NewTimer(closeWait)
+		defer timer.Stop()
 		select {
-		case <-out.descriptorClosed:
+		case <-victim.descriptorClosed:
 			return true
-		case <-late.C:
+		case <-timer.C:
 		}
-		if going <= maxEvicting {
+		if evicting <= maxEvicting {
 			return true
 		}
 	}
@@ -175,19 +175,19 @@
 
 // evictOne gives the connection that is closed to make room and how many are on their way then, none if there is room or all are
 // at work.
-func (s *Server) evictOne() (out *conn, going int, ok bool) {
+func (s *Server) evictOne() (victim *conn, evicting int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) < s.connectionCapacity() {
 		return nil, 0, true
 	}
 	for len(s.conns) > 0 {
-		out, going := s.evictionCandidate()
-		if out == nil {
+		victim, evicting := s.evictionCandidate()
+		if victim == nil {
 			return nil, 0, false
 		}
-		if out.evict() {
-			return out, going + 1, true
+		if victim.evict() {
+			return victim, evicting + 1, true
 		}
 	}
 	return nil, 0, false
@@ -197,13 +197,13 @@
 func (s *Server) evictExcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	room := s.connectionCapacity()
-	for excess := len(s.conns) - room; excess > 0; excess-- {
-		out, going := s.evictionCandidate()
-		if out == nil || len(s.conns)-going <= room {
+	capacity := s.connectionCapacity()
+	for excess := len(s.conns) - capacity; excess > 0; excess-- {
+		victim, evicting := s.evictionCandidate()
+		if victim == nil || len(s.conns)-evicting <= capacity {
 			return
 		}
-		out.evict()
+		victim.evict()
 	}
 }
 
@@ -211,28 +211,28 @@
 // way out: first what has been ended already, then the oldest that has been silent from the start, then the one idle longest,
 // then the one that has been in the middle of a message longest, then the oldest that had time for its first bytes. Called
 // under the lock.
-func (s *Server) evictionCandidate() (out *conn, going int) {
+func (s *Server) evictionCandidate() (victim *conn, evicting int) {
 	now := time.Now()
-	var ended, silent, idlest, stalled, young idleConn
+	var halfClosed, silent, longestIdle, stalled, young idleConn
 	for c := range s.conns {
 		q, idle := c.idleSnapshot()
 		switch quietFor := now.Sub(q.since); {
 		case q.evicting:
-			going++
+			evicting++
 		case !idle:
 		case q.halfClosed:
-			ended = q.earlier(ended)
-		case !q.heardFrom && quietFor > firstMessageTimeout:
+			halfClosed = q.earlier(halfClosed)
+		case !q.hasReceived && quietFor > firstMessageTimeout:
 			silent = q.earlier(silent)
-		case q.heardFrom && !q.midMessage:
-			idlest = q.earlier(idlest)
-		case q.heardFrom && quietFor > firstMessageTimeout:
+		case q.hasReceived && !q.midMessage:
+			longestIdle = q.earlier(longestIdle)
+		case q.hasReceived && quietFor > firstMessageTimeout:
 			stalled = q.earlier(stalled)
-		case !q.heardFrom && quietFor > firstBytesTimeout:
+		case !q.hasReceived && quietFor > firstBytesTimeout:
 			young = q.earlier(young)
 		}
 	}
-	return cmp.Or(ended.conn, silent.conn, idlest.conn, stalled.conn, young.conn), going
+	return cmp.Or(halfClosed.conn, silent.conn, longestIdle.conn, stalled.conn, young.conn), evicting
 }
 
 // earlier gives the one of two that has been quiet for longer; none is nobody.
@@ -250,19 +250,19 @@
 		s.handleShortage()
 	}
 	s.evictExcess()
-	after := s.gate.Idle()
+	idleTimeout := s.gate.Idle()
 	var idle []idleConn
-	room := maxDrainingIdle
+	drainBudget := maxDrainingIdle
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		switch q, free := c.idleSnapshot(); {
-		case !free || !q.heardFrom || q.midMessage || q.halfClosed:
+		switch q, isIdle := c.idleSnapshot(); {
+		case !isIdle || !q.hasReceived || q.midMessage || q.halfClosed:
 		case q.sinceDrain > drainTimeout:
 			c.shutDown()
 		case q.sinceDrain > 0:
-			room--
-		case after > 0 && time.Since(q.since) > seconds(after):
+			drainBudget--
+		case idleTimeout > 0 && time.Since(q.since) > seconds(idleTimeout):
 			c.drain()
 		default:
 			idle = append(idle, q)
@@ -272,7 +272,7 @@
 		return
 	}
 	slices.SortFunc(idle, func(a, b idleConn) int { return a.since.Compare(b.since) })
-	for _, q := range idle[:max(min(room, len(idle)), 0)] {
+	for _, q := range idle[:max(min(drainBudget, len(idle)), 0)] {
 		q.drain()
 	}
 }
--- a/server/press.go
+++ b/server/press.go
@@ -45,7 +45,7 @@
 // calmEffects is what holds while nothing presses.
 var calmEffects = pressure.Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 
-func newMonitor(c *config.Config, b *config.Settings) *monitor {
+func newMonitor(c *config.Config, settings *config.Settings) *monitor {
 	n := len(c.Methods)
 	p := &monitor{admitShare: make([]atomic.Uint32, n), received: make([]atomic.Uint64, n), succeeded: make([]atomic.Uint64, n),
 		seed: uint64(time.Now().UnixNano()), settingsChanged: make(chan struct{}, 1)}
@@ -53,19 +53,19 @@
 	for k := range p.admitShare {
 		p.admitShare[k].Store(fullShare)
 	}
-	p.updateSettings(b)
+	p.updateSettings(settings)
 	return p
 }
 
 // updateSettings takes over settings; it tells whether anything is new.
-func (p *monitor) updateSettings(b *config.Settings) bool {
+func (p *monitor) updateSettings(settings *config.Settings) bool {
 	p.settingsMu.Lock()
 	defer p.settingsMu.Unlock()
-	if b.Pressure.On == p.settings.Pressure.On && b.Pressure.Every == p.settings.Pressure.Every &&
-		samePressureConfig(b.Pressure.Config, p.settings.Pressure.Config) {
+	if settings.Pressure.On == p.settings.Pressure.On && settings.Pressure.Every == p.settings.Pressure.Every &&
+		samePressureConfig(settings.Pressure.Config, p.settings.Pressure.Config) {
 		return false
 	}
-	p.settings = *b
+	p.settings = *settings
 	notify(p.settingsChanged)
 	return true
 }
@@ -81,9 +81,9 @@
 }
 
 // recordArrival takes note of an RPC that has been read.
-func (p *monitor) recordArrival(method int, lag float64) {
+func (p *monitor) recordArrival(method int, readDelay float64) {
 	p.received[method].Add(1)
-	p.readDelaySum.Add(int64(lag * 1e6))
+	p.readDelaySum.Add(int64(readDelay * 1e6))
 	p.readDelayCount.Add(1)
 }
 
@@ -96,8 +96,8 @@
 // recordTimerDelay takes note of how late a timer was.
 func (p *monitor) recordTimerDelay(d time.Duration) {
 	for {
-		was := p.maxTimerDelay.Load()
-		if int64(d) <= was || p.maxTimerDelay.CompareAndSwap(was, int64(d)) {
+		previous := p.maxTimerDelay.Load()
+		if int64(d) <= previous || p.maxTimerDelay.CompareAndSwap(previous, int64(d)) {
 			return
 		}
 	}
@@ -158,17 +158,17 @@
 	}
 	watch := pressure.New(0, watchConfig)
 	source := procstats.New()
-	var lag pressure.Lag
+	var readDelay pressure.Lag
 	asked, ok := make([]uint64, len(p.received)), make([]uint64, len(p.succeeded))
 	for k := range asked { // what came before is not of late
 		asked[k], ok[k] = p.received[k].Load(), p.succeeded[k].Load()
 	}
 	watch.Read(0, pressure.Unknown(), asked, ok)
-	every := seconds(settings.Every)
-	timer := time.NewTimer(every)
+	interval := seconds(settings.Every)
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
-	due := time.Now().Add(every)
-	born := time.Now()
+	nextSample := time.Now().Add(interval)
+	startedAt := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -178,27 +178,27 @@
 			return
 		case <-timer.C:
 		}
-		p.recordTimerDelay(time.Since(due))
+		p.recordTimerDelay(time.Since(nextSample))
 		for k := range asked {
 			asked[k], ok[k] = p.received[k].Load(), p.succeeded[k].Load()
 		}
-		now := time.Since(born).Seconds() // steady, whatever the wall clock does
-		r, stepped := source.Read(s.limits())
-		s.addOwnSignals(&r, &lag, now, stepped)
-		was, from := *p.effects.Load(), watch.Level()
-		changed := watch.Read(now, r, asked, ok)
+		now := time.Since(startedAt).Seconds() // steady, whatever the wall clock does
+		reading, stepped := source.Read(s.limits())
+		s.addOwnSignals(&reading, &readDelay, now, stepped)
+		previous, previousLevel := *p.effects.Load(), watch.Level()
+		changed := watch.Read(now, reading, asked, ok)
 		for k := range p.admitShare {
 			p.admitShare[k].Store(uint32(watch.Admit(k) * fullShare))
 		}
 		effects := watch.Effects()
 		p.effects.Store(&effects)
 		p.level.Store(int32(watch.Level()))
-		s.applyEffects(was, effects)
+		s.applyEffects(previous, effects)
 		if changed {
-			s.logPressure(watch, from, effects)
+			s.logPressure(watch, previousLevel, effects)
 		}
-		due = time.Now().Add(every)
-		timer.Reset(every)
+		nextSample = time.Now().Add(interval)
+		timer.Reset(interval)
 	}
 }
 
@@ -212,46 +212,46 @@
 }
 
 // addOwnSignals adds what only this process knows of itself.
-func (s *Server) addOwnSignals(r *pressure.Reading, lag *pressure.Lag, now float64, stepped bool) {
+func (s *Server) addOwnSignals(reading *pressure.Reading, readDelay *pressure.Lag, now float64, stepped bool) {
 	p, c := s.monitor, s.config.Load()
-	r[pressure.Loop] = time.Duration(p.maxTimerDelay.Swap(0)).Seconds()
-	asked := time.Now()
+	reading[pressure.Loop] = time.Duration(p.maxTimerDelay.Swap(0)).Seconds()
+	lockStart := time.Now()
 	s.gate.Credit()
-	r[pressure.Lock] = time.Since(asked).Seconds()
+	reading[pressure.Lock] = time.Since(lockStart).Seconds()
 	if waits, known := s.link.Waits(); known {
-		r[pressure.Link] = waits.Seconds()
+		reading[pressure.Link] = waits.Seconds()
 	}
 	sum, n := p.readDelaySum.Swap(0), p.readDelayCount.Swap(0)
-	r[pressure.Unread] = lag.Read(now, float64(sum)/1e6, int(n), stepped)
+	reading[pressure.Unread] = readDelay.Read(now, float64(sum)/1e6, int(n), stepped)
 	s.mu.Lock()
-	r[pressure.Descriptors] = float64(len(s.conns)+s.reserved()) / float64(max(c.Sockets, 1))
+	reading[pressure.Descriptors] = float64(len(s.conns)+s.reserved()) / float64(max(c.Sockets, 1))
 	s.mu.Unlock()
-	r[pressure.Owed] = float64(p.replyBytes.Load()) / (float64(c.Memory) / requestMemoryShare)
+	reading[pressure.Owed] = float64(p.replyBytes.Load()) / (float64(c.Memory) / requestMemoryShare)
 }
 
 // applyEffects puts into force what does not ask for itself.
-func (s *Server) applyEffects(was, is pressure.Effects) {
-	s.gate.Keep(int(float64(s.config.Load().Memory/resultMemoryShare) * is.Keep))
-	if was.Health != is.Health {
+func (s *Server) applyEffects(previous, current pressure.Effects) {
+	s.gate.Keep(int(float64(s.config.Load().Memory/resultMemoryShare) * current.Keep))
+	if previous.Health != current.Health {
 		notify(s.healthChanged)
 	}
 }
 
 // logPressure is the one line at each change of level.
-func (s *Server) logPressure(w *pressure.Watch, from pressure.Level, e pressure.Effects) {
-	fields := []zap.Field{zap.Stringer("level", w.Level()), zap.Stringer("from", from), zap.String("causes", w.Causes())}
+func (s *Server) logPressure(watch *pressure.Watch, previous pressure.Level, effects pressure.Effects) {
+	fields := []zap.Field{zap.Stringer("level", watch.Level()), zap.Stringer("from", previous), zap.String("causes", watch.Causes())}
 	for k := range pressure.Signals {
-		if v := w.Seen(k); !math.IsNaN(v) {
+		if v := watch.Seen(k); !math.IsNaN(v) {
 			fields = append(fields, zap.Float64(k.String(), math.Round(v*1e5)/1e5))
 		}
 	}
-	if until := w.Until(); !math.IsInf(until, 1) {
+	if until := watch.Until(); !math.IsInf(until, 1) {
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
-	fields = append(fields, zap.Float64("credit", math.Round(e.Credit*1e3)/1e3), zap.Int("turn", e.Turn),
-		zap.Bool("accepts", e.Accept), zap.Float64("results_kept", e.Keep), zap.Bool("healthy", e.Health),
+	fields = append(fields, zap.Float64("credit", math.Round(effects.Credit*1e3)/1e3), zap.Int("turn", effects.Turn),
+		zap.Bool("accepts", effects.Accept), zap.Float64("results_kept", effects.Keep), zap.Bool("healthy", effects.Health),
 		zap.Uint64("refused", s.monitor.rejected.Load()))
-	if w.Level() > from {
+	if watch.Level() > previous {
 		s.log.Warn("pressure", fields...)
 	} else {
 		s.log.Info("pressure", fields...)
@@ -267,12 +267,12 @@
 // credit is what goes out with every answer: the module's, less what the process itself cannot bear. Below 0 there is
 // none.
 func (s *Server) credit() float64 {
-	credit, times := s.gate.Credit(), s.monitor.effects.Load().Credit
+	credit, factor := s.gate.Credit(), s.monitor.effects.Load().Credit
 	switch {
-	case credit <= 0 || times >= 1 || s.creditSignal != rpc.Allowance:
+	case credit <= 0 || factor >= 1 || s.creditSignal != rpc.Allowance:
 		return credit
-	case times <= 0:
+	case factor <= 0:
 		return 0
 	}
-	return max(1, math.Ceil(credit*times))
+	return max(1, math.Ceil(credit*factor))
 }
--- a/server/reader.go
+++ b/server/reader.go
@@ -14,24 +14,24 @@
 // read takes frames until the connection ends; the end of the connection is no error.
 func (c *conn) read(in *readbuffer.Buffer) error {
 	c.boundNextRead(messageTimeout) // silence from the start is half a message too
-	turn := 0                       // RPCs since others last had theirs
-	late := false                   // what has come of a message was not whole in time
-	for timed := true; ; {
+	framesSinceYield := 0           // RPCs since others last had theirs
+	overdue := false                // what has come of a message was not whole in time
+	for timeLimited := true; ; {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
 			return err
 		}
 		if size == 0 {
-			turn = 0
+			framesSinceYield = 0
 			if done, err := c.discardLarge(in); err != nil {
 				return err
 			} else if done {
-				timed = false
+				timeLimited = false
 				c.boundNextRead(0)
 				continue
 			}
-			if !timed && len(in.Bytes()) > 0 {
-				timed = true
+			if !timeLimited && len(in.Bytes()) > 0 {
+				timeLimited = true
 				c.boundNextRead(messageTimeout)
 			}
 			c.setPartial(len(in.Bytes()) > 0)
@@ -39,22 +39,22 @@
 			case err == nil:
 			case errors.Is(err, readbuffer.ErrFull):
 				return err
-			case errors.Is(err, errConnShut) && late:
+			case errors.Is(err, errConnShut) && overdue:
 				return errPartialMessage
 			case !errors.Is(err, os.ErrDeadlineExceeded) || c.isEnding():
 				return nil
 			default:
-				late = c.handleOverdue()
+				overdue = c.handleOverdue()
 			}
 			continue
 		}
-		if timed {
-			timed = false
+		if timeLimited {
+			timeLimited = false
 			c.boundNextRead(0)
 		}
-		late = false
-		ends, full := c.beginFrame()
-		if ends {
+		overdue = false
+		ending, full := c.beginFrame()
+		if ending {
 			return nil
 		}
 		if c.unusableRPCs.Load() >= maxUnusableRPCs {
@@ -67,8 +67,8 @@
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
-		if turn++; turn >= c.monitor.effects.Load().Turn && turn > 1 {
-			turn = 0
+		if framesSinceYield++; framesSinceYield >= c.monitor.effects.Load().Turn && framesSinceYield > 1 {
+			framesSinceYield = 0
 			runtime.Gosched()
 		}
 	}
@@ -93,8 +93,8 @@
 	errTooManyUnusable = errors.New("too many RPCs that cannot be run")
 )
 
-// isRefusable reports whether the messages behind the one that ended a connection can be read, and so refused.
-func isRefusable(err error) bool {
+// isRejectable reports whether the messages behind the one that ended a connection can be read, and so refused.
+func isRejectable(err error) bool {
 	twice := (*duplicateSeqError)(nil)
 	return errors.Is(err, errTooManyUnusable) || errors.As(err, &twice)
 }
@@ -141,7 +141,7 @@
 // beginFrame marks that a frame is being taken in; full tells that it is one more than the connection may have open, and is refused. While
 // too many answers wait to be written it waits for the writer first: under overload callers give up and ask anew faster than it comes
 // to its turn.
-func (c *conn) beginFrame() (ends, full bool) {
+func (c *conn) beginFrame() (ending, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.phase < phaseEnding && !c.writerEnded && c.repliesBackedUp() {
@@ -171,9 +171,9 @@
 	if size <= c.monitor.effects.Load().Largest || size > thrift.MaxFrame {
 		return false, nil
 	}
-	k, there := thrift.Peek(in.Bytes()[4:])
-	method, known := c.methods[string(k.Method)]
-	if !there || !known || c.tokened(method) && len(k.Token) == 0 || k.Seq <= c.lastSeq {
+	header, complete := thrift.Peek(in.Bytes()[4:])
+	method, known := c.methods[string(header.Method)]
+	if !complete || !known || c.tokened(method) && len(header.Token) == 0 || header.Seq <= c.lastSeq {
 		return false, nil // read it then, and let it end as it would
 	}
 	c.mu.Lock()
@@ -190,16 +190,16 @@
 	if busy {
 		return false, nil
 	}
-	if _, came := c.clock.arrival(k.Recv, c.longestWait(method, math.Inf(1))); !c.shed(k.Seq, method, k.Token, came, size) {
+	if _, arrivedAt := c.clock.arrival(header.Recv, c.longestWait(method, math.Inf(1))); !c.shed(header.Seq, method, header.Token, arrivedAt, size) {
 		return false, nil
 	}
 	c.monitor.recordArrival(method, 0)
-	c.advanceTo(k.Seq)
+	c.advanceTo(header.Seq)
 	c.boundNextRead(messageTimeout)
-	for rest := size; ; {
-		n := min(rest, len(in.Bytes()))
+	for remaining := size; ; {
+		n := min(remaining, len(in.Bytes()))
 		in.Take(n)
-		if rest -= n; rest == 0 {
+		if remaining -= n; remaining == 0 {
 			return true, nil
 		}
 		if err := in.Fill(c); err != nil {
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -71,8 +71,8 @@
 	if !r.tokened(method) || len(token) == 0 {
 		return false
 	}
-	_, came := r.clock.arrival(recv, r.longestWait(method, ttl))
-	return r.gate.Knows(method, string(token), came)
+	_, arrivedAt := r.clock.arrival(recv, r.longestWait(method, ttl))
+	return r.gate.Knows(method, string(token), arrivedAt)
 }
 
 // Unreadable answers an RPC that could not have been run.
@@ -108,11 +108,11 @@
 			return
 		}
 		if size == 0 {
-			had := len(in.Bytes())
+			previousBytes := len(in.Bytes())
 			if read >= maxLingerBytes || in.Fill(nonBlockingReader{nc}) != nil {
 				return
 			}
-			read += len(in.Bytes()) - had
+			read += len(in.Bytes()) - previousBytes
 			continue
 		}
 		if thrift.Decode(frame, r) != nil {
--- a/server/reload.go
+++ b/server/reload.go
@@ -27,16 +27,16 @@
 			return
 		case <-asked:
 		}
-		var faulty error
+		var reloadErr error
 		changed := false
-		for end := time.Now().Add(reloadWindow); !changed && time.Now().Before(end); {
-			faulty = s.recoverPanic(func() (err error) {
+		for deadline := time.Now().Add(reloadWindow); !changed && time.Now().Before(deadline); {
+			reloadErr = s.recoverPanic(func() (err error) {
 				changed, err = s.reloadOnce(read)
 				return err
 			})
-			if faulty != nil && !descriptorLeft() { // it is not the file that is faulty
+			if reloadErr != nil && !descriptorLeft() { // it is not the file that is faulty
 				s.handleShortage()
-				end = time.Now().Add(reloadWindow)
+				deadline = time.Now().Add(reloadWindow)
 			}
 			if !changed && !sleep(ctx, reloadPollInterval.Seconds()) {
 				return
@@ -45,13 +45,13 @@
 		var keyError *config.KeyError
 		var directiveError *config.DirectiveError
 		switch {
-		case errors.As(faulty, &directiveError):
+		case errors.As(reloadErr, &directiveError):
 			s.log.Warn("settings invalid, the previous stays", zap.String("at", fmt.Sprintf("%s:%d", directiveError.Path, directiveError.Line)),
-				zap.Error(faulty))
-		case errors.As(faulty, &keyError):
-			s.log.Warn("config invalid, the previous stays", zap.String("key", keyError.Key), zap.Error(faulty))
-		case faulty != nil:
-			s.log.Warn("config unreadable, the previous stays", zap.Error(faulty))
+				zap.Error(reloadErr))
+		case errors.As(reloadErr, &keyError):
+			s.log.Warn("config invalid, the previous stays", zap.String("key", keyError.Key), zap.Error(reloadErr))
+		case reloadErr != nil:
+			s.log.Warn("config unreadable, the previous stays", zap.Error(reloadErr))
 		case !changed:
 			s.log.Info("config unchanged")
 		}
@@ -60,19 +60,19 @@
 
 // reloadOnce reads the config and the settings, and takes over what is new.
 func (s *Server) reloadOnce(read func() (*config.Config, *config.Settings, error)) (changed bool, err error) {
-	c, b, err := read()
+	c, settings, err := read()
 	if err != nil {
 		return false, err
 	}
 	changed = s.applyConfig(c)
-	if b == nil {
+	if settings == nil {
 		return changed, nil
 	}
-	if s.monitor.updateSettings(b) {
+	if s.monitor.updateSettings(settings) {
 		changed = true
-		s.log.Info("settings reloaded", zap.String("file", b.Path), zap.Bool("pressure", b.Pressure.On))
+		s.log.Info("settings reloaded", zap.String("file", settings.Path), zap.Bool("pressure", settings.Pressure.On))
 	}
-	return s.applyFleetSettings(b) || changed, nil
+	return s.applyFleetSettings(settings) || changed, nil
 }
 
 // applyConfig takes over what may change while running and tells whether anything is new. Runs and all that is held
@@ -84,19 +84,19 @@
 	}
 	s.lastReadConfig = c
 	next := *c
-	var left []string
+	var needRestart []string
 	for _, fixed := range []struct {
 		key  string
 		same bool
 	}{{"name", c.Name == old.Name}, {"listen", c.Listen == old.Listen},
 		{"settings", reflect.DeepEqual(c.Rules, old.Rules) && reflect.DeepEqual(c.Methods, old.Methods)}} {
 		if !fixed.same {
-			left = append(left, fixed.key)
+			needRestart = append(needRestart, fixed.key)
 		}
 	}
 	next.Name, next.Listen, next.Methods, next.Rules = old.Name, old.Listen, old.Methods, old.Rules
-	if left != nil {
-		s.log.Warn("config changed where a restart is needed", zap.Strings("keys", left))
+	if needRestart != nil {
+		s.log.Warn("config changed where a restart is needed", zap.Strings("keys", needRestart))
 	}
 	s.config.Store(&next)
 	s.setMemoryLimit(&next)
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -9,7 +9,7 @@
 )
 
 // Execute takes in one RPC.
-func (c *conn) Execute(seq int32, op, uid []byte, src int, recv, ttl, heap float64, again bool, dedupe, body []byte) {
+func (c *conn) Execute(seq int32, op, uid []byte, src int, recv, ttl, heap float64, retry bool, dedupe, body []byte) {
 	if c.isDuplicate(seq) {
 		return
 	}
@@ -38,22 +38,22 @@
 	if tokened {
 		token = string(dedupe)
 	}
-	k := &call{conn: c, seq: seq, method: method, uid: string(uid), body: append([]byte(nil), body...)}
-	if c.requestBytes.Add(k.size()) > int64(c.config.Load().Memory/requestMemoryShare) {
-		c.requestBytes.Add(-k.size())
+	pending := &call{conn: c, seq: seq, method: method, uid: string(uid), body: append([]byte(nil), body...)}
+	if c.requestBytes.Add(pending.size()) > int64(c.config.Load().Memory/requestMemoryShare) {
+		c.requestBytes.Add(-pending.size())
 		c.rejectForMemory(seq, method, token, recv)
 		return
 	}
 	c.mu.Lock()
-	c.openCalls[seq] = k
+	c.openCalls[seq] = pending
 	c.mu.Unlock()
 	var ok bool
-	if k.id, ok = c.gate.Arrive(now, method, src, recv, c.clientDeadline(method, now, recv, ttl), heap, again, k.uid, token, body,
-		k); !ok {
+	if pending.id, ok = c.gate.Arrive(now, method, src, recv, c.clientDeadline(method, now, recv, ttl), heap, retry, pending.uid, token, body,
+		pending); !ok {
 		c.mu.Lock()
 		delete(c.openCalls, seq)
 		c.mu.Unlock()
-		c.requestBytes.Add(-k.size())
+		c.requestBytes.Add(-pending.size())
 		c.unreadable(seq, "call or dedupe of another RPC")
 	}
 }
@@ -61,12 +61,12 @@
 // shed refuses an RPC that the process cannot bear now, at once and beside the gate, which never hears of it. What
 // has begun is not refused: a repeat of it goes to the gate.
 func (c *conn) shed(seq int32, method int, token []byte, recv float64, size int) bool {
-	e := c.monitor.effects.Load()
-	if size <= e.Largest && c.monitor.admits(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
+	effects := c.monitor.effects.Load()
+	if size <= effects.Largest && c.monitor.admits(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
 		return false
 	}
 	c.monitor.rejected.Add(1)
-	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, e.After, load) })
+	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, effects.After, load) })
 	return true
 }
 
@@ -108,14 +108,14 @@
 // client waits longer than that, whatever the router says.
 func (c *conn) clientDeadline(method int, now, recv, ttl float64) float64 {
 	wait := c.longestWait(method, ttl)
-	switch told := !math.IsInf(ttl, 1); {
-	case !told && math.IsInf(wait, 1):
+	switch ttlKnown := !math.IsInf(ttl, 1); {
+	case !ttlKnown && math.IsInf(wait, 1):
 		wait = defaultClientWait
-	case !told:
+	case !ttlKnown:
 		return 0
 	}
-	const someTime = 1 // a router that tells of a time long ago has told all the same
-	return max(min(recv, now)+wait, someTime)
+	const minDeadline = 1 // a router that tells of a time long ago has told all the same
+	return max(min(recv, now)+wait, minDeadline)
 }
 
 // duplicateSeqError is a number that two RPCs of one connection came under.
@@ -160,12 +160,12 @@
 // Interrupt tells that nobody waits for an RPC any more.
 func (c *conn) Interrupt(target int32) {
 	c.mu.Lock()
-	k := c.openCalls[target]
+	pending := c.openCalls[target]
 	delete(c.openCalls, target)
 	c.advanceShutdown()
 	c.mu.Unlock()
-	if k != nil {
-		c.abandon(map[int32]*call{target: k})
+	if pending != nil {
+		c.abandon(map[int32]*call{target: pending})
 	}
 }
 
--- a/server/runs.go
+++ b/server/runs.go
@@ -37,23 +37,23 @@
 
 // Ended is the kernel's word on a run.
 func (s *Server) Ended(r *run, took float64, result []byte, err error) {
-	how := rpc.OK
+	outcome := rpc.OK
 	attempt := (*kernel.Attempt)(nil)
 	if errors.As(err, &attempt) {
 		switch {
 		case attempt.Reach == kernel.NeverRan:
-			how = rpc.Moot
+			outcome = rpc.Moot
 		case attempt.Stopped:
-			how = rpc.Cancelled
+			outcome = rpc.Cancelled
 		default:
-			how = rpc.Error
+			outcome = rpc.Error
 		}
 	}
 	if attempt == nil || attempt.Reach != kernel.Sent {
 		r.conn.recordKernelVerdict(attempt == nil || !attempt.Unknown)
 	}
 	s.recoverPanic(func() error {
-		s.gate.Report(s.clock.now(), r.id, how, took, result)
+		s.gate.Report(s.clock.now(), r.id, outcome, took, result)
 		return nil
 	})
 }
--- a/server/server.go
+++ b/server/server.go
@@ -74,12 +74,12 @@
 }
 
 // NewWithSettings is New under the operators' own settings.
-func NewWithSettings(c *config.Config, b *config.Settings, log *zap.Logger) *Server {
+func NewWithSettings(c *config.Config, settings *config.Settings, log *zap.Logger) *Server {
 	s := &Server{clock: systemClock(), log: log, limitedLog: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(core, logInterval, 1, 0)
 	})), methods: map[string]int{}, conns: map[*conn]struct{}{},
 		kernelUp: make(chan struct{}), connEnded: make(chan struct{}, 1), reportNow: make(chan struct{}, 1), healthChanged: make(chan struct{}, 1),
-		drainSchedule: defaultSchedule.scaledTo, partialTimeout: partialTimeout, idleCheckInterval: defaultIdleCheckInterval, monitor: newMonitor(c, b), creditSignal: c.Rules.Machine.Signal, fleetSettings: b.Fleet, fleetSettingsRead: b.Fleet}
+		drainSchedule: defaultSchedule.scaledTo, partialTimeout: partialTimeout, idleCheckInterval: defaultIdleCheckInterval, monitor: newMonitor(c, settings), creditSignal: c.Rules.Machine.Signal, fleetSettings: settings.Fleet, fleetSettingsRead: settings.Fleet}
 	s.config.Store(c)
 	s.systemLimit = systemLimit()
 	s.lastReadConfig = c
@@ -119,43 +119,43 @@
 // ServeOn is Serve on a listener of the embedder's, which it closes; the process's memory limit is left
 // alone.
 func (s *Server) ServeOn(ctx context.Context, listener *net.TCPListener) error {
-	member, roles, err := s.joinFleet()
+	fleetMember, roles, err := s.joinFleet()
 	if err != nil {
 		listener.Close()
 		return err
 	}
-	live, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	// The notice to leave comes from outside, or from a duty without which nobody would be served: either way all that has
 	// been read is answered first.
-	ctx, giveNotice := context.WithCancelCause(ctx)
-	defer giveNotice(nil)
-	var all context.Context
-	s.group, all = errgroup.WithContext(live)
-	closed := make(chan struct{}) // when the listener is
+	ctx, startDrain := context.WithCancelCause(ctx)
+	defer startDrain(nil)
+	var runCtx context.Context
+	s.group, runCtx = errgroup.WithContext(serveCtx)
+	listenerClosed := make(chan struct{}) // when the listener is
 	s.group.Go(func() error {
-		defer close(closed)
-		if err := s.accept(all, listener); err != nil {
+		defer close(listenerClosed)
+		if err := s.accept(runCtx, listener); err != nil {
 			s.log.Error("no newcomers any more, leaving", zap.Error(err))
-			giveNotice(err)
+			startDrain(err)
 		}
 		return nil
 	})
-	if member != nil {
-		s.group.Go(func() error { return s.runFleet(ctx, all, member, roles) })
+	if fleetMember != nil {
+		s.group.Go(func() error { return s.runFleet(ctx, runCtx, fleetMember, roles) })
 	}
-	s.group.Go(func() error { return s.restartOnPanic(all, s.link.Serve) })
-	s.group.Go(func() error { return s.dispatch(all) })
-	s.group.Go(func() error { return s.runTicks(all) })
-	s.group.Go(func() error { return s.watchHealth(all) })
-	s.group.Go(func() error { return s.monitorSelf(all) })
+	s.group.Go(func() error { return s.restartOnPanic(runCtx, s.link.Serve) })
+	s.group.Go(func() error { return s.dispatch(runCtx) })
+	s.group.Go(func() error { return s.runTicks(runCtx) })
+	s.group.Go(func() error { return s.watchHealth(runCtx) })
+	s.group.Go(func() error { return s.monitorSelf(runCtx) })
 	s.group.Go(func() error {
 		select { // before it can answer anything it is not to be found
-		case <-all.Done():
+		case <-runCtx.Done():
 			return nil
 		case <-s.kernelUp:
 		}
-		return s.restartOnPanic(all, func(ctx context.Context) error {
+		return s.restartOnPanic(runCtx, func(ctx context.Context) error {
 			return roster.Report(ctx, func() (netip.AddrPort, string, bool) {
 				c := s.config.Load()
 				return c.Roster, c.Name, s.healthy()
@@ -163,8 +163,8 @@
 		})
 	})
 	s.group.Go(func() error {
-		defer end()
-		return s.recoverPanic(func() error { return s.runDrain(ctx, all, listener, closed) })
+		defer cancel()
+		return s.recoverPanic(func() error { return s.runDrain(ctx, runCtx, listener, listenerClosed) })
 	})
 	s.logUnserved()
 	s.log.Info("serving", zap.Stringer("listen", listener.Addr()))
--- a/server/writer.go
+++ b/server/writer.go
@@ -46,7 +46,7 @@
 		replies := c.replies
 		c.replies, c.spareReplies = c.spareReplies[:0], nil
 		c.writing = true
-		owing := c.replyBytes
+		replyBytes := c.replyBytes
 		c.mu.Unlock()
 		notify(c.repliesTaken)
 		for rest := replies; len(rest) > 0; {
@@ -66,8 +66,8 @@
 		c.mu.Lock()
 		c.spareReplies, c.writing, c.lastUsed = replies, false, time.Now()
 		if !c.released {
-			c.replyBytes -= owing
-			c.monitor.replyBytes.Add(-owing)
+			c.replyBytes -= replyBytes
+			c.monitor.replyBytes.Add(-replyBytes)
 		}
 		c.advanceShutdown()
 		c.mu.Unlock()
