--- a/server/clock.go
+++ b/server/clock.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// clock is the app server's time: Unix seconds as of its start, which then go on steadily whatever is done to the system's clock.
-// What others have marked with the system's time is translated to it, see arrival.
+// clock returns Unix seconds that never step: it reads the system clock once at the start and advances
+// monotonically from there. arrival translates timestamps that routers took from the system clock.
 type clock struct {
-	// read gives the system's clock in Unix seconds, which may be set at any time, and the seconds since the start, whatever is done to
-	// that clock. It reads both at once: a pause between them would look as if the clock had been set.
+	// read returns the system clock in Unix seconds, which may be set at any time, and the monotonic seconds
+	// since the start. Both come from one reading: a pause between two readings would look like a clock step.
 	read   func() (wall, steady float64)
-	origin float64 // the system's clock at the start
+	origin float64 // system clock minus monotonic seconds, at the start
 
 	mu      sync.Mutex
-	offsets [maxOffsets]float64 // how far this clock was ahead of the system's, the present lead first
+	offsets [maxOffsets]float64 // how far this clock was ahead of the system clock, latest first
 }
 
 const (
-	// maxOffsets is how many settings of the system's clock are told apart. RPCs marked before the last one are still to be read; the
-	// first lead, which is none, stands for routers that do not see the system's clock being set at all.
+	// maxOffsets bounds the remembered settings of the system clock. RPCs stamped before the latest step may
+	// still be unread. The last entry stays 0, for routers that never see the step.
 	maxOffsets = 3
-	// stepThreshold is by how much the system's clock has to be off for it to have been set: a clock that is steered gains or loses less
-	// than a thousandth.
+	// stepThreshold, in seconds, is the change of offset that counts as a step of the system clock. Slewing
+	// changes the rate by less than 0.1 %.
 	stepThreshold = 0.05
-	// slewThreshold is by how much a clock that is slewThreshold may be off before that counts: RPCs marked alike are to come alike.
+	// slewThreshold, in seconds, is the smallest change of offset that is taken over, so that RPCs with equal
+	// timestamps get equal arrival times.
 	slewThreshold = 0.001
-	// futureTolerance is how far ahead of the clock an RPC may have come: marks are whole milliseconds, and clocks are read one after another.
+	// futureTolerance, in seconds, is how far in the future an arrival may lie: timestamps are whole
+	// milliseconds, and the clocks are read one after another.
 	futureTolerance = 0.05
 )
 
@@ -44,15 +46,16 @@
 	return &clock{read: read, origin: wall - steady}
 }
 
-// now is the time in Unix seconds. It never steps.
+// now returns the time in Unix seconds. It never steps.
 func (c *clock) now() float64 {
 	_, steady := c.read()
 	return c.origin + steady
 }
 
-// arrival gives the time and, on the same clock, when an RPC came that is marked with the system's time and is waited for ttl seconds
-// from then. The mark counts by the system's clock as it is set now. Where that makes no sense, as the RPC would come from the future
-// or be past its end, it counts by one of the earlier settings if by that it makes sense.
+// arrival returns the current time and, on the same clock, when an RPC arrived whose timestamp is in system
+// time and whose client waits for ttl seconds from then. The timestamp is translated by the current offset.
+// If the result lies in the future or the ttl has passed, the first earlier offset that gives a plausible
+// time is used instead.
 func (c *clock) arrival(timestamp, ttl float64) (now, arrivedAt float64) {
 	wall, steady := c.read()
 	now = c.origin + steady
@@ -65,13 +68,13 @@
 	return now, timestamp + offsets[0]
 }
 
-// observe takes note of how far this clock is ahead of the system's.
+// observe records how far this clock is ahead of the system clock and returns the known offsets.
 func (c *clock) observe(offset float64) [maxOffsets]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change := math.Abs(offset - c.offsets[0])
 	if change > stepThreshold {
-		copy(c.offsets[1:maxOffsets-1], c.offsets[:]) // the last one stays: none
+		copy(c.offsets[1:maxOffsets-1], c.offsets[:]) // the last entry stays 0
 	}
 	if change > slewThreshold {
 		c.offsets[0] = offset
@@ -79,10 +82,11 @@
 	return c.offsets
 }
 
-// maxDuration is as long as anything is waited for: a century, which is half of what can be added to a time.
+// maxDuration is a century: two of them still fit into a time.Duration.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
-// seconds converts a number of seconds of any size: below 0 and what is no number are 0, and nothing is longer than longest.
+// seconds converts seconds to a Duration. Negative values and NaN become 0; the result is at most
+// maxDuration.
 func seconds(s float64) time.Duration {
 	switch {
 	case !(s > 0):
