--- a/server/conn.go
+++ b/server/conn.go
@@ -14,20 +14,21 @@
 	"valveglade/internal/thrift"
 )
 
-// call is one RPC as it came.
+// call is one received RPC.
 type call struct {
 	conn   *conn
-	seq    int32
-	id     gate.ID // known to the connection's reader alone
-	method int
+	seq    int32   // sequence number on the connection
+	id     gate.ID // accessed only by the connection's reader
+	method int     // index in the config's methods
 	uid    string
 	body   []byte
 }
 
+// size returns the approximate memory of the RPC in bytes.
 func (k *call) size() int64 { return int64(callSize + len(k.body)) }
 
-// respond takes the RPC's respond, with a result of so many bytes, to its connection, unless nobody there waits for it any
-// more.
+// respond queues the reply to the RPC, whose result has resultBytes bytes. It does nothing if the RPC is no
+// longer open on the connection.
 func (k *call) respond(resultBytes int, r reply) {
 	c := k.conn
 	c.mu.Lock()
@@ -41,52 +42,64 @@
 	}
 }
 
-// conn is one connection of a router.
+// conn is the connection of one router.
 type conn struct {
 	*Server
 	net.Conn
 
 	mu               sync.Mutex
-	openCalls        map[int32]*call // read, no answer written
-	replies          []reply
-	spareReplies     []reply
-	reading          bool      // a frame is being taken in
-	writing          bool      // an answer is on its way out
-	replyBytes       int64     // bytes of results that wait to be written, or are being written
-	released         bool      // nobody is there any more
-	writerEnded      bool      // the writer has ended
-	phase            phase     // changed by move alone
-	partial          bool      // the router is in the middle of a message
-	messageDeadline  time.Time // when what has come of a message must be whole, zero for never
-	wakeDeadlineSet  bool      // the read deadline is not due, but wakes the reader
-	evicted          bool      // its descriptor is wanted
-	receivedMessage  bool      // a whole message has come
-	lastUsed         time.Time // last frame either way
-	drainSentAt      time.Time // when the router was asked to leave, zero before
-	closingAt        time.Time // when it began to close
-	endingAt         time.Time // when nothing more was taken in
-	finalReadDone    bool      // the reader has had its last look, see lastLook
-	closeOnce        sync.Once // see Close
-	wake             chan struct{}
-	repliesTaken     chan struct{} // holds one when the writer has taken up what waited, or nothing more is taken in
-	writeShut        chan struct{} // closed once our side is shut
-	descriptorClosed chan struct{} // closed once the descriptor has been given back
-	seqTracker                     // of its RPCs; the reader's own
-	protocolError    error         // what ends the connection; the reader's own
-	unusableRPCs     atomic.Int32  // RPCs of no usual router since the kernel last knew one, see judge
+	openCalls        map[int32]*call // read, but no reply queued yet
+	replies          []reply         // queued for the writer
+	spareReplies     []reply         // written; its memory is reused
+	reading          bool            // a frame is being processed
+	writing          bool            // replies are being written
+	replyBytes       int64           // bytes of results that are queued or being written
+	released         bool            // release has run: nobody waits for replies any more
+	writerEnded      bool            // the writer has returned
+	phase            phase           // changed only by enterPhase
+	partial          bool            // the buffer holds part of a message
+	messageDeadline  time.Time       // when the message that has begun must be complete; zero for no limit
+	wakeDeadlineSet  bool            // the read deadline only wakes the reader; it is not messageDeadline
+	evicted          bool            // the descriptor is needed for another connection
+	receivedMessage  bool            // at least one complete message has arrived
+	lastUsed         time.Time       // last frame in either direction
+	drainSentAt      time.Time       // when the router was asked to close the connection; zero before
+	closingAt        time.Time       // when phaseClosing began
+	endingAt         time.Time       // when phaseEnding began
+	finalReadDone    bool            // rejectUnread has finished, or its time is up
+	closeOnce        sync.Once       // guards Close
+	wake             chan struct{}   // notified when a reply is queued
+	repliesTaken     chan struct{}   // notified when the writer has taken the queued replies, or nothing more is read
+	writeShut        chan struct{}   // closed once the write side is shut
+	descriptorClosed chan struct{}   // closed once the descriptor is closed
+	seqTracker                       // sequence numbers of the connection's RPCs; accessed only by the reader
+	protocolError    error           // ends the connection; accessed only by the reader
+	// unusableRPCs counts the RPCs that were unreadable, or unknown to the kernel, since the kernel last knew
+	// one; see recordKernelVerdict.
+	unusableRPCs atomic.Int32
 }
 
 const (
-	maxOpenCalls    = 64                      // RPCs open or with an unwritten answer: 32, and what crosses interrupts
-	maxUnusableRPCs = 8                       // RPCs of no usual router running, before whoever sends them has to connect again
-	timerSlack      = time.Millisecond        // a timer may be early by, as clocks are read one after another
-	writeTimeout    = 10 * time.Second        // a router that does not read for so long has lost its answers
-	messageTimeout  = 1500 * time.Millisecond // for a message to come whole: half of what a client has to be told within
-	writeSize       = 16 << 10                // answers gathered for one write
-	callSize        = 1 << 10                 // what an RPC takes beside its body, about
+	// maxOpenCalls bounds the RPCs that are open or whose reply is unwritten: 32, and as many again that
+	// cross interrupts.
+	maxOpenCalls = 64
+	// maxUnusableRPCs is how many consecutive unusable RPCs close the connection, so that their sender has to
+	// reconnect.
+	maxUnusableRPCs = 8
+	// timerSlack is how early a timer may fire, as clocks are read one after another.
+	timerSlack = time.Millisecond
+	// writeTimeout is how long a router may take to read its replies before the connection is closed.
+	writeTimeout = 10 * time.Second
+	// messageTimeout is how long a message may take to arrive completely: half of the time within which a
+	// client must get a reply.
+	messageTimeout = 1500 * time.Millisecond
+	// writeSize is the number of bytes from which gathered replies are written.
+	writeSize = 16 << 10
+	// callSize approximates the memory of an RPC without its body.
+	callSize = 1 << 10
 )
 
-// serve reads and writes until the connection ends.
+// serve starts the reader and the writer of the connection. They run until it ends.
 func (c *conn) serve(ctx context.Context) {
 	connCtx, cancel := context.WithCancel(ctx)
 	context.AfterFunc(connCtx, func() { c.Close() })
@@ -117,22 +130,23 @@
 	})
 }
 
-// idleConn is what there is to know of a connection on which nothing is going on.
+// idleConn is a snapshot of a connection, taken to decide whether it can be closed.
 type idleConn struct {
 	*conn
-	since       time.Time // of its last frame, or of the message that it is in the middle of
-	midMessage  bool      // of a message has come
-	hasReceived bool      // a whole message ever came
-	halfClosed  bool      // it has been ended, and is read on
-	evicting    bool      // its descriptor is to come back already
-	sinceDrain  time.Duration
+	since       time.Time     // last frame, or start of the incomplete message
+	midMessage  bool          // part of a message has arrived
+	hasReceived bool          // at least one complete message has arrived
+	halfClosed  bool          // the write side is shut; the rest of the input is discarded
+	evicting    bool          // it is already being evicted
+	sinceDrain  time.Duration // time since the router was asked to close; 0 if it was not
 }
 
-// idleSnapshot tells what there is to know of the connection, if it is idle.
+// idleSnapshot returns the state of the connection and whether it is idle.
 func (c *conn) idleSnapshot() (q idleConn, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q = idleConn{conn: c, since: c.lastUsed, midMessage: c.partial, hasReceived: c.receivedMessage, halfClosed: c.phase == phaseShut, evicting: c.evicted}
+	q = idleConn{conn: c, since: c.lastUsed, midMessage: c.partial, hasReceived: c.receivedMessage,
+		halfClosed: c.phase == phaseShut, evicting: c.evicted}
 	if c.partial && !c.messageDeadline.IsZero() {
 		q.since = c.messageDeadline.Add(-messageTimeout)
 	}
@@ -142,13 +156,14 @@
 	return q, c.isIdle()
 }
 
-// isIdle is called under the lock.
+// isIdle reports whether no RPC is open, no reply waits, and nothing is read or written. The caller holds
+// c.mu.
 func (c *conn) isIdle() bool {
 	return len(c.openCalls) == 0 && len(c.replies) == 0 && !c.reading && !c.writing
 }
 
-// drain asks the router to send nothing more here and to close. An RPC that crosses this is answered as any
-// other.
+// drain asks the router to send nothing more on this connection and to close it. An RPC that crosses this
+// message is handled as usual.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,14 +174,15 @@
 	}
 }
 
-// Close gives the descriptor back. Also when another goroutine has begun to close it returns only then: the connection's own
-// Close would return at once, and its place would be free before its descriptor is.
+// Close closes the descriptor. Concurrent calls return only after it is closed: net.Conn's Close would return
+// at once, and the connection's slot would be free before its descriptor is.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() { c.Conn.Close() })
 	return nil
 }
 
-// release tells the gate that nobody waits for what the connection carried.
+// release tells the gate that nobody waits for the connection's open RPCs, closes the connection and removes
+// it from the server.
 func (c *conn) release() {
 	c.mu.Lock()
 	calls := c.openCalls
@@ -177,7 +193,7 @@
 		c.abandon(calls)
 		return nil
 	})
-	c.Close() // before its place is free; over what was never read it is a reset
+	c.Close() // before the slot is free; with unread input this is a reset
 	c.Server.mu.Lock()
 	delete(c.conns, c)
 	c.Server.mu.Unlock()
