--- a/server/descriptors.go
+++ b/server/descriptors.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// minReserved is how many descriptors are kept back from callers at the least: the ten that a process holds at its start (the
-	// standard three, two of the control group, two of the poller, the listener and two that it may have inherited), and spare.
+	// minReserved is the least number of descriptors kept back from callers: the ten that a process holds at
+	// its start (the standard three, two for the control group, two for the poller, the listener and two that
+	// may be inherited), and spareDescriptors.
 	minReserved = 10 + spareDescriptors
-	// spareDescriptors is for what is opened after the start, beside connections that are served: the kernel link and the one that
-	// follows it when the kernel moves, the roster's socket, a configuration file, a file of the system's figures, the
-	// connection that is being let in, the one held back for newcomers, and mostGoing that are on their way out.
+	// spareDescriptors covers what is opened after the start besides served connections: the kernel link and
+	// its successor when the kernel moves, the roster's socket, a configuration file, a file of system
+	// metrics, the connection being accepted, the emergency descriptor, and maxEvicting connections that are
+	// being closed.
 	spareDescriptors = 7 + maxEvicting
-	// shortageWindow is how long after the last descriptor was taken one has to be left over for a newcomer to be served: the kernel link
-	// and a new configuration come first.
+	// shortageWindow is how long after descriptors ran out a new connection is served only if one more
+	// descriptor is free: the kernel link and a new configuration take precedence.
 	shortageWindow = 5 * time.Second
 )
 
-// openDescriptor takes a descriptor.
+// openDescriptor opens a descriptor on the null device.
 func openDescriptor() (int, error) {
 	return syscall.Open(os.DevNull, syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
 }
@@ -36,30 +38,32 @@
 	return true
 }
 
-// emergencyDescriptor is one descriptor that the acceptor holds, so that it can turn newcomers away where the system has none left: those would
-// wait unheard in the listener's queue. The acceptor's goroutine alone has it.
+// emergencyDescriptor is one descriptor held by the acceptor. It is released to accept and reject a
+// connection when the system has none left; the connection would otherwise wait in the listener's queue
+// without a reply. Only the acceptor's goroutine uses it.
 type emergencyDescriptor struct {
 	fd   int
 	held bool
 }
 
-func (h *emergencyDescriptor) take() {
-	if h.held {
+func (d *emergencyDescriptor) take() {
+	if d.held {
 		return
 	}
 	if fd, err := openDescriptor(); err == nil {
-		h.fd, h.held = fd, true
+		d.fd, d.held = fd, true
 	}
 }
 
-func (h *emergencyDescriptor) release() {
-	if h.held {
-		syscall.Close(h.fd)
-		h.held = false
+func (d *emergencyDescriptor) release() {
+	if d.held {
+		syscall.Close(d.fd)
+		d.held = false
 	}
 }
 
-// handleShortage takes note that no descriptor was left, and has idle connections give theirs back. It reports whether any does.
+// handleShortage records that descriptors ran out and evicts idle connections. It reports whether any was
+// evicted.
 func (s *Server) handleShortage() (evicted bool) {
 	s.lastShortageAt.Store(int64(s.clock.now()))
 	s.mu.Lock()
@@ -72,23 +76,24 @@
 	return evicted
 }
 
-// isShort reports whether no descriptor is left for one more connection, where there was none some seconds ago.
+// isShort reports whether descriptors ran out within shortageWindow and none is free now.
 func (s *Server) isShort() bool {
 	at := s.lastShortageAt.Load()
 	return at > 0 && s.clock.now()-float64(at) < shortageWindow.Seconds() && !descriptorLeft()
 }
 
-// countOwnDescriptors takes note of the descriptors that the process holds before it lets anybody in: the listener, those of the
-// runtime, and whatever it was started with, which counts against its limit too.
+// countOwnDescriptors counts the descriptors that the process holds before it accepts connections: the
+// listener, those of the runtime, and inherited ones, which count against the limit too.
 func (s *Server) countOwnDescriptors() {
 	names, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		return // the reserve has room for a usual process
+		return // minReserved covers a usual process
 	}
-	s.startDescriptors.Store(int64(len(names)) - 1) // less the one that reads the folder
+	s.startDescriptors.Store(int64(len(names)) - 1) // less the one open on the directory
 }
 
-// reserved is how many descriptors are kept back from callers: while the fleet is on, its sockets and streams too.
+// reserved returns how many descriptors are kept back from callers, including the fleet's sockets and streams
+// if the fleet is on.
 func (s *Server) reserved() int {
 	kept := max(minReserved, int(s.startDescriptors.Load())+spareDescriptors)
 	if s.fleetSettings.On() {
@@ -97,12 +102,13 @@
 	return kept
 }
 
-// connectionCapacity is how many connections the descriptors allow: by the configuration, and by the system where that allows less.
+// connectionCapacity returns how many connections the descriptors allow, by the configuration or the system's
+// limit, whichever is lower.
 func (s *Server) connectionCapacity() int {
 	return min(s.config.Load().Sockets, s.systemLimit) - s.reserved()
 }
 
-// systemLimit is how many descriptors the system allows to the process.
+// systemLimit returns the process's descriptor limit.
 func systemLimit() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -111,7 +117,7 @@
 	return int(limit.Cur)
 }
 
-// outOfDescriptors reports whether a call failed because the process or the system has no descriptor left.
+// outOfDescriptors reports whether err means that the process or the system has no descriptor left.
 func outOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
