--- a/server/distribution.go
+++ b/server/distribution.go
@@ -8,14 +8,15 @@
 	"valveglade/member"
 )
 
-// Bounds of the streams that a voter or distributor serves: a share of its descriptors, and what a distributor at the design size
-// needs when half of the distributors are gone.
+// Limits on the streams that a voter or distributor serves: a share of its descriptors, and the number that a
+// distributor needs at the design size when half of the distributors have failed.
 const (
-	streamShare = 8 // one of so many descriptors
+	streamShare = 8 // one in this many descriptors
 	maxStreams  = 512
 )
 
-// incomingStreams is how many streams of others this app server serves at a time: none unless it distributes configuration.
+// incomingStreams returns how many streams this app server serves at a time: 0 unless it distributes
+// configuration.
 func incomingStreams(settings config.Fleet, c *config.Config) int {
 	if !distributesConfig(settings, c.Name) {
 		return 0
@@ -23,13 +24,14 @@
 	return min(c.Sockets/streamShare, maxStreams)
 }
 
-// distributesConfig reports whether an app server of that name serves streams: a voter does, for others' snapshots, and a distributor.
+// distributesConfig reports whether the named app server serves streams, as voters (for others' snapshots)
+// and distributors do.
 func distributesConfig(settings config.Fleet, name string) bool {
-	votes := slices.ContainsFunc(settings.Voters, func(names []string) bool { return slices.Contains(names, name) })
-	return settings.Distribution.On && (votes || slices.Contains(settings.Distribution.Distributors, name))
+	isVoter := slices.ContainsFunc(settings.Voters, func(names []string) bool { return slices.Contains(names, name) })
+	return settings.Distribution.On && (isVoter || slices.Contains(settings.Distribution.Distributors, name))
 }
 
-// fleetDescriptors is how many descriptors the fleet takes at the most.
+// fleetDescriptors returns the most descriptors that the fleet uses.
 func fleetDescriptors(settings config.Fleet, c *config.Config) int {
 	if !settings.Distribution.On {
 		return member.Descriptors
@@ -37,22 +39,25 @@
 	return member.DescriptorsWithStreams(incomingStreams(settings, c)) + fleet.SocketDescriptors
 }
 
-// distributeConfig has this app server take part in the distribution of configuration, where the operators have said so.
+// distributeConfig starts this app server's part in the distribution of configuration if the settings enable
+// it.
 func (s *Server) distributeConfig(fleetMember *member.Member, roles *fleet.Fleet) error {
 	settings, c := s.fleetSettings, s.config.Load()
 	if !settings.Distribution.On {
 		return nil
 	}
-	cfg := fleet.DistributionConfig{Name: c.Name, Voters: settings.Voters, Distributors: settings.Distribution.Distributors, Services: settings.Distribution.Services,
-		AllServices: settings.Distribution.AllServices, Folder: settings.State, BytesPerSecond: settings.Distribution.BytesPerSecond, StaleAfter: settings.Distribution.StaleAfter}
+	cfg := fleet.DistributionConfig{Name: c.Name, Voters: settings.Voters,
+		Distributors: settings.Distribution.Distributors, Services: settings.Distribution.Services,
+		AllServices: settings.Distribution.AllServices, Folder: settings.State,
+		BytesPerSecond: settings.Distribution.BytesPerSecond, StaleAfter: settings.Distribution.StaleAfter}
 	if settings.Socket != "" {
 		cfg.Socket = fleet.ConfigSocket(settings.Socket)
 	}
-	d, err := roles.Distribute(cfg, fleetMember)
+	distribution, err := roles.Distribute(cfg, fleetMember)
 	if err != nil {
 		return err
 	}
-	fleetMember.HandleStreams(d.ServeStream)
-	s.distribution = d
+	fleetMember.HandleStreams(distribution.ServeStream)
+	s.distribution = distribution
 	return nil
 }
