--- a/server/drain.go
+++ b/server/drain.go
@@ -8,42 +8,49 @@
 	"go.uber.org/zap"
 )
 
-// stage is how far the app server has come on its way out. It only goes on, and only enter changes it.
+// stage is the progress of the app server's shutdown. It only advances, and only enterStage changes it.
 type stage int32
 
 const (
 	stageServing      stage = iota
-	stageDraining           // late routers are still answered
-	stageNotAccepting       // nobody new is let in, routers are asked to go
-	stageClosing            // their connections are ended
+	stageDraining           // RPCs from routers that still send are answered
+	stageNotAccepting       // no new connections; routers are asked to close theirs
+	stageClosing            // connections are being closed
 	stageStopped
 )
 
-func (g stage) String() string {
-	return [...]string{"serving", "draining", "not accepting", "closing connections", "stopped"}[g]
+func (s stage) String() string {
+	return [...]string{"serving", "draining", "not accepting", "closing connections", "stopped"}[s]
 }
 
+// enterStage records and logs the start of a stage.
 func (s *Server) enterStage(to stage) {
 	s.currentStage.Store(int32(to))
 	s.log.Info("drain", zap.Stringer("stage", to))
 }
 
-// drainSchedule are what is left of the time before the kill once nobody new is let in; once connections are ended, of which a
-// router has heard a tenth of a second before; once nothing more is taken in, of who sends on all the same; and once the
-// process ends whatever is still open: a connection is given up by its router within some tens of milliseconds.
-type drainSchedule struct{ notAccepting, closing, rejecting, exit float64 }
+// drainSchedule holds the seconds before the kill at which the steps of a drain begin.
+type drainSchedule struct {
+	notAccepting float64 // no new connections are accepted; routers are asked to close theirs
+	closing      float64 // connections are closed, a tenth of a second after their routers were asked to
+	rejecting    float64 // the input of routers that send all the same is rejected
+	exit         float64 // open connections are cut off; their routers give them up within tens of milliseconds
+}
 
 var defaultSchedule = drainSchedule{notAccepting: 0.4, closing: 0.3, rejecting: 0.2, exit: 0.08}
 
-// scaledTo gives spans that leave at least half of the time from the notice to the kill for what still comes.
+// scaledTo shortens the schedule so that at least half of the time from the shutdown notice to the kill is
+// left for RPCs that still arrive.
 func (d drainSchedule) scaledTo(stopDelay float64) drainSchedule {
-	share := min(1, stopDelay/2/d.notAccepting)
-	return drainSchedule{notAccepting: d.notAccepting * share, closing: d.closing * share, rejecting: d.rejecting * share, exit: d.exit * share}
+	factor := min(1, stopDelay/2/d.notAccepting)
+	return drainSchedule{notAccepting: d.notAccepting * factor, closing: d.closing * factor,
+		rejecting: d.rejecting * factor, exit: d.exit * factor}
 }
 
-// runDrain waits for the notice and then sees the process out. The others go on until it returns: what is read by then is
-// answered.
-func (s *Server) runDrain(ctx, runCtx context.Context, listener *net.TCPListener, closed <-chan struct{}) error {
+// runDrain waits for the shutdown notice and then drains the process. The server's other goroutines go on
+// until it returns, so what has been read by then is answered.
+func (s *Server) runDrain(ctx, runCtx context.Context, listener *net.TCPListener,
+	listenerClosed <-chan struct{}) error {
 	defer listener.Close()
 	select {
 	case <-runCtx.Done():
@@ -62,8 +69,8 @@
 	select {
 	case <-runCtx.Done():
 		return nil
-	case <-closed: // all that were let in are among the connections
-	case <-time.After(seconds(stopAt - schedule.closing - s.clock.now())): // newcomers still flood in
+	case <-listenerClosed: // every accepted connection is in s.conns
+	case <-time.After(seconds(stopAt - schedule.closing - s.clock.now())): // new connections still flood in
 		listener.Close()
 	}
 	for {
@@ -72,7 +79,7 @@
 		}
 		s.mu.Lock()
 		for c := range s.conns {
-			c.drain() // whatever the stage: its router is told before it sees the end
+			c.drain() // at every stage, so the router is notified before it sees the close
 			switch {
 			case s.clock.now() > stopAt-schedule.rejecting:
 				c.shutDownNow()
@@ -80,13 +87,13 @@
 				c.shutDown()
 			}
 		}
-		n := len(s.conns)
+		open := len(s.conns)
 		s.mu.Unlock()
-		if n > 0 && s.clock.now() > stopAt-schedule.exit {
-			s.log.Warn("connections cut off", zap.Int("connections", n))
-			n = 0
+		if open > 0 && s.clock.now() > stopAt-schedule.exit {
+			s.log.Warn("connections cut off", zap.Int("connections", open))
+			open = 0
 		}
-		if n == 0 {
+		if open == 0 {
 			s.enterStage(stageStopped)
 			return nil
 		}
