--- a/server/loops.go
+++ b/server/loops.go
@@ -13,7 +13,7 @@
 	"valveglade/rpc"
 )
 
-// dispatch does what the gate picks.
+// dispatch performs the jobs that the gate picks.
 func (s *Server) dispatch(ctx context.Context) error {
 	for {
 		job, err := s.gate.Pick(ctx)
@@ -23,19 +23,21 @@
 		if s.recoverPanic(func() error {
 			s.perform(job)
 			return nil
-		}) != nil && job.Do == gate.Run { // whether it was asked for is not known
+		}) != nil && job.Do == gate.Run { // unknown whether the kernel was asked to run it
 			s.gate.Report(s.clock.now(), job.RPC, rpc.Error, 0, nil)
 		}
 	}
 }
 
+// perform carries out one job of the gate.
 func (s *Server) perform(job gate.Job[*call]) {
 	pending := job.For
 	switch job.Do {
 	case gate.Run:
 		c := s.config.Load()
 		idempotent := c.Rules.Methods[pending.method].Kind == rpc.Idempotent
-		if err := s.link.Run(&run{job.RPC, pending}, pending.uid, c.Methods[pending.method], pending.body, idempotent); err != nil {
+		if err := s.link.Run(&run{job.RPC, pending}, pending.uid, c.Methods[pending.method], pending.body,
+			idempotent); err != nil {
 			s.limitedLog.Warn("run not asked for", zap.Error(err))
 			s.gate.Report(s.clock.now(), job.RPC, rpc.Moot, 0, nil)
 		}
@@ -55,14 +57,15 @@
 	}
 }
 
-// gaugeTimeout: how long the gauges are waited for. They come from the same machine; past it the time matters
-// more than they do.
+// gaugeTimeout is how long a tick waits for the kernel's gauges. They come from the same machine; beyond
+// this, ticking on time matters more.
 const gaugeTimeout = 10 * time.Millisecond
 
-// retryInterval is for a look that failed: often enough for any due time.
+// retryInterval, in seconds, is the delay after a failed tick or task: short enough for any deadline of the
+// gate.
 const retryInterval = 0.02
 
-// runTicks brings the gate the time and the gauges as often as it asks.
+// runTicks passes the time and the gauges to the gate as often as the gate asks.
 func (s *Server) runTicks(ctx context.Context) error {
 	nextTick := s.clock.now()
 	for {
@@ -76,7 +79,7 @@
 		if !(delay > 0) {
 			delay = retryInterval
 		}
-		nextTick = max(nextTick+delay, now) // what was missed is not made up for
+		nextTick = max(nextTick+delay, now) // missed ticks are not made up for
 		if !sleep(ctx, nextTick-now) {
 			return nil
 		}
@@ -84,16 +87,16 @@
 	}
 }
 
-// watchHealth passes on changes of condition and closes connections that have been idle.
+// watchHealth logs the gate's notes and changes of health, and closes idle connections.
 func (s *Server) watchHealth(ctx context.Context) error {
-	idle := time.NewTicker(s.idleCheckInterval)
-	defer idle.Stop()
+	idleTicker := time.NewTicker(s.idleCheckInterval)
+	defer idleTicker.Stop()
 	healthy := false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-idle.C:
+		case <-idleTicker.C:
 			s.recoverPanic(func() error {
 				s.closeIdle()
 				return nil
@@ -115,7 +118,7 @@
 	}
 }
 
-// restartOnPanic has a duty begin again after a panic, until ctx ends.
+// restartOnPanic runs task, again after each panic, until it returns or ctx ends.
 func (s *Server) restartOnPanic(ctx context.Context, task func(ctx context.Context) error) error {
 	for {
 		err := s.recoverPanic(func() error { return task(ctx) })
@@ -128,9 +131,10 @@
 	}
 }
 
+// errPanic wraps a recovered panic.
 var errPanic = errors.New("panic")
 
-// recoverPanic makes a panic an error: what came with it is lost, the process goes on.
+// recoverPanic runs f and returns a panic as an error. The work that panicked is lost; the process goes on.
 func (s *Server) recoverPanic(f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -141,6 +145,7 @@
 	return f()
 }
 
+// notify sends on a channel with capacity 1 unless a notification is already pending.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -148,6 +153,7 @@
 	}
 }
 
+// sleep waits for t seconds and reports whether they passed before ctx ended.
 func sleep(ctx context.Context, t float64) bool {
 	timer := time.NewTimer(seconds(t))
 	defer timer.Stop()
