--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -14,38 +14,40 @@
 	"valveglade/internal/thrift"
 )
 
-// phase is how far a connection has come on its way to its end. It only goes on, and only move changes it.
+// phase is the progress of a connection's shutdown. It only advances, and only enterPhase changes it.
 type phase uint8
 
 const (
-	phaseServing  phase = iota // what comes is taken in
-	phaseDraining              // the router has been asked to send nothing more; what comes all the same is taken in
-	phaseClosing               // it is shut as soon as nothing is owed on it and nothing lies unread
-	phaseEnding                // nothing more runs; what has come is refused, and what is owed is still written
-	phaseShut                  // all has been written and our side is shut; what comes is read and thrown away
+	phaseServing  phase = iota // input is processed
+	phaseDraining              // the router has been asked to send nothing more; input is still processed
+	phaseClosing               // shut as soon as no reply is pending and nothing is unread
+	phaseEnding                // nothing more runs; input is rejected, and pending replies are still written
+	phaseShut                  // all replies are written and the write side is shut; input is discarded
 )
 
 const (
-	// lingerTimeout is how long a shut connection is read on before it is closed, and how long its last answers may take to be
-	// written. A router sends an RPC that crosses the shutdown again if it does so within 50 ms; four times that leaves room
-	// for a process that is off its core. Without it the close is one over unread bytes, so a reset, which takes along what
-	// was written last.
+	// lingerTimeout is how long the input of a shut connection is read before it is closed, and how long its
+	// last replies may take to be written. A router resends an RPC that crosses the shutdown within 50 ms;
+	// four times that covers a descheduled process. Without the delay, closing over unread bytes would cause
+	// a reset, which loses the last replies.
 	lingerTimeout = 200 * time.Millisecond
-	// maxLingerBytes is how much is read meanwhile: who sends more than a connection may carry at once has not crossed a
-	// shutdown, but sends without looking.
+	// maxLingerBytes bounds the input read meanwhile: a router that sends more than a connection may carry at
+	// once has not crossed the shutdown but ignores it.
 	maxLingerBytes = 64 << 10
-	// partialTimeout is how long a closing connection waits for the rest of a message: what a router has begun to write is there
-	// within some milliseconds, and what is whole only after the shutdown has crossed it and is sent again.
+	// partialTimeout is how long a closing connection waits for the rest of a message. A router that has
+	// begun to write finishes within some milliseconds; a message that is complete only after the shutdown
+	// has crossed it is sent again.
 	partialTimeout = 50 * time.Millisecond
-	// finalReadTimeout is how long a connection whose time is up waits for its reader's last look: the rest of linger is for what the look finds
-	// to be written.
+	// finalReadTimeout bounds the wait for the reader's rejectUnread in shutDownNow: the rest of
+	// lingerTimeout is for writing the replies that it produces.
 	finalReadTimeout = lingerTimeout / 4
 )
 
-// expiredDeadline is a deadline that wakes whoever reads.
+// expiredDeadline, as a read deadline, wakes a blocked reader.
 var expiredDeadline = time.Unix(1, 0)
 
-// enterPhase takes the connection on to a phase, and wakes whoever waits on it; called under the lock.
+// enterPhase advances the connection to a phase and wakes the goroutines that wait on it. The caller holds
+// c.mu.
 func (c *conn) enterPhase(to phase) {
 	if to <= c.phase {
 		return
@@ -59,7 +61,7 @@
 		c.endingAt = now
 		notify(c.repliesTaken)
 		c.SetReadDeadline(expiredDeadline)
-		c.SetWriteDeadline(now.Add(lingerTimeout)) // for who does not read its answers
+		c.SetWriteDeadline(now.Add(lingerTimeout)) // for a router that does not read its replies
 	case phaseShut:
 		close(c.writeShut)
 		if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
@@ -69,23 +71,26 @@
 	}
 }
 
-// advanceShutdown takes a connection that is on its way out on, once nothing more is to be written; called under the lock.
+// advanceShutdown takes the next step of a shutdown in progress once nothing more is to be written. The
+// caller holds c.mu.
 func (c *conn) advanceShutdown() {
 	switch {
 	case c.phase == phaseClosing && c.isIdle():
 		c.wakeDeadlineSet = true
-		c.SetReadDeadline(expiredDeadline) // the reader alone knows what lies unread
-	case c.phase == phaseEnding && (c.writerEnded || c.finalReadDone && len(c.openCalls) == 0 && len(c.replies) == 0 && !c.writing):
+		c.SetReadDeadline(expiredDeadline) // only the reader knows whether input is unread
+	case c.phase == phaseEnding &&
+		(c.writerEnded || c.finalReadDone && len(c.openCalls) == 0 && len(c.replies) == 0 && !c.writing):
 		c.enterPhase(phaseShut)
 	}
 }
 
-// shutDown is the one way in which the app server ends a connection: what has come by then is taken in, what is owed is written,
-// our side is shut, what crosses that is read and thrown away, and then the descriptor is given back.
+// shutDown starts the graceful close of the connection: received RPCs are processed, pending replies are
+// written, the write side is shut, input that crosses the shutdown is discarded, and then the descriptor is
+// closed.
 func (c *conn) shutDown() { c.shutDownFrom(phaseClosing) }
 
-// shutDownNow is end where the time is up: what has come is refused. Guards against a reader that does not come to its turn: the
-// connection does not wait for it longer than lookFor.
+// shutDownNow is shutDown without the time to process what has arrived: it is rejected. The connection waits
+// at most finalReadTimeout for a reader that is not scheduled.
 func (c *conn) shutDownNow() {
 	c.shutDownFrom(phaseEnding)
 	c.mu.Lock()
@@ -96,6 +101,7 @@
 	}
 }
 
+// shutDownFrom enters a phase and takes the next step of the shutdown.
 func (c *conn) shutDownFrom(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +109,8 @@
 	c.advanceShutdown()
 }
 
-// evict is end for a resting connection whose descriptor is wanted: it is given back without waiting for what crosses. It
-// tells whether the connection rests. If something lies unread after all, that is answered first.
+// evict shuts an idle connection down to free its descriptor, without waiting for input that crosses the
+// shutdown. It reports whether the connection is idle. RPCs that are still unread are answered first.
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,12 +126,12 @@
 	return true
 }
 
-// errConnShut tells the reader that it has shut its connection.
+// errConnShut is returned by fill when it has shut the connection.
 var errConnShut = errors.New("shut")
 
-// fill reads what comes next. A closing connection on which nothing is owed is shut here, once a last look has found
-// nothing unread. Guards against a shutdown over an RPC that has lain unread for long, as it does while this process is off
-// its core: its router sends again only what crosses within an instant.
+// fill reads more input. It shuts an idle closing connection here, after a non-blocking read has found
+// nothing unread. Otherwise the shutdown could pass over an RPC that has been unread for long, as when this
+// process is descheduled: a router resends only what crosses the shutdown within an instant.
 func (c *conn) fill(in *readbuffer.Buffer) error {
 	if !c.readyToShut() {
 		return in.Fill(c)
@@ -139,8 +145,9 @@
 	return errConnShut
 }
 
-// readyToShut tells whether the connection is shut now, if nothing lies unread; else it bounds the next read. Only the reader
-// makes a resting connection busy, so this holds until it has looked.
+// readyToShut reports whether the connection is to be shut now, provided nothing is unread; if not, it bounds
+// the next read. Only the reader makes an idle connection busy, so the result holds until the reader has
+// checked.
 func (c *conn) readyToShut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,14 +170,15 @@
 	return false
 }
 
-// nonBlockingReader reads what has come on a connection, without waiting for more; os.ErrDeadlineExceeded if there is nothing.
+// nonBlockingReader reads what has arrived on a connection without waiting for more. It returns
+// os.ErrDeadlineExceeded if there is nothing.
 type nonBlockingReader struct{ net.Conn }
 
-func (u nonBlockingReader) Read(b []byte) (n int, err error) {
-	sysConn, ok := u.Conn.(syscall.Conn)
-	if !ok { // none of the system's
-		u.SetReadDeadline(time.Now().Add(timerSlack))
-		return u.Conn.Read(b)
+func (r nonBlockingReader) Read(b []byte) (n int, err error) {
+	sysConn, ok := r.Conn.(syscall.Conn)
+	if !ok { // not backed by a system socket
+		r.SetReadDeadline(time.Now().Add(timerSlack))
+		return r.Conn.Read(b)
 	}
 	raw, err := sysConn.SyscallConn()
 	if err != nil {
@@ -195,8 +203,8 @@
 	return n, nil
 }
 
-// fail ends a connection on which came what no router sends. What is open on it is aborted, as its client cannot be believed any
-// more.
+// fail ends a connection that has received invalid input. Its open RPCs are aborted, as its client can no
+// longer be trusted.
 func (c *conn) fail(err error) {
 	c.limitedLog.Warn("connection closed", zap.Stringer("router", c.RemoteAddr()), zap.Error(err))
 	c.mu.Lock()
@@ -210,13 +218,13 @@
 	c.abandon(calls)
 }
 
-// rejectUnread answers what has been read, or lies unread, on a connection that takes nothing in any more. Where what came cannot be made
-// sense of, nothing behind it can.
+// rejectUnread rejects what is buffered or unread on a connection that processes no more input. If the input
+// cannot be parsed, nothing after it can be either.
 func (c *conn) rejectUnread(in *readbuffer.Buffer, readable bool) {
 	c.mu.Lock()
 	shouldReject := readable && c.phase == phaseEnding && !c.finalReadDone
 	c.mu.Unlock()
-	defer func() { // whatever becomes of the look
+	defer func() { // also if rejecting panics
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.finalReadDone, c.reading = true, false
@@ -227,7 +235,7 @@
 	}
 }
 
-// rejecter answers for the connection what it takes in no more.
+// rejecter returns a rejecter that replies on the connection.
 func (c *conn) rejecter() rejecter {
 	return rejecter{Server: c.Server, seqs: &c.seqTracker, send: c.send, interrupt: c.Interrupt}
 }
@@ -240,32 +248,33 @@
 	}
 }
 
-// isEnding tells whether nothing more is taken in.
+// isEnding reports whether the connection processes no more input.
 func (c *conn) isEnding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase >= phaseEnding
 }
 
-// boundNextWrite bounds the next write.
+// boundNextWrite sets the deadline of the next write.
 func (c *conn) boundNextWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase < phaseEnding { // else move has set the bound
+	if c.phase < phaseEnding { // otherwise enterPhase has set the deadline
 		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	}
 }
 
-// discardInput reads a shut connection to its end, within bounds, and takes nothing in. Before it is shut, nothing more is read.
+// discardInput reads and discards the input of a shut connection until its end, maxLingerBytes or the read
+// deadline. It waits until the connection is shut.
 func (c *conn) discardInput() {
 	c.mu.Lock()
 	endedByRouter, evicted := c.phase < phaseEnding, c.evicted
 	c.mu.Unlock()
-	if endedByRouter { // the router has ended it
+	if endedByRouter { // the router has closed the connection
 		return
 	}
-	<-c.writeShut // a connection that ends has a bound for its last write
-	if evicted {  // there is no time
+	<-c.writeShut // bounded by the write deadline of phaseEnding
+	if evicted {  // the descriptor is needed at once
 		return
 	}
 	buf := make([]byte, 4<<10)
