--- a/server/fleet.go
+++ b/server/fleet.go
@@ -20,14 +20,19 @@
 	"valveglade/member"
 )
 
-// announceInterval is how often the app server looks whether there is something new to say of itself; a load that has moved is
-// said at most as often as loadInterval, since each word goes to every member.
-const announceInterval, loadInterval = 250 * time.Millisecond, 5 * time.Second
+const (
+	// announceInterval is how often the app server checks whether its state to announce has changed.
+	announceInterval = 250 * time.Millisecond
+	// loadInterval is the shortest time between two announcements of its load, as each goes to every member.
+	loadInterval = 5 * time.Second
+)
 
-// leaveLeadTime is how long before the stop a leaving app server leaves the fleet: the leave message takes half of it.
+// leaveLeadTime is how many seconds before the stop a draining app server leaves the fleet. Half of it is for
+// the leave message.
 const leaveLeadTime = 1.2
 
-// joinFleet makes this app server a member, and has it campaign for roles, where the operators have said so; nil otherwise.
+// joinFleet makes this app server a fleet member that campaigns for roles, as the settings say. It returns
+// nil if the fleet is off.
 func (s *Server) joinFleet() (*member.Member, *fleet.Fleet, error) {
 	settings := s.fleetSettings
 	if !settings.On() {
@@ -39,9 +44,9 @@
 	}
 	viewConfig := view.Defaults()
 	viewConfig.HoldTime, viewConfig.ForgetTime = settings.Hold, settings.Forget
-	fleetMember, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
-		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket,
-		Streams: incomingStreams(settings, c), View: viewConfig}, s.log)
+	fleetMember, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen,
+		Advertise: settings.Advertise, Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe),
+		Socket: settings.Socket, Streams: incomingStreams(settings, c), View: viewConfig}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -50,7 +55,7 @@
 	return fleetMember, roles, err
 }
 
-// runFleet keeps the fleet told of this app server until it has left, and leaves in time.
+// runFleet keeps the fleet informed of this app server's state and leaves the fleet before the stop.
 func (s *Server) runFleet(ctx, runCtx context.Context, fleetMember *member.Member, roles *fleet.Fleet) error {
 	memberCtx, cancel := context.WithCancel(runCtx)
 	defer cancel()
@@ -97,18 +102,19 @@
 	}
 }
 
-// leaseMarginShare of a lease is what an owner stops before its end, on top of what clocks may drift: its work has to return in
-// that time.
+// leaseMarginShare is the share of a lease that an owner gives up at its end, on top of clock drift: its work
+// has to return in that time.
 const leaseMarginShare = 0.1
 
-// campaignForRoles has this app server vote, and campaign for the roles of the operators' file, as far as they have said so; nil
-// otherwise.
+// campaignForRoles makes this app server vote and campaign for the roles in the settings. It returns nil if
+// there are no voters.
 func (s *Server) campaignForRoles(fleetMember *member.Member) (*fleet.Fleet, error) {
 	settings, c := s.fleetSettings, s.config.Load()
 	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.checkFitness(fleetMember) },
+	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State,
+		Fit: func() error { return s.checkFitness(fleetMember) },
 		Others: func() []string {
 			var names []string
 			for _, e := range fleetMember.View().Members {
@@ -118,12 +124,14 @@
 			}
 			return names
 		},
-		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * leaseMarginShare}}, fleetMember, s.log)
+		Timing: owner.Timing{Lease: settings.Lease, Drift: settings.Drift, Margin: settings.Lease * leaseMarginShare},
+	}, fleetMember, s.log)
 	if err != nil {
 		return nil, err
 	}
 	for _, role := range settings.Roles {
-		if err := roles.Campaign(role.Name, fleet.SendCommands(role.Name, c.Name, role.Address.String(), seconds(role.Every))); err != nil {
+		if err := roles.Campaign(role.Name,
+			fleet.SendCommands(role.Name, c.Name, role.Address.String(), seconds(role.Every))); err != nil {
 			return nil, err
 		}
 	}
@@ -139,16 +147,17 @@
 	return roles, s.distributeConfig(fleetMember, roles)
 }
 
-// grantLeases is for how many leases a grant of a share lasts: through a change of allocator, which takes up to two. Longer, what
-// somebody had who died would be missed for longer.
+// grantLeases is the duration of a share's grant, in leases: it has to outlast a change of allocator, which
+// takes up to two. If it were longer, the grant of a failed app server would stay unavailable for longer.
 const grantLeases = 2
 
-// shareConfigs puts the shares of the operators' file in the words of those who decide on them. What was begun under a grant goes on
-// for as long as its RPC may take.
+// shareConfigs converts the shares of the settings for the packages that allocate them. An RPC begun under a
+// grant may run until its deadline, so the grant's lease has that as its tail.
 func shareConfigs(settings config.Fleet, c *config.Config) []share.Config {
 	var configs []share.Config
 	for _, setting := range settings.Shares {
-		shareConfig := share.Config{Name: setting.Name, Limit: setting.Limit, MinLimit: setting.MinLimit, Target: setting.Target, Reserved: settings.Reserved, ReservedMembers: settings.ReservedMembers,
+		shareConfig := share.Config{Name: setting.Name, Limit: setting.Limit, MinLimit: setting.MinLimit,
+			Target: setting.Target, Reserved: settings.Reserved, ReservedMembers: settings.ReservedMembers,
 			Lease: owner.Lease{Length: grantLeases * settings.Lease, Drift: settings.Drift}}
 		for _, name := range setting.Methods {
 			method := slices.Index(c.Methods, name)
@@ -160,20 +169,20 @@
 	return configs
 }
 
-// checkFitness tells why this app server should not campaign for a role now.
+// checkFitness returns why this app server should not campaign for a role now, or nil.
 func (s *Server) checkFitness(fleetMember *member.Member) error {
 	switch certainty := fleetMember.View().Certainty; {
 	case certainty >= view.Partitioned:
-		return fmt.Errorf("the view is %v", certainty)
+		return fmt.Errorf("fleet view is %v", certainty)
 	case s.fleetState() != view.Serving:
-		return errors.New("it is cold")
+		return errors.New("app server is cold")
 	case !s.healthy() || s.monitor.level.Load() >= int32(pressure.Pressed):
-		return errors.New("it is pressed, or its work hangs")
+		return errors.New("app server is pressed, or its work hangs")
 	}
 	return nil
 }
 
-// fleetState is how far the app server has come: at full strength once its kernel is up and has warmed.
+// fleetState returns Serving once the kernel is up and warm, Cold before.
 func (s *Server) fleetState() view.State {
 	if at := s.warmAt.Load(); at == 0 || s.clock.now() < float64(at)/1e9 {
 		return view.Cold
@@ -181,7 +190,7 @@
 	return view.Serving
 }
 
-// loadDigest is a digest of what it has to do.
+// loadDigest returns the app server's load in coarse bands.
 func (s *Server) loadDigest() view.Load {
 	open := 0
 	s.mu.Lock()
@@ -191,21 +200,24 @@
 		c.mu.Unlock()
 	}
 	s.mu.Unlock()
-	return view.Load{Open: view.Band(open), Credit: view.Band(int(max(s.credit(), 0))), Level: uint8(s.monitor.level.Load())}
+	return view.Load{Open: view.Band(open), Credit: view.Band(int(max(s.credit(), 0))),
+		Level: uint8(s.monitor.level.Load())}
 }
 
-// applyFleetSettings tells whether the settings on the fleet are others than those in force; they stay until the next start.
+// applyFleetSettings reports whether the fleet settings differ from those last read. Only limits of shares
+// take effect at once; the rest needs a restart.
 func (s *Server) applyFleetSettings(settings *config.Settings) (changed bool) {
 	if reflect.DeepEqual(settings.Fleet, s.fleetSettingsRead) {
 		return false
 	}
 	s.fleetSettingsRead = settings.Fleet
-	// Limits of shares are taken over, if all else is as it was.
+	// Limits of shares take effect only if nothing else has changed.
 	fixed := settings.Fleet
 	fixed.Shares = s.fleetSettings.Shares
 	if quota := s.quota.Load(); quota != nil && reflect.DeepEqual(fixed, s.fleetSettings) {
 		if err := quota.UpdateLimits(shareConfigs(settings.Fleet, s.config.Load())); err != nil {
-			s.log.Warn("settings changed where a restart is needed", zap.Strings("directives", []string{"fleet.share"}), zap.Error(err))
+			s.log.Warn("settings changed where a restart is needed",
+				zap.Strings("directives", []string{"fleet.share"}), zap.Error(err))
 		}
 		return true
 	}
