--- a/server/listen.go
+++ b/server/listen.go
@@ -15,25 +15,32 @@
 )
 
 const (
-	drainTimeout             = time.Second            // for a router that was asked to close an idle connection
-	defaultIdleCheckInterval = 250 * time.Millisecond // connections are looked at; idle times are many times that
-	maxDrainingIdle          = 16                     // idle connections asked to make room at a time
-	// firstMessageTimeout is how long a new connection may take to bring its first RPC before it counts as silent: routers open
-	// one when they have something to send, but this process may be off its core for a tenth of a second.
+	// drainTimeout is how long a router that was asked to close an idle connection may take.
+	drainTimeout = time.Second
+	// defaultIdleCheckInterval is how often connections are checked for idleness; idle timeouts are many
+	// times that.
+	defaultIdleCheckInterval = 250 * time.Millisecond
+	// maxDrainingIdle bounds the idle connections that are asked to close at the same time to free capacity.
+	maxDrainingIdle = 16
+	// firstMessageTimeout is how long a new connection may take to send its first RPC before it counts as
+	// silent. Routers connect when they have something to send, but this process may be descheduled for a
+	// tenth of a second.
 	firstMessageTimeout = 250 * time.Millisecond
-	// closeWait is waited for a descriptor to be free again: a close takes microseconds, and accepting without it
-	// runs into the limit. Of what is kept back, mostGoing may be taken by connections that are still on their way out.
-	closeWait   = 5 * time.Millisecond
+	// closeWait bounds the wait for a descriptor to be closed: that takes microseconds, and accepting without
+	// it exceeds the limit.
+	closeWait = 5 * time.Millisecond
+	// maxEvicting is how many of the reserved descriptors may belong to connections that are still being
+	// evicted.
 	maxEvicting = 4
-	// firstBytesTimeout is how long any new connection is left to bring its first bytes, also while others arrive faster than
-	// they fall silent.
+	// firstBytesTimeout is how long every new connection may take to send its first bytes, even while new
+	// connections arrive faster than old ones become silent.
 	firstBytesTimeout = 25 * time.Millisecond
-	// socketBuffer is what the system may hold for a connection in each direction, as that counts as ours: all
-	// that one may carry at once.
+	// socketBuffer is the kernel's buffer for a connection in each direction, which counts against our
+	// memory: as much as a connection may carry at once.
 	socketBuffer = 64 << 10
 )
 
-// accept takes connections up to what the descriptors allow until it stops accepting, which is the listener's deadline, and then
+// accept accepts connections, as many as the descriptors allow, until the listener's deadline passes. It then
 // closes the listener.
 func (s *Server) accept(ctx context.Context, listener *net.TCPListener) error {
 	defer listener.Close()
@@ -41,17 +48,18 @@
 	defer emergency.release()
 	for {
 		emergency.take()
-		nc, err := listener.AcceptTCP()
+		netConn, err := listener.AcceptTCP()
 		switch {
 		case err == nil:
-			s.admitRecovering(ctx, nc)
+			s.admitRecovering(ctx, netConn)
 		case ctx.Err() != nil:
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			s.acceptQueued(ctx, listener)
 			return nil
 		case errors.Is(err, net.ErrClosed):
-			return fmt.Errorf("accept: %w", err) // nobody would ever come in again: no app server that looks well
+			// No connection could come in any more, so the app server must not go on and look healthy.
+			return fmt.Errorf("accept: %w", err)
 		default:
 			if short := s.handleAcceptError(err); short && emergency.held {
 				s.acceptOnEmergencyDescriptor(ctx, listener, &emergency)
@@ -62,34 +70,37 @@
 	}
 }
 
-// handleAcceptError makes room where that is what accepting lacks: other parts of the process, and other processes, may have
-// taken descriptors that the configuration allows to this one. It reports whether that is so and there is no room to be made.
+// handleAcceptError evicts connections if accepting failed for lack of descriptors: other parts of the
+// process, or other processes, may hold descriptors that the configuration grants to callers. It reports
+// whether descriptors are short and none could be freed.
 func (s *Server) handleAcceptError(err error) (short bool) {
 	s.limitedLog.Warn("accept", zap.Error(err))
 	return outOfDescriptors(err) && !s.handleShortage()
 }
 
-// acceptOnEmergencyDescriptor turns the next newcomer away, unless there are descriptors again when it comes.
-func (s *Server) acceptOnEmergencyDescriptor(ctx context.Context, listener *net.TCPListener, emergency *emergencyDescriptor) {
+// acceptOnEmergencyDescriptor accepts the next connection on the emergency descriptor, which rejects it
+// unless descriptors are free again by then.
+func (s *Server) acceptOnEmergencyDescriptor(ctx context.Context, listener *net.TCPListener,
+	emergency *emergencyDescriptor) {
 	emergency.release()
 	defer emergency.take()
-	if nc, err := listener.AcceptTCP(); err == nil {
-		s.admitRecovering(ctx, nc)
+	if netConn, err := listener.AcceptTCP(); err == nil {
+		s.admitRecovering(ctx, netConn)
 	}
 }
 
-// admitRecovering is admit, guarded against a panic, which costs the one connection.
-func (s *Server) admitRecovering(ctx context.Context, nc net.Conn) {
+// admitRecovering calls admit; a panic costs only this connection.
+func (s *Server) admitRecovering(ctx context.Context, netConn net.Conn) {
 	if s.recoverPanic(func() error {
-		s.admit(ctx, nc)
+		s.admit(ctx, netConn)
 		return nil
 	}) != nil {
-		nc.Close()
+		netConn.Close()
 	}
 }
 
-// admit takes one connection in, or turns it away at once: behind it there may be hundreds that say nothing, and then
-// one of a usual router.
+// admit serves a new connection or rejects it at once: behind it there may be hundreds of silent connections,
+// and then one of a working router.
 func (s *Server) admit(ctx context.Context, netConn net.Conn) {
 	rejection := ""
 	switch {
@@ -109,50 +120,52 @@
 		tcp.SetReadBuffer(socketBuffer)
 		tcp.SetWriteBuffer(socketBuffer)
 	}
-	c := &conn{Server: s, Conn: netConn, openCalls: map[int32]*call{}, lastUsed: time.Now(), wake: make(chan struct{}, 1),
-		repliesTaken: make(chan struct{}, 1), writeShut: make(chan struct{}), descriptorClosed: make(chan struct{})}
+	c := &conn{Server: s, Conn: netConn, openCalls: map[int32]*call{}, lastUsed: time.Now(),
+		wake: make(chan struct{}, 1), repliesTaken: make(chan struct{}, 1),
+		writeShut: make(chan struct{}), descriptorClosed: make(chan struct{})}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	c.serve(ctx)
 }
 
-// acceptQueued takes in what the machine has accepted for the listener and nobody has fetched yet. Guards against a close
-// over it: the system would reset those connections, with RPCs on them that count as read. None is waited for, so that what
-// remains is the instant between the last look and the close. While newcomers flood in it goes on until the listener is closed.
+// acceptQueued accepts the connections left in the listener's queue. Closing the listener would reset them,
+// with RPCs on them that the router counts as read. It never waits for one, so only connections that arrive
+// between the last accept and the close are lost. While new connections flood in, it goes on until the
+// listener is closed.
 func (s *Server) acceptQueued(ctx context.Context, listener *net.TCPListener) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
 		return
 	}
 	for {
-		var nc net.Conn
+		var netConn net.Conn
 		err := syscall.EAGAIN
 		raw.Control(func(listenerFD uintptr) {
-			fd, _, e := syscall.Accept4(int(listenerFD), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-			if e != nil {
-				errors.As(e, &err)
+			fd, _, acceptErr := syscall.Accept4(int(listenerFD), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+			if acceptErr != nil {
+				errors.As(acceptErr, &err)
 				return
 			}
 			err = 0
 			file := os.NewFile(uintptr(fd), "router")
 			defer file.Close()
-			if nc, e = net.FileConn(file); e != nil {
-				s.limitedLog.Warn("accept", zap.Error(e))
+			if netConn, acceptErr = net.FileConn(file); acceptErr != nil {
+				s.limitedLog.Warn("accept", zap.Error(acceptErr))
 			}
 		})
 		switch {
-		case nc != nil:
-			s.admitRecovering(ctx, nc)
+		case netConn != nil:
+			s.admitRecovering(ctx, netConn)
 		case err != 0 && err != syscall.EINTR && err != syscall.ECONNABORTED:
 			return
 		}
 	}
 }
 
-// freeCapacity tells whether there is room for another connection. Once there is none it closes one: the oldest that
-// has been silent from the start, else the one idle longest. One on which something lies unread stays until that is answered,
-// and the newcomer does not wait for it; a few of those fit into what is kept back.
+// freeCapacity reports whether there is capacity for another connection, after evicting one if there was
+// none. A connection with unread input stays until that is answered, and the new connection does not wait for
+// it: the reserved descriptors cover a few of those.
 func (s *Server) freeCapacity() bool {
 	for range maxEvicting {
 		victim, evicting, ok := s.evictOne()
@@ -173,8 +186,8 @@
 	return false
 }
 
-// evictOne gives the connection that is closed to make room and how many are on their way then, none if there is room or all are
-// at work.
+// evictOne evicts a connection if there is no capacity. It returns the connection, nil if there is capacity
+// or all are busy, how many are being evicted, and whether a new connection fits.
 func (s *Server) evictOne() (victim *conn, evicting int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +206,8 @@
 	return nil, 0, false
 }
 
-// evictExcess closes idle connections down to what the descriptors allow, as after a reload with fewer of them.
+// evictExcess evicts idle connections until the descriptors suffice, as after a reload that lowers their
+// number.
 func (s *Server) evictExcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,46 +221,47 @@
 	}
 }
 
-// evictionCandidate gives the idle connection whose descriptor is missed least, nil if all are at work, and how many are on their
-// way out: first what has been ended already, then the oldest that has been silent from the start, then the one idle longest,
-// then the one that has been in the middle of a message longest, then the oldest that had time for its first bytes. Called
-// under the lock.
+// evictionCandidate returns the idle connection to evict first, nil if all are busy, and how many are being
+// evicted. The order is: connections already shut; then the oldest that has been silent from the start; then
+// the one idle longest; then the one longest in the middle of a message; then the oldest that had time for
+// its first bytes. The caller holds s.mu.
 func (s *Server) evictionCandidate() (victim *conn, evicting int) {
 	now := time.Now()
 	var halfClosed, silent, longestIdle, stalled, young idleConn
 	for c := range s.conns {
 		q, idle := c.idleSnapshot()
-		switch quietFor := now.Sub(q.since); {
+		switch idleFor := now.Sub(q.since); {
 		case q.evicting:
 			evicting++
 		case !idle:
 		case q.halfClosed:
 			halfClosed = q.earlier(halfClosed)
-		case !q.hasReceived && quietFor > firstMessageTimeout:
+		case !q.hasReceived && idleFor > firstMessageTimeout:
 			silent = q.earlier(silent)
 		case q.hasReceived && !q.midMessage:
 			longestIdle = q.earlier(longestIdle)
-		case q.hasReceived && quietFor > firstMessageTimeout:
+		case q.hasReceived && idleFor > firstMessageTimeout:
 			stalled = q.earlier(stalled)
-		case !q.hasReceived && quietFor > firstBytesTimeout:
+		case !q.hasReceived && idleFor > firstBytesTimeout:
 			young = q.earlier(young)
 		}
 	}
 	return cmp.Or(halfClosed.conn, silent.conn, longestIdle.conn, stalled.conn, young.conn), evicting
 }
 
-// earlier gives the one of two that has been quiet for longer; none is nobody.
-func (q idleConn) earlier(than idleConn) idleConn {
-	if than.conn == nil || q.since.Before(than.since) {
+// earlier returns whichever of the two connections has been idle for longer; than may be empty.
+func (q idleConn) earlier(other idleConn) idleConn {
+	if other.conn == nil || q.since.Before(other.since) {
 		return q
 	}
-	return than
+	return other
 }
 
-// closeIdle ends what has been idle for as long as the module says, and asks those idle longest to go before the descriptors run
-// out. A router that is in the middle of a message is neither: the reader has a bound for that.
+// closeIdle drains connections that have reached the gate's idle timeout, and those idle longest before the
+// descriptors run out. It skips a router that is in the middle of a message, which the reader's timeout
+// covers.
 func (s *Server) closeIdle() {
-	if !descriptorLeft() { // for the kernel link, the roster, a configuration
+	if !descriptorLeft() { // the kernel link, the roster and a configuration file need one
 		s.handleShortage()
 	}
 	s.evictExcess()
