--- a/server/monitor.go
+++ b/server/monitor.go
@@ -17,110 +17,116 @@
 	"valveglade/rpc"
 )
 
-// monitor is how the app server watches itself. What each RPC asks of it is a few atomics; what is decided, and when, is
-// logic/pressure's. While it is off, nothing here is touched but one flag.
+// monitor holds the measurements of the process's own state and the resulting admission limits. Each RPC
+// costs a few atomic operations; logic/pressure makes the decisions. While monitoring is off, RPCs only read
+// the enabled flag.
 type monitor struct {
-	enabled    atomic.Bool
-	effects    atomic.Pointer[pressure.Effects]
-	level      atomic.Int32
-	admitShare []atomic.Uint32 // share of each method that is let in, of whole
-	received   []atomic.Uint64
-	succeeded  []atomic.Uint64
-	seed       uint64
-	draws      atomic.Uint64
+	enabled    atomic.Bool                      // as in the settings
+	effects    atomic.Pointer[pressure.Effects] // in force
+	level      atomic.Int32                     // a pressure.Level
+	admitShare []atomic.Uint32                  // admitted share of each method's RPCs, of fullShare
+	received   []atomic.Uint64                  // RPCs received, by method
+	succeeded  []atomic.Uint64                  // RPCs answered ok, by method
+	seed       uint64                           // of the random admission decisions
+	draws      atomic.Uint64                    // number of random admission decisions
 
-	maxTimerDelay   atomic.Int64 // the most that a timer was late by since the last reading, in nanoseconds
-	readDelaySum    atomic.Int64 // sum of how long RPCs lay unread, in microseconds
-	readDelayCount  atomic.Int64 // how many they are
-	replyBytes      atomic.Int64 // bytes of answers that wait to be written
-	rejected        atomic.Uint64
-	settingsMu      sync.Mutex // of what adopts settings
+	maxTimerDelay   atomic.Int64  // longest delay of a timer since the last sample, in nanoseconds
+	readDelaySum    atomic.Int64  // sum of the RPCs' read delays, in microseconds
+	readDelayCount  atomic.Int64  // number of RPCs in readDelaySum
+	replyBytes      atomic.Int64  // bytes of results that wait to be written
+	rejected        atomic.Uint64 // RPCs rejected under pressure
+	settingsMu      sync.Mutex    // guards settings
 	settings        config.Settings
-	settingsChanged chan struct{} // holds one when the settings are new
+	settingsChanged chan struct{} // notified when the settings have changed
 }
 
-// fullShare stands for all RPCs of a method.
+// fullShare is the admitShare at which all RPCs of a method are admitted.
 const fullShare = 1 << 16
 
-// calmEffects is what holds while nothing presses.
+// calmEffects is in force while there is no pressure.
 var calmEffects = pressure.Effects{Credit: 1, Accept: true, Largest: math.MaxInt, Keep: 1, Health: true}
 
 func newMonitor(c *config.Config, settings *config.Settings) *monitor {
-	n := len(c.Methods)
-	p := &monitor{admitShare: make([]atomic.Uint32, n), received: make([]atomic.Uint64, n), succeeded: make([]atomic.Uint64, n),
-		seed: uint64(time.Now().UnixNano()), settingsChanged: make(chan struct{}, 1)}
-	p.effects.Store(&calmEffects)
-	for k := range p.admitShare {
-		p.admitShare[k].Store(fullShare)
+	methodCount := len(c.Methods)
+	m := &monitor{admitShare: make([]atomic.Uint32, methodCount), received: make([]atomic.Uint64, methodCount),
+		succeeded: make([]atomic.Uint64, methodCount), seed: uint64(time.Now().UnixNano()),
+		settingsChanged: make(chan struct{}, 1)}
+	m.effects.Store(&calmEffects)
+	for k := range m.admitShare {
+		m.admitShare[k].Store(fullShare)
 	}
-	p.updateSettings(settings)
-	return p
+	m.updateSettings(settings)
+	return m
 }
 
-// updateSettings takes over settings; it tells whether anything is new.
-func (p *monitor) updateSettings(settings *config.Settings) bool {
-	p.settingsMu.Lock()
-	defer p.settingsMu.Unlock()
-	if settings.Pressure.On == p.settings.Pressure.On && settings.Pressure.Every == p.settings.Pressure.Every &&
-		samePressureConfig(settings.Pressure.Config, p.settings.Pressure.Config) {
+// updateSettings adopts new settings and reports whether those for pressure changed.
+func (m *monitor) updateSettings(settings *config.Settings) bool {
+	m.settingsMu.Lock()
+	defer m.settingsMu.Unlock()
+	if settings.Pressure.On == m.settings.Pressure.On && settings.Pressure.Every == m.settings.Pressure.Every &&
+		samePressureConfig(settings.Pressure.Config, m.settings.Pressure.Config) {
 		return false
 	}
-	p.settings = *settings
-	notify(p.settingsChanged)
+	m.settings = *settings
+	notify(m.settingsChanged)
 	return true
 }
 
+// samePressureConfig compares the fields that the settings hold; the others come from the config's rules.
 func samePressureConfig(a, b pressure.Config) bool {
-	return a.Thresholds == b.Thresholds && a.Fall == b.Fall && a.Forecast == b.Forecast && a.GrowthWindow == b.GrowthWindow
+	return a.Thresholds == b.Thresholds && a.Fall == b.Fall &&
+		a.Forecast == b.Forecast && a.GrowthWindow == b.GrowthWindow
 }
 
-func (p *monitor) currentSettings() config.Pressure {
-	p.settingsMu.Lock()
-	defer p.settingsMu.Unlock()
-	return p.settings.Pressure
+// currentSettings returns the settings in force.
+func (m *monitor) currentSettings() config.Pressure {
+	m.settingsMu.Lock()
+	defer m.settingsMu.Unlock()
+	return m.settings.Pressure
 }
 
-// recordArrival takes note of an RPC that has been read.
-func (p *monitor) recordArrival(method int, readDelay float64) {
-	p.received[method].Add(1)
-	p.readDelaySum.Add(int64(readDelay * 1e6))
-	p.readDelayCount.Add(1)
+// recordArrival counts an RPC that has been read, and its read delay in seconds.
+func (m *monitor) recordArrival(method int, readDelay float64) {
+	m.received[method].Add(1)
+	m.readDelaySum.Add(int64(readDelay * 1e6))
+	m.readDelayCount.Add(1)
 }
 
-// admits tells whether one more RPC of a method is let in.
-func (p *monitor) admits(method int) bool {
-	share := p.admitShare[method].Load()
-	return share >= fullShare || chance.At(p.seed, p.draws.Add(1))*fullShare < float64(share)
+// admits decides whether to admit one more RPC of a method.
+func (m *monitor) admits(method int) bool {
+	share := m.admitShare[method].Load()
+	return share >= fullShare || chance.At(m.seed, m.draws.Add(1))*fullShare < float64(share)
 }
 
-// recordTimerDelay takes note of how late a timer was.
-func (p *monitor) recordTimerDelay(d time.Duration) {
+// recordTimerDelay keeps the longest delay of a timer since the last sample.
+func (m *monitor) recordTimerDelay(d time.Duration) {
 	for {
-		previous := p.maxTimerDelay.Load()
-		if int64(d) <= previous || p.maxTimerDelay.CompareAndSwap(previous, int64(d)) {
+		previous := m.maxTimerDelay.Load()
+		if int64(d) <= previous || m.maxTimerDelay.CompareAndSwap(previous, int64(d)) {
 			return
 		}
 	}
 }
 
-// monitorSelf reads the process's state as often as the settings say, and puts into force what follows from it.
+// monitorSelf samples the process's state and applies the resulting effects until ctx ends. It restarts when
+// the settings change.
 func (s *Server) monitorSelf(ctx context.Context) error {
-	p := s.monitor
+	m := s.monitor
 	for {
 		select {
-		case <-p.settingsChanged:
+		case <-m.settingsChanged:
 		default:
 		}
-		settings := p.currentSettings()
-		p.enabled.Store(settings.On)
+		settings := m.currentSettings()
+		m.enabled.Store(settings.On)
 		if settings.On {
-			// A panic of the watching does not end the process: without it the app server goes on as if calm.
+			// A panic while sampling does not end the process; the app server goes on as if calm.
 			s.recoverPanic(func() error {
 				s.sampleUntilChanged(ctx, settings)
 				return nil
 			})
 		}
-		p.reset()
+		m.reset()
 		s.applyEffects(calmEffects, calmEffects)
 		if ctx.Err() != nil {
 			return nil
@@ -129,41 +135,41 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-p.settingsChanged:
-				notify(p.settingsChanged)
+			case <-m.settingsChanged:
+				notify(m.settingsChanged)
 			}
 		}
 	}
 }
 
-// reset lets everything in.
-func (p *monitor) reset() {
-	for k := range p.admitShare {
-		p.admitShare[k].Store(fullShare)
+// reset admits all RPCs.
+func (m *monitor) reset() {
+	for k := range m.admitShare {
+		m.admitShare[k].Store(fullShare)
 	}
-	p.effects.Store(&calmEffects)
-	p.level.Store(int32(pressure.Calm))
+	m.effects.Store(&calmEffects)
+	m.level.Store(int32(pressure.Calm))
 }
 
-// sampleUntilChanged goes on until the settings are new or ctx ends.
+// sampleUntilChanged samples the process's state until the settings change or ctx ends.
 func (s *Server) sampleUntilChanged(ctx context.Context, settings config.Pressure) {
-	p := s.monitor
+	m := s.monitor
 	rules := s.config.Load().Rules
 	watchConfig := settings.Config
 	if rules.Ceilings.RetryAfter {
 		watchConfig.MaxAfter = rules.Ceilings.MaxRetryAfter
 	}
-	for _, m := range rules.Methods {
-		watchConfig.Worth = append(watchConfig.Worth, m.Criticality)
+	for _, method := range rules.Methods {
+		watchConfig.Worth = append(watchConfig.Worth, method.Criticality)
 	}
 	watch := pressure.New(0, watchConfig)
 	source := procstats.New()
 	var readDelay pressure.Lag
-	asked, ok := make([]uint64, len(p.received)), make([]uint64, len(p.succeeded))
-	for k := range asked { // what came before is not of late
-		asked[k], ok[k] = p.received[k].Load(), p.succeeded[k].Load()
+	received, succeeded := make([]uint64, len(m.received)), make([]uint64, len(m.succeeded))
+	for k := range received { // RPCs from before are not recent
+		received[k], succeeded[k] = m.received[k].Load(), m.succeeded[k].Load()
 	}
-	watch.Read(0, pressure.Unknown(), asked, ok)
+	watch.Read(0, pressure.Unknown(), received, succeeded)
 	interval := seconds(settings.Every)
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
@@ -173,26 +179,26 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.settingsChanged:
-			notify(p.settingsChanged)
+		case <-m.settingsChanged:
+			notify(m.settingsChanged)
 			return
 		case <-timer.C:
 		}
-		p.recordTimerDelay(time.Since(nextSample))
-		for k := range asked {
-			asked[k], ok[k] = p.received[k].Load(), p.succeeded[k].Load()
+		m.recordTimerDelay(time.Since(nextSample))
+		for k := range received {
+			received[k], succeeded[k] = m.received[k].Load(), m.succeeded[k].Load()
 		}
-		now := time.Since(startedAt).Seconds() // steady, whatever the wall clock does
+		now := time.Since(startedAt).Seconds() // monotonic, unlike the wall clock
 		reading, stepped := source.Read(s.limits())
 		s.addOwnSignals(&reading, &readDelay, now, stepped)
-		previous, previousLevel := *p.effects.Load(), watch.Level()
-		changed := watch.Read(now, reading, asked, ok)
-		for k := range p.admitShare {
-			p.admitShare[k].Store(uint32(watch.Admit(k) * fullShare))
+		previous, previousLevel := *m.effects.Load(), watch.Level()
+		changed := watch.Read(now, reading, received, succeeded)
+		for k := range m.admitShare {
+			m.admitShare[k].Store(uint32(watch.Admit(k) * fullShare))
 		}
 		effects := watch.Effects()
-		p.effects.Store(&effects)
-		p.level.Store(int32(watch.Level()))
+		m.effects.Store(&effects)
+		m.level.Store(int32(watch.Level()))
 		s.applyEffects(previous, effects)
 		if changed {
 			s.logPressure(watch, previousLevel, effects)
@@ -202,34 +208,35 @@
 	}
 }
 
+// limits returns the resources granted to the process; the cores are at most GOMAXPROCS.
 func (s *Server) limits() procstats.Limits {
 	c := s.config.Load()
 	cores := c.Cores
-	if all := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > all {
-		cores = all
+	if available := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > available {
+		cores = available
 	}
 	return procstats.Limits{Cores: cores, Memory: c.Memory, Sockets: c.Sockets}
 }
 
-// addOwnSignals adds what only this process knows of itself.
+// addOwnSignals adds the signals that are measured inside this process.
 func (s *Server) addOwnSignals(reading *pressure.Reading, readDelay *pressure.Lag, now float64, stepped bool) {
-	p, c := s.monitor, s.config.Load()
-	reading[pressure.Loop] = time.Duration(p.maxTimerDelay.Swap(0)).Seconds()
+	m, c := s.monitor, s.config.Load()
+	reading[pressure.Loop] = time.Duration(m.maxTimerDelay.Swap(0)).Seconds()
 	lockStart := time.Now()
 	s.gate.Credit()
 	reading[pressure.Lock] = time.Since(lockStart).Seconds()
 	if waits, known := s.link.Waits(); known {
 		reading[pressure.Link] = waits.Seconds()
 	}
-	sum, n := p.readDelaySum.Swap(0), p.readDelayCount.Swap(0)
-	reading[pressure.Unread] = readDelay.Read(now, float64(sum)/1e6, int(n), stepped)
+	delaySum, count := m.readDelaySum.Swap(0), m.readDelayCount.Swap(0)
+	reading[pressure.Unread] = readDelay.Read(now, float64(delaySum)/1e6, int(count), stepped)
 	s.mu.Lock()
 	reading[pressure.Descriptors] = float64(len(s.conns)+s.reserved()) / float64(max(c.Sockets, 1))
 	s.mu.Unlock()
-	reading[pressure.Owed] = float64(p.replyBytes.Load()) / (float64(c.Memory) / requestMemoryShare)
+	reading[pressure.Owed] = float64(m.replyBytes.Load()) / (float64(c.Memory) / requestMemoryShare)
 }
 
-// applyEffects puts into force what does not ask for itself.
+// applyEffects pushes the effects that nobody polls: the gate's memory for results, and health.
 func (s *Server) applyEffects(previous, current pressure.Effects) {
 	s.gate.Keep(int(float64(s.config.Load().Memory/resultMemoryShare) * current.Keep))
 	if previous.Health != current.Health {
@@ -237,9 +244,10 @@
 	}
 }
 
-// logPressure is the one line at each change of level.
+// logPressure logs a change of level with its causes and effects.
 func (s *Server) logPressure(watch *pressure.Watch, previous pressure.Level, effects pressure.Effects) {
-	fields := []zap.Field{zap.Stringer("level", watch.Level()), zap.Stringer("from", previous), zap.String("causes", watch.Causes())}
+	fields := []zap.Field{zap.Stringer("level", watch.Level()), zap.Stringer("from", previous),
+		zap.String("causes", watch.Causes())}
 	for k := range pressure.Signals {
 		if v := watch.Seen(k); !math.IsNaN(v) {
 			fields = append(fields, zap.Float64(k.String(), math.Round(v*1e5)/1e5))
@@ -249,8 +257,8 @@
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
 	fields = append(fields, zap.Float64("credit", math.Round(effects.Credit*1e3)/1e3), zap.Int("turn", effects.Turn),
-		zap.Bool("accepts", effects.Accept), zap.Float64("results_kept", effects.Keep), zap.Bool("healthy", effects.Health),
-		zap.Uint64("refused", s.monitor.rejected.Load()))
+		zap.Bool("accepts", effects.Accept), zap.Float64("results_kept", effects.Keep),
+		zap.Bool("healthy", effects.Health), zap.Uint64("refused", s.monitor.rejected.Load()))
 	if watch.Level() > previous {
 		s.log.Warn("pressure", fields...)
 	} else {
@@ -258,14 +266,14 @@
 	}
 }
 
-// healthy is what is said to health checks and to the roster. Before the kernel is up nothing can be served, and it is
-// not known how little at first.
+// healthy returns the state reported to health checks and to the roster. It is false before the kernel is up:
+// nothing can be served, and the initial capacity is unknown.
 func (s *Server) healthy() bool {
 	return s.gate.Booted() && s.gate.Healthy() && s.monitor.effects.Load().Health
 }
 
-// credit is what goes out with every answer: the module's, less what the process itself cannot bear. Below 0 there is
-// none.
+// credit returns the credit sent with every reply: the gate's, reduced by the current pressure. A value below
+// 0 means no credit.
 func (s *Server) credit() float64 {
 	credit, factor := s.gate.Credit(), s.monitor.effects.Load().Credit
 	switch {
