--- a/server/reader.go
+++ b/server/reader.go
@@ -11,11 +11,11 @@
 	"valveglade/internal/thrift"
 )
 
-// read takes frames until the connection ends; the end of the connection is no error.
+// read processes frames until the connection ends. The end of the connection is not an error.
 func (c *conn) read(in *readbuffer.Buffer) error {
-	c.boundNextRead(messageTimeout) // silence from the start is half a message too
-	framesSinceYield := 0           // RPCs since others last had theirs
-	overdue := false                // what has come of a message was not whole in time
+	c.boundNextRead(messageTimeout) // a new connection that sends nothing counts as incomplete too
+	framesSinceYield := 0           // RPCs since the last runtime.Gosched
+	overdue := false                // the message was incomplete at its deadline
 	for timeLimited := true; ; {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
@@ -74,16 +74,16 @@
 	}
 }
 
-// decode takes in a frame, or refuses it where the connection is full.
+// decode processes a frame, or rejects it if the connection has too many open RPCs.
 func (c *conn) decode(frame []byte, full bool) error {
 	if full {
 		return thrift.Decode(frame, c.rejecter())
 	}
-	before := c.lastSeq
+	previousSeq := c.lastSeq
 	err := errors.Join(thrift.Decode(frame, c), c.protocolError)
-	if now := c.lastSeq; now > before {
-		c.lastSeq = before
-		c.advanceTo(now)
+	if currentSeq := c.lastSeq; currentSeq > previousSeq {
+		c.lastSeq = previousSeq
+		c.advanceTo(currentSeq)
 	}
 	return err
 }
@@ -93,20 +93,21 @@
 	errTooManyUnusable = errors.New("too many RPCs that cannot be run")
 )
 
-// isRejectable reports whether the messages behind the one that ended a connection can be read, and so refused.
+// isRejectable reports whether the messages after the one that ended a connection can be parsed, and so
+// rejected.
 func isRejectable(err error) bool {
-	twice := (*duplicateSeqError)(nil)
-	return errors.Is(err, errTooManyUnusable) || errors.As(err, &twice)
+	duplicate := (*duplicateSeqError)(nil)
+	return errors.Is(err, errTooManyUnusable) || errors.As(err, &duplicate)
 }
 
-// boundNextRead bounds how long the next bytes may take, 0 for as long as it likes. Once nothing more is taken in, move has set
-// the bound, and the reader's own come too late.
-func (c *conn) boundNextRead(within time.Duration) {
+// boundNextRead sets how long the next message may take; 0 means no limit. From phaseEnding on, enterPhase
+// has set the deadline and this one does not apply.
+func (c *conn) boundNextRead(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.messageDeadline = time.Time{}
-	if within > 0 {
-		c.messageDeadline = time.Now().Add(within)
+	if timeout > 0 {
+		c.messageDeadline = time.Now().Add(timeout)
 	}
 	if c.phase < phaseEnding {
 		c.wakeDeadlineSet = false
@@ -114,13 +115,13 @@
 	}
 }
 
-// handleOverdue tells whether a message should have been whole by now. Then the connection closes; what has been read is answered
-// first.
+// handleOverdue reports whether the message deadline has passed. If so, an idle connection starts closing; a
+// busy one first gets time to answer what has been read.
 func (c *conn) handleOverdue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.messageDeadline.IsZero() || time.Until(c.messageDeadline) > timerSlack {
-		return false // only woken
+		return false // woken early
 	}
 	if c.isIdle() {
 		c.enterPhase(phaseClosing)
@@ -131,16 +132,17 @@
 	return true
 }
 
-// setPartial takes note whether a part of a message lies in the buffer.
-func (c *conn) setPartial(part bool) {
+// setPartial records whether the buffer holds part of a message.
+func (c *conn) setPartial(partial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partial = part
+	c.partial = partial
 }
 
-// beginFrame marks that a frame is being taken in; full tells that it is one more than the connection may have open, and is refused. While
-// too many answers wait to be written it waits for the writer first: under overload callers give up and ask anew faster than it comes
-// to its turn.
+// beginFrame marks that a frame is being processed. It returns whether the connection is ending, and whether
+// it has as many open RPCs as it may have, so that the frame is rejected. While too many replies wait to be
+// written it first waits for the writer: under overload, callers give up and retry faster than the writer is
+// scheduled.
 func (c *conn) beginFrame() (ending, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +158,7 @@
 	return false, len(c.openCalls) >= maxOpenCalls
 }
 
-// repliesBackedUp is called under the lock.
+// repliesBackedUp reports whether the reader has to wait for the writer. The caller holds c.mu.
 func (c *conn) repliesBackedUp() bool {
 	if len(c.openCalls) < maxOpenCalls {
 		return len(c.openCalls)+len(c.replies) >= maxOpenCalls
@@ -164,8 +166,9 @@
 	return len(c.replies) >= maxOpenCalls
 }
 
-// discardLarge refuses an RPC that is not all there, if it is larger than what is read now, and throws away what comes of it.
-// It tells whether it did. Behind an RPC that did not come whole nothing can be read any more.
+// discardLarge rejects an RPC that is incomplete in the buffer and larger than currently admitted, and
+// discards its bytes. It reports whether it did. If the RPC does not arrive completely, nothing after it can
+// be parsed.
 func (c *conn) discardLarge(in *readbuffer.Buffer) (done bool, err error) {
 	size := thrift.Length(in.Bytes())
 	if size <= c.monitor.effects.Load().Largest || size > thrift.MaxFrame {
@@ -174,7 +177,7 @@
 	header, complete := thrift.Peek(in.Bytes()[4:])
 	method, known := c.methods[string(header.Method)]
 	if !complete || !known || c.tokened(method) && len(header.Token) == 0 || header.Seq <= c.lastSeq {
-		return false, nil // read it then, and let it end as it would
+		return false, nil // read it as usual and let it fail there
 	}
 	c.mu.Lock()
 	busy := c.phase >= phaseEnding || len(c.openCalls)+len(c.replies) >= maxOpenCalls
@@ -190,7 +193,8 @@
 	if busy {
 		return false, nil
 	}
-	if _, arrivedAt := c.clock.arrival(header.Recv, c.longestWait(method, math.Inf(1))); !c.shed(header.Seq, method, header.Token, arrivedAt, size) {
+	if _, arrivedAt := c.clock.arrival(header.Recv, c.longestWait(method, math.Inf(1))); !c.shed(header.Seq, method,
+		header.Token, arrivedAt, size) {
 		return false, nil
 	}
 	c.monitor.recordArrival(method, 0)
