--- a/server/reject.go
+++ b/server/reject.go
@@ -10,41 +10,42 @@
 	"valveglade/internal/thrift"
 )
 
-// seqTracker are those under which RPCs came on one connection.
+// seqTracker tracks the sequence numbers of the RPCs of one connection.
 type seqTracker struct {
 	lastSeq     int32
-	skippedSeqs []seqRange // the first few below last that were never used
+	skippedSeqs []seqRange // unused ranges below lastSeq, at most maxSkippedRanges
 }
 
 type seqRange struct{ first, last int32 }
 
-// maxSkippedRanges bounds numbers.skipped: a router's numbers rise by one.
+// maxSkippedRanges bounds seqTracker.skippedSeqs. A router's sequence numbers normally rise by one.
 const maxSkippedRanges = 8
 
-// advanceTo takes note of a number above all before.
-func (n *seqTracker) advanceTo(to int32) {
-	if to > n.lastSeq+1 && len(n.skippedSeqs) < maxSkippedRanges {
-		n.skippedSeqs = append(n.skippedSeqs, seqRange{n.lastSeq + 1, to - 1})
+// advanceTo records a sequence number above all earlier ones.
+func (t *seqTracker) advanceTo(to int32) {
+	if to > t.lastSeq+1 && len(t.skippedSeqs) < maxSkippedRanges {
+		t.skippedSeqs = append(t.skippedSeqs, seqRange{t.lastSeq + 1, to - 1})
 	}
-	n.lastSeq = to
+	t.lastSeq = to
 }
 
-// claim reports whether no RPC came under a number, and takes note of it.
-func (n *seqTracker) claim(seq int32) bool {
-	if seq > n.lastSeq {
-		n.advanceTo(seq)
+// claim reports whether a sequence number was unused, and marks it as used.
+func (t *seqTracker) claim(seq int32) bool {
+	if seq > t.lastSeq {
+		t.advanceTo(seq)
 		return true
 	}
-	for k, s := range n.skippedSeqs {
-		if seq >= s.first && seq <= s.last {
-			n.skippedSeqs[k].first = seq + 1 // those below are given up: they were sent the wrong way round
+	for k, skipped := range t.skippedSeqs {
+		if seq >= skipped.first && seq <= skipped.last {
+			t.skippedSeqs[k].first = seq + 1 // lower ones were sent out of order and are given up
 			return true
 		}
 	}
 	return false
 }
 
-// rejecter answers what has been read on a connection that takes nothing in: no RPC of it runs. It is a thrift.Router.
+// rejecter rejects the RPCs that were read on a connection that processes no input; none of them runs. It
+// implements thrift.Router.
 type rejecter struct {
 	*Server
 	seqs      *seqTracker
@@ -52,7 +53,8 @@
 	interrupt func(target int32)
 }
 
-// Execute refuses an RPC: pushed back, unless another try of it may have run, or none can. A second message under a number is no RPC.
+// Execute pushes an RPC back, or aborts it if another attempt of it may have run or it can never run. A
+// second message with the same sequence number is ignored.
 func (r rejecter) Execute(seq int32, op, _ []byte, _ int, recv, ttl, _ float64, _ bool, dedupe, _ []byte) {
 	if !r.seqs.claim(seq) {
 		return
@@ -66,7 +68,7 @@
 	r.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, after, load) })
 }
 
-// mayHaveRun reports whether another try of an RPC is in hand or has run.
+// mayHaveRun reports whether another attempt of an RPC is pending or has run.
 func (r rejecter) mayHaveRun(method int, token []byte, recv, ttl float64) bool {
 	if !r.tokened(method) || len(token) == 0 {
 		return false
@@ -75,33 +77,34 @@
 	return r.gate.Knows(method, string(token), arrivedAt)
 }
 
-// Unreadable answers an RPC that could not have been run.
+// Unreadable aborts an RPC that could not have been run.
 func (r rejecter) Unreadable(seq int32, _ string) {
 	if r.seqs.claim(seq) {
 		r.abort(seq)
 	}
 }
 
+// abort answers an RPC as aborted.
 func (r rejecter) abort(seq int32) {
 	r.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 }
 
-// Interrupt passes on that nobody waits for an RPC any more.
+// Interrupt forwards that nobody waits for an RPC any more.
 func (r rejecter) Interrupt(target int32) { r.interrupt(target) }
 
-// Check answers a health check as ever.
+// Check answers a health check as on a serving connection.
 func (r rejecter) Check(seq int32) {
 	r.send(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, r.healthy(), load) })
 }
 
-// Unknown answers a call of a method that there is not.
+// Unknown answers a call of an unknown method.
 func (r rejecter) Unknown(seq int32, method string) {
 	r.send(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
 }
 
-// rejectAll answers the whole messages that lie in a buffer, and those that lie unread on the connection, up to lingerSize. It reads
-// without waiting, and stops where nothing can be made of what came.
-func (r rejecter) rejectAll(in *readbuffer.Buffer, nc net.Conn) {
+// rejectAll answers the complete messages in a buffer and those unread on the connection, up to
+// maxLingerBytes. It reads without waiting and stops at the first message that cannot be parsed.
+func (r rejecter) rejectAll(in *readbuffer.Buffer, netConn net.Conn) {
 	for read := 0; ; {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
@@ -109,7 +112,7 @@
 		}
 		if size == 0 {
 			previousBytes := len(in.Bytes())
-			if read >= maxLingerBytes || in.Fill(nonBlockingReader{nc}) != nil {
+			if read >= maxLingerBytes || in.Fill(nonBlockingReader{netConn}) != nil {
 				return
 			}
 			read += len(in.Bytes()) - previousBytes
@@ -122,22 +125,24 @@
 	}
 }
 
-// rejectConn ends a new connection that is not served. What has come on it is answered; what comes later is not read, so that the
-// close proves that nothing of it ran. It waits for nobody: behind this one others wait to be let in.
-func (s *Server) rejectConn(nc net.Conn) {
-	defer nc.Close()
+// rejectConn closes a new connection without serving it. RPCs that have arrived are answered; later ones are
+// not read, so the close proves that none of them ran. It does not wait, as other connections are queued
+// behind this one.
+func (s *Server) rejectConn(netConn net.Conn) {
+	defer netConn.Close()
 	var out []byte
 	load := s.credit()
 	r := rejecter{Server: s, seqs: &seqTracker{}, send: func(r reply) { out = r(out, load) }, interrupt: func(int32) {}}
 	err := s.recoverPanic(func() error {
-		r.rejectAll(readbuffer.New(thrift.MaxFrame+4), nc)
+		r.rejectAll(readbuffer.New(thrift.MaxFrame+4), netConn)
 		return nil
 	})
 	if err != nil || len(out) == 0 {
 		return
 	}
-	nc.SetWriteDeadline(time.Now().Add(closeWait))
-	if _, err := nc.Write(out); err != nil {
-		s.limitedLog.Warn("answers lost", zap.Stringer("router", nc.RemoteAddr()), zap.Error(err))
+	netConn.SetWriteDeadline(time.Now().Add(closeWait))
+	if _, err := netConn.Write(out); err != nil {
+		s.limitedLog.Warn("replies of a rejected connection lost",
+			zap.Stringer("router", netConn.RemoteAddr()), zap.Error(err))
 	}
 }
