--- a/server/reload.go
+++ b/server/reload.go
@@ -13,19 +13,23 @@
 	"valveglade/config"
 )
 
-// reloadWindow is how long a file may take to be replaced after the word has come. One that is faulty, or the same as
-// before, is looked at again until then.
-const reloadWindow, reloadPollInterval = 2 * time.Second, 50 * time.Millisecond
+const (
+	// reloadWindow is how long a file may take to be replaced after the reload signal. Until then an invalid or
+	// unchanged file is read again.
+	reloadWindow = 2 * time.Second
+	// reloadPollInterval is the time between two reads within reloadWindow.
+	reloadPollInterval = 50 * time.Millisecond
+)
 
-// Reload reads the config and the settings again whenever asked to, until ctx ends. If either is faulty nothing changes;
-// no settings are those that there are.
-func (s *Server) Reload(ctx context.Context, asked <-chan os.Signal,
+// Reload reads the config and the settings again on each request, until ctx ends. If either is invalid,
+// nothing changes. If read returns nil settings, the current ones stay.
+func (s *Server) Reload(ctx context.Context, requests <-chan os.Signal,
 	read func() (*config.Config, *config.Settings, error)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-requests:
 		}
 		var reloadErr error
 		changed := false
@@ -34,7 +38,7 @@
 				changed, err = s.reloadOnce(read)
 				return err
 			})
-			if reloadErr != nil && !descriptorLeft() { // it is not the file that is faulty
+			if reloadErr != nil && !descriptorLeft() { // the file itself may be valid
 				s.handleShortage()
 				deadline = time.Now().Add(reloadWindow)
 			}
@@ -46,8 +50,8 @@
 		var directiveError *config.DirectiveError
 		switch {
 		case errors.As(reloadErr, &directiveError):
-			s.log.Warn("settings invalid, the previous stays", zap.String("at", fmt.Sprintf("%s:%d", directiveError.Path, directiveError.Line)),
-				zap.Error(reloadErr))
+			s.log.Warn("settings invalid, the previous stays",
+				zap.String("at", fmt.Sprintf("%s:%d", directiveError.Path, directiveError.Line)), zap.Error(reloadErr))
 		case errors.As(reloadErr, &keyError):
 			s.log.Warn("config invalid, the previous stays", zap.String("key", keyError.Key), zap.Error(reloadErr))
 		case reloadErr != nil:
@@ -58,7 +62,7 @@
 	}
 }
 
-// reloadOnce reads the config and the settings, and takes over what is new.
+// reloadOnce reads the config and the settings, and applies what has changed.
 func (s *Server) reloadOnce(read func() (*config.Config, *config.Settings, error)) (changed bool, err error) {
 	c, settings, err := read()
 	if err != nil {
@@ -75,8 +79,8 @@
 	return s.applyFleetSettings(settings) || changed, nil
 }
 
-// applyConfig takes over what may change while running and tells whether anything is new. Runs and all that is held
-// go on; what cannot change stays as it was, with a line that says so.
+// applyConfig applies what can change at run time and reports whether the config differs from the one last
+// read. Open RPCs and stored results stay. Keys that need a restart keep their values and are logged.
 func (s *Server) applyConfig(c *config.Config) (changed bool) {
 	old := s.config.Load()
 	if reflect.DeepEqual(c, s.lastReadConfig) {
@@ -101,7 +105,7 @@
 	s.config.Store(&next)
 	s.setMemoryLimit(&next)
 	effects := *s.monitor.effects.Load()
-	s.applyEffects(effects, effects) // bounds that hang on the limits
+	s.applyEffects(effects, effects) // recompute the bounds that depend on the config's limits
 	s.link.Move(next.Kernel)
 	notify(s.reportNow)
 	s.log.Info("config reloaded", zap.Stringer("kernel", next.Kernel), zap.Stringer("roster", next.Roster))
