--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -8,9 +8,9 @@
 	"valveglade/internal/thrift"
 )
 
-// Execute takes in one RPC.
+// Execute processes one RPC.
 func (c *conn) Execute(seq int32, op, uid []byte, src int, recv, ttl, heap float64, retry bool, dedupe, body []byte) {
-	if c.isDuplicate(seq) {
+	if c.rejectDuplicate(seq) {
 		return
 	}
 	method, known := c.methods[string(op)]
@@ -24,7 +24,7 @@
 		return
 	}
 	if c.config.Load().Rules.MayCall(method) {
-		c.pushBack(seq, true) // no app server of this build can call, so no try of it has run either
+		c.pushBack(seq, true) // no app server of this build can make calls, so no attempt of it has run either
 		return
 	}
 	now, recv := c.clock.arrival(recv, c.longestWait(method, ttl))
@@ -48,8 +48,8 @@
 	c.openCalls[seq] = pending
 	c.mu.Unlock()
 	var ok bool
-	if pending.id, ok = c.gate.Arrive(now, method, src, recv, c.clientDeadline(method, now, recv, ttl), heap, retry, pending.uid, token, body,
-		pending); !ok {
+	if pending.id, ok = c.gate.Arrive(now, method, src, recv, c.clientDeadline(method, now, recv, ttl), heap,
+		retry, pending.uid, token, body, pending); !ok {
 		c.mu.Lock()
 		delete(c.openCalls, seq)
 		c.mu.Unlock()
@@ -58,11 +58,12 @@
 	}
 }
 
-// shed refuses an RPC that the process cannot bear now, at once and beside the gate, which never hears of it. What
-// has begun is not refused: a repeat of it goes to the gate.
+// shed rejects an RPC under pressure, without the gate, and reports whether it did. A retry of an RPC that
+// has begun is not rejected but goes to the gate.
 func (c *conn) shed(seq int32, method int, token []byte, recv float64, size int) bool {
 	effects := c.monitor.effects.Load()
-	if size <= effects.Largest && c.monitor.admits(method) || c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
+	if size <= effects.Largest && c.monitor.admits(method) ||
+		c.tokened(method) && len(token) > 0 && c.gate.Knows(method, string(token), recv) {
 		return false
 	}
 	c.monitor.rejected.Add(1)
@@ -70,7 +71,8 @@
 	return true
 }
 
-// rejectForMemory answers an RPC for which there is no room: it has not run, unless it repeats one that may have.
+// rejectForMemory rejects an RPC that does not fit into memory: pushed back as never run, or aborted if
+// another attempt of it may have run.
 func (c *conn) rejectForMemory(seq int32, method int, token string, recv float64) {
 	c.limitedLog.Warn("no memory for an RPC", zap.Stringer("router", c.RemoteAddr()))
 	if token != "" && c.gate.Knows(method, token, recv) {
@@ -80,13 +82,14 @@
 	c.pushBack(seq, false)
 }
 
-// pushBack answers an RPC that never ran, with the longest advice that callers heed; last asks that no other app server be tried.
+// pushBack rejects an RPC that never ran, with the longest retry-after delay that callers observe. last asks
+// that no other app server be tried.
 func (c *conn) pushBack(seq int32, last bool) {
 	after := c.config.Load().Rules.LongestAdvice()
 	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
 }
 
-// logUnserved names each method whose RPCs are all refused.
+// logUnserved logs each method whose RPCs are all rejected because it may call the layer below.
 func (s *Server) logUnserved() {
 	c := s.config.Load()
 	for method, name := range c.Methods {
@@ -97,15 +100,16 @@
 	}
 }
 
-// maxReadDelay is the longest time in seconds that one RPC counts as having lain unread: recv is its client's word, and one
-// client's alone is not to put the process under pressure.
+// maxReadDelay, in seconds, caps the read delay counted for one RPC: recv comes from the client, and a single
+// client must not be able to put the process under pressure.
 const maxReadDelay = 5.0
 
-// defaultClientWait is how long in seconds a client counts as waiting where neither its router nor the settings tell.
+// defaultClientWait, in seconds, is how long a client is assumed to wait if neither its router nor the
+// settings specify it.
 const defaultClientWait = 3600.0
 
-// clientDeadline is when an RPC's client gives up, 0 where its router does not tell: then the module goes by the method's deadline. No
-// client waits longer than that, whatever the router says.
+// clientDeadline returns when an RPC's client gives up, or 0 if its router does not specify it: the gate then
+// uses the method's deadline. No client is assumed to wait longer than that deadline.
 func (c *conn) clientDeadline(method int, now, recv, ttl float64) float64 {
 	wait := c.longestWait(method, ttl)
 	switch ttlKnown := !math.IsInf(ttl, 1); {
@@ -114,18 +118,18 @@
 	case !ttlKnown:
 		return 0
 	}
-	const minDeadline = 1 // a router that tells of a time long ago has told all the same
+	const minDeadline = 1 // keeps a specified deadline in the distant past apart from 0
 	return max(min(recv, now)+wait, minDeadline)
 }
 
-// duplicateSeqError is a number that two RPCs of one connection came under.
+// duplicateSeqError reports a sequence number that two RPCs of one connection used.
 type duplicateSeqError struct{ seq int32 }
 
 func (e *duplicateSeqError) Error() string { return "sequence number used before" }
 
-// isDuplicate ends a connection whose RPCs' numbers do not rise: to answer one of two with the same number would be to
-// answer both.
-func (c *conn) isDuplicate(seq int32) bool {
+// rejectDuplicate records a sequence number. If the number does not rise it ends the connection and returns true:
+// a reply to one of two RPCs with the same number would answer both.
+func (c *conn) rejectDuplicate(seq int32) bool {
 	if seq > c.lastSeq {
 		c.lastSeq = seq
 		return false
@@ -134,21 +138,23 @@
 	return true
 }
 
-// Unreadable answers what cannot be run.
-func (c *conn) Unreadable(seq int32, why string) {
-	if !c.isDuplicate(seq) {
-		c.unreadable(seq, why)
+// Unreadable aborts an RPC that cannot be run.
+func (c *conn) Unreadable(seq int32, field string) {
+	if !c.rejectDuplicate(seq) {
+		c.unreadable(seq, field)
 	}
 }
 
-func (c *conn) unreadable(seq int32, why string) {
-	c.limitedLog.Warn("RPC unreadable", zap.Stringer("router", c.RemoteAddr()), zap.String("field", why))
+// unreadable aborts an RPC that cannot be run and logs its invalid field.
+func (c *conn) unreadable(seq int32, field string) {
+	c.limitedLog.Warn("RPC unreadable", zap.Stringer("router", c.RemoteAddr()), zap.String("field", field))
 	c.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 	c.unusableRPCs.Add(1)
 }
 
-// recordKernelVerdict takes note of the kernel's word on an RPC of this connection: of what a client had not sent it knows nothing. One that it
-// does know shows a usual router, whose odd RPCs count afresh: its connection may live for as long as it likes.
+// recordKernelVerdict counts RPCs of this connection that the kernel does not know because no client has sent
+// them. One that it knows shows a working router and resets the count, so that its connection may live
+// indefinitely.
 func (c *conn) recordKernelVerdict(known bool) {
 	if known {
 		c.unusableRPCs.Store(0)
@@ -157,7 +163,7 @@
 	}
 }
 
-// Interrupt tells that nobody waits for an RPC any more.
+// Interrupt drops an RPC that nobody waits for any more.
 func (c *conn) Interrupt(target int32) {
 	c.mu.Lock()
 	pending := c.openCalls[target]
@@ -174,7 +180,7 @@
 	c.send(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, c.healthy(), load) })
 }
 
-// Unknown answers a call of a method that there is not.
+// Unknown answers a call of an unknown method.
 func (c *conn) Unknown(seq int32, method string) {
 	c.send(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
 }
