--- a/server/runs.go
+++ b/server/runs.go
@@ -11,21 +11,21 @@
 	"valveglade/rpc"
 )
 
-// run is a call which the kernel was asked to run.
+// run is a call that the kernel was asked to run.
 type run struct {
 	id gate.ID
 	*call
 }
 
-// Booted is the kernel's first word.
+// Booted handles the kernel's report that it has been up for ago seconds, and whether it was a cold start.
 func (s *Server) Booted(ago float64, cold bool) {
 	s.log.Info("kernel up", zap.Float64("for_s", ago), zap.Bool("cold", cold))
 	now := s.clock.now()
-	warm := now - ago
+	warmAt := now - ago
 	if cold {
-		warm += s.config.Load().Rules.Rules.WarmIn
+		warmAt += s.config.Load().Rules.Rules.WarmIn
 	}
-	s.warmAt.Store(int64(min(warm*1e9, math.MaxInt64/2)))
+	s.warmAt.Store(int64(min(warmAt*1e9, math.MaxInt64/2)))
 	s.recoverPanic(func() error {
 		if s.gate.Boot(now, now-ago, cold) {
 			defer notify(s.healthChanged)
@@ -35,7 +35,7 @@
 	})
 }
 
-// Ended is the kernel's word on a run.
+// Ended handles the kernel's report of a finished run.
 func (s *Server) Ended(r *run, took float64, result []byte, err error) {
 	outcome := rpc.OK
 	attempt := (*kernel.Attempt)(nil)
