--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,5 @@
-// Package server is an app server that others can embed: it listens to routers, asks the gate what to do, has
-// the kernel do the work, and reports to the roster, from start to drain.
+// Package server implements an embeddable app server. It listens to routers, lets the gate decide on
+// admission and scheduling, has the kernel run the RPCs, and reports to the roster, from start to drain.
 package server
 
 import (
@@ -27,59 +27,67 @@
 
 // Server is one app server.
 type Server struct {
-	config         atomic.Pointer[config.Config] // the one in force
-	lastReadConfig *config.Config                // as last read; only Reload's goroutine has it
+	config         atomic.Pointer[config.Config] // in force
+	lastReadConfig *config.Config                // as last read; accessed only by Reload's goroutine
 	clock          *clock
 	log            *zap.Logger
-	limitedLog     *zap.Logger // for what any client can cause, as often as it likes: limited in rate
+	limitedLog     *zap.Logger // rate-limited, for events that any client can cause
 	gate           *gate.Gate[*call]
 	monitor        *monitor
-	creditSignal   rpc.Signal // what callers make of the credit
-	link           *kernel.Link[*run]
-	methods        map[string]int
-	group          *errgroup.Group
-
-	ownsProcess      atomic.Bool  // its memory limit is ours to set
-	startDescriptors atomic.Int64 // descriptors that the process held when it began to listen, see countOwn
-	systemLimit      int          // of descriptors, see room
-	lastShortageAt   atomic.Int64 // when no descriptor was left, in whole seconds; 0 for never
-
-	fleetSettings     config.Fleet                      // in force from the start
-	fleetSettingsRead config.Fleet                      // as last read; only Reload's goroutine has it
-	quota             atomic.Pointer[fleet.QuotaClient] // of permits under common limits; nil where there are none
-	distribution      *fleet.Distribution               // of configuration; nil where it is off
-	warmAt            atomic.Int64                      // when the app server is at full strength, Unix nanoseconds; 0 before its kernel is up
-
-	currentStage      atomic.Int32                     // see enter
-	drainSchedule     func(stop float64) drainSchedule // of a drain in so many seconds
-	partialTimeout    time.Duration                    // see halfFor
-	idleCheckInterval time.Duration                    // between looks at idle connections, see idleEvery
-	requestBytes      atomic.Int64                     // bytes of RPCs whose answer is owed, about
+	creditSignal   rpc.Signal         // how callers interpret the credit
+	link           *kernel.Link[*run] // to the kernel
+	methods        map[string]int     // indexes in the config's methods, by name
+	group          *errgroup.Group    // all goroutines of the server
+
+	ownsProcess      atomic.Bool  // the process's memory limit may be set
+	startDescriptors atomic.Int64 // descriptors held when the process began to listen, see countOwnDescriptors
+	systemLimit      int          // descriptor limit of the process, see connectionCapacity
+	lastShortageAt   atomic.Int64 // when descriptors last ran out, in whole Unix seconds; 0 for never
+
+	fleetSettings     config.Fleet                      // in force since the start
+	fleetSettingsRead config.Fleet                      // as last read; accessed only by Reload's goroutine
+	quota             atomic.Pointer[fleet.QuotaClient] // permits under shared limits; nil if there are none
+	distribution      *fleet.Distribution               // of configuration; nil if it is off
+	// warmAt is when the app server has warmed up, in Unix nanoseconds; 0 before its kernel is up.
+	warmAt atomic.Int64
+
+	currentStage      atomic.Int32                     // changed only by enterStage
+	drainSchedule     func(stop float64) drainSchedule // the schedule of a drain in stop seconds
+	partialTimeout    time.Duration                    // see the constant of that name
+	idleCheckInterval time.Duration                    // between checks of idle connections
+	requestBytes      atomic.Int64                     // approximate memory of the open RPCs
 	mu                sync.Mutex
 	conns             map[*conn]struct{}
-	connEnded         chan struct{} // holds one after a connection has ended
+	connEnded         chan struct{} // notified after a connection has ended
 	kernelUp          chan struct{} // closed once the kernel is up
-	reportNow         chan struct{} // holds one when the roster is to hear at once
-	healthChanged     chan struct{} // holds one when health may have changed by the process's own doing
+	reportNow         chan struct{} // notified when the roster is to get a report at once
+	healthChanged     chan struct{} // notified when health may have changed because of the process's own state
 }
 
-// These parts of the memory are for kept results and for RPCs whose answer is owed. The collector lets
-// garbage grow to as much again; the rest is for buffers and stacks, a quarter on the largest number of
-// connections.
-const resultMemoryShare, requestMemoryShare = 8, 4
+// Shares of the memory, as divisors of it. The collector lets garbage grow to as much again. The rest is for
+// buffers and stacks, which take a quarter at the largest number of connections.
+const (
+	resultMemoryShare  = 8 // for stored results
+	requestMemoryShare = 4 // for open RPCs
+)
 
-// New prepares an app server; nothing is opened before Serve.
+// New returns an app server with default settings. It opens nothing before Serve.
 func New(c *config.Config, log *zap.Logger) *Server {
 	return NewWithSettings(c, config.NewSettings(), log)
 }
 
-// NewWithSettings is New under the operators' own settings.
+// NewWithSettings is New with the operators' settings.
 func NewWithSettings(c *config.Config, settings *config.Settings, log *zap.Logger) *Server {
-	s := &Server{clock: systemClock(), log: log, limitedLog: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(core, logInterval, 1, 0)
-	})), methods: map[string]int{}, conns: map[*conn]struct{}{},
-		kernelUp: make(chan struct{}), connEnded: make(chan struct{}, 1), reportNow: make(chan struct{}, 1), healthChanged: make(chan struct{}, 1),
-		drainSchedule: defaultSchedule.scaledTo, partialTimeout: partialTimeout, idleCheckInterval: defaultIdleCheckInterval, monitor: newMonitor(c, settings), creditSignal: c.Rules.Machine.Signal, fleetSettings: settings.Fleet, fleetSettingsRead: settings.Fleet}
+	s := &Server{clock: systemClock(), log: log,
+		limitedLog: log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
+			return zapcore.NewSamplerWithOptions(core, logInterval, 1, 0)
+		})),
+		methods: map[string]int{}, conns: map[*conn]struct{}{},
+		kernelUp: make(chan struct{}), connEnded: make(chan struct{}, 1),
+		reportNow: make(chan struct{}, 1), healthChanged: make(chan struct{}, 1),
+		drainSchedule: defaultSchedule.scaledTo, partialTimeout: partialTimeout,
+		idleCheckInterval: defaultIdleCheckInterval, monitor: newMonitor(c, settings),
+		creditSignal: c.Rules.Machine.Signal, fleetSettings: settings.Fleet, fleetSettingsRead: settings.Fleet}
 	s.config.Store(c)
 	s.systemLimit = systemLimit()
 	s.lastReadConfig = c
@@ -91,12 +99,12 @@
 	return s
 }
 
-// logInterval is how often one and the same line about clients may be logged: often enough to be seen.
+// logInterval is the shortest time between two equal log lines about clients.
 const logInterval = time.Second
 
-// Serve listens where the config says and runs until ctx ends, which is the notice to leave, and then until
-// all that was read is answered and the connections are closed, at the latest shortly before the config's
-// stop.
+// Serve listens on the config's address and runs until ctx ends, which is the shutdown notice. It then
+// drains: it answers what has been read and closes the connections, at the latest shortly before the config's
+// stop time.
 func (s *Server) Serve(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.config.Load().Listen.String())
 	if err != nil {
@@ -108,16 +116,16 @@
 	return s.ServeOn(ctx, listener.(*net.TCPListener))
 }
 
-// setMemoryLimit tells Go's collector of the memory limit, which it holds to as to a target; stacks and what the system
-// keeps for the process come on top, so a quarter stays free.
+// setMemoryLimit sets the collector's soft memory limit to three quarters of the config's: stacks and kernel
+// memory held for the process come on top.
 func (s *Server) setMemoryLimit(c *config.Config) {
 	if s.ownsProcess.Load() {
 		debug.SetMemoryLimit(int64(c.Memory) / 4 * 3)
 	}
 }
 
-// ServeOn is Serve on a listener of the embedder's, which it closes; the process's memory limit is left
-// alone.
+// ServeOn is Serve on the embedder's listener, which it closes. It does not change the process's memory
+// limit.
 func (s *Server) ServeOn(ctx context.Context, listener *net.TCPListener) error {
 	fleetMember, roles, err := s.joinFleet()
 	if err != nil {
@@ -126,13 +134,13 @@
 	}
 	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	// The notice to leave comes from outside, or from a duty without which nobody would be served: either way all that has
-	// been read is answered first.
+	// A drain starts when ctx ends, or when a goroutine fails without which nobody would be served. Either
+	// way all that has been read is answered first.
 	ctx, startDrain := context.WithCancelCause(ctx)
 	defer startDrain(nil)
 	var runCtx context.Context
 	s.group, runCtx = errgroup.WithContext(serveCtx)
-	listenerClosed := make(chan struct{}) // when the listener is
+	listenerClosed := make(chan struct{}) // closed once the listener is
 	s.group.Go(func() error {
 		defer close(listenerClosed)
 		if err := s.accept(runCtx, listener); err != nil {
@@ -150,7 +158,7 @@
 	s.group.Go(func() error { return s.watchHealth(runCtx) })
 	s.group.Go(func() error { return s.monitorSelf(runCtx) })
 	s.group.Go(func() error {
-		select { // before it can answer anything it is not to be found
+		select { // without the kernel the app server can answer nothing, so it does not report to the roster
 		case <-runCtx.Done():
 			return nil
 		case <-s.kernelUp:
@@ -179,12 +187,13 @@
 	return err
 }
 
+// tokened reports whether RPCs of a method carry a token that identifies their attempts.
 func (s *Server) tokened(method int) bool {
 	return s.config.Load().Rules.Methods[method].Kind == rpc.Tokened
 }
 
-// longestWait is how long in seconds an RPC of a method may be waited for: the shorter of its ttl, +Inf where that is not told, and the
-// method's deadline, if it has one.
+// longestWait returns how long in seconds a client may wait for an RPC: the shorter of its ttl, which is +Inf
+// if unspecified, and the method's deadline, if it has one.
 func (s *Server) longestWait(method int, ttl float64) float64 {
 	if deadline := s.config.Load().Rules.Methods[method].Deadline; deadline > 0 {
 		return min(ttl, deadline)
