--- a/server/writer.go
+++ b/server/writer.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// reply writes one message behind others, with the credit of that moment.
+// reply appends an encoded message, with the credit at the time of writing, to out.
 type reply func(out []byte, load float64) []byte
 
-// send leaves a reply that no RPC waits for to the connection's writer.
+// send queues a reply that belongs to no open RPC.
 func (c *conn) send(r reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue(r)
 }
 
-// queue is called under the lock, so that a connection with an answer to write never looks idle.
+// queue passes a reply to the writer. The caller holds c.mu, so a connection with a reply to write never
+// looks idle.
 func (c *conn) queue(r reply) {
 	if c.phase == phaseShut {
-		return // nothing can be written any more
+		return // the write side is shut
 	}
 	c.replies = append(c.replies, r)
 	notify(c.wake)
 }
 
-// write sends replies, several at once where they are ready, with the credit of that moment.
+// write sends queued replies, several per write where possible, each with the credit at the time of writing.
 func (c *conn) write(ctx context.Context) error {
 	defer func() {
 		c.mu.Lock()
@@ -57,7 +58,7 @@
 			c.boundNextWrite()
 			if _, err := c.Write(out); errors.Is(err, os.ErrDeadlineExceeded) {
 				return errors.New("the router does not read its answers")
-			} else if err != nil { // it has left
+			} else if err != nil { // the router has closed the connection
 				c.Close()
 				return nil
 			}
