--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -14,54 +14,54 @@
 	"valveglade/config"
 )
 
-// clocks is a system whose clock the test sets; routers and the app server read the same.
-type clocks struct{ ahead atomic.Int64 }
+// adjustableClock is a system whose clock the test sets; routers and the app server read the same.
+type adjustableClock struct{ offset atomic.Int64 }
 
-func (s *clocks) step(by time.Duration) { s.ahead.Add(int64(by)) }
+func (s *adjustableClock) step(by time.Duration) { s.offset.Add(int64(by)) }
 
-func (s *clocks) now() time.Time { return time.Now().Add(time.Duration(s.ahead.Load())) }
+func (s *adjustableClock) now() time.Time { return time.Now().Add(time.Duration(s.offset.Load())) }
 
-// recv is the time of an RPC that comes to the machine now.
-func (s *clocks) recv() string { return fmt.Sprint(s.now().UnixMilli()) }
+// recvTimestamp is the time of an RPC that comes to the machine now.
+func (s *adjustableClock) recvTimestamp() string { return fmt.Sprint(s.now().UnixMilli()) }
 
-// openStepped opens an app server on such a system.
-func openStepped(change func(c *config.Config)) (*town, *clocks) {
-	s := &clocks{}
+// newHarnessWithClock opens an app server on such a system.
+func newHarnessWithClock(change func(c *config.Config)) (*harness, *adjustableClock) {
+	s := &adjustableClock{}
 	brief := func(c *config.Config) {
 		c.Stop = 0.3
 		if change != nil {
 			change(c)
 		}
 	}
-	t := openPrepared(brief, zap.NewNop(), func(server *Server) {
+	t := newPreparedHarness(brief, zap.NewNop(), func(server *Server) {
 		start := time.Now()
 		server.clock = newClock(func() (wall, steady float64) {
 			return float64(s.now().UnixNano()) / 1e9, time.Since(start).Seconds()
 		})
 	})
-	t.linkUp()
+	t.bootKernel()
 	return t, s
 }
 
 // The system's clock goes back by an hour while RPCs are in hand: they are answered by their due time, and what comes later is run
 // and answered likewise.
 func Example_clockBack() {
-	t, system := openStepped(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	t, system := newHarnessWithClock(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
 	r := t.dial()
-	r.execute(1, "recv", system.recv())
-	t.asked()
-	r.execute(2, "recv", system.recv(), "ttl", "300")
-	until("both read", func() bool { return len(t.connections()[0].opened()) == 2 })
+	r.execute(1, "recv", system.recvTimestamp())
+	t.printKernelCommand()
+	r.execute(2, "recv", system.recvTimestamp(), "ttl", "300")
+	waitFor("both read", func() bool { return len(t.connections()[0].openSeqs()) == 2 })
 	system.step(-time.Hour)
-	r.hear(1) // 2, by its due time
-	t.reap(1, "fine", "one")
-	r.hear(1)
-	r.execute(3, "recv", system.recv())
-	t.asked()
-	r.execute(4, "recv", system.recv(), "ttl", "300")
-	r.hear(1)
-	t.reap(3, "fine", "three")
-	r.hear(1)
+	r.printReplies(1) // 2, by its due time
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
+	r.execute(3, "recv", system.recvTimestamp())
+	t.printKernelCommand()
+	r.execute(4, "recv", system.recvTimestamp(), "ttl", "300")
+	r.printReplies(1)
+	t.endRun(3, "fine", "three")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -76,28 +76,28 @@
 // The system's clock goes ahead by an hour, and back again: nothing in hand is given up, what comes in between is run, and so is what
 // comes afterwards.
 func Example_clockAhead() {
-	t, system := openStepped(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	t, system := newHarnessWithClock(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
 	r := t.dial()
-	r.execute(1, "recv", system.recv())
-	t.asked()
-	r.execute(2, "recv", system.recv())
-	until("both read", func() bool { return len(t.connections()[0].opened()) == 2 })
+	r.execute(1, "recv", system.recvTimestamp())
+	t.printKernelCommand()
+	r.execute(2, "recv", system.recvTimestamp())
+	waitFor("both read", func() bool { return len(t.connections()[0].openSeqs()) == 2 })
 	system.step(time.Hour)
 	time.Sleep(100 * time.Millisecond) // several looks at what is due
-	t.reap(1, "fine", "one")
-	r.hear(1)
-	t.asked()
-	r.execute(3, "recv", system.recv())
-	t.reap(2, "fine", "two")
-	r.hear(1)
-	t.asked()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
+	t.printKernelCommand()
+	r.execute(3, "recv", system.recvTimestamp())
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
+	t.printKernelCommand()
 	system.step(-time.Hour)
-	r.execute(4, "recv", system.recv())
-	t.reap(3, "fine", "three")
-	r.hear(1)
-	t.asked()
-	t.reap(4, "fine", "four")
-	r.hear(1)
+	r.execute(4, "recv", system.recvTimestamp())
+	t.endRun(3, "fine", "three")
+	r.printReplies(1)
+	t.printKernelCommand()
+	t.endRun(4, "fine", "four")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -114,14 +114,14 @@
 // RPCs that came to the machine before its clock was set, and are read afterwards: they are held and run as any other, both ways.
 func Example_clockCrossed() {
 	for _, by := range []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
-		t, system := openStepped(nil)
+		t, system := newHarnessWithClock(nil)
 		r := t.dial()
-		came := system.recv()
+		came := system.recvTimestamp()
 		system.step(by)
 		r.execute(1, "recv", came, "ttl", "3000")
-		t.asked()
-		t.reap(1, "fine", "one")
-		r.hear(1)
+		t.printKernelCommand()
+		t.endRun(1, "fine", "one")
+		r.printReplies(1)
 		t.close()
 	}
 	// Output:
@@ -141,14 +141,14 @@
 
 // Only the app server's clock is set, not that by which RPCs are marked with their time.
 func Example_clockApart() {
-	t, system := openStepped(nil)
+	t, system := newHarnessWithClock(nil)
 	r := t.dial()
 	for k, by := range []time.Duration{-time.Hour, 2 * time.Hour, -time.Hour - 10*time.Second} {
 		system.step(by)
 		r.execute(k+1, "ttl", "3000") // by the usual clock
-		t.asked()
-		t.reap(k+1, "fine", "one")
-		r.hear(1)
+		t.printKernelCommand()
+		t.endRun(k+1, "fine", "one")
+		r.printReplies(1)
 	}
 	t.close()
 	// Output:
@@ -165,18 +165,18 @@
 // is not run.
 func Example_clockWindow() {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
-		t, system := openStepped(nil)
+		t, system := newHarnessWithClock(nil)
 		r := t.dial()
-		r.execute(1, "op", "record", "dedupe", "t", "recv", system.recv())
-		t.asked()
-		t.reap(1, "fine", "one")
-		r.hear(1)
+		r.execute(1, "op", "record", "dedupe", "t", "recv", system.recvTimestamp())
+		t.printKernelCommand()
+		t.endRun(1, "fine", "one")
+		r.printReplies(1)
 		system.step(by)
 		time.Sleep(100 * time.Millisecond) // several looks at what has expired
-		r.execute(2, "op", "record", "dedupe", "t", "recv", system.recv())
-		r.hear(1)
+		r.execute(2, "op", "record", "dedupe", "t", "recv", system.recvTimestamp())
+		r.printReplies(1)
 		t.close()
-		fmt.Println("kernel:", len(t.runs), "more")
+		fmt.Println("kernel:", len(t.kernelCommands), "more")
 	}
 	// Output:
 	// kernel: SCHED 1 record body of t
@@ -195,23 +195,23 @@
 // the process ends before its stop.
 func Example_clockDrain() {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
-		t, system := openStepped(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 2.4, 0.6 })
+		t, system := newHarnessWithClock(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 2.4, 0.6 })
 		r := t.dial()
 		began := time.Now()
-		t.notice()
-		until("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
+		t.beginDrain()
+		waitFor("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
 		system.step(by)
-		r.execute(1, "recv", system.recv())
-		t.asked()
+		r.execute(1, "recv", system.recvTimestamp())
+		t.printKernelCommand()
 		time.Sleep(700 * time.Millisecond)
-		r.execute(2, "recv", system.recv())
-		r.hear(1)
-		t.reap(1, "fine", "one")
-		r.hear(1)
+		r.execute(2, "recv", system.recvTimestamp())
+		r.printReplies(1)
+		t.endRun(1, "fine", "one")
+		r.printReplies(1)
 		r.Close()
 		t.close()
 		took := time.Since(began)
-		fmt.Println("kernel:", len(t.runs), "more; in time:", took > 1500*time.Millisecond && took < 2400*time.Millisecond)
+		fmt.Println("kernel:", len(t.kernelCommands), "more; in time:", took > 1500*time.Millisecond && took < 2400*time.Millisecond)
 	}
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -243,8 +243,8 @@
 	}
 }
 
-// processorTime is what this process has used of the processor.
-func processorTime() time.Duration {
+// cpuTime is what this process has used of the processor.
+func cpuTime() time.Duration {
 	var used syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
@@ -254,7 +254,7 @@
 // rest.
 func TestRestsUnderExtremeSettings(t *testing.T) {
 	for _, figure := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
-		town := openPrepared(func(c *config.Config) {
+		town := newPreparedHarness(func(c *config.Config) {
 			c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn, c.Rules.Rules.Grace = figure, figure, figure
 			c.Stop, c.Rules.Rules.ColdAt = 0.3, 0.25
 			for k := range c.Rules.Methods {
@@ -262,19 +262,19 @@
 				m.Target, m.Deadline, m.Window = figure, figure, figure
 			}
 		}, zap.NewNop(), func(*Server) {})
-		town.cold = true
-		town.linkUp()
+		town.coldStart = true
+		town.bootKernel()
 		r := town.dial()
 		r.send(1, "check", 1, "\x00")
-		r.hear(1)
+		r.printReplies(1)
 		const span = 300 * time.Millisecond
-		before := processorTime()
+		before := cpuTime()
 		time.Sleep(span)
-		if used := processorTime() - before; used > span/3 {
+		if used := cpuTime() - before; used > span/3 {
 			t.Errorf("%g: %v of the processor in %v", figure, used, span)
 		}
 		if figure == 0 || figure > 1 {
-			if c := town.connections(); len(c) != 1 || c[0].asked() {
+			if c := town.connections(); len(c) != 1 || c[0].drainRequested() {
 				t.Errorf("%g: a connection that rests is not left alone", figure)
 			}
 		}
@@ -285,7 +285,7 @@
 	}
 }
 
-func (c *conn) asked() bool {
+func (c *conn) drainRequested() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.askedAt.IsZero()
--- a/server/crowd_test.go
+++ b/server/crowd_test.go
@@ -14,32 +14,32 @@
 	"valveglade/config"
 )
 
-// openCrowded opens an app server with room for so many connections, which asks nobody to leave beforehand.
-func openCrowded(room int) *town {
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + room }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
-	t.linkUp()
+// newHarnessWithCapacity opens an app server with room for so many connections, which asks nobody to leave beforehand.
+func newHarnessWithCapacity(room int) *harness {
+	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + room }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t.bootKernel()
 	return t
 }
 
-// serveOne has one RPC answered on a new connection.
-func (t *town) serveOne(seq int) *router {
+// serveOneRPC has one RPC answered on a new connection.
+func (t *harness) serveOneRPC(seq int) *routerConn {
 	r := t.dial()
 	r.execute(seq)
-	t.asked()
-	t.reap(seq, "fine", "ok")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(seq, "fine", "ok")
+	r.printReplies(1)
 	return r
 }
 
 // Silent clients that arrive faster than they count as silent take the whole table; a router with work still gets in.
 func Example_fastFlood() {
-	t := openCrowded(3)
+	t := newHarnessWithCapacity(3)
 	for range 3 {
 		t.dial()
 	}
-	until("full", func() bool { return len(t.connections()) == 3 })
+	waitFor("full", func() bool { return len(t.connections()) == 3 })
 	time.Sleep(firstBytes)
-	t.serveOne(1)
+	t.serveOneRPC(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -50,11 +50,11 @@
 // Clients that were served once and then stay in the middle of a message take the whole table; a router with work gets in
 // before their messages are overdue.
 func Example_stalled() {
-	t := openCrowded(2)
+	t := newHarnessWithCapacity(2)
 	for k := range 2 {
-		fmt.Fprint(t.serveOne(k+1), "\x00\x00\x00\x40half")
+		fmt.Fprint(t.serveOneRPC(k+1), "\x00\x00\x00\x40half")
 	}
-	until("halves read", func() bool {
+	waitFor("halves read", func() bool {
 		for _, c := range t.connections() {
 			if q, _ := c.rested(); !q.part {
 				return false
@@ -63,7 +63,7 @@
 		return true
 	})
 	time.Sleep(fresh + firstBytes)
-	t.serveOne(3)
+	t.serveOneRPC(3)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -78,20 +78,20 @@
 // Where accepting fails for want of descriptors idle connections make room, although the configuration allows more; who is
 // at work stays, and any other failure closes nothing.
 func Example_acceptFailed() {
-	t := openCrowded(8)
-	idle := t.serveOne(1)
+	t := newHarnessWithCapacity(8)
+	idle := t.serveOneRPC(1)
 	busy := t.dial()
 	busy.execute(2)
-	t.asked()
+	t.printKernelCommand()
 	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)})
 	t.Server.mu.Lock()
 	_, going := t.leastWanted()
 	fmt.Println("connections:", len(t.conns), "on their way out:", going)
 	t.Server.mu.Unlock()
 	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
-	idle.ends()
-	t.reap(2, "fine", "two")
-	busy.hear(1)
+	idle.printEnd()
+	t.endRun(2, "fine", "two")
+	busy.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -105,24 +105,24 @@
 
 // A reload with fewer descriptors closes idle connections at once, down to what is allowed, and none that is at work.
 func Example_fewerSockets() {
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 20 }, zap.NewNop(),
+	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 20 }, zap.NewNop(),
 		func(s *Server) { s.idle = 10 * time.Millisecond })
-	t.linkUp()
+	t.bootKernel()
 	busy := t.dial()
 	busy.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	for range 8 {
 		t.dial()
 	}
-	until("taken in", func() bool { return len(t.connections()) == 9 })
+	waitFor("taken in", func() bool { return len(t.connections()) == 9 })
 	began := time.Now()
-	next := *t.config
+	next := *t.initialConfig
 	next.Sockets = reserve + 3
 	t.adopt(&next)
-	until("room", func() bool { return len(t.connections()) <= 3 })
+	waitFor("room", func() bool { return len(t.connections()) <= 3 })
 	fmt.Println("before silence is overdue:", time.Since(began) < messageTimeout/2)
-	t.reap(1, "fine", "one")
-	busy.hear(1)
+	t.endRun(1, "fine", "one")
+	busy.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -154,19 +154,19 @@
 	}
 }
 
-// slowConn is a connection whose first close takes until the test says so; as with the system's, a second one returns at
+// slowCloseConn is a connection whose first close takes until the test says so; as with the system's, a second one returns at
 // once. Nothing can be written on it.
-type slowConn struct {
+type slowCloseConn struct {
 	net.Conn
-	begun   chan bool // holds one once the close has begun
-	release chan bool
+	closeStarted chan bool // holds one once the close has begun
+	release      chan bool
 }
 
-func (c slowConn) Write([]byte) (int, error) { return 0, syscall.EPIPE }
+func (c slowCloseConn) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-func (c slowConn) Close() error {
+func (c slowCloseConn) Close() error {
 	select {
-	case c.begun <- true:
+	case c.closeStarted <- true:
 		<-c.release
 		return c.Conn.Close()
 	default:
@@ -177,15 +177,15 @@
 // The place of a connection is free only once its descriptor is: also when the writer is about to close it while the
 // reader finds its end.
 func Example_closeAtOnce() {
-	t := openCrowded(2)
+	t := newHarnessWithCapacity(2)
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	defer listener.Close()
 	r := must(net.Dial("tcp", listener.Addr().String()))
-	slow := slowConn{must(listener.Accept()), make(chan bool, 1), make(chan bool)}
+	slow := slowCloseConn{must(listener.Accept()), make(chan bool, 1), make(chan bool)}
 	t.admit(context.Background(), slow)
 	c := t.connections()[0]
 	c.Check(1) // its answer cannot be written
-	until("close begun", func() bool { return len(slow.begun) == 1 })
+	waitFor("close begun", func() bool { return len(slow.closeStarted) == 1 })
 	r.Close()
 	select {
 	case <-c.gone:
@@ -204,29 +204,29 @@
 // The kernel link breaks while clients without work hold the whole table: it comes back, what came meanwhile is run, and the
 // clients that are evicted for newcomers are those without work.
 func Example_linkWhileFull() {
-	t := openCrowded(3)
-	r := t.serveOne(1)
+	t := newHarnessWithCapacity(3)
+	r := t.serveOneRPC(1)
 	t.dial()
 	t.dial()
-	until("full", func() bool { return len(t.connections()) == 3 })
-	t.kernel.Close()
+	waitFor("full", func() bool { return len(t.connections()) == 3 })
+	t.kernelConn.Close()
 	r.execute(2)
 	time.Sleep(firstBytes)
 	other := t.dial()
 	other.execute(3)
-	until("both read", func() bool {
+	waitFor("both read", func() bool {
 		opened := 0
 		for _, c := range t.connections() {
-			opened += len(c.opened())
+			opened += len(c.openSeqs())
 		}
 		return opened == 2
 	})
-	t.link()
-	t.asked()
-	t.asked()
-	for k, caller := range []*router{r, other} {
-		t.reap(k+2, "fine", "late")
-		caller.hear(1)
+	t.acceptKernelLink()
+	t.printKernelCommand()
+	t.printKernelCommand()
+	for k, caller := range []*routerConn{r, other} {
+		t.endRun(k+2, "fine", "late")
+		caller.printReplies(1)
 	}
 	t.close()
 	// Unordered output:
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -18,20 +18,20 @@
 // The notice comes before the kernel is up, and the kernel comes up during the drain: what came within the grace is run, what comes past
 // it is not, as on any other drain.
 func Example_noticeBeforeKernel() {
-	t := openHeld(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 3, 0.2 })
-	t.kernel = must(t.cores.Accept()) // it does not say that it is up
+	t := newUnbootedHarness(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 3, 0.2 })
+	t.kernelConn = must(t.kernelListener.Accept()) // it does not say that it is up
 	r := t.dial()
 	began := time.Now()
-	t.notice()
-	until("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
+	t.beginDrain()
+	waitFor("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
 	time.Sleep(300*time.Millisecond - time.Since(began))
-	go t.work(t.kernel)
-	until("kernel up", t.gate.Booted)
+	go t.serveKernelLink(t.kernelConn)
+	waitFor("kernel up", t.gate.Booted)
 	r.execute(1)
-	r.hear(1)
+	r.printReplies(1)
 	r.Close()
 	t.close()
-	fmt.Println("kernel:", len(t.runs), "more")
+	fmt.Println("kernel:", len(t.kernelCommands), "more")
 	// Output:
 	// router: 1 pushed back
 	// served: <nil>
@@ -40,17 +40,17 @@
 
 // Nobody comes for the notice before the kernel is up: what is held is answered before the stop, and the process ends.
 func Example_noticeWithoutKernel() {
-	t := openHeld(func(c *config.Config) { c.Stop = 1 })
+	t := newUnbootedHarness(func(c *config.Config) { c.Stop = 1 })
 	r := t.dial()
 	r.execute(1)
 	r.execute(2, "op", "record", "dedupe", "t")
-	until("both read", func() bool {
+	waitFor("both read", func() bool {
 		all := t.connections()
-		return len(all) == 1 && len(all[0].opened()) == 2
+		return len(all) == 1 && len(all[0].openSeqs()) == 2
 	})
-	t.notice()
-	r.hear(3)
-	r.ends()
+	t.beginDrain()
+	r.printReplies(3)
+	r.printEnd()
 	r.Close()
 	t.close()
 	// Unordered output:
@@ -77,16 +77,16 @@
 // With less time from the notice to the kill than a drain usually takes from its end, all that was read is answered, the router is told
 // and hears the end, and the process ends.
 func Example_shortStop() {
-	t := openPrepared(func(c *config.Config) { c.Stop = 0.7 }, zap.NewNop(), func(*Server) {})
-	t.linkUp()
+	t := newPreparedHarness(func(c *config.Config) { c.Stop = 0.7 }, zap.NewNop(), func(*Server) {})
+	t.bootKernel()
 	r := t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.asked()
-	t.notice()
-	r.hear(3)
-	r.ends()
+	t.printKernelCommand()
+	t.beginDrain()
+	r.printReplies(3)
+	r.printEnd()
 	r.Close()
 	t.close()
 	// Unordered output:
@@ -112,7 +112,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("never leaves")
 	}
 }
@@ -132,7 +132,7 @@
 	}()
 	select {
 	case <-over:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("goes on")
 	}
 	if n := len(s.conns); n != 0 {
@@ -143,13 +143,13 @@
 // Panics where the embedder reads the configuration, as the kernel comes up, and while the process looks after itself: each is
 // logged, and the app server goes on.
 func Example_panicsInDuties() {
-	t := openPrepared(nil, zap.NewNop(), func(s *Server) { close(s.up) }) // closed twice
-	t.linkUp()
+	t := newPreparedHarness(nil, zap.NewNop(), func(s *Server) { close(s.up) }) // closed twice
+	t.bootKernel()
 	hup := make(chan os.Signal, 1)
 	var looks atomic.Int32
 	live, end := context.WithCancel(context.Background())
 	over := make(chan bool)
-	next := *t.config
+	next := *t.initialConfig
 	next.Stop++
 	go func() {
 		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
@@ -161,17 +161,17 @@
 		close(over)
 	}()
 	hup <- syscall.SIGHUP
-	until("reloaded", func() bool { return t.Server.config.Load().Stop == next.Stop })
+	waitFor("reloaded", func() bool { return t.Server.config.Load().Stop == next.Stop })
 	calm := t.press.effects.Swap(nil) // so that health cannot be told
 	signal(t.well)
 	signal(t.said)
-	until("both looked", func() bool { return len(t.well) == 0 && len(t.said) == 0 })
+	waitFor("both looked", func() bool { return len(t.well) == 0 && len(t.said) == 0 })
 	t.press.effects.Store(calm)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	end()
 	<-over
 	r.Close()
@@ -184,16 +184,16 @@
 
 // A panic over one newcomer costs that one.
 func Example_panicAtNewcomer() {
-	t := open(nil)
+	t := newHarness(nil)
 	calm := t.press.effects.Swap(nil) // which is asked about each newcomer
 	lost := t.dial()
-	lost.ends()
+	lost.printEnd()
 	t.press.effects.Store(calm)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	r.Close()
 	t.close()
 	// Output:
--- a/server/edge_test.go
+++ b/server/edge_test.go
@@ -11,17 +11,17 @@
 	"valveglade/config"
 )
 
-// openBriefly opens an app server that leaves soon after its notice.
-func openBriefly() *town {
-	t := openPrepared(func(c *config.Config) { c.Stop = 0.2 }, zap.NewNop(), func(*Server) {})
-	t.linkUp()
+// newBriefDrainHarness opens an app server that leaves soon after its notice.
+func newBriefDrainHarness() *harness {
+	t := newPreparedHarness(func(c *config.Config) { c.Stop = 0.2 }, zap.NewNop(), func(*Server) {})
+	t.bootKernel()
 	return t
 }
 
-// leftNothing waits until no connection is left, and nothing is counted for one.
-func (t *town) leftNothing(test *testing.T) {
+// waitUntilReleased waits until no connection is left, and nothing is counted for one.
+func (t *harness) waitUntilReleased(test *testing.T) {
 	test.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		connections, held, owed := len(t.connections()), t.held.Load(), t.press.owed.Load()
 		if connections == 0 && held == 0 && owed == 0 {
 			return
@@ -32,85 +32,85 @@
 	}
 }
 
-// frame is what a router writes for one RPC.
-func frame(seq int) []byte {
-	w := &recorder{}
-	(&router{Conn: w}).execute(seq)
-	return w.sent
+// encodeExecute is what a router writes for one RPC.
+func encodeExecute(seq int) []byte {
+	w := &recordingConn{}
+	(&routerConn{Conn: w}).execute(seq)
+	return w.written
 }
 
 // A message comes in two pieces, cut at each byte: it is run and answered once.
 func TestEverySplit(test *testing.T) {
-	t := openBriefly()
+	t := newBriefDrainHarness()
 	r := t.dial()
-	until("taken in", func() bool { return len(t.connections()) == 1 })
+	waitFor("taken in", func() bool { return len(t.connections()) == 1 })
 	c := t.connections()[0]
-	for cut := 1; cut < len(frame(cut)); cut++ {
+	for cut := 1; cut < len(encodeExecute(cut)); cut++ {
 		seq := cut
-		f := frame(seq)
+		f := encodeExecute(seq)
 		r.Write(f[:cut])
-		until("half", func() bool { q, _ := c.rested(); return q.part })
+		waitFor("half", func() bool { q, _ := c.rested(); return q.part })
 		r.Write(f[cut:])
-		next(t.runs)
-		t.reap(seq, "fine", "ok")
-		if got := r.answered(); got != seq {
+		receive(t.kernelCommands)
+		t.endRun(seq, "fine", "ok")
+		if got := r.readReplySeq(); got != seq {
 			test.Fatalf("cut at byte %d: answer to %d, wanted %d", cut, got, seq)
 		}
 	}
 	r.Close()
-	t.leftNothing(test)
+	t.waitUntilReleased(test)
 	t.close()
 }
 
 // A router goes, by a close and by a reset, after each few bytes of an RPC and right behind it: another's RPC is answered, and nothing
 // is left of those that went.
 func TestEndAtEveryEdge(test *testing.T) {
-	t := openBriefly()
+	t := newBriefDrainHarness()
 	usual := t.dial()
 	usual.execute(1)
-	next(t.runs)
+	receive(t.kernelCommands)
 	const step = 13
-	whole := len(frame(2))
+	whole := len(encodeExecute(2))
 	for cut := 0; cut <= whole+step; cut += step {
 		for _, reset := range []bool{false, true} {
 			gone := t.dial()
-			gone.Write(frame(2)[:min(cut, whole)])
+			gone.Write(encodeExecute(2)[:min(cut, whole)])
 			if reset {
 				gone.Conn.(*net.TCPConn).SetLinger(0)
 			}
 			gone.Close()
 		}
 	}
-	until("only the usual one is left", func() bool { return len(t.connections()) == 1 })
-	t.reap(1, "fine", "one")
-	if got := usual.answered(); got != 1 {
+	waitFor("only the usual one is left", func() bool { return len(t.connections()) == 1 })
+	t.endRun(1, "fine", "one")
+	if got := usual.readReplySeq(); got != 1 {
 		test.Errorf("answer to %d", got)
 	}
-	for len(t.runs) > 0 {
-		next(t.runs)
+	for len(t.kernelCommands) > 0 {
+		receive(t.kernelCommands)
 	}
 	usual.Close()
-	t.leftNothing(test)
+	t.waitUntilReleased(test)
 	t.close()
 }
 
 // Interrupts for numbers that were never used, or are answered, change nothing.
 func Example_interruptNobody() {
-	t := openBriefly()
+	t := newBriefDrainHarness()
 	r := t.dial()
 	for _, target := range []int{1, 0, -1, 1 << 30} {
 		r.interrupt(target)
 	}
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.interrupt(2)
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	r.interrupt(1)
 	r.execute(2)
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	r.Close()
 	t.close()
 	// Output:
@@ -124,62 +124,64 @@
 // Hundreds of connections that say nothing: RPCs of usual routers on connections old and new are answered, also of one that writes a
 // byte at a time, and no processor is taken by the silent.
 func TestSilentCrowd(test *testing.T) {
-	t := openPrepared(func(c *config.Config) { c.Stop, c.Sockets = 0.2, reserve+64 }, zap.NewNop(), func(*Server) {})
-	t.linkUp()
+	t := newPreparedHarness(func(c *config.Config) { c.Stop, c.Sockets = 0.2, reserve+64 }, zap.NewNop(), func(*Server) {})
+	t.bootKernel()
 	usual := t.dial()
 	usual.execute(1)
-	next(t.runs)
+	receive(t.kernelCommands)
 	var silent []net.Conn
 	for range 300 {
 		silent = append(silent, t.dial())
 	}
-	until("let in or turned away", func() bool { return len(t.connections()) == 64 })
+	waitFor("let in or turned away", func() bool { return len(t.connections()) == 64 })
 	time.Sleep(2 * firstBytes)
 	slow := t.dial()
 	wrote := make(chan bool)
 	go func() {
 		defer close(wrote)
-		for _, b := range frame(7) {
+		for _, b := range encodeExecute(7) {
 			slow.Write([]byte{b})
 		}
 	}()
-	t.reap(1, "fine", "one")
-	if got := usual.answered(); got != 1 {
+	t.endRun(1, "fine", "one")
+	if got := usual.readReplySeq(); got != 1 {
 		test.Errorf("answer to %d", got)
 	}
-	next(t.runs)
-	t.reap(7, "fine", "seven")
-	if got := slow.answered(); got != 7 {
+	receive(t.kernelCommands)
+	t.endRun(7, "fine", "seven")
+	if got := slow.readReplySeq(); got != 7 {
 		test.Errorf("answer to %d", got)
 	}
 	<-wrote
-	until("the silent are gone", func() bool { return len(t.connections()) <= 2 })
-	before := processorTime()
+	waitFor("the silent are gone", func() bool { return len(t.connections()) <= 2 })
+	before := cpuTime()
 	const span = 200 * time.Millisecond
 	time.Sleep(span)
-	if used := processorTime() - before; used > span/3 {
+	if used := cpuTime() - before; used > span/3 {
 		test.Errorf("%v of the processor in %v", used, span)
 	}
 	for _, c := range append(silent, usual, slow) {
 		c.Close()
 	}
-	t.leftNothing(test)
+	t.waitUntilReleased(test)
 	t.close()
 }
 
 // A router that neither reads nor writes on while its connection waits for its answers to be written: whatever ends the connection, the
 // reader that waits for the writer wakes.
 func TestReaderWaitsForWriter(test *testing.T) {
-	for name, end := range map[string]func(t *town, c *conn, r *router){
-		"reset":     func(_ *town, _ *conn, r *router) { r.Conn.(*net.TCPConn).SetLinger(0); r.Close() },
-		"cut short": func(_ *town, c *conn, _ *router) { c.cutShort() },
-		"notice":    func(t *town, _ *conn, _ *router) { t.notice() },
-		"reads":     func(_ *town, _ *conn, r *router) { go func() { fmt.Fprint(discardAll{}, r.answeredAll()) }() },
+	for name, end := range map[string]func(t *harness, c *conn, r *routerConn){
+		"reset":     func(_ *harness, _ *conn, r *routerConn) { r.Conn.(*net.TCPConn).SetLinger(0); r.Close() },
+		"cut short": func(_ *harness, c *conn, _ *routerConn) { c.cutShort() },
+		"notice":    func(t *harness, _ *conn, _ *routerConn) { t.beginDrain() },
+		"reads": func(_ *harness, _ *conn, r *routerConn) {
+			go func() { fmt.Fprint(discardWriter{}, r.countReplies()) }()
+		},
 	} {
 		test.Run(name, func(test *testing.T) {
-			t := openBriefly()
+			t := newBriefDrainHarness()
 			r := t.dial()
-			until("taken in", func() bool { return len(t.connections()) == 1 })
+			waitFor("taken in", func() bool { return len(t.connections()) == 1 })
 			c := t.connections()[0]
 			flood := make(chan bool)
 			go func() {
@@ -188,32 +190,32 @@
 					_, err = r.Write([]byte("\x00\x00\x00\x12\x80\x01\x00\x01\x00\x00\x00\x05check\x00\x00\x00\x01\x00"))
 				}
 			}()
-			until("waits", func() bool {
+			waitFor("waits", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return len(c.replies) >= mostOpen && c.writing
 			})
 			end(t, c, r)
 			if name == "reads" {
-				until("answers are taken", func() bool { return c.resting() || !c.there() })
+				waitFor("answers are taken", func() bool { return c.idleNow() || !c.isRegistered() })
 				r.Close()
 			}
-			until("gone", func() bool { return !c.there() })
+			waitFor("gone", func() bool { return !c.isRegistered() })
 			r.Close()
 			<-flood
-			t.leftNothing(test)
+			t.waitUntilReleased(test)
 			t.close()
 		})
 	}
 }
 
-type discardAll struct{}
+type discardWriter struct{}
 
-func (discardAll) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
-// answeredAll counts the messages until the connection ends.
-func (r *router) answeredAll() (n int) {
-	for r.answered() != 0 {
+// countReplies counts the messages until the connection ends.
+func (r *routerConn) countReplies() (n int) {
+	for r.readReplySeq() != 0 {
 		n++
 	}
 	return n
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -18,9 +18,9 @@
 	"valveglade/rpc"
 )
 
-// until waits for a condition.
-func until(what string, holds func() bool) {
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+// waitFor waits for a condition.
+func waitFor(what string, holds func() bool) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			fmt.Println("never:", what)
 			return
@@ -28,42 +28,42 @@
 	}
 }
 
-// gated is a connection whose app server reads only what the test lets through: a step before each read, and one after.
-type gated struct {
+// gatedConn is a connection whose app server reads only what the test lets through: a step before each read, and one after.
+type gatedConn struct {
 	*net.TCPConn
-	steps, out chan bool // closed: no more waiting
-	got        chan bool // holds one for each read that waits behind
+	readPermits, returnPermits chan bool // closed: no more waiting
+	readsDone                  chan bool // holds one for each read that waits behind
 }
 
-func (g gated) Read(b []byte) (int, error) {
-	<-g.steps
+func (g gatedConn) Read(b []byte) (int, error) {
+	<-g.readPermits
 	n, err := g.TCPConn.Read(b)
-	g.got <- true
-	<-g.out
+	g.readsDone <- true
+	<-g.returnPermits
 	return n, err
 }
 
-// one lets one read through.
-func (g gated) one() {
-	g.steps <- true
-	<-g.got
-	g.out <- true
+// allowOneRead lets allowOneRead read through.
+func (g gatedConn) allowOneRead() {
+	g.readPermits <- true
+	<-g.readsDone
+	g.returnPermits <- true
 }
 
-// free lets all through from here on.
-func (g gated) free() {
-	close(g.steps)
-	close(g.out)
+// allowAllReads lets all through from here on.
+func (g gatedConn) allowAllReads() {
+	close(g.readPermits)
+	close(g.returnPermits)
 }
 
-// gatedRouter is a connection to the app server whose reads the test holds.
-func (t *town) gatedRouter() (*router, *conn, gated) {
+// dialGated is a connection to the app server whose reads the test holds.
+func (t *harness) dialGated() (*routerConn, *conn, gatedConn) {
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	defer listener.Close()
-	r := &router{Conn: must(net.Dial("tcp", listener.Addr().String()))}
-	r.SetDeadline(time.Now().Add(patience))
-	r.in = bufio.NewReader(r.Conn)
-	g := gated{must(listener.Accept()).(*net.TCPConn), make(chan bool, 100), make(chan bool, 100), make(chan bool, 1000)}
+	r := &routerConn{Conn: must(net.Dial("tcp", listener.Addr().String()))}
+	r.SetDeadline(time.Now().Add(testTimeout))
+	r.reader = bufio.NewReader(r.Conn)
+	g := gatedConn{must(listener.Accept()).(*net.TCPConn), make(chan bool, 100), make(chan bool, 100), make(chan bool, 1000)}
 	t.admit(context.Background(), g)
 	t.Server.mu.Lock()
 	defer t.Server.mu.Unlock()
@@ -75,9 +75,9 @@
 	panic("not taken in")
 }
 
-// ends prints how the connection ends, after what is still to be heard on it.
-func (r *router) ends() {
-	rest, err := io.ReadAll(r.in)
+// printEnd prints how the connection printEnd, after what is still to be heard on it.
+func (r *routerConn) printEnd() {
+	rest, err := io.ReadAll(r.reader)
 	if err != nil {
 		fmt.Println("router: cut off:", err)
 	} else {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *conn) is(p phase) func() bool {
+func (c *conn) inPhase(p phase) func() bool {
 	return func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -93,63 +93,63 @@
 	}
 }
 
-func (c *conn) resting() bool {
+func (c *conn) idleNow() bool {
 	_, idle := c.rested()
 	return idle
 }
 
-// rest has one RPC answered on a gated connection, which then rests.
-func (t *town) rest(r *router, c *conn, g gated) {
-	g.steps <- true
-	g.out <- true
+// serveUntilIdle has one RPC answered on a gated connection, which then rests.
+func (t *harness) serveUntilIdle(r *routerConn, c *conn, g gatedConn) {
+	g.readPermits <- true
+	g.returnPermits <- true
 	r.execute(1)
-	<-g.got
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
-	until("rests", c.resting)
+	<-g.readsDone
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
+	waitFor("rests", c.idleNow)
 }
 
 // An RPC that crosses the end of a resting connection, in every order. Unread as the end is decided, however long it has
 // lain there: it is taken in and answered, and then our side is shut. Read and not taken in yet: likewise. Sent after the
 // shutdown: read and thrown away, while the router may still hear all of ours.
 func Example_endCrossed() {
-	t := open(nil)
-	r, c, g := t.gatedRouter()
-	t.rest(r, c, g)
+	t := newHarness(nil)
+	r, c, g := t.dialGated()
+	t.serveUntilIdle(r, c, g)
 	r.execute(2) // lies unread
 	c.end()
-	g.free()
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
-	r.ends()
-
-	r, c, g = t.gatedRouter()
-	t.rest(r, c, g)
+	g.allowAllReads()
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
+	r.printEnd()
+
+	r, c, g = t.dialGated()
+	t.serveUntilIdle(r, c, g)
 	r.execute(3)
-	g.steps <- true
-	<-g.got // read, and held there
+	g.readPermits <- true
+	<-g.readsDone // read, and held there
 	c.end()
-	g.free()
-	t.asked()
-	t.reap(3, "fine", "three")
-	r.hear(1)
-	r.ends()
-
-	r, c, g = t.gatedRouter()
-	t.rest(r, c, g)
+	g.allowAllReads()
+	t.printKernelCommand()
+	t.endRun(3, "fine", "three")
+	r.printReplies(1)
+	r.printEnd()
+
+	r, c, g = t.dialGated()
+	t.serveUntilIdle(r, c, g)
 	c.end()
-	g.free()
-	r.ends()
+	g.allowAllReads()
+	r.printEnd()
 	r.execute(4)
 	r.execute(5) // a closed one would have answered the first with a reset
 	_, err := r.Write([]byte("more"))
 	fmt.Println("still read:", err == nil)
 	r.Close()
-	until("gone", func() bool { return len(t.connections()) == 0 })
+	waitFor("gone", func() bool { return len(t.connections()) == 0 })
 	t.close()
-	fmt.Println("kernel:", len(t.runs), "more")
+	fmt.Println("kernel:", len(t.kernelCommands), "more")
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 1 ok "one" good 1
@@ -172,24 +172,24 @@
 // A resting connection whose descriptor is wanted: with nothing unread it is given back at once, and what crosses that is
 // thrown away; with an RPC unread that is answered first.
 func Example_evictCrossed() {
-	t := open(nil)
-	r, c, g := t.gatedRouter()
-	t.rest(r, c, g)
+	t := newHarness(nil)
+	r, c, g := t.dialGated()
+	t.serveUntilIdle(r, c, g)
 	r.execute(2) // lies unread
 	fmt.Println("evicted:", c.evict(), c.evict())
-	g.free()
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
-	r.ends()
+	g.allowAllReads()
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
+	r.printEnd()
 	<-c.gone
 
-	r, c, g = t.gatedRouter()
-	t.rest(r, c, g)
-	g.free()
+	r, c, g = t.dialGated()
+	t.serveUntilIdle(r, c, g)
+	g.allowAllReads()
 	fmt.Println("evicted:", c.evict())
 	<-c.gone
-	r.ends()
+	r.printEnd()
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -208,23 +208,23 @@
 // A full table, the connection that has to go with an RPC unread: it stays until that is answered,
 // and the newcomer is let in meanwhile.
 func Example_fullCrossed() {
-	t := open(func(c *config.Config) { c.Sockets = reserve + 1 })
-	first, c, g := t.gatedRouter()
-	t.rest(first, c, g)
+	t := newHarness(func(c *config.Config) { c.Sockets = reserve + 1 })
+	first, c, g := t.dialGated()
+	t.serveUntilIdle(first, c, g)
 	c.mu.Lock()
 	c.move(draining) // so that it is not asked to, which would be heard
 	c.mu.Unlock()
 	first.execute(2)
 	newcomer := t.dial()
 	newcomer.execute(3)
-	t.asked()
-	t.reap(3, "fine", "three")
-	newcomer.hear(1)
-	g.free()
-	t.asked()
-	t.reap(2, "fine", "two")
-	first.hear(1)
-	first.ends()
+	t.printKernelCommand()
+	t.endRun(3, "fine", "three")
+	newcomer.printReplies(1)
+	g.allowAllReads()
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	first.printReplies(1)
+	first.printEnd()
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -241,9 +241,9 @@
 func Example_rejectUnread() {
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	defer listener.Close()
-	r := &router{Conn: must(net.Dial("tcp", listener.Addr().String()))}
-	r.SetDeadline(time.Now().Add(patience))
-	r.in = bufio.NewReader(r.Conn)
+	r := &routerConn{Conn: must(net.Dial("tcp", listener.Addr().String()))}
+	r.SetDeadline(time.Now().Add(testTimeout))
+	r.reader = bufio.NewReader(r.Conn)
 	nc := must(listener.Accept()).(*net.TCPConn)
 	r.execute(1)
 	must(nc.SyscallConn()).Read(func(fd uintptr) bool {
@@ -257,8 +257,8 @@
 		keyError, _ := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
 		fmt.Println("reset:", keyError != 0)
 	})
-	r.hear(1)
-	r.ends()
+	r.printReplies(1)
+	r.printEnd()
 	// Output:
 	// reset: false
 	// router: 1 pushed back
@@ -269,34 +269,34 @@
 // hears the end in good order. Before, the process ended over it; or the RPC was read when nobody was there any more to answer
 // it.
 func Example_exitCrossed() {
-	t := openPrepared(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
+	t := newPreparedHarness(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 39.5, closing: 39.4, cutShort: 0.2, exit: 0.1}
 		}
 	})
-	t.linkUp()
-	r, c, g := t.gatedRouter()
-	t.rest(r, c, g)
+	t.bootKernel()
+	r, c, g := t.dialGated()
+	t.serveUntilIdle(r, c, g)
 	other := t.dial()
 	other.execute(2)
-	t.asked()
-	t.reap(2, "fine", "two")
-	other.hear(1)
-	t.notice()
-	r.hear(1)
-	other.hear(1)
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	other.printReplies(1)
+	t.beginDrain()
+	r.printReplies(1)
+	other.printReplies(1)
 	r.execute(3) // lies unread
 	other.execute(4)
-	other.hear(1)
-	other.ends()
-	until("closing", c.is(closing))
-	g.free()
-	r.hear(1)
-	r.ends()
+	other.printReplies(1)
+	other.printEnd()
+	waitFor("closing", c.inPhase(closing))
+	g.allowAllReads()
+	r.printReplies(1)
+	r.printEnd()
 	r.Close()
 	other.Close()
 	t.close()
-	fmt.Println("kernel:", len(t.runs), "more")
+	fmt.Println("kernel:", len(t.kernelCommands), "more")
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 1 ok "one" good 1
@@ -315,23 +315,23 @@
 // Who sends on past the end of its connection is not waited for: what comes then is read and thrown away, and the end is in
 // good order all the same.
 func Example_cutShort() {
-	t := openPrepared(func(c *config.Config) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
+	t := newPreparedHarness(func(c *config.Config) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 39.9, closing: 39.8, cutShort: 39.7, exit: 0.1}
 		}
 	})
-	t.linkUp()
-	r, c, g := t.gatedRouter()
-	t.rest(r, c, g)
-	t.notice()
-	r.hear(1)
+	t.bootKernel()
+	r, c, g := t.dialGated()
+	t.serveUntilIdle(r, c, g)
+	t.beginDrain()
+	r.printReplies(1)
 	r.execute(2)
-	until("shut", c.is(shut))
-	g.free()
-	r.ends()
+	waitFor("shut", c.inPhase(shut))
+	g.allowAllReads()
+	r.printEnd()
 	r.Close()
 	t.close()
-	fmt.Println("kernel:", len(t.runs), "more")
+	fmt.Println("kernel:", len(t.kernelCommands), "more")
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 1 ok "one" good 1
@@ -344,25 +344,25 @@
 // Half a message lies unread as the end is decided. If the rest comes within its bound it is answered; if it does not, the
 // end comes without it.
 func Example_endHalf() {
-	second := &recorder{}
-	for _, bound := range []time.Duration{patience, 0} {
-		t := openPrepared(nil, zap.NewNop(), func(s *Server) { s.half = bound })
-		t.linkUp()
-		r, c, g := t.gatedRouter()
-		t.rest(r, c, g)
-		second.sent = nil
-		(&router{Conn: second}).execute(2)
-		r.Write(second.sent[:20])
+	second := &recordingConn{}
+	for _, bound := range []time.Duration{testTimeout, 0} {
+		t := newPreparedHarness(nil, zap.NewNop(), func(s *Server) { s.half = bound })
+		t.bootKernel()
+		r, c, g := t.dialGated()
+		t.serveUntilIdle(r, c, g)
+		second.written = nil
+		(&routerConn{Conn: second}).execute(2)
+		r.Write(second.written[:20])
 		c.end()
-		g.free()
+		g.allowAllReads()
 		if bound > 0 {
-			until("half", func() bool { q, _ := c.rested(); return q.part })
-			r.Write(second.sent[20:])
-			t.asked()
-			t.reap(2, "fine", "two")
-			r.hear(1)
+			waitFor("half", func() bool { q, _ := c.rested(); return q.part })
+			r.Write(second.written[20:])
+			t.printKernelCommand()
+			t.endRun(2, "fine", "two")
+			r.printReplies(1)
 		}
-		r.ends()
+		r.printEnd()
 		t.close()
 	}
 	// Output:
@@ -382,27 +382,27 @@
 // on them is answered. One that comes after the close is refused, which proves that nothing ran. Before, the close reset
 // those in the queue.
 func Example_notAccepting() {
-	t := openPrepared(func(c *config.Config) { c.Stop = 20 }, zap.NewNop(), func(s *Server) {
+	t := newPreparedHarness(func(c *config.Config) { c.Stop = 20 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 19.5, closing: 17.5, cutShort: 0.2, exit: 0.1}
 		}
 	})
-	t.linkUp()
+	t.bootKernel()
 	t.Server.mu.Lock() // who accepts now waits with the first in hand
 	first, queued, last := t.dial(), t.dial(), t.dial()
-	for k, r := range []*router{first, queued, last} {
+	for k, r := range []*routerConn{first, queued, last} {
 		r.execute(k + 1)
 	}
-	t.notice()
-	until("not accepting", func() bool { return stage(t.stageAt.Load()) >= stageNotAccepting })
+	t.beginDrain()
+	waitFor("not accepting", func() bool { return stage(t.stageAt.Load()) >= stageNotAccepting })
 	t.Server.mu.Unlock()
-	for _, r := range []*router{first, queued, last} {
-		r.hear(2)
+	for _, r := range []*routerConn{first, queued, last} {
+		r.printReplies(2)
 	}
-	_, err := net.Dial("tcp", t.at)
+	_, err := net.Dial("tcp", t.address)
 	fmt.Println("refused:", err != nil && strings.Contains(err.Error(), "refused"))
-	for _, r := range []*router{first, queued, last} {
-		r.ends()
+	for _, r := range []*routerConn{first, queued, last} {
+		r.printEnd()
 		r.Close()
 	}
 	t.close()
@@ -423,31 +423,31 @@
 // What no router sends ends the connection in good order: all that was read on it has one answer, and what was answered
 // before is heard. Before, the close took along what had not been written, and what ran was dropped without a word.
 func Example_fault() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	fmt.Fprint(r, "\xff\xff\xff\xff and more that nobody reads")
-	r.hear(1)
-	r.ends()
-	t.asked()
+	r.printReplies(1)
+	r.printEnd()
+	t.printKernelCommand()
 
-	odd, c, g := t.gatedRouter()
+	odd, c, g := t.dialGated()
 	for seq := range 2 * mostOdd {
 		odd.execute(seq+1, "op", "sing")
 	}
-	g.free() // all in few reads
-	odd.hear(2 * mostOdd)
-	odd.ends()
-	until("gone", func() bool { return !c.there() })
+	g.allowAllReads() // all in few reads
+	odd.printReplies(2 * mostOdd)
+	odd.printEnd()
+	waitFor("gone", func() bool { return !c.isRegistered() })
 
 	// Who goes on sending is not read for ever.
 	flood := t.dial()
 	flood.execute(20, "op", "record", "dedupe", "t")
-	t.asked()
+	t.printKernelCommand()
 	fmt.Fprint(flood, "\xff\xff\xff\xff")
-	flood.hear(1)
-	until("cut off", func() bool {
+	flood.printReplies(1)
+	waitFor("cut off", func() bool {
 		_, err := flood.Write(make([]byte, 1<<16))
 		return err != nil
 	})
@@ -479,7 +479,7 @@
 	// served: <nil>
 }
 
-func (c *conn) there() bool {
+func (c *conn) isRegistered() bool {
 	c.Server.mu.Lock()
 	defer c.Server.mu.Unlock()
 	_, there := c.conns[c]
@@ -489,30 +489,30 @@
 // A router that rests is not ended in the middle of its next RPC; half of one for too long is ended all the same, by the
 // reader.
 func Example_half() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	c := t.connections()[0]
 	c.drain()
-	r.hear(1)
-	second := &recorder{}
-	(&router{Conn: second}).execute(2)
-	r.Write(second.sent[:20])
-	until("half", func() bool { q, _ := c.rested(); return q.part })
+	r.printReplies(1)
+	second := &recordingConn{}
+	(&routerConn{Conn: second}).execute(2)
+	r.Write(second.written[:20])
+	waitFor("half", func() bool { q, _ := c.rested(); return q.part })
 	c.mu.Lock()
 	c.askedAt = c.askedAt.Add(-2 * leaveTime)
 	c.mu.Unlock()
 	t.closeIdle()
-	r.Write(second.sent[20:])
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
-	until("rests", c.resting)
+	r.Write(second.written[20:])
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
+	waitFor("rests", c.idleNow)
 	t.closeIdle()
-	r.ends()
+	r.printEnd()
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -524,33 +524,33 @@
 	// served: <nil>
 }
 
-// recorder keeps what is sent.
-type recorder struct {
+// recordingConn keeps what is sent.
+type recordingConn struct {
 	net.Conn
-	sent []byte
+	written []byte
 }
 
-func (w *recorder) Write(b []byte) (int, error) {
-	w.sent = append(w.sent, b...)
+func (w *recordingConn) Write(b []byte) (int, error) {
+	w.written = append(w.written, b...)
 	return len(b), nil
 }
 
 // A listener that somebody else closes: rather than look well and let nobody in, the app server leaves as on a notice, so that
 // what it has read is answered, and then ends with the error.
 func Example_doorLost() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.door.Close()
-	until("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
-	t.reap(1, "fine", "one")
-	r.hear(2)
-	r.ends()
+	t.printKernelCommand()
+	t.listener.Close()
+	waitFor("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
+	t.endRun(1, "fine", "one")
+	r.printReplies(2)
+	r.printEnd()
 	r.Close()
-	err := <-t.served
+	err := <-t.serveResult
 	fmt.Println("served:", errors.Is(err, net.ErrClosed))
-	t.cores.Close()
+	t.kernelListener.Close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 1 ok "one" good 1
@@ -562,19 +562,19 @@
 // A panic while one RPC is brought to the kernel: that one is aborted, as nothing tells whether it runs, and the app server
 // goes on.
 func Example_panicInDispatch() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	whole := t.Server.config.Load()
 	faulty := *whole
 	faulty.Methods = nil
 	t.Server.config.Store(&faulty)
 	r.execute(1)
-	r.hear(1)
+	r.printReplies(1)
 	t.Server.config.Store(whole)
 	r.execute(2)
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// router: 1 aborted
@@ -586,16 +586,16 @@
 // The link to the kernel breaks and stays away: what has been read is answered by its due time all the same, and nothing that was
 // asked for is called refused.
 func Example_linkAway() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
-	t.cores.Close()
-	t.kernel.Close()
+	t.kernelListener.Close()
+	t.kernelConn.Close()
 	r.execute(1, "ttl", "300")
-	r.hear(1)
+	r.printReplies(1)
 	r.execute(2, "op", "record", "dedupe", "t", "ttl", "300")
-	r.hear(1)
+	r.printReplies(1)
 	r.execute(3, "op", "record", "dedupe", "t", "ttl", "300")
-	r.hear(1)
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// router: 1 pushed back
@@ -607,21 +607,21 @@
 // A reload that lowers the memory limit bounds what is kept of results at once: what goes is aborted when it is asked for
 // again, never run.
 func Example_lowered() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1, "op", "record", "dedupe", "t")
-	t.asked()
-	t.reap(1, "fine", strings.Repeat("one", 1000))
+	t.printKernelCommand()
+	t.endRun(1, "fine", strings.Repeat("one", 1000))
 	head := make([]byte, 4)
-	io.ReadFull(r.in, head)
+	io.ReadFull(r.reader, head)
 	answer := make([]byte, binary.BigEndian.Uint32(head))
-	io.ReadFull(r.in, answer)
+	io.ReadFull(r.reader, answer)
 	fmt.Println("router: a long answer:", len(answer) > 3000)
-	next := *t.config
+	next := *t.initialConfig
 	next.Memory = 2000 * keepShare
 	t.adopt(&next)
 	r.execute(2, "op", "record", "dedupe", "t")
-	r.hear(1)
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 record body of t
@@ -633,24 +633,24 @@
 // Before its kernel is up the app server is neither healthy nor reports to the roster, as it could answer nothing and does
 // not know how little it can bear. What comes all the same is held, and the module learns then that the machine is cold.
 func Example_early() {
-	t := openHeld(func(c *config.Config) {
+	t := newUnbootedHarness(func(c *config.Config) {
 		c.Rules.Machine.Cores, c.Rules.Rules.ColdAt, c.Rules.Rules.WarmIn = 8, 0.25, 1000
 	})
 	r := t.dial()
 	r.send(1, "check", 1, "\x00")
-	r.hear(1)
+	r.printReplies(1)
 	r.execute(2)
-	until("taken in", func() bool { return len(t.connections()[0].opened()) == 1 })
-	fmt.Println("credit:", t.credit(), "reports:", len(t.reports))
-	t.cold = true
-	t.link()
-	t.asked()
-	fmt.Println("roster:", next(t.reports))
+	waitFor("taken in", func() bool { return len(t.connections()[0].openSeqs()) == 1 })
+	fmt.Println("credit:", t.credit(), "reports:", len(t.rosterReports))
+	t.coldStart = true
+	t.acceptKernelLink()
+	t.printKernelCommand()
+	fmt.Println("roster:", receive(t.rosterReports))
 	fmt.Println("credit:", t.credit())
 	r.send(1, "check", 3, "\x00")
-	r.hear(1)
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	r.printReplies(1)
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// router: 1 ok "" good 0
@@ -663,7 +663,7 @@
 	// served: <nil>
 }
 
-func (c *conn) opened() (seqs []int32) {
+func (c *conn) openSeqs() (seqs []int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for seq := range c.open {
@@ -672,7 +672,7 @@
 	return seqs
 }
 
-func (t *town) connections() (all []*conn) {
+func (t *harness) connections() (all []*conn) {
 	t.Server.mu.Lock()
 	defer t.Server.mu.Unlock()
 	for c := range t.conns {
@@ -685,11 +685,11 @@
 // router's RPCs, before, between and on a new connection, are answered; no more connections are open than descriptors allow, but
 // for the few on their way out; and all come back.
 func Example_connectionFlood() {
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 8 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
-	t.linkUp()
+	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 8 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t.bootKernel()
 	r := t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	most := 0
 	var flood []net.Conn
 	for k := range 160 {
@@ -708,15 +708,15 @@
 		}
 		most = max(most, len(t.connections()))
 	}
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	// Half messages and silence have their bound; then there is room, whatever the flood left open.
-	until("room", func() bool { return len(t.connections()) <= 1 })
+	waitFor("room", func() bool { return len(t.connections()) <= 1 })
 	other := t.dial()
 	other.execute(2)
-	t.asked()
-	t.reap(2, "fine", "two")
-	other.hear(1)
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	other.printReplies(1)
 	fmt.Println("within bounds:", most <= 8+mostGoing)
 	for _, c := range flood {
 		c.Close()
--- a/server/fields_test.go
+++ b/server/fields_test.go
@@ -19,34 +19,34 @@
 	"valveglade/rpc"
 )
 
-// printedAnswer prints an answer with all that a router may go by, but for the credit.
-type printedAnswer struct{}
+// replyPrinter prints an answer with all that a router may go by, but for the credit.
+type replyPrinter struct{}
 
-func (printedAnswer) Served(seq int32, result []byte, _ float64) {
+func (replyPrinter) Served(seq int32, result []byte, _ float64) {
 	fmt.Printf("router: %d ok %q\n", seq, result)
 }
-func (printedAnswer) PushedBack(seq int32, last bool, after, _ float64) {
+func (replyPrinter) PushedBack(seq int32, last bool, after, _ float64) {
 	fmt.Printf("router: %d pushed back, last %v, after %gs\n", seq, last, after)
 }
-func (printedAnswer) Aborted(seq int32, why string, _ float64) {
+func (replyPrinter) Aborted(seq int32, why string, _ float64) {
 	fmt.Printf("router: %d aborted%s\n", seq, why)
 }
-func (printedAnswer) Checked(seq int32, good bool, _ float64) {
+func (replyPrinter) Checked(seq int32, good bool, _ float64) {
 	fmt.Printf("router: %d checked %v\n", seq, good)
 }
-func (printedAnswer) Draining() { fmt.Println("router: draining") }
+func (replyPrinter) Draining() { fmt.Println("router: draining") }
 
-// hearAll prints the next n answers with their fields.
-func (r *router) hearAll(n int) {
+// printRepliesWithFields prints the next n answers with their fields.
+func (r *routerConn) printRepliesWithFields(n int) {
 	for range n {
 		head := make([]byte, 4)
-		if _, err := io.ReadFull(r.in, head); err != nil {
+		if _, err := io.ReadFull(r.reader, head); err != nil {
 			fmt.Println("router: the connection ends")
 			return
 		}
 		frame := make([]byte, thrift.Length(head)-len(head))
-		io.ReadFull(r.in, frame)
-		if err := thrift.DecodeAnswer(frame, printedAnswer{}); err != nil {
+		io.ReadFull(r.reader, frame)
+		if err := thrift.DecodeAnswer(frame, replyPrinter{}); err != nil {
 			fmt.Println("router:", err)
 		}
 	}
@@ -58,7 +58,7 @@
 func Example_callsBelow() {
 	for _, below := range []string{"one_for_all", "tier"} {
 		core, logged := observer.New(zap.WarnLevel)
-		t := openLogged(func(c *config.Config) {
+		t := newHarnessWithLogger(func(c *config.Config) {
 			c.Rules.Machine.Below, c.Rules.Machine.Calls = below, []bool{true}
 			c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = below == "tier", 0.75
 		}, zap.New(core))
@@ -66,12 +66,12 @@
 		for seq := 1; seq <= mostOdd+1; seq++ {
 			r.execute(seq)
 		}
-		r.hearAll(mostOdd + 1)
+		r.printRepliesWithFields(mostOdd + 1)
 		r.execute(20, "op", "record", "dedupe", "t")
-		t.asked()
-		t.reap(20, "fine", "twenty")
+		t.printKernelCommand()
+		t.endRun(20, "fine", "twenty")
 		r.execute(21, "op", "record", "dedupe", "t")
-		r.hearAll(2)
+		r.printRepliesWithFields(2)
 		for _, line := range logged.FilterMessage("method not served, as it may call the layer below").All() {
 			fmt.Println("log:", line.ContextMap())
 		}
@@ -111,24 +111,24 @@
 // An RPC of a router that does not tell how long it waits has the deadline of its method, counted from recv, and is
 // answered by then; before the mend each was aborted, and the connection closed over the ninth.
 func Example_noTTL() {
-	t := open(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	t := newHarness(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
 	r := t.dial()
 	for seq := 1; seq <= mostOdd+1; seq++ {
 		r.executeWithout("ttl", seq)
 	}
 	for seq := 1; seq <= mostOdd+1; seq++ {
-		t.asked()
-		t.reap(seq, "fine", fmt.Sprint(seq))
+		t.printKernelCommand()
+		t.endRun(seq, "fine", fmt.Sprint(seq))
 	}
-	r.hear(mostOdd + 1)
-	deadline := t.config.Rules.Methods[0].Deadline
+	r.printReplies(mostOdd + 1)
+	deadline := t.initialConfig.Rules.Methods[0].Deadline
 	r.executeWithout("ttl", 20, "recv", fmt.Sprint(time.Now().Add(-seconds(deadline)).UnixMilli()))
-	r.hear(1)
+	r.printReplies(1)
 	r.executeWithout("ttl", 21, "op", "record", "dedupe", "t")
-	t.asked()
-	t.reap(21, "fine", "twenty-one")
+	t.printKernelCommand()
+	t.endRun(21, "fine", "twenty-one")
 	r.executeWithout("ttl", 22, "op", "record", "dedupe", "t")
-	r.hear(2)
+	r.printReplies(2)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -161,7 +161,7 @@
 // long, and what seems to come from the future has just come.
 func Example_farOff() {
 	const hour = 3600
-	t := open(func(c *config.Config) {
+	t := newHarness(func(c *config.Config) {
 		for k := range c.Rules.Methods {
 			m := &c.Rules.Methods[k]
 			m.Target, m.Deadline, m.Window = 2*hour, 5*hour, 6*hour
@@ -177,14 +177,14 @@
 	} {
 		seq++
 		r.execute(seq, pairs...)
-		t.asked()
-		t.reap(seq, "fine", "done")
-		r.hear(1)
+		t.printKernelCommand()
+		t.endRun(seq, "fine", "done")
+		r.printReplies(1)
 	}
 	for seq, pairs := range [][]string{{"recv", ago(4)}, {"ttl", "18000000", "recv", ago(5.5)}, {"recv", "0"}, {"recv", "17"},
 		{"ttl", "99999999999", "recv", "17"}, {"ttl", "-99999999999"}} {
 		r.execute(seq+10, pairs...)
-		r.hear(1)
+		r.printReplies(1)
 	}
 	t.close()
 	// Output:
@@ -213,25 +213,25 @@
 	for _, span := range []float64{-jsonobject.Largest, -1e308, 1e308, math.Inf(1), jsonobject.Largest} {
 		fmt.Println(span, seconds(span) > 0)
 	}
-	t := openPrepared(func(c *config.Config) {
+	t := newPreparedHarness(func(c *config.Config) {
 		c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn = jsonobject.Largest, jsonobject.Largest
 		c.Rules.Machine.Below, c.Rules.Machine.Calls = "tier", []bool{false, true}
 		c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = true, jsonobject.Largest
 	}, zap.NewNop(), func(s *Server) { s.idle = time.Millisecond })
-	t.cold = true
-	t.linkUp()
+	t.coldStart = true
+	t.bootKernel()
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hearAll(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printRepliesWithFields(1)
 	r.execute(2, "op", "record", "dedupe", "t")
-	r.hearAll(1)
+	r.printRepliesWithFields(1)
 	fmt.Println("warm in the future:", t.warmAt.Load() > time.Now().UnixNano())
 	r.execute(3)
-	t.asked()
-	t.reap(3, "fine", "three")
-	r.hearAll(1)
+	t.printKernelCommand()
+	t.endRun(3, "fine", "three")
+	r.printRepliesWithFields(1)
 	t.close()
 	// Output:
 	// -1e+15 false
@@ -250,15 +250,15 @@
 
 // A site that does not say whether runs may be stopped may not allow it: none is.
 func Example_noPreemption() {
-	t := open(func(c *config.Config) { c.Rules.Machine.Preemption = "" })
+	t := newHarness(func(c *config.Config) { c.Rules.Machine.Preemption = "" })
 	r := t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.interrupt(1)
 	r.execute(2)
-	t.asked() // commands come in the order of what they are for
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	t.printKernelCommand() // commands come in the order of what they are for
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -271,40 +271,40 @@
 // others on it for genuine. What only lacks memory is refused as never run, and says nothing about its router; but what may have
 // run is not refused.
 func Example_longLived() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	counts := map[string]int{}
 	for seq := 1; seq <= 6*mostOdd; seq += 3 {
 		r.execute(seq, "op", "sing")
 		r.execute(seq + 1)
-		if next(t.runs) == "nothing" {
+		if receive(t.kernelCommands) == "nothing" {
 			break // the connection has ended
 		}
-		fmt.Fprintf(t.kernel, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", seq+1)
+		fmt.Fprintf(t.kernelConn, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", seq+1)
 		r.execute(seq + 2)
-		next(t.runs)
-		t.reap(seq+2, "fine", "served")
+		receive(t.kernelCommands)
+		t.endRun(seq+2, "fine", "served")
 		for range 3 {
-			counts[r.next()]++
+			counts[r.readReplyKind()]++
 		}
 	}
 	fmt.Println(counts)
 	t.close()
 
-	t = open(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
+	t = newHarness(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
 	r, other := t.dial(), t.dial()
 	r.execute(1, "op", "record", "dedupe", "t")
-	t.asked()
+	t.printKernelCommand()
 	for seq := 2; seq <= 2*mostOdd; seq++ {
 		r.execute(seq)
 	}
-	r.hear(2*mostOdd - 1)
+	r.printReplies(2*mostOdd - 1)
 	other.execute(20, "op", "record", "dedupe", "t")
-	other.hear(1)
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	other.printReplies(1)
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	other.execute(21, "op", "record", "dedupe", "t")
-	other.hear(1)
+	other.printReplies(1)
 	t.close()
 	// Output:
 	// map[aborted:32 ok:16]
@@ -331,43 +331,43 @@
 	// served: <nil>
 }
 
-// next names the next answer.
-func (r *router) next() string {
+// readReplyKind names the readReplyKind answer.
+func (r *routerConn) readReplyKind() string {
 	head := make([]byte, 4)
-	if _, err := io.ReadFull(r.in, head); err != nil {
+	if _, err := io.ReadFull(r.reader, head); err != nil {
 		return "the connection ends"
 	}
 	frame := make([]byte, thrift.Length(head)-len(head))
-	io.ReadFull(r.in, frame)
-	var name answerName
+	io.ReadFull(r.reader, frame)
+	var name replyKind
 	if err := thrift.DecodeAnswer(frame, &name); err != nil {
 		return err.Error()
 	}
 	return string(name)
 }
 
-// answerName is the kind of an answer.
-type answerName string
+// replyKind is the kind of an answer.
+type replyKind string
 
-func (n *answerName) Served(int32, []byte, float64)            { *n = "ok" }
-func (n *answerName) PushedBack(int32, bool, float64, float64) { *n = "pushed back" }
-func (n *answerName) Aborted(int32, string, float64)           { *n = "aborted" }
-func (n *answerName) Checked(int32, bool, float64)             { *n = "checked" }
-func (n *answerName) Draining()                                { *n = "draining" }
+func (n *replyKind) Served(int32, []byte, float64)            { *n = "ok" }
+func (n *replyKind) PushedBack(int32, bool, float64, float64) { *n = "pushed back" }
+func (n *replyKind) Aborted(int32, string, float64)           { *n = "aborted" }
+func (n *replyKind) Checked(int32, bool, float64)             { *n = "checked" }
+func (n *replyKind) Draining()                                { *n = "draining" }
 
 // Names of methods of any bytes reach the kernel as they came.
 func Example_methodNames() {
 	names := []string{"a", " ", `"quoted"`, "<&>", "Überweisung 転送", "17", "1e3", "\x00\x7f", "\u2028", strings.Repeat("long ", 100)}
-	t := open(func(c *config.Config) {
+	t := newHarness(func(c *config.Config) {
 		c.Methods, c.Rules.Methods = names, slices.Repeat(c.Rules.Methods[:1], len(names))
 	})
 	r := t.dial()
 	for k, name := range names {
 		seq := k + 1
 		r.execute(seq, "op", name)
-		fmt.Println(next(t.runs) == strings.TrimSpace(fmt.Sprintf("SCHED %x %s body %d", seq, name, seq)))
-		t.reap(seq, "fine", "done")
-		r.hear(1)
+		fmt.Println(receive(t.kernelCommands) == strings.TrimSpace(fmt.Sprintf("SCHED %x %s body %d", seq, name, seq)))
+		t.endRun(seq, "fine", "done")
+		r.printReplies(1)
 	}
 	t.close()
 	// Output:
@@ -415,7 +415,7 @@
 }
 
 // executeWithout is execute without one of the usual fields.
-func (r *router) executeWithout(left string, seq int, pairs ...string) {
+func (r *routerConn) executeWithout(left string, seq int, pairs ...string) {
 	usual := []string{"op", "look", "call", fmt.Sprintf("%016x", seq), "src", "1", "recv",
 		fmt.Sprint(time.Now().UnixMilli()), "ttl", "50000", "heap", "10"}
 	if k := slices.Index(usual, left); k >= 0 {
@@ -424,11 +424,11 @@
 	pairs = append(usual, pairs...)
 	args := "\x0d\x00\x01\x0b\x0b" + string(binary.BigEndian.AppendUint32(nil, uint32(len(pairs)/2)))
 	for _, s := range pairs {
-		args += str(s)
+		args += lengthPrefixed(s)
 	}
 	body := fmt.Sprint("body ", seq)
 	if k := slices.Index(pairs, "dedupe"); k > 0 {
 		body = "body of " + pairs[k+1]
 	}
-	r.send(1, "execute", seq, args+"\x0b\x00\x02"+str(body)+"\x00")
+	r.send(1, "execute", seq, args+"\x0b\x00\x02"+lengthPrefixed(body)+"\x00")
 }
--- a/server/press_test.go
+++ b/server/press_test.go
@@ -16,8 +16,8 @@
 	"valveglade/logic/pressure"
 )
 
-// under puts effects into force by hand, as a level would; methods are let in by the given shares.
-func (t *town) under(e pressure.Effects, shares ...float64) {
+// forceEffects puts effects into force by hand, as a level would; methods are let in by the given shares.
+func (t *harness) forceEffects(e pressure.Effects, shares ...float64) {
 	t.press.on.Store(true)
 	for k, x := range shares {
 		t.press.admit[k].Store(uint32(x * allOf))
@@ -30,28 +30,28 @@
 // What is not let in is pushed back at once, beside the gate; what has begun is not: a repeat of what ran has its answer,
 // one of what runs waits for it.
 func Example_turnedAway() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1, "op", "record", "dedupe", "a")
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	r.execute(2, "op", "record", "dedupe", "b")
-	t.asked()
-	t.under(pressure.Effects{Credit: 0.5, Accept: true, Largest: 1 << 20, Keep: 1, Health: true, After: 0.25}, 0, 0)
+	t.printKernelCommand()
+	t.forceEffects(pressure.Effects{Credit: 0.5, Accept: true, Largest: 1 << 20, Keep: 1, Health: true, After: 0.25}, 0, 0)
 	r.execute(3)
 	r.execute(4, "op", "record", "dedupe", "c")
 	r.execute(5, "op", "record", "dedupe", "a")
-	r.hear(3)
+	r.printReplies(3)
 	r.execute(6, "op", "record", "dedupe", "b")
-	t.reap(2, "fine", "two")
-	r.hear(2)
+	t.endRun(2, "fine", "two")
+	r.printReplies(2)
 	fmt.Println("refused:", t.press.refused.Load())
-	t.under(calm, 1, 1)
+	t.forceEffects(calm, 1, 1)
 	r.execute(7)
-	t.asked()
-	t.reap(7, "fine", "seven")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(7, "fine", "seven")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 record body of a
@@ -70,26 +70,26 @@
 
 // A large RPC is refused before it is all there; what then comes of it is thrown away, and the connection goes on.
 func Example_unread() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
-	t.under(pressure.Effects{Credit: 1, Accept: true, Largest: 1200, Keep: 1, Health: true}, 1, 1)
-	cut, rest := r.begin(2, strings.Repeat("b", 2000))
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
+	t.forceEffects(pressure.Effects{Credit: 1, Accept: true, Largest: 1200, Keep: 1, Health: true}, 1, 1)
+	cut, rest := r.splitExecute(2, strings.Repeat("b", 2000))
 	fmt.Fprint(r, cut)
-	r.hear(1) // with its end still to come
+	r.printReplies(1) // with its end still to come
 	fmt.Fprint(r, rest[:len(rest)/2])
 	time.Sleep(5 * time.Millisecond)
 	fmt.Fprint(r, rest[len(rest)/2:])
 	r.execute(3)
-	t.asked()
-	t.reap(3, "fine", "three")
-	r.hear(1)
-	cut, _ = r.begin(4, strings.Repeat("b", 2000))
+	t.printKernelCommand()
+	t.endRun(3, "fine", "three")
+	r.printReplies(1)
+	cut, _ = r.splitExecute(4, strings.Repeat("b", 2000))
 	fmt.Fprint(r, cut)
-	r.hear(2) // the rest never comes
+	r.printReplies(2) // the rest never comes
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -102,38 +102,38 @@
 	// served: <nil>
 }
 
-// kept takes what is written.
-type kept struct {
+// bufferConn takes what is written.
+type bufferConn struct {
 	net.Conn
-	text strings.Builder
+	written strings.Builder
 }
 
-func (k *kept) Write(b []byte) (int, error) { return k.text.Write(b) }
+func (k *bufferConn) Write(b []byte) (int, error) { return k.written.Write(b) }
 
-// begin gives an RPC with this body but for its last 300 bytes, and those.
-func (r *router) begin(seq int, body string) (cut, rest string) {
-	taken := &router{Conn: &kept{Conn: r.Conn}, in: r.in}
+// splitExecute gives an RPC with this body but for its last 300 bytes, and those.
+func (r *routerConn) splitExecute(seq int, body string) (cut, rest string) {
+	taken := &routerConn{Conn: &bufferConn{Conn: r.Conn}, reader: r.reader}
 	taken.execute(seq, "body", body)
-	all := taken.Conn.(*kept).text.String()
+	all := taken.Conn.(*bufferConn).written.String()
 	return all[:len(all)-300], all[len(all)-300:]
 }
 
 // Strained, new connections are closed at once and old ones go on; shut, health is bad, and a drain is as ever.
 func Example_shut() {
-	t := open(nil)
+	t := newHarness(nil)
 	r, health := t.dial(), t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
-	fmt.Println("roster:", next(t.reports))
-	t.under(pressure.Effects{Accept: false, Largest: 1 << 20, Keep: 0.1, Health: false}, 0, 0)
-	t.dial().hear(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
+	fmt.Println("roster:", receive(t.rosterReports))
+	t.forceEffects(pressure.Effects{Accept: false, Largest: 1 << 20, Keep: 0.1, Health: false}, 0, 0)
+	t.dial().printReplies(1)
 	health.send(1, "check", 1, "\x00")
-	health.hear(1)
-	fmt.Println("roster:", next(t.reports), "credit", t.credit())
+	health.printReplies(1)
+	fmt.Println("roster:", receive(t.rosterReports), "credit", t.credit())
 	r.execute(2)
-	r.hear(1)
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -148,23 +148,23 @@
 
 // Answers that a caller does not read are counted, and no longer once it has gone.
 func Example_owed() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	const n = 60
 	for k := 0; k < n && t.press.owed.Load() == 0; k++ {
 		r.execute(k + 1)
-		next(t.runs)
-		t.reap(k+1, "fine", strings.Repeat("r", 4096))
+		receive(t.kernelCommands)
+		t.endRun(k+1, "fine", strings.Repeat("r", 4096))
 		time.Sleep(time.Millisecond)
 	}
-	for end := time.Now().Add(patience); t.press.owed.Load() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); t.press.owed.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	most := t.press.owed.Load()
 	fmt.Println("owed:", most > 0 && most <= n*4096)
 	r.Close()
-	for end := time.Now().Add(patience); t.press.owed.Load() != 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); t.press.owed.Load() != 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Println("owed:", t.press.owed.Load())
@@ -178,7 +178,7 @@
 // New settings are taken over by a reload, a faulty file changes nothing; each change of level is one line with its causes.
 func Example_settings() {
 	core, lines := observer.New(zapcore.InfoLevel)
-	t := openLogged(nil, zap.New(core))
+	t := newHarnessWithLogger(nil, zap.New(core))
 	hup := make(chan os.Signal, 1)
 	text := make(chan string, 1)
 	live, end := context.WithCancel(context.Background())
@@ -191,12 +191,12 @@
 			default:
 			}
 			b, err := config.ParseSettings("op.conf", []byte(current))
-			return t.config, b, err
+			return t.initialConfig, b, err
 		})
 		close(over)
 	}()
 	heard := func(what string) {
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			if found := lines.FilterMessage(what).All(); len(found) > 0 {
 				f := found[0].ContextMap()
 				causes, _ := f["causes"].(string)
@@ -216,7 +216,7 @@
 	fmt.Println("on:", t.press.on.Load())
 	text <- "pressure off"
 	hup <- os.Interrupt
-	for end := time.Now().Add(patience); t.press.on.Load() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); t.press.on.Load() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Println("on:", t.press.on.Load(), "lets all in:", t.press.lets(0))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -23,56 +23,60 @@
 	"valveglade/rpc"
 )
 
-// patience is for what must come: longer than any machine takes, as a test that passes never waits for it.
-const patience = 20 * time.Second
-
-// town is one app server between stand-ins for its kernel, its roster and its routers.
-type town struct {
-	at      string
-	door    net.Listener // where routers connect
-	cores   net.Listener // where the kernel is
-	kernel  net.Conn
-	runs    chan string // what the kernel was asked, gauges aside
-	reports chan string // what the roster heard, when it changes
-	notice  context.CancelFunc
-	served  chan error
-	before  int // goroutines
-	notices int
-	config  *config.Config
-	cold    bool // the kernel comes up cold
+// testTimeout is for what must come: longer than any machine takes, as a test that passes never waits for it.
+const testTimeout = 20 * time.Second
+
+// harness is one app server between stand-ins for its kernel, its roster and its routers.
+type harness struct {
+	address          string
+	listener         net.Listener // where routers connect
+	kernelListener   net.Listener // where the kernel is
+	kernelConn       net.Conn
+	kernelCommands   chan string // what the kernel was asked, gauges aside
+	rosterReports    chan string // what the roster heard, when it changes
+	beginDrain       context.CancelFunc
+	serveResult      chan error
+	goroutinesBefore int // goroutines
+	lastNoticePos    int
+	initialConfig    *config.Config
+	coldStart        bool // the kernel comes up cold
 	*Server
 }
 
-func open(change func(c *config.Config)) *town { return openLogged(change, zap.NewNop()) }
+func newHarness(change func(c *config.Config)) *harness {
+	return newHarnessWithLogger(change, zap.NewNop())
+}
 
-func openLogged(change func(c *config.Config), log *zap.Logger) *town {
-	t := openHeldLogged(change, log)
-	t.linkUp()
+func newHarnessWithLogger(change func(c *config.Config), log *zap.Logger) *harness {
+	t := newUnbootedHarnessWithLogger(change, log)
+	t.bootKernel()
 	return t
 }
 
-// linkUp is link for the first time: the kernel comes up.
-func (t *town) linkUp() {
-	t.link()
-	until("kernel up", t.gate.Booted)
+// bootKernel is link for the first time: the kernel comes up.
+func (t *harness) bootKernel() {
+	t.acceptKernelLink()
+	waitFor("kernel up", t.gate.Booted)
 }
 
-// openHeld opens a town whose kernel is not up before link.
-func openHeld(change func(c *config.Config)) *town { return openHeldLogged(change, zap.NewNop()) }
+// newUnbootedHarness opens a town whose kernel is not up before link.
+func newUnbootedHarness(change func(c *config.Config)) *harness {
+	return newUnbootedHarnessWithLogger(change, zap.NewNop())
+}
 
-func openHeldLogged(change func(c *config.Config), log *zap.Logger) *town {
-	return openPrepared(change, log, func(*Server) {})
+func newUnbootedHarnessWithLogger(change func(c *config.Config), log *zap.Logger) *harness {
+	return newPreparedHarness(change, log, func(*Server) {})
 }
 
-// openPrepared opens a town whose app server is changed before it serves, and whose kernel is not up.
-func openPrepared(change func(c *config.Config), log *zap.Logger, prepare func(*Server)) *town {
-	t := &town{runs: make(chan string, 100), reports: make(chan string, 100), served: make(chan error, 1),
-		before: runtime.NumGoroutine()}
-	t.cores = must(net.Listen("tcp", "127.0.0.1:0"))
-	roster := t.roster()
+// newPreparedHarness opens a town whose app server is changed before it serves, and whose kernel is not up.
+func newPreparedHarness(change func(c *config.Config), log *zap.Logger, prepare func(*Server)) *harness {
+	t := &harness{kernelCommands: make(chan string, 100), rosterReports: make(chan string, 100), serveResult: make(chan error, 1),
+		goroutinesBefore: runtime.NumGoroutine()}
+	t.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
+	roster := t.startRoster()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
-	t.door, t.at = listener, listener.Addr().String()
-	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.cores.Addr().String()), Stop: 1.2,
+	t.listener, t.address = listener, listener.Addr().String()
+	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.kernelListener.Addr().String()), Stop: 1.2,
 		Roster: netip.MustParseAddrPort(roster.LocalAddr().String()), Memory: 64 << 20, Sockets: 64,
 		Methods: []string{"look", "record"}}
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent, Target: 30, Deadline: 60, Criticality: 1},
@@ -83,22 +87,22 @@
 	if change != nil {
 		change(c)
 	}
-	t.config, t.Server = c, New(c, log)
+	t.initialConfig, t.Server = c, New(c, log)
 	prepare(t.Server)
 	ctx, notice := context.WithCancel(context.Background())
-	t.notice = func() {
+	t.beginDrain = func() {
 		notice()
-		t.cores.Close()
+		t.kernelListener.Close()
 	}
 	go func() {
-		t.served <- t.ServeOn(ctx, listener.(*net.TCPListener))
+		t.serveResult <- t.ServeOn(ctx, listener.(*net.TCPListener))
 		roster.Close()
 	}()
 	return t
 }
 
-// roster passes on what it hears, when it changes.
-func (t *town) roster() net.PacketConn {
+// startRoster passes on what it hears, when it changes.
+func (t *harness) startRoster() net.PacketConn {
 	roster := must(net.ListenPacket("udp", "127.0.0.1:0"))
 	go func() {
 		buf := make([]byte, 100)
@@ -109,17 +113,17 @@
 			}
 			if said := string(buf[:n]); said != last {
 				last = said
-				t.reports <- said
+				t.rosterReports <- said
 			}
 		}
 	}()
 	return roster
 }
 
-// link takes the server's link to the kernel, in place of the one before.
-func (t *town) link() {
-	t.kernel = must(t.cores.Accept())
-	go t.work(t.kernel)
+// acceptKernelLink takes the server's acceptKernelLink to the kernel, in place of the one before.
+func (t *harness) acceptKernelLink() {
+	t.kernelConn = must(t.kernelListener.Accept())
+	go t.serveKernelLink(t.kernelConn)
 }
 
 func must[T any](v T, err error) T {
@@ -129,8 +133,8 @@
 	return v
 }
 
-// work is the kernel: it answers what asks for gauges, and leaves runs to the test.
-func (t *town) work(link net.Conn) {
+// serveKernelLink is the kernel: it answers what asks for gauges, and leaves runs to the test.
+func (t *harness) serveKernelLink(link net.Conn) {
 	defer link.Close()
 	for lines := bufio.NewReader(link); ; {
 		line, err := lines.ReadString('\n')
@@ -144,78 +148,80 @@
 		json.Unmarshal([]byte(line), &m)
 		switch m.Action {
 		case "OPEN":
-			code := map[bool]string{false: "running", true: "starting"}[t.cold]
+			code := map[bool]string{false: "running", true: "starting"}[t.coldStart]
 			fmt.Fprintf(link, `{"action":"BOOTED","code":"%s","wall_ms":10}`+"\n", code)
 		case "SYSINFO":
 			fmt.Fprintf(link, `{"action":"INFO","echo":"%s","meters":[]}`+"\n", m.Echo)
 		default:
-			t.runs <- strings.TrimSpace(fmt.Sprintf("%s %c %s %s", m.Action, m.UID[15], m.Lane, m.Content))
+			t.kernelCommands <- strings.TrimSpace(fmt.Sprintf("%s %c %s %s", m.Action, m.UID[15], m.Lane, m.Content))
 		}
 	}
 }
 
-// asked prints what the kernel is asked next.
-func (t *town) asked() { fmt.Println("kernel:", next(t.runs)) }
+// printKernelCommand prints what the kernel is printKernelCommand next.
+func (t *harness) printKernelCommand() { fmt.Println("kernel:", receive(t.kernelCommands)) }
 
-func next(from chan string) string {
+func receive(from chan string) string {
 	select {
 	case s := <-from:
 		return s
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		return "nothing"
 	}
 }
 
-// reap ends the run of the RPC with this number.
-func (t *town) reap(seq int, code, result string) {
-	t.notices++
+// endRun ends the run of the RPC with this number.
+func (t *harness) endRun(seq int, code, result string) {
+	t.lastNoticePos++
 	content, _ := json.Marshal([]byte(result))
-	fmt.Fprintf(t.kernel, `{"action":"REAP","pos":%d,"uid":"%016x","code":"%s","wall_ms":9,"content":%s}`+"\n",
-		t.notices, seq, code, content)
+	fmt.Fprintf(t.kernelConn, `{"action":"REAP","pos":%d,"uid":"%016x","code":"%s","wall_ms":9,"content":%s}`+"\n",
+		t.lastNoticePos, seq, code, content)
 }
 
 // close gives notice, waits for the end, and tells of goroutines that stay.
-func (t *town) close() {
-	t.notice()
+func (t *harness) close() {
+	t.beginDrain()
 	select {
-	case err := <-t.served:
+	case err := <-t.serveResult:
 		fmt.Println("served:", err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		fmt.Println("serves on")
 	}
-	for end := time.Now().Add(patience); runtime.NumGoroutine() > t.before; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > t.goroutinesBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			fmt.Println("goroutines stay:", runtime.NumGoroutine()-t.before)
+			fmt.Println("goroutines stay:", runtime.NumGoroutine()-t.goroutinesBefore)
 			return
 		}
 	}
 }
 
-// router is one connection of a router.
-type router struct {
+// routerConn is one connection of a routerConn.
+type routerConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (t *town) dial() *router {
-	conn := must(net.Dial("tcp", t.at))
-	conn.SetDeadline(time.Now().Add(patience))
-	return &router{conn, bufio.NewReader(conn)}
+func (t *harness) dial() *routerConn {
+	conn := must(net.Dial("tcp", t.address))
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return &routerConn{conn, bufio.NewReader(conn)}
 }
 
-func str(s string) string { return string(binary.BigEndian.AppendUint32(nil, uint32(len(s)))) + s }
+func lengthPrefixed(s string) string {
+	return string(binary.BigEndian.AppendUint32(nil, uint32(len(s)))) + s
+}
 
-func (r *router) send(kind byte, name string, seq int, args string) {
-	head := "\x80\x01\x00" + string(rune(kind)) + str(name) + string(binary.BigEndian.AppendUint32(nil, uint32(seq)))
-	fmt.Fprint(r, str(head+args))
+func (r *routerConn) send(kind byte, name string, seq int, args string) {
+	head := "\x80\x01\x00" + string(rune(kind)) + lengthPrefixed(name) + string(binary.BigEndian.AppendUint32(nil, uint32(seq)))
+	fmt.Fprint(r, lengthPrefixed(head+args))
 }
 
-func (r *router) execute(seq int, pairs ...string) {
+func (r *routerConn) execute(seq int, pairs ...string) {
 	pairs = append([]string{"op", "look", "call", fmt.Sprintf("%016x", seq), "src", "1", "recv",
 		fmt.Sprint(time.Now().UnixMilli()), "ttl", "50000", "heap", "10"}, pairs...)
 	args := "\x0d\x00\x01\x0b\x0b" + string(binary.BigEndian.AppendUint32(nil, uint32(len(pairs)/2)))
 	for _, s := range pairs {
-		args += str(s)
+		args += lengthPrefixed(s)
 	}
 	body := fmt.Sprint("body ", seq)
 	if k := slices.Index(pairs, "dedupe"); k > 0 {
@@ -224,24 +230,24 @@
 	if k := slices.Index(pairs, "body"); k > 0 {
 		body = pairs[k+1] // but for those that are none
 	}
-	r.send(1, "execute", seq, args+"\x0b\x00\x02"+str(body)+"\x00")
+	r.send(1, "execute", seq, args+"\x0b\x00\x02"+lengthPrefixed(body)+"\x00")
 }
 
-func (r *router) interrupt(target int) {
+func (r *routerConn) interrupt(target int) {
 	r.send(4, "interrupt", 99, "\x08\x00\x01"+string(binary.BigEndian.AppendUint32(nil, uint32(target)))+"\x00")
 }
 
-// hear prints the next n messages; of a result only what a test can foresee, so no credit.
-func (r *router) hear(n int) {
+// printReplies prints the next n messages; of a result only what a test can foresee, so no credit.
+func (r *routerConn) printReplies(n int) {
 	for range n {
 		head := make([]byte, 4)
-		_, err := io.ReadFull(r.in, head)
+		_, err := io.ReadFull(r.reader, head)
 		if err != nil {
 			fmt.Println("router: the connection ends")
 			return
 		}
 		b := make([]byte, binary.BigEndian.Uint32(head))
-		io.ReadFull(r.in, b)
+		io.ReadFull(r.reader, b)
 		kind, size := b[3], binary.BigEndian.Uint32(b[4:])
 		name, seq, args := b[8:8+size], binary.BigEndian.Uint32(b[8+size:]), b[12+size:]
 		switch {
@@ -258,36 +264,36 @@
 
 // The life of some RPCs: answers in any order, a repeat, one that nobody waits for any more, a failed run.
 func Example_life() {
-	t := open(nil)
+	t := newHarness(nil)
 	health, r := t.dial(), t.dial()
 	health.send(1, "check", 1, "\x02\x00\x01\x00\x00")
-	health.hear(1)
+	health.printReplies(1)
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	r.execute(3, "op", "record", "dedupe", "t")
-	r.hear(1)
-	t.reap(1, "fine", "\x00\xff")
-	r.hear(1)
+	r.printReplies(1)
+	t.endRun(1, "fine", "\x00\xff")
+	r.printReplies(1)
 	r.execute(4)
-	t.asked()
+	t.printKernelCommand()
 	r.interrupt(4)
-	t.asked()
-	t.reap(4, "broken_off", "")
+	t.printKernelCommand()
+	t.endRun(4, "broken_off", "")
 	r.execute(5)
-	t.asked()
-	t.reap(5, "fault", "")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(5, "fault", "")
+	r.printReplies(1)
 	r.execute(6)
-	t.asked()
-	t.reap(6, "late", "")
-	r.hear(1)
-	fmt.Println("roster:", next(t.reports))
+	t.printKernelCommand()
+	t.endRun(6, "late", "")
+	r.printReplies(1)
+	fmt.Println("roster:", receive(t.rosterReports))
 	t.close()
-	fmt.Println("roster:", next(t.reports))
+	fmt.Println("roster:", receive(t.rosterReports))
 	// Output:
 	// router: 1 ok "" good 1
 	// kernel: SCHED 1 look body 1
@@ -308,18 +314,18 @@
 
 // The link breaks and comes back: notices go on counting, and so do runs.
 func Example_link() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
-	t.kernel.Close()
-	t.link()
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
+	t.kernelConn.Close()
+	t.acceptKernelLink()
 	r.execute(2)
-	t.asked()
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -332,17 +338,17 @@
 // The link breaks right behind what the kernel was asked: a tokened RPC is not asked for again, as its run may be at its end.
 // That end comes, and its RPC is served.
 func Example_linkOnce() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1, "op", "record", "dedupe", "t")
-	t.asked()
-	t.kernel.Close()
-	t.link()
+	t.printKernelCommand()
+	t.kernelConn.Close()
+	t.acceptKernelLink()
 	r.execute(2)
-	t.asked()
-	t.reap(1, "fine", "one")
-	t.reap(2, "fine", "two")
-	r.hear(2)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	t.endRun(2, "fine", "two")
+	r.printReplies(2)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 record body of t
@@ -355,7 +361,7 @@
 // What cannot be run is answered and the connection goes on; what cannot be read ends the connection, and no
 // other.
 func Example_bad() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1, "op", "sing")
 	r.execute(2, "op", "record")
@@ -363,25 +369,25 @@
 	r.execute(4, "ttl", "1e999")
 	r.execute(5, "heap", "much")
 	r.send(1, "sing", 6, "\x00")
-	r.hear(6)
+	r.printReplies(6)
 	r.execute(7, "ttl", "-5")
-	r.hear(1)
-	for _, bad := range []string{"\xff\xff\xff\xff", "\x00\x01\x00\x00", str("\x80\x01\x00\x01" + str("execute")),
+	r.printReplies(1)
+	for _, bad := range []string{"\xff\xff\xff\xff", "\x00\x01\x00\x00", lengthPrefixed("\x80\x01\x00\x01" + lengthPrefixed("execute")),
 		"GET / HTTP/1.1\r\n\r\n"} {
 		b := t.dial()
 		fmt.Fprint(b, bad)
-		b.hear(1)
+		b.printReplies(1)
 	}
 	twice := t.dial()
 	twice.execute(8)
-	t.asked()
+	t.printKernelCommand()
 	twice.execute(8, "op", "sing")
-	twice.hear(2)
-	t.asked() // nobody waits for it any more
+	twice.printReplies(2)
+	t.printKernelCommand() // nobody waits for it any more
 	r.execute(9)
-	t.asked()
-	t.reap(9, "fine", "nine")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(9, "fine", "nine")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// router: 1 aborted
@@ -406,19 +412,19 @@
 
 // A router that resets: its RPCs are given up, its tokened run goes on and serves the repeat.
 func Example_reset() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.asked()
+	t.printKernelCommand()
 	r.Conn.(*net.TCPConn).SetLinger(0)
 	r.Close()
-	t.asked()
+	t.printKernelCommand()
 	other := t.dial()
 	other.execute(3, "op", "record", "dedupe", "t")
-	t.reap(2, "fine", "two")
-	other.hear(1)
+	t.endRun(2, "fine", "two")
+	other.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -431,19 +437,19 @@
 // A drain under load: everything read is answered before the stop, connections are asked to end, and the
 // process ends by itself.
 func Example_drain() {
-	t := open(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	t := newHarness(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
 	r, idle := t.dial(), t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.execute(2)
 	r.execute(3, "op", "record", "dedupe", "t")
 	r.send(1, "check", 4, "\x00")
-	r.hear(1) // so all before it has been read
+	r.printReplies(1) // so all before it has been read
 	began := time.Now()
-	t.notice()
-	r.hear(4)
+	t.beginDrain()
+	r.printReplies(4)
 	r.Close()
-	idle.hear(1)
+	idle.printReplies(1)
 	idle.Close()
 	t.close()
 	fmt.Println("before the stop:", time.Since(began) < 1200*time.Millisecond)
@@ -463,25 +469,25 @@
 // at once, as behind it others wait to be let in.
 func Example_crowded() {
 	// Nobody is asked to make room beforehand: while that is being written the connection does not rest.
-	t := openPrepared(func(c *config.Config) { c.Sockets = reserve + 2 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
-	t.linkUp()
+	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 2 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
+	t.bootKernel()
 	first, second := t.dial(), t.dial()
-	for k, r := range []*router{first, second} {
+	for k, r := range []*routerConn{first, second} {
 		r.execute(k + 1)
-		t.asked()
+		t.printKernelCommand()
 	}
-	t.reap(1, "fine", "one")
-	first.hear(1)
-	until("rests", func() bool { return slices.ContainsFunc(t.connections(), (*conn).resting) })
+	t.endRun(1, "fine", "one")
+	first.printReplies(1)
+	waitFor("rests", func() bool { return slices.ContainsFunc(t.connections(), (*conn).idleNow) })
 	third := t.dial()
 	third.execute(3)
-	first.hear(1)
-	t.asked()
+	first.printReplies(1)
+	t.printKernelCommand()
 	fourth := t.dial()
-	fourth.hear(1)
-	for k, r := range []*router{second, third} {
-		t.reap(k+2, "fine", "more")
-		r.hear(1)
+	fourth.printReplies(1)
+	for k, r := range []*routerConn{second, third} {
+		t.endRun(k+2, "fine", "more")
+		r.printReplies(1)
 	}
 	t.close()
 	// Output:
@@ -499,23 +505,23 @@
 // Who says nothing, or half of something, is let go in time; what had been read before is answered. The oldest
 // silent connection goes before an idle one that was used.
 func Example_silent() {
-	t := open(func(c *config.Config) { c.Sockets = reserve + 3 })
+	t := newHarness(func(c *config.Config) { c.Sockets = reserve + 3 })
 	r, silent, half := t.dial(), t.dial(), t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	half.execute(2)
-	t.asked()
+	t.printKernelCommand()
 	fmt.Fprint(half, "\x00\x00\x00\x09half")
 	time.Sleep(fresh)
 	other := t.dial()
-	silent.hear(1)
+	silent.printReplies(1)
 	began := time.Now()
-	other.hear(1)
+	other.printReplies(1)
 	fmt.Println("in time:", time.Since(began) < 2*time.Second)
-	t.reap(2, "fine", "two")
-	half.hear(2)
+	t.endRun(2, "fine", "two")
+	half.printReplies(2)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -532,30 +538,30 @@
 // Names and tokens of others, and what nobody can run: each is aborted, and the usual router's RPC goes on. Who
 // sends nothing else is let go.
 func Example_strangers() {
-	t := open(nil)
+	t := newHarness(nil)
 	r, bad := t.dial(), t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.asked()
+	t.printKernelCommand()
 	bad.execute(1)
-	bad.hear(1)
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	bad.printReplies(1)
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	bad.execute(11, "op", "record", "dedupe", "t", "call", "00000000000000ff", "body", "x")
-	bad.hear(1)
+	bad.printReplies(1)
 	bad.execute(12)
-	t.asked()
-	fmt.Fprintf(t.kernel, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", 12)
-	bad.hear(1)
+	t.printKernelCommand()
+	fmt.Fprintf(t.kernelConn, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", 12)
+	bad.printReplies(1)
 	for k := range mostOdd - 3 {
 		bad.execute(13+k, "crit", "1")
 	}
-	bad.hear(mostOdd - 3)
+	bad.printReplies(mostOdd - 3)
 	bad.execute(18)
-	bad.hear(2)
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	bad.printReplies(2)
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -576,31 +582,31 @@
 	// served: <nil>
 }
 
-// waits is a connection whose close takes for ever.
-type waits struct {
+// blockingCloseConn is a connection whose close takes for ever.
+type blockingCloseConn struct {
 	net.Conn
-	end chan bool
+	closeAllowed chan bool
 }
 
-func (w waits) Close() error {
-	<-w.end
+func (w blockingCloseConn) Close() error {
+	<-w.closeAllowed
 	return nil
 }
 
-func (w waits) SetReadDeadline(time.Time) error  { return nil }
-func (w waits) SetWriteDeadline(time.Time) error { return nil }
+func (w blockingCloseConn) SetReadDeadline(time.Time) error  { return nil }
+func (w blockingCloseConn) SetWriteDeadline(time.Time) error { return nil }
 
 // Making room never waits for the one that goes: else one close would keep all newcomers out.
 func Example_room() {
-	t := open(func(c *config.Config) { c.Sockets = reserve + 1 })
-	stuck := waits{end: make(chan bool)}
+	t := newHarness(func(c *config.Config) { c.Sockets = reserve + 1 })
+	stuck := blockingCloseConn{closeAllowed: make(chan bool)}
 	t.Server.mu.Lock()
 	t.conns[&conn{Server: t.Server, Conn: stuck, known: true, shutDown: make(chan struct{}), gone: make(chan struct{})}] = struct{}{}
 	t.Server.mu.Unlock()
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	close(stuck.end)
+	t.printKernelCommand()
+	close(stuck.closeAllowed)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -609,16 +615,16 @@
 
 // Past the memory for RPCs whose answer is owed the next are refused, until there is room again.
 func Example_memory() {
-	t := open(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
+	t := newHarness(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
 	r := t.dial()
 	r.execute(1)
-	t.asked()
+	t.printKernelCommand()
 	r.execute(2)
-	r.hear(1)
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	r.printReplies(1)
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	r.execute(3)
-	t.asked()
+	t.printKernelCommand()
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -630,18 +636,18 @@
 
 // A router that sends and never reads holds up nobody else, and its connection ends before it takes much.
 func Example_flood() {
-	t := open(nil)
+	t := newHarness(nil)
 	flood, r := t.dial(), t.dial()
 	for seq := 1; ; seq++ {
-		if _, err := flood.Write([]byte(str("\x80\x01\x00\x01" + str("check") + "\x00\x00\x00\x01\x00"))); err != nil {
+		if _, err := flood.Write([]byte(lengthPrefixed("\x80\x01\x00\x01" + lengthPrefixed("check") + "\x00\x00\x00\x01\x00"))); err != nil {
 			fmt.Println("cut off:", seq > mostOpen && seq < 1e6)
 			break
 		}
 		if seq == mostOpen {
 			r.execute(1)
-			t.asked()
-			t.reap(1, "fine", "one")
-			r.hear(1)
+			t.printKernelCommand()
+			t.endRun(1, "fine", "one")
+			r.printReplies(1)
 		}
 	}
 	t.close()
@@ -654,12 +660,12 @@
 
 // A connection with nothing open is asked to end after the idle time, and closed if its router does not.
 func Example_idle() {
-	t := open(func(c *config.Config) { c.Rules.Machine.KeepAlive = 0.1 })
+	t := newHarness(func(c *config.Config) { c.Rules.Machine.KeepAlive = 0.1 })
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	t.reap(1, "fine", "one")
-	r.hear(3)
+	t.printKernelCommand()
+	t.endRun(1, "fine", "one")
+	r.printReplies(3)
 	t.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
@@ -672,11 +678,11 @@
 // New addresses under load: a run goes on over the new link, in a drain too; a faulty config changes nothing,
 // and one that is not there yet is looked at again. Before, SIGHUP ended the process and what it held was lost.
 func Example_reload() {
-	t := open(nil)
+	t := newHarness(nil)
 	r := t.dial()
 	r.execute(1)
-	t.asked()
-	fmt.Println("roster:", next(t.reports))
+	t.printKernelCommand()
+	fmt.Println("roster:", receive(t.rosterReports))
 	hup, looks := make(chan os.Signal, 1), make(chan string, 100)
 	var given atomic.Pointer[config.Config]
 	live, end := context.WithCancel(context.Background())
@@ -693,31 +699,31 @@
 	}()
 	var rosters []net.PacketConn
 	move := func() {
-		old, roster := t.cores, t.roster()
+		old, roster := t.kernelListener, t.startRoster()
 		rosters = append(rosters, roster)
-		t.cores = must(net.Listen("tcp", "127.0.0.1:0"))
-		c := *t.config
+		t.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
+		c := *t.initialConfig
 		c.Name, c.Methods = "n2", []string{"other", "names"} // these stay
-		c.Kernel = netip.MustParseAddrPort(t.cores.Addr().String())
+		c.Kernel = netip.MustParseAddrPort(t.kernelListener.Addr().String())
 		c.Roster = netip.MustParseAddrPort(roster.LocalAddr().String())
 		given.Store(&c)
 		hup <- syscall.SIGHUP
-		t.link()
+		t.acceptKernelLink()
 		old.Close()
-		fmt.Println("roster:", next(t.reports))
+		fmt.Println("roster:", receive(t.rosterReports))
 	}
 	hup <- syscall.SIGHUP
-	fmt.Println(next(looks), next(looks))
+	fmt.Println(receive(looks), receive(looks))
 	move()
-	t.reap(1, "fine", "one")
-	r.hear(1)
+	t.endRun(1, "fine", "one")
+	r.printReplies(1)
 	r.execute(2)
-	t.asked()
-	t.notice()
-	fmt.Println("roster:", next(t.reports))
+	t.printKernelCommand()
+	t.beginDrain()
+	fmt.Println("roster:", receive(t.rosterReports))
 	move()
-	t.reap(2, "fine", "two")
-	r.hear(1)
+	t.endRun(2, "fine", "two")
+	r.printReplies(1)
 	r.Close()
 	end()
 	<-over
