--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -51,7 +51,7 @@
 	r.execute(1, "recv", system.recvTimestamp())
 	t.printKernelCommand()
 	r.execute(2, "recv", system.recvTimestamp(), "ttl", "300")
-	waitFor("both read", func() bool { return len(t.connections()[0].openSeqs()) == 2 })
+	waitFor("both read", func() bool { return len(t.connections()[0].openRPCs()) == 2 })
 	system.step(-time.Hour)
 	r.printReplies(1) // 2, by its due time
 	t.endRun(1, "fine", "one")
@@ -81,7 +81,7 @@
 	r.execute(1, "recv", system.recvTimestamp())
 	t.printKernelCommand()
 	r.execute(2, "recv", system.recvTimestamp())
-	waitFor("both read", func() bool { return len(t.connections()[0].openSeqs()) == 2 })
+	waitFor("both read", func() bool { return len(t.connections()[0].openRPCs()) == 2 })
 	system.step(time.Hour)
 	time.Sleep(100 * time.Millisecond) // several looks at what is due
 	t.endRun(1, "fine", "one")
--- a/server/crowd_test.go
+++ b/server/crowd_test.go
@@ -116,7 +116,7 @@
 	}
 	waitFor("taken in", func() bool { return len(t.connections()) == 9 })
 	began := time.Now()
-	next := *t.initialConfig
+	next := *t.config
 	next.Sockets = reserve + 3
 	t.adopt(&next)
 	waitFor("room", func() bool { return len(t.connections()) <= 3 })
@@ -217,7 +217,7 @@
 	waitFor("both read", func() bool {
 		opened := 0
 		for _, c := range t.connections() {
-			opened += len(c.openSeqs())
+			opened += len(c.openRPCs())
 		}
 		return opened == 2
 	})
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -46,7 +46,7 @@
 	r.execute(2, "op", "record", "dedupe", "t")
 	waitFor("both read", func() bool {
 		all := t.connections()
-		return len(all) == 1 && len(all[0].openSeqs()) == 2
+		return len(all) == 1 && len(all[0].openRPCs()) == 2
 	})
 	t.beginDrain()
 	r.printReplies(3)
@@ -149,7 +149,7 @@
 	var looks atomic.Int32
 	live, end := context.WithCancel(context.Background())
 	over := make(chan bool)
-	next := *t.initialConfig
+	next := *t.config
 	next.Stop++
 	go func() {
 		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -542,7 +542,7 @@
 	r := t.dial()
 	r.execute(1)
 	t.printKernelCommand()
-	t.listener.Close()
+	t.routerListener.Close()
 	waitFor("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
 	t.endRun(1, "fine", "one")
 	r.printReplies(2)
@@ -617,7 +617,7 @@
 	answer := make([]byte, binary.BigEndian.Uint32(head))
 	io.ReadFull(r.reader, answer)
 	fmt.Println("router: a long answer:", len(answer) > 3000)
-	next := *t.initialConfig
+	next := *t.config
 	next.Memory = 2000 * keepShare
 	t.adopt(&next)
 	r.execute(2, "op", "record", "dedupe", "t")
@@ -640,7 +640,7 @@
 	r.send(1, "check", 1, "\x00")
 	r.printReplies(1)
 	r.execute(2)
-	waitFor("taken in", func() bool { return len(t.connections()[0].openSeqs()) == 1 })
+	waitFor("taken in", func() bool { return len(t.connections()[0].openRPCs()) == 1 })
 	fmt.Println("credit:", t.credit(), "reports:", len(t.rosterReports))
 	t.coldStart = true
 	t.acceptKernelLink()
@@ -663,7 +663,7 @@
 	// served: <nil>
 }
 
-func (c *conn) openSeqs() (seqs []int32) {
+func (c *conn) openRPCs() (seqs []int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for seq := range c.open {
--- a/server/fields_test.go
+++ b/server/fields_test.go
@@ -121,7 +121,7 @@
 		t.endRun(seq, "fine", fmt.Sprint(seq))
 	}
 	r.printReplies(mostOdd + 1)
-	deadline := t.initialConfig.Rules.Methods[0].Deadline
+	deadline := t.config.Rules.Methods[0].Deadline
 	r.executeWithout("ttl", 20, "recv", fmt.Sprint(time.Now().Add(-seconds(deadline)).UnixMilli()))
 	r.printReplies(1)
 	r.executeWithout("ttl", 21, "op", "record", "dedupe", "t")
--- a/server/press_test.go
+++ b/server/press_test.go
@@ -191,7 +191,7 @@
 			default:
 			}
 			b, err := config.ParseSettings("op.conf", []byte(current))
-			return t.initialConfig, b, err
+			return t.config, b, err
 		})
 		close(over)
 	}()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -28,18 +28,18 @@
 
 // harness is one app server between stand-ins for its kernel, its roster and its routers.
 type harness struct {
-	address          string
-	listener         net.Listener // where routers connect
-	kernelListener   net.Listener // where the kernel is
-	kernelConn       net.Conn
-	kernelCommands   chan string // what the kernel was asked, gauges aside
-	rosterReports    chan string // what the roster heard, when it changes
-	beginDrain       context.CancelFunc
-	serveResult      chan error
-	goroutinesBefore int // goroutines
-	lastNoticePos    int
-	initialConfig    *config.Config
-	coldStart        bool // the kernel comes up cold
+	address         string
+	routerListener  net.Listener // where routers connect
+	kernelListener  net.Listener // where the kernel is
+	kernelConn      net.Conn
+	kernelCommands  chan string // what the kernel was asked, gauges aside
+	rosterReports   chan string // what the roster heard, when it changes
+	beginDrain      context.CancelFunc
+	serveResult     chan error
+	startGoroutines int // goroutines
+	lastNoticePos   int
+	config          *config.Config
+	coldStart       bool // the kernel comes up cold
 	*Server
 }
 
@@ -71,11 +71,11 @@
 // newPreparedHarness opens a town whose app server is changed before it serves, and whose kernel is not up.
 func newPreparedHarness(change func(c *config.Config), log *zap.Logger, prepare func(*Server)) *harness {
 	t := &harness{kernelCommands: make(chan string, 100), rosterReports: make(chan string, 100), serveResult: make(chan error, 1),
-		goroutinesBefore: runtime.NumGoroutine()}
+		startGoroutines: runtime.NumGoroutine()}
 	t.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
-	roster := t.startRoster()
+	roster := t.roster()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
-	t.listener, t.address = listener, listener.Addr().String()
+	t.routerListener, t.address = listener, listener.Addr().String()
 	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.kernelListener.Addr().String()), Stop: 1.2,
 		Roster: netip.MustParseAddrPort(roster.LocalAddr().String()), Memory: 64 << 20, Sockets: 64,
 		Methods: []string{"look", "record"}}
@@ -87,7 +87,7 @@
 	if change != nil {
 		change(c)
 	}
-	t.initialConfig, t.Server = c, New(c, log)
+	t.config, t.Server = c, New(c, log)
 	prepare(t.Server)
 	ctx, notice := context.WithCancel(context.Background())
 	t.beginDrain = func() {
@@ -101,8 +101,8 @@
 	return t
 }
 
-// startRoster passes on what it hears, when it changes.
-func (t *harness) startRoster() net.PacketConn {
+// roster passes on what it hears, when it changes.
+func (t *harness) roster() net.PacketConn {
 	roster := must(net.ListenPacket("udp", "127.0.0.1:0"))
 	go func() {
 		buf := make([]byte, 100)
@@ -187,9 +187,9 @@
 	case <-time.After(testTimeout):
 		fmt.Println("serves on")
 	}
-	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > t.goroutinesBefore; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > t.startGoroutines; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			fmt.Println("goroutines stay:", runtime.NumGoroutine()-t.goroutinesBefore)
+			fmt.Println("goroutines stay:", runtime.NumGoroutine()-t.startGoroutines)
 			return
 		}
 	}
@@ -699,10 +699,10 @@
 	}()
 	var rosters []net.PacketConn
 	move := func() {
-		old, roster := t.kernelListener, t.startRoster()
+		old, roster := t.kernelListener, t.roster()
 		rosters = append(rosters, roster)
 		t.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
-		c := *t.initialConfig
+		c := *t.config
 		c.Name, c.Methods = "n2", []string{"other", "names"} // these stay
 		c.Kernel = netip.MustParseAddrPort(t.kernelListener.Addr().String())
 		c.Roster = netip.MustParseAddrPort(roster.LocalAddr().String())
