--- a/server/server_test.go
+++ b/server/server_test.go
@@ -23,60 +23,62 @@
 	"valveglade/rpc"
 )
 
-// testTimeout is for what must come: longer than any machine takes, as a test that passes never waits for it.
+// testTimeout bounds the wait for an expected event. It exceeds what any machine takes, as a passing test never waits
+// for it.
 const testTimeout = 20 * time.Second
 
-// harness is one app server between stand-ins for its kernel, its roster and its routers.
+// harness is an app server under test, with fakes for its kernel, roster and routers.
 type harness struct {
 	address         string
-	routerListener  net.Listener // where routers connect
-	kernelListener  net.Listener // where the kernel is
+	routerListener  net.Listener // accepts router connections
+	kernelListener  net.Listener // accepts the app server's kernel link
 	kernelConn      net.Conn
-	kernelCommands  chan string // what the kernel was asked, gauges aside
-	rosterReports   chan string // what the roster heard, when it changes
+	kernelCommands  chan string // commands to the kernel, except requests for gauges
+	rosterReports   chan string // reports to the roster that differ from the one before
 	beginDrain      context.CancelFunc
 	serveResult     chan error
-	startGoroutines int // goroutines
+	startGoroutines int // running when the harness was created
 	lastNoticePos   int
 	config          *config.Config
-	coldStart       bool // the kernel comes up cold
+	coldStart       bool // the kernel reports a cold start
 	*Server
 }
 
-func newHarness(change func(c *config.Config)) *harness {
-	return newHarnessWithLogger(change, zap.NewNop())
+// newHarness starts an app server whose kernel is up.
+func newHarness(configure func(c *config.Config)) *harness {
+	return newHarnessWithLogger(configure, zap.NewNop())
 }
 
-func newHarnessWithLogger(change func(c *config.Config), log *zap.Logger) *harness {
-	t := newUnbootedHarnessWithLogger(change, log)
-	t.bootKernel()
-	return t
+func newHarnessWithLogger(configure func(c *config.Config), log *zap.Logger) *harness {
+	h := newUnbootedHarnessWithLogger(configure, log)
+	h.bootKernel()
+	return h
 }
 
-// bootKernel is link for the first time: the kernel comes up.
-func (t *harness) bootKernel() {
-	t.acceptKernelLink()
-	waitFor("kernel up", t.gate.Booted)
+// bootKernel accepts the first kernel link and waits until the kernel is up.
+func (h *harness) bootKernel() {
+	h.acceptKernelLink()
+	waitFor("kernel up", h.gate.Booted)
 }
 
-// newUnbootedHarness opens a town whose kernel is not up before link.
-func newUnbootedHarness(change func(c *config.Config)) *harness {
-	return newUnbootedHarnessWithLogger(change, zap.NewNop())
+// newUnbootedHarness starts an app server whose kernel is not up before acceptKernelLink.
+func newUnbootedHarness(configure func(c *config.Config)) *harness {
+	return newUnbootedHarnessWithLogger(configure, zap.NewNop())
 }
 
-func newUnbootedHarnessWithLogger(change func(c *config.Config), log *zap.Logger) *harness {
-	return newPreparedHarness(change, log, func(*Server) {})
+func newUnbootedHarnessWithLogger(configure func(c *config.Config), log *zap.Logger) *harness {
+	return newPreparedHarness(configure, log, func(*Server) {})
 }
 
-// newPreparedHarness opens a town whose app server is changed before it serves, and whose kernel is not up.
-func newPreparedHarness(change func(c *config.Config), log *zap.Logger, prepare func(*Server)) *harness {
-	t := &harness{kernelCommands: make(chan string, 100), rosterReports: make(chan string, 100), serveResult: make(chan error, 1),
-		startGoroutines: runtime.NumGoroutine()}
-	t.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
-	roster := t.roster()
+// newPreparedHarness starts an app server that prepare changes before it serves, and whose kernel is not up.
+func newPreparedHarness(configure func(c *config.Config), log *zap.Logger, prepare func(*Server)) *harness {
+	h := &harness{kernelCommands: make(chan string, 100), rosterReports: make(chan string, 100),
+		serveResult: make(chan error, 1), startGoroutines: runtime.NumGoroutine()}
+	h.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
+	roster := h.roster()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
-	t.routerListener, t.address = listener, listener.Addr().String()
-	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.kernelListener.Addr().String()), Stop: 1.2,
+	h.routerListener, h.address = listener, listener.Addr().String()
+	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(h.kernelListener.Addr().String()), Stop: 1.2,
 		Roster: netip.MustParseAddrPort(roster.LocalAddr().String()), Memory: 64 << 20, Sockets: 64,
 		Methods: []string{"look", "record"}}
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent, Target: 30, Deadline: 60, Criticality: 1},
@@ -84,25 +86,25 @@
 	c.Rules.Machine = rpc.Machine{Callers: 1, Cores: 2, EntryKB: 1, MemoryKB: 4000, RunFactor: 4, KeepAlive: 60,
 		Preemption: rpc.Freezes, Signal: rpc.Allowance}
 	c.Rules.Rules = rpc.Rules{Crowd: 5, Grace: 1}
-	if change != nil {
-		change(c)
+	if configure != nil {
+		configure(c)
 	}
-	t.config, t.Server = c, New(c, log)
-	prepare(t.Server)
-	ctx, notice := context.WithCancel(context.Background())
-	t.beginDrain = func() {
-		notice()
-		t.kernelListener.Close()
+	h.config, h.Server = c, New(c, log)
+	prepare(h.Server)
+	ctx, beginDrain := context.WithCancel(context.Background())
+	h.beginDrain = func() {
+		beginDrain()
+		h.kernelListener.Close()
 	}
 	go func() {
-		t.serveResult <- t.ServeOn(ctx, listener.(*net.TCPListener))
+		h.serveResult <- h.ServeOn(ctx, listener.(*net.TCPListener))
 		roster.Close()
 	}()
-	return t
+	return h
 }
 
-// roster passes on what it hears, when it changes.
-func (t *harness) roster() net.PacketConn {
+// roster starts a fake roster that forwards each report that differs from the one before.
+func (h *harness) roster() net.PacketConn {
 	roster := must(net.ListenPacket("udp", "127.0.0.1:0"))
 	go func() {
 		buf := make([]byte, 100)
@@ -111,19 +113,19 @@
 			if err != nil {
 				return
 			}
-			if said := string(buf[:n]); said != last {
-				last = said
-				t.rosterReports <- said
+			if report := string(buf[:n]); report != last {
+				last = report
+				h.rosterReports <- report
 			}
 		}
 	}()
 	return roster
 }
 
-// acceptKernelLink takes the server's acceptKernelLink to the kernel, in place of the one before.
-func (t *harness) acceptKernelLink() {
-	t.kernelConn = must(t.kernelListener.Accept())
-	go t.serveKernelLink(t.kernelConn)
+// acceptKernelLink accepts the app server's kernel link, which replaces any earlier one.
+func (h *harness) acceptKernelLink() {
+	h.kernelConn = must(h.kernelListener.Accept())
+	go h.serveKernelLink(h.kernelConn)
 }
 
 func must[T any](v T, err error) T {
@@ -133,102 +135,106 @@
 	return v
 }
 
-// serveKernelLink is the kernel: it answers what asks for gauges, and leaves runs to the test.
-func (t *harness) serveKernelLink(link net.Conn) {
-	defer link.Close()
-	for lines := bufio.NewReader(link); ; {
+// serveKernelLink is the fake kernel: it answers requests for gauges, and leaves runs to the test.
+func (h *harness) serveKernelLink(netConn net.Conn) {
+	defer netConn.Close()
+	for lines := bufio.NewReader(netConn); ; {
 		line, err := lines.ReadString('\n')
 		if err != nil {
 			return
 		}
-		var m struct {
+		var command struct {
 			Action, UID, Lane, Echo string
 			Content                 []byte
 		}
-		json.Unmarshal([]byte(line), &m)
-		switch m.Action {
+		json.Unmarshal([]byte(line), &command)
+		switch command.Action {
 		case "OPEN":
-			code := map[bool]string{false: "running", true: "starting"}[t.coldStart]
-			fmt.Fprintf(link, `{"action":"BOOTED","code":"%s","wall_ms":10}`+"\n", code)
+			code := map[bool]string{false: "running", true: "starting"}[h.coldStart]
+			fmt.Fprintf(netConn, `{"action":"BOOTED","code":"%s","wall_ms":10}`+"\n", code)
 		case "SYSINFO":
-			fmt.Fprintf(link, `{"action":"INFO","echo":"%s","meters":[]}`+"\n", m.Echo)
+			fmt.Fprintf(netConn, `{"action":"INFO","echo":"%s","meters":[]}`+"\n", command.Echo)
 		default:
-			t.kernelCommands <- strings.TrimSpace(fmt.Sprintf("%s %c %s %s", m.Action, m.UID[15], m.Lane, m.Content))
+			h.kernelCommands <- strings.TrimSpace(fmt.Sprintf("%s %c %s %s",
+				command.Action, command.UID[15], command.Lane, command.Content))
 		}
 	}
 }
 
-// printKernelCommand prints what the kernel is printKernelCommand next.
-func (t *harness) printKernelCommand() { fmt.Println("kernel:", receive(t.kernelCommands)) }
+// printKernelCommand prints the next command sent to the kernel.
+func (h *harness) printKernelCommand() { fmt.Println("kernel:", receive(h.kernelCommands)) }
 
-func receive(from chan string) string {
+// receive returns the next message, or "timeout" if none arrives in time.
+func receive(messages chan string) string {
 	select {
-	case s := <-from:
+	case s := <-messages:
 		return s
 	case <-time.After(testTimeout):
-		return "nothing"
+		return "timeout"
 	}
 }
 
-// endRun ends the run of the RPC with this number.
-func (t *harness) endRun(seq int, code, result string) {
-	t.lastNoticePos++
+// endRun reports to the app server that the run of the RPC with this sequence number has ended.
+func (h *harness) endRun(seq int, code, result string) {
+	h.lastNoticePos++
 	content, _ := json.Marshal([]byte(result))
-	fmt.Fprintf(t.kernelConn, `{"action":"REAP","pos":%d,"uid":"%016x","code":"%s","wall_ms":9,"content":%s}`+"\n",
-		t.lastNoticePos, seq, code, content)
+	fmt.Fprintf(h.kernelConn, `{"action":"REAP","pos":%d,"uid":"%016x","code":"%s","wall_ms":9,"content":%s}`+"\n",
+		h.lastNoticePos, seq, code, content)
 }
 
-// close gives notice, waits for the end, and tells of goroutines that stay.
-func (t *harness) close() {
-	t.beginDrain()
+// close gives the shutdown notice, waits until the app server returns, and reports leaked goroutines.
+func (h *harness) close() {
+	h.beginDrain()
 	select {
-	case err := <-t.serveResult:
+	case err := <-h.serveResult:
 		fmt.Println("served:", err)
 	case <-time.After(testTimeout):
-		fmt.Println("serves on")
+		fmt.Println("still serving after its shutdown notice")
 	}
-	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > t.startGoroutines; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			fmt.Println("goroutines stay:", runtime.NumGoroutine()-t.startGoroutines)
+	for deadline := time.Now().Add(testTimeout); runtime.NumGoroutine() > h.startGoroutines; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			fmt.Println("goroutines leaked:", runtime.NumGoroutine()-h.startGoroutines)
 			return
 		}
 	}
 }
 
-// routerConn is one connection of a routerConn.
+// routerConn is one connection of a fake router.
 type routerConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (t *harness) dial() *routerConn {
-	conn := must(net.Dial("tcp", t.address))
-	conn.SetDeadline(time.Now().Add(testTimeout))
-	return &routerConn{conn, bufio.NewReader(conn)}
+func (h *harness) dial() *routerConn {
+	netConn := must(net.Dial("tcp", h.address))
+	netConn.SetDeadline(time.Now().Add(testTimeout))
+	return &routerConn{netConn, bufio.NewReader(netConn)}
 }
 
+// lengthPrefixed returns s behind its length, as the wire format has strings and frames.
 func lengthPrefixed(s string) string {
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(s)))) + s
 }
 
-func (r *routerConn) send(kind byte, name string, seq int, args string) {
-	head := "\x80\x01\x00" + string(rune(kind)) + lengthPrefixed(name) + string(binary.BigEndian.AppendUint32(nil, uint32(seq)))
-	fmt.Fprint(r, lengthPrefixed(head+args))
+func (r *routerConn) send(messageType byte, name string, seq int, args string) {
+	header := "\x80\x01\x00" + string(rune(messageType)) + lengthPrefixed(name) +
+		string(binary.BigEndian.AppendUint32(nil, uint32(seq)))
+	fmt.Fprint(r, lengthPrefixed(header+args))
 }
 
-func (r *routerConn) execute(seq int, pairs ...string) {
-	pairs = append([]string{"op", "look", "call", fmt.Sprintf("%016x", seq), "src", "1", "recv",
-		fmt.Sprint(time.Now().UnixMilli()), "ttl", "50000", "heap", "10"}, pairs...)
-	args := "\x0d\x00\x01\x0b\x0b" + string(binary.BigEndian.AppendUint32(nil, uint32(len(pairs)/2)))
-	for _, s := range pairs {
+func (r *routerConn) execute(seq int, fields ...string) {
+	fields = append([]string{"op", "look", "call", fmt.Sprintf("%016x", seq), "src", "1", "recv",
+		fmt.Sprint(time.Now().UnixMilli()), "ttl", "50000", "heap", "10"}, fields...)
+	args := "\x0d\x00\x01\x0b\x0b" + string(binary.BigEndian.AppendUint32(nil, uint32(len(fields)/2)))
+	for _, s := range fields {
 		args += lengthPrefixed(s)
 	}
 	body := fmt.Sprint("body ", seq)
-	if k := slices.Index(pairs, "dedupe"); k > 0 {
-		body = "body of " + pairs[k+1] // all tries carry the same
+	if k := slices.Index(fields, "dedupe"); k > 0 {
+		body = "body of " + fields[k+1] // all attempts carry the same body
 	}
-	if k := slices.Index(pairs, "body"); k > 0 {
-		body = pairs[k+1] // but for those that are none
+	if k := slices.Index(fields, "body"); k > 0 {
+		body = fields[k+1] // an explicit body, as of an RPC that only claims to be a retry
 	}
 	r.send(1, "execute", seq, args+"\x0b\x00\x02"+lengthPrefixed(body)+"\x00")
 }
@@ -237,70 +243,70 @@
 	r.send(4, "interrupt", 99, "\x08\x00\x01"+string(binary.BigEndian.AppendUint32(nil, uint32(target)))+"\x00")
 }
 
-// printReplies prints the next n messages; of a result only what a test can foresee, so no credit.
+// printReplies prints the next n messages, without the credit, which a test cannot predict.
 func (r *routerConn) printReplies(n int) {
 	for range n {
-		head := make([]byte, 4)
-		_, err := io.ReadFull(r.reader, head)
+		header := make([]byte, 4)
+		_, err := io.ReadFull(r.reader, header)
 		if err != nil {
-			fmt.Println("router: the connection ends")
+			fmt.Println("router: connection closed")
 			return
 		}
-		b := make([]byte, binary.BigEndian.Uint32(head))
-		io.ReadFull(r.reader, b)
-		kind, size := b[3], binary.BigEndian.Uint32(b[4:])
-		name, seq, args := b[8:8+size], binary.BigEndian.Uint32(b[8+size:]), b[12+size:]
+		message := make([]byte, binary.BigEndian.Uint32(header))
+		io.ReadFull(r.reader, message)
+		messageType, size := message[3], binary.BigEndian.Uint32(message[4:])
+		name, seq, args := message[8:8+size], binary.BigEndian.Uint32(message[8+size:]), message[12+size:]
 		switch {
-		case kind == 4 || kind == 3:
-			fmt.Printf("router: %s, type %d\n", name, kind)
-		case args[2] == 0: // an Answer: its body first, whether it is good last
+		case messageType == 4 || messageType == 3:
+			fmt.Printf("router: %s, type %d\n", name, messageType)
+		case args[2] == 0: // an Answer: its body comes first, its health flag last
 			body := binary.BigEndian.Uint32(args[6:])
-			fmt.Printf("router: %d ok %q good %d\n", seq, args[10:10+body], args[len(args)-3])
+			fmt.Printf("router: %d ok %q healthy %d\n", seq, args[10:10+body], args[len(args)-3])
 		default:
 			fmt.Printf("router: %d %s\n", seq, [...]string{1: "pushed back", 2: "aborted"}[args[2]])
 		}
 	}
 }
 
-// The life of some RPCs: answers in any order, a repeat, one that nobody waits for any more, a failed run.
-func Example_life() {
-	t := newHarness(nil)
-	health, r := t.dial(), t.dial()
+// RPCs answered out of order, a retry, an interrupted RPC, and failed runs.
+func Example_rpcOutcomes() {
+	h := newHarness(nil)
+	health, r := h.dial(), h.dial()
 	health.send(1, "check", 1, "\x02\x00\x01\x00\x00")
 	health.printReplies(1)
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.printKernelCommand()
-	t.endRun(2, "fine", "two")
+	h.printKernelCommand()
+	h.endRun(2, "fine", "two")
 	r.printReplies(1)
 	r.execute(3, "op", "record", "dedupe", "t")
 	r.printReplies(1)
-	t.endRun(1, "fine", "\x00\xff")
+	h.endRun(1, "fine", "\x00\xff")
 	r.printReplies(1)
 	r.execute(4)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.interrupt(4)
-	t.printKernelCommand()
-	t.endRun(4, "broken_off", "")
+	h.printKernelCommand()
+	h.endRun(4, "broken_off", "")
 	r.execute(5)
-	t.printKernelCommand()
-	t.endRun(5, "fault", "")
+	h.printKernelCommand()
+	h.endRun(5, "fault", "")
 	r.printReplies(1)
 	r.execute(6)
-	t.printKernelCommand()
-	t.endRun(6, "late", "")
+	h.printKernelCommand()
+	h.endRun(6, "late", "")
 	r.printReplies(1)
-	fmt.Println("roster:", receive(t.rosterReports))
-	t.close()
-	fmt.Println("roster:", receive(t.rosterReports))
+	fmt.Println("roster:", receive(h.rosterReports))
+	h.close()
+	fmt.Println("roster:", receive(h.rosterReports))
 	// Output:
-	// router: 1 ok "" good 1
+	// router: 1 ok "" healthy 1
 	// kernel: SCHED 1 look body 1
 	// kernel: SCHED 2 record body of t
-	// router: 2 ok "two" good 1
-	// router: 3 ok "two" good 1
-	// router: 1 ok "\x00\xff" good 1
+	// router: 2 ok "two" healthy 1
+	// router: 3 ok "two" healthy 1
+	// router: 1 ok "\x00\xff" healthy 1
 	// kernel: SCHED 4 look body 4
 	// kernel: PREEMPT 4
 	// kernel: SCHED 5 look body 5
@@ -312,57 +318,57 @@
 	// roster: HERE n1 off
 }
 
-// The link breaks and comes back: notices go on counting, and so do runs.
-func Example_link() {
-	t := newHarness(nil)
-	r := t.dial()
+// The kernel link breaks and is restored: the notice sequence continues, and RPCs still run.
+func Example_kernelReconnect() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	t.kernelConn.Close()
-	t.acceptKernelLink()
+	h.kernelConn.Close()
+	h.acceptKernelLink()
 	r.execute(2)
-	t.printKernelCommand()
-	t.endRun(2, "fine", "two")
+	h.printKernelCommand()
+	h.endRun(2, "fine", "two")
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 look body 2
-	// router: 2 ok "two" good 1
+	// router: 2 ok "two" healthy 1
 	// served: <nil>
 }
 
-// The link breaks right behind what the kernel was asked: a tokened RPC is not asked for again, as its run may be at its end.
-// That end comes, and its RPC is served.
-func Example_linkOnce() {
-	t := newHarness(nil)
-	r := t.dial()
+// The link breaks right after the kernel was asked to run a tokened RPC. The request is not sent again, as the run may
+// be about to end; its end arrives over the new link, and the RPC is answered.
+func Example_kernelReconnectTokened() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1, "op", "record", "dedupe", "t")
-	t.printKernelCommand()
-	t.kernelConn.Close()
-	t.acceptKernelLink()
+	h.printKernelCommand()
+	h.kernelConn.Close()
+	h.acceptKernelLink()
 	r.execute(2)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
-	t.endRun(2, "fine", "two")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
+	h.endRun(2, "fine", "two")
 	r.printReplies(2)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 record body of t
 	// kernel: SCHED 2 look body 2
-	// router: 1 ok "one" good 1
-	// router: 2 ok "two" good 1
+	// router: 1 ok "one" healthy 1
+	// router: 2 ok "two" healthy 1
 	// served: <nil>
 }
 
-// What cannot be run is answered and the connection goes on; what cannot be read ends the connection, and no
-// other.
-func Example_bad() {
-	t := newHarness(nil)
-	r := t.dial()
+// An RPC that cannot be run is answered and its connection goes on; input that cannot be parsed ends only its own
+// connection.
+func Example_invalidInput() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1, "op", "sing")
 	r.execute(2, "op", "record")
 	r.execute(3, "recv", "-17")
@@ -372,23 +378,23 @@
 	r.printReplies(6)
 	r.execute(7, "ttl", "-5")
 	r.printReplies(1)
-	for _, bad := range []string{"\xff\xff\xff\xff", "\x00\x01\x00\x00", lengthPrefixed("\x80\x01\x00\x01" + lengthPrefixed("execute")),
-		"GET / HTTP/1.1\r\n\r\n"} {
-		b := t.dial()
-		fmt.Fprint(b, bad)
-		b.printReplies(1)
+	for _, bad := range []string{"\xff\xff\xff\xff", "\x00\x01\x00\x00",
+		lengthPrefixed("\x80\x01\x00\x01" + lengthPrefixed("execute")), "GET / HTTP/1.1\r\n\r\n"} {
+		broken := h.dial()
+		fmt.Fprint(broken, bad)
+		broken.printReplies(1)
 	}
-	twice := t.dial()
-	twice.execute(8)
-	t.printKernelCommand()
-	twice.execute(8, "op", "sing")
-	twice.printReplies(2)
-	t.printKernelCommand() // nobody waits for it any more
+	duplicate := h.dial()
+	duplicate.execute(8)
+	h.printKernelCommand()
+	duplicate.execute(8, "op", "sing")
+	duplicate.printReplies(2)
+	h.printKernelCommand() // the RPC is no longer awaited
 	r.execute(9)
-	t.printKernelCommand()
-	t.endRun(9, "fine", "nine")
+	h.printKernelCommand()
+	h.endRun(9, "fine", "nine")
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// router: 1 aborted
 	// router: 2 aborted
@@ -397,65 +403,65 @@
 	// router: 5 aborted
 	// router: sing, type 3
 	// router: 7 pushed back
-	// router: the connection ends
-	// router: the connection ends
-	// router: the connection ends
-	// router: the connection ends
+	// router: connection closed
+	// router: connection closed
+	// router: connection closed
+	// router: connection closed
 	// kernel: SCHED 8 look body 8
 	// router: 8 aborted
-	// router: the connection ends
+	// router: connection closed
 	// kernel: PREEMPT 8
 	// kernel: SCHED 9 look body 9
-	// router: 9 ok "nine" good 1
+	// router: 9 ok "nine" healthy 1
 	// served: <nil>
 }
 
-// A router that resets: its RPCs are given up, its tokened run goes on and serves the repeat.
-func Example_reset() {
-	t := newHarness(nil)
-	r := t.dial()
+// A router resets its connection: its RPCs are abandoned, but its tokened run continues and answers the retry.
+func Example_routerReset() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.Conn.(*net.TCPConn).SetLinger(0)
 	r.Close()
-	t.printKernelCommand()
-	other := t.dial()
+	h.printKernelCommand()
+	other := h.dial()
 	other.execute(3, "op", "record", "dedupe", "t")
-	t.endRun(2, "fine", "two")
+	h.endRun(2, "fine", "two")
 	other.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// kernel: SCHED 2 record body of t
 	// kernel: PREEMPT 1
-	// router: 3 ok "two" good 1
+	// router: 3 ok "two" healthy 1
 	// served: <nil>
 }
 
-// A drain under load: everything read is answered before the stop, connections are asked to end, and the
-// process ends by itself.
+// In a drain under load every RPC that was read is answered before the stop deadline, routers are asked to close their
+// connections, and the process exits.
 func Example_drain() {
-	t := newHarness(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
-	r, idle := t.dial(), t.dial()
+	h := newHarness(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	r, idle := h.dial(), h.dial()
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.execute(2)
 	r.execute(3, "op", "record", "dedupe", "t")
 	r.send(1, "check", 4, "\x00")
-	r.printReplies(1) // so all before it has been read
-	began := time.Now()
-	t.beginDrain()
+	r.printReplies(1) // so everything before it has been read
+	start := time.Now()
+	h.beginDrain()
 	r.printReplies(4)
 	r.Close()
 	idle.printReplies(1)
 	idle.Close()
-	t.close()
-	fmt.Println("before the stop:", time.Since(began) < 1200*time.Millisecond)
+	h.close()
+	fmt.Println("before the stop:", time.Since(start) < 1200*time.Millisecond)
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 4 ok "" good 1
+	// router: 4 ok "" healthy 1
 	// router: 1 pushed back
 	// router: 2 pushed back
 	// router: 3 pushed back
@@ -465,94 +471,95 @@
 	// before the stop: true
 }
 
-// Past what the descriptors allow those idle longest make room; while all are at work the newcomer is turned away
-// at once, as behind it others wait to be let in.
-func Example_crowded() {
-	// Nobody is asked to make room beforehand: while that is being written the connection does not rest.
-	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 2 }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
-	t.bootKernel()
-	first, second := t.dial(), t.dial()
+// Beyond the descriptor limit the connection idle longest is evicted. While all are busy a new connection is rejected
+// at once, as others wait behind it in the accept queue.
+func Example_fullConnectionTable() {
+	// No router is asked to close beforehand: a connection is not idle while that message is being written.
+	h := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 2 }, zap.NewNop(),
+		func(s *Server) { s.idle = time.Hour })
+	h.bootKernel()
+	first, second := h.dial(), h.dial()
 	for k, r := range []*routerConn{first, second} {
 		r.execute(k + 1)
-		t.printKernelCommand()
+		h.printKernelCommand()
 	}
-	t.endRun(1, "fine", "one")
+	h.endRun(1, "fine", "one")
 	first.printReplies(1)
-	waitFor("rests", func() bool { return slices.ContainsFunc(t.connections(), (*conn).idleNow) })
-	third := t.dial()
+	waitFor("connection idle", func() bool { return slices.ContainsFunc(h.connections(), (*conn).idleNow) })
+	third := h.dial()
 	third.execute(3)
 	first.printReplies(1)
-	t.printKernelCommand()
-	fourth := t.dial()
+	h.printKernelCommand()
+	fourth := h.dial()
 	fourth.printReplies(1)
 	for k, r := range []*routerConn{second, third} {
-		t.endRun(k+2, "fine", "more")
+		h.endRun(k+2, "fine", "more")
 		r.printReplies(1)
 	}
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// kernel: SCHED 2 look body 2
-	// router: 1 ok "one" good 1
-	// router: the connection ends
+	// router: 1 ok "one" healthy 1
+	// router: connection closed
 	// kernel: SCHED 3 look body 3
-	// router: the connection ends
-	// router: 2 ok "more" good 1
-	// router: 3 ok "more" good 1
+	// router: connection closed
+	// router: 2 ok "more" healthy 1
+	// router: 3 ok "more" healthy 1
 	// served: <nil>
 }
 
-// Who says nothing, or half of something, is let go in time; what had been read before is answered. The oldest
-// silent connection goes before an idle one that was used.
-func Example_silent() {
-	t := newHarness(func(c *config.Config) { c.Sockets = reserve + 3 })
-	r, silent, half := t.dial(), t.dial(), t.dial()
+// Connections that send nothing or only part of a message are closed in time, and RPCs read on them before are
+// answered. The oldest silent connection is evicted before an idle one that was used.
+func Example_silentConnections() {
+	h := newHarness(func(c *config.Config) { c.Sockets = reserve + 3 })
+	r, silent, partial := h.dial(), h.dial(), h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	half.execute(2)
-	t.printKernelCommand()
-	fmt.Fprint(half, "\x00\x00\x00\x09half")
+	partial.execute(2)
+	h.printKernelCommand()
+	fmt.Fprint(partial, "\x00\x00\x00\x09half")
 	time.Sleep(fresh)
-	other := t.dial()
+	other := h.dial()
 	silent.printReplies(1)
-	began := time.Now()
+	start := time.Now()
 	other.printReplies(1)
-	fmt.Println("in time:", time.Since(began) < 2*time.Second)
-	t.endRun(2, "fine", "two")
-	half.printReplies(2)
-	t.close()
+	fmt.Println("in time:", time.Since(start) < 2*time.Second)
+	h.endRun(2, "fine", "two")
+	partial.printReplies(2)
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 look body 2
-	// router: the connection ends
-	// router: the connection ends
+	// router: connection closed
+	// router: connection closed
 	// in time: true
-	// router: 2 ok "two" good 1
-	// router: the connection ends
+	// router: 2 ok "two" healthy 1
+	// router: connection closed
 	// served: <nil>
 }
 
-// Names and tokens of others, and what nobody can run: each is aborted, and the usual router's RPC goes on. Who
-// sends nothing else is let go.
-func Example_strangers() {
-	t := newHarness(nil)
-	r, bad := t.dial(), t.dial()
+// RPCs that reuse another router's call ID or token, or that no app server can run, are aborted, and the other
+// router's RPC goes on. A connection that sends nothing else is closed.
+func Example_foreignRPCs() {
+	h := newHarness(nil)
+	r, bad := h.dial(), h.dial()
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.printKernelCommand()
+	h.printKernelCommand()
 	bad.execute(1)
 	bad.printReplies(1)
-	t.endRun(2, "fine", "two")
+	h.endRun(2, "fine", "two")
 	r.printReplies(1)
 	bad.execute(11, "op", "record", "dedupe", "t", "call", "00000000000000ff", "body", "x")
 	bad.printReplies(1)
 	bad.execute(12)
-	t.printKernelCommand()
-	fmt.Fprintf(t.kernelConn, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", 12)
+	h.printKernelCommand()
+	fmt.Fprintf(h.kernelConn, `{"action":"EINVAL","code":"SCHED","uid":"%016x"}`+"\n", 12)
 	bad.printReplies(1)
 	for k := range mostOdd - 3 {
 		bad.execute(13+k, "crit", "1")
@@ -560,14 +567,14 @@
 	bad.printReplies(mostOdd - 3)
 	bad.execute(18)
 	bad.printReplies(2)
-	t.endRun(1, "fine", "one")
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// kernel: SCHED 2 record body of t
 	// router: 1 aborted
-	// router: 2 ok "two" good 1
+	// router: 2 ok "two" healthy 1
 	// router: 11 aborted
 	// kernel: SCHED c look body 12
 	// router: 12 aborted
@@ -577,181 +584,184 @@
 	// router: 16 aborted
 	// router: 17 aborted
 	// router: 18 pushed back
-	// router: the connection ends
-	// router: 1 ok "one" good 1
+	// router: connection closed
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 }
 
-// blockingCloseConn is a connection whose close takes for ever.
+// blockingCloseConn is a connection whose Close blocks until closeAllowed is closed.
 type blockingCloseConn struct {
 	net.Conn
 	closeAllowed chan bool
 }
 
-func (w blockingCloseConn) Close() error {
-	<-w.closeAllowed
+func (c blockingCloseConn) Close() error {
+	<-c.closeAllowed
 	return nil
 }
 
-func (w blockingCloseConn) SetReadDeadline(time.Time) error  { return nil }
-func (w blockingCloseConn) SetWriteDeadline(time.Time) error { return nil }
+func (c blockingCloseConn) SetReadDeadline(time.Time) error  { return nil }
+func (c blockingCloseConn) SetWriteDeadline(time.Time) error { return nil }
 
-// Making room never waits for the one that goes: else one close would keep all newcomers out.
-func Example_room() {
-	t := newHarness(func(c *config.Config) { c.Sockets = reserve + 1 })
+// Eviction never waits for the evicted connection's close: one close that blocks would keep out all new connections.
+func Example_evictionDoesNotBlock() {
+	h := newHarness(func(c *config.Config) { c.Sockets = reserve + 1 })
 	stuck := blockingCloseConn{closeAllowed: make(chan bool)}
-	t.Server.mu.Lock()
-	t.conns[&conn{Server: t.Server, Conn: stuck, known: true, shutDown: make(chan struct{}), gone: make(chan struct{})}] = struct{}{}
-	t.Server.mu.Unlock()
-	r := t.dial()
+	h.Server.mu.Lock()
+	h.conns[&conn{Server: h.Server, Conn: stuck, known: true,
+		shutDown: make(chan struct{}), gone: make(chan struct{})}] = struct{}{}
+	h.Server.mu.Unlock()
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	close(stuck.closeAllowed)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// served: <nil>
 }
 
-// Past the memory for RPCs whose answer is owed the next are refused, until there is room again.
-func Example_memory() {
-	t := newHarness(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
-	r := t.dial()
+// RPCs beyond the memory limit for open RPCs are rejected until memory is free again.
+func Example_memoryLimit() {
+	h := newHarness(func(c *config.Config) { c.Memory = heldShare * 3 * callSize / 2 })
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.execute(2)
 	r.printReplies(1)
-	t.endRun(1, "fine", "one")
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
 	r.execute(3)
-	t.printKernelCommand()
-	t.close()
+	h.printKernelCommand()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 2 pushed back
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 3 look body 3
 	// served: <nil>
 }
 
-// A router that sends and never reads holds up nobody else, and its connection ends before it takes much.
-func Example_flood() {
-	t := newHarness(nil)
-	flood, r := t.dial(), t.dial()
+// A router that sends and never reads does not delay others, and its connection is closed before it uses much memory.
+func Example_routerNeverReads() {
+	h := newHarness(nil)
+	flood, r := h.dial(), h.dial()
 	for seq := 1; ; seq++ {
-		if _, err := flood.Write([]byte(lengthPrefixed("\x80\x01\x00\x01" + lengthPrefixed("check") + "\x00\x00\x00\x01\x00"))); err != nil {
+		if _, err := flood.Write([]byte(lengthPrefixed("\x80\x01\x00\x01" + lengthPrefixed("check") +
+			"\x00\x00\x00\x01\x00"))); err != nil {
 			fmt.Println("cut off:", seq > mostOpen && seq < 1e6)
 			break
 		}
 		if seq == mostOpen {
 			r.execute(1)
-			t.printKernelCommand()
-			t.endRun(1, "fine", "one")
+			h.printKernelCommand()
+			h.endRun(1, "fine", "one")
 			r.printReplies(1)
 		}
 	}
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// cut off: true
 	// served: <nil>
 }
 
-// A connection with nothing open is asked to end after the idle time, and closed if its router does not.
-func Example_idle() {
-	t := newHarness(func(c *config.Config) { c.Rules.Machine.KeepAlive = 0.1 })
-	r := t.dial()
+// An idle connection is asked to close after the idle timeout, and closed if its router does not.
+func Example_idleTimeout() {
+	h := newHarness(func(c *config.Config) { c.Rules.Machine.KeepAlive = 0.1 })
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(3)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// router: draining, type 4
-	// router: the connection ends
+	// router: connection closed
 	// served: <nil>
 }
 
-// New addresses under load: a run goes on over the new link, in a drain too; a faulty config changes nothing,
-// and one that is not there yet is looked at again. Before, SIGHUP ended the process and what it held was lost.
+// A reload under load changes the kernel and roster addresses: a run continues over the new link, also in a drain. An
+// invalid configuration changes nothing, and a half-written one is read again. SIGHUP must not end the process, which
+// would lose its open RPCs.
 func Example_reload() {
-	t := newHarness(nil)
-	r := t.dial()
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	fmt.Println("roster:", receive(t.rosterReports))
-	hup, looks := make(chan os.Signal, 1), make(chan string, 100)
-	var given atomic.Pointer[config.Config]
-	live, end := context.WithCancel(context.Background())
-	over := make(chan bool)
+	h.printKernelCommand()
+	fmt.Println("roster:", receive(h.rosterReports))
+	hup, reads := make(chan os.Signal, 1), make(chan string, 100)
+	var available atomic.Pointer[config.Config]
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan bool)
 	go func() {
-		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
-			looks <- "looked"
-			if c := given.Load(); c != nil {
+		h.Reload(ctx, hup, func() (*config.Config, *config.Settings, error) {
+			reads <- "read"
+			if c := available.Load(); c != nil {
 				return c, nil, nil
 			}
 			return nil, nil, &config.KeyError{Key: "kernel", Reason: "half written"}
 		})
-		close(over)
+		close(done)
 	}()
 	var rosters []net.PacketConn
-	move := func() {
-		old, roster := t.kernelListener, t.roster()
+	changeAddresses := func() {
+		old, roster := h.kernelListener, h.roster()
 		rosters = append(rosters, roster)
-		t.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
-		c := *t.config
-		c.Name, c.Methods = "n2", []string{"other", "names"} // these stay
-		c.Kernel = netip.MustParseAddrPort(t.kernelListener.Addr().String())
+		h.kernelListener = must(net.Listen("tcp", "127.0.0.1:0"))
+		c := *h.config
+		c.Name, c.Methods = "n2", []string{"other", "names"} // changes to these are ignored
+		c.Kernel = netip.MustParseAddrPort(h.kernelListener.Addr().String())
 		c.Roster = netip.MustParseAddrPort(roster.LocalAddr().String())
-		given.Store(&c)
+		available.Store(&c)
 		hup <- syscall.SIGHUP
-		t.acceptKernelLink()
+		h.acceptKernelLink()
 		old.Close()
-		fmt.Println("roster:", receive(t.rosterReports))
+		fmt.Println("roster:", receive(h.rosterReports))
 	}
 	hup <- syscall.SIGHUP
-	fmt.Println(receive(looks), receive(looks))
-	move()
-	t.endRun(1, "fine", "one")
+	fmt.Println(receive(reads), receive(reads))
+	changeAddresses()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
 	r.execute(2)
-	t.printKernelCommand()
-	t.beginDrain()
-	fmt.Println("roster:", receive(t.rosterReports))
-	move()
-	t.endRun(2, "fine", "two")
+	h.printKernelCommand()
+	h.beginDrain()
+	fmt.Println("roster:", receive(h.rosterReports))
+	changeAddresses()
+	h.endRun(2, "fine", "two")
 	r.printReplies(1)
 	r.Close()
-	end()
-	<-over
+	cancel()
+	<-done
 	for _, roster := range rosters {
 		roster.Close()
 	}
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// roster: HERE n1 on
-	// looked looked
+	// read read
 	// roster: HERE n1 on
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 look body 2
 	// roster: HERE n1 off
 	// roster: HERE n1 off
-	// router: 2 ok "two" good 1
+	// router: 2 ok "two" healthy 1
 	// served: <nil>
 }
 
-// Embedding: an app server beside others in one process.
+// Runs an app server embedded in a larger process.
 func ExampleServer() {
 	c, err := config.FromEnv()
 	if err != nil {
 		panic(err)
 	}
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave() // the notice; Serve then drains
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop() // the shutdown notice: Serve then drains
 	if err := New(c, zap.NewNop()).Serve(ctx); err != nil {
 		panic(err)
 	}
