--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -14,274 +14,275 @@
 	"valveglade/config"
 )
 
-// adjustableClock is a system whose clock the test sets; routers and the app server read the same.
+// adjustableClock is a system clock that the test can set; routers and the app server read the same one.
 type adjustableClock struct{ offset atomic.Int64 }
 
-func (s *adjustableClock) step(by time.Duration) { s.offset.Add(int64(by)) }
+func (c *adjustableClock) step(delta time.Duration) { c.offset.Add(int64(delta)) }
 
-func (s *adjustableClock) now() time.Time { return time.Now().Add(time.Duration(s.offset.Load())) }
+func (c *adjustableClock) now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
 
-// recvTimestamp is the time of an RPC that comes to the machine now.
-func (s *adjustableClock) recvTimestamp() string { return fmt.Sprint(s.now().UnixMilli()) }
+// recvTimestamp returns the recv field of an RPC that reaches the machine now.
+func (c *adjustableClock) recvTimestamp() string { return fmt.Sprint(c.now().UnixMilli()) }
 
-// newHarnessWithClock opens an app server on such a system.
-func newHarnessWithClock(change func(c *config.Config)) (*harness, *adjustableClock) {
-	s := &adjustableClock{}
-	brief := func(c *config.Config) {
+// newHarnessWithClock starts an app server that reads an adjustable clock.
+func newHarnessWithClock(configure func(c *config.Config)) (*harness, *adjustableClock) {
+	wallClock := &adjustableClock{}
+	configureShortStop := func(c *config.Config) {
 		c.Stop = 0.3
-		if change != nil {
-			change(c)
+		if configure != nil {
+			configure(c)
 		}
 	}
-	t := newPreparedHarness(brief, zap.NewNop(), func(server *Server) {
+	h := newPreparedHarness(configureShortStop, zap.NewNop(), func(server *Server) {
 		start := time.Now()
 		server.clock = newClock(func() (wall, steady float64) {
-			return float64(s.now().UnixNano()) / 1e9, time.Since(start).Seconds()
+			return float64(wallClock.now().UnixNano()) / 1e9, time.Since(start).Seconds()
 		})
 	})
-	t.bootKernel()
-	return t, s
+	h.bootKernel()
+	return h, wallClock
 }
 
-// The system's clock goes back by an hour while RPCs are in hand: they are answered by their due time, and what comes later is run
-// and answered likewise.
-func Example_clockBack() {
-	t, system := newHarnessWithClock(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
-	r := t.dial()
-	r.execute(1, "recv", system.recvTimestamp())
-	t.printKernelCommand()
-	r.execute(2, "recv", system.recvTimestamp(), "ttl", "300")
-	waitFor("both read", func() bool { return len(t.connections()[0].openRPCs()) == 2 })
-	system.step(-time.Hour)
-	r.printReplies(1) // 2, by its due time
-	t.endRun(1, "fine", "one")
+// Sets the system clock back by an hour while RPCs are open: they are answered by their deadlines, and later RPCs are
+// run and answered in the same way.
+func Example_clockSetBack() {
+	h, wallClock := newHarnessWithClock(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	r := h.dial()
+	r.execute(1, "recv", wallClock.recvTimestamp())
+	h.printKernelCommand()
+	r.execute(2, "recv", wallClock.recvTimestamp(), "ttl", "300")
+	waitFor("both RPCs read", func() bool { return len(h.connections()[0].openRPCs()) == 2 })
+	wallClock.step(-time.Hour)
+	r.printReplies(1) // 2, by its deadline
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	r.execute(3, "recv", system.recvTimestamp())
-	t.printKernelCommand()
-	r.execute(4, "recv", system.recvTimestamp(), "ttl", "300")
+	r.execute(3, "recv", wallClock.recvTimestamp())
+	h.printKernelCommand()
+	r.execute(4, "recv", wallClock.recvTimestamp(), "ttl", "300")
 	r.printReplies(1)
-	t.endRun(3, "fine", "three")
+	h.endRun(3, "fine", "three")
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 2 pushed back
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 3 look body 3
 	// router: 4 pushed back
-	// router: 3 ok "three" good 1
+	// router: 3 ok "three" healthy 1
 	// served: <nil>
 }
 
-// The system's clock goes ahead by an hour, and back again: nothing in hand is given up, what comes in between is run, and so is what
-// comes afterwards.
-func Example_clockAhead() {
-	t, system := newHarnessWithClock(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
-	r := t.dial()
-	r.execute(1, "recv", system.recvTimestamp())
-	t.printKernelCommand()
-	r.execute(2, "recv", system.recvTimestamp())
-	waitFor("both read", func() bool { return len(t.connections()[0].openRPCs()) == 2 })
-	system.step(time.Hour)
-	time.Sleep(100 * time.Millisecond) // several looks at what is due
-	t.endRun(1, "fine", "one")
+// Sets the system clock ahead by an hour and back again: no open RPC is abandoned, and RPCs that arrive in between or
+// afterwards are run.
+func Example_clockSetAhead() {
+	h, wallClock := newHarnessWithClock(func(c *config.Config) { c.Rules.Machine.Cores = 1 })
+	r := h.dial()
+	r.execute(1, "recv", wallClock.recvTimestamp())
+	h.printKernelCommand()
+	r.execute(2, "recv", wallClock.recvTimestamp())
+	waitFor("both RPCs read", func() bool { return len(h.connections()[0].openRPCs()) == 2 })
+	wallClock.step(time.Hour)
+	time.Sleep(100 * time.Millisecond) // several checks of deadlines
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	t.printKernelCommand()
-	r.execute(3, "recv", system.recvTimestamp())
-	t.endRun(2, "fine", "two")
+	h.printKernelCommand()
+	r.execute(3, "recv", wallClock.recvTimestamp())
+	h.endRun(2, "fine", "two")
 	r.printReplies(1)
-	t.printKernelCommand()
-	system.step(-time.Hour)
-	r.execute(4, "recv", system.recvTimestamp())
-	t.endRun(3, "fine", "three")
+	h.printKernelCommand()
+	wallClock.step(-time.Hour)
+	r.execute(4, "recv", wallClock.recvTimestamp())
+	h.endRun(3, "fine", "three")
 	r.printReplies(1)
-	t.printKernelCommand()
-	t.endRun(4, "fine", "four")
+	h.printKernelCommand()
+	h.endRun(4, "fine", "four")
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 look body 2
-	// router: 2 ok "two" good 1
+	// router: 2 ok "two" healthy 1
 	// kernel: SCHED 3 look body 3
-	// router: 3 ok "three" good 1
+	// router: 3 ok "three" healthy 1
 	// kernel: SCHED 4 look body 4
-	// router: 4 ok "four" good 1
+	// router: 4 ok "four" healthy 1
 	// served: <nil>
 }
 
-// RPCs that came to the machine before its clock was set, and are read afterwards: they are held and run as any other, both ways.
-func Example_clockCrossed() {
-	for _, by := range []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
-		t, system := newHarnessWithClock(nil)
-		r := t.dial()
-		came := system.recvTimestamp()
-		system.step(by)
-		r.execute(1, "recv", came, "ttl", "3000")
-		t.printKernelCommand()
-		t.endRun(1, "fine", "one")
+// RPCs that reach the machine before its clock is set, in either direction, and are read afterwards are held and run
+// like any other.
+func Example_clockSetBeforeRead() {
+	for _, offset := range []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
+		h, wallClock := newHarnessWithClock(nil)
+		r := h.dial()
+		timestamp := wallClock.recvTimestamp()
+		wallClock.step(offset)
+		r.execute(1, "recv", timestamp, "ttl", "3000")
+		h.printKernelCommand()
+		h.endRun(1, "fine", "one")
 		r.printReplies(1)
-		t.close()
+		h.close()
 	}
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 }
 
-// Only the app server's clock is set, not that by which RPCs are marked with their time.
-func Example_clockApart() {
-	t, system := newHarnessWithClock(nil)
-	r := t.dial()
-	for k, by := range []time.Duration{-time.Hour, 2 * time.Hour, -time.Hour - 10*time.Second} {
-		system.step(by)
-		r.execute(k+1, "ttl", "3000") // by the usual clock
-		t.printKernelCommand()
-		t.endRun(k+1, "fine", "one")
+// Sets only the app server's clock, not the clock that timestamps RPCs.
+func Example_clockSetOnServerOnly() {
+	h, wallClock := newHarnessWithClock(nil)
+	r := h.dial()
+	for k, offset := range []time.Duration{-time.Hour, 2 * time.Hour, -time.Hour - 10*time.Second} {
+		wallClock.step(offset)
+		r.execute(k+1, "ttl", "3000") // timestamped by the unchanged clock
+		h.printKernelCommand()
+		h.endRun(k+1, "fine", "one")
 		r.printReplies(1)
 	}
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 look body 2
-	// router: 2 ok "one" good 1
+	// router: 2 ok "one" healthy 1
 	// kernel: SCHED 3 look body 3
-	// router: 3 ok "one" good 1
+	// router: 3 ok "one" healthy 1
 	// served: <nil>
 }
 
-// A tokened RPC has run, and the clock is set ahead past its window, or back: its repeat within the window gets the first's result and
-// is not run.
-func Example_clockWindow() {
-	for _, by := range []time.Duration{time.Hour, -time.Hour} {
-		t, system := newHarnessWithClock(nil)
-		r := t.dial()
-		r.execute(1, "op", "record", "dedupe", "t", "recv", system.recvTimestamp())
-		t.printKernelCommand()
-		t.endRun(1, "fine", "one")
+// After a tokened RPC has run, the clock is set ahead past its deduplication window, or back. A retry within the
+// window gets the first result and is not run.
+func Example_clockSetPastDedupeWindow() {
+	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
+		h, wallClock := newHarnessWithClock(nil)
+		r := h.dial()
+		r.execute(1, "op", "record", "dedupe", "t", "recv", wallClock.recvTimestamp())
+		h.printKernelCommand()
+		h.endRun(1, "fine", "one")
 		r.printReplies(1)
-		system.step(by)
-		time.Sleep(100 * time.Millisecond) // several looks at what has expired
-		r.execute(2, "op", "record", "dedupe", "t", "recv", system.recvTimestamp())
+		wallClock.step(offset)
+		time.Sleep(100 * time.Millisecond) // several checks for expired results
+		r.execute(2, "op", "record", "dedupe", "t", "recv", wallClock.recvTimestamp())
 		r.printReplies(1)
-		t.close()
-		fmt.Println("kernel:", len(t.kernelCommands), "more")
+		h.close()
+		fmt.Println("kernel:", len(h.kernelCommands), "more")
 	}
 	// Output:
 	// kernel: SCHED 1 record body of t
-	// router: 1 ok "one" good 1
-	// router: 2 ok "one" good 1
+	// router: 1 ok "one" healthy 1
+	// router: 2 ok "one" healthy 1
 	// served: <nil>
 	// kernel: 0 more
 	// kernel: SCHED 1 record body of t
-	// router: 1 ok "one" good 1
-	// router: 2 ok "one" good 1
+	// router: 1 ok "one" healthy 1
+	// router: 2 ok "one" healthy 1
 	// served: <nil>
 	// kernel: 0 more
 }
 
-// The clock is set during the drain, both ways: what comes within the grace is run, what comes past it is not, all is answered, and
-// the process ends before its stop.
-func Example_clockDrain() {
-	for _, by := range []time.Duration{time.Hour, -time.Hour} {
-		t, system := newHarnessWithClock(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 2.4, 0.6 })
-		r := t.dial()
-		began := time.Now()
-		t.beginDrain()
-		waitFor("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
-		system.step(by)
-		r.execute(1, "recv", system.recvTimestamp())
-		t.printKernelCommand()
+// Sets the clock during the drain, in either direction. RPCs that arrive within the grace period are run, later ones
+// are not, all are answered, and the process exits before its stop deadline.
+func Example_clockSetDuringDrain() {
+	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
+		h, wallClock := newHarnessWithClock(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 2.4, 0.6 })
+		r := h.dial()
+		start := time.Now()
+		h.beginDrain()
+		waitFor("draining", func() bool { return stage(h.stageAt.Load()) == stageDraining })
+		wallClock.step(offset)
+		r.execute(1, "recv", wallClock.recvTimestamp())
+		h.printKernelCommand()
 		time.Sleep(700 * time.Millisecond)
-		r.execute(2, "recv", system.recvTimestamp())
+		r.execute(2, "recv", wallClock.recvTimestamp())
 		r.printReplies(1)
-		t.endRun(1, "fine", "one")
+		h.endRun(1, "fine", "one")
 		r.printReplies(1)
 		r.Close()
-		t.close()
-		took := time.Since(began)
-		fmt.Println("kernel:", len(t.kernelCommands), "more; in time:", took > 1500*time.Millisecond && took < 2400*time.Millisecond)
+		h.close()
+		elapsed := time.Since(start)
+		fmt.Println("kernel:", len(h.kernelCommands), "more; in time:",
+			elapsed > 1500*time.Millisecond && elapsed < 2400*time.Millisecond)
 	}
 	// Output:
 	// kernel: SCHED 1 look body 1
 	// router: 2 pushed back
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 	// kernel: 0 more; in time: true
 	// kernel: SCHED 1 look body 1
 	// router: 2 pushed back
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 	// kernel: 0 more; in time: true
 }
 
-// Settings of any size: what they come to as a time is never negative, and never so long that it overflows.
+// Durations from settings of any size are never negative and never long enough to overflow.
 func TestSeconds(t *testing.T) {
 	for _, s := range []float64{0, -1, math.Inf(-1), math.NaN()} {
 		if d := seconds(s); d != 0 {
-			t.Errorf("%g s are %v", s, d)
+			t.Errorf("seconds(%g) = %v", s, d)
 		}
 	}
 	for _, s := range []float64{1e10, 1e300, math.MaxFloat64, math.Inf(1)} {
 		if d := seconds(s); d < 24*time.Hour || time.Now().Add(d).Before(time.Now()) {
-			t.Errorf("%g s are %v", s, d)
+			t.Errorf("seconds(%g) = %v", s, d)
 		}
 	}
 	if d := seconds(1.5); d != 1500*time.Millisecond {
-		t.Errorf("1.5 s are %v", d)
+		t.Errorf("seconds(1.5) = %v", d)
 	}
 }
 
-// cpuTime is what this process has used of the processor.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
-	var used syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &used)
-	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// An app server without work takes next to no processor time under settings as far out as they may be, and keeps connections that
-// rest.
-func TestRestsUnderExtremeSettings(t *testing.T) {
-	for _, figure := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
-		town := newPreparedHarness(func(c *config.Config) {
-			c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn, c.Rules.Rules.Grace = figure, figure, figure
+// An idle app server uses almost no CPU time under the most extreme settings allowed, and keeps idle connections.
+func TestIdleUnderExtremeSettings(t *testing.T) {
+	for _, value := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
+		h := newPreparedHarness(func(c *config.Config) {
+			c.Rules.Machine.KeepAlive, c.Rules.Rules.WarmIn, c.Rules.Rules.Grace = value, value, value
 			c.Stop, c.Rules.Rules.ColdAt = 0.3, 0.25
 			for k := range c.Rules.Methods {
 				m := &c.Rules.Methods[k]
-				m.Target, m.Deadline, m.Window = figure, figure, figure
+				m.Target, m.Deadline, m.Window = value, value, value
 			}
 		}, zap.NewNop(), func(*Server) {})
-		town.coldStart = true
-		town.bootKernel()
-		r := town.dial()
+		h.coldStart = true
+		h.bootKernel()
+		r := h.dial()
 		r.send(1, "check", 1, "\x00")
 		r.printReplies(1)
-		const span = 300 * time.Millisecond
-		before := cpuTime()
-		time.Sleep(span)
-		if used := cpuTime() - before; used > span/3 {
-			t.Errorf("%g: %v of the processor in %v", figure, used, span)
+		const interval = 300 * time.Millisecond
+		cpuBefore := cpuTime()
+		time.Sleep(interval)
+		if used := cpuTime() - cpuBefore; used > interval/3 {
+			t.Errorf("settings of %g: used %v of CPU time in %v", value, used, interval)
 		}
-		if figure == 0 || figure > 1 {
-			if c := town.connections(); len(c) != 1 || c[0].drainRequested() {
-				t.Errorf("%g: a connection that rests is not left alone", figure)
+		if value == 0 || value > 1 {
+			if c := h.connections(); len(c) != 1 || c[0].drainRequested() {
+				t.Errorf("settings of %g: an idle connection was closed or asked to close", value)
 			}
 		}
-		if serving := town.fleetState().String(); figure > 1 && serving != "cold" {
-			t.Errorf("%g: warm at once: %v", figure, serving)
+		if state := h.fleetState().String(); value > 1 && state != "cold" {
+			t.Errorf("settings of %g: state is %v, want cold", value, state)
 		}
-		town.close()
+		h.close()
 	}
 }
 
@@ -291,20 +292,21 @@
 	return !c.askedAt.IsZero()
 }
 
-// The gate asks to be woken at times that are none: the app server neither spins nor sleeps for ever.
+// The gate may ask for delays that are out of range or not numbers: sleep returns at once from those below zero and
+// NaN, and waits on huge ones.
 func TestSleepBounds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for _, after := range []float64{math.NaN(), math.Inf(-1), -1, 0} {
-		if began := time.Now(); !sleep(ctx, after) || time.Since(began) > time.Second {
-			t.Errorf("%g s are slept for long", after)
+	for _, delay := range []float64{math.NaN(), math.Inf(-1), -1, 0} {
+		if start := time.Now(); !sleep(ctx, delay) || time.Since(start) > time.Second {
+			t.Errorf("sleep(%g) did not return at once", delay)
 		}
 	}
-	for _, after := range []float64{1e300, math.Inf(1)} {
-		short, end := context.WithTimeout(ctx, 20*time.Millisecond)
-		if sleep(short, after) {
-			t.Errorf("%g s are over at once", after)
+	for _, delay := range []float64{1e300, math.Inf(1)} {
+		shortCtx, cancelShort := context.WithTimeout(ctx, 20*time.Millisecond)
+		if sleep(shortCtx, delay) {
+			t.Errorf("sleep(%g) returned before its context ended", delay)
 		}
-		end()
+		cancelShort()
 	}
 }
