--- a/server/crowd_test.go
+++ b/server/crowd_test.go
@@ -14,48 +14,51 @@
 	"valveglade/config"
 )
 
-// newHarnessWithCapacity opens an app server with room for so many connections, which asks nobody to leave beforehand.
-func newHarnessWithCapacity(room int) *harness {
-	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + room }, zap.NewNop(), func(s *Server) { s.idle = time.Hour })
-	t.bootKernel()
-	return t
+// newHarnessWithCapacity starts an app server with capacity for this many connections, which asks no router to close
+// beforehand.
+func newHarnessWithCapacity(capacity int) *harness {
+	h := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + capacity }, zap.NewNop(),
+		func(s *Server) { s.idle = time.Hour })
+	h.bootKernel()
+	return h
 }
 
 // serveOneRPC has one RPC answered on a new connection.
-func (t *harness) serveOneRPC(seq int) *routerConn {
-	r := t.dial()
+func (h *harness) serveOneRPC(seq int) *routerConn {
+	r := h.dial()
 	r.execute(seq)
-	t.printKernelCommand()
-	t.endRun(seq, "fine", "ok")
+	h.printKernelCommand()
+	h.endRun(seq, "fine", "ok")
 	r.printReplies(1)
 	return r
 }
 
-// Silent clients that arrive faster than they count as silent take the whole table; a router with work still gets in.
-func Example_fastFlood() {
-	t := newHarnessWithCapacity(3)
+// Clients that never send fill the connection table faster than they are classified as silent; a router that has work
+// is still admitted.
+func Example_silentClientsFillTable() {
+	h := newHarnessWithCapacity(3)
 	for range 3 {
-		t.dial()
+		h.dial()
 	}
-	waitFor("full", func() bool { return len(t.connections()) == 3 })
+	waitFor("connection table full", func() bool { return len(h.connections()) == 3 })
 	time.Sleep(firstBytes)
-	t.serveOneRPC(1)
-	t.close()
+	h.serveOneRPC(1)
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "ok" good 1
+	// router: 1 ok "ok" healthy 1
 	// served: <nil>
 }
 
-// Clients that were served once and then stay in the middle of a message take the whole table; a router with work gets in
-// before their messages are overdue.
-func Example_stalled() {
-	t := newHarnessWithCapacity(2)
+// Clients that were served once and then stop in the middle of a message fill the connection table; a router that has
+// work is admitted before their messages time out.
+func Example_partialMessagesFillTable() {
+	h := newHarnessWithCapacity(2)
 	for k := range 2 {
-		fmt.Fprint(t.serveOneRPC(k+1), "\x00\x00\x00\x40half")
+		fmt.Fprint(h.serveOneRPC(k+1), "\x00\x00\x00\x40half")
 	}
-	waitFor("halves read", func() bool {
-		for _, c := range t.connections() {
+	waitFor("partial messages read", func() bool {
+		for _, c := range h.connections() {
 			if q, _ := c.rested(); !q.part {
 				return false
 			}
@@ -63,76 +66,76 @@
 		return true
 	})
 	time.Sleep(fresh + firstBytes)
-	t.serveOneRPC(3)
-	t.close()
+	h.serveOneRPC(3)
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "ok" good 1
+	// router: 1 ok "ok" healthy 1
 	// kernel: SCHED 2 look body 2
-	// router: 2 ok "ok" good 1
+	// router: 2 ok "ok" healthy 1
 	// kernel: SCHED 3 look body 3
-	// router: 3 ok "ok" good 1
+	// router: 3 ok "ok" healthy 1
 	// served: <nil>
 }
 
-// Where accepting fails for want of descriptors idle connections make room, although the configuration allows more; who is
-// at work stays, and any other failure closes nothing.
-func Example_acceptFailed() {
-	t := newHarnessWithCapacity(8)
-	idle := t.serveOneRPC(1)
-	busy := t.dial()
+// When accept fails for lack of descriptors, idle connections are closed although the configuration allows more. Busy
+// connections stay, and any other accept error closes nothing.
+func Example_acceptOutOfDescriptors() {
+	h := newHarnessWithCapacity(8)
+	idle := h.serveOneRPC(1)
+	busy := h.dial()
 	busy.execute(2)
-	t.printKernelCommand()
-	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)})
-	t.Server.mu.Lock()
-	_, going := t.leastWanted()
-	fmt.Println("connections:", len(t.conns), "on their way out:", going)
-	t.Server.mu.Unlock()
-	t.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
+	h.printKernelCommand()
+	h.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)})
+	h.Server.mu.Lock()
+	_, evicting := h.leastWanted()
+	fmt.Println("connections:", len(h.conns), "being evicted:", evicting)
+	h.Server.mu.Unlock()
+	h.acceptFailed(&net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)})
 	idle.printEnd()
-	t.endRun(2, "fine", "two")
+	h.endRun(2, "fine", "two")
 	busy.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "ok" good 1
+	// router: 1 ok "ok" healthy 1
 	// kernel: SCHED 2 look body 2
-	// connections: 2 on their way out: 0
-	// router: the end, after 0 bytes
-	// router: 2 ok "two" good 1
+	// connections: 2 being evicted: 0
+	// router: end of stream after 0 bytes
+	// router: 2 ok "two" healthy 1
 	// served: <nil>
 }
 
-// A reload with fewer descriptors closes idle connections at once, down to what is allowed, and none that is at work.
-func Example_fewerSockets() {
-	t := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 20 }, zap.NewNop(),
+// A reload that allows fewer descriptors closes idle connections at once, down to the new limit, and no busy one.
+func Example_reloadFewerDescriptors() {
+	h := newPreparedHarness(func(c *config.Config) { c.Sockets = reserve + 20 }, zap.NewNop(),
 		func(s *Server) { s.idle = 10 * time.Millisecond })
-	t.bootKernel()
-	busy := t.dial()
+	h.bootKernel()
+	busy := h.dial()
 	busy.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	for range 8 {
-		t.dial()
+		h.dial()
 	}
-	waitFor("taken in", func() bool { return len(t.connections()) == 9 })
-	began := time.Now()
-	next := *t.config
-	next.Sockets = reserve + 3
-	t.adopt(&next)
-	waitFor("room", func() bool { return len(t.connections()) <= 3 })
-	fmt.Println("before silence is overdue:", time.Since(began) < messageTimeout/2)
-	t.endRun(1, "fine", "one")
+	waitFor("admitted", func() bool { return len(h.connections()) == 9 })
+	start := time.Now()
+	newConfig := *h.config
+	newConfig.Sockets = reserve + 3
+	h.adopt(&newConfig)
+	waitFor("capacity freed", func() bool { return len(h.connections()) <= 3 })
+	fmt.Println("before the message timeout:", time.Since(start) < messageTimeout/2)
+	h.endRun(1, "fine", "one")
 	busy.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// before silence is overdue: true
-	// router: 1 ok "one" good 1
+	// before the message timeout: true
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 }
 
-// Descriptors that the process was started with count against its limit, and so against its connections.
-func TestOwnDescriptors(t *testing.T) {
+// Descriptors that the process inherited count against its limit and so reduce the number of connections.
+func TestInheritedDescriptors(t *testing.T) {
 	const inherited = 40
 	for range inherited {
 		file, err := os.Open(os.DevNull)
@@ -143,22 +146,22 @@
 	}
 	c := &config.Config{Sockets: 512}
 	s := New(c, zap.NewNop())
-	usual := s.room()
+	capacityBefore := s.room()
 	s.countOwn()
-	if room := s.room(); usual != 512-reserve || room > 512-inherited-spare {
-		t.Errorf("room for %d connections, %d with %d descriptors taken", usual, room, inherited)
+	if capacity := s.room(); capacityBefore != 512-reserve || capacity > 512-inherited-spare {
+		t.Errorf("capacity for %d connections, %d with %d inherited descriptors", capacityBefore, capacity, inherited)
 	}
 	s.systemLimit = 256
-	if room := s.room(); room > 256-inherited-spare {
-		t.Errorf("room for %d connections under the system's limit of 256", room)
+	if capacity := s.room(); capacity > 256-inherited-spare {
+		t.Errorf("capacity for %d connections under a system limit of 256", capacity)
 	}
 }
 
-// slowCloseConn is a connection whose first close takes until the test says so; as with the system's, a second one returns at
-// once. Nothing can be written on it.
+// slowCloseConn is a connection whose first Close blocks until the test releases it; as with a system connection, a
+// second Close returns at once. All writes fail.
 type slowCloseConn struct {
 	net.Conn
-	closeStarted chan bool // holds one once the close has begun
+	closeStarted chan bool // holds one value once Close has started
 	release      chan bool
 }
 
@@ -174,67 +177,67 @@
 	}
 }
 
-// The place of a connection is free only once its descriptor is: also when the writer is about to close it while the
-// reader finds its end.
-func Example_closeAtOnce() {
-	t := newHarnessWithCapacity(2)
+// A connection's table entry is freed only after its descriptor, even when the writer is already closing it as the
+// reader reaches its end.
+func Example_concurrentClose() {
+	h := newHarnessWithCapacity(2)
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	defer listener.Close()
 	r := must(net.Dial("tcp", listener.Addr().String()))
-	slow := slowCloseConn{must(listener.Accept()), make(chan bool, 1), make(chan bool)}
-	t.admit(context.Background(), slow)
-	c := t.connections()[0]
-	c.Check(1) // its answer cannot be written
-	waitFor("close begun", func() bool { return len(slow.closeStarted) == 1 })
+	netConn := slowCloseConn{must(listener.Accept()), make(chan bool, 1), make(chan bool)}
+	h.admit(context.Background(), netConn)
+	c := h.connections()[0]
+	c.Check(1) // its reply cannot be written
+	waitFor("close started", func() bool { return len(netConn.closeStarted) == 1 })
 	r.Close()
 	select {
 	case <-c.gone:
-		fmt.Println("free while its descriptor is held")
+		fmt.Println("freed before its descriptor was closed")
 	case <-time.After(100 * time.Millisecond):
-		fmt.Println("held:", len(t.connections()))
+		fmt.Println("connections while closing:", len(h.connections()))
 	}
-	close(slow.release)
+	close(netConn.release)
 	<-c.gone
-	t.close()
+	h.close()
 	// Output:
-	// held: 1
+	// connections while closing: 1
 	// served: <nil>
 }
 
-// The kernel link breaks while clients without work hold the whole table: it comes back, what came meanwhile is run, and the
-// clients that are evicted for newcomers are those without work.
-func Example_linkWhileFull() {
-	t := newHarnessWithCapacity(3)
-	r := t.serveOneRPC(1)
-	t.dial()
-	t.dial()
-	waitFor("full", func() bool { return len(t.connections()) == 3 })
-	t.kernelConn.Close()
+// The kernel link breaks while idle clients fill the connection table. The link is restored, RPCs that arrived
+// meanwhile are run, and only idle clients are evicted for new connections.
+func Example_kernelReconnectWhileFull() {
+	h := newHarnessWithCapacity(3)
+	r := h.serveOneRPC(1)
+	h.dial()
+	h.dial()
+	waitFor("connection table full", func() bool { return len(h.connections()) == 3 })
+	h.kernelConn.Close()
 	r.execute(2)
 	time.Sleep(firstBytes)
-	other := t.dial()
+	other := h.dial()
 	other.execute(3)
-	waitFor("both read", func() bool {
-		opened := 0
-		for _, c := range t.connections() {
-			opened += len(c.openRPCs())
+	waitFor("both RPCs read", func() bool {
+		openRPCs := 0
+		for _, c := range h.connections() {
+			openRPCs += len(c.openRPCs())
 		}
-		return opened == 2
+		return openRPCs == 2
 	})
-	t.acceptKernelLink()
-	t.printKernelCommand()
-	t.printKernelCommand()
+	h.acceptKernelLink()
+	h.printKernelCommand()
+	h.printKernelCommand()
 	for k, caller := range []*routerConn{r, other} {
-		t.endRun(k+2, "fine", "late")
+		h.endRun(k+2, "fine", "late")
 		caller.printReplies(1)
 	}
-	t.close()
+	h.close()
 	// Unordered output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "ok" good 1
+	// router: 1 ok "ok" healthy 1
 	// kernel: SCHED 2 look body 2
 	// kernel: SCHED 3 look body 3
-	// router: 2 ok "late" good 1
-	// router: 3 ok "late" good 1
+	// router: 2 ok "late" healthy 1
+	// router: 3 ok "late" healthy 1
 	// served: <nil>
 }
