--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -15,190 +15,195 @@
 	"valveglade/config"
 )
 
-// The notice comes before the kernel is up, and the kernel comes up during the drain: what came within the grace is run, what comes past
-// it is not, as on any other drain.
-func Example_noticeBeforeKernel() {
-	t := newUnbootedHarness(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 3, 0.2 })
-	t.kernelConn = must(t.kernelListener.Accept()) // it does not say that it is up
-	r := t.dial()
-	began := time.Now()
-	t.beginDrain()
-	waitFor("leaving", func() bool { return stage(t.stageAt.Load()) == stageDraining })
-	time.Sleep(300*time.Millisecond - time.Since(began))
-	go t.serveKernelLink(t.kernelConn)
-	waitFor("kernel up", t.gate.Booted)
+// The shutdown notice precedes the kernel, which comes up during the drain. As in any other drain, RPCs that arrive
+// within the grace period are run and later ones are not.
+func Example_kernelUpDuringDrain() {
+	h := newUnbootedHarness(func(c *config.Config) { c.Stop, c.Rules.Rules.Grace = 3, 0.2 })
+	h.kernelConn = must(h.kernelListener.Accept()) // the kernel does not report that it is up
+	r := h.dial()
+	start := time.Now()
+	h.beginDrain()
+	waitFor("draining", func() bool { return stage(h.stageAt.Load()) == stageDraining })
+	time.Sleep(300*time.Millisecond - time.Since(start))
+	go h.serveKernelLink(h.kernelConn)
+	waitFor("kernel up", h.gate.Booted)
 	r.execute(1)
 	r.printReplies(1)
 	r.Close()
-	t.close()
-	fmt.Println("kernel:", len(t.kernelCommands), "more")
+	h.close()
+	fmt.Println("kernel:", len(h.kernelCommands), "more")
 	// Output:
 	// router: 1 pushed back
 	// served: <nil>
 	// kernel: 0 more
 }
 
-// Nobody comes for the notice before the kernel is up: what is held is answered before the stop, and the process ends.
-func Example_noticeWithoutKernel() {
-	t := newUnbootedHarness(func(c *config.Config) { c.Stop = 1 })
-	r := t.dial()
+// The kernel comes up neither before the shutdown notice nor after it: held RPCs are answered before the stop deadline,
+// and the process exits.
+func Example_drainWithoutKernel() {
+	h := newUnbootedHarness(func(c *config.Config) { c.Stop = 1 })
+	r := h.dial()
 	r.execute(1)
 	r.execute(2, "op", "record", "dedupe", "t")
-	waitFor("both read", func() bool {
-		all := t.connections()
-		return len(all) == 1 && len(all[0].openRPCs()) == 2
+	waitFor("both RPCs read", func() bool {
+		conns := h.connections()
+		return len(conns) == 1 && len(conns[0].openRPCs()) == 2
 	})
-	t.beginDrain()
+	h.beginDrain()
 	r.printReplies(3)
 	r.printEnd()
 	r.Close()
-	t.close()
+	h.close()
 	// Unordered output:
 	// router: 1 pushed back
 	// router: 2 aborted
 	// router: draining, type 4
-	// router: the end, after 0 bytes
+	// router: end of stream after 0 bytes
 	// served: <nil>
 }
 
-// The time from the notice to the kill is shorter than what a drain usually takes from its end: its parts shrink with it.
-func TestShortStop(t *testing.T) {
+// When less time is left between the shutdown notice and the kill than the final drain stages usually take, all stages
+// shrink in proportion.
+func TestDrainScheduleShortStop(t *testing.T) {
 	for _, stop := range []float64{0.1, 0.3, 0.8, 3.2, 3600} {
-		s := usualSpans.within(stop)
-		if !(stop/2 >= s.notAccepting && s.notAccepting > s.closing && s.closing > s.cutShort && s.cutShort > s.exit && s.exit > 0) {
-			t.Errorf("stop %g: %+v", stop, s)
+		schedule := usualSpans.within(stop)
+		if !(stop/2 >= schedule.notAccepting && schedule.notAccepting > schedule.closing &&
+			schedule.closing > schedule.cutShort && schedule.cutShort > schedule.exit && schedule.exit > 0) {
+			t.Errorf("schedule within %g s is %+v: its stages are out of order or take too long", stop, schedule)
 		}
 	}
-	if s := usualSpans.within(3.2); s != usualSpans {
-		t.Errorf("not the usual: %+v", s)
+	if schedule := usualSpans.within(3.2); schedule != usualSpans {
+		t.Errorf("schedule within 3.2 s is %+v, want the default", schedule)
 	}
 }
 
-// With less time from the notice to the kill than a drain usually takes from its end, all that was read is answered, the router is told
-// and hears the end, and the process ends.
-func Example_shortStop() {
-	t := newPreparedHarness(func(c *config.Config) { c.Stop = 0.7 }, zap.NewNop(), func(*Server) {})
-	t.bootKernel()
-	r := t.dial()
+// With less time between the shutdown notice and the kill than the final drain stages usually take, all RPCs that were
+// read are answered, the router receives the draining message and the end of the stream, and the process exits.
+func Example_drainShortStop() {
+	h := newPreparedHarness(func(c *config.Config) { c.Stop = 0.7 }, zap.NewNop(), func(*Server) {})
+	h.bootKernel()
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.execute(2, "op", "record", "dedupe", "t")
-	t.printKernelCommand()
-	t.beginDrain()
+	h.printKernelCommand()
+	h.beginDrain()
 	r.printReplies(3)
 	r.printEnd()
 	r.Close()
-	t.close()
+	h.close()
 	// Unordered output:
 	// kernel: SCHED 1 look body 1
 	// kernel: SCHED 2 record body of t
 	// router: 1 pushed back
 	// router: 2 aborted
 	// router: draining, type 4
-	// router: the end, after 0 bytes
+	// router: end of stream after 0 bytes
 	// served: <nil>
 }
 
-// Whoever accepts does not come to its end, as newcomers flood in or it waits: the process leaves in time all the same.
-func TestLeaveWithoutAcceptor(t *testing.T) {
+// The drain ends in time even if the accept loop never returns, because new connections keep arriving or it is
+// blocked.
+func TestDrainWithStuckAcceptor(t *testing.T) {
 	listener := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	s := New(&config.Config{Stop: 0.6, Memory: 64 << 20}, zap.NewNop())
-	notice, give := context.WithCancel(context.Background())
-	give()
-	over := make(chan error, 1)
-	go func() { over <- s.leave(notice, context.Background(), listener, make(chan struct{})) }()
+	drainCtx, startDrain := context.WithCancel(context.Background())
+	startDrain()
+	done := make(chan error, 1)
+	go func() { done <- s.leave(drainCtx, context.Background(), listener, make(chan struct{})) }()
 	select {
-	case err := <-over:
+	case err := <-done:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("never leaves")
+		t.Fatal("the drain did not end")
 	}
 }
 
-// Newcomers flood in as the listener closes: once it is closed nobody more is taken in.
-func TestAcceptQueuedEnds(t *testing.T) {
+// No queued connection is admitted once the listener is closed, even if new ones keep arriving as it closes.
+func TestAcceptQueuedStopsAfterClose(t *testing.T) {
 	listener := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
 	for range 3 {
 		defer must(net.Dial("tcp", listener.Addr().String())).Close()
 	}
 	s := New(&config.Config{Sockets: 64, Memory: 64 << 20}, zap.NewNop())
 	listener.Close()
-	over := make(chan bool)
+	done := make(chan bool)
 	go func() {
 		s.acceptQueued(context.Background(), listener)
-		close(over)
+		close(done)
 	}()
 	select {
-	case <-over:
+	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("goes on")
+		t.Fatal("acceptQueued did not return")
 	}
 	if n := len(s.conns); n != 0 {
-		t.Errorf("%d connections taken in", n)
+		t.Errorf("%d connections admitted", n)
 	}
 }
 
-// Panics where the embedder reads the configuration, as the kernel comes up, and while the process looks after itself: each is
-// logged, and the app server goes on.
-func Example_panicsInDuties() {
-	t := newPreparedHarness(nil, zap.NewNop(), func(s *Server) { close(s.up) }) // closed twice
-	t.bootKernel()
+// Panics while the embedder reads the configuration, as the kernel comes up, and while the process monitors itself:
+// each is logged, and the app server goes on.
+func Example_panicsInBackgroundTasks() {
+	// The server closes the channel a second time as the kernel comes up, which panics.
+	h := newPreparedHarness(nil, zap.NewNop(), func(s *Server) { close(s.up) })
+	h.bootKernel()
 	hup := make(chan os.Signal, 1)
-	var looks atomic.Int32
-	live, end := context.WithCancel(context.Background())
-	over := make(chan bool)
-	next := *t.config
-	next.Stop++
+	var reads atomic.Int32
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan bool)
+	newConfig := *h.config
+	newConfig.Stop++
 	go func() {
-		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
-			if looks.Add(1) == 1 {
-				panic("as it reads")
+		h.Reload(ctx, hup, func() (*config.Config, *config.Settings, error) {
+			if reads.Add(1) == 1 {
+				panic("panic while reading the configuration")
 			}
-			return &next, nil, nil
+			return &newConfig, nil, nil
 		})
-		close(over)
+		close(done)
 	}()
 	hup <- syscall.SIGHUP
-	waitFor("reloaded", func() bool { return t.Server.config.Load().Stop == next.Stop })
-	calm := t.press.effects.Swap(nil) // so that health cannot be told
-	signal(t.well)
-	signal(t.said)
-	waitFor("both looked", func() bool { return len(t.well) == 0 && len(t.said) == 0 })
-	t.press.effects.Store(calm)
-	r := t.dial()
+	waitFor("reloaded", func() bool { return h.Server.config.Load().Stop == newConfig.Stop })
+	saved := h.press.effects.Swap(nil) // reading the health then panics
+	signal(h.well)
+	signal(h.said)
+	waitFor("both notifications handled", func() bool { return len(h.well) == 0 && len(h.said) == 0 })
+	h.press.effects.Store(saved)
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	end()
-	<-over
+	cancel()
+	<-done
 	r.Close()
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 }
 
-// A panic over one newcomer costs that one.
-func Example_panicAtNewcomer() {
-	t := newHarness(nil)
-	calm := t.press.effects.Swap(nil) // which is asked about each newcomer
-	lost := t.dial()
-	lost.printEnd()
-	t.press.effects.Store(calm)
-	r := t.dial()
+// A panic while a connection is admitted closes only that connection.
+func Example_panicOnAdmit() {
+	h := newHarness(nil)
+	saved := h.press.effects.Swap(nil) // admission reads the effects, and panics without them
+	failed := h.dial()
+	failed.printEnd()
+	h.press.effects.Store(saved)
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
 	r.Close()
-	t.close()
+	h.close()
 	// Output:
-	// router: the end, after 0 bytes
+	// router: end of stream after 0 bytes
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// served: <nil>
 }
