--- a/server/edge_test.go
+++ b/server/edge_test.go
@@ -11,200 +11,202 @@
 	"valveglade/config"
 )
 
-// newBriefDrainHarness opens an app server that leaves soon after its notice.
+// newBriefDrainHarness starts an app server that exits soon after its shutdown notice.
 func newBriefDrainHarness() *harness {
-	t := newPreparedHarness(func(c *config.Config) { c.Stop = 0.2 }, zap.NewNop(), func(*Server) {})
-	t.bootKernel()
-	return t
+	h := newPreparedHarness(func(c *config.Config) { c.Stop = 0.2 }, zap.NewNop(), func(*Server) {})
+	h.bootKernel()
+	return h
 }
 
-// waitUntilReleased waits until no connection is left, and nothing is counted for one.
-func (t *harness) waitUntilReleased(test *testing.T) {
-	test.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		connections, held, owed := len(t.connections()), t.held.Load(), t.press.owed.Load()
-		if connections == 0 && held == 0 && owed == 0 {
+// waitUntilReleased waits until no connection is left and no memory is accounted to one.
+func (h *harness) waitUntilReleased(t *testing.T) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		connections, requestBytes, replyBytes := len(h.connections()), h.held.Load(), h.press.owed.Load()
+		if connections == 0 && requestBytes == 0 && replyBytes == 0 {
 			return
 		}
-		if time.Now().After(end) {
-			test.Fatalf("left: %d connections, %d bytes of RPCs, %d bytes of answers", connections, held, owed)
+		if time.Now().After(deadline) {
+			t.Fatalf("not released: %d connections, %d bytes of RPCs, %d bytes of replies",
+				connections, requestBytes, replyBytes)
 		}
 	}
 }
 
-// encodeExecute is what a router writes for one RPC.
+// encodeExecute returns what a router writes for one RPC.
 func encodeExecute(seq int) []byte {
 	w := &recordingConn{}
 	(&routerConn{Conn: w}).execute(seq)
 	return w.written
 }
 
-// A message comes in two pieces, cut at each byte: it is run and answered once.
-func TestEverySplit(test *testing.T) {
-	t := newBriefDrainHarness()
-	r := t.dial()
-	waitFor("taken in", func() bool { return len(t.connections()) == 1 })
-	c := t.connections()[0]
+// A message that arrives in two pieces, split at any byte, is run and answered once.
+func TestMessageSplitAtEveryByte(t *testing.T) {
+	h := newBriefDrainHarness()
+	r := h.dial()
+	waitFor("admitted", func() bool { return len(h.connections()) == 1 })
+	c := h.connections()[0]
 	for cut := 1; cut < len(encodeExecute(cut)); cut++ {
 		seq := cut
-		f := encodeExecute(seq)
-		r.Write(f[:cut])
-		waitFor("half", func() bool { q, _ := c.rested(); return q.part })
-		r.Write(f[cut:])
-		receive(t.kernelCommands)
-		t.endRun(seq, "fine", "ok")
+		message := encodeExecute(seq)
+		r.Write(message[:cut])
+		waitFor("partial message read", func() bool { q, _ := c.rested(); return q.part })
+		r.Write(message[cut:])
+		receive(h.kernelCommands)
+		h.endRun(seq, "fine", "ok")
 		if got := r.readReplySeq(); got != seq {
-			test.Fatalf("cut at byte %d: answer to %d, wanted %d", cut, got, seq)
+			t.Fatalf("split at byte %d: got reply to RPC %d, want %d", cut, got, seq)
 		}
 	}
 	r.Close()
-	t.waitUntilReleased(test)
-	t.close()
+	h.waitUntilReleased(t)
+	h.close()
 }
 
-// A router goes, by a close and by a reset, after each few bytes of an RPC and right behind it: another's RPC is answered, and nothing
-// is left of those that went.
-func TestEndAtEveryEdge(test *testing.T) {
-	t := newBriefDrainHarness()
-	usual := t.dial()
-	usual.execute(1)
-	receive(t.kernelCommands)
+// Routers close or reset their connections after every few bytes of an RPC and right behind it. Another router's RPC
+// is still answered, and no state of the disconnected routers remains.
+func TestDisconnectWithinMessage(t *testing.T) {
+	h := newBriefDrainHarness()
+	other := h.dial()
+	other.execute(1)
+	receive(h.kernelCommands)
 	const step = 13
-	whole := len(encodeExecute(2))
-	for cut := 0; cut <= whole+step; cut += step {
+	messageSize := len(encodeExecute(2))
+	for cut := 0; cut <= messageSize+step; cut += step {
 		for _, reset := range []bool{false, true} {
-			gone := t.dial()
-			gone.Write(encodeExecute(2)[:min(cut, whole)])
+			dropped := h.dial()
+			dropped.Write(encodeExecute(2)[:min(cut, messageSize)])
 			if reset {
-				gone.Conn.(*net.TCPConn).SetLinger(0)
+				dropped.Conn.(*net.TCPConn).SetLinger(0)
 			}
-			gone.Close()
+			dropped.Close()
 		}
 	}
-	waitFor("only the usual one is left", func() bool { return len(t.connections()) == 1 })
-	t.endRun(1, "fine", "one")
-	if got := usual.readReplySeq(); got != 1 {
-		test.Errorf("answer to %d", got)
+	waitFor("only the other router connected", func() bool { return len(h.connections()) == 1 })
+	h.endRun(1, "fine", "one")
+	if got := other.readReplySeq(); got != 1 {
+		t.Errorf("got a reply to RPC %d", got)
 	}
-	for len(t.kernelCommands) > 0 {
-		receive(t.kernelCommands)
+	for len(h.kernelCommands) > 0 {
+		receive(h.kernelCommands)
 	}
-	usual.Close()
-	t.waitUntilReleased(test)
-	t.close()
+	other.Close()
+	h.waitUntilReleased(t)
+	h.close()
 }
 
-// Interrupts for numbers that were never used, or are answered, change nothing.
-func Example_interruptNobody() {
-	t := newBriefDrainHarness()
-	r := t.dial()
+// Interrupts for sequence numbers that were never used or are already answered have no effect.
+func Example_interruptUnknownRPC() {
+	h := newBriefDrainHarness()
+	r := h.dial()
 	for _, target := range []int{1, 0, -1, 1 << 30} {
 		r.interrupt(target)
 	}
 	r.execute(1)
-	t.printKernelCommand()
+	h.printKernelCommand()
 	r.interrupt(2)
-	t.endRun(1, "fine", "one")
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
 	r.interrupt(1)
 	r.execute(2)
-	t.printKernelCommand()
-	t.endRun(2, "fine", "two")
+	h.printKernelCommand()
+	h.endRun(2, "fine", "two")
 	r.printReplies(1)
 	r.Close()
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 look body 2
-	// router: 2 ok "two" good 1
+	// router: 2 ok "two" healthy 1
 	// served: <nil>
 }
 
-// Hundreds of connections that say nothing: RPCs of usual routers on connections old and new are answered, also of one that writes a
-// byte at a time, and no processor is taken by the silent.
-func TestSilentCrowd(test *testing.T) {
-	t := newPreparedHarness(func(c *config.Config) { c.Stop, c.Sockets = 0.2, reserve+64 }, zap.NewNop(), func(*Server) {})
-	t.bootKernel()
-	usual := t.dial()
-	usual.execute(1)
-	receive(t.kernelCommands)
+// With hundreds of silent connections, RPCs on old and new connections are answered, even from a router that writes
+// one byte at a time, and the silent connections use no CPU time.
+func TestManySilentConnections(t *testing.T) {
+	h := newPreparedHarness(func(c *config.Config) { c.Stop, c.Sockets = 0.2, reserve+64 }, zap.NewNop(),
+		func(*Server) {})
+	h.bootKernel()
+	active := h.dial()
+	active.execute(1)
+	receive(h.kernelCommands)
 	var silent []net.Conn
 	for range 300 {
-		silent = append(silent, t.dial())
+		silent = append(silent, h.dial())
 	}
-	waitFor("let in or turned away", func() bool { return len(t.connections()) == 64 })
+	waitFor("all admitted or rejected", func() bool { return len(h.connections()) == 64 })
 	time.Sleep(2 * firstBytes)
-	slow := t.dial()
-	wrote := make(chan bool)
+	slow := h.dial()
+	written := make(chan bool)
 	go func() {
-		defer close(wrote)
+		defer close(written)
 		for _, b := range encodeExecute(7) {
 			slow.Write([]byte{b})
 		}
 	}()
-	t.endRun(1, "fine", "one")
-	if got := usual.readReplySeq(); got != 1 {
-		test.Errorf("answer to %d", got)
+	h.endRun(1, "fine", "one")
+	if got := active.readReplySeq(); got != 1 {
+		t.Errorf("got a reply to RPC %d", got)
 	}
-	receive(t.kernelCommands)
-	t.endRun(7, "fine", "seven")
+	receive(h.kernelCommands)
+	h.endRun(7, "fine", "seven")
 	if got := slow.readReplySeq(); got != 7 {
-		test.Errorf("answer to %d", got)
+		t.Errorf("got a reply to RPC %d", got)
 	}
-	<-wrote
-	waitFor("the silent are gone", func() bool { return len(t.connections()) <= 2 })
-	before := cpuTime()
-	const span = 200 * time.Millisecond
-	time.Sleep(span)
-	if used := cpuTime() - before; used > span/3 {
-		test.Errorf("%v of the processor in %v", used, span)
+	<-written
+	waitFor("silent connections closed", func() bool { return len(h.connections()) <= 2 })
+	cpuBefore := cpuTime()
+	const interval = 200 * time.Millisecond
+	time.Sleep(interval)
+	if used := cpuTime() - cpuBefore; used > interval/3 {
+		t.Errorf("used %v of CPU time in %v", used, interval)
 	}
-	for _, c := range append(silent, usual, slow) {
+	for _, c := range append(silent, active, slow) {
 		c.Close()
 	}
-	t.waitUntilReleased(test)
-	t.close()
+	h.waitUntilReleased(t)
+	h.close()
 }
 
-// A router that neither reads nor writes on while its connection waits for its answers to be written: whatever ends the connection, the
-// reader that waits for the writer wakes.
-func TestReaderWaitsForWriter(test *testing.T) {
-	for name, end := range map[string]func(t *harness, c *conn, r *routerConn){
-		"reset":     func(_ *harness, _ *conn, r *routerConn) { r.Conn.(*net.TCPConn).SetLinger(0); r.Close() },
-		"cut short": func(_ *harness, c *conn, _ *routerConn) { c.cutShort() },
-		"notice":    func(t *harness, _ *conn, _ *routerConn) { t.beginDrain() },
-		"reads": func(_ *harness, _ *conn, r *routerConn) {
+// A router keeps sending without reading, so the connection's reader waits for the writer. Whatever ends the
+// connection wakes the reader.
+func TestReaderBlockedOnWriter(t *testing.T) {
+	for name, endConn := range map[string]func(h *harness, c *conn, r *routerConn){
+		"reset":           func(_ *harness, _ *conn, r *routerConn) { r.Conn.(*net.TCPConn).SetLinger(0); r.Close() },
+		"forced shutdown": func(_ *harness, c *conn, _ *routerConn) { c.cutShort() },
+		"shutdown notice": func(h *harness, _ *conn, _ *routerConn) { h.beginDrain() },
+		"router reads": func(_ *harness, _ *conn, r *routerConn) {
 			go func() { fmt.Fprint(discardWriter{}, r.countReplies()) }()
 		},
 	} {
-		test.Run(name, func(test *testing.T) {
-			t := newBriefDrainHarness()
-			r := t.dial()
-			waitFor("taken in", func() bool { return len(t.connections()) == 1 })
-			c := t.connections()[0]
-			flood := make(chan bool)
+		t.Run(name, func(t *testing.T) {
+			h := newBriefDrainHarness()
+			r := h.dial()
+			waitFor("admitted", func() bool { return len(h.connections()) == 1 })
+			c := h.connections()[0]
+			floodDone := make(chan bool)
 			go func() {
-				defer close(flood)
+				defer close(floodDone)
 				for err := error(nil); err == nil; {
 					_, err = r.Write([]byte("\x00\x00\x00\x12\x80\x01\x00\x01\x00\x00\x00\x05check\x00\x00\x00\x01\x00"))
 				}
 			}()
-			waitFor("waits", func() bool {
+			waitFor("reader waits for the writer", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return len(c.replies) >= mostOpen && c.writing
 			})
-			end(t, c, r)
-			if name == "reads" {
-				waitFor("answers are taken", func() bool { return c.idleNow() || !c.isRegistered() })
+			endConn(h, c, r)
+			if name == "router reads" {
+				waitFor("replies read", func() bool { return c.idleNow() || !c.isRegistered() })
 				r.Close()
 			}
-			waitFor("gone", func() bool { return !c.isRegistered() })
+			waitFor("connection closed", func() bool { return !c.isRegistered() })
 			r.Close()
-			<-flood
-			t.waitUntilReleased(test)
-			t.close()
+			<-floodDone
+			h.waitUntilReleased(t)
+			h.close()
 		})
 	}
 }
@@ -213,7 +215,7 @@
 
 func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
-// countReplies counts the messages until the connection ends.
+// countReplies returns the number of messages read until the connection ends.
 func (r *routerConn) countReplies() (n int) {
 	for r.readReplySeq() != 0 {
 		n++
