--- a/server/press_test.go
+++ b/server/press_test.go
@@ -16,218 +16,221 @@
 	"valveglade/logic/pressure"
 )
 
-// forceEffects puts effects into force by hand, as a level would; methods are let in by the given shares.
-func (t *harness) forceEffects(e pressure.Effects, shares ...float64) {
-	t.press.on.Store(true)
-	for k, x := range shares {
-		t.press.admit[k].Store(uint32(x * allOf))
+// forceEffects applies pressure effects as a change of level would; shares are the admitted share of each method.
+func (h *harness) forceEffects(forced pressure.Effects, shares ...float64) {
+	h.press.on.Store(true)
+	for method, share := range shares {
+		h.press.admit[method].Store(uint32(share * allOf))
 	}
-	was := *t.press.effects.Load()
-	t.press.effects.Store(&e)
-	t.applied(was, e)
+	previous := *h.press.effects.Load()
+	h.press.effects.Store(&forced)
+	h.applied(previous, forced)
 }
 
-// What is not let in is pushed back at once, beside the gate; what has begun is not: a repeat of what ran has its answer,
-// one of what runs waits for it.
-func Example_turnedAway() {
-	t := newHarness(nil)
-	r := t.dial()
+// RPCs that are not admitted are pushed back at once, without reaching the gate. RPCs that have begun are not
+// affected: a retry of a finished one gets its result, a retry of a running one waits for it.
+func Example_shedUnderPressure() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1, "op", "record", "dedupe", "a")
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
 	r.execute(2, "op", "record", "dedupe", "b")
-	t.printKernelCommand()
-	t.forceEffects(pressure.Effects{Credit: 0.5, Accept: true, Largest: 1 << 20, Keep: 1, Health: true, After: 0.25}, 0, 0)
+	h.printKernelCommand()
+	h.forceEffects(pressure.Effects{Credit: 0.5, Accept: true, Largest: 1 << 20, Keep: 1, Health: true, After: 0.25},
+		0, 0)
 	r.execute(3)
 	r.execute(4, "op", "record", "dedupe", "c")
 	r.execute(5, "op", "record", "dedupe", "a")
 	r.printReplies(3)
 	r.execute(6, "op", "record", "dedupe", "b")
-	t.endRun(2, "fine", "two")
+	h.endRun(2, "fine", "two")
 	r.printReplies(2)
-	fmt.Println("refused:", t.press.refused.Load())
-	t.forceEffects(calm, 1, 1)
+	fmt.Println("rejected:", h.press.refused.Load())
+	h.forceEffects(calm, 1, 1)
 	r.execute(7)
-	t.printKernelCommand()
-	t.endRun(7, "fine", "seven")
+	h.printKernelCommand()
+	h.endRun(7, "fine", "seven")
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 record body of a
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// kernel: SCHED 2 record body of b
 	// router: 3 pushed back
 	// router: 4 pushed back
-	// router: 5 ok "one" good 1
-	// router: 2 ok "two" good 1
-	// router: 6 ok "two" good 1
-	// refused: 2
+	// router: 5 ok "one" healthy 1
+	// router: 2 ok "two" healthy 1
+	// router: 6 ok "two" healthy 1
+	// rejected: 2
 	// kernel: SCHED 7 look body 7
-	// router: 7 ok "seven" good 1
+	// router: 7 ok "seven" healthy 1
 	// served: <nil>
 }
 
-// A large RPC is refused before it is all there; what then comes of it is thrown away, and the connection goes on.
-func Example_unread() {
-	t := newHarness(nil)
-	r := t.dial()
+// A large RPC is rejected before it has arrived whole; the rest of it is discarded, and the connection goes on.
+func Example_rejectLargeRPC() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	t.forceEffects(pressure.Effects{Credit: 1, Accept: true, Largest: 1200, Keep: 1, Health: true}, 1, 1)
-	cut, rest := r.splitExecute(2, strings.Repeat("b", 2000))
-	fmt.Fprint(r, cut)
-	r.printReplies(1) // with its end still to come
-	fmt.Fprint(r, rest[:len(rest)/2])
+	h.forceEffects(pressure.Effects{Credit: 1, Accept: true, Largest: 1200, Keep: 1, Health: true}, 1, 1)
+	head, tail := r.splitExecute(2, strings.Repeat("b", 2000))
+	fmt.Fprint(r, head)
+	r.printReplies(1) // before its end has been sent
+	fmt.Fprint(r, tail[:len(tail)/2])
 	time.Sleep(5 * time.Millisecond)
-	fmt.Fprint(r, rest[len(rest)/2:])
+	fmt.Fprint(r, tail[len(tail)/2:])
 	r.execute(3)
-	t.printKernelCommand()
-	t.endRun(3, "fine", "three")
+	h.printKernelCommand()
+	h.endRun(3, "fine", "three")
 	r.printReplies(1)
-	cut, _ = r.splitExecute(4, strings.Repeat("b", 2000))
-	fmt.Fprint(r, cut)
-	r.printReplies(2) // the rest never comes
-	t.close()
+	head, _ = r.splitExecute(4, strings.Repeat("b", 2000))
+	fmt.Fprint(r, head)
+	r.printReplies(2) // the rest is never sent
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// router: 2 pushed back
 	// kernel: SCHED 3 look body 3
-	// router: 3 ok "three" good 1
+	// router: 3 ok "three" healthy 1
 	// router: 4 pushed back
-	// router: the connection ends
+	// router: connection closed
 	// served: <nil>
 }
 
-// bufferConn takes what is written.
+// bufferConn records what is written to it.
 type bufferConn struct {
 	net.Conn
 	written strings.Builder
 }
 
-func (k *bufferConn) Write(b []byte) (int, error) { return k.written.Write(b) }
+func (c *bufferConn) Write(b []byte) (int, error) { return c.written.Write(b) }
 
-// splitExecute gives an RPC with this body but for its last 300 bytes, and those.
-func (r *routerConn) splitExecute(seq int, body string) (cut, rest string) {
-	taken := &routerConn{Conn: &bufferConn{Conn: r.Conn}, reader: r.reader}
-	taken.execute(seq, "body", body)
-	all := taken.Conn.(*bufferConn).written.String()
-	return all[:len(all)-300], all[len(all)-300:]
+// splitExecute returns an encoded RPC with this body in two parts, the last 300 bytes apart.
+func (r *routerConn) splitExecute(seq int, body string) (head, tail string) {
+	recorder := &routerConn{Conn: &bufferConn{Conn: r.Conn}, reader: r.reader}
+	recorder.execute(seq, "body", body)
+	encoded := recorder.Conn.(*bufferConn).written.String()
+	return encoded[:len(encoded)-300], encoded[len(encoded)-300:]
 }
 
-// Strained, new connections are closed at once and old ones go on; shut, health is bad, and a drain is as ever.
-func Example_shut() {
-	t := newHarness(nil)
-	r, health := t.dial(), t.dial()
+// Under pressure, new connections are closed at once and old ones continue; at the strongest level health checks fail
+// as well. A drain works as usual.
+func Example_strongestPressure() {
+	h := newHarness(nil)
+	r, health := h.dial(), h.dial()
 	r.execute(1)
-	t.printKernelCommand()
-	t.endRun(1, "fine", "one")
+	h.printKernelCommand()
+	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	fmt.Println("roster:", receive(t.rosterReports))
-	t.forceEffects(pressure.Effects{Accept: false, Largest: 1 << 20, Keep: 0.1, Health: false}, 0, 0)
-	t.dial().printReplies(1)
+	fmt.Println("roster:", receive(h.rosterReports))
+	h.forceEffects(pressure.Effects{Accept: false, Largest: 1 << 20, Keep: 0.1, Health: false}, 0, 0)
+	h.dial().printReplies(1)
 	health.send(1, "check", 1, "\x00")
 	health.printReplies(1)
-	fmt.Println("roster:", receive(t.rosterReports), "credit", t.credit())
+	fmt.Println("roster:", receive(h.rosterReports), "credit", h.credit())
 	r.execute(2)
 	r.printReplies(1)
-	t.close()
+	h.close()
 	// Output:
 	// kernel: SCHED 1 look body 1
-	// router: 1 ok "one" good 1
+	// router: 1 ok "one" healthy 1
 	// roster: HERE n1 on
-	// router: the connection ends
-	// router: 1 ok "" good 0
+	// router: connection closed
+	// router: 1 ok "" healthy 0
 	// roster: HERE n1 off credit 0
 	// router: 2 pushed back
 	// served: <nil>
 }
 
-// Answers that a caller does not read are counted, and no longer once it has gone.
-func Example_owed() {
-	t := newHarness(nil)
-	r := t.dial()
+// Replies that a router does not read are counted until its connection closes.
+func Example_unreadReplies() {
+	h := newHarness(nil)
+	r := h.dial()
 	r.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	const n = 60
-	for k := 0; k < n && t.press.owed.Load() == 0; k++ {
+	for k := 0; k < n && h.press.owed.Load() == 0; k++ {
 		r.execute(k + 1)
-		receive(t.kernelCommands)
-		t.endRun(k+1, "fine", strings.Repeat("r", 4096))
+		receive(h.kernelCommands)
+		h.endRun(k+1, "fine", strings.Repeat("r", 4096))
 		time.Sleep(time.Millisecond)
 	}
-	for end := time.Now().Add(testTimeout); t.press.owed.Load() == 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(testTimeout); h.press.owed.Load() == 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	most := t.press.owed.Load()
-	fmt.Println("owed:", most > 0 && most <= n*4096)
+	pending := h.press.owed.Load()
+	fmt.Println("reply bytes pending:", pending > 0 && pending <= n*4096)
 	r.Close()
-	for end := time.Now().Add(testTimeout); t.press.owed.Load() != 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(testTimeout); h.press.owed.Load() != 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	fmt.Println("owed:", t.press.owed.Load())
-	t.close()
+	fmt.Println("reply bytes pending:", h.press.owed.Load())
+	h.close()
 	// Output:
-	// owed: true
-	// owed: 0
+	// reply bytes pending: true
+	// reply bytes pending: 0
 	// served: <nil>
 }
 
-// New settings are taken over by a reload, a faulty file changes nothing; each change of level is one line with its causes.
-func Example_settings() {
-	core, lines := observer.New(zapcore.InfoLevel)
-	t := newHarnessWithLogger(nil, zap.New(core))
+// A reload applies new settings, and an invalid file changes nothing. Each change of the pressure level is logged in
+// one line with its causes.
+func Example_reloadSettings() {
+	core, logged := observer.New(zapcore.InfoLevel)
+	h := newHarnessWithLogger(nil, zap.New(core))
 	hup := make(chan os.Signal, 1)
-	text := make(chan string, 1)
-	live, end := context.WithCancel(context.Background())
-	over := make(chan bool)
+	settingsText := make(chan string, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan bool)
 	go func() {
 		current := ""
-		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
+		h.Reload(ctx, hup, func() (*config.Config, *config.Settings, error) {
 			select {
-			case current = <-text:
+			case current = <-settingsText:
 			default:
 			}
-			b, err := config.ParseSettings("op.conf", []byte(current))
-			return t.config, b, err
+			settings, err := config.ParseSettings("op.conf", []byte(current))
+			return h.config, settings, err
 		})
-		close(over)
+		close(done)
 	}()
-	heard := func(what string) {
-		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if found := lines.FilterMessage(what).All(); len(found) > 0 {
-				f := found[0].ContextMap()
-				causes, _ := f["causes"].(string)
-				fmt.Println(what+":", strings.Contains(causes, "memory"), f["at"])
+	printLogLine := func(message string) {
+		for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			if found := logged.FilterMessage(message).All(); len(found) > 0 {
+				fields := found[0].ContextMap()
+				causes, _ := fields["causes"].(string)
+				fmt.Println(message+":", strings.Contains(causes, "memory"), fields["at"])
 				return
 			}
 		}
-		fmt.Println("never heard:", what)
+		fmt.Println("not logged:", message)
 	}
-	text <- "pressure on\npressure.memory 1%\npressure.every 10ms\n"
+	settingsText <- "pressure on\npressure.memory 1%\npressure.every 10ms\n"
 	hup <- os.Interrupt
-	heard("settings reloaded")
-	heard("pressure")
-	text <- "pressure perhaps"
+	printLogLine("settings reloaded")
+	printLogLine("pressure")
+	settingsText <- "pressure perhaps"
 	hup <- os.Interrupt
-	heard("settings invalid, the previous stays")
-	fmt.Println("on:", t.press.on.Load())
-	text <- "pressure off"
+	printLogLine("settings invalid, the previous stays")
+	fmt.Println("on:", h.press.on.Load())
+	settingsText <- "pressure off"
 	hup <- os.Interrupt
-	for end := time.Now().Add(testTimeout); t.press.on.Load() && time.Now().Before(end); {
+	for deadline := time.Now().Add(testTimeout); h.press.on.Load() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	fmt.Println("on:", t.press.on.Load(), "lets all in:", t.press.lets(0))
-	end()
-	<-over
-	t.close()
+	fmt.Println("on:", h.press.on.Load(), "admits all:", h.press.lets(0))
+	cancel()
+	<-done
+	h.close()
 	// Output:
 	// settings reloaded: false <nil>
 	// pressure: true <nil>
 	// settings invalid, the previous stays: false op.conf:1
 	// on: true
-	// on: false lets all in: true
+	// on: false admits all: true
 	// served: <nil>
 }
