--- a/server/drain.go
+++ b/server/drain.go
@@ -8,92 +8,99 @@
 	"go.uber.org/zap"
 )
 
-// stage is how far the app server has come on its way out. It only goes on, and only enter changes it.
+// stage is the progress of the app server's shutdown. It only advances, and only enterStage changes it.
 type stage int32
 
 const (
 	stageServing      stage = iota
-	stageDraining           // late routers are still answered
-	stageNotAccepting       // nobody new is let in, routers are asked to go
-	stageClosing            // their connections are ended
+	stageDraining           // RPCs from routers that still send are answered
+	stageNotAccepting       // no new connections; routers are asked to close theirs
+	stageClosing            // connections are being closed
 	stageStopped
 )
 
-func (g stage) String() string {
-	return [...]string{"serving", "draining", "not accepting", "closing connections", "stopped"}[g]
+func (s stage) String() string {
+	return [...]string{"serving", "draining", "not accepting", "closing connections", "stopped"}[s]
 }
 
-func (s *Server) enter(to stage) {
-	s.stageAt.Store(int32(to))
+// enterStage records and logs the start of a stage.
+func (s *Server) enterStage(to stage) {
+	s.currentStage.Store(int32(to))
 	s.log.Info("drain", zap.Stringer("stage", to))
 }
 
-// drainSpans are what is left of the time before the kill once nobody new is let in; once connections are ended, of which a
-// router has heard a tenth of a second before; once nothing more is taken in, of who sends on all the same; and once the
-// process ends whatever is still open: a connection is given up by its router within some tens of milliseconds.
-type drainSpans struct{ notAccepting, closing, cutShort, exit float64 }
+// drainSchedule holds the seconds before the kill at which the steps of a drain begin.
+type drainSchedule struct {
+	notAccepting float64 // no new connections are accepted; routers are asked to close theirs
+	closing      float64 // connections are closed, a tenth of a second after their routers were asked to
+	rejecting    float64 // the input of routers that send all the same is rejected
+	exit         float64 // open connections are cut off; their routers give them up within tens of milliseconds
+}
 
-var usualSpans = drainSpans{notAccepting: 0.4, closing: 0.3, cutShort: 0.2, exit: 0.08}
+var defaultSchedule = drainSchedule{notAccepting: 0.4, closing: 0.3, rejecting: 0.2, exit: 0.08}
 
-// within gives spans that leave at least half of the time from the notice to the kill for what still comes.
-func (d drainSpans) within(stop float64) drainSpans {
-	share := min(1, stop/2/d.notAccepting)
-	return drainSpans{notAccepting: d.notAccepting * share, closing: d.closing * share, cutShort: d.cutShort * share, exit: d.exit * share}
+// scaledTo shortens the schedule so that at least half of the time from the shutdown notice to the kill is
+// left for RPCs that still arrive.
+func (d drainSchedule) scaledTo(stopDelay float64) drainSchedule {
+	factor := min(1, stopDelay/2/d.notAccepting)
+	return drainSchedule{notAccepting: d.notAccepting * factor, closing: d.closing * factor,
+		rejecting: d.rejecting * factor, exit: d.exit * factor}
 }
 
-// leave waits for the notice and then sees the process out. The others go on until it returns: what is read by then is
-// answered.
-func (s *Server) leave(ctx, all context.Context, listener *net.TCPListener, closed <-chan struct{}) error {
+// runDrain waits for the shutdown notice and then drains the process. The server's other goroutines go on
+// until it returns, so what has been read by then is answered.
+func (s *Server) runDrain(ctx, runCtx context.Context, listener *net.TCPListener,
+	listenerClosed <-chan struct{}) error {
 	defer listener.Close()
 	select {
-	case <-all.Done():
+	case <-runCtx.Done():
 		return nil
 	case <-ctx.Done():
 	}
-	span := s.config.Load().Stop
-	spans, stop := s.spans(span), s.clock.now()+span
-	s.enter(stageDraining)
-	s.gate.Drain(s.clock.now(), stop)
-	if !sleep(all, stop-spans.notAccepting-s.clock.now()) {
+	stopDelay := s.config.Load().Stop
+	schedule, stopAt := s.drainSchedule(stopDelay), s.clock.now()+stopDelay
+	s.enterStage(stageDraining)
+	s.gate.Drain(s.clock.now(), stopAt)
+	if !sleep(runCtx, stopAt-schedule.notAccepting-s.clock.now()) {
 		return nil
 	}
 	listener.SetDeadline(time.Unix(1, 0))
-	s.enter(stageNotAccepting)
+	s.enterStage(stageNotAccepting)
 	select {
-	case <-all.Done():
+	case <-runCtx.Done():
 		return nil
-	case <-closed: // all that were let in are among the connections
-	case <-time.After(seconds(stop - spans.closing - s.clock.now())): // newcomers still flood in
+	case <-listenerClosed: // every accepted connection is in s.conns
+	case <-time.After(seconds(stopAt - schedule.closing - s.clock.now())): // new connections still flood in
 		listener.Close()
 	}
 	for {
-		if s.clock.now() > stop-spans.closing && s.stageAt.Load() == int32(stageNotAccepting) {
-			s.enter(stageClosing)
+		if s.clock.now() > stopAt-schedule.closing && s.currentStage.Load() == int32(stageNotAccepting) {
+			s.enterStage(stageClosing)
 		}
 		s.mu.Lock()
 		for c := range s.conns {
-			c.drain() // whatever the stage: its router is told before it sees the end
+			c.drain() // at every stage, so the router is notified before it sees the close
 			switch {
-			case s.clock.now() > stop-spans.cutShort:
-				c.cutShort()
-			case s.stageAt.Load() == int32(stageClosing):
-				c.end()
+			case s.clock.now() > stopAt-schedule.rejecting:
+				c.shutDownNow()
+			case s.currentStage.Load() == int32(stageClosing):
+				c.shutDown()
 			}
 		}
-		n := len(s.conns)
+		open := len(s.conns)
 		s.mu.Unlock()
-		if n > 0 && s.clock.now() > stop-spans.exit {
-			s.log.Warn("connections cut off", zap.Int("connections", n))
-			n = 0
+		if open > 0 && s.clock.now() > stopAt-schedule.exit {
+			s.log.Warn("connections cut off", zap.Int("connections", open))
+			open = 0
 		}
-		if n == 0 {
-			s.enter(stageStopped)
+		if open == 0 {
+			s.enterStage(stageStopped)
 			return nil
 		}
 		select {
-		case <-all.Done():
+		case <-runCtx.Done():
 			return nil
-		case <-s.left:
+		case <-s.connEnded:
 		case <-time.After(seconds(0.02)):
 		}
 	}
--- a/server/reader.go
+++ b/server/reader.go
@@ -11,54 +11,54 @@
 	"valveglade/internal/thrift"
 )
 
-// read takes frames until the connection ends; the end of the connection is no error.
+// read processes frames until the connection ends. The end of the connection is not an error.
 func (c *conn) read(in *readbuffer.Buffer) error {
-	c.readBy(messageTimeout) // silence from the start is half a message too
-	turn := 0                // RPCs since others last had theirs
-	late := false            // what has come of a message was not whole in time
-	for timed := true; ; {
+	c.boundNextRead(messageTimeout) // a new connection that sends nothing counts as incomplete too
+	framesSinceYield := 0           // RPCs since the last runtime.Gosched
+	overdue := false                // the message was incomplete at its deadline
+	for timeLimited := true; ; {
 		frame, size, err := thrift.Frame(in.Bytes())
 		if err != nil {
 			return err
 		}
 		if size == 0 {
-			turn = 0
-			if done, err := c.passOver(in); err != nil {
+			framesSinceYield = 0
+			if done, err := c.discardLarge(in); err != nil {
 				return err
 			} else if done {
-				timed = false
-				c.readBy(0)
+				timeLimited = false
+				c.boundNextRead(0)
 				continue
 			}
-			if !timed && len(in.Bytes()) > 0 {
-				timed = true
-				c.readBy(messageTimeout)
+			if !timeLimited && len(in.Bytes()) > 0 {
+				timeLimited = true
+				c.boundNextRead(messageTimeout)
 			}
-			c.inPart(len(in.Bytes()) > 0)
+			c.setPartial(len(in.Bytes()) > 0)
 			switch err := c.fill(in); {
 			case err == nil:
 			case errors.Is(err, readbuffer.ErrFull):
 				return err
-			case errors.Is(err, errShut) && late:
-				return errHalf
-			case !errors.Is(err, os.ErrDeadlineExceeded) || c.ends():
+			case errors.Is(err, errConnShut) && overdue:
+				return errPartialMessage
+			case !errors.Is(err, os.ErrDeadlineExceeded) || c.isEnding():
 				return nil
 			default:
-				late = c.overdue()
+				overdue = c.handleOverdue()
 			}
 			continue
 		}
-		if timed {
-			timed = false
-			c.readBy(0)
+		if timeLimited {
+			timeLimited = false
+			c.boundNextRead(0)
 		}
-		late = false
-		ends, full := c.takeIn()
-		if ends {
+		overdue = false
+		ending, full := c.beginFrame()
+		if ending {
 			return nil
 		}
-		if c.odd.Load() >= mostOdd {
-			return errTooManyOdd
+		if c.unusableRPCs.Load() >= maxUnusableRPCs {
+			return errTooManyUnusable
 		}
 		if err := c.decode(frame, full); err != nil {
 			return err
@@ -67,119 +67,122 @@
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
-		if turn++; turn >= c.press.effects.Load().MaxTurn && turn > 1 {
-			turn = 0
+		if framesSinceYield++; framesSinceYield >= c.monitor.effects.Load().MaxTurn && framesSinceYield > 1 {
+			framesSinceYield = 0
 			runtime.Gosched()
 		}
 	}
 }
 
-// decode takes in a frame, or refuses it where the connection is full.
+// decode processes a frame, or rejects it if the connection has too many open RPCs.
 func (c *conn) decode(frame []byte, full bool) error {
 	if full {
-		return thrift.Decode(frame, c.refuser())
+		return thrift.Decode(frame, c.rejecter())
 	}
-	before := c.last
+	previousSeq := c.lastSeq
 	err := errors.Join(thrift.Decode(frame, c), c.protocolError)
-	if now := c.last; now > before {
-		c.last = before
-		c.rise(now)
+	if currentSeq := c.lastSeq; currentSeq > previousSeq {
+		c.lastSeq = previousSeq
+		c.advanceTo(currentSeq)
 	}
 	return err
 }
 
 var (
-	errHalf       = errors.New("half a message, or none")
-	errTooManyOdd = errors.New("too many RPCs that cannot be run")
+	errPartialMessage  = errors.New("half a message, or none")
+	errTooManyUnusable = errors.New("too many RPCs that cannot be run")
 )
 
-// isRefusable reports whether the messages behind the one that ended a connection can be read, and so refused.
-func isRefusable(err error) bool {
-	twice := (*usedTwice)(nil)
-	return errors.Is(err, errTooManyOdd) || errors.As(err, &twice)
+// isRejectable reports whether the messages after the one that ended a connection can be parsed, and so
+// rejected.
+func isRejectable(err error) bool {
+	duplicate := (*duplicateSeqError)(nil)
+	return errors.Is(err, errTooManyUnusable) || errors.As(err, &duplicate)
 }
 
-// readBy bounds how long the next bytes may take, 0 for as long as it likes. Once nothing more is taken in, move has set
-// the bound, and the reader's own come too late.
-func (c *conn) readBy(within time.Duration) {
+// boundNextRead sets how long the next message may take; 0 means no limit. From phaseEnding on, enterPhase
+// has set the deadline and this one does not apply.
+func (c *conn) boundNextRead(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.due = time.Time{}
-	if within > 0 {
-		c.due = time.Now().Add(within)
+	c.messageDeadline = time.Time{}
+	if timeout > 0 {
+		c.messageDeadline = time.Now().Add(timeout)
 	}
-	if c.phase < ending {
-		c.woken = false
-		c.SetReadDeadline(c.due)
+	if c.phase < phaseEnding {
+		c.wakeDeadlineSet = false
+		c.SetReadDeadline(c.messageDeadline)
 	}
 }
 
-// overdue tells whether a message should have been whole by now. Then the connection closes; what has been read is answered
-// first.
-func (c *conn) overdue() bool {
+// handleOverdue reports whether the message deadline has passed. If so, an idle connection starts closing; a
+// busy one first gets time to answer what has been read.
+func (c *conn) handleOverdue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.due.IsZero() || time.Until(c.due) > timerSlack {
-		return false // only woken
+	if c.messageDeadline.IsZero() || time.Until(c.messageDeadline) > timerSlack {
+		return false // woken early
 	}
-	if c.rests() {
-		c.move(closing)
+	if c.isIdle() {
+		c.enterPhase(phaseClosing)
 	} else {
-		c.due = time.Now().Add(messageTimeout / 10)
-		c.woken = true
+		c.messageDeadline = time.Now().Add(messageTimeout / 10)
+		c.wakeDeadlineSet = true
 	}
 	return true
 }
 
-// inPart takes note whether a part of a message lies in the buffer.
-func (c *conn) inPart(part bool) {
+// setPartial records whether the buffer holds part of a message.
+func (c *conn) setPartial(partial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partial = part
+	c.partial = partial
 }
 
-// takeIn marks that a frame is being taken in; full tells that it is one more than the connection may have open, and is refused. While
-// too many answers wait to be written it waits for the writer first: under overload callers give up and ask anew faster than it comes
-// to its turn.
-func (c *conn) takeIn() (ends, full bool) {
+// beginFrame marks that a frame is being processed. It returns whether the connection is ending, and whether
+// it has as many open RPCs as it may have, so that the frame is rejected. While too many replies wait to be
+// written it first waits for the writer: under overload, callers give up and retry faster than the writer is
+// scheduled.
+func (c *conn) beginFrame() (ending, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.phase < ending && !c.writerEnded && c.answersWait() {
+	for c.phase < phaseEnding && !c.writerEnded && c.repliesBackedUp() {
 		c.mu.Unlock()
-		<-c.taken
+		<-c.repliesTaken
 		c.mu.Lock()
 	}
-	if c.phase >= ending {
+	if c.phase >= phaseEnding {
 		return true, false
 	}
-	c.used, c.reading, c.known = time.Now(), true, true
-	return false, len(c.open) >= mostOpen
+	c.lastUsed, c.reading, c.receivedMessage = time.Now(), true, true
+	return false, len(c.openCalls) >= maxOpenCalls
 }
 
-// answersWait is called under the lock.
-func (c *conn) answersWait() bool {
-	if len(c.open) < mostOpen {
-		return len(c.open)+len(c.replies) >= mostOpen
+// repliesBackedUp reports whether the reader has to wait for the writer. The caller holds c.mu.
+func (c *conn) repliesBackedUp() bool {
+	if len(c.openCalls) < maxOpenCalls {
+		return len(c.openCalls)+len(c.replies) >= maxOpenCalls
 	}
-	return len(c.replies) >= mostOpen
+	return len(c.replies) >= maxOpenCalls
 }
 
-// passOver refuses an RPC that is not all there, if it is larger than what is read now, and throws away what comes of it.
-// It tells whether it did. Behind an RPC that did not come whole nothing can be read any more.
-func (c *conn) passOver(in *readbuffer.Buffer) (done bool, err error) {
+// discardLarge rejects an RPC that is incomplete in the buffer and larger than currently admitted, and
+// discards its bytes. It reports whether it did. If the RPC does not arrive completely, nothing after it can
+// be parsed.
+func (c *conn) discardLarge(in *readbuffer.Buffer) (done bool, err error) {
 	size := thrift.Length(in.Bytes())
-	if size <= c.press.effects.Load().MaxFrameBytes || size > thrift.MaxFrame {
+	if size <= c.monitor.effects.Load().MaxFrameBytes || size > thrift.MaxFrame {
 		return false, nil
 	}
-	k, there := thrift.Peek(in.Bytes()[4:])
-	method, known := c.methods[string(k.Method)]
-	if !there || !known || c.tokened(method) && len(k.Token) == 0 || k.Seq <= c.last {
-		return false, nil // read it then, and let it end as it would
+	header, complete := thrift.Peek(in.Bytes()[4:])
+	method, known := c.methods[string(header.Method)]
+	if !complete || !known || c.tokened(method) && len(header.Token) == 0 || header.Seq <= c.lastSeq {
+		return false, nil // read it as usual and let it fail there
 	}
 	c.mu.Lock()
-	busy := c.phase >= ending || len(c.open)+len(c.replies) >= mostOpen
+	busy := c.phase >= phaseEnding || len(c.openCalls)+len(c.replies) >= maxOpenCalls
 	if !busy {
-		c.reading, c.used, c.known = true, time.Now(), true
+		c.reading, c.lastUsed, c.receivedMessage = true, time.Now(), true
 	}
 	c.mu.Unlock()
 	defer func() {
@@ -190,20 +193,21 @@
 	if busy {
 		return false, nil
 	}
-	if _, came := c.clock.arrival(k.Recv, c.longestWait(method, math.Inf(1))); !c.turnsAway(k.Seq, method, k.Token, came, size) {
+	if _, arrivedAt := c.clock.arrival(header.Recv, c.longestWait(method, math.Inf(1))); !c.shed(header.Seq, method,
+		header.Token, arrivedAt, size) {
 		return false, nil
 	}
-	c.press.came(method, 0)
-	c.rise(k.Seq)
-	c.readBy(messageTimeout)
-	for rest := size; ; {
-		n := min(rest, len(in.Bytes()))
+	c.monitor.recordArrival(method, 0)
+	c.advanceTo(header.Seq)
+	c.boundNextRead(messageTimeout)
+	for remaining := size; ; {
+		n := min(remaining, len(in.Bytes()))
 		in.Take(n)
-		if rest -= n; rest == 0 {
+		if remaining -= n; remaining == 0 {
 			return true, nil
 		}
 		if err := in.Fill(c); err != nil {
-			return true, errHalf
+			return true, errPartialMessage
 		}
 	}
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -13,97 +13,101 @@
 	"valveglade/config"
 )
 
-// settle is how long a file may take to be replaced after the word has come. One that is faulty, or the same as
-// before, is looked at again until then.
-const settle, lookAtFile = 2 * time.Second, 50 * time.Millisecond
+const (
+	// reloadWindow is how long a file may take to be replaced after the reload signal. Until then an invalid or
+	// unchanged file is read again.
+	reloadWindow = 2 * time.Second
+	// reloadPollInterval is the time between two reads within reloadWindow.
+	reloadPollInterval = 50 * time.Millisecond
+)
 
-// Reload reads the config and the settings again whenever asked to, until ctx ends. If either is faulty nothing changes;
-// no settings are those that there are.
-func (s *Server) Reload(ctx context.Context, asked <-chan os.Signal,
+// Reload reads the config and the settings again on each request, until ctx ends. If either is invalid,
+// nothing changes. If read returns nil settings, the current ones stay.
+func (s *Server) Reload(ctx context.Context, requests <-chan os.Signal,
 	read func() (*config.Config, *config.Settings, error)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-requests:
 		}
-		var faulty error
+		var reloadErr error
 		changed := false
-		for end := time.Now().Add(settle); !changed && time.Now().Before(end); {
-			faulty = s.stopPanic(func() (err error) {
-				changed, err = s.readAgain(read)
+		for deadline := time.Now().Add(reloadWindow); !changed && time.Now().Before(deadline); {
+			reloadErr = s.recoverPanic(func() (err error) {
+				changed, err = s.reloadOnce(read)
 				return err
 			})
-			if faulty != nil && !descriptorLeft() { // it is not the file that is faulty
-				s.noteShort()
-				end = time.Now().Add(settle)
+			if reloadErr != nil && !descriptorLeft() { // the file itself may be valid
+				s.handleShortage()
+				deadline = time.Now().Add(reloadWindow)
 			}
-			if !changed && !sleep(ctx, lookAtFile.Seconds()) {
+			if !changed && !sleep(ctx, reloadPollInterval.Seconds()) {
 				return
 			}
 		}
 		var keyError *config.KeyError
 		var directiveError *config.DirectiveError
 		switch {
-		case errors.As(faulty, &directiveError):
-			s.log.Warn("settings invalid, the previous stays", zap.String("at", fmt.Sprintf("%s:%d", directiveError.Path, directiveError.Line)),
-				zap.Error(faulty))
-		case errors.As(faulty, &keyError):
-			s.log.Warn("config invalid, the previous stays", zap.String("key", keyError.Key), zap.Error(faulty))
-		case faulty != nil:
-			s.log.Warn("config unreadable, the previous stays", zap.Error(faulty))
+		case errors.As(reloadErr, &directiveError):
+			s.log.Warn("settings invalid, the previous stays",
+				zap.String("at", fmt.Sprintf("%s:%d", directiveError.Path, directiveError.Line)), zap.Error(reloadErr))
+		case errors.As(reloadErr, &keyError):
+			s.log.Warn("config invalid, the previous stays", zap.String("key", keyError.Key), zap.Error(reloadErr))
+		case reloadErr != nil:
+			s.log.Warn("config unreadable, the previous stays", zap.Error(reloadErr))
 		case !changed:
 			s.log.Info("config unchanged")
 		}
 	}
 }
 
-// readAgain reads the config and the settings, and takes over what is new.
-func (s *Server) readAgain(read func() (*config.Config, *config.Settings, error)) (changed bool, err error) {
-	c, b, err := read()
+// reloadOnce reads the config and the settings, and applies what has changed.
+func (s *Server) reloadOnce(read func() (*config.Config, *config.Settings, error)) (changed bool, err error) {
+	c, settings, err := read()
 	if err != nil {
 		return false, err
 	}
-	changed = s.adopt(c)
-	if b == nil {
+	changed = s.applyConfig(c)
+	if settings == nil {
 		return changed, nil
 	}
-	if s.press.adopt(b) {
+	if s.monitor.updateSettings(settings) {
 		changed = true
-		s.log.Info("settings reloaded", zap.String("file", b.Path), zap.Bool("pressure", b.Pressure.On))
+		s.log.Info("settings reloaded", zap.String("file", settings.Path), zap.Bool("pressure", settings.Pressure.On))
 	}
-	return s.adoptFleet(b) || changed, nil
+	return s.applyFleetSettings(settings) || changed, nil
 }
 
-// adopt takes over what may change while running and tells whether anything is new. Runs and all that is held
-// go on; what cannot change stays as it was, with a line that says so.
-func (s *Server) adopt(c *config.Config) (changed bool) {
+// applyConfig applies what can change at run time and reports whether the config differs from the one last
+// read. Open RPCs and stored results stay. Keys that need a restart keep their values and are logged.
+func (s *Server) applyConfig(c *config.Config) (changed bool) {
 	old := s.config.Load()
-	if reflect.DeepEqual(c, s.read) {
+	if reflect.DeepEqual(c, s.lastReadConfig) {
 		return false
 	}
-	s.read = c
+	s.lastReadConfig = c
 	next := *c
-	var left []string
+	var needRestart []string
 	for _, fixed := range []struct {
 		key  string
 		same bool
 	}{{"name", c.Name == old.Name}, {"listen", c.Listen == old.Listen},
 		{"settings", reflect.DeepEqual(c.Rules, old.Rules) && reflect.DeepEqual(c.Methods, old.Methods)}} {
 		if !fixed.same {
-			left = append(left, fixed.key)
+			needRestart = append(needRestart, fixed.key)
 		}
 	}
 	next.Name, next.Listen, next.Methods, next.Rules = old.Name, old.Listen, old.Methods, old.Rules
-	if left != nil {
-		s.log.Warn("config changed where a restart is needed", zap.Strings("keys", left))
+	if needRestart != nil {
+		s.log.Warn("config changed where a restart is needed", zap.Strings("keys", needRestart))
 	}
 	s.config.Store(&next)
-	s.bound(&next)
-	effects := *s.press.effects.Load()
-	s.applied(effects, effects) // bounds that hang on the limits
+	s.setMemoryLimit(&next)
+	effects := *s.monitor.effects.Load()
+	s.applyEffects(effects, effects) // recompute the bounds that depend on the config's limits
 	s.link.Move(next.Kernel)
-	signal(s.said)
+	notify(s.reportNow)
 	s.log.Info("config reloaded", zap.Stringer("kernel", next.Kernel), zap.Stringer("roster", next.Roster))
 	return true
 }
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -8,9 +8,9 @@
 	"valveglade/internal/thrift"
 )
 
-// Execute takes in one RPC.
-func (c *conn) Execute(seq int32, op, uid []byte, src int, recv, ttl, heap float64, again bool, dedupe, body []byte) {
-	if c.out(seq) {
+// Execute processes one RPC.
+func (c *conn) Execute(seq int32, op, uid []byte, src int, recv, ttl, heap float64, retry bool, dedupe, body []byte) {
+	if c.rejectDuplicate(seq) {
 		return
 	}
 	method, known := c.methods[string(op)]
@@ -24,13 +24,13 @@
 		return
 	}
 	if c.config.Load().Rules.MayCallDownstream(method) {
-		c.refuse(seq, true) // no app server of this build can call, so no try of it has run either
+		c.pushBack(seq, true) // no app server of this build can make calls, so no attempt of it has run either
 		return
 	}
 	now, recv := c.clock.arrival(recv, c.longestWait(method, ttl))
-	if c.press.on.Load() {
-		c.press.came(method, min(max(now-recv, 0), mostLag))
-		if c.turnsAway(seq, method, dedupe, recv, len(body)) {
+	if c.monitor.enabled.Load() {
+		c.monitor.recordArrival(method, min(max(now-recv, 0), maxReadDelay))
+		if c.shed(seq, method, dedupe, recv, len(body)) {
 			return
 		}
 	}
@@ -38,55 +38,60 @@
 	if tokened {
 		token = string(dedupe)
 	}
-	k := &call{conn: c, seq: seq, method: method, uid: string(uid), body: append([]byte(nil), body...)}
-	if c.held.Add(k.size()) > int64(c.config.Load().Memory/heldShare) {
-		c.held.Add(-k.size())
-		c.lacksMemory(seq, method, token, recv)
+	pending := &call{conn: c, seq: seq, method: method, uid: string(uid), body: append([]byte(nil), body...)}
+	if c.requestBytes.Add(pending.size()) > int64(c.config.Load().Memory/requestMemoryShare) {
+		c.requestBytes.Add(-pending.size())
+		c.rejectForMemory(seq, method, token, recv)
 		return
 	}
 	c.mu.Lock()
-	c.open[seq] = k
+	c.openCalls[seq] = pending
 	c.mu.Unlock()
 	var ok bool
-	if k.id, ok = c.gate.Arrive(now, method, src, recv, c.givenUpAt(method, now, recv, ttl), heap, again, k.uid, token, body,
-		k); !ok {
+	if pending.id, ok = c.gate.Arrive(now, method, src, recv, c.clientDeadline(method, now, recv, ttl), heap,
+		retry, pending.uid, token, body, pending); !ok {
 		c.mu.Lock()
-		delete(c.open, seq)
+		delete(c.openCalls, seq)
 		c.mu.Unlock()
-		c.held.Add(-k.size())
+		c.requestBytes.Add(-pending.size())
 		c.unreadable(seq, "call or dedupe of another RPC")
 	}
 }
 
-// turnsAway refuses an RPC that the process cannot bear now, at once and beside the gate, which never hears of it. What
-// has begun is not refused: a repeat of it goes to the gate.
-func (c *conn) turnsAway(seq int32, method int, token []byte, recv float64, size int) bool {
-	e := c.press.effects.Load()
-	if size <= e.MaxFrameBytes && c.press.lets(method) || c.tokened(method) && len(token) > 0 && c.gate.IsRepeat(method, string(token), recv) {
+// shed rejects an RPC under pressure, without the gate, and reports whether it did. A retry of an RPC that
+// has begun is not rejected but goes to the gate.
+func (c *conn) shed(seq int32, method int, token []byte, recv float64, size int) bool {
+	effects := c.monitor.effects.Load()
+	if size <= effects.MaxFrameBytes && c.monitor.admits(method) ||
+		c.tokened(method) && len(token) > 0 && c.gate.IsRepeat(method, string(token), recv) {
 		return false
 	}
-	c.press.refused.Add(1)
-	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, false, e.RetryAfter, load) })
+	c.monitor.rejected.Add(1)
+	c.send(func(out []byte, load float64) []byte {
+		return thrift.PushedBack(out, seq, false, effects.RetryAfter, load)
+	})
 	return true
 }
 
-// lacksMemory answers an RPC for which there is no room: it has not run, unless it repeats one that may have.
-func (c *conn) lacksMemory(seq int32, method int, token string, recv float64) {
-	c.limited.Warn("no memory for an RPC", zap.Stringer("router", c.RemoteAddr()))
+// rejectForMemory rejects an RPC that does not fit into memory: pushed back as never run, or aborted if
+// another attempt of it may have run.
+func (c *conn) rejectForMemory(seq int32, method int, token string, recv float64) {
+	c.limitedLog.Warn("no memory for an RPC", zap.Stringer("router", c.RemoteAddr()))
 	if token != "" && c.gate.IsRepeat(method, token, recv) {
-		c.say(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
+		c.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
 		return
 	}
-	c.refuse(seq, false)
+	c.pushBack(seq, false)
 }
 
-// refuse answers an RPC that never ran, with the longest advice that callers heed; last asks that no other app server be tried.
-func (c *conn) refuse(seq int32, last bool) {
+// pushBack rejects an RPC that never ran, with the longest retry-after delay that callers observe. last asks
+// that no other app server be tried.
+func (c *conn) pushBack(seq int32, last bool) {
 	after := c.config.Load().Rules.MaxRetryAfter()
-	c.say(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
+	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
 }
 
-// logUnserved names each method whose RPCs are all refused.
+// logUnserved logs each method whose RPCs are all rejected because it may call the layer below.
 func (s *Server) logUnserved() {
 	c := s.config.Load()
 	for method, name := range c.Methods {
@@ -97,84 +102,87 @@
 	}
 }
 
-// mostLag is the longest time in seconds that one RPC counts as having lain unread: recv is its client's word, and one
-// client's alone is not to put the process under pressure.
-const mostLag = 5.0
+// maxReadDelay, in seconds, caps the read delay counted for one RPC: recv comes from the client, and a single
+// client must not be able to put the process under pressure.
+const maxReadDelay = 5.0
 
-// unknownWait is how long in seconds a client counts as waiting where neither its router nor the settings tell.
-const unknownWait = 3600.0
+// defaultClientWait, in seconds, is how long a client is assumed to wait if neither its router nor the
+// settings specify it.
+const defaultClientWait = 3600.0
 
-// givenUpAt is when an RPC's client gives up, 0 where its router does not tell: then the module goes by the method's deadline. No
-// client waits longer than that, whatever the router says.
-func (c *conn) givenUpAt(method int, now, recv, ttl float64) float64 {
+// clientDeadline returns when an RPC's client gives up, or 0 if its router does not specify it: the gate then
+// uses the method's deadline. No client is assumed to wait longer than that deadline.
+func (c *conn) clientDeadline(method int, now, recv, ttl float64) float64 {
 	wait := c.longestWait(method, ttl)
-	switch told := !math.IsInf(ttl, 1); {
-	case !told && math.IsInf(wait, 1):
-		wait = unknownWait
-	case !told:
+	switch ttlKnown := !math.IsInf(ttl, 1); {
+	case !ttlKnown && math.IsInf(wait, 1):
+		wait = defaultClientWait
+	case !ttlKnown:
 		return 0
 	}
-	const someTime = 1 // a router that tells of a time long ago has told all the same
-	return max(min(recv, now)+wait, someTime)
+	const minDeadline = 1 // keeps a specified deadline in the distant past apart from 0
+	return max(min(recv, now)+wait, minDeadline)
 }
 
-// usedTwice is a number that two RPCs of one connection came under.
-type usedTwice struct{ seq int32 }
+// duplicateSeqError reports a sequence number that two RPCs of one connection used.
+type duplicateSeqError struct{ seq int32 }
 
-func (e *usedTwice) Error() string { return "sequence number used before" }
+func (e *duplicateSeqError) Error() string { return "sequence number used before" }
 
-// out ends a connection whose RPCs' numbers do not rise: to answer one of two with the same number would be to
-// answer both.
-func (c *conn) out(seq int32) bool {
-	if seq > c.last {
-		c.last = seq
+// rejectDuplicate records a sequence number. If the number does not rise it ends the connection and returns true:
+// a reply to one of two RPCs with the same number would answer both.
+func (c *conn) rejectDuplicate(seq int32) bool {
+	if seq > c.lastSeq {
+		c.lastSeq = seq
 		return false
 	}
-	c.protocolError = &usedTwice{seq}
+	c.protocolError = &duplicateSeqError{seq}
 	return true
 }
 
-// Unreadable answers what cannot be run.
-func (c *conn) Unreadable(seq int32, why string) {
-	if !c.out(seq) {
-		c.unreadable(seq, why)
+// Unreadable aborts an RPC that cannot be run.
+func (c *conn) Unreadable(seq int32, field string) {
+	if !c.rejectDuplicate(seq) {
+		c.unreadable(seq, field)
 	}
 }
 
-func (c *conn) unreadable(seq int32, why string) {
-	c.limited.Warn("RPC unreadable", zap.Stringer("router", c.RemoteAddr()), zap.String("field", why))
-	c.say(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
-	c.odd.Add(1)
+// unreadable aborts an RPC that cannot be run and logs its invalid field.
+func (c *conn) unreadable(seq int32, field string) {
+	c.limitedLog.Warn("RPC unreadable", zap.Stringer("router", c.RemoteAddr()), zap.String("field", field))
+	c.send(func(out []byte, load float64) []byte { return thrift.Aborted(out, seq, load) })
+	c.unusableRPCs.Add(1)
 }
 
-// judge takes note of the kernel's word on an RPC of this connection: of what a client had not sent it knows nothing. One that it
-// does know shows a usual router, whose odd RPCs count afresh: its connection may live for as long as it likes.
-func (c *conn) judge(known bool) {
+// recordKernelVerdict counts RPCs of this connection that the kernel does not know because no client has sent
+// them. One that it knows shows a working router and resets the count, so that its connection may live
+// indefinitely.
+func (c *conn) recordKernelVerdict(known bool) {
 	if known {
-		c.odd.Store(0)
+		c.unusableRPCs.Store(0)
 	} else {
-		c.odd.Add(1)
+		c.unusableRPCs.Add(1)
 	}
 }
 
-// Interrupt tells that nobody waits for an RPC any more.
+// Interrupt drops an RPC that nobody waits for any more.
 func (c *conn) Interrupt(target int32) {
 	c.mu.Lock()
-	k := c.open[target]
-	delete(c.open, target)
-	c.settle()
+	pending := c.openCalls[target]
+	delete(c.openCalls, target)
+	c.advanceShutdown()
 	c.mu.Unlock()
-	if k != nil {
-		c.giveUp(map[int32]*call{target: k})
+	if pending != nil {
+		c.abandon(map[int32]*call{target: pending})
 	}
 }
 
 // Check answers a health check.
 func (c *conn) Check(seq int32) {
-	c.say(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, c.healthy(), load) })
+	c.send(func(out []byte, load float64) []byte { return thrift.Checked(out, seq, c.healthy(), load) })
 }
 
-// Unknown answers a call of a method that there is not.
+// Unknown answers a call of an unknown method.
 func (c *conn) Unknown(seq int32, method string) {
-	c.say(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
+	c.send(func(out []byte, _ float64) []byte { return thrift.Unknown(out, seq, method) })
 }
--- a/server/runs.go
+++ b/server/runs.go
@@ -11,49 +11,49 @@
 	"valveglade/rpc"
 )
 
-// run is a call which the kernel was asked to run.
+// run is a call that the kernel was asked to run.
 type run struct {
 	id gate.ID
 	*call
 }
 
-// Booted is the kernel's first word.
+// Booted handles the kernel's report that it has been up for ago seconds, and whether it was a cold start.
 func (s *Server) Booted(ago float64, cold bool) {
 	s.log.Info("kernel up", zap.Float64("for_s", ago), zap.Bool("cold", cold))
 	now := s.clock.now()
-	warm := now - ago
+	warmAt := now - ago
 	if cold {
-		warm += s.config.Load().Rules.Rules.RampTime
+		warmAt += s.config.Load().Rules.Rules.RampTime
 	}
-	s.warmAt.Store(int64(min(warm*1e9, math.MaxInt64/2)))
-	s.stopPanic(func() error {
+	s.warmAt.Store(int64(min(warmAt*1e9, math.MaxInt64/2)))
+	s.recoverPanic(func() error {
 		if s.gate.SetBootTime(now, now-ago, cold) {
-			defer signal(s.well)
-			close(s.up)
+			defer notify(s.healthChanged)
+			close(s.kernelUp)
 		}
 		return nil
 	})
 }
 
-// Ended is the kernel's word on a run.
+// Ended handles the kernel's report of a finished run.
 func (s *Server) Ended(r *run, took float64, result []byte, err error) {
-	how := rpc.OK
+	outcome := rpc.OK
 	attempt := (*kernel.Attempt)(nil)
 	if errors.As(err, &attempt) {
 		switch {
 		case attempt.Reach == kernel.NeverRan:
-			how = rpc.NotStarted
+			outcome = rpc.NotStarted
 		case attempt.Stopped:
-			how = rpc.Cancelled
+			outcome = rpc.Cancelled
 		default:
-			how = rpc.Error
+			outcome = rpc.Error
 		}
 	}
 	if attempt == nil || attempt.Reach != kernel.Sent {
-		r.conn.judge(attempt == nil || !attempt.Unknown)
+		r.conn.recordKernelVerdict(attempt == nil || !attempt.Unknown)
 	}
-	s.stopPanic(func() error {
-		s.gate.Report(s.clock.now(), r.id, how, took, result)
+	s.recoverPanic(func() error {
+		s.gate.Report(s.clock.now(), r.id, outcome, took, result)
 		return nil
 	})
 }
--- a/server/writer.go
+++ b/server/writer.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// reply writes one message behind others, with the credit of that moment.
+// reply appends an encoded message, with the credit at the time of writing, to out.
 type reply func(out []byte, load float64) []byte
 
-// say leaves a reply that no RPC waits for to the connection's writer.
-func (c *conn) say(r reply) {
+// send queues a reply that belongs to no open RPC.
+func (c *conn) send(r reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue(r)
 }
 
-// queue is called under the lock, so that a connection with an answer to write never looks idle.
+// queue passes a reply to the writer. The caller holds c.mu, so a connection with a reply to write never
+// looks idle.
 func (c *conn) queue(r reply) {
-	if c.phase == shut {
-		return // nothing can be written any more
+	if c.phase == phaseShut {
+		return // the write side is shut
 	}
 	c.replies = append(c.replies, r)
-	signal(c.wake)
+	notify(c.wake)
 }
 
-// write sends replies, several at once where they are ready, with the credit of that moment.
+// write sends queued replies, several per write where possible, each with the credit at the time of writing.
 func (c *conn) write(ctx context.Context) error {
 	defer func() {
 		c.mu.Lock()
 		c.writerEnded = true
-		c.settle()
+		c.advanceShutdown()
 		c.mu.Unlock()
-		signal(c.taken)
+		notify(c.repliesTaken)
 	}()
 	var out []byte
 	for {
@@ -44,32 +45,32 @@
 		}
 		c.mu.Lock()
 		replies := c.replies
-		c.replies, c.spare = c.spare[:0], nil
+		c.replies, c.spareReplies = c.spareReplies[:0], nil
 		c.writing = true
-		owing := c.owing
+		replyBytes := c.replyBytes
 		c.mu.Unlock()
-		signal(c.taken)
+		notify(c.repliesTaken)
 		for rest := replies; len(rest) > 0; {
 			load := c.credit()
 			for out = out[:0]; len(rest) > 0 && len(out) < writeSize; rest = rest[1:] {
 				out = rest[0](out, load)
 			}
-			c.writeBy()
+			c.boundNextWrite()
 			if _, err := c.Write(out); errors.Is(err, os.ErrDeadlineExceeded) {
 				return errors.New("the router does not read its answers")
-			} else if err != nil { // it has left
+			} else if err != nil { // the router has closed the connection
 				c.Close()
 				return nil
 			}
 		}
 		clear(replies)
 		c.mu.Lock()
-		c.spare, c.writing, c.used = replies, false, time.Now()
-		if !c.ended {
-			c.owing -= owing
-			c.press.owed.Add(-owing)
+		c.spareReplies, c.writing, c.lastUsed = replies, false, time.Now()
+		if !c.released {
+			c.replyBytes -= replyBytes
+			c.monitor.replyBytes.Add(-replyBytes)
 		}
-		c.settle()
+		c.advanceShutdown()
 		c.mu.Unlock()
 	}
 }
