--- a/fleet/distribution_status.go
+++ b/fleet/distribution_status.go
@@ -65,7 +65,7 @@
 	return s
 }
 
-var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollows: "follows", configlog.ReplicaAsks: "asks for promises",
+var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollows: "follows", configlog.ReplicaPreparing: "asks for promises",
 	configlog.ReplicaFetches: "fetches", configlog.ReplicaLeads: "leads"}
 
 // refusals are all counts of what was refused or dropped, without those that are zero.
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -20,7 +20,7 @@
 	switch r.state {
 	case ReplicaFollows:
 		return ErrNotLeader
-	case ReplicaAsks, ReplicaFetches:
+	case ReplicaPreparing, ReplicaFetches:
 		return ErrRecovering
 	}
 	if change.Service == "" {
@@ -197,7 +197,7 @@
 // Tick does what is due.
 func (r *Replica) Tick(now float64) {
 	switch r.state {
-	case ReplicaAsks, ReplicaFetches:
+	case ReplicaPreparing, ReplicaFetches:
 		r.recoverAgain(now)
 	case ReplicaLeads:
 		r.freshAt = now
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -33,7 +33,7 @@
 	if r.self >= 0 {
 		r.lead.answers[r.self] = RecoverResponse{Term: term, Last: r.log.last(), Commit: r.committed}
 	}
-	r.moveTo(ReplicaAsks)
+	r.moveTo(ReplicaPreparing)
 	r.ask(now)
 	return nil
 }
@@ -56,7 +56,7 @@
 		r.overtaken(response.Known)
 		return
 	}
-	if r.state != ReplicaAsks {
+	if r.state != ReplicaPreparing {
 		return
 	}
 	r.lead.answers[r.voters.Number(from)] = response
@@ -143,7 +143,7 @@
 	if r.state == ReplicaFetches {
 		delete(r.lead.answers, r.lead.source)
 		r.lead.fetched = 0
-		r.moveTo(ReplicaAsks)
+		r.moveTo(ReplicaPreparing)
 	}
 	r.ask(now)
 	r.chooseLog(now)
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -60,10 +60,10 @@
 
 // The states of a replica.
 const (
-	ReplicaFollows ReplicaState = iota
-	ReplicaAsks                 // leads, and waits for the promises of a majority
-	ReplicaFetches              // leads, and fetches what it lacks
-	ReplicaLeads                // leads, and takes proposals
+	ReplicaFollows   ReplicaState = iota
+	ReplicaPreparing              // leads, and waits for the promises of a majority
+	ReplicaFetches                // leads, and fetches what it lacks
+	ReplicaLeads                  // leads, and takes proposals
 )
 
 // ReplicaStatus tells where a replica is.
--- a/logic/configlog/replica_walk_test.go
+++ b/logic/configlog/replica_walk_test.go
@@ -223,7 +223,7 @@
 	}
 	switch request := envelope.Message.(type) {
 	case RecoverRequest:
-		return from.promised != term || from.state != ReplicaAsks
+		return from.promised != term || from.state != ReplicaPreparing
 	case AppendRequest:
 		return s.repeats(from, to, request)
 	}
