--- a/fleet/distribution_status.go
+++ b/fleet/distribution_status.go
@@ -66,7 +66,7 @@
 }
 
 var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollows: "follows", configlog.ReplicaPreparing: "asks for promises",
-	configlog.ReplicaFetches: "fetches", configlog.ReplicaLeads: "leads"}
+	configlog.ReplicaFetching: "fetches", configlog.ReplicaLeads: "leads"}
 
 // refusals are all counts of what was refused or dropped, without those that are zero.
 func (d *Distribution) refusals() map[string]int64 {
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -121,7 +121,7 @@
 		r.reset, r.truncateFrom, r.savedTo = true, 0, version.Index
 	}
 	r.committed, r.given = version.Index, version.Index
-	if r.state == ReplicaFetches {
+	if r.state == ReplicaFetching {
 		r.fetch(now)
 	}
 	return true
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -20,7 +20,7 @@
 	switch r.state {
 	case ReplicaFollows:
 		return ErrNotLeader
-	case ReplicaPreparing, ReplicaFetches:
+	case ReplicaPreparing, ReplicaFetching:
 		return ErrRecovering
 	}
 	if change.Service == "" {
@@ -197,7 +197,7 @@
 // Tick does what is due.
 func (r *Replica) Tick(now float64) {
 	switch r.state {
-	case ReplicaPreparing, ReplicaFetches:
+	case ReplicaPreparing, ReplicaFetching:
 		r.recoverAgain(now)
 	case ReplicaLeads:
 		r.freshAt = now
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -85,7 +85,7 @@
 		return
 	}
 	r.lead.source, r.lead.attempts = best, 0
-	r.moveTo(ReplicaFetches)
+	r.moveTo(ReplicaFetching)
 	r.fetch(now)
 }
 
@@ -112,7 +112,7 @@
 func (r *Replica) fetchFrom() uint64 { return max(r.lead.fetched, r.committed) + 1 }
 
 func (r *Replica) handleFetchResponse(from string, response FetchResponse, now float64) {
-	if r.state != ReplicaFetches || response.Term != r.promised || r.voters.Number(from) != r.lead.source {
+	if r.state != ReplicaFetching || response.Term != r.promised || r.voters.Number(from) != r.lead.source {
 		return
 	}
 	if response.From != r.fetchFrom() {
@@ -136,11 +136,11 @@
 	if now-r.lead.askedAt < r.cfg.ResendAfter {
 		return
 	}
-	if r.state == ReplicaFetches && r.lead.attempts < fetchAttempts {
+	if r.state == ReplicaFetching && r.lead.attempts < fetchAttempts {
 		r.fetch(now)
 		return
 	}
-	if r.state == ReplicaFetches {
+	if r.state == ReplicaFetching {
 		delete(r.lead.answers, r.lead.source)
 		r.lead.fetched = 0
 		r.moveTo(ReplicaPreparing)
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -62,7 +62,7 @@
 const (
 	ReplicaFollows   ReplicaState = iota
 	ReplicaPreparing              // leads, and waits for the promises of a majority
-	ReplicaFetches                // leads, and fetches what it lacks
+	ReplicaFetching               // leads, and fetches what it lacks
 	ReplicaLeads                  // leads, and takes proposals
 )
 
