--- a/fleet/distribution_status.go
+++ b/fleet/distribution_status.go
@@ -65,7 +65,7 @@
 	return s
 }
 
-var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollows: "follows", configlog.ReplicaPreparing: "asks for promises",
+var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollower: "follows", configlog.ReplicaPreparing: "asks for promises",
 	configlog.ReplicaFetching: "fetches", configlog.ReplicaLeads: "leads"}
 
 // refusals are all counts of what was refused or dropped, without those that are zero.
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -49,7 +49,7 @@
 
 // moveTo changes the state, and nothing else does.
 func (r *Replica) moveTo(state ReplicaState) {
-	if state == ReplicaFollows {
+	if state == ReplicaFollower {
 		for _, proposal := range r.lead.open {
 			r.out.Results = append(r.out.Results, Result{ID: proposal.id, Err: ErrOutcomeUnknown})
 		}
@@ -59,7 +59,7 @@
 }
 
 // StepDown ends leading; open proposals end with ErrOutcomeUnknown.
-func (r *Replica) StepDown() { r.moveTo(ReplicaFollows) }
+func (r *Replica) StepDown() { r.moveTo(ReplicaFollower) }
 
 // promise takes nothing from leaders below a term any more, itself among them.
 func (r *Replica) promise(term uint64) {
@@ -72,11 +72,11 @@
 
 // overtaken ends leading as a higher term is known.
 func (r *Replica) overtaken(known uint64) {
-	if r.state == ReplicaFollows || known <= r.promised {
+	if r.state == ReplicaFollower || known <= r.promised {
 		return
 	}
 	r.out.StaleTerm = known
-	r.moveTo(ReplicaFollows)
+	r.moveTo(ReplicaFollower)
 }
 
 // Step takes a message of another replica.
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -18,7 +18,7 @@
 // Propose appends a change. Its outcome comes out of Ready under the id.
 func (r *Replica) Propose(id uint64, change Change, now float64) error {
 	switch r.state {
-	case ReplicaFollows:
+	case ReplicaFollower:
 		return ErrNotLeader
 	case ReplicaPreparing, ReplicaFetching:
 		return ErrRecovering
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -27,7 +27,7 @@
 	if term <= r.promised {
 		return &StaleTermError{Term: term, Known: r.promised}
 	}
-	r.moveTo(ReplicaFollows)
+	r.moveTo(ReplicaFollower)
 	r.promised = term
 	r.lead.answers = map[int]RecoverResponse{}
 	if r.self >= 0 {
@@ -49,7 +49,7 @@
 }
 
 func (r *Replica) handleRecoverResponse(from string, response RecoverResponse, now float64) {
-	if response.Term != r.promised || r.state == ReplicaFollows {
+	if response.Term != r.promised || r.state == ReplicaFollower {
 		return
 	}
 	if response.Refused {
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -60,7 +60,7 @@
 
 // The states of a replica.
 const (
-	ReplicaFollows   ReplicaState = iota
+	ReplicaFollower  ReplicaState = iota
 	ReplicaPreparing              // leads, and waits for the promises of a majority
 	ReplicaFetching               // leads, and fetches what it lacks
 	ReplicaLeads                  // leads, and takes proposals
--- a/logic/configlog/replica_voter.go
+++ b/logic/configlog/replica_voter.go
@@ -32,7 +32,7 @@
 		r.send(from, AppendResponse{Term: request.Term, Known: r.promised})
 		return
 	}
-	if !contiguous(request.Previous, request.Entries) || request.Term == r.promised && r.state != ReplicaFollows {
+	if !contiguous(request.Previous, request.Entries) || request.Term == r.promised && r.state != ReplicaFollower {
 		return
 	}
 	r.promise(request.Term)
@@ -98,7 +98,7 @@
 }
 
 func (r *Replica) handleBehindNotice(from string, notice BehindNotice) {
-	if notice.Term < r.promised || r.state != ReplicaFollows && notice.Term == r.promised {
+	if notice.Term < r.promised || r.state != ReplicaFollower && notice.Term == r.promised {
 		return
 	}
 	r.promise(notice.Term)
--- a/logic/configlog/replica_walk_test.go
+++ b/logic/configlog/replica_walk_test.go
@@ -215,7 +215,7 @@
 	if isAnswer(envelope.Message) {
 		answer, ok := envelope.Message.(AppendResponse)
 		progress := to.lead.progress
-		return term != to.promised || to.state == ReplicaFollows ||
+		return term != to.promised || to.state == ReplicaFollower ||
 			ok && progress != nil && answer.Accepted && progress[to.voters.Number(envelope.From)].match >= answer.Match
 	}
 	if term != to.promised {
@@ -308,7 +308,7 @@
 	if s.answerFirst {
 		h.Add(s.disks[voter].Promised<<32 | uint64(len(s.disks[voter].Entries)))
 	}
-	if r.state == ReplicaFollows {
+	if r.state == ReplicaFollower {
 		return
 	}
 	h.Add(uint64(order[number(r.voters.Names()[r.lead.source])])<<32 | r.lead.fetched<<16 | uint64(len(r.lead.open)))
