--- a/fleet/distribution_apply.go
+++ b/fleet/distribution_apply.go
@@ -38,7 +38,7 @@
 	if len(request.Text) > MaxChangeText || len(request.Path) > maxChangePath {
 		return configlog.Version{}, fmt.Errorf("%s: %d bytes are more than the %d of one set of changes", request.Path, len(request.Text), MaxChangeText)
 	}
-	if d.replica == nil || d.replica.status.Load().State != configlog.ReplicaLeads {
+	if d.replica == nil || d.replica.status.Load().State != configlog.ReplicaLeader {
 		return d.forward(ctx, request)
 	}
 	changes, err := configtable.ParseChanges(request.Path, request.Text)
--- a/fleet/distribution_propose.go
+++ b/fleet/distribution_propose.go
@@ -10,7 +10,7 @@
 // propose checks changes against the table with all open proposals applied, and appends them to the log if none is at fault.
 func (l *replicaLoop) propose(p changesProposed) {
 	status := l.machine.Status(clock())
-	if status.State != configlog.ReplicaLeads {
+	if status.State != configlog.ReplicaLeader {
 		p.reply <- proposalOutcome{Err: configlog.ErrNotLeader}
 		return
 	}
--- a/fleet/distribution_recover.go
+++ b/fleet/distribution_recover.go
@@ -74,7 +74,7 @@
 	}
 	status := d.replica.status.Load()
 	last := d.replica.askedAt.Load()
-	if status.State != configlog.ReplicaLeads || status.Term != term || time.Since(epoch) < time.Duration(last)+termRequestEvery {
+	if status.State != configlog.ReplicaLeader || status.Term != term || time.Since(epoch) < time.Duration(last)+termRequestEvery {
 		return
 	}
 	if d.replica.askedAt.CompareAndSwap(last, int64(time.Since(epoch))) {
--- a/fleet/distribution_status.go
+++ b/fleet/distribution_status.go
@@ -53,7 +53,7 @@
 	if d.replica != nil {
 		s.Part = "voter"
 		status := d.replica.status.Load()
-		s.State, s.Leads = replicaStateNames[status.State], status.State == configlog.ReplicaLeads
+		s.State, s.Leads = replicaStateNames[status.State], status.State == configlog.ReplicaLeader
 		return s
 	}
 	if s.Part == "" {
@@ -66,7 +66,7 @@
 }
 
 var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollower: "follows", configlog.ReplicaPreparing: "asks for promises",
-	configlog.ReplicaFetching: "fetches", configlog.ReplicaLeads: "leads"}
+	configlog.ReplicaFetching: "fetches", configlog.ReplicaLeader: "leads"}
 
 // refusals are all counts of what was refused or dropped, without those that are zero.
 func (d *Distribution) refusals() map[string]int64 {
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -110,7 +110,7 @@
 // InstallSnapshot has the log go on from a committed version that the table outside now has. It reports false, and does nothing, for
 // one that is not above what is committed here.
 func (r *Replica) InstallSnapshot(version Version, lastOfService map[string]uint64, now float64) bool {
-	if version.Index <= r.committed || r.state == ReplicaLeads {
+	if version.Index <= r.committed || r.state == ReplicaLeader {
 		return false
 	}
 	if here, ok := r.log.version(version.Index); !ok || here != version {
@@ -135,7 +135,7 @@
 	committed, _ := r.log.version(r.committed)
 	status := ReplicaStatus{State: r.state, Term: r.promised, Last: r.log.last(), Committed: committed, Base: r.log.base,
 		Open: len(r.lead.open), Age: now - r.freshAt}
-	if r.state == ReplicaLeads {
+	if r.state == ReplicaLeader {
 		status.Age = 0
 	}
 	return status
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -88,7 +88,7 @@
 }
 
 func (r *Replica) handleAppendResponse(from string, response AppendResponse, now float64) {
-	if r.state != ReplicaLeads || response.Term != r.promised {
+	if r.state != ReplicaLeader || response.Term != r.promised {
 		return
 	}
 	if response.Known > r.promised {
@@ -199,7 +199,7 @@
 	switch r.state {
 	case ReplicaPreparing, ReplicaFetching:
 		r.recoverAgain(now)
-	case ReplicaLeads:
+	case ReplicaLeader:
 		r.freshAt = now
 		for voter := range r.lead.progress {
 			if voter != r.self {
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -159,7 +159,7 @@
 	for voter := range r.lead.progress {
 		r.lead.progress[voter].next = next
 	}
-	r.moveTo(ReplicaLeads)
+	r.moveTo(ReplicaLeader)
 	r.appendOwn(Change{})
 	r.replicate(now)
 }
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -63,7 +63,7 @@
 	ReplicaFollower  ReplicaState = iota
 	ReplicaPreparing              // leads, and waits for the promises of a majority
 	ReplicaFetching               // leads, and fetches what it lacks
-	ReplicaLeads                  // leads, and takes proposals
+	ReplicaLeader                 // leads, and takes proposals
 )
 
 // ReplicaStatus tells where a replica is.
--- a/logic/configlog/replica_walk_test.go
+++ b/logic/configlog/replica_walk_test.go
@@ -84,7 +84,7 @@
 	}
 	for voter, replica := range s.replicas {
 		add(s.terms > 0 && (s.term > 0 || voter == 0), actLead, voter)
-		add(s.proposals > 0 && replica.state == ReplicaLeads, actPropose, voter)
+		add(s.proposals > 0 && replica.state == ReplicaLeader, actPropose, voter)
 		add(s.restarts > 0, actRestart, voter)
 	}
 	for k := range s.flight {
@@ -190,7 +190,7 @@
 func (s *logState) look() {
 	var latest *Replica
 	for _, replica := range s.replicas {
-		if replica.state == ReplicaLeads && (latest == nil || replica.promised > latest.promised) {
+		if replica.state == ReplicaLeader && (latest == nil || replica.promised > latest.promised) {
 			latest = replica
 		}
 	}
@@ -265,7 +265,7 @@
 	}
 	version, ok := to.log.version(match)
 	return ok && version == last && min(request.Commit, match) <= to.committed && (from.promised != request.Term ||
-		from.state != ReplicaLeads || from.lead.progress[from.voters.Number(to.cfg.Name)].match >= match)
+		from.state != ReplicaLeader || from.lead.progress[from.voters.Number(to.cfg.Name)].match >= match)
 }
 
 // key is the same for states that differ by the names of the voters that were not the first to lead alone.
@@ -317,7 +317,7 @@
 		if voter < 0 {
 			continue
 		}
-		if answer, ok := r.lead.answers[voter]; ok && r.state != ReplicaLeads {
+		if answer, ok := r.lead.answers[voter]; ok && r.state != ReplicaLeader {
 			h.Add(answer.Last.Term<<32 | answer.Last.Index<<16 | answer.Commit + 1)
 		}
 		h.Add(0)
