--- a/fleet/distribution_follower.go
+++ b/fleet/distribution_follower.go
@@ -45,7 +45,7 @@
 		payload []byte
 	}
 	lookupAsked struct {
-		kind  configlog.Kind
+		kind  configlog.LookupKind
 		name  string
 		reply chan configlog.LookupDone // holds one
 	}
--- a/fleet/distribution_lookup.go
+++ b/fleet/distribution_lookup.go
@@ -37,7 +37,7 @@
 	if result, ok := d.cache.get(kind, key, clock()); ok {
 		return result, nil
 	}
-	asked := lookupAsked{kind: configlog.Kind(kind), name: key, reply: make(chan configlog.LookupDone, 1)}
+	asked := lookupAsked{kind: configlog.LookupKind(kind), name: key, reply: make(chan configlog.LookupDone, 1)}
 	select {
 	case d.follower.inbox <- asked:
 	case <-ctx.Done():
--- a/fleet/distribution_snapshot.go
+++ b/fleet/distribution_snapshot.go
@@ -27,7 +27,7 @@
 }
 
 // Lookup finds one entry.
-func (t tableSnapshotter) Lookup(kind configlog.Kind, name string) (value []byte, version configlog.Version, found bool) {
+func (t tableSnapshotter) Lookup(kind configlog.LookupKind, name string) (value []byte, version configlog.Version, found bool) {
 	state := t.d.Table()
 	change, found := lookupTable(state.Table, configtable.Kind(kind), name)
 	if found {
--- a/logic/configlog/example_feed_test.go
+++ b/logic/configlog/example_feed_test.go
@@ -16,7 +16,7 @@
 }
 
 func (t table) Open([]string, bool) configlog.Snapshot { return &snapshot{t, 3} }
-func (t table) Lookup(_ configlog.Kind, name string) ([]byte, configlog.Version, bool) {
+func (t table) Lookup(_ configlog.LookupKind, name string) ([]byte, configlog.Version, bool) {
 	return []byte("of " + name), t.version, name != "none"
 }
 func (s *snapshot) Version() configlog.Version { return s.version }
--- a/logic/configlog/feed_types.go
+++ b/logic/configlog/feed_types.go
@@ -19,7 +19,7 @@
 	// Open holds the records of some services, or of all, as they are now.
 	Open(services []string, all bool) Snapshot
 	// Lookup finds one record, as of a version.
-	Lookup(kind Kind, name string) (value []byte, version Version, found bool)
+	Lookup(kind LookupKind, name string) (value []byte, version Version, found bool)
 }
 
 // Snapshot reads the records of one version, in parts.
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -66,7 +66,7 @@
 	return &prefixSnapshot{version: lastOf(p.entries), records: recordsOf(p.entries, wants)}
 }
 
-func (p *prefixTable) Lookup(Kind, string) ([]byte, Version, bool) {
+func (p *prefixTable) Lookup(LookupKind, string) ([]byte, Version, bool) {
 	return nil, lastOf(p.entries), false
 }
 
--- a/logic/configlog/follower_connect.go
+++ b/logic/configlog/follower_connect.go
@@ -119,7 +119,7 @@
 }
 
 // Lookup asks for a record on demand; LookupDone has the outcome under the id.
-func (f *Follower) Lookup(id uint64, kind Kind, name string, now float64) error {
+func (f *Follower) Lookup(id uint64, kind LookupKind, name string, now float64) error {
 	f.now = max(f.now, now)
 	if f.state == FollowerDisconnected {
 		return &DisconnectedError{Distributor: f.connection.name()}
--- a/logic/configlog/stream.go
+++ b/logic/configlog/stream.go
@@ -56,14 +56,14 @@
 	Age      float64
 }
 
-// Kind is what a lookup is for; its values are the caller's.
-type Kind uint8
+// LookupKind is what a lookup is for; its values are the caller's.
+type LookupKind uint8
 
 // Lookup asks for one record that the app server does not serve.
 type Lookup struct {
 	Stream uint64
 	ID     uint64
-	Kind   Kind
+	Kind   LookupKind
 	Name   string
 }
 
