--- a/logic/configlog/errors.go
+++ b/logic/configlog/errors.go
@@ -36,12 +36,12 @@
 
 // GapError tells of something missing before what came: a message of the stream, an entry of the service or of the log.
 type GapError struct {
-	What      string // "sequence", "service" or "index"
+	Kind      string // "sequence", "service" or "index"
 	Want, Got uint64
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("configlog: gap in %s: %d, not %d", e.What, e.Got, e.Want)
+	return fmt.Sprintf("configlog: gap in %s: %d, not %d", e.Kind, e.Got, e.Want)
 }
 
 // DuplicateError tells of a stream message that came a second time.
@@ -66,9 +66,9 @@
 }
 
 // MalformedError tells of a message that nobody who keeps the protocol sends at this point.
-type MalformedError struct{ Why string }
+type MalformedError struct{ Reason string }
 
-func (e *MalformedError) Error() string { return "configlog: malformed: " + e.Why }
+func (e *MalformedError) Error() string { return "configlog: malformed: " + e.Reason }
 
 // DisconnectedError is how a lookup fails whose connection ended.
 type DisconnectedError struct{ Distributor string }
--- a/logic/configlog/feed.go
+++ b/logic/configlog/feed.go
@@ -11,17 +11,17 @@
 	table       Snapshotter
 	history     entryLog
 	now         float64
-	freshAt     float64 // when the distributor was last known to be as new as the leader; -Inf for never
+	upToDateAt  float64 // when the distributor was last known to be as new as the leader; -Inf for never
 	subscribers map[SubscriberID]*subscriber
 	byService   map[string][]*subscriber
 	all         []*subscriber
 	active      []*subscriber // with something to send
-	heartbeats  []heartbeatDue
+	heartbeats  []scheduledHeartbeat
 	out         FeedReady
 }
 
 // heartbeatDue is when a subscriber gets its next heartbeat. They all wait as long, so that a queue is in the order of time.
-type heartbeatDue struct {
+type scheduledHeartbeat struct {
 	subscriber *subscriber
 	at         float64
 }
@@ -29,7 +29,7 @@
 // NewFeed begins with a table of a version, and no history.
 func NewFeed(cfg FeedConfig, table Snapshotter, version Version, now float64) *Feed {
 	f := &Feed{cfg: cfg, table: table, now: now, subscribers: map[SubscriberID]*subscriber{}, byService: map[string][]*subscriber{},
-		freshAt: math.Inf(-1)}
+		upToDateAt: math.Inf(-1)}
 	f.history = entryLog{base: version, lastOfService: map[string]uint64{}}
 	return f
 }
@@ -47,18 +47,18 @@
 	}
 	last := f.Version()
 	if entries[0].Index != last.Index+1 {
-		return &GapError{What: "index", Want: last.Index + 1, Got: entries[0].Index}
+		return &GapError{Kind: "index", Want: last.Index + 1, Got: entries[0].Index}
 	}
 	if entries[0].Term < last.Term {
 		return &StaleTermError{Term: entries[0].Term, Known: last.Term}
 	}
 	if !contiguous(last, entries) {
-		return &MalformedError{Why: "entries that do not follow each other"}
+		return &MalformedError{Reason: "entries that do not follow each other"}
 	}
 	for _, entry := range entries {
 		f.history.append(entry)
-		f.offer(f.all, entry)
-		f.offer(f.byService[entry.Service], entry)
+		f.enqueueFor(f.all, entry)
+		f.enqueueFor(f.byService[entry.Service], entry)
 	}
 	f.compact()
 	f.sendActive()
@@ -66,17 +66,17 @@
 }
 
 // offer has an entry wait for those who want it, and closes those for whom too much waits already.
-func (f *Feed) offer(wanting []*subscriber, entry Entry) {
+func (f *Feed) enqueueFor(subscribers []*subscriber, entry Entry) {
 	var slow []*subscriber
-	for _, subscriber := range wanting {
-		if !subscriber.enqueue(entry, f.cfg.BufferBytes) {
-			slow = append(slow, subscriber)
+	for _, sub := range subscribers {
+		if !sub.enqueue(entry, f.cfg.BufferBytes) {
+			slow = append(slow, sub)
 			continue
 		}
-		f.activate(subscriber)
+		f.activate(sub)
 	}
-	for _, subscriber := range slow {
-		f.close(subscriber, CloseSlow)
+	for _, sub := range slow {
+		f.close(sub, CloseSlow)
 	}
 }
 
@@ -110,22 +110,22 @@
 		f.out.Closed = append(f.out.Closed, Closed{id, CloseBehind})
 		return
 	}
-	subscriber := newSubscriber(id, request, f.rate(request), f.now)
-	f.register(subscriber)
-	if entries, ok := f.missed(request.From, subscriber); ok && subscriber.resume(entries, f.cfg.BufferBytes) {
-		f.send(subscriber, Welcome{Mode: WelcomeResume, Version: request.From})
+	sub := newSubscriber(id, request, f.byteRate(request), f.now)
+	f.register(sub)
+	if entries, ok := f.missedEntries(request.From, sub); ok && sub.resume(entries, f.cfg.BufferBytes) {
+		f.send(sub, Welcome{Mode: WelcomeResume, Version: request.From})
 	} else {
-		subscriber.snapshot = f.table.Open(request.Services, request.All)
-		subscriber.position = subscriber.snapshot.Version()
-		f.send(subscriber, Welcome{Mode: WelcomeSnapshot, Version: subscriber.position})
+		sub.snapshot = f.table.Open(request.Services, request.All)
+		sub.sentVersion = sub.snapshot.Version()
+		f.send(sub, Welcome{Mode: WelcomeSnapshot, Version: sub.sentVersion})
 	}
-	f.heartbeats = append(f.heartbeats, heartbeatDue{subscriber, f.now + f.cfg.HeartbeatEvery})
-	f.activate(subscriber)
+	f.heartbeats = append(f.heartbeats, scheduledHeartbeat{sub, f.now + f.cfg.HeartbeatEvery})
+	f.activate(sub)
 	f.sendActive()
 }
 
 // rate is how many bytes a second a subscriber gets.
-func (f *Feed) rate(request Subscribe) float64 {
+func (f *Feed) byteRate(request Subscribe) float64 {
 	if request.BytesPerSecond > 0 {
 		return min(request.BytesPerSecond, f.cfg.BytesPerSecond)
 	}
@@ -133,7 +133,7 @@
 }
 
 // missed gives the entries that a subscriber wants after a version, unless they are not kept or the version is not of this log.
-func (f *Feed) missed(from Version, subscriber *subscriber) ([]Entry, bool) {
+func (f *Feed) missedEntries(from Version, sub *subscriber) ([]Entry, bool) {
 	if from == (Version{}) {
 		return nil, false
 	}
@@ -141,45 +141,45 @@
 	if !ok || version != from && f.cfg.Disabled.enabled(TermAtResume) {
 		return nil, false
 	}
-	if subscriber.all {
-		return f.history.after(from.Index), true
+	if sub.all {
+		return f.history.entriesAfter(from.Index), true
 	}
-	return f.history.ofServices(subscriber.services, from.Index), true
+	return f.history.entriesOfServices(sub.services, from.Index), true
 }
 
-func (f *Feed) register(subscriber *subscriber) {
-	f.subscribers[subscriber.id] = subscriber
-	if subscriber.all {
-		f.all = append(f.all, subscriber)
+func (f *Feed) register(sub *subscriber) {
+	f.subscribers[sub.id] = sub
+	if sub.all {
+		f.all = append(f.all, sub)
 		return
 	}
-	for _, service := range subscriber.services {
-		f.byService[service] = append(f.byService[service], subscriber)
+	for _, service := range sub.services {
+		f.byService[service] = append(f.byService[service], sub)
 	}
 }
 
 // Unsubscribe ends a subscription without a word.
 func (f *Feed) Unsubscribe(id SubscriberID) {
-	ending := f.subscribers[id]
-	if ending == nil {
+	removed := f.subscribers[id]
+	if removed == nil {
 		return
 	}
-	ending.end()
+	removed.closeSnapshot()
 	delete(f.subscribers, id)
-	same := func(other *subscriber) bool { return other == ending }
-	f.all = slices.DeleteFunc(f.all, same)
-	f.active = slices.DeleteFunc(f.active, same)
-	for _, service := range ending.services {
-		f.byService[service] = slices.DeleteFunc(f.byService[service], same)
+	isRemoved := func(other *subscriber) bool { return other == removed }
+	f.all = slices.DeleteFunc(f.all, isRemoved)
+	f.active = slices.DeleteFunc(f.active, isRemoved)
+	for _, service := range removed.services {
+		f.byService[service] = slices.DeleteFunc(f.byService[service], isRemoved)
 		if len(f.byService[service]) == 0 {
 			delete(f.byService, service)
 		}
 	}
 }
 
-func (f *Feed) close(subscriber *subscriber, reason CloseReason) {
-	f.Unsubscribe(subscriber.id)
-	f.out.Closed = append(f.out.Closed, Closed{subscriber.id, reason})
+func (f *Feed) close(sub *subscriber, reason CloseReason) {
+	f.Unsubscribe(sub.id)
+	f.out.Closed = append(f.out.Closed, Closed{sub.id, reason})
 }
 
 // Ready empties what there is to do.
--- a/logic/configlog/feed_send.go
+++ b/logic/configlog/feed_send.go
@@ -10,11 +10,11 @@
 
 // subscriber is one subscription of a feed.
 type subscriber struct {
-	id       SubscriberID
-	stream   uint64
-	services []string
-	all      bool
-	position Version // all that it wants up to here was sent, or is in its snapshot
+	id          SubscriberID
+	stream      uint64
+	services    []string
+	all         bool
+	sentVersion Version // all that it wants up to here was sent, or is in its snapshot
 
 	rate       float64 // bytes a second
 	tokens     float64 // bytes that may be sent now; below zero by the rest of the last message
@@ -26,13 +26,13 @@
 	pendingBytes int
 	replies      []LookupReply
 	active       bool
-	greeted      bool // it has had a heartbeat of a known age
+	knownAgeSent bool // it has had a heartbeat of a known age
 }
 
 func newSubscriber(id SubscriberID, request Subscribe, rate, now float64) *subscriber {
 	services := slices.Clone(request.Services)
 	slices.Sort(services)
-	s := &subscriber{id: id, stream: request.Stream, all: request.All, position: request.From, rate: rate, tokens: rate, refilledAt: now}
+	s := &subscriber{id: id, stream: request.Stream, all: request.All, sentVersion: request.From, rate: rate, tokens: rate, refilledAt: now}
 	if !request.All {
 		s.services = slices.Compact(services)
 	}
@@ -54,7 +54,7 @@
 
 // enqueue has an entry wait, unless the snapshot has it; it reports false if too much would wait.
 func (s *subscriber) enqueue(entry Entry, maxBytes int) bool {
-	if entry.Index <= s.position.Index {
+	if entry.Index <= s.sentVersion.Index {
 		return true
 	}
 	if s.pendingBytes+entry.Size() > maxBytes {
@@ -65,7 +65,7 @@
 	return true
 }
 
-func (s *subscriber) end() {
+func (s *subscriber) closeSnapshot() {
 	if s.snapshot != nil {
 		s.snapshot.Close()
 		s.snapshot = nil
@@ -85,7 +85,7 @@
 // Tick sends what is due; age is how old the distributor's own knowledge is, in seconds; +Inf for unknown.
 func (f *Feed) Tick(now, age float64) {
 	f.now = max(f.now, now)
-	f.freshAt = f.now - age
+	f.upToDateAt = f.now - age
 	f.sendActive()
 	due := 0
 	for due < len(f.heartbeats) && f.heartbeats[due].at <= f.now {
@@ -98,7 +98,7 @@
 		if f.subscribers[s.id] != s {
 			continue
 		}
-		f.heartbeats = append(f.heartbeats, heartbeatDue{s, now + f.cfg.HeartbeatEvery})
+		f.heartbeats = append(f.heartbeats, scheduledHeartbeat{s, now + f.cfg.HeartbeatEvery})
 		f.sendHeartbeat(s)
 	}
 }
@@ -106,11 +106,11 @@
 // sendHeartbeat tells a subscriber that it has all it wants; one for whom something waits hears that otherwise, later.
 func (f *Feed) sendHeartbeat(s *subscriber) {
 	s.refill(f.now)
-	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.position.Index {
+	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.sentVersion.Index {
 		return
 	}
-	s.position, s.greeted = f.Version(), !math.IsInf(f.freshAt, -1)
-	f.send(s, Heartbeat{Version: s.position, Age: f.now - f.freshAt})
+	s.sentVersion, s.knownAgeSent = f.Version(), !math.IsInf(f.upToDateAt, -1)
+	f.send(s, Heartbeat{Version: s.sentVersion, Age: f.now - f.upToDateAt})
 }
 
 func (f *Feed) activate(s *subscriber) {
@@ -127,10 +127,10 @@
 		for s.tokens > 0 && !s.idle() {
 			f.sendNext(s)
 		}
-		if s.idle() && !s.greeted && !math.IsInf(f.freshAt, -1) {
+		if s.idle() && !s.knownAgeSent && !math.IsInf(f.upToDateAt, -1) {
 			f.sendHeartbeat(s)
 		}
-		s.active = !s.idle() || !s.greeted
+		s.active = !s.idle() || !s.knownAgeSent
 		return !s.active
 	})
 }
@@ -145,14 +145,14 @@
 	case s.snapshot != nil:
 		records, done := s.snapshot.Next(f.cfg.PartBytes)
 		if done {
-			s.end()
+			s.closeSnapshot()
 		}
 		f.send(s, SnapshotPart{Records: records, Done: done})
 	default:
 		entry := s.pending[0]
 		s.pending = s.pending[1:]
 		s.pendingBytes -= entry.Size()
-		s.position = entry.Version
+		s.sentVersion = entry.Version
 		f.send(s, Delta{Entry: entry})
 	}
 }
--- a/logic/configlog/feed_types.go
+++ b/logic/configlog/feed_types.go
@@ -41,14 +41,14 @@
 
 // Why subscriptions and connections are closed.
 const (
-	CloseSlow            CloseReason = iota + 1 // the subscriber does not keep up with its entries
-	CloseFeedReset                              // the distributor itself took a snapshot
-	CloseMalformed                              // the other side does not keep the protocol
-	CloseGap                                    // something is missing
-	CloseSilent                                 // nothing was heard for too long
-	CloseBehind                                 // the distributor is behind
-	CloseStaleTerm                              // the distributor follows a leader that is over
-	CloseDistributorGone                        // the distributor is not on the list any more
+	CloseSlow               CloseReason = iota + 1 // the subscriber does not keep up with its entries
+	CloseFeedReset                                 // the distributor itself took a snapshot
+	CloseMalformed                                 // the other side does not keep the protocol
+	CloseGap                                       // something is missing
+	CloseSilent                                    // nothing was heard for too long
+	CloseBehind                                    // the distributor is behind
+	CloseStaleTerm                                 // the distributor follows a leader that is over
+	CloseDistributorRemoved                        // the distributor is not on the list any more
 )
 
 var closeReasons = [...]string{"", "slow", "feed reset", "malformed", "gap", "silent", "behind", "stale term", "distributor gone"}
--- a/logic/configlog/follower.go
+++ b/logic/configlog/follower.go
@@ -16,35 +16,35 @@
 	state    FollowerState
 
 	version     Version
-	term        uint64            // the highest that is known
+	highestTerm uint64            // the highest that is known
 	resumable   bool              // the table has all of its services up to version
-	base        uint64            // index of the last snapshot, or of the file
+	baseIndex   uint64            // index of the last snapshot, or of the file
 	lastApplied map[string]uint64 // index of the last entry of each service that was applied above the base
-	knownAt     float64           // when it was as new as the leader; -Inf for never
+	upToDateAt  float64           // when it was as new as the leader; -Inf for never
 	now         float64
 
-	connection connection
-	stream     stream
-	lookups    []uint64 // that wait for a reply
-	toldStale  bool
-	counts     Counts
-	out        []Action
+	connection    connection
+	stream        stream
+	lookups       []uint64 // that wait for a reply
+	reportedStale bool
+	counts        Counts
+	out           []Action
 }
 
 // NewFollower begins with a table of a version, which has all of its services; with the zero Version it takes a snapshot first.
 func NewFollower(cfg FollowerConfig, version Version, now float64) *Follower {
-	f := &Follower{cfg: cfg, now: now, knownAt: math.Inf(-1), toldStale: true}
-	f.restart(version)
+	f := &Follower{cfg: cfg, now: now, upToDateAt: math.Inf(-1), reportedStale: true}
+	f.resetTable(version)
 	f.setServices(cfg.Services)
 	f.stream.number = uint64(chance.At(cfg.Seed, 0) * (1 << 48))
-	f.connection = connection{ranked: rank(cfg.Name, cfg.Distributors), retryAt: now}
+	f.connection = connection{rankedDistributors: rank(cfg.Name, cfg.Distributors), retryAt: now}
 	return f
 }
 
 // restart begins from a table of a version.
-func (f *Follower) restart(version Version) {
-	f.version, f.base, f.lastApplied = version, version.Index, map[string]uint64{}
-	f.term = max(f.term, version.Term)
+func (f *Follower) resetTable(version Version) {
+	f.version, f.baseIndex, f.lastApplied = version, version.Index, map[string]uint64{}
+	f.highestTerm = max(f.highestTerm, version.Term)
 	f.resumable = version != Version{}
 }
 
@@ -58,11 +58,11 @@
 // SetServices wants other services: the table has to come whole again, unless none is new.
 func (f *Follower) SetServices(services []string, now float64) {
 	f.now = max(f.now, now)
-	wider := slices.ContainsFunc(services, func(service string) bool { return !f.services[service] })
+	added := slices.ContainsFunc(services, func(service string) bool { return !f.services[service] })
 	f.cfg.Services = services
 	f.setServices(services)
-	if wider {
-		f.distrust()
+	if added {
+		f.invalidate()
 	}
 	if f.state != FollowerDisconnected {
 		f.subscribe()
@@ -70,7 +70,7 @@
 }
 
 // moveTo changes the state, and nothing else does.
-func (f *Follower) moveTo(state FollowerState) {
+func (f *Follower) setState(state FollowerState) {
 	if f.state == state {
 		return
 	}
@@ -81,13 +81,13 @@
 		f.connection.failures = 0
 	}
 	f.state = state
-	f.tellStatus()
+	f.reportStatus()
 }
 
 // abandonSnapshot drops what has come of a snapshot.
 func (f *Follower) abandonSnapshot() {
 	if !f.cfg.Disabled.enabled(WholeSnapshot) {
-		f.replace()
+		f.replaceTable()
 		return
 	}
 	f.out = append(f.out, Discard{})
@@ -95,14 +95,14 @@
 
 // Status tells where the follower is.
 func (f *Follower) Status(now float64) Status {
-	age := now - f.knownAt
+	age := now - f.upToDateAt
 	return Status{Version: f.version, Age: age, Stale: age > f.cfg.StaleAfter, Distributor: f.connection.name(), State: f.state,
 		Counts: f.counts}
 }
 
-func (f *Follower) tellStatus() {
+func (f *Follower) reportStatus() {
 	status := f.Status(f.now)
-	f.toldStale = status.Stale
+	f.reportedStale = status.Stale
 	f.out = append(f.out, StatusChanged{status})
 }
 
@@ -110,8 +110,8 @@
 func (f *Follower) Tick(now float64) {
 	f.now = max(f.now, now)
 	f.tickConnection()
-	if f.Status(f.now).Stale != f.toldStale {
-		f.tellStatus()
+	if f.Status(f.now).Stale != f.reportedStale {
+		f.reportStatus()
 	}
 }
 
--- a/logic/configlog/follower_connect.go
+++ b/logic/configlog/follower_connect.go
@@ -9,33 +9,33 @@
 
 // connection is which distributor a follower is connected to, or tries to be.
 type connection struct {
-	ranked   []string // the best first
-	position int      // of the one it is connected to, or tries next
-	opening  bool     // Connect was asked for, and not answered
-	heardAt  float64  // the last sign of life
-	retryAt  float64
-	failures int // since it last followed
-	drawn    uint64
+	rankedDistributors []string // the best first
+	rankIndex          int      // of the one it is connected to, or tries next
+	opening            bool     // Connect was asked for, and not answered
+	lastReceivedAt     float64  // the last sign of life
+	retryAt            float64
+	failures           int // since it last followed
+	jitterDraws        uint64
 }
 
 // name is the distributor it is connected to, or tries next.
 func (c *connection) name() string {
-	if len(c.ranked) == 0 {
+	if len(c.rankedDistributors) == 0 {
 		return ""
 	}
-	return c.ranked[c.position]
+	return c.rankedDistributors[c.rankIndex]
 }
 
 // SetDistributors takes another list.
 func (f *Follower) SetDistributors(names []string, now float64) {
 	f.now = max(f.now, now)
-	former := f.connection.name()
-	f.connection.ranked = rank(f.cfg.Name, names)
-	f.connection.position = max(slices.Index(f.connection.ranked, former), 0)
-	if f.connection.name() != former && (f.connection.opening || f.state != FollowerDisconnected) {
-		f.out = append(f.out, Close{CloseDistributorGone})
-		f.connection.position = -1
-		f.nextDistributor()
+	previous := f.connection.name()
+	f.connection.rankedDistributors = rank(f.cfg.Name, names)
+	f.connection.rankIndex = max(slices.Index(f.connection.rankedDistributors, previous), 0)
+	if f.connection.name() != previous && (f.connection.opening || f.state != FollowerDisconnected) {
+		f.out = append(f.out, Close{CloseDistributorRemoved})
+		f.connection.rankIndex = -1
+		f.switchDistributor()
 	}
 }
 
@@ -45,11 +45,11 @@
 	connected := f.state != FollowerDisconnected
 	switch {
 	case connected || c.opening:
-		if f.now-c.heardAt > f.cfg.SilentAfter {
+		if f.now-c.lastReceivedAt > f.cfg.SilentAfter {
 			f.close(CloseSilent)
 		}
-	case f.now >= c.retryAt && len(c.ranked) > 0:
-		c.opening, c.heardAt = true, f.now
+	case f.now >= c.retryAt && len(c.rankedDistributors) > 0:
+		c.opening, c.lastReceivedAt = true, f.now
 		f.counts.Connects++
 		f.out = append(f.out, Connect{c.name()})
 	}
@@ -61,7 +61,7 @@
 	if !f.connection.opening {
 		return
 	}
-	f.connection.opening, f.connection.heardAt = false, f.now
+	f.connection.opening, f.connection.lastReceivedAt = false, f.now
 	f.subscribe()
 }
 
@@ -69,36 +69,36 @@
 func (f *Follower) Disconnected(now float64) {
 	f.now = max(f.now, now)
 	if f.state != FollowerDisconnected || f.connection.opening {
-		f.nextDistributor()
+		f.switchDistributor()
 	}
 }
 
 // close ends the connection, and goes on with the next distributor.
 func (f *Follower) close(reason CloseReason) {
 	f.out = append(f.out, Close{reason})
-	f.nextDistributor()
+	f.switchDistributor()
 }
 
 // nextDistributor has the one after this one be tried, after a while that grows with the failures. One that was followed begins anew with
 // the best.
-func (f *Follower) nextDistributor() {
+func (f *Follower) switchDistributor() {
 	c := &f.connection
 	f.counts.Disconnects++
-	if f.state == FollowerFollowing && c.position > 0 {
-		c.position = -1
+	if f.state == FollowerFollowing && c.rankIndex > 0 {
+		c.rankIndex = -1
 	}
-	if len(c.ranked) > 0 {
-		c.position = (c.position + 1) % len(c.ranked)
+	if len(c.rankedDistributors) > 0 {
+		c.rankIndex = (c.rankIndex + 1) % len(c.rankedDistributors)
 	} else {
-		c.position = 0
+		c.rankIndex = 0
 	}
-	wait := min(f.cfg.BackoffMin*math.Pow(2, float64(c.failures)), f.cfg.BackoffMax)
+	delay := min(f.cfg.BackoffMin*math.Pow(2, float64(c.failures)), f.cfg.BackoffMax)
 	c.failures++
-	c.drawn++
-	c.retryAt = f.now + wait*(0.5+0.5*chance.At(f.cfg.Seed, c.drawn))
+	c.jitterDraws++
+	c.retryAt = f.now + delay*(0.5+0.5*chance.At(f.cfg.Seed, c.jitterDraws))
 	c.opening = false
 	f.endStream()
-	f.moveTo(FollowerDisconnected)
+	f.setState(FollowerDisconnected)
 }
 
 // subscribe asks for what is after the table's version, under a new number.
@@ -109,7 +109,7 @@
 		request.From = f.version
 	}
 	f.out = append(f.out, Send{request})
-	f.moveTo(FollowerSubscribing)
+	f.setState(FollowerSubscribing)
 }
 
 // endStream has nothing more taken of the former subscription; the next one has another number.
@@ -141,12 +141,12 @@
 }
 
 func (f *Follower) handleLookupReply(reply LookupReply) error {
-	at := slices.Index(f.lookups, reply.ID)
-	if at < 0 {
+	index := slices.Index(f.lookups, reply.ID)
+	if index < 0 {
 		f.counts.Duplicates++
 		return &DuplicateError{Sequence: reply.ID}
 	}
-	f.lookups = slices.Delete(f.lookups, at, at+1)
+	f.lookups = slices.Delete(f.lookups, index, index+1)
 	f.out = append(f.out, LookupDone{ID: reply.ID, Reply: reply})
 	return nil
 }
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -4,12 +4,12 @@
 
 // stream is where a subscription stands.
 type stream struct {
-	number   uint64
-	sequence uint64  // of the last message taken
-	snapshot Version // being taken
-	parts    int     // of it, that have come
-	applied  bool    // something has been applied or told by it
-	lost     lostRange
+	number        uint64
+	sequence      uint64  // of the last message taken
+	snapshot      Version // being taken
+	snapshotParts int     // of it, that have come
+	progressed    bool    // something has been applied or told by it
+	lost          lostRange
 }
 
 // lostRange is what was missing when a subscription was given up for a gap: it may come late.
@@ -19,9 +19,9 @@
 func (f *Follower) Step(message StreamMessage, now float64) error {
 	f.now = max(f.now, now)
 	if f.state == FollowerDisconnected || message.stream() != f.stream.number {
-		return f.refuseFormer(message)
+		return f.rejectFormerStream(message)
 	}
-	f.connection.heardAt = f.now
+	f.connection.lastReceivedAt = f.now
 	if reply, ok := message.(LookupReply); ok {
 		return f.handleLookupReply(reply)
 	}
@@ -38,7 +38,7 @@
 	case Heartbeat:
 		return f.handleHeartbeat(message)
 	}
-	return f.refuseMalformed(fmt.Sprintf("%T from a distributor", message))
+	return f.rejectMalformed(fmt.Sprintf("%T from a distributor", message))
 }
 
 // sequenceOf is a message's number; 0 for those without.
@@ -57,7 +57,7 @@
 }
 
 // refuseFormer counts a message of a former subscription.
-func (f *Follower) refuseFormer(message StreamMessage) error {
+func (f *Follower) rejectFormerStream(message StreamMessage) error {
 	sequence, lost := sequenceOf(message), f.stream.lost
 	if message.stream() == lost.number && sequence >= lost.from && sequence < lost.to {
 		f.counts.Reordered++
@@ -76,41 +76,41 @@
 		return nil
 	}
 	if sequence == 0 {
-		return f.refuseMalformed("a message without a sequence")
+		return f.rejectMalformed("a message without a sequence")
 	}
 	if sequence < want {
 		f.counts.Duplicates++
 		return &DuplicateError{Sequence: sequence}
 	}
 	f.stream.lost = lostRange{f.stream.number, want, sequence}
-	f.refuseGap()
-	return &GapError{What: "sequence", Want: want, Got: sequence}
+	f.resubscribeAfterGap()
+	return &GapError{Kind: "sequence", Want: want, Got: sequence}
 }
 
 // refuseGap subscribes anew from the table's version: on the same connection if the subscription had come to something, so that a
 // distributor which is at fault is not asked for ever.
-func (f *Follower) refuseGap() {
+func (f *Follower) resubscribeAfterGap() {
 	f.counts.Gaps++
-	if f.stream.applied {
+	if f.stream.progressed {
 		f.subscribe()
 		return
 	}
 	f.close(CloseGap)
 }
 
-func (f *Follower) refuseMalformed(why string) error {
+func (f *Follower) rejectMalformed(reason string) error {
 	f.counts.Malformed++
 	f.close(CloseMalformed)
-	return &MalformedError{Why: why}
+	return &MalformedError{Reason: reason}
 }
 
-func (f *Follower) refuseStaleTerm(term uint64) error {
+func (f *Follower) rejectStaleTerm(term uint64) error {
 	f.counts.StaleTerms++
 	f.close(CloseStaleTerm)
-	return &StaleTermError{Term: term, Known: f.term}
+	return &StaleTermError{Term: term, Known: f.highestTerm}
 }
 
-func (f *Follower) refuseStaleEntry(version Version) error {
+func (f *Follower) rejectStaleEntry(version Version) error {
 	f.counts.Stale++
 	f.close(CloseBehind)
 	return &StaleEntryError{Got: version, Applied: f.version}
@@ -118,7 +118,7 @@
 
 func (f *Follower) handleWelcome(welcome Welcome) error {
 	if f.state != FollowerSubscribing {
-		return f.refuseMalformed("a second welcome")
+		return f.rejectMalformed("a second welcome")
 	}
 	switch welcome.Mode {
 	case WelcomeBehind:
@@ -126,67 +126,67 @@
 		return nil
 	case WelcomeResume:
 		if !f.resumable || welcome.Version != f.version {
-			return f.refuseMalformed("resumed from another version")
+			return f.rejectMalformed("resumed from another version")
 		}
-		f.moveTo(FollowerFollowing)
+		f.setState(FollowerFollowing)
 		return nil
 	case WelcomeSnapshot:
-		if welcome.Version.Term < f.term {
-			return f.refuseStaleTerm(welcome.Version.Term)
+		if welcome.Version.Term < f.highestTerm {
+			return f.rejectStaleTerm(welcome.Version.Term)
 		}
 		if welcome.Version.Index < f.version.Index {
-			return f.refuseStaleEntry(welcome.Version)
+			return f.rejectStaleEntry(welcome.Version)
 		}
 		f.stream.snapshot = welcome.Version
-		f.moveTo(FollowerSnapshot)
+		f.setState(FollowerSnapshot)
 		return nil
 	}
-	return f.refuseMalformed("a welcome of no known mode")
+	return f.rejectMalformed("a welcome of no known mode")
 }
 
 func (f *Follower) handleSnapshotPart(part SnapshotPart) error {
 	if f.state != FollowerSnapshot {
-		return f.refuseMalformed("a part of no snapshot")
+		return f.rejectMalformed("a part of no snapshot")
 	}
 	for _, record := range part.Records {
-		if !f.wants(record.Service) {
-			return f.refuseMalformed("a record of a service that is not served here")
+		if !f.subscribesTo(record.Service) {
+			return f.rejectMalformed("a record of a service that is not served here")
 		}
 	}
-	f.stream.parts++
-	f.out = append(f.out, Stage{Records: part.Records, First: f.stream.parts == 1})
+	f.stream.snapshotParts++
+	f.out = append(f.out, Stage{Records: part.Records, First: f.stream.snapshotParts == 1})
 	if part.Done {
-		f.replace()
-		f.moveTo(FollowerFollowing)
+		f.replaceTable()
+		f.setState(FollowerFollowing)
 	}
 	return nil
 }
 
 // replace has the snapshot take the table's place.
-func (f *Follower) replace() {
+func (f *Follower) replaceTable() {
 	f.counts.Snapshots++
-	f.stream.applied = true
-	f.restart(f.stream.snapshot)
+	f.stream.progressed = true
+	f.resetTable(f.stream.snapshot)
 	f.resumable = true // also after the snapshot of an empty log
 	f.out = append(f.out, Replace{Version: f.version})
 }
 
-func (f *Follower) wants(service string) bool { return f.cfg.All || f.services[service] }
+func (f *Follower) subscribesTo(service string) bool { return f.cfg.All || f.services[service] }
 
 func (f *Follower) handleDelta(entry Entry) error {
 	if f.state != FollowerFollowing {
-		return f.refuseMalformed("an entry before the welcome or the snapshot")
+		return f.rejectMalformed("an entry before the welcome or the snapshot")
 	}
-	if entry.Term < f.term {
-		return f.refuseStaleTerm(entry.Term)
+	if entry.Term < f.highestTerm {
+		return f.rejectStaleTerm(entry.Term)
 	}
 	if entry.Index <= f.version.Index {
-		return f.refuseStaleEntry(entry.Version)
+		return f.rejectStaleEntry(entry.Version)
 	}
-	if !f.wants(entry.Service) {
-		return f.refuseMalformed("an entry of a service that is not served here")
+	if !f.subscribesTo(entry.Service) {
+		return f.rejectMalformed("an entry of a service that is not served here")
 	}
-	if err := f.checkChain(entry); err != nil {
+	if err := f.checkServiceChain(entry); err != nil {
 		return err
 	}
 	if entry.Service != "" {
@@ -198,44 +198,44 @@
 }
 
 // checkChain takes only the entry that is next of its service, and next of all if it wants all.
-func (f *Follower) checkChain(entry Entry) error {
+func (f *Follower) checkServiceChain(entry Entry) error {
 	if !f.cfg.Disabled.enabled(ServiceChain) {
 		return nil
 	}
 	last, applied := f.lastApplied[entry.Service]
 	if !applied {
-		last = f.base
+		last = f.baseIndex
 	}
 	switch {
 	case entry.Previous > last:
-		return f.refuseMissing("service", last, entry.Previous)
+		return f.rejectGap("service", last, entry.Previous)
 	case applied && entry.Previous < last:
-		f.distrust()
-		return f.refuseMalformed("an entry that follows another one of its service")
+		f.invalidate()
+		return f.rejectMalformed("an entry that follows another one of its service")
 	case f.cfg.All && entry.Index > f.version.Index+1:
-		return f.refuseMissing("index", f.version.Index+1, entry.Index)
+		return f.rejectGap("index", f.version.Index+1, entry.Index)
 	}
 	return nil
 }
 
 // refuseMissing refuses what comes after an entry that did not.
-func (f *Follower) refuseMissing(what string, want, got uint64) error {
+func (f *Follower) rejectGap(kind string, want, got uint64) error {
 	f.counts.Gaps++
-	f.distrust()
+	f.invalidate()
 	f.close(CloseGap)
-	return &GapError{What: what, Want: want, Got: got}
+	return &GapError{Kind: kind, Want: want, Got: got}
 }
 
 // distrust has the table come whole again: it may lack an entry below its version.
-func (f *Follower) distrust() {
+func (f *Follower) invalidate() {
 	f.resumable = false
 	f.out = append(f.out, Invalidate{})
 }
 
 // advance takes a higher version, and has the entry applied.
 func (f *Follower) advance(version Version, entries ...Entry) {
-	f.stream.applied = true
-	f.version, f.term = version, max(f.term, version.Term)
+	f.stream.progressed = true
+	f.version, f.highestTerm = version, max(f.highestTerm, version.Term)
 	if len(f.out) > 0 {
 		if last, ok := f.out[len(f.out)-1].(Apply); ok {
 			f.out[len(f.out)-1] = Apply{Entries: append(last.Entries, entries...), Version: version}
@@ -247,27 +247,27 @@
 
 func (f *Follower) handleHeartbeat(heartbeat Heartbeat) error {
 	if f.state != FollowerFollowing || !(heartbeat.Age >= 0) {
-		return f.refuseMalformed("a heartbeat before the welcome or the snapshot, or of no age")
+		return f.rejectMalformed("a heartbeat before the welcome or the snapshot, or of no age")
 	}
-	if heartbeat.Version.Term < f.term {
-		return f.refuseStaleTerm(heartbeat.Version.Term)
+	if heartbeat.Version.Term < f.highestTerm {
+		return f.rejectStaleTerm(heartbeat.Version.Term)
 	}
 	if heartbeat.Version.Index < f.version.Index {
-		return f.refuseStaleEntry(heartbeat.Version)
+		return f.rejectStaleEntry(heartbeat.Version)
 	}
 	if f.cfg.All && heartbeat.Version.Index > f.version.Index && f.cfg.Disabled.enabled(ServiceChain) {
-		return f.refuseMissing("index", f.version.Index, heartbeat.Version.Index)
+		return f.rejectGap("index", f.version.Index, heartbeat.Version.Index)
 	}
 	if heartbeat.Version.Index == f.version.Index && heartbeat.Version != f.version {
-		return f.refuseMalformed("a heartbeat of another history")
+		return f.rejectMalformed("a heartbeat of another history")
 	}
 	if heartbeat.Version != f.version {
 		f.advance(heartbeat.Version)
 	}
-	f.stream.applied = true
-	f.knownAt = max(f.knownAt, f.now-heartbeat.Age)
-	if f.Status(f.now).Stale != f.toldStale {
-		f.tellStatus()
+	f.stream.progressed = true
+	f.upToDateAt = max(f.upToDateAt, f.now-heartbeat.Age)
+	if f.Status(f.now).Stale != f.reportedStale {
+		f.reportStatus()
 	}
 	return nil
 }
--- a/logic/configlog/log.go
+++ b/logic/configlog/log.go
@@ -30,20 +30,20 @@
 	return l.entries[index-l.base.Index-1].Version, true
 }
 
-// after gives the entries above an index that is the base or above it; the caller leaves them as they are.
-func (l *entryLog) after(index uint64) []Entry {
+// entriesAfter gives the entries above an index that is the base or above it; the caller leaves them as they are.
+func (l *entryLog) entriesAfter(index uint64) []Entry {
 	from := min(index-l.base.Index, uint64(len(l.entries)))
 	return l.entries[from:len(l.entries):len(l.entries)]
 }
 
-// between gives the entries above one index, up to another.
-func (l *entryLog) between(above, upTo uint64) []Entry {
-	entries := l.after(above)
+// entriesBetween gives the entries above one index, up to another.
+func (l *entryLog) entriesBetween(above, upTo uint64) []Entry {
+	entries := l.entriesAfter(above)
 	return entries[:min(uint64(len(entries)), upTo-above)]
 }
 
-// previous is the index of a service's last entry; the first entries of terms are of no service, and have none.
-func (l *entryLog) previous(service string) uint64 {
+// previousOfService is the index of a service's last entry; the first entries of terms are of no service, and have none.
+func (l *entryLog) previousOfService(service string) uint64 {
 	if service == "" {
 		return 0
 	}
@@ -60,26 +60,26 @@
 // truncate drops the entries from an index on.
 func (l *entryLog) truncate(from uint64) {
 	keep := from - l.base.Index - 1
-	rollBack(l.lastOfService, l.entries[keep:])
+	rollBackLastOfService(l.lastOfService, l.entries[keep:])
 	l.entries = l.entries[:keep:keep] // what is dropped may still be on its way to the disk
 }
 
 // compact drops the entries up to an index, which is the base from then on.
 func (l *entryLog) compact(upTo uint64) {
 	base, _ := l.version(upTo)
-	l.entries = append([]Entry(nil), l.after(upTo)...) // a copy, so that the memory of the former ones is freed
+	l.entries = append([]Entry(nil), l.entriesAfter(upTo)...) // a copy, so that the memory of the former ones is freed
 	l.base = base
 }
 
 // lastOfServiceAt tells the last entry of each service at or below an index.
 func (l *entryLog) lastOfServiceAt(index uint64) map[string]uint64 {
 	last := maps.Clone(l.lastOfService)
-	rollBack(last, l.after(index))
+	rollBackLastOfService(last, l.entriesAfter(index))
 	return last
 }
 
-// rollBack takes entries, which are the last, out of the last of each service.
-func rollBack(last map[string]uint64, entries []Entry) {
+// rollBackLastOfService takes entries, which are the last, out of the last of each service.
+func rollBackLastOfService(last map[string]uint64, entries []Entry) {
 	for k := len(entries) - 1; k >= 0; k-- {
 		entry := entries[k]
 		switch {
@@ -93,7 +93,7 @@
 }
 
 // batch gives as many of the first entries as fit into a message, and one at least.
-func batch(entries []Entry, maxBytes int) []Entry {
+func firstBatch(entries []Entry, maxBytes int) []Entry {
 	size := 0
 	for k, entry := range entries {
 		size += entry.Size()
@@ -115,9 +115,9 @@
 	return true
 }
 
-// ofServices gives the entries of some services, each named once, above an index that is the base or above it, in order. It follows each service back from
+// entriesOfServices gives the entries of some services, each named once, above an index that is the base or above it, in order. It follows each service back from
 // its last entry, so its cost is that of the services and of what it finds.
-func (l *entryLog) ofServices(services []string, above uint64) []Entry {
+func (l *entryLog) entriesOfServices(services []string, above uint64) []Entry {
 	var found []Entry
 	for _, service := range services {
 		for index := l.lastOfService[service]; index > above; {
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -13,26 +13,26 @@
 	voters quorum.Voters
 	self   int // its number among the voters, -1 for none
 
-	state     ReplicaState
-	promised  uint64 // also the term that it leads under
-	log       entryLog
-	committed uint64
-	freshAt   float64 // when it was last known to have all that is committed; -Inf for never since the start
-
-	lead leadership
-
-	savedPromise uint64 // what the disk has, once all that Ready gave is carried out
-	savedTo      uint64
-	truncateFrom uint64
-	reset        bool
-	given        uint64 // committed entries up to this index were given out
-	out          ReplicaReady
+	state      ReplicaState
+	promised   uint64 // also the term that it leads under
+	log        entryLog
+	committed  uint64
+	upToDateAt float64 // when it was last known to have all that is committed; -Inf for never since the start
+
+	leader leaderState
+
+	savedPromised uint64 // what the disk has, once all that Ready gave is carried out
+	savedIndex    uint64
+	truncateFrom  uint64
+	reset         bool
+	delivered     uint64 // committed entries up to this index were given out
+	out           ReplicaReady
 }
 
 // NewReplica opens a replica on what the disk has. Entries of stored up to its Commit are not given out by Ready again. The replica
 // keeps what stored refers to.
 func NewReplica(cfg ReplicaConfig, stored Stored, _ float64) *Replica {
-	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised, savedPromise: stored.Promised, freshAt: math.Inf(-1)}
+	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised, savedPromised: stored.Promised, upToDateAt: math.Inf(-1)}
 	r.self = r.voters.Number(cfg.Name)
 	r.log = entryLog{base: stored.Base, lastOfService: maps.Clone(stored.LastOfService)}
 	if r.log.lastOfService == nil {
@@ -41,42 +41,42 @@
 	for _, entry := range stored.Entries {
 		r.log.append(entry)
 	}
-	r.savedTo = r.log.last().Index
-	r.committed = min(max(stored.Commit, stored.Base.Index), r.savedTo)
-	r.given = r.committed
+	r.savedIndex = r.log.last().Index
+	r.committed = min(max(stored.Commit, stored.Base.Index), r.savedIndex)
+	r.delivered = r.committed
 	return r
 }
 
 // moveTo changes the state, and nothing else does.
-func (r *Replica) moveTo(state ReplicaState) {
+func (r *Replica) setState(state ReplicaState) {
 	if state == ReplicaFollower {
-		for _, proposal := range r.lead.open {
+		for _, proposal := range r.leader.openProposals {
 			r.out.Results = append(r.out.Results, Result{ID: proposal.id, Err: ErrOutcomeUnknown})
 		}
-		r.lead = leadership{}
+		r.leader = leaderState{}
 	}
 	r.state = state
 }
 
 // StepDown ends leading; open proposals end with ErrOutcomeUnknown.
-func (r *Replica) StepDown() { r.moveTo(ReplicaFollower) }
+func (r *Replica) StepDown() { r.setState(ReplicaFollower) }
 
 // promise takes nothing from leaders below a term any more, itself among them.
 func (r *Replica) promise(term uint64) {
 	if term <= r.promised {
 		return
 	}
-	r.overtaken(term)
+	r.handleHigherTerm(term)
 	r.promised = term
 }
 
-// overtaken ends leading as a higher term is known.
-func (r *Replica) overtaken(known uint64) {
+// handleHigherTerm ends leading as a higher term is known.
+func (r *Replica) handleHigherTerm(known uint64) {
 	if r.state == ReplicaFollower || known <= r.promised {
 		return
 	}
 	r.out.StaleTerm = known
-	r.moveTo(ReplicaFollower)
+	r.setState(ReplicaFollower)
 }
 
 // Step takes a message of another replica.
@@ -113,14 +113,14 @@
 	if version.Index <= r.committed || r.state == ReplicaLeader {
 		return false
 	}
-	if here, ok := r.log.version(version.Index); !ok || here != version {
+	if local, ok := r.log.version(version.Index); !ok || local != version {
 		r.log = entryLog{base: version, lastOfService: maps.Clone(lastOfService)}
 		if r.log.lastOfService == nil {
 			r.log.lastOfService = map[string]uint64{}
 		}
-		r.reset, r.truncateFrom, r.savedTo = true, 0, version.Index
+		r.reset, r.truncateFrom, r.savedIndex = true, 0, version.Index
 	}
-	r.committed, r.given = version.Index, version.Index
+	r.committed, r.delivered = version.Index, version.Index
 	if r.state == ReplicaFetching {
 		r.fetch(now)
 	}
@@ -134,7 +134,7 @@
 func (r *Replica) Status(now float64) ReplicaStatus {
 	committed, _ := r.log.version(r.committed)
 	status := ReplicaStatus{State: r.state, Term: r.promised, Last: r.log.last(), Committed: committed, Base: r.log.base,
-		Open: len(r.lead.open), Age: now - r.freshAt}
+		Open: len(r.leader.openProposals), Age: now - r.upToDateAt}
 	if r.state == ReplicaLeader {
 		status.Age = 0
 	}
@@ -144,9 +144,9 @@
 // Ready empties what there is to do.
 func (r *Replica) Ready() ReplicaReady {
 	out := r.out
-	out.Persist = r.unsaved()
-	out.Committed = r.log.between(r.given, r.committed)
-	r.given = r.committed
+	out.Persist = r.takePersist()
+	out.Committed = r.log.entriesBetween(r.delivered, r.committed)
+	r.delivered = r.committed
 	r.out = ReplicaReady{}
 	if r.compact() {
 		out.CompactedUpTo = r.log.base
@@ -155,18 +155,18 @@
 }
 
 // unsaved tells what is to be written, and takes it as written.
-func (r *Replica) unsaved() Persist {
+func (r *Replica) takePersist() Persist {
 	persist := Persist{Reset: r.reset, TruncateFrom: r.truncateFrom}
 	if r.reset {
 		persist.Base = r.log.base
 	}
-	if r.promised != r.savedPromise {
+	if r.promised != r.savedPromised {
 		persist.Promised = r.promised
 	}
-	if entries := r.log.after(r.savedTo); len(entries) > 0 {
+	if entries := r.log.entriesAfter(r.savedIndex); len(entries) > 0 {
 		persist.Entries = entries
 	}
-	r.savedPromise, r.savedTo, r.truncateFrom, r.reset = r.promised, r.log.last().Index, 0, false
+	r.savedPromised, r.savedIndex, r.truncateFrom, r.reset = r.promised, r.log.last().Index, 0, false
 	return persist
 }
 
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -8,11 +8,11 @@
 
 // progress is what a leader knows of one voter's log.
 type progress struct {
-	match     uint64 // its log is the leader's up to here
-	next      uint64 // of the entry to be sent next
-	confirmed bool   // it has taken something under this term; until then entries are tried one message at a time
-	inFlight  int    // messages with entries that are not answered
-	sentAt    float64
+	matchIndex uint64 // its log is the leader's up to here
+	nextIndex  uint64 // of the entry to be sent next
+	confirmed  bool   // it has taken something under this term; until then entries are tried one message at a time
+	inFlight   int    // messages with entries that are not answered
+	sentAt     float64
 }
 
 // Propose appends a change. Its outcome comes out of Ready under the id.
@@ -29,24 +29,24 @@
 	if size := (Entry{Change: change}).Size(); size > r.cfg.MessageBytes {
 		return &TooLargeError{Size: size, Limit: r.cfg.MessageBytes}
 	}
-	if len(r.lead.open) >= r.cfg.MaxOpen {
+	if len(r.leader.openProposals) >= r.cfg.MaxOpen {
 		return &TooManyOpenError{Limit: r.cfg.MaxOpen}
 	}
-	r.appendOwn(change)
-	r.lead.open = append(r.lead.open, openProposal{id: id, index: r.log.last().Index})
+	r.appendAsLeader(change)
+	r.leader.openProposals = append(r.leader.openProposals, openProposal{id: id, index: r.log.last().Index})
 	r.replicate(now)
 	return nil
 }
 
 // appendOwn appends an entry under the leader's term.
-func (r *Replica) appendOwn(change Change) {
+func (r *Replica) appendAsLeader(change Change) {
 	version := Version{Term: r.promised, Index: r.log.last().Index + 1}
-	r.log.append(Entry{Version: version, Previous: r.log.previous(change.Service), Change: change})
+	r.log.append(Entry{Version: version, Previous: r.log.previousOfService(change.Service), Change: change})
 }
 
 // replicate sends each voter what it lacks, as far as may be on its way at a time.
 func (r *Replica) replicate(now float64) {
-	for voter := range r.lead.progress {
+	for voter := range r.leader.progress {
 		if voter != r.self {
 			r.sendEntries(voter, now)
 		}
@@ -54,35 +54,35 @@
 }
 
 func (r *Replica) sendEntries(voter int, now float64) {
-	progress := &r.lead.progress[voter]
+	progress := &r.leader.progress[voter]
 	limit := r.cfg.MaxInFlight
 	if !progress.confirmed {
 		limit = 1
 	}
-	for progress.inFlight < limit && progress.next <= r.log.last().Index {
-		previous, ok := r.log.version(progress.next - 1)
+	for progress.inFlight < limit && progress.nextIndex <= r.log.last().Index {
+		previous, ok := r.log.version(progress.nextIndex - 1)
 		if !ok {
 			progress.sentAt = now
 			r.send(r.voters.Names()[voter], BehindNotice{Term: r.promised, Base: r.log.base})
 			return
 		}
-		entries := batch(r.log.after(previous.Index), r.cfg.MessageBytes)
+		entries := firstBatch(r.log.entriesAfter(previous.Index), r.cfg.MessageBytes)
 		r.sendAppend(voter, previous, entries, now)
 		progress.inFlight++
 		if progress.confirmed {
-			progress.next += uint64(len(entries))
+			progress.nextIndex += uint64(len(entries))
 		}
 	}
 }
 
 func (r *Replica) sendAppend(voter int, previous Version, entries []Entry, now float64) {
-	r.lead.progress[voter].sentAt = now
+	r.leader.progress[voter].sentAt = now
 	r.send(r.voters.Names()[voter], AppendRequest{Term: r.promised, Previous: previous, Entries: entries, Commit: r.committed})
 }
 
 // sendHeartbeat tells a voter the commit index.
 func (r *Replica) sendHeartbeat(voter int, now float64) {
-	if previous, ok := r.log.version(r.lead.progress[voter].next - 1); ok {
+	if previous, ok := r.log.version(r.leader.progress[voter].nextIndex - 1); ok {
 		r.sendAppend(voter, previous, nil, now)
 	}
 }
@@ -92,13 +92,13 @@
 		return
 	}
 	if response.Known > r.promised {
-		r.overtaken(response.Known)
+		r.handleHigherTerm(response.Known)
 		return
 	}
 	voter := r.voters.Number(from)
-	progress := &r.lead.progress[voter]
+	progress := &r.leader.progress[voter]
 	if !response.Accepted {
-		progress.stepBack(response)
+		progress.reject(response)
 		r.sendEntries(voter, now)
 		return
 	}
@@ -106,41 +106,41 @@
 		return
 	}
 	progress.accept(response.Match)
-	if r.commit() {
-		r.tellCommit(now)
+	if r.advanceCommit() {
+		r.broadcastCommit(now)
 	}
 	r.sendEntries(voter, now)
 }
 
 // accept takes note of what a voter has.
 func (p *progress) accept(match uint64) {
-	p.match = max(p.match, match)
-	p.next = max(p.next, p.match+1)
+	p.matchIndex = max(p.matchIndex, match)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
 	if !p.confirmed {
-		p.confirmed, p.next, p.inFlight = true, p.match+1, 0
+		p.confirmed, p.nextIndex, p.inFlight = true, p.matchIndex+1, 0
 		return
 	}
 	p.inFlight = max(p.inFlight-1, 0)
 }
 
 // stepBack goes on from where a voter's log may be the leader's, after a refusal. Those of earlier messages say nothing new.
-func (p *progress) stepBack(response AppendResponse) {
-	if response.Rejected <= p.match || response.Rejected >= p.next {
+func (p *progress) reject(response AppendResponse) {
+	if response.Rejected <= p.matchIndex || response.Rejected >= p.nextIndex {
 		return
 	}
 	p.inFlight = 0
 	if p.confirmed {
-		p.next = p.match + 1
+		p.nextIndex = p.matchIndex + 1
 		return
 	}
-	p.next = max(min(response.Rejected, response.Match+1), 1)
+	p.nextIndex = max(min(response.Rejected, response.Match+1), 1)
 }
 
 // commit takes what a majority has as committed, and reports whether that is more than before.
-func (r *Replica) commit() bool {
-	matches := make([]uint64, len(r.lead.progress))
-	for voter, progress := range r.lead.progress {
-		matches[voter] = progress.match
+func (r *Replica) advanceCommit() bool {
+	matches := make([]uint64, len(r.leader.progress))
+	for voter, progress := range r.leader.progress {
+		matches[voter] = progress.matchIndex
 		if voter == r.self {
 			matches[voter] = r.log.last().Index
 		}
@@ -151,7 +151,7 @@
 		if index <= r.committed {
 			return false
 		}
-		if !r.voters.Majority(holders(matches, index)) {
+		if !r.voters.Majority(votersWithIndex(matches, index)) {
 			continue
 		}
 		version, _ := r.log.version(index)
@@ -159,14 +159,14 @@
 			return false
 		}
 		r.committed = index
-		r.finishProposals()
+		r.completeProposals()
 		return true
 	}
 	return false
 }
 
 // holders are the voters that have an entry.
-func holders(matches []uint64, index uint64) quorum.Set {
+func votersWithIndex(matches []uint64, index uint64) quorum.Set {
 	var set quorum.Set
 	for voter, match := range matches {
 		if match >= index {
@@ -177,18 +177,18 @@
 }
 
 // finishProposals tells the results of what is committed.
-func (r *Replica) finishProposals() {
-	for len(r.lead.open) > 0 && r.lead.open[0].index <= r.committed {
-		version, _ := r.log.version(r.lead.open[0].index)
-		r.out.Results = append(r.out.Results, Result{ID: r.lead.open[0].id, Version: version})
-		r.lead.open = r.lead.open[1:]
+func (r *Replica) completeProposals() {
+	for len(r.leader.openProposals) > 0 && r.leader.openProposals[0].index <= r.committed {
+		version, _ := r.log.version(r.leader.openProposals[0].index)
+		r.out.Results = append(r.out.Results, Result{ID: r.leader.openProposals[0].id, Version: version})
+		r.leader.openProposals = r.leader.openProposals[1:]
 	}
 }
 
 // tellCommit has voters that wait for nothing else hear of the commit at once.
-func (r *Replica) tellCommit(now float64) {
-	for voter, progress := range r.lead.progress {
-		if voter != r.self && progress.confirmed && progress.inFlight == 0 && progress.next > r.log.last().Index {
+func (r *Replica) broadcastCommit(now float64) {
+	for voter, progress := range r.leader.progress {
+		if voter != r.self && progress.confirmed && progress.inFlight == 0 && progress.nextIndex > r.log.last().Index {
 			r.sendHeartbeat(voter, now)
 		}
 	}
@@ -198,32 +198,32 @@
 func (r *Replica) Tick(now float64) {
 	switch r.state {
 	case ReplicaPreparing, ReplicaFetching:
-		r.recoverAgain(now)
+		r.retryRecovery(now)
 	case ReplicaLeader:
-		r.freshAt = now
-		for voter := range r.lead.progress {
+		r.upToDateAt = now
+		for voter := range r.leader.progress {
 			if voter != r.self {
-				r.sendAgain(voter, now)
+				r.resend(voter, now)
 			}
 		}
 	}
 }
 
 // sendAgain sends what was not answered in time, or a heartbeat.
-func (r *Replica) sendAgain(voter int, now float64) {
-	progress := &r.lead.progress[voter]
-	waited := now - progress.sentAt
+func (r *Replica) resend(voter int, now float64) {
+	progress := &r.leader.progress[voter]
+	elapsed := now - progress.sentAt
 	switch {
-	case progress.next <= r.log.last().Index || progress.inFlight > 0:
-		if waited < r.cfg.ResendAfter {
+	case progress.nextIndex <= r.log.last().Index || progress.inFlight > 0:
+		if elapsed < r.cfg.ResendAfter {
 			return
 		}
 		if progress.confirmed {
-			progress.next = progress.match + 1
+			progress.nextIndex = progress.matchIndex + 1
 		}
 		progress.inFlight = 0
 		r.sendEntries(voter, now)
-	case waited >= r.cfg.HeartbeatEvery:
+	case elapsed >= r.cfg.HeartbeatEvery:
 		r.sendHeartbeat(voter, now)
 	}
 }
--- a/logic/configlog/replica_voter.go
+++ b/logic/configlog/replica_voter.go
@@ -22,7 +22,7 @@
 	if request.From <= r.log.base.Index {
 		response.Behind, response.Base = true, r.log.base
 	} else {
-		response.Entries = batch(r.log.after(request.From-1), r.cfg.MessageBytes)
+		response.Entries = firstBatch(r.log.entriesAfter(request.From-1), r.cfg.MessageBytes)
 	}
 	r.send(from, response)
 }
@@ -36,8 +36,8 @@
 		return
 	}
 	r.promise(request.Term)
-	previous, entries := r.aboveBase(request)
-	if here, ok := r.log.version(previous.Index); !ok || here != previous {
+	previous, entries := r.trimToBase(request)
+	if local, ok := r.log.version(previous.Index); !ok || local != previous {
 		hint := min(r.log.last().Index, r.committed)
 		if !ok {
 			hint = r.log.last().Index
@@ -45,19 +45,19 @@
 		r.send(from, AppendResponse{Term: request.Term, Rejected: request.Previous.Index, Match: hint})
 		return
 	}
-	if !r.merge(entries) {
+	if !r.mergeEntries(entries) {
 		return
 	}
 	match := previous.Index + uint64(len(entries))
 	r.committed = max(r.committed, min(request.Commit, match))
 	if match >= request.Commit {
-		r.freshAt = now
+		r.upToDateAt = now
 	}
 	r.send(from, AppendResponse{Term: request.Term, Accepted: true, Match: match})
 }
 
 // aboveBase leaves out of a request what is at or below the base: that is committed, so the leader has the same.
-func (r *Replica) aboveBase(request AppendRequest) (Version, []Entry) {
+func (r *Replica) trimToBase(request AppendRequest) (Version, []Entry) {
 	base := r.log.base
 	if request.Previous.Index >= base.Index {
 		return request.Previous, request.Entries
@@ -68,10 +68,10 @@
 
 // merge takes entries whose place in the log is known to be right, and drops its own that differ from them. It reports false, and
 // does nothing, where they differ from what is committed: no leader's log does.
-func (r *Replica) merge(entries []Entry) bool {
+func (r *Replica) mergeEntries(entries []Entry) bool {
 	for k, entry := range entries {
-		here, ok := r.log.version(entry.Index)
-		if ok && here == entry.Version {
+		local, ok := r.log.version(entry.Index)
+		if ok && local == entry.Version {
 			continue
 		}
 		if ok {
@@ -90,10 +90,10 @@
 
 func (r *Replica) truncate(from uint64) {
 	r.log.truncate(from)
-	if from > r.savedTo {
+	if from > r.savedIndex {
 		return
 	}
-	r.savedTo = from - 1
+	r.savedIndex = from - 1
 	r.truncateFrom = from
 }
 
--- a/logic/configlog/replica_walk_test.go
+++ b/logic/configlog/replica_walk_test.go
@@ -60,9 +60,9 @@
 	c := *r
 	c.log.entries = slices.Clone(r.log.entries)
 	c.log.lastOfService = maps.Clone(r.log.lastOfService)
-	c.lead.answers = maps.Clone(r.lead.answers)
-	c.lead.progress = slices.Clone(r.lead.progress)
-	c.lead.open = slices.Clone(r.lead.open)
+	c.leader.promises = maps.Clone(r.leader.promises)
+	c.leader.progress = slices.Clone(r.leader.progress)
+	c.leader.openProposals = slices.Clone(r.leader.openProposals)
 	return &c
 }
 
@@ -214,9 +214,9 @@
 	term := envelope.Message.term()
 	if isAnswer(envelope.Message) {
 		answer, ok := envelope.Message.(AppendResponse)
-		progress := to.lead.progress
+		progress := to.leader.progress
 		return term != to.promised || to.state == ReplicaFollower ||
-			ok && progress != nil && answer.Accepted && progress[to.voters.Number(envelope.From)].match >= answer.Match
+			ok && progress != nil && answer.Accepted && progress[to.voters.Number(envelope.From)].matchIndex >= answer.Match
 	}
 	if term != to.promised {
 		return term < to.promised
@@ -265,7 +265,7 @@
 	}
 	version, ok := to.log.version(match)
 	return ok && version == last && min(request.Commit, match) <= to.committed && (from.promised != request.Term ||
-		from.state != ReplicaLeader || from.lead.progress[from.voters.Number(to.cfg.Name)].match >= match)
+		from.state != ReplicaLeader || from.leader.progress[from.voters.Number(to.cfg.Name)].matchIndex >= match)
 }
 
 // key is the same for states that differ by the names of the voters that were not the first to lead alone.
@@ -311,19 +311,19 @@
 	if r.state == ReplicaFollower {
 		return
 	}
-	h.Add(uint64(order[number(r.voters.Names()[r.lead.source])])<<32 | r.lead.fetched<<16 | uint64(len(r.lead.open)))
+	h.Add(uint64(order[number(r.voters.Names()[r.leader.source])])<<32 | r.leader.fetchedIndex<<16 | uint64(len(r.leader.openProposals)))
 	for _, other := range order[:len(s.replicas)] {
 		voter := r.voters.Number(fmt.Sprint("v", other))
 		if voter < 0 {
 			continue
 		}
-		if answer, ok := r.lead.answers[voter]; ok && r.state != ReplicaLeader {
+		if answer, ok := r.leader.promises[voter]; ok && r.state != ReplicaLeader {
 			h.Add(answer.Last.Term<<32 | answer.Last.Index<<16 | answer.Commit + 1)
 		}
 		h.Add(0)
-		if r.lead.progress != nil {
-			p := r.lead.progress[voter]
-			h.Add(p.match<<32 | p.next<<16 | uint64(p.inFlight))
+		if r.leader.progress != nil {
+			p := r.leader.progress[voter]
+			h.Add(p.matchIndex<<32 | p.nextIndex<<16 | uint64(p.inFlight))
 		}
 	}
 }
--- a/logic/configlog/stream_walk_test.go
+++ b/logic/configlog/stream_walk_test.go
@@ -196,7 +196,7 @@
 		return
 	}
 	at := w.app.follower.version.Index
-	want := recordsOf(committedLog[:at], w.app.follower.wants)
+	want := recordsOf(committedLog[:at], w.app.follower.subscribesTo)
 	if !w.faulty {
 		if !slices.EqualFunc(w.app.records, want, sameChange) {
 			w.wrong = fmt.Sprintf("at version %d the table has %s, not %s", at, w.app.records, want)
@@ -217,11 +217,11 @@
 	h := fnv.New64a()
 	f := w.app.follower
 	fmt.Fprint(h, w.streamBounds, w.app.version, w.app.records, w.app.staged, w.app.wants, w.app.connected, w.flight, f.state, f.version,
-		f.term, f.resumable, f.base, f.lastApplied, f.stream, f.connection.position, f.connection.opening)
+		f.highestTerm, f.resumable, f.baseIndex, f.lastApplied, f.stream, f.connection.rankIndex, f.connection.opening)
 	for d, feed := range w.feeds {
 		fmt.Fprint(h, len(w.tables[d].entries))
 		for _, s := range feed.subscribers {
-			fmt.Fprint(h, s.stream, s.position, s.sequence, s.snapshot, s.pending, s.greeted)
+			fmt.Fprint(h, s.stream, s.sentVersion, s.sequence, s.snapshot, s.pending, s.knownAgeSent)
 		}
 	}
 	return h.Sum64()
--- a/logic/configlog/whole_walk_test.go
+++ b/logic/configlog/whole_walk_test.go
@@ -324,7 +324,7 @@
 		if s.invalidated {
 			return fmt.Sprintf("server %d found an entry missing, and none is", s.id)
 		}
-		if want := recordsOf(w.committed[:at], s.follower.wants); !slices.EqualFunc(s.records, want, sameChange) {
+		if want := recordsOf(w.committed[:at], s.follower.subscribesTo); !slices.EqualFunc(s.records, want, sameChange) {
 			return fmt.Sprintf("server %d at version %d has %s, not %s", s.id, at, s.records, want)
 		}
 	}
