--- a/logic/configlog/log.go
+++ b/logic/configlog/log.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// entryLog is a run of entries after a base. It knows the last entry of each service at its end.
+// entryLog is a contiguous run of entries that follows a base version. It also tracks the last entry of
+// each service.
 type entryLog struct {
 	base          Version
 	entries       []Entry
@@ -19,7 +20,8 @@
 	return l.entries[len(l.entries)-1].Version
 }
 
-// version tells the version at an index that is the base or above it.
+// version returns the version at an index. It returns false for an index below the base or above the last
+// entry.
 func (l *entryLog) version(index uint64) (Version, bool) {
 	switch {
 	case index == l.base.Index:
@@ -30,19 +32,21 @@
 	return l.entries[index-l.base.Index-1].Version, true
 }
 
-// entriesAfter gives the entries above an index that is the base or above it; the caller leaves them as they are.
+// entriesAfter returns the entries above an index, which must not be below the base. The caller must not
+// modify them.
 func (l *entryLog) entriesAfter(index uint64) []Entry {
 	from := min(index-l.base.Index, uint64(len(l.entries)))
 	return l.entries[from:len(l.entries):len(l.entries)]
 }
 
-// entriesBetween gives the entries above one index, up to another.
+// entriesBetween returns the entries above one index, up to and including another.
 func (l *entryLog) entriesBetween(above, upTo uint64) []Entry {
 	entries := l.entriesAfter(above)
 	return entries[:min(uint64(len(entries)), upTo-above)]
 }
 
-// previousOfService is the index of a service's last entry; the first entries of terms are of no service, and have none.
+// previousOfService returns the index of the last entry of a service, 0 for none. The first entry of a
+// term belongs to no service.
 func (l *entryLog) previousOfService(service string) uint64 {
 	if service == "" {
 		return 0
@@ -57,28 +61,32 @@
 	}
 }
 
-// truncate drops the entries from an index on.
+// truncate removes the entries from an index on.
 func (l *entryLog) truncate(from uint64) {
 	keep := from - l.base.Index - 1
 	rollBackLastOfService(l.lastOfService, l.entries[keep:])
-	l.entries = l.entries[:keep:keep] // what is dropped may still be on its way to the disk
+	// The capacity is cut so that append does not overwrite removed entries, which a write to disk may
+	// still use.
+	l.entries = l.entries[:keep:keep]
 }
 
-// compact drops the entries up to an index, which is the base from then on.
+// compact removes the entries up to an index, which becomes the base.
 func (l *entryLog) compact(upTo uint64) {
 	base, _ := l.version(upTo)
-	l.entries = append([]Entry(nil), l.entriesAfter(upTo)...) // a copy, so that the memory of the former ones is freed
+	// A copy, so that the memory of the removed entries is freed.
+	l.entries = append([]Entry(nil), l.entriesAfter(upTo)...)
 	l.base = base
 }
 
-// lastOfServiceAt tells the last entry of each service at or below an index.
+// lastOfServiceAt returns the index of the last entry of each service at or below an index.
 func (l *entryLog) lastOfServiceAt(index uint64) map[string]uint64 {
 	last := maps.Clone(l.lastOfService)
 	rollBackLastOfService(last, l.entriesAfter(index))
 	return last
 }
 
-// rollBackLastOfService takes entries, which are the last, out of the last of each service.
+// rollBackLastOfService removes the effect of entries, which are the last of the log, from the index of
+// the last entry of each service.
 func rollBackLastOfService(last map[string]uint64, entries []Entry) {
 	for k := len(entries) - 1; k >= 0; k-- {
 		entry := entries[k]
@@ -92,7 +100,7 @@
 	}
 }
 
-// batch gives as many of the first entries as fit into a message, and one at least.
+// firstBatch returns as many of the first entries as fit into a message, and at least one.
 func firstBatch(entries []Entry, maxBytes int) []Entry {
 	size := 0
 	for k, entry := range entries {
@@ -104,7 +112,8 @@
 	return entries
 }
 
-// contiguous reports whether entries follow an index one after another, their terms never falling.
+// contiguous reports whether the entries have consecutive indexes after a previous version and terms that
+// do not decrease.
 func contiguous(previous Version, entries []Entry) bool {
 	for _, entry := range entries {
 		if entry.Index != previous.Index+1 || entry.Term < previous.Term {
@@ -115,8 +124,9 @@
 	return true
 }
 
-// entriesOfServices gives the entries of some services, each named once, above an index that is the base or above it, in order. It follows each service back from
-// its last entry, so its cost is that of the services and of what it finds.
+// entriesOfServices returns the entries of some services above an index, which must not be below the base,
+// in order of the log. No service may be listed twice. It follows each service backwards from its last
+// entry, so its cost depends on the number of services and of entries found, not on the length of the log.
 func (l *entryLog) entriesOfServices(services []string, above uint64) []Entry {
 	var found []Entry
 	for _, service := range services {
--- a/logic/configlog/message.go
+++ b/logic/configlog/message.go
@@ -1,19 +1,22 @@
 package configlog
 
-// Envelope is a message from one replica to another, by the names of the voters.
+// Envelope is a message from one replica to another. From and To are names of voters.
 type Envelope struct {
 	From, To string
 	Message  Message
 }
 
-// Message is what one replica says to another: one of RecoverRequest, RecoverResponse, FetchRequest, FetchResponse,
-// AppendRequest, AppendResponse, BehindNotice. Messages may be lost, doubled and reordered.
+// Message is a message between replicas: one of RecoverRequest, RecoverResponse, FetchRequest,
+// FetchResponse, AppendRequest, AppendResponse, BehindNotice. Messages may be lost, duplicated and
+// reordered.
 type Message interface{ term() uint64 }
 
-// RecoverRequest is a new leader's question to all voters: take nothing from lower terms any more, and tell your log's end.
+// RecoverRequest is sent by a new leader to all voters. It asks a voter to promise to reject lower terms,
+// and to report the end of its log.
 type RecoverRequest struct{ Term uint64 }
 
-// RecoverResponse answers RecoverRequest. Of a refusal, Known is the higher term that the voter has promised.
+// RecoverResponse is the response to RecoverRequest, or a refusal of a FetchRequest. If Refused is set,
+// Known is the higher term that the voter has promised.
 type RecoverResponse struct {
 	Term    uint64 // of the request
 	Refused bool
@@ -22,13 +25,14 @@
 	Commit  uint64
 }
 
-// FetchRequest is a recovering leader's question for the entries from an index on.
+// FetchRequest is sent by a recovering leader for the entries from an index on.
 type FetchRequest struct {
 	Term uint64
-	From uint64 // index of the first entry wanted
+	From uint64 // index of the first requested entry
 }
 
-// FetchResponse answers FetchRequest. Behind tells that the voter does not keep that entry any more; Base is what it keeps from.
+// FetchResponse is the response to FetchRequest. If Behind is set, the requester is behind the voter's
+// log: the voter no longer keeps the requested entry, and the entries that it has follow Base.
 type FetchResponse struct {
 	Term    uint64
 	From    uint64
@@ -37,7 +41,8 @@
 	Base    Version
 }
 
-// AppendRequest brings entries that follow Previous, and the leader's commit index. Without entries it is a heartbeat.
+// AppendRequest carries entries that follow Previous, and the leader's commit index. Without entries it is
+// a heartbeat.
 type AppendRequest struct {
 	Term     uint64
 	Previous Version
@@ -45,8 +50,10 @@
 	Commit   uint64
 }
 
-// AppendResponse answers AppendRequest. Accepted means the voter's log is the leader's up to Match. Otherwise Known above the
-// term means that the leader is over; else the voter has no entry Rejected, and Match is its hint of where to go on.
+// AppendResponse is the response to AppendRequest. If Accepted is set, the voter's log matches the
+// leader's up to index Match. Otherwise, if Known is above the term, it is the higher term that the voter
+// has promised and the leader's term is stale; if not, the voter's log does not match at index Rejected,
+// and Match is a hint of an index that may match.
 type AppendResponse struct {
 	Term     uint64 // of the request
 	Accepted bool
@@ -55,7 +62,8 @@
 	Match    uint64
 }
 
-// BehindNotice tells a voter that the leader no longer keeps what it lacks: it needs a snapshot of at least Base.
+// BehindNotice tells a voter that the leader no longer keeps the entries that the voter lacks: the voter
+// needs a snapshot at Base or later.
 type BehindNotice struct {
 	Term uint64
 	Base Version
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -7,32 +7,33 @@
 	"valveglade/logic/quorum"
 )
 
-// Replica is a voter's copy of the log.
+// Replica is a voter's copy of the log, and the leader of the log while it leads.
 type Replica struct {
 	cfg    ReplicaConfig
 	voters quorum.Voters
-	self   int // its number among the voters, -1 for none
+	self   int // its number among the voters, -1 if it is not a voter
 
 	state      ReplicaState
-	promised   uint64 // also the term that it leads under
+	promised   uint64 // highest promised term; of a leader, its own
 	log        entryLog
 	committed  uint64
-	upToDateAt float64 // when it was last known to have all that is committed; -Inf for never since the start
+	upToDateAt float64 // when it was last known to have all committed entries; -Inf for never since its start
 
 	leader leaderState
 
-	savedPromised uint64 // what the disk has, once all that Ready gave is carried out
+	savedPromised uint64 // promised term on the disk after all returned Persists
 	savedIndex    uint64
 	truncateFrom  uint64
 	reset         bool
-	delivered     uint64 // committed entries up to this index were given out
+	delivered     uint64 // committed entries up to this index were returned by Ready
 	out           ReplicaReady
 }
 
-// NewReplica opens a replica on what the disk has. Entries of stored up to its Commit are not given out by Ready again. The replica
-// keeps what stored refers to.
+// NewReplica opens a replica from the state on its disk. Ready does not return the entries up to
+// stored.Commit as committed again. The replica keeps references to the contents of stored.
 func NewReplica(cfg ReplicaConfig, stored Stored, _ float64) *Replica {
-	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised, savedPromised: stored.Promised, upToDateAt: math.Inf(-1)}
+	r := &Replica{cfg: cfg, voters: quorum.New(cfg.Voters), promised: stored.Promised,
+		savedPromised: stored.Promised, upToDateAt: math.Inf(-1)}
 	r.self = r.voters.Number(cfg.Name)
 	r.log = entryLog{base: stored.Base, lastOfService: maps.Clone(stored.LastOfService)}
 	if r.log.lastOfService == nil {
@@ -47,7 +48,7 @@
 	return r
 }
 
-// moveTo changes the state, and nothing else does.
+// setState is the only function that changes the state.
 func (r *Replica) setState(state ReplicaState) {
 	if state == ReplicaFollower {
 		for _, proposal := range r.leader.openProposals {
@@ -58,10 +59,10 @@
 	r.state = state
 }
 
-// StepDown ends leading; open proposals end with ErrOutcomeUnknown.
+// StepDown gives up the leader role. Open proposals end with ErrOutcomeUnknown.
 func (r *Replica) StepDown() { r.setState(ReplicaFollower) }
 
-// promise takes nothing from leaders below a term any more, itself among them.
+// promise promises to reject lower terms. A replica that leads under a lower term stops leading.
 func (r *Replica) promise(term uint64) {
 	if term <= r.promised {
 		return
@@ -70,7 +71,7 @@
 	r.promised = term
 }
 
-// handleHigherTerm ends leading as a higher term is known.
+// handleHigherTerm stops leading because a higher term is known.
 func (r *Replica) handleHigherTerm(known uint64) {
 	if r.state == ReplicaFollower || known <= r.promised {
 		return
@@ -79,7 +80,7 @@
 	r.setState(ReplicaFollower)
 }
 
-// Step takes a message of another replica.
+// Step handles a message of another replica.
 func (r *Replica) Step(envelope Envelope, now float64) {
 	from := envelope.From
 	if r.voters.Number(from) < 0 || from == r.cfg.Name || envelope.To != r.cfg.Name {
@@ -107,8 +108,8 @@
 	r.out.Messages = append(r.out.Messages, Envelope{From: r.cfg.Name, To: to, Message: message})
 }
 
-// InstallSnapshot has the log go on from a committed version that the table outside now has. It reports false, and does nothing, for
-// one that is not above what is committed here.
+// InstallSnapshot makes the log continue after a committed version that the caller's table now has. It
+// returns false and does nothing if the version is not above the commit index, or if this replica leads.
 func (r *Replica) InstallSnapshot(version Version, lastOfService map[string]uint64, now float64) bool {
 	if version.Index <= r.committed || r.state == ReplicaLeader {
 		return false
@@ -127,21 +128,22 @@
 	return true
 }
 
-// LastOfService tells the index of each service's last entry at or below an index that is not below the base; the caller owns it.
+// LastOfService returns the index of each service's last entry at or below an index, which must not be
+// below the base. The caller owns the map.
 func (r *Replica) LastOfService(index uint64) map[string]uint64 { return r.log.lastOfServiceAt(index) }
 
-// Status tells where the replica is.
+// Status returns a snapshot of the state of the replica.
 func (r *Replica) Status(now float64) ReplicaStatus {
 	committed, _ := r.log.version(r.committed)
-	status := ReplicaStatus{State: r.state, Term: r.promised, Last: r.log.last(), Committed: committed, Base: r.log.base,
-		Open: len(r.leader.openProposals), Age: now - r.upToDateAt}
+	status := ReplicaStatus{State: r.state, Term: r.promised, Last: r.log.last(), Committed: committed,
+		Base: r.log.base, Open: len(r.leader.openProposals), Age: now - r.upToDateAt}
 	if r.state == ReplicaLeader {
 		status.Age = 0
 	}
 	return status
 }
 
-// Ready empties what there is to do.
+// Ready returns the work for the caller since the last call.
 func (r *Replica) Ready() ReplicaReady {
 	out := r.out
 	out.Persist = r.takePersist()
@@ -154,7 +156,7 @@
 	return out
 }
 
-// unsaved tells what is to be written, and takes it as written.
+// takePersist returns what has to be written, and records it as written.
 func (r *Replica) takePersist() Persist {
 	persist := Persist{Reset: r.reset, TruncateFrom: r.truncateFrom}
 	if r.reset {
@@ -170,7 +172,8 @@
 	return persist
 }
 
-// compact drops the oldest committed entries once there is a quarter more than is to be kept.
+// compact removes the oldest committed entries once more than KeepEntries and a quarter are kept. The
+// margin avoids a copy of the log for each entry.
 func (r *Replica) compact() bool {
 	keep := uint64(r.cfg.KeepEntries)
 	if r.committed-r.log.base.Index <= keep+keep/4 {
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -6,16 +6,16 @@
 	"valveglade/logic/quorum"
 )
 
-// progress is what a leader knows of one voter's log.
+// progress is the leader's knowledge of one voter's log.
 type progress struct {
-	matchIndex uint64 // its log is the leader's up to here
-	nextIndex  uint64 // of the entry to be sent next
-	confirmed  bool   // it has taken something under this term; until then entries are tried one message at a time
-	inFlight   int    // messages with entries that are not answered
+	matchIndex uint64 // the voter's log matches the leader's up to this index
+	nextIndex  uint64 // index of the next entry to send
+	confirmed  bool   // the voter has accepted a message of this term; before, one is sent at a time
+	inFlight   int    // unacknowledged messages with entries
 	sentAt     float64
 }
 
-// Propose appends a change. Its outcome comes out of Ready under the id.
+// Propose appends a change to the log. Ready returns its Result with the same id.
 func (r *Replica) Propose(id uint64, change Change, now float64) error {
 	switch r.state {
 	case ReplicaFollower:
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// appendOwn appends an entry under the leader's term.
+// appendAsLeader appends an entry under the leader's term.
 func (r *Replica) appendAsLeader(change Change) {
 	version := Version{Term: r.promised, Index: r.log.last().Index + 1}
 	r.log.append(Entry{Version: version, Previous: r.log.previousOfService(change.Service), Change: change})
 }
 
-// replicate sends each voter what it lacks, as far as may be on its way at a time.
+// replicate sends each voter the entries that it lacks, within the limit of messages in flight.
 func (r *Replica) replicate(now float64) {
 	for voter := range r.leader.progress {
 		if voter != r.self {
@@ -77,10 +77,11 @@
 
 func (r *Replica) sendAppend(voter int, previous Version, entries []Entry, now float64) {
 	r.leader.progress[voter].sentAt = now
-	r.send(r.voters.Names()[voter], AppendRequest{Term: r.promised, Previous: previous, Entries: entries, Commit: r.committed})
+	r.send(r.voters.Names()[voter],
+		AppendRequest{Term: r.promised, Previous: previous, Entries: entries, Commit: r.committed})
 }
 
-// sendHeartbeat tells a voter the commit index.
+// sendHeartbeat sends a voter the commit index without entries.
 func (r *Replica) sendHeartbeat(voter int, now float64) {
 	if previous, ok := r.log.version(r.leader.progress[voter].nextIndex - 1); ok {
 		r.sendAppend(voter, previous, nil, now)
@@ -112,7 +113,7 @@
 	r.sendEntries(voter, now)
 }
 
-// accept takes note of what a voter has.
+// accept records that the voter acknowledged the entries up to an index.
 func (p *progress) accept(match uint64) {
 	p.matchIndex = max(p.matchIndex, match)
 	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
@@ -123,7 +124,8 @@
 	p.inFlight = max(p.inFlight-1, 0)
 }
 
-// stepBack goes on from where a voter's log may be the leader's, after a refusal. Those of earlier messages say nothing new.
+// reject handles a rejection: it moves nextIndex back to where the voter's log may match the leader's.
+// Rejections of earlier messages are ignored.
 func (p *progress) reject(response AppendResponse) {
 	if response.Rejected <= p.matchIndex || response.Rejected >= p.nextIndex {
 		return
@@ -136,7 +138,8 @@
 	p.nextIndex = max(min(response.Rejected, response.Match+1), 1)
 }
 
-// commit takes what a majority has as committed, and reports whether that is more than before.
+// advanceCommit commits what a majority of the voters has, and reports whether the commit index has
+// advanced.
 func (r *Replica) advanceCommit() bool {
 	matches := make([]uint64, len(r.leader.progress))
 	for voter, progress := range r.leader.progress {
@@ -165,7 +168,7 @@
 	return false
 }
 
-// holders are the voters that have an entry.
+// votersWithIndex returns the voters whose log matches the leader's up to an index.
 func votersWithIndex(matches []uint64, index uint64) quorum.Set {
 	var set quorum.Set
 	for voter, match := range matches {
@@ -176,7 +179,7 @@
 	return set
 }
 
-// finishProposals tells the results of what is committed.
+// completeProposals adds the results of the proposals that are committed.
 func (r *Replica) completeProposals() {
 	for len(r.leader.openProposals) > 0 && r.leader.openProposals[0].index <= r.committed {
 		version, _ := r.log.version(r.leader.openProposals[0].index)
@@ -185,16 +188,18 @@
 	}
 }
 
-// tellCommit has voters that wait for nothing else hear of the commit at once.
+// broadcastCommit sends the new commit index at once to the voters for which no entries are to be sent or
+// in flight.
 func (r *Replica) broadcastCommit(now float64) {
 	for voter, progress := range r.leader.progress {
-		if voter != r.self && progress.confirmed && progress.inFlight == 0 && progress.nextIndex > r.log.last().Index {
+		if voter != r.self && progress.confirmed && progress.inFlight == 0 &&
+			progress.nextIndex > r.log.last().Index {
 			r.sendHeartbeat(voter, now)
 		}
 	}
 }
 
-// Tick does what is due.
+// Tick sends what is due: heartbeats, and requests and entries whose response has timed out.
 func (r *Replica) Tick(now float64) {
 	switch r.state {
 	case ReplicaPreparing, ReplicaFetching:
@@ -209,7 +214,7 @@
 	}
 }
 
-// sendAgain sends what was not answered in time, or a heartbeat.
+// resend sends entries again that were not acknowledged in time, or a heartbeat.
 func (r *Replica) resend(voter int, now float64) {
 	progress := &r.leader.progress[voter]
 	elapsed := now - progress.sentAt
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -2,27 +2,29 @@
 
 import "valveglade/logic/quorum"
 
-// fetchAttempts is after how many unanswered questions for entries a recovering leader looks for another voter to ask.
+// maxFetchAttempts is the number of unanswered fetch requests after which a recovering leader chooses
+// another voter.
 const maxFetchAttempts = 3
 
-// leaderState is what a leader knows, under one term.
+// leaderState is the state of a leader under one term.
 type leaderState struct {
-	promises      map[int]RecoverResponse // by voter; the leader's own among them
-	source        int                     // the voter whose log is taken
-	fetchedIndex  uint64                  // the last index that is as in that log; 0 for none yet
-	fetchAttempts int                     // questions for entries since the last answer
+	promises      map[int]RecoverResponse // by voter, including the leader's own
+	source        int                     // the voter whose log is adopted
+	fetchedIndex  uint64                  // last index up to which the own log equals it; 0 for none yet
+	fetchAttempts int                     // fetch requests since the last usable response
 	requestedAt   float64
 	progress      []progress // by voter
 	openProposals []openProposal
 }
 
-// openProposal is a proposal that waits for its commit.
+// openProposal is a proposal that is not committed yet.
 type openProposal struct {
 	id    uint64
 	index uint64
 }
 
-// Lead begins to lead under a term that nobody else has. It fails for a term not above all that this replica has promised.
+// Lead starts to lead under a term that no other replica leads under. It fails if the term is not above
+// all terms that this replica has promised.
 func (r *Replica) Lead(term uint64, now float64) error {
 	if term <= r.promised {
 		return &StaleTermError{Term: term, Known: r.promised}
@@ -38,7 +40,7 @@
 	return nil
 }
 
-// ask asks the voters that have not answered yet for their promises.
+// requestPromises requests the promises of the voters that have not promised yet.
 func (r *Replica) requestPromises(now float64) {
 	r.leader.requestedAt = now
 	for voter, name := range r.voters.Names() {
@@ -63,7 +65,7 @@
 	r.chooseLog(now)
 }
 
-// chooseLog takes the most up-to-date log once a majority has promised, and told its own.
+// chooseLog adopts the most up-to-date log once a majority has promised and reported the end of its log.
 func (r *Replica) chooseLog(now float64) {
 	var promised quorum.Set
 	source, sourceLast := r.self, r.log.last()
@@ -89,7 +91,8 @@
 	r.fetch(now)
 }
 
-// moreUpToDate reports whether a log with one end has all that is committed if a log with another end has.
+// moreUpToDate reports whether a log that ends with last is to be preferred to one that ends with other:
+// it has all committed entries if the other has them.
 func (r *Replica) moreUpToDate(last, other Version) bool {
 	if !r.cfg.Disabled.enabled(MostUpToDate) {
 		return last.Index > other.Index
@@ -97,7 +100,7 @@
 	return last.Compare(other) > 0
 }
 
-// fetch asks for the entries after the last one that is known to be as in the log that is taken.
+// fetch requests the entries after the last one that is known to be equal in the adopted log.
 func (r *Replica) fetch(now float64) {
 	if r.nextFetchIndex() > r.leader.promises[r.leader.source].Last.Index {
 		r.startLeading(now)
@@ -108,7 +111,7 @@
 	r.send(r.voters.Names()[r.leader.source], FetchRequest{Term: r.promised, From: r.nextFetchIndex()})
 }
 
-// fetchFrom is the first entry that may differ from the log that is taken.
+// nextFetchIndex returns the index of the first entry that may differ from the adopted log.
 func (r *Replica) nextFetchIndex() uint64 { return max(r.leader.fetchedIndex, r.committed) + 1 }
 
 func (r *Replica) handleFetchResponse(from string, response FetchResponse, now float64) {
@@ -123,7 +126,8 @@
 		return
 	}
 	previous, _ := r.log.version(response.From - 1)
-	if len(response.Entries) == 0 || !contiguous(previous, response.Entries) || !r.mergeEntries(response.Entries) {
+	if len(response.Entries) == 0 || !contiguous(previous, response.Entries) ||
+		!r.mergeEntries(response.Entries) {
 		return
 	}
 	r.leader.fetchAttempts = 0
@@ -131,7 +135,7 @@
 	r.fetch(now)
 }
 
-// recoverAgain does what is due while the log is not recovered.
+// retryRecovery repeats a request whose response has timed out, or chooses another voter to fetch from.
 func (r *Replica) retryRecovery(now float64) {
 	if now-r.leader.requestedAt < r.cfg.ResendAfter {
 		return
@@ -149,7 +153,7 @@
 	r.chooseLog(now)
 }
 
-// startLeading appends the first entry of the term, with which all before it will be committed.
+// startLeading appends the first entry of the term. Committing it commits all entries before it.
 func (r *Replica) startLeading(now float64) {
 	for _, promise := range r.leader.promises {
 		r.committed = max(r.committed, min(promise.Commit, r.log.last().Index))
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -1,34 +1,35 @@
 package configlog
 
-// ReplicaConfig is what an installation sets. Times are in seconds.
+// ReplicaConfig is the configuration of a replica. Times are in seconds.
 type ReplicaConfig struct {
 	Name           string
-	Voters         [][]string // one list, or two while they are changed: a majority of each is needed
-	KeepEntries    int        // committed entries kept in memory
-	MaxOpen        int        // proposals that may wait for their commit
-	MessageBytes   int        // of entries in one message, by Entry.Size
-	MaxInFlight    int        // messages with entries on their way to one voter
+	Voters         [][]string // one list, or two during a membership change: a quorum is a majority of each
+	KeepEntries    int        // committed entries kept in memory, up to a quarter more
+	MaxOpen        int        // limit of uncommitted proposals
+	MessageBytes   int        // limit of the entries in one message, by Entry.Size
+	MaxInFlight    int        // limit of unacknowledged messages with entries to one voter
 	ResendAfter    float64
 	HeartbeatEvery float64
-	Disabled       Rule // none in service
+	Disabled       Rule // none in production
 }
 
-// Stored is what a replica finds on its disk at a start.
+// Stored is the state that a replica reads from its disk at start.
 type Stored struct {
-	Promised      uint64            // nothing is taken from leaders of lower terms
-	Base          Version           // entries follow this one
-	LastOfService map[string]uint64 // at Base: the index of the last entry of each service
+	Promised      uint64            // messages of leaders of lower terms are rejected
+	Base          Version           // version that Entries follow
+	LastOfService map[string]uint64 // index of the last entry of each service at Base
 	Entries       []Entry
-	Commit        uint64 // at least Base.Index; what is committed by the table on disk
+	Commit        uint64 // commit index of the table on disk; at least Base.Index
 }
 
-// Persist is what has to be on the disk before the messages of the same Ready leave. Its parts are carried out in order.
+// Persist must be on the disk before the messages of the same Ready are sent. Its fields are applied in
+// order.
 type Persist struct {
-	Promised     uint64  // 0 where unchanged
-	Reset        bool    // all entries are dropped, and Base is where the log goes on from
-	Base         Version // of Reset
-	TruncateFrom uint64  // entries from this index on are dropped; 0 for none
-	Entries      []Entry // to be appended
+	Promised     uint64  // 0 if unchanged
+	Reset        bool    // all entries are removed, and the log continues after Base
+	Base         Version // only with Reset
+	TruncateFrom uint64  // entries from this index on are removed; 0 for none
+	Entries      []Entry // to append
 }
 
 // IsEmpty reports whether there is nothing to write.
@@ -36,43 +37,49 @@
 	return p.Promised == 0 && !p.Reset && p.TruncateFrom == 0 && len(p.Entries) == 0
 }
 
-// Result is the outcome of a proposal: committed under Version, or an error. ErrOutcomeUnknown means that it may yet be committed.
+// Result is the outcome of a proposal: committed as Version, or an error. After ErrOutcomeUnknown the
+// change may still be committed.
 type Result struct {
 	ID      uint64
 	Version Version
 	Err     error
 }
 
-// ReplicaReady is what there is to do, in this order: write Persist, send Messages, apply Committed, tell Results. All of it is done
-// before the replica is called again. Where writing fails nothing else of it is done, and the replica is dropped and opened again.
+// ReplicaReady is the work for the caller, in this order: write Persist, send Messages, apply Committed,
+// report Results. All of it is done before the replica is called again. If writing fails, the rest must
+// not be done, and the replica must be discarded and reopened from the disk.
+//
+// NeedSnapshot is set when the entries that are missing here are no longer available from other voters.
+// CompactedUpTo is set when entries have been removed from memory: those up to it may be removed from the
+// disk once the table there has them.
 type ReplicaReady struct {
 	Persist       Persist
 	Messages      []Envelope
-	Committed     []Entry // in the order of the log, each once since the start
+	Committed     []Entry // in log order, each once since the start
 	Results       []Result
-	NeedSnapshot  Version // not zero: the log goes on too far above what is here, install a snapshot of at least this version
-	StaleTerm     uint64  // not zero: a term above the one led under is known, so the role is to be given up
-	CompactedUpTo Version // not zero: entries up to this one are not needed on the disk, once the table there has them
+	NeedSnapshot  Version // if not zero: install a snapshot at this version or later
+	StaleTerm     uint64  // if not zero: a higher term is known, the caller must give up the leader role
+	CompactedUpTo Version // if not zero: last entry that may be removed from the disk
 }
 
-// ReplicaState is how far a replica has come. One function changes it.
+// ReplicaState is the role of a replica, and the progress of a new leader. Only setState changes it.
 type ReplicaState uint8
 
 // The states of a replica.
 const (
 	ReplicaFollower  ReplicaState = iota
-	ReplicaPreparing              // leads, and waits for the promises of a majority
-	ReplicaFetching               // leads, and fetches what it lacks
-	ReplicaLeader                 // leads, and takes proposals
+	ReplicaPreparing              // new leader, waits for the promises of a majority
+	ReplicaFetching               // new leader, fetches the entries that it lacks
+	ReplicaLeader                 // leader, accepts proposals
 )
 
-// ReplicaStatus tells where a replica is.
+// ReplicaStatus is a snapshot of the state of a replica.
 type ReplicaStatus struct {
 	State     ReplicaState
-	Term      uint64 // promised, or led under
+	Term      uint64 // highest promised term; of a leader, its own
 	Last      Version
 	Committed Version
 	Base      Version
-	Open      int
-	Age       float64 // seconds since this replica was last known to have all that is committed; +Inf if it was not since its start
+	Open      int     // uncommitted proposals
+	Age       float64 // seconds since it was last known to have all committed entries; +Inf for never
 }
--- a/logic/configlog/replica_voter.go
+++ b/logic/configlog/replica_voter.go
@@ -1,6 +1,6 @@
 package configlog
 
-// A voter's answers to a leader.
+// This file has the responses of a voter to a leader.
 
 func (r *Replica) handleRecoverRequest(from string, request RecoverRequest) {
 	if request.Term < r.promised {
@@ -32,7 +32,8 @@
 		r.send(from, AppendResponse{Term: request.Term, Known: r.promised})
 		return
 	}
-	if !contiguous(request.Previous, request.Entries) || request.Term == r.promised && r.state != ReplicaFollower {
+	if !contiguous(request.Previous, request.Entries) ||
+		request.Term == r.promised && r.state != ReplicaFollower {
 		return
 	}
 	r.promise(request.Term)
@@ -56,7 +57,8 @@
 	r.send(from, AppendResponse{Term: request.Term, Accepted: true, Match: match})
 }
 
-// aboveBase leaves out of a request what is at or below the base: that is committed, so the leader has the same.
+// trimToBase removes the entries at or below the base from a request. They are committed, so the leader
+// has the same.
 func (r *Replica) trimToBase(request AppendRequest) (Version, []Entry) {
 	base := r.log.base
 	if request.Previous.Index >= base.Index {
@@ -66,8 +68,9 @@
 	return base, request.Entries[below:]
 }
 
-// merge takes entries whose place in the log is known to be right, and drops its own that differ from them. It reports false, and
-// does nothing, where they differ from what is committed: no leader's log does.
+// mergeEntries appends entries that are known to continue the log at their index, and truncates own
+// entries that conflict with them. It returns false and changes nothing if they conflict with committed
+// entries, which no leader sends.
 func (r *Replica) mergeEntries(entries []Entry) bool {
 	for k, entry := range entries {
 		local, ok := r.log.version(entry.Index)
@@ -106,6 +109,7 @@
 		r.out.NeedSnapshot = notice.Base
 		return
 	}
-	// It has taken a snapshot since: what is committed here is in every later leader's log.
+	// The voter has installed a snapshot since. Its committed entries are in the log of every later
+	// leader.
 	r.send(from, AppendResponse{Term: notice.Term, Accepted: true, Match: r.committed})
 }
