--- a/logic/configlog/example_feed_test.go
+++ b/logic/configlog/example_feed_test.go
@@ -7,7 +7,7 @@
 	"valveglade/logic/configlog"
 )
 
-// table has one record of each service at a version.
+// table is a Snapshotter with three records of service a at a version.
 type table struct{ version configlog.Version }
 
 type snapshot struct {
@@ -26,7 +26,8 @@
 	return []configlog.Change{entry(0, 0, 0, "a").Change}, s.left == 0
 }
 
-// A feed sends each subscriber what it wants at the subscriber's pace, and closes one for which too much waits.
+// A feed sends each subscriber its entries at the subscriber's rate, and closes a subscriber whose buffer
+// is full.
 func ExampleFeed() {
 	now, age, version := 0.0, math.Inf(1), configlog.Version{Term: 1, Index: 4}
 	cfg := configlog.FeedConfig{HistoryEntries: 4, BufferBytes: 130, PartBytes: 1, BytesPerSecond: 100, HeartbeatEvery: 3, LookupsInFlight: 1}
@@ -44,7 +45,7 @@
 	}
 	feed.Subscribe(1, configlog.Subscribe{Stream: 11, Services: []string{"a"}}, now)
 	show(1)
-	show(1) // no heartbeat, as its own age is not known
+	show(1) // no heartbeat, as the distributor's age is unknown
 	age = 0.5
 	show(0)
 	show(2)
@@ -73,7 +74,7 @@
 	//   4.0 Heartbeat{Stream:11 Sequence:6 {Term:1 Index:4} Age:0.5}
 	//   4.0 LookupReply{Stream:11 ID:1 {Term:1 Index:4} Found:true Value:[111 102 32 116]}
 	//   4.0 LookupReply{Stream:11 ID:2 {Term:1 Index:4} Found:false Value:[111 102 32 110 111 110 101]}
-	// configlog: gap in index: 6, not 5 configlog: term 0 is over, 1 is known
+	// configlog: gap in index: got 6, want 5 configlog: term 0 is stale, term 1 is known
 	// <nil>
 	//   5.0 Delta{Stream:11 Sequence:7 Entry:{{Term:1 Index:5} Previous:0 {Service:a }}}
 	//   5.0 Delta{Stream:11 Sequence:8 Entry:{{Term:2 Index:7} Previous:5 {Service:a }}}
--- a/logic/configlog/example_test.go
+++ b/logic/configlog/example_test.go
@@ -14,13 +14,15 @@
 		Change: configlog.Change{Service: service, Payload: []byte("12345678")}}
 }
 
-// tell prints a value with its type's name, and entries as TERM.INDEX SERVICE.
+// printValue prints a value with the name of its type, without the package name and the payloads of
+// entries.
 func tell(now float64, value any) {
 	text := strings.ReplaceAll(fmt.Sprintf("%T%+v", value, value), "configlog.", "")
 	fmt.Printf("%5.1f %s\n", now, strings.NewReplacer("Change:", "", "Version:", "", "Payload:[49 50 51 52 53 54 55 56]", "").Replace(text))
 }
 
-// A leader asks for promises, fetches what it lacks, and appends the first entry of its term; proposals end with their commit, or unknown.
+// A new leader requests promises, fetches the entries that it lacks, and appends the first entry of its
+// term. A proposal ends when it is committed, or with ErrOutcomeUnknown when the leader steps down.
 func ExampleReplica() {
 	names := []string{"x", "y", "z"}
 	replicas := map[string]*configlog.Replica{}
@@ -33,7 +35,7 @@
 		}
 		replicas[name] = configlog.NewReplica(cfg, stored, 0)
 	}
-	settle := func() { // without z, which hears nothing
+	settle := func() { // messages to z are lost
 		for again := true; again; {
 			again = false
 			for _, name := range names[:2] {
@@ -62,8 +64,8 @@
 	settle()
 	fmt.Println(x.Lead(2, 0), replicas["y"].Status(1).Age)
 	// Output:
-	// configlog: this replica does not lead +Inf
-	// <nil> configlog: the leader has not recovered the log yet
+	// configlog: this replica is not the leader +Inf
+	// <nil> configlog: the leader is still recovering the log
 	//   0.0 Envelope{From:x To:y Message:{Term:2}}
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Refused:false Known:0 Last:{Term:1 Index:1} Commit:0}}
 	//   0.0 Envelope{From:x To:y Message:{Term:2 From:1}}
@@ -72,20 +74,20 @@
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:2}}
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:2} Entries:[] Commit:2}}
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:2}}
-	// <nil> configlog: 1 are open already, and no more are allowed
+	// <nil> configlog: 1 requests are open, the limit is reached
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:2} Entries:[{{Term:2 Index:3} Previous:1 {Service:a }}] Commit:2}}
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:3}}
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[] Commit:3}}
 	// result: 1 {2 3} <nil>
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:3}}
-	// configlog: a change without a service is reserved for the first entry of a term configlog: the change takes 132 bytes of a message, 100 are allowed <nil>
+	// configlog: only the first entry of a term has no service configlog: the change takes 132 bytes of a message, the limit is 100 <nil>
 	//   0.0 Envelope{From:x To:y Message:{Term:2 Previous:{Term:2 Index:3} Entries:[{{Term:2 Index:4} Previous:3 {Service:a }}] Commit:3}}
 	// result: 5 {0 0} configlog: leadership ended before the change was known to be committed
 	//   0.0 Envelope{From:y To:x Message:{Term:2 Accepted:true Known:0 Rejected:0 Match:4}}
-	// configlog: term 2 is over, 2 is known 1
+	// configlog: term 2 is stale, term 2 is known 1
 }
 
-// follow is a follower that is played by hand.
+// testFollower is a follower with its clock and the number of its current subscription.
 type follow struct {
 	*configlog.Follower
 	now    float64
@@ -124,7 +126,7 @@
 
 func (f *follow) take(message configlog.StreamMessage) {
 	if err := f.Step(message, f.now); err != nil {
-		fmt.Printf("%5.1f refused: %s\n", f.now, strings.TrimPrefix(err.Error(), "configlog: "))
+		fmt.Printf("%5.1f rejected: %s\n", f.now, strings.TrimPrefix(err.Error(), "configlog: "))
 	}
 	f.show()
 }
@@ -135,7 +137,7 @@
 	return &follow{Follower: configlog.NewFollower(cfg, version, 0)}
 }
 
-// following is one that has resumed from a version.
+// followingFollower returns a follower that has resumed from a version.
 func following(version configlog.Version) *follow {
 	f := newFollow(version)
 	f.Tick(0)
@@ -150,7 +152,8 @@
 	return f
 }
 
-// A follower without a file takes a snapshot, whole or not at all; it tells when it is stale, and tries one distributor after another.
+// A follower without a table requests a snapshot and applies it only when it is complete. It reports when
+// it becomes stale, and tries one distributor after another.
 func ExampleFollower() {
 	f := newFollow(configlog.Version{})
 	f.pass(0)
@@ -196,13 +199,13 @@
 	//   9.0 Invalidate{}
 	//   9.0 subscribe from {0 0} to [a b]
 	//   9.0 subscribing, version {4 9}, stale false
-	//   9.0 close: distributor gone
+	//   9.0 close: distributor removed
 	//   9.0 disconnected, version {4 9}, stale false
 	//  26.0 Connect{Distributor:d3}
 	//  26.0 disconnected, version {4 9}, stale true
 }
 
-// The snapshot of an empty log is one to go on from.
+// A follower can resume after the snapshot of an empty log.
 func ExampleFollower_emptyLog() {
 	f := newFollow(configlog.Version{})
 	f.pass(0)
@@ -228,7 +231,8 @@
 	//   1.0 subscribing, version {1 2}, stale true
 }
 
-// What is a gap, doubled, late, stale, of a leader that is over, or malformed is told apart, and not applied.
+// Gaps, duplicates, reordered, stale and malformed messages and those of a stale leader are reported by
+// different errors, and not applied.
 func ExampleFollower_Step() {
 	at := configlog.Version{Term: 3, Index: 7}
 	refused := func(what string, messages ...func(stream uint64) configlog.StreamMessage) *follow {
@@ -253,46 +257,46 @@
 		}
 	}
 	next := entry(3, 9, 7, "a")
-	refused("a message is missing, and late", delta(3, next), delta(2, next), delta(4, next))
-	refused("doubled", delta(2, next), delta(2, next))
-	refused("an entry of the service is missing", delta(2, entry(3, 9, 8, "a")))
-	refused("another one before it", delta(2, next), delta(3, entry(3, 10, 8, "a")))
-	refused("stale", delta(2, entry(3, 7, 5, "a")))
-	refused("an old leader's", delta(2, entry(2, 9, 7, "a")))
-	refused("another service", delta(2, entry(3, 9, 7, "b")))
-	refused("an old leader's heartbeat", beat(configlog.Version{Term: 2, Index: 9}, 0))
-	refused("a stale heartbeat", beat(configlog.Version{Term: 3, Index: 6}, 0))
-	refused("a heartbeat of another log", beat(configlog.Version{Term: 4, Index: 7}, 0))
-	refused("a heartbeat from the future", beat(configlog.Version{Term: 3, Index: 7}, -1))
-	refused("unnumbered", delta(0, next))
-	refused("a second welcome", func(stream uint64) configlog.StreamMessage { return configlog.Welcome{Stream: stream, Sequence: 2} })
-	refused("a part", func(stream uint64) configlog.StreamMessage {
+	refused("missing message that arrives late", delta(3, next), delta(2, next), delta(4, next))
+	refused("duplicate", delta(2, next), delta(2, next))
+	refused("missing entry of the service", delta(2, entry(3, 9, 8, "a")))
+	refused("another previous entry", delta(2, next), delta(3, entry(3, 10, 8, "a")))
+	refused("stale entry", delta(2, entry(3, 7, 5, "a")))
+	refused("entry of a stale leader", delta(2, entry(2, 9, 7, "a")))
+	refused("entry of another service", delta(2, entry(3, 9, 7, "b")))
+	refused("heartbeat of a stale leader", beat(configlog.Version{Term: 2, Index: 9}, 0))
+	refused("stale heartbeat", beat(configlog.Version{Term: 3, Index: 6}, 0))
+	refused("heartbeat of another log", beat(configlog.Version{Term: 4, Index: 7}, 0))
+	refused("heartbeat with a negative age", beat(configlog.Version{Term: 3, Index: 7}, -1))
+	refused("no sequence number", delta(0, next))
+	refused("second welcome", func(stream uint64) configlog.StreamMessage { return configlog.Welcome{Stream: stream, Sequence: 2} })
+	refused("unexpected snapshot part", func(stream uint64) configlog.StreamMessage {
 		return configlog.SnapshotPart{Stream: stream, Sequence: 2}
 	})
-	f := refused("a question", func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
+	f := refused("lookup sent to a follower", func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
 	fmt.Printf("%+v\n", f.Status(0).Counts)
 	// Output:
-	// a message is missing, and late: gap in sequence: 3, not 2
-	// a message is missing, and late: message 2 came after 3
-	// a message is missing, and late: a message of subscription 26509655619853, now is 26509655619854
-	// doubled: message 2 came a second time
-	// an entry of the service is missing: gap in service: 8, not 7
-	// another one before it: malformed: an entry that follows another one of its service
-	// stale: entry 7 of term 3 is not above 7 of term 3
-	// an old leader's: term 2 is over, 3 is known
-	// another service: malformed: an entry of a service that is not served here
-	// an old leader's heartbeat: term 2 is over, 3 is known
-	// a stale heartbeat: entry 6 of term 3 is not above 7 of term 3
-	// a heartbeat of another log: malformed: a heartbeat of another history
-	// a heartbeat from the future: malformed: a heartbeat before the welcome or the snapshot, or of no age
-	// unnumbered: malformed: a message without a sequence
-	// a second welcome: malformed: a second welcome
-	// a part: malformed: a part of no snapshot
-	// a question: malformed: a message without a sequence
+	// missing message that arrives late: gap in sequence: got 3, want 2
+	// missing message that arrives late: message 2 was received after message 3
+	// missing message that arrives late: message of subscription 26509655619853, the current one is 26509655619854
+	// duplicate: message 2 is a duplicate
+	// missing entry of the service: gap in service: got 8, want 7
+	// another previous entry: malformed: previous entry of the service is not the last applied one
+	// stale entry: entry 7 of term 3 is not above the applied entry 7 of term 3
+	// entry of a stale leader: term 2 is stale, term 3 is known
+	// entry of another service: malformed: entry of a service that is not subscribed to
+	// heartbeat of a stale leader: term 2 is stale, term 3 is known
+	// stale heartbeat: entry 6 of term 3 is not above the applied entry 7 of term 3
+	// heartbeat of another log: malformed: heartbeat with another term at the applied index
+	// heartbeat with a negative age: malformed: heartbeat with an invalid age or before the end of the snapshot
+	// no sequence number: malformed: no sequence number
+	// second welcome: malformed: unexpected welcome
+	// unexpected snapshot part: malformed: unexpected snapshot part
+	// lookup sent to a follower: malformed: no sequence number
 	// {Applied:0 Snapshots:0 Gaps:0 Duplicates:0 Reordered:0 Stale:0 StaleTerms:0 Malformed:1 Connects:1 Disconnects:1}
 }
 
-// Lookups go over the subscription, and fail with it.
+// Lookups are sent over the connection, and fail when it ends.
 func ExampleFollower_Lookup() {
 	f := newFollow(configlog.Version{})
 	var gone *configlog.DisconnectedError
@@ -306,15 +310,15 @@
 	f.show()
 	// Output:
 	// true
-	// <nil> configlog: 1 are open already, and no more are allowed
+	// <nil> configlog: 1 requests are open, the limit is reached
 	//   0.0 LookupDone{ID:1 Reply:{Stream:26509655619853 ID:1 {Term:0 Index:0} Found:true Value:[118]} Err:<nil>}
-	//   0.0 refused: message 1 came a second time
+	//   0.0 rejected: message 1 is a duplicate
 	// <nil>
-	//   0.0 LookupDone{ID:3 Reply:{Stream:0 ID:0 {Term:0 Index:0} Found:false Value:[]} Err:configlog: the connection to d2 ended}
+	//   0.0 LookupDone{ID:3 Reply:{Stream:0 ID:0 {Term:0 Index:0} Found:false Value:[]} Err:configlog: no longer connected to d2}
 	//   0.0 disconnected, version {3 7}, stale true
 }
 
-// Each app server has a distributor of its own that it tries first; one that goes moves only those that had it.
+// App servers are spread evenly over the distributors. When one is removed, only its app servers move.
 func Example_rendezvous() {
 	first := func(name string, distributors []string) string {
 		f := configlog.NewFollower(configlog.FollowerConfig{Name: name, Distributors: distributors}, configlog.Version{}, 0)
--- a/logic/configlog/feed.go
+++ b/logic/configlog/feed.go
@@ -5,42 +5,44 @@
 	"slices"
 )
 
-// Feed is a distributor's part: it serves subscribers from committed entries.
+// Feed is a distributor's part: it serves subscribers from the committed entries.
 type Feed struct {
 	cfg         FeedConfig
 	table       Snapshotter
 	history     entryLog
 	now         float64
-	upToDateAt  float64 // when the distributor was last known to be as new as the leader; -Inf for never
+	upToDateAt  float64 // when the distributor was last known to be up to date; -Inf for never
 	subscribers map[SubscriberID]*subscriber
 	byService   map[string][]*subscriber
 	all         []*subscriber
-	active      []*subscriber // with something to send
+	active      []*subscriber // with something to send, or no heartbeat of a known age yet
 	heartbeats  []scheduledHeartbeat
 	out         FeedReady
 }
 
-// heartbeatDue is when a subscriber gets its next heartbeat. They all wait as long, so that a queue is in the order of time.
+// scheduledHeartbeat is when the next heartbeat to a subscriber is due. The interval is the same for all,
+// so the queue is in the order of time.
 type scheduledHeartbeat struct {
 	subscriber *subscriber
 	at         float64
 }
 
-// NewFeed begins with a table of a version, and no history.
+// NewFeed returns a feed for a table at a version, with an empty history.
 func NewFeed(cfg FeedConfig, table Snapshotter, version Version, now float64) *Feed {
-	f := &Feed{cfg: cfg, table: table, now: now, subscribers: map[SubscriberID]*subscriber{}, byService: map[string][]*subscriber{},
-		upToDateAt: math.Inf(-1)}
+	f := &Feed{cfg: cfg, table: table, now: now, subscribers: map[SubscriberID]*subscriber{},
+		byService: map[string][]*subscriber{}, upToDateAt: math.Inf(-1)}
 	f.history = entryLog{base: version, lastOfService: map[string]uint64{}}
 	return f
 }
 
-// Version is the last entry that it has.
+// Version returns the version of the last appended entry.
 func (f *Feed) Version() Version { return f.history.last() }
 
-// Subscribers is how many there are.
+// Subscribers returns the number of subscriptions.
 func (f *Feed) Subscribers() int { return len(f.subscribers) }
 
-// Append takes committed entries that follow what it has; it takes none of them if they do not.
+// Append adds committed entries. It adds none of them, and returns an error, if they do not follow the
+// last entry.
 func (f *Feed) Append(entries []Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -53,7 +55,7 @@
 		return &StaleTermError{Term: entries[0].Term, Known: last.Term}
 	}
 	if !contiguous(last, entries) {
-		return &MalformedError{Reason: "entries that do not follow each other"}
+		return &MalformedError{Reason: "entries are not contiguous"}
 	}
 	for _, entry := range entries {
 		f.history.append(entry)
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// offer has an entry wait for those who want it, and closes those for whom too much waits already.
+// enqueueFor adds an entry to the pending ones of its subscribers, and closes those whose buffer is full.
 func (f *Feed) enqueueFor(subscribers []*subscriber, entry Entry) {
 	var slow []*subscriber
 	for _, sub := range subscribers {
@@ -80,14 +82,15 @@
 	}
 }
 
-// compact drops the oldest entries once there is a quarter more than is to be kept.
+// compact removes the oldest entries once more than HistoryEntries and a quarter are kept. The margin
+// avoids a copy of the history for each entry.
 func (f *Feed) compact() {
 	if kept := len(f.history.entries); kept > f.cfg.HistoryEntries+f.cfg.HistoryEntries/4 {
 		f.history.compact(f.history.last().Index - uint64(f.cfg.HistoryEntries))
 	}
 }
 
-// Reset begins anew at a version, as the table was replaced: subscriptions are closed.
+// Reset restarts the feed at a version, after the table was replaced. All subscriptions are closed.
 func (f *Feed) Reset(version Version) {
 	ids := make([]SubscriberID, 0, len(f.subscribers))
 	for id := range f.subscribers {
@@ -100,7 +103,7 @@
 	f.history = entryLog{base: version, lastOfService: map[string]uint64{}}
 }
 
-// Subscribe begins a subscription, in place of one under the same id.
+// Subscribe starts a subscription. It replaces a subscription with the same id.
 func (f *Feed) Subscribe(id SubscriberID, request Subscribe, now float64) {
 	f.Unsubscribe(id)
 	f.now = max(f.now, now)
@@ -124,7 +127,7 @@
 	f.sendActive()
 }
 
-// rate is how many bytes a second a subscriber gets.
+// byteRate returns the rate limit of a subscriber, in bytes per second.
 func (f *Feed) byteRate(request Subscribe) float64 {
 	if request.BytesPerSecond > 0 {
 		return min(request.BytesPerSecond, f.cfg.BytesPerSecond)
@@ -132,7 +135,8 @@
 	return f.cfg.BytesPerSecond
 }
 
-// missed gives the entries that a subscriber wants after a version, unless they are not kept or the version is not of this log.
+// missedEntries returns the subscriber's entries after a version. It returns false if they are not kept
+// any more, or if the version is not of this log.
 func (f *Feed) missedEntries(from Version, sub *subscriber) ([]Entry, bool) {
 	if from == (Version{}) {
 		return nil, false
@@ -158,7 +162,7 @@
 	}
 }
 
-// Unsubscribe ends a subscription without a word.
+// Unsubscribe ends a subscription. It is not reported in Closed.
 func (f *Feed) Unsubscribe(id SubscriberID) {
 	removed := f.subscribers[id]
 	if removed == nil {
@@ -182,7 +186,7 @@
 	f.out.Closed = append(f.out.Closed, Closed{sub.id, reason})
 }
 
-// Ready empties what there is to do.
+// Ready returns the work for the caller since the last call.
 func (f *Feed) Ready() FeedReady {
 	out := f.out
 	f.out = FeedReady{}
--- a/logic/configlog/feed_bench_test.go
+++ b/logic/configlog/feed_bench_test.go
@@ -7,7 +7,8 @@
 	"valveglade/logic/chance"
 )
 
-// BenchmarkFeedAppend is one change at the design size: 8,600 subscribers that each want ten of 13,000 services.
+// BenchmarkFeedAppend appends one change at the design size: 8,600 subscribers with 10 of 13,000 services
+// each.
 func BenchmarkFeedAppend(b *testing.B) {
 	const subscribers, services, wanted = 8600, 13000, 10
 	cfg := FeedConfig{HistoryEntries: 50_000, BufferBytes: 1 << 20, PartBytes: 1 << 10, BytesPerSecond: 20_000, HeartbeatEvery: 2}
--- a/logic/configlog/feed_send.go
+++ b/logic/configlog/feed_send.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// messageOverhead is what a message counts beside entries, records and values, in bytes.
+// messageOverhead is the size of a message without entries, records and values, in bytes.
 const messageOverhead = 32
 
-// subscriber is one subscription of a feed.
+// subscriber is the state of one subscription of a feed.
 type subscriber struct {
 	id          SubscriberID
 	stream      uint64
 	services    []string
 	all         bool
-	sentVersion Version // all that it wants up to here was sent, or is in its snapshot
+	sentVersion Version // all its entries up to this version were sent or are in its snapshot
 
-	rate       float64 // bytes a second
-	tokens     float64 // bytes that may be sent now; below zero by the rest of the last message
+	rate       float64 // bytes per second
+	tokens     float64 // token bucket, in bytes; the last message may overdraw it below 0
 	refilledAt float64
 
 	sequence     uint64
-	snapshot     Snapshot // nil once it is sent
+	snapshot     Snapshot // nil if none is left to send
 	pending      []Entry
 	pendingBytes int
 	replies      []LookupReply
 	active       bool
-	knownAgeSent bool // it has had a heartbeat of a known age
+	knownAgeSent bool // a heartbeat with a known age was sent
 }
 
 func newSubscriber(id SubscriberID, request Subscribe, rate, now float64) *subscriber {
 	services := slices.Clone(request.Services)
 	slices.Sort(services)
-	s := &subscriber{id: id, stream: request.Stream, all: request.All, sentVersion: request.From, rate: rate, tokens: rate, refilledAt: now}
+	s := &subscriber{id: id, stream: request.Stream, all: request.All, sentVersion: request.From,
+		rate: rate, tokens: rate, refilledAt: now}
 	if !request.All {
 		s.services = slices.Compact(services)
 	}
 	return s
 }
 
-// resume has entries wait that were missed; it reports false, and does nothing, if they are too many.
+// resume makes the missed entries pending. It returns false and does nothing if they exceed the buffer.
 func (s *subscriber) resume(entries []Entry, maxBytes int) bool {
 	size := 0
 	for _, entry := range entries {
@@ -52,7 +53,7 @@
 	return true
 }
 
-// enqueue has an entry wait, unless the snapshot has it; it reports false if too much would wait.
+// enqueue makes an entry pending, unless the snapshot includes it. It returns false if the buffer is full.
 func (s *subscriber) enqueue(entry Entry, maxBytes int) bool {
 	if entry.Index <= s.sentVersion.Index {
 		return true
@@ -72,7 +73,7 @@
 	}
 }
 
-// refill counts the bytes that may be sent; no more than a second's are saved up.
+// refill adds tokens for the time since the last refill. The bucket holds the bytes of one second.
 func (s *subscriber) refill(now float64) {
 	s.tokens = min(s.tokens+(now-s.refilledAt)*s.rate, s.rate)
 	s.refilledAt = now
@@ -82,7 +83,8 @@
 	return s.snapshot == nil && len(s.pending) == 0 && len(s.replies) == 0
 }
 
-// Tick sends what is due; age is how old the distributor's own knowledge is, in seconds; +Inf for unknown.
+// Tick sends what is due. age is the time since the distributor was last known to be up to date, in
+// seconds; +Inf if never.
 func (f *Feed) Tick(now, age float64) {
 	f.now = max(f.now, now)
 	f.upToDateAt = f.now - age
@@ -103,7 +105,8 @@
 	}
 }
 
-// sendHeartbeat tells a subscriber that it has all it wants; one for whom something waits hears that otherwise, later.
+// sendHeartbeat sends a heartbeat to a subscriber that has been sent all its entries. Others are skipped
+// until the next one: they still receive pending messages.
 func (f *Feed) sendHeartbeat(s *subscriber) {
 	s.refill(f.now)
 	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.sentVersion.Index {
@@ -120,7 +123,8 @@
 	}
 }
 
-// sendActive sends what waits, as far as each subscriber's bytes a second go.
+// sendActive sends pending messages within the rate limit of each subscriber. A subscriber without any
+// gets its first heartbeat as soon as the age is known.
 func (f *Feed) sendActive() {
 	f.active = slices.DeleteFunc(f.active, func(s *subscriber) bool {
 		s.refill(f.now)
@@ -135,7 +139,7 @@
 	})
 }
 
-// sendNext sends what is first: replies, then the snapshot, then entries.
+// sendNext sends the next message: lookup replies first, then the snapshot, then entries.
 func (f *Feed) sendNext(s *subscriber) {
 	switch {
 	case len(s.replies) > 0:
@@ -157,7 +161,7 @@
 	}
 }
 
-// send numbers a message and counts its bytes.
+// send sets the stream and sequence numbers of a message, and takes its size out of the token bucket.
 func (f *Feed) send(s *subscriber, message StreamMessage) {
 	size := messageOverhead
 	switch m := message.(type) {
@@ -190,7 +194,7 @@
 	f.out.Messages = append(f.out.Messages, Outgoing{s.id, message})
 }
 
-// Lookup answers a subscriber's question.
+// Lookup handles a lookup of a subscriber.
 func (f *Feed) Lookup(id SubscriberID, lookup Lookup, now float64) {
 	s := f.subscribers[id]
 	if s == nil || lookup.Stream != s.stream || len(s.replies) >= f.cfg.LookupsInFlight {
--- a/logic/configlog/follower.go
+++ b/logic/configlog/follower.go
@@ -9,29 +9,30 @@
 	"valveglade/logic/chance"
 )
 
-// Follower is an app server's part, and that of a distributor that is no voter: it keeps one subscription.
+// Follower keeps one subscription for an app server, or for a distributor that is not a voter.
 type Follower struct {
 	cfg      FollowerConfig
 	services map[string]bool
 	state    FollowerState
 
 	version     Version
-	highestTerm uint64            // the highest that is known
-	resumable   bool              // the table has all of its services up to version
-	baseIndex   uint64            // index of the last snapshot, or of the file
-	lastApplied map[string]uint64 // index of the last entry of each service that was applied above the base
-	upToDateAt  float64           // when it was as new as the leader; -Inf for never
+	highestTerm uint64            // the highest known term
+	resumable   bool              // the table has all entries of its services up to version
+	baseIndex   uint64            // index of the last snapshot, or of the file at the start
+	lastApplied map[string]uint64 // index of the last applied entry of each service, if above the base
+	upToDateAt  float64           // when it was last known to be up to date; -Inf for never
 	now         float64
 
 	connection    connection
 	stream        stream
-	lookups       []uint64 // that wait for a reply
+	lookups       []uint64 // IDs of the lookups without a reply
 	reportedStale bool
 	counts        Counts
 	out           []Action
 }
 
-// NewFollower begins with a table of a version, which has all of its services; with the zero Version it takes a snapshot first.
+// NewFollower returns a follower for a table at a version, with all entries of its services. With the zero
+// Version it requests a snapshot first.
 func NewFollower(cfg FollowerConfig, version Version, now float64) *Follower {
 	f := &Follower{cfg: cfg, now: now, upToDateAt: math.Inf(-1), reportedStale: true}
 	f.resetTable(version)
@@ -41,7 +42,7 @@
 	return f
 }
 
-// restart begins from a table of a version.
+// resetTable continues from a table at a version.
 func (f *Follower) resetTable(version Version) {
 	f.version, f.baseIndex, f.lastApplied = version, version.Index, map[string]uint64{}
 	f.highestTerm = max(f.highestTerm, version.Term)
@@ -55,7 +56,8 @@
 	}
 }
 
-// SetServices wants other services: the table has to come whole again, unless none is new.
+// SetServices changes the services of the subscription. If one is new, the table is replaced by a
+// snapshot.
 func (f *Follower) SetServices(services []string, now float64) {
 	f.now = max(f.now, now)
 	added := slices.ContainsFunc(services, func(service string) bool { return !f.services[service] })
@@ -69,7 +71,7 @@
 	}
 }
 
-// moveTo changes the state, and nothing else does.
+// setState is the only function that changes the state.
 func (f *Follower) setState(state FollowerState) {
 	if f.state == state {
 		return
@@ -84,7 +86,7 @@
 	f.reportStatus()
 }
 
-// abandonSnapshot drops what has come of a snapshot.
+// abandonSnapshot discards the received parts of an incomplete snapshot.
 func (f *Follower) abandonSnapshot() {
 	if !f.cfg.Disabled.enabled(WholeSnapshot) {
 		f.replaceTable()
@@ -93,11 +95,11 @@
 	f.out = append(f.out, Discard{})
 }
 
-// Status tells where the follower is.
+// Status returns a snapshot of the state of the follower.
 func (f *Follower) Status(now float64) Status {
 	age := now - f.upToDateAt
-	return Status{Version: f.version, Age: age, Stale: age > f.cfg.StaleAfter, Distributor: f.connection.name(), State: f.state,
-		Counts: f.counts}
+	return Status{Version: f.version, Age: age, Stale: age > f.cfg.StaleAfter,
+		Distributor: f.connection.name(), State: f.state, Counts: f.counts}
 }
 
 func (f *Follower) reportStatus() {
@@ -106,7 +108,7 @@
 	f.out = append(f.out, StatusChanged{status})
 }
 
-// Tick does what is due.
+// Tick does what is due: it opens or gives up a connection, and reports when the table becomes stale.
 func (f *Follower) Tick(now float64) {
 	f.now = max(f.now, now)
 	f.tickConnection()
@@ -115,15 +117,15 @@
 	}
 }
 
-// Ready empties what there is to do, in order.
+// Ready returns the actions since the last call, in order.
 func (f *Follower) Ready() []Action {
 	out := f.out
 	f.out = nil
 	return out
 }
 
-// rank orders distributors for one app server by rendezvous hashing: each goes to another first, and all change as little as
-// can be when the list does.
+// rank orders the distributors for one app server by rendezvous hashing. This spreads the app servers
+// evenly, and a change of the list moves as few of them as possible.
 func rank(name string, distributors []string) []string {
 	score := func(distributor string) uint64 {
 		h := fnv.New64a()
--- a/logic/configlog/follower_connect.go
+++ b/logic/configlog/follower_connect.go
@@ -7,18 +7,19 @@
 	"valveglade/logic/chance"
 )
 
-// connection is which distributor a follower is connected to, or tries to be.
+// connection is the distributor that a follower is connected to or tries next, and the state of the
+// attempts.
 type connection struct {
-	rankedDistributors []string // the best first
-	rankIndex          int      // of the one it is connected to, or tries next
-	opening            bool     // Connect was asked for, and not answered
-	lastReceivedAt     float64  // the last sign of life
+	rankedDistributors []string // in order of preference
+	rankIndex          int      // of the connected distributor, or of the next to try
+	opening            bool     // Connect was requested, its outcome is pending
+	lastReceivedAt     float64  // time of the last message, or of the start of the attempt
 	retryAt            float64
-	failures           int // since it last followed
+	failures           int // failures since the last FollowerFollowing
 	jitterDraws        uint64
 }
 
-// name is the distributor it is connected to, or tries next.
+// name returns the distributor that is connected or tried next.
 func (c *connection) name() string {
 	if len(c.rankedDistributors) == 0 {
 		return ""
@@ -26,7 +27,7 @@
 	return c.rankedDistributors[c.rankIndex]
 }
 
-// SetDistributors takes another list.
+// SetDistributors replaces the list of distributors.
 func (f *Follower) SetDistributors(names []string, now float64) {
 	f.now = max(f.now, now)
 	previous := f.connection.name()
@@ -39,7 +40,7 @@
 	}
 }
 
-// tickConnection connects, and gives up a connection on which nothing comes.
+// tickConnection connects once the retry delay is over, and closes a connection without messages.
 func (f *Follower) tickConnection() {
 	c := &f.connection
 	connected := f.state != FollowerDisconnected
@@ -55,7 +56,7 @@
 	}
 }
 
-// Connected tells that the connection asked for is there.
+// Connected reports that the requested connection is open.
 func (f *Follower) Connected(now float64) {
 	f.now = max(f.now, now)
 	if !f.connection.opening {
@@ -65,7 +66,7 @@
 	f.subscribe()
 }
 
-// Disconnected tells that the connection has ended, or could not be had.
+// Disconnected reports that the connection has ended, or could not be opened.
 func (f *Follower) Disconnected(now float64) {
 	f.now = max(f.now, now)
 	if f.state != FollowerDisconnected || f.connection.opening {
@@ -73,14 +74,14 @@
 	}
 }
 
-// close ends the connection, and goes on with the next distributor.
+// close closes the connection and switches to the next distributor.
 func (f *Follower) close(reason CloseReason) {
 	f.out = append(f.out, Close{reason})
 	f.switchDistributor()
 }
 
-// nextDistributor has the one after this one be tried, after a while that grows with the failures. One that was followed begins anew with
-// the best.
+// switchDistributor selects the next distributor, to be tried after an exponential delay with jitter.
+// After a distributor that was followed, the selection restarts with the most preferred one.
 func (f *Follower) switchDistributor() {
 	c := &f.connection
 	f.counts.Disconnects++
@@ -101,10 +102,11 @@
 	f.setState(FollowerDisconnected)
 }
 
-// subscribe asks for what is after the table's version, under a new number.
+// subscribe requests the entries after the table's version, under a new subscription number.
 func (f *Follower) subscribe() {
 	f.endStream()
-	request := Subscribe{Stream: f.stream.number, Services: f.cfg.Services, All: f.cfg.All, BytesPerSecond: f.cfg.BytesPerSecond}
+	request := Subscribe{Stream: f.stream.number, Services: f.cfg.Services, All: f.cfg.All,
+		BytesPerSecond: f.cfg.BytesPerSecond}
 	if f.resumable {
 		request.From = f.version
 	}
@@ -112,13 +114,14 @@
 	f.setState(FollowerSubscribing)
 }
 
-// endStream has nothing more taken of the former subscription; the next one has another number.
+// endStream ends the current subscription: its messages are rejected from now on, as the next one has
+// another number.
 func (f *Follower) endStream() {
 	f.stream = stream{number: f.stream.number + 1, lost: f.stream.lost}
 	f.failLookups()
 }
 
-// Lookup asks for a record on demand; LookupDone has the outcome under the id.
+// Lookup requests a record. Ready returns its LookupDone with the same id.
 func (f *Follower) Lookup(id uint64, kind LookupKind, name string, now float64) error {
 	f.now = max(f.now, now)
 	if f.state == FollowerDisconnected {
@@ -132,7 +135,7 @@
 	return nil
 }
 
-// failLookups ends the lookups that the former subscription will not answer.
+// failLookups ends the lookups whose replies will not arrive because their subscription has ended.
 func (f *Follower) failLookups() {
 	for _, id := range f.lookups {
 		f.out = append(f.out, LookupDone{ID: id, Err: &DisconnectedError{Distributor: f.connection.name()}})
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -2,20 +2,22 @@
 
 import "fmt"
 
-// stream is where a subscription stands.
+// stream is the state of a subscription.
 type stream struct {
 	number        uint64
-	sequence      uint64  // of the last message taken
-	snapshot      Version // being taken
-	snapshotParts int     // of it, that have come
-	progressed    bool    // something has been applied or told by it
+	sequence      uint64  // of the last accepted message
+	snapshot      Version // version of the snapshot being received
+	snapshotParts int     // received parts of this snapshot
+	progressed    bool    // a snapshot, an entry or a heartbeat of this subscription was accepted
 	lost          lostRange
 }
 
-// lostRange is what was missing when a subscription was given up for a gap: it may come late.
+// lostRange is the range of sequence numbers that were missing when a subscription was ended because of a
+// gap: from is included, to is not. They may still arrive.
 type lostRange struct{ number, from, to uint64 }
 
-// Step takes a message of the distributor. An error tells why it was refused; it was not applied then.
+// Step handles a message of the distributor. An error is the reason why the message was rejected; it was
+// not applied.
 func (f *Follower) Step(message StreamMessage, now float64) error {
 	f.now = max(f.now, now)
 	if f.state == FollowerDisconnected || message.stream() != f.stream.number {
@@ -38,10 +40,10 @@
 	case Heartbeat:
 		return f.handleHeartbeat(message)
 	}
-	return f.rejectMalformed(fmt.Sprintf("%T from a distributor", message))
+	return f.rejectMalformed(fmt.Sprintf("unexpected %T from a distributor", message))
 }
 
-// sequenceOf is a message's number; 0 for those without.
+// sequenceOf returns the sequence number of a message, 0 if it has none.
 func sequenceOf(message StreamMessage) uint64 {
 	switch message := message.(type) {
 	case Welcome:
@@ -56,7 +58,7 @@
 	return 0
 }
 
-// refuseFormer counts a message of a former subscription.
+// rejectFormerStream rejects a message of an earlier subscription.
 func (f *Follower) rejectFormerStream(message StreamMessage) error {
 	sequence, lost := sequenceOf(message), f.stream.lost
 	if message.stream() == lost.number && sequence >= lost.from && sequence < lost.to {
@@ -67,7 +69,7 @@
 	return &StaleStreamError{Stream: message.stream(), Current: f.stream.number}
 }
 
-// checkSequence takes the next message of the subscription alone.
+// checkSequence accepts only the next message of the subscription.
 func (f *Follower) checkSequence(message StreamMessage) error {
 	sequence := sequenceOf(message)
 	want := f.stream.sequence + 1
@@ -76,7 +78,7 @@
 		return nil
 	}
 	if sequence == 0 {
-		return f.rejectMalformed("a message without a sequence")
+		return f.rejectMalformed("no sequence number")
 	}
 	if sequence < want {
 		f.counts.Duplicates++
@@ -87,8 +89,9 @@
 	return &GapError{Kind: "sequence", Want: want, Got: sequence}
 }
 
-// refuseGap subscribes anew from the table's version: on the same connection if the subscription had come to something, so that a
-// distributor which is at fault is not asked for ever.
+// resubscribeAfterGap subscribes again from the table's version. It keeps the connection only if the
+// subscription had made progress; otherwise it switches to another distributor, so that a faulty one is
+// not retried forever.
 func (f *Follower) resubscribeAfterGap() {
 	f.counts.Gaps++
 	if f.stream.progressed {
@@ -118,7 +121,7 @@
 
 func (f *Follower) handleWelcome(welcome Welcome) error {
 	if f.state != FollowerSubscribing {
-		return f.rejectMalformed("a second welcome")
+		return f.rejectMalformed("unexpected welcome")
 	}
 	switch welcome.Mode {
 	case WelcomeBehind:
@@ -126,7 +129,7 @@
 		return nil
 	case WelcomeResume:
 		if !f.resumable || welcome.Version != f.version {
-			return f.rejectMalformed("resumed from another version")
+			return f.rejectMalformed("resumed from a version that was not requested")
 		}
 		f.setState(FollowerFollowing)
 		return nil
@@ -141,16 +144,16 @@
 		f.setState(FollowerSnapshot)
 		return nil
 	}
-	return f.rejectMalformed("a welcome of no known mode")
+	return f.rejectMalformed("unknown mode of a welcome")
 }
 
 func (f *Follower) handleSnapshotPart(part SnapshotPart) error {
 	if f.state != FollowerSnapshot {
-		return f.rejectMalformed("a part of no snapshot")
+		return f.rejectMalformed("unexpected snapshot part")
 	}
 	for _, record := range part.Records {
 		if !f.subscribesTo(record.Service) {
-			return f.rejectMalformed("a record of a service that is not served here")
+			return f.rejectMalformed("record of a service that is not subscribed to")
 		}
 	}
 	f.stream.snapshotParts++
@@ -162,12 +165,12 @@
 	return nil
 }
 
-// replace has the snapshot take the table's place.
+// replaceTable replaces the table by the staged snapshot.
 func (f *Follower) replaceTable() {
 	f.counts.Snapshots++
 	f.stream.progressed = true
 	f.resetTable(f.stream.snapshot)
-	f.resumable = true // also after the snapshot of an empty log
+	f.resumable = true // also true for the snapshot of an empty log
 	f.out = append(f.out, Replace{Version: f.version})
 }
 
@@ -175,7 +178,7 @@
 
 func (f *Follower) handleDelta(entry Entry) error {
 	if f.state != FollowerFollowing {
-		return f.rejectMalformed("an entry before the welcome or the snapshot")
+		return f.rejectMalformed("entry before the welcome or the end of the snapshot")
 	}
 	if entry.Term < f.highestTerm {
 		return f.rejectStaleTerm(entry.Term)
@@ -184,7 +187,7 @@
 		return f.rejectStaleEntry(entry.Version)
 	}
 	if !f.subscribesTo(entry.Service) {
-		return f.rejectMalformed("an entry of a service that is not served here")
+		return f.rejectMalformed("entry of a service that is not subscribed to")
 	}
 	if err := f.checkServiceChain(entry); err != nil {
 		return err
@@ -197,7 +200,8 @@
 	return nil
 }
 
-// checkChain takes only the entry that is next of its service, and next of all if it wants all.
+// checkServiceChain accepts only the next entry of the service, and the next entry of the log if the
+// follower subscribes to all services.
 func (f *Follower) checkServiceChain(entry Entry) error {
 	if !f.cfg.Disabled.enabled(ServiceChain) {
 		return nil
@@ -211,14 +215,14 @@
 		return f.rejectGap("service", last, entry.Previous)
 	case applied && entry.Previous < last:
 		f.invalidate()
-		return f.rejectMalformed("an entry that follows another one of its service")
+		return f.rejectMalformed("previous entry of the service is not the last applied one")
 	case f.cfg.All && entry.Index > f.version.Index+1:
 		return f.rejectGap("index", f.version.Index+1, entry.Index)
 	}
 	return nil
 }
 
-// refuseMissing refuses what comes after an entry that did not.
+// rejectGap rejects a message that follows a missing entry.
 func (f *Follower) rejectGap(kind string, want, got uint64) error {
 	f.counts.Gaps++
 	f.invalidate()
@@ -226,13 +230,14 @@
 	return &GapError{Kind: kind, Want: want, Got: got}
 }
 
-// distrust has the table come whole again: it may lack an entry below its version.
+// invalidate makes the next subscription request a snapshot, as an entry below the version of the table
+// may be missing.
 func (f *Follower) invalidate() {
 	f.resumable = false
 	f.out = append(f.out, Invalidate{})
 }
 
-// advance takes a higher version, and has the entry applied.
+// advance moves to a higher version and has the entries applied. Consecutive Apply actions are merged.
 func (f *Follower) advance(version Version, entries ...Entry) {
 	f.stream.progressed = true
 	f.version, f.highestTerm = version, max(f.highestTerm, version.Term)
@@ -247,7 +252,7 @@
 
 func (f *Follower) handleHeartbeat(heartbeat Heartbeat) error {
 	if f.state != FollowerFollowing || !(heartbeat.Age >= 0) {
-		return f.rejectMalformed("a heartbeat before the welcome or the snapshot, or of no age")
+		return f.rejectMalformed("heartbeat with an invalid age or before the end of the snapshot")
 	}
 	if heartbeat.Version.Term < f.highestTerm {
 		return f.rejectStaleTerm(heartbeat.Version.Term)
@@ -259,7 +264,7 @@
 		return f.rejectGap("index", f.version.Index, heartbeat.Version.Index)
 	}
 	if heartbeat.Version.Index == f.version.Index && heartbeat.Version != f.version {
-		return f.rejectMalformed("a heartbeat of another history")
+		return f.rejectMalformed("heartbeat with another term at the applied index")
 	}
 	if heartbeat.Version != f.version {
 		f.advance(heartbeat.Version)
--- a/logic/configlog/stream.go
+++ b/logic/configlog/stream.go
@@ -1,30 +1,32 @@
 package configlog
 
-// StreamMessage is what goes over one subscription. From the follower: Subscribe and Lookup. From the distributor: Welcome,
-// SnapshotPart, Delta and Heartbeat, numbered by Sequence from 1 on, and LookupReply, which has no number. Stream is the number that
-// the follower gave the subscription; the distributor repeats it in all it sends.
+// StreamMessage is a message of a subscription. The follower sends Subscribe and Lookup. The distributor
+// sends Welcome, SnapshotPart, Delta and Heartbeat, with sequence numbers from 1 on, and LookupReply,
+// which has none. Stream is the number that the follower chose for the subscription; the distributor
+// repeats it in all messages.
 type StreamMessage interface{ stream() uint64 }
 
-// Subscribe asks for all entries of some services, or of all, after a version.
+// Subscribe requests all entries of some services, or of all services, after a version.
 type Subscribe struct {
 	Stream         uint64
 	Services       []string
 	All            bool
-	From           Version // zero asks for a snapshot
-	BytesPerSecond float64 // most that the subscriber wants to get, on average
+	From           Version // zero requests a snapshot
+	BytesPerSecond float64 // limit on the average rate; 0 for the limit of the feed
 }
 
-// WelcomeMode is how a subscription goes on.
+// WelcomeMode is how the distributor continues a subscription.
 type WelcomeMode uint8
 
-// The ways on from a Welcome.
+// The modes of a Welcome.
 const (
-	WelcomeResume   WelcomeMode = iota + 1 // deltas after the version asked for
-	WelcomeSnapshot                        // snapshot parts of a version first
-	WelcomeBehind                          // the distributor is behind the subscriber: ask another one
+	WelcomeResume   WelcomeMode = iota + 1 // deltas after the requested version follow
+	WelcomeSnapshot                        // snapshot parts follow, then deltas
+	WelcomeBehind                          // the subscriber is ahead and should try another distributor
 )
 
-// Welcome answers Subscribe. Version is, by mode, where deltas go on from, the snapshot's, or the distributor's.
+// Welcome is the response to Subscribe. Version depends on Mode: the version that the deltas follow, the
+// version of the snapshot, or the version of a distributor that is behind.
 type Welcome struct {
 	Stream   uint64
 	Sequence uint64
@@ -32,7 +34,8 @@
 	Version  Version
 }
 
-// SnapshotPart brings some of the table's records, each as a change that puts it. Done marks the last part.
+// SnapshotPart carries some of the table's records, each as a change that puts it. Done is set in the last
+// part.
 type SnapshotPart struct {
 	Stream   uint64
 	Sequence uint64
@@ -40,15 +43,15 @@
 	Done     bool
 }
 
-// Delta brings one entry.
+// Delta carries one entry.
 type Delta struct {
 	Stream   uint64
 	Sequence uint64
 	Entry    Entry
 }
 
-// Heartbeat tells that all the subscriber wants up to Version has been sent, and how old the distributor's own knowledge is, in
-// seconds.
+// Heartbeat reports that all entries up to Version that the subscriber asked for have been sent. Age is
+// the time since the distributor was last known to be up to date, in seconds.
 type Heartbeat struct {
 	Stream   uint64
 	Sequence uint64
@@ -56,10 +59,10 @@
 	Age      float64
 }
 
-// LookupKind is what a lookup is for; its values are the caller's.
+// LookupKind is the kind of record that a lookup asks for. Its values are defined by the caller.
 type LookupKind uint8
 
-// Lookup asks for one record that the app server does not serve.
+// Lookup requests one record of a service that the app server does not serve.
 type Lookup struct {
 	Stream uint64
 	ID     uint64
@@ -67,7 +70,7 @@
 	Name   string
 }
 
-// LookupReply answers Lookup as of a version.
+// LookupReply is the response to Lookup, as of a version.
 type LookupReply struct {
 	Stream  uint64
 	ID      uint64
