--- a/logic/configlog/cluster_random_test.go
+++ b/logic/configlog/cluster_random_test.go
@@ -12,25 +12,25 @@
 
 // whole is an installation: three voters that distribute too, a distributor that is no voter, and an app server that subscribes to any
 // of them.
-type whole struct {
-	seed, drawn uint64
+type cluster struct {
+	seed, draws uint64
 	now         float64
 	term        uint64
 	proposed    uint64
 	starts      uint64
-	voters      [3]wholeVoter
-	relay       wholeServer // the distributor that is no voter
-	app         wholeServer
+	voters      [3]clusterVoter
+	relay       clusterFollower // the distributor that is no voter
+	app         clusterFollower
 	relayFeed   *Feed
 	relayTable  prefixTable
-	flight      []Envelope
+	inFlight    []Envelope
 	committed   []Entry
 	results     map[uint64]Version
-	calm        bool // nothing goes wrong any more
+	faultFree   bool // nothing goes wrong any more
 	trace       []string
 }
 
-type wholeVoter struct {
+type clusterVoter struct {
 	replica *Replica
 	disk    Stored
 	feed    *Feed
@@ -38,219 +38,219 @@
 }
 
 // wholeServer is a follower, and what is on its way to it.
-type wholeServer struct {
+type clusterFollower struct {
 	appServer
-	id     SubscriberID
-	flight []StreamMessage
+	id       SubscriberID
+	inFlight []StreamMessage
 }
 
 // servers are the followers, by id.
-func (w *whole) servers() []*wholeServer { return []*wholeServer{&w.relay, &w.app} }
+func (c *cluster) followers() []*clusterFollower { return []*clusterFollower{&c.relay, &c.app} }
 
-func (w *whole) chance() float64 {
-	w.drawn++
-	return chance.At(w.seed, w.drawn)
+func (c *cluster) random() float64 {
+	c.draws++
+	return chance.At(c.seed, c.draws)
 }
 
-func (w *whole) pick(n int) int { return int(w.chance() * float64(n)) }
+func (c *cluster) randomInt(n int) int { return int(c.random() * float64(n)) }
 
-func newWhole(seed uint64) *whole {
-	w := &whole{seed: seed, results: map[uint64]Version{}}
-	for voter := range w.voters {
-		w.startVoter(voter)
-	}
-	w.app.id = 1
-	w.startServer(&w.relay)
-	w.startServer(&w.app)
-	return w
+func newCluster(seed uint64) *cluster {
+	c := &cluster{seed: seed, results: map[uint64]Version{}}
+	for voter := range c.voters {
+		c.startVoter(voter)
+	}
+	c.app.id = 1
+	c.startFollower(&c.relay)
+	c.startFollower(&c.app)
+	return c
 }
 
-func (w *whole) feedConfig() FeedConfig {
+func (c *cluster) feedConfig() FeedConfig {
 	return FeedConfig{HistoryEntries: 5, BufferBytes: 400, PartBytes: 1, BytesPerSecond: 400, HeartbeatEvery: 1, LookupsInFlight: 2}
 }
 
-func (w *whole) startVoter(k int) {
-	v := &w.voters[k]
-	cfg := ReplicaConfig{Name: voterNames[k], Voters: [][]string{voterNames}, KeepEntries: 6, MaxOpen: 3, MessageBytes: 80, MaxInFlight: 2,
+func (c *cluster) startVoter(voter int) {
+	v := &c.voters[voter]
+	cfg := ReplicaConfig{Name: voterNames[voter], Voters: [][]string{voterNames}, KeepEntries: 6, MaxOpen: 3, MessageBytes: 80, MaxInFlight: 2,
 		ResendAfter: 1, HeartbeatEvery: 2}
-	v.replica = NewReplica(cfg, v.disk, w.now)
-	v.feed = NewFeed(w.feedConfig(), &v.table, lastOf(v.table.entries), w.now)
+	v.replica = NewReplica(cfg, v.disk, c.now)
+	v.feed = NewFeed(c.feedConfig(), &v.table, lastVersion(v.table.entries), c.now)
 }
 
-func (w *whole) startServer(s *wholeServer) {
-	w.starts++
+func (c *cluster) startFollower(s *clusterFollower) {
+	c.starts++
 	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"}, Distributors: []string{"v0", "v1", "v2", "relay"}, SilentAfter: 6,
-		StaleAfter: 18, BackoffMin: 1, BackoffMax: 3, Seed: w.seed<<16 + w.starts, MaxLookups: 2}
-	if s == &w.relay {
+		StaleAfter: 18, BackoffMin: 1, BackoffMax: 3, Seed: c.seed<<16 + c.starts, MaxLookups: 2}
+	if s == &c.relay {
 		cfg.All, cfg.Services, cfg.Distributors = true, nil, voterNames
 	}
 	s.appServer = appServer{version: s.version, records: s.records}
-	s.follower = NewFollower(cfg, s.version, w.now)
-	if s == &w.relay {
-		w.relayFeed = NewFeed(w.feedConfig(), &w.relayTable, s.version, w.now)
-		s.applied = func(entries []Entry) { w.relayed(w.relayFeed.Append(entries)) }
-		s.replaced = func(version Version) { w.relayed(nil); w.relayFeed.Reset(version) }
+	s.follower = NewFollower(cfg, s.version, c.now)
+	if s == &c.relay {
+		c.relayFeed = NewFeed(c.feedConfig(), &c.relayTable, s.version, c.now)
+		s.applied = func(entries []Entry) { c.updateRelayTable(c.relayFeed.Append(entries)) }
+		s.replaced = func(version Version) { c.updateRelayTable(nil); c.relayFeed.Reset(version) }
 	}
 }
 
 // relayed has the relay's table be as its follower says.
-func (w *whole) relayed(err error) {
+func (c *cluster) updateRelayTable(err error) {
 	if err != nil {
 		panic(err)
 	}
-	w.relayTable.entries = w.committed[:w.relay.follower.version.Index]
+	c.relayTable.entries = c.committed[:c.relay.follower.version.Index]
 }
 
-func (w *whole) feed(name string) *Feed {
+func (c *cluster) feed(name string) *Feed {
 	if name == "relay" {
-		return w.relayFeed
+		return c.relayFeed
 	}
-	return w.voters[number(name)].feed
+	return c.voters[voterNumber(name)].feed
 }
 
 // step has one thing happen.
-func (w *whole) step() {
-	k := w.pick(3)
-	draw := w.chance()
-	if w.calm {
+func (c *cluster) step() {
+	voter := c.randomInt(3)
+	draw := c.random()
+	if c.faultFree {
 		draw = 0.09 + 0.91*draw
 	}
 	switch {
 	case draw < 0.01:
-		w.say("v%d starts again", k)
-		w.startVoter(k)
+		c.logf("v%d starts again", voter)
+		c.startVoter(voter)
 	case draw < 0.02:
-		w.say("the app server or the relay starts again")
-		s := w.servers()[w.pick(2)]
-		w.leave(s)
-		w.startServer(s)
+		c.logf("the app server or the relay starts again")
+		s := c.followers()[c.randomInt(2)]
+		c.disconnect(s)
+		c.startFollower(s)
 	case draw < 0.04:
-		w.lead(k)
-	case draw < 0.05 && len(w.flight) > 0:
-		w.flight = slices.Delete(w.flight, 0, 1+w.pick(len(w.flight)))
-	case draw < 0.08 && len(w.flight) > 0:
-		w.flight = append(w.flight, w.flight[w.pick(len(w.flight))])
+		c.elect(voter)
+	case draw < 0.05 && len(c.inFlight) > 0:
+		c.inFlight = slices.Delete(c.inFlight, 0, 1+c.randomInt(len(c.inFlight)))
+	case draw < 0.08 && len(c.inFlight) > 0:
+		c.inFlight = append(c.inFlight, c.inFlight[c.randomInt(len(c.inFlight))])
 	case draw < 0.09:
-		w.disturb(&w.app)
-		w.disturb(&w.relay)
+		c.disturbStream(&c.app)
+		c.disturbStream(&c.relay)
 	case draw < 0.15:
-		w.propose(k)
+		c.propose(voter)
 	case draw < 0.25:
-		w.tick()
-	case draw < 0.6 && len(w.flight) > 0:
-		at := w.pick(len(w.flight))
-		envelope := w.flight[at]
-		w.flight = slices.Delete(w.flight, at, at+1)
-		w.voters[number(envelope.To)].replica.Step(envelope, w.now)
+		c.tick()
+	case draw < 0.6 && len(c.inFlight) > 0:
+		position := c.randomInt(len(c.inFlight))
+		envelope := c.inFlight[position]
+		c.inFlight = slices.Delete(c.inFlight, position, position+1)
+		c.voters[voterNumber(envelope.To)].replica.Step(envelope, c.now)
 	case draw < 0.8:
-		w.serve(&w.relay)
+		c.serveFollower(&c.relay)
 	default:
-		w.serve(&w.app)
+		c.serveFollower(&c.app)
 	}
-	w.settle()
+	c.processOutput()
 }
 
-func (w *whole) say(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%5.1f ", w.now)+fmt.Sprintf(format, args...))
+func (c *cluster) logf(format string, args ...any) {
+	c.trace = append(c.trace, fmt.Sprintf("%5.1f ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *whole) lead(k int) {
-	w.term++
-	w.say("v%d leads under term %d", k, w.term)
-	_ = w.voters[k].replica.Lead(w.term, w.now)
+func (c *cluster) elect(voter int) {
+	c.term++
+	c.logf("v%d leads under term %d", voter, c.term)
+	_ = c.voters[voter].replica.Lead(c.term, c.now)
 }
 
-func (w *whole) propose(k int) {
-	w.proposed++
-	change := Change{Service: string(rune('a' + w.pick(3))), Payload: fmt.Append(nil, w.proposed)}
-	if w.voters[k].replica.Propose(w.proposed, change, w.now) == nil {
-		w.say("v%d takes proposal %d", k, w.proposed)
+func (c *cluster) propose(voter int) {
+	c.proposed++
+	change := Change{Service: string(rune('a' + c.randomInt(3))), Payload: fmt.Append(nil, c.proposed)}
+	if c.voters[voter].replica.Propose(c.proposed, change, c.now) == nil {
+		c.logf("v%d takes proposal %d", voter, c.proposed)
 	}
 }
 
-func (w *whole) tick() {
-	w.now += 0.5
-	for k := range w.voters {
-		v := &w.voters[k]
-		v.replica.Tick(w.now)
-		v.feed.Tick(w.now, v.replica.Status(w.now).Age)
-	}
-	w.relay.follower.Tick(w.now)
-	w.app.follower.Tick(w.now)
-	w.relayFeed.Tick(w.now, w.relay.follower.Status(w.now).Age)
+func (c *cluster) tick() {
+	c.now += 0.5
+	for k := range c.voters {
+		v := &c.voters[k]
+		v.replica.Tick(c.now)
+		v.feed.Tick(c.now, v.replica.Status(c.now).Age)
+	}
+	c.relay.follower.Tick(c.now)
+	c.app.follower.Tick(c.now)
+	c.relayFeed.Tick(c.now, c.relay.follower.Status(c.now).Age)
 }
 
 // disturb loses, doubles or reorders a message of a stream, or breaks it.
-func (w *whole) disturb(s *wholeServer) {
-	n := len(s.flight)
-	kind := w.pick(4)
+func (c *cluster) disturbStream(s *clusterFollower) {
+	n := len(s.inFlight)
+	kind := c.randomInt(4)
 	switch {
 	case kind == 0:
-		w.leave(s)
-		s.follower.Disconnected(w.now)
+		c.disconnect(s)
+		s.follower.Disconnected(c.now)
 	case n == 0:
 	case kind == 1:
-		s.flight = s.flight[1:]
+		s.inFlight = s.inFlight[1:]
 	case kind == 2:
-		s.flight = append(s.flight, s.flight[w.pick(n)])
+		s.inFlight = append(s.inFlight, s.inFlight[c.randomInt(n)])
 	default:
-		s.flight[0], s.flight[n-1] = s.flight[n-1], s.flight[0]
+		s.inFlight[0], s.inFlight[n-1] = s.inFlight[n-1], s.inFlight[0]
 	}
 }
 
-func (w *whole) leave(s *wholeServer) {
+func (c *cluster) disconnect(s *clusterFollower) {
 	if s.connected != "" {
-		w.feed(s.connected).Unsubscribe(s.id)
+		c.feed(s.connected).Unsubscribe(s.id)
 	}
-	s.connected, s.wants = "", ""
+	s.connected, s.connectTo = "", ""
 }
 
 // serve has a follower connect, or take a message.
-func (w *whole) serve(s *wholeServer) {
+func (c *cluster) serveFollower(s *clusterFollower) {
 	switch {
-	case s.wants != "":
-		s.connected, s.wants = s.wants, ""
-		s.follower.Connected(w.now)
-	case len(s.flight) > 0:
-		message := s.flight[0]
-		s.flight = s.flight[1:]
-		_ = s.follower.Step(message, w.now)
+	case s.connectTo != "":
+		s.connected, s.connectTo = s.connectTo, ""
+		s.follower.Connected(c.now)
+	case len(s.inFlight) > 0:
+		message := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
+		_ = s.follower.Step(message, c.now)
 	}
 }
 
 // settle carries out what all machines want done.
-func (w *whole) settle() {
-	for k := range w.voters {
-		w.carryOut(k)
+func (c *cluster) processOutput() {
+	for k := range c.voters {
+		c.processReplica(k)
 	}
-	for _, s := range w.servers() {
-		s.carryOut(func(name string, request Subscribe) { w.feed(name).Subscribe(s.id, request, w.now) },
-			func(string) { w.leave(s) })
+	for _, s := range c.followers() {
+		s.runActions(func(name string, request Subscribe) { c.feed(name).Subscribe(s.id, request, c.now) },
+			func(string) { c.disconnect(s) })
 	}
 	for _, name := range []string{"v0", "v1", "v2", "relay"} {
-		ready := w.feed(name).Ready()
+		ready := c.feed(name).Ready()
 		for _, outgoing := range ready.Messages {
-			s := w.servers()[outgoing.Subscriber]
-			s.flight = append(s.flight, outgoing.Message)
+			s := c.followers()[outgoing.Subscriber]
+			s.inFlight = append(s.inFlight, outgoing.Message)
 		}
 		for _, closed := range ready.Closed {
-			for _, s := range w.servers() {
+			for _, s := range c.followers() {
 				if s.id == closed.Subscriber && s.connected == name {
 					s.connected = ""
-					s.follower.Disconnected(w.now)
+					s.follower.Disconnected(c.now)
 				}
 			}
 		}
 	}
 }
 
-func (w *whole) carryOut(k int) {
-	v := &w.voters[k]
+func (c *cluster) processReplica(voter int) {
+	v := &c.voters[voter]
 	ready := v.replica.Ready()
-	v.disk = write(v.disk, ready.Persist)
-	w.flight = append(w.flight, ready.Messages...)
+	v.disk = applyPersist(v.disk, ready.Persist)
+	c.inFlight = append(c.inFlight, ready.Messages...)
 	for _, entry := range ready.Committed {
-		w.commit(k, entry)
+		c.commitEntry(voter, entry)
 	}
 	if err := v.feed.Append(ready.Committed); err != nil {
 		panic(err)
@@ -258,7 +258,7 @@
 	v.disk.Commit = uint64(len(v.table.entries))
 	for _, result := range ready.Results {
 		if result.Err == nil {
-			w.results[result.ID] = result.Version
+			c.results[result.ID] = result.Version
 		}
 	}
 	if upTo := ready.CompactedUpTo; upTo != (Version{}) {
@@ -267,44 +267,44 @@
 		v.disk.Base = upTo
 	}
 	if need := ready.NeedSnapshot; need != (Version{}) {
-		w.install(k, need)
+		c.installSnapshot(voter, need)
 	}
 }
 
 // commit checks what a voter tells as committed against what any has told before.
-func (w *whole) commit(k int, entry Entry) {
-	v := &w.voters[k]
-	at := len(v.table.entries)
-	if at == len(w.committed) {
-		w.committed = append(w.committed, entry)
+func (c *cluster) commitEntry(voter int, entry Entry) {
+	v := &c.voters[voter]
+	position := len(v.table.entries)
+	if position == len(c.committed) {
+		c.committed = append(c.committed, entry)
 	}
-	if w.committed[at].Version != entry.Version || string(w.committed[at].Payload) != string(entry.Payload) {
-		panic(fmt.Sprintf("v%d commits %+v, not %+v", k, entry, w.committed[at]))
+	if c.committed[position].Version != entry.Version || string(c.committed[position].Payload) != string(entry.Payload) {
+		panic(fmt.Sprintf("v%d commits %+v, not %+v", voter, entry, c.committed[position]))
 	}
-	v.table.entries = w.committed[:at+1]
+	v.table.entries = c.committed[:position+1]
 }
 
 // install gives a voter another one's table.
-func (w *whole) install(k int, need Version) {
-	for other := range w.voters {
-		from := &w.voters[other]
-		version := lastOf(from.table.entries)
-		if other == k || version.Index < need.Index {
+func (c *cluster) installSnapshot(voter int, needed Version) {
+	for other := range c.voters {
+		from := &c.voters[other]
+		version := lastVersion(from.table.entries)
+		if other == voter || version.Index < needed.Index {
 			continue
 		}
 		last := map[string]uint64{}
 		for _, entry := range from.table.entries {
 			last[entry.Service] = entry.Index
 		}
-		v := &w.voters[k]
-		if !v.replica.InstallSnapshot(version, last, w.now) {
+		v := &c.voters[voter]
+		if !v.replica.InstallSnapshot(version, last, c.now) {
 			return
 		}
-		w.say("v%d installs a snapshot of %v", k, version)
+		c.logf("v%d installs a snapshot of %v", voter, version)
 		v.table.entries = from.table.entries
 		v.feed.Reset(version)
 		persist := v.replica.Ready().Persist
-		v.disk = write(v.disk, persist)
+		v.disk = applyPersist(v.disk, persist)
 		if persist.Reset {
 			v.disk.LastOfService = last
 		}
@@ -313,87 +313,87 @@
 }
 
 // check compares the tables and the results with the log.
-func (w *whole) check() string {
-	for id, version := range w.results {
-		if entry := w.committed[version.Index-1]; entry.Version != version || string(entry.Payload) != fmt.Sprint(id) {
+func (c *cluster) check() string {
+	for id, version := range c.results {
+		if entry := c.committed[version.Index-1]; entry.Version != version || string(entry.Payload) != fmt.Sprint(id) {
 			return fmt.Sprintf("proposal %d was told committed at %v, there is %+v", id, version, entry)
 		}
 	}
-	for _, s := range w.servers() {
-		at := s.follower.version.Index
+	for _, s := range c.followers() {
+		index := s.follower.version.Index
 		if s.invalidated {
 			return fmt.Sprintf("server %d found an entry missing, and none is", s.id)
 		}
-		if want := recordsOf(w.committed[:at], s.follower.subscribesTo); !slices.EqualFunc(s.records, want, sameChange) {
-			return fmt.Sprintf("server %d at version %d has %s, not %s", s.id, at, s.records, want)
+		if want := recordsOf(c.committed[:index], s.follower.subscribesTo); !slices.EqualFunc(s.records, want, sameChange) {
+			return fmt.Sprintf("server %d at version %d has %s, not %s", s.id, index, s.records, want)
 		}
 	}
 	return ""
 }
 
 // calmDown has one voter lead while nothing goes wrong, and tells what is not as new as the log after a while.
-func (w *whole) calmDown() string {
-	w.calm = true
-	for k := range w.voters {
-		w.voters[k].replica.StepDown()
+func (c *cluster) recoverWithoutFaults() string {
+	c.faultFree = true
+	for k := range c.voters {
+		c.voters[k].replica.StepDown()
 	}
-	w.lead(w.pick(3))
+	c.elect(c.randomInt(3))
 	for range 6000 {
-		w.step()
+		c.step()
 	}
 	for range 400 { // no more proposals: what is under way ends
-		w.tick()
-		w.settle()
-		for len(w.flight) > 0 {
-			envelope := w.flight[0]
-			w.flight = w.flight[1:]
-			w.voters[number(envelope.To)].replica.Step(envelope, w.now)
-			w.settle()
+		c.tick()
+		c.processOutput()
+		for len(c.inFlight) > 0 {
+			envelope := c.inFlight[0]
+			c.inFlight = c.inFlight[1:]
+			c.voters[voterNumber(envelope.To)].replica.Step(envelope, c.now)
+			c.processOutput()
 		}
 		for range 9 {
-			w.serve(&w.relay)
-			w.serve(&w.app)
-			w.settle()
+			c.serveFollower(&c.relay)
+			c.serveFollower(&c.app)
+			c.processOutput()
 		}
 	}
-	want := lastOf(w.committed)
-	for k := range w.voters {
-		if status := w.voters[k].replica.Status(w.now); status.Committed != want {
+	want := lastVersion(c.committed)
+	for k := range c.voters {
+		if status := c.voters[k].replica.Status(c.now); status.Committed != want {
 			return fmt.Sprintf("v%d has %+v, not %v", k, status, want)
 		}
 	}
-	for _, s := range w.servers() {
-		if status := s.follower.Status(w.now); status.Version != want || status.Stale {
+	for _, s := range c.followers() {
+		if status := s.follower.Status(c.now); status.Version != want || status.Stale {
 			return fmt.Sprintf("server %d has %+v, not %v", s.id, status, want)
 		}
 	}
-	return w.check()
+	return c.check()
 }
 
 // A whole installation keeps the rules through what goes wrong at random, and is up to date once nothing does.
-func TestRandomWhole(t *testing.T) {
+func TestRandomCluster(t *testing.T) {
 	seeds, steps := 40, 3000
 	if explore.Race {
 		seeds = 4
 	}
 	committed, snapshots, gaps := 0, uint64(0), uint64(0)
 	for seed := range uint64(seeds) {
-		w := newWhole(seed)
-		fail := func(why string) {
-			t.Fatalf("seed %d: %s\n%s", seed, why, strings.Join(w.trace[max(0, len(w.trace)-60):], "\n"))
+		c := newCluster(seed)
+		fail := func(violation string) {
+			t.Fatalf("seed %d: %s\n%s", seed, violation, strings.Join(c.trace[max(0, len(c.trace)-60):], "\n"))
 		}
 		for range steps {
-			w.step()
-			if why := w.check(); why != "" {
-				fail(why)
+			c.step()
+			if violation := c.check(); violation != "" {
+				fail(violation)
 			}
 		}
-		if why := w.calmDown(); why != "" {
-			fail(why)
+		if violation := c.recoverWithoutFaults(); violation != "" {
+			fail(violation)
 		}
-		committed += len(w.committed)
-		snapshots += w.app.follower.counts.Snapshots
-		gaps += w.app.follower.counts.Gaps
+		committed += len(c.committed)
+		snapshots += c.app.follower.counts.Snapshots
+		gaps += c.app.follower.counts.Gaps
 	}
 	t.Logf("%d installations: %d entries committed; of the last followers %d snapshots, %d gaps", seeds, committed, snapshots, gaps)
 }
--- a/logic/configlog/example_feed_test.go
+++ b/logic/configlog/example_feed_test.go
@@ -12,7 +12,7 @@
 
 type snapshot struct {
 	table
-	left int
+	partsLeft int
 }
 
 func (t table) Open([]string, bool) configlog.Snapshot { return &snapshot{t, 3} }
@@ -22,8 +22,8 @@
 func (s *snapshot) Version() configlog.Version { return s.version }
 func (s *snapshot) Close()                     {}
 func (s *snapshot) Next(int) ([]configlog.Change, bool) {
-	s.left--
-	return []configlog.Change{entry(0, 0, 0, "a").Change}, s.left == 0
+	s.partsLeft--
+	return []configlog.Change{entry(0, 0, 0, "a").Change}, s.partsLeft == 0
 }
 
 // A feed sends each subscriber its entries at the subscriber's rate, and closes a subscriber whose buffer
@@ -37,7 +37,7 @@
 		feed.Tick(now, age)
 		ready := feed.Ready()
 		for _, outgoing := range ready.Messages {
-			tell(now, outgoing.Message)
+			printValue(now, outgoing.Message)
 		}
 		for _, closed := range ready.Closed {
 			fmt.Printf("%5.1f subscriber %d closed: %v\n", now, closed.Subscriber, closed.Reason)
--- a/logic/configlog/example_test.go
+++ b/logic/configlog/example_test.go
@@ -16,7 +16,7 @@
 
 // printValue prints a value with the name of its type, without the package name and the payloads of
 // entries.
-func tell(now float64, value any) {
+func printValue(now float64, value any) {
 	text := strings.ReplaceAll(fmt.Sprintf("%T%+v", value, value), "configlog.", "")
 	fmt.Printf("%5.1f %s\n", now, strings.NewReplacer("Change:", "", "Version:", "", "Payload:[49 50 51 52 53 54 55 56]", "").Replace(text))
 }
@@ -35,15 +35,15 @@
 		}
 		replicas[name] = configlog.NewReplica(cfg, stored, 0)
 	}
-	settle := func() { // messages to z are lost
-		for again := true; again; {
-			again = false
+	deliverAll := func() { // messages to z are lost
+		for delivered := true; delivered; {
+			delivered = false
 			for _, name := range names[:2] {
 				ready := replicas[name].Ready()
 				for _, envelope := range ready.Messages {
 					if envelope.To != "z" {
-						again = true
-						tell(0, envelope)
+						delivered = true
+						printValue(0, envelope)
 						replicas[envelope.To].Step(envelope, 0)
 					}
 				}
@@ -56,12 +56,12 @@
 	x, change := replicas["x"], configlog.Change{Service: "a", Payload: []byte("12345678")}
 	fmt.Println(x.Propose(1, change, 0), x.Status(0).Age)
 	fmt.Println(x.Lead(2, 0), x.Propose(1, change, 0))
-	settle()
+	deliverAll()
 	fmt.Println(x.Propose(1, change, 0), x.Propose(2, change, 0))
-	settle()
+	deliverAll()
 	fmt.Println(x.Propose(3, configlog.Change{}, 0), x.Propose(4, configlog.Change{Service: strings.Repeat("a", 100)}, 0), x.Propose(5, change, 0))
 	x.StepDown()
-	settle()
+	deliverAll()
 	fmt.Println(x.Lead(2, 0), replicas["y"].Status(1).Age)
 	// Output:
 	// configlog: this replica is not the leader +Inf
@@ -88,19 +88,19 @@
 }
 
 // testFollower is a follower with its clock and the number of its current subscription.
-type follow struct {
+type testFollower struct {
 	*configlog.Follower
 	now    float64
 	stream uint64
 }
 
-func (f *follow) pass(seconds float64) {
+func (f *testFollower) advance(seconds float64) {
 	f.now += seconds
 	f.Tick(f.now)
 	f.show()
 }
 
-func (f *follow) show() {
+func (f *testFollower) show() {
 	for _, action := range f.Ready() {
 		switch action := action.(type) {
 		case configlog.Send:
@@ -114,32 +114,32 @@
 		case configlog.Close:
 			fmt.Printf("%5.1f close: %v\n", f.now, action.Reason)
 		default:
-			tell(f.now, action)
+			printValue(f.now, action)
 		}
 	}
 }
 
-func (f *follow) connect() {
+func (f *testFollower) connect() {
 	f.Connected(f.now)
 	f.show()
 }
 
-func (f *follow) take(message configlog.StreamMessage) {
+func (f *testFollower) receive(message configlog.StreamMessage) {
 	if err := f.Step(message, f.now); err != nil {
 		fmt.Printf("%5.1f rejected: %s\n", f.now, strings.TrimPrefix(err.Error(), "configlog: "))
 	}
 	f.show()
 }
 
-func newFollow(version configlog.Version) *follow {
+func newTestFollower(version configlog.Version) *testFollower {
 	cfg := configlog.FollowerConfig{Name: "s", Services: []string{"a"}, Distributors: []string{"d0", "d1", "d2"}, StaleAfter: 18, SilentAfter: 5,
 		BackoffMin: 1, BackoffMax: 8, Seed: 1, MaxLookups: 1}
-	return &follow{Follower: configlog.NewFollower(cfg, version, 0)}
+	return &testFollower{Follower: configlog.NewFollower(cfg, version, 0)}
 }
 
 // followingFollower returns a follower that has resumed from a version.
-func following(version configlog.Version) *follow {
-	f := newFollow(version)
+func newResumedFollower(version configlog.Version) *testFollower {
+	f := newTestFollower(version)
 	f.Tick(0)
 	f.Connected(0)
 	for _, action := range f.Ready() {
@@ -155,28 +155,28 @@
 // A follower without a table requests a snapshot and applies it only when it is complete. It reports when
 // it becomes stale, and tries one distributor after another.
 func ExampleFollower() {
-	f := newFollow(configlog.Version{})
-	f.pass(0)
+	f := newTestFollower(configlog.Version{})
+	f.advance(0)
 	f.Disconnected(f.now)
 	f.show()
-	f.pass(1)
+	f.advance(1)
 	f.connect()
 	version := configlog.Version{Term: 3, Index: 7}
 	records := []configlog.Change{entry(0, 0, 0, "a").Change}
-	f.take(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
-	f.take(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records})
-	f.pass(6)
-	f.pass(2)
+	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
+	f.receive(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records})
+	f.advance(6)
+	f.advance(2)
 	f.connect()
-	f.take(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
-	f.take(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records, Done: true})
-	f.take(configlog.Heartbeat{Stream: f.stream, Sequence: 3, Version: version, Age: 2})
-	f.take(configlog.Delta{Stream: f.stream, Sequence: 4, Entry: entry(4, 9, 7, "a")})
+	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
+	f.receive(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records, Done: true})
+	f.receive(configlog.Heartbeat{Stream: f.stream, Sequence: 3, Version: version, Age: 2})
+	f.receive(configlog.Delta{Stream: f.stream, Sequence: 4, Entry: entry(4, 9, 7, "a")})
 	f.SetServices([]string{"a", "b"}, f.now)
 	f.show()
 	f.SetDistributors([]string{"d3"}, f.now)
 	f.show()
-	f.pass(17)
+	f.advance(17)
 	// Output:
 	// 0.0 Connect{Distributor:d1}
 	//   1.0 Connect{Distributor:d2}
@@ -207,14 +207,14 @@
 
 // A follower can resume after the snapshot of an empty log.
 func ExampleFollower_emptyLog() {
-	f := newFollow(configlog.Version{})
-	f.pass(0)
+	f := newTestFollower(configlog.Version{})
+	f.advance(0)
 	f.connect()
-	f.take(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot})
-	f.take(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Done: true})
-	f.take(configlog.Delta{Stream: f.stream, Sequence: 3, Entry: entry(1, 2, 0, "a")})
+	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot})
+	f.receive(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Done: true})
+	f.receive(configlog.Delta{Stream: f.stream, Sequence: 3, Entry: entry(1, 2, 0, "a")})
 	f.Disconnected(f.now)
-	f.pass(1)
+	f.advance(1)
 	f.connect()
 	// Output:
 	// 0.0 Connect{Distributor:d1}
@@ -234,14 +234,14 @@
 // Gaps, duplicates, reordered, stale and malformed messages and those of a stale leader are reported by
 // different errors, and not applied.
 func ExampleFollower_Step() {
-	at := configlog.Version{Term: 3, Index: 7}
-	refused := func(what string, messages ...func(stream uint64) configlog.StreamMessage) *follow {
-		f := following(at)
+	resumedFrom := configlog.Version{Term: 3, Index: 7}
+	printErrors := func(label string, messages ...func(stream uint64) configlog.StreamMessage) *testFollower {
+		f := newResumedFollower(resumedFrom)
 		stream := f.stream
 		for _, message := range messages {
 			err := f.Step(message(stream), 0)
 			if err != nil {
-				fmt.Printf("%s: %s\n", what, strings.TrimPrefix(err.Error(), "configlog: "))
+				fmt.Printf("%s: %s\n", label, strings.TrimPrefix(err.Error(), "configlog: "))
 			}
 		}
 		return f
@@ -251,29 +251,29 @@
 			return configlog.Delta{Stream: stream, Sequence: sequence, Entry: e}
 		}
 	}
-	beat := func(version configlog.Version, age float64) func(uint64) configlog.StreamMessage {
+	heartbeat := func(version configlog.Version, age float64) func(uint64) configlog.StreamMessage {
 		return func(stream uint64) configlog.StreamMessage {
 			return configlog.Heartbeat{Stream: stream, Sequence: 2, Version: version, Age: age}
 		}
 	}
 	next := entry(3, 9, 7, "a")
-	refused("missing message that arrives late", delta(3, next), delta(2, next), delta(4, next))
-	refused("duplicate", delta(2, next), delta(2, next))
-	refused("missing entry of the service", delta(2, entry(3, 9, 8, "a")))
-	refused("another previous entry", delta(2, next), delta(3, entry(3, 10, 8, "a")))
-	refused("stale entry", delta(2, entry(3, 7, 5, "a")))
-	refused("entry of a stale leader", delta(2, entry(2, 9, 7, "a")))
-	refused("entry of another service", delta(2, entry(3, 9, 7, "b")))
-	refused("heartbeat of a stale leader", beat(configlog.Version{Term: 2, Index: 9}, 0))
-	refused("stale heartbeat", beat(configlog.Version{Term: 3, Index: 6}, 0))
-	refused("heartbeat of another log", beat(configlog.Version{Term: 4, Index: 7}, 0))
-	refused("heartbeat with a negative age", beat(configlog.Version{Term: 3, Index: 7}, -1))
-	refused("no sequence number", delta(0, next))
-	refused("second welcome", func(stream uint64) configlog.StreamMessage { return configlog.Welcome{Stream: stream, Sequence: 2} })
-	refused("unexpected snapshot part", func(stream uint64) configlog.StreamMessage {
+	printErrors("missing message that arrives late", delta(3, next), delta(2, next), delta(4, next))
+	printErrors("duplicate", delta(2, next), delta(2, next))
+	printErrors("missing entry of the service", delta(2, entry(3, 9, 8, "a")))
+	printErrors("another previous entry", delta(2, next), delta(3, entry(3, 10, 8, "a")))
+	printErrors("stale entry", delta(2, entry(3, 7, 5, "a")))
+	printErrors("entry of a stale leader", delta(2, entry(2, 9, 7, "a")))
+	printErrors("entry of another service", delta(2, entry(3, 9, 7, "b")))
+	printErrors("heartbeat of a stale leader", heartbeat(configlog.Version{Term: 2, Index: 9}, 0))
+	printErrors("stale heartbeat", heartbeat(configlog.Version{Term: 3, Index: 6}, 0))
+	printErrors("heartbeat of another log", heartbeat(configlog.Version{Term: 4, Index: 7}, 0))
+	printErrors("heartbeat with a negative age", heartbeat(configlog.Version{Term: 3, Index: 7}, -1))
+	printErrors("no sequence number", delta(0, next))
+	printErrors("second welcome", func(stream uint64) configlog.StreamMessage { return configlog.Welcome{Stream: stream, Sequence: 2} })
+	printErrors("unexpected snapshot part", func(stream uint64) configlog.StreamMessage {
 		return configlog.SnapshotPart{Stream: stream, Sequence: 2}
 	})
-	f := refused("lookup sent to a follower", func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
+	f := printErrors("lookup sent to a follower", func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
 	fmt.Printf("%+v\n", f.Status(0).Counts)
 	// Output:
 	// missing message that arrives late: gap in sequence: got 3, want 2
@@ -298,13 +298,13 @@
 
 // Lookups are sent over the connection, and fail when it ends.
 func ExampleFollower_Lookup() {
-	f := newFollow(configlog.Version{})
-	var gone *configlog.DisconnectedError
-	fmt.Println(errors.As(f.Follower.Lookup(1, 0, "t", 0), &gone))
-	f = following(configlog.Version{Term: 3, Index: 7})
+	f := newTestFollower(configlog.Version{})
+	var disconnected *configlog.DisconnectedError
+	fmt.Println(errors.As(f.Follower.Lookup(1, 0, "t", 0), &disconnected))
+	f = newResumedFollower(configlog.Version{Term: 3, Index: 7})
 	fmt.Println(f.Lookup(1, 0, "t", 0), f.Lookup(2, 0, "t", 0))
-	f.take(configlog.LookupReply{Stream: f.stream, ID: 1, Found: true, Value: []byte("v")})
-	f.take(configlog.LookupReply{Stream: f.stream, ID: 1})
+	f.receive(configlog.LookupReply{Stream: f.stream, ID: 1, Found: true, Value: []byte("v")})
+	f.receive(configlog.LookupReply{Stream: f.stream, ID: 1})
 	fmt.Println(f.Lookup(3, 0, "t", 0))
 	f.Disconnected(0)
 	f.show()
@@ -328,9 +328,9 @@
 	served, moved := make([]int, len(all)), 0
 	for k := range 8600 {
 		name := fmt.Sprint("app", k)
-		was, is := first(name, all), first(name, all[:3])
-		served[slices.Index(all, was)]++
-		if was != is && was != "d3" {
+		before, after := first(name, all), first(name, all[:3])
+		served[slices.Index(all, before)]++
+		if before != after && before != "d3" {
 			moved++
 		}
 	}
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -14,15 +14,15 @@
 
 // Lists of voters while v3 takes the place of v0: first all get both lists, then the next one alone.
 var (
-	formerList = [][]string{voterNames}
-	bothLists  = [][]string{voterNames, {"v1", "v2", "v3"}}
-	nextList   = [][]string{{"v1", "v2", "v3"}}
+	oldVoters   = [][]string{voterNames}
+	jointVoters = [][]string{voterNames, {"v1", "v2", "v3"}}
+	newVoters   = [][]string{{"v1", "v2", "v3"}}
 )
 
-func number(name string) int { return int(name[1] - '0') }
+func voterNumber(name string) int { return int(name[1] - '0') }
 
 // write carries out what a replica wants on its disk.
-func write(disk Stored, persist Persist) Stored {
+func applyPersist(disk Stored, persist Persist) Stored {
 	disk.Promised = max(disk.Promised, persist.Promised)
 	if persist.Reset {
 		disk.Base, disk.Commit, disk.Entries = persist.Base, persist.Base.Index, nil
@@ -35,13 +35,13 @@
 }
 
 // chain fills in payloads, and what is before each entry of its service.
-func chain(entries []Entry) []Entry {
+func linkEntries(entries []Entry) []Entry {
 	last := map[string]uint64{}
-	for k := range entries {
-		if entries[k].Service != "" {
-			entries[k].Previous = last[entries[k].Service]
-			last[entries[k].Service] = entries[k].Index
-			entries[k].Payload = fmt.Append(nil, entries[k].Version)
+	for i := range entries {
+		if entries[i].Service != "" {
+			entries[i].Previous = last[entries[i].Service]
+			last[entries[i].Service] = entries[i].Index
+			entries[i].Payload = fmt.Append(nil, entries[i].Version)
 		}
 	}
 	return entries
@@ -63,11 +63,11 @@
 
 func (p *prefixTable) Open(services []string, all bool) Snapshot {
 	wants := func(service string) bool { return all || slices.Contains(services, service) }
-	return &prefixSnapshot{version: lastOf(p.entries), records: recordsOf(p.entries, wants)}
+	return &prefixSnapshot{version: lastVersion(p.entries), records: recordsOf(p.entries, wants)}
 }
 
 func (p *prefixTable) Lookup(LookupKind, string) ([]byte, Version, bool) {
-	return nil, lastOf(p.entries), false
+	return nil, lastVersion(p.entries), false
 }
 
 // prefixSnapshot gives a record at a time.
@@ -93,7 +93,7 @@
 	version     Version
 	records     []Change
 	staged      []Change
-	wants       string // the distributor to connect to
+	connectTo   string // the distributor to connect to
 	connected   string
 	invalidated bool
 	applied     func(entries []Entry) // nil, or what else to do
@@ -101,14 +101,14 @@
 }
 
 // carryOut does what the follower wants done; subscribe and close are told to the distributor.
-func (a *appServer) carryOut(subscribe func(name string, request Subscribe), unsubscribe func(name string)) {
+func (a *appServer) runActions(subscribe func(name string, request Subscribe), unsubscribe func(name string)) {
 	for _, action := range a.follower.Ready() {
 		switch action := action.(type) {
 		case Connect:
-			a.wants = action.Distributor
+			a.connectTo = action.Distributor
 		case Close:
 			unsubscribe(a.connected)
-			a.wants, a.connected = "", ""
+			a.connectTo, a.connected = "", ""
 		case Send:
 			if request, ok := action.Message.(Subscribe); ok {
 				subscribe(a.connected, request)
@@ -137,7 +137,7 @@
 	}
 }
 
-func lastOf(entries []Entry) Version {
+func lastVersion(entries []Entry) Version {
 	if len(entries) == 0 {
 		return Version{}
 	}
@@ -149,36 +149,36 @@
 }
 
 // named is a walk with a name.
-type named[B walker] struct {
+type namedBounds[B explorer] struct {
 	name   string
 	bounds B
 }
 
-type walker interface{ walk(most int) explore.Result }
+type explorer interface{ explore(most int) explore.Result }
 
 // walkAll plays walks to their end, under the race detector the smallest alone.
-func walkAll[B walker](t *testing.T, all []named[B]) {
+func exploreAll[B explorer](t *testing.T, allBounds []namedBounds[B]) {
 	if explore.Race {
-		all = all[:1]
+		allBounds = allBounds[:1]
 	}
-	for _, one := range all {
-		began := time.Now()
-		r := one.bounds.walk(800_000)
-		t.Logf("%s: %d states, depth %d, complete %v, in %v", one.name, r.States, r.Depth, r.Complete, time.Since(began))
-		if r.Wrong != "" || !r.Complete {
-			t.Errorf("%s: %s\n%s", one.name, r.Wrong, r.Trace)
+	for _, tested := range allBounds {
+		start := time.Now()
+		result := tested.bounds.explore(800_000)
+		t.Logf("%s: %d states, depth %d, complete %v, in %v", tested.name, result.States, result.Depth, result.Complete, time.Since(start))
+		if result.Wrong != "" || !result.Complete {
+			t.Errorf("%s: %s\n%s", tested.name, result.Wrong, result.Trace)
 		}
 	}
 }
 
 // findAll plays walks without a rule, each of which has to find its loss.
-func findAll[B walker](t *testing.T, all []named[B]) {
-	for _, one := range all {
-		r := one.bounds.walk(800_000)
-		if r.Wrong == "" {
-			t.Errorf("%s: not found in %d states", one.name, r.States)
+func requireViolations[B explorer](t *testing.T, allBounds []namedBounds[B]) {
+	for _, tested := range allBounds {
+		result := tested.bounds.explore(800_000)
+		if result.Wrong == "" {
+			t.Errorf("%s: not found in %d states", tested.name, result.States)
 			continue
 		}
-		t.Logf("%s: found in %d steps: %s\n%s", one.name, strings.Count(r.Trace, "\n"), r.Wrong, r.Trace)
+		t.Logf("%s: found in %d steps: %s\n%s", tested.name, strings.Count(result.Trace, "\n"), result.Wrong, result.Trace)
 	}
 }
--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -13,42 +13,42 @@
 
 // logBounds are what may happen at the most in a walk of replicas. Messages are lost freely: what is never delivered is lost.
 type logBounds struct {
-	terms, proposals, restarts, doubled, lost int
-	atOnce                                    bool // an answer is heard at once, or lost
-	answerFirst                               bool // the planted fault of a driver that writes after it has sent
-	disabled                                  Rule
-	lists                                     [4][][]string // that each voter knows, if not the three
+	terms, proposals, restarts, duplicates, lostResponses int
+	immediateResponses                                    bool // an answer is heard at once, or lost
+	sendBeforePersist                                     bool // the planted fault of a driver that writes after it has sent
+	disabled                                              Rule
+	voterLists                                            [4][][]string // that each voter knows, if not the three
 }
 
 // logState is three voters, their disks, and what is on its way.
 type logState struct {
 	logBounds
-	replicas  []*Replica
-	disks     [4]Stored
-	unwritten [4]Persist // of a driver that sends first
-	flight    []Envelope
-	term      uint64
-	committed []Entry  // as any replica has told
-	under     []uint64 // the term of the leader that committed each of them
-	broken    string
+	replicas       []*Replica
+	disks          [4]Stored
+	unpersisted    [4]Persist // of a driver that sends first
+	inFlight       []Envelope
+	term           uint64
+	committed      []Entry  // as any replica has told
+	committedUnder []uint64 // the term of the leader that committed each of them
+	violation      string
 }
 
 func (b logBounds) config(voter int) ReplicaConfig {
-	one := Entry{Change: proposal(0)}.Size()
-	lists := b.lists[voter]
-	if lists == nil {
-		lists = formerList
+	entrySize := Entry{Change: proposal(0)}.Size()
+	voters := b.voterLists[voter]
+	if voters == nil {
+		voters = oldVoters
 	}
-	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: lists, KeepEntries: 9, MaxOpen: 9, MessageBytes: one,
+	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: voters, KeepEntries: 9, MaxOpen: 9, MessageBytes: entrySize,
 		MaxInFlight: 2, Disabled: b.disabled}
 }
 
 func proposal(id uint64) Change { return Change{Service: "a", Payload: []byte{byte(id)}} }
 
-func (b logBounds) begin() *logState {
+func (b logBounds) initialState() *logState {
 	s := &logState{logBounds: b}
-	for voter, lists := range b.lists {
-		if voter < len(voterNames) || lists != nil {
+	for voter, voters := range b.voterLists {
+		if voter < len(voterNames) || voters != nil {
 			s.replicas = append(s.replicas, NewReplica(b.config(voter), Stored{}, 0))
 		}
 	}
@@ -68,105 +68,105 @@
 
 // What can happen, each with the number of whom or what it happens to.
 const (
-	actLead = iota << 8
-	actPropose
-	actRestart
-	actDeliver
-	actDouble // delivered, and still on its way
-	actLose   // delivered, and the answer is lost
+	logActionLead = iota << 8
+	logActionPropose
+	logActionRestart
+	logActionDeliver
+	logActionDuplicate    // delivered, and still on its way
+	logActionLoseResponse // delivered, and the answer is lost
 )
 
-func (s *logState) acts(all []uint16) []uint16 {
-	add := func(can bool, act uint16, k int) {
-		if can {
-			all = append(all, act|uint16(k))
+func (s *logState) actions(all []uint16) []uint16 {
+	add := func(possible bool, action uint16, target int) {
+		if possible {
+			all = append(all, action|uint16(target))
 		}
 	}
 	for voter, replica := range s.replicas {
-		add(s.terms > 0 && (s.term > 0 || voter == 0), actLead, voter)
-		add(s.proposals > 0 && replica.state == ReplicaLeader, actPropose, voter)
-		add(s.restarts > 0, actRestart, voter)
+		add(s.terms > 0 && (s.term > 0 || voter == 0), logActionLead, voter)
+		add(s.proposals > 0 && replica.state == ReplicaLeader, logActionPropose, voter)
+		add(s.restarts > 0, logActionRestart, voter)
 	}
-	for k := range s.flight {
-		add(true, actDeliver, k)
-		add(s.doubled > 0, actDouble, k)
-		add(s.atOnce && s.lost > 0, actLose, k)
+	for message := range s.inFlight {
+		add(true, logActionDeliver, message)
+		add(s.duplicates > 0, logActionDuplicate, message)
+		add(s.immediateResponses && s.lostResponses > 0, logActionLoseResponse, message)
 	}
 	return all
 }
 
-func (before *logState) after(act uint16) *logState {
+func (before *logState) apply(action uint16) *logState {
 	next := *before
 	s := &next
-	s.flight, s.replicas = slices.Clone(before.flight), slices.Clone(before.replicas)
-	s.committed, s.under = slices.Clip(before.committed), slices.Clip(before.under)
-	k := int(act & 0xff)
-	switch act &^ 0xff {
-	case actLead:
+	s.inFlight, s.replicas = slices.Clone(before.inFlight), slices.Clone(before.replicas)
+	s.committed, s.committedUnder = slices.Clip(before.committed), slices.Clip(before.committedUnder)
+	target := int(action & 0xff)
+	switch action &^ 0xff {
+	case logActionLead:
 		s.terms--
 		s.term++
-		s.replicas[k] = s.replicas[k].clone()
-		_ = s.replicas[k].Lead(s.term, 0)
-		s.carryOut(k, true)
-	case actPropose:
+		s.replicas[target] = s.replicas[target].clone()
+		_ = s.replicas[target].Lead(s.term, 0)
+		s.processReady(target, true)
+	case logActionPropose:
 		s.proposals--
-		s.replicas[k] = s.replicas[k].clone()
-		_ = s.replicas[k].Propose(1, proposal(1), 0)
-		s.carryOut(k, true)
-	case actRestart:
+		s.replicas[target] = s.replicas[target].clone()
+		_ = s.replicas[target].Propose(1, proposal(1), 0)
+		s.processReady(target, true)
+	case logActionRestart:
 		s.restarts--
-		s.unwritten[k] = Persist{}
-		s.replicas[k] = NewReplica(s.config(k), s.disks[k], 0)
-	case actDeliver, actDouble, actLose:
-		envelope := s.flight[k]
-		if act&^0xff == actDouble {
-			s.doubled--
+		s.unpersisted[target] = Persist{}
+		s.replicas[target] = NewReplica(s.config(target), s.disks[target], 0)
+	case logActionDeliver, logActionDuplicate, logActionLoseResponse:
+		envelope := s.inFlight[target]
+		if action&^0xff == logActionDuplicate {
+			s.duplicates--
 		} else {
-			s.flight = slices.Delete(s.flight, k, k+1)
+			s.inFlight = slices.Delete(s.inFlight, target, target+1)
 		}
-		if act&^0xff == actLose {
-			s.lost--
+		if action&^0xff == logActionLoseResponse {
+			s.lostResponses--
 		}
-		s.deliver(envelope, act&^0xff != actLose)
+		s.deliver(envelope, action&^0xff != logActionLoseResponse)
 	}
-	s.flight = slices.DeleteFunc(s.flight, s.idle)
-	s.dropSubsumed()
-	s.look()
+	s.inFlight = slices.DeleteFunc(s.inFlight, s.hasNoEffect)
+	s.removeSubsumed()
+	s.checkLatestLeader()
 	return s
 }
 
 // deliver has a message taken; answers tells whether its answer gets on its way.
-func (s *logState) deliver(envelope Envelope, answers bool) {
-	voter := number(envelope.To)
+func (s *logState) deliver(envelope Envelope, sendResponse bool) {
+	voter := voterNumber(envelope.To)
 	s.replicas[voter] = s.replicas[voter].clone()
 	s.replicas[voter].Step(envelope, 0)
-	s.carryOut(voter, answers)
+	s.processReady(voter, sendResponse)
 }
 
 // carryOut does what a replica wants done.
-func (s *logState) carryOut(voter int, sends bool) {
-	s.disks[voter] = write(s.disks[voter], s.unwritten[voter])
+func (s *logState) processReady(voter int, send bool) {
+	s.disks[voter] = applyPersist(s.disks[voter], s.unpersisted[voter])
 	ready := s.replicas[voter].Ready()
-	s.unwritten[voter] = ready.Persist
-	if !s.answerFirst {
-		s.disks[voter] = write(s.disks[voter], ready.Persist)
-		s.unwritten[voter] = Persist{}
+	s.unpersisted[voter] = ready.Persist
+	if !s.sendBeforePersist {
+		s.disks[voter] = applyPersist(s.disks[voter], ready.Persist)
+		s.unpersisted[voter] = Persist{}
 	}
 	for _, entry := range ready.Committed {
-		s.commit(entry, s.replicas[voter].promised)
+		s.checkCommitted(entry, s.replicas[voter].promised)
 	}
 	for _, envelope := range ready.Messages {
 		switch {
-		case !sends:
-		case s.atOnce && isAnswer(envelope.Message):
+		case !send:
+		case s.immediateResponses && isResponse(envelope.Message):
 			s.deliver(envelope, true)
 		default:
-			s.flight = append(s.flight, envelope)
+			s.inFlight = append(s.inFlight, envelope)
 		}
 	}
 }
 
-func isAnswer(message Message) bool {
+func isResponse(message Message) bool {
 	switch message.(type) {
 	case RecoverResponse, FetchResponse, AppendResponse:
 		return true
@@ -175,19 +175,19 @@
 }
 
 // commit checks an entry that a replica tells as committed against what any has told before.
-func (s *logState) commit(entry Entry, under uint64) {
-	at := int(entry.Index) - 1
-	if at < len(s.committed) {
-		if s.committed[at].Version != entry.Version {
-			s.broken = fmt.Sprintf("entry %d is committed of terms %d and %d", entry.Index, s.committed[at].Term, entry.Term)
+func (s *logState) checkCommitted(entry Entry, under uint64) {
+	position := int(entry.Index) - 1
+	if position < len(s.committed) {
+		if s.committed[position].Version != entry.Version {
+			s.violation = fmt.Sprintf("entry %d is committed of terms %d and %d", entry.Index, s.committed[position].Term, entry.Term)
 		}
 		return
 	}
-	s.committed, s.under = append(s.committed, entry), append(s.under, under)
+	s.committed, s.committedUnder = append(s.committed, entry), append(s.committedUnder, under)
 }
 
 // look checks that the latest leader has all that is committed.
-func (s *logState) look() {
+func (s *logState) checkLatestLeader() {
 	var latest *Replica
 	for _, replica := range s.replicas {
 		if replica.state == ReplicaLeader && (latest == nil || replica.promised > latest.promised) {
@@ -198,25 +198,25 @@
 		return
 	}
 	for k, entry := range s.committed {
-		if version, ok := latest.log.version(entry.Index); s.under[k] <= latest.promised && (!ok || version != entry.Version) {
-			s.broken = fmt.Sprintf("the leader of term %d lacks entry %d of term %d, which is committed", latest.promised, entry.Index, entry.Term)
+		if version, ok := latest.log.version(entry.Index); s.committedUnder[k] <= latest.promised && (!ok || version != entry.Version) {
+			s.violation = fmt.Sprintf("the leader of term %d lacks entry %d of term %d, which is committed", latest.promised, entry.Index, entry.Term)
 		}
 	}
 }
 
 // idle tells of a message that changes nothing whenever it comes. That a leader hears it is over keeps nobody safe: a refusal is as good
 // as lost.
-func (s *logState) idle(envelope Envelope) bool {
-	from, to := s.replicas[number(envelope.From)], s.replicas[number(envelope.To)]
+func (s *logState) hasNoEffect(envelope Envelope) bool {
+	from, to := s.replicas[voterNumber(envelope.From)], s.replicas[voterNumber(envelope.To)]
 	if to.voters.Number(envelope.From) < 0 {
 		return true
 	}
 	term := envelope.Message.term()
-	if isAnswer(envelope.Message) {
-		answer, ok := envelope.Message.(AppendResponse)
+	if isResponse(envelope.Message) {
+		response, ok := envelope.Message.(AppendResponse)
 		progress := to.leader.progress
 		return term != to.promised || to.state == ReplicaFollower ||
-			ok && progress != nil && answer.Accepted && progress[to.voters.Number(envelope.From)].matchIndex >= answer.Match
+			ok && progress != nil && response.Accepted && progress[to.voters.Number(envelope.From)].matchIndex >= response.Match
 	}
 	if term != to.promised {
 		return term < to.promised
@@ -225,39 +225,39 @@
 	case RecoverRequest:
 		return from.promised != term || from.state != ReplicaPreparing
 	case AppendRequest:
-		return s.repeats(from, to, request)
+		return s.isRedundant(from, to, request)
 	}
 	return false
 }
 
 // dropSubsumed drops requests that are on their way a second time, with a commit index as high or higher.
-func (s *logState) dropSubsumed() {
+func (s *logState) removeSubsumed() {
 	order := [4]int{0, 1, 2, 3}
 	seen := map[uint64]int{}
-	kept := s.flight[:0]
-	for _, envelope := range s.flight {
+	kept := s.inFlight[:0]
+	for _, envelope := range s.inFlight {
 		commit := uint64(0)
-		plain := envelope
+		withoutCommit := envelope
 		if request, ok := envelope.Message.(AppendRequest); ok {
 			commit, request.Commit = request.Commit, 0
-			plain.Message = request
+			withoutCommit.Message = request
 		}
-		hash := hashEnvelope(plain, order)
-		at, again := seen[hash]
-		if !again {
+		hash := hashEnvelope(withoutCommit, order)
+		position, duplicate := seen[hash]
+		if !duplicate {
 			seen[hash] = len(kept)
 			kept = append(kept, envelope)
 			continue
 		}
-		if request, ok := kept[at].Message.(AppendRequest); ok && request.Commit < commit {
-			kept[at] = envelope
+		if request, ok := kept[position].Message.(AppendRequest); ok && request.Commit < commit {
+			kept[position] = envelope
 		}
 	}
-	s.flight = kept
+	s.inFlight = kept
 }
 
 // repeats tells whether a request brings nothing that a voter does not have, and the leader nothing that it does not know.
-func (s *logState) repeats(from, to *Replica, request AppendRequest) bool {
+func (s *logState) isRedundant(from, to *Replica, request AppendRequest) bool {
 	match := request.Previous.Index + uint64(len(request.Entries))
 	last := request.Previous
 	if len(request.Entries) > 0 {
@@ -270,7 +270,7 @@
 
 // key is the same for states that differ by the names of the voters that were not the first to lead alone.
 func (s *logState) key() uint64 {
-	if s.lists[0] != nil {
+	if s.voterLists[0] != nil {
 		return s.keyInOrder([4]int{0, 1, 2, 3}) // they differ by what they know
 	}
 	return min(s.keyInOrder([4]int{0, 1, 2, 3}), s.keyInOrder([4]int{0, 2, 1, 3}))
@@ -280,40 +280,40 @@
 func (s *logState) keyInOrder(order [4]int) uint64 {
 	h := explore.NewHash()
 	for _, voter := range order[:len(s.replicas)] {
-		s.addReplica(&h, voter, order)
+		s.hashReplica(&h, voter, order)
 	}
-	hashes := make([]uint64, len(s.flight))
-	for k, envelope := range s.flight {
+	hashes := make([]uint64, len(s.inFlight))
+	for k, envelope := range s.inFlight {
 		hashes[k] = hashEnvelope(envelope, order)
 	}
 	slices.Sort(hashes)
 	for _, hash := range hashes {
 		h.Add(hash)
 	}
-	for _, left := range []int{s.terms, s.proposals, s.restarts, s.doubled, s.lost} {
+	for _, left := range []int{s.terms, s.proposals, s.restarts, s.duplicates, s.lostResponses} {
 		h.Add(uint64(left))
 	}
 	for k, entry := range s.committed {
-		h.Add(entry.Term<<8 | s.under[k])
+		h.Add(entry.Term<<8 | s.committedUnder[k])
 	}
 	return uint64(h)
 }
 
-func (s *logState) addReplica(h *explore.Hash, voter int, order [4]int) {
+func (s *logState) hashReplica(h *explore.Hash, voter int, order [4]int) {
 	r := s.replicas[voter]
 	h.Add(r.promised<<32 | r.committed<<16 | uint64(r.state)<<8 | uint64(len(r.log.entries)))
 	for _, entry := range r.log.entries {
 		h.Add(entry.Term)
 	}
-	if s.answerFirst {
+	if s.sendBeforePersist {
 		h.Add(s.disks[voter].Promised<<32 | uint64(len(s.disks[voter].Entries)))
 	}
 	if r.state == ReplicaFollower {
 		return
 	}
-	h.Add(uint64(order[number(r.voters.Names()[r.leader.source])])<<32 | r.leader.fetchedIndex<<16 | uint64(len(r.leader.openProposals)))
-	for _, other := range order[:len(s.replicas)] {
-		voter := r.voters.Number(fmt.Sprint("v", other))
+	h.Add(uint64(order[voterNumber(r.voters.Names()[r.leader.source])])<<32 | r.leader.fetchedIndex<<16 | uint64(len(r.leader.openProposals)))
+	for _, otherVoter := range order[:len(s.replicas)] {
+		voter := r.voters.Number(fmt.Sprint("v", otherVoter))
 		if voter < 0 {
 			continue
 		}
@@ -330,69 +330,69 @@
 
 func hashEnvelope(envelope Envelope, order [4]int) uint64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %d %T %v", order[number(envelope.From)], order[number(envelope.To)], envelope.Message, envelope.Message)
+	fmt.Fprintf(h, "%d %d %T %v", order[voterNumber(envelope.From)], order[voterNumber(envelope.To)], envelope.Message, envelope.Message)
 	return h.Sum64()
 }
 
-func tellEnvelope(envelope Envelope) string {
+func describeEnvelope(envelope Envelope) string {
 	name := strings.TrimPrefix(fmt.Sprintf("%T", envelope.Message), "configlog.")
 	return fmt.Sprintf("%s to %s: %s%+v", envelope.From, envelope.To, name, envelope.Message)
 }
 
-func (s *logState) tell(act uint16) string {
-	k := int(act & 0xff)
-	switch act &^ 0xff {
-	case actLead:
-		return fmt.Sprintf("v%d leads under term %d", k, s.term+1)
-	case actPropose:
-		return fmt.Sprintf("v%d takes a proposal", k)
-	case actRestart:
-		return fmt.Sprintf("v%d starts again", k)
-	case actDouble:
-		return tellEnvelope(s.flight[k]) + ", and again later"
-	case actLose:
-		return tellEnvelope(s.flight[k]) + ", and the answer is lost"
-	}
-	return tellEnvelope(s.flight[k])
+func (s *logState) describe(action uint16) string {
+	target := int(action & 0xff)
+	switch action &^ 0xff {
+	case logActionLead:
+		return fmt.Sprintf("v%d leads under term %d", target, s.term+1)
+	case logActionPropose:
+		return fmt.Sprintf("v%d takes a proposal", target)
+	case logActionRestart:
+		return fmt.Sprintf("v%d starts again", target)
+	case logActionDuplicate:
+		return describeEnvelope(s.inFlight[target]) + ", and again later"
+	case logActionLoseResponse:
+		return describeEnvelope(s.inFlight[target]) + ", and the answer is lost"
+	}
+	return describeEnvelope(s.inFlight[target])
 }
 
-func (b logBounds) walk(most int) explore.Result {
+func (b logBounds) explore(maxStates int) explore.Result {
 	return explore.World[*logState]{
-		Begin: b.begin(),
-		Acts:  func(s *logState, into []uint16) []uint16 { return s.acts(into) },
-		After: func(s *logState, act uint16) *logState { return s.after(act) },
+		Begin: b.initialState(),
+		Acts:  func(s *logState, into []uint16) []uint16 { return s.actions(into) },
+		After: func(s *logState, act uint16) *logState { return s.apply(act) },
 		Key:   func(s *logState) uint64 { return s.key() },
-		Wrong: func(s *logState) string { return s.broken },
-		Tell:  func(s *logState, act uint16) string { return s.tell(act) },
-	}.Walk(most)
+		Wrong: func(s *logState) string { return s.violation },
+		Tell:  func(s *logState, act uint16) string { return s.describe(act) },
+	}.Walk(maxStates)
 }
 
 // What is committed is never lost and never differs, whatever is lost, doubled, reordered, and whoever starts again.
 func TestExhaustiveReplicas(t *testing.T) {
-	bounds := []named[logBounds]{
+	bounds := []namedBounds[logBounds]{
 		{"each message on its way", logBounds{terms: 2}},
-		{"a proposal", logBounds{terms: 2, proposals: 1, atOnce: true}},
-		{"a lost answer, a restart", logBounds{terms: 2, proposals: 1, restarts: 1, lost: 1, atOnce: true}},
-		{"a doubled message", logBounds{terms: 2, proposals: 1, doubled: 1, atOnce: true}},
-		{"three leaders", logBounds{terms: 3, proposals: 1, atOnce: true}},
+		{"a proposal", logBounds{terms: 2, proposals: 1, immediateResponses: true}},
+		{"a lost answer, a restart", logBounds{terms: 2, proposals: 1, restarts: 1, lostResponses: 1, immediateResponses: true}},
+		{"a doubled message", logBounds{terms: 2, proposals: 1, duplicates: 1, immediateResponses: true}},
+		{"three leaders", logBounds{terms: 3, proposals: 1, immediateResponses: true}},
 		{"each message, a proposal", logBounds{terms: 2, proposals: 1}},
 		{"each message, a restart", logBounds{terms: 2, restarts: 1}},
-		{"three leaders, a restart", logBounds{terms: 3, restarts: 1, lost: 1, atOnce: true}},
-		{"four leaders", logBounds{terms: 4, atOnce: true}},
-		{"voters changed, the first round", logBounds{terms: 3, atOnce: true, lists: [4][][]string{formerList, formerList, bothLists, bothLists}}},
-		{"voters changed, the second round", logBounds{terms: 3, atOnce: true, lists: [4][][]string{bothLists, bothLists, nextList, nextList}}},
+		{"three leaders, a restart", logBounds{terms: 3, restarts: 1, lostResponses: 1, immediateResponses: true}},
+		{"four leaders", logBounds{terms: 4, immediateResponses: true}},
+		{"voters changed, the first round", logBounds{terms: 3, immediateResponses: true, voterLists: [4][][]string{oldVoters, oldVoters, jointVoters, jointVoters}}},
+		{"voters changed, the second round", logBounds{terms: 3, immediateResponses: true, voterLists: [4][][]string{jointVoters, jointVoters, newVoters, newVoters}}},
 	}
-	walkAll(t, bounds)
+	exploreAll(t, bounds)
 }
 
 // Each rule of the log that is left out is found.
 func TestExhaustiveReplicaFaults(t *testing.T) {
-	faults := []named[logBounds]{
-		{"answers before it has written", logBounds{terms: 2, restarts: 1, atOnce: true, answerFirst: true}},
-		{"commits by count alone", logBounds{terms: 4, atOnce: true, disabled: CommitOwnTerm}},
-		{"no promise at recovery", logBounds{terms: 2, atOnce: true, disabled: PromiseAtRecovery}},
-		{"the longest log", logBounds{terms: 3, proposals: 1, atOnce: true, disabled: MostUpToDate}},
-		{"voters changed in one round", logBounds{terms: 2, atOnce: true, lists: [4][][]string{formerList, formerList, nextList, nextList}}},
-	}
-	findAll(t, faults)
+	faults := []namedBounds[logBounds]{
+		{"answers before it has written", logBounds{terms: 2, restarts: 1, immediateResponses: true, sendBeforePersist: true}},
+		{"commits by count alone", logBounds{terms: 4, immediateResponses: true, disabled: CommitOwnTerm}},
+		{"no promise at recovery", logBounds{terms: 2, immediateResponses: true, disabled: PromiseAtRecovery}},
+		{"the longest log", logBounds{terms: 3, proposals: 1, immediateResponses: true, disabled: MostUpToDate}},
+		{"voters changed in one round", logBounds{terms: 2, immediateResponses: true, voterLists: [4][][]string{oldVoters, oldVoters, newVoters, newVoters}}},
+	}
+	requireViolations(t, faults)
 }
