--- a/logic/configlog/cluster_random_test.go
+++ b/logic/configlog/cluster_random_test.go
@@ -10,8 +10,8 @@
 	"valveglade/rig/explore"
 )
 
-// whole is an installation: three voters that distribute too, a distributor that is no voter, and an app server that subscribes to any
-// of them.
+// cluster is an installation: three voters that are also distributors, a distributor that is not a voter
+// (the relay), and an app server that subscribes to any of them.
 type cluster struct {
 	seed, draws uint64
 	now         float64
@@ -19,14 +19,14 @@
 	proposed    uint64
 	starts      uint64
 	voters      [3]clusterVoter
-	relay       clusterFollower // the distributor that is no voter
+	relay       clusterFollower // the distributor that is not a voter
 	app         clusterFollower
 	relayFeed   *Feed
 	relayTable  prefixTable
 	inFlight    []Envelope
 	committed   []Entry
 	results     map[uint64]Version
-	faultFree   bool // nothing goes wrong any more
+	faultFree   bool // no more faults are injected
 	trace       []string
 }
 
@@ -37,14 +37,14 @@
 	table   prefixTable
 }
 
-// wholeServer is a follower, and what is on its way to it.
+// clusterFollower is a follower and the stream messages in flight to it.
 type clusterFollower struct {
 	appServer
 	id       SubscriberID
 	inFlight []StreamMessage
 }
 
-// servers are the followers, by id.
+// followers returns the followers by subscriber ID.
 func (c *cluster) followers() []*clusterFollower { return []*clusterFollower{&c.relay, &c.app} }
 
 func (c *cluster) random() float64 {
@@ -66,21 +66,22 @@
 }
 
 func (c *cluster) feedConfig() FeedConfig {
-	return FeedConfig{HistoryEntries: 5, BufferBytes: 400, PartBytes: 1, BytesPerSecond: 400, HeartbeatEvery: 1, LookupsInFlight: 2}
+	return FeedConfig{HistoryEntries: 5, BufferBytes: 400, PartBytes: 1, BytesPerSecond: 400,
+		HeartbeatEvery: 1, LookupsInFlight: 2}
 }
 
 func (c *cluster) startVoter(voter int) {
 	v := &c.voters[voter]
-	cfg := ReplicaConfig{Name: voterNames[voter], Voters: [][]string{voterNames}, KeepEntries: 6, MaxOpen: 3, MessageBytes: 80, MaxInFlight: 2,
-		ResendAfter: 1, HeartbeatEvery: 2}
+	cfg := ReplicaConfig{Name: voterNames[voter], Voters: [][]string{voterNames}, KeepEntries: 6,
+		MaxOpen: 3, MessageBytes: 80, MaxInFlight: 2, ResendAfter: 1, HeartbeatEvery: 2}
 	v.replica = NewReplica(cfg, v.disk, c.now)
 	v.feed = NewFeed(c.feedConfig(), &v.table, lastVersion(v.table.entries), c.now)
 }
 
 func (c *cluster) startFollower(s *clusterFollower) {
 	c.starts++
-	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"}, Distributors: []string{"v0", "v1", "v2", "relay"}, SilentAfter: 6,
-		StaleAfter: 18, BackoffMin: 1, BackoffMax: 3, Seed: c.seed<<16 + c.starts, MaxLookups: 2}
+	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"},
+		Distributors: []string{"v0", "v1", "v2", "relay"}, SilentAfter: 6, StaleAfter: 18, BackoffMin: 1, BackoffMax: 3, Seed: c.seed<<16 + c.starts, MaxLookups: 2}
 	if s == &c.relay {
 		cfg.All, cfg.Services, cfg.Distributors = true, nil, voterNames
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// relayed has the relay's table be as its follower says.
+// updateRelayTable sets the relay's table to the version of its follower.
 func (c *cluster) updateRelayTable(err error) {
 	if err != nil {
 		panic(err)
@@ -108,7 +109,7 @@
 	return c.voters[voterNumber(name)].feed
 }
 
-// step has one thing happen.
+// step performs one random action, or injects one random fault.
 func (c *cluster) step() {
 	voter := c.randomInt(3)
 	draw := c.random()
@@ -117,10 +118,10 @@
 	}
 	switch {
 	case draw < 0.01:
-		c.logf("v%d starts again", voter)
+		c.logf("v%d restarts", voter)
 		c.startVoter(voter)
 	case draw < 0.02:
-		c.logf("the app server or the relay starts again")
+		c.logf("the app server or the relay restarts")
 		s := c.followers()[c.randomInt(2)]
 		c.disconnect(s)
 		c.startFollower(s)
@@ -164,7 +165,7 @@
 	c.proposed++
 	change := Change{Service: string(rune('a' + c.randomInt(3))), Payload: fmt.Append(nil, c.proposed)}
 	if c.voters[voter].replica.Propose(c.proposed, change, c.now) == nil {
-		c.logf("v%d takes proposal %d", voter, c.proposed)
+		c.logf("v%d accepts proposal %d", voter, c.proposed)
 	}
 }
 
@@ -180,7 +181,7 @@
 	c.relayFeed.Tick(c.now, c.relay.follower.Status(c.now).Age)
 }
 
-// disturb loses, doubles or reorders a message of a stream, or breaks it.
+// disturbStream loses, duplicates or reorders a message of a stream, or disconnects it.
 func (c *cluster) disturbStream(s *clusterFollower) {
 	n := len(s.inFlight)
 	kind := c.randomInt(4)
@@ -205,7 +206,7 @@
 	s.connected, s.connectTo = "", ""
 }
 
-// serve has a follower connect, or take a message.
+// serveFollower lets a follower connect, or receive a message.
 func (c *cluster) serveFollower(s *clusterFollower) {
 	switch {
 	case s.connectTo != "":
@@ -218,7 +219,7 @@
 	}
 }
 
-// settle carries out what all machines want done.
+// processOutput carries out the output of all state machines.
 func (c *cluster) processOutput() {
 	for k := range c.voters {
 		c.processReplica(k)
@@ -271,20 +272,22 @@
 	}
 }
 
-// commit checks what a voter tells as committed against what any has told before.
+// commitEntry checks an entry that a voter reports as committed against what any voter has reported
+// before.
 func (c *cluster) commitEntry(voter int, entry Entry) {
 	v := &c.voters[voter]
 	position := len(v.table.entries)
 	if position == len(c.committed) {
 		c.committed = append(c.committed, entry)
 	}
-	if c.committed[position].Version != entry.Version || string(c.committed[position].Payload) != string(entry.Payload) {
-		panic(fmt.Sprintf("v%d commits %+v, not %+v", voter, entry, c.committed[position]))
+	if c.committed[position].Version != entry.Version ||
+		string(c.committed[position].Payload) != string(entry.Payload) {
+		panic(fmt.Sprintf("v%d commits %+v, want %+v", voter, entry, c.committed[position]))
 	}
 	v.table.entries = c.committed[:position+1]
 }
 
-// install gives a voter another one's table.
+// installSnapshot installs another voter's table in a voter.
 func (c *cluster) installSnapshot(voter int, needed Version) {
 	for other := range c.voters {
 		from := &c.voters[other]
@@ -312,26 +315,30 @@
 	}
 }
 
-// check compares the tables and the results with the log.
+// check compares the tables and the results of the proposals with the log.
 func (c *cluster) check() string {
 	for id, version := range c.results {
-		if entry := c.committed[version.Index-1]; entry.Version != version || string(entry.Payload) != fmt.Sprint(id) {
-			return fmt.Sprintf("proposal %d was told committed at %v, there is %+v", id, version, entry)
+		if entry := c.committed[version.Index-1]; entry.Version != version ||
+			string(entry.Payload) != fmt.Sprint(id) {
+			return fmt.Sprintf("proposal %d was reported as committed at %v, where the log has %+v",
+				id, version, entry)
 		}
 	}
 	for _, s := range c.followers() {
 		index := s.follower.version.Index
 		if s.invalidated {
-			return fmt.Sprintf("server %d found an entry missing, and none is", s.id)
+			return fmt.Sprintf("follower %d reported a missing entry, but none is missing", s.id)
 		}
-		if want := recordsOf(c.committed[:index], s.follower.subscribesTo); !slices.EqualFunc(s.records, want, sameChange) {
-			return fmt.Sprintf("server %d at version %d has %s, not %s", s.id, index, s.records, want)
+		if want := recordsOf(c.committed[:index], s.follower.subscribesTo); !slices.EqualFunc(s.records,
+			want, sameChange) {
+			return fmt.Sprintf("follower %d at version %d has %s, want %s", s.id, index, s.records, want)
 		}
 	}
 	return ""
 }
 
-// calmDown has one voter lead while nothing goes wrong, and tells what is not as new as the log after a while.
+// recoverWithoutFaults elects a leader, injects no more faults, and returns which part has not caught up
+// with the log after a while.
 func (c *cluster) recoverWithoutFaults() string {
 	c.faultFree = true
 	for k := range c.voters {
@@ -341,7 +348,7 @@
 	for range 6000 {
 		c.step()
 	}
-	for range 400 { // no more proposals: what is under way ends
+	for range 400 { // no more proposals: those in progress complete
 		c.tick()
 		c.processOutput()
 		for len(c.inFlight) > 0 {
@@ -359,18 +366,19 @@
 	want := lastVersion(c.committed)
 	for k := range c.voters {
 		if status := c.voters[k].replica.Status(c.now); status.Committed != want {
-			return fmt.Sprintf("v%d has %+v, not %v", k, status, want)
+			return fmt.Sprintf("v%d has %+v, want %v", k, status, want)
 		}
 	}
 	for _, s := range c.followers() {
 		if status := s.follower.Status(c.now); status.Version != want || status.Stale {
-			return fmt.Sprintf("server %d has %+v, not %v", s.id, status, want)
+			return fmt.Sprintf("follower %d has %+v, want %v", s.id, status, want)
 		}
 	}
 	return c.check()
 }
 
-// A whole installation keeps the rules through what goes wrong at random, and is up to date once nothing does.
+// A cluster keeps the log and the tables consistent through random faults, and catches up once no more
+// faults are injected.
 func TestRandomCluster(t *testing.T) {
 	seeds, steps := 40, 3000
 	if explore.Race {
@@ -380,7 +388,8 @@
 	for seed := range uint64(seeds) {
 		c := newCluster(seed)
 		fail := func(violation string) {
-			t.Fatalf("seed %d: %s\n%s", seed, violation, strings.Join(c.trace[max(0, len(c.trace)-60):], "\n"))
+			t.Fatalf("seed %d: %s\n%s", seed, violation,
+				strings.Join(c.trace[max(0, len(c.trace)-60):], "\n"))
 		}
 		for range steps {
 			c.step()
@@ -395,5 +404,6 @@
 		snapshots += c.app.follower.counts.Snapshots
 		gaps += c.app.follower.counts.Gaps
 	}
-	t.Logf("%d installations: %d entries committed; of the last followers %d snapshots, %d gaps", seeds, committed, snapshots, gaps)
+	t.Logf("%d clusters: %d entries committed; app servers since their last restart: %d snapshots, %d gaps",
+		seeds, committed, snapshots, gaps)
 }
--- a/logic/configlog/example_feed_test.go
+++ b/logic/configlog/example_feed_test.go
@@ -30,7 +30,8 @@
 // is full.
 func ExampleFeed() {
 	now, age, version := 0.0, math.Inf(1), configlog.Version{Term: 1, Index: 4}
-	cfg := configlog.FeedConfig{HistoryEntries: 4, BufferBytes: 130, PartBytes: 1, BytesPerSecond: 100, HeartbeatEvery: 3, LookupsInFlight: 1}
+	cfg := configlog.FeedConfig{HistoryEntries: 4, BufferBytes: 130, PartBytes: 1, BytesPerSecond: 100,
+		HeartbeatEvery: 3, LookupsInFlight: 1}
 	feed := configlog.NewFeed(cfg, table{version}, version, 0)
 	show := func(seconds float64) {
 		now += seconds
@@ -52,7 +53,8 @@
 	feed.Lookup(1, configlog.Lookup{Stream: 11, ID: 1, Name: "t"}, now)
 	feed.Lookup(1, configlog.Lookup{Stream: 11, ID: 2, Name: "none"}, now)
 	show(0)
-	fmt.Println(feed.Append([]configlog.Entry{entry(1, 6, 0, "a")}), feed.Append([]configlog.Entry{entry(0, 5, 0, "a")}))
+	fmt.Println(feed.Append([]configlog.Entry{entry(1, 6, 0, "a")}),
+		feed.Append([]configlog.Entry{entry(0, 5, 0, "a")}))
 	fmt.Println(feed.Append([]configlog.Entry{entry(1, 5, 0, "a"), entry(2, 6, 0, "b"), entry(2, 7, 5, "a")}))
 	show(1)
 	show(1)
@@ -60,8 +62,10 @@
 		_ = feed.Append([]configlog.Entry{entry(2, index, index-1, "a")})
 	}
 	show(0)
-	feed.Subscribe(2, configlog.Subscribe{Stream: 21, Services: []string{"a", "b", "a"}, From: configlog.Version{Term: 2, Index: 10}, BytesPerSecond: 1000}, now)
-	feed.Subscribe(3, configlog.Subscribe{Stream: 31, All: true, From: configlog.Version{Term: 3, Index: 1}}, now)
+	feed.Subscribe(2, configlog.Subscribe{Stream: 21, Services: []string{"a", "b", "a"},
+		From: configlog.Version{Term: 2, Index: 10}, BytesPerSecond: 1000}, now)
+	feed.Subscribe(3, configlog.Subscribe{Stream: 31, All: true,
+		From: configlog.Version{Term: 3, Index: 1}}, now)
 	show(0)
 	feed.Reset(version)
 	show(0)
--- a/logic/configlog/example_test.go
+++ b/logic/configlog/example_test.go
@@ -18,7 +18,8 @@
 // entries.
 func printValue(now float64, value any) {
 	text := strings.ReplaceAll(fmt.Sprintf("%T%+v", value, value), "configlog.", "")
-	fmt.Printf("%5.1f %s\n", now, strings.NewReplacer("Change:", "", "Version:", "", "Payload:[49 50 51 52 53 54 55 56]", "").Replace(text))
+	fmt.Printf("%5.1f %s\n", now, strings.NewReplacer("Change:", "", "Version:", "",
+		"Payload:[49 50 51 52 53 54 55 56]", "").Replace(text))
 }
 
 // A new leader requests promises, fetches the entries that it lacks, and appends the first entry of its
@@ -27,7 +28,8 @@
 	names := []string{"x", "y", "z"}
 	replicas := map[string]*configlog.Replica{}
 	for _, name := range names {
-		cfg := configlog.ReplicaConfig{Name: name, Voters: [][]string{names}, KeepEntries: 9, MaxOpen: 1, MessageBytes: 100, MaxInFlight: 2,
+		cfg := configlog.ReplicaConfig{Name: name, Voters: [][]string{names}, KeepEntries: 9, MaxOpen: 1,
+			MessageBytes: 100, MaxInFlight: 2,
 			ResendAfter: 1, HeartbeatEvery: 1}
 		stored := configlog.Stored{}
 		if name == "y" {
@@ -59,7 +61,8 @@
 	deliverAll()
 	fmt.Println(x.Propose(1, change, 0), x.Propose(2, change, 0))
 	deliverAll()
-	fmt.Println(x.Propose(3, configlog.Change{}, 0), x.Propose(4, configlog.Change{Service: strings.Repeat("a", 100)}, 0), x.Propose(5, change, 0))
+	fmt.Println(x.Propose(3, configlog.Change{}, 0),
+		x.Propose(4, configlog.Change{Service: strings.Repeat("a", 100)}, 0), x.Propose(5, change, 0))
 	x.StepDown()
 	deliverAll()
 	fmt.Println(x.Lead(2, 0), replicas["y"].Status(1).Age)
@@ -132,12 +135,13 @@
 }
 
 func newTestFollower(version configlog.Version) *testFollower {
-	cfg := configlog.FollowerConfig{Name: "s", Services: []string{"a"}, Distributors: []string{"d0", "d1", "d2"}, StaleAfter: 18, SilentAfter: 5,
+	cfg := configlog.FollowerConfig{Name: "s", Services: []string{"a"},
+		Distributors: []string{"d0", "d1", "d2"}, StaleAfter: 18, SilentAfter: 5,
 		BackoffMin: 1, BackoffMax: 8, Seed: 1, MaxLookups: 1}
 	return &testFollower{Follower: configlog.NewFollower(cfg, version, 0)}
 }
 
-// followingFollower returns a follower that has resumed from a version.
+// newResumedFollower returns a follower that has resumed from a version.
 func newResumedFollower(version configlog.Version) *testFollower {
 	f := newTestFollower(version)
 	f.Tick(0)
@@ -147,7 +151,8 @@
 			f.stream = send.Message.(configlog.Subscribe).Stream
 		}
 	}
-	_ = f.Step(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeResume, Version: version}, 0)
+	_ = f.Step(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeResume,
+		Version: version}, 0)
 	f.Ready()
 	return f
 }
@@ -163,12 +168,14 @@
 	f.connect()
 	version := configlog.Version{Term: 3, Index: 7}
 	records := []configlog.Change{entry(0, 0, 0, "a").Change}
-	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
+	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot,
+		Version: version})
 	f.receive(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records})
 	f.advance(6)
 	f.advance(2)
 	f.connect()
-	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot, Version: version})
+	f.receive(configlog.Welcome{Stream: f.stream, Sequence: 1, Mode: configlog.WelcomeSnapshot,
+		Version: version})
 	f.receive(configlog.SnapshotPart{Stream: f.stream, Sequence: 2, Records: records, Done: true})
 	f.receive(configlog.Heartbeat{Stream: f.stream, Sequence: 3, Version: version, Age: 2})
 	f.receive(configlog.Delta{Stream: f.stream, Sequence: 4, Entry: entry(4, 9, 7, "a")})
@@ -269,11 +276,14 @@
 	printErrors("heartbeat of another log", heartbeat(configlog.Version{Term: 4, Index: 7}, 0))
 	printErrors("heartbeat with a negative age", heartbeat(configlog.Version{Term: 3, Index: 7}, -1))
 	printErrors("no sequence number", delta(0, next))
-	printErrors("second welcome", func(stream uint64) configlog.StreamMessage { return configlog.Welcome{Stream: stream, Sequence: 2} })
+	printErrors("second welcome", func(stream uint64) configlog.StreamMessage {
+		return configlog.Welcome{Stream: stream, Sequence: 2}
+	})
 	printErrors("unexpected snapshot part", func(stream uint64) configlog.StreamMessage {
 		return configlog.SnapshotPart{Stream: stream, Sequence: 2}
 	})
-	f := printErrors("lookup sent to a follower", func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
+	f := printErrors("lookup sent to a follower",
+		func(stream uint64) configlog.StreamMessage { return configlog.Lookup{Stream: stream} })
 	fmt.Printf("%+v\n", f.Status(0).Counts)
 	// Output:
 	// missing message that arrives late: gap in sequence: got 3, want 2
@@ -321,7 +331,8 @@
 // App servers are spread evenly over the distributors. When one is removed, only its app servers move.
 func Example_rendezvous() {
 	first := func(name string, distributors []string) string {
-		f := configlog.NewFollower(configlog.FollowerConfig{Name: name, Distributors: distributors}, configlog.Version{}, 0)
+		f := configlog.NewFollower(configlog.FollowerConfig{Name: name, Distributors: distributors},
+			configlog.Version{}, 0)
 		return f.Status(0).Distributor
 	}
 	all := []string{"d0", "d1", "d2", "d3"}
--- a/logic/configlog/feed_bench_test.go
+++ b/logic/configlog/feed_bench_test.go
@@ -11,7 +11,8 @@
 // each.
 func BenchmarkFeedAppend(b *testing.B) {
 	const subscribers, services, wanted = 8600, 13000, 10
-	cfg := FeedConfig{HistoryEntries: 50_000, BufferBytes: 1 << 20, PartBytes: 1 << 10, BytesPerSecond: 20_000, HeartbeatEvery: 2}
+	cfg := FeedConfig{HistoryEntries: 50_000, BufferBytes: 1 << 20, PartBytes: 1 << 10,
+		BytesPerSecond: 20_000, HeartbeatEvery: 2}
 	feed := NewFeed(cfg, &prefixTable{}, Version{1, 1}, 0)
 	name := func(seed, n uint64) string { return fmt.Sprint("service", int(chance.At(seed, n)*services)) }
 	for id := range uint64(subscribers) {
@@ -26,7 +27,8 @@
 	for b.Loop() {
 		index++
 		service := name(subscribers, index)
-		entry := Entry{Version: Version{1, index}, Previous: last[service], Change: Change{Service: service, Payload: make([]byte, 60)}}
+		entry := Entry{Version: Version{1, index}, Previous: last[service],
+			Change: Change{Service: service, Payload: make([]byte, 60)}}
 		last[service] = index
 		if err := feed.Append([]Entry{entry}); err != nil {
 			b.Fatal(err)
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -12,7 +12,8 @@
 
 var voterNames = []string{"v0", "v1", "v2"}
 
-// Lists of voters while v3 takes the place of v0: first all get both lists, then the next one alone.
+// Voter lists of a membership change in which v3 replaces v0: first all replicas get both lists, then only
+// the new one.
 var (
 	oldVoters   = [][]string{voterNames}
 	jointVoters = [][]string{voterNames, {"v1", "v2", "v3"}}
@@ -21,7 +22,7 @@
 
 func voterNumber(name string) int { return int(name[1] - '0') }
 
-// write carries out what a replica wants on its disk.
+// applyPersist applies what a replica wants written to its disk.
 func applyPersist(disk Stored, persist Persist) Stored {
 	disk.Promised = max(disk.Promised, persist.Promised)
 	if persist.Reset {
@@ -34,7 +35,7 @@
 	return disk
 }
 
-// chain fills in payloads, and what is before each entry of its service.
+// linkEntries sets the payload of each entry, and the index of the previous entry of its service.
 func linkEntries(entries []Entry) []Entry {
 	last := map[string]uint64{}
 	for i := range entries {
@@ -47,7 +48,8 @@
 	return entries
 }
 
-// recordsOf gives what a table of some services has after entries: all that was ever put, so that nothing missing goes unnoticed.
+// recordsOf returns the records of a table of some services after entries. It keeps every change, not just
+// the last per key, so that a missing entry is always visible.
 func recordsOf(entries []Entry, wants func(service string) bool) []Change {
 	var records []Change
 	for _, entry := range entries {
@@ -70,7 +72,7 @@
 	return nil, lastVersion(p.entries), false
 }
 
-// prefixSnapshot gives a record at a time.
+// prefixSnapshot returns one record per part.
 type prefixSnapshot struct {
 	version Version
 	records []Change
@@ -87,21 +89,23 @@
 	return part, len(s.records) == 0
 }
 
-// appServer is a follower with its table and its file, which are alike.
+// appServer is a follower with its table, which is also its file.
 type appServer struct {
 	follower    *Follower
 	version     Version
 	records     []Change
 	staged      []Change
-	connectTo   string // the distributor to connect to
+	connectTo   string // distributor to connect to, if any
 	connected   string
 	invalidated bool
-	applied     func(entries []Entry) // nil, or what else to do
-	replaced    func(version Version) // nil, or what else to do
+	applied     func(entries []Entry) // nil, or called after each Apply
+	replaced    func(version Version) // nil, or called after each Replace
 }
 
-// carryOut does what the follower wants done; subscribe and close are told to the distributor.
-func (a *appServer) runActions(subscribe func(name string, request Subscribe), unsubscribe func(name string)) {
+// runActions carries out the actions of the follower. subscribe and unsubscribe pass its requests to the
+// distributor.
+func (a *appServer) runActions(subscribe func(name string, request Subscribe),
+	unsubscribe func(name string)) {
 	for _, action := range a.follower.Ready() {
 		switch action := action.(type) {
 		case Connect:
@@ -148,15 +152,18 @@
 	return a.Service == b.Service && string(a.Payload) == string(b.Payload)
 }
 
-// named is a walk with a name.
+// namedBounds are the bounds of one exploration, with a name for the test log.
 type namedBounds[B explorer] struct {
 	name   string
 	bounds B
 }
 
-type explorer interface{ explore(most int) explore.Result }
+type explorer interface {
+	explore(maxStates int) explore.Result
+}
 
-// walkAll plays walks to their end, under the race detector the smallest alone.
+// exploreAll explores all states within each bounds; under the race detector only within the first, the
+// smallest.
 func exploreAll[B explorer](t *testing.T, allBounds []namedBounds[B]) {
 	if explore.Race {
 		allBounds = allBounds[:1]
@@ -164,14 +171,16 @@
 	for _, tested := range allBounds {
 		start := time.Now()
 		result := tested.bounds.explore(800_000)
-		t.Logf("%s: %d states, depth %d, complete %v, in %v", tested.name, result.States, result.Depth, result.Complete, time.Since(start))
+		t.Logf("%s: %d states, depth %d, complete %v, in %v", tested.name, result.States, result.Depth,
+			result.Complete, time.Since(start))
 		if result.Wrong != "" || !result.Complete {
 			t.Errorf("%s: %s\n%s", tested.name, result.Wrong, result.Trace)
 		}
 	}
 }
 
-// findAll plays walks without a rule, each of which has to find its loss.
+// requireViolations explores with a rule disabled or a fault planted, and requires that each exploration
+// finds a violation.
 func requireViolations[B explorer](t *testing.T, allBounds []namedBounds[B]) {
 	for _, tested := range allBounds {
 		result := tested.bounds.explore(800_000)
@@ -179,6 +188,7 @@
 			t.Errorf("%s: not found in %d states", tested.name, result.States)
 			continue
 		}
-		t.Logf("%s: found in %d steps: %s\n%s", tested.name, strings.Count(result.Trace, "\n"), result.Wrong, result.Trace)
+		t.Logf("%s: found in %d steps: %s\n%s", tested.name, strings.Count(result.Trace, "\n"),
+			result.Wrong, result.Trace)
 	}
 }
--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -11,25 +11,30 @@
 	"valveglade/rig/explore"
 )
 
-// logBounds are what may happen at the most in a walk of replicas. Messages are lost freely: what is never delivered is lost.
+// logBounds limit what may happen in an exploration of replicas. Message loss needs no limit: a message
+// that is never delivered is lost.
 type logBounds struct {
-	terms, proposals, restarts, duplicates, lostResponses int
-	immediateResponses                                    bool // an answer is heard at once, or lost
-	sendBeforePersist                                     bool // the planted fault of a driver that writes after it has sent
-	disabled                                              Rule
-	voterLists                                            [4][][]string // that each voter knows, if not the three
+	terms              int // elections, each under the next term
+	proposals          int
+	restarts           int
+	duplicates         int  // messages delivered twice
+	lostResponses      int  // only with immediateResponses
+	immediateResponses bool // a response is delivered at once or lost
+	sendBeforePersist  bool // planted fault: the driver sends messages before it persists
+	disabled           Rule
+	voterLists         [4][][]string // by voter; nil for the three of voterNames
 }
 
-// logState is three voters, their disks, and what is on its way.
+// logState is the state of the voters, their disks and the messages in flight.
 type logState struct {
 	logBounds
 	replicas       []*Replica
 	disks          [4]Stored
-	unpersisted    [4]Persist // of a driver that sends first
+	unpersisted    [4]Persist // by voter; only with sendBeforePersist
 	inFlight       []Envelope
 	term           uint64
-	committed      []Entry  // as any replica has told
-	committedUnder []uint64 // the term of the leader that committed each of them
+	committed      []Entry  // reported as committed by any replica
+	committedUnder []uint64 // term that the replica which first reported each of them had promised
 	violation      string
 }
 
@@ -39,8 +44,9 @@
 	if voters == nil {
 		voters = oldVoters
 	}
-	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: voters, KeepEntries: 9, MaxOpen: 9, MessageBytes: entrySize,
-		MaxInFlight: 2, Disabled: b.disabled}
+	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: voters, KeepEntries: 9, MaxOpen: 9,
+		MessageBytes: entrySize,
+		MaxInFlight:  2, Disabled: b.disabled}
 }
 
 func proposal(id uint64) Change { return Change{Service: "a", Payload: []byte{byte(id)}} }
@@ -55,7 +61,7 @@
 	return s
 }
 
-// clone copies a replica, so that one of them can go on.
+// clone copies a replica, so that the original state remains usable.
 func (r *Replica) clone() *Replica {
 	c := *r
 	c.log.entries = slices.Clone(r.log.entries)
@@ -66,14 +72,14 @@
 	return &c
 }
 
-// What can happen, each with the number of whom or what it happens to.
+// The actions. The low byte of an action is the number of its voter or message.
 const (
 	logActionLead = iota << 8
 	logActionPropose
 	logActionRestart
 	logActionDeliver
-	logActionDuplicate    // delivered, and still on its way
-	logActionLoseResponse // delivered, and the answer is lost
+	logActionDuplicate    // delivered, and stays in flight
+	logActionLoseResponse // delivered, and the response is lost
 )
 
 func (s *logState) actions(all []uint16) []uint16 {
@@ -135,7 +141,7 @@
 	return s
 }
 
-// deliver has a message taken; answers tells whether its answer gets on its way.
+// deliver passes a message to its receiver. Without sendResponse, its messages are lost.
 func (s *logState) deliver(envelope Envelope, sendResponse bool) {
 	voter := voterNumber(envelope.To)
 	s.replicas[voter] = s.replicas[voter].clone()
@@ -143,7 +149,7 @@
 	s.processReady(voter, sendResponse)
 }
 
-// carryOut does what a replica wants done.
+// processReady carries out what a replica returns from Ready.
 func (s *logState) processReady(voter int, send bool) {
 	s.disks[voter] = applyPersist(s.disks[voter], s.unpersisted[voter])
 	ready := s.replicas[voter].Ready()
@@ -174,19 +180,21 @@
 	return false
 }
 
-// commit checks an entry that a replica tells as committed against what any has told before.
+// checkCommitted checks an entry that a replica reports as committed against what any replica has reported
+// before.
 func (s *logState) checkCommitted(entry Entry, under uint64) {
 	position := int(entry.Index) - 1
 	if position < len(s.committed) {
 		if s.committed[position].Version != entry.Version {
-			s.violation = fmt.Sprintf("entry %d is committed of terms %d and %d", entry.Index, s.committed[position].Term, entry.Term)
+			s.violation = fmt.Sprintf("entry %d is committed with terms %d and %d", entry.Index,
+				s.committed[position].Term, entry.Term)
 		}
 		return
 	}
 	s.committed, s.committedUnder = append(s.committed, entry), append(s.committedUnder, under)
 }
 
-// look checks that the latest leader has all that is committed.
+// checkLatestLeader checks that the leader of the highest term has all committed entries.
 func (s *logState) checkLatestLeader() {
 	var latest *Replica
 	for _, replica := range s.replicas {
@@ -198,14 +206,17 @@
 		return
 	}
 	for k, entry := range s.committed {
-		if version, ok := latest.log.version(entry.Index); s.committedUnder[k] <= latest.promised && (!ok || version != entry.Version) {
-			s.violation = fmt.Sprintf("the leader of term %d lacks entry %d of term %d, which is committed", latest.promised, entry.Index, entry.Term)
+		if version, ok := latest.log.version(entry.Index); s.committedUnder[k] <= latest.promised && (!ok ||
+			version != entry.Version) {
+			s.violation = fmt.Sprintf("the leader of term %d lacks the committed entry %d of term %d",
+				latest.promised, entry.Index, entry.Term)
 		}
 	}
 }
 
-// idle tells of a message that changes nothing whenever it comes. That a leader hears it is over keeps nobody safe: a refusal is as good
-// as lost.
+// hasNoEffect reports whether a message changes nothing whenever it is delivered. Refusals, which only
+// tell a leader of a higher term, count as such: safety does not depend on them, so a refusal may as well
+// be lost.
 func (s *logState) hasNoEffect(envelope Envelope) bool {
 	from, to := s.replicas[voterNumber(envelope.From)], s.replicas[voterNumber(envelope.To)]
 	if to.voters.Number(envelope.From) < 0 {
@@ -216,7 +227,8 @@
 		response, ok := envelope.Message.(AppendResponse)
 		progress := to.leader.progress
 		return term != to.promised || to.state == ReplicaFollower ||
-			ok && progress != nil && response.Accepted && progress[to.voters.Number(envelope.From)].matchIndex >= response.Match
+			ok && progress != nil && response.Accepted &&
+				progress[to.voters.Number(envelope.From)].matchIndex >= response.Match
 	}
 	if term != to.promised {
 		return term < to.promised
@@ -230,7 +242,7 @@
 	return false
 }
 
-// dropSubsumed drops requests that are on their way a second time, with a commit index as high or higher.
+// removeSubsumed removes a request if the same one is in flight with a commit index as high or higher.
 func (s *logState) removeSubsumed() {
 	order := [4]int{0, 1, 2, 3}
 	seen := map[uint64]int{}
@@ -256,7 +268,8 @@
 	s.inFlight = kept
 }
 
-// repeats tells whether a request brings nothing that a voter does not have, and the leader nothing that it does not know.
+// isRedundant reports whether a request brings no entries or commit index that the voter lacks, and its
+// response nothing that the leader does not know.
 func (s *logState) isRedundant(from, to *Replica, request AppendRequest) bool {
 	match := request.Previous.Index + uint64(len(request.Entries))
 	last := request.Previous
@@ -264,19 +277,21 @@
 		last = request.Entries[len(request.Entries)-1].Version
 	}
 	version, ok := to.log.version(match)
-	return ok && version == last && min(request.Commit, match) <= to.committed && (from.promised != request.Term ||
-		from.state != ReplicaLeader || from.leader.progress[from.voters.Number(to.cfg.Name)].matchIndex >= match)
+	return ok && version == last && min(request.Commit, match) <= to.committed &&
+		(from.promised != request.Term || from.state != ReplicaLeader ||
+			from.leader.progress[from.voters.Number(to.cfg.Name)].matchIndex >= match)
 }
 
-// key is the same for states that differ by the names of the voters that were not the first to lead alone.
+// key returns a hash of the state. States that differ only by exchanging the names of v1 and v2 have the
+// same key, as v0 leads first.
 func (s *logState) key() uint64 {
 	if s.voterLists[0] != nil {
-		return s.keyInOrder([4]int{0, 1, 2, 3}) // they differ by what they know
+		return s.keyInOrder([4]int{0, 1, 2, 3}) // the voters differ by their lists
 	}
 	return min(s.keyInOrder([4]int{0, 1, 2, 3}), s.keyInOrder([4]int{0, 2, 1, 3}))
 }
 
-// keyInOrder takes the voters in an order that is its own inverse.
+// keyInOrder hashes the voters in an order, which must be its own inverse.
 func (s *logState) keyInOrder(order [4]int) uint64 {
 	h := explore.NewHash()
 	for _, voter := range order[:len(s.replicas)] {
@@ -311,7 +326,8 @@
 	if r.state == ReplicaFollower {
 		return
 	}
-	h.Add(uint64(order[voterNumber(r.voters.Names()[r.leader.source])])<<32 | r.leader.fetchedIndex<<16 | uint64(len(r.leader.openProposals)))
+	h.Add(uint64(order[voterNumber(r.voters.Names()[r.leader.source])])<<32 |
+		r.leader.fetchedIndex<<16 | uint64(len(r.leader.openProposals)))
 	for _, otherVoter := range order[:len(s.replicas)] {
 		voter := r.voters.Number(fmt.Sprint("v", otherVoter))
 		if voter < 0 {
@@ -330,7 +346,8 @@
 
 func hashEnvelope(envelope Envelope, order [4]int) uint64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %d %T %v", order[voterNumber(envelope.From)], order[voterNumber(envelope.To)], envelope.Message, envelope.Message)
+	fmt.Fprintf(h, "%d %d %T %v", order[voterNumber(envelope.From)], order[voterNumber(envelope.To)],
+		envelope.Message, envelope.Message)
 	return h.Sum64()
 }
 
@@ -345,13 +362,13 @@
 	case logActionLead:
 		return fmt.Sprintf("v%d leads under term %d", target, s.term+1)
 	case logActionPropose:
-		return fmt.Sprintf("v%d takes a proposal", target)
+		return fmt.Sprintf("v%d accepts a proposal", target)
 	case logActionRestart:
-		return fmt.Sprintf("v%d starts again", target)
+		return fmt.Sprintf("v%d restarts", target)
 	case logActionDuplicate:
-		return describeEnvelope(s.inFlight[target]) + ", and again later"
+		return describeEnvelope(s.inFlight[target]) + ", and stays in flight"
 	case logActionLoseResponse:
-		return describeEnvelope(s.inFlight[target]) + ", and the answer is lost"
+		return describeEnvelope(s.inFlight[target]) + ", and the response is lost"
 	}
 	return describeEnvelope(s.inFlight[target])
 }
@@ -367,32 +384,42 @@
 	}.Walk(maxStates)
 }
 
-// What is committed is never lost and never differs, whatever is lost, doubled, reordered, and whoever starts again.
+// Committed entries are never lost and never differ, whatever messages are lost, duplicated or reordered
+// and whichever replicas restart.
 func TestExhaustiveReplicas(t *testing.T) {
 	bounds := []namedBounds[logBounds]{
-		{"each message on its way", logBounds{terms: 2}},
+		{"all messages in any order", logBounds{terms: 2}},
 		{"a proposal", logBounds{terms: 2, proposals: 1, immediateResponses: true}},
-		{"a lost answer, a restart", logBounds{terms: 2, proposals: 1, restarts: 1, lostResponses: 1, immediateResponses: true}},
-		{"a doubled message", logBounds{terms: 2, proposals: 1, duplicates: 1, immediateResponses: true}},
+		{"a lost response, a restart", logBounds{terms: 2, proposals: 1, restarts: 1, lostResponses: 1,
+			immediateResponses: true}},
+		{"a duplicate message", logBounds{terms: 2, proposals: 1, duplicates: 1, immediateResponses: true}},
 		{"three leaders", logBounds{terms: 3, proposals: 1, immediateResponses: true}},
-		{"each message, a proposal", logBounds{terms: 2, proposals: 1}},
-		{"each message, a restart", logBounds{terms: 2, restarts: 1}},
-		{"three leaders, a restart", logBounds{terms: 3, restarts: 1, lostResponses: 1, immediateResponses: true}},
+		{"all messages in any order, a proposal", logBounds{terms: 2, proposals: 1}},
+		{"all messages in any order, a restart", logBounds{terms: 2, restarts: 1}},
+		{"three leaders, a restart", logBounds{terms: 3, restarts: 1, lostResponses: 1,
+			immediateResponses: true}},
 		{"four leaders", logBounds{terms: 4, immediateResponses: true}},
-		{"voters changed, the first round", logBounds{terms: 3, immediateResponses: true, voterLists: [4][][]string{oldVoters, oldVoters, jointVoters, jointVoters}}},
-		{"voters changed, the second round", logBounds{terms: 3, immediateResponses: true, voterLists: [4][][]string{jointVoters, jointVoters, newVoters, newVoters}}},
+		{"membership change, first step", logBounds{terms: 3, immediateResponses: true,
+			voterLists: [4][][]string{oldVoters, oldVoters, jointVoters, jointVoters}}},
+		{"membership change, second step", logBounds{terms: 3, immediateResponses: true,
+			voterLists: [4][][]string{jointVoters, jointVoters, newVoters, newVoters}}},
 	}
 	exploreAll(t, bounds)
 }
 
-// Each rule of the log that is left out is found.
+// The exploration finds a violation for each disabled rule of the log and each planted fault.
 func TestExhaustiveReplicaFaults(t *testing.T) {
 	faults := []namedBounds[logBounds]{
-		{"answers before it has written", logBounds{terms: 2, restarts: 1, immediateResponses: true, sendBeforePersist: true}},
-		{"commits by count alone", logBounds{terms: 4, immediateResponses: true, disabled: CommitOwnTerm}},
-		{"no promise at recovery", logBounds{terms: 2, immediateResponses: true, disabled: PromiseAtRecovery}},
-		{"the longest log", logBounds{terms: 3, proposals: 1, immediateResponses: true, disabled: MostUpToDate}},
-		{"voters changed in one round", logBounds{terms: 2, immediateResponses: true, voterLists: [4][][]string{oldVoters, oldVoters, newVoters, newVoters}}},
+		{"responds before it has persisted", logBounds{terms: 2, restarts: 1, immediateResponses: true,
+			sendBeforePersist: true}},
+		{"commits entries of older terms by majority", logBounds{terms: 4, immediateResponses: true,
+			disabled: CommitOwnTerm}},
+		{"no promise at recovery", logBounds{terms: 2, immediateResponses: true,
+			disabled: PromiseAtRecovery}},
+		{"adopts the longest log", logBounds{terms: 3, proposals: 1, immediateResponses: true,
+			disabled: MostUpToDate}},
+		{"membership change in one step", logBounds{terms: 2, immediateResponses: true,
+			voterLists: [4][][]string{oldVoters, oldVoters, newVoters, newVoters}}},
 	}
 	requireViolations(t, faults)
 }
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -10,24 +10,33 @@
 	"valveglade/rig/explore"
 )
 
-// streamBounds are what may happen at the most in a walk of two distributors and one follower.
+// streamBounds limit what may happen in an exploration of two distributors and one follower.
 type streamBounds struct {
-	initialEntries                                            [2]int // entries that the distributors begin with
-	historyEntries                                            int
-	ticks, lost, duplicates, reordered, disconnects, restarts int
-	unsentEntries                                             int  // entries that a distributor at fault does not send
-	foreignFile                                               bool // the follower's file is of another log
-	faultyDistributor                                         bool // a distributor may skip entries
-	disabled                                                  Rule
+	initialEntries    [2]int // entries of each distributor at the start
+	historyEntries    int
+	ticks             int
+	lost              int // messages
+	duplicates        int // messages delivered twice
+	reordered         int // messages delivered before their predecessor
+	disconnects       int
+	restarts          int  // of the follower
+	unsentEntries     int  // entries that a faulty distributor does not send
+	foreignFile       bool // the follower's file is of another log
+	faultyDistributor bool // a distributor may leave out entries
+	disabled          Rule
 }
 
-// committedLog is the log that the distributors are given; the follower serves a and b.
+// committedLog is the log that the distributors receive. The follower subscribes to the services a and b.
 var committedLog = linkEntries([]Entry{
-	{Version: Version{1, 1}}, {Version: Version{1, 2}, Change: Change{Service: "a"}}, {Version: Version{1, 3}, Change: Change{Service: "b"}},
-	{Version: Version{2, 4}}, {Version: Version{2, 5}, Change: Change{Service: "a"}}, {Version: Version{2, 6}, Change: Change{Service: "b"}},
+	{Version: Version{1, 1}},
+	{Version: Version{1, 2}, Change: Change{Service: "a"}},
+	{Version: Version{1, 3}, Change: Change{Service: "b"}},
+	{Version: Version{2, 4}},
+	{Version: Version{2, 5}, Change: Change{Service: "a"}},
+	{Version: Version{2, 6}, Change: Change{Service: "b"}},
 })
 
-// streamWorld is all there is at one time.
+// streamWorld is the state of the distributors, the follower and the messages between them.
 type streamWorld struct {
 	streamBounds
 	feeds     [2]*Feed
@@ -46,7 +55,8 @@
 	w := &streamWorld{streamBounds: b}
 	for d := range w.feeds {
 		w.tables[d] = &prefixTable{}
-		cfg := FeedConfig{HistoryEntries: b.historyEntries, BufferBytes: 1e6, PartBytes: 1, BytesPerSecond: 1e9, Disabled: b.disabled}
+		cfg := FeedConfig{HistoryEntries: b.historyEntries, BufferBytes: 1e6, PartBytes: 1,
+			BytesPerSecond: 1e9, Disabled: b.disabled}
 		w.feeds[d] = NewFeed(cfg, w.tables[d], Version{}, 0)
 		for range b.initialEntries[d] {
 			w.appendEntry(d)
@@ -61,12 +71,14 @@
 
 func (w *streamWorld) startFollower() {
 	w.starts++
-	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"}, Distributors: distributorNames, SilentAfter: math.Inf(1), StaleAfter: 18,
+	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"}, Distributors: distributorNames,
+		SilentAfter: math.Inf(1), StaleAfter: 18,
 		Seed: w.starts, Disabled: w.disabled}
-	w.app = appServer{follower: NewFollower(cfg, w.app.version, 0), version: w.app.version, records: w.app.records}
+	w.app = appServer{follower: NewFollower(cfg, w.app.version, 0), version: w.app.version,
+		records: w.app.records}
 }
 
-// grow gives a distributor the next entry.
+// appendEntry appends the next entry to a distributor.
 func (w *streamWorld) appendEntry(d int) {
 	next := len(w.tables[d].entries)
 	w.tables[d].entries = committedLog[:next+1]
@@ -77,7 +89,7 @@
 
 const (
 	streamActionAppend       = iota << 8
-	streamActionAppendUnsent // grows, and does not send
+	streamActionAppendUnsent // the entry is appended but not sent
 	streamActionTick
 	streamActionConnect
 	streamActionReceive
@@ -88,9 +100,18 @@
 	streamActionRestart
 )
 
-var streamActionTexts = map[uint16]string{streamActionAppend: "the distributor has another entry:", streamActionAppendUnsent: "the distributor has another entry, and does not send it:",
-	streamActionTick: "time passes", streamActionConnect: "connects", streamActionReceive: "takes", streamActionReceiveSecond: "takes, before the one before it",
-	streamActionReceiveDuplicate: "takes, and again later", streamActionLose: "loses", streamActionDisconnect: "the connection breaks", streamActionRestart: "starts again from its file"}
+var streamActionTexts = map[uint16]string{
+	streamActionAppend:           "the distributor appends an entry:",
+	streamActionAppendUnsent:     "the distributor appends an entry and does not send it:",
+	streamActionTick:             "time passes",
+	streamActionConnect:          "the follower connects",
+	streamActionReceive:          "the follower receives",
+	streamActionReceiveSecond:    "the follower receives before its predecessor",
+	streamActionReceiveDuplicate: "the follower receives, while it stays in flight,",
+	streamActionLose:             "lost:",
+	streamActionDisconnect:       "the connection breaks",
+	streamActionRestart:          "the follower restarts from its file",
+}
 
 func (w *streamWorld) actions(all []uint16) []uint16 {
 	for d := range w.feeds {
@@ -171,7 +192,7 @@
 	_ = w.app.follower.Step(message, 0)
 }
 
-// settle carries out what the machines want done.
+// processOutput carries out the output of the state machines.
 func (w *streamWorld) processOutput() {
 	w.app.runActions(func(name string, request Subscribe) {
 		w.feeds[slices.Index(distributorNames, name)].Subscribe(1, request, 0)
@@ -189,8 +210,8 @@
 	}
 }
 
-// check compares the table with the log: it has the changes of its services up to its version, and no others. Where a distributor is at
-// fault it has a first part of those of each service.
+// check compares the table with the log: it must have exactly the changes of its services up to its
+// version. With a faulty distributor it must have a prefix of the changes of each service.
 func (w *streamWorld) check() {
 	if w.foreignFile && slices.EqualFunc(w.app.records, foreignRecords, sameChange) {
 		return
@@ -199,25 +220,29 @@
 	want := recordsOf(committedLog[:index], w.app.follower.subscribesTo)
 	if !w.faultyDistributor {
 		if !slices.EqualFunc(w.app.records, want, sameChange) {
-			w.violation = fmt.Sprintf("at version %d the table has %s, not %s", index, w.app.records, want)
+			w.violation = fmt.Sprintf("at version %d the table has %s, want %s", index, w.app.records, want)
 		}
 		return
 	}
 	for _, service := range []string{"a", "b"} {
 		isService := func(name string) bool { return name == service }
-		all, have := recordsOf(committedLog, isService), slices.DeleteFunc(slices.Clone(w.app.records), func(c Change) bool { return c.Service != service })
+		all, have := recordsOf(committedLog, isService), slices.DeleteFunc(slices.Clone(w.app.records),
+			func(c Change) bool { return c.Service != service })
 		if len(have) > len(all) || !slices.EqualFunc(have, all[:len(have)], sameChange) {
-			w.violation = fmt.Sprintf("of %s the table has %s, not the first of %s", service, have, all)
+			w.violation = fmt.Sprintf("of service %s the table has %s, want a prefix of %s", service, have,
+				all)
 		}
 	}
 }
 
-// key tells worlds apart by all that can matter.
+// key returns a hash of all that can influence what happens next.
 func (w *streamWorld) key() uint64 {
 	h := fnv.New64a()
 	f := w.app.follower
-	fmt.Fprint(h, w.streamBounds, w.app.version, w.app.records, w.app.staged, w.app.connectTo, w.app.connected, w.inFlight, f.state, f.version,
-		f.highestTerm, f.resumable, f.baseIndex, f.lastApplied, f.stream, f.connection.rankIndex, f.connection.opening)
+	fmt.Fprint(h, w.streamBounds, w.app.version, w.app.records, w.app.staged, w.app.connectTo,
+		w.app.connected, w.inFlight, f.state, f.version,
+		f.highestTerm, f.resumable, f.baseIndex, f.lastApplied, f.stream,
+		f.connection.rankIndex, f.connection.opening)
 	for d, feed := range w.feeds {
 		fmt.Fprint(h, len(w.tables[d].entries))
 		for _, s := range feed.subscribers {
@@ -227,7 +252,8 @@
 	return h.Sum64()
 }
 
-// streamState is a world, and how it came about: a world is played again from the start, as nothing in it can be copied.
+// streamState is a world and the actions that led to it. A world cannot be copied, so a successor is built
+// by replaying the actions from the start.
 type streamState struct {
 	world   *streamWorld
 	actions []uint16
@@ -254,7 +280,8 @@
 	text := streamActionTexts[action&^0xff]
 	switch action &^ 0xff {
 	case streamActionAppend, streamActionAppendUnsent:
-		return fmt.Sprintf("%s d%d, %v", text, action&0xff, committedLog[len(w.tables[action&0xff].entries)].Version)
+		return fmt.Sprintf("%s d%d, %v", text, action&0xff,
+			committedLog[len(w.tables[action&0xff].entries)].Version)
 	case streamActionReceive, streamActionReceiveDuplicate, streamActionLose:
 		return fmt.Sprintf("%s %T%+v", text, w.inFlight[0], w.inFlight[0])
 	case streamActionReceiveSecond:
@@ -263,25 +290,35 @@
 	return text
 }
 
-// A follower has its services' changes up to its version, and nothing else, whatever happens to its streams and to itself.
+// The follower's table has exactly the changes of its services up to its version, whatever happens to its
+// streams and through its restarts.
 func TestExhaustiveStream(t *testing.T) {
 	bounds := []namedBounds[streamBounds]{
-		{"resumes and snapshots", streamBounds{initialEntries: [2]int{3, 2}, historyEntries: 1, ticks: 3, disconnects: 1}},
-		{"lost, doubled, reordered", streamBounds{initialEntries: [2]int{4, 4}, historyEntries: 9, ticks: 2, lost: 1, duplicates: 1, reordered: 1}},
-		{"a restart", streamBounds{initialEntries: [2]int{5, 5}, historyEntries: 9, ticks: 3, restarts: 1, disconnects: 1}},
-		{"a file of another log", streamBounds{initialEntries: [2]int{5, 5}, historyEntries: 9, ticks: 2, foreignFile: true, disconnects: 1}},
-		{"a distributor at fault", streamBounds{initialEntries: [2]int{4, 4}, historyEntries: 9, ticks: 2, unsentEntries: 1, faultyDistributor: true}},
+		{"resumes and snapshots", streamBounds{initialEntries: [2]int{3, 2}, historyEntries: 1, ticks: 3,
+			disconnects: 1}},
+		{"lost, duplicate and reordered messages", streamBounds{initialEntries: [2]int{4, 4},
+			historyEntries: 9, ticks: 2, lost: 1, duplicates: 1, reordered: 1}},
+		{"a restart", streamBounds{initialEntries: [2]int{5, 5}, historyEntries: 9, ticks: 3, restarts: 1,
+			disconnects: 1}},
+		{"a file of another log", streamBounds{initialEntries: [2]int{5, 5}, historyEntries: 9, ticks: 2,
+			foreignFile: true, disconnects: 1}},
+		{"a faulty distributor", streamBounds{initialEntries: [2]int{4, 4}, historyEntries: 9, ticks: 2,
+			unsentEntries: 1, faultyDistributor: true}},
 	}
 	exploreAll(t, bounds)
 }
 
-// Each rule of the stream that is left out is found.
+// The exploration finds a violation for each disabled rule of the stream.
 func TestExhaustiveStreamFaults(t *testing.T) {
 	faults := []namedBounds[streamBounds]{
-		{"no service chain", streamBounds{initialEntries: [2]int{2, 2}, historyEntries: 9, ticks: 1, unsentEntries: 1, faultyDistributor: true, disabled: ServiceChain}},
-		{"no stream sequence", streamBounds{initialEntries: [2]int{4, 4}, historyEntries: 9, ticks: 1, lost: 1, disabled: StreamSequence}},
-		{"half a snapshot", streamBounds{initialEntries: [2]int{3, 3}, historyEntries: 9, ticks: 1, disconnects: 1, disabled: WholeSnapshot}},
-		{"resumed across another's term", streamBounds{initialEntries: [2]int{5, 5}, historyEntries: 9, ticks: 1, foreignFile: true, disabled: TermAtResume}},
+		{"no check of the previous entry of the service", streamBounds{initialEntries: [2]int{2, 2},
+			historyEntries: 9, ticks: 1, unsentEntries: 1, faultyDistributor: true, disabled: ServiceChain}},
+		{"no check of the stream sequence", streamBounds{initialEntries: [2]int{4, 4}, historyEntries: 9,
+			ticks: 1, lost: 1, disabled: StreamSequence}},
+		{"incomplete snapshot", streamBounds{initialEntries: [2]int{3, 3}, historyEntries: 9, ticks: 1,
+			disconnects: 1, disabled: WholeSnapshot}},
+		{"resume from a version of another log", streamBounds{initialEntries: [2]int{5, 5},
+			historyEntries: 9, ticks: 1, foreignFile: true, disabled: TermAtResume}},
 	}
 	requireViolations(t, faults)
 }
