--- a/logic/configlog/cluster_random_test.go
+++ b/logic/configlog/cluster_random_test.go
@@ -13,21 +13,22 @@
 // cluster is an installation: three voters that are also distributors, a distributor that is not a voter
 // (the relay), and an app server that subscribes to any of them.
 type cluster struct {
-	seed, draws uint64
-	now         float64
-	term        uint64
-	proposed    uint64
-	starts      uint64
-	voters      [3]clusterVoter
-	relay       clusterFollower // the distributor that is not a voter
-	app         clusterFollower
-	relayFeed   *Feed
-	relayTable  prefixTable
-	inFlight    []Envelope
-	committed   []Entry
-	results     map[uint64]Version
-	faultFree   bool // no more faults are injected
-	trace       []string
+	seed       uint64
+	draws      uint64 // random numbers drawn so far
+	now        float64
+	term       uint64 // of the last election
+	proposed   uint64 // ID of the last proposal
+	starts     uint64 // of followers; makes their seeds differ
+	voters     [3]clusterVoter
+	relay      clusterFollower // the distributor that is not a voter
+	app        clusterFollower
+	relayFeed  *Feed
+	relayTable prefixTable
+	inFlight   []Envelope
+	committed  []Entry            // reported as committed by any voter
+	results    map[uint64]Version // of committed proposals, by ID
+	faultFree  bool               // no more faults are injected
+	trace      []string
 }
 
 type clusterVoter struct {
@@ -81,7 +82,8 @@
 func (c *cluster) startFollower(s *clusterFollower) {
 	c.starts++
 	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"},
-		Distributors: []string{"v0", "v1", "v2", "relay"}, SilentAfter: 6, StaleAfter: 18, BackoffMin: 1, BackoffMax: 3, Seed: c.seed<<16 + c.starts, MaxLookups: 2}
+		Distributors: []string{"v0", "v1", "v2", "relay"}, SilentAfter: 6, StaleAfter: 18,
+		BackoffMin: 1, BackoffMax: 3, Seed: c.seed<<16 + c.starts, MaxLookups: 2}
 	if s == &c.relay {
 		cfg.All, cfg.Services, cfg.Distributors = true, nil, voterNames
 	}
@@ -89,8 +91,8 @@
 	s.follower = NewFollower(cfg, s.version, c.now)
 	if s == &c.relay {
 		c.relayFeed = NewFeed(c.feedConfig(), &c.relayTable, s.version, c.now)
-		s.applied = func(entries []Entry) { c.updateRelayTable(c.relayFeed.Append(entries)) }
-		s.replaced = func(version Version) { c.updateRelayTable(nil); c.relayFeed.Reset(version) }
+		s.onApplied = func(entries []Entry) { c.updateRelayTable(c.relayFeed.Append(entries)) }
+		s.onReplaced = func(version Version) { c.updateRelayTable(nil); c.relayFeed.Reset(version) }
 	}
 }
 
@@ -171,8 +173,8 @@
 
 func (c *cluster) tick() {
 	c.now += 0.5
-	for k := range c.voters {
-		v := &c.voters[k]
+	for voter := range c.voters {
+		v := &c.voters[voter]
 		v.replica.Tick(c.now)
 		v.feed.Tick(c.now, v.replica.Status(c.now).Age)
 	}
@@ -221,8 +223,8 @@
 
 // processOutput carries out the output of all state machines.
 func (c *cluster) processOutput() {
-	for k := range c.voters {
-		c.processReplica(k)
+	for voter := range c.voters {
+		c.processReplica(voter)
 	}
 	for _, s := range c.followers() {
 		s.runActions(func(name string, request Subscribe) { c.feed(name).Subscribe(s.id, request, c.now) },
@@ -267,8 +269,8 @@
 		v.disk.Entries = v.disk.Entries[upTo.Index-v.disk.Base.Index:]
 		v.disk.Base = upTo
 	}
-	if need := ready.NeedSnapshot; need != (Version{}) {
-		c.installSnapshot(voter, need)
+	if needed := ready.NeedSnapshot; needed != (Version{}) {
+		c.installSnapshot(voter, needed)
 	}
 }
 
@@ -329,8 +331,8 @@
 		if s.invalidated {
 			return fmt.Sprintf("follower %d reported a missing entry, but none is missing", s.id)
 		}
-		if want := recordsOf(c.committed[:index], s.follower.subscribesTo); !slices.EqualFunc(s.records,
-			want, sameChange) {
+		if want := recordsOf(c.committed[:index], s.follower.subscribesTo); !slices.EqualFunc(
+			s.records, want, sameChange) {
 			return fmt.Sprintf("follower %d at version %d has %s, want %s", s.id, index, s.records, want)
 		}
 	}
@@ -341,8 +343,8 @@
 // with the log after a while.
 func (c *cluster) recoverWithoutFaults() string {
 	c.faultFree = true
-	for k := range c.voters {
-		c.voters[k].replica.StepDown()
+	for voter := range c.voters {
+		c.voters[voter].replica.StepDown()
 	}
 	c.elect(c.randomInt(3))
 	for range 6000 {
@@ -364,9 +366,9 @@
 		}
 	}
 	want := lastVersion(c.committed)
-	for k := range c.voters {
-		if status := c.voters[k].replica.Status(c.now); status.Committed != want {
-			return fmt.Sprintf("v%d has %+v, want %v", k, status, want)
+	for voter := range c.voters {
+		if status := c.voters[voter].replica.Status(c.now); status.Committed != want {
+			return fmt.Sprintf("v%d has %+v, want %v", voter, status, want)
 		}
 	}
 	for _, s := range c.followers() {
--- a/logic/configlog/errors.go
+++ b/logic/configlog/errors.go
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("configlog: message %d is a duplicate", e.Sequence)
 }
 
-// ReorderedError reports a stream message that was received after one with a higher sequence number, which
-// had already been reported as a gap.
+// ReorderedError reports a stream message that arrived after a later one, at which it had already been
+// reported as a gap. After is the sequence number of the later message.
 type ReorderedError struct{ Sequence, After uint64 }
 
 func (e *ReorderedError) Error() string {
--- a/logic/configlog/feed.go
+++ b/logic/configlog/feed.go
@@ -13,9 +13,9 @@
 	now         float64
 	upToDateAt  float64 // when the distributor was last known to be up to date; -Inf for never
 	subscribers map[SubscriberID]*subscriber
-	byService   map[string][]*subscriber
-	all         []*subscriber
-	active      []*subscriber // with something to send, or no heartbeat of a known age yet
+	byService   map[string][]*subscriber // those not in all
+	all         []*subscriber            // to all services
+	active      []*subscriber            // with something to send, or no heartbeat of a known age yet
 	heartbeats  []scheduledHeartbeat
 	out         FeedReady
 }
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -50,10 +50,10 @@
 
 // recordsOf returns the records of a table of some services after entries. It keeps every change, not just
 // the last per key, so that a missing entry is always visible.
-func recordsOf(entries []Entry, wants func(service string) bool) []Change {
+func recordsOf(entries []Entry, includes func(service string) bool) []Change {
 	var records []Change
 	for _, entry := range entries {
-		if !entry.IsEmpty() && wants(entry.Service) {
+		if !entry.IsEmpty() && includes(entry.Service) {
 			records = append(records, entry.Change)
 		}
 	}
@@ -64,8 +64,8 @@
 type prefixTable struct{ entries []Entry }
 
 func (p *prefixTable) Open(services []string, all bool) Snapshot {
-	wants := func(service string) bool { return all || slices.Contains(services, service) }
-	return &prefixSnapshot{version: lastVersion(p.entries), records: recordsOf(p.entries, wants)}
+	includes := func(service string) bool { return all || slices.Contains(services, service) }
+	return &prefixSnapshot{version: lastVersion(p.entries), records: recordsOf(p.entries, includes)}
 }
 
 func (p *prefixTable) Lookup(LookupKind, string) ([]byte, Version, bool) {
@@ -98,8 +98,8 @@
 	connectTo   string // distributor to connect to, if any
 	connected   string
 	invalidated bool
-	applied     func(entries []Entry) // nil, or called after each Apply
-	replaced    func(version Version) // nil, or called after each Replace
+	onApplied   func(entries []Entry) // nil, or called after each Apply
+	onReplaced  func(version Version) // nil, or called after each Replace
 }
 
 // runActions carries out the actions of the follower. subscribe and unsubscribe pass its requests to the
@@ -120,8 +120,8 @@
 		case Apply:
 			a.records = slices.Concat(a.records, recordsOf(action.Entries, func(string) bool { return true }))
 			a.version = action.Version
-			if a.applied != nil {
-				a.applied(action.Entries)
+			if a.onApplied != nil {
+				a.onApplied(action.Entries)
 			}
 		case Stage:
 			if action.First {
@@ -132,8 +132,8 @@
 			a.staged = nil
 		case Replace:
 			a.records, a.staged, a.version = a.staged, nil, action.Version
-			if a.replaced != nil {
-				a.replaced(action.Version)
+			if a.onReplaced != nil {
+				a.onReplaced(action.Version)
 			}
 		case Invalidate:
 			a.version, a.invalidated = Version{}, true
--- a/logic/configlog/follower_connect.go
+++ b/logic/configlog/follower_connect.go
@@ -14,9 +14,9 @@
 	rankIndex          int      // of the connected distributor, or of the next to try
 	opening            bool     // Connect was requested, its outcome is pending
 	lastReceivedAt     float64  // time of the last message, or of the start of the attempt
-	retryAt            float64
-	failures           int // failures since the last FollowerFollowing
-	jitterDraws        uint64
+	retryAt            float64  // earliest time of the next attempt
+	failures           int      // failures since the last FollowerFollowing
+	jitterDraws        uint64   // random numbers drawn for the jitter of delays
 }
 
 // name returns the distributor that is connected or tried next.
@@ -80,8 +80,8 @@
 	f.switchDistributor()
 }
 
-// switchDistributor selects the next distributor, to be tried after an exponential delay with jitter.
-// After a distributor that was followed, the selection restarts with the most preferred one.
+// switchDistributor selects the next distributor, to be tried after an exponential delay with jitter. If
+// another than the most preferred one was followed, the selection restarts with the most preferred one.
 func (f *Follower) switchDistributor() {
 	c := &f.connection
 	f.counts.Disconnects++
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -4,7 +4,7 @@
 
 // stream is the state of a subscription.
 type stream struct {
-	number        uint64
+	number        uint64  // Stream in its messages
 	sequence      uint64  // of the last accepted message
 	snapshot      Version // version of the snapshot being received
 	snapshotParts int     // received parts of this snapshot
@@ -12,8 +12,8 @@
 	lost          lostRange
 }
 
-// lostRange is the range of sequence numbers that were missing when a subscription was ended because of a
-// gap: from is included, to is not. They may still arrive.
+// lostRange is the range of sequence numbers that were missing when subscription number was ended because
+// of a gap: from is included, to is not. They may still arrive.
 type lostRange struct{ number, from, to uint64 }
 
 // Step handles a message of the distributor. An error is the reason why the message was rejected; it was
--- a/logic/configlog/log.go
+++ b/logic/configlog/log.go
@@ -88,8 +88,8 @@
 // rollBackLastOfService removes the effect of entries, which are the last of the log, from the index of
 // the last entry of each service.
 func rollBackLastOfService(last map[string]uint64, entries []Entry) {
-	for k := len(entries) - 1; k >= 0; k-- {
-		entry := entries[k]
+	for i := len(entries) - 1; i >= 0; i-- {
+		entry := entries[i]
 		switch {
 		case entry.Service == "":
 		case entry.Previous == 0:
@@ -103,10 +103,10 @@
 // firstBatch returns as many of the first entries as fit into a message, and at least one.
 func firstBatch(entries []Entry, maxBytes int) []Entry {
 	size := 0
-	for k, entry := range entries {
+	for i, entry := range entries {
 		size += entry.Size()
-		if size > maxBytes && k > 0 {
-			return entries[:k:k]
+		if size > maxBytes && i > 0 {
+			return entries[:i:i]
 		}
 	}
 	return entries
--- a/logic/configlog/replica.go
+++ b/logic/configlog/replica.go
@@ -16,15 +16,15 @@
 	state      ReplicaState
 	promised   uint64 // highest promised term; of a leader, its own
 	log        entryLog
-	committed  uint64
+	committed  uint64  // commit index
 	upToDateAt float64 // when it was last known to have all committed entries; -Inf for never since its start
 
 	leader leaderState
 
 	savedPromised uint64 // promised term on the disk after all returned Persists
-	savedIndex    uint64
-	truncateFrom  uint64
-	reset         bool
+	savedIndex    uint64 // last index on the disk, likewise
+	truncateFrom  uint64 // of the next Persist
+	reset         bool   // of the next Persist
 	delivered     uint64 // committed entries up to this index were returned by Ready
 	out           ReplicaReady
 }
--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -45,8 +45,7 @@
 		voters = oldVoters
 	}
 	return ReplicaConfig{Name: fmt.Sprint("v", voter), Voters: voters, KeepEntries: 9, MaxOpen: 9,
-		MessageBytes: entrySize,
-		MaxInFlight:  2, Disabled: b.disabled}
+		MessageBytes: entrySize, MaxInFlight: 2, Disabled: b.disabled}
 }
 
 func proposal(id uint64) Change { return Change{Service: "a", Payload: []byte{byte(id)}} }
@@ -205,8 +204,8 @@
 	if latest == nil {
 		return
 	}
-	for k, entry := range s.committed {
-		if version, ok := latest.log.version(entry.Index); s.committedUnder[k] <= latest.promised && (!ok ||
+	for i, entry := range s.committed {
+		if version, ok := latest.log.version(entry.Index); s.committedUnder[i] <= latest.promised && (!ok ||
 			version != entry.Version) {
 			s.violation = fmt.Sprintf("the leader of term %d lacks the committed entry %d of term %d",
 				latest.promised, entry.Index, entry.Term)
@@ -298,8 +297,8 @@
 		s.hashReplica(&h, voter, order)
 	}
 	hashes := make([]uint64, len(s.inFlight))
-	for k, envelope := range s.inFlight {
-		hashes[k] = hashEnvelope(envelope, order)
+	for i, envelope := range s.inFlight {
+		hashes[i] = hashEnvelope(envelope, order)
 	}
 	slices.Sort(hashes)
 	for _, hash := range hashes {
@@ -308,8 +307,8 @@
 	for _, left := range []int{s.terms, s.proposals, s.restarts, s.duplicates, s.lostResponses} {
 		h.Add(uint64(left))
 	}
-	for k, entry := range s.committed {
-		h.Add(entry.Term<<8 | s.committedUnder[k])
+	for i, entry := range s.committed {
+		h.Add(entry.Term<<8 | s.committedUnder[i])
 	}
 	return uint64(h)
 }
--- a/logic/configlog/replica_leader.go
+++ b/logic/configlog/replica_leader.go
@@ -8,11 +8,11 @@
 
 // progress is the leader's knowledge of one voter's log.
 type progress struct {
-	matchIndex uint64 // the voter's log matches the leader's up to this index
-	nextIndex  uint64 // index of the next entry to send
-	confirmed  bool   // the voter has accepted a message of this term; before, one is sent at a time
-	inFlight   int    // unacknowledged messages with entries
-	sentAt     float64
+	matchIndex uint64  // the voter's log matches the leader's up to this index
+	nextIndex  uint64  // index of the next entry to send
+	confirmed  bool    // the voter has accepted a message of this term; before, one is sent at a time
+	inFlight   int     // unacknowledged messages with entries
+	sentAt     float64 // time of the last message
 }
 
 // Propose appends a change to the log. Ready returns its Result with the same id.
--- a/logic/configlog/replica_recover.go
+++ b/logic/configlog/replica_recover.go
@@ -12,8 +12,8 @@
 	source        int                     // the voter whose log is adopted
 	fetchedIndex  uint64                  // last index up to which the own log equals it; 0 for none yet
 	fetchAttempts int                     // fetch requests since the last usable response
-	requestedAt   float64
-	progress      []progress // by voter
+	requestedAt   float64                 // time of the last request for promises or entries
+	progress      []progress              // by voter
 	openProposals []openProposal
 }
 
--- a/logic/configlog/replica_types.go
+++ b/logic/configlog/replica_types.go
@@ -8,7 +8,7 @@
 	MaxOpen        int        // limit of uncommitted proposals
 	MessageBytes   int        // limit of the entries in one message, by Entry.Size
 	MaxInFlight    int        // limit of unacknowledged messages with entries to one voter
-	ResendAfter    float64
+	ResendAfter    float64    // time without a response after which a message is sent again
 	HeartbeatEvery float64
 	Disabled       Rule // none in production
 }
@@ -49,9 +49,9 @@
 // report Results. All of it is done before the replica is called again. If writing fails, the rest must
 // not be done, and the replica must be discarded and reopened from the disk.
 //
-// NeedSnapshot is set when the entries that are missing here are no longer available from other voters.
-// CompactedUpTo is set when entries have been removed from memory: those up to it may be removed from the
-// disk once the table there has them.
+// NeedSnapshot is set when the leader, or the voter that a new leader fetches from, no longer keeps the
+// entries that are missing in this log. CompactedUpTo is set when entries have been removed from memory:
+// those up to it may be removed from the disk once the table there has them.
 type ReplicaReady struct {
 	Persist       Persist
 	Messages      []Envelope
--- a/logic/configlog/replica_voter.go
+++ b/logic/configlog/replica_voter.go
@@ -72,7 +72,7 @@
 // entries that conflict with them. It returns false and changes nothing if they conflict with committed
 // entries, which no leader sends.
 func (r *Replica) mergeEntries(entries []Entry) bool {
-	for k, entry := range entries {
+	for i, entry := range entries {
 		local, ok := r.log.version(entry.Index)
 		if ok && local == entry.Version {
 			continue
@@ -83,7 +83,7 @@
 			}
 			r.truncate(entry.Index)
 		}
-		for _, entry := range entries[k:] {
+		for _, entry := range entries[i:] {
 			r.log.append(entry)
 		}
 		return true
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -72,8 +72,7 @@
 func (w *streamWorld) startFollower() {
 	w.starts++
 	cfg := FollowerConfig{Name: "s", Services: []string{"a", "b"}, Distributors: distributorNames,
-		SilentAfter: math.Inf(1), StaleAfter: 18,
-		Seed: w.starts, Disabled: w.disabled}
+		SilentAfter: math.Inf(1), StaleAfter: 18, Seed: w.starts, Disabled: w.disabled}
 	w.app = appServer{follower: NewFollower(cfg, w.app.version, 0), version: w.app.version,
 		records: w.app.records}
 }
@@ -229,8 +228,8 @@
 		all, have := recordsOf(committedLog, isService), slices.DeleteFunc(slices.Clone(w.app.records),
 			func(c Change) bool { return c.Service != service })
 		if len(have) > len(all) || !slices.EqualFunc(have, all[:len(have)], sameChange) {
-			w.violation = fmt.Sprintf("of service %s the table has %s, want a prefix of %s", service, have,
-				all)
+			w.violation = fmt.Sprintf("of service %s the table has %s, want a prefix of %s",
+				service, have, all)
 		}
 	}
 }
