--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -205,8 +205,8 @@
 		return
 	}
 	for i, entry := range s.committed {
-		if version, ok := latest.log.version(entry.Index); s.committedUnder[i] <= latest.promised && (!ok ||
-			version != entry.Version) {
+		if version, ok := latest.log.version(entry.Index); s.committedUnder[i] <= latest.promised &&
+			(!ok || version != entry.Version) {
 			s.violation = fmt.Sprintf("the leader of term %d lacks the committed entry %d of term %d",
 				latest.promised, entry.Index, entry.Term)
 		}
@@ -332,8 +332,8 @@
 		if voter < 0 {
 			continue
 		}
-		if answer, ok := r.leader.promises[voter]; ok && r.state != ReplicaLeader {
-			h.Add(answer.Last.Term<<32 | answer.Last.Index<<16 | answer.Commit + 1)
+		if promise, ok := r.leader.promises[voter]; ok && r.state != ReplicaLeader {
+			h.Add(promise.Last.Term<<32 | promise.Last.Index<<16 | promise.Commit + 1)
 		}
 		h.Add(0)
 		if r.leader.progress != nil {
