--- a/logic/configlog/feed_send.go
+++ b/logic/configlog/feed_send.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// messageOverhead is what a message counts beside entries, records and values, in bytes.
+// messageOverhead is the size of a message without entries, records and values, in bytes.
 const messageOverhead = 32
 
-// subscriber is one subscription of a feed.
+// subscriber is the state of one subscription of a feed.
 type subscriber struct {
-	id       SubscriberID
-	stream   uint64
-	services []string
-	all      bool
-	position Version // all that it wants up to here was sent, or is in its snapshot
-
-	rate       float64 // bytes a second
-	tokens     float64 // bytes that may be sent now; below zero by the rest of the last message
+	id          SubscriberID
+	stream      uint64
+	services    []string
+	all         bool
+	sentVersion Version // all its entries up to this version were sent or are in its snapshot
+
+	rate       float64 // bytes per second
+	tokens     float64 // token bucket, in bytes; the last message may overdraw it below 0
 	refilledAt float64
 
 	sequence     uint64
-	snapshot     Snapshot // nil once it is sent
+	snapshot     Snapshot // nil if none is left to send
 	pending      []Entry
 	pendingBytes int
 	replies      []LookupReply
 	active       bool
-	greeted      bool // it has had a heartbeat of a known age
+	knownAgeSent bool // a heartbeat with a known age was sent
 }
 
 func newSubscriber(id SubscriberID, request Subscribe, rate, now float64) *subscriber {
 	services := slices.Clone(request.Services)
 	slices.Sort(services)
-	s := &subscriber{id: id, stream: request.Stream, all: request.All, position: request.From, rate: rate, tokens: rate, refilledAt: now}
+	s := &subscriber{id: id, stream: request.Stream, all: request.All, sentVersion: request.From,
+		rate: rate, tokens: rate, refilledAt: now}
 	if !request.All {
 		s.services = slices.Compact(services)
 	}
 	return s
 }
 
-// resume has entries wait that were missed; it reports false, and does nothing, if they are too many.
+// resume makes the missed entries pending. It returns false and does nothing if they exceed the buffer.
 func (s *subscriber) resume(entries []Entry, maxBytes int) bool {
 	size := 0
 	for _, entry := range entries {
@@ -52,9 +53,9 @@
 	return true
 }
 
-// enqueue has an entry wait, unless the snapshot has it; it reports false if too much would wait.
+// enqueue makes an entry pending, unless the snapshot includes it. It returns false if the buffer is full.
 func (s *subscriber) enqueue(entry Entry, maxBytes int) bool {
-	if entry.Index <= s.position.Index {
+	if entry.Index <= s.sentVersion.Index {
 		return true
 	}
 	if s.pendingBytes+entry.Size() > maxBytes {
@@ -65,14 +66,14 @@
 	return true
 }
 
-func (s *subscriber) end() {
+func (s *subscriber) closeSnapshot() {
 	if s.snapshot != nil {
 		s.snapshot.Close()
 		s.snapshot = nil
 	}
 }
 
-// refill counts the bytes that may be sent; no more than a second's are saved up.
+// refill adds tokens for the time since the last refill. The bucket holds the bytes of one second.
 func (s *subscriber) refill(now float64) {
 	s.tokens = min(s.tokens+(now-s.refilledAt)*s.rate, s.rate)
 	s.refilledAt = now
@@ -82,10 +83,11 @@
 	return s.snapshot == nil && len(s.pending) == 0 && len(s.replies) == 0
 }
 
-// Tick sends what is due; age is how old the distributor's own knowledge is, in seconds; +Inf for unknown.
+// Tick sends what is due. age is the time since the distributor was last known to be up to date, in
+// seconds; +Inf if never.
 func (f *Feed) Tick(now, age float64) {
 	f.now = max(f.now, now)
-	f.freshAt = f.now - age
+	f.upToDateAt = f.now - age
 	f.sendActive()
 	due := 0
 	for due < len(f.heartbeats) && f.heartbeats[due].at <= f.now {
@@ -98,19 +100,20 @@
 		if f.subscribers[s.id] != s {
 			continue
 		}
-		f.heartbeats = append(f.heartbeats, heartbeatDue{s, now + f.cfg.HeartbeatEvery})
+		f.heartbeats = append(f.heartbeats, scheduledHeartbeat{s, now + f.cfg.HeartbeatEvery})
 		f.sendHeartbeat(s)
 	}
 }
 
-// sendHeartbeat tells a subscriber that it has all it wants; one for whom something waits hears that otherwise, later.
+// sendHeartbeat sends a heartbeat to a subscriber that has been sent all its entries. Others are skipped
+// until the next one: they still receive pending messages.
 func (f *Feed) sendHeartbeat(s *subscriber) {
 	s.refill(f.now)
-	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.position.Index {
+	if !s.idle() || s.tokens <= 0 || f.Version().Index < s.sentVersion.Index {
 		return
 	}
-	s.position, s.greeted = f.Version(), !math.IsInf(f.freshAt, -1)
-	f.send(s, Heartbeat{Version: s.position, Age: f.now - f.freshAt})
+	s.sentVersion, s.knownAgeSent = f.Version(), !math.IsInf(f.upToDateAt, -1)
+	f.send(s, Heartbeat{Version: s.sentVersion, Age: f.now - f.upToDateAt})
 }
 
 func (f *Feed) activate(s *subscriber) {
@@ -120,22 +123,23 @@
 	}
 }
 
-// sendActive sends what waits, as far as each subscriber's bytes a second go.
+// sendActive sends pending messages within the rate limit of each subscriber. A subscriber without any
+// gets its first heartbeat as soon as the age is known.
 func (f *Feed) sendActive() {
 	f.active = slices.DeleteFunc(f.active, func(s *subscriber) bool {
 		s.refill(f.now)
 		for s.tokens > 0 && !s.idle() {
 			f.sendNext(s)
 		}
-		if s.idle() && !s.greeted && !math.IsInf(f.freshAt, -1) {
+		if s.idle() && !s.knownAgeSent && !math.IsInf(f.upToDateAt, -1) {
 			f.sendHeartbeat(s)
 		}
-		s.active = !s.idle() || !s.greeted
+		s.active = !s.idle() || !s.knownAgeSent
 		return !s.active
 	})
 }
 
-// sendNext sends what is first: replies, then the snapshot, then entries.
+// sendNext sends the next message: lookup replies first, then the snapshot, then entries.
 func (f *Feed) sendNext(s *subscriber) {
 	switch {
 	case len(s.replies) > 0:
@@ -145,19 +149,19 @@
 	case s.snapshot != nil:
 		records, done := s.snapshot.Next(f.cfg.PartBytes)
 		if done {
-			s.end()
+			s.closeSnapshot()
 		}
 		f.send(s, SnapshotPart{Records: records, Done: done})
 	default:
 		entry := s.pending[0]
 		s.pending = s.pending[1:]
 		s.pendingBytes -= entry.Size()
-		s.position = entry.Version
+		s.sentVersion = entry.Version
 		f.send(s, Delta{Entry: entry})
 	}
 }
 
-// send numbers a message and counts its bytes.
+// send sets the stream and sequence numbers of a message, and takes its size out of the token bucket.
 func (f *Feed) send(s *subscriber, message StreamMessage) {
 	size := messageOverhead
 	switch m := message.(type) {
@@ -190,7 +194,7 @@
 	f.out.Messages = append(f.out.Messages, Outgoing{s.id, message})
 }
 
-// Lookup answers a subscriber's question.
+// Lookup handles a lookup of a subscriber.
 func (f *Feed) Lookup(id SubscriberID, lookup Lookup, now float64) {
 	s := f.subscribers[id]
 	if s == nil || lookup.Stream != s.stream || len(s.replies) >= f.cfg.LookupsInFlight {
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -12,17 +12,18 @@
 
 var voterNames = []string{"v0", "v1", "v2"}
 
-// Lists of voters while v3 takes the place of v0: first all get both lists, then the next one alone.
+// Voter lists of a membership change in which v3 replaces v0: first all replicas get both lists, then only
+// the new one.
 var (
-	formerList = [][]string{voterNames}
-	bothLists  = [][]string{voterNames, {"v1", "v2", "v3"}}
-	nextList   = [][]string{{"v1", "v2", "v3"}}
+	oldVoters   = [][]string{voterNames}
+	jointVoters = [][]string{voterNames, {"v1", "v2", "v3"}}
+	newVoters   = [][]string{{"v1", "v2", "v3"}}
 )
 
-func number(name string) int { return int(name[1] - '0') }
+func voterNumber(name string) int { return int(name[1] - '0') }
 
-// write carries out what a replica wants on its disk.
-func write(disk Stored, persist Persist) Stored {
+// applyPersist applies what a replica wants written to its disk.
+func applyPersist(disk Stored, persist Persist) Stored {
 	disk.Promised = max(disk.Promised, persist.Promised)
 	if persist.Reset {
 		disk.Base, disk.Commit, disk.Entries = persist.Base, persist.Base.Index, nil
@@ -34,24 +35,25 @@
 	return disk
 }
 
-// chain fills in payloads, and what is before each entry of its service.
-func chain(entries []Entry) []Entry {
+// linkEntries sets the payload of each entry, and the index of the previous entry of its service.
+func linkEntries(entries []Entry) []Entry {
 	last := map[string]uint64{}
-	for k := range entries {
-		if entries[k].Service != "" {
-			entries[k].Previous = last[entries[k].Service]
-			last[entries[k].Service] = entries[k].Index
-			entries[k].Payload = fmt.Append(nil, entries[k].Version)
+	for i := range entries {
+		if entries[i].Service != "" {
+			entries[i].Previous = last[entries[i].Service]
+			last[entries[i].Service] = entries[i].Index
+			entries[i].Payload = fmt.Append(nil, entries[i].Version)
 		}
 	}
 	return entries
 }
 
-// recordsOf gives what a table of some services has after entries: all that was ever put, so that nothing missing goes unnoticed.
-func recordsOf(entries []Entry, wants func(service string) bool) []Change {
+// recordsOf returns the records of a table of some services after entries. It keeps every change, not just
+// the last per key, so that a missing entry is always visible.
+func recordsOf(entries []Entry, includes func(service string) bool) []Change {
 	var records []Change
 	for _, entry := range entries {
-		if !entry.IsEmpty() && wants(entry.Service) {
+		if !entry.IsEmpty() && includes(entry.Service) {
 			records = append(records, entry.Change)
 		}
 	}
@@ -62,15 +64,15 @@
 type prefixTable struct{ entries []Entry }
 
 func (p *prefixTable) Open(services []string, all bool) Snapshot {
-	wants := func(service string) bool { return all || slices.Contains(services, service) }
-	return &prefixSnapshot{version: lastOf(p.entries), records: recordsOf(p.entries, wants)}
+	includes := func(service string) bool { return all || slices.Contains(services, service) }
+	return &prefixSnapshot{version: lastVersion(p.entries), records: recordsOf(p.entries, includes)}
 }
 
-func (p *prefixTable) Lookup(Kind, string) ([]byte, Version, bool) {
-	return nil, lastOf(p.entries), false
+func (p *prefixTable) Lookup(LookupKind, string) ([]byte, Version, bool) {
+	return nil, lastVersion(p.entries), false
 }
 
-// prefixSnapshot gives a record at a time.
+// prefixSnapshot returns one record per part.
 type prefixSnapshot struct {
 	version Version
 	records []Change
@@ -87,28 +89,30 @@
 	return part, len(s.records) == 0
 }
 
-// appServer is a follower with its table and its file, which are alike.
+// appServer is a follower with its table, which is also its file.
 type appServer struct {
 	follower    *Follower
 	version     Version
 	records     []Change
 	staged      []Change
-	wants       string // the distributor to connect to
+	connectTo   string // distributor to connect to, if any
 	connected   string
 	invalidated bool
-	applied     func(entries []Entry) // nil, or what else to do
-	replaced    func(version Version) // nil, or what else to do
+	onApplied   func(entries []Entry) // nil, or called after each Apply
+	onReplaced  func(version Version) // nil, or called after each Replace
 }
 
-// carryOut does what the follower wants done; subscribe and close are told to the distributor.
-func (a *appServer) carryOut(subscribe func(name string, request Subscribe), unsubscribe func(name string)) {
+// runActions carries out the actions of the follower. subscribe and unsubscribe pass its requests to the
+// distributor.
+func (a *appServer) runActions(subscribe func(name string, request Subscribe),
+	unsubscribe func(name string)) {
 	for _, action := range a.follower.Ready() {
 		switch action := action.(type) {
 		case Connect:
-			a.wants = action.Distributor
+			a.connectTo = action.Distributor
 		case Close:
 			unsubscribe(a.connected)
-			a.wants, a.connected = "", ""
+			a.connectTo, a.connected = "", ""
 		case Send:
 			if request, ok := action.Message.(Subscribe); ok {
 				subscribe(a.connected, request)
@@ -116,8 +120,8 @@
 		case Apply:
 			a.records = slices.Concat(a.records, recordsOf(action.Entries, func(string) bool { return true }))
 			a.version = action.Version
-			if a.applied != nil {
-				a.applied(action.Entries)
+			if a.onApplied != nil {
+				a.onApplied(action.Entries)
 			}
 		case Stage:
 			if action.First {
@@ -128,8 +132,8 @@
 			a.staged = nil
 		case Replace:
 			a.records, a.staged, a.version = a.staged, nil, action.Version
-			if a.replaced != nil {
-				a.replaced(action.Version)
+			if a.onReplaced != nil {
+				a.onReplaced(action.Version)
 			}
 		case Invalidate:
 			a.version, a.invalidated = Version{}, true
@@ -137,7 +141,7 @@
 	}
 }
 
-func lastOf(entries []Entry) Version {
+func lastVersion(entries []Entry) Version {
 	if len(entries) == 0 {
 		return Version{}
 	}
@@ -148,37 +152,43 @@
 	return a.Service == b.Service && string(a.Payload) == string(b.Payload)
 }
 
-// named is a walk with a name.
-type named[B walker] struct {
+// namedBounds are the bounds of one exploration, with a name for the test log.
+type namedBounds[B explorer] struct {
 	name   string
 	bounds B
 }
 
-type walker interface{ walk(most int) explore.Result }
+type explorer interface {
+	explore(maxStates int) explore.Result
+}
 
-// walkAll plays walks to their end, under the race detector the smallest alone.
-func walkAll[B walker](t *testing.T, all []named[B]) {
+// exploreAll explores all states within each bounds; under the race detector only within the first, the
+// smallest.
+func exploreAll[B explorer](t *testing.T, allBounds []namedBounds[B]) {
 	if explore.Race {
-		all = all[:1]
+		allBounds = allBounds[:1]
 	}
-	for _, one := range all {
-		began := time.Now()
-		r := one.bounds.walk(800_000)
-		t.Logf("%s: %d states, depth %d, complete %v, in %v", one.name, r.States, r.Depth, r.Complete, time.Since(began))
-		if r.Wrong != "" || !r.Complete {
-			t.Errorf("%s: %s\n%s", one.name, r.Wrong, r.Trace)
+	for _, tested := range allBounds {
+		start := time.Now()
+		result := tested.bounds.explore(800_000)
+		t.Logf("%s: %d states, depth %d, complete %v, in %v", tested.name, result.States, result.Depth,
+			result.Complete, time.Since(start))
+		if result.Wrong != "" || !result.Complete {
+			t.Errorf("%s: %s\n%s", tested.name, result.Wrong, result.Trace)
 		}
 	}
 }
 
-// findAll plays walks without a rule, each of which has to find its loss.
-func findAll[B walker](t *testing.T, all []named[B]) {
-	for _, one := range all {
-		r := one.bounds.walk(800_000)
-		if r.Wrong == "" {
-			t.Errorf("%s: not found in %d states", one.name, r.States)
+// requireViolations explores with a rule disabled or a fault planted, and requires that each exploration
+// finds a violation.
+func requireViolations[B explorer](t *testing.T, allBounds []namedBounds[B]) {
+	for _, tested := range allBounds {
+		result := tested.bounds.explore(800_000)
+		if result.Wrong == "" {
+			t.Errorf("%s: not found in %d states", tested.name, result.States)
 			continue
 		}
-		t.Logf("%s: found in %d steps: %s\n%s", one.name, strings.Count(r.Trace, "\n"), r.Wrong, r.Trace)
+		t.Logf("%s: found in %d steps: %s\n%s", tested.name, strings.Count(result.Trace, "\n"),
+			result.Wrong, result.Trace)
 	}
 }
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -2,26 +2,28 @@
 
 import "fmt"
 
-// stream is where a subscription stands.
+// stream is the state of a subscription.
 type stream struct {
-	number   uint64
-	sequence uint64  // of the last message taken
-	snapshot Version // being taken
-	parts    int     // of it, that have come
-	applied  bool    // something has been applied or told by it
-	lost     lostRange
+	number        uint64  // Stream in its messages
+	sequence      uint64  // of the last accepted message
+	snapshot      Version // version of the snapshot being received
+	snapshotParts int     // received parts of this snapshot
+	progressed    bool    // a snapshot, an entry or a heartbeat of this subscription was accepted
+	lost          lostRange
 }
 
-// lostRange is what was missing when a subscription was given up for a gap: it may come late.
+// lostRange is the range of sequence numbers that were missing when subscription number was ended because
+// of a gap: from is included, to is not. They may still arrive.
 type lostRange struct{ number, from, to uint64 }
 
-// Step takes a message of the distributor. An error tells why it was refused; it was not applied then.
+// Step handles a message of the distributor. An error is the reason why the message was rejected; it was
+// not applied.
 func (f *Follower) Step(message StreamMessage, now float64) error {
 	f.now = max(f.now, now)
 	if f.state == FollowerDisconnected || message.stream() != f.stream.number {
-		return f.refuseFormer(message)
+		return f.rejectFormerStream(message)
 	}
-	f.connection.heardAt = f.now
+	f.connection.lastReceivedAt = f.now
 	if reply, ok := message.(LookupReply); ok {
 		return f.handleLookupReply(reply)
 	}
@@ -38,10 +40,10 @@
 	case Heartbeat:
 		return f.handleHeartbeat(message)
 	}
-	return f.refuseMalformed(fmt.Sprintf("%T from a distributor", message))
+	return f.rejectMalformed(fmt.Sprintf("unexpected %T from a distributor", message))
 }
 
-// sequenceOf is a message's number; 0 for those without.
+// sequenceOf returns the sequence number of a message, 0 if it has none.
 func sequenceOf(message StreamMessage) uint64 {
 	switch message := message.(type) {
 	case Welcome:
@@ -56,8 +58,8 @@
 	return 0
 }
 
-// refuseFormer counts a message of a former subscription.
-func (f *Follower) refuseFormer(message StreamMessage) error {
+// rejectFormerStream rejects a message of an earlier subscription.
+func (f *Follower) rejectFormerStream(message StreamMessage) error {
 	sequence, lost := sequenceOf(message), f.stream.lost
 	if message.stream() == lost.number && sequence >= lost.from && sequence < lost.to {
 		f.counts.Reordered++
@@ -67,7 +69,7 @@
 	return &StaleStreamError{Stream: message.stream(), Current: f.stream.number}
 }
 
-// checkSequence takes the next message of the subscription alone.
+// checkSequence accepts only the next message of the subscription.
 func (f *Follower) checkSequence(message StreamMessage) error {
 	sequence := sequenceOf(message)
 	want := f.stream.sequence + 1
@@ -76,41 +78,42 @@
 		return nil
 	}
 	if sequence == 0 {
-		return f.refuseMalformed("a message without a sequence")
+		return f.rejectMalformed("no sequence number")
 	}
 	if sequence < want {
 		f.counts.Duplicates++
 		return &DuplicateError{Sequence: sequence}
 	}
 	f.stream.lost = lostRange{f.stream.number, want, sequence}
-	f.refuseGap()
-	return &GapError{What: "sequence", Want: want, Got: sequence}
+	f.resubscribeAfterGap()
+	return &GapError{Kind: "sequence", Want: want, Got: sequence}
 }
 
-// refuseGap subscribes anew from the table's version: on the same connection if the subscription had come to something, so that a
-// distributor which is at fault is not asked for ever.
-func (f *Follower) refuseGap() {
+// resubscribeAfterGap subscribes again from the table's version. It keeps the connection only if the
+// subscription had made progress; otherwise it switches to another distributor, so that a faulty one is
+// not retried forever.
+func (f *Follower) resubscribeAfterGap() {
 	f.counts.Gaps++
-	if f.stream.applied {
+	if f.stream.progressed {
 		f.subscribe()
 		return
 	}
 	f.close(CloseGap)
 }
 
-func (f *Follower) refuseMalformed(why string) error {
+func (f *Follower) rejectMalformed(reason string) error {
 	f.counts.Malformed++
 	f.close(CloseMalformed)
-	return &MalformedError{Why: why}
+	return &MalformedError{Reason: reason}
 }
 
-func (f *Follower) refuseStaleTerm(term uint64) error {
+func (f *Follower) rejectStaleTerm(term uint64) error {
 	f.counts.StaleTerms++
 	f.close(CloseStaleTerm)
-	return &StaleTermError{Term: term, Known: f.term}
+	return &StaleTermError{Term: term, Known: f.highestTerm}
 }
 
-func (f *Follower) refuseStaleEntry(version Version) error {
+func (f *Follower) rejectStaleEntry(version Version) error {
 	f.counts.Stale++
 	f.close(CloseBehind)
 	return &StaleEntryError{Got: version, Applied: f.version}
@@ -118,7 +121,7 @@
 
 func (f *Follower) handleWelcome(welcome Welcome) error {
 	if f.state != FollowerSubscribing {
-		return f.refuseMalformed("a second welcome")
+		return f.rejectMalformed("unexpected welcome")
 	}
 	switch welcome.Mode {
 	case WelcomeBehind:
@@ -126,67 +129,67 @@
 		return nil
 	case WelcomeResume:
 		if !f.resumable || welcome.Version != f.version {
-			return f.refuseMalformed("resumed from another version")
+			return f.rejectMalformed("resumed from a version that was not requested")
 		}
-		f.moveTo(FollowerFollowing)
+		f.setState(FollowerFollowing)
 		return nil
 	case WelcomeSnapshot:
-		if welcome.Version.Term < f.term {
-			return f.refuseStaleTerm(welcome.Version.Term)
+		if welcome.Version.Term < f.highestTerm {
+			return f.rejectStaleTerm(welcome.Version.Term)
 		}
 		if welcome.Version.Index < f.version.Index {
-			return f.refuseStaleEntry(welcome.Version)
+			return f.rejectStaleEntry(welcome.Version)
 		}
 		f.stream.snapshot = welcome.Version
-		f.moveTo(FollowerSnapshot)
+		f.setState(FollowerSnapshot)
 		return nil
 	}
-	return f.refuseMalformed("a welcome of no known mode")
+	return f.rejectMalformed("unknown mode of a welcome")
 }
 
 func (f *Follower) handleSnapshotPart(part SnapshotPart) error {
 	if f.state != FollowerSnapshot {
-		return f.refuseMalformed("a part of no snapshot")
+		return f.rejectMalformed("unexpected snapshot part")
 	}
 	for _, record := range part.Records {
-		if !f.wants(record.Service) {
-			return f.refuseMalformed("a record of a service that is not served here")
+		if !f.subscribesTo(record.Service) {
+			return f.rejectMalformed("record of a service that is not subscribed to")
 		}
 	}
-	f.stream.parts++
-	f.out = append(f.out, Stage{Records: part.Records, First: f.stream.parts == 1})
+	f.stream.snapshotParts++
+	f.out = append(f.out, Stage{Records: part.Records, First: f.stream.snapshotParts == 1})
 	if part.Done {
-		f.replace()
-		f.moveTo(FollowerFollowing)
+		f.replaceTable()
+		f.setState(FollowerFollowing)
 	}
 	return nil
 }
 
-// replace has the snapshot take the table's place.
-func (f *Follower) replace() {
+// replaceTable replaces the table by the staged snapshot.
+func (f *Follower) replaceTable() {
 	f.counts.Snapshots++
-	f.stream.applied = true
-	f.restart(f.stream.snapshot)
-	f.resumable = true // also after the snapshot of an empty log
+	f.stream.progressed = true
+	f.resetTable(f.stream.snapshot)
+	f.resumable = true // also true for the snapshot of an empty log
 	f.out = append(f.out, Replace{Version: f.version})
 }
 
-func (f *Follower) wants(service string) bool { return f.cfg.All || f.services[service] }
+func (f *Follower) subscribesTo(service string) bool { return f.cfg.All || f.services[service] }
 
 func (f *Follower) handleDelta(entry Entry) error {
 	if f.state != FollowerFollowing {
-		return f.refuseMalformed("an entry before the welcome or the snapshot")
+		return f.rejectMalformed("entry before the welcome or the end of the snapshot")
 	}
-	if entry.Term < f.term {
-		return f.refuseStaleTerm(entry.Term)
+	if entry.Term < f.highestTerm {
+		return f.rejectStaleTerm(entry.Term)
 	}
 	if entry.Index <= f.version.Index {
-		return f.refuseStaleEntry(entry.Version)
+		return f.rejectStaleEntry(entry.Version)
 	}
-	if !f.wants(entry.Service) {
-		return f.refuseMalformed("an entry of a service that is not served here")
+	if !f.subscribesTo(entry.Service) {
+		return f.rejectMalformed("entry of a service that is not subscribed to")
 	}
-	if err := f.checkChain(entry); err != nil {
+	if err := f.checkServiceChain(entry); err != nil {
 		return err
 	}
 	if entry.Service != "" {
@@ -197,45 +200,47 @@
 	return nil
 }
 
-// checkChain takes only the entry that is next of its service, and next of all if it wants all.
-func (f *Follower) checkChain(entry Entry) error {
+// checkServiceChain accepts only the next entry of the service, and the next entry of the log if the
+// follower subscribes to all services.
+func (f *Follower) checkServiceChain(entry Entry) error {
 	if !f.cfg.Disabled.enabled(ServiceChain) {
 		return nil
 	}
 	last, applied := f.lastApplied[entry.Service]
 	if !applied {
-		last = f.base
+		last = f.baseIndex
 	}
 	switch {
 	case entry.Previous > last:
-		return f.refuseMissing("service", last, entry.Previous)
+		return f.rejectGap("service", last, entry.Previous)
 	case applied && entry.Previous < last:
-		f.distrust()
-		return f.refuseMalformed("an entry that follows another one of its service")
+		f.invalidate()
+		return f.rejectMalformed("previous entry of the service is not the last applied one")
 	case f.cfg.All && entry.Index > f.version.Index+1:
-		return f.refuseMissing("index", f.version.Index+1, entry.Index)
+		return f.rejectGap("index", f.version.Index+1, entry.Index)
 	}
 	return nil
 }
 
-// refuseMissing refuses what comes after an entry that did not.
-func (f *Follower) refuseMissing(what string, want, got uint64) error {
+// rejectGap rejects a message that follows a missing entry.
+func (f *Follower) rejectGap(kind string, want, got uint64) error {
 	f.counts.Gaps++
-	f.distrust()
+	f.invalidate()
 	f.close(CloseGap)
-	return &GapError{What: what, Want: want, Got: got}
+	return &GapError{Kind: kind, Want: want, Got: got}
 }
 
-// distrust has the table come whole again: it may lack an entry below its version.
-func (f *Follower) distrust() {
+// invalidate makes the next subscription request a snapshot, as an entry below the version of the table
+// may be missing.
+func (f *Follower) invalidate() {
 	f.resumable = false
 	f.out = append(f.out, Invalidate{})
 }
 
-// advance takes a higher version, and has the entry applied.
+// advance moves to a higher version and has the entries applied. Consecutive Apply actions are merged.
 func (f *Follower) advance(version Version, entries ...Entry) {
-	f.stream.applied = true
-	f.version, f.term = version, max(f.term, version.Term)
+	f.stream.progressed = true
+	f.version, f.highestTerm = version, max(f.highestTerm, version.Term)
 	if len(f.out) > 0 {
 		if last, ok := f.out[len(f.out)-1].(Apply); ok {
 			f.out[len(f.out)-1] = Apply{Entries: append(last.Entries, entries...), Version: version}
@@ -247,27 +252,27 @@
 
 func (f *Follower) handleHeartbeat(heartbeat Heartbeat) error {
 	if f.state != FollowerFollowing || !(heartbeat.Age >= 0) {
-		return f.refuseMalformed("a heartbeat before the welcome or the snapshot, or of no age")
+		return f.rejectMalformed("heartbeat with an invalid age or before the end of the snapshot")
 	}
-	if heartbeat.Version.Term < f.term {
-		return f.refuseStaleTerm(heartbeat.Version.Term)
+	if heartbeat.Version.Term < f.highestTerm {
+		return f.rejectStaleTerm(heartbeat.Version.Term)
 	}
 	if heartbeat.Version.Index < f.version.Index {
-		return f.refuseStaleEntry(heartbeat.Version)
+		return f.rejectStaleEntry(heartbeat.Version)
 	}
 	if f.cfg.All && heartbeat.Version.Index > f.version.Index && f.cfg.Disabled.enabled(ServiceChain) {
-		return f.refuseMissing("index", f.version.Index, heartbeat.Version.Index)
+		return f.rejectGap("index", f.version.Index, heartbeat.Version.Index)
 	}
 	if heartbeat.Version.Index == f.version.Index && heartbeat.Version != f.version {
-		return f.refuseMalformed("a heartbeat of another history")
+		return f.rejectMalformed("heartbeat with another term at the applied index")
 	}
 	if heartbeat.Version != f.version {
 		f.advance(heartbeat.Version)
 	}
-	f.stream.applied = true
-	f.knownAt = max(f.knownAt, f.now-heartbeat.Age)
-	if f.Status(f.now).Stale != f.toldStale {
-		f.tellStatus()
+	f.stream.progressed = true
+	f.upToDateAt = max(f.upToDateAt, f.now-heartbeat.Age)
+	if f.Status(f.now).Stale != f.reportedStale {
+		f.reportStatus()
 	}
 	return nil
 }
--- a/logic/configlog/replica_voter.go
+++ b/logic/configlog/replica_voter.go
@@ -1,6 +1,6 @@
 package configlog
 
-// A voter's answers to a leader.
+// This file has the responses of a voter to a leader.
 
 func (r *Replica) handleRecoverRequest(from string, request RecoverRequest) {
 	if request.Term < r.promised {
@@ -22,7 +22,7 @@
 	if request.From <= r.log.base.Index {
 		response.Behind, response.Base = true, r.log.base
 	} else {
-		response.Entries = batch(r.log.after(request.From-1), r.cfg.MessageBytes)
+		response.Entries = firstBatch(r.log.entriesAfter(request.From-1), r.cfg.MessageBytes)
 	}
 	r.send(from, response)
 }
@@ -32,12 +32,13 @@
 		r.send(from, AppendResponse{Term: request.Term, Known: r.promised})
 		return
 	}
-	if !contiguous(request.Previous, request.Entries) || request.Term == r.promised && r.state != ReplicaFollows {
+	if !contiguous(request.Previous, request.Entries) ||
+		request.Term == r.promised && r.state != ReplicaFollower {
 		return
 	}
 	r.promise(request.Term)
-	previous, entries := r.aboveBase(request)
-	if here, ok := r.log.version(previous.Index); !ok || here != previous {
+	previous, entries := r.trimToBase(request)
+	if local, ok := r.log.version(previous.Index); !ok || local != previous {
 		hint := min(r.log.last().Index, r.committed)
 		if !ok {
 			hint = r.log.last().Index
@@ -45,19 +46,20 @@
 		r.send(from, AppendResponse{Term: request.Term, Rejected: request.Previous.Index, Match: hint})
 		return
 	}
-	if !r.merge(entries) {
+	if !r.mergeEntries(entries) {
 		return
 	}
 	match := previous.Index + uint64(len(entries))
 	r.committed = max(r.committed, min(request.Commit, match))
 	if match >= request.Commit {
-		r.freshAt = now
+		r.upToDateAt = now
 	}
 	r.send(from, AppendResponse{Term: request.Term, Accepted: true, Match: match})
 }
 
-// aboveBase leaves out of a request what is at or below the base: that is committed, so the leader has the same.
-func (r *Replica) aboveBase(request AppendRequest) (Version, []Entry) {
+// trimToBase removes the entries at or below the base from a request. They are committed, so the leader
+// has the same.
+func (r *Replica) trimToBase(request AppendRequest) (Version, []Entry) {
 	base := r.log.base
 	if request.Previous.Index >= base.Index {
 		return request.Previous, request.Entries
@@ -66,12 +68,13 @@
 	return base, request.Entries[below:]
 }
 
-// merge takes entries whose place in the log is known to be right, and drops its own that differ from them. It reports false, and
-// does nothing, where they differ from what is committed: no leader's log does.
-func (r *Replica) merge(entries []Entry) bool {
-	for k, entry := range entries {
-		here, ok := r.log.version(entry.Index)
-		if ok && here == entry.Version {
+// mergeEntries appends entries that are known to continue the log at their index, and truncates own
+// entries that conflict with them. It returns false and changes nothing if they conflict with committed
+// entries, which no leader sends.
+func (r *Replica) mergeEntries(entries []Entry) bool {
+	for i, entry := range entries {
+		local, ok := r.log.version(entry.Index)
+		if ok && local == entry.Version {
 			continue
 		}
 		if ok {
@@ -80,7 +83,7 @@
 			}
 			r.truncate(entry.Index)
 		}
-		for _, entry := range entries[k:] {
+		for _, entry := range entries[i:] {
 			r.log.append(entry)
 		}
 		return true
@@ -90,15 +93,15 @@
 
 func (r *Replica) truncate(from uint64) {
 	r.log.truncate(from)
-	if from > r.savedTo {
+	if from > r.savedIndex {
 		return
 	}
-	r.savedTo = from - 1
+	r.savedIndex = from - 1
 	r.truncateFrom = from
 }
 
 func (r *Replica) handleBehindNotice(from string, notice BehindNotice) {
-	if notice.Term < r.promised || r.state != ReplicaFollows && notice.Term == r.promised {
+	if notice.Term < r.promised || r.state != ReplicaFollower && notice.Term == r.promised {
 		return
 	}
 	r.promise(notice.Term)
@@ -106,6 +109,7 @@
 		r.out.NeedSnapshot = notice.Base
 		return
 	}
-	// It has taken a snapshot since: what is committed here is in every later leader's log.
+	// The voter has installed a snapshot since. Its committed entries are in the log of every later
+	// leader.
 	r.send(from, AppendResponse{Term: notice.Term, Accepted: true, Match: r.committed})
 }
