--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -24,7 +24,7 @@
 	var rate, drift float64
 	c := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		p := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
-			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Probe: 300 * time.Millisecond, View: view.Defaults()}
+			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 300 * time.Millisecond, View: view.Defaults()}
 		for _, a := range strings.Split(join, ",") {
 			p.Join = append(p.Join, netip.MustParseAddrPort(a))
 		}
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -42,7 +42,7 @@
 func (h *hollowMembers) grow(n int) error {
 	for k := len(h.all); k < n; k++ {
 		m, err := member.New(member.Config{Name: fmt.Sprintf("hollow-%04d", k), Listen: netip.MustParseAddrPort("127.0.0.1:0"),
-			Join: h.seeds(), Allow: []netip.Prefix{loopback}, Probe: memberProbe, View: view.Defaults()}, zap.NewNop())
+			Join: h.seeds(), Allow: []netip.Prefix{loopback}, ProbeInterval: memberProbe, View: view.Defaults()}, zap.NewNop())
 		if err != nil {
 			return err
 		}
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -60,7 +60,7 @@
 	for k := range n {
 		m, err := member.New(member.Config{Name: fmt.Sprintf("m%03d", k), Zone: fmt.Sprintf("z%d", k%3),
 			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			Probe: 300 * time.Millisecond, View: view.Defaults()}, zap.NewNop())
+			ProbeInterval: 300 * time.Millisecond, View: view.Defaults()}, zap.NewNop())
 		if err != nil {
 			return 0, err
 		}
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -48,10 +48,10 @@
 	e := m.machine.Entry()
 	c.Name = handle(e.Name, e.Incarnation.Nonce)
 	c.Transport = g.transport
-	c.ProbeInterval = m.config.Probe
-	c.ProbeTimeout = time.Duration(float64(m.config.Probe) * probeWait)
+	c.ProbeInterval = m.config.ProbeInterval
+	c.ProbeTimeout = time.Duration(float64(m.config.ProbeInterval) * probeWait)
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicion, suspicionMost
-	c.GossipInterval = time.Duration(float64(m.config.Probe) * gossipPart)
+	c.GossipInterval = time.Duration(float64(m.config.ProbeInterval) * gossipPart)
 	c.GossipToTheDeadTime = burialTime
 	c.PushPullInterval = exchangeEvery
 	c.TCPTimeout = streamWait
@@ -89,7 +89,7 @@
 		m.wire.beat()
 		g.Leave(leaveTimeout)
 		m.wire.beat()
-		time.Sleep(2 * time.Duration(float64(m.config.Probe)*gossipPart))
+		time.Sleep(2 * time.Duration(float64(m.config.ProbeInterval)*gossipPart))
 	}
 	m.stop()
 }
--- a/member/loop.go
+++ b/member/loop.go
@@ -180,7 +180,7 @@
 
 // probe asks the process at an address whether it is that member.
 func (m *Member) probe(ctx context.Context, name, address string) {
-	ctx, end := context.WithTimeout(ctx, time.Duration(float64(m.config.Probe)*(1+probeWait)))
+	ctx, end := context.WithTimeout(ctx, time.Duration(float64(m.config.ProbeInterval)*(1+probeWait)))
 	defer end()
 	_, err := m.wire.probe(ctx, address, name)
 	m.ReportReachability(name, err == nil)
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -33,7 +33,7 @@
 
 func testConfig(name string, join ...netip.AddrPort) Config {
 	return Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-		Probe: 200 * time.Millisecond, View: view.Defaults()}
+		ProbeInterval: 200 * time.Millisecond, View: view.Defaults()}
 }
 
 // start runs one more member; its end is the last of c.ends.
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -107,7 +107,7 @@
 		name := memberName(plan.First + k)
 		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
 			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			Probe: probeEvery, View: boundless(plan.Fleet)}, zap.NewNop())
+			ProbeInterval: probeEvery, View: boundless(plan.Fleet)}, zap.NewNop())
 		if err != nil {
 			return err
 		}
