--- a/fleet/distribution_test.go
+++ b/fleet/distribution_test.go
@@ -75,7 +75,7 @@
 	f.t.Helper()
 	n := f.nodes[name]
 	m, err := member.New(member.Config{Name: name, Listen: n.address, Join: f.seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-		ProbeInterval: 200 * time.Millisecond, Streams: 64, View: view.Defaults()}, zap.NewNop())
+		ProbeInterval: 200 * time.Millisecond, MaxIncomingStreams: 64, View: view.Defaults()}, zap.NewNop())
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -21,17 +21,17 @@
 
 // Config is what a member is started with.
 type Config struct {
-	Name          string
-	Zone          string
-	Listen        netip.AddrPort // packets and streams of the fleet
-	Advertise     netip.AddrPort // where others reach that, if it is another address
-	Join          []netip.AddrPort
-	Allow         []netip.Prefix
-	ProbeInterval time.Duration // between two probes of others
-	Socket        string        // a local socket that tells the view, empty for none
-	Streams       int           // how many incoming streams of HandleStreams are served at a time
-	View          view.Config
-	Now           func() time.Time // the wall clock, for incarnation numbers; time.Now if nil
+	Name               string
+	Zone               string
+	Listen             netip.AddrPort // packets and streams of the fleet
+	Advertise          netip.AddrPort // where others reach that, if it is another address
+	Join               []netip.AddrPort
+	Allow              []netip.Prefix
+	ProbeInterval      time.Duration // between two probes of others
+	Socket             string        // a local socket that tells the view, empty for none
+	MaxIncomingStreams int           // how many incoming streams of HandleStreams are served at a time
+	View               view.Config
+	Now                func() time.Time // the wall clock, for incarnation numbers; time.Now if nil
 }
 
 // Member is one app server's part in the fleet.
@@ -66,7 +66,7 @@
 	if p.Now == nil {
 		p.Now = time.Now
 	}
-	w, err := openWire(p.Listen, p.Allow, p.Streams, log)
+	w, err := openWire(p.Listen, p.Allow, p.MaxIncomingStreams, log)
 	if err != nil {
 		return nil, err
 	}
--- a/member/stream_test.go
+++ b/member/stream_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	c := &crew{t: t}
 	p := testConfig("server")
-	p.Streams = limit
+	p.MaxIncomingStreams = limit
 	server = c.start(p)
 	server.HandleStreams(func(_ context.Context, s *Stream) {
 		for {
@@ -143,7 +143,7 @@
 	t.Parallel()
 	c := &crew{t: t}
 	p := testConfig("server")
-	p.Streams, p.Allow = 4, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
+	p.MaxIncomingStreams, p.Allow = 4, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
 	server := c.start(p)
 	server.HandleStreams(func(context.Context, *Stream) { t.Error("a stream from outside was served") })
 	ctx, cancel := context.WithTimeout(context.Background(), streamTestTimeout)
