--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -115,7 +115,7 @@
 	// What the joining has set off goes on being passed around for a while.
 	passed := func() (bytes, packets int64) {
 		for _, m := range all {
-			c := m.Cost()
+			c := m.Stats()
 			bytes, packets = bytes+c.SentBytes+c.GotBytes, packets+c.SentPackets
 		}
 		return bytes, packets
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -180,8 +180,8 @@
 	Dropped                                      map[string]int64
 }
 
-// Cost tells it so far; streams are not counted among the packets.
-func (m *Member) Cost() Cost {
+// Stats tells it so far; streams are not counted among the packets.
+func (m *Member) Stats() Cost {
 	w := m.wire
 	c := Cost{w.sent.packets.Load(), w.sent.bytes.Load(), w.got.packets.Load(), w.got.bytes.Load(), map[string]int64{}}
 	for k := range causes {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -166,7 +166,7 @@
 				from.WriteToUDP(one, to)
 			}
 		}
-		until(t, causeNames[cause], 5*time.Second, func() bool { return b.Cost().Dropped[causeNames[cause]] >= int64(3*len(payloads)) })
+		until(t, causeNames[cause], 5*time.Second, func() bool { return b.Stats().Dropped[causeNames[cause]] >= int64(3*len(payloads)) })
 	}
 	other, err := net.DialUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 9)}, to)
 	if err != nil {
@@ -174,7 +174,7 @@
 	}
 	defer other.Close()
 	other.Write(seal(nil, kindGossip, []byte{msgPing}))
-	until(t, "not allowed", 5*time.Second, func() bool { return b.Cost().Dropped["not allowed"] == 1 })
+	until(t, "not allowed", 5*time.Second, func() bool { return b.Stats().Dropped["not allowed"] == 1 })
 	// Streams of another kind end, and cost nothing.
 	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n", "VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
 		nc, err := net.Dial("tcp", b.Address().String())
--- a/member/show.go
+++ b/member/show.go
@@ -48,7 +48,7 @@
 
 // Status is the view in force and what it cost, for operators.
 func (m *Member) Status() Status {
-	v, c := m.View(), m.Cost()
+	v, c := m.View(), m.Stats()
 	s := Status{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
 		Packets: [2]int64{c.SentPackets, c.GotPackets}, Bytes: [2]int64{c.SentBytes, c.GotBytes}, Dropped: c.Dropped}
 	for _, e := range v.Members {
--- a/member/stream_test.go
+++ b/member/stream_test.go
@@ -152,7 +152,7 @@
 	if _, err := DialStream(ctx, local, server.Address(), "hollow", "server"); err == nil {
 		t.Error("a stream from outside was taken")
 	}
-	until(t, "it is counted", streamTestTimeout, func() bool { return server.Cost().Dropped["not allowed"] > 0 })
+	until(t, "it is counted", streamTestTimeout, func() bool { return server.Stats().Dropped["not allowed"] > 0 })
 }
 
 // A frame that is spoilt, too long or cut short ends its stream and nothing else.
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -141,7 +141,7 @@
 func (s *memberServer) sample() *Sample {
 	out := &Sample{CPUSeconds: CPU().Seconds(), ResidentBytes: resident("self")}
 	for _, m := range s.members {
-		out.Costs = append(out.Costs, m.Cost())
+		out.Costs = append(out.Costs, m.Stats())
 	}
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
