--- a/member/gossip.go
+++ b/member/gossip.go
@@ -174,16 +174,16 @@
 func (g *gossip) LocalState(bool) []byte          { return nil }
 func (g *gossip) MergeRemoteState([]byte, bool)   { /* nothing of ours comes that way */ }
 
-// Cost is what a member has sent and received, and what it dropped by cause.
-type Cost struct {
+// Stats is what a member has sent and received, and what it dropped by cause.
+type Stats struct {
 	SentPackets, SentBytes, GotPackets, GotBytes int64
 	Dropped                                      map[string]int64
 }
 
 // Stats tells it so far; streams are not counted among the packets.
-func (m *Member) Stats() Cost {
+func (m *Member) Stats() Stats {
 	w := m.wire
-	c := Cost{w.sent.packets.Load(), w.sent.bytes.Load(), w.got.packets.Load(), w.got.bytes.Load(), map[string]int64{}}
+	c := Stats{w.sent.packets.Load(), w.sent.bytes.Load(), w.got.packets.Load(), w.got.bytes.Load(), map[string]int64{}}
 	for k := range causes {
 		if n := w.counts[k].Load(); n > 0 {
 			c.Dropped[causeNames[k]] = n
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -45,7 +45,7 @@
 	CPUSeconds    float64
 	ResidentBytes float64
 	HeapBytes     float64
-	Costs         []member.Cost
+	Costs         []member.Stats
 }
 
 // report is one line from the process: the addresses at first, then what is seen, and samples when asked for.
