--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -6,7 +6,7 @@
 	HoldTime      float64 // a death counts once it has stood so long
 	SettleTime    float64 // a view is converged once nothing has changed for so long
 	HealthyTime   float64 // a view that lost members counts as healthy once it has been converged for so long
-	LonelyTime    float64 // a process that has met nobody is no longer joining after so long
+	JoinTimeout   float64 // a process that has met nobody is no longer joining after so long
 	LagThreshold  float64 // own lateness from which others are not accused
 	WakeThreshold float64 // own lateness after which all that is believed is asked for anew
 	DoubtTime     float64 // how long after waking nobody is buried
@@ -45,7 +45,7 @@
 		HoldTime:      0.6, // a member refutes its own death within two or three rounds of gossip
 		SettleTime:    1.2, // four probes, each of which brings another's digest
 		HealthyTime:   10,  // past the slowest finding of the members of one cut
-		LonelyTime:    3,   // ten tries at given addresses
+		JoinTimeout:   3,   // ten tries at given addresses
 		LagThreshold:  0.3, // the time that a probe waits for
 		WakeThreshold: 1.5, // before that nobody has been buried, here or elsewhere
 		DoubtTime:     2.5, // a meeting, a round of gossip, and a suspicion to be refuted
--- a/logic/view/machine.go
+++ b/logic/view/machine.go
@@ -107,7 +107,7 @@
 // declare says of ourselves what has changed.
 func (m *Machine) declare(unhealthy bool, load Load, now float64) {
 	state := m.wanted
-	if state < Leaving && math.IsInf(m.metAt, 1) && now-m.startedAt < m.config.LonelyTime {
+	if state < Leaving && math.IsInf(m.metAt, 1) && now-m.startedAt < m.config.JoinTimeout {
 		state = Joining
 	}
 	if m.self.State == state && m.self.Unhealthy == unhealthy && m.self.Load == load {
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -330,7 +330,7 @@
 	if s := say(Serving); s != Joining {
 		t.Errorf("%v before it has met anybody", s)
 	}
-	o.pass(o.config.LonelyTime)
+	o.pass(o.config.JoinTimeout)
 	if s := o.View().Find("me").State; s != Serving || o.View().Certainty != Alone {
 		t.Errorf("%v, %v when nobody is there", s, o.View().Certainty)
 	}
