--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -9,7 +9,7 @@
 	JoinTimeout   float64 // a process that has met nobody is no longer joining after so long
 	LagThreshold  float64 // own lateness from which others are not accused
 	WakeThreshold float64 // own lateness after which all that is believed is asked for anew
-	DoubtTime     float64 // how long after waking nobody is buried
+	WakeGraceTime float64 // how long after waking nobody is buried
 	ForgetTime    float64 // after which a dead member, or the size of a lost fleet, is forgotten
 	VouchTime     float64 // for at most so long what the data path reports stands against gossip's
 	MaxNames      int     // names that are known at one time
@@ -48,7 +48,7 @@
 		JoinTimeout:   3,   // ten tries at given addresses
 		LagThreshold:  0.3, // the time that a probe waits for
 		WakeThreshold: 1.5, // before that nobody has been buried, here or elsewhere
-		DoubtTime:     2.5, // a meeting, a round of gossip, and a suspicion to be refuted
+		WakeGraceTime: 2.5, // a meeting, a round of gossip, and a suspicion to be refuted
 		ForgetTime:    600, // an operator has looked by then, or the machine is gone
 		VouchTime:     8,   // over a stall of a collector or of a switch, under what a caller would notice
 		MaxNames:      1024,
--- a/logic/view/evidence.go
+++ b/logic/view/evidence.go
@@ -105,7 +105,7 @@
 	if span < m.config.LagThreshold || !m.config.enabled(Doubting) {
 		return
 	}
-	m.lagUntil = max(m.lagUntil, now+min(2*span, m.config.DoubtTime))
+	m.lagUntil = max(m.lagUntil, now+min(2*span, m.config.WakeGraceTime))
 	for _, r := range m.records {
 		if r.phase == suspect { // time in which nobody could have been heard does not count
 			r.since = min(r.since+span, max(now, r.since))
@@ -114,7 +114,7 @@
 	if span < m.config.WakeThreshold {
 		return
 	}
-	m.doubtUntil = now + m.config.DoubtTime
+	m.doubtUntil = now + m.config.WakeGraceTime
 	for _, r := range m.records {
 		if r.phase == alive || r.phase == suspect {
 			m.move(r, suspect, m.doubtUntil) // until it is heard again
