--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -108,7 +108,7 @@
 	if !m.config.enabled(Holding) {
 		hold = 0
 	}
-	vouched := r.reachableAt >= r.since && now-r.reachableAt < 2*m.config.HoldTime && now-r.since < m.config.VouchTime
+	vouched := r.reachableAt >= r.since && now-r.reachableAt < 2*m.config.HoldTime && now-r.since < m.config.MaxOverrideTime
 	if now-r.since >= hold && !vouched {
 		return true
 	}
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -199,7 +199,7 @@
 		k := len(o.versions)
 		o.step(died("o01", 10))
 		work := func() { o.step(Event{Kind: Reachability, Name: "o01", OK: true}) }
-		o.pass(o.config.VouchTime-1, work)
+		o.pass(o.config.MaxOverrideTime-1, work)
 		if o.digests(k) > 0 || !o.ordered(Probe, "a-o01") {
 			return "taken for dead while its work answers"
 		}
