--- a/logic/view/evidence.go
+++ b/logic/view/evidence.go
@@ -111,7 +111,7 @@
 			r.since = min(r.since+span, max(now, r.since))
 		}
 	}
-	if span < m.config.WakeThreshold {
+	if span < m.config.RebuildThreshold {
 		return
 	}
 	m.doubtUntil = now + m.config.WakeGraceTime
--- a/member/member.go
+++ b/member/member.go
@@ -76,7 +76,7 @@
 	m := &Member{config: p, log: log, wire: w, events: make(chan view.Event, maxEvents), announceDue: make(chan struct{}, 1),
 		subs: map[chan struct{}]struct{}{}}
 	m.killed, m.kill = context.WithCancel(context.Background())
-	w.lag, w.wake = seconds(p.View.LagThreshold), seconds(p.View.WakeThreshold)
+	w.lag, w.wake = seconds(p.View.LagThreshold), seconds(p.View.RebuildThreshold)
 	w.onEvent, w.onProbe, w.onMessage = m.enqueue, m.answerProbe, m.handleMessage
 	var seeds []string
 	for _, a := range p.Join {
