--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -24,7 +24,7 @@
 // The rules, each of which a property test misses when it is left out.
 const (
 	NewerWins       Rule = 1 << iota // of two incarnations under one name the newer counts
-	Holding                          // a death counts only once it has stood
+	ConfirmingDeath                  // a death counts only once it has stood
 	Damping                          // what flaps waits longer and longer
 	Doubting                         // who was late doubts itself first
 	DetectPartition                  // less than half of a healthy view is reported as a partition
--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -105,7 +105,7 @@
 	if wait > m.config.BatchTime {
 		hold = max(hold, wait)
 	}
-	if !m.config.enabled(Holding) {
+	if !m.config.enabled(ConfirmingDeath) {
 		hold = 0
 	}
 	vouched := r.reachableAt >= r.since && now-r.reachableAt < 2*m.config.HoldTime && now-r.since < m.config.MaxOverrideTime
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -96,7 +96,7 @@
 		}
 		return ""
 	},
-	Holding: func(o *one) string {
+	ConfirmingDeath: func(o *one) string {
 		o.meet(3)
 		k := len(o.versions)
 		o.step(died("o01", 10))
