--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -26,7 +26,7 @@
 	NewerWins       Rule = 1 << iota // of two incarnations under one name the newer counts
 	ConfirmingDeath                  // a death counts only once it has stood
 	Damping                          // what flaps waits longer and longer
-	Doubting                         // who was late doubts itself first
+	DetectingOwnLag                  // who was late doubts itself first
 	DetectPartition                  // less than half of a healthy view is reported as a partition
 	Bounding                         // names are bounded
 	Agreeing                         // converged only if those asked last see the same
--- a/logic/view/evidence.go
+++ b/logic/view/evidence.go
@@ -102,7 +102,7 @@
 // handleLateness takes in that this process was off its core. What it believes of others may be its own doing: while it is late it
 // accuses nobody, and after a long time it begins anew.
 func (m *Machine) handleLateness(span, now float64) {
-	if span < m.config.LagThreshold || !m.config.enabled(Doubting) {
+	if span < m.config.LagThreshold || !m.config.enabled(DetectingOwnLag) {
 		return
 	}
 	m.lagUntil = max(m.lagUntil, now+min(2*span, m.config.WakeGraceTime))
--- a/logic/view/machine.go
+++ b/logic/view/machine.go
@@ -70,7 +70,7 @@
 // Accuses reports whether this process may say of others that they are suspect or dead: not while it has been late
 // itself.
 func (m *Machine) Accuses(now float64) bool {
-	return !m.config.enabled(Doubting) || now >= m.lagUntil && now >= m.doubtUntil
+	return !m.config.enabled(DetectingOwnLag) || now >= m.lagUntil && now >= m.doubtUntil
 }
 
 // Step takes one event in.
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -122,7 +122,7 @@
 		}
 		return ""
 	},
-	Doubting: func(o *one) string {
+	DetectingOwnLag: func(o *one) string {
 		o.meet(6)
 		k := len(o.versions)
 		o.now += 5
