--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -23,17 +23,17 @@
 
 // The rules, each of which a property test misses when it is left out.
 const (
-	NewerWins       Rule = 1 << iota // of two incarnations under one name the newer counts
-	ConfirmingDeath                  // a death counts only once it has stood
-	Damping                          // what flaps waits longer and longer
-	DetectingOwnLag                  // who was late doubts itself first
-	DetectPartition                  // less than half of a healthy view is reported as a partition
-	Bounding                         // names are bounded
-	Agreeing                         // converged only if those asked last see the same
-	Vouching                         // what the data path reports counts
-	Rejoining                        // dead members are contacted again
-	NotifyingNewer                   // an older incarnation is told of a newer one
-	Mending                          // with one that goes on seeing something else, all that is known is exchanged
+	NewerWins        Rule = 1 << iota // of two incarnations under one name the newer counts
+	ConfirmingDeath                   // a death counts only once it has stood
+	Damping                           // what flaps waits longer and longer
+	DetectingOwnLag                   // who was late doubts itself first
+	DetectPartition                   // less than half of a healthy view is reported as a partition
+	Bounding                          // names are bounded
+	ComparingDigests                  // converged only if those asked last see the same
+	Vouching                          // what the data path reports counts
+	Rejoining                         // dead members are contacted again
+	NotifyingNewer                    // an older incarnation is told of a newer one
+	Mending                           // with one that goes on seeing something else, all that is known is exchanged
 )
 
 func (t *Config) enabled(r Rule) bool { return t.Disabled&r == 0 }
--- a/logic/view/convergence.go
+++ b/logic/view/convergence.go
@@ -108,7 +108,7 @@
 	}
 	for _, e := range m.echoes {
 		// What was said before our own last change, or long ago, says nothing of now.
-		if e.at > m.changed+m.config.BatchTime && now-e.at < 3*m.config.SettleTime && e.digest != m.digest && m.config.enabled(Agreeing) {
+		if e.at > m.changed+m.config.BatchTime && now-e.at < 3*m.config.SettleTime && e.digest != m.digest && m.config.enabled(ComparingDigests) {
 			return false
 		}
 	}
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -177,7 +177,7 @@
 		}
 		return ""
 	},
-	Agreeing: func(o *one) string {
+	ComparingDigests: func(o *one) string {
 		o.meet(3)
 		if o.View().Certainty != Converged {
 			return "not converged though nothing is under way"
