--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -30,7 +30,7 @@
 	DetectPartition                   // less than half of a healthy view is reported as a partition
 	Bounding                          // names are bounded
 	ComparingDigests                  // converged only if those asked last see the same
-	Vouching                          // what the data path reports counts
+	TrustingDataPath                  // what the data path reports counts
 	Rejoining                         // dead members are contacted again
 	NotifyingNewer                    // an older incarnation is told of a newer one
 	Mending                           // with one that goes on seeing something else, all that is known is exchanged
--- a/logic/view/evidence.go
+++ b/logic/view/evidence.go
@@ -83,7 +83,7 @@
 
 func (m *Machine) handleReachability(name string, ok bool, now float64) {
 	r := m.records[name]
-	if r == nil || !m.config.enabled(Vouching) {
+	if r == nil || !m.config.enabled(TrustingDataPath) {
 		return
 	}
 	failed := r.failures >= unreachableAfter
--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -113,7 +113,7 @@
 		return true
 	}
 	// Its work may say that it is there, whatever gossip says; but not for ever.
-	if now-r.probedAt >= m.config.HoldTime && m.config.enabled(Vouching) {
+	if now-r.probedAt >= m.config.HoldTime && m.config.enabled(TrustingDataPath) {
 		r.probedAt = now
 		m.emit(Action{Kind: Probe, Name: r.latest.Name, Address: r.latest.Address})
 	}
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -194,7 +194,7 @@
 		}
 		return ""
 	},
-	Vouching: func(o *one) string {
+	TrustingDataPath: func(o *one) string {
 		o.meet(3)
 		k := len(o.versions)
 		o.step(died("o01", 10))
