--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -33,7 +33,7 @@
 	TrustingDataPath                  // what the data path reports counts
 	Rejoining                         // dead members are contacted again
 	NotifyingNewer                    // an older incarnation is told of a newer one
-	Mending                           // with one that goes on seeing something else, all that is known is exchanged
+	Reconciling                       // with one that goes on seeing something else, all that is known is exchanged
 )
 
 func (t *Config) enabled(r Rule) bool { return t.Disabled&r == 0 }
--- a/logic/view/rejoin.go
+++ b/logic/view/rejoin.go
@@ -133,7 +133,7 @@
 // tells each word a bounded number of times, and in a storm of words, as when hundreds start together, somebody misses one.
 // A whole exchange by chance comes once in a minute there; the digests say at once with whom it is worth it.
 func (m *Machine) exchangeWithDiffering(now float64) {
-	if now < m.exchangeAt || now-m.changed < m.config.SettleTime || m.rejoin.open >= m.config.MaxContacts || !m.config.enabled(Mending) {
+	if now < m.exchangeAt || now-m.changed < m.config.SettleTime || m.rejoin.open >= m.config.MaxContacts || !m.config.enabled(Reconciling) {
 		return
 	}
 	var others []string
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -232,7 +232,7 @@
 		}
 		return ""
 	},
-	Mending: func(o *one) string {
+	Reconciling: func(o *one) string {
 		o.meet(3)
 		o.step(Event{Kind: Echo, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
 		o.pass(0.5)
@@ -270,7 +270,7 @@
 			t.Errorf("rule %b is left out, and nobody notices", rule)
 		}
 	}
-	if len(shown) != 11 || Mending != 1<<10 {
+	if len(shown) != 11 || Reconciling != 1<<10 {
 		t.Error("a rule has nothing that shows it")
 	}
 }
