--- a/logic/view/event.go
+++ b/logic/view/event.go
@@ -7,7 +7,7 @@
 	Name    string  // Reachability, Echo
 	Address string  // ContactDone
 	OK      bool    // Reachability, ContactDone: it answered
-	Span    float64 // Late: seconds
+	Lag     float64 // Late: seconds
 	Version uint64  // Echo
 	Digest  uint64  // Echo
 }
--- a/logic/view/machine.go
+++ b/logic/view/machine.go
@@ -95,7 +95,7 @@
 			m.echoes[e.Name] = echo{now, e.Digest}
 		}
 	case Late:
-		m.handleLateness(e.Span, now)
+		m.handleLateness(e.Lag, now)
 	case Self:
 		m.wanted = e.Entry.State
 		m.declare(e.Entry.Unhealthy, e.Entry.Load, now)
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -126,7 +126,7 @@
 		o.meet(6)
 		k := len(o.versions)
 		o.now += 5
-		o.step(Event{Kind: Late, Span: 5})
+		o.step(Event{Kind: Late, Lag: 5})
 		for b := range 6 {
 			o.step(died(fmt.Sprintf("o%02d", b), 10))
 		}
@@ -491,7 +491,7 @@
 				if c.asleep == 0 {
 					c.asleep = w.now
 				} else {
-					c.Step(Event{Kind: Late, Span: w.now - c.asleep}, w.now)
+					c.Step(Event{Kind: Late, Lag: w.now - c.asleep}, w.now)
 					c.asleep = 0
 				}
 			case 3:
@@ -510,7 +510,7 @@
 				alive++
 			}
 			if c.asleep > 0 {
-				c.Step(Event{Kind: Late, Span: w.now - c.asleep}, w.now)
+				c.Step(Event{Kind: Late, Lag: w.now - c.asleep}, w.now)
 				c.asleep = 0
 			}
 		}
