--- a/logic/view/event.go
+++ b/logic/view/event.go
@@ -22,7 +22,7 @@
 	Leave                             // gossip says that it has left by its own word
 	NewerIncarnation                  // another member knows a newer incarnation of our name, which has ended
 	Reachability                      // the data path had an answer from a member, or failed to
-	Echo                              // what a member says of its own view
+	PeerDigest                        // what a member says of its own view
 	Late                              // this process was off its core for so long
 	Self                              // what is to be said of this process
 	ContactDone                       // an address that was to be tried has been tried
--- a/logic/view/machine.go
+++ b/logic/view/machine.go
@@ -89,7 +89,7 @@
 		}
 	case Reachability:
 		m.handleReachability(e.Name, e.OK, now)
-	case Echo:
+	case PeerDigest:
 		if r := m.records[e.Name]; r != nil && r.visible && e.Version < MaxIncarnation {
 			m.highest = max(m.highest, e.Version)
 			m.echoes[e.Name] = echo{now, e.Digest}
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -182,12 +182,12 @@
 		if o.View().Certainty != Converged {
 			return "not converged though nothing is under way"
 		}
-		o.step(Event{Kind: Echo, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
+		o.step(Event{Kind: PeerDigest, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
 		o.pass(0.5)
 		if o.View().Certainty != Converging {
 			return "converged though another sees something else"
 		}
-		o.step(Event{Kind: Echo, Name: "o01", Version: 9, Digest: o.View().Digest})
+		o.step(Event{Kind: PeerDigest, Name: "o01", Version: 9, Digest: o.View().Digest})
 		o.pass(0.5)
 		if v := o.View(); v.Certainty != Converged || v.Version != 9 {
 			return fmt.Sprintf("%v, version %d, though another sees the same at version 9", v.Certainty, v.Version)
@@ -234,9 +234,9 @@
 	},
 	Reconciling: func(o *one) string {
 		o.meet(3)
-		o.step(Event{Kind: Echo, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
+		o.step(Event{Kind: PeerDigest, Name: "o01", Version: 3, Digest: o.View().Digest + 1})
 		o.pass(0.5)
-		o.step(Event{Kind: Echo, Name: "o02", Version: 3, Digest: o.View().Digest})
+		o.step(Event{Kind: PeerDigest, Name: "o02", Version: 3, Digest: o.View().Digest})
 		o.pass(0.5)
 		if !o.ordered(Contact, "a-o01") || o.ordered(Contact, "a-o02") {
 			return "nothing is exchanged with the one that sees something else"
@@ -418,7 +418,7 @@
 			case reach(c, d) && known:
 				w.meets(c, d)
 				if v := d.View(); w.chance.IntN(4) == 0 {
-					c.Step(Event{Kind: Echo, Name: name, Version: v.Version, Digest: v.Digest}, w.now)
+					c.Step(Event{Kind: PeerDigest, Name: name, Version: v.Version, Digest: v.Digest}, w.now)
 				}
 			case reach(c, d) && slices.ContainsFunc(w.all, func(e *citizen) bool {
 				_, both := e.knows[name]
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -161,7 +161,7 @@
 	e, err := readEntry(n.Meta)
 	version, digest, ok := readEcho(payload)
 	if err == nil && ok {
-		g.m.enqueue(view.Event{Kind: view.Echo, Name: e.Name, Version: version, Digest: digest})
+		g.m.enqueue(view.Event{Kind: view.PeerDigest, Name: e.Name, Version: version, Digest: digest})
 	}
 }
 
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -162,7 +162,7 @@
 	}
 	seen := v.nodes[(k+1+v.random.IntN(len(v.nodes)-1))%len(v.nodes)].View()
 	who := v.entries[v.random.IntN(len(v.entries))].Name
-	v.nodes[k].Step(view.Event{Kind: view.Echo, Name: who, Version: seen.Version, Digest: seen.Digest}, v.now)
+	v.nodes[k].Step(view.Event{Kind: view.PeerDigest, Name: who, Version: seen.Version, Digest: seen.Digest}, v.now)
 }
 
 // restart draws the restarts of one tick. Observers themselves stay.
