--- a/logic/view/convergence.go
+++ b/logic/view/convergence.go
@@ -97,7 +97,7 @@
 
 // converged reports whether nothing is under way, here or with those who were asked last.
 func (m *Machine) converged(now float64) bool {
-	if now-m.changed < m.config.SettleTime || !m.Accuses(now) {
+	if now-m.changed < m.config.SettleTime || !m.MaySuspect(now) {
 		return false
 	}
 	for _, r := range m.records {
--- a/logic/view/machine.go
+++ b/logic/view/machine.go
@@ -67,9 +67,9 @@
 // Superseded reports whether a later process has this one's name.
 func (m *Machine) Superseded() bool { return m.superseded }
 
-// Accuses reports whether this process may say of others that they are suspect or dead: not while it has been late
+// MaySuspect reports whether this process may say of others that they are suspect or dead: not while it has been late
 // itself.
-func (m *Machine) Accuses(now float64) bool {
+func (m *Machine) MaySuspect(now float64) bool {
 	return !m.config.enabled(DetectingOwnLag) || now >= m.lagUntil && now >= m.doubtUntil
 }
 
--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -98,7 +98,7 @@
 
 // confirmedDead reports whether a suspect member is to be taken for dead now.
 func (m *Machine) confirmedDead(r *record, wait, now float64) bool {
-	if now < r.since || !m.Accuses(now) {
+	if now < r.since || !m.MaySuspect(now) {
 		return false
 	}
 	hold := m.config.HoldTime
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -130,7 +130,7 @@
 		for b := range 6 {
 			o.step(died(fmt.Sprintf("o%02d", b), 10))
 		}
-		if o.Accuses(o.now) {
+		if o.MaySuspect(o.now) {
 			return "accuses others right after its sleep"
 		}
 		o.pass(2)
--- a/member/loop.go
+++ b/member/loop.go
@@ -67,7 +67,7 @@
 		// Whatever it was that woke us: if we slept, that comes first.
 		if gap := time.Since(last) - beatEvery; gap > m.wire.lag {
 			m.machine.Step(view.Event{Kind: view.Late, Lag: gap.Seconds()}, m.now())
-			m.wire.accuses.Store(m.machine.Accuses(m.now()))
+			m.wire.accuses.Store(m.machine.MaySuspect(m.now()))
 			if gap > m.wire.wake {
 				m.log.Warn("fleet: this process slept and begins gossip anew", zap.Float64("slept_s", round(gap.Seconds())))
 			}
@@ -82,7 +82,7 @@
 		} else {
 			m.machine.Tick(m.now())
 		}
-		m.wire.accuses.Store(m.machine.Accuses(m.now()))
+		m.wire.accuses.Store(m.machine.MaySuspect(m.now()))
 		m.carryOut(all)
 		m.wire.beat()
 	}
