--- a/logic/view/convergence.go
+++ b/logic/view/convergence.go
@@ -32,7 +32,7 @@
 	}
 	v := &View{Version: m.version, Digest: m.digest, Certainty: sure, Members: m.members, Changes: changes}
 	if sure == Partitioned {
-		v.Healthy = m.healthy
+		v.LastHealthy = m.healthy
 	}
 	m.published = v
 	m.emit(Action{Kind: Publish, View: v})
--- a/logic/view/view.go
+++ b/logic/view/view.go
@@ -93,12 +93,12 @@
 
 // View is who is in the fleet, as seen from one member at one time. It is never changed once published.
 type View struct {
-	Version   uint64
-	Digest    uint64
-	Certainty Certainty
-	Members   []Entry // ordered by name, this process's own among them: never empty
-	Healthy   []Entry // the last healthy view while this one is partitioned, nil otherwise
-	Changes   []Change
+	Version     uint64
+	Digest      uint64
+	Certainty   Certainty
+	Members     []Entry // ordered by name, this process's own among them: never empty
+	LastHealthy []Entry // the last healthy view while this one is partitioned, nil otherwise
+	Changes     []Change
 }
 
 // Change is one step from the view before to this one.
--- a/logic/view/view_test.go
+++ b/logic/view/view_test.go
@@ -150,11 +150,11 @@
 			o.pass(0.5) // not all at one time
 		}
 		o.pass(2)
-		if v := o.View(); v.Certainty != Partitioned || len(v.Members) != 5 || len(v.Healthy) != 12 {
-			return fmt.Sprintf("%v of %d with %d beside", v.Certainty, len(v.Members), len(v.Healthy))
+		if v := o.View(); v.Certainty != Partitioned || len(v.Members) != 5 || len(v.LastHealthy) != 12 {
+			return fmt.Sprintf("%v of %d with %d beside", v.Certainty, len(v.Members), len(v.LastHealthy))
 		}
 		o.pass(o.config.ForgetTime + 1)
-		if v := o.View(); v.Certainty == Partitioned || v.Healthy != nil {
+		if v := o.View(); v.Certainty == Partitioned || v.LastHealthy != nil {
 			return "partitioned for ever"
 		}
 		return ""
@@ -461,8 +461,8 @@
 	if !slices.IsSortedFunc(v.Members, byName) || digest(v.Members) != v.Digest {
 		w.t.Fatalf("a view out of order, or with another's digest")
 	}
-	if (v.Certainty == Partitioned) != (v.Healthy != nil) || v.Certainty == Partitioned && 2*len(v.Members) >= len(v.Healthy) {
-		w.t.Fatalf("%v: %d members, %d beside", v.Certainty, len(v.Members), len(v.Healthy))
+	if (v.Certainty == Partitioned) != (v.LastHealthy != nil) || v.Certainty == Partitioned && 2*len(v.Members) >= len(v.LastHealthy) {
+		w.t.Fatalf("%v: %d members, %d beside", v.Certainty, len(v.Members), len(v.LastHealthy))
 	}
 }
 
--- a/member/loop.go
+++ b/member/loop.go
@@ -139,7 +139,7 @@
 	m.mu.Unlock()
 	if was == nil || v.Digest != was.Digest || v.Certainty != was.Certainty {
 		m.log.Info("view", zap.Uint64("version", v.Version), zap.String("digest", digestText(v.Digest)),
-			zap.Stringer("certainty", v.Certainty), zap.Int("members", len(v.Members)), zap.Int("healthy", len(v.Healthy)),
+			zap.Stringer("certainty", v.Certainty), zap.Int("members", len(v.Members)), zap.Int("healthy", len(v.LastHealthy)),
 			zap.Strings("changes", changeTexts(v.Changes)))
 	}
 }
--- a/member/show.go
+++ b/member/show.go
@@ -58,7 +58,7 @@
 	if roles := m.roles.Load(); roles != nil {
 		s.Roles, _ = json.Marshal((*roles)())
 	}
-	for _, e := range v.Healthy {
+	for _, e := range v.LastHealthy {
 		s.Healthy = append(s.Healthy, e.Name)
 	}
 	return s
