--- a/member/member_test.go
+++ b/member/member_test.go
@@ -326,7 +326,7 @@
 		return err == nil
 	})
 	var table bytes.Buffer
-	s.Healthy = []string{"a", "gone"}
+	s.LastHealthy = []string{"a", "gone"}
 	s.Table(&table)
 	for _, want := range []string{"view 1 of a, alone: 1 members", "missing of the last healthy view: gone", "hall-1", "this one", a.Address().String()} {
 		if !strings.Contains(table.String(), want) {
--- a/member/show.go
+++ b/member/show.go
@@ -18,16 +18,16 @@
 
 // Status is what a member tells on its local socket, as one JSON object.
 type Status struct {
-	Name      string           `json:"name"`
-	Version   uint64           `json:"version"`
-	Digest    string           `json:"digest"`
-	Certainty string           `json:"certainty"`
-	Members   []MemberStatus   `json:"members"`
-	Healthy   []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is partitioned
-	Packets   [2]int64         `json:"packets"`           // sent, got
-	Bytes     [2]int64         `json:"bytes"`             // sent, got, without streams
-	Dropped   map[string]int64 `json:"dropped,omitempty"`
-	Roles     json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
+	Name        string           `json:"name"`
+	Version     uint64           `json:"version"`
+	Digest      string           `json:"digest"`
+	Certainty   string           `json:"certainty"`
+	Members     []MemberStatus   `json:"members"`
+	LastHealthy []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is partitioned
+	Packets     [2]int64         `json:"packets"`           // sent, got
+	Bytes       [2]int64         `json:"bytes"`             // sent, got, without streams
+	Dropped     map[string]int64 `json:"dropped,omitempty"`
+	Roles       json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
 }
 
 // MemberStatus is one line of it.
@@ -59,7 +59,7 @@
 		s.Roles, _ = json.Marshal((*roles)())
 	}
 	for _, e := range v.LastHealthy {
-		s.Healthy = append(s.Healthy, e.Name)
+		s.LastHealthy = append(s.LastHealthy, e.Name)
 	}
 	return s
 }
@@ -150,7 +150,7 @@
 // missing names who of the last healthy view is missing.
 func (s Status) missing() []string {
 	var all []string
-	for _, name := range s.Healthy {
+	for _, name := range s.LastHealthy {
 		if !slices.ContainsFunc(s.Members, func(e MemberStatus) bool { return e.Name == name }) {
 			all = append(all, name)
 		}
