--- a/logic/view/config.go
+++ b/logic/view/config.go
@@ -1,56 +1,57 @@
 package view
 
-// Config has the figures that a Machine decides by; times are seconds. Defaults has them, and how each was chosen.
+// Config holds the parameters of a Machine; times are in seconds. Defaults returns the usual values and
+// states their reasons.
 type Config struct {
-	BatchTime        float64 // changes are gathered for so long before they make a view
-	HoldTime         float64 // a death counts once it has stood so long
-	SettleTime       float64 // a view is converged once nothing has changed for so long
-	HealthyTime      float64 // a view that lost members counts as healthy once it has been converged for so long
-	JoinTimeout      float64 // a process that has met nobody is no longer joining after so long
-	LagThreshold     float64 // own lateness from which others are not accused
-	RebuildThreshold float64 // own lateness after which all that is believed is asked for anew
-	WakeGraceTime    float64 // how long after waking nobody is buried
-	ForgetTime       float64 // after which a dead member, or the size of a lost fleet, is forgotten
-	MaxOverrideTime  float64 // for at most so long what the data path reports stands against gossip's
-	MaxNames         int     // names that are known at one time
-	MaxRemembered    int     // of these, dead members
-	MaxContacts      int     // addresses that are tried at once
-	Disabled         Rule    // rules that are left out, to show that their loss is noticed: none in service
+	BatchTime        float64 // changes within this time are published as one view
+	HoldTime         float64 // a reported death is confirmed after this time
+	SettleTime       float64 // a view is converged once it has not changed for this time
+	HealthyTime      float64 // a view that lost members is healthy after being converged for this time
+	JoinTimeout      float64 // a process that has found no other member stops joining after this time
+	LagThreshold     float64 // lag of this process from which it suspects no other member
+	RebuildThreshold float64 // lag from which gossip is rebuilt and every member verified again
+	WakeGraceTime    float64 // time after a rebuild in which no member is declared dead
+	ForgetTime       float64 // time after which a dead member, or the size before a partition, is forgotten
+	MaxOverrideTime  float64 // bound on how long data path answers override a death reported by gossip
+	MaxNames         int     // upper bound on the names known at a time
+	MaxRemembered    int     // upper bound on the dead members among them
+	MaxContacts      int     // upper bound on concurrent contact attempts
+	Disabled         Rule    // rules disabled by tests that check that this is detected; none in service
 }
 
-// Rule is a set of rules that can be left out.
+// Rule is a set of rules that can be disabled.
 type Rule uint16
 
-// The rules, each of which a property test misses when it is left out.
+// The rules. For each there is a property test that fails when the rule is disabled.
 const (
-	NewerWins        Rule = 1 << iota // of two incarnations under one name the newer counts
-	ConfirmingDeath                   // a death counts only once it has stood
-	Damping                           // what flaps waits longer and longer
-	DetectingOwnLag                   // who was late doubts itself first
-	DetectPartition                   // less than half of a healthy view is reported as a partition
-	Bounding                          // names are bounded
-	ComparingDigests                  // converged only if those asked last see the same
-	TrustingDataPath                  // what the data path reports counts
+	NewerWins        Rule = 1 << iota // of two incarnations with the same name the newer one counts
+	ConfirmingDeath                   // a death counts only after it has stood for HoldTime
+	Damping                           // changes of a flapping member are delayed for longer and longer
+	DetectingOwnLag                   // a process that was late suspects itself before others
+	DetectPartition                   // a view below half of the last healthy one is reported as partitioned
+	Bounding                          // the number of names is bounded
+	ComparingDigests                  // a view is converged only if recent digests of peers equal its own
+	TrustingDataPath                  // reachability over the data path counts
 	Rejoining                         // dead members are contacted again
-	NotifyingNewer                    // an older incarnation is told of a newer one
-	Reconciling                       // with one that goes on seeing something else, all that is known is exchanged
+	NotifyingNewer                    // an older incarnation is notified of a newer one
+	Reconciling                       // all state is exchanged with a member whose view keeps differing
 )
 
-func (t *Config) enabled(r Rule) bool { return t.Disabled&r == 0 }
+func (c *Config) enabled(rule Rule) bool { return c.Disabled&rule == 0 }
 
-// Defaults returns the usual config, for a probe every 0.3 s.
+// Defaults returns the usual parameters, for a probe interval of 0.3 s.
 func Defaults() Config {
 	return Config{
-		BatchTime:        0.2, // a round of gossip: what one cause brings about comes within it
-		HoldTime:         0.6, // a member refutes its own death within two or three rounds of gossip
-		SettleTime:       1.2, // four probes, each of which brings another's digest
-		HealthyTime:      10,  // past the slowest finding of the members of one cut
-		JoinTimeout:      3,   // ten tries at given addresses
-		LagThreshold:     0.3, // the time that a probe waits for
-		RebuildThreshold: 1.5, // before that nobody has been buried, here or elsewhere
-		WakeGraceTime:    2.5, // a meeting, a round of gossip, and a suspicion to be refuted
-		ForgetTime:       600, // an operator has looked by then, or the machine is gone
-		MaxOverrideTime:  8,   // over a stall of a collector or of a switch, under what a caller would notice
+		BatchTime:        0.2, // one gossip round, in which all effects of one cause arrive
+		HoldTime:         0.6, // a member refutes a false death within two or three gossip rounds
+		SettleTime:       1.2, // four probes, each of which returns a peer's digest
+		HealthyTime:      10,  // longer than it takes to detect all members lost in one partition
+		JoinTimeout:      3,   // ten attempts at the seed addresses
+		LagThreshold:     0.3, // the timeout of a probe
+		RebuildThreshold: 1.5, // shorter than any death detection, here or elsewhere
+		WakeGraceTime:    2.5, // a contact, a gossip round, and the refutation of a suspicion
+		ForgetTime:       600, // by then an operator has reacted, or the machine is gone
+		MaxOverrideTime:  8,   // longer than a collector's or a switch's pause, shorter than a caller would notice
 		MaxNames:         1024,
 		MaxRemembered:    512,
 		MaxContacts:      3,
--- a/logic/view/convergence.go
+++ b/logic/view/convergence.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// refresh makes a new view of what has come about, if anything has, and judges its certainty.
-func (m *Machine) refresh(now float64, changes []Change) {
-	fresh := m.dirty && m.gather()
-	m.dirty = false
-	d := m.digest
-	if fresh {
-		d = digest(m.members)
+// refreshView publishes a new view if the members or the certainty have changed.
+func (m *Machine) refreshView(now float64, changes []Change) {
+	membersChanged := m.membersChanged && m.updateMembers()
+	m.membersChanged = false
+	newDigest := m.digest
+	if membersChanged {
+		newDigest = digest(m.members)
 	}
 	switch {
-	case d != m.digest || m.published == nil:
-		m.digest, m.changed = d, now
-		m.version = max(m.version, m.highest) + 1
-	case m.highest > m.version && m.agreed():
-		// Members that see the same count on from the highest version among them.
-		m.version, fresh = m.highest, true
+	case newDigest != m.digest || m.published == nil:
+		m.digest, m.digestChangedAt = newDigest, now
+		m.version = max(m.version, m.highestVersion) + 1
+	case m.highestVersion > m.version && m.hasAgreeingPeer():
+		// Members with equal digests adopt the highest version among them.
+		m.version, membersChanged = m.highestVersion, true
 	}
 	for _, c := range changes {
 		if c.What == "went" {
-			delete(m.echoes, c.Name)
+			delete(m.peerDigests, c.Name)
 		}
 	}
-	sure := m.judge(now)
-	if !fresh && m.published != nil && sure == m.published.Certainty {
+	certainty := m.updateCertainty(now)
+	if !membersChanged && m.published != nil && certainty == m.published.Certainty {
 		return
 	}
-	v := &View{Version: m.version, Digest: m.digest, Certainty: sure, Members: m.members, Changes: changes}
-	if sure == Partitioned {
-		v.LastHealthy = m.healthy
+	view := &View{Version: m.version, Digest: m.digest, Certainty: certainty, Members: m.members, Changes: changes}
+	if certainty == Partitioned {
+		view.LastHealthy = m.lastHealthy
 	}
-	m.published = v
-	m.emit(Action{Kind: Publish, View: v})
+	m.published = view
+	m.emit(Action{Kind: Publish, View: view})
 }
 
-// agreed reports whether somebody is known to see the same.
-func (m *Machine) agreed() bool {
-	for _, e := range m.echoes {
+// hasAgreeingPeer reports whether a peer's last known digest equals ours.
+func (m *Machine) hasAgreeingPeer() bool {
+	for _, e := range m.peerDigests {
 		if e.digest == m.digest {
 			return true
 		}
@@ -48,8 +48,8 @@
 	return false
 }
 
-// gather lists the members as they are to be shown; it tells whether anything is new.
-func (m *Machine) gather() bool {
+// updateMembers rebuilds the list of visible members; it reports whether the list has changed.
+func (m *Machine) updateMembers() bool {
 	all := make([]Entry, 1, len(m.records)+1)
 	all[0] = m.self
 	for _, r := range m.records {
@@ -67,9 +67,9 @@
 	return true
 }
 
-// judge returns the certainty of the view, and keeps what a healthy one was.
-func (m *Machine) judge(now float64) Certainty {
-	m.compareWithHealthy(now)
+// updateCertainty returns the certainty of the view, and updates the last healthy view.
+func (m *Machine) updateCertainty(now float64) Certainty {
+	m.updatePartitioned(now)
 	converged := m.converged(now)
 	switch {
 	case !converged:
@@ -77,10 +77,11 @@
 	case math.IsInf(m.convergedAt, 1):
 		m.convergedAt = now
 	}
-	// What has grown is healthy at once, what has shrunk only when it has stood: the members of one cut are not all found
-	// dead at one time, and each step of a slow finding would count as the new measure otherwise.
-	if !m.partitioned && (len(m.members) >= len(m.healthy) || now-m.convergedAt >= m.config.HealthyTime) {
-		m.healthy = m.members
+	// A view that has grown is healthy at once, one that has shrunk only after HealthyTime: members lost in
+	// one partition are not all detected at the same time, and each intermediate size would otherwise become
+	// the new reference.
+	if !m.partitioned && (len(m.members) >= len(m.lastHealthy) || now-m.convergedAt >= m.config.HealthyTime) {
+		m.lastHealthy = m.members
 	}
 	switch {
 	case m.superseded:
@@ -95,41 +96,44 @@
 	return Converged
 }
 
-// converged reports whether nothing is under way, here or with those who were asked last.
+// converged reports whether no change is pending, here or at the peers that were probed last.
 func (m *Machine) converged(now float64) bool {
-	if now-m.changed < m.config.SettleTime || !m.MaySuspect(now) {
+	if now-m.digestChangedAt < m.config.SettleTime || !m.MaySuspect(now) {
 		return false
 	}
 	for _, r := range m.records {
-		// One that flaps does not keep the others waiting: whether they see it alike, their digests tell.
-		if penalty(r, now) < freePenalty && (r.phase == joining || r.phase == suspect || r.phase == alive && !r.latest.alike(r.shown)) {
+		// A flapping member does not delay convergence; whether the peers agree on it shows in their digests.
+		if penalty(r, now) < freePenalty &&
+			(r.phase == joining || r.phase == suspect || r.phase == alive && !r.latest.sameDigest(r.shown)) {
 			return false
 		}
 	}
-	for _, e := range m.echoes {
-		// What was said before our own last change, or long ago, says nothing of now.
-		if e.at > m.changed+m.config.BatchTime && now-e.at < 3*m.config.SettleTime && e.digest != m.digest && m.config.enabled(ComparingDigests) {
+	for _, e := range m.peerDigests {
+		// A digest from before our last change, or an old one, is not compared.
+		if e.at > m.digestChangedAt+m.config.BatchTime && now-e.at < 3*m.config.SettleTime &&
+			e.digest != m.digest && m.config.enabled(ComparingDigests) {
 			return false
 		}
 	}
 	return true
 }
 
-// compareWithHealthy compares with the last healthy view. Those that have left by their own word are no loss.
-func (m *Machine) compareWithHealthy(now float64) {
-	kept := m.healthy[:0:0]
-	for _, e := range m.healthy {
+// updatePartitioned compares the view with the last healthy one. Members that left voluntarily are not
+// counted as lost.
+func (m *Machine) updatePartitioned(now float64) {
+	remaining := m.lastHealthy[:0:0]
+	for _, e := range m.lastHealthy {
 		if r := m.records[e.Name]; r == nil || r.phase != left {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	m.healthy = kept
-	partitioned := 2*len(m.members) < len(m.healthy) && m.config.enabled(DetectPartition)
+	m.lastHealthy = remaining
+	partitioned := 2*len(m.members) < len(m.lastHealthy) && m.config.enabled(DetectPartition)
 	if partitioned && !m.partitioned {
 		m.partitionedSince = now
 	}
 	if partitioned && now-m.partitionedSince >= m.config.ForgetTime {
-		m.healthy, partitioned = m.members, false // that is the fleet now
+		m.lastHealthy, partitioned = m.members, false // the remaining members are accepted as the whole fleet
 	}
 	m.partitioned = partitioned
 }
--- a/logic/view/damping.go
+++ b/logic/view/damping.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// A member that comes and goes costs every reader of the view a change each time. So each change of it that was shown
-// raises its penalty, which halves in time; past what a restart costs, further changes wait until they have stood, twice
-// as long for each. That is how routers damp routes that flap.
+// Flap damping, as in routing protocols. Each published change of a member costs every reader of the view, so
+// it raises the member's penalty, which decays by half-lives. Above what a single restart costs, further
+// changes are published only after they have stood for a delay that doubles with each of them.
 const (
-	penaltyHalfLife = 10.0 // seconds until a penalty has halved: the time over which flapping is counted
-	freePenalty     = 1.5  // penalty that costs nothing: one restart or death in a while
-	maxDelay        = 8.0  // seconds that a change has to stand at the most
-	maxStale        = 12.0 // seconds after which what was last heard is shown though it still changes
+	penaltyHalfLife = 10.0 // seconds after which a penalty has halved: the time scale of flapping
+	freePenalty     = 1.5  // penalty without a delay: one restart or death in a while
+	maxDelay        = 8.0  // upper bound on the delay of a change, in seconds
+	maxStale        = 12.0 // seconds after which the latest state is published though it still changes
 )
 
-// addPenalty counts one more change that was shown.
+// addPenalty counts one more published change.
 func (m *Machine) addPenalty(r *record, now float64) { r.penalty, r.penaltyAt = penalty(r, now)+1, now }
 
 func penalty(r *record, now float64) float64 {
 	return r.penalty * math.Exp2(-max(now-r.penaltyAt, 0)/penaltyHalfLife)
 }
 
-// changeDelay is how long a change of that member has to stand before it is shown, in seconds.
+// changeDelay returns how long a change of the member has to stand before it is published, in seconds.
 func (m *Machine) changeDelay(r *record, now float64) float64 {
 	p := penalty(r, now)
 	if p < freePenalty || !m.config.enabled(Damping) {
--- a/logic/view/event.go
+++ b/logic/view/event.go
@@ -1,38 +1,38 @@
 package view
 
-// Event is what a Machine is told.
+// Event is an input of a Machine. The comment on each field lists the kinds that use it.
 type Event struct {
 	Kind    EventKind
-	Entry   Entry   // Alive; the name and incarnation of Dead, Leave and NewerIncarnation; the state, health and load of Self
-	Name    string  // Reachability, Echo
+	Entry   Entry   // Alive; Dead, Leave, NewerIncarnation: name, incarnation; Self: state, health, load
+	Name    string  // Reachability, PeerDigest
 	Address string  // ContactDone
-	OK      bool    // Reachability, ContactDone: it answered
+	OK      bool    // Reachability, ContactDone: whether there was an answer
 	Lag     float64 // Late: seconds
-	Version uint64  // Echo
-	Digest  uint64  // Echo
+	Version uint64  // PeerDigest
+	Digest  uint64  // PeerDigest
 }
 
 // EventKind is the kind of an event.
 type EventKind uint8
 
-// What a Machine can be told.
+// The kinds of events.
 const (
-	Alive            EventKind = iota // gossip says that this incarnation is alive, as in Entry
-	Dead                              // gossip says that it is dead
-	Leave                             // gossip says that it has left by its own word
-	NewerIncarnation                  // another member knows a newer incarnation of our name, which has ended
-	Reachability                      // the data path had an answer from a member, or failed to
-	PeerDigest                        // what a member says of its own view
-	Late                              // this process was off its core for so long
-	Self                              // what is to be said of this process
-	ContactDone                       // an address that was to be tried has been tried
+	Alive            EventKind = iota // gossip reports this incarnation, described by Entry, as alive
+	Dead                              // gossip reports it as dead
+	Leave                             // gossip reports that it left voluntarily
+	NewerIncarnation                  // a peer knows a newer incarnation of our name, which has ended
+	Reachability                      // the data path had an answer from a member, or a failure
+	PeerDigest                        // version and digest of a peer's view
+	Late                              // this process was not running for some time
+	Self                              // new state, health and load of this process
+	ContactDone                       // a contact attempt has ended
 )
 
-// Action is what a Machine wants done.
+// Action is an output of a Machine, to be carried out by the caller.
 type Action struct {
 	Kind    ActionKind
 	View    *View  // Publish
-	Entry   Entry  // Announce: ours. NotifyNewerIncarnation: the one that the process at Address does not know of. Withdraw: the later one
+	Entry   Entry  // Announce: our own. NotifyNewerIncarnation: the newer one. Withdraw: the later process
 	Address string // Contact, Probe, NotifyNewerIncarnation
 	Name    string // Probe
 }
@@ -40,13 +40,13 @@
 // ActionKind is the kind of an action.
 type ActionKind uint8
 
-// What a Machine can want done.
+// The kinds of actions.
 const (
-	Publish                ActionKind = iota // a view
-	Announce                                 // what others are to hear of this process
-	Contact                                  // meet whoever is at that address, and exchange all that is known
-	Probe                                    // ask a member over the data path whether it is there
-	NotifyNewerIncarnation                   // tell the process at that address of a newer incarnation of its name
-	Rebuild                                  // begin gossip anew, without what was believed
-	Withdraw                                 // a later process has our name: take no further part
+	Publish                ActionKind = iota // publish View
+	Announce                                 // announce Entry to the other members
+	Contact                                  // exchange all state with the process at Address
+	Probe                                    // probe a member over the data path
+	NotifyNewerIncarnation                   // notify the process at Address of a newer incarnation
+	Rebuild                                  // restart gossip, discarding its state
+	Withdraw                                 // a later process has our name: stop taking part
 )
--- a/logic/view/evidence.go
+++ b/logic/view/evidence.go
@@ -2,56 +2,57 @@
 
 import "math"
 
-// handleAlive takes in that an incarnation is alive.
+// handleAlive handles a report that an incarnation is alive.
 func (m *Machine) handleAlive(e Entry, now float64) {
 	if e.Name == m.self.Name {
-		m.handleRival(e, now)
+		m.handleNameConflict(e, now)
 		return
 	}
 	if e.Incarnation.Number >= MaxIncarnation || e.State == Left {
 		return
 	}
-	m.metAt = min(m.metAt, now)
+	m.firstPeerAt = min(m.firstPeerAt, now)
 	r := m.records[e.Name]
 	switch {
 	case r == nil:
-		if !m.room() {
+		if !m.ensureCapacity() {
 			return
 		}
 		r = &record{penaltyAt: now, reachableAt: math.Inf(-1), probedAt: math.Inf(-1), notifiedAt: math.Inf(-1)}
 		m.records[e.Name] = r
-		m.move(r, joining, now)
-		r.changedAt, r.differsSince = now, now
+		m.setPhase(r, joining, now)
+		r.latestChangedAt, r.differsSince = now, now
 	case e.Incarnation.Before(r.latest.Incarnation) && m.config.enabled(NewerWins):
-		// A newer incarnation of that name is known. If that one has ended, the one that is there has to raise its own.
+		// A newer incarnation of that name is known. If the newer one has ended, the older process is
+		// notified, so that it raises its incarnation.
 		if (r.phase == dead || r.phase == left) && now >= r.notifiedAt+1 && m.config.enabled(NotifyingNewer) {
 			r.notifiedAt = now
 			m.emit(Action{Kind: NotifyNewerIncarnation, Entry: r.latest, Address: e.Address})
 		}
 		return
 	case r.phase == left && e.Incarnation == r.latest.Incarnation:
-		return // a late message about one that has left
+		return // a late message about a member that has left
 	case r.phase == dead || r.phase == left:
-		m.move(r, joining, now)
-		r.changedAt, r.differsSince = now, now
+		m.setPhase(r, joining, now)
+		r.latestChangedAt, r.differsSince = now, now
 	case r.phase == suspect:
-		m.move(r, alive, now)
+		m.setPhase(r, alive, now)
 	}
 	if e.Incarnation != r.latest.Incarnation {
 		r.failures, r.reachableAt = 0, math.Inf(-1)
 	}
-	if !e.alike(r.latest) {
-		if r.latest.alike(r.shown) {
+	if !e.sameDigest(r.latest) {
+		if r.latest.sameDigest(r.shown) {
 			r.differsSince = now
 		}
-		r.changedAt = now
+		r.latestChangedAt = now
 	}
-	m.dirty = m.dirty || e.Load != r.latest.Load
+	m.membersChanged = m.membersChanged || e.Load != r.latest.Load
 	r.latest = e
 	m.rejoin.remove(e.Name)
 }
 
-// handleDead takes in that gossip takes an incarnation for dead, or left.
+// handleDead handles a report that an incarnation is dead or has left.
 func (m *Machine) handleDead(e Event, now float64) {
 	r := m.records[e.Entry.Name]
 	if r == nil || r.latest.Incarnation != e.Entry.Incarnation {
@@ -59,26 +60,26 @@
 	}
 	switch {
 	case e.Kind == Leave && r.phase != dead && r.phase != left:
-		m.move(r, left, now)
+		m.setPhase(r, left, now)
 		r.reason = "left"
 		m.rejoin.remove(e.Entry.Name)
 	case e.Kind == Dead && r.phase == joining:
-		m.move(r, dead, now)
+		m.setPhase(r, dead, now)
 		m.rejoinMember(r, now)
 	case e.Kind == Dead && r.phase == alive:
-		m.move(r, suspect, now)
+		m.setPhase(r, suspect, now)
 		r.reason = "died"
 	}
 }
 
-func (m *Machine) rejoinMember(r *record, due float64) {
+func (m *Machine) rejoinMember(r *record, retryAt float64) {
 	if m.config.enabled(Rejoining) {
-		m.rejoin.add(r.latest.Name, r.latest.Address, due)
+		m.rejoin.add(r.latest.Name, r.latest.Address, retryAt)
 	}
 }
 
-// unreachableAfter is how many failures of the data path in a row say that work fails there: one may be a connection that was
-// closed meanwhile, two its replacement.
+// unreachableAfter is the number of consecutive failures on the data path after which a member is shown as
+// unreachable: the first may be a connection that was closed meanwhile, the second its replacement.
 const unreachableAfter = 3
 
 func (m *Machine) handleReachability(name string, ok bool, now float64) {
@@ -86,43 +87,43 @@
 	if r == nil || !m.config.enabled(TrustingDataPath) {
 		return
 	}
-	failed := r.failures >= unreachableAfter
+	wasUnreachable := r.failures >= unreachableAfter
 	switch {
 	case ok:
 		r.reachableAt, r.failures = now, 0
-		if r.phase == suspect { // it is there: let gossip hear so from itself
+		if r.phase == suspect { // it answers: contact it, so that it refutes the suspicion through gossip
 			m.rejoinMember(r, now)
 		}
 	case r.failures < unreachableAfter:
 		r.failures++
 	}
-	m.dirty = m.dirty || failed != (r.failures >= unreachableAfter)
+	m.membersChanged = m.membersChanged || wasUnreachable != (r.failures >= unreachableAfter)
 }
 
-// handleLateness takes in that this process was off its core. What it believes of others may be its own doing: while it is late it
-// accuses nobody, and after a long time it begins anew.
-func (m *Machine) handleLateness(span, now float64) {
-	if span < m.config.LagThreshold || !m.config.enabled(DetectingOwnLag) {
+// handleLag handles a pause of this process. Missing heartbeats may then be its own fault: for a while it
+// suspects no other member, and after a long pause it rebuilds gossip.
+func (m *Machine) handleLag(lag, now float64) {
+	if lag < m.config.LagThreshold || !m.config.enabled(DetectingOwnLag) {
 		return
 	}
-	m.lagUntil = max(m.lagUntil, now+min(2*span, m.config.WakeGraceTime))
+	m.lagUntil = max(m.lagUntil, now+min(2*lag, m.config.WakeGraceTime))
 	for _, r := range m.records {
-		if r.phase == suspect { // time in which nobody could have been heard does not count
-			r.since = min(r.since+span, max(now, r.since))
+		if r.phase == suspect { // time in which no message could arrive does not count
+			r.phaseSince = min(r.phaseSince+lag, max(now, r.phaseSince))
 		}
 	}
-	if span < m.config.RebuildThreshold {
+	if lag < m.config.RebuildThreshold {
 		return
 	}
-	m.doubtUntil = now + m.config.WakeGraceTime
+	m.graceUntil = now + m.config.WakeGraceTime
 	for _, r := range m.records {
 		if r.phase == alive || r.phase == suspect {
-			m.move(r, suspect, m.doubtUntil) // until it is heard again
+			m.setPhase(r, suspect, m.graceUntil) // unless it is reported alive before
 			r.reason = "not met again"
 			m.rejoinMember(r, now)
 		}
 	}
-	clear(m.echoes)
+	clear(m.peerDigests)
 	m.rejoin.restart(now)
 	m.emit(Action{Kind: Rebuild})
 }
--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -2,59 +2,61 @@
 
 import "slices"
 
-// phase is how far a member has come into the view. Machine.move changes it, and nothing else does.
+// phase is a member's stage in the view. Only Machine.setPhase changes it.
 type phase uint8
 
 const (
-	joining phase = iota // heard of, not in the view yet
+	joining phase = iota // reported, not in the view yet
 	alive                // in the view
-	suspect              // gossip says that it is dead; in the view still
-	dead                 // out of the view, remembered and looked for
-	left                 // out of the view by its own word
+	suspect              // reported dead by gossip, still in the view
+	dead                 // removed from the view, remembered and contacted again
+	left                 // left voluntarily
 )
 
-// record is what is kept of one name.
+// record is the state kept for one name.
 type record struct {
-	phase        phase
-	since        float64 // of the phase
-	latest       Entry   // as last heard
-	shown        Entry   // as in the view
-	visible      bool
-	changedAt    float64 // when latest last became another than it was
-	differsSince float64 // since when latest has differed from shown
-	reason       string  // why it is suspect or was removed
-	penalty      float64 // for changes shown of late
-	penaltyAt    float64 // when the penalty was counted
-	reachableAt  float64 // when the data path last had an answer from it
-	failures     int     // of the data path since
-	probedAt     float64
-	notifiedAt   float64
+	phase           phase
+	phaseSince      float64 // when the phase was entered
+	latest          Entry   // as last reported
+	shown           Entry   // as last published
+	visible         bool
+	latestChangedAt float64 // when latest last changed
+	differsSince    float64 // since when latest has differed from shown
+	reason          string  // why it is suspect or was removed, for Change.Why
+	penalty         float64 // flap damping penalty at penaltyAt
+	penaltyAt       float64 // when penalty was last updated
+	reachableAt     float64 // when the data path last had an answer from it
+	failures        int     // consecutive failures on the data path since then
+	probedAt        float64
+	notifiedAt      float64
 }
 
-// echo is what another member last said of its view.
-type echo struct {
+// peerDigest is the digest of a peer's view as last received.
+type peerDigest struct {
 	at     float64
 	digest uint64
 }
 
-// move is the one place where a record's phase changes.
-func (m *Machine) move(r *record, to phase, now float64) { r.phase, r.since = to, now }
+// setPhase is the only function that changes a record's phase.
+func (m *Machine) setPhase(r *record, to phase, now float64) { r.phase, r.phaseSince = to, now }
 
-// room makes place for one more name, at the cost of the one that has been lost longest.
-func (m *Machine) room() bool {
+// ensureCapacity ensures that one more name fits, forgetting the member that has been gone longest if
+// necessary; it reports whether there is capacity.
+func (m *Machine) ensureCapacity() bool {
 	if !m.config.enabled(Bounding) {
 		return true
 	}
-	out, oldest := 0, ""
+	removed, oldest := 0, ""
 	for name, r := range m.records {
 		if r.phase != dead && r.phase != left || r.visible {
 			continue
 		}
-		if out++; oldest == "" || r.since < m.records[oldest].since || r.since == m.records[oldest].since && name < oldest {
+		if removed++; oldest == "" || r.phaseSince < m.records[oldest].phaseSince ||
+			r.phaseSince == m.records[oldest].phaseSince && name < oldest {
 			oldest = name
 		}
 	}
-	if oldest != "" && (out >= m.config.MaxRemembered || len(m.records) >= m.config.MaxNames) {
+	if oldest != "" && (removed >= m.config.MaxRemembered || len(m.records) >= m.config.MaxNames) {
 		m.forget(oldest)
 	}
 	return len(m.records) < m.config.MaxNames
@@ -63,10 +65,10 @@
 func (m *Machine) forget(name string) {
 	m.rejoin.remove(name)
 	delete(m.records, name)
-	delete(m.echoes, name)
+	delete(m.peerDigests, name)
 }
 
-func (m *Machine) names() []string {
+func (m *Machine) sortedNames() []string {
 	all := make([]string, 0, len(m.records))
 	for name := range m.records {
 		all = append(all, name)
@@ -75,44 +77,45 @@
 	return all
 }
 
-// advance moves one member's phase as time passes; it returns what changes in the view.
+// advance updates a member's phase as time passes; it returns the resulting change of the view, if any.
 func (m *Machine) advance(r *record, now float64) *Change {
-	wait := m.changeDelay(r, now)
-	ripe := now-r.changedAt >= wait || now-r.differsSince >= maxStale
+	delay := m.changeDelay(r, now)
+	settled := now-r.latestChangedAt >= delay || now-r.differsSince >= maxStale
 	switch {
-	case r.phase == joining && ripe:
-		m.move(r, alive, now)
-		return m.show(r, now, "came", "heard of")
-	case r.phase == alive && ripe && !r.latest.alike(r.shown):
-		what, why := difference(r.shown, r.latest)
-		return m.show(r, now, what, why)
+	case r.phase == joining && settled:
+		m.setPhase(r, alive, now)
+		return m.publishRecord(r, now, "came", "heard of")
+	case r.phase == alive && settled && !r.latest.sameDigest(r.shown):
+		what, why := describeChange(r.shown, r.latest)
+		return m.publishRecord(r, now, what, why)
 	case r.phase == left && r.visible:
-		return m.hide(r, now)
-	case r.phase == suspect && m.confirmedDead(r, wait, now):
-		m.move(r, dead, now)
-		m.rejoinMember(r, now+firstRetry)
-		return m.hide(r, now)
+		return m.removeRecord(r, now)
+	case r.phase == suspect && m.confirmedDead(r, delay, now):
+		m.setPhase(r, dead, now)
+		m.rejoinMember(r, now+minBackoff)
+		return m.removeRecord(r, now)
 	}
 	return nil
 }
 
-// confirmedDead reports whether a suspect member is to be taken for dead now.
-func (m *Machine) confirmedDead(r *record, wait, now float64) bool {
-	if now < r.since || !m.MaySuspect(now) {
+// confirmedDead reports whether a suspect member is to be declared dead now.
+func (m *Machine) confirmedDead(r *record, delay, now float64) bool {
+	if now < r.phaseSince || !m.MaySuspect(now) {
 		return false
 	}
-	hold := m.config.HoldTime
-	if wait > m.config.BatchTime {
-		hold = max(hold, wait)
+	confirmTime := m.config.HoldTime
+	if delay > m.config.BatchTime {
+		confirmTime = max(confirmTime, delay)
 	}
 	if !m.config.enabled(ConfirmingDeath) {
-		hold = 0
+		confirmTime = 0
 	}
-	vouched := r.reachableAt >= r.since && now-r.reachableAt < 2*m.config.HoldTime && now-r.since < m.config.MaxOverrideTime
-	if now-r.since >= hold && !vouched {
+	reachable := r.reachableAt >= r.phaseSince && now-r.reachableAt < 2*m.config.HoldTime &&
+		now-r.phaseSince < m.config.MaxOverrideTime
+	if now-r.phaseSince >= confirmTime && !reachable {
 		return true
 	}
-	// Its work may say that it is there, whatever gossip says; but not for ever.
+	// Answers over the data path override gossip, for at most MaxOverrideTime.
 	if now-r.probedAt >= m.config.HoldTime && m.config.enabled(TrustingDataPath) {
 		r.probedAt = now
 		m.emit(Action{Kind: Probe, Name: r.latest.Name, Address: r.latest.Address})
@@ -120,24 +123,24 @@
 	return false
 }
 
-// difference says in words what became of a member.
-func difference(was, is Entry) (what, why string) {
+// describeChange describes how a member changed.
+func describeChange(before, after Entry) (what, why string) {
 	switch {
-	case is.Incarnation != was.Incarnation:
+	case after.Incarnation != before.Incarnation:
 		return "restarted", "a newer incarnation"
-	case is.Unhealthy && !was.Unhealthy:
+	case after.Unhealthy && !before.Unhealthy:
 		return "changed", "work hangs there"
-	case was.Unhealthy && !is.Unhealthy:
+	case before.Unhealthy && !after.Unhealthy:
 		return "changed", "work goes on there"
-	case is.State != was.State:
-		return "changed", "says " + is.State.String()
+	case after.State != before.State:
+		return "changed", "says " + after.State.String()
 	}
 	return "changed", "another address, zone or version"
 }
 
-// show has the view hold what was last heard of a member.
-func (m *Machine) show(r *record, now float64, what, why string) *Change {
-	// An incarnation that gets from cold to serving does not flap.
+// publishRecord makes the latest state of a member visible in the view.
+func (m *Machine) publishRecord(r *record, now float64, what, why string) *Change {
+	// Progress of one incarnation, as from cold to serving, is not flapping.
 	if r.visible && (r.latest.Incarnation != r.shown.Incarnation || r.latest.State <= r.shown.State) {
 		m.addPenalty(r, now)
 	}
@@ -145,8 +148,8 @@
 	return &Change{r.latest.Name, what, why}
 }
 
-// hide takes a member out of the view.
-func (m *Machine) hide(r *record, now float64) *Change {
+// removeRecord removes a member from the view.
+func (m *Machine) removeRecord(r *record, now float64) *Change {
 	if !r.visible {
 		return nil
 	}
--- a/logic/view/rejoin.go
+++ b/logic/view/rejoin.go
@@ -7,138 +7,144 @@
 	"valveglade/logic/chance"
 )
 
-// rejoin decides whom to contact: until somebody is met, the addresses that the operators gave; afterwards those that
-// died, since both sides of a partition take each other for dead and neither would ever ask again; and now and then a given address
-// where nobody known is, since two halves of a fleet that started apart know nothing of each other.
+// rejoin selects addresses to contact: the seed addresses until a member is found; then members that died,
+// since both sides of a partition declare each other dead and neither would contact the other again; and at
+// intervals a seed address with no known member, since two parts of a fleet that started separately do not
+// know of each other.
 type rejoin struct {
-	seeds   []*target
-	lost    map[string]*target // by name
-	open    int                // tries under way
-	due     float64            // of the next one
-	strayAt float64            // of the next look at a given address
+	seeds         []*target
+	lost          map[string]*target // dead members by name
+	inFlight      int                // contact attempts in flight
+	nextContactAt float64            // earliest time of the next contact
+	nextSeedAt    float64            // when seed addresses are next included
 }
 
-// target is an address that may be worth a try.
+// target is an address to contact.
 type target struct {
-	address string
-	due     float64
-	gap     float64
-	open    bool
+	address  string
+	retryAt  float64
+	backoff  float64
+	inFlight bool
 }
 
-// Between tries, in seconds. The first is quick: whoever was lost for a moment is back soon. The longest is what a fleet
-// that is whole again after a long cut stays apart for, at the most; with it a third of a thousand lost addresses cost
-// two or three connections a second.
+// Retry intervals, in seconds. The first is short, as a member lost for a moment is back soon. The longest
+// bounds how long a fleet stays apart after a long partition has healed; with it a third of a thousand lost
+// addresses cost two or three connections a second.
 const (
-	firstRetry, longestRetry = 0.5, 4.0
-	strayEvery               = 3.0
-	contactPause             = 0.4 // between any two
+	minBackoff, maxBackoff = 0.5, 4.0
+	seedInterval           = 3.0
+	contactInterval        = 0.4 // between any two contacts
 )
 
-func (s *rejoin) start(seeds []string, self string, now float64) {
-	s.lost = map[string]*target{}
-	for _, a := range seeds {
-		if a != self && !slices.ContainsFunc(s.seeds, func(p *target) bool { return p.address == a }) {
-			s.seeds = append(s.seeds, &target{address: a, gap: firstRetry, due: now})
+func (r *rejoin) start(seeds []string, self string, now float64) {
+	r.lost = map[string]*target{}
+	for _, address := range seeds {
+		if address != self && !slices.ContainsFunc(r.seeds, func(t *target) bool { return t.address == address }) {
+			r.seeds = append(r.seeds, &target{address: address, backoff: minBackoff, retryAt: now})
 		}
 	}
-	s.due, s.strayAt = now, now
+	r.nextContactAt, r.nextSeedAt = now, now
 }
 
-// again begins as after a start, with what was known.
-func (s *rejoin) restart(now float64) {
-	s.due, s.strayAt = now, now
-	for _, p := range s.seeds {
-		p.due, p.gap = now, firstRetry
+// restart resets all retry times of the seeds, as after a start.
+func (r *rejoin) restart(now float64) {
+	r.nextContactAt, r.nextSeedAt = now, now
+	for _, t := range r.seeds {
+		t.retryAt, t.backoff = now, minBackoff
 	}
 }
 
-func (s *rejoin) add(name, address string, due float64) {
-	if p := s.lost[name]; p != nil && p.address == address {
-		p.due, p.gap = min(p.due, due), firstRetry
+func (r *rejoin) add(name, address string, retryAt float64) {
+	if t := r.lost[name]; t != nil && t.address == address {
+		t.retryAt, t.backoff = min(t.retryAt, retryAt), minBackoff
 		return
 	}
-	s.lost[name] = &target{address: address, gap: firstRetry, due: due}
+	r.lost[name] = &target{address: address, backoff: minBackoff, retryAt: retryAt}
 }
 
-func (s *rejoin) remove(name string) { delete(s.lost, name) }
+func (r *rejoin) remove(name string) { delete(r.lost, name) }
 
-// tried takes in how a try ended. One that was met and is missing still is tried again soon.
-func (s *rejoin) contactDone(address string, ok bool, now float64) {
-	s.open = max(s.open-1, 0)
-	for _, p := range s.targets(func(p *target) bool { return p.address == address }) {
-		p.open = false
+// contactDone handles the end of a contact attempt. An address that answered but is still missing from the
+// view is retried soon.
+func (r *rejoin) contactDone(address string, ok bool, now float64) {
+	r.inFlight = max(r.inFlight-1, 0)
+	for _, t := range r.targets(func(t *target) bool { return t.address == address }) {
+		t.inFlight = false
 		if ok {
-			p.gap = firstRetry
+			t.backoff = minBackoff
 		}
-		p.due = now + p.gap
-		p.gap = min(2*p.gap, longestRetry)
+		t.retryAt = now + t.backoff
+		t.backoff = min(2*t.backoff, maxBackoff)
 	}
 }
 
-// places lists the given addresses, then those that died, as far as they are wanted.
-func (s *rejoin) targets(wanted func(*target) bool) []*target {
+// targets lists the seed targets, then the dead members', that satisfy wanted.
+func (r *rejoin) targets(wanted func(*target) bool) []*target {
 	var all []*target
-	for _, p := range s.seeds {
-		if wanted(p) {
-			all = append(all, p)
+	for _, t := range r.seeds {
+		if wanted(t) {
+			all = append(all, t)
 		}
 	}
-	names := make([]string, 0, len(s.lost))
-	for name := range s.lost {
+	names := make([]string, 0, len(r.lost))
+	for name := range r.lost {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if p := s.lost[name]; wanted(p) {
-			all = append(all, p)
+		if t := r.lost[name]; wanted(t) {
+			all = append(all, t)
 		}
 	}
 	return all
 }
 
-// next gives the addresses to try now. Which come first is left to chance, so that not all of a fleet go to one.
-func (s *rejoin) next(now float64, m *Machine) []Action {
-	if now < s.due || s.open >= m.config.MaxContacts {
+// next returns the contacts to start now, in random order, so that not all members of a fleet contact the
+// same address.
+func (r *rejoin) next(now float64, m *Machine) []Action {
+	if now < r.nextContactAt || r.inFlight >= m.config.MaxContacts {
 		return nil
 	}
-	met := len(m.members) > 1
-	stray := now >= s.strayAt || !met
-	ready := s.targets(func(p *target) bool {
-		given := slices.Contains(s.seeds, p)
-		return !p.open && now >= p.due && (!given || stray && !m.sees(p.address))
+	hasPeers := len(m.members) > 1
+	trySeeds := now >= r.nextSeedAt || !hasPeers
+	candidates := r.targets(func(t *target) bool {
+		isSeed := slices.Contains(r.seeds, t)
+		return !t.inFlight && now >= t.retryAt && (!isSeed || trySeeds && !m.hasMemberAt(t.address))
 	})
-	var out []Action
-	for len(ready) > 0 && s.open < m.config.MaxContacts {
-		k := int(m.draw() * float64(len(ready)))
-		p := ready[k]
-		ready = slices.Delete(ready, k, k+1)
-		p.open = true
-		s.open++
-		out = append(out, Action{Kind: Contact, Address: p.address})
-		if met && len(out) == 2 { // one would do, if it were not dead as often as not
+	var actions []Action
+	for len(candidates) > 0 && r.inFlight < m.config.MaxContacts {
+		k := int(m.draw() * float64(len(candidates)))
+		t := candidates[k]
+		candidates = slices.Delete(candidates, k, k+1)
+		t.inFlight = true
+		r.inFlight++
+		actions = append(actions, Action{Kind: Contact, Address: t.address})
+		if hasPeers && len(actions) == 2 { // two, as one of them is often dead
 			break
 		}
 	}
-	if out != nil {
-		s.due = now + contactPause*(0.75+m.draw()/2)
-		if stray {
-			s.strayAt = now + strayEvery*(0.75+m.draw()/2)
+	if actions != nil {
+		r.nextContactAt = now + contactInterval*(0.75+m.draw()/2)
+		if trySeeds {
+			r.nextSeedAt = now + seedInterval*(0.75+m.draw()/2)
 		}
 	}
-	return out
+	return actions
 }
 
-// exchangeWithDiffering exchanges all that is known with one that goes on seeing something else though nothing is under way here. Gossip
-// tells each word a bounded number of times, and in a storm of words, as when hundreds start together, somebody misses one.
-// A whole exchange by chance comes once in a minute there; the digests say at once with whom it is worth it.
+// exchangeWithDiffering exchanges all state with a peer whose digest keeps differing while nothing changes
+// here. Gossip retransmits each message a bounded number of times, and when there are very many, as when
+// hundreds of members start together, some member misses one. A regular random exchange is about a minute
+// apart there; the digests show at once which peer needs one.
 func (m *Machine) exchangeWithDiffering(now float64) {
-	if now < m.exchangeAt || now-m.changed < m.config.SettleTime || m.rejoin.open >= m.config.MaxContacts || !m.config.enabled(Reconciling) {
+	if now < m.nextExchangeAt || now-m.digestChangedAt < m.config.SettleTime || m.rejoin.inFlight >= m.config.MaxContacts ||
+		!m.config.enabled(Reconciling) {
 		return
 	}
 	var others []string
-	for name, e := range m.echoes {
-		if e.at > max(m.changed+m.config.BatchTime, m.exchanged[name]) && now-e.at < m.config.SettleTime && e.digest != m.digest {
+	for name, e := range m.peerDigests {
+		if e.at > max(m.digestChangedAt+m.config.BatchTime, m.exchangedAt[name]) && now-e.at < m.config.SettleTime &&
+			e.digest != m.digest {
 			others = append(others, name)
 		}
 	}
@@ -147,19 +153,19 @@
 	}
 	slices.Sort(others)
 	name := others[int(m.draw()*float64(len(others)))]
-	m.exchanged = map[string]float64{name: now} // what it said before is no reason to do so again
-	m.exchangeAt = now + m.config.SettleTime*(0.75+m.draw()/2)
-	m.rejoin.open++
+	m.exchangedAt = map[string]float64{name: now} // its earlier digests trigger no further exchange
+	m.nextExchangeAt = now + m.config.SettleTime*(0.75+m.draw()/2)
+	m.rejoin.inFlight++
 	m.emit(Action{Kind: Contact, Address: m.records[name].latest.Address})
 }
 
-// sees tells whether a member at that address is in the view.
-func (m *Machine) sees(address string) bool {
+// hasMemberAt reports whether the view has a member at the address.
+func (m *Machine) hasMemberAt(address string) bool {
 	return slices.ContainsFunc(m.members, func(e Entry) bool { return e.Address == address })
 }
 
-// draw is the next number from 0 to under 1.
+// draw returns the next pseudorandom number in [0, 1).
 func (m *Machine) draw() float64 {
-	m.drawn++
-	return math.Min(chance.At(m.seed, m.drawn), 1-1e-9)
+	m.drawCount++
+	return math.Min(chance.At(m.seed, m.drawCount), 1-1e-9)
 }
--- a/logic/view/view.go
+++ b/logic/view/view.go
@@ -1,7 +1,8 @@
-// Package view decides who is in the fleet, and with which certainty. It is told what gossip and the data path say of other
-// app servers, and how late this process itself has been; it answers with views: ordered lists with a version and a
-// digest, the same on all members that have converged. It never does I/O, reads no clock, and knows an address only as a
-// word. member/ drives it; whoever needs to know the fleet reads the views that come out.
+// Package view determines the members of the fleet, and how certain that is. Its inputs are what gossip and
+// the data path report about other app servers, and how late this process itself has been. Its outputs are
+// views: ordered lists of members with a version and a digest, equal on all members that have converged. It
+// is a pure state machine: it does no I/O, reads no clock, and treats addresses as opaque strings. Package
+// member drives it.
 package view
 
 import (
@@ -13,30 +14,31 @@
 	"strings"
 )
 
-// Incarnation tells one process under a name from another: Number rises from one to the next, Nonce sets apart two that
-// started alike.
+// Incarnation identifies one process among those with the same name: Number increases from one to the next,
+// Nonce distinguishes two with the same Number.
 type Incarnation struct {
-	Number uint64 // milliseconds of Unix time at the start, or one more than any incarnation known under that name
+	Number uint64 // Unix milliseconds at the start, or one more than any incarnation known of the name
 	Nonce  uint32
 }
 
-// MaxIncarnation bounds what is believed of a number: past it nobody could be newer. It lies in the year 287396.
+// MaxIncarnation is the exclusive upper bound of accepted numbers, above which no newer incarnation would be
+// possible. In milliseconds of Unix time it lies in the year 287396.
 const MaxIncarnation = 1 << 53
 
-// Before reports whether l came before m.
-func (l Incarnation) Before(m Incarnation) bool {
-	return l.Number < m.Number || l.Number == m.Number && l.Nonce < m.Nonce
+// Before reports whether i is older than other.
+func (i Incarnation) Before(other Incarnation) bool {
+	return i.Number < other.Number || i.Number == other.Number && i.Nonce < other.Nonce
 }
 
-// State is what a member says of itself.
+// State is the state that a member reports of itself.
 type State uint8
 
-// The states of a member, in the order in which it takes them.
+// The states of a member, in the order in which it passes through them.
 const (
-	Joining State = iota // it has met nobody yet
-	Cold                 // it is in the fleet, and not at full strength
+	Joining State = iota // it has found no other member yet
+	Cold                 // it is in the fleet, not at full capacity yet
 	Serving
-	Leaving // it has had its notice
+	Leaving // it is draining after its shutdown notice
 	Left
 )
 
@@ -49,40 +51,40 @@
 	return "unknown"
 }
 
-// Load is a digest of how much a member has to do, in steps of half an octave: see Band.
+// Load is a coarse summary of a member's load. Open and Credit are in steps of half an octave, see Band.
 type Load struct {
-	Open   uint8 // RPCs in hand
-	Credit uint8 // what it tells callers
-	Level  uint8 // of pressure, as logic/pressure counts
+	Open   uint8 // open RPCs
+	Credit uint8 // credit that it grants callers
+	Level  uint8 // pressure level, as in logic/pressure
 }
 
-// Entry is all that is known of one member.
+// Entry describes one member.
 type Entry struct {
 	Name        string
 	Incarnation Incarnation
-	Address     string // where its fleet packets go
+	Address     string // address of its fleet socket
 	Zone        string
 	State       State
 	Unhealthy   bool  // its work is stuck, as it reports itself
-	Proto       uint8 // the protocol it speaks
+	Proto       uint8 // version of the fleet protocol
 	Load        Load  // not part of the digest
-	Unreachable bool  // work sent there fails, as seen from here; not part of the digest
+	Unreachable bool  // RPCs sent there fail, as observed here; not part of the digest
 }
 
-// alike reports whether two entries are one in a view's digest.
-func (e Entry) alike(o Entry) bool {
-	e.Load, e.Unreachable, o.Load, o.Unreachable = Load{}, false, Load{}, false
-	return e == o
+// sameDigest reports whether two entries contribute equally to a view's digest.
+func (e Entry) sameDigest(other Entry) bool {
+	e.Load, e.Unreachable, other.Load, other.Unreachable = Load{}, false, Load{}, false
+	return e == other
 }
 
 // Certainty is how far a view can be relied on.
 type Certainty uint8
 
-// The certainties, in the order in which they can be relied on.
+// The certainties, from the most to the least reliable.
 const (
-	Converged   Certainty = iota // nothing is under way, and those asked last see the same
-	Converging                   // something is under way, or others see something else, or this process was late itself
-	Partitioned                  // less than half is left of the last healthy view
+	Converged   Certainty = iota // no change is pending, and the peers probed last have the same digest
+	Converging                   // a change is pending, a peer's digest differs, or this process was late
+	Partitioned                  // less than half of the last healthy view is left
 	Alone                        // no other member is known
 	Superseded                   // a later process has this one's name
 )
@@ -91,63 +93,64 @@
 
 func (c Certainty) String() string { return certaintyNames[c] }
 
-// View is who is in the fleet, as seen from one member at one time. It is never changed once published.
+// View is the fleet as seen by one member at one time. It is immutable once published.
 type View struct {
 	Version     uint64
 	Digest      uint64
 	Certainty   Certainty
-	Members     []Entry // ordered by name, this process's own among them: never empty
-	LastHealthy []Entry // the last healthy view while this one is partitioned, nil otherwise
+	Members     []Entry // ordered by name; includes this process's own entry, so it is never empty
+	LastHealthy []Entry // members of the last healthy view while this one is partitioned, nil otherwise
 	Changes     []Change
 }
 
-// Change is one step from the view before to this one.
+// Change is one difference between the previous view and this one.
 type Change struct {
 	Name string
-	What string // came, went, changed, restarted
+	What string // one of came, went, changed, restarted
 	Why  string // the cause in a few words
 }
 
-// Find gives the member of that name, nil if there is none.
+// Find returns the member with that name, or nil.
 func (v *View) Find(name string) *Entry {
-	k, ok := slices.BinarySearchFunc(v.Members, name, func(e Entry, n string) int { return strings.Compare(e.Name, n) })
+	k, ok := slices.BinarySearchFunc(v.Members, name,
+		func(e Entry, n string) int { return strings.Compare(e.Name, n) })
 	if !ok {
 		return nil
 	}
 	return &v.Members[k]
 }
 
-// digest is the same for the same members, whoever counts.
+// digest hashes the members; equal lists have equal digests on all processes.
 func digest(members []Entry) uint64 {
 	h := fnv.New64a()
-	var b [8]byte
-	number := func(n uint64) {
-		binary.LittleEndian.PutUint64(b[:], n)
-		h.Write(b[:])
+	var buffer [8]byte
+	writeNumber := func(n uint64) {
+		binary.LittleEndian.PutUint64(buffer[:], n)
+		h.Write(buffer[:])
 	}
-	text := func(s string) {
-		number(uint64(len(s)))
+	writeText := func(s string) {
+		writeNumber(uint64(len(s)))
 		h.Write([]byte(s))
 	}
 	for _, e := range members {
-		text(e.Name)
-		number(e.Incarnation.Number)
-		number(uint64(e.Incarnation.Nonce))
-		text(e.Address)
-		text(e.Zone)
+		writeText(e.Name)
+		writeNumber(e.Incarnation.Number)
+		writeNumber(uint64(e.Incarnation.Nonce))
+		writeText(e.Address)
+		writeText(e.Zone)
 		unhealthy := uint64(0)
 		if e.Unhealthy {
 			unhealthy = 1
 		}
-		number(uint64(e.State) | unhealthy<<8 | uint64(e.Proto)<<16)
+		writeNumber(uint64(e.State) | unhealthy<<8 | uint64(e.Proto)<<16)
 	}
 	return h.Sum64()
 }
 
 func byName(a, b Entry) int { return cmp.Compare(a.Name, b.Name) }
 
-// Band puts a number into steps of half an octave, so that a load that hardly moves costs no message: 0 for none, 61 for
-// a thousand million and more.
+// Band rounds a number to steps of half an octave, so that a small change of load costs no message: 0 for
+// none, 61 for 1<<30 and more.
 func Band(n int) uint8 {
 	n = min(max(n, 0), 1<<30)
 	return uint8(bits.Len64(uint64(n) * uint64(n)))
