--- a/logic/view/convergence.go
+++ b/logic/view/convergence.go
@@ -30,7 +30,8 @@
 	if !membersChanged && m.published != nil && certainty == m.published.Certainty {
 		return
 	}
-	view := &View{Version: m.version, Digest: m.digest, Certainty: certainty, Members: m.members, Changes: changes}
+	view := &View{Version: m.version, Digest: m.digest, Certainty: certainty,
+		Members: m.members, Changes: changes}
 	if certainty == Partitioned {
 		view.LastHealthy = m.lastHealthy
 	}
--- a/logic/view/rejoin.go
+++ b/logic/view/rejoin.go
@@ -137,14 +137,14 @@
 // hundreds of members start together, some member misses one. A regular random exchange is about a minute
 // apart there; the digests show at once which peer needs one.
 func (m *Machine) exchangeWithDiffering(now float64) {
-	if now < m.nextExchangeAt || now-m.digestChangedAt < m.config.SettleTime || m.rejoin.inFlight >= m.config.MaxContacts ||
-		!m.config.enabled(Reconciling) {
+	if now < m.nextExchangeAt || now-m.digestChangedAt < m.config.SettleTime ||
+		m.rejoin.inFlight >= m.config.MaxContacts || !m.config.enabled(Reconciling) {
 		return
 	}
 	var others []string
 	for name, e := range m.peerDigests {
-		if e.at > max(m.digestChangedAt+m.config.BatchTime, m.exchangedAt[name]) && now-e.at < m.config.SettleTime &&
-			e.digest != m.digest {
+		if e.at > max(m.digestChangedAt+m.config.BatchTime, m.exchangedAt[name]) &&
+			now-e.at < m.config.SettleTime && e.digest != m.digest {
 			others = append(others, name)
 		}
 	}
--- a/member/bytes_test.go
+++ b/member/bytes_test.go
@@ -16,11 +16,11 @@
 		bytes []byte
 		want  string
 	}{
-		{"packet", seal(nil, kindMessage, appendMessage(nil, "n1", "n2", []byte("x"))), "564746016e7888fe9c026e31026e3278"},
+		{"packet", sealPacket(nil, kindMessage, appendMessage(nil, "n1", "n2", []byte("x"))), "564746016e7888fe9c026e31026e3278"},
 		{"entry", appendEntry(nil, entry), "564d01010201000001a2353204000a0b0c0d020304026e31027a31"},
-		{"newer incarnation", seal(nil, kindNewer, appendNewer(nil, entry)), "5647460174f0f855ff000001a2353204000a0b0c0d026e31"},
-		{"echo", appendEcho(nil, &view.View{Version: 5, Digest: 0x1112131415161718}), "56450100000000000000051112131415161718"},
-		{"handle", []byte(handle(entry.Name, entry.Incarnation.Nonce)), "6e317e3061306230633064"},
+		{"newer incarnation", sealPacket(nil, kindNewerIncarnation, appendNewerIncarnation(nil, entry)), "5647460174f0f855ff000001a2353204000a0b0c0d026e31"},
+		{"echo", appendViewDigest(nil, &view.View{Version: 5, Digest: 0x1112131415161718}), "56450100000000000000051112131415161718"},
+		{"handle", []byte(nodeName(entry.Name, entry.Incarnation.Nonce)), "6e317e3061306230633064"},
 		{"probe", []byte{kindProbe, kindGossip}, "6b67"},
 	} {
 		if got := hex.EncodeToString(one.bytes); got != one.want {
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -14,7 +14,7 @@
 	"valveglade/logic/view"
 )
 
-// gossip is one run of the library, until it is started anew.
+// gossip is one run of the memberlist library, until it is restarted.
 type gossip struct {
 	*memberlist.Memberlist
 	m         *Member
@@ -22,46 +22,47 @@
 	announced atomic.Pointer[string] // what the library announces of ourselves
 }
 
-// word is what the library announces of ourselves.
+// announcedState returns what the library announces of this process, empty before the first announcement.
 func (g *gossip) announcedState() string {
-	if says := g.announced.Load(); says != nil {
-		return *says
+	if meta := g.announced.Load(); meta != nil {
+		return *meta
 	}
 	return ""
 }
 
-// The library's figures, as far as they are not its own for a local network, relative to the probe interval.
+// Parameters of the library that differ from its defaults for a local network. Ratios are relative to the probe
+// interval.
 const (
-	probeWait     = 0.5  // of the interval: then others are asked to probe
-	suspicion     = 3    // times log10 of the fleet's size: the time in which a suspicion can be refuted
-	suspicionMost = 3    // times that, while nobody else suspects
-	gossipPart    = 0.35 // of the interval between two rounds: a suspicion has reached all before a second probe
-	exchangeEvery = 12 * time.Second
-	streamWait    = time.Second // connects and exchanges; what lies behind a cut should not take up a try for long
-	burialTime    = 20 * time.Second
+	probeTimeoutRatio       = 0.5  // then other members are asked to probe indirectly
+	suspicionMult           = 3    // times log10 of the fleet's size: the time in which a suspicion can be refuted
+	suspicionMaxTimeoutMult = 3    // times that, while no other member confirms the suspicion
+	gossipIntervalRatio     = 0.35 // between two gossip rounds: a suspicion reaches all members before a second probe
+	exchangeInterval        = 12 * time.Second
+	streamTimeout           = time.Second // for connects and exchanges; an unreachable address should not hold up a contact attempt for long
+	gossipToTheDeadTime     = 20 * time.Second
 )
 
-// start starts the library, as one that knows nobody.
-func (m *Member) start() error {
+// startGossip starts the library without any known member.
+func (m *Member) startGossip() error {
 	g := &gossip{m: m, transport: m.wire.newTransport(m.config.Advertise)}
 	c := memberlist.DefaultLANConfig()
 	e := m.machine.Entry()
-	c.Name = handle(e.Name, e.Incarnation.Nonce)
+	c.Name = nodeName(e.Name, e.Incarnation.Nonce)
 	c.Transport = g.transport
 	c.ProbeInterval = m.config.ProbeInterval
-	c.ProbeTimeout = time.Duration(float64(m.config.ProbeInterval) * probeWait)
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicion, suspicionMost
-	c.GossipInterval = time.Duration(float64(m.config.ProbeInterval) * gossipPart)
-	c.GossipToTheDeadTime = burialTime
-	c.PushPullInterval = exchangeEvery
-	c.TCPTimeout = streamWait
-	// The library probes more slowly the more of its probes fail. On the small side of a cut most fail, and the dead would
-	// be found too late; who is late itself accuses nobody here anyway.
+	c.ProbeTimeout = time.Duration(float64(m.config.ProbeInterval) * probeTimeoutRatio)
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxTimeoutMult
+	c.GossipInterval = time.Duration(float64(m.config.ProbeInterval) * gossipIntervalRatio)
+	c.GossipToTheDeadTime = gossipToTheDeadTime
+	c.PushPullInterval = exchangeInterval
+	c.TCPTimeout = streamTimeout
+	// The library probes more slowly the more of its probes fail. On the smaller side of a partition most fail, and
+	// dead members would be detected too late; a process that is late itself suspects nobody here anyway.
 	c.AwarenessMaxMultiplier = 2
-	c.EnableCompression = false // what comes in is looked at, see inspect.go
-	c.UDPBufferSize = maxPacket - packetHead
+	c.EnableCompression = false // incoming messages are checked, see inspect.go
+	c.UDPBufferSize = maxPacket - packetHeaderSize
 	c.Delegate, c.Events, c.Ping, c.Alive = g, g, g, g
-	c.Logger = log.New(io.Discard, "", 0) // what operators need to know the wire and the view say
+	c.Logger = log.New(io.Discard, "", 0) // package member logs what operators need, see wire.countDropped and Member.publish
 	m.wire.transport.Store(g.transport)
 	list, err := memberlist.Create(c)
 	if err != nil {
@@ -72,32 +73,33 @@
 	return nil
 }
 
-// stop stops the library without a message.
-func (m *Member) stop() {
+// stopGossip stops the library without sending a leave message.
+func (m *Member) stopGossip() {
 	m.wire.transport.Store(nil)
 	if g := m.gossip.Swap(nil); g != nil {
 		g.Shutdown()
 	}
 }
 
-// leaveTimeout is how long a leave message may take to reach somebody, and then others.
+// leaveTimeout bounds the time until a leave message has reached one member, from which it spreads to others.
 const leaveTimeout = 300 * time.Millisecond
 
-// leave tells the others that this member leaves, and stops.
+// leave announces to the others that this member leaves, and stops gossip.
 func (m *Member) leave() {
 	if g := m.gossip.Load(); g != nil {
-		m.wire.beat()
+		m.wire.heartbeat()
 		g.Leave(leaveTimeout)
-		m.wire.beat()
-		time.Sleep(2 * time.Duration(float64(m.config.ProbeInterval)*gossipPart))
+		m.wire.heartbeat()
+		time.Sleep(2 * time.Duration(float64(m.config.ProbeInterval)*gossipIntervalRatio))
 	}
-	m.stop()
+	m.stopGossip()
 }
 
-// announceAgain is the least time between two announcements of ourselves: each costs a message to every member.
-const announceAgain = 300 * time.Millisecond
+// announceInterval is the minimum time between two announcements of our own entry: each costs a message to every
+// member.
+const announceInterval = 300 * time.Millisecond
 
-// announce has others hear what has changed of ourselves.
+// announce broadcasts our own entry when it has changed.
 func (m *Member) announce(ctx context.Context) error {
 	for {
 		select {
@@ -105,23 +107,24 @@
 			return nil
 		case <-m.announceDue:
 		}
-		// The library loses an update that crosses its own refutation of what another said of us: then it goes on saying
-		// what it said before, and is told again. That it is only slow to send, as in a storm, is no reason to.
+		// The library loses an update that coincides with its refutation of a suspicion: it keeps announcing the
+		// previous entry, and is updated again. An update that is only sent slowly, as under heavy gossip, is not
+		// repeated.
 		if g := m.gossip.Load(); g != nil && g.announcedState() != string(g.NodeMeta(0)) {
-			g.UpdateNode(announceAgain)
+			g.UpdateNode(announceInterval)
 			if g.announcedState() != string(g.NodeMeta(0)) {
-				signal(m.announceDue)
+				notify(m.announceDue)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(announceAgain):
+		case <-time.After(announceInterval):
 		}
 	}
 }
 
-// handleNode passes on what the library reports of a node, unless it has been begun anew since.
+// handleNode forwards what the library reports of a node to the machine, unless gossip has been restarted since.
 func (g *gossip) handleNode(kind view.EventKind, n *memberlist.Node) {
 	if g.m.wire.transport.Load() != g.transport {
 		return
@@ -130,9 +133,9 @@
 	if err != nil {
 		return
 	}
-	if own := g.m.entry.Load(); n.Name == handle(own.Name, own.Incarnation.Nonce) {
-		says := string(n.Meta)
-		g.announced.Store(&says)
+	if own := g.m.entry.Load(); n.Name == nodeName(own.Name, own.Incarnation.Nonce) {
+		meta := string(n.Meta)
+		g.announced.Store(&meta)
 		return
 	}
 	at, _ := netip.AddrFromSlice(n.Addr)
@@ -143,36 +146,36 @@
 	g.m.enqueue(view.Event{Kind: kind, Entry: e})
 }
 
-// NotifyJoin, NotifyUpdate and NotifyLeave are what the library reports of others.
+// NotifyJoin, NotifyUpdate and NotifyLeave receive the library's reports of other nodes.
 func (g *gossip) NotifyJoin(n *memberlist.Node)   { g.handleNode(view.Alive, n) }
 func (g *gossip) NotifyUpdate(n *memberlist.Node) { g.handleNode(view.Alive, n) }
 func (g *gossip) NotifyLeave(n *memberlist.Node)  { g.handleNode(view.Dead, n) }
 
-// NotifyAlive looks once more at what the library is about to believe.
+// NotifyAlive checks an entry once more before the library accepts it.
 func (g *gossip) NotifyAlive(n *memberlist.Node) error {
-	return g.m.wire.credible(n.Name, 0, n.Addr, n.Port, n.Meta, []uint8{n.PMin, n.PMax, n.PCur, n.DMin, n.DMax, n.DCur})
+	return g.m.wire.checkMember(n.Name, 0, n.Addr, n.Port, n.Meta, []uint8{n.PMin, n.PMax, n.PCur, n.DMin, n.DMax, n.DCur})
 }
 
-// AckPayload and NotifyPingComplete carry the views' digests along with probes.
-func (g *gossip) AckPayload() []byte { return appendEcho(nil, g.m.View()) }
+// AckPayload returns the version and digest of our view, which the answer to a probe carries.
+func (g *gossip) AckPayload() []byte { return appendViewDigest(nil, g.m.View()) }
 
-// NotifyPingComplete has another's digest.
+// NotifyPingComplete reads the version and digest of a peer's view from its answer to a probe.
 func (g *gossip) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
 	e, err := readEntry(n.Meta)
-	version, digest, ok := readEcho(payload)
+	version, digest, ok := readViewDigest(payload)
 	if err == nil && ok {
 		g.m.enqueue(view.Event{Kind: view.PeerDigest, Name: e.Name, Version: version, Digest: digest})
 	}
 }
 
-// NodeMeta is what we announce of ourselves.
+// NodeMeta returns our own entry as it is announced.
 func (g *gossip) NodeMeta(int) []byte { return appendEntry(nil, *g.m.entry.Load()) }
 
 // NotifyMsg, GetBroadcasts, LocalState and MergeRemoteState are not used.
-func (g *gossip) NotifyMsg([]byte)                { /* nothing of ours comes that way */ }
+func (g *gossip) NotifyMsg([]byte)                { /* not used */ }
 func (g *gossip) GetBroadcasts(int, int) [][]byte { return nil }
 func (g *gossip) LocalState(bool) []byte          { return nil }
-func (g *gossip) MergeRemoteState([]byte, bool)   { /* nothing of ours comes that way */ }
+func (g *gossip) MergeRemoteState([]byte, bool)   { /* not used */ }
 
 // Stats is what a member has sent and received, and what it dropped by cause.
 type Stats struct {
@@ -180,12 +183,12 @@
 	Dropped                                      map[string]int64
 }
 
-// Stats tells it so far; streams are not counted among the packets.
+// Stats returns the counters since the start.
 func (m *Member) Stats() Stats {
 	w := m.wire
-	c := Stats{w.sent.packets.Load(), w.sent.bytes.Load(), w.got.packets.Load(), w.got.bytes.Load(), map[string]int64{}}
-	for k := range causes {
-		if n := w.counts[k].Load(); n > 0 {
+	c := Stats{w.sent.packets.Load(), w.sent.bytes.Load(), w.received.packets.Load(), w.received.bytes.Load(), map[string]int64{}}
+	for k := range causeCount {
+		if n := w.dropCounts[k].Load(); n > 0 {
 			c.Dropped[causeNames[k]] = n
 		}
 	}
--- a/member/inspect.go
+++ b/member/inspect.go
@@ -15,11 +15,11 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// The gossip library believes what it reads. An incarnation at the end of its range, for one, could never be refuted by
-// the member that it was made up for. So what comes in is looked at first, and what cannot be true is taken out of it.
-// What goes out is looked at too while this process has been late: it then accuses nobody.
+// The gossip library trusts its input. An incarnation at the end of its range, for example, could never be refuted by
+// the member it was forged for. So incoming messages are checked, and invalid ones are removed. While this process has
+// been late, suspicions are removed from outgoing messages as well.
 
-// The library's kinds of message, as its protocol numbers them.
+// The message types of the library's protocol.
 const (
 	msgPing         = 0
 	msgIndirectPing = 1
@@ -35,15 +35,17 @@
 	msgError        = 13
 )
 
-// mostIncarnation is past what a member could come to: it rises by one with each word on itself and each refutation, of
-// which there is one in a third of a second at the most; that is eleven years.
-const mostIncarnation = 1 << 30
+// maxGossipIncarnation is above any incarnation that a member reaches: it increases by one with each announcement and
+// each refutation, at most once in a third of a second, which takes eleven years.
+const maxGossipIncarnation = 1 << 30
 
-// mostStates is how many members one exchange may carry, several times as many as a view holds; mostExchange its bytes.
-const mostStates, mostExchange = 4096, 1 << 20
+// maxExchangeMembers is how many members a push/pull exchange may carry, several times as many as a view holds;
+// maxExchangeBytes bounds its size.
+const maxExchangeMembers, maxExchangeBytes = 4096, 1 << 20
 
-// claim is what a message says of a member, as far as it is looked at.
-type claim struct {
+// memberClaim has the checked fields of a suspect, alive or dead message. Field names are those of the msgpack
+// encoding.
+type memberClaim struct {
 	Incarnation uint32
 	Node        string
 	From        string
@@ -53,8 +55,8 @@
 	Vsn         []uint8
 }
 
-// state is a member in an exchange of all that is known, whole: it is written again.
-type state struct {
+// memberState is a member in a push/pull exchange. It has all fields, as it is encoded again.
+type memberState struct {
 	Name        string
 	Addr        []byte
 	Port        uint16
@@ -64,7 +66,7 @@
 	Vsn         []uint8
 }
 
-type exchangeHead struct {
+type exchangeHeader struct {
 	Nodes        int
 	UserStateLen int
 	Join         bool
@@ -74,19 +76,19 @@
 	return codec.NewDecoder(bytes.NewReader(b), &codec.MsgpackHandle{}).Decode(into)
 }
 
-// credible tells what is wrong with a member's life as another describes it, nil if nothing is.
-func (w *wire) credible(node string, incarnation uint32, addr []byte, port uint16, meta []byte, versions []uint8) error {
-	if incarnation > mostIncarnation {
-		return errAbsurd
+// checkMember returns what is invalid in the description of a member, nil if nothing is.
+func (w *wire) checkMember(node string, incarnation uint32, addr []byte, port uint16, meta []byte, versions []uint8) error {
+	if incarnation > maxGossipIncarnation {
+		return errIncarnationRange
 	}
-	if len(versions) != 6 { // the library takes it for granted
+	if len(versions) != 6 { // the library does not check the length
 		return fmt.Errorf("%.80q has %d versions of protocols", node, len(versions))
 	}
 	e, err := readEntry(meta)
 	if err != nil {
-		return fmt.Errorf("what %.80q says of itself: %v", node, err) // a lie, whatever it is
+		return fmt.Errorf("what %.80q says of itself: %v", node, err) // %v: counted as invalid whatever the cause
 	}
-	if node != handle(e.Name, e.Incarnation.Nonce) {
+	if node != nodeName(e.Name, e.Incarnation.Nonce) {
 		return fmt.Errorf("%.80q goes by the name of %q", node, e.Name)
 	}
 	ip, ok := netip.AddrFromSlice(addr)
@@ -96,19 +98,19 @@
 	return nil
 }
 
-// filter keeps the messages of a gossip packet for which keep returns nil; it gives the first error, and no packet if
-// nothing is left of it.
-func filter(b []byte, keep func(kind byte, body []byte) error) ([]byte, error) {
+// filterMessages keeps the messages of a gossip packet for which keep returns nil. It returns the first error, and no
+// packet if no message is left.
+func filterMessages(b []byte, keep func(kind byte, body []byte) error) ([]byte, error) {
 	whole := b
-	crc := len(b) > 5 && b[0] == msgCRC
-	if crc {
+	hasCRC := len(b) > 5 && b[0] == msgCRC
+	if hasCRC {
 		if binary.BigEndian.Uint32(b[1:]) != crc32.ChecksumIEEE(b[5:]) {
-			return nil, errSpoilt
+			return nil, errChecksum
 		}
 		b = b[5:]
 	}
 	if len(b) == 0 {
-		return nil, errCut
+		return nil, errTruncated
 	}
 	if b[0] != msgCompound {
 		if err := keep(b[0], b[1:]); err != nil {
@@ -117,173 +119,175 @@
 		return whole, nil
 	}
 	if len(b) < 2 || len(b) < 2+2*int(b[1]) {
-		return nil, errCut
+		return nil, errTruncated
 	}
 	n := int(b[1])
-	bodies := b[2+2*n:]
+	messages := b[2+2*n:]
 	var kept [][]byte
-	var first error
+	var firstErr error
 	for k := range n {
 		size := int(binary.BigEndian.Uint16(b[2+2*k:]))
-		if size == 0 || len(bodies) < size {
-			return nil, errCut
+		if size == 0 || len(messages) < size {
+			return nil, errTruncated
 		}
-		one := bodies[:size]
-		bodies = bodies[size:]
-		if err := keep(one[0], one[1:]); err != nil {
-			if first == nil {
-				first = err
+		message := messages[:size]
+		messages = messages[size:]
+		if err := keep(message[0], message[1:]); err != nil {
+			if firstErr == nil {
+				firstErr = err
 			}
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, message)
 	}
 	switch {
 	case len(kept) == n:
 		return whole, nil
 	case len(kept) == 0:
-		return nil, first
+		return nil, firstErr
 	}
 	out := []byte{msgCompound, byte(len(kept))}
-	for _, one := range kept {
-		out = binary.BigEndian.AppendUint16(out, uint16(len(one)))
+	for _, message := range kept {
+		out = binary.BigEndian.AppendUint16(out, uint16(len(message)))
 	}
-	for _, one := range kept {
-		out = append(out, one...)
+	for _, message := range kept {
+		out = append(out, message...)
 	}
-	if crc {
-		head := binary.BigEndian.AppendUint32([]byte{msgCRC}, crc32.ChecksumIEEE(out))
-		out = append(head, out...)
+	if hasCRC {
+		header := binary.BigEndian.AppendUint32([]byte{msgCRC}, crc32.ChecksumIEEE(out))
+		out = append(header, out...)
 	}
-	return out, first
+	return out, firstErr
 }
 
-// incoming takes out of a packet what cannot be true.
-func (w *wire) incoming(b []byte) ([]byte, error) {
-	return filter(b, func(kind byte, body []byte) error {
+// dropInvalid removes invalid messages from an incoming packet.
+func (w *wire) dropInvalid(b []byte) ([]byte, error) {
+	return filterMessages(b, func(kind byte, body []byte) error {
 		switch kind {
 		case msgPing, msgIndirectPing, msgAck, msgUser, msgNack:
 			return nil
 		case msgSuspect, msgDead, msgAlive:
-			var c claim
+			var c memberClaim
 			if err := decode(body, &c); err != nil {
-				return fmt.Errorf("message of kind %d: %w", kind, errCut)
+				return fmt.Errorf("message of kind %d: %w", kind, errTruncated)
 			}
 			if kind == msgAlive {
-				return w.credible(c.Node, c.Incarnation, c.Addr, c.Port, c.Meta, c.Vsn)
+				return w.checkMember(c.Node, c.Incarnation, c.Addr, c.Port, c.Meta, c.Vsn)
 			}
-			if c.Incarnation > mostIncarnation {
-				return errAbsurd
+			if c.Incarnation > maxGossipIncarnation {
+				return errIncarnationRange
 			}
 			return nil
 		}
-		return fmt.Errorf("message of kind %d: %w", kind, errForeign)
+		return fmt.Errorf("message of kind %d: %w", kind, errProtocol)
 	})
 }
 
-var errAccuses = errors.New("accuses")
+var errSuspicion = errors.New("accuses")
 
-// outgoing takes accusations out of a packet; what a member says of its own leaving is none.
-func outgoing(b []byte) []byte {
-	out, _ := filter(b, func(kind byte, body []byte) error {
+// dropSuspicions removes suspicions and declarations of death from an outgoing packet. A member's message about its own
+// leaving is kept.
+func dropSuspicions(b []byte) []byte {
+	out, _ := filterMessages(b, func(kind byte, body []byte) error {
 		if kind != msgSuspect && kind != msgDead {
 			return nil
 		}
-		var c claim
+		var c memberClaim
 		if decode(body, &c) == nil && kind == msgDead && c.Node == c.From {
 			return nil
 		}
-		return errAccuses
+		return errSuspicion
 	})
 	return out
 }
 
-// stream is a connection on which an exchange is read whole and looked at before the library sees it.
-type stream struct {
+// checkedStream is a gossip connection. A push/pull exchange is read and checked as a whole before the library reads
+// it.
+type checkedStream struct {
 	net.Conn
-	w      *wire
-	in     *bufio.Reader
-	looked bool
-	ready  *bytes.Reader // what is left of a checked exchange
-	over   func()        // once, when it is closed
+	w         *wire
+	in        *bufio.Reader
+	checked   bool
+	validated *bytes.Reader // unread rest of a checked exchange
+	onClose   func()        // called once, on Close
 }
 
-func newStream(nc net.Conn, w *wire, over func()) *stream {
-	return &stream{Conn: nc, w: w, in: bufio.NewReader(io.LimitReader(nc, mostExchange)), over: sync.OnceFunc(over)}
+func newStream(nc net.Conn, w *wire, onClose func()) *checkedStream {
+	return &checkedStream{Conn: nc, w: w, in: bufio.NewReader(io.LimitReader(nc, maxExchangeBytes)), onClose: sync.OnceFunc(onClose)}
 }
 
-// Close ends it.
-func (s *stream) Close() error {
-	defer s.over()
+// Close closes the connection.
+func (s *checkedStream) Close() error {
+	defer s.onClose()
 	return s.Conn.Close()
 }
 
-func (s *stream) Read(b []byte) (int, error) {
-	if !s.looked {
-		s.looked = true
+func (s *checkedStream) Read(b []byte) (int, error) {
+	if !s.checked {
+		s.checked = true
 		kind, err := s.in.Peek(1)
 		if err != nil {
 			return 0, err
 		}
 		switch kind[0] {
 		case msgPushPull:
-			text, err := s.exchange()
+			text, err := s.readExchange()
 			if err != nil {
-				s.w.countDropped(corrupt, s.RemoteAddr().String(), err)
+				s.w.countDropped(causeCorrupt, s.RemoteAddr().String(), err)
 				return 0, err
 			}
-			s.ready = bytes.NewReader(text)
+			s.validated = bytes.NewReader(text)
 		case msgPing, msgAck, msgUser, msgError:
 		default:
-			s.w.countDropped(corrupt, s.RemoteAddr().String(), errForeign)
-			return 0, errForeign
+			s.w.countDropped(causeCorrupt, s.RemoteAddr().String(), errProtocol)
+			return 0, errProtocol
 		}
 	}
-	if s.ready != nil {
-		return s.ready.Read(b)
+	if s.validated != nil {
+		return s.validated.Read(b)
 	}
 	return s.in.Read(b)
 }
 
-// exchange reads all that another knows, and writes it again without what cannot be true.
-func (s *stream) exchange() ([]byte, error) {
+// readExchange reads a push/pull exchange, and encodes it again without the invalid members.
+func (s *checkedStream) readExchange() ([]byte, error) {
 	s.in.ReadByte()
 	in := codec.NewDecoder(s.in, &codec.MsgpackHandle{})
-	var head exchangeHead
-	if err := in.Decode(&head); err != nil {
-		return nil, errCut
+	var header exchangeHeader
+	if err := in.Decode(&header); err != nil {
+		return nil, errTruncated
 	}
-	if head.Nodes < 0 || head.Nodes > mostStates || head.UserStateLen < 0 || head.UserStateLen > mostExchange {
-		return nil, fmt.Errorf("an exchange of %d members and %d bytes", head.Nodes, head.UserStateLen)
+	if header.Nodes < 0 || header.Nodes > maxExchangeMembers || header.UserStateLen < 0 || header.UserStateLen > maxExchangeBytes {
+		return nil, fmt.Errorf("an exchange of %d members and %d bytes", header.Nodes, header.UserStateLen)
 	}
-	kept := make([]state, 0, min(head.Nodes, 64))
-	for range head.Nodes {
-		var one state
-		if err := in.Decode(&one); err != nil {
-			return nil, errCut
+	kept := make([]memberState, 0, min(header.Nodes, 64))
+	for range header.Nodes {
+		var member memberState
+		if err := in.Decode(&member); err != nil {
+			return nil, errTruncated
 		}
-		if err := s.w.credible(one.Name, one.Incarnation, one.Addr, one.Port, one.Meta, one.Vsn); err != nil {
-			s.w.countDropped(invalid, s.RemoteAddr().String(), err)
+		if err := s.w.checkMember(member.Name, member.Incarnation, member.Addr, member.Port, member.Meta, member.Vsn); err != nil {
+			s.w.countDropped(causeInvalid, s.RemoteAddr().String(), err)
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, member)
 	}
-	more := make([]byte, head.UserStateLen)
-	if _, err := io.ReadFull(s.in, more); err != nil {
-		return nil, errCut
+	userState := make([]byte, header.UserStateLen)
+	if _, err := io.ReadFull(s.in, userState); err != nil {
+		return nil, errTruncated
 	}
-	head.Nodes = len(kept)
+	header.Nodes = len(kept)
 	var out bytes.Buffer
 	out.WriteByte(msgPushPull)
-	to := codec.NewEncoder(&out, &codec.MsgpackHandle{})
-	if err := to.Encode(&head); err != nil {
+	encoder := codec.NewEncoder(&out, &codec.MsgpackHandle{})
+	if err := encoder.Encode(&header); err != nil {
 		return nil, err
 	}
 	for k := range kept {
-		if err := to.Encode(&kept[k]); err != nil {
+		if err := encoder.Encode(&kept[k]); err != nil {
 			return nil, err
 		}
 	}
-	out.Write(more)
+	out.Write(userState)
 	return out.Bytes(), nil
 }
--- a/member/loop.go
+++ b/member/loop.go
@@ -14,130 +14,130 @@
 	"valveglade/logic/view"
 )
 
-// beatEvery is how often the loop comes round at the least: a third of the lateness that matters.
-const beatEvery = 100 * time.Millisecond
+// heartbeatInterval is the longest time between two passes of the loop: a third of the lag that matters.
+const heartbeatInterval = 100 * time.Millisecond
 
 // Run takes part in the fleet until ctx ends, then leaves.
 func (m *Member) Run(ctx context.Context) error {
-	live, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	var all context.Context
-	m.group, all = errgroup.WithContext(live)
-	if err := m.start(); err != nil {
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	var groupCtx context.Context
+	m.group, groupCtx = errgroup.WithContext(runCtx)
+	if err := m.startGossip(); err != nil {
 		m.wire.close()
 		return err
 	}
-	m.group.Go(m.wire.packets)
-	m.group.Go(m.wire.accept)
-	m.group.Go(func() error { return m.announce(all) })
+	m.group.Go(m.wire.readPackets)
+	m.group.Go(m.wire.acceptStreams)
+	m.group.Go(func() error { return m.announce(groupCtx) })
 	if m.config.Socket != "" {
-		m.group.Go(func() error { return m.serveStatus(all) })
+		m.group.Go(func() error { return m.serveStatus(groupCtx) })
 	}
 	m.group.Go(func() error {
 		defer m.wire.close()
-		defer m.stop()
-		defer end()
-		// The app server does without a fleet rather than end with it.
-		return m.wire.guard("loop", func() error { return m.loop(ctx, all) })
+		defer m.stopGossip()
+		defer cancel()
+		// A panic of the loop ends membership, not the app server.
+		return m.wire.recoverPanic("loop", func() error { return m.loop(ctx, groupCtx) })
 	})
 	return m.group.Wait()
 }
 
-// loop brings the machine events and time, and has its actions carried out.
-func (m *Member) loop(ctx, all context.Context) error {
-	beat := time.NewTicker(beatEvery)
-	defer beat.Stop()
-	last := time.Now()
+// loop feeds events and time to the machine, and executes its actions.
+func (m *Member) loop(ctx, groupCtx context.Context) error {
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
+	lastPass := time.Now()
 	for {
 		var e view.Event
-		some := false
+		hasEvent := false
 		select {
 		case <-ctx.Done():
 			m.leave()
 			return nil
-		case <-all.Done():
+		case <-groupCtx.Done():
 			return nil
 		case <-m.killed.Done():
-			m.stop()
+			m.stopGossip()
 			return nil
-		case <-beat.C:
+		case <-ticker.C:
 		case e = <-m.events:
-			some = true
+			hasEvent = true
 		}
-		// Whatever it was that woke us: if we slept, that comes first.
-		if gap := time.Since(last) - beatEvery; gap > m.wire.lag {
-			m.machine.Step(view.Event{Kind: view.Late, Lag: gap.Seconds()}, m.now())
-			m.wire.accuses.Store(m.machine.MaySuspect(m.now()))
-			if gap > m.wire.wake {
-				m.log.Warn("fleet: this process slept and begins gossip anew", zap.Float64("slept_s", round(gap.Seconds())))
+		// A lag of this process is handled before the event.
+		if lag := time.Since(lastPass) - heartbeatInterval; lag > m.wire.lagThreshold {
+			m.machine.Step(view.Event{Kind: view.Late, Lag: lag.Seconds()}, m.now())
+			m.wire.maySuspect.Store(m.machine.MaySuspect(m.now()))
+			if lag > m.wire.rebuildThreshold {
+				m.log.Warn("fleet: this process slept and begins gossip anew", zap.Float64("slept_s", roundMillis(lag.Seconds())))
 			}
-			m.carryOut(all)
+			m.execute(groupCtx)
 		}
-		last = time.Now()
-		if some {
+		lastPass = time.Now()
+		if hasEvent {
 			m.machine.Step(e, m.now())
-			for n := len(m.events); n > 0; n-- { // what came with it
+			for n := len(m.events); n > 0; n-- { // events that are queued already
 				m.machine.Step(<-m.events, m.now())
 			}
 		} else {
 			m.machine.Tick(m.now())
 		}
-		m.wire.accuses.Store(m.machine.MaySuspect(m.now()))
-		m.carryOut(all)
-		m.wire.beat()
+		m.wire.maySuspect.Store(m.machine.MaySuspect(m.now()))
+		m.execute(groupCtx)
+		m.wire.heartbeat()
 	}
 }
 
-// carryOut carries out the machine's actions. Whatever may wait does so in a goroutine of its own, of which the machine
-// bounds the number.
-func (m *Member) carryOut(ctx context.Context) {
-	for _, o := range m.machine.Ready() {
-		switch o.Kind {
+// execute executes the machine's actions. Actions that may block run in goroutines of their own, whose number the
+// machine bounds.
+func (m *Member) execute(ctx context.Context) {
+	for _, action := range m.machine.Ready() {
+		switch action.Kind {
 		case view.Publish:
 			m.publish()
 		case view.Announce:
 			m.publish()
-			signal(m.announceDue)
+			notify(m.announceDue)
 		case view.Contact:
-			go m.contact(o.Address)
+			go m.contact(action.Address)
 		case view.Probe:
-			go m.probe(ctx, o.Name, o.Address)
+			go m.probe(ctx, action.Name, action.Address)
 		case view.NotifyNewerIncarnation:
-			if to, err := netip.ParseAddrPort(o.Address); err == nil {
-				m.wire.send(kindNewer, appendNewer(nil, o.Entry), to)
+			if to, err := netip.ParseAddrPort(action.Address); err == nil {
+				m.wire.send(kindNewerIncarnation, appendNewerIncarnation(nil, action.Entry), to)
 			}
 		case view.Rebuild:
-			m.stop()
-			if err := m.start(); err != nil {
+			m.stopGossip()
+			if err := m.startGossip(); err != nil {
 				m.log.Error("fleet: gossip cannot begin anew", zap.Error(err))
 			}
 		case view.Withdraw:
 			m.log.Error("fleet: a newer incarnation of this name is running; this one takes no further part",
-				zap.String("there", o.Entry.Address), zap.Uint64("its_birth", o.Entry.Incarnation.Number),
+				zap.String("there", action.Entry.Address), zap.Uint64("its_birth", action.Entry.Incarnation.Number),
 				zap.Uint64("our_birth", m.machine.Entry().Incarnation.Number))
-			go m.stop()
+			go m.stopGossip()
 		}
 	}
 }
 
-// publish makes the machine's view and entry those in force.
+// publish makes the machine's current view and entry available to readers.
 func (m *Member) publish() {
 	e := m.machine.Entry()
 	m.entry.Store(&e)
-	v, was := m.machine.View(), m.view.Load()
-	if v == was {
+	v, previous := m.machine.View(), m.view.Load()
+	if v == previous {
 		return
 	}
 	m.view.Store(v)
-	if was == nil || v.Digest != was.Digest {
+	if previous == nil || v.Digest != previous.Digest {
 		m.rememberAddresses(v)
 	}
 	m.mu.Lock()
-	for c := range m.subs {
-		signal(c)
+	for c := range m.subscribers {
+		notify(c)
 	}
 	m.mu.Unlock()
-	if was == nil || v.Digest != was.Digest || v.Certainty != was.Certainty {
+	if previous == nil || v.Digest != previous.Digest || v.Certainty != previous.Certainty {
 		m.log.Info("view", zap.Uint64("version", v.Version), zap.String("digest", digestText(v.Digest)),
 			zap.Stringer("certainty", v.Certainty), zap.Int("members", len(v.Members)), zap.Int("healthy", len(v.LastHealthy)),
 			zap.Strings("changes", changeTexts(v.Changes)))
@@ -146,29 +146,29 @@
 
 func digestText(d uint64) string { return hex.EncodeToString(binary.BigEndian.AppendUint64(nil, d)) }
 
-// maxChangeTexts is how many changes one line tells; a line for each of three hundred would say less.
+// maxChangeTexts bounds the changes in one log line, as three hundred would be unreadable.
 const maxChangeTexts = 24
 
 func changeTexts(changes []view.Change) []string {
-	var all []string
+	var texts []string
 	for k, c := range changes {
 		if k == maxChangeTexts {
-			return append(all, fmt.Sprintf("and %d more", len(changes)-k))
+			return append(texts, fmt.Sprintf("and %d more", len(changes)-k))
 		}
-		all = append(all, c.Name+" "+c.What+": "+c.Why)
+		texts = append(texts, c.Name+" "+c.What+": "+c.Why)
 	}
-	return all
+	return texts
 }
 
-// Kill ends this member's part at once and without a word, as the end of its process would; Run returns. It is for those
-// who play failures with many members in one process.
+// Kill ends this member at once without a leave message, as a crash of its process would; Run returns. It is for tests
+// and experiments with many members in one process.
 func (m *Member) Kill() {
 	m.wire.transport.Store(nil)
 	m.wire.close()
 	m.kill()
 }
 
-// contact exchanges all that is known with whoever is at an address.
+// contact exchanges all state with the process at an address.
 func (m *Member) contact(address string) {
 	ok := false
 	if g := m.gossip.Load(); g != nil {
@@ -178,10 +178,10 @@
 	m.enqueue(view.Event{Kind: view.ContactDone, Address: address, OK: ok})
 }
 
-// probe asks the process at an address whether it is that member.
+// probe asks the process at an address whether it is the named member.
 func (m *Member) probe(ctx context.Context, name, address string) {
-	ctx, end := context.WithTimeout(ctx, time.Duration(float64(m.config.ProbeInterval)*(1+probeWait)))
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(float64(m.config.ProbeInterval)*(1+probeTimeoutRatio)))
+	defer cancel()
 	_, err := m.wire.probe(ctx, address, name)
 	m.ReportReachability(name, err == nil)
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -144,21 +144,21 @@
 		Meta        []byte
 		Vsn         []uint8
 	}
-	name := handle("a", real.Incarnation.Nonce)
+	name := nodeName("a", real.Incarnation.Nonce)
 	good := appendEntry(nil, real)
 	born := real
 	born.Incarnation.Number = view.MaxIncarnation
 	for cause, payloads := range map[cause][][]byte{
-		foreign: {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
-		corrupt: {[]byte("VGF\x01g____spoilt"), seal(nil, kindGossip, nil), seal(nil, kindGossip, []byte{msgCompound, 9, 0}), seal(nil, kindNewer, []byte{1}), seal(nil, kindGossip, []byte{msgDead, 0xc1}), seal(nil, kindGossip, []byte{99, 1})},
-		invalid: {
-			seal(nil, kindGossip, encoded(msgDead, claim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
-			seal(nil, kindGossip, encoded(msgAlive, alive{1<<32 - 1, name, addr, port, good, vsn})),
-			seal(nil, kindGossip, encoded(msgAlive, alive{3, "b~12345678", addr, port, good, vsn})),                 // another's name
-			seal(nil, kindGossip, encoded(msgAlive, alive{3, name, []byte{8, 8, 8, 8}, port, good, vsn})),           // outside
-			seal(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, bytes.Repeat([]byte{7}, 400), vsn})), // a huge digest
-			seal(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, appendEntry(nil, born), vsn})),
-			seal(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, good, vsn[:1]})), // on which the library would break
+		causeForeign: {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
+		causeCorrupt: {[]byte("VGF\x01g____spoilt"), sealPacket(nil, kindGossip, nil), sealPacket(nil, kindGossip, []byte{msgCompound, 9, 0}), sealPacket(nil, kindNewerIncarnation, []byte{1}), sealPacket(nil, kindGossip, []byte{msgDead, 0xc1}), sealPacket(nil, kindGossip, []byte{99, 1})},
+		causeInvalid: {
+			sealPacket(nil, kindGossip, encoded(msgDead, memberClaim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
+			sealPacket(nil, kindGossip, encoded(msgAlive, alive{1<<32 - 1, name, addr, port, good, vsn})),
+			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, "b~12345678", addr, port, good, vsn})),                 // another's name
+			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, []byte{8, 8, 8, 8}, port, good, vsn})),           // outside
+			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, bytes.Repeat([]byte{7}, 400), vsn})), // a huge digest
+			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, appendEntry(nil, born), vsn})),
+			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, good, vsn[:1]})), // on which the library would break
 		},
 	} {
 		for range 3 {
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	other.Write(seal(nil, kindGossip, []byte{msgPing}))
+	other.Write(sealPacket(nil, kindGossip, []byte{msgPing}))
 	until(t, "not allowed", 5*time.Second, func() bool { return b.Stats().Dropped["not allowed"] == 1 })
 	// Streams of another kind end, and cost nothing.
 	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n", "VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
@@ -207,16 +207,16 @@
 
 // An exchange over a stream is believed but for what cannot be true in it.
 func TestExchange(t *testing.T) {
-	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(), told: map[cause]time.Time{}}
+	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(), lastLogged: map[cause]time.Time{}}
 	e := view.Entry{Name: "a", Incarnation: view.Incarnation{Number: 5, Nonce: 7}, State: view.Serving, Proto: 1}
-	ok := state{handle("a", 7), []byte{127, 0, 0, 1}, 7946, appendEntry(nil, e), 3, 0, []uint8{1, 5, 2, 0, 0, 0}}
+	ok := memberState{nodeName("a", 7), []byte{127, 0, 0, 1}, 7946, appendEntry(nil, e), 3, 0, []uint8{1, 5, 2, 0, 0, 0}}
 	bad := ok
 	bad.Incarnation = 1<<32 - 1
 	var in bytes.Buffer
 	in.WriteByte(msgPushPull)
 	to := codec.NewEncoder(&in, &codec.MsgpackHandle{})
-	to.Encode(exchangeHead{Nodes: 3, UserStateLen: 4, Join: true})
-	for _, s := range []state{bad, ok, bad} {
+	to.Encode(exchangeHeader{Nodes: 3, UserStateLen: 4, Join: true})
+	for _, s := range []memberState{bad, ok, bad} {
 		to.Encode(s)
 	}
 	in.WriteString("user")
@@ -227,15 +227,15 @@
 		t.Fatal(err)
 	}
 	out := codec.NewDecoder(bytes.NewReader(text[1:]), &codec.MsgpackHandle{})
-	var head exchangeHead
-	var one state
+	var head exchangeHeader
+	var one memberState
 	if err := errors.Join(out.Decode(&head), out.Decode(&one)); err != nil {
 		t.Fatal(err)
 	}
 	if head.Nodes != 1 || !head.Join || head.UserStateLen != 4 || one.Incarnation != 3 || !bytes.HasSuffix(text, []byte("user")) {
 		t.Errorf("%+v %+v %q", head, one, text)
 	}
-	if n := w.counts[invalid].Load(); n != 2 {
+	if n := w.dropCounts[causeInvalid].Load(); n != 2 {
 		t.Errorf("%d lies counted", n)
 	}
 }
@@ -243,10 +243,10 @@
 // Accusations are taken out of what a late process sends, and its own leave message is not.
 func TestOutgoing(t *testing.T) {
 	part := func(kind byte, v any) []byte { return encoded(kind, v) }
-	bye := part(msgDead, claim{Node: "me", From: "me", Incarnation: 3})
+	bye := part(msgDead, memberClaim{Node: "me", From: "me", Incarnation: 3})
 	ack := part(msgAck, struct{ SeqNo uint32 }{7})
-	accuse := part(msgSuspect, claim{Node: "you", From: "me", Incarnation: 3})
-	bury := part(msgDead, claim{Node: "you", From: "me", Incarnation: 3})
+	accuse := part(msgSuspect, memberClaim{Node: "you", From: "me", Incarnation: 3})
+	bury := part(msgDead, memberClaim{Node: "you", From: "me", Incarnation: 3})
 	pack := func(crc bool, parts ...[]byte) []byte {
 		out := []byte{msgCompound, byte(len(parts))}
 		for _, p := range parts {
@@ -262,7 +262,7 @@
 	}
 	for k, c := range [][2][]byte{{bye, bye}, {ack, ack}, {accuse, nil}, {bury, nil}, {pack(false, ack, accuse, bye), pack(false, ack, bye)},
 		{pack(true, ack, accuse, bury), pack(true, ack)}, {pack(true, ack, bye), pack(true, ack, bye)}, {pack(false, accuse, bury), nil}} {
-		if got := outgoing(c[0]); !bytes.Equal(got, c[1]) {
+		if got := dropSuspicions(c[0]); !bytes.Equal(got, c[1]) {
 			t.Errorf("%d: %q, not %q", k, got, c[1])
 		}
 	}
@@ -365,21 +365,21 @@
 
 // Any packet: nothing breaks, and what is kept of it reads as before.
 func FuzzPacket(f *testing.F) {
-	f.Add(seal(nil, kindGossip, encoded(msgSuspect, claim{Node: "a~00000001"})))
-	f.Add(seal(nil, kindGossip, []byte{msgCompound, 2, 0, 1, 0, 1, 0, 1}))
+	f.Add(sealPacket(nil, kindGossip, encoded(msgSuspect, memberClaim{Node: "a~00000001"})))
+	f.Add(sealPacket(nil, kindGossip, []byte{msgCompound, 2, 0, 1, 0, 1, 0, 1}))
 	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		kind, payload, err := open(b)
+		kind, payload, err := openPacket(b)
 		if err != nil || kind != kindGossip {
 			kind, payload = kindGossip, b
 		}
-		if kept, _ := w.incoming(payload); kept != nil {
-			if again, err := w.incoming(kept); err != nil || !bytes.Equal(again, kept) {
+		if kept, _ := w.dropInvalid(payload); kept != nil {
+			if again, err := w.dropInvalid(kept); err != nil || !bytes.Equal(again, kept) {
 				t.Errorf("%q is kept as %q, then %q, %v", payload, kept, again, err)
 			}
 		}
-		outgoing(payload)
+		dropSuspicions(payload)
 		readEntry(b)
-		readNewer(b)
+		readNewerIncarnation(b)
 	})
 }
--- a/member/probe.go
+++ b/member/probe.go
@@ -11,46 +11,47 @@
 	"valveglade/logic/view"
 )
 
-// headWait is how long a connection may take to say what it is for.
-const headWait = time.Second
+// headerTimeout bounds how long a connection may take to send its header.
+const headerTimeout = time.Second
 
-// handleStream reads what a connection is for. Its place is given back when it is closed, whoever closes it.
-func (w *wire) handleStream(bare net.Conn) {
-	release := sync.OnceFunc(func() { <-w.streams })
-	nc := newStream(bare, w, release)
-	kept := false
+// handleStream reads the header of a connection and dispatches on its kind. The connection's slot is released when it
+// is closed, by whichever side.
+func (w *wire) handleStream(conn net.Conn) {
+	release := sync.OnceFunc(func() { <-w.connectionSlots })
+	nc := newStream(conn, w, release)
+	handedOver := false
 	defer func() {
-		if !kept {
+		if !handedOver {
 			nc.Close()
 		}
 	}()
-	nc.SetDeadline(time.Now().Add(headWait))
-	head := make([]byte, streamHead)
-	if _, err := io.ReadFull(bare, head); err != nil {
+	nc.SetDeadline(time.Now().Add(headerTimeout))
+	header := make([]byte, streamHeaderSize)
+	if _, err := io.ReadFull(conn, header); err != nil {
 		return
 	}
 	t := w.transport.Load()
 	switch {
-	case string(head[:len(magic)]) != magic:
-		w.countDropped(foreign, nc.RemoteAddr().String(), errForeign)
-	case head[len(magic)] == kindProbe:
-		w.answerProbe(bare)
-	case head[len(magic)] == kindStream:
-		w.serveStream(bare, release)
-	case head[len(magic)] == kindGossip && t != nil:
+	case string(header[:len(magic)]) != magic:
+		w.countDropped(causeForeign, nc.RemoteAddr().String(), errProtocol)
+	case header[len(magic)] == kindProbe:
+		w.answerProbe(conn)
+	case header[len(magic)] == kindStream:
+		w.serveStream(conn, release)
+	case header[len(magic)] == kindGossip && t != nil:
 		nc.SetDeadline(time.Time{})
 		select {
 		case t.streams <- nc:
-			kept = true
+			handedOver = true
 		case <-t.done:
-		case <-time.After(headWait):
+		case <-time.After(headerTimeout):
 		}
 	default:
-		w.countDropped(foreign, nc.RemoteAddr().String(), fmt.Errorf("a stream of kind %q", head[len(magic)]))
+		w.countDropped(causeForeign, nc.RemoteAddr().String(), fmt.Errorf("a stream of kind %q", header[len(magic)]))
 	}
 }
 
-// answerProbe answers who is here.
+// answerProbe answers a probe with our entry if the name is ours.
 func (w *wire) answerProbe(nc net.Conn) {
 	var size [1]byte
 	if _, err := io.ReadFull(nc, size[:]); err != nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// dial opens a stream from our own address, so that the other end knows who speaks.
+// dial opens a stream from our own address, by which the other end identifies us.
 func (w *wire) dial(ctx context.Context, address string, kind byte) (net.Conn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: w.listen.Addr().AsSlice()}}
 	if w.listen.Addr().IsUnspecified() {
@@ -75,8 +76,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if due, ok := ctx.Deadline(); ok {
-		nc.SetDeadline(due)
+	if deadline, ok := ctx.Deadline(); ok {
+		nc.SetDeadline(deadline)
 	}
 	if _, err := nc.Write(append([]byte(magic), kind)); err != nil {
 		nc.Close()
@@ -85,7 +86,7 @@
 	return nc, nil
 }
 
-// probe asks whoever is at an address whether it is that member; it gives what it says of itself.
+// probe asks the process at an address whether it is the named member; it returns the entry that it reports.
 func (w *wire) probe(ctx context.Context, address, name string) (view.Entry, error) {
 	nc, err := w.dial(ctx, address, kindProbe)
 	if err != nil {
@@ -95,7 +96,7 @@
 	if _, err := nc.Write(appendText(nil, name)); err != nil {
 		return view.Entry{}, err
 	}
-	b, err := io.ReadAll(io.LimitReader(nc, maxEntry))
+	b, err := io.ReadAll(io.LimitReader(nc, maxEntrySize))
 	if err != nil {
 		return view.Entry{}, err
 	}
--- a/member/show.go
+++ b/member/show.go
@@ -16,24 +16,24 @@
 	"go.uber.org/zap"
 )
 
-// Status is what a member tells on its local socket, as one JSON object.
+// Status is what a member reports on its local socket, as one JSON object.
 type Status struct {
 	Name        string           `json:"name"`
 	Version     uint64           `json:"version"`
 	Digest      string           `json:"digest"`
 	Certainty   string           `json:"certainty"`
 	Members     []MemberStatus   `json:"members"`
-	LastHealthy []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is partitioned
-	Packets     [2]int64         `json:"packets"`           // sent, got
-	Bytes       [2]int64         `json:"bytes"`             // sent, got, without streams
+	LastHealthy []string         `json:"healthy,omitempty"` // names in the last healthy view while this one is partitioned
+	Packets     [2]int64         `json:"packets"`           // sent, received
+	Bytes       [2]int64         `json:"bytes"`             // sent, received, without streams
 	Dropped     map[string]int64 `json:"dropped,omitempty"`
-	Roles       json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
+	Roles       json.RawMessage  `json:"roles,omitempty"` // result of the function given to SetRoles
 }
 
-// MemberStatus is one line of it.
+// MemberStatus describes one member of the view.
 type MemberStatus struct {
 	Name        string `json:"name"`
-	Incarnation uint64 `json:"incarnation"` // milliseconds of Unix time
+	Incarnation uint64 `json:"incarnation"` // Unix milliseconds
 	Nonce       string `json:"nonce"`
 	Address     string `json:"address"`
 	Zone        string `json:"zone,omitempty"`
@@ -46,7 +46,7 @@
 	Level       uint8  `json:"level"`
 }
 
-// Status is the view in force and what it cost, for operators.
+// Status returns the current view and the packet counters, for operators.
 func (m *Member) Status() Status {
 	v, c := m.View(), m.Stats()
 	s := Status{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
@@ -64,16 +64,16 @@
 	return s
 }
 
-// serveStatus tells the view to whoever on this machine connects to the local socket.
+// serveStatus writes the status to each connection to the local socket.
 func (m *Member) serveStatus(ctx context.Context) error {
 	path := m.config.Socket
 	if nc, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		nc.Close()
-		m.log.Error("fleet: the local socket belongs to a process that runs") // it tells its own view; ours goes on
+		m.log.Error("fleet: the local socket belongs to a process that runs") // that process serves its own view; this member runs without a socket
 		return nil
 	}
 	if at, err := os.Lstat(path); err == nil && at.Mode()&os.ModeSocket != 0 {
-		os.Remove(path) // of one that has ended
+		os.Remove(path) // left by a process that has ended
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err == nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// ReadStatus reads what the member behind a local socket tells.
+// ReadStatus reads the status of the member behind a local socket.
 func ReadStatus(path string) (Status, error) {
 	nc, err := net.DialTimeout("unix", path, time.Second)
 	if err != nil {
@@ -112,11 +112,11 @@
 	return s, json.NewDecoder(io.LimitReader(nc, 4<<20)).Decode(&s)
 }
 
-// Table writes it for people.
+// Table writes the status as text for operators.
 func (s Status) Table(to io.Writer) {
 	fmt.Fprintf(to, "view %d of %s, %s: %d members, digest %s\n", s.Version, s.Name, s.Certainty, len(s.Members), s.Digest)
-	if gone := s.missing(); gone != nil {
-		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(gone, " "))
+	if missing := s.missing(); missing != nil {
+		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(missing, " "))
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tZONE\tADDRESS\tSTARTED\tLOAD\tREMARKS")
@@ -147,7 +147,7 @@
 	fmt.Fprintln(to)
 }
 
-// missing names who of the last healthy view is missing.
+// missing returns the names of the last healthy view that are no longer members.
 func (s Status) missing() []string {
 	var all []string
 	for _, name := range s.LastHealthy {
--- a/member/stream.go
+++ b/member/stream.go
@@ -18,22 +18,22 @@
 	"valveglade/logic/view"
 )
 
-// kindStream is a stream of frames between two members, for whoever registers a StreamHandler.
+// kindStream is the kind of streams that carry frames between two members, served by a StreamHandler.
 const kindStream = 's'
 
 // MaxFrame is the largest payload of one frame, in bytes.
 const MaxFrame = 64 << 10
 
-// frameHead is the bytes before a frame's payload: its length and its CRC-32C, four bytes each.
-const frameHead = 8
+// frameHeaderSize is the size of a frame's header in bytes: length and CRC-32C, four bytes each.
+const frameHeaderSize = 8
 
-// maxReason bounds the text of a refusal, in bytes.
+// maxReason bounds the text of a rejection, in bytes.
 const maxReason = 200
 
 // streamOpenTimeout bounds how long the accepting end waits for the hello and the opening end for its answer.
 const streamOpenTimeout = 2 * time.Second
 
-// OutgoingStreams is how many streams a member opens at a time at the most; they count among its descriptors.
+// OutgoingStreams bounds the concurrent streams that a member opens; they count among its descriptors.
 const OutgoingStreams = 8
 
 // ErrFrameCorrupt is returned for a frame whose length or checksum is wrong. The stream is of no further use.
@@ -45,7 +45,7 @@
 // ErrTooManyStreams is returned by OpenStream while OutgoingStreams are open.
 var ErrTooManyStreams = errors.New("too many outgoing streams")
 
-// StreamRefusedError is the accepting end's reason for not taking a stream.
+// StreamRefusedError is returned when the accepting end rejects a stream.
 type StreamRefusedError struct{ Reason string }
 
 func (e *StreamRefusedError) Error() string { return "stream refused: " + e.Reason }
@@ -61,13 +61,13 @@
 	wrote atomic.Int64
 	once  sync.Once
 	done  func()
-	head  [frameHead]byte // of the frame being read
+	head  [frameHeaderSize]byte // of the frame being read
 }
 
-// Peer is the name that the other end gave, or that was dialed.
+// Peer returns the name that the other end gave, or that was dialed.
 func (s *Stream) Peer() string { return s.peer }
 
-// Bytes tells how many bytes were read and written, heads of frames included.
+// Bytes returns the bytes read and written, including frame headers.
 func (s *Stream) Bytes() (read, written int64) { return s.read.Load(), s.wrote.Load() }
 
 // Close ends the stream; a read or write under way returns an error.
@@ -94,7 +94,7 @@
 	if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(s.head[4:]) {
 		return nil, fmt.Errorf("%w: wrong checksum", ErrFrameCorrupt)
 	}
-	s.read.Add(int64(frameHead + len(payload)))
+	s.read.Add(int64(frameHeaderSize + len(payload)))
 	return payload, nil
 }
 
@@ -111,7 +111,7 @@
 		return fmt.Errorf("frame of %d bytes: at most %d", len(payload), MaxFrame)
 	}
 	s.conn.SetWriteDeadline(time.Now().Add(timeout))
-	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHead+len(payload)), uint32(len(payload)))
+	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHeaderSize+len(payload)), uint32(len(payload)))
 	frame = binary.BigEndian.AppendUint32(frame, crc32.Checksum(payload, castagnoli))
 	frame = append(frame, payload...)
 	n, err := s.conn.Write(frame)
@@ -119,7 +119,8 @@
 	return err
 }
 
-// A hello is the opening end's name and the name that it dialed. The answer is a byte, accepted or refused, and a reason.
+// A hello holds the opening end's name and the name that it dialed. The answer is a byte, accepted or refused, and a
+// reason.
 const (
 	streamAccepted = 0
 	streamRefused  = 1
@@ -131,17 +132,17 @@
 	r := reader{b: b}
 	from, to = r.text(), r.text()
 	switch {
-	case r.short || len(r.b) > 0:
-		return "", "", errCut
+	case r.truncated || len(r.b) > 0:
+		return "", "", errTruncated
 	case from == "" || len(from) > maxName || len(to) > maxName:
 		return "", "", fmt.Errorf("a hello from a name of %d bytes to one of %d", len(from), len(to))
 	}
 	return from, to, nil
 }
 
-// streams is what a member keeps of its own and others' streams.
+// streams tracks the open streams of a member in both directions.
 type streams struct {
-	limit   int // of incoming ones
+	limit   int // bound on incoming streams
 	handler atomic.Pointer[StreamHandler]
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -160,7 +161,7 @@
 	return &streams{limit: limit, ctx: ctx, cancel: cancel, open: map[*Stream]bool{}}
 }
 
-// add takes a stream in, or tells why it may not be.
+// add registers a stream, or returns why it is rejected.
 func (t *streams) add(s *Stream, incoming bool) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +197,7 @@
 	}
 }
 
-// close ends all streams, and lets none begin.
+// close closes all streams; further ones are rejected.
 func (t *streams) close() {
 	t.cancel()
 	t.mu.Lock()
@@ -211,26 +212,27 @@
 	}
 }
 
-// HandleStreams has h serve each incoming stream in a goroutine of its own. Without one all streams are refused.
-func (m *Member) HandleStreams(h StreamHandler) { m.wire.frames.handler.Store(&h) }
+// HandleStreams sets the handler that serves each incoming stream in a goroutine of its own. Without a handler all
+// streams are rejected.
+func (m *Member) HandleStreams(h StreamHandler) { m.wire.frameStreams.handler.Store(&h) }
 
-// StreamCounts tells how many streams are open each way, and how many incoming ones were refused.
+// StreamCounts returns the open streams in each direction, and the number of rejected incoming ones.
 func (m *Member) StreamCounts() (incoming, outgoing int, refused int64) {
-	t := m.wire.frames
+	t := m.wire.frameStreams
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.incoming, t.outgoing, t.refused.Load()
 }
 
-// OpenStream opens a stream to a member by its name. It fails with a *StreamRefusedError if the other end says no. The
-// caller closes it.
+// OpenStream opens a stream to the named member. It returns a *StreamRefusedError if the other end rejects it. The
+// caller closes the stream.
 func (m *Member) OpenStream(ctx context.Context, to string) (*Stream, error) {
 	if m.View().Certainty == view.Superseded {
 		return nil, net.ErrClosed
 	}
-	m.notes.Lock()
-	at, known := m.notes.at[to]
-	m.notes.Unlock()
+	m.addresses.Lock()
+	at, known := m.addresses.byName[to]
+	m.addresses.Unlock()
 	if to == m.config.Name {
 		at, known = m.wire.listen, true
 	}
@@ -238,45 +240,45 @@
 		return nil, fmt.Errorf("%w: %s", ErrUnknownMember, to)
 	}
 	s := &Stream{peer: to}
-	s.done = func() { m.wire.frames.remove(s) }
-	if err := m.wire.frames.add(s, false); err != nil {
+	s.done = func() { m.wire.frameStreams.remove(s) }
+	if err := m.wire.frameStreams.add(s, false); err != nil {
 		return nil, err
 	}
 	conn, err := m.wire.dial(ctx, at.String(), kindStream)
 	if err != nil {
-		m.wire.frames.remove(s)
+		m.wire.frameStreams.remove(s)
 		return nil, err
 	}
 	s.conn = conn
-	if err := s.sayHello(ctx, m.config.Name, to); err != nil {
+	if err := s.exchangeHello(ctx, m.config.Name, to); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// DialStream opens a stream to the member of a name at an address, for a process that is no member itself. Local is the
-// address to speak from, nil for any.
+// DialStream opens a stream to the named member at an address, for a process that is no member itself. Local is the
+// local address, nil for any.
 func DialStream(ctx context.Context, local net.Addr, address netip.AddrPort, from, to string) (*Stream, error) {
 	conn, err := (&net.Dialer{LocalAddr: local}).DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return nil, err
 	}
-	s := &Stream{peer: to, conn: conn, done: func() { /* nobody counts it */ }}
+	s := &Stream{peer: to, conn: conn, done: func() { /* not counted */ }}
 	conn.SetDeadline(time.Now().Add(streamOpenTimeout))
 	if _, err := conn.Write(append([]byte(magic), kindStream)); err != nil {
 		conn.Close()
 		return nil, err
 	}
-	if err := s.sayHello(ctx, from, to); err != nil {
+	if err := s.exchangeHello(ctx, from, to); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// sayHello sends the hello and reads its answer.
-func (s *Stream) sayHello(ctx context.Context, from, to string) error {
+// exchangeHello sends the hello and reads its answer.
+func (s *Stream) exchangeHello(ctx context.Context, from, to string) error {
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
 	if err := s.WriteFrame(appendHello(nil, from, to), streamOpenTimeout); err != nil {
@@ -296,49 +298,49 @@
 	return &StreamRefusedError{Reason: string(answer[1:])}
 }
 
-// serveStream answers a hello and has the handler serve the stream. Release gives back the place among connections that are
-// being read; a stream has one of its own from then on.
+// serveStream answers a hello and runs the handler. It calls release, which frees the connection's slot, once the
+// stream is admitted or rejected: open streams are limited separately.
 func (w *wire) serveStream(conn net.Conn, release func()) {
 	s := &Stream{conn: conn}
-	s.done = func() { w.frames.remove(s) }
+	s.done = func() { w.frameStreams.remove(s) }
 	defer s.Close()
-	hello, err := s.ReadFrame(headWait)
+	hello, err := s.ReadFrame(headerTimeout)
 	if err != nil {
-		w.countDropped(corrupt, conn.RemoteAddr().String(), err)
+		w.countDropped(causeCorrupt, conn.RemoteAddr().String(), err)
 		return
 	}
 	from, to, err := readHello(hello)
 	if err != nil {
-		w.countDropped(corrupt, conn.RemoteAddr().String(), err)
+		w.countDropped(causeCorrupt, conn.RemoteAddr().String(), err)
 		return
 	}
 	s.peer = from
 	h, err := w.admitStream(s, to)
 	release()
 	if err != nil {
-		w.frames.refused.Add(1)
-		w.countDropped(overloaded, conn.RemoteAddr().String(), err)
+		w.frameStreams.refused.Add(1)
+		w.countDropped(causeOverloaded, conn.RemoteAddr().String(), err)
 		reason := err.Error()
-		s.WriteFrame(append([]byte{streamRefused}, reason[:min(len(reason), maxReason)]...), headWait)
+		s.WriteFrame(append([]byte{streamRefused}, reason[:min(len(reason), maxReason)]...), headerTimeout)
 		return
 	}
-	if s.WriteFrame([]byte{streamAccepted}, headWait) != nil {
+	if s.WriteFrame([]byte{streamAccepted}, headerTimeout) != nil {
 		return
 	}
 	conn.SetDeadline(time.Time{})
-	h(w.frames.ctx, s)
+	h(w.frameStreams.ctx, s)
 }
 
-// admitStream tells who serves a stream, or why nobody does.
+// admitStream returns the handler of a stream, or why the stream is rejected.
 func (w *wire) admitStream(s *Stream, to string) (StreamHandler, error) {
 	if _, here := w.onProbe(to); !here {
 		return nil, fmt.Errorf("%s is not here", to)
 	}
-	h := w.frames.handler.Load()
+	h := w.frameStreams.handler.Load()
 	if h == nil {
 		return nil, errors.New("no streams are served here")
 	}
-	if err := w.frames.add(s, true); err != nil {
+	if err := w.frameStreams.add(s, true); err != nil {
 		w.log.Debug("stream refused", zap.String("from", s.peer), zap.Error(err))
 		return nil, err
 	}
--- a/member/transport.go
+++ b/member/transport.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is what the gossip library sends and receives through, until it is begun anew.
+// transport implements memberlist.Transport over a wire, for one run of gossip.
 type transport struct {
 	*wire
 	advertise netip.AddrPort
@@ -26,22 +26,25 @@
 		done: make(chan struct{})}
 }
 
-// FinalAdvertiseAddr gives the address that others are told.
+// FinalAdvertiseAddr returns the address that other members use.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
-// over tells whether this transport is to be silent: another is in force, or the process has only just woken.
-func (t *transport) over() bool { return t.wire.transport.Load() != t || t.late() > t.wake }
+// silent reports whether this transport must send nothing: gossip has been restarted since, or the process has just
+// resumed after a long pause.
+func (t *transport) silent() bool {
+	return t.wire.transport.Load() != t || t.lateness() > t.rebuildThreshold
+}
 
-// WriteTo sends a packet, without its accusations while this process is late itself.
+// WriteTo sends a packet, without its suspicions while this process is late.
 func (t *transport) WriteTo(b []byte, address string) (time.Time, error) {
 	now := time.Now()
-	if t.over() {
+	if t.silent() {
 		return now, nil
 	}
-	if !t.accuses.Load() || t.late() > t.lag {
-		if b = outgoing(b); b == nil {
+	if !t.maySuspect.Load() || t.lateness() > t.lagThreshold {
+		if b = dropSuspicions(b); b == nil {
 			return now, nil
 		}
 	}
@@ -52,15 +55,15 @@
 	return now, t.send(kindGossip, b, to)
 }
 
-// PacketCh is where packets come in.
+// PacketCh returns the channel of incoming packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-var errOver = errors.New("gossip has been begun anew")
+var errGossipRestarted = errors.New("gossip has been begun anew")
 
-// DialTimeout opens a stream.
+// DialTimeout opens a gossip stream.
 func (t *transport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
-	if t.over() {
-		return nil, errOver
+	if t.silent() {
+		return nil, errGossipRestarted
 	}
 	ctx, end := context.WithTimeout(context.Background(), within)
 	defer end()
@@ -72,10 +75,10 @@
 	return newStream(nc, t.wire, func() {}), nil
 }
 
-// StreamCh is where streams come in.
+// StreamCh returns the channel of incoming streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown ends it; the sockets stay.
+// Shutdown ends the transport; the sockets stay open.
 func (t *transport) Shutdown() error {
 	t.once.Do(func() { close(t.done) })
 	return nil
