--- a/logic/view/evidence.go
+++ b/logic/view/evidence.go
@@ -119,7 +119,7 @@
 	for _, r := range m.records {
 		if r.phase == alive || r.phase == suspect {
 			m.setPhase(r, suspect, m.graceUntil) // unless it is reported alive before
-			r.reason = "not met again"
+			r.reason = "not reported alive after a pause"
 			m.rejoinMember(r, now)
 		}
 	}
--- a/logic/view/identity.go
+++ b/logic/view/identity.go
@@ -18,7 +18,7 @@
 	}
 	m.superseded, m.membersChanged = true, true
 	m.emit(Action{Kind: Withdraw, Entry: e})
-	m.refreshView(now, []Change{{m.self.Name, "went", "a later process has this name"}})
+	m.refreshView(now, []Change{{m.self.Name, "went", "a newer process has this name"}})
 }
 
 // raiseIncarnation raises this process's incarnation above one that is known under its name.
--- a/logic/view/record.go
+++ b/logic/view/record.go
@@ -84,7 +84,7 @@
 	switch {
 	case r.phase == joining && settled:
 		m.setPhase(r, alive, now)
-		return m.publishRecord(r, now, "came", "heard of")
+		return m.publishRecord(r, now, "came", "discovered")
 	case r.phase == alive && settled && !r.latest.sameDigest(r.shown):
 		what, why := describeChange(r.shown, r.latest)
 		return m.publishRecord(r, now, what, why)
@@ -133,7 +133,7 @@
 	case before.Unhealthy && !after.Unhealthy:
 		return "changed", "work goes on there"
 	case after.State != before.State:
-		return "changed", "says " + after.State.String()
+		return "changed", "reports " + after.State.String()
 	}
 	return "changed", "another address, zone or version"
 }
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -116,8 +116,8 @@
 	from := s.History.Now()
 	run(t, s, "0s cont n5")
 	alike(t, s, 5, names)
-	if n, _ := s.History.Lines("n5", "begins gossip anew", from); n != 1 {
-		t.Errorf("%d times begun anew", n)
+	if n, _ := s.History.Lines("n5", "restarts gossip", from); n != 1 {
+		t.Errorf("gossip restarted %d times", n)
 	}
 	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
 		t.Errorf("%d burials by a process that had only slept", n)
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -38,7 +38,7 @@
 	suspicionMaxTimeoutMult = 3    // times that, while no other member confirms the suspicion
 	gossipIntervalRatio     = 0.35 // between two gossip rounds: a suspicion reaches all members before a second probe
 	exchangeInterval        = 12 * time.Second
-	streamTimeout           = time.Second // for connects and exchanges; an unreachable address should not hold up a contact attempt for long
+	streamTimeout           = time.Second // for connects and exchanges: bounds attempts at unreachable addresses
 	gossipToTheDeadTime     = 20 * time.Second
 )
 
@@ -62,7 +62,7 @@
 	c.EnableCompression = false // incoming messages are checked, see inspect.go
 	c.UDPBufferSize = maxPacket - packetHeaderSize
 	c.Delegate, c.Events, c.Ping, c.Alive = g, g, g, g
-	c.Logger = log.New(io.Discard, "", 0) // package member logs what operators need, see wire.countDropped and Member.publish
+	c.Logger = log.New(io.Discard, "", 0) // operators need only what package member logs itself
 	m.wire.transport.Store(g.transport)
 	list, err := memberlist.Create(c)
 	if err != nil {
@@ -186,7 +186,8 @@
 // Stats returns the counters since the start.
 func (m *Member) Stats() Stats {
 	w := m.wire
-	c := Stats{w.sent.packets.Load(), w.sent.bytes.Load(), w.received.packets.Load(), w.received.bytes.Load(), map[string]int64{}}
+	c := Stats{w.sent.packets.Load(), w.sent.bytes.Load(), w.received.packets.Load(), w.received.bytes.Load(),
+		map[string]int64{}}
 	for k := range causeCount {
 		if n := w.dropCounts[k].Load(); n > 0 {
 			c.Dropped[causeNames[k]] = n
--- a/member/inspect.go
+++ b/member/inspect.go
@@ -77,19 +77,20 @@
 }
 
 // checkMember returns what is invalid in the description of a member, nil if nothing is.
-func (w *wire) checkMember(node string, incarnation uint32, addr []byte, port uint16, meta []byte, versions []uint8) error {
+func (w *wire) checkMember(node string, incarnation uint32, addr []byte, port uint16, meta []byte,
+	versions []uint8) error {
 	if incarnation > maxGossipIncarnation {
 		return errIncarnationRange
 	}
 	if len(versions) != 6 { // the library does not check the length
-		return fmt.Errorf("%.80q has %d versions of protocols", node, len(versions))
+		return fmt.Errorf("%.80q has %d protocol versions", node, len(versions))
 	}
 	e, err := readEntry(meta)
 	if err != nil {
-		return fmt.Errorf("what %.80q says of itself: %v", node, err) // %v: counted as invalid whatever the cause
+		return fmt.Errorf("metadata of %.80q: %v", node, err) // not %w: counted as invalid whatever the cause
 	}
 	if node != nodeName(e.Name, e.Incarnation.Nonce) {
-		return fmt.Errorf("%.80q goes by the name of %q", node, e.Name)
+		return fmt.Errorf("node %.80q announces the name %q", node, e.Name)
 	}
 	ip, ok := netip.AddrFromSlice(addr)
 	if !ok || port == 0 || !w.allowed(ip.Unmap()) {
@@ -183,7 +184,7 @@
 	})
 }
 
-var errSuspicion = errors.New("accuses")
+var errSuspicion = errors.New("suspects another member")
 
 // dropSuspicions removes suspicions and declarations of death from an outgoing packet. A member's message about its own
 // leaving is kept.
@@ -213,7 +214,8 @@
 }
 
 func newStream(nc net.Conn, w *wire, onClose func()) *checkedStream {
-	return &checkedStream{Conn: nc, w: w, in: bufio.NewReader(io.LimitReader(nc, maxExchangeBytes)), onClose: sync.OnceFunc(onClose)}
+	return &checkedStream{Conn: nc, w: w, in: bufio.NewReader(io.LimitReader(nc, maxExchangeBytes)),
+		onClose: sync.OnceFunc(onClose)}
 }
 
 // Close closes the connection.
@@ -257,8 +259,9 @@
 	if err := in.Decode(&header); err != nil {
 		return nil, errTruncated
 	}
-	if header.Nodes < 0 || header.Nodes > maxExchangeMembers || header.UserStateLen < 0 || header.UserStateLen > maxExchangeBytes {
-		return nil, fmt.Errorf("an exchange of %d members and %d bytes", header.Nodes, header.UserStateLen)
+	if header.Nodes < 0 || header.Nodes > maxExchangeMembers ||
+		header.UserStateLen < 0 || header.UserStateLen > maxExchangeBytes {
+		return nil, fmt.Errorf("exchange of %d members and %d bytes is too large", header.Nodes, header.UserStateLen)
 	}
 	kept := make([]memberState, 0, min(header.Nodes, 64))
 	for range header.Nodes {
@@ -266,7 +269,8 @@
 		if err := in.Decode(&member); err != nil {
 			return nil, errTruncated
 		}
-		if err := s.w.checkMember(member.Name, member.Incarnation, member.Addr, member.Port, member.Meta, member.Vsn); err != nil {
+		if err := s.w.checkMember(member.Name, member.Incarnation, member.Addr, member.Port, member.Meta,
+			member.Vsn); err != nil {
 			s.w.countDropped(causeInvalid, s.RemoteAddr().String(), err)
 			continue
 		}
--- a/member/loop.go
+++ b/member/loop.go
@@ -69,7 +69,7 @@
 			m.machine.Step(view.Event{Kind: view.Late, Lag: lag.Seconds()}, m.now())
 			m.wire.maySuspect.Store(m.machine.MaySuspect(m.now()))
 			if lag > m.wire.rebuildThreshold {
-				m.log.Warn("fleet: this process slept and begins gossip anew", zap.Float64("slept_s", roundMillis(lag.Seconds())))
+				m.log.Warn("fleet: this process was paused and restarts gossip", zap.Float64("slept_s", roundMillis(lag.Seconds())))
 			}
 			m.execute(groupCtx)
 		}
@@ -109,7 +109,7 @@
 		case view.Rebuild:
 			m.stopGossip()
 			if err := m.startGossip(); err != nil {
-				m.log.Error("fleet: gossip cannot begin anew", zap.Error(err))
+				m.log.Error("fleet: gossip cannot be restarted", zap.Error(err))
 			}
 		case view.Withdraw:
 			m.log.Error("fleet: a newer incarnation of this name is running; this one takes no further part",
--- a/member/member.go
+++ b/member/member.go
@@ -31,7 +31,7 @@
 	Socket             string        // path of the local status socket, empty for none
 	MaxIncomingStreams int           // bound on concurrent incoming streams of HandleStreams
 	View               view.Config
-	Now                func() time.Time // the wall clock, for incarnation numbers; time.Now if nil
+	Now                func() time.Time // wall clock for incarnation numbers; time.Now if nil
 }
 
 // Member is this app server's part in the fleet.
@@ -43,7 +43,7 @@
 	events      chan view.Event
 	view        atomic.Pointer[view.View]
 	entry       atomic.Pointer[view.Entry] // our own entry as announced
-	announceDue chan struct{}              // holds one when our entry is to be announced
+	announceDue chan struct{}              // holds a value when our entry is to be announced
 	gossip      atomic.Pointer[gossip]
 	group       *errgroup.Group
 	killed      context.Context // canceled by Kill
@@ -73,7 +73,8 @@
 	if !config.Advertise.IsValid() {
 		config.Advertise = w.listen
 	}
-	m := &Member{config: config, log: log, wire: w, events: make(chan view.Event, maxEvents), announceDue: make(chan struct{}, 1),
+	m := &Member{config: config, log: log, wire: w, events: make(chan view.Event, maxEvents),
+		announceDue: make(chan struct{}, 1),
 		subscribers: map[chan struct{}]struct{}{}}
 	m.killed, m.kill = context.WithCancel(context.Background())
 	w.lagThreshold, w.rebuildThreshold = seconds(config.View.LagThreshold), seconds(config.View.RebuildThreshold)
@@ -82,7 +83,8 @@
 	for _, a := range config.Join {
 		seeds = append(seeds, a.String())
 	}
-	self := view.Entry{Name: config.Name, Zone: config.Zone, Address: config.Advertise.String(), State: view.Cold, Proto: protoSpoken,
+	self := view.Entry{Name: config.Name, Zone: config.Zone, Address: config.Advertise.String(), State: view.Cold,
+		Proto:       protoSpoken,
 		Incarnation: view.Incarnation{Number: uint64(max(config.Now().UnixMilli(), 1)), Nonce: rand.Uint32()}}
 	m.reportedSelf = view.Event{Kind: view.Self, Entry: self}
 	m.machine = view.New(self, seeds, m.now(), rand.Uint64(), config.View)
--- a/member/packet.go
+++ b/member/packet.go
@@ -43,9 +43,9 @@
 }
 
 var (
-	errProtocol  = errors.New("not of a fleet's protocol")
+	errProtocol  = errors.New("not the fleet protocol")
 	errChecksum  = errors.New("spoilt on the way")
-	errTruncated = errors.New("cut short")
+	errTruncated = errors.New("truncated")
 )
 
 // openPacket returns kind and payload of a packet; payload aliases b.
@@ -116,7 +116,7 @@
 		return view.Entry{}, errProtocol
 	}
 	if format := r.byte(); format < entryFormat {
-		return view.Entry{}, fmt.Errorf("format %d of a member's word on itself is not known", format)
+		return view.Entry{}, fmt.Errorf("unknown format %d of a member's metadata", format)
 	}
 	e := view.Entry{Proto: r.byte(), State: view.State(r.byte())}
 	e.Unhealthy = r.byte()&flagUnhealthy != 0
@@ -127,16 +127,16 @@
 	case r.truncated:
 		return view.Entry{}, errTruncated
 	case e.Name == "" || len(e.Name) > maxName || len(e.Zone) > maxName:
-		return view.Entry{}, fmt.Errorf("a name of %d bytes, or a zone's of %d", len(e.Name), len(e.Zone))
+		return view.Entry{}, fmt.Errorf("name of %d bytes or zone of %d bytes is out of range", len(e.Name), len(e.Zone))
 	case e.State > view.Left:
-		return view.Entry{}, fmt.Errorf("state %d is not known", e.State)
+		return view.Entry{}, fmt.Errorf("unknown state %d", e.State)
 	case e.Incarnation.Number >= view.MaxIncarnation:
 		return view.Entry{}, errIncarnationRange
 	}
 	return e, nil
 }
 
-var errIncarnationRange = errors.New("an absurd incarnation")
+var errIncarnationRange = errors.New("incarnation out of range")
 
 // nodeName returns the name by which gossip knows one incarnation. A restarted process has another, so that gossip
 // never confuses the two.
--- a/member/probe.go
+++ b/member/probe.go
@@ -47,7 +47,7 @@
 		case <-time.After(headerTimeout):
 		}
 	default:
-		w.countDropped(causeForeign, nc.RemoteAddr().String(), fmt.Errorf("a stream of kind %q", header[len(magic)]))
+		w.countDropped(causeForeign, nc.RemoteAddr().String(), fmt.Errorf("unknown stream kind %q", header[len(magic)]))
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	e, err := readEntry(b)
 	if err == nil && e.Name != name {
-		err = fmt.Errorf("%s answers there", e.Name)
+		err = fmt.Errorf("member %s answers at this address", e.Name)
 	}
 	return e, err
 }
--- a/member/show.go
+++ b/member/show.go
@@ -52,8 +52,8 @@
 	s := Status{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
 		Packets: [2]int64{c.SentPackets, c.GotPackets}, Bytes: [2]int64{c.SentBytes, c.GotBytes}, Dropped: c.Dropped}
 	for _, e := range v.Members {
-		s.Members = append(s.Members, MemberStatus{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce), e.Address, e.Zone,
-			e.State.String(), e.Unhealthy, e.Unreachable, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
+		s.Members = append(s.Members, MemberStatus{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce),
+			e.Address, e.Zone, e.State.String(), e.Unhealthy, e.Unreachable, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
 	}
 	if roles := m.roles.Load(); roles != nil {
 		s.Roles, _ = json.Marshal((*roles)())
@@ -69,7 +69,7 @@
 	path := m.config.Socket
 	if nc, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		nc.Close()
-		m.log.Error("fleet: the local socket belongs to a process that runs") // that process serves its own view; this member runs without a socket
+		m.log.Error("fleet: the local socket is in use by another process") // this member runs without one
 		return nil
 	}
 	if at, err := os.Lstat(path); err == nil && at.Mode()&os.ModeSocket != 0 {
@@ -80,7 +80,7 @@
 		err = os.Chmod(path, 0o600)
 	}
 	if err != nil {
-		m.log.Error("fleet: no local socket", zap.Error(err))
+		m.log.Error("fleet: cannot open the local socket", zap.Error(err))
 		return nil
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -135,7 +135,8 @@
 			remarks = append(remarks, fmt.Sprintf("protocol %d", e.Proto))
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d/%d/%d\t%s\n", e.Name, e.State, e.Zone, e.Address,
-			time.UnixMilli(int64(e.Incarnation)).UTC().Format(time.DateTime), e.Open, e.Credit, e.Level, strings.Join(remarks, ", "))
+			time.UnixMilli(int64(e.Incarnation)).UTC().Format(time.DateTime), e.Open, e.Credit, e.Level,
+			strings.Join(remarks, ", "))
 	}
 	t.Flush()
 	fmt.Fprintf(to, "packets %d sent, %d got; bytes %d sent, %d got", s.Packets[0], s.Packets[1], s.Bytes[0], s.Bytes[1])
--- a/member/stream.go
+++ b/member/stream.go
@@ -77,7 +77,8 @@
 	return err
 }
 
-// ReadFrame returns the next frame's payload, which the caller owns. It waits for at most timeout, or without end if that is 0.
+// ReadFrame returns the next frame's payload, which the caller owns. It waits for at most timeout, or indefinitely if
+// that is 0.
 func (s *Stream) ReadFrame(timeout time.Duration) ([]byte, error) {
 	s.conn.SetReadDeadline(deadlineAfter(timeout))
 	if _, err := io.ReadFull(s.conn, s.head[:]); err != nil {
@@ -135,7 +136,7 @@
 	case r.truncated || len(r.b) > 0:
 		return "", "", errTruncated
 	case from == "" || len(from) > maxName || len(to) > maxName:
-		return "", "", fmt.Errorf("a hello from a name of %d bytes to one of %d", len(from), len(to))
+		return "", "", fmt.Errorf("hello from a name of %d bytes to a name of %d bytes is invalid", len(from), len(to))
 	}
 	return from, to, nil
 }
@@ -338,7 +339,7 @@
 	}
 	h := w.frameStreams.handler.Load()
 	if h == nil {
-		return nil, errors.New("no streams are served here")
+		return nil, errors.New("no stream handler is set")
 	}
 	if err := w.frameStreams.add(s, true); err != nil {
 		w.log.Debug("stream refused", zap.String("from", s.peer), zap.Error(err))
--- a/member/transport.go
+++ b/member/transport.go
@@ -22,8 +22,8 @@
 }
 
 func (w *wire) newTransport(advertise netip.AddrPort) *transport {
-	return &transport{wire: w, advertise: advertise, packets: make(chan *memberlist.Packet, 512), streams: make(chan net.Conn),
-		done: make(chan struct{})}
+	return &transport{wire: w, advertise: advertise, packets: make(chan *memberlist.Packet, 512),
+		streams: make(chan net.Conn), done: make(chan struct{})}
 }
 
 // FinalAdvertiseAddr returns the address that other members use.
@@ -58,7 +58,7 @@
 // PacketCh returns the channel of incoming packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-var errGossipRestarted = errors.New("gossip has been begun anew")
+var errGossipRestarted = errors.New("gossip has been restarted")
 
 // DialTimeout opens a gossip stream.
 func (t *transport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
--- a/member/wire.go
+++ b/member/wire.go
@@ -81,7 +81,7 @@
 	for tries := 0; ; tries++ {
 		var err error
 		if udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen)); err != nil {
-			return nil, fmt.Errorf("fleet packets: %w", err)
+			return nil, fmt.Errorf("listen for fleet packets: %w", err)
 		}
 		at = udp.LocalAddr().(*net.UDPAddr).AddrPort() // with the assigned port if none was set
 		at = netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
@@ -90,7 +90,7 @@
 		}
 		udp.Close()
 		if listen.Port() != 0 || tries == 20 { // a port that is free for datagrams may be in use for streams
-			return nil, fmt.Errorf("fleet streams: %w", err)
+			return nil, fmt.Errorf("listen for fleet streams: %w", err)
 		}
 	}
 	w := &wire{listen: at, allow: allow, udp: udp, tcp: tcp, log: log, lastLogged: map[cause]time.Time{},
@@ -188,7 +188,7 @@
 			w.countDropped(causeCorrupt, from.String(), errTruncated)
 		}
 	default:
-		w.countDropped(causeForeign, from.String(), fmt.Errorf("a packet of kind %q", kind))
+		w.countDropped(causeForeign, from.String(), fmt.Errorf("unknown packet kind %q", kind))
 	}
 }
 
@@ -202,7 +202,7 @@
 		w.countDropped(causeInvalid, from.String(), err)
 	}
 	t := w.transport.Load()
-	if kept == nil || t == nil || w.lateness() > w.rebuildThreshold { // packets that arrived during a long pause are outdated
+	if kept == nil || t == nil || w.lateness() > w.rebuildThreshold { // packets from a long pause are outdated
 		return
 	}
 	select {
