--- a/member/bytes_test.go
+++ b/member/bytes_test.go
@@ -7,7 +7,7 @@
 	"valveglade/logic/view"
 )
 
-// The bytes of packets stay those of earlier versions: app servers of both run in one fleet while one is replaced.
+// Guards the encodings against change: app servers of two versions run in one fleet during an upgrade.
 func TestPacketBytes(t *testing.T) {
 	entry := view.Entry{Name: "n1", Incarnation: view.Incarnation{Number: 1796188800000, Nonce: 0x0a0b0c0d}, Address: "10.0.0.1:7946", Zone: "z1",
 		State: view.Serving, Unhealthy: true, Proto: 1, Load: view.Load{Open: 2, Credit: 3, Level: 4}}
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -177,13 +177,17 @@
 func (g *gossip) LocalState(bool) []byte          { return nil }
 func (g *gossip) MergeRemoteState([]byte, bool)   { /* not used */ }
 
-// Stats is what a member has sent and received, and what it dropped by cause.
+// Stats counts datagrams sent and received with their bytes, and what was dropped. Streams are not counted among the
+// packets.
 type Stats struct {
-	SentPackets, SentBytes, GotPackets, GotBytes int64
-	Dropped                                      map[string]int64
+	SentPackets int64
+	SentBytes   int64
+	GotPackets  int64
+	GotBytes    int64
+	Dropped     map[string]int64 // packets and streams by cause, see causeNames
 }
 
-// Stats returns the counters since the start.
+// Stats returns the counters since the start of the member.
 func (m *Member) Stats() Stats {
 	w := m.wire
 	c := Stats{w.sent.packets.Load(), w.sent.bytes.Load(), w.received.packets.Load(), w.received.bytes.Load(),
--- a/member/inspect.go
+++ b/member/inspect.go
@@ -39,9 +39,11 @@
 // each refutation, at most once in a third of a second, which takes eleven years.
 const maxGossipIncarnation = 1 << 30
 
-// maxExchangeMembers is how many members a push/pull exchange may carry, several times as many as a view holds;
-// maxExchangeBytes bounds its size.
-const maxExchangeMembers, maxExchangeBytes = 4096, 1 << 20
+// Limits of a push/pull exchange. A view holds a fraction of maxExchangeMembers.
+const (
+	maxExchangeMembers = 4096
+	maxExchangeBytes   = 1 << 20
+)
 
 // memberClaim has the checked fields of a suspect, alive or dead message. Field names are those of the msgpack
 // encoding.
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -24,11 +24,11 @@
 	"valveglade/logic/view"
 )
 
-// crew is some members in this process.
-type crew struct {
+// testCluster runs several members in this process.
+type testCluster struct {
 	t       *testing.T
 	members []*Member
-	ends    []func()
+	stops   []func()
 }
 
 func testConfig(name string, join ...netip.AddrPort) Config {
@@ -36,40 +36,40 @@
 		ProbeInterval: 200 * time.Millisecond, View: view.Defaults()}
 }
 
-// start runs one more member; its end is the last of c.ends.
-func (c *crew) start(p Config) *Member { return c.startLogged(p, zap.NewNop()) }
+// start runs one more member; the function that stops it is appended to c.stops.
+func (c *testCluster) start(config Config) *Member { return c.startLogged(config, zap.NewNop()) }
 
-func (c *crew) startLogged(p Config, log *zap.Logger) *Member {
+func (c *testCluster) startLogged(config Config, log *zap.Logger) *Member {
 	c.t.Helper()
-	m, err := New(p, log)
+	m, err := New(config, log)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	var over sync.WaitGroup
-	over.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		if err := m.Run(ctx); err != nil {
 			c.t.Error(err)
 		}
 	})
-	stop := sync.OnceFunc(func() { end(); over.Wait() })
+	stop := sync.OnceFunc(func() { end(); running.Wait() })
 	c.t.Cleanup(stop)
-	c.members, c.ends = append(c.members, m), append(c.ends, stop)
+	c.members, c.stops = append(c.members, m), append(c.stops, stop)
 	return m
 }
 
-// until waits for a condition.
-func until(t *testing.T, what string, within time.Duration, holds func() bool) {
+// waitUntil polls a condition, and fails the test if it does not hold in time.
+func waitUntil(t *testing.T, description string, within time.Duration, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !holds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(within); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("not within %v: %s", within, description)
 		}
 	}
 }
 
-// alike tells whether all have converged on one view of n members.
-func alike(n int, all ...*Member) func() bool {
+// converged returns a condition: all members have converged on one view of n members.
+func converged(n int, all ...*Member) func() bool {
 	return func() bool {
 		first := all[0].View()
 		for _, m := range all {
@@ -82,28 +82,29 @@
 	}
 }
 
-// Members that know one address find each other and come to one view; one that leaves is gone at once.
-func TestMeet(t *testing.T) {
+// Members that share one seed address find each other and converge on one view; a member that leaves is removed at
+// once.
+func TestDiscovery(t *testing.T) {
 	t.Parallel()
-	c := &crew{t: t}
+	c := &testCluster{t: t}
 	first := c.start(testConfig("m0"))
 	for k := 1; k < 5; k++ {
 		c.start(testConfig(fmt.Sprintf("m%d", k), first.Address()))
 	}
-	until(t, "five see the same", 10*time.Second, alike(5, c.members...))
+	waitUntil(t, "five members have converged", 10*time.Second, converged(5, c.members...))
 	c.members[1].UpdateState(view.Serving, false, view.Load{Open: 3})
-	until(t, "its word is heard", 5*time.Second, func() bool {
+	waitUntil(t, "the new state is visible to others", 5*time.Second, func() bool {
 		e := c.members[4].View().Find("m1")
 		return e != nil && e.State == view.Serving && e.Load.Open == 3
 	})
 	c.members[1].UpdateState(view.Leaving, false, view.Load{})
-	c.ends[1]()
+	c.stops[1]()
 	rest := append([]*Member{first}, c.members[2:]...)
-	until(t, "four are left", 3*time.Second, alike(4, rest...))
+	waitUntil(t, "four members have converged", 3*time.Second, converged(4, rest...))
 }
 
-// raw is somebody with a socket who is no member.
-func raw(t *testing.T) *net.UDPConn {
+// newRawSocket returns a datagram socket that belongs to no member.
+func newRawSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -113,28 +114,28 @@
 	return c
 }
 
-func encoded(kind byte, v any) []byte {
+func encodeMessage(kind byte, v any) []byte {
 	var out bytes.Buffer
 	out.WriteByte(kind)
 	codec.NewEncoder(&out, &codec.MsgpackHandle{}).Encode(v)
 	return out.Bytes()
 }
 
-// What is foreign, spoilt, cut short or cannot be true is dropped, counted by its cause, and told once a second; the view
-// is as before, and those who were lied about are still there.
-func TestLies(t *testing.T) {
+// Input that belongs to another protocol, is corrupt, truncated or invalid is dropped, counted by cause and logged at
+// most once a second. The view does not change, and members that forged messages are about stay in it.
+func TestInvalidInput(t *testing.T) {
 	t.Parallel()
-	c := &crew{t: t}
-	lines, logged := observer.New(zap.InfoLevel)
+	c := &testCluster{t: t}
+	core, logged := observer.New(zap.InfoLevel)
 	a := c.start(testConfig("a"))
-	p := testConfig("b", a.Address())
-	p.Allow = []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
-	b := c.startLogged(p, zap.New(lines))
-	until(t, "two see the same", 10*time.Second, alike(2, a, b))
+	config := testConfig("b", a.Address())
+	config.Allow = []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
+	b := c.startLogged(config, zap.New(core))
+	waitUntil(t, "two members have converged", 10*time.Second, converged(2, a, b))
 	before := b.View()
-	from, to := raw(t), net.UDPAddrFromAddrPort(b.Address())
-	real := a.machine.Entry()
-	addr, port := netip.MustParseAddrPort(real.Address).Addr().AsSlice(), netip.MustParseAddrPort(real.Address).Port()
+	from, to := newRawSocket(t), net.UDPAddrFromAddrPort(b.Address())
+	entry := a.machine.Entry()
+	addr, port := netip.MustParseAddrPort(entry.Address).Addr().AsSlice(), netip.MustParseAddrPort(entry.Address).Port()
 	vsn := []uint8{1, 5, 2, 0, 0, 0}
 	type alive struct {
 		Incarnation uint32
@@ -144,21 +145,21 @@
 		Meta        []byte
 		Vsn         []uint8
 	}
-	name := nodeName("a", real.Incarnation.Nonce)
-	good := appendEntry(nil, real)
-	born := real
-	born.Incarnation.Number = view.MaxIncarnation
+	name := nodeName("a", entry.Incarnation.Nonce)
+	meta := appendEntry(nil, entry)
+	outOfRange := entry
+	outOfRange.Incarnation.Number = view.MaxIncarnation
 	for cause, payloads := range map[cause][][]byte{
 		causeForeign: {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
 		causeCorrupt: {[]byte("VGF\x01g____spoilt"), sealPacket(nil, kindGossip, nil), sealPacket(nil, kindGossip, []byte{msgCompound, 9, 0}), sealPacket(nil, kindNewerIncarnation, []byte{1}), sealPacket(nil, kindGossip, []byte{msgDead, 0xc1}), sealPacket(nil, kindGossip, []byte{99, 1})},
 		causeInvalid: {
-			sealPacket(nil, kindGossip, encoded(msgDead, memberClaim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
-			sealPacket(nil, kindGossip, encoded(msgAlive, alive{1<<32 - 1, name, addr, port, good, vsn})),
-			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, "b~12345678", addr, port, good, vsn})),                 // another's name
-			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, []byte{8, 8, 8, 8}, port, good, vsn})),           // outside
-			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, bytes.Repeat([]byte{7}, 400), vsn})), // a huge digest
-			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, appendEntry(nil, born), vsn})),
-			sealPacket(nil, kindGossip, encoded(msgAlive, alive{3, name, addr, port, good, vsn[:1]})), // on which the library would break
+			sealPacket(nil, kindGossip, encodeMessage(msgDead, memberClaim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{1<<32 - 1, name, addr, port, meta, vsn})),
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, "b~12345678", addr, port, meta, vsn})),                 // node name of another member
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, []byte{8, 8, 8, 8}, port, meta, vsn})),           // address that is not allowed
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, bytes.Repeat([]byte{7}, 400), vsn})), // oversized metadata
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, appendEntry(nil, outOfRange), vsn})),
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, meta, vsn[:1]})), // would make the library panic
 		},
 	} {
 		for range 3 {
@@ -166,7 +167,7 @@
 				from.WriteToUDP(one, to)
 			}
 		}
-		until(t, causeNames[cause], 5*time.Second, func() bool { return b.Stats().Dropped[causeNames[cause]] >= int64(3*len(payloads)) })
+		waitUntil(t, causeNames[cause], 5*time.Second, func() bool { return b.Stats().Dropped[causeNames[cause]] >= int64(3*len(payloads)) })
 	}
 	other, err := net.DialUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 9)}, to)
 	if err != nil {
@@ -174,8 +175,8 @@
 	}
 	defer other.Close()
 	other.Write(sealPacket(nil, kindGossip, []byte{msgPing}))
-	until(t, "not allowed", 5*time.Second, func() bool { return b.Stats().Dropped["not allowed"] == 1 })
-	// Streams of another kind end, and cost nothing.
+	waitUntil(t, "not allowed", 5*time.Second, func() bool { return b.Stats().Dropped["not allowed"] == 1 })
+	// Streams of another kind or with invalid content are closed without an answer.
 	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n", "VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
 		nc, err := net.Dial("tcp", b.Address().String())
 		if err != nil {
@@ -189,23 +190,23 @@
 		}
 		nc.Close()
 	}
-	time.Sleep(2 * time.Second) // in which a lie that was believed would show
+	time.Sleep(2 * time.Second) // long enough for an accepted message to take effect
 	if v := b.View(); v.Digest != before.Digest || v.Find("a") == nil {
-		t.Errorf("the view has changed: %v", v)
+		t.Errorf("the view changed: %v", v)
 	}
-	until(t, "still converged", 5*time.Second, alike(2, a, b))
-	told := 0
+	waitUntil(t, "still converged", 5*time.Second, converged(2, a, b))
+	logCount := 0
 	for _, e := range logged.FilterMessage("fleet packet dropped").All() {
 		if e.ContextMap()["cause"] == "invalid" {
-			told++
+			logCount++
 		}
 	}
-	if told == 0 || told > 5 {
-		t.Errorf("told %d times of lies", told)
+	if logCount == 0 || logCount > 5 {
+		t.Errorf("logged %d times", logCount)
 	}
 }
 
-// An exchange over a stream is believed but for what cannot be true in it.
+// Invalid members are removed from a push/pull exchange; the rest is kept.
 func TestExchange(t *testing.T) {
 	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(), lastLogged: map[cause]time.Time{}}
 	e := view.Entry{Name: "a", Incarnation: view.Incarnation{Number: 5, Nonce: 7}, State: view.Serving, Proto: 1}
@@ -220,9 +221,9 @@
 		to.Encode(s)
 	}
 	in.WriteString("user")
-	near, far := net.Pipe()
-	go func() { far.Write(in.Bytes()); far.Close() }()
-	text, err := io.ReadAll(newStream(near, w, func() {}))
+	local, remote := net.Pipe()
+	go func() { remote.Write(in.Bytes()); remote.Close() }()
+	text, err := io.ReadAll(newStream(local, w, func() {}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,17 +237,17 @@
 		t.Errorf("%+v %+v %q", head, one, text)
 	}
 	if n := w.dropCounts[causeInvalid].Load(); n != 2 {
-		t.Errorf("%d lies counted", n)
+		t.Errorf("%d invalid members counted", n)
 	}
 }
 
-// Accusations are taken out of what a late process sends, and its own leave message is not.
+// Suspicions of others are removed from what a late process sends; its own leave message is kept.
 func TestOutgoing(t *testing.T) {
-	part := func(kind byte, v any) []byte { return encoded(kind, v) }
-	bye := part(msgDead, memberClaim{Node: "me", From: "me", Incarnation: 3})
-	ack := part(msgAck, struct{ SeqNo uint32 }{7})
-	accuse := part(msgSuspect, memberClaim{Node: "you", From: "me", Incarnation: 3})
-	bury := part(msgDead, memberClaim{Node: "you", From: "me", Incarnation: 3})
+	encode := func(kind byte, v any) []byte { return encodeMessage(kind, v) }
+	leave := encode(msgDead, memberClaim{Node: "me", From: "me", Incarnation: 3})
+	ack := encode(msgAck, struct{ SeqNo uint32 }{7})
+	suspect := encode(msgSuspect, memberClaim{Node: "you", From: "me", Incarnation: 3})
+	dead := encode(msgDead, memberClaim{Node: "you", From: "me", Incarnation: 3})
 	pack := func(crc bool, parts ...[]byte) []byte {
 		out := []byte{msgCompound, byte(len(parts))}
 		for _, p := range parts {
@@ -260,16 +261,15 @@
 		}
 		return out
 	}
-	for k, c := range [][2][]byte{{bye, bye}, {ack, ack}, {accuse, nil}, {bury, nil}, {pack(false, ack, accuse, bye), pack(false, ack, bye)},
-		{pack(true, ack, accuse, bury), pack(true, ack)}, {pack(true, ack, bye), pack(true, ack, bye)}, {pack(false, accuse, bury), nil}} {
+	for k, c := range [][2][]byte{{leave, leave}, {ack, ack}, {suspect, nil}, {dead, nil}, {pack(false, ack, suspect, leave), pack(false, ack, leave)},
+		{pack(true, ack, suspect, dead), pack(true, ack)}, {pack(true, ack, leave), pack(true, ack, leave)}, {pack(false, suspect, dead), nil}} {
 		if got := dropSuspicions(c[0]); !bytes.Equal(got, c[1]) {
 			t.Errorf("%d: %q, not %q", k, got, c[1])
 		}
 	}
 }
 
-// One of a later version says more of itself; what is known of it is read, and the rest passed over. One without a name is
-// not believed.
+// Metadata of a later format is decoded, ignoring appended fields. Metadata without a name is rejected.
 func TestEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := view.Entry{Name: rapid.StringN(1, 20, 64).Draw(t, "name"), Zone: rapid.StringN(0, 20, 64).Draw(t, "zone"),
@@ -280,49 +280,49 @@
 		later[2]++
 		for _, text := range [][]byte{b, later} {
 			if got, err := readEntry(text); err != nil || got != e {
-				t.Fatalf("%v is read as %v, %v", e, got, err)
+				t.Fatalf("%v is decoded as %v, %v", e, got, err)
 			}
 		}
 		if _, err := readEntry(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
-			t.Fatal("read though cut short")
+			t.Fatal("decoded though truncated")
 		}
 	})
 	if _, err := readEntry(appendEntry(nil, view.Entry{})); err == nil {
-		t.Error("one without a name is believed")
+		t.Error("metadata without a name is accepted")
 	}
 }
 
-// A process whose clock went back while it was down is told of its former incarnation, and takes a newer one.
-func TestClockBack(t *testing.T) {
+// A process whose clock was set back while it was down is notified of its former incarnation, and takes a newer one.
+func TestClockSetBack(t *testing.T) {
 	t.Parallel()
-	c := &crew{t: t}
+	c := &testCluster{t: t}
 	a := c.start(testConfig("a"))
 	b := c.start(testConfig("b", a.Address()))
-	until(t, "two see the same", 10*time.Second, alike(2, a, b))
+	waitUntil(t, "two members have converged", 10*time.Second, converged(2, a, b))
 	former := a.View().Find("b").Incarnation
-	c.ends[1]() // it has announced no leaving, so it counts as dead
-	until(t, "it is lost", 10*time.Second, func() bool { return a.View().Find("b") == nil })
-	p := testConfig("b", a.Address())
-	p.Now = func() time.Time { return time.Now().Add(-time.Hour) }
-	again := c.start(p)
-	until(t, "it is back, with a newer incarnation", 10*time.Second, func() bool {
+	c.stops[1]() // it has not announced that it is leaving, so it counts as dead
+	waitUntil(t, "b is removed", 10*time.Second, func() bool { return a.View().Find("b") == nil })
+	config := testConfig("b", a.Address())
+	config.Now = func() time.Time { return time.Now().Add(-time.Hour) }
+	restarted := c.start(config)
+	waitUntil(t, "b is back with a newer incarnation", 10*time.Second, func() bool {
 		e := a.View().Find("b")
 		return e != nil && former.Before(e.Incarnation)
 	})
-	until(t, "both see the same", 10*time.Second, alike(2, a, again))
+	waitUntil(t, "both members have converged", 10*time.Second, converged(2, a, restarted))
 }
 
-// The local socket tells the view, as a table too; one that belongs to a process that runs is left to it.
-func TestShown(t *testing.T) {
+// The local socket serves the status, also as a table. A socket that another running process uses is left to it.
+func TestStatusSocket(t *testing.T) {
 	t.Parallel()
-	c := &crew{t: t}
-	p := testConfig("a")
-	p.Socket, p.Zone = t.TempDir()+"/a.sock", "hall-1"
-	a := c.start(p)
+	c := &testCluster{t: t}
+	config := testConfig("a")
+	config.Socket, config.Zone = t.TempDir()+"/a.sock", "hall-1"
+	a := c.start(config)
 	var s Status
-	until(t, "it answers", 5*time.Second, func() (ok bool) {
+	waitUntil(t, "the socket answers", 5*time.Second, func() (ok bool) {
 		var err error
-		s, err = ReadStatus(p.Socket)
+		s, err = ReadStatus(config.Socket)
 		return err == nil
 	})
 	var table bytes.Buffer
@@ -333,39 +333,39 @@
 			t.Errorf("%q is not in\n%s", want, &table)
 		}
 	}
-	q := testConfig("b")
-	q.Socket = p.Socket
-	c.start(q)
+	other := testConfig("b")
+	other.Socket = config.Socket
+	c.start(other)
 	time.Sleep(200 * time.Millisecond)
-	if s, err := ReadStatus(p.Socket); err != nil || s.Name != "a" {
-		t.Errorf("%s answers, %v", s.Name, err)
+	if s, err := ReadStatus(config.Socket); err != nil || s.Name != "a" {
+		t.Errorf("%s answers on the socket, %v", s.Name, err)
 	}
-	if _, err := ReadStatus(p.Socket + "x"); err == nil {
-		t.Error("somebody answers where nobody is")
+	if _, err := ReadStatus(config.Socket + "x"); err == nil {
+		t.Error("status read from a path without a socket")
 	}
 }
 
-// Whoever reads waits for nobody, and is told once that there is something new.
+// Changes signals a new view without blocking.
 func TestChanges(t *testing.T) {
 	t.Parallel()
-	c := &crew{t: t}
+	c := &testCluster{t: t}
 	a := c.start(testConfig("a"))
 	changes, stop := a.Changes()
-	<-changes // the view that there is
+	<-changes // the initial view
 	c.start(testConfig("b", a.Address()))
 	for a.View().Find("b") == nil {
 		select {
 		case <-changes:
 		case <-time.After(10 * time.Second):
-			t.Fatal("not told of a change")
+			t.Fatal("no change signaled")
 		}
 	}
 	stop()
 }
 
-// Any packet: nothing breaks, and what is kept of it reads as before.
+// Arbitrary packets cause no panic, and what is kept of one is kept unchanged when it is checked again.
 func FuzzPacket(f *testing.F) {
-	f.Add(sealPacket(nil, kindGossip, encoded(msgSuspect, memberClaim{Node: "a~00000001"})))
+	f.Add(sealPacket(nil, kindGossip, encodeMessage(msgSuspect, memberClaim{Node: "a~00000001"})))
 	f.Add(sealPacket(nil, kindGossip, []byte{msgCompound, 2, 0, 1, 0, 1, 0, 1}))
 	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/member/stream_test.go
+++ b/member/stream_test.go
@@ -13,13 +13,13 @@
 
 const streamTestTimeout = 5 * time.Second
 
-// echoPair is two members that know each other; the second serves streams by sending back what comes.
+// echoPair starts two members that know each other; the server sends each frame back, prefixed with the peer's name.
 func echoPair(t *testing.T, limit int) (client, server *Member) {
 	t.Helper()
-	c := &crew{t: t}
-	p := testConfig("server")
-	p.MaxIncomingStreams = limit
-	server = c.start(p)
+	c := &testCluster{t: t}
+	config := testConfig("server")
+	config.MaxIncomingStreams = limit
+	server = c.start(config)
 	server.HandleStreams(func(_ context.Context, s *Stream) {
 		for {
 			frame, err := s.ReadFrame(streamTestTimeout)
@@ -32,7 +32,7 @@
 		}
 	})
 	client = c.start(testConfig("client", server.Address()))
-	until(t, "both have met", streamTestTimeout, alike(2, client, server))
+	waitUntil(t, "both members have converged", streamTestTimeout, converged(2, client, server))
 	return client, server
 }
 
@@ -61,13 +61,13 @@
 		}
 	}
 	if err := s.WriteFrame(make([]byte, MaxFrame+1), streamTestTimeout); err == nil {
-		t.Error("a frame past the bound was sent")
+		t.Error("a frame above MaxFrame was sent")
 	}
 	if _, outgoing, _ := client.StreamCounts(); outgoing != 1 {
 		t.Errorf("%d outgoing streams", outgoing)
 	}
 	s.Close()
-	until(t, "both ends have closed", streamTestTimeout, func() bool {
+	waitUntil(t, "both ends have closed", streamTestTimeout, func() bool {
 		incoming, _, _ := server.StreamCounts()
 		_, outgoing, _ := client.StreamCounts()
 		return incoming+outgoing == 0
@@ -90,10 +90,10 @@
 		t.Fatalf("the third: %v", err)
 	}
 	if _, _, n := server.StreamCounts(); n != 1 {
-		t.Errorf("%d refusals counted", n)
+		t.Errorf("%d rejections counted", n)
 	}
 	open[0].Close()
-	until(t, "a place is free again", streamTestTimeout, func() bool {
+	waitUntil(t, "a stream can be opened again", streamTestTimeout, func() bool {
 		s, err := openTestStream(t, client, "server")
 		if err == nil {
 			s.Close()
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), streamTestTimeout)
 	defer cancel()
 	if _, err := DialStream(ctx, nil, server.Address(), "hollow", "other"); !errors.As(err, &refused) {
-		t.Errorf("another name than the one that is there: %v", err)
+		t.Errorf("a name that is not at this address: %v", err)
 	}
 	s, err := DialStream(ctx, nil, server.Address(), "hollow", "server")
 	if err != nil {
@@ -135,27 +135,27 @@
 		defer s.Close()
 	}
 	if _, err := openTestStream(t, client, "server"); !errors.Is(err, ErrTooManyStreams) {
-		t.Errorf("past the bound: %v", err)
+		t.Errorf("above OutgoingStreams: %v", err)
 	}
 }
 
 func TestStreamFromForbiddenNetwork(t *testing.T) {
 	t.Parallel()
-	c := &crew{t: t}
-	p := testConfig("server")
-	p.MaxIncomingStreams, p.Allow = 4, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
-	server := c.start(p)
-	server.HandleStreams(func(context.Context, *Stream) { t.Error("a stream from outside was served") })
+	c := &testCluster{t: t}
+	config := testConfig("server")
+	config.MaxIncomingStreams, config.Allow = 4, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
+	server := c.start(config)
+	server.HandleStreams(func(context.Context, *Stream) { t.Error("a stream from a forbidden network was served") })
 	ctx, cancel := context.WithTimeout(context.Background(), streamTestTimeout)
 	defer cancel()
 	local := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9)}
 	if _, err := DialStream(ctx, local, server.Address(), "hollow", "server"); err == nil {
-		t.Error("a stream from outside was taken")
+		t.Error("a stream from a forbidden network was accepted")
 	}
-	until(t, "it is counted", streamTestTimeout, func() bool { return server.Stats().Dropped["not allowed"] > 0 })
+	waitUntil(t, "the drop is counted", streamTestTimeout, func() bool { return server.Stats().Dropped["not allowed"] > 0 })
 }
 
-// A frame that is spoilt, too long or cut short ends its stream and nothing else.
+// A frame that is corrupt, too long or truncated ends its own stream only.
 func TestCorruptFrames(t *testing.T) {
 	t.Parallel()
 	client, server := echoPair(t, 4)
@@ -186,13 +186,13 @@
 		t.Fatalf("after corrupt frames: %v", err)
 	}
 	s.Close()
-	until(t, "all places are free again", streamTestTimeout, func() bool {
+	waitUntil(t, "all incoming streams are closed", streamTestTimeout, func() bool {
 		incoming, _, _ := server.StreamCounts()
 		return incoming == 0
 	})
 }
 
-// Streams end with their member.
+// Closing a member closes its streams.
 func TestStreamsEndWithMember(t *testing.T) {
 	t.Parallel()
 	client, server := echoPair(t, 4)
@@ -203,7 +203,7 @@
 	defer s.Close()
 	server.Kill()
 	if _, err := s.ReadFrame(streamTestTimeout); err == nil {
-		t.Error("a frame from a member that has ended")
+		t.Error("read a frame from a killed member")
 	}
 }
 
