--- a/member/member.go
+++ b/member/member.go
@@ -23,13 +23,13 @@
 type Config struct {
 	Name               string
 	Zone               string
-	Listen             netip.AddrPort // local address for datagrams and streams
-	Advertise          netip.AddrPort // address that other members use, if it differs from Listen
-	Join               []netip.AddrPort
-	Allow              []netip.Prefix
-	ProbeInterval      time.Duration // time between two probes of other members
-	Socket             string        // path of the local status socket, empty for none
-	MaxIncomingStreams int           // bound on concurrent incoming streams of HandleStreams
+	Listen             netip.AddrPort   // local address for datagrams and streams
+	Advertise          netip.AddrPort   // address that other members use, if it differs from Listen
+	Join               []netip.AddrPort // seed addresses
+	Allow              []netip.Prefix   // networks whose datagrams and streams are accepted
+	ProbeInterval      time.Duration    // time between two probes of other members
+	Socket             string           // path of the local status socket, empty for none
+	MaxIncomingStreams int              // bound on concurrent incoming streams of HandleStreams
 	View               view.Config
 	Now                func() time.Time // wall clock for incarnation numbers; time.Now if nil
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -32,8 +32,8 @@
 }
 
 func testConfig(name string, join ...netip.AddrPort) Config {
-	return Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-		ProbeInterval: 200 * time.Millisecond, View: view.Defaults()}
+	return Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join,
+		Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 200 * time.Millisecond, View: view.Defaults()}
 }
 
 // start runs one more member; the function that stops it is appended to c.stops.
@@ -74,7 +74,8 @@
 		first := all[0].View()
 		for _, m := range all {
 			v := m.View()
-			if len(v.Members) != n || v.Digest != first.Digest || v.Version != first.Version || n > 1 && v.Certainty != view.Converged {
+			if len(v.Members) != n || v.Digest != first.Digest || v.Version != first.Version ||
+				n > 1 && v.Certainty != view.Converged {
 				return false
 			}
 		}
@@ -151,7 +152,9 @@
 	outOfRange.Incarnation.Number = view.MaxIncarnation
 	for cause, payloads := range map[cause][][]byte{
 		causeForeign: {[]byte("GET / HTTP/1.0\r\n\r\n"), nil, []byte("VGF")},
-		causeCorrupt: {[]byte("VGF\x01g____spoilt"), sealPacket(nil, kindGossip, nil), sealPacket(nil, kindGossip, []byte{msgCompound, 9, 0}), sealPacket(nil, kindNewerIncarnation, []byte{1}), sealPacket(nil, kindGossip, []byte{msgDead, 0xc1}), sealPacket(nil, kindGossip, []byte{99, 1})},
+		causeCorrupt: {[]byte("VGF\x01g____spoilt"), sealPacket(nil, kindGossip, nil),
+			sealPacket(nil, kindGossip, []byte{msgCompound, 9, 0}), sealPacket(nil, kindNewerIncarnation, []byte{1}),
+			sealPacket(nil, kindGossip, []byte{msgDead, 0xc1}), sealPacket(nil, kindGossip, []byte{99, 1})},
 		causeInvalid: {
 			sealPacket(nil, kindGossip, encodeMessage(msgDead, memberClaim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
 			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{1<<32 - 1, name, addr, port, meta, vsn})),
@@ -167,7 +170,9 @@
 				from.WriteToUDP(one, to)
 			}
 		}
-		waitUntil(t, causeNames[cause], 5*time.Second, func() bool { return b.Stats().Dropped[causeNames[cause]] >= int64(3*len(payloads)) })
+		waitUntil(t, causeNames[cause], 5*time.Second, func() bool {
+			return b.Stats().Dropped[causeNames[cause]] >= int64(3*len(payloads))
+		})
 	}
 	other, err := net.DialUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 9)}, to)
 	if err != nil {
@@ -208,7 +213,8 @@
 
 // Invalid members are removed from a push/pull exchange; the rest is kept.
 func TestExchange(t *testing.T) {
-	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(), lastLogged: map[cause]time.Time{}}
+	w := &wire{allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, log: zap.NewNop(),
+		lastLogged: map[cause]time.Time{}}
 	e := view.Entry{Name: "a", Incarnation: view.Incarnation{Number: 5, Nonce: 7}, State: view.Serving, Proto: 1}
 	ok := memberState{nodeName("a", 7), []byte{127, 0, 0, 1}, 7946, appendEntry(nil, e), 3, 0, []uint8{1, 5, 2, 0, 0, 0}}
 	bad := ok
@@ -233,7 +239,8 @@
 	if err := errors.Join(out.Decode(&head), out.Decode(&one)); err != nil {
 		t.Fatal(err)
 	}
-	if head.Nodes != 1 || !head.Join || head.UserStateLen != 4 || one.Incarnation != 3 || !bytes.HasSuffix(text, []byte("user")) {
+	if head.Nodes != 1 || !head.Join || head.UserStateLen != 4 || one.Incarnation != 3 ||
+		!bytes.HasSuffix(text, []byte("user")) {
 		t.Errorf("%+v %+v %q", head, one, text)
 	}
 	if n := w.dropCounts[causeInvalid].Load(); n != 2 {
@@ -261,8 +268,9 @@
 		}
 		return out
 	}
-	for k, c := range [][2][]byte{{leave, leave}, {ack, ack}, {suspect, nil}, {dead, nil}, {pack(false, ack, suspect, leave), pack(false, ack, leave)},
-		{pack(true, ack, suspect, dead), pack(true, ack)}, {pack(true, ack, leave), pack(true, ack, leave)}, {pack(false, suspect, dead), nil}} {
+	for k, c := range [][2][]byte{{leave, leave}, {ack, ack}, {suspect, nil}, {dead, nil},
+		{pack(false, ack, suspect, leave), pack(false, ack, leave)}, {pack(true, ack, suspect, dead), pack(true, ack)}, {pack(true, ack, leave), pack(true, ack, leave)},
+		{pack(false, suspect, dead), nil}} {
 		if got := dropSuspicions(c[0]); !bytes.Equal(got, c[1]) {
 			t.Errorf("%d: %q, not %q", k, got, c[1])
 		}
@@ -273,8 +281,10 @@
 func TestEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := view.Entry{Name: rapid.StringN(1, 20, 64).Draw(t, "name"), Zone: rapid.StringN(0, 20, 64).Draw(t, "zone"),
-			Incarnation: view.Incarnation{Number: rapid.Uint64Range(0, view.MaxIncarnation-1).Draw(t, "number"), Nonce: rapid.Uint32().Draw(t, "nonce")},
-			State:       view.State(rapid.IntRange(0, 4).Draw(t, "state")), Unhealthy: rapid.Bool().Draw(t, "unhealthy"), Proto: rapid.Uint8().Draw(t, "proto")}
+			Incarnation: view.Incarnation{Number: rapid.Uint64Range(0, view.MaxIncarnation-1).Draw(t, "number"),
+				Nonce: rapid.Uint32().Draw(t, "nonce")},
+			State:     view.State(rapid.IntRange(0, 4).Draw(t, "state")),
+			Unhealthy: rapid.Bool().Draw(t, "unhealthy"), Proto: rapid.Uint8().Draw(t, "proto")}
 		b := appendEntry(nil, e)
 		later := append(b[:len(b):len(b)], "what a later version adds"...)
 		later[2]++
@@ -328,7 +338,8 @@
 	var table bytes.Buffer
 	s.LastHealthy = []string{"a", "gone"}
 	s.Table(&table)
-	for _, want := range []string{"view 1 of a, alone: 1 members", "missing of the last healthy view: gone", "hall-1", "this one", a.Address().String()} {
+	for _, want := range []string{"view 1 of a, alone: 1 members", "missing of the last healthy view: gone",
+		"hall-1", "this one", a.Address().String()} {
 		if !strings.Contains(table.String(), want) {
 			t.Errorf("%q is not in\n%s", want, &table)
 		}
--- a/member/wire.go
+++ b/member/wire.go
@@ -29,9 +29,9 @@
 
 	transport        atomic.Pointer[transport] // the current run's, nil for none
 	lastHeartbeat    atomic.Int64              // time of the last pass of the member's loop, in nanoseconds since epoch
-	maySuspect       atomic.Bool
-	lagThreshold     time.Duration
-	rebuildThreshold time.Duration
+	maySuspect       atomic.Bool               // result of view.Machine.MaySuspect at that time
+	lagThreshold     time.Duration             // lateness from which suspicions are not sent
+	rebuildThreshold time.Duration             // lateness from which nothing is sent or accepted
 
 	dropCounts      [causeCount]atomic.Int64
 	sent            traffic
@@ -40,7 +40,7 @@
 	frameStreams    *streams      // of StreamHandlers, see stream.go
 
 	mu         sync.Mutex
-	lastLogged map[cause]time.Time
+	lastLogged map[cause]time.Time // when countDropped last logged each cause
 }
 
 // traffic counts datagrams and the bytes of their payload.
