--- a/member/bytes_test.go
+++ b/member/bytes_test.go
@@ -9,10 +9,11 @@
 
 // Guards the encodings against change: app servers of two versions run in one fleet during an upgrade.
 func TestPacketBytes(t *testing.T) {
-	entry := view.Entry{Name: "n1", Incarnation: view.Incarnation{Number: 1796188800000, Nonce: 0x0a0b0c0d}, Address: "10.0.0.1:7946",
-		Zone: "z1", State: view.Serving, Unhealthy: true, Proto: 1, Load: view.Load{Open: 2, Credit: 3, Level: 4}}
-	for _, one := range []struct {
-		what  string
+	entry := view.Entry{Name: "n1", Incarnation: view.Incarnation{Number: 1796188800000, Nonce: 0x0a0b0c0d},
+		Address: "10.0.0.1:7946", Zone: "z1", State: view.Serving, Unhealthy: true, Proto: 1,
+		Load: view.Load{Open: 2, Credit: 3, Level: 4}}
+	for _, test := range []struct {
+		name  string
 		bytes []byte
 		want  string
 	}{
@@ -26,8 +27,8 @@
 		{"handle", []byte(nodeName(entry.Name, entry.Incarnation.Nonce)), "6e317e3061306230633064"},
 		{"probe", []byte{kindProbe, kindGossip}, "6b67"},
 	} {
-		if got := hex.EncodeToString(one.bytes); got != one.want {
-			t.Errorf("%s: %s, not %s", one.what, got, one.want)
+		if got := hex.EncodeToString(test.bytes); got != test.want {
+			t.Errorf("%s: %s, not %s", test.name, got, test.want)
 		}
 	}
 }
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -26,7 +26,8 @@
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
 	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Seeds: 2, DeadEnd: 2, Slack: time.Second, Seed: 1,
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 1500 * time.Millisecond, Grace: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "enter", Kind: string(rpc.NonIdempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
+			Methods: []rig.SiteMethod{{Name: "enter", Kind: string(rpc.NonIdempotent),
+				Target: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +58,7 @@
 func waitConverged(t *testing.T, s *rig.Cluster, n int, names []string) {
 	t.Helper()
 	if _, ok := s.Until(waitTimeout, func() bool { return s.History.Alike(n, names...) }); !ok {
-		t.Fatalf("%v do not all see %d members", names, n)
+		t.Fatalf("%v have not converged on a view of %d members", names, n)
 	}
 }
 
@@ -98,7 +99,8 @@
 	if err != nil || !strings.Contains(string(table), "of n2, ") || !strings.Contains(string(table), "\nn5 ") {
 		t.Errorf("%v: %s", err, table)
 	}
-	if text, err := exec.Command(program, "fleet").CombinedOutput(); err == nil || !strings.Contains(string(text), "no fleet.socket is set") {
+	if text, err := exec.Command(program, "fleet").CombinedOutput(); err == nil ||
+		!strings.Contains(string(text), "no fleet.socket is set") {
 		t.Errorf("%v: %s", err, text)
 	}
 	run(t, s, "0s notice n5")
@@ -133,7 +135,10 @@
 	waitConverged(t, s, 2, names[:2])
 	waitConverged(t, s, 3, names[2:])
 	for _, name := range names[:2] {
-		if _, ok := s.Until(waitTimeout, func() bool { v, _ := s.History.Latest(name); return v.Certainty == "partitioned" }); !ok {
+		if _, ok := s.Until(waitTimeout, func() bool {
+			v, _ := s.History.Latest(name)
+			return v.Certainty == "partitioned"
+		}); !ok {
 			t.Errorf("%s does not report a partition", name)
 		}
 	}
@@ -160,7 +165,10 @@
 	s, names := startCluster(t)
 	from := s.History.Now()
 	run(t, s, "0s twin n5")
-	if _, ok := s.Until(waitTimeout, func() bool { n, _ := s.History.Lines("n5", "newer incarnation of this name", from); return n > 0 }); !ok {
+	if _, ok := s.Until(waitTimeout, func() bool {
+		n, _ := s.History.Lines("n5", "newer incarnation of this name", from)
+		return n > 0
+	}); !ok {
 		t.Fatal("the older process never learns of the newer one")
 	}
 	waitConverged(t, s, 5, append(slices.Clone(names[:4]), "n5-twin"))
@@ -193,17 +201,24 @@
 	var load sync.WaitGroup
 	load.Go(func() {
 		generator := rig.Load{Seed: 1, Length: waitTimeout, Prefix: "x", Rate: func(float64) float64 { return 20 },
-			Shares: []rig.Share{{Method: "enter", Kind: rpc.NonIdempotent, Criticality: 1, Part: 1, Work: 0.005, Deadline: time.Second}}}
+			Shares: []rig.Share{{Method: "enter", Kind: rpc.NonIdempotent, Criticality: 1,
+				Part: 1, Work: 0.005, Deadline: time.Second}}}
 		generator.Run(ctx, s.Check, router)
 	})
 	defer load.Wait()
 	defer cancel()
 	run(t, s, "0s hang n5\n0s mute n4>* 1500ms\n0s mute *>n4 1500ms")
-	if _, ok := s.Until(waitTimeout, func() bool { n, _ := s.History.Lines("n1", "n5 changed: work hangs there", from); return n > 0 }); !ok {
+	if _, ok := s.Until(waitTimeout, func() bool {
+		n, _ := s.History.Lines("n1", "n5 changed: work hangs there", from)
+		return n > 0
+	}); !ok {
 		t.Error("stuck work is not reported")
 	}
 	run(t, s, "0s unhang n5")
-	if _, ok := s.Until(waitTimeout, func() bool { n, _ := s.History.Lines("n1", "n5 changed: work goes on there", from); return n > 0 }); !ok {
+	if _, ok := s.Until(waitTimeout, func() bool {
+		n, _ := s.History.Lines("n1", "n5 changed: work goes on there", from)
+		return n > 0
+	}); !ok {
 		t.Error("the end of stuck work is not reported")
 	}
 	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -33,7 +33,8 @@
 
 func testConfig(name string, join ...netip.AddrPort) Config {
 	return Config{Name: name, Listen: netip.MustParseAddrPort("127.0.0.1:0"), Join: join,
-		Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 200 * time.Millisecond, View: view.Defaults()}
+		Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 200 * time.Millisecond,
+		View: view.Defaults()}
 }
 
 // start runs one more member; the function that stops it is appended to c.stops.
@@ -158,11 +159,15 @@
 		causeInvalid: {
 			sealPacket(nil, kindGossip, encodeMessage(msgDead, memberClaim{Incarnation: 1<<32 - 1, Node: name, From: "x"})),
 			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{1<<32 - 1, name, addr, port, meta, vsn})),
-			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, "b~12345678", addr, port, meta, vsn})),                 // node name of another member
-			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, []byte{8, 8, 8, 8}, port, meta, vsn})),           // address that is not allowed
-			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, bytes.Repeat([]byte{7}, 400), vsn})), // oversized metadata
+			// Node name of another member.
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, "b~12345678", addr, port, meta, vsn})),
+			// Address that is not allowed.
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, []byte{8, 8, 8, 8}, port, meta, vsn})),
+			// Oversized metadata.
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, bytes.Repeat([]byte{7}, 400), vsn})),
 			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, appendEntry(nil, outOfRange), vsn})),
-			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, meta, vsn[:1]})), // would make the library panic
+			// Would make the library panic.
+			sealPacket(nil, kindGossip, encodeMessage(msgAlive, alive{3, name, addr, port, meta, vsn[:1]})),
 		},
 	} {
 		for range 3 {
@@ -182,7 +187,8 @@
 	other.Write(sealPacket(nil, kindGossip, []byte{msgPing}))
 	waitUntil(t, "not allowed", 5*time.Second, func() bool { return b.Stats().Dropped["not allowed"] == 1 })
 	// Streams of another kind or with invalid content are closed without an answer.
-	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n", "VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
+	for _, text := range []string{"GET / HTTP/1.0\r\n\r\n",
+		"VGF\x01g\x06\xff\xff\xff", "VGF\x01gzzzz", "VGF\x01k\x40short"} {
 		nc, err := net.Dial("tcp", b.Address().String())
 		if err != nil {
 			t.Fatal(err)
@@ -269,7 +275,8 @@
 		return out
 	}
 	for k, c := range [][2][]byte{{leave, leave}, {ack, ack}, {suspect, nil}, {dead, nil},
-		{pack(false, ack, suspect, leave), pack(false, ack, leave)}, {pack(true, ack, suspect, dead), pack(true, ack)}, {pack(true, ack, leave), pack(true, ack, leave)},
+		{pack(false, ack, suspect, leave), pack(false, ack, leave)}, {pack(true, ack, suspect, dead), pack(true, ack)},
+		{pack(true, ack, leave), pack(true, ack, leave)},
 		{pack(false, suspect, dead), nil}} {
 		if got := dropSuspicions(c[0]); !bytes.Equal(got, c[1]) {
 			t.Errorf("%d: %q, not %q", k, got, c[1])
--- a/member/packet.go
+++ b/member/packet.go
@@ -14,10 +14,10 @@
 const (
 	magic            = "VGF\x01"
 	packetHeaderSize = len(magic) + 1 + 4 // magic, kind, and a checksum over kind and payload
-	streamHeaderSize = len(magic) + 1
-	maxPacket        = 1400 // bytes that usual networks carry unfragmented
-	maxName          = 64   // bytes of a member's or zone's name
-	protoSpoken      = 1
+	streamHeaderSize = len(magic) + 1     // magic and kind
+	maxPacket        = 1400               // bytes that usual networks carry unfragmented
+	maxName          = 64                 // bytes of a member's or zone's name
+	protoSpoken      = 1                  // version of the fleet protocol
 )
 
 // The kinds of datagrams and streams.
--- a/member/stream_test.go
+++ b/member/stream_test.go
@@ -152,7 +152,9 @@
 	if _, err := DialStream(ctx, local, server.Address(), "hollow", "server"); err == nil {
 		t.Error("a stream from a forbidden network was accepted")
 	}
-	waitUntil(t, "the drop is counted", streamTestTimeout, func() bool { return server.Stats().Dropped["not allowed"] > 0 })
+	waitUntil(t, "the drop is counted", streamTestTimeout, func() bool {
+		return server.Stats().Dropped["not allowed"] > 0
+	})
 }
 
 // A frame that is corrupt, too long or truncated ends its own stream only.
--- a/member/wire.go
+++ b/member/wire.go
@@ -31,7 +31,7 @@
 	lastHeartbeat    atomic.Int64              // time of the last pass of the member's loop, in nanoseconds since epoch
 	maySuspect       atomic.Bool               // result of view.Machine.MaySuspect at that time
 	lagThreshold     time.Duration             // lateness from which suspicions are not sent
-	rebuildThreshold time.Duration             // lateness from which nothing is sent or accepted
+	rebuildThreshold time.Duration             // lateness from which gossip is neither sent nor accepted, nor messages sent
 
 	dropCounts      [causeCount]atomic.Int64
 	sent            traffic
