--- a/member/show.go
+++ b/member/status.go
@@ -16,24 +16,24 @@
 	"go.uber.org/zap"
 )
 
-// Status is what a member tells on its local socket, as one JSON object.
+// Status is what a member reports on its local socket, as one JSON object.
 type Status struct {
-	Name      string           `json:"name"`
-	Version   uint64           `json:"version"`
-	Digest    string           `json:"digest"`
-	Certainty string           `json:"certainty"`
-	Members   []MemberStatus   `json:"members"`
-	Healthy   []string         `json:"healthy,omitempty"` // names of the last healthy view, while this one is partitioned
-	Packets   [2]int64         `json:"packets"`           // sent, got
-	Bytes     [2]int64         `json:"bytes"`             // sent, got, without streams
-	Dropped   map[string]int64 `json:"dropped,omitempty"`
-	Roles     json.RawMessage  `json:"roles,omitempty"` // what the function given to SetRoles returns
+	Name        string           `json:"name"`
+	Version     uint64           `json:"version"`
+	Digest      string           `json:"digest"`
+	Certainty   string           `json:"certainty"`
+	Members     []MemberStatus   `json:"members"`
+	LastHealthy []string         `json:"healthy,omitempty"` // names in the last healthy view while this one is partitioned
+	Packets     [2]int64         `json:"packets"`           // sent, received
+	Bytes       [2]int64         `json:"bytes"`             // sent, received, without streams
+	Dropped     map[string]int64 `json:"dropped,omitempty"`
+	Roles       json.RawMessage  `json:"roles,omitempty"` // result of the function given to SetRoles
 }
 
-// MemberStatus is one line of it.
+// MemberStatus describes one member of the view.
 type MemberStatus struct {
 	Name        string `json:"name"`
-	Incarnation uint64 `json:"incarnation"` // milliseconds of Unix time
+	Incarnation uint64 `json:"incarnation"` // Unix milliseconds
 	Nonce       string `json:"nonce"`
 	Address     string `json:"address"`
 	Zone        string `json:"zone,omitempty"`
@@ -46,41 +46,41 @@
 	Level       uint8  `json:"level"`
 }
 
-// Status is the view in force and what it cost, for operators.
+// Status returns the current view and the packet counters, for operators.
 func (m *Member) Status() Status {
-	v, c := m.View(), m.Cost()
+	v, c := m.View(), m.Stats()
 	s := Status{Name: m.config.Name, Version: v.Version, Digest: digestText(v.Digest), Certainty: v.Certainty.String(),
 		Packets: [2]int64{c.SentPackets, c.GotPackets}, Bytes: [2]int64{c.SentBytes, c.GotBytes}, Dropped: c.Dropped}
 	for _, e := range v.Members {
-		s.Members = append(s.Members, MemberStatus{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce), e.Address, e.Zone,
-			e.State.String(), e.Unhealthy, e.Unreachable, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
+		s.Members = append(s.Members, MemberStatus{e.Name, e.Incarnation.Number, fmt.Sprintf("%08x", e.Incarnation.Nonce),
+			e.Address, e.Zone, e.State.String(), e.Unhealthy, e.Unreachable, e.Proto, e.Load.Open, e.Load.Credit, e.Load.Level})
 	}
 	if roles := m.roles.Load(); roles != nil {
 		s.Roles, _ = json.Marshal((*roles)())
 	}
-	for _, e := range v.Healthy {
-		s.Healthy = append(s.Healthy, e.Name)
+	for _, e := range v.LastHealthy {
+		s.LastHealthy = append(s.LastHealthy, e.Name)
 	}
 	return s
 }
 
-// serveStatus tells the view to whoever on this machine connects to the local socket.
+// serveStatus writes the status to each connection to the local socket.
 func (m *Member) serveStatus(ctx context.Context) error {
 	path := m.config.Socket
 	if nc, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		nc.Close()
-		m.log.Error("fleet: the local socket belongs to a process that runs") // it tells its own view; ours goes on
+		m.log.Error("fleet: the local socket is in use by another process") // this member runs without one
 		return nil
 	}
 	if at, err := os.Lstat(path); err == nil && at.Mode()&os.ModeSocket != 0 {
-		os.Remove(path) // of one that has ended
+		os.Remove(path) // left by a process that has ended
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err == nil {
 		err = os.Chmod(path, 0o600)
 	}
 	if err != nil {
-		m.log.Error("fleet: no local socket", zap.Error(err))
+		m.log.Error("fleet: cannot open the local socket", zap.Error(err))
 		return nil
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -100,7 +100,7 @@
 	}
 }
 
-// ReadStatus reads what the member behind a local socket tells.
+// ReadStatus reads the status of the member behind a local socket.
 func ReadStatus(path string) (Status, error) {
 	nc, err := net.DialTimeout("unix", path, time.Second)
 	if err != nil {
@@ -112,11 +112,11 @@
 	return s, json.NewDecoder(io.LimitReader(nc, 4<<20)).Decode(&s)
 }
 
-// Table writes it for people.
+// Table writes the status as text for operators.
 func (s Status) Table(to io.Writer) {
 	fmt.Fprintf(to, "view %d of %s, %s: %d members, digest %s\n", s.Version, s.Name, s.Certainty, len(s.Members), s.Digest)
-	if gone := s.missing(); gone != nil {
-		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(gone, " "))
+	if missing := s.missing(); missing != nil {
+		fmt.Fprintf(to, "missing of the last healthy view: %s\n", strings.Join(missing, " "))
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tZONE\tADDRESS\tSTARTED\tLOAD\tREMARKS")
@@ -135,7 +135,8 @@
 			remarks = append(remarks, fmt.Sprintf("protocol %d", e.Proto))
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d/%d/%d\t%s\n", e.Name, e.State, e.Zone, e.Address,
-			time.UnixMilli(int64(e.Incarnation)).UTC().Format(time.DateTime), e.Open, e.Credit, e.Level, strings.Join(remarks, ", "))
+			time.UnixMilli(int64(e.Incarnation)).UTC().Format(time.DateTime), e.Open, e.Credit, e.Level,
+			strings.Join(remarks, ", "))
 	}
 	t.Flush()
 	fmt.Fprintf(to, "packets %d sent, %d got; bytes %d sent, %d got", s.Packets[0], s.Packets[1], s.Bytes[0], s.Bytes[1])
@@ -147,10 +148,10 @@
 	fmt.Fprintln(to)
 }
 
-// missing names who of the last healthy view is missing.
+// missing returns the names of the last healthy view that are no longer members.
 func (s Status) missing() []string {
 	var all []string
-	for _, name := range s.Healthy {
+	for _, name := range s.LastHealthy {
 		if !slices.ContainsFunc(s.Members, func(e MemberStatus) bool { return e.Name == name }) {
 			all = append(all, name)
 		}
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -45,7 +45,7 @@
 	CPUSeconds    float64
 	ResidentBytes float64
 	HeapBytes     float64
-	Costs         []member.Cost
+	Costs         []member.Stats
 }
 
 // report is one line from the process: the addresses at first, then what is seen, and samples when asked for.
@@ -107,7 +107,7 @@
 		name := memberName(plan.First + k)
 		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
 			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			Probe: probeEvery, View: boundless(plan.Fleet)}, zap.NewNop())
+			ProbeInterval: probeEvery, View: boundless(plan.Fleet)}, zap.NewNop())
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 func (s *memberServer) sample() *Sample {
 	out := &Sample{CPUSeconds: CPU().Seconds(), ResidentBytes: resident("self")}
 	for _, m := range s.members {
-		out.Costs = append(out.Costs, m.Cost())
+		out.Costs = append(out.Costs, m.Stats())
 	}
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
