--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -118,7 +118,7 @@
 	from := s.History.Now()
 	run(t, s, "0s cont n5")
 	waitConverged(t, s, 5, names)
-	if n, _ := s.History.Lines("n5", "restarts gossip", from); n != 1 {
+	if n, _ := s.History.Lines("n5", "begins gossip anew", from); n != 1 {
 		t.Errorf("gossip restarted %d times", n)
 	}
 	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
--- a/member/loop.go
+++ b/member/loop.go
@@ -69,7 +69,7 @@
 			m.machine.Step(view.Event{Kind: view.Late, Lag: lag.Seconds()}, m.now())
 			m.wire.maySuspect.Store(m.machine.MaySuspect(m.now()))
 			if lag > m.wire.rebuildThreshold {
-				m.log.Warn("fleet: this process was paused and restarts gossip", zap.Float64("slept_s", roundMillis(lag.Seconds())))
+				m.log.Warn("fleet: this process slept and begins gossip anew", zap.Float64("slept_s", roundMillis(lag.Seconds())))
 			}
 			m.execute(groupCtx)
 		}
