--- a/config/allowed_test.go
+++ b/config/allowed_test.go
@@ -63,8 +63,8 @@
 			t.Errorf("%s: %v", edit[1], err)
 			continue
 		}
-		if c.Stop < 0 || c.Memory < 16<<20 || c.Sockets < 32 || c.Cores < 0 {
-			t.Errorf("%s: stop %g, memory %d, sockets %d, cores %g", edit[1], c.Stop, c.Memory, c.Sockets, c.Cores)
+		if c.StopTimeout < 0 || c.Memory < 16<<20 || c.Sockets < 32 || c.Cores < 0 {
+			t.Errorf("%s: stop %g, memory %d, sockets %d, cores %g", edit[1], c.StopTimeout, c.Memory, c.Sockets, c.Cores)
 		}
 	}
 }
@@ -144,8 +144,8 @@
 			t.Errorf("%s: deadline %g, window %g", c.Methods[k], m.Deadline, m.Window)
 		}
 	}
-	if c.Stop != 3 || c.Memory != 192<<20 || c.Sockets != 1024 {
-		t.Error(c.Stop, c.Memory, c.Sockets)
+	if c.StopTimeout != 3 || c.Memory != 192<<20 || c.Sockets != 1024 {
+		t.Error(c.StopTimeout, c.Memory, c.Sockets)
 	}
 }
 
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	m := c.Rules.Machine
-	for k, v := range []float64{m.MemoryKB * m.RunFactor, c.Rules.Methods[0].Deadline * m.RunFactor, c.Stop * 1e9} {
+	for k, v := range []float64{m.MemoryKB * m.RunFactor, c.Rules.Methods[0].Deadline * m.RunFactor, c.StopTimeout * 1e9} {
 		if math.IsInf(v, 0) || math.IsNaN(v) {
 			t.Error(k, v)
 		}
--- a/config/config.go
+++ b/config/config.go
@@ -14,16 +14,16 @@
 
 // Config is what the platform tells one app server when it starts. Times are seconds.
 type Config struct {
-	Name    string
-	Listen  netip.AddrPort // where routers connect
-	Kernel  netip.AddrPort
-	Roster  netip.AddrPort
-	Stop    float64 // from the notice to leave to the kill
-	Memory  int     // bytes this process may take, all told
-	Sockets int     // descriptors it may hold
-	Cores   float64 // it may use, 0 if nobody has said
-	Methods []string
-	Rules   rpc.Settings
+	Name        string
+	Listen      netip.AddrPort // where routers connect
+	Kernel      netip.AddrPort
+	Roster      netip.AddrPort
+	StopTimeout float64 // from the notice to leave to the kill
+	Memory      int     // bytes this process may take, all told
+	Sockets     int     // descriptors it may hold
+	Cores       float64 // it may use, 0 if nobody has said
+	Methods     []string
+	Rules       rpc.Settings
 }
 
 // What holds where the file does not say: the kill after three seconds, and the limits of the platform's page.
@@ -92,7 +92,7 @@
 	limits.Number("memory_mb", &memory)
 	limits.Whole("sockets", &c.Sockets)
 	limits.Number("cores", &c.Cores)
-	c.Stop, c.Memory = stop/1000, int(min(memory, mostMemoryMB)*(1<<20))
+	c.StopTimeout, c.Memory = stop/1000, int(min(memory, mostMemoryMB)*(1<<20))
 }
 
 // readAddrPort reads an address and port; otherwise stands in where there is none.
@@ -111,8 +111,8 @@
 	switch {
 	case c.Name == "":
 		return keyError("name", "missing")
-	case c.Stop < 0:
-		return keyError("stop_ms", "%g is negative", c.Stop*1000)
+	case c.StopTimeout < 0:
+		return keyError("stop_ms", "%g is negative", c.StopTimeout*1000)
 	case c.Memory < leastMemoryMB<<20:
 		return keyError("limits.memory_mb", "%g is less than the %d that the process needs", float64(c.Memory)/(1<<20), leastMemoryMB)
 	case c.Sockets < leastSockets:
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -20,7 +20,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(c.Name, c.Listen, c.Kernel, c.Roster, c.Stop, c.Memory>>20, c.Sockets, c.Methods, c.Rules.Machine.Cores)
+	fmt.Println(c.Name, c.Listen, c.Kernel, c.Roster, c.StopTimeout, c.Memory>>20, c.Sockets, c.Methods, c.Rules.Machine.Cores)
 }
 
 func Example_whole() {
--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -28,7 +28,7 @@
 func openStepped(change func(c *config.Config)) (*town, *clocks) {
 	s := &clocks{}
 	brief := func(c *config.Config) {
-		c.Stop = 0.3
+		c.StopTimeout = 0.3
 		if change != nil {
 			change(c)
 		}
@@ -195,7 +195,7 @@
 // the process ends before its stop.
 func Example_clockDrain() {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
-		t, system := openStepped(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 2.4, 0.6 })
+		t, system := openStepped(func(c *config.Config) { c.StopTimeout, c.Rules.Rules.DrainGrace = 2.4, 0.6 })
 		r := t.dial()
 		began := time.Now()
 		t.notice()
@@ -256,7 +256,7 @@
 	for _, figure := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
 		town := openPrepared(func(c *config.Config) {
 			c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime, c.Rules.Rules.DrainGrace = figure, figure, figure
-			c.Stop, c.Rules.Rules.StartCapacity = 0.3, 0.25
+			c.StopTimeout, c.Rules.Rules.StartCapacity = 0.3, 0.25
 			for k := range c.Rules.Methods {
 				m := &c.Rules.Methods[k]
 				m.Target, m.Deadline, m.Window = figure, figure, figure
--- a/server/drain.go
+++ b/server/drain.go
@@ -50,7 +50,7 @@
 		return nil
 	case <-ctx.Done():
 	}
-	span := s.config.Load().Stop
+	span := s.config.Load().StopTimeout
 	spans, stop := s.spans(span), s.clock.now()+span
 	s.enter(stageDraining)
 	s.gate.Drain(s.clock.now(), stop)
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -18,7 +18,7 @@
 // The notice comes before the kernel is up, and the kernel comes up during the drain: what came within the grace is run, what comes past
 // it is not, as on any other drain.
 func Example_noticeBeforeKernel() {
-	t := openHeld(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 3, 0.2 })
+	t := openHeld(func(c *config.Config) { c.StopTimeout, c.Rules.Rules.DrainGrace = 3, 0.2 })
 	t.kernel = must(t.cores.Accept()) // it does not say that it is up
 	r := t.dial()
 	began := time.Now()
@@ -40,7 +40,7 @@
 
 // Nobody comes for the notice before the kernel is up: what is held is answered before the stop, and the process ends.
 func Example_noticeWithoutKernel() {
-	t := openHeld(func(c *config.Config) { c.Stop = 1 })
+	t := openHeld(func(c *config.Config) { c.StopTimeout = 1 })
 	r := t.dial()
 	r.execute(1)
 	r.execute(2, "op", "record", "dedupe", "t")
@@ -77,7 +77,7 @@
 // With less time from the notice to the kill than a drain usually takes from its end, all that was read is answered, the router is told
 // and hears the end, and the process ends.
 func Example_shortStop() {
-	t := openPrepared(func(c *config.Config) { c.Stop = 0.7 }, zap.NewNop(), func(*Server) {})
+	t := openPrepared(func(c *config.Config) { c.StopTimeout = 0.7 }, zap.NewNop(), func(*Server) {})
 	t.linkUp()
 	r := t.dial()
 	r.execute(1)
@@ -102,7 +102,7 @@
 // Whoever accepts does not come to its end, as newcomers flood in or it waits: the process leaves in time all the same.
 func TestLeaveWithoutAcceptor(t *testing.T) {
 	listener := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
-	s := New(&config.Config{Stop: 0.6, Memory: 64 << 20}, zap.NewNop())
+	s := New(&config.Config{StopTimeout: 0.6, Memory: 64 << 20}, zap.NewNop())
 	notice, give := context.WithCancel(context.Background())
 	give()
 	over := make(chan error, 1)
@@ -150,7 +150,7 @@
 	live, end := context.WithCancel(context.Background())
 	over := make(chan bool)
 	next := *t.config
-	next.Stop++
+	next.StopTimeout++
 	go func() {
 		t.Reload(live, hup, func() (*config.Config, *config.Settings, error) {
 			if looks.Add(1) == 1 {
@@ -161,7 +161,7 @@
 		close(over)
 	}()
 	hup <- syscall.SIGHUP
-	until("reloaded", func() bool { return t.Server.config.Load().Stop == next.Stop })
+	until("reloaded", func() bool { return t.Server.config.Load().StopTimeout == next.StopTimeout })
 	calm := t.press.effects.Swap(nil) // so that health cannot be told
 	signal(t.well)
 	signal(t.said)
--- a/server/edge_test.go
+++ b/server/edge_test.go
@@ -13,7 +13,7 @@
 
 // openBriefly opens an app server that leaves soon after its notice.
 func openBriefly() *town {
-	t := openPrepared(func(c *config.Config) { c.Stop = 0.2 }, zap.NewNop(), func(*Server) {})
+	t := openPrepared(func(c *config.Config) { c.StopTimeout = 0.2 }, zap.NewNop(), func(*Server) {})
 	t.linkUp()
 	return t
 }
@@ -124,7 +124,7 @@
 // Hundreds of connections that say nothing: RPCs of usual routers on connections old and new are answered, also of one that writes a
 // byte at a time, and no processor is taken by the silent.
 func TestSilentCrowd(test *testing.T) {
-	t := openPrepared(func(c *config.Config) { c.Stop, c.Sockets = 0.2, reserve+64 }, zap.NewNop(), func(*Server) {})
+	t := openPrepared(func(c *config.Config) { c.StopTimeout, c.Sockets = 0.2, reserve+64 }, zap.NewNop(), func(*Server) {})
 	t.linkUp()
 	usual := t.dial()
 	usual.execute(1)
--- a/server/end_test.go
+++ b/server/end_test.go
@@ -269,7 +269,7 @@
 // hears the end in good order. Before, the process ended over it; or the RPC was read when nobody was there any more to answer
 // it.
 func Example_exitCrossed() {
-	t := openPrepared(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
+	t := openPrepared(func(c *config.Config) { c.StopTimeout, c.Rules.Rules.DrainGrace = 40, 0.05 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 39.5, closing: 39.4, cutShort: 0.2, exit: 0.1}
 		}
@@ -315,7 +315,7 @@
 // Who sends on past the end of its connection is not waited for: what comes then is read and thrown away, and the end is in
 // good order all the same.
 func Example_cutShort() {
-	t := openPrepared(func(c *config.Config) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
+	t := openPrepared(func(c *config.Config) { c.StopTimeout = 40 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 39.9, closing: 39.8, cutShort: 39.7, exit: 0.1}
 		}
@@ -382,7 +382,7 @@
 // on them is answered. One that comes after the close is refused, which proves that nothing ran. Before, the close reset
 // those in the queue.
 func Example_notAccepting() {
-	t := openPrepared(func(c *config.Config) { c.Stop = 20 }, zap.NewNop(), func(s *Server) {
+	t := openPrepared(func(c *config.Config) { c.StopTimeout = 20 }, zap.NewNop(), func(s *Server) {
 		s.spans = func(float64) drainSpans {
 			return drainSpans{notAccepting: 19.5, closing: 17.5, cutShort: 0.2, exit: 0.1}
 		}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -90,7 +90,7 @@
 			if f != nil {
 				f.Leave()
 			}
-			sleep(all, s.config.Load().Stop-leaveBefore)
+			sleep(all, s.config.Load().StopTimeout-leaveBefore)
 			return nil
 		case <-every.C:
 		}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -72,7 +72,7 @@
 	roster := t.roster()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	t.door, t.at = listener, listener.Addr().String()
-	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.cores.Addr().String()), Stop: 1.2,
+	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(t.cores.Addr().String()), StopTimeout: 1.2,
 		Roster: netip.MustParseAddrPort(roster.LocalAddr().String()), Memory: 64 << 20, Sockets: 64,
 		Methods: []string{"look", "record"}}
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent, Target: 30, Deadline: 60, Criticality: 1},
