--- a/config/fleet.go
+++ b/config/fleet.go
@@ -14,7 +14,7 @@
 	Join            []netip.AddrPort
 	Zone            string
 	Allow           []netip.Prefix
-	Probe           float64
+	ProbeInterval   float64
 	Hold            float64
 	Forget          float64
 	Socket          string
@@ -34,7 +34,7 @@
 
 func defaultFleet() Fleet {
 	usual := view.Defaults()
-	f := Fleet{Probe: 0.3, Hold: usual.HoldTime, Forget: usual.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
+	f := Fleet{ProbeInterval: 0.3, Hold: usual.HoldTime, Forget: usual.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
 	for _, p := range defaultAllow {
 		f.Allow = append(f.Allow, netip.MustParsePrefix(p))
 	}
--- a/config/fleet_check.go
+++ b/config/fleet_check.go
@@ -38,12 +38,12 @@
 		return settings.directiveError(name, "%s is no address that others could reach", others)
 	case !f.allows(others.Addr()):
 		return settings.directiveError(name, "%s is not among fleet.allow, so others would drop what comes from there", others)
-	case f.Hold < f.Probe:
+	case f.Hold < f.ProbeInterval:
 		at := "fleet.hold"
 		if settings.lines[at] == 0 {
 			at = "fleet.probe"
 		}
-		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", showDuration(f.Hold), showDuration(f.Probe))
+		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", showDuration(f.Hold), showDuration(f.ProbeInterval))
 	}
 	for _, name := range []string{"fleet.lease", "fleet.drift", "fleet.state", "fleet.office", "fleet.share"} {
 		if len(f.Voters) == 0 && settings.lines[name] > 0 {
@@ -51,12 +51,12 @@
 		}
 	}
 	// Shorter than some probes a lease would end by what the network does every day.
-	if len(f.Voters) > 0 && f.Lease < 3*f.Probe {
+	if len(f.Voters) > 0 && f.Lease < 3*f.ProbeInterval {
 		at := "fleet.lease"
 		if settings.lines[at] == 0 {
 			at = "fleet.probe"
 		}
-		return settings.directiveError(at, "a lease of %s is shorter than three probes of %s", showDuration(f.Lease), showDuration(f.Probe))
+		return settings.directiveError(at, "a lease of %s is shorter than three probes of %s", showDuration(f.Lease), showDuration(f.ProbeInterval))
 	}
 	for _, s := range f.Shares {
 		if least := cmp.Or(s.MinLimit, s.Limit); f.Reserved*len(f.ReservedMembers) > least {
--- a/config/fleet_membership.go
+++ b/config/fleet_membership.go
@@ -99,8 +99,10 @@
 		},
 		func(settings *Settings) string { return showAll(settings.Fleet.Allow) }},
 	{"fleet.probe", "TIME", "between two probes of others: a death is known after some ten of them",
-		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.Probe, w, 0.1, 10) },
-		func(settings *Settings) string { return showDuration(settings.Fleet.Probe) }},
+		func(settings *Settings, w []string) error {
+			return readDuration(&settings.Fleet.ProbeInterval, w, 0.1, 10)
+		},
+		func(settings *Settings) string { return showDuration(settings.Fleet.ProbeInterval) }},
 	{"fleet.hold", "TIME", "for which a death has to stand before the view shows it",
 		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.Hold, w, 0.1, 60) },
 		func(settings *Settings) string { return showDuration(settings.Fleet.Hold) }},
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -40,7 +40,7 @@
 	viewConfig := view.Defaults()
 	viewConfig.HoldTime, viewConfig.ForgetTime = settings.Hold, settings.Forget
 	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
-		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.Probe), Socket: settings.Socket,
+		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.ProbeInterval), Socket: settings.Socket,
 		Streams: incomingStreams(settings, c), View: viewConfig}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
