--- a/config/fleet_check.go
+++ b/config/fleet_check.go
@@ -38,12 +38,12 @@
 		return settings.directiveError(name, "%s is no address that others could reach", others)
 	case !f.allows(others.Addr()):
 		return settings.directiveError(name, "%s is not among fleet.allow, so others would drop what comes from there", others)
-	case f.Hold < f.ProbeInterval:
+	case f.HoldTime < f.ProbeInterval:
 		at := "fleet.hold"
 		if settings.lines[at] == 0 {
 			at = "fleet.probe"
 		}
-		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", showDuration(f.Hold), showDuration(f.ProbeInterval))
+		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", showDuration(f.HoldTime), showDuration(f.ProbeInterval))
 	}
 	for _, name := range []string{"fleet.lease", "fleet.drift", "fleet.state", "fleet.office", "fleet.share"} {
 		if len(f.Voters) == 0 && settings.lines[name] > 0 {
