--- a/config/fleet.go
+++ b/config/fleet.go
@@ -16,7 +16,7 @@
 	Allow           []netip.Prefix
 	ProbeInterval   float64
 	HoldTime        float64
-	Forget          float64
+	ForgetTime      float64
 	Socket          string
 	Voters          [][]string // one list, or two while they are changed; none where nothing is elected
 	Lease           float64
@@ -34,7 +34,7 @@
 
 func defaultFleet() Fleet {
 	usual := view.Defaults()
-	f := Fleet{ProbeInterval: 0.3, HoldTime: usual.HoldTime, Forget: usual.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
+	f := Fleet{ProbeInterval: 0.3, HoldTime: usual.HoldTime, ForgetTime: usual.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
 	for _, p := range defaultAllow {
 		f.Allow = append(f.Allow, netip.MustParsePrefix(p))
 	}
--- a/config/fleet_membership.go
+++ b/config/fleet_membership.go
@@ -107,8 +107,10 @@
 		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.HoldTime, w, 0.1, 60) },
 		func(settings *Settings) string { return showDuration(settings.Fleet.HoldTime) }},
 	{"fleet.forget", "TIME", "after which the dead are no longer looked for, and a partitioned view is taken for the fleet",
-		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.Forget, w, 10, 86400) },
-		func(settings *Settings) string { return showDuration(settings.Fleet.Forget) }},
+		func(settings *Settings, w []string) error {
+			return readDuration(&settings.Fleet.ForgetTime, w, 10, 86400)
+		},
+		func(settings *Settings) string { return showDuration(settings.Fleet.ForgetTime) }},
 	{"fleet.socket", "PATH|none", "a local socket that tells the view, for `valveglade fleet`",
 		func(settings *Settings, w []string) error {
 			if len(w) != 1 || w[0] == "" || len(w[0]) > maxSocketPath {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -38,7 +38,7 @@
 		return nil, nil, err
 	}
 	viewConfig := view.Defaults()
-	viewConfig.HoldTime, viewConfig.ForgetTime = settings.HoldTime, settings.Forget
+	viewConfig.HoldTime, viewConfig.ForgetTime = settings.HoldTime, settings.ForgetTime
 	m, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen, Advertise: settings.Advertise,
 		Join: settings.Join, Allow: settings.Allow, Probe: seconds(settings.ProbeInterval), Socket: settings.Socket,
 		Streams: incomingStreams(settings, c), View: viewConfig}, s.log)
