--- a/config/distribution.go
+++ b/config/distribution.go
@@ -179,7 +179,7 @@
 
 // checkAgainst refuses what this app server can't do as one of the distribution's voters.
 func (d Distribution) checkAgainst(c *Config, f Fleet) error {
-	if d.On && f.isVoter(c.Name) && f.State == "" {
+	if d.On && f.isVoter(c.Name) && f.StateDir == "" {
 		return keyError("name", "%q is among fleet.voters: for fleet.config it needs a folder of its own, fleet.state", c.Name)
 	}
 	return nil
--- a/config/distribution_test.go
+++ b/config/distribution_test.go
@@ -30,7 +30,7 @@
 	}
 	fmt.Println(settings.Fleet.CheckAgainst(&Config{Name: "n1"}))
 	fmt.Println(settings.Fleet.CheckAgainst(&Config{Name: "a"}))
-	settings.Fleet.State = "/s"
+	settings.Fleet.StateDir = "/s"
 	fmt.Println(settings.Fleet.CheckAgainst(&Config{Name: "a"}), settings.Fleet.CheckAgainst(&Config{Name: "n1"}))
 	// Output:
 	// op.conf:1: fleet.config: fleet.listen is not set
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -21,7 +21,7 @@
 	Voters          [][]string // one list, or two while they are changed; none where nothing is elected
 	Lease           float64
 	Drift           float64 // a share
-	State           string  // a directory that survives restarts, for persisted votes
+	StateDir        string  // a directory that survives restarts, for persisted votes
 	Roles           []Role
 	Shares          []Share
 	Reserved        int      // permits of each share that reserved members hold without a request
--- a/config/fleet_check.go
+++ b/config/fleet_check.go
@@ -86,7 +86,7 @@
 		return keyError("name", "%d bytes are more than the %d that a fleet takes", len(c.Name), maxNameLength)
 	case f.Listen == c.Listen:
 		return keyError("listen", "%s is the fleet's too", c.Listen)
-	case f.State != "" && !f.isVoter(c.Name) && !f.Distribution.On:
+	case f.StateDir != "" && !f.isVoter(c.Name) && !f.Distribution.On:
 		return keyError("name", "%q is not among fleet.voters, so it has no votes to persist: fleet.state is for voters", c.Name)
 	}
 	for _, s := range f.Shares {
--- a/config/fleet_election.go
+++ b/config/fleet_election.go
@@ -70,15 +70,15 @@
 				return errors.New("one folder is wanted, or none")
 			}
 			if w[0] != "none" {
-				settings.Fleet.State = w[0]
+				settings.Fleet.StateDir = w[0]
 			}
 			return nil
 		},
 		func(settings *Settings) string {
-			if settings.Fleet.State == "" {
+			if settings.Fleet.StateDir == "" {
 				return "none"
 			}
-			return settings.Fleet.State
+			return settings.Fleet.StateDir
 		}},
 	{"fleet.office", "none|NAME ADDRESS:PORT TIME[ / ...]", "an elected role: its owner, one app server at a time, sends a command there as often; several after one another",
 		func(settings *Settings, w []string) error {
--- a/server/distribution.go
+++ b/server/distribution.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	cfg := fleet.DistributionConfig{Name: c.Name, Voters: settings.Voters, Distributors: settings.Distribution.Distributors, Services: settings.Distribution.Services,
-		AllServices: settings.Distribution.AllServices, Folder: settings.State, BytesPerSecond: settings.Distribution.BytesPerSecond, StaleAfter: settings.Distribution.StaleAfter}
+		AllServices: settings.Distribution.AllServices, Folder: settings.StateDir, BytesPerSecond: settings.Distribution.BytesPerSecond, StaleAfter: settings.Distribution.StaleAfter}
 	if settings.Socket != "" {
 		cfg.Socket = fleet.ConfigSocket(settings.Socket)
 	}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -108,7 +108,7 @@
 	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	f, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State, Fit: func() error { return s.fit(m) },
+	f, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.StateDir, Fit: func() error { return s.fit(m) },
 		Others: func() []string {
 			var all []string
 			for _, e := range m.View().Members {
