--- a/config/fleet_election.go
+++ b/config/fleet_election.go
@@ -14,9 +14,9 @@
 
 // Role is an elected role: one app server at a time holds it and sends a command to an address at an interval.
 type Role struct {
-	Name    string
-	Address netip.AddrPort
-	Every   float64
+	Name     string
+	Address  netip.AddrPort
+	Interval float64
 }
 
 // maxRoles is how many roles may be set: each asks its voters some times a second.
@@ -96,7 +96,7 @@
 				if err := readAddress(&o.Address, one[1:2]); err != nil {
 					return err
 				}
-				if err := readDuration(&o.Every, one[2:], 0.01, 3600); err != nil {
+				if err := readDuration(&o.Interval, one[2:], 0.01, 3600); err != nil {
 					return err
 				}
 				if settings.Fleet.Roles = append(settings.Fleet.Roles, o); len(settings.Fleet.Roles) > maxRoles {
@@ -108,7 +108,7 @@
 		func(settings *Settings) string {
 			var all []string
 			for _, o := range settings.Fleet.Roles {
-				all = append(all, o.Name+" "+o.Address.String()+" "+showDuration(o.Every))
+				all = append(all, o.Name+" "+o.Address.String()+" "+showDuration(o.Interval))
 			}
 			return cmp.Or(strings.Join(all, " / "), "none")
 		}},
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -123,7 +123,7 @@
 		return nil, err
 	}
 	for _, o := range settings.Roles {
-		if err := f.Campaign(o.Name, fleet.SendCommands(o.Name, c.Name, o.Address.String(), seconds(o.Every))); err != nil {
+		if err := f.Campaign(o.Name, fleet.SendCommands(o.Name, c.Name, o.Address.String(), seconds(o.Interval))); err != nil {
 			return nil, err
 		}
 	}
