--- a/config/pressure.go
+++ b/config/pressure.go
@@ -12,9 +12,9 @@
 
 // Pressure is how the program watches itself.
 type Pressure struct {
-	On     bool
-	Every  float64 // seconds between readings
-	Config pressure.Config
+	On           bool
+	ReadInterval float64 // seconds between readings
+	Config       pressure.Config
 }
 
 var pressureDirectives = []directive{
@@ -25,8 +25,10 @@
 		},
 		func(settings *Settings) string { return showSwitch(settings.Pressure.On) }},
 	{"pressure.every", "TIME", "between two readings",
-		func(settings *Settings, w []string) error { return readDuration(&settings.Pressure.Every, w, 0.01, 1) },
-		func(settings *Settings) string { return showDuration(settings.Pressure.Every) }},
+		func(settings *Settings, w []string) error {
+			return readDuration(&settings.Pressure.ReadInterval, w, 0.01, 1)
+		},
+		func(settings *Settings) string { return showDuration(settings.Pressure.ReadInterval) }},
 	durationDirective("pressure.loop-delay", "lateness of the program's own timers at which it counts as pressed", pressure.LoopDelay),
 	durationDirective("pressure.lock-wait", "wait for the gate's lock at which it does", pressure.LockWait),
 	durationDirective("pressure.link-queue", "age of a command that the kernel link's writer has not taken up", pressure.LinkQueue),
--- a/config/settings.go
+++ b/config/settings.go
@@ -88,7 +88,7 @@
 
 // NewSettings returns the settings of an installation that sets nothing.
 func NewSettings() *Settings {
-	return &Settings{Pressure: Pressure{Every: 0.05, Config: pressure.Defaults()}, Fleet: defaultFleet(), lines: map[string]int{}}
+	return &Settings{Pressure: Pressure{ReadInterval: 0.05, Config: pressure.Defaults()}, Fleet: defaultFleet(), lines: map[string]int{}}
 }
 
 // ReadSettings reads and checks a file; an empty path is no file.
--- a/server/press.go
+++ b/server/press.go
@@ -61,7 +61,7 @@
 func (p *press) adopt(b *config.Settings) bool {
 	p.ordering.Lock()
 	defer p.ordering.Unlock()
-	if b.Pressure.On == p.settings.Pressure.On && b.Pressure.Every == p.settings.Pressure.Every &&
+	if b.Pressure.On == p.settings.Pressure.On && b.Pressure.ReadInterval == p.settings.Pressure.ReadInterval &&
 		same(b.Pressure.Config, p.settings.Pressure.Config) {
 		return false
 	}
@@ -164,7 +164,7 @@
 		asked[k], ok[k] = p.asked[k].Load(), p.ok[k].Load()
 	}
 	watch.Update(0, pressure.Unknown(), asked, ok)
-	every := seconds(settings.Every)
+	every := seconds(settings.ReadInterval)
 	timer := time.NewTimer(every)
 	defer timer.Stop()
 	due := time.Now().Add(every)
