--- a/config/config.go
+++ b/config/config.go
@@ -36,9 +36,9 @@
 // Bounds of the limits. The process takes 13 MB with nothing to do; it keeps 20 descriptors for itself, and four more may be on
 // their way out while others come. No machine has more memory than the most.
 const (
-	leastMemoryMB = 16
-	leastSockets  = 32
-	mostMemoryMB  = 1 << 40
+	minMemoryMB = 16
+	minSockets  = 32
+	maxMemoryMB = 1 << 40
 )
 
 // KeyError names a key of the config whose value is wrong.
@@ -48,7 +48,9 @@
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-func keyError(key, why string, args ...any) error { return &KeyError{key, fmt.Sprintf(why, args...)} }
+func keyError(key, format string, args ...any) error {
+	return &KeyError{key, fmt.Sprintf(format, args...)}
+}
 
 // FromEnv reads the file that GW_CONFIG names; GW_NAME and GW_LISTEN stand in for what it leaves out.
 func FromEnv() (*Config, error) {
@@ -65,45 +67,45 @@
 
 // Parse reads and checks a configuration; name and listen are used where it has none.
 func Parse(text []byte, name, listen string) (*Config, error) {
-	top, err := jsonobject.Parse(text)
+	root, err := jsonobject.Parse(text)
 	if err != nil {
 		return nil, keyError("GW_CONFIG", "%v", err)
 	}
 	c := &Config{Name: name}
-	top.Text("name", &c.Name)
-	c.readLimits(top)
-	c.Rules, c.Methods = settings.Read(top.Object("settings"))
-	top.Text("listen", &listen)
-	c.Listen = readAddrPort(top, "listen", listen)
-	c.Kernel = readAddrPort(top, "kernel", "")
-	c.Roster = readAddrPort(top, "roster", "")
-	if invalid := (*jsonobject.Error)(nil); errors.As(top.Err(), &invalid) {
+	root.Text("name", &c.Name)
+	c.readLimits(root)
+	c.Rules, c.Methods = settings.Read(root.Object("settings"))
+	root.Text("listen", &listen)
+	c.Listen = parseAddrPort(root, "listen", listen)
+	c.Kernel = parseAddrPort(root, "kernel", "")
+	c.Roster = parseAddrPort(root, "roster", "")
+	if invalid := (*jsonobject.Error)(nil); errors.As(root.Err(), &invalid) {
 		return nil, keyError(invalid.Path, "%s", invalid.Reason)
 	}
 	return c, c.check()
 }
 
 // readLimits reads what the process may take, and how long it has to leave.
-func (c *Config) readLimits(top *jsonobject.Object) {
+func (c *Config) readLimits(root *jsonobject.Object) {
 	stop, memory := float64(defaultStopMS), float64(defaultMemoryMB)
 	c.Sockets = defaultSockets
-	top.Number("stop_ms", &stop)
-	limits := top.Object("limits")
+	root.Number("stop_ms", &stop)
+	limits := root.Object("limits")
 	limits.Number("memory_mb", &memory)
 	limits.Whole("sockets", &c.Sockets)
 	limits.Number("cores", &c.Cores)
-	c.StopTimeout, c.Memory = stop/1000, int(min(memory, mostMemoryMB)*(1<<20))
+	c.StopTimeout, c.Memory = stop/1000, int(min(memory, maxMemoryMB)*(1<<20))
 }
 
-// readAddrPort reads an address and port; otherwise stands in where there is none.
-func readAddrPort(top *jsonobject.Object, key, otherwise string) netip.AddrPort {
-	text := otherwise
-	top.Text(key, &text)
-	at, err := netip.ParseAddrPort(text)
+// parseAddrPort reads an address and port; otherwise stands in where there is none.
+func parseAddrPort(root *jsonobject.Object, key, fallback string) netip.AddrPort {
+	text := fallback
+	root.Text(key, &text)
+	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		top.Fail(key, "%q is no address and port", text)
+		root.Fail(key, "%q is no address and port", text)
 	}
-	return at
+	return address
 }
 
 // check refuses what the server could not keep its rules under.
@@ -113,10 +115,10 @@
 		return keyError("name", "missing")
 	case c.StopTimeout < 0:
 		return keyError("stop_ms", "%g is negative", c.StopTimeout*1000)
-	case c.Memory < leastMemoryMB<<20:
-		return keyError("limits.memory_mb", "%g is less than the %d that the process needs", float64(c.Memory)/(1<<20), leastMemoryMB)
-	case c.Sockets < leastSockets:
-		return keyError("limits.sockets", "%d is less than the %d that the process needs", c.Sockets, leastSockets)
+	case c.Memory < minMemoryMB<<20:
+		return keyError("limits.memory_mb", "%g is less than the %d that the process needs", float64(c.Memory)/(1<<20), minMemoryMB)
+	case c.Sockets < minSockets:
+		return keyError("limits.sockets", "%d is less than the %d that the process needs", c.Sockets, minSockets)
 	case c.Cores < 0:
 		return keyError("limits.cores", "%g is negative", c.Cores)
 	case len(c.Methods) == 0:
--- a/config/distribution.go
+++ b/config/distribution.go
@@ -42,54 +42,54 @@
 var distributionDirectives = []directive{
 	{"fleet.config", "on|off", "routes and tenants are distributed by the fleet; its voters keep the log of changes",
 		func(settings *Settings, w []string) (err error) {
-			settings.Fleet.Distribution.On, err = readSwitch(w)
+			settings.Fleet.Distribution.On, err = parseSwitch(w)
 			return err
 		},
-		func(settings *Settings) string { return showSwitch(settings.Fleet.Distribution.On) }},
+		func(settings *Settings) string { return formatSwitch(settings.Fleet.Distribution.On) }},
 	{"fleet.config-services", "all|none|NAME...", "services whose routes and tenants are kept here; others are looked up on demand",
-		func(settings *Settings, w []string) error { return settings.Fleet.Distribution.readServices(w) },
+		func(settings *Settings, w []string) error { return settings.Fleet.Distribution.parseServices(w) },
 		func(settings *Settings) string {
 			if settings.Fleet.Distribution.AllServices {
 				return "all"
 			}
-			return showNames(settings.Fleet.Distribution.Services)
+			return formatNames(settings.Fleet.Distribution.Services)
 		}},
 	{"fleet.config-distributors", "none|NAME...", "app servers that keep all of it and serve it to others; the voters, if none is named",
 		func(settings *Settings, w []string) (err error) {
-			settings.Fleet.Distribution.Distributors, err = readNames(w, maxDistributors, checkMemberName)
+			settings.Fleet.Distribution.Distributors, err = parseNames(w, maxDistributors, checkMemberName)
 			return err
 		},
-		func(settings *Settings) string { return showNames(settings.Fleet.Distribution.Distributors) }},
+		func(settings *Settings) string { return formatNames(settings.Fleet.Distribution.Distributors) }},
 	{"fleet.config-rate", "SIZE", "the most that an app server is sent in a second, as 20KB of a thousand bytes each",
 		func(settings *Settings, w []string) error {
-			return readSize(&settings.Fleet.Distribution.BytesPerSecond, w, minDistributionRate, maxDistributionRate)
+			return parseSize(&settings.Fleet.Distribution.BytesPerSecond, w, minDistributionRate, maxDistributionRate)
 		},
-		func(settings *Settings) string { return showSize(settings.Fleet.Distribution.BytesPerSecond) }},
+		func(settings *Settings) string { return formatSize(settings.Fleet.Distribution.BytesPerSecond) }},
 	{"fleet.config-age", "TIME", "after which the configuration is told to be stale, where nothing newer is known",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Fleet.Distribution.StaleAfter, w, minDistributionAge, maxDistributionAge)
+			return parseDuration(&settings.Fleet.Distribution.StaleAfter, w, minDistributionAge, maxDistributionAge)
 		},
-		func(settings *Settings) string { return showDuration(settings.Fleet.Distribution.StaleAfter) }},
+		func(settings *Settings) string { return formatDuration(settings.Fleet.Distribution.StaleAfter) }},
 }
 
-func (d *Distribution) readServices(words []string) (err error) {
+func (d *Distribution) parseServices(words []string) (err error) {
 	d.AllServices = len(words) == 1 && words[0] == "all"
 	if !d.AllServices {
-		d.Services, err = readNames(words, maxServices, configtable.ValidateService)
+		d.Services, err = parseNames(words, maxServices, configtable.ValidateService)
 	}
 	return err
 }
 
-// readNames reads names that differ, or none.
-func readNames(words []string, most int, check func(name string) error) ([]string, error) {
-	if len(words) == 0 || len(words) > most {
-		return nil, fmt.Errorf("one to %d names are wanted, or none", most)
+// parseNames reads names that differ, or none.
+func parseNames(words []string, maxNames int, validate func(name string) error) ([]string, error) {
+	if len(words) == 0 || len(words) > maxNames {
+		return nil, fmt.Errorf("one to %d names are wanted, or none", maxNames)
 	}
 	if len(words) == 1 && words[0] == "none" {
 		return nil, nil
 	}
 	for k, name := range words {
-		if err := check(name); err != nil {
+		if err := validate(name); err != nil {
 			return nil, err
 		}
 		if name == "all" || name == "none" {
@@ -102,7 +102,7 @@
 	return words, nil
 }
 
-func showNames(names []string) string { return cmp.Or(strings.Join(names, " "), "none") }
+func formatNames(names []string) string { return cmp.Or(strings.Join(names, " "), "none") }
 
 func checkMemberName(name string) error {
 	if name == "" || len(name) > maxNameLength {
@@ -117,8 +117,8 @@
 	bytes  float64
 }{{"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
-// readSize reads a size such as 20KB, in bytes.
-func readSize(into *float64, words []string, least, most float64) error {
+// parseSize reads a size such as 20KB, in bytes.
+func parseSize(dst *float64, words []string, minSize, maxSize float64) error {
 	if len(words) != 1 {
 		return errors.New("one size such as 20KB is wanted")
 	}
@@ -132,17 +132,17 @@
 			break
 		}
 		size := float64(number) * unit.bytes
-		if size < least || size > most {
-			return fmt.Errorf("%s is not from %s to %s", words[0], showSize(least), showSize(most))
+		if size < minSize || size > maxSize {
+			return fmt.Errorf("%s is not from %s to %s", words[0], formatSize(minSize), formatSize(maxSize))
 		}
-		*into = size
+		*dst = size
 		return nil
 	}
 	return fmt.Errorf("%q is no size such as 20KB or 1MB", words[0])
 }
 
-// showSize writes a size in the largest unit of which it is a whole number.
-func showSize(size float64) string {
+// formatSize writes a size in the largest unit of which it is a whole number.
+func formatSize(size float64) string {
 	for _, unit := range sizeUnits {
 		if number := size / unit.bytes; number >= 1 && number == float64(uint64(number)) {
 			return strconv.FormatUint(uint64(number), 10) + unit.suffix
@@ -156,7 +156,7 @@
 	f := settings.Fleet
 	if !f.Distribution.On {
 		for _, d := range distributionDirectives {
-			if settings.lines[d.name] > 0 && d.show(settings) != d.show(NewSettings()) {
+			if settings.lines[d.name] > 0 && d.format(settings) != d.format(NewSettings()) {
 				return settings.directiveError(d.name, "fleet.config is off")
 			}
 		}
@@ -167,12 +167,12 @@
 	}
 	// A new leader comes within two leases; a shorter age would tell of it as of a failure.
 	if f.Distribution.StaleAfter < 2*f.Lease {
-		at := "fleet.config-age"
-		if settings.lines[at] == 0 {
-			at = "fleet.lease"
+		name := "fleet.config-age"
+		if settings.lines[name] == 0 {
+			name = "fleet.lease"
 		}
-		return settings.directiveError(at, "an age of %s is shorter than two leases of %s",
-			showDuration(f.Distribution.StaleAfter), showDuration(f.Lease))
+		return settings.directiveError(name, "an age of %s is shorter than two leases of %s",
+			formatDuration(f.Distribution.StaleAfter), formatDuration(f.Lease))
 	}
 	return nil
 }
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -33,10 +33,10 @@
 func (f Fleet) On() bool { return f.Listen.IsValid() }
 
 func defaultFleet() Fleet {
-	usual := view.Defaults()
-	f := Fleet{ProbeInterval: 0.3, HoldTime: usual.HoldTime, ForgetTime: usual.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
-	for _, p := range defaultAllow {
-		f.Allow = append(f.Allow, netip.MustParsePrefix(p))
+	defaults := view.Defaults()
+	f := Fleet{ProbeInterval: 0.3, HoldTime: defaults.HoldTime, ForgetTime: defaults.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
+	for _, network := range defaultAllowedNetworks {
+		f.Allow = append(f.Allow, netip.MustParsePrefix(network))
 	}
 	return f
 }
--- a/config/fleet_check.go
+++ b/config/fleet_check.go
@@ -7,8 +7,8 @@
 )
 
 // allows tells whether an address is among those that packets are taken from.
-func (f Fleet) allows(at netip.Addr) bool {
-	return slices.ContainsFunc(f.Allow, func(p netip.Prefix) bool { return p.Contains(at.Unmap()) })
+func (f Fleet) allows(address netip.Addr) bool {
+	return slices.ContainsFunc(f.Allow, func(p netip.Prefix) bool { return p.Contains(address.Unmap()) })
 }
 
 // checkFleet refuses what contradicts itself.
@@ -16,34 +16,34 @@
 	f := settings.Fleet
 	if !f.On() {
 		for _, d := range slices.Concat(fleetDirectives, distributionDirectives) {
-			if d.name != "fleet.listen" && settings.lines[d.name] > 0 && d.show(settings) != d.show(NewSettings()) {
+			if d.name != "fleet.listen" && settings.lines[d.name] > 0 && d.format(settings) != d.format(NewSettings()) {
 				return settings.directiveError(d.name, "fleet.listen is not set")
 			}
 		}
 		return nil
 	}
-	others := f.Advertise
-	if !others.IsValid() {
+	advertised := f.Advertise
+	if !advertised.IsValid() {
 		if f.Listen.Addr().IsUnspecified() {
 			return settings.directiveError("fleet.listen", "others need to be told an address: set fleet.advertise")
 		}
-		others = f.Listen
+		advertised = f.Listen
 	}
 	name := "fleet.advertise"
 	if settings.lines[name] == 0 {
 		name = "fleet.listen"
 	}
 	switch {
-	case others.Addr().IsUnspecified():
-		return settings.directiveError(name, "%s is no address that others could reach", others)
-	case !f.allows(others.Addr()):
-		return settings.directiveError(name, "%s is not among fleet.allow, so others would drop what comes from there", others)
+	case advertised.Addr().IsUnspecified():
+		return settings.directiveError(name, "%s is no address that others could reach", advertised)
+	case !f.allows(advertised.Addr()):
+		return settings.directiveError(name, "%s is not among fleet.allow, so others would drop what comes from there", advertised)
 	case f.HoldTime < f.ProbeInterval:
 		at := "fleet.hold"
 		if settings.lines[at] == 0 {
 			at = "fleet.probe"
 		}
-		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", showDuration(f.HoldTime), showDuration(f.ProbeInterval))
+		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", formatDuration(f.HoldTime), formatDuration(f.ProbeInterval))
 	}
 	for _, name := range []string{"fleet.lease", "fleet.drift", "fleet.state", "fleet.office", "fleet.share"} {
 		if len(f.Voters) == 0 && settings.lines[name] > 0 {
@@ -56,11 +56,11 @@
 		if settings.lines[at] == 0 {
 			at = "fleet.probe"
 		}
-		return settings.directiveError(at, "a lease of %s is shorter than three probes of %s", showDuration(f.Lease), showDuration(f.ProbeInterval))
+		return settings.directiveError(at, "a lease of %s is shorter than three probes of %s", formatDuration(f.Lease), formatDuration(f.ProbeInterval))
 	}
 	for _, s := range f.Shares {
-		if least := cmp.Or(s.MinLimit, s.Limit); f.Reserved*len(f.ReservedMembers) > least {
-			return settings.directiveError("fleet.floor", "%d members with %d reserved are more than the %d of %s", len(f.ReservedMembers), f.Reserved, least, s.Name)
+		if minLimit := cmp.Or(s.MinLimit, s.Limit); f.Reserved*len(f.ReservedMembers) > minLimit {
+			return settings.directiveError("fleet.floor", "%d members with %d reserved are more than the %d of %s", len(f.ReservedMembers), f.Reserved, minLimit, s.Name)
 		}
 	}
 	if f.Reserved > 0 && len(f.Shares) == 0 {
--- a/config/fleet_election.go
+++ b/config/fleet_election.go
@@ -47,8 +47,8 @@
 			return strings.Join(all, " / ")
 		}},
 	{"fleet.lease", "TIME", "for which a role is owned without being renewed: a new owner comes within two of it",
-		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.Lease, w, 0.5, 60) },
-		func(settings *Settings) string { return showDuration(settings.Fleet.Lease) }},
+		func(settings *Settings, w []string) error { return parseDuration(&settings.Fleet.Lease, w, 0.5, 60) },
+		func(settings *Settings) string { return formatDuration(settings.Fleet.Lease) }},
 	{"fleet.drift", "SHARE%", "by which the clocks of two machines may drift apart while a lease runs",
 		func(settings *Settings, w []string) error {
 			if len(w) != 1 || !strings.HasSuffix(w[0], "%") {
@@ -93,10 +93,10 @@
 				if slices.ContainsFunc(settings.Fleet.Roles, func(p Role) bool { return p.Name == o.Name }) {
 					return fmt.Errorf("%s is named twice", o.Name)
 				}
-				if err := readAddress(&o.Address, one[1:2]); err != nil {
+				if err := parseAddress(&o.Address, one[1:2]); err != nil {
 					return err
 				}
-				if err := readDuration(&o.Interval, one[2:], 0.01, 3600); err != nil {
+				if err := parseDuration(&o.Interval, one[2:], 0.01, 3600); err != nil {
 					return err
 				}
 				if settings.Fleet.Roles = append(settings.Fleet.Roles, o); len(settings.Fleet.Roles) > maxRoles {
@@ -108,7 +108,7 @@
 		func(settings *Settings) string {
 			var all []string
 			for _, o := range settings.Fleet.Roles {
-				all = append(all, o.Name+" "+o.Address.String()+" "+showDuration(o.Interval))
+				all = append(all, o.Name+" "+o.Address.String()+" "+formatDuration(o.Interval))
 			}
 			return cmp.Or(strings.Join(all, " / "), "none")
 		}},
--- a/config/fleet_membership.go
+++ b/config/fleet_membership.go
@@ -14,9 +14,9 @@
 // maxSocketPath is the longest path of a local socket, in bytes, that every system with such sockets allows.
 const maxSocketPath = 100
 
-// defaultAllow is where packets of the fleet may come from unless the operators say otherwise: private networks and this
+// defaultAllowedNetworks is where packets of the fleet may come from unless the operators say otherwise: private networks and this
 // machine.
-var defaultAllow = []string{"127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16", "169.254.0.0/16", "::1/128",
+var defaultAllowedNetworks = []string{"127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16", "169.254.0.0/16", "::1/128",
 	"fc00::/7", "fe80::/10"}
 
 // membershipDirectives say how app servers find each other.
@@ -26,17 +26,17 @@
 			if len(w) == 1 && w[0] == "off" {
 				return nil
 			}
-			return readAddress(&settings.Fleet.Listen, w)
+			return parseAddress(&settings.Fleet.Listen, w)
 		},
-		func(settings *Settings) string { return showAddress(settings.Fleet.Listen, "off") }},
+		func(settings *Settings) string { return formatAddress(settings.Fleet.Listen, "off") }},
 	{"fleet.advertise", "ADDRESS:PORT|listen", "the address that others are told, where it is not that of fleet.listen",
 		func(settings *Settings, w []string) error {
 			if len(w) == 1 && w[0] == "listen" {
 				return nil
 			}
-			return readAddress(&settings.Fleet.Advertise, w)
+			return parseAddress(&settings.Fleet.Advertise, w)
 		},
-		func(settings *Settings) string { return showAddress(settings.Fleet.Advertise, "listen") }},
+		func(settings *Settings) string { return formatAddress(settings.Fleet.Advertise, "listen") }},
 	{"fleet.join", "none|ADDRESS:PORT...", "where others may be; most of them may be dead",
 		func(settings *Settings, w []string) error {
 			if len(w) == 0 || len(w) > maxJoin {
@@ -47,7 +47,7 @@
 			}
 			for _, one := range w {
 				var at netip.AddrPort
-				if err := readAddress(&at, []string{one}); err != nil {
+				if err := parseAddress(&at, []string{one}); err != nil {
 					return err
 				}
 				if slices.Contains(settings.Fleet.Join, at) {
@@ -61,7 +61,7 @@
 			if len(settings.Fleet.Join) == 0 {
 				return "none"
 			}
-			return showAll(settings.Fleet.Join)
+			return formatAll(settings.Fleet.Join)
 		}},
 	{"fleet.zone", "NAME|none", "what fails together with this app server: a rack, a hall, a zone",
 		func(settings *Settings, w []string) error {
@@ -97,20 +97,20 @@
 			}
 			return nil
 		},
-		func(settings *Settings) string { return showAll(settings.Fleet.Allow) }},
+		func(settings *Settings) string { return formatAll(settings.Fleet.Allow) }},
 	{"fleet.probe", "TIME", "between two probes of others: a death is known after some ten of them",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Fleet.ProbeInterval, w, 0.1, 10)
+			return parseDuration(&settings.Fleet.ProbeInterval, w, 0.1, 10)
 		},
-		func(settings *Settings) string { return showDuration(settings.Fleet.ProbeInterval) }},
+		func(settings *Settings) string { return formatDuration(settings.Fleet.ProbeInterval) }},
 	{"fleet.hold", "TIME", "for which a death has to stand before the view shows it",
-		func(settings *Settings, w []string) error { return readDuration(&settings.Fleet.HoldTime, w, 0.1, 60) },
-		func(settings *Settings) string { return showDuration(settings.Fleet.HoldTime) }},
+		func(settings *Settings, w []string) error { return parseDuration(&settings.Fleet.HoldTime, w, 0.1, 60) },
+		func(settings *Settings) string { return formatDuration(settings.Fleet.HoldTime) }},
 	{"fleet.forget", "TIME", "after which the dead are no longer looked for, and a partitioned view is taken for the fleet",
 		func(settings *Settings, w []string) error {
-			return readDuration(&settings.Fleet.ForgetTime, w, 10, 86400)
+			return parseDuration(&settings.Fleet.ForgetTime, w, 10, 86400)
 		},
-		func(settings *Settings) string { return showDuration(settings.Fleet.ForgetTime) }},
+		func(settings *Settings) string { return formatDuration(settings.Fleet.ForgetTime) }},
 	{"fleet.socket", "PATH|none", "a local socket that tells the view, for `valveglade fleet`",
 		func(settings *Settings, w []string) error {
 			if len(w) != 1 || w[0] == "" || len(w[0]) > maxSocketPath {
@@ -129,29 +129,29 @@
 		}},
 }
 
-func readAddress(into *netip.AddrPort, words []string) error {
+func parseAddress(dst *netip.AddrPort, words []string) error {
 	if len(words) != 1 {
 		return errors.New("one address and port such as 10.0.0.4:7946 is wanted")
 	}
-	at, err := netip.ParseAddrPort(words[0])
-	if err != nil || at.Port() == 0 {
+	address, err := netip.ParseAddrPort(words[0])
+	if err != nil || address.Port() == 0 {
 		return fmt.Errorf("%q is no address and port such as 10.0.0.4:7946", words[0])
 	}
-	*into = at
+	*dst = address
 	return nil
 }
 
-func showAddress(at netip.AddrPort, otherwise string) string {
-	if !at.IsValid() {
-		return otherwise
+func formatAddress(address netip.AddrPort, fallback string) string {
+	if !address.IsValid() {
+		return fallback
 	}
-	return at.String()
+	return address.String()
 }
 
-func showAll[T fmt.Stringer](all []T) string {
+func formatAll[T fmt.Stringer](values []T) string {
 	var words []string
-	for _, one := range all {
-		words = append(words, one.String())
+	for _, value := range values {
+		words = append(words, value.String())
 	}
 	return strings.Join(words, " ")
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -41,50 +41,50 @@
 }
 
 // directiveError reports a directive as it was set, or in line 0 as it is by default.
-func (settings *Settings) directiveError(name, reason string, args ...any) error {
-	return &DirectiveError{settings.Path, settings.lines[name], name, fmt.Sprintf(reason, args...)}
+func (settings *Settings) directiveError(name, format string, args ...any) error {
+	return &DirectiveError{settings.Path, settings.lines[name], name, fmt.Sprintf(format, args...)}
 }
 
 // directive is one name that a file may have.
 type directive struct {
-	name, form, about string
-	read              func(settings *Settings, words []string) error
-	show              func(settings *Settings) string
+	name, syntax, help string
+	parse              func(settings *Settings, words []string) error
+	format             func(settings *Settings) string
 }
 
 // directives are in the order in which they are shown; each subsystem's stand in a file of its own.
 var directives = slices.Concat(pressureDirectives, fleetDirectives, distributionDirectives)
 
-func readSwitch(words []string) (bool, error) {
+func parseSwitch(words []string) (bool, error) {
 	if len(words) == 1 && (words[0] == "on" || words[0] == "off") {
 		return words[0] == "on", nil
 	}
 	return false, errors.New("on or off is wanted")
 }
 
-func showSwitch(on bool) string {
+func formatSwitch(on bool) string {
 	if on {
 		return "on"
 	}
 	return "off"
 }
 
-func readDuration(into *float64, words []string, least, most float64) error {
+func parseDuration(dst *float64, words []string, minSeconds, maxSeconds float64) error {
 	if len(words) != 1 {
 		return errors.New("one time such as 250ms is wanted")
 	}
-	d, err := time.ParseDuration(words[0])
+	parsed, err := time.ParseDuration(words[0])
 	if err != nil {
 		return fmt.Errorf("%q is no time such as 250ms or 2m", words[0])
 	}
-	if s := d.Seconds(); !(s >= least && s <= most) {
-		return fmt.Errorf("%v is not from %v to %v", d, showDuration(least), showDuration(most))
+	if s := parsed.Seconds(); !(s >= minSeconds && s <= maxSeconds) {
+		return fmt.Errorf("%v is not from %v to %v", parsed, formatDuration(minSeconds), formatDuration(maxSeconds))
 	}
-	*into = d.Seconds()
+	*dst = parsed.Seconds()
 	return nil
 }
 
-func showDuration(s float64) string { return time.Duration(math.Round(s*1e6) * 1e3).String() }
+func formatDuration(s float64) string { return time.Duration(math.Round(s*1e6) * 1e3).String() }
 
 // NewSettings returns the settings of an installation that sets nothing.
 func NewSettings() *Settings {
@@ -116,14 +116,14 @@
 			continue
 		}
 		name := words[0]
-		d := find(name)
+		d := findDirective(name)
 		switch {
 		case d == nil:
 			return nil, &DirectiveError{path, n + 1, name, "no such directive"}
 		case settings.lines[name] > 0:
 			return nil, &DirectiveError{path, n + 1, name, fmt.Sprintf("set before, in line %d", settings.lines[name])}
 		}
-		if err := d.read(settings, words[1:]); err != nil {
+		if err := d.parse(settings, words[1:]); err != nil {
 			return nil, &DirectiveError{path, n + 1, name, err.Error()}
 		}
 		settings.lines[name] = n + 1
@@ -134,7 +134,7 @@
 	return settings, nil
 }
 
-func find(name string) *directive {
+func findDirective(name string) *directive {
 	for k := range directives {
 		if directives[k].name == name {
 			return &directives[k]
@@ -152,22 +152,22 @@
 }
 
 // Show writes what is in force, and where each value comes from.
-func (settings *Settings) Show(to io.Writer) {
+func (settings *Settings) Show(w io.Writer) {
 	for _, d := range directives {
 		from := "default"
 		if line := settings.lines[d.name]; line > 0 {
 			from = fmt.Sprintf("%s:%d", settings.Path, line)
 		}
-		fmt.Fprintf(to, "%-24s %-10s # %s\n", d.name, d.show(settings), from)
+		fmt.Fprintf(w, "%-24s %-10s # %s\n", d.name, d.format(settings), from)
 	}
 }
 
 // Sample writes a file with every directive, each a remark with its default.
-func Sample(to io.Writer) {
+func Sample(w io.Writer) {
 	settings := NewSettings()
-	fmt.Fprint(to, "# The operators' own file: one directive a line, a name and then words; quotes as in a shell.\n"+
+	fmt.Fprint(w, "# The operators' own file: one directive a line, a name and then words; quotes as in a shell.\n"+
 		"# Every directive is here with its default, as a remark. `valveglade check --settings FILE` shows what is in force.\n")
 	for _, d := range directives {
-		fmt.Fprintf(to, "\n# %s %s: %s.\n#%s %s\n", d.name, d.form, d.about, d.name, d.show(settings))
+		fmt.Fprintf(w, "\n# %s %s: %s.\n#%s %s\n", d.name, d.syntax, d.help, d.name, d.format(settings))
 	}
 }
