--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads the configuration of an app server, applies defaults and validates it.
 package config
 
 import (
@@ -12,36 +12,36 @@
 	"valveglade/rpc"
 )
 
-// Config is what the platform tells one app server when it starts. Times are seconds.
+// Config is the configuration that the platform passes to one app server at startup. Times are in seconds.
 type Config struct {
 	Name        string
 	Listen      netip.AddrPort // where routers connect
 	Kernel      netip.AddrPort
 	Roster      netip.AddrPort
-	StopTimeout float64 // from the notice to leave to the kill
-	Memory      int     // bytes this process may take, all told
-	Sockets     int     // descriptors it may hold
-	Cores       float64 // it may use, 0 if nobody has said
+	StopTimeout float64 // from the shutdown notice to the kill
+	Memory      int     // limit of the process in bytes
+	Sockets     int     // limit of open file descriptors
+	Cores       float64 // limit of processor cores, 0 if not configured
 	Methods     []string
 	Rules       rpc.Settings
 }
 
-// What holds where the file does not say: the kill after three seconds, and the limits of the platform's page.
+// Defaults for keys that the file leaves out: the limits that the platform documents.
 const (
 	defaultStopMS   = 3000
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// Bounds of the limits. The process takes 13 MB with nothing to do; it keeps 20 descriptors for itself, and four more may be on
-// their way out while others come. No machine has more memory than the most.
+// Bounds of the configured limits. An idle process takes 13 MB. It reserves 20 descriptors for itself, and four more
+// may be closing while new ones are opened. No machine has more memory than maxMemoryMB.
 const (
 	minMemoryMB = 16
 	minSockets  = 32
 	maxMemoryMB = 1 << 40
 )
 
-// KeyError names a key of the config whose value is wrong.
+// KeyError reports a configuration key with an invalid value.
 type KeyError struct {
 	Key, Reason string
 }
@@ -52,7 +52,7 @@
 	return &KeyError{key, fmt.Sprintf(format, args...)}
 }
 
-// FromEnv reads the file that GW_CONFIG names; GW_NAME and GW_LISTEN stand in for what it leaves out.
+// FromEnv reads the file that GW_CONFIG names. GW_NAME and GW_LISTEN are used where the file has no such key.
 func FromEnv() (*Config, error) {
 	path := os.Getenv("GW_CONFIG")
 	if path == "" {
@@ -65,7 +65,7 @@
 	return Parse(text, os.Getenv("GW_NAME"), os.Getenv("GW_LISTEN"))
 }
 
-// Parse reads and checks a configuration; name and listen are used where it has none.
+// Parse reads and validates a configuration. The arguments name and listen are used where it has no such key.
 func Parse(text []byte, name, listen string) (*Config, error) {
 	root, err := jsonobject.Parse(text)
 	if err != nil {
@@ -85,30 +85,30 @@
 	return c, c.check()
 }
 
-// readLimits reads what the process may take, and how long it has to leave.
+// readLimits reads the resource limits of the process and its shutdown timeout.
 func (c *Config) readLimits(root *jsonobject.Object) {
-	stop, memory := float64(defaultStopMS), float64(defaultMemoryMB)
+	stopMS, memoryMB := float64(defaultStopMS), float64(defaultMemoryMB)
 	c.Sockets = defaultSockets
-	root.Number("stop_ms", &stop)
+	root.Number("stop_ms", &stopMS)
 	limits := root.Object("limits")
-	limits.Number("memory_mb", &memory)
+	limits.Number("memory_mb", &memoryMB)
 	limits.Whole("sockets", &c.Sockets)
 	limits.Number("cores", &c.Cores)
-	c.StopTimeout, c.Memory = stop/1000, int(min(memory, maxMemoryMB)*(1<<20))
+	c.StopTimeout, c.Memory = stopMS/1000, int(min(memoryMB, maxMemoryMB)*(1<<20))
 }
 
-// parseAddrPort reads an address and port; otherwise stands in where there is none.
+// parseAddrPort reads an address and port; fallback is used where the key is missing.
 func parseAddrPort(root *jsonobject.Object, key, fallback string) netip.AddrPort {
 	text := fallback
 	root.Text(key, &text)
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		root.Fail(key, "%q is no address and port", text)
+		root.Fail(key, "expected an address and port such as 10.0.0.4:7001, got %q", text)
 	}
 	return address
 }
 
-// check refuses what the server could not keep its rules under.
+// check validates the values that the server depends on.
 func (c *Config) check() error {
 	switch {
 	case c.Name == "":
@@ -116,24 +116,25 @@
 	case c.StopTimeout < 0:
 		return keyError("stop_ms", "%g is negative", c.StopTimeout*1000)
 	case c.Memory < minMemoryMB<<20:
-		return keyError("limits.memory_mb", "%g is less than the %d that the process needs", float64(c.Memory)/(1<<20), minMemoryMB)
+		return keyError("limits.memory_mb", "%g is less than the %d that the process needs",
+			float64(c.Memory)/(1<<20), minMemoryMB)
 	case c.Sockets < minSockets:
 		return keyError("limits.sockets", "%d is less than the %d that the process needs", c.Sockets, minSockets)
 	case c.Cores < 0:
 		return keyError("limits.cores", "%g is negative", c.Cores)
 	case len(c.Methods) == 0:
-		return keyError("settings.profiles", "no method is named")
+		return keyError("settings.profiles", "expected at least one method, got none")
 	}
-	seen := map[string]bool{}
-	for k, name := range c.Methods {
-		key := fmt.Sprintf("settings.profiles[%d].name", k)
+	seenNames := map[string]bool{}
+	for index, name := range c.Methods {
+		key := fmt.Sprintf("settings.profiles[%d].name", index)
 		switch {
 		case name == "":
 			return keyError(key, "missing")
-		case seen[name]:
+		case seenNames[name]:
 			return keyError(key, "%q is named twice", name)
 		}
-		seen[name] = true
+		seenNames[name] = true
 	}
 	if invalid := (*rpc.SettingError)(nil); errors.As(c.Rules.Check(), &invalid) {
 		return keyError("settings."+invalid.Path, "%s", invalid.Reason)
