--- a/config/distribution.go
+++ b/config/distribution.go
@@ -11,42 +11,44 @@
 	"valveglade/logic/configtable"
 )
 
-// Distribution is what an app server takes of the configuration that the fleet distributes, and from whom.
+// Distribution selects which part of the configuration distributed by the fleet an app server stores, and which members
+// serve it.
 type Distribution struct {
 	On             bool
-	AllServices    bool
-	Services       []string // whose routes and tenants are kept here; all others are looked up on demand
-	Distributors   []string // who serve snapshots and changes; the voters if empty
-	BytesPerSecond float64  // of a snapshot, to one app server
-	StaleAfter     float64  // seconds: the age from which the configuration is too old
+	AllServices    bool     // routes and tenants of every service are stored here; Services is then unused
+	Services       []string // services whose routes and tenants are stored here; others are looked up on demand
+	Distributors   []string // members that serve snapshots and changes; the voters if empty
+	BytesPerSecond float64  // rate at which a snapshot is sent to one app server
+	StaleAfter     float64  // age in seconds from which the configuration counts as stale
 }
 
-// maxServices bounds the services that are named: their names have to fit into one message of 64 KiB.
+// maxServices bounds the configured services: their names have to fit into one message of 64 KiB.
 const maxServices = 400
 
-// maxDistributors bounds the distributors that are named: each is tried in turn.
+// maxDistributors bounds the configured distributors: each is tried in turn.
 const maxDistributors = 64
 
-// Bounds of fleet.config-rate, in bytes a second, and of fleet.config-age, in seconds. At the lowest rate a service of a hundred
-// tenants takes some seconds; the lowest age is above the two seconds between heartbeats of the log.
+// Bounds of fleet.config-rate in bytes per second and of fleet.config-age in seconds. At the lowest rate a service with
+// 100 tenants takes a few seconds; the lowest age is above the 2 s between heartbeats of the replicated log.
 const (
 	minDistributionRate, maxDistributionRate = 1e3, 1e9
 	minDistributionAge, maxDistributionAge   = 5, 3600
 )
 
-// defaultDistribution has the figures of the design: 20 KB a second to an app server, and every change in force within 18 s.
+// defaultDistribution sends 20 KB/s to an app server, and expects every change to be in force within 18 s.
 func defaultDistribution() Distribution {
 	return Distribution{BytesPerSecond: 20e3, StaleAfter: 18}
 }
 
 var distributionDirectives = []directive{
-	{"fleet.config", "on|off", "routes and tenants are distributed by the fleet; its voters keep the log of changes",
+	{"fleet.config", "on|off", "the fleet distributes routes and tenants; its voters store the replicated log of changes",
 		func(settings *Settings, w []string) (err error) {
 			settings.Fleet.Distribution.On, err = parseSwitch(w)
 			return err
 		},
 		func(settings *Settings) string { return formatSwitch(settings.Fleet.Distribution.On) }},
-	{"fleet.config-services", "all|none|NAME...", "services whose routes and tenants are kept here; others are looked up on demand",
+	{"fleet.config-services", "all|none|NAME...",
+		"services whose routes and tenants are stored here; others are looked up on demand",
 		func(settings *Settings, w []string) error { return settings.Fleet.Distribution.parseServices(w) },
 		func(settings *Settings) string {
 			if settings.Fleet.Distribution.AllServices {
@@ -54,18 +56,19 @@
 			}
 			return formatNames(settings.Fleet.Distribution.Services)
 		}},
-	{"fleet.config-distributors", "none|NAME...", "app servers that keep all of it and serve it to others; the voters, if none is named",
+	{"fleet.config-distributors", "none|NAME...",
+		"app servers that store the whole configuration and serve it to others; the voters if there are none",
 		func(settings *Settings, w []string) (err error) {
 			settings.Fleet.Distribution.Distributors, err = parseNames(w, maxDistributors, checkMemberName)
 			return err
 		},
 		func(settings *Settings) string { return formatNames(settings.Fleet.Distribution.Distributors) }},
-	{"fleet.config-rate", "SIZE", "the most that an app server is sent in a second, as 20KB of a thousand bytes each",
+	{"fleet.config-rate", "SIZE", "the most that is sent to one app server in a second; 1KB is 1000 bytes",
 		func(settings *Settings, w []string) error {
 			return parseSize(&settings.Fleet.Distribution.BytesPerSecond, w, minDistributionRate, maxDistributionRate)
 		},
 		func(settings *Settings) string { return formatSize(settings.Fleet.Distribution.BytesPerSecond) }},
-	{"fleet.config-age", "TIME", "after which the configuration is told to be stale, where nothing newer is known",
+	{"fleet.config-age", "TIME", "age from which the configuration is reported as stale, if no newer version is known",
 		func(settings *Settings, w []string) error {
 			return parseDuration(&settings.Fleet.Distribution.StaleAfter, w, minDistributionAge, maxDistributionAge)
 		},
@@ -80,10 +83,10 @@
 	return err
 }
 
-// parseNames reads names that differ, or none.
+// parseNames parses a list of distinct names, or the word none for an empty list.
 func parseNames(words []string, maxNames int, validate func(name string) error) ([]string, error) {
 	if len(words) == 0 || len(words) > maxNames {
-		return nil, fmt.Errorf("one to %d names are wanted, or none", maxNames)
+		return nil, fmt.Errorf("expected 1 to %d names or none", maxNames)
 	}
 	if len(words) == 1 && words[0] == "none" {
 		return nil, nil
@@ -93,7 +96,7 @@
 			return nil, err
 		}
 		if name == "all" || name == "none" {
-			return nil, fmt.Errorf("%s stands alone", name)
+			return nil, fmt.Errorf("%s cannot be combined with other names", name)
 		}
 		if slices.Contains(words[:k], name) {
 			return nil, fmt.Errorf("%s is named twice", name)
@@ -106,21 +109,21 @@
 
 func checkMemberName(name string) error {
 	if name == "" || len(name) > maxNameLength {
-		return fmt.Errorf("%q is no name of at most %d bytes", name, maxNameLength)
+		return fmt.Errorf("%q is not a name of 1 to %d bytes", name, maxNameLength)
 	}
 	return nil
 }
 
-// sizeUnits are the units of a size, the largest first.
+// sizeUnits lists the units of a size, largest first.
 var sizeUnits = []struct {
 	suffix string
 	bytes  float64
 }{{"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
-// parseSize reads a size such as 20KB, in bytes.
+// parseSize parses a size such as 20KB into a number of bytes.
 func parseSize(dst *float64, words []string, minSize, maxSize float64) error {
 	if len(words) != 1 {
-		return errors.New("one size such as 20KB is wanted")
+		return errors.New("expected one size such as 20KB")
 	}
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(words[0], unit.suffix)
@@ -138,10 +141,10 @@
 		*dst = size
 		return nil
 	}
-	return fmt.Errorf("%q is no size such as 20KB or 1MB", words[0])
+	return fmt.Errorf("expected a size such as 20KB or 1MB, got %q", words[0])
 }
 
-// formatSize writes a size in the largest unit of which it is a whole number.
+// formatSize formats a size in the largest unit of which it is a whole number.
 func formatSize(size float64) string {
 	for _, unit := range sizeUnits {
 		if number := size / unit.bytes; number >= 1 && number == float64(uint64(number)) {
@@ -151,7 +154,7 @@
 	return "0B"
 }
 
-// checkDistribution refuses what contradicts itself; the fleet itself is on.
+// checkDistribution rejects contradictory directives of the distribution. It requires that the fleet is on.
 func (settings *Settings) checkDistribution() error {
 	f := settings.Fleet
 	if !f.Distribution.On {
@@ -165,7 +168,7 @@
 	if len(f.Voters) == 0 {
 		return settings.directiveError("fleet.config", "fleet.voters is not set")
 	}
-	// A new leader comes within two leases; a shorter age would tell of it as of a failure.
+	// A new leader is elected within two leases; with a shorter age every election would be reported as a failure.
 	if f.Distribution.StaleAfter < 2*f.Lease {
 		name := "fleet.config-age"
 		if settings.lines[name] == 0 {
@@ -177,10 +180,11 @@
 	return nil
 }
 
-// checkAgainst refuses what this app server can't do as one of the distribution's voters.
+// checkAgainst rejects an app server that is a voter but has no directory in which to store the replicated log.
 func (d Distribution) checkAgainst(c *Config, f Fleet) error {
 	if d.On && f.isVoter(c.Name) && f.StateDir == "" {
-		return keyError("name", "%q is among fleet.voters: for fleet.config it needs a folder of its own, fleet.state", c.Name)
+		return keyError("name", "%q is in fleet.voters: with fleet.config on it needs a directory of its own in fleet.state",
+			c.Name)
 	}
 	return nil
 }
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -7,39 +7,40 @@
 	"valveglade/logic/view"
 )
 
-// Fleet is how app servers find each other, where they may talk at all. Times are seconds.
+// Fleet configures how app servers find each other and which duties and limits they share. Times are in seconds.
 type Fleet struct {
-	Listen          netip.AddrPort // not valid while the fleet is off
-	Advertise       netip.AddrPort // not valid where others reach Listen itself
-	Join            []netip.AddrPort
-	Zone            string
-	Allow           []netip.Prefix
-	ProbeInterval   float64
-	HoldTime        float64
-	ForgetTime      float64
-	Socket          string
-	Voters          [][]string // one list, or two while they are changed; none where nothing is elected
-	Lease           float64
-	Drift           float64 // a share
-	StateDir        string  // a directory that survives restarts, for persisted votes
-	Roles           []Role
-	Shares          []Share
-	Reserved        int      // permits of each share that reserved members hold without a request
-	ReservedMembers []string // their names
+	Listen          netip.AddrPort   // invalid while the fleet is off
+	Advertise       netip.AddrPort   // invalid if other members reach Listen directly
+	Join            []netip.AddrPort // members to contact first
+	Zone            string           // failure domain of this app server
+	Allow           []netip.Prefix   // networks from which packets are accepted
+	ProbeInterval   float64          // between two probes of other members
+	HoldTime        float64          // for which a death must persist before the view shows it
+	ForgetTime      float64          // after which dead members are no longer contacted
+	Socket          string           // path of the local socket for status queries
+	Voters          [][]string       // one list, or two during a change of voters; none without elections
+	Lease           float64          // duration of a lease on a role
+	Drift           float64          // relative clock drift between two machines: 0.01 is 1%
+	StateDir        string           // directory that survives restarts, for persisted votes
+	Roles           []Role           // elected roles
+	Shares          []Share          // limits common to the fleet
+	Reserved        int              // permits of each share that each of ReservedMembers holds without a request
+	ReservedMembers []string         // names of the members with reserved permits
 	Distribution    Distribution
 }
 
-// On tells whether the app server is to take part in a fleet.
+// On reports whether the app server takes part in a fleet.
 func (f Fleet) On() bool { return f.Listen.IsValid() }
 
 func defaultFleet() Fleet {
 	defaults := view.Defaults()
-	f := Fleet{ProbeInterval: 0.3, HoldTime: defaults.HoldTime, ForgetTime: defaults.ForgetTime, Lease: 2, Drift: 0.01, Distribution: defaultDistribution()}
+	f := Fleet{ProbeInterval: 0.3, HoldTime: defaults.HoldTime, ForgetTime: defaults.ForgetTime, Lease: 2,
+		Drift: 0.01, Distribution: defaultDistribution()}
 	for _, network := range defaultAllowedNetworks {
 		f.Allow = append(f.Allow, netip.MustParsePrefix(network))
 	}
 	return f
 }
 
-// fleetDirectives are in the order in which they are shown.
+// fleetDirectives lists the directives of a fleet in output order, except those of the distribution.
 var fleetDirectives = slices.Concat(membershipDirectives, electionDirectives, shareDirectives)
--- a/config/fleet_check.go
+++ b/config/fleet_check.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// allows tells whether an address is among those that packets are taken from.
+// allows reports whether packets from an address are accepted.
 func (f Fleet) allows(address netip.Addr) bool {
-	return slices.ContainsFunc(f.Allow, func(p netip.Prefix) bool { return p.Contains(address.Unmap()) })
+	return slices.ContainsFunc(f.Allow, func(network netip.Prefix) bool { return network.Contains(address.Unmap()) })
 }
 
-// checkFleet refuses what contradicts itself.
+// checkFleet rejects contradictory directives of the fleet.
 func (settings *Settings) checkFleet() error {
 	f := settings.Fleet
 	if !f.On() {
@@ -25,74 +25,81 @@
 	advertised := f.Advertise
 	if !advertised.IsValid() {
 		if f.Listen.Addr().IsUnspecified() {
-			return settings.directiveError("fleet.listen", "others need to be told an address: set fleet.advertise")
+			return settings.directiveError("fleet.listen",
+				"other members cannot reach an unspecified address: set fleet.advertise")
 		}
 		advertised = f.Listen
 	}
-	name := "fleet.advertise"
-	if settings.lines[name] == 0 {
-		name = "fleet.listen"
+	addressDirective := "fleet.advertise"
+	if settings.lines[addressDirective] == 0 {
+		addressDirective = "fleet.listen"
 	}
 	switch {
 	case advertised.Addr().IsUnspecified():
-		return settings.directiveError(name, "%s is no address that others could reach", advertised)
+		return settings.directiveError(addressDirective, "%s is not an address that other members can reach", advertised)
 	case !f.allows(advertised.Addr()):
-		return settings.directiveError(name, "%s is not among fleet.allow, so others would drop what comes from there", advertised)
+		return settings.directiveError(addressDirective, "%s is not in fleet.allow, so other members would drop its packets",
+			advertised)
 	case f.HoldTime < f.ProbeInterval:
-		at := "fleet.hold"
-		if settings.lines[at] == 0 {
-			at = "fleet.probe"
+		directiveName := "fleet.hold"
+		if settings.lines[directiveName] == 0 {
+			directiveName = "fleet.probe"
 		}
-		return settings.directiveError(at, "a hold of %s is less than the %s between two probes", formatDuration(f.HoldTime), formatDuration(f.ProbeInterval))
+		return settings.directiveError(directiveName, "a hold time of %s is shorter than the probe interval of %s",
+			formatDuration(f.HoldTime), formatDuration(f.ProbeInterval))
 	}
 	for _, name := range []string{"fleet.lease", "fleet.drift", "fleet.state", "fleet.office", "fleet.share"} {
 		if len(f.Voters) == 0 && settings.lines[name] > 0 {
 			return settings.directiveError(name, "fleet.voters is not set")
 		}
 	}
-	// Shorter than some probes a lease would end by what the network does every day.
+	// Ordinary network delays and packet loss would end a lease that is shorter than a few probe intervals.
 	if len(f.Voters) > 0 && f.Lease < 3*f.ProbeInterval {
-		at := "fleet.lease"
-		if settings.lines[at] == 0 {
-			at = "fleet.probe"
+		directiveName := "fleet.lease"
+		if settings.lines[directiveName] == 0 {
+			directiveName = "fleet.probe"
 		}
-		return settings.directiveError(at, "a lease of %s is shorter than three probes of %s", formatDuration(f.Lease), formatDuration(f.ProbeInterval))
+		return settings.directiveError(directiveName, "a lease of %s is shorter than three probe intervals of %s",
+			formatDuration(f.Lease), formatDuration(f.ProbeInterval))
 	}
-	for _, s := range f.Shares {
-		if minLimit := cmp.Or(s.MinLimit, s.Limit); f.Reserved*len(f.ReservedMembers) > minLimit {
-			return settings.directiveError("fleet.floor", "%d members with %d reserved are more than the %d of %s", len(f.ReservedMembers), f.Reserved, minLimit, s.Name)
+	for _, share := range f.Shares {
+		if minLimit := cmp.Or(share.MinLimit, share.Limit); f.Reserved*len(f.ReservedMembers) > minLimit {
+			return settings.directiveError("fleet.floor",
+				"%d members with %d reserved permits each exceed the limit of %d of share %s",
+				len(f.ReservedMembers), f.Reserved, minLimit, share.Name)
 		}
 	}
 	if f.Reserved > 0 && len(f.Shares) == 0 {
 		return settings.directiveError("fleet.floor", "fleet.share is not set")
 	}
-	for _, at := range f.Join {
-		if !f.allows(at.Addr()) {
-			return settings.directiveError("fleet.join", "%s is not among fleet.allow", at)
+	for _, address := range f.Join {
+		if !f.allows(address.Addr()) {
+			return settings.directiveError("fleet.join", "%s is not in fleet.allow", address)
 		}
 	}
 	return settings.checkDistribution()
 }
 
-// isVoter reports whether a name is among the voters, of either list.
+// isVoter reports whether a name is in one of the lists of voters.
 func (f Fleet) isVoter(name string) bool {
 	return slices.ContainsFunc(f.Voters, func(list []string) bool { return slices.Contains(list, name) })
 }
 
-// CheckAgainst returns an error where the fleet's settings contradict the platform's config.
+// CheckAgainst returns an error if the fleet's settings contradict the platform's configuration.
 func (f Fleet) CheckAgainst(c *Config) error {
 	switch {
 	case len(c.Name) > maxNameLength:
-		return keyError("name", "%d bytes are more than the %d that a fleet takes", len(c.Name), maxNameLength)
+		return keyError("name", "%d bytes exceed the limit of %d for a name in a fleet", len(c.Name), maxNameLength)
 	case f.Listen == c.Listen:
-		return keyError("listen", "%s is the fleet's too", c.Listen)
+		return keyError("listen", "%s is also the address of fleet.listen", c.Listen)
 	case f.StateDir != "" && !f.isVoter(c.Name) && !f.Distribution.On:
-		return keyError("name", "%q is not among fleet.voters, so it has no votes to persist: fleet.state is for voters", c.Name)
+		return keyError("name", "%q is not in fleet.voters, so it has no votes to persist: fleet.state is for voters",
+			c.Name)
 	}
-	for _, s := range f.Shares {
-		for _, m := range s.Methods {
-			if !slices.Contains(c.Methods, m) {
-				return keyError("settings.profiles", "no method is called %q, which fleet.share %s names", m, s.Name)
+	for _, share := range f.Shares {
+		for _, method := range share.Methods {
+			if !slices.Contains(c.Methods, method) {
+				return keyError("settings.profiles", "no method %q, which fleet.share %s refers to", method, share.Name)
 			}
 		}
 	}
--- a/config/fleet_election.go
+++ b/config/fleet_election.go
@@ -19,17 +19,18 @@
 	Interval float64
 }
 
-// maxRoles is how many roles may be set: each asks its voters some times a second.
+// maxRoles bounds the configured roles: each of them queries its voters several times a second.
 const maxRoles = 16
 
-// electionDirectives say who elects the owners of roles, and which roles there are.
+// electionDirectives configure the voters and the elected roles.
 var electionDirectives = []directive{
-	{"fleet.voters", "none|NAME...[ / NAME...]", "three, five or seven app servers, a majority of which elects the owner of each role; former and next list while they change",
-		func(settings *Settings, w []string) error {
-			if len(w) == 1 && w[0] == "none" {
+	{"fleet.voters", "none|NAME...[ / NAME...]",
+		"three, five or seven app servers that elect role owners by majority; old and new list during a change",
+		func(settings *Settings, words []string) error {
+			if len(words) == 1 && words[0] == "none" {
 				return nil
 			}
-			lists := splitAtSlash(w)
+			lists := splitAtSlash(words)
 			if err := owner.CheckVoters(lists); err != nil {
 				return err
 			}
@@ -40,37 +41,40 @@
 			if len(settings.Fleet.Voters) == 0 {
 				return "none"
 			}
-			var all []string
+			var formatted []string
 			for _, list := range settings.Fleet.Voters {
-				all = append(all, strings.Join(list, " "))
+				formatted = append(formatted, strings.Join(list, " "))
 			}
-			return strings.Join(all, " / ")
+			return strings.Join(formatted, " / ")
 		}},
-	{"fleet.lease", "TIME", "for which a role is owned without being renewed: a new owner comes within two of it",
-		func(settings *Settings, w []string) error { return parseDuration(&settings.Fleet.Lease, w, 0.5, 60) },
+	{"fleet.lease", "TIME", "how long a role is owned without a renewal; a new owner is elected within two leases",
+		func(settings *Settings, words []string) error {
+			return parseDuration(&settings.Fleet.Lease, words, 0.5, 60)
+		},
 		func(settings *Settings) string { return formatDuration(settings.Fleet.Lease) }},
-	{"fleet.drift", "SHARE%", "by which the clocks of two machines may drift apart while a lease runs",
-		func(settings *Settings, w []string) error {
-			if len(w) != 1 || !strings.HasSuffix(w[0], "%") {
-				return errors.New("a share such as 1% is wanted")
+	{"fleet.drift", "SHARE%", "how far the clocks of two machines may drift apart during a lease",
+		func(settings *Settings, words []string) error {
+			if len(words) != 1 || !strings.HasSuffix(words[0], "%") {
+				return errors.New("expected a percentage such as 1%")
 			}
-			v, err := strconv.ParseFloat(strings.TrimSuffix(w[0], "%"), 64)
-			if err != nil || !(v >= 0.01 && v <= 20) {
-				return fmt.Errorf("%q is not from 0.01%% to 20%%", w[0])
+			percent, err := strconv.ParseFloat(strings.TrimSuffix(words[0], "%"), 64)
+			if err != nil || !(percent >= 0.01 && percent <= 20) {
+				return fmt.Errorf("expected 0.01%% to 20%%, got %q", words[0])
 			}
-			settings.Fleet.Drift = v / 100
+			settings.Fleet.Drift = percent / 100
 			return nil
 		},
 		func(settings *Settings) string {
 			return strconv.FormatFloat(settings.Fleet.Drift*100, 'g', 4, 64) + "%"
 		}},
-	{"fleet.state", "FOLDER|none", "a folder of this app server's own that lasts over restarts, for its votes and its part of the configuration",
-		func(settings *Settings, w []string) error {
-			if len(w) != 1 || w[0] == "" {
-				return errors.New("one folder is wanted, or none")
+	{"fleet.state", "FOLDER|none",
+		"directory of this app server alone that survives restarts, for its votes and its part of the configuration",
+		func(settings *Settings, words []string) error {
+			if len(words) != 1 || words[0] == "" {
+				return errors.New("expected one directory or none")
 			}
-			if w[0] != "none" {
-				settings.Fleet.StateDir = w[0]
+			if words[0] != "none" {
+				settings.Fleet.StateDir = words[0]
 			}
 			return nil
 		},
@@ -80,49 +84,50 @@
 			}
 			return settings.Fleet.StateDir
 		}},
-	{"fleet.office", "none|NAME ADDRESS:PORT TIME[ / ...]", "an elected role: its owner, one app server at a time, sends a command there as often; several after one another",
-		func(settings *Settings, w []string) error {
-			if len(w) == 1 && w[0] == "none" {
+	{"fleet.office", "none|NAME ADDRESS:PORT TIME[ / ...]",
+		"elected roles: the owner of a role, one app server at a time, sends a command to its address at that interval",
+		func(settings *Settings, words []string) error {
+			if len(words) == 1 && words[0] == "none" {
 				return nil
 			}
-			for _, one := range splitAtSlash(w) {
-				if len(one) != 3 || one[0] == "" || len(one[0]) > maxNameLength/2 {
-					return errors.New("a name, an address and a time are wanted, such as sweep 10.0.0.9:7100 1s")
+			for _, group := range splitAtSlash(words) {
+				if len(group) != 3 || group[0] == "" || len(group[0]) > maxNameLength/2 {
+					return errors.New("expected a name, an address and an interval, such as sweep 10.0.0.9:7100 1s")
 				}
-				o := Role{Name: one[0]}
-				if slices.ContainsFunc(settings.Fleet.Roles, func(p Role) bool { return p.Name == o.Name }) {
-					return fmt.Errorf("%s is named twice", o.Name)
+				role := Role{Name: group[0]}
+				if slices.ContainsFunc(settings.Fleet.Roles, func(other Role) bool { return other.Name == role.Name }) {
+					return fmt.Errorf("%s is named twice", role.Name)
 				}
-				if err := parseAddress(&o.Address, one[1:2]); err != nil {
+				if err := parseAddress(&role.Address, group[1:2]); err != nil {
 					return err
 				}
-				if err := parseDuration(&o.Interval, one[2:], 0.01, 3600); err != nil {
+				if err := parseDuration(&role.Interval, group[2:], 0.01, 3600); err != nil {
 					return err
 				}
-				if settings.Fleet.Roles = append(settings.Fleet.Roles, o); len(settings.Fleet.Roles) > maxRoles {
+				if settings.Fleet.Roles = append(settings.Fleet.Roles, role); len(settings.Fleet.Roles) > maxRoles {
 					return fmt.Errorf("more than %d roles", maxRoles)
 				}
 			}
 			return nil
 		},
 		func(settings *Settings) string {
-			var all []string
-			for _, o := range settings.Fleet.Roles {
-				all = append(all, o.Name+" "+o.Address.String()+" "+formatDuration(o.Interval))
+			var formatted []string
+			for _, role := range settings.Fleet.Roles {
+				formatted = append(formatted, role.Name+" "+role.Address.String()+" "+formatDuration(role.Interval))
 			}
-			return cmp.Or(strings.Join(all, " / "), "none")
+			return cmp.Or(strings.Join(formatted, " / "), "none")
 		}},
 }
 
-// splitAtSlash returns the groups of words between single slashes.
-func splitAtSlash(w []string) [][]string {
-	all := [][]string{nil}
-	for _, word := range w {
+// splitAtSlash splits words into groups separated by the word "/".
+func splitAtSlash(words []string) [][]string {
+	groups := [][]string{nil}
+	for _, word := range words {
 		if word == "/" {
-			all = append(all, nil)
+			groups = append(groups, nil)
 			continue
 		}
-		all[len(all)-1] = append(all[len(all)-1], word)
+		groups[len(groups)-1] = append(groups[len(groups)-1], word)
 	}
-	return all
+	return groups
 }
--- a/config/fleet_membership.go
+++ b/config/fleet_membership.go
@@ -8,52 +8,55 @@
 	"strings"
 )
 
-// maxNameLength bounds a name or a zone, in bytes; maxJoin bounds the addresses given, since each is tried in turn.
-const maxNameLength, maxJoin = 64, 64
+const (
+	maxNameLength = 64 // bytes of a member's name or of a zone
+	maxJoin       = 64 // addresses of fleet.join: each is tried in turn
+)
 
-// maxSocketPath is the longest path of a local socket, in bytes, that every system with such sockets allows.
+// maxSocketPath is the longest path of a Unix domain socket, in bytes, that all systems with such sockets allow.
 const maxSocketPath = 100
 
-// defaultAllowedNetworks is where packets of the fleet may come from unless the operators say otherwise: private networks and this
+// defaultAllowedNetworks lists the networks from which fleet packets are accepted by default: private networks and this
 // machine.
-var defaultAllowedNetworks = []string{"127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16", "169.254.0.0/16", "::1/128",
-	"fc00::/7", "fe80::/10"}
+var defaultAllowedNetworks = []string{"127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16", "169.254.0.0/16",
+	"::1/128", "fc00::/7", "fe80::/10"}
 
-// membershipDirectives say how app servers find each other.
+// membershipDirectives configure how app servers find each other.
 var membershipDirectives = []directive{
-	{"fleet.listen", "ADDRESS:PORT|off", "where other app servers reach this one, packets and streams; it takes part in a fleet",
-		func(settings *Settings, w []string) error {
-			if len(w) == 1 && w[0] == "off" {
+	{"fleet.listen", "ADDRESS:PORT|off",
+		"address for packets and streams of other app servers; setting it joins the fleet",
+		func(settings *Settings, words []string) error {
+			if len(words) == 1 && words[0] == "off" {
 				return nil
 			}
-			return parseAddress(&settings.Fleet.Listen, w)
+			return parseAddress(&settings.Fleet.Listen, words)
 		},
 		func(settings *Settings) string { return formatAddress(settings.Fleet.Listen, "off") }},
-	{"fleet.advertise", "ADDRESS:PORT|listen", "the address that others are told, where it is not that of fleet.listen",
-		func(settings *Settings, w []string) error {
-			if len(w) == 1 && w[0] == "listen" {
+	{"fleet.advertise", "ADDRESS:PORT|listen", "address under which others reach this app server, if not fleet.listen",
+		func(settings *Settings, words []string) error {
+			if len(words) == 1 && words[0] == "listen" {
 				return nil
 			}
-			return parseAddress(&settings.Fleet.Advertise, w)
+			return parseAddress(&settings.Fleet.Advertise, words)
 		},
 		func(settings *Settings) string { return formatAddress(settings.Fleet.Advertise, "listen") }},
-	{"fleet.join", "none|ADDRESS:PORT...", "where others may be; most of them may be dead",
-		func(settings *Settings, w []string) error {
-			if len(w) == 0 || len(w) > maxJoin {
-				return fmt.Errorf("one to %d addresses are wanted, or none", maxJoin)
+	{"fleet.join", "none|ADDRESS:PORT...", "addresses of other app servers to contact first; most of them may be down",
+		func(settings *Settings, words []string) error {
+			if len(words) == 0 || len(words) > maxJoin {
+				return fmt.Errorf("expected 1 to %d addresses or none", maxJoin)
 			}
-			if len(w) == 1 && w[0] == "none" {
+			if len(words) == 1 && words[0] == "none" {
 				return nil
 			}
-			for _, one := range w {
-				var at netip.AddrPort
-				if err := parseAddress(&at, []string{one}); err != nil {
+			for _, word := range words {
+				var address netip.AddrPort
+				if err := parseAddress(&address, []string{word}); err != nil {
 					return err
 				}
-				if slices.Contains(settings.Fleet.Join, at) {
-					return fmt.Errorf("%s is named twice", at)
+				if slices.Contains(settings.Fleet.Join, address) {
+					return fmt.Errorf("%s is named twice", address)
 				}
-				settings.Fleet.Join = append(settings.Fleet.Join, at)
+				settings.Fleet.Join = append(settings.Fleet.Join, address)
 			}
 			return nil
 		},
@@ -63,13 +66,13 @@
 			}
 			return formatAll(settings.Fleet.Join)
 		}},
-	{"fleet.zone", "NAME|none", "what fails together with this app server: a rack, a hall, a zone",
-		func(settings *Settings, w []string) error {
-			if len(w) != 1 || w[0] == "" || len(w[0]) > maxNameLength {
-				return fmt.Errorf("one name of at most %d bytes is wanted", maxNameLength)
+	{"fleet.zone", "NAME|none", "failure domain of this app server, such as a rack, a hall or a zone",
+		func(settings *Settings, words []string) error {
+			if len(words) != 1 || words[0] == "" || len(words[0]) > maxNameLength {
+				return fmt.Errorf("expected one name of 1 to %d bytes", maxNameLength)
 			}
-			if w[0] != "none" {
-				settings.Fleet.Zone = w[0]
+			if words[0] != "none" {
+				settings.Fleet.Zone = words[0]
 			}
 			return nil
 		},
@@ -79,45 +82,48 @@
 			}
 			return settings.Fleet.Zone
 		}},
-	{"fleet.allow", "PREFIX...", "networks from which fleet packets are taken; all others are dropped and counted",
-		func(settings *Settings, w []string) error {
-			if len(w) == 0 {
-				return errors.New("at least one network such as 10.0.0.0/8 is wanted")
+	{"fleet.allow", "PREFIX...", "networks from which fleet packets are accepted; others are dropped and counted",
+		func(settings *Settings, words []string) error {
+			if len(words) == 0 {
+				return errors.New("expected at least one network such as 10.0.0.0/8")
 			}
 			settings.Fleet.Allow = nil
-			for _, one := range w {
-				p, err := netip.ParsePrefix(one)
+			for _, word := range words {
+				network, err := netip.ParsePrefix(word)
 				if err != nil {
-					return fmt.Errorf("%q is no network such as 10.0.0.0/8", one)
+					return fmt.Errorf("expected a network such as 10.0.0.0/8, got %q", word)
 				}
-				if p != p.Masked() {
-					return fmt.Errorf("%s has bits past its length: %s is meant?", p, p.Masked())
+				if network != network.Masked() {
+					return fmt.Errorf("%s has address bits beyond its prefix length; did you mean %s?", network, network.Masked())
 				}
-				settings.Fleet.Allow = append(settings.Fleet.Allow, p)
+				settings.Fleet.Allow = append(settings.Fleet.Allow, network)
 			}
 			return nil
 		},
 		func(settings *Settings) string { return formatAll(settings.Fleet.Allow) }},
-	{"fleet.probe", "TIME", "between two probes of others: a death is known after some ten of them",
-		func(settings *Settings, w []string) error {
-			return parseDuration(&settings.Fleet.ProbeInterval, w, 0.1, 10)
+	{"fleet.probe", "TIME", "interval between two probes of other members; a failure is detected after about ten",
+		func(settings *Settings, words []string) error {
+			return parseDuration(&settings.Fleet.ProbeInterval, words, 0.1, 10)
 		},
 		func(settings *Settings) string { return formatDuration(settings.Fleet.ProbeInterval) }},
-	{"fleet.hold", "TIME", "for which a death has to stand before the view shows it",
-		func(settings *Settings, w []string) error { return parseDuration(&settings.Fleet.HoldTime, w, 0.1, 60) },
+	{"fleet.hold", "TIME", "how long a failure must persist before the view shows it",
+		func(settings *Settings, words []string) error {
+			return parseDuration(&settings.Fleet.HoldTime, words, 0.1, 60)
+		},
 		func(settings *Settings) string { return formatDuration(settings.Fleet.HoldTime) }},
-	{"fleet.forget", "TIME", "after which the dead are no longer looked for, and a partitioned view is taken for the fleet",
-		func(settings *Settings, w []string) error {
-			return parseDuration(&settings.Fleet.ForgetTime, w, 10, 86400)
+	{"fleet.forget", "TIME",
+		"time after which dead members are no longer contacted, and the rest of a partition counts as the whole fleet",
+		func(settings *Settings, words []string) error {
+			return parseDuration(&settings.Fleet.ForgetTime, words, 10, 86400)
 		},
 		func(settings *Settings) string { return formatDuration(settings.Fleet.ForgetTime) }},
-	{"fleet.socket", "PATH|none", "a local socket that tells the view, for `valveglade fleet`",
-		func(settings *Settings, w []string) error {
-			if len(w) != 1 || w[0] == "" || len(w[0]) > maxSocketPath {
-				return fmt.Errorf("one path of at most %d bytes is wanted", maxSocketPath)
+	{"fleet.socket", "PATH|none", "local socket that serves the view to `valveglade fleet`",
+		func(settings *Settings, words []string) error {
+			if len(words) != 1 || words[0] == "" || len(words[0]) > maxSocketPath {
+				return fmt.Errorf("expected one path of 1 to %d bytes", maxSocketPath)
 			}
-			if w[0] != "none" {
-				settings.Fleet.Socket = w[0]
+			if words[0] != "none" {
+				settings.Fleet.Socket = words[0]
 			}
 			return nil
 		},
@@ -131,11 +137,11 @@
 
 func parseAddress(dst *netip.AddrPort, words []string) error {
 	if len(words) != 1 {
-		return errors.New("one address and port such as 10.0.0.4:7946 is wanted")
+		return errors.New("expected one address and port such as 10.0.0.4:7946")
 	}
 	address, err := netip.ParseAddrPort(words[0])
 	if err != nil || address.Port() == 0 {
-		return fmt.Errorf("%q is no address and port such as 10.0.0.4:7946", words[0])
+		return fmt.Errorf("expected an address and port such as 10.0.0.4:7946, got %q", words[0])
 	}
 	*dst = address
 	return nil
--- a/config/settings.go
+++ b/config/settings.go
@@ -16,16 +16,16 @@
 	"valveglade/logic/pressure"
 )
 
-// Settings are what the operators of an installation set for themselves, in a file of their own beside the platform's:
-// one directive a line, a name and then words, quoted as in a shell. All of it is off by default.
+// Settings are the values that operators set in a file of their own, apart from the platform's configuration. Each line
+// holds one directive: its name, then arguments quoted as in a shell. Every feature is off by default.
 type Settings struct {
 	Path     string
 	Pressure Pressure
 	Fleet    Fleet
-	lines    map[string]int // where each directive was set
+	lines    map[string]int // line in which each directive was set
 }
 
-// DirectiveError is a directive that cannot be followed.
+// DirectiveError reports an invalid directive and its position.
 type DirectiveError struct {
 	Path   string
 	Line   int
@@ -40,26 +40,28 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Name, e.Reason)
 }
 
-// directiveError reports a directive as it was set, or in line 0 as it is by default.
+// directiveError reports an invalid directive; the line is 0 if the directive has its default value.
 func (settings *Settings) directiveError(name, format string, args ...any) error {
 	return &DirectiveError{settings.Path, settings.lines[name], name, fmt.Sprintf(format, args...)}
 }
 
-// directive is one name that a file may have.
+// directive describes one directive of the operators' file.
 type directive struct {
-	name, syntax, help string
-	parse              func(settings *Settings, words []string) error
-	format             func(settings *Settings) string
+	name   string
+	syntax string // of the arguments
+	help   string // one sentence without its full stop
+	parse  func(settings *Settings, words []string) error
+	format func(settings *Settings) string // the value as parse accepts it
 }
 
-// directives are in the order in which they are shown; each subsystem's stand in a file of its own.
+// directives lists all directives in output order. Those of each subsystem are declared in its own source file.
 var directives = slices.Concat(pressureDirectives, fleetDirectives, distributionDirectives)
 
 func parseSwitch(words []string) (bool, error) {
 	if len(words) == 1 && (words[0] == "on" || words[0] == "off") {
 		return words[0] == "on", nil
 	}
-	return false, errors.New("on or off is wanted")
+	return false, errors.New("expected on or off")
 }
 
 func formatSwitch(on bool) string {
@@ -71,27 +73,30 @@
 
 func parseDuration(dst *float64, words []string, minSeconds, maxSeconds float64) error {
 	if len(words) != 1 {
-		return errors.New("one time such as 250ms is wanted")
+		return errors.New("expected one duration such as 250ms")
 	}
 	parsed, err := time.ParseDuration(words[0])
 	if err != nil {
-		return fmt.Errorf("%q is no time such as 250ms or 2m", words[0])
+		return fmt.Errorf("expected a duration such as 250ms or 2m, got %q", words[0])
 	}
-	if s := parsed.Seconds(); !(s >= minSeconds && s <= maxSeconds) {
+	if seconds := parsed.Seconds(); !(seconds >= minSeconds && seconds <= maxSeconds) {
 		return fmt.Errorf("%v is not from %v to %v", parsed, formatDuration(minSeconds), formatDuration(maxSeconds))
 	}
 	*dst = parsed.Seconds()
 	return nil
 }
 
-func formatDuration(s float64) string { return time.Duration(math.Round(s*1e6) * 1e3).String() }
+func formatDuration(seconds float64) string {
+	return time.Duration(math.Round(seconds*1e6) * 1e3).String()
+}
 
-// NewSettings returns the settings of an installation that sets nothing.
+// NewSettings returns the default settings.
 func NewSettings() *Settings {
-	return &Settings{Pressure: Pressure{ReadInterval: 0.05, Config: pressure.Defaults()}, Fleet: defaultFleet(), lines: map[string]int{}}
+	return &Settings{Pressure: Pressure{ReadInterval: 0.05, Config: pressure.Defaults()}, Fleet: defaultFleet(),
+		lines: map[string]int{}}
 }
 
-// ReadSettings reads and checks a file; an empty path is no file.
+// ReadSettings reads and validates a file. An empty path yields the defaults.
 func ReadSettings(path string) (*Settings, error) {
 	if path == "" {
 		return NewSettings(), nil
@@ -103,14 +108,14 @@
 	return ParseSettings(path, text)
 }
 
-// ParseSettings reads and checks the text of a file.
+// ParseSettings parses and validates the text of a file.
 func ParseSettings(path string, text []byte) (*Settings, error) {
 	settings := NewSettings()
 	settings.Path = path
-	for n, line := range bytes.Split(text, []byte("\n")) {
+	for index, line := range bytes.Split(text, []byte("\n")) {
 		words, err := shlex.Split(string(line))
 		if err != nil {
-			return nil, &DirectiveError{path, n + 1, "", strings.TrimSpace(err.Error())}
+			return nil, &DirectiveError{path, index + 1, "", strings.TrimSpace(err.Error())}
 		}
 		if len(words) == 0 {
 			continue
@@ -119,14 +124,14 @@
 		d := findDirective(name)
 		switch {
 		case d == nil:
-			return nil, &DirectiveError{path, n + 1, name, "no such directive"}
+			return nil, &DirectiveError{path, index + 1, name, "unknown directive"}
 		case settings.lines[name] > 0:
-			return nil, &DirectiveError{path, n + 1, name, fmt.Sprintf("set before, in line %d", settings.lines[name])}
+			return nil, &DirectiveError{path, index + 1, name, fmt.Sprintf("already set in line %d", settings.lines[name])}
 		}
 		if err := d.parse(settings, words[1:]); err != nil {
-			return nil, &DirectiveError{path, n + 1, name, err.Error()}
+			return nil, &DirectiveError{path, index + 1, name, err.Error()}
 		}
-		settings.lines[name] = n + 1
+		settings.lines[name] = index + 1
 	}
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -135,15 +140,15 @@
 }
 
 func findDirective(name string) *directive {
-	for k := range directives {
-		if directives[k].name == name {
-			return &directives[k]
+	for i := range directives {
+		if directives[i].name == name {
+			return &directives[i]
 		}
 	}
 	return nil
 }
 
-// check refuses what contradicts itself.
+// check rejects contradictory directives.
 func (settings *Settings) check() error {
 	if err := settings.checkPressure(); err != nil {
 		return err
@@ -151,22 +156,22 @@
 	return settings.checkFleet()
 }
 
-// Show writes what is in force, and where each value comes from.
+// Show writes the value of every directive that is in force, and where it comes from.
 func (settings *Settings) Show(w io.Writer) {
 	for _, d := range directives {
-		from := "default"
+		source := "default"
 		if line := settings.lines[d.name]; line > 0 {
-			from = fmt.Sprintf("%s:%d", settings.Path, line)
+			source = fmt.Sprintf("%s:%d", settings.Path, line)
 		}
-		fmt.Fprintf(w, "%-24s %-10s # %s\n", d.name, d.format(settings), from)
+		fmt.Fprintf(w, "%-24s %-10s # %s\n", d.name, d.format(settings), source)
 	}
 }
 
-// Sample writes a file with every directive, each a remark with its default.
+// Sample writes a settings file with every directive commented out at its default.
 func Sample(w io.Writer) {
 	settings := NewSettings()
-	fmt.Fprint(w, "# The operators' own file: one directive a line, a name and then words; quotes as in a shell.\n"+
-		"# Every directive is here with its default, as a remark. `valveglade check --settings FILE` shows what is in force.\n")
+	fmt.Fprint(w, "# Settings of the operators: one directive a line, a name and arguments, quoted as in a shell.\n"+
+		"# Every directive is commented out at its default. `valveglade check --settings FILE` shows what is in force.\n")
 	for _, d := range directives {
 		fmt.Fprintf(w, "\n# %s %s: %s.\n#%s %s\n", d.name, d.syntax, d.help, d.name, d.format(settings))
 	}
--- a/config/share.go
+++ b/config/share.go
@@ -9,76 +9,80 @@
 	"strings"
 )
 
-// Share is a limit common to the whole fleet: of some methods at most so many RPCs run at once.
+// Share limits how many RPCs of some methods run at once in the whole fleet.
 type Share struct {
 	Name     string
 	Limit    int
-	MinLimit int     // where the limit is found, from MinLimit to Limit; 0 where it is set
-	Target   float64 // where it is found: seconds that a run takes while what is behind is well
+	MinLimit int     // of an adaptive limit, which varies from MinLimit to Limit; 0 for a fixed limit
+	Target   float64 // of an adaptive limit: seconds that a run takes while the downstream service is healthy
 	Methods  []string
 }
 
-// maxShares and maxPermits bound what may be set: each share is asked for some times a second.
-const maxShares, maxPermits = 16, 100_000
+const (
+	maxShares  = 16 // each share is requested several times a second
+	maxPermits = 100_000
+)
 
-// shareDirectives set limits common to the whole fleet.
+// shareDirectives configure limits common to the whole fleet.
 var shareDirectives = []directive{
-	{"fleet.share", "none|NAME LIMIT METHOD...[ / ...]", "of these methods at most so many RPCs run at once over all app servers; for LIMIT also auto LEAST-MOST TIME, found by the time that runs take",
-		func(settings *Settings, w []string) error {
-			if len(w) == 1 && w[0] == "none" {
+	{"fleet.share", "none|NAME LIMIT METHOD...[ / ...]",
+		"limit of concurrent RPCs of the methods in the fleet; for LIMIT also auto LEAST-MOST TIME, adapted to run times",
+		func(settings *Settings, words []string) error {
+			if len(words) == 1 && words[0] == "none" {
 				return nil
 			}
-			for _, one := range splitAtSlash(w) {
-				s, err := parseShare(one)
+			for _, group := range splitAtSlash(words) {
+				share, err := parseShare(group)
 				if err != nil {
 					return err
 				}
 				for _, other := range settings.Fleet.Shares {
-					if other.Name == s.Name {
-						return fmt.Errorf("%s is named twice", s.Name)
+					if other.Name == share.Name {
+						return fmt.Errorf("%s is named twice", share.Name)
 					}
-					for _, m := range s.Methods {
-						if slices.Contains(other.Methods, m) {
-							return fmt.Errorf("%s is in %s already", m, other.Name)
+					for _, method := range share.Methods {
+						if slices.Contains(other.Methods, method) {
+							return fmt.Errorf("%s is already in %s", method, other.Name)
 						}
 					}
 				}
-				for k, m := range s.Methods {
-					if slices.Contains(s.Methods[:k], m) {
-						return fmt.Errorf("%s is named twice", m)
+				for k, method := range share.Methods {
+					if slices.Contains(share.Methods[:k], method) {
+						return fmt.Errorf("%s is named twice", method)
 					}
 				}
-				if settings.Fleet.Shares = append(settings.Fleet.Shares, s); len(settings.Fleet.Shares) > maxShares {
+				if settings.Fleet.Shares = append(settings.Fleet.Shares, share); len(settings.Fleet.Shares) > maxShares {
 					return fmt.Errorf("more than %d shares", maxShares)
 				}
 			}
 			return nil
 		},
 		func(settings *Settings) string {
-			var all []string
-			for _, s := range settings.Fleet.Shares {
-				all = append(all, s.String())
+			var formatted []string
+			for _, share := range settings.Fleet.Shares {
+				formatted = append(formatted, share.String())
 			}
-			return cmp.Or(strings.Join(all, " / "), "none")
+			return cmp.Or(strings.Join(formatted, " / "), "none")
 		}},
-	{"fleet.floor", "none|N NAME...", "permits of each share reserved for each of these app servers, the same everywhere",
-		func(settings *Settings, w []string) error {
-			if len(w) == 1 && w[0] == "none" {
+	{"fleet.floor", "none|N NAME...",
+		"permits of each share reserved for each of these app servers; must be the same on all members",
+		func(settings *Settings, words []string) error {
+			if len(words) == 1 && words[0] == "none" {
 				return nil
 			}
-			if len(w) < 2 {
-				return errors.New("a number and names are wanted, such as 1 n1 n2 n3")
+			if len(words) < 2 {
+				return errors.New("expected a number and names, such as 1 n1 n2 n3")
 			}
-			n, err := strconv.Atoi(w[0])
-			if err != nil || n < 1 || n > maxPermits {
-				return fmt.Errorf("%q is no number from 1 to %d", w[0], maxPermits)
+			permits, err := strconv.Atoi(words[0])
+			if err != nil || permits < 1 || permits > maxPermits {
+				return fmt.Errorf("%q is not a number from 1 to %d", words[0], maxPermits)
 			}
-			for k, name := range w[1:] {
-				if name == "" || len(name) > maxNameLength || slices.Contains(w[1:k+1], name) {
-					return fmt.Errorf("%q is no name, or named twice", name)
+			for k, name := range words[1:] {
+				if name == "" || len(name) > maxNameLength || slices.Contains(words[1:k+1], name) {
+					return fmt.Errorf("%q is not a valid name or is named twice", name)
 				}
 			}
-			settings.Fleet.Reserved, settings.Fleet.ReservedMembers = n, w[1:]
+			settings.Fleet.Reserved, settings.Fleet.ReservedMembers = permits, words[1:]
 			return nil
 		},
 		func(settings *Settings) string {
@@ -89,39 +93,39 @@
 		}},
 }
 
-// parseShare reads NAME LIMIT METHOD... or NAME auto LEAST-MOST TIME METHOD...
-func parseShare(w []string) (s Share, err error) {
-	errSyntax := errors.New("a name, a limit and methods are wanted, such as register 16 lookup record, or scorer auto 4-64 80ms score")
-	if len(w) < 3 || w[0] == "" || len(w[0]) > maxNameLength/2 {
-		return s, errSyntax
+// parseShare parses NAME LIMIT METHOD... or NAME auto LEAST-MOST TIME METHOD...
+func parseShare(words []string) (share Share, err error) {
+	errSyntax := errors.New("expected NAME LIMIT METHOD..., such as register 16 lookup or scorer auto 4-64 80ms score")
+	if len(words) < 3 || words[0] == "" || len(words[0]) > maxNameLength/2 {
+		return share, errSyntax
 	}
 	parsePermits := func(word string) (int, error) {
-		n, err := strconv.Atoi(word)
-		if err != nil || n < 1 || n > maxPermits {
-			return 0, fmt.Errorf("%q is no number from 1 to %d", word, maxPermits)
+		permits, err := strconv.Atoi(word)
+		if err != nil || permits < 1 || permits > maxPermits {
+			return 0, fmt.Errorf("%q is not a number from 1 to %d", word, maxPermits)
 		}
-		return n, nil
+		return permits, nil
 	}
-	s.Name, s.Methods = w[0], w[2:]
-	if w[1] != "auto" {
-		s.Limit, err = parsePermits(w[1])
-		return s, err
+	share.Name, share.Methods = words[0], words[2:]
+	if words[1] != "auto" {
+		share.Limit, err = parsePermits(words[1])
+		return share, err
 	}
-	lower, upper, isRange := strings.Cut(w[2], "-")
-	if len(w) < 5 || !isRange {
-		return s, errSyntax
+	lower, upper, isRange := strings.Cut(words[2], "-")
+	if len(words) < 5 || !isRange {
+		return share, errSyntax
 	}
-	if s.MinLimit, err = parsePermits(lower); err != nil {
-		return s, err
+	if share.MinLimit, err = parsePermits(lower); err != nil {
+		return share, err
 	}
-	if s.Limit, err = parsePermits(upper); err != nil {
-		return s, err
+	if share.Limit, err = parsePermits(upper); err != nil {
+		return share, err
 	}
-	if s.MinLimit > s.Limit {
-		return s, fmt.Errorf("the least, %d, is above the most, %d", s.MinLimit, s.Limit)
+	if share.MinLimit > share.Limit {
+		return share, fmt.Errorf("the lower limit %d is above the upper limit %d", share.MinLimit, share.Limit)
 	}
-	s.Methods = w[4:]
-	return s, parseDuration(&s.Target, w[3:4], 0.001, 60)
+	share.Methods = words[4:]
+	return share, parseDuration(&share.Target, words[3:4], 0.001, 60)
 }
 
 func (s Share) String() string {
