--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the frames of the bench's wire. Each decoded
-// field goes straight into a call of Events; each action is a call of Reply.
+// Package wire implements the binary protocol of the simulator. Decode passes each event of a batch to a method of
+// Events; each method of Reply encodes one action.
 package wire
 
 import (
@@ -10,34 +10,46 @@
 	"math"
 )
 
+// Sizes in bytes.
 const (
-	batchHead = 16
-	replyHead = 8
-	eventSize = 72
-	cmdSize   = 24
-	maxFrame  = 1 << 30
+	batchHeaderSize = 16 // record count, frame size and clock
+	replyHeaderSize = 8  // record count and frame size
+	eventSize       = 72 // one record of a batch
+	actionSize      = 24 // one record of a reply
+	maxFrameSize    = 1 << 30
 )
 
-// Events is told what a batch holds, record by record.
+// Events handles the events of a batch, one call for each record. Methods have the simulator's names of the events.
+// Times and durations are in seconds.
 type Events interface {
-	Hello(who uint32, seed uint64, params []byte)
-	Order(who uint32, handle uint64, lay float64, further, reads bool, repeats uint64, due float64,
-		from uint16, tenant uint32, kb float64, class uint16)
-	WoundUp(who uint32, handle uint64, result uint16, took float64)
-	Stalled(who uint32, handle uint64)
-	Downstream(who uint32, handle uint64, result uint16, took float64)
-	Notice(who uint32, at float64)
-	Lapsed(who uint32, handle uint64)
-	Elapsed(who uint32, mark uint64, n int, stats [4]float64)
-	Stop(who uint32)
-	// Unknown is an event of a kind that is not known, or one that points outside its batch.
-	Unknown(who uint32, code byte)
-}
-
-// ReadFrame reads one whole batch into buf, which it may grow. A clean end of
-// input is io.EOF.
+	// Hello starts an instance with its settings as JSON.
+	Hello(instance uint32, seed uint64, params []byte)
+	// Order is the arrival of an RPC. readDelay is the time between its arrival at the machine and the read. repeatOf is
+	// the handle of the RPC that it repeats, 0 if none.
+	Order(instance uint32, handle uint64, readDelay float64, isRetry, readOnly bool, repeatOf uint64, deadline float64,
+		caller uint16, tenant uint32, sizeKB float64, method uint16)
+	// WoundUp reports the end of a run.
+	WoundUp(instance uint32, handle uint64, result uint16, duration float64)
+	// Stalled reports a run that waits to make a downstream call.
+	Stalled(instance uint32, handle uint64)
+	// Downstream reports the end of a downstream call.
+	Downstream(instance uint32, handle uint64, result uint16, duration float64)
+	// Notice announces the time at which the instance is stopped.
+	Notice(instance uint32, stopTime float64)
+	// Lapsed reports that the caller no longer waits for an RPC.
+	Lapsed(instance uint32, handle uint64)
+	// Elapsed reports an expired timer; the first count gauges are set.
+	Elapsed(instance uint32, timerID uint64, count int, gauges [4]float64)
+	// Stop ends an instance.
+	Stop(instance uint32)
+	// Unknown is an event with an unknown code, or one that refers to data outside its batch.
+	Unknown(instance uint32, code byte)
+}
+
+// ReadFrame reads one complete batch into buf, which it replaces if it is too small. It returns io.EOF if the input
+// ends between two batches.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	var head [batchHead]byte
+	var head [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, errors.New("wire: short header")
@@ -46,7 +58,7 @@
 	}
 	records := uint64(binary.BigEndian.Uint32(head[:]))
 	size := uint64(binary.BigEndian.Uint32(head[4:]))
-	if size < batchHead+records*eventSize || size > maxFrame {
+	if size < batchHeaderSize+records*eventSize || size > maxFrameSize {
 		return nil, fmt.Errorf("wire: a frame of %d bytes cannot hold %d records", size, records)
 	}
 	if uint64(cap(buf)) < size {
@@ -54,154 +66,163 @@
 	}
 	buf = buf[:size]
 	copy(buf, head[:])
-	if _, err := io.ReadFull(r, buf[batchHead:]); err != nil {
+	if _, err := io.ReadFull(r, buf[batchHeaderSize:]); err != nil {
 		return nil, errors.New("wire: short frame")
 	}
 	return buf, nil
 }
 
-// Clock is the time of a whole frame.
+// Clock returns the simulated time of a complete frame in seconds.
 func Clock(frame []byte) float64 { return f64(frame, 8) }
 
-// Decode plays a whole frame to ev.
-func Decode(frame []byte, ev Events) error {
-	if len(frame) < batchHead {
+// Decode calls a method of events for each record of a complete frame.
+func Decode(frame []byte, events Events) error {
+	if len(frame) < batchHeaderSize {
 		return errors.New("wire: short header")
 	}
 	n := int(binary.BigEndian.Uint32(frame))
-	if len(frame) < batchHead+n*eventSize {
+	if len(frame) < batchHeaderSize+n*eventSize {
 		return errors.New("wire: short frame")
 	}
-	tail := frame[batchHead+n*eventSize:]
+	payload := frame[batchHeaderSize+n*eventSize:]
 	for k := range n {
-		b := frame[batchHead+k*eventSize:][:eventSize]
-		who := binary.BigEndian.Uint32(b[1:])
+		b := frame[batchHeaderSize+k*eventSize:][:eventSize]
+		instance := binary.BigEndian.Uint32(b[1:])
 		switch b[0] {
 		case 1:
-			off, size := uint64(binary.BigEndian.Uint32(b[13:])), uint64(binary.BigEndian.Uint32(b[17:]))
-			if off+size > uint64(len(tail)) {
-				ev.Unknown(who, b[0])
+			offset, size := uint64(binary.BigEndian.Uint32(b[13:])), uint64(binary.BigEndian.Uint32(b[17:]))
+			if offset+size > uint64(len(payload)) {
+				events.Unknown(instance, b[0])
 				continue
 			}
-			ev.Hello(who, u64(b, 5), tail[off:off+size])
+			events.Hello(instance, u64(b, 5), payload[offset:offset+size])
 		case 2:
-			ev.Order(who, u64(b, 5), f64(b, 13), b[21]&2 != 0, b[21]&4 == 0 && u64(b, 50) != 0, u64(b, 34), f64(b, 42),
+			events.Order(instance, u64(b, 5), f64(b, 13), b[21]&2 != 0, b[21]&4 == 0 && u64(b, 50) != 0, u64(b, 34), f64(b, 42),
 				binary.BigEndian.Uint16(b[58:]), binary.BigEndian.Uint32(b[60:]), f32(b, 64), binary.BigEndian.Uint16(b[68:]))
 		case 3:
-			ev.WoundUp(who, u64(b, 5), binary.BigEndian.Uint16(b[13:]), f64(b, 15))
+			events.WoundUp(instance, u64(b, 5), binary.BigEndian.Uint16(b[13:]), f64(b, 15))
 		case 4:
-			ev.Stalled(who, u64(b, 5))
+			events.Stalled(instance, u64(b, 5))
 		case 5:
-			ev.Downstream(who, u64(b, 5), binary.BigEndian.Uint16(b[13:]), f64(b, 15))
+			events.Downstream(instance, u64(b, 5), binary.BigEndian.Uint16(b[13:]), f64(b, 15))
 		case 6:
-			ev.Notice(who, f64(b, 5))
+			events.Notice(instance, f64(b, 5))
 		case 7:
-			ev.Lapsed(who, u64(b, 5))
+			events.Lapsed(instance, u64(b, 5))
 		case 8:
-			var stats [4]float64
-			for j := range stats {
-				stats[j] = f32(b, 14+4*j)
+			var gauges [4]float64
+			for j := range gauges {
+				gauges[j] = f32(b, 14+4*j)
 			}
-			ev.Elapsed(who, u64(b, 5), min(int(b[13]), len(stats)), stats)
+			events.Elapsed(instance, u64(b, 5), min(int(b[13]), len(gauges)), gauges)
 		case 9:
-			ev.Stop(who)
+			events.Stop(instance)
 		default:
-			ev.Unknown(who, b[0])
+			events.Unknown(instance, b[0])
 		}
 	}
 	return nil
 }
 
-func u64(b []byte, at int) uint64  { return binary.BigEndian.Uint64(b[at:]) }
-func f64(b []byte, at int) float64 { return math.Float64frombits(u64(b, at)) }
-func f32(b []byte, at int) float64 {
-	return float64(math.Float32frombits(binary.BigEndian.Uint32(b[at:])))
+func u64(b []byte, offset int) uint64  { return binary.BigEndian.Uint64(b[offset:]) }
+func f64(b []byte, offset int) float64 { return math.Float64frombits(u64(b, offset)) }
+func f32(b []byte, offset int) float64 {
+	return float64(math.Float32frombits(binary.BigEndian.Uint32(b[offset:])))
 }
 
-// Reply gathers the actions of one batch.
+// Reply collects the actions in reply to one batch. Its methods have the simulator's names of the actions. Durations
+// are in seconds.
 type Reply struct {
-	records, tail []byte
+	records []byte // fixed-size records
+	payload []byte // texts that records refer to
 }
 
-func (r *Reply) record(code byte, who uint32) []byte {
-	at := len(r.records)
-	r.records = append(r.records, make([]byte, cmdSize)...)
-	b := r.records[at:]
+// record appends a zeroed record with its code and instance, and returns it.
+func (r *Reply) record(code byte, instance uint32) []byte {
+	offset := len(r.records)
+	r.records = append(r.records, make([]byte, actionSize)...)
+	b := r.records[offset:]
 	b[0] = code
-	binary.BigEndian.PutUint32(b[1:], who)
+	binary.BigEndian.PutUint32(b[1:], instance)
 	return b
 }
 
-func (r *Reply) named(code byte, who uint32, handle uint64) []byte {
-	b := r.record(code, who)
+// recordFor appends a record that refers to an RPC.
+func (r *Reply) recordFor(code byte, instance uint32, handle uint64) []byte {
+	b := r.record(code, instance)
 	binary.BigEndian.PutUint64(b[5:], handle)
 	return b
 }
 
 func putF64(b []byte, v float64) { binary.BigEndian.PutUint64(b, math.Float64bits(v)) }
 
-func (r *Reply) Take(who uint32, h uint64)      { r.named(1, who, h) }
-func (r *Reply) Fail(who uint32, h uint64)      { r.named(3, who, h) }
-func (r *Reply) Interrupt(who uint32, h uint64) { r.named(4, who, h) }
-func (r *Reply) Skip(who uint32, h uint64)      { r.named(6, who, h) }
-func (r *Reply) Evict(who uint32, h uint64)     { r.named(8, who, h) }
-func (r *Reply) Join(who uint32, h uint64)      { r.named(9, who, h) }
+func (r *Reply) Take(instance uint32, handle uint64)      { r.recordFor(1, instance, handle) }
+func (r *Reply) Fail(instance uint32, handle uint64)      { r.recordFor(3, instance, handle) }
+func (r *Reply) Interrupt(instance uint32, handle uint64) { r.recordFor(4, instance, handle) }
+func (r *Reply) Skip(instance uint32, handle uint64)      { r.recordFor(6, instance, handle) }
+func (r *Reply) Evict(instance uint32, handle uint64)     { r.recordFor(8, instance, handle) }
+func (r *Reply) Join(instance uint32, handle uint64)      { r.recordFor(9, instance, handle) }
 
-func (r *Reply) Busy(who uint32, h uint64, terminal bool, notBefore float64) {
-	b := r.named(2, who, h)
+func (r *Reply) Busy(instance uint32, handle uint64, terminal bool, retryAfter float64) {
+	b := r.recordFor(2, instance, handle)
 	if terminal {
 		b[13] = 1
 	}
-	putF64(b[14:], notBefore)
+	putF64(b[14:], retryAfter)
 }
 
-func (r *Reply) Dial(who uint32, h uint64, patience float64) {
-	putF64(r.named(5, who, h)[13:], patience)
+func (r *Reply) Dial(instance uint32, handle uint64, timeout float64) {
+	putF64(r.recordFor(5, instance, handle)[13:], timeout)
+}
+func (r *Reply) RecordKey(instance uint32, handle uint64, ttl float64) {
+	putF64(r.recordFor(7, instance, handle)[13:], ttl)
 }
-func (r *Reply) RecordKey(who uint32, h uint64, span float64) { putF64(r.named(7, who, h)[13:], span) }
 
-func (r *Reply) Health(who uint32, cached, good bool) {
-	b := r.record(10, who)
+func (r *Reply) Health(instance uint32, cached, healthy bool) {
+	b := r.record(10, instance)
 	if cached {
 		b[5] = 1
 	}
-	if good {
+	if healthy {
 		b[6] = 1
 	}
 }
 
-func (r *Reply) Publish(who uint32, amount float64) {
-	binary.BigEndian.PutUint32(r.record(11, who)[5:], math.Float32bits(float32(amount)))
+func (r *Reply) Publish(instance uint32, value float64) {
+	binary.BigEndian.PutUint32(r.record(11, instance)[5:], math.Float32bits(float32(value)))
 }
 
-func (r *Reply) ReapAfter(who uint32, idle float64) { putF64(r.record(12, who)[5:], idle) }
+func (r *Reply) ReapAfter(instance uint32, idleTimeout float64) {
+	putF64(r.record(12, instance)[5:], idleTimeout)
+}
 
-func (r *Reply) Remind(who uint32, span float64, mark uint64) {
-	b := r.record(13, who)
-	putF64(b[5:], span)
-	binary.BigEndian.PutUint64(b[13:], mark)
+func (r *Reply) Remind(instance uint32, delay float64, timerID uint64) {
+	b := r.record(13, instance)
+	putF64(b[5:], delay)
+	binary.BigEndian.PutUint64(b[13:], timerID)
 }
 
-func (r *Reply) Debug(who uint32, text string) { r.text(14, who, text) }
+func (r *Reply) Debug(instance uint32, text string) { r.text(14, instance, text) }
 
-// Broken ends the day: the decision code cannot go on for this instance.
-func (r *Reply) Broken(who uint32, text string) { r.text(15, who, text) }
+// Broken ends the simulation run: the decision code cannot continue for this instance.
+func (r *Reply) Broken(instance uint32, text string) { r.text(15, instance, text) }
 
-func (r *Reply) text(code byte, who uint32, text string) {
-	b := r.record(code, who)
-	binary.BigEndian.PutUint32(b[5:], uint32(len(r.tail)))
+// text appends a record that refers to a text in the payload.
+func (r *Reply) text(code byte, instance uint32, text string) {
+	b := r.record(code, instance)
+	binary.BigEndian.PutUint32(b[5:], uint32(len(r.payload)))
 	binary.BigEndian.PutUint32(b[9:], uint32(len(text)))
-	r.tail = append(r.tail, text...)
+	r.payload = append(r.payload, text...)
 }
 
-// WriteTo writes the frame whole and empties the reply.
+// WriteTo writes the frame with a single call of Write and resets the reply.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	size := replyHead + len(r.records) + len(r.tail)
-	frame := make([]byte, replyHead, size)
-	binary.BigEndian.PutUint32(frame, uint32(len(r.records)/cmdSize))
+	size := replyHeaderSize + len(r.records) + len(r.payload)
+	frame := make([]byte, replyHeaderSize, size)
+	binary.BigEndian.PutUint32(frame, uint32(len(r.records)/actionSize))
 	binary.BigEndian.PutUint32(frame[4:], uint32(size))
-	frame = append(append(frame, r.records...), r.tail...)
-	r.records, r.tail = r.records[:0], r.tail[:0]
+	frame = append(append(frame, r.records...), r.payload...)
+	r.records, r.payload = r.records[:0], r.payload[:0]
 	n, err := w.Write(frame)
 	return int64(n), err
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -7,57 +7,66 @@
 	"strings"
 )
 
-// spy prints what a batch says.
-type spy struct{}
+// eventPrinter prints each event of a batch.
+type eventPrinter struct{}
 
-func (spy) Hello(who uint32, seed uint64, params []byte) {
-	fmt.Printf("hello %d seed %d %s\n", who, seed, params)
+func (eventPrinter) Hello(instance uint32, seed uint64, params []byte) {
+	fmt.Printf("hello %d seed %d %s\n", instance, seed, params)
 }
 
-func (spy) Unknown(who uint32, code byte) { fmt.Printf("unknown %d code %d\n", who, code) }
+func (eventPrinter) Unknown(instance uint32, code byte) {
+	fmt.Printf("unknown %d code %d\n", instance, code)
+}
 
-func (spy) Order(who uint32, handle uint64, lay float64, further, reads bool, repeats uint64, due float64, from uint16,
-	tenant uint32, kb float64, class uint16) {
-	fmt.Printf("order %d %x lay %.4f further %v reads %v repeats %x due %.3f from %d tenant %d %.1f kB class %d\n",
-		who, handle, lay, further, reads, repeats, due, from, tenant, kb, class)
+func (eventPrinter) Order(instance uint32, handle uint64, readDelay float64, isRetry, readOnly bool, repeatOf uint64,
+	deadline float64, caller uint16, tenant uint32, sizeKB float64, method uint16) {
+	fmt.Printf(
+		"order %d %x delay %.4f further %v readOnly %v repeats %x deadline %.3f from %d tenant %d %.1f kB class %d\n",
+		instance, handle, readDelay, isRetry, readOnly, repeatOf, deadline, caller, tenant, sizeKB, method)
 }
 
-func (spy) WoundUp(who uint32, handle uint64, result uint16, took float64) {
-	fmt.Printf("wound up %d %x %d %.4f\n", who, handle, result, took)
+func (eventPrinter) WoundUp(instance uint32, handle uint64, result uint16, duration float64) {
+	fmt.Printf("wound up %d %x %d %.4f\n", instance, handle, result, duration)
 }
 
-func (spy) Stalled(who uint32, handle uint64) { fmt.Printf("stalled %d %x\n", who, handle) }
+func (eventPrinter) Stalled(instance uint32, handle uint64) {
+	fmt.Printf("stalled %d %x\n", instance, handle)
+}
 
-func (spy) Downstream(who uint32, handle uint64, result uint16, took float64) {
-	fmt.Printf("downstream %d %x %d %.2f\n", who, handle, result, took)
+func (eventPrinter) Downstream(instance uint32, handle uint64, result uint16, duration float64) {
+	fmt.Printf("downstream %d %x %d %.2f\n", instance, handle, result, duration)
 }
 
-func (spy) Notice(who uint32, at float64)    { fmt.Printf("notice %d %.3f\n", who, at) }
-func (spy) Lapsed(who uint32, handle uint64) { fmt.Printf("lapsed %d %x\n", who, handle) }
-func (spy) Stop(who uint32)                  { fmt.Printf("stop %d\n", who) }
-func (spy) Elapsed(who uint32, mark uint64, n int, stats [4]float64) {
-	fmt.Printf("elapsed %d mark %d %.2f\n", who, mark, stats[:n])
+func (eventPrinter) Notice(instance uint32, stopTime float64) {
+	fmt.Printf("notice %d %.3f\n", instance, stopTime)
+}
+func (eventPrinter) Lapsed(instance uint32, handle uint64) {
+	fmt.Printf("lapsed %d %x\n", instance, handle)
+}
+func (eventPrinter) Stop(instance uint32) { fmt.Printf("stop %d\n", instance) }
+func (eventPrinter) Elapsed(instance uint32, timerID uint64, count int, gauges [4]float64) {
+	fmt.Printf("elapsed %d timer %d %.2f\n", instance, timerID, gauges[:count])
 }
 
-// frame builds a batch of records, each filled up with zeros, and a tail.
-func frame(tail string, records ...string) []byte {
+// frame builds a batch of records given in hex, each padded with zeros, and a payload.
+func frame(payload string, records ...string) []byte {
 	body := ""
 	for _, r := range records {
 		r = strings.ReplaceAll(r, " ", "")
 		body += r + strings.Repeat("0", 2*eventSize-len(r))
 	}
-	size := batchHead + eventSize*len(records) + len(tail)
-	b, err := hex.DecodeString(fmt.Sprintf("%08x%08x4020d3126e978d50%s%x", len(records), size, body, tail))
+	size := batchHeaderSize + eventSize*len(records) + len(payload)
+	b, err := hex.DecodeString(fmt.Sprintf("%08x%08x4020d3126e978d50%s%x", len(records), size, body, payload))
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-func play(b []byte) {
+func decode(b []byte) {
 	f, err := ReadFrame(bytes.NewReader(b), nil)
 	if err == nil {
-		err = Decode(f, spy{})
+		err = Decode(f, eventPrinter{})
 	}
 	if err != nil {
 		fmt.Println(err)
@@ -65,7 +74,7 @@
 }
 
 func Example_events() {
-	play(frame("{}",
+	decode(frame("{}",
 		"01 00000003 0000000000000009 00000000 00000002",
 		"02 00000003 000a4b7f5d3a91c4 3f5e4f765fd8adac 01 3f200000 3f889374bc6a7efa 00036ff20e6f2b19"+
 			"40214df3b645a1cb 91f03b7c55d20a64 0011 00000000 41c40000 0002",
@@ -78,24 +87,24 @@
 		"09 00000003"))
 	// Output:
 	// hello 3 seed 9 {}
-	// order 3 a4b7f5d3a91c4 lay 0.0019 further false reads true repeats 36ff20e6f2b19 due 8.652 from 17 tenant 0 24.5 kB class 2
+	// order 3 a4b7f5d3a91c4 delay 0.0019 further false readOnly true repeats 36ff20e6f2b19 deadline 8.652 from 17 tenant 0 24.5 kB class 2
 	// wound up 3 a4b7f5d3a91c4 200 0.0185
 	// stalled 3 a4b7f5d3a91c4
 	// downstream 3 a4b7f5d3a91c4 504 0.08
 	// notice 3 11.912
 	// lapsed 5 36ff20e6f2b19
-	// elapsed 3 mark 77 [0.62 3.00 0.41 120.00]
+	// elapsed 3 timer 77 [0.62 3.00 0.41 120.00]
 	// stop 3
 }
 
 func Example_malformed() {
-	play(frame("", "63 00000003", "09 00000003")) // what is not known is passed over, the rest of the batch is not
-	play(frame("{}", "01 00000003 0000000000000009 00000001 00000002", "09 00000004"))
-	play(frame("", "09 00000003")[:40])
-	play(frame("")[:7])
+	decode(frame("", "63 00000003", "09 00000003")) // an unknown event does not affect the rest of the batch
+	decode(frame("{}", "01 00000003 0000000000000009 00000001 00000002", "09 00000004"))
+	decode(frame("", "09 00000003")[:40])
+	decode(frame("")[:7])
 	b := frame("", "09 00000003")
 	b[7]--
-	play(b)
+	decode(b)
 	// Output:
 	// unknown 3 code 99
 	// stop 3
@@ -127,7 +136,7 @@
 	}
 	fmt.Printf("%x\n", b.Next(8))
 	for range 12 {
-		fmt.Printf("%x\n", b.Next(cmdSize))
+		fmt.Printf("%x\n", b.Next(actionSize))
 	}
 	fmt.Printf("%s\n", b.Bytes())
 	// Output:
