--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts one decision module for each app server of the bench
-// and carries events and actions between them and the wire.
+// Command simhost runs a decision module for each app server of the simulator and exchanges events and actions with it
+// in the simulator's binary protocol.
 package main
 
 import (
@@ -24,7 +24,7 @@
 
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	h := &host{guests: map[uint32]*guest{}}
+	h := &host{servers: map[uint32]*appServer{}}
 	var buf []byte
 	for {
 		frame, err := wire.ReadFrame(r, buf)
@@ -45,145 +45,148 @@
 	}
 }
 
+// host runs the app servers and handles the simulator's events.
 type host struct {
-	now    float64
-	guests map[uint32]*guest
-	reply  wire.Reply
+	now     float64               // simulated time in seconds
+	servers map[uint32]*appServer // by instance
+	reply   wire.Reply
 
-	strange bool // an unknown event has been told of
+	unknownReported bool // an unknown event has been logged
 }
 
-// guest is one app server: its module, and small indices for the wire's ids.
-type guest struct {
+// appServer is one app server: its module, and the small indexes under which the module knows RPCs and callers.
+type appServer struct {
 	*host
-	who     uint32
-	module  *logic.Module
-	index   map[uint64]int
-	handles []uint64
-	spare   []int
-	callers map[uint16]int
+	instance      uint32
+	module        *logic.Module
+	indexByHandle map[uint64]int // of pending RPCs
+	handles       []uint64       // by index
+	freeIndexes   []int          // of released RPCs
+	callers       map[uint16]int // index by id
 }
 
-// Hello starts an instance. Settings that cannot be read, or that the module has no meaning for, end it with the key named; the
-// others go on.
-func (h *host) Hello(who uint32, _ uint64, params []byte) {
+// Hello starts an instance. Invalid settings end this instance with an error that names the key; other instances
+// continue.
+func (h *host) Hello(instance uint32, _ uint64, params []byte) {
 	deployment, err := settings.Parse(params)
 	if err == nil {
 		err = deployment.Check()
 	}
 	if err != nil {
-		delete(h.guests, who)
-		h.reply.Broken(who, "settings: "+err.Error())
+		delete(h.servers, instance)
+		h.reply.Broken(instance, "settings: "+err.Error())
 		return
 	}
-	g := &guest{host: h, who: who, index: map[uint64]int{}, callers: map[uint16]int{}}
-	h.guests[who] = g
-	g.module = logic.New(h.now, deployment, g)
+	s := &appServer{host: h, instance: instance, indexByHandle: map[uint64]int{}, callers: map[uint16]int{}}
+	h.servers[instance] = s
+	s.module = logic.New(h.now, deployment, s)
 }
 
-// Unknown events disturb nobody; one line tells of the first.
-func (h *host) Unknown(who uint32, code byte) {
-	if !h.strange {
-		h.strange = true
-		fmt.Fprintf(os.Stderr, "simhost: event of an unknown kind, or that points outside its batch: code %d, instance %d\n", code, who)
+// Unknown ignores the event and logs the first one.
+func (h *host) Unknown(instance uint32, code byte) {
+	if !h.unknownReported {
+		h.unknownReported = true
+		fmt.Fprintf(os.Stderr, "simhost: unknown event, or one that refers to data outside its batch: code %d, instance %d\n",
+			code, instance)
 	}
 }
 
-func (h *host) Order(who uint32, handle uint64, lay float64, further, reads bool, repeats uint64, due float64,
-	from uint16, tenant uint32, kb float64, class uint16) {
-	g := h.guests[who]
-	if g == nil {
+func (h *host) Order(instance uint32, handle uint64, readDelay float64, isRetry, readOnly bool, repeatOf uint64,
+	deadline float64, callerID uint16, tenant uint32, sizeKB float64, method uint16) {
+	s := h.servers[instance]
+	if s == nil {
 		return
 	}
-	caller, ok := g.callers[from]
+	caller, ok := s.callers[callerID]
 	if !ok {
-		caller = len(g.callers)
-		g.callers[from] = caller
+		caller = len(s.callers)
+		s.callers[callerID] = caller
 	}
-	earlier := rpc.RepeatsNone
-	if repeats != 0 {
-		if earlier, ok = g.index[repeats]; !ok {
-			earlier = rpc.RepeatsReleased
+	repeatedRPC := rpc.RepeatsNone
+	if repeatOf != 0 {
+		if repeatedRPC, ok = s.indexByHandle[repeatOf]; !ok {
+			repeatedRPC = rpc.RepeatsReleased
 		}
 	}
-	i := len(g.handles)
-	if n := len(g.spare); n > 0 {
-		i, g.spare = g.spare[n-1], g.spare[:n-1]
-		g.handles[i] = handle
+	i := len(s.handles)
+	if n := len(s.freeIndexes); n > 0 {
+		i, s.freeIndexes = s.freeIndexes[n-1], s.freeIndexes[:n-1]
+		s.handles[i] = handle
 	} else {
-		g.handles = append(g.handles, handle)
+		s.handles = append(s.handles, handle)
 	}
-	g.index[handle] = i
-	g.module.Arrive(h.now, i, int(class), caller, int(tenant), lay, further, reads, due, kb, earlier)
+	s.indexByHandle[handle] = i
+	s.module.Arrive(h.now, i, int(method), caller, int(tenant), readDelay, isRetry, readOnly,
+		deadline, sizeKB, repeatedRPC)
 }
 
-// find looks up an RPC that is still in hand; what is not is passed over.
-func (h *host) find(who uint32, handle uint64) (*guest, int, bool) {
-	g := h.guests[who]
-	if g == nil {
+// find looks up a pending RPC; events of RPCs that have been released are ignored.
+func (h *host) find(instance uint32, handle uint64) (*appServer, int, bool) {
+	s := h.servers[instance]
+	if s == nil {
 		return nil, 0, false
 	}
-	i, ok := g.index[handle]
-	return g, i, ok
+	i, ok := s.indexByHandle[handle]
+	return s, i, ok
 }
 
-func (h *host) WoundUp(who uint32, handle uint64, result uint16, took float64) {
-	if g, i, ok := h.find(who, handle); ok {
-		g.module.Ended(h.now, i, rpc.Outcome(result), took)
+func (h *host) WoundUp(instance uint32, handle uint64, result uint16, duration float64) {
+	if s, i, ok := h.find(instance, handle); ok {
+		s.module.Ended(h.now, i, rpc.Outcome(result), duration)
 	}
 }
 
-func (h *host) Stalled(who uint32, handle uint64) {
-	if g, i, ok := h.find(who, handle); ok {
-		g.module.NeedsCall(h.now, i)
+func (h *host) Stalled(instance uint32, handle uint64) {
+	if s, i, ok := h.find(instance, handle); ok {
+		s.module.NeedsCall(h.now, i)
 	}
 }
 
-func (h *host) Downstream(who uint32, handle uint64, result uint16, _ float64) {
-	if g, i, ok := h.find(who, handle); ok {
-		g.module.Called(h.now, i, rpc.Outcome(result))
+func (h *host) Downstream(instance uint32, handle uint64, result uint16, _ float64) {
+	if s, i, ok := h.find(instance, handle); ok {
+		s.module.Called(h.now, i, rpc.Outcome(result))
 	}
 }
 
-func (h *host) Notice(who uint32, at float64) {
-	if g := h.guests[who]; g != nil {
-		g.module.Leave(h.now, at)
+func (h *host) Notice(instance uint32, stopTime float64) {
+	if s := h.servers[instance]; s != nil {
+		s.module.Leave(h.now, stopTime)
 	}
 }
 
-func (h *host) Lapsed(who uint32, handle uint64) {
-	if g, i, ok := h.find(who, handle); ok {
-		g.module.CallerGone(h.now, i)
+func (h *host) Lapsed(instance uint32, handle uint64) {
+	if s, i, ok := h.find(instance, handle); ok {
+		s.module.CallerGone(h.now, i)
 	}
 }
 
-func (h *host) Elapsed(who uint32, _ uint64, n int, stats [4]float64) {
-	if g := h.guests[who]; g != nil {
-		g.module.Tick(h.now, stats[:n])
+func (h *host) Elapsed(instance uint32, _ uint64, count int, gauges [4]float64) {
+	if s := h.servers[instance]; s != nil {
+		s.module.Tick(h.now, gauges[:count])
 	}
 }
 
-func (h *host) Stop(who uint32) { delete(h.guests, who) }
+func (h *host) Stop(instance uint32) { delete(h.servers, instance) }
 
-func (g *guest) BlockingLimit(int) int        { return 0 } // app servers share no limit there
-func (g *guest) Start(i int)                  { g.reply.Take(g.who, g.handles[i]) }
-func (g *guest) Stop(i int)                   { g.reply.Interrupt(g.who, g.handles[i]) }
-func (g *guest) Call(i int, patience float64) { g.reply.Dial(g.who, g.handles[i], patience) }
-func (g *guest) Skip(i int)                   { g.reply.Skip(g.who, g.handles[i]) }
-func (g *guest) Abort(i int)                  { g.reply.Fail(g.who, g.handles[i]) }
-func (g *guest) Remember(i int, span float64) { g.reply.RecordKey(g.who, g.handles[i], span) }
-func (g *guest) Forget(i int)                 { g.reply.Evict(g.who, g.handles[i]) }
-func (g *guest) Follow(i int)                 { g.reply.Join(g.who, g.handles[i]) }
-func (g *guest) Publish(value float64)        { g.reply.Publish(g.who, value) }
-func (g *guest) Reap(idle float64)            { g.reply.ReapAfter(g.who, idle) }
-func (g *guest) Health(good bool)             { g.reply.Health(g.who, true, good) }
-func (g *guest) Wake(after float64)           { g.reply.Remind(g.who, after, 0) }
-func (g *guest) Log(text string)              { g.reply.Debug(g.who, text) }
-func (g *guest) PushBack(i int, last bool, after float64) {
-	g.reply.Busy(g.who, g.handles[i], last, after)
+func (s *appServer) BlockingLimit(int) int       { return 0 } // the simulator has no limits shared by app servers
+func (s *appServer) Start(i int)                 { s.reply.Take(s.instance, s.handles[i]) }
+func (s *appServer) Stop(i int)                  { s.reply.Interrupt(s.instance, s.handles[i]) }
+func (s *appServer) Call(i int, timeout float64) { s.reply.Dial(s.instance, s.handles[i], timeout) }
+func (s *appServer) Skip(i int)                  { s.reply.Skip(s.instance, s.handles[i]) }
+func (s *appServer) Abort(i int)                 { s.reply.Fail(s.instance, s.handles[i]) }
+func (s *appServer) Remember(i int, ttl float64) { s.reply.RecordKey(s.instance, s.handles[i], ttl) }
+func (s *appServer) Forget(i int)                { s.reply.Evict(s.instance, s.handles[i]) }
+func (s *appServer) Follow(i int)                { s.reply.Join(s.instance, s.handles[i]) }
+func (s *appServer) Publish(value float64)       { s.reply.Publish(s.instance, value) }
+func (s *appServer) Reap(idleTimeout float64)    { s.reply.ReapAfter(s.instance, idleTimeout) }
+func (s *appServer) Health(healthy bool)         { s.reply.Health(s.instance, true, healthy) }
+func (s *appServer) Wake(delay float64)          { s.reply.Remind(s.instance, delay, 0) }
+func (s *appServer) Log(text string)             { s.reply.Debug(s.instance, text) }
+func (s *appServer) PushBack(i int, final bool, retryAfter float64) {
+	s.reply.Busy(s.instance, s.handles[i], final, retryAfter)
 }
 
-func (g *guest) Release(i int) {
-	delete(g.index, g.handles[i])
-	g.spare = append(g.spare, i)
+func (s *appServer) Release(i int) {
+	delete(s.indexByHandle, s.handles[i])
+	s.freeIndexes = append(s.freeIndexes, i)
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// run feeds hex frames to a host and prints the codes of each reply's actions, and the error if there is one.
+// run passes hex frames to serve and prints the codes of the actions in each reply, then the error.
 func run(frames ...string) {
 	in, err := hex.DecodeString(strings.Join(frames, ""))
 	if err != nil {
@@ -27,15 +27,16 @@
 	fmt.Println(err)
 }
 
-func batch(tail string, records ...string) string {
+// batch returns a frame in hex with records given in hex, each padded with zeros.
+func batch(payload string, records ...string) string {
 	body := ""
 	for _, r := range records {
 		body += r + strings.Repeat("0", 144-len(r))
 	}
-	return fmt.Sprintf("%08x%08x4020d3126e978d50%s%x", len(records), 16+72*len(records)+len(tail), body, tail)
+	return fmt.Sprintf("%08x%08x4020d3126e978d50%s%x", len(records), 16+72*len(records)+len(payload), body, payload)
 }
 
-// What is not known any more changes nothing; a start, an RPC of no known method, and a stop.
+// Events of unknown instances and of RPCs that are not pending are ignored. An RPC of an unknown method is failed.
 func Example_serve() {
 	settings := `{"domain":{"nCores":1,"signal":"allowance"},"unknown":1}`
 	run(batch(""),
@@ -52,22 +53,23 @@
 	// <nil>
 }
 
-// Bad settings end their instance alone, with the key named; events that are not known disturb nobody; a frame that is cut off
-// ends the process, as nothing behind it can be read.
+// Invalid settings end only their instance, with an error that names the key. Unknown events are ignored. A truncated
+// frame ends the process, as nothing after it can be read.
 func Example_badInput() {
-	hello := func(who int, settings string) string {
-		return batch(settings, fmt.Sprintf("01%08x%016x%08x%08x", who, 9, 0, len(settings)))
+	hello := func(instance int, settings string) string {
+		return batch(settings, fmt.Sprintf("01%08x%016x%08x%08x", instance, 9, 0, len(settings)))
 	}
-	good := `{"domain":{"nCores":1}}`
-	for _, bad := range []string{"{", `{"domain":{"nCores":"two"}}`, `{"domain":{"signal":"shouts"}}`,
+	valid := `{"domain":{"nCores":1}}`
+	for _, invalid := range []string{"{", `{"domain":{"nCores":"two"}}`, `{"domain":{"signal":"shouts"}}`,
 		`{"domain":{"preemption":"maybe"}}`, `{"domain":{"below":"sea"}}`, `{"domain":{"freshS":-1}}`,
 		`{"profiles":[{"idempotency":"perhaps"}]}`, `{"profiles":[{"idempotency":"dedup","windowS":-1}]}`} {
 		var out bytes.Buffer
-		in, _ := hex.DecodeString(hello(3, bad))
+		in, _ := hex.DecodeString(hello(3, invalid))
 		serve(bytes.NewReader(in), &out)
 		fmt.Printf("%d %s\n", out.Bytes()[8], out.Bytes()[8+24:])
 	}
-	run(hello(3, "{"), hello(4, good), batch("", "6300000003", "0200000004000a4b7f5d3a91c5", "0200000003000a4b7f5d3a91c6"))
+	run(hello(3, "{"), hello(4, valid),
+		batch("", "6300000003", "0200000004000a4b7f5d3a91c5", "0200000003000a4b7f5d3a91c6"))
 	run(batch("")[:20])
 	// Output:
 	// 15 settings: not a JSON object: unexpected end of JSON input
