--- a/cmd/valveglade/descriptors_test.go
+++ b/cmd/valveglade/descriptors_test.go
@@ -17,21 +17,21 @@
 	"unsafe"
 )
 
-// kernelStub is a kernel that is up and leaves runs to the test.
-type kernelStub struct {
+// fakeKernel is a kernel that is running; the test ends the runs.
+type fakeKernel struct {
 	net.Listener
-	link chan net.Conn // each link that has been opened
-	runs chan string   // ids of what is asked for
+	link chan net.Conn // accepted links
+	runs chan string   // ids of the requested runs
 }
 
-func newKernelStub(t *testing.T) *kernelStub {
+func newFakeKernel(t *testing.T) *fakeKernel {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	k := &kernelStub{Listener: listener, link: make(chan net.Conn, 100), runs: make(chan string, 100)}
+	k := &fakeKernel{Listener: listener, link: make(chan net.Conn, 100), runs: make(chan string, 100)}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -44,7 +44,7 @@
 	return k
 }
 
-func (k *kernelStub) serve(link net.Conn) {
+func (k *fakeKernel) serve(link net.Conn) {
 	defer link.Close()
 	lines := bufio.NewScanner(link)
 	for lines.Scan() {
@@ -62,11 +62,11 @@
 	}
 }
 
-// execute writes one RPC.
+// execute sends one RPC.
 func execute(to io.Writer, seq int) error {
 	text := func(s string) string { return string(binary.BigEndian.AppendUint32(nil, uint32(len(s)))) + s }
-	pairs := []string{"op", "look", "call", fmt.Sprintf("%016x", seq), "src", "1", "recv", fmt.Sprint(time.Now().UnixMilli()),
-		"ttl", "30000", "heap", "10"}
+	pairs := []string{"op", "look", "call", fmt.Sprintf("%016x", seq), "src", "1",
+		"recv", fmt.Sprint(time.Now().UnixMilli()), "ttl", "30000", "heap", "10"}
 	frame := "\x80\x01\x00\x01" + text("execute") + string(binary.BigEndian.AppendUint32(nil, uint32(seq))) +
 		"\x0d\x00\x01\x0b\x0b" + string(binary.BigEndian.AppendUint32(nil, uint32(len(pairs)/2)))
 	for _, s := range pairs {
@@ -76,8 +76,8 @@
 	return err
 }
 
-// answer reads one message.
-func answer(from io.Reader) (string, error) {
+// readReply reads one message.
+func readReply(from io.Reader) (string, error) {
 	head := make([]byte, 4)
 	if _, err := io.ReadFull(from, head); err != nil {
 		return "", err
@@ -87,20 +87,20 @@
 	return string(b), err
 }
 
-// fillDescriptors lowers the process's limit to what it holds.
+// fillDescriptors lowers the descriptor limit of the process to the descriptors that it has open.
 func (p *program) fillDescriptors(t *testing.T) {
 	t.Helper()
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := map[int]bool{}
+	open := map[int]bool{}
 	for _, name := range names {
 		n, _ := strconv.Atoi(name.Name())
-		held[n] = true
+		open[n] = true
 	}
 	free := 0
-	for held[free] {
+	for open[free] {
 		free++
 	}
 	p.limitDescriptors(t, uint64(free))
@@ -112,11 +112,11 @@
 	_, _, failed := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(p.Process.Pid), syscall.RLIMIT_NOFILE,
 		uintptr(unsafe.Pointer(&limit)), 0, 0, 0)
 	if failed != 0 {
-		t.Skipf("the system does not let a limit be lowered: %v", failed)
+		t.Skipf("the system does not allow the limit to be lowered: %v", failed)
 	}
 }
 
-// processorTime is what the process has used of the processor.
+// processorTime returns the processor time that the process has used.
 func (p *program) processorTime(t *testing.T) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
@@ -132,13 +132,13 @@
 	return time.Duration(ticks) * time.Second / 100
 }
 
-// The system has no descriptor left for the process while a router's RPC runs: newcomers are told, nobody spins, the RPC is answered,
-// and a new configuration with another kernel is taken over.
+// The process is out of descriptors while an RPC of a router runs: new connections are rejected, no loop spins, the
+// RPC is answered, and a new configuration with another kernel takes effect.
 func TestDescriptorsFull(t *testing.T) {
-	kernel := newKernelStub(t)
+	kernel := newFakeKernel(t)
 	p := startProgram(t, os.Stderr)
 	p.setKernel(t, kernel.Addr().String())
-	p.answers(t)
+	p.waitHealthy(t)
 	p.Process.Signal(syscall.SIGHUP)
 	link := receive(t, kernel.link)
 	router, err := net.Dial("tcp", p.address)
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	defer router.Close()
-	router.SetDeadline(time.Now().Add(2 * patience))
+	router.SetDeadline(time.Now().Add(2 * testTimeout))
 	execute(router, 1)
 	receive(t, kernel.runs)
 
@@ -154,36 +154,36 @@
 	before := p.processorTime(t)
 	began := time.Now()
 	for range 5 {
-		newcomer, err := net.Dial("tcp", p.address)
+		newConn, err := net.Dial("tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		newcomer.SetDeadline(time.Now().Add(3 * time.Second))
-		execute(newcomer, 1)
-		// An answer, or a close over what has not been read.
-		if _, err := answer(newcomer); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a newcomer hears nothing: %v", err)
+		newConn.SetDeadline(time.Now().Add(3 * time.Second))
+		execute(newConn, 1)
+		// Either a reply, or a close with unread data.
+		if _, err := readReply(newConn); errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("a new connection gets no reply: %v", err)
 		}
-		newcomer.Close()
+		newConn.Close()
 	}
 	time.Sleep(time.Second - min(time.Second, time.Since(began)))
-	if used, span := p.processorTime(t)-before, time.Since(began); used > span/4 {
-		t.Errorf("%v of the processor in %v", used, span)
+	if used, elapsed := p.processorTime(t)-before, time.Since(began); used > elapsed/4 {
+		t.Errorf("used %v of processor time in %v", used, elapsed)
 	}
 	fmt.Fprintf(link, `{"action":"REAP","pos":1,"uid":"%016x","code":"fine","wall_ms":9,"content":"b25l"}`+"\n", 1)
-	if got, err := answer(router); err != nil || !strings.Contains(got, "one") {
-		t.Errorf("the RPC that ran is answered %q, %v", got, err)
+	if got, err := readReply(router); err != nil || !strings.Contains(got, "one") {
+		t.Errorf("reply to the running RPC: %q, %v", got, err)
 	}
 
-	second := newKernelStub(t)
+	second := newFakeKernel(t)
 	p.setKernel(t, second.Addr().String())
 	p.Process.Signal(syscall.SIGHUP)
-	time.Sleep(3 * time.Second) // longer than a faulty file is looked at again
+	time.Sleep(3 * time.Second) // longer than the interval at which an invalid file is read again
 	kernel.Close()
 	receive(t, second.link)
 	p.limitDescriptors(t, 1<<10)
-	p.answers(t)
-	p.stops(t)
+	p.waitHealthy(t)
+	p.shutDown(t)
 }
 
 func receive[T any](t *testing.T, from chan T) T {
@@ -191,8 +191,8 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
-		t.Fatal("never came")
-		panic("not reached")
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for an event")
+		panic("unreachable")
 	}
 }
--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -15,93 +15,98 @@
 	"valveglade/member"
 )
 
-// fleetCommand shows the view of the app server that runs here under the same operators' file.
+// fleetCommand shows the fleet as seen by the app server that runs on this machine with the same settings file.
 func fleetCommand(settingsPath *string) *cobra.Command {
 	var asJSON bool
 	var socket string
-	c := &cobra.Command{Use: "fleet", Short: "show who is in the fleet, as the app server here sees it", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "fleet",
+		Short: "show the members of the fleet, as seen by the local app server", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			shown, err := ask(*settingsPath, socket)
+			status, err := readStatus(*settingsPath, socket)
 			if err != nil {
 				return err
 			}
 			if !asJSON {
-				shown.Table(cmd.OutOrStdout())
+				status.Table(cmd.OutOrStdout())
 				return nil
 			}
-			to := json.NewEncoder(cmd.OutOrStdout())
-			to.SetIndent("", " ")
-			return to.Encode(shown)
+			encoder := json.NewEncoder(cmd.OutOrStdout())
+			encoder.SetIndent("", " ")
+			return encoder.Encode(status)
 		}}
-	// part shows one part of what is told beside the view.
-	part := func(use, short string, show func(to io.Writer, s fleet.Status) any) {
-		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			shown, err := ask(*settingsPath, socket)
-			if err != nil {
-				return err
-			}
-			var s fleet.Status
-			if shown.Roles != nil {
-				if err := json.Unmarshal(shown.Roles, &s); err != nil {
-					return fmt.Errorf("what it tells cannot be read: %w", err)
+	// addSubcommand adds a command that shows one part of the status.
+	addSubcommand := func(use, short string, show func(w io.Writer, fleetStatus fleet.Status) any) {
+		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
+			RunE: func(cmd *cobra.Command, _ []string) error {
+				status, err := readStatus(*settingsPath, socket)
+				if err != nil {
+					return err
 				}
-			}
-			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(show(io.Discard, s))
-			}
-			show(t, s)
-			return t.Flush()
-		}})
+				var fleetStatus fleet.Status
+				if status.Roles != nil {
+					if err := json.Unmarshal(status.Roles, &fleetStatus); err != nil {
+						return fmt.Errorf("the status of the fleet is invalid: %w", err)
+					}
+				}
+				table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+				if asJSON {
+					return json.NewEncoder(cmd.OutOrStdout()).Encode(show(io.Discard, fleetStatus))
+				}
+				show(table, fleetStatus)
+				return table.Flush()
+			}})
 	}
-	part("owners", "show who owns which role, as far as the app server here knows", func(to io.Writer, s fleet.Status) any {
-		fmt.Fprintln(to, "ROLE\tOWNER\tTERM\tLEASE LEFT\tSINCE\tLAST REJECTION")
-		for _, o := range s.Roles {
-			who := cmp.Or(o.Owner, "not known")
-			if o.Owns {
-				who += " (this one)"
+	addSubcommand("owners", "show the owner of each role, as known to the local app server",
+		func(w io.Writer, fleetStatus fleet.Status) any {
+			fmt.Fprintln(w, "ROLE\tOWNER\tTERM\tLEASE LEFT\tSINCE\tLAST REJECTION")
+			for _, role := range fleetStatus.Roles {
+				owner := cmp.Or(role.Owner, "not known")
+				if role.Owns {
+					owner += " (this one)"
+				}
+				fmt.Fprintf(w, "%s\t%s\t%d\t%gs\t%s\t%s\n", role.Role, owner, role.Term, role.Left, role.Since, role.LastRejection)
 			}
-			fmt.Fprintf(to, "%s\t%s\t%d\t%gs\t%s\t%s\n", o.Role, who, o.Term, o.Left, o.Since, o.LastRejection)
-		}
-		return s.Roles
-	})
-	part("shares", "show the fleet's common limits: what this app server has of them and, on the allocator, what everybody has",
-		func(to io.Writer, s fleet.Status) any {
-			fmt.Fprintln(to, "SHARE\tAPP SERVER\tLIMIT\tRESERVED\tGRANTED\tRUNNING\tWAITING\tENDS IN\tREMARKS")
-			for _, one := range s.Shares {
+			return fleetStatus.Roles
+		})
+	addSubcommand("shares", "show the shared limits: permits of this app server and, on the allocator, of all members",
+		func(w io.Writer, fleetStatus fleet.Status) any {
+			fmt.Fprintln(w, "SHARE\tAPP SERVER\tLIMIT\tRESERVED\tGRANTED\tRUNNING\tWAITING\tENDS IN\tREMARKS")
+			for _, share := range fleetStatus.Shares {
 				limit := "-"
-				if one.Limit > 0 {
-					limit = fmt.Sprint(one.Limit)
+				if share.Limit > 0 {
+					limit = fmt.Sprint(share.Limit)
 				}
-				fmt.Fprintf(to, "%s\tthis one\t%s\t%d\t%d\t%d\t%d\t%gs\tallocated by %s\n", one.Name, limit, one.Reserved, one.Granted, one.Running,
-					one.Waiting, one.Left, cmp.Or(one.Allocator, "nobody known"))
-				for _, h := range one.Holders {
-					fmt.Fprintf(to, "%s\t%s\t\t\t%d\t%d\t%d\t%gs\thas at most %d, asked %gs ago\n", one.Name, h.Name, h.Given, h.Uses,
-						max(h.Wants-h.Uses, 0), h.Left, h.Had, h.Heard)
+				fmt.Fprintf(w, "%s\tthis one\t%s\t%d\t%d\t%d\t%d\t%gs\tallocated by %s\n",
+					share.Name, limit, share.Reserved, share.Granted, share.Running, share.Waiting, share.Left,
+					cmp.Or(share.Allocator, "nobody known"))
+				for _, holder := range share.Holders {
+					fmt.Fprintf(w, "%s\t%s\t\t\t%d\t%d\t%d\t%gs\thas at most %d, asked %gs ago\n",
+						share.Name, holder.Name, holder.Given, holder.Uses, max(holder.Wants-holder.Uses, 0),
+						holder.Left, holder.Had, holder.Heard)
 				}
 			}
-			return s.Shares
+			return fleetStatus.Shares
 		})
 	addConfigCommands(c, settingsPath, &socket, &asJSON)
-	c.PersistentFlags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.PersistentFlags().StringVar(&socket, "socket", "", "the local socket, instead of the operators' file's")
+	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
+	c.PersistentFlags().StringVar(&socket, "socket", "", "the local socket, instead of the one in the settings file")
 	return c
 }
 
-// ask finds the local socket, and reads what is told there.
-func ask(settingsPath, socket string) (member.Status, error) {
+// readStatus finds the local socket and reads the status of the fleet from it.
+func readStatus(settingsPath, socket string) (member.Status, error) {
 	socket, err := findSocket(settingsPath, socket)
 	if err != nil {
 		return member.Status{}, err
 	}
-	shown, err := member.ReadStatus(socket)
+	status, err := member.ReadStatus(socket)
 	if err != nil {
-		return shown, fmt.Errorf("nobody answers at %s: %w", socket, err)
+		return status, fmt.Errorf("no status of the fleet from %s: %w", socket, err)
 	}
-	return shown, nil
+	return status, nil
 }
 
-// findSocket gives the local socket of the view: the one that is named, or that of the operators' file.
+// findSocket returns the path of the local socket: the given one, or that of the settings file.
 func findSocket(settingsPath, socket string) (string, error) {
 	if socket != "" {
 		return socket, nil
@@ -111,7 +116,7 @@
 		return "", err
 	}
 	if settings.Fleet.Socket == "" {
-		return "", errors.New("no fleet.socket is set: name the operators' file with --settings, or the socket with --socket")
+		return "", errors.New("no fleet.socket is set: pass the settings file with --settings or the socket with --socket")
 	}
 	return settings.Fleet.Socket, nil
 }
--- a/cmd/valveglade/log.go
+++ b/cmd/valveglade/log.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	logCapacity = 128 << 10              // bytes of log lines that wait for whoever reads them: some 500
-	logFlush    = 100 * time.Millisecond // at the exit for what is left: a pipe with a reader takes microseconds
-	// Of lines with the same text, logFirst a second are logged and then one in logThereafter: zap's production figures.
+	logCapacity     = 128 << 10              // bytes of log lines that wait to be written: about 500 lines
+	logFlushTimeout = 100 * time.Millisecond // timeout of the last write at exit; a pipe with a reader takes microseconds
+	// Of the lines with the same text, the first logFirst in a second are logged, then one in logThereafter,
+	// as in zap's production configuration.
 	logFirst, logThereafter = 100, 100
 )
 
-// standardError is where everything that the program says on its own goes. Guards against a reader of the log that stops reading,
-// which would hold up whichever goroutine logs, and against one that ends: a write to a broken standard error ends a Go process,
-// unless it ignores the signal.
+// standardError receives all log lines and errors of the program. It guards against a reader of the log that stops
+// reading, which would block every goroutine that logs, and against one that exits: a write to a closed pipe on
+// standard error ends a Go process unless it ignores SIGPIPE.
 type standardError struct{ *logsink.Sink }
 
 func openStandardError() standardError {
@@ -30,15 +31,16 @@
 	return standardError{logsink.New(os.Stderr, logCapacity)}
 }
 
-// logger logs as zap does in production: JSON, from level info.
-func (to standardError) logger(name string) *zap.Logger {
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), to, zapcore.InfoLevel)
+// logger returns a logger with zap's production format: JSON, from level info.
+func (stderr standardError) logger(name string) *zap.Logger {
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), stderr, zapcore.InfoLevel)
 	core = zapcore.NewSamplerWithOptions(core, time.Second, logFirst, logThereafter)
-	return zap.New(core, zap.AddCaller(), zap.AddStacktrace(zapcore.ErrorLevel), zap.ErrorOutput(to), zap.Fields(zap.String("name", name)))
+	return zap.New(core, zap.AddCaller(), zap.AddStacktrace(zapcore.ErrorLevel), zap.ErrorOutput(stderr),
+		zap.Fields(zap.String("name", name)))
 }
 
-// fail says why the program ends with a failure.
-func (to standardError) fail(err error) { fmt.Fprintln(to, "valveglade:", err) }
+// fail writes the error that ends the program.
+func (stderr standardError) fail(err error) { fmt.Fprintln(stderr, "valveglade:", err) }
 
-// flush gives what is left a bounded time to be written.
-func (to standardError) flush() { to.Close(logFlush) }
+// flush waits up to logFlushTimeout until the remaining lines are written.
+func (stderr standardError) flush() { stderr.Close(logFlushTimeout) }
--- a/cmd/valveglade/log_test.go
+++ b/cmd/valveglade/log_test.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// serveVariable has the test's binary be the program.
+// serveVariable is the environment variable that makes the test binary run the program.
 const serveVariable = "VALVEGLADE_TEST_SERVES"
 
-// patience is for what must come: longer than any machine takes, as a test that passes never waits for it.
-const patience = 20 * time.Second
+// testTimeout bounds waits for events that must happen. It is long, as a test that passes never waits for it.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	if os.Getenv(serveVariable) != "" {
@@ -28,15 +28,15 @@
 	os.Exit(m.Run())
 }
 
-// program is the program as a process of its own, with a kernel that is not up.
+// program is the program in a process of its own, with a kernel that accepts connections but never answers.
 type program struct {
 	*exec.Cmd
 	address string
-	config  string // the path of its configuration
+	config  string // path of its configuration file
 	ended   chan error
 }
 
-// startProgram starts the program with a standard error of the test's.
+// startProgram starts the program with the given standard error.
 func startProgram(t *testing.T, standardError *os.File) *program {
 	t.Helper()
 	kernel, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &program{address: free.Addr().String(), config: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
+	p := &program{address: free.Addr().String(), config: filepath.Join(t.TempDir(), "config.json"),
+		ended: make(chan error, 1)}
 	free.Close()
 	p.setKernel(t, kernel.Addr().String())
 	p.Cmd = exec.Command(os.Args[0])
@@ -63,7 +64,7 @@
 	return p
 }
 
-// setKernel writes the configuration.
+// setKernel writes a configuration with the given address of the kernel.
 func (p *program) setKernel(t *testing.T, address string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"kernel":%q,"roster":"127.0.0.1:9","stop_ms":1000,
@@ -73,8 +74,8 @@
 	}
 }
 
-// check makes one health check on a connection of its own.
-func (p *program) check() error {
+// checkHealth makes one health check on a new connection.
+func (p *program) checkHealth() error {
 	const call = "\x00\x00\x00\x12\x80\x01\x00\x01\x00\x00\x00\x05check\x00\x00\x00\x01\x00"
 	conn, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -93,16 +94,16 @@
 	return err
 }
 
-// answers waits until the program answers health checks.
-func (p *program) answers(t *testing.T) {
+// waitHealthy waits until the program answers health checks.
+func (p *program) waitHealthy(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience / 2); ; time.Sleep(10 * time.Millisecond) {
-		err := p.check()
+	for end := time.Now().Add(testTimeout / 2); ; time.Sleep(10 * time.Millisecond) {
+		err := p.checkHealth()
 		switch {
 		case err == nil:
 			return
 		case time.Now().After(end):
-			t.Fatalf("nobody answers: %v", err)
+			t.Fatalf("no reply to health checks: %v", err)
 		}
 		select {
 		case err := <-p.ended:
@@ -112,8 +113,8 @@
 	}
 }
 
-// stops gives notice and expects a clean end.
-func (p *program) stops(t *testing.T) {
+// shutDown sends SIGTERM and expects a clean exit.
+func (p *program) shutDown(t *testing.T) {
 	t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	select {
@@ -121,12 +122,12 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
-		t.Error("still runs after its notice")
+	case <-time.After(testTimeout):
+		t.Error("still running after SIGTERM")
 	}
 }
 
-// fullPipe gives a pipe that takes nothing more.
+// fullPipe returns a pipe whose buffer is full.
 func fullPipe(t *testing.T) (reader, writer *os.File) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
@@ -152,17 +153,17 @@
 	return reader, writer
 }
 
-// Nobody reads the log, and its pipe is full: the app server serves, reloads and ends as ever.
+// Nobody reads the log and its pipe is full: the app server serves, reloads and exits as usual.
 func TestFullLog(t *testing.T) {
 	_, writer := fullPipe(t)
 	p := startProgram(t, writer)
-	p.answers(t)
+	p.waitHealthy(t)
 	p.Process.Signal(syscall.SIGHUP)
-	p.answers(t)
-	p.stops(t)
+	p.waitHealthy(t)
+	p.shutDown(t)
 }
 
-// Who read the log has ended: the app server serves, reloads and ends as ever.
+// The reader of the log has exited: the app server serves, reloads and exits as usual.
 func TestClosedLog(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -171,17 +172,17 @@
 	reader.Close()
 	p := startProgram(t, writer)
 	writer.Close()
-	p.answers(t)
+	p.waitHealthy(t)
 	p.Process.Signal(syscall.SIGHUP)
-	p.answers(t)
-	p.stops(t)
+	p.waitHealthy(t)
+	p.shutDown(t)
 }
 
-// A start that fails says why and ends, also where nobody reads that.
+// A failed start exits with status 1 even if nobody reads its error.
 func TestFullLogAtFailedStart(t *testing.T) {
 	_, writer := fullPipe(t)
 	p := startProgram(t, writer)
-	p.answers(t)
+	p.waitHealthy(t)
 	second := exec.Command(os.Args[0])
 	second.Env = append(os.Environ(), serveVariable+"=1", "GW_CONFIG="+p.config)
 	second.Stderr = writer
@@ -194,11 +195,11 @@
 	select {
 	case err := <-ended:
 		if second.ProcessState.ExitCode() != 1 {
-			t.Errorf("an address that is taken: %v, wanted exit status 1", err)
+			t.Errorf("listening on an address in use: %v, want exit status 1", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		second.Process.Kill()
-		t.Error("hangs where it cannot listen")
+		t.Error("does not exit when it cannot listen")
 	}
-	p.stops(t)
+	p.shutDown(t)
 }
--- a/cmd/valveglade/main.go
+++ b/cmd/valveglade/main.go
@@ -1,5 +1,5 @@
-// Command valveglade is one app server, and what its operators need beside it. Without a sub-command it serves. SIGTERM
-// is its notice to leave, SIGHUP has it read its configuration again.
+// Command valveglade runs an app server and provides commands for its operators. Without a sub-command it serves.
+// SIGTERM is its shutdown notice, SIGHUP reloads its configuration.
 package main
 
 import (
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	reload := make(chan os.Signal, 1) // before all else: without it SIGHUP would end the process
+	reload := make(chan os.Signal, 1) // registered first, as SIGHUP would otherwise end the process
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -30,28 +30,29 @@
 	}
 }
 
-// command is the program's command line.
+// command returns the root command.
 func command(reload <-chan os.Signal, stderr standardError) *cobra.Command {
 	var settingsPath string
-	serving := func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), reload, settingsPath, stderr) }
-	root := &cobra.Command{Use: "valveglade", Short: "an app server that decides admission for itself", Args: cobra.NoArgs,
-		RunE: serving, SilenceUsage: true, SilenceErrors: true}
-	root.PersistentFlags().StringVar(&settingsPath, "settings", "", "the operators' own file")
+	runServe := func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), reload, settingsPath, stderr) }
+	root := &cobra.Command{Use: "valveglade", Short: "an app server with its own admission control", Args: cobra.NoArgs,
+		RunE: runServe, SilenceUsage: true, SilenceErrors: true}
+	root.PersistentFlags().StringVar(&settingsPath, "settings", "", "the operators' settings file")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "serve until SIGTERM, by the file that GW_CONFIG names", Args: cobra.NoArgs, RunE: serving},
-		&cobra.Command{Use: "check", Short: "check the files and show what would be in force", Args: cobra.NoArgs,
+		&cobra.Command{Use: "serve", Short: "serve until SIGTERM, with the configuration file that GW_CONFIG names",
+			Args: cobra.NoArgs, RunE: runServe},
+		&cobra.Command{Use: "check", Short: "check the files and show the values that would be in force", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error { return check(cmd, settingsPath) }},
-		&cobra.Command{Use: "sample", Short: "write an operators' file with every directive", Args: cobra.NoArgs,
+		&cobra.Command{Use: "sample", Short: "write a settings file with every directive", Args: cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) { config.Sample(cmd.OutOrStdout()) }},
 		fleetCommand(&settingsPath),
-		&cobra.Command{Use: "version", Short: "say which build this is", Args: cobra.NoArgs,
+		&cobra.Command{Use: "version", Short: "show the version of this build", Args: cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), version()) }})
 	return root
 }
 
-// check reads what a start would read. The platform's file is looked at where GW_CONFIG names one.
+// check reads the files that serve would read. The platform's file is checked only if GW_CONFIG is set.
 func check(cmd *cobra.Command, path string) error {
-	b, err := config.ReadSettings(path)
+	settings, err := config.ReadSettings(path)
 	if err != nil {
 		return err
 	}
@@ -60,9 +61,10 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "# %s: %s at %s, %d methods\n", os.Getenv("GW_CONFIG"), c.Name, c.Listen, len(c.Methods))
+		fmt.Fprintf(cmd.OutOrStdout(), "# %s: %s at %s, %d methods\n",
+			os.Getenv("GW_CONFIG"), c.Name, c.Listen, len(c.Methods))
 	}
-	b.Show(cmd.OutOrStdout())
+	settings.Show(cmd.OutOrStdout())
 	return nil
 }
 
@@ -85,18 +87,18 @@
 	if err != nil {
 		return err
 	}
-	b, err := config.ReadSettings(path)
+	settings, err := config.ReadSettings(path)
 	if err != nil {
 		return err
 	}
-	s := server.NewUnder(c, b, stderr.logger(c.Name))
+	s := server.NewUnder(c, settings, stderr.logger(c.Name))
 	go s.Reload(context.WithoutCancel(ctx), reload, func() (*config.Config, *config.Settings, error) {
 		c, err := config.FromEnv()
 		if err != nil {
 			return nil, nil, err
 		}
-		b, err := config.ReadSettings(path)
-		return c, b, err
+		settings, err := config.ReadSettings(path)
+		return c, settings, err
 	})
 	return s.Serve(ctx)
 }
--- a/cmd/valveglade/main_test.go
+++ b/cmd/valveglade/main_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// SIGHUP never ends the process, whatever the file holds; SIGTERM does, by the usual way. Before, SIGHUP had
-// its default effect and would end this test.
+// SIGHUP never ends the process, whatever the file contains; SIGTERM shuts it down. Guards against a SIGHUP with its
+// default effect, which would end this test.
 func Example_main() {
 	dir, err := os.MkdirTemp("", "valveglade")
 	if err != nil {
@@ -23,14 +23,14 @@
 	}
 	defer kernel.Close()
 	file := filepath.Join(dir, "config.json")
-	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","kernel":%q,"roster":"127.0.0.1:9","stop_ms":600,
+	configText := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","kernel":%q,"roster":"127.0.0.1:9","stop_ms":600,
 		"settings":{"profiles":[{"name":"look","idempotency":"retryable"}]}}`, kernel.Addr())
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			panic(err)
 		}
 	}
-	write(text)
+	write(configText)
 	os.Setenv("GW_CONFIG", file)
 	os.Args = os.Args[:1]
 	ended := make(chan bool)
@@ -39,7 +39,7 @@
 		close(ended)
 	}()
 	kernel.Accept()
-	for _, s := range []string{"{", text, ""} {
+	for _, s := range []string{"{", configText, ""} {
 		write(s)
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
 		time.Sleep(10 * time.Millisecond)
