--- a/config/fleet.go
+++ b/config/fleet.go
@@ -21,7 +21,7 @@
 	Voters          [][]string       // one list, or two during a change of voters; none without elections
 	Lease           float64          // duration of a lease on a role
 	Drift           float64          // relative clock drift between two machines: 0.01 is 1%
-	StateDir        string           // directory that survives restarts, for persisted votes
+	StateDir        string           // directory that survives restarts, for votes and the log of the configuration
 	Roles           []Role           // elected roles
 	Shares          []Share          // limits common to the fleet
 	Reserved        int              // permits of each share that each of ReservedMembers holds without a request
