--- a/config/config.go
+++ b/config/config.go
@@ -14,16 +14,16 @@
 
 // Config is the configuration that the platform passes to one app server at startup. Times are in seconds.
 type Config struct {
-	Name        string
+	Name        string         // name of this app server
 	Listen      netip.AddrPort // where routers connect
-	Kernel      netip.AddrPort
-	Roster      netip.AddrPort
-	StopTimeout float64 // from the shutdown notice to the kill
-	Memory      int     // limit of the process in bytes
-	Sockets     int     // limit of open file descriptors
-	Cores       float64 // limit of processor cores, 0 if not configured
-	Methods     []string
-	Rules       rpc.Settings
+	Kernel      netip.AddrPort // address of the kernel that executes RPCs
+	Roster      netip.AddrPort // address of the roster of app servers
+	StopTimeout float64        // from the shutdown notice to the kill
+	Memory      int            // limit of the process in bytes
+	Sockets     int            // limit of open file descriptors
+	Cores       float64        // limit of processor cores, 0 if not configured
+	Methods     []string       // names, in the order of Rules.Methods
+	Rules       rpc.Settings   // settings of the decision module
 }
 
 // Defaults for keys that the file leaves out: the limits that the platform documents.
@@ -34,7 +34,7 @@
 )
 
 // Bounds of the configured limits. An idle process takes 13 MB. It reserves 20 descriptors for itself, and four more
-// may be closing while new ones are opened. No machine has more memory than maxMemoryMB.
+// may be closing while new ones are opened. maxMemoryMB is above the memory of any machine.
 const (
 	minMemoryMB = 16
 	minSockets  = 32
--- a/config/distribution.go
+++ b/config/distribution.go
@@ -42,14 +42,16 @@
 
 var distributionDirectives = []directive{
 	{"fleet.config", "on|off", "the fleet distributes routes and tenants; its voters store the replicated log of changes",
-		func(settings *Settings, w []string) (err error) {
-			settings.Fleet.Distribution.On, err = parseSwitch(w)
+		func(settings *Settings, words []string) (err error) {
+			settings.Fleet.Distribution.On, err = parseSwitch(words)
 			return err
 		},
 		func(settings *Settings) string { return formatSwitch(settings.Fleet.Distribution.On) }},
 	{"fleet.config-services", "all|none|NAME...",
 		"services whose routes and tenants are stored here; others are looked up on demand",
-		func(settings *Settings, w []string) error { return settings.Fleet.Distribution.parseServices(w) },
+		func(settings *Settings, words []string) error {
+			return settings.Fleet.Distribution.parseServices(words)
+		},
 		func(settings *Settings) string {
 			if settings.Fleet.Distribution.AllServices {
 				return "all"
@@ -58,19 +60,19 @@
 		}},
 	{"fleet.config-distributors", "none|NAME...",
 		"app servers that store the whole configuration and serve it to others; the voters if there are none",
-		func(settings *Settings, w []string) (err error) {
-			settings.Fleet.Distribution.Distributors, err = parseNames(w, maxDistributors, checkMemberName)
+		func(settings *Settings, words []string) (err error) {
+			settings.Fleet.Distribution.Distributors, err = parseNames(words, maxDistributors, checkMemberName)
 			return err
 		},
 		func(settings *Settings) string { return formatNames(settings.Fleet.Distribution.Distributors) }},
 	{"fleet.config-rate", "SIZE", "the most that is sent to one app server in a second; 1KB is 1000 bytes",
-		func(settings *Settings, w []string) error {
-			return parseSize(&settings.Fleet.Distribution.BytesPerSecond, w, minDistributionRate, maxDistributionRate)
+		func(settings *Settings, words []string) error {
+			return parseSize(&settings.Fleet.Distribution.BytesPerSecond, words, minDistributionRate, maxDistributionRate)
 		},
 		func(settings *Settings) string { return formatSize(settings.Fleet.Distribution.BytesPerSecond) }},
 	{"fleet.config-age", "TIME", "age from which the configuration is reported as stale, if no newer version is known",
-		func(settings *Settings, w []string) error {
-			return parseDuration(&settings.Fleet.Distribution.StaleAfter, w, minDistributionAge, maxDistributionAge)
+		func(settings *Settings, words []string) error {
+			return parseDuration(&settings.Fleet.Distribution.StaleAfter, words, minDistributionAge, maxDistributionAge)
 		},
 		func(settings *Settings) string { return formatDuration(settings.Fleet.Distribution.StaleAfter) }},
 }
--- a/config/fleet_election.go
+++ b/config/fleet_election.go
@@ -15,8 +15,8 @@
 // Role is an elected role: one app server at a time holds it and sends a command to an address at an interval.
 type Role struct {
 	Name     string
-	Address  netip.AddrPort
-	Interval float64
+	Address  netip.AddrPort // to which the owner sends commands
+	Interval float64        // seconds between two commands
 }
 
 // maxRoles bounds the configured roles: each of them queries its voters several times a second.
--- a/config/share.go
+++ b/config/share.go
@@ -26,7 +26,7 @@
 // shareDirectives configure limits common to the whole fleet.
 var shareDirectives = []directive{
 	{"fleet.share", "none|NAME LIMIT METHOD...[ / ...]",
-		"limit of concurrent RPCs of the methods in the fleet; for LIMIT also auto LEAST-MOST TIME, adapted to run times",
+		"limits how many RPCs of the methods run at once in the fleet; auto LEAST-MOST TIME adapts LIMIT to run times",
 		func(settings *Settings, words []string) error {
 			if len(words) == 1 && words[0] == "none" {
 				return nil
