--- a/config/share.go
+++ b/config/share.go
@@ -12,10 +12,10 @@
 // Share limits how many RPCs of some methods run at once in the whole fleet.
 type Share struct {
 	Name     string
-	Limit    int
-	MinLimit int     // of an adaptive limit, which varies from MinLimit to Limit; 0 for a fixed limit
-	Target   float64 // of an adaptive limit: seconds that a run takes while the downstream service is healthy
-	Methods  []string
+	Limit    int      // concurrent RPCs; the upper bound of an adaptive limit
+	MinLimit int      // of an adaptive limit, which varies from MinLimit to Limit; 0 for a fixed limit
+	Target   float64  // of an adaptive limit: seconds that a run takes while the downstream service is healthy
+	Methods  []string // methods whose RPCs count against the limit
 }
 
 const (
