--- a/cmd/valveglade/descriptors_test.go
+++ b/cmd/valveglade/descriptors_test.go
@@ -20,8 +20,8 @@
 // fakeKernel is a kernel that is running; the test ends the runs.
 type fakeKernel struct {
 	net.Listener
-	links chan net.Conn // accepted links
-	runs  chan string   // ids of the requested runs
+	link chan net.Conn // accepted links
+	runs chan string   // ids of the requested runs
 }
 
 func newFakeKernel(t *testing.T) *fakeKernel {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	k := &fakeKernel{Listener: listener, links: make(chan net.Conn, 100), runs: make(chan string, 100)}
+	k := &fakeKernel{Listener: listener, link: make(chan net.Conn, 100), runs: make(chan string, 100)}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -53,7 +53,7 @@
 		switch m.Action {
 		case "OPEN":
 			fmt.Fprintln(link, `{"action":"BOOTED","code":"running","wall_ms":10}`)
-			k.links <- link
+			k.link <- link
 		case "SYSINFO":
 			fmt.Fprintf(link, `{"action":"INFO","echo":%q,"meters":[]}`+"\n", m.Echo)
 		case "SCHED":
@@ -140,7 +140,7 @@
 	p.setKernel(t, kernel.Addr().String())
 	p.waitHealthy(t)
 	p.Process.Signal(syscall.SIGHUP)
-	link := receive(t, kernel.links)
+	link := receive(t, kernel.link)
 	router, err := net.Dial("tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 	p.Process.Signal(syscall.SIGHUP)
 	time.Sleep(3 * time.Second) // longer than the interval at which an invalid file is read again
 	kernel.Close()
-	receive(t, second.links)
+	receive(t, second.link)
 	p.limitDescriptors(t, 1<<10)
 	p.waitHealthy(t)
 	p.shutDown(t)
--- a/cmd/valveglade/main_test.go
+++ b/cmd/valveglade/main_test.go
@@ -25,8 +25,8 @@
 	file := filepath.Join(dir, "config.json")
 	configText := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","kernel":%q,"roster":"127.0.0.1:9","stop_ms":600,
 		"settings":{"profiles":[{"name":"look","idempotency":"retryable"}]}}`, kernel.Addr())
-	write := func(text string) {
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	write := func(configText string) {
+		if err := os.WriteFile(file, []byte(configText), 0o600); err != nil {
 			panic(err)
 		}
 	}
--- a/config/distribution.go
+++ b/config/distribution.go
@@ -172,11 +172,11 @@
 	}
 	// A new leader is elected within two leases; with a shorter age every election would be reported as a failure.
 	if f.Distribution.StaleAfter < 2*f.Lease {
-		name := "fleet.config-age"
-		if settings.lines[name] == 0 {
-			name = "fleet.lease"
+		directiveName := "fleet.config-age"
+		if settings.lines[directiveName] == 0 {
+			directiveName = "fleet.lease"
 		}
-		return settings.directiveError(name, "an age of %s is shorter than two leases of %s",
+		return settings.directiveError(directiveName, "an age of %s is shorter than two leases of %s",
 			formatDuration(f.Distribution.StaleAfter), formatDuration(f.Lease))
 	}
 	return nil
