--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -28,7 +28,7 @@
 func newHarnessWithClock(configure func(c *config.Config)) (*harness, *adjustableClock) {
 	wallClock := &adjustableClock{}
 	configureShortStop := func(c *config.Config) {
-		c.Stop = 0.3
+		c.StopTimeout = 0.3
 		if configure != nil {
 			configure(c)
 		}
@@ -196,7 +196,7 @@
 // are not, all are answered, and the process exits before its stop deadline.
 func Example_clockSetDuringDrain() {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
-		h, wallClock := newHarnessWithClock(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 2.4, 0.6 })
+		h, wallClock := newHarnessWithClock(func(c *config.Config) { c.StopTimeout, c.Rules.Rules.DrainGrace = 2.4, 0.6 })
 		r := h.dial()
 		start := time.Now()
 		h.beginDrain()
@@ -257,7 +257,7 @@
 	for _, value := range []float64{0, 1e-300, 1e300, math.MaxFloat64} {
 		h := newPreparedHarness(func(c *config.Config) {
 			c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime, c.Rules.Rules.DrainGrace = value, value, value
-			c.Stop, c.Rules.Rules.StartCapacity = 0.3, 0.25
+			c.StopTimeout, c.Rules.Rules.StartCapacity = 0.3, 0.25
 			for k := range c.Rules.Methods {
 				m := &c.Rules.Methods[k]
 				m.Target, m.Deadline, m.Window = value, value, value
--- a/server/distribution.go
+++ b/server/distribution.go
@@ -48,7 +48,7 @@
 	}
 	cfg := fleet.DistributionConfig{Name: c.Name, Voters: settings.Voters,
 		Distributors: settings.Distribution.Distributors, Services: settings.Distribution.Services,
-		AllServices: settings.Distribution.AllServices, Folder: settings.State,
+		AllServices: settings.Distribution.AllServices, Folder: settings.StateDir,
 		BytesPerSecond: settings.Distribution.BytesPerSecond, StaleAfter: settings.Distribution.StaleAfter}
 	if settings.Socket != "" {
 		cfg.Socket = fleet.ConfigSocket(settings.Socket)
--- a/server/drain.go
+++ b/server/drain.go
@@ -57,7 +57,7 @@
 		return nil
 	case <-ctx.Done():
 	}
-	stopDelay := s.config.Load().Stop
+	stopDelay := s.config.Load().StopTimeout
 	schedule, stopAt := s.drainSchedule(stopDelay), s.clock.now()+stopDelay
 	s.enterStage(stageDraining)
 	s.gate.Drain(s.clock.now(), stopAt)
--- a/server/drain_test.go
+++ b/server/drain_test.go
@@ -18,7 +18,7 @@
 // The shutdown notice precedes the kernel, which comes up during the drain. As in any other drain, RPCs that arrive
 // within the grace period are run and later ones are not.
 func Example_kernelUpDuringDrain() {
-	h := newUnbootedHarness(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 3, 0.2 })
+	h := newUnbootedHarness(func(c *config.Config) { c.StopTimeout, c.Rules.Rules.DrainGrace = 3, 0.2 })
 	h.kernelConn = must(h.kernelListener.Accept()) // the kernel does not report that it is up
 	r := h.dial()
 	start := time.Now()
@@ -41,7 +41,7 @@
 // The kernel comes up neither before the shutdown notice nor after it: held RPCs are answered before the stop deadline,
 // and the process exits.
 func Example_drainWithoutKernel() {
-	h := newUnbootedHarness(func(c *config.Config) { c.Stop = 1 })
+	h := newUnbootedHarness(func(c *config.Config) { c.StopTimeout = 1 })
 	r := h.dial()
 	r.execute(1)
 	r.execute(2, "op", "record", "dedupe", "t")
@@ -80,7 +80,7 @@
 // With less time between the shutdown notice and the kill than the final drain stages usually take, all RPCs that were
 // read are answered, the router receives the draining message and the end of the stream, and the process exits.
 func Example_drainShortStop() {
-	h := newPreparedHarness(func(c *config.Config) { c.Stop = 0.7 }, zap.NewNop(), func(*Server) {})
+	h := newPreparedHarness(func(c *config.Config) { c.StopTimeout = 0.7 }, zap.NewNop(), func(*Server) {})
 	h.bootKernel()
 	r := h.dial()
 	r.execute(1)
@@ -106,7 +106,7 @@
 // blocked.
 func TestDrainWithStuckAcceptor(t *testing.T) {
 	listener := must(net.Listen("tcp", "127.0.0.1:0")).(*net.TCPListener)
-	s := New(&config.Config{Stop: 0.6, Memory: 64 << 20}, zap.NewNop())
+	s := New(&config.Config{StopTimeout: 0.6, Memory: 64 << 20}, zap.NewNop())
 	drainCtx, startDrain := context.WithCancel(context.Background())
 	startDrain()
 	done := make(chan error, 1)
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	newConfig := *h.config
-	newConfig.Stop++
+	newConfig.StopTimeout++
 	go func() {
 		h.Reload(ctx, hup, func() (*config.Config, *config.Settings, error) {
 			if reads.Add(1) == 1 {
@@ -166,7 +166,7 @@
 		close(done)
 	}()
 	hup <- syscall.SIGHUP
-	waitFor("reloaded", func() bool { return h.Server.config.Load().Stop == newConfig.Stop })
+	waitFor("reloaded", func() bool { return h.Server.config.Load().StopTimeout == newConfig.StopTimeout })
 	saved := h.monitor.effects.Swap(nil) // reading the health then panics
 	notify(h.healthChanged)
 	notify(h.reportNow)
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -43,9 +43,9 @@
 		return nil, nil, err
 	}
 	viewConfig := view.Defaults()
-	viewConfig.HoldTime, viewConfig.ForgetTime = settings.Hold, settings.Forget
+	viewConfig.HoldTime, viewConfig.ForgetTime = settings.HoldTime, settings.ForgetTime
 	fleetMember, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen,
-		Advertise: settings.Advertise, Join: settings.Join, Allow: settings.Allow, ProbeInterval: seconds(settings.Probe),
+		Advertise: settings.Advertise, Join: settings.Join, Allow: settings.Allow, ProbeInterval: seconds(settings.ProbeInterval),
 		Socket: settings.Socket, MaxIncomingStreams: incomingStreams(settings, c), View: viewConfig}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
@@ -95,7 +95,7 @@
 			if roles != nil {
 				roles.Leave()
 			}
-			sleep(runCtx, s.config.Load().Stop-leaveLeadTime)
+			sleep(runCtx, s.config.Load().StopTimeout-leaveLeadTime)
 			return nil
 		case <-ticker.C:
 		}
@@ -113,7 +113,7 @@
 	if len(settings.Voters) == 0 {
 		return nil, nil
 	}
-	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.State,
+	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.StateDir,
 		Fit: func() error { return s.checkFitness(fleetMember) },
 		Others: func() []string {
 			var names []string
@@ -131,7 +131,7 @@
 	}
 	for _, role := range settings.Roles {
 		if err := roles.Campaign(role.Name,
-			fleet.SendCommands(role.Name, c.Name, role.Address.String(), seconds(role.Every))); err != nil {
+			fleet.SendCommands(role.Name, c.Name, role.Address.String(), seconds(role.Interval))); err != nil {
 			return nil, err
 		}
 	}
--- a/server/monitor.go
+++ b/server/monitor.go
@@ -63,7 +63,7 @@
 func (m *monitor) updateSettings(settings *config.Settings) bool {
 	m.settingsMu.Lock()
 	defer m.settingsMu.Unlock()
-	if settings.Pressure.On == m.settings.Pressure.On && settings.Pressure.Every == m.settings.Pressure.Every &&
+	if settings.Pressure.On == m.settings.Pressure.On && settings.Pressure.ReadInterval == m.settings.Pressure.ReadInterval &&
 		samePressureConfig(settings.Pressure.Config, m.settings.Pressure.Config) {
 		return false
 	}
@@ -170,7 +170,7 @@
 		received[k], succeeded[k] = m.received[k].Load(), m.succeeded[k].Load()
 	}
 	watch.Update(0, pressure.Unknown(), received, succeeded)
-	interval := seconds(settings.Every)
+	interval := seconds(settings.ReadInterval)
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	nextSample := time.Now().Add(interval)
--- a/server/router_faults_test.go
+++ b/server/router_faults_test.go
@@ -13,7 +13,7 @@
 
 // newBriefDrainHarness starts an app server that exits soon after its shutdown notice.
 func newBriefDrainHarness() *harness {
-	h := newPreparedHarness(func(c *config.Config) { c.Stop = 0.2 }, zap.NewNop(), func(*Server) {})
+	h := newPreparedHarness(func(c *config.Config) { c.StopTimeout = 0.2 }, zap.NewNop(), func(*Server) {})
 	h.bootKernel()
 	return h
 }
@@ -125,7 +125,7 @@
 // With hundreds of silent connections, RPCs on old and new connections are answered, even from a router that writes
 // one byte at a time, and the silent connections use no CPU time.
 func TestManySilentConnections(t *testing.T) {
-	h := newPreparedHarness(func(c *config.Config) { c.Stop, c.Sockets = 0.2, minReserved+64 }, zap.NewNop(),
+	h := newPreparedHarness(func(c *config.Config) { c.StopTimeout, c.Sockets = 0.2, minReserved+64 }, zap.NewNop(),
 		func(*Server) {})
 	h.bootKernel()
 	active := h.dial()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -78,7 +78,7 @@
 	roster := h.roster()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
 	h.routerListener, h.address = listener, listener.Addr().String()
-	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(h.kernelListener.Addr().String()), Stop: 1.2,
+	c := &config.Config{Name: "n1", Kernel: netip.MustParseAddrPort(h.kernelListener.Addr().String()), StopTimeout: 1.2,
 		Roster: netip.MustParseAddrPort(roster.LocalAddr().String()), Memory: 64 << 20, Sockets: 64,
 		Methods: []string{"look", "record"}}
 	c.Rules.Methods = []rpc.Method{{Kind: rpc.Idempotent, Target: 30, Deadline: 60, Criticality: 1},
--- a/server/shutdown_test.go
+++ b/server/shutdown_test.go
@@ -272,7 +272,7 @@
 // connection is closed is answered, and the router sees an orderly end of stream. The test guards against the process
 // exiting with such an RPC unread, or reading it after the goroutines that answer have stopped.
 func Example_drainCrossesRPC() {
-	h := newPreparedHarness(func(c *config.Config) { c.Stop, c.Rules.Rules.DrainGrace = 40, 0.05 }, zap.NewNop(),
+	h := newPreparedHarness(func(c *config.Config) { c.StopTimeout, c.Rules.Rules.DrainGrace = 40, 0.05 }, zap.NewNop(),
 		func(s *Server) {
 			s.drainSchedule = func(float64) drainSchedule {
 				return drainSchedule{notAccepting: 39.5, closing: 39.4, rejecting: 0.2, exit: 0.1}
@@ -319,7 +319,7 @@
 // The drain does not wait for a router that keeps sending after its connection was shut down: what arrives then is
 // read and discarded, and the stream still ends in order.
 func Example_drainDiscardsLateRPC() {
-	h := newPreparedHarness(func(c *config.Config) { c.Stop = 40 }, zap.NewNop(), func(s *Server) {
+	h := newPreparedHarness(func(c *config.Config) { c.StopTimeout = 40 }, zap.NewNop(), func(s *Server) {
 		s.drainSchedule = func(float64) drainSchedule {
 			return drainSchedule{notAccepting: 39.9, closing: 39.8, rejecting: 39.7, exit: 0.1}
 		}
@@ -385,7 +385,7 @@
 // Connections that are still in the accept queue as the listener closes are admitted and their RPCs answered; closing
 // the listener over them would reset them. A later connection is refused, which proves to the client that nothing ran.
 func Example_drainAcceptQueue() {
-	h := newPreparedHarness(func(c *config.Config) { c.Stop = 20 }, zap.NewNop(), func(s *Server) {
+	h := newPreparedHarness(func(c *config.Config) { c.StopTimeout = 20 }, zap.NewNop(), func(s *Server) {
 		s.drainSchedule = func(float64) drainSchedule {
 			return drainSchedule{notAccepting: 19.5, closing: 17.5, rejecting: 0.2, exit: 0.1}
 		}
