--- a/logic/owner/grant.go
+++ b/logic/owner/grant.go
@@ -5,7 +5,7 @@
 // and so does the next owner, who never saw it.
 type Lease struct {
 	Length   float64 // for which a grant lasts
-	Tail     float64 // for which what was begun under a grant may go on past its end
+	Grace     float64 // for which what was begun under a grant may go on past its end
 	Drift    float64 // by which two clocks may drift apart, as a share
 	Disabled Rule    // rules that are left out, to show that their loss is noticed: none in service
 }
@@ -17,7 +17,7 @@
 	if !l.enabled(Tails) {
 		return l.Length * (1 + l.Drift)
 	}
-	return (l.Length + l.Tail) * (1 + l.Drift)
+	return (l.Length + l.Grace) * (1 + l.Drift)
 }
 
 // Request asks for a grant. It is put to the owner under one term: nobody else may answer it.
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -157,9 +157,9 @@
 	}
 	for n := range lendable {
 		if n < a.holds {
-			s.under[k][n] = a.until + s.lease.Tail
+			s.under[k][n] = a.until + s.lease.Grace
 		} else if n < before {
-			s.under[k][n] = now + s.lease.Tail
+			s.under[k][n] = now + s.lease.Grace
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	return explore.World[*lending]{Begin: s, Acts: (*lending).acts, After: (*lending).after, Key: (*lending).key, Wrong: (*lending).wrong, Tell: (*lending).tell}.Walk(most)
 }
 
-var grantLease = Lease{Length: 1, Tail: 0.4, Drift: 0.3}
+var grantLease = Lease{Length: 1, Grace: 0.4, Drift: 0.3}
 
 // Whatever comes when, the parts in use are never more than there are, through a change of owner of which requesters may not have
 // heard.
--- a/logic/owner/grantor.go
+++ b/logic/owner/grantor.go
@@ -134,7 +134,7 @@
 	if !g.lease.enabled(Tails) {
 		return 0
 	}
-	return g.lease.Tail
+	return g.lease.Grace
 }
 
 // Grant answers a request that was taken in: n at the most, less where that is not free. The owner's lease has to be checked
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-var lending = owner.Lease{Length: 2, Tail: 0.5, Drift: 0.01}
+var lending = owner.Lease{Length: 2, Grace: 0.5, Drift: 0.01}
 
 // Who wants little has it; the rest is for who wants more, by criticality; what nobody wants stands ready with all.
 func TestFair(t *testing.T) {
@@ -300,7 +300,7 @@
 		n.at++
 		n.units--
 		for j := range n.runs { // all are over once the tail is
-			over := func(began int) bool { return float64(n.at-began)*smallUnit*0.87 > s.config.Lease.Tail }
+			over := func(began int) bool { return float64(n.at-began)*smallUnit*0.87 > s.config.Lease.Grace }
 			n.runs[j] = slices.DeleteFunc(slices.Clone(n.runs[j]), over)
 			if j < 2 {
 				n.holders[j].running = len(n.runs[j])
@@ -394,7 +394,7 @@
 	return explore.World[*small]{Begin: s, Acts: (*small).acts, After: (*small).after, Key: (*small).key, Wrong: (*small).wrong, Tell: (*small).tell}.Walk(most)
 }
 
-var smallLoan = owner.Lease{Length: 1, Tail: 0.9, Drift: 0.3}
+var smallLoan = owner.Lease{Length: 1, Grace: 0.9, Drift: 0.3}
 
 var long = flag.Bool("long", false, "walk through what takes minutes too")
 
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -148,7 +148,7 @@
 	}
 }
 
-func quotaGrants() owner.Lease { return owner.Lease{Length: 2 * quotaLease, Tail: 1, Drift: 0.01} }
+func quotaGrants() owner.Lease { return owner.Lease{Length: 2 * quotaLease, Grace: 1, Drift: 0.01} }
 
 // startFleets starts the three that vote. Only the first campaigns: it is to become the allocator of every kind.
 func (r *quotaRun) startFleets(ctx context.Context, group *sync.WaitGroup) error {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -153,7 +153,7 @@
 		for _, name := range one.Methods {
 			k := slices.Index(c.Methods, name)
 			t.Methods = append(t.Methods, k)
-			t.Lease.Tail = max(t.Lease.Tail, c.Rules.Methods[k].Deadline)
+			t.Lease.Grace = max(t.Lease.Grace, c.Rules.Methods[k].Deadline)
 		}
 		all = append(all, t)
 	}
