--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -81,7 +81,7 @@
 
 // AddWaiting takes in that an RPC of a method and a criticality waits, or with -1 that it no longer does.
 func (l *QuotaClient) AddWaiting(method, n int, criticality float64) {
-	l.with(method, func(s *quota) { s.leaseholder.Wait(n, criticality, s.f.config.Clock()) })
+	l.with(method, func(s *quota) { s.leaseholder.AddWaiting(n, criticality, s.f.config.Clock()) })
 }
 
 // RunStarted takes in that one has started.
--- a/logic/share/leaseholder.go
+++ b/logic/share/leaseholder.go
@@ -49,8 +49,8 @@
 // CanStart reports whether one more may start.
 func (h *Leaseholder) CanStart(now float64) bool { return h.running < h.Allowed(now) }
 
-// Wait takes in that an RPC of a criticality waits, or with -1 no longer does.
-func (h *Leaseholder) Wait(n int, criticality float64, now float64) {
+// AddWaiting takes in that an RPC of a criticality waits, or with -1 no longer does.
+func (h *Leaseholder) AddWaiting(n int, criticality float64, now float64) {
 	h.count(now)
 	h.waiting += n
 	h.criticality += float64(n) * criticality
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -44,13 +44,13 @@
 				}
 			}
 			for h.running+h.waiting < f.wants[k] {
-				h.Wait(1, f.criticality[k], f.now)
+				h.AddWaiting(1, f.criticality[k], f.now)
 			}
 			for h.running+h.waiting > f.wants[k] && h.waiting > 0 {
-				h.Wait(-1, f.criticality[k], f.now)
+				h.AddWaiting(-1, f.criticality[k], f.now)
 			}
 			for h.waiting > 0 && h.CanStart(f.now) {
-				h.Wait(-1, f.criticality[k], f.now)
+				h.AddWaiting(-1, f.criticality[k], f.now)
 				h.Started(f.criticality[k], f.now)
 			}
 			sum += h.running
