--- a/logic/owner/grant.go
+++ b/logic/owner/grant.go
@@ -5,7 +5,7 @@
 // and so does the next owner, who never saw it.
 type Lease struct {
 	Length   float64 // for which a grant lasts
-	Grace     float64 // for which what was begun under a grant may go on past its end
+	Grace    float64 // for which what was begun under a grant may go on past its end
 	Drift    float64 // by which two clocks may drift apart, as a share
 	Disabled Rule    // rules that are left out, to show that their loss is noticed: none in service
 }
