--- a/logic/claim/claim.go
+++ b/logic/claim/claim.go
@@ -1,13 +1,15 @@
-// Package claim decides which app server may run a token, once for the whole fleet. Tokens fall into slots. Each slot has an
-// assignment: an owner that is asked, and a backup that has to have a claim before the owner grants it. Assignments follow each other
-// under terms that rise, given out by the owner of a role of the fleet; a new owner has all claims of the assignments before its own,
-// and has fenced their members, before its own first grant. Table is one process's part in all slots. Nothing here does I/O, reads a clock or
-// knows an address.
+// Package claim decides which app server may run a token, once for the whole fleet. Each token maps to a
+// slot. Each slot has an assignment: an owner that grants claims, and a backup that must record a claim
+// before the owner grants it. Assignments of a slot follow each other under rising terms and are issued by
+// the owner of a fleet role. Before its first grant, a new slot owner has fenced the members of the earlier
+// assignments and collected their claims. Table is one process's part in all slots. The package does no I/O,
+// reads no clock and knows no addresses.
 //
-// Why no claim is lost when an assignment ends: a grant needs both members of the assignment, under its term. A member that has been asked for
-// its claims under a later term takes no part in the assignment any more: it is fenced. So one of the two is enough, whichever still
-// answers: what the other one may still grant, this one had recorded before. Where neither answers, nothing unknown is
-// run until the assignment's lease to grant is over, and then for the longest window.
+// Why no claim is lost when an assignment ends: a grant needs both members of the assignment, under its term.
+// A member that was asked for its claims under a later term is fenced and takes no further part in the
+// assignment. So the answer of one member is enough: whatever the other could still grant had to be recorded
+// by this one first. If neither answers, unknown tokens are rejected until the assignment's lease has
+// expired, and then for the longest window.
 package claim
 
 import (
@@ -16,7 +18,8 @@
 	"valveglade/logic/owner"
 )
 
-// Term orders assignments: by the term of the role's owner that gave them out, and by its own sequence.
+// Term orders assignments: by the term of the role owner that issued them, then by that owner's sequence
+// number.
 type Term struct{ Leader, Sequence uint64 }
 
 // Less reports whether t comes before u.
@@ -24,20 +27,23 @@
 	return cmp.Or(cmp.Compare(t.Leader, u.Leader), cmp.Compare(t.Sequence, u.Sequence)) < 0
 }
 
-// Assignment is who has a slot, under a term.
+// Assignment names the owner and the backup of a slot under a term.
 type Assignment struct {
 	Term          Term
 	Owner, Backup owner.Incarnation
 }
 
-func (p Assignment) has(who owner.Incarnation) bool { return p.Owner == who || p.Backup == who }
+func (a Assignment) has(member owner.Incarnation) bool {
+	return a.Owner == member || a.Backup == member
+}
 
-// Claim is what is known of a token.
+// Claim is the record of which process may run a token.
 type Claim struct {
 	Digest uint64            // of the body
-	Runner owner.Incarnation // who may run it
-	Done   bool              // it has ended well, and its runner has the result
-	Until  float64           // after which it is forgotten: on the clock of whoever has it, and as a span in messages
+	Runner owner.Incarnation // the process that may run it
+	Done   bool              // the run succeeded, and its runner has the result
+	// expiry: on the clock of the process that stores it, and as a duration in messages
+	Until float64
 }
 
 // MessageKind is the kind of a message.
@@ -45,49 +51,54 @@
 
 // The messages between claimers, owners and backups.
 const (
-	Request        MessageKind = iota // claimer to owner: may I run it?
-	Granted                           // the claim is granted: run it
-	AlreadyClaimed                    // no: it was claimed by the one named in Claim
-	BodyMismatch                      // no: another body has this token
-	Unknown                           // not known, and not to be run yet: Remaining says for how long
-	StaleTerm                         // a later term is known: ask its owner
-	Finished                          // the run has ended well, or was never begun
-	Replicate                         // owner to backup: record this claim
-	Replicated                        // backup to owner: recorded
-	Collect                           // new owner to a member of an earlier assignment: fence yourself, and send your claims
-	Collected                         // its answer
-	Transfer                          // new owner to its backup: all claims
-	Transferred                       // its answer
+	Request        MessageKind = iota // claimer to owner: requests the claim of a token
+	Granted                           // the claim is granted: the claimer may run the token
+	AlreadyClaimed                    // rejected: the runner named in Claim has claimed it
+	BodyMismatch                      // rejected: the token was claimed with another body
+	// rejected: no claim is known, but an earlier one may exist for up to Remaining
+	Unknown
+	StaleTerm  // rejected: a later term is known, whose owner has to be asked
+	Finished   // claimer to owner: the run succeeded (Done), or never started
+	Replicate  // owner to backup: record this claim
+	Replicated // backup to owner: recorded
+	// new owner to a member of an earlier assignment: fence yourself and send your claims
+	Collect
+	Collected   // answers Collect
+	Transfer    // new owner to its backup: all claims
+	Transferred // answers Transfer
 )
 
-// Message goes between two processes, about one slot.
+// Message is sent between two processes, about one slot.
 type Message struct {
 	Kind      MessageKind
 	Slot      int
 	From, To  owner.Incarnation
-	Term      Term // of the assignment that it is about; of Collect and Collected the new one
-	Of        Term // of Collect and Collected: the assignment that is ended
+	Term      Term // the assignment concerned; the new one in Collect and Collected
+	EndedTerm Term // of Collect and Collected: the assignment that has ended
 	Token     string
-	Number    uint64 // of a request, for its answer
+	Number    uint64 // of a request, repeated in its answer
 	Claim     Claim
-	Remaining float64 // of Unknown: in seconds
-	Complete  bool    // of Collected: it has all claims of that assignment; else that one never served, and never will
+	// of Unknown, Collected and Transfer: how long unknown tokens are still rejected, in seconds
+	Remaining float64
+	Complete  bool // of Collected: the sender has all claims up to the end of that assignment
 	Claims    map[string]Claim
 }
 
-// Rules are those that can be left out, to show that their loss is noticed: none in service.
+// Rules selects the rules that are disabled. Tests disable them one by one to show that each is needed.
 type Rules struct {
-	BackupFirst bool // that the backup has recorded a claim before it is granted
-	Fencing     bool // that whoever gave its claims away takes no part any more
-	Window      bool // that what nobody can tell is waited out
-	Term        bool // that a backup checks the term before it records
-	Lag         bool // that whoever asks after a window's end may have come before it
+	BackupFirst bool // a claim is granted only after the backup has recorded it
+	Fencing     bool // a member that has sent its claims takes no further part in the assignment
+	Window      bool // after an assignment whose claims are lost, unknown tokens are rejected for a window
+	Term        bool // a backup checks the term before it records a claim
+	// a request handled after the end of a window may belong to an RPC that arrived within it
+	Lag bool
 }
 
-// Timing is what an installation sets, in seconds.
+// Timing is the configuration of an installation, in seconds.
 type Timing struct {
-	Window   float64 // the longest for which a token may come again
-	Lag      float64 // the longest from an RPC's coming until nobody heeds an answer for it any more: the longest deadline
-	Drift    float64 // by which two clocks may drift apart, as a share
+	Window float64 // the longest time within which a token may be repeated
+	// the longest time from an RPC's arrival until its answer is ignored: the longest deadline
+	Lag      float64
+	Drift    float64 // the largest relative drift between two clocks
 	Disabled Rules
 }
--- a/logic/claim/table.go
+++ b/logic/claim/table.go
@@ -7,32 +7,32 @@
 	"valveglade/logic/owner"
 )
 
-// role is how far a process is in a slot. slot.move changes it, and nothing else does.
+// role is a process's role in a slot. Only slot.setRole changes it.
 type role uint8
 
 const (
-	none         role = iota // has no part in the assignment in force
-	collecting               // owner: has not all claims of the earlier assignments
-	transferring             // owner: its backup has not all claims yet
+	none         role = iota // takes no part in the current assignment
+	collecting               // owner: does not have all claims of the earlier assignments yet
+	transferring             // owner: its backup has not confirmed all claims yet
 	serving                  // owner: grants claims
-	awaiting                 // backup: has not been given the claims
+	awaiting                 // backup: has not received the owner's claims yet
 	backingUp                // backup: records claims
 )
 
-// slot is one slot as one process has it.
+// slot is one process's state of a slot.
 type slot struct {
-	role         role
-	assignment   Assignment
-	fencedBelow  Term // it takes no part in assignments below
-	completeUpTo Term // the last assignment of which it has all claims
-	claims       map[string]Claim
-	previous     []Assignment // whose claims are still missing, while collecting
-	quietUntil   float64      // until when nothing unknown is run
-	pending      map[uint64]Message
-	lastWrite    uint64 // of the last Replicate
+	role          role
+	assignment    Assignment
+	fencedBelow   Term // assignments below this term are fenced here
+	completeUpTo  Term // the last assignment whose claims are all known here
+	claims        map[string]Claim
+	previous      []Assignment       // while collecting: earlier assignments whose claims are missing
+	quietUntil    float64            // unknown tokens are rejected until then
+	pending       map[uint64]Message // requests whose Replicate is unanswered, by its number
+	lastReplicate uint64             // number of the last Replicate
 }
 
-func (s *slot) move(to role) { s.role = to }
+func (s *slot) setRole(newRole role) { s.role = newRole }
 
 // Table is one process's part in all slots.
 type Table struct {
@@ -42,133 +42,142 @@
 	ready  []Message
 }
 
-// NewTable has no part in any slot.
+// NewTable returns a table that takes no part in any slot.
 func NewTable(self owner.Incarnation, timing Timing) *Table {
 	return &Table{self: self, timing: timing, slots: map[int]*slot{}}
 }
 
-// Ready returns the messages to be sent, and empties the list.
-func (d *Table) Ready() []Message {
-	messages := d.ready
-	d.ready = nil
+// Ready returns the messages to send and clears the list.
+func (t *Table) Ready() []Message {
+	messages := t.ready
+	t.ready = nil
 	return messages
 }
 
-func (d *Table) send(m Message) {
-	m.From = d.self
-	d.ready = append(d.ready, m)
+func (t *Table) send(m Message) {
+	m.From = t.self
+	t.ready = append(t.ready, m)
 }
 
-func (d *Table) slot(k int) *slot {
-	s := d.slots[k]
+func (t *Table) slot(index int) *slot {
+	s := t.slots[index]
 	if s == nil {
 		s = &slot{claims: map[string]Claim{}, pending: map[uint64]Message{}}
-		d.slots[k] = s
+		t.slots[index] = s
 	}
 	return s
 }
 
-// Assign takes in who has a slot from now on. Previous are the assignments since the last one that is known to have served, that one
-// first: the new owner needs what was claimed in each. None at all is for a slot of which nobody knows: then nothing unknown is
-// run for the longest window.
-func (d *Table) Assign(k int, p Assignment, previous []Assignment, now float64) {
-	s := d.slot(k)
-	if !s.assignment.Term.Less(p.Term) || p.Term.Less(s.fencedBelow) {
+// Assign sets the current assignment of a slot. Previous lists the assignments since the last one known to
+// have served, starting with that one: the new owner needs the claims of each. If Previous is empty, nothing
+// is known of the slot, and unknown tokens are rejected for the longest window.
+func (t *Table) Assign(index int, assignment Assignment, previous []Assignment, now float64) {
+	s := t.slot(index)
+	if !s.assignment.Term.Less(assignment.Term) || assignment.Term.Less(s.fencedBelow) {
 		return
 	}
-	had := s.completeUpTo
-	s.assignment, s.fencedBelow, s.pending = p, p.Term, map[uint64]Message{}
-	switch d.self {
-	case p.Owner:
-		s.move(collecting)
-		s.previous = slices.DeleteFunc(slices.Clone(previous), func(b Assignment) bool { return !had.Less(b.Term) })
+	completeUpTo := s.completeUpTo
+	s.assignment, s.fencedBelow, s.pending = assignment, assignment.Term, map[uint64]Message{}
+	switch t.self {
+	case assignment.Owner:
+		s.setRole(collecting)
+		s.previous = slices.DeleteFunc(slices.Clone(previous),
+			func(earlier Assignment) bool { return !completeUpTo.Less(earlier.Term) })
 		if len(previous) == 0 {
-			s.quietUntil = max(s.quietUntil, now+d.timing.Window*(1+d.timing.Drift))
+			s.quietUntil = max(s.quietUntil, now+t.timing.Window*(1+t.timing.Drift))
 		}
-		d.collect(k, s, now)
-	case p.Backup:
-		s.move(awaiting)
+		t.collect(index, s, now)
+	case assignment.Backup:
+		s.setRole(awaiting)
 	default:
-		s.move(none) // what it has stays: the new owner may need it
+		s.setRole(none) // keeps its claims: the new owner may collect them
 	}
 }
 
-// collect asks for what is missing, or goes on once nothing is.
-func (d *Table) collect(k int, s *slot, now float64) {
-	for _, b := range s.previous {
-		for _, who := range []owner.Incarnation{b.Owner, b.Backup} {
-			if who != d.self {
-				d.send(Message{Kind: Collect, Slot: k, To: who, Term: s.assignment.Term, Of: b.Term})
+// collect requests the missing claims, or starts the transfer to the backup if none are missing.
+func (t *Table) collect(index int, s *slot, now float64) {
+	for _, earlier := range s.previous {
+		for _, member := range []owner.Incarnation{earlier.Owner, earlier.Backup} {
+			if member != t.self {
+				t.send(Message{Kind: Collect, Slot: index, To: member, Term: s.assignment.Term,
+					EndedTerm: earlier.Term})
 			}
 		}
 	}
 	if len(s.previous) == 0 {
-		s.move(transferring)
-		d.transfer(k, s, now)
+		s.setRole(transferring)
+		t.transfer(index, s, now)
 	}
 }
 
-func (d *Table) transfer(k int, s *slot, now float64) {
-	d.send(Message{Kind: Transfer, Slot: k, To: s.assignment.Backup, Term: s.assignment.Term, Claims: s.remaining(now), Remaining: max(s.quietUntil-now, 0)})
+func (t *Table) transfer(index int, s *slot, now float64) {
+	t.send(Message{Kind: Transfer, Slot: index, To: s.assignment.Backup, Term: s.assignment.Term,
+		Claims: s.remaining(now), Remaining: max(s.quietUntil-now, 0)})
 }
 
-// remaining is what is claimed, with what is left of each window: no clock is another's.
+// remaining returns the claims with the rest of each window as a duration, since the processes' clocks
+// differ.
 func (s *slot) remaining(now float64) map[string]Claim {
-	all := map[string]Claim{}
+	claims := map[string]Claim{}
 	for token, c := range s.claims {
 		c.Until -= now
-		all[token] = c
+		claims[token] = c
 	}
-	return all
+	return claims
 }
 
-// Retry sends once more what may have been lost.
-func (d *Table) Retry(k int, now float64) {
-	switch s := d.slot(k); s.role {
+// Retry resends requests that may have been lost.
+func (t *Table) Retry(index int, now float64) {
+	switch s := t.slot(index); s.role {
 	case collecting:
-		d.collect(k, s, now)
+		t.collect(index, s, now)
 	case transferring:
-		d.transfer(k, s, now)
+		t.transfer(index, s, now)
 	}
 }
 
-// HandleExpired takes in that an earlier assignment's lease to grant is over, so that nobody of it is needed: what it claimed is not
-// known, and is waited out.
-func (d *Table) HandleExpired(k int, of Term, now float64) {
-	s := d.slot(k)
-	if s.role != collecting || !slices.ContainsFunc(s.previous, func(b Assignment) bool { return b.Term == of }) {
+// HandleLeaseExpired handles the expiry of an earlier assignment's lease to grant: its members need no longer
+// be asked. As its claims are unknown, unknown tokens are rejected for a window.
+func (t *Table) HandleLeaseExpired(index int, ended Term, now float64) {
+	s := t.slot(index)
+	if s.role != collecting ||
+		!slices.ContainsFunc(s.previous, func(earlier Assignment) bool { return earlier.Term == ended }) {
 		return
 	}
-	if !d.timing.Disabled.Window {
-		s.quietUntil = max(s.quietUntil, now+d.timing.Window*(1+d.timing.Drift))
+	if !t.timing.Disabled.Window {
+		s.quietUntil = max(s.quietUntil, now+t.timing.Window*(1+t.timing.Drift))
 	}
-	d.finishPrevious(k, s, of, false, now)
+	t.finishPrevious(index, s, ended, false, now)
 }
 
-// finishPrevious crosses an assignment off and, where all was had that was claimed until it ended, what came before it.
-func (d *Table) finishPrevious(k int, s *slot, of Term, complete bool, now float64) {
-	s.previous = slices.DeleteFunc(s.previous, func(b Assignment) bool { return b.Term == of || complete && b.Term.Less(of) })
+// finishPrevious removes an assignment from the list of missing ones. If all claims up to its end are known
+// (complete), it removes those before it too.
+func (t *Table) finishPrevious(index int, s *slot, ended Term, complete bool, now float64) {
+	s.previous = slices.DeleteFunc(s.previous, func(earlier Assignment) bool {
+		return earlier.Term == ended || complete && earlier.Term.Less(ended)
+	})
 	if len(s.previous) == 0 {
-		s.move(transferring)
-		d.transfer(k, s, now)
+		s.setRole(transferring)
+		t.transfer(index, s, now)
 	}
 }
 
-// Serving reports whether the slot's owner is here and may grant claims, and under which term: for whoever gives out assignments.
-func (d *Table) Serving(k int) (Term, bool) {
-	s := d.slot(k)
+// Serving reports whether this process is the slot's owner and grants claims, and the term, for the role
+// owner that issues assignments.
+func (t *Table) Serving(index int) (Term, bool) {
+	s := t.slot(index)
 	return s.assignment.Term, s.role == serving
 }
 
-// HandleMessage takes a message in. May is whether this process has a lease to grant claims now: it has to have been looked at after the message
-// came, at the same reading of the clock.
-func (d *Table) HandleMessage(m Message, may bool, now float64) {
-	s := d.slot(m.Slot)
+// HandleMessage handles a message. MayGrant is whether this process has a lease to grant claims now. The
+// caller has to check the lease after the message arrived, at the clock reading that it passes as now.
+func (t *Table) HandleMessage(m Message, mayGrant bool, now float64) {
+	s := t.slot(m.Slot)
 	switch m.Kind {
 	case Request:
-		d.handleRequest(s, m, may, now)
+		t.handleRequest(s, m, mayGrant, now)
 	case Finished:
-		if c, there := s.claims[m.Token]; there && c.Runner == m.From {
+		if c, ok := s.claims[m.Token]; ok && c.Runner == m.From {
 			if c.Done = m.Claim.Done; !c.Done {
 				delete(s.claims, m.Token)
 			} else {
@@ -176,132 +185,140 @@
 			}
 		}
 	case Replicate:
-		if s.role != backingUp || m.Term != s.assignment.Term && !d.timing.Disabled.Term {
-			d.send(Message{Kind: StaleTerm, Slot: m.Slot, To: m.From, Term: s.fencedBelow, Number: m.Number})
+		if s.role != backingUp || m.Term != s.assignment.Term && !t.timing.Disabled.Term {
+			t.send(Message{Kind: StaleTerm, Slot: m.Slot, To: m.From, Term: s.fencedBelow, Number: m.Number})
 			return
 		}
 		m.Claim.Until += now
 		s.claims[m.Token] = m.Claim
-		d.send(Message{Kind: Replicated, Slot: m.Slot, To: m.From, Term: m.Term, Number: m.Number})
+		t.send(Message{Kind: Replicated, Slot: m.Slot, To: m.From, Term: m.Term, Number: m.Number})
 	case Replicated:
-		q, there := s.pending[m.Number]
-		if delete(s.pending, m.Number); !there || s.role != serving || m.Term != s.assignment.Term {
+		request, ok := s.pending[m.Number]
+		if delete(s.pending, m.Number); !ok || s.role != serving || m.Term != s.assignment.Term {
 			return
 		}
-		s.claims[q.Token] = Claim{Digest: q.Claim.Digest, Runner: q.From, Until: now + q.Claim.Until*(1+d.timing.Drift)}
-		if may { // otherwise it is as if it had been claimed and not run: its window ends by itself
-			d.send(Message{Kind: Granted, Slot: m.Slot, To: q.From, Term: s.assignment.Term, Token: q.Token, Number: q.Number})
+		s.claims[request.Token] = Claim{Digest: request.Claim.Digest, Runner: request.From,
+			Until: now + request.Claim.Until*(1+t.timing.Drift)}
+		if mayGrant { // otherwise the claim stays recorded without a run, and expires with its window
+			t.send(Message{Kind: Granted, Slot: m.Slot, To: request.From, Term: s.assignment.Term,
+				Token: request.Token, Number: request.Number})
 		}
 	case StaleTerm:
 		if s.role == serving && s.assignment.Term.Less(m.Term) {
 			s.fencedBelow = m.Term
-			s.move(none)
+			s.setRole(none)
 		}
 	case Collect:
-		d.fence(s, m, now)
+		t.fence(s, m, now)
 	case Collected:
 		if s.role != collecting || m.Term != s.assignment.Term {
 			return
 		}
 		s.merge(m.Claims, now)
-		d.extendQuiet(s, m.Remaining, now)
-		d.finishPrevious(m.Slot, s, m.Of, m.Complete, now)
+		t.extendQuiet(s, m.Remaining, now)
+		t.finishPrevious(m.Slot, s, m.EndedTerm, m.Complete, now)
 	case Transfer:
 		if m.Term != s.assignment.Term || s.role != awaiting && s.role != backingUp {
 			return
 		}
 		if s.role == awaiting {
 			s.merge(m.Claims, now)
-			d.extendQuiet(s, m.Remaining, now)
+			t.extendQuiet(s, m.Remaining, now)
 			s.completeUpTo = m.Term
-			s.move(backingUp)
+			s.setRole(backingUp)
 		}
-		d.send(Message{Kind: Transferred, Slot: m.Slot, To: m.From, Term: m.Term})
+		t.send(Message{Kind: Transferred, Slot: m.Slot, To: m.From, Term: m.Term})
 	case Transferred:
 		if s.role == transferring && m.Term == s.assignment.Term {
 			s.completeUpTo = m.Term
-			s.move(serving)
+			s.setRole(serving)
 		}
 	}
 }
 
-// extendQuiet has nothing unknown run for as long as the earlier assignment would not have.
-func (d *Table) extendQuiet(s *slot, left, now float64) {
-	if left > 0 {
-		s.quietUntil = max(s.quietUntil, now+left*(1+d.timing.Drift))
+// extendQuiet rejects unknown tokens for as long as the earlier assignment would have rejected them.
+func (t *Table) extendQuiet(s *slot, remaining, now float64) {
+	if remaining > 0 {
+		s.quietUntil = max(s.quietUntil, now+remaining*(1+t.timing.Drift))
 	}
 }
 
-// handleRequest answers a claimer.
-func (d *Table) handleRequest(s *slot, m Message, may bool, now float64) {
-	a := Message{Kind: StaleTerm, Slot: m.Slot, To: m.From, Term: s.assignment.Term, Token: m.Token, Number: m.Number}
+// handleRequest answers a claimer's request.
+func (t *Table) handleRequest(s *slot, m Message, mayGrant bool, now float64) {
+	answer := Message{Kind: StaleTerm, Slot: m.Slot, To: m.From, Term: s.assignment.Term, Token: m.Token,
+		Number: m.Number}
 	c, known := s.claims[m.Token]
-	// What came within a window is a repeat, whenever it is asked for, and however late the request comes.
-	came := now - d.timing.Lag*(1+d.timing.Drift)
-	if d.timing.Disabled.Lag {
-		came = now
+	// An RPC that arrived within the window is a repeat, however late its claim request is handled.
+	arrival := now - t.timing.Lag*(1+t.timing.Drift)
+	if t.timing.Disabled.Lag {
+		arrival = now
 	}
-	known = known && came < c.Until
+	known = known && arrival < c.Until
 	switch {
-	case s.role != serving || !may:
+	case s.role != serving || !mayGrant:
 	case known && c.Digest != m.Claim.Digest:
-		a.Kind = BodyMismatch
-	case known && c.Runner == m.From: // its grant was lost, or comes twice: the one that has it knows whether it has run
-		a.Kind = Granted
+		answer.Kind = BodyMismatch
+	// the grant was lost or the request repeated: the claimer knows whether it ran
+	case known && c.Runner == m.From:
+		answer.Kind = Granted
 	case known:
-		a.Kind, a.Claim = AlreadyClaimed, c
-	case came < s.quietUntil:
-		a.Kind, a.Remaining = Unknown, s.quietUntil-came
+		answer.Kind, answer.Claim = AlreadyClaimed, c
+	case arrival < s.quietUntil:
+		answer.Kind, answer.Remaining = Unknown, s.quietUntil-arrival
 	default:
-		for _, q := range s.pending {
-			if q.Token == m.Token && q.From != m.From { // one at a time: the other's is about to be recorded
-				a.Kind, a.Claim = AlreadyClaimed, Claim{Runner: q.From}
-				d.send(a)
+		for _, other := range s.pending {
+			if other.Token == m.Token && other.From != m.From { // another claimer's claim is being recorded
+				answer.Kind, answer.Claim = AlreadyClaimed, Claim{Runner: other.From}
+				t.send(answer)
 				return
 			}
 		}
-		s.lastWrite++
-		s.pending[s.lastWrite] = m
-		w := Message{Kind: Replicate, Slot: m.Slot, To: s.assignment.Backup, Term: s.assignment.Term, Token: m.Token, Number: s.lastWrite,
-			Claim: Claim{Digest: m.Claim.Digest, Runner: m.From, Until: m.Claim.Until * (1 + d.timing.Drift)}}
-		if !d.timing.Disabled.BackupFirst {
-			d.send(w)
+		s.lastReplicate++
+		s.pending[s.lastReplicate] = m
+		replicate := Message{Kind: Replicate, Slot: m.Slot, To: s.assignment.Backup,
+			Term: s.assignment.Term, Token: m.Token, Number: s.lastReplicate,
+			Claim: Claim{Digest: m.Claim.Digest, Runner: m.From, Until: m.Claim.Until * (1 + t.timing.Drift)}}
+		if !t.timing.Disabled.BackupFirst {
+			t.send(replicate)
 			return
 		}
-		d.send(w)
-		d.HandleMessage(Message{Kind: Replicated, Slot: m.Slot, Term: s.assignment.Term, Number: s.lastWrite}, may, now)
+		t.send(replicate)
+		t.HandleMessage(Message{Kind: Replicated, Slot: m.Slot, Term: s.assignment.Term,
+			Number: s.lastReplicate}, mayGrant, now)
 		return
 	}
-	d.send(a)
+	t.send(answer)
 }
 
-// fence ends this process's part in the assignments below a term, and gives what it has.
-func (d *Table) fence(s *slot, m Message, now float64) {
+// fence ends this process's part in the assignments below a term and sends its claims.
+func (t *Table) fence(s *slot, m Message, now float64) {
 	if m.Term.Less(s.fencedBelow) {
-		return // a later owner has asked already
+		return // a later owner has collected already
 	}
-	if !d.timing.Disabled.Fencing && s.assignment.Term.Less(m.Term) {
+	if !t.timing.Disabled.Fencing && s.assignment.Term.Less(m.Term) {
 		s.fencedBelow = m.Term
-		s.move(none)
+		s.setRole(none)
 	}
-	a := Message{Kind: Collected, Slot: m.Slot, To: m.From, Term: m.Term, Of: m.Of, Complete: !s.completeUpTo.Less(m.Of), Claims: s.remaining(now),
+	answer := Message{Kind: Collected, Slot: m.Slot, To: m.From, Term: m.Term, EndedTerm: m.EndedTerm,
+		Complete: !s.completeUpTo.Less(m.EndedTerm), Claims: s.remaining(now),
 		Remaining: max(s.quietUntil-now, 0)}
-	d.send(a)
+	t.send(answer)
 }
 
-// merge adds claims that come with spans.
+// merge adds received claims, whose expiry is given as a remaining duration.
 func (s *slot) merge(claims map[string]Claim, now float64) {
 	for token, c := range claims {
-		c.Until += now // that much longer by the way they took
-		if mine, there := s.claims[token]; !there || mine.Until < c.Until {
+		c.Until += now // extended by the time in transit
+		if existing, ok := s.claims[token]; !ok || existing.Until < c.Until {
 			s.claims[token] = c
 		}
 	}
 }
 
-// DropExpired drops what has passed, and what nobody who came within its window can ask for any more.
-func (d *Table) DropExpired(now float64) {
-	for _, s := range d.slots {
-		maps.DeleteFunc(s.claims, func(_ string, c Claim) bool { return now >= c.Until+d.timing.Lag*(1+d.timing.Drift) })
+// DropExpired deletes claims that no RPC which arrived within their window can still request.
+func (t *Table) DropExpired(now float64) {
+	for _, s := range t.slots {
+		maps.DeleteFunc(s.claims,
+			func(_ string, c Claim) bool { return now >= c.Until+t.timing.Lag*(1+t.timing.Drift) })
 	}
 }
