--- a/logic/share/allocator.go
+++ b/logic/share/allocator.go
@@ -8,143 +8,154 @@
 	"valveglade/logic/owner"
 )
 
-// Allocator shares out permits under one term.
+// Allocator divides the permits among the app servers under one term of the role.
 type Allocator struct {
 	*owner.Grantor
-	config      Config
-	limit       float64 // as found, or as set
-	demands     map[owner.Incarnation]*demand
-	allocatedAt float64 // when the allocation was last computed
-	allocation  map[owner.Incarnation]int
-	adjustedAt  float64 // when the limit was last moved
-	sum, n      float64 // of what runs took since then, by how many app servers told
-	took        float64 // of late
-	used        int
+	config       Config
+	limit        float64 // the current limit: adaptive, or as configured
+	demands      map[owner.Incarnation]*demand
+	allocatedAt  float64 // when the allocation was last computed
+	allocation   map[owner.Incarnation]int
+	adjustedAt   float64 // when the limit was last adjusted
+	runTimeSum   float64 // sum of the mean run times that app servers reported since then
+	runTimeCount float64 // number of these reports
+	meanRunTime  float64 // moving average of the run times, in seconds; 0 before the first report
+	inUse        int
 }
 
-// demand is what a holder last asked for.
+// demand is a holder's last request.
 type demand struct {
-	wants, uses int
-	criticality float64
-	heard       float64
-	dry         float64 // since when it wants and has none, 0 if it has
+	wants         int // permits that it wants
+	uses          int // permits in use, which may be more than it holds
+	criticality   float64
+	lastRequestAt float64
+	starvedSince  float64 // since when it wants permits and holds none; 0 if it holds some
 }
 
-// NewAllocator begins as the role is acquired.
-func NewAllocator(role string, term uint64, t Config, now float64) *Allocator {
-	k := &Allocator{config: t, limit: float64(t.Limit), demands: map[owner.Incarnation]*demand{}, allocatedAt: math.Inf(-1), adjustedAt: now}
-	if t.MinLimit > 0 {
-		k.limit = float64(t.MinLimit)
+// NewAllocator returns an allocator for a term that starts now, as the role is acquired.
+func NewAllocator(role string, term uint64, config Config, now float64) *Allocator {
+	a := &Allocator{config: config, limit: float64(config.Limit), demands: map[owner.Incarnation]*demand{},
+		allocatedAt: math.Inf(-1), adjustedAt: now}
+	if config.MinLimit > 0 {
+		a.limit = float64(config.MinLimit)
 	}
-	k.Grantor = owner.NewGrantor(role, term, k.pool(), now, t.Lease)
-	return k
+	a.Grantor = owner.NewGrantor(role, term, a.pool(), now, config.Lease)
+	return a
 }
 
-// pool is the number of permits that there are to grant.
-func (k *Allocator) pool() int { return int(k.limit) - k.config.totalReserved() }
+// pool is the number of permits that can be granted: the limit without the reserved ones.
+func (a *Allocator) pool() int { return int(a.limit) - a.config.totalReserved() }
 
-// Limit is how many may run at once over the whole fleet, as set or found.
-func (k *Allocator) Limit() int { return int(k.limit) }
+// Limit is how many RPCs may run at once over the whole fleet.
+func (a *Allocator) Limit() int { return int(a.limit) }
 
-// UpdateLimits takes over another limit; what is granted stays granted until it is over.
-func (k *Allocator) UpdateLimits(t Config) {
-	k.config.Limit, k.config.MinLimit, k.config.Target = t.Limit, t.MinLimit, t.Target
-	if k.limit = min(k.limit, float64(t.Limit)); t.MinLimit == 0 {
-		k.limit = float64(t.Limit)
+// UpdateLimits applies changed limits; permits already granted stay valid until they expire.
+func (a *Allocator) UpdateLimits(config Config) {
+	a.config.Limit, a.config.MinLimit, a.config.Target = config.Limit, config.MinLimit, config.Target
+	if a.limit = min(a.limit, float64(config.Limit)); config.MinLimit == 0 {
+		a.limit = float64(config.Limit)
 	}
-	k.SetTotal(k.pool())
+	a.SetTotal(a.pool())
 }
 
-// HandleRequest answers a request, if it is to be answered. The owner's lease has to be checked after the request came, at the same
-// reading of the clock.
-func (k *Allocator) HandleRequest(q Request, now float64) (owner.Answer, bool) {
-	if !k.Grantor.HandleRequest(q.Request, now) {
+// HandleRequest answers a request; it returns false if the request has to be ignored. The caller has to check
+// the owner's lease after the request arrived, at the clock reading that it passes as now.
+func (a *Allocator) HandleRequest(request Request, now float64) (owner.Answer, bool) {
+	if !a.Grantor.HandleRequest(request.Request, now) {
 		return owner.Answer{}, false
 	}
-	d := k.demands[q.From]
+	d := a.demands[request.From]
 	if d == nil {
 		d = &demand{}
-		k.demands[q.From] = d
-		k.allocatedAt = math.Inf(-1)
+		a.demands[request.From] = d
+		a.allocatedAt = math.Inf(-1)
 	}
-	if criticality := min(max(q.Criticality, minCriticality), maxCriticality); d.criticality == 0 {
+	if criticality := min(max(request.Criticality, minCriticality), maxCriticality); d.criticality == 0 {
 		d.criticality = criticality
 	} else {
-		d.criticality += (criticality - d.criticality) / 16 // a few RPCs say little of what comes
+		d.criticality += (criticality - d.criticality) / 16 // smoothed, as a few RPCs predict little
 	}
-	d.wants, d.uses, d.heard = q.Wants, q.Uses, now
-	if q.RunTime > 0 {
-		k.sum += q.RunTime
-		k.n++
+	d.wants, d.uses, d.lastRequestAt = request.Wants, request.Uses, now
+	if request.RunTime > 0 {
+		a.runTimeSum += request.RunTime
+		a.runTimeCount++
 	}
-	k.adjustLimit(now)
-	if now >= k.allocatedAt+allocateEvery {
-		k.allocate(now)
+	a.adjustLimit(now)
+	if now >= a.allocatedAt+allocateInterval {
+		a.allocate(now)
 	}
-	n := k.allocation[q.From]
-	if n >= 3 && q.Holds == n+1 && d.wants > n {
-		n++ // one more or less is not worth a move, in which it serves nobody
+	permits := a.allocation[request.From]
+	if permits >= 3 && request.Holds == permits+1 && d.wants > permits {
+		permits++ // moving a single permit is not worth the time in which it is unused
 	}
-	a := k.Grant(q.Request, n, now)
-	if a.Grants > 0 || d.wants == 0 {
-		d.dry = 0
-	} else if d.dry == 0 {
-		d.dry = now
+	answer := a.Grant(request.Request, permits, now)
+	if answer.Grants > 0 || d.wants == 0 {
+		d.starvedSince = 0
+	} else if d.starvedSince == 0 {
+		d.starvedSince = now
 	}
-	return a, true
+	return answer, true
 }
 
-// allocateEvery is how often it is computed anew who is to have what: often for who asks, seldom for hundreds.
-const allocateEvery = 0.04
+// allocateInterval is the shortest time between two computations of the allocation, in seconds: short against
+// the interval of a holder's requests, and long enough that the requests of hundreds of holders share a
+// computation.
+const allocateInterval = 0.04
 
-// What one app server's criticality counts at the least and at the most of another's, so that none is as good as nothing.
-const minCriticality, maxCriticality = 0.01, 1000
+// The bounds of the criticality by which an app server is weighted, so that no weight is negligible.
+const (
+	minCriticality = 0.01
+	maxCriticality = 1000
+)
 
-// demandExpiry is for how long after its last request a holder counts: some requests may be lost.
+// demandExpiry is how long after its last request a holder counts, in seconds: some requests may be lost.
 const demandExpiry = 1.5
 
-// allocate computes a fair allocation: everybody the same, by criticality, but for what it does not want; what is left over then
-// stands ready with all alike, where the next RPC needs it.
-func (k *Allocator) allocate(now float64) {
-	k.allocatedAt = now
-	var all []owner.Incarnation
+// allocate computes a weighted fair allocation: equal shares by criticality, up to what each holder wants. If
+// all demand is met, the surplus is spread evenly, so that the next RPC finds a permit at its app server.
+func (a *Allocator) allocate(now float64) {
+	a.allocatedAt = now
+	var holders []owner.Incarnation
 	wanted := 0
-	k.used = 0
-	for incarnation, d := range k.demands {
-		if now > d.heard+demandExpiry {
-			delete(k.demands, incarnation)
+	a.inUse = 0
+	for incarnation, d := range a.demands {
+		if now > d.lastRequestAt+demandExpiry {
+			delete(a.demands, incarnation)
 			continue
 		}
-		all = append(all, incarnation)
+		holders = append(holders, incarnation)
 		wanted += d.wants
-		k.used += d.uses
-	}
-	slices.SortFunc(all, func(a, b owner.Incarnation) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
-	k.allocation = make(map[owner.Incarnation]int, len(all))
-	pool := max(k.pool(), 0)
+		a.inUse += d.uses
+	}
+	slices.SortFunc(holders, func(x, y owner.Incarnation) int {
+		return cmp.Or(cmp.Compare(x.Name, y.Name),
+			cmp.Compare(x.ID, y.ID))
+	})
+	a.allocation = make(map[owner.Incarnation]int, len(holders))
+	pool := max(a.pool(), 0)
 	if wanted <= pool {
-		for n, incarnation := range all {
-			rest := pool - wanted
-			head := rest / len(all)
-			if n < rest%len(all) {
-				head++
+		for i, incarnation := range holders {
+			surplus := pool - wanted
+			extra := surplus / len(holders)
+			if i < surplus%len(holders) {
+				extra++
 			}
-			k.allocation[incarnation] = k.demands[incarnation].wants + head
+			a.allocation[incarnation] = a.demands[incarnation].wants + extra
 		}
 		return
 	}
-	// The level up to which each is filled, for one of its criticality: found by halving.
+	// Water filling: finds by bisection the level per unit of criticality up to which each demand is met.
 	low, high := 0.0, float64(pool)+1
-	for _, incarnation := range all {
-		high = max(high, (float64(pool)+1)/k.demands[incarnation].criticality)
+	for _, incarnation := range holders {
+		high = max(high, (float64(pool)+1)/a.demands[incarnation].criticality)
 	}
-	at := func(incarnation owner.Incarnation, level float64) int {
-		return min(k.demands[incarnation].wants, int(level*k.demands[incarnation].criticality))
+	filledTo := func(incarnation owner.Incarnation, level float64) int {
+		return min(a.demands[incarnation].wants, int(level*a.demands[incarnation].criticality))
 	}
 	for range 60 {
 		level, sum := (low+high)/2, 0
-		for _, incarnation := range all {
-			sum += at(incarnation, level)
+		for _, incarnation := range holders {
+			sum += filledTo(incarnation, level)
 		}
 		if sum <= pool {
 			low = level
@@ -152,62 +163,70 @@
 			high = level
 		}
 	}
-	left := pool
-	for _, incarnation := range all {
-		k.allocation[incarnation] = at(incarnation, low)
-		left -= k.allocation[incarnation]
-	}
-	// Parts of a permit go to whom they are nearest to a whole one, and in turn: who has none gains on the others with time.
-	due := func(incarnation owner.Incarnation) float64 {
-		d := k.demands[incarnation]
-		part := low*d.criticality - math.Floor(low*d.criticality)
-		if d.dry > 0 {
-			part += (now - d.dry) / starvationTime
-		} else if held := k.Held(incarnation); held > at(incarnation, low) {
-			part++ // it has one: moving it, nobody uses it for a while
+	remaining := pool
+	for _, incarnation := range holders {
+		a.allocation[incarnation] = filledTo(incarnation, low)
+		remaining -= a.allocation[incarnation]
+	}
+	// The remaining permits go to the holders with the largest fractional shares. A holder without permits
+	// gains priority with time, so that all get their turn.
+	priority := func(incarnation owner.Incarnation) float64 {
+		d := a.demands[incarnation]
+		fraction := low*d.criticality - math.Floor(low*d.criticality)
+		if d.starvedSince > 0 {
+			fraction += (now - d.starvedSince) / starvationTime
+		} else if held := a.Held(incarnation); held > filledTo(incarnation, low) {
+			fraction++ // it holds the permit already, and moving it leaves it unused for a while
 		}
-		return part
-	}
-	slices.SortStableFunc(all, func(a, b owner.Incarnation) int { return cmp.Compare(due(b), due(a)) })
-	for _, incarnation := range all {
-		if left == 0 {
+		return fraction
+	}
+	slices.SortStableFunc(holders, func(x, y owner.Incarnation) int {
+		return cmp.Compare(priority(y),
+			priority(x))
+	})
+	for _, incarnation := range holders {
+		if remaining == 0 {
 			break
 		}
-		if k.allocation[incarnation] < k.demands[incarnation].wants {
-			k.allocation[incarnation]++
-			left--
+		if a.allocation[incarnation] < a.demands[incarnation].wants {
+			a.allocation[incarnation]++
+			remaining--
 		}
 	}
 }
 
-// starvationTime is after how long somebody who has none comes before one that has a permit more than its part.
+// starvationTime is after how many seconds without a permit a holder takes precedence over one that holds a
+// permit more than its share.
 const starvationTime = 0.5
 
-// durationWeight is what the last runs weigh against those before: the length of runs differs by itself, and a cut for that is for nothing.
-const durationWeight = 0.3
+// runTimeWeight is the weight of the latest run times in the moving average: run times vary by themselves,
+// and the limit should not be cut for that.
+const runTimeWeight = 0.3
 
-// adjustEvery is how often the limit is moved, where it is found: a change is to show in what runs take before the next.
-const adjustEvery = 0.25
+// adjustInterval is the shortest time between two adjustments of an adaptive limit, in seconds: an adjustment
+// has to show in the run times before the next one.
+const adjustInterval = 0.25
 
-// adjustLimit moves the limit by the rule of the pool: it grows by adding while it is used and runs take no longer than they should,
-// and is cut by how far they overshoot, at most by half.
-func (k *Allocator) adjustLimit(now float64) {
+// adjustLimit adapts the limit by the rule of the credit pool: it grows additively while it is used and runs
+// stay within the target, and shrinks in proportion to the overshoot otherwise, by half at most.
+func (a *Allocator) adjustLimit(now float64) {
 	const alpha, beta = 0.02, 0.5
-	if k.config.MinLimit == 0 || now < k.adjustedAt+max(adjustEvery, 2*k.config.Target) || k.n == 0 {
+	if a.config.MinLimit == 0 || now < a.adjustedAt+max(adjustInterval, 2*a.config.Target) ||
+		a.runTimeCount == 0 {
 		return
 	}
-	if k.took == 0 {
-		k.took = k.sum / k.n
+	if a.meanRunTime == 0 {
+		a.meanRunTime = a.runTimeSum / a.runTimeCount
 	}
-	k.took += (k.sum/k.n - k.took) * durationWeight
-	took := k.took
-	k.adjustedAt, k.sum, k.n = now, 0, 0
-	switch t := k.config.Target; {
-	case took > t:
-		k.limit *= max(1-beta*(took-t)/t, 0.5)
-	case float64(k.used+k.config.totalReserved()) >= 0.8*math.Floor(k.limit):
-		k.limit += max(alpha*k.limit, 1)
+	a.meanRunTime += (a.runTimeSum/a.runTimeCount - a.meanRunTime) * runTimeWeight
+	meanRunTime := a.meanRunTime
+	a.adjustedAt, a.runTimeSum, a.runTimeCount = now, 0, 0
+	switch target := a.config.Target; {
+	case meanRunTime > target:
+		a.limit *= max(1-beta*(meanRunTime-target)/target, 0.5)
+	case float64(a.inUse+a.config.totalReserved()) >= 0.8*math.Floor(a.limit):
+		a.limit += max(alpha*a.limit, 1)
 	}
-	k.limit = min(max(k.limit, float64(k.config.MinLimit)), float64(k.config.Limit))
-	k.SetTotal(k.pool())
+	a.limit = min(max(a.limit, float64(a.config.MinLimit)), float64(a.config.Limit))
+	a.SetTotal(a.pool())
 }
