--- a/logic/share/leaseholder.go
+++ b/logic/share/leaseholder.go
@@ -8,36 +8,41 @@
 
 // Leaseholder is one app server's part in one share.
 type Leaseholder struct {
-	config       Config
-	requester    *owner.Requester
-	reserved     int
-	reservedFrom float64 // when the reserved permits may be used: whatever an earlier incarnation began under them is over then
-	running      int
-	waiting      int
-	criticality  float64 // of all that runs and waits
-	tookSum      float64
-	tookN        int
-	area         float64 // of what runs and waits, over time, since the last request
-	counted      float64 // up to when
-	began        float64 // since when
-	mean         float64 // of what ran and waited, of late
-	most         int     // of it, since the last request
-	asked        float64
-	answered     bool
-	due          float64
+	config    Config
+	requester *owner.Requester
+	reserved  int
+	// when the reserved permits may be used: all runs that an earlier incarnation started with them have ended
+	reservedFrom   float64
+	running        int
+	waiting        int
+	criticality    float64 // sum over the running and waiting RPCs
+	runTimeSum     float64 // of the runs that ended since the last request, in seconds
+	runTimeCount   int     // number of these runs
+	demandIntegral float64 // running and waiting RPCs, integrated over the time since the last request
+	countedAt      float64 // the time up to which demandIntegral is summed
+	intervalStart  float64 // the time of the last request, from which demandIntegral is summed
+	meanDemand     float64 // moving average of the running and waiting RPCs
+	peakDemand     int     // the most RPCs running and waiting since the last request
+	requestedAt    float64
+	answered       bool // no request is waiting for its answer
+	nextRequestAt  float64
 }
 
-// requestEvery is how often a leaseholder makes a request while it wants something: demand is followed within some of them. requestSoon is
-// how soon it may make the next one when it has no permit.
-// requestIdle is how often one does that wants nothing: what stands ready with it may be needed elsewhere.
-const requestEvery, requestSoon, requestIdle = 0.1, 0.02, 0.3
+// How often a leaseholder sends requests, in seconds.
+const (
+	requestInterval     = 0.1  // while it wants permits: demand is followed within a few requests
+	minRequestInterval  = 0.02 // the shortest, when an RPC waits for a permit
+	idleRequestInterval = 0.3  // while it wants none: its surplus permits may be needed elsewhere
+)
 
-// NewLeaseholder begins with nothing running.
-func NewLeaseholder(self owner.Incarnation, role string, t Config, now float64) *Leaseholder {
-	return &Leaseholder{config: t, requester: owner.NewRequester(self, role, t.Lease), reserved: t.reservedFor(self.Name), reservedFrom: now + t.Lease.Expiry(), answered: true, due: now, counted: now, began: now}
+// NewLeaseholder returns a leaseholder with no runs and no grant.
+func NewLeaseholder(self owner.Incarnation, role string, config Config, now float64) *Leaseholder {
+	return &Leaseholder{config: config, requester: owner.NewRequester(self, role, config.Lease),
+		reserved: config.reservedFor(self.Name), reservedFrom: now + config.Lease.Expiry(), answered: true,
+		nextRequestAt: now, countedAt: now, intervalStart: now}
 }
 
-// Allowed is how many may run now.
+// Allowed returns how many RPCs may run now.
 func (h *Leaseholder) Allowed(now float64) int {
 	n, _ := h.requester.Holds(now)
 	if now >= h.reservedFrom {
@@ -46,72 +51,75 @@
 	return n
 }
 
-// CanStart reports whether one more may start.
+// CanStart reports whether one more RPC may start.
 func (h *Leaseholder) CanStart(now float64) bool { return h.running < h.Allowed(now) }
 
-// AddWaiting takes in that an RPC of a criticality waits, or with -1 no longer does.
+// AddWaiting records that n more RPCs of a criticality wait; n is -1 for one that no longer does.
 func (h *Leaseholder) AddWaiting(n int, criticality float64, now float64) {
 	h.count(now)
 	h.waiting += n
 	h.criticality += float64(n) * criticality
-	if n > 0 && !h.CanStart(now) { // it is missed: not at the next turn, at once
-		h.due = min(h.due, max(now, h.asked+requestSoon))
+	if n > 0 && !h.CanStart(now) { // a permit is missing: requests one before the next regular request
+		h.nextRequestAt = min(h.nextRequestAt, max(now, h.requestedAt+minRequestInterval))
 	}
 }
 
-// count adds up what runs and waits until now.
+// count updates the demand statistics up to now. It has to be called before running or waiting change.
 func (h *Leaseholder) count(now float64) {
-	h.area += float64(h.running+h.waiting) * (now - h.counted)
-	h.most = max(h.most, h.running+h.waiting)
-	h.counted = now
+	h.demandIntegral += float64(h.running+h.waiting) * (now - h.countedAt)
+	h.peakDemand = max(h.peakDemand, h.running+h.waiting)
+	h.countedAt = now
 }
 
-// Started takes in that one has started, of those that waited.
+// Started records that a run has started.
 func (h *Leaseholder) Started(criticality, now float64) {
 	h.count(now)
 	h.running++
 	h.criticality += criticality
 }
 
-// Finished takes in that one has ended, after so many seconds; 0 where it never ran.
-func (h *Leaseholder) Finished(criticality, took, now float64) {
+// Finished records that a run has ended after runTime seconds; runTime is 0 if it never ran.
+func (h *Leaseholder) Finished(criticality, runTime, now float64) {
 	h.count(now)
 	h.running--
 	if h.criticality -= criticality; h.running+h.waiting == 0 {
-		h.criticality = 0 // what adding and taking away has left
+		h.criticality = 0 // discards accumulated rounding errors
 	}
-	if took > 0 {
-		h.tookSum += took
-		h.tookN++
+	if runTime > 0 {
+		h.runTimeSum += runTime
+		h.runTimeCount++
 	}
 }
 
-// wants is what it would have, beyond its reserved permits: what ran and waited on the mean, over about the last two tenths of a second.
-// The most of that time would be more than it needs, and less is left for who needs it; but more than there has been since the
-// last request is a crowd that has gone.
+// wants returns how many permits it wants beyond the reserved ones: the moving average of the running and
+// waiting RPCs. Their peak would be more than is needed, at the cost of other holders. The result is capped
+// by the peak since the last request, so that a burst that has ended is not counted.
 func (h *Leaseholder) wants(now float64) int {
 	h.count(now)
-	if span := now - h.began; span > 0 {
-		h.mean += (h.area/span - h.mean) * (1 - math.Exp(-span/smooth))
+	if interval := now - h.intervalStart; interval > 0 {
+		h.meanDemand += (h.demandIntegral/interval - h.meanDemand) * (1 - math.Exp(-interval/demandTimeConstant))
 	}
-	want := min(int(math.Ceil(h.mean-wholeFrom)), h.most)
-	h.area, h.began, h.most = 0, now, h.running+h.waiting
-	return max(want-h.reserved, 0)
+	demand := min(int(math.Ceil(h.meanDemand-ignoredFraction)), h.peakDemand)
+	h.demandIntegral, h.intervalStart, h.peakDemand = 0, now, h.running+h.waiting
+	return max(demand-h.reserved, 0)
 }
 
-// smooth is over how many seconds what is wanted is smoothed: some runs' length. wholeFrom is the part of a permit that is not
-// asked for: less than it makes others wait for longer than it serves.
-const smooth, wholeFrom = 0.15, 0.2
+// How demand is smoothed.
+const (
+	demandTimeConstant = 0.15 // of the moving average, in seconds: about the length of some runs
+	ignoredFraction    = 0.2  // of a permit, not requested: others would wait for it longer than it is used
+)
 
-// ObserveTerm takes in that there is an allocator under a term: one that is new gets a request at once. False if a later one is known.
+// ObserveTerm records that an allocator has the role under a term; a new allocator gets a request at once. It
+// returns false if a later term is known.
 func (h *Leaseholder) ObserveTerm(term uint64, now float64) bool {
 	if term > h.requester.KnownTerm() {
-		h.due, h.answered = now, true
+		h.nextRequestAt, h.answered = now, true
 	}
 	return h.requester.ObserveTerm(term)
 }
 
-// uses is what runs beyond the reserved permits.
+// uses returns how many RPCs run beyond the reserved permits.
 func (h *Leaseholder) uses(now float64) int {
 	n := h.running
 	if now >= h.reservedFrom {
@@ -120,49 +128,56 @@
 	return max(n, 0)
 }
 
-// Tick returns the request that is due, if one is. While one is on its way no other voids it, until it must be lost.
+// Tick returns a request if one is due. A new request would void one whose answer is pending, so none is sent
+// until that answer arrives or a quarter of the lease has passed, after which it counts as lost.
 func (h *Leaseholder) Tick(now float64) (Request, bool) {
-	if now < h.due || h.requester.KnownTerm() == 0 || !h.answered && now < h.asked+h.config.Lease.Length/4 {
+	if now < h.nextRequestAt || h.requester.KnownTerm() == 0 ||
+		!h.answered && now < h.requestedAt+h.config.Lease.Length/4 {
 		return Request{}, false
 	}
-	want := h.wants(now)
-	h.due = now + requestEvery
+	demand := h.wants(now)
+	h.nextRequestAt = now + requestInterval
 	if h.waiting > 0 && !h.CanStart(now) {
-		h.due = now + requestEvery/2
+		h.nextRequestAt = now + requestInterval/2
 	}
-	if want == 0 && h.running+h.waiting == 0 {
-		h.due = now + requestIdle
+	if demand == 0 && h.running+h.waiting == 0 {
+		h.nextRequestAt = now + idleRequestInterval
 	}
-	h.asked, h.answered = now, false
-	q := Request{Request: h.requester.Request(want, h.uses(now), now), Criticality: 1}
+	h.requestedAt, h.answered = now, false
+	request := Request{Request: h.requester.Request(demand, h.uses(now), now), Criticality: 1}
 	if n := h.running + h.waiting; n > 0 {
-		q.Criticality = h.criticality / float64(n)
+		request.Criticality = h.criticality / float64(n)
 	}
-	if h.tookN > 0 {
-		q.RunTime = h.tookSum / float64(h.tookN)
-		h.tookSum, h.tookN = 0, 0
+	if h.runTimeCount > 0 {
+		request.RunTime = h.runTimeSum / float64(h.runTimeCount)
+		h.runTimeSum, h.runTimeCount = 0, 0
 	}
-	return q, true
+	return request, true
 }
 
-// HandleAnswer takes an answer in. What it cuts is for others only once the allocator has heard that the answer came: so it makes another request.
-func (h *Leaseholder) HandleAnswer(a owner.Answer, now float64) bool {
+// HandleAnswer handles an answer, and reports whether it was accepted. If the answer reduces the grant,
+// another request follows soon: the allocator can grant the returned permits to others only once a request
+// reports the reduction.
+func (h *Leaseholder) HandleAnswer(answer owner.Answer, now float64) bool {
 	before, _ := h.requester.Holds(now)
-	ok := h.requester.HandleAnswer(a, now)
-	if h.answered = h.answered || ok; ok && a.Grants < before {
-		h.due = min(h.due, max(now, h.asked+requestSoon))
+	accepted := h.requester.HandleAnswer(answer, now)
+	if h.answered = h.answered || accepted; accepted && answer.Grants < before {
+		h.nextRequestAt = min(h.nextRequestAt, max(now, h.requestedAt+minRequestInterval))
 	}
-	return ok
+	return accepted
 }
 
-// LeaseStatus is the state of a leaseholder, for operators.
+// LeaseStatus is the state of a leaseholder as shown to operators.
 type LeaseStatus struct {
-	Running, Waiting, Reserved, Granted int
-	Left                                float64 // of the grant, in seconds
-	Term                                uint64  // of the allocator that it knows, 0 for none
+	Running  int     // RPCs
+	Waiting  int     // RPCs
+	Reserved int     // permits
+	Granted  int     // permits
+	Left     float64 // of the grant, in seconds
+	Term     uint64  // the highest known term of the role; 0 if none is known
 }
 
-// Status returns it.
+// Status returns the state of the leaseholder.
 func (h *Leaseholder) Status(now float64) LeaseStatus {
 	n, left := h.requester.Holds(now)
 	return LeaseStatus{h.running, h.waiting, h.reserved, n, left, h.requester.KnownTerm()}
