--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -11,107 +11,112 @@
 	"valveglade/rig/explore"
 )
 
-// fleet is some app servers that ask one allocator, with no way between them.
-type fleet struct {
+// cluster is some app servers and one allocator; requests and answers arrive at once.
+type cluster struct {
 	t           *testing.T
 	config      Config
 	now         float64
 	allocator   *Allocator
 	holders     []*Leaseholder
 	criticality []float64
-	wants       []int // each keeps so many running and waiting, as far as it may
-	ran         []float64
+	wants       []int // how many RPCs each keeps running and waiting
+	runSeconds  []float64 // time that the runs of each took in all
 }
 
-func newFleet(t *testing.T, config Config, n int) *fleet {
-	f := &fleet{t: t, config: config, allocator: NewAllocator("o", 1, config, -100), now: 100, wants: make([]int, n), ran: make([]float64, n)}
+func newCluster(t *testing.T, config Config, n int) *cluster {
+	c := &cluster{t: t, config: config, allocator: NewAllocator("o", 1, config, -100), now: 100,
+		wants: make([]int, n), runSeconds: make([]float64, n)}
 	for k := range n {
-		f.holders = append(f.holders, NewLeaseholder(owner.Incarnation{Name: fmt.Sprintf("a%02d", k), ID: 1}, "o", config, 0))
-		f.holders[k].ObserveTerm(1, 0)
-		f.criticality = append(f.criticality, 1)
+		c.holders = append(c.holders,
+			NewLeaseholder(owner.Incarnation{Name: fmt.Sprintf("a%02d", k), ID: 1}, "o", config, 0))
+		c.holders[k].ObserveTerm(1, 0)
+		c.criticality = append(c.criticality, 1)
 	}
-	return f
+	return c
 }
 
-// pass lets time go by: runs last a tenth of a second, and start as soon as they may.
-func (f *fleet) pass(seconds float64) {
-	for end := f.now + seconds; f.now < end; f.now += 0.01 {
+// advance lets time pass. Runs last a tenth of a second, and start as soon as they are allowed to.
+func (c *cluster) advance(duration float64) {
+	for end := c.now + duration; c.now < end; c.now += 0.01 {
 		sum := 0
-		for k, h := range f.holders {
-			if int(f.now*100)%10 == k%10 {
+		for k, h := range c.holders {
+			if int(c.now*100)%10 == k%10 {
 				for h.running > 0 {
-					h.Finished(f.criticality[k], 0.1, f.now)
+					h.Finished(c.criticality[k], 0.1, c.now)
 				}
 			}
-			for h.running+h.waiting < f.wants[k] {
-				h.AddWaiting(1, f.criticality[k], f.now)
+			for h.running+h.waiting < c.wants[k] {
+				h.AddWaiting(1, c.criticality[k], c.now)
 			}
-			for h.running+h.waiting > f.wants[k] && h.waiting > 0 {
-				h.AddWaiting(-1, f.criticality[k], f.now)
+			for h.running+h.waiting > c.wants[k] && h.waiting > 0 {
+				h.AddWaiting(-1, c.criticality[k], c.now)
 			}
-			for h.waiting > 0 && h.CanStart(f.now) {
-				h.AddWaiting(-1, f.criticality[k], f.now)
-				h.Started(f.criticality[k], f.now)
+			for h.waiting > 0 && h.CanStart(c.now) {
+				h.AddWaiting(-1, c.criticality[k], c.now)
+				h.Started(c.criticality[k], c.now)
 			}
 			sum += h.running
-			f.ran[k] += 0.01 * float64(h.running)
-			if q, ok := h.Tick(f.now); ok {
-				if a, ok := f.allocator.HandleRequest(q, f.now); ok {
-					h.HandleAnswer(a, f.now)
+			c.runSeconds[k] += 0.01 * float64(h.running)
+			if q, ok := h.Tick(c.now); ok {
+				if a, ok := c.allocator.HandleRequest(q, c.now); ok {
+					h.HandleAnswer(a, c.now)
 				}
 			}
 		}
-		if sum > f.config.Limit {
-			f.t.Fatalf("%d run at %.2f", sum, f.now)
+		if sum > c.config.Limit {
+			c.t.Fatalf("%d run at %.2f", sum, c.now)
 		}
 	}
 }
 
-var lending = owner.Lease{Length: 2, Grace: 0.5, Drift: 0.01}
+var testLease = owner.Lease{Length: 2, Grace: 0.5, Drift: 0.01}
 
-// Who wants little has it; the rest is for who wants more, by criticality; what nobody wants stands ready with all.
+// Small demands are met, the rest is divided by criticality, and permits that nobody wants are spread over all
+// app servers.
 func TestFair(t *testing.T) {
-	f := newFleet(t, Config{Limit: 20, Lease: lending}, 4)
-	f.wants = []int{1, 30, 30, 0}
-	f.criticality = []float64{1, 1, 3, 1}
-	f.pass(4)
-	clear(f.ran)
-	f.pass(10)
+	c := newCluster(t, Config{Limit: 20, Lease: testLease}, 4)
+	c.wants = []int{1, 30, 30, 0}
+	c.criticality = []float64{1, 1, 3, 1}
+	c.advance(4)
+	clear(c.runSeconds)
+	c.advance(10)
 	for k, want := range []float64{1, 4.75, 14.25, 0} {
-		if got := f.ran[k] / 10; got < 0.85*want-0.1 || got > 1.1*want+0.3 {
+		if got := c.runSeconds[k] / 10; got < 0.85*want-0.1 || got > 1.1*want+0.3 {
 			t.Errorf("app server %d runs %.2f, not %.2f", k, got, want)
 		}
 	}
-	f.wants = []int{1, 1, 1, 1}
-	f.pass(3)
-	for k, h := range f.holders {
-		if n := h.Allowed(f.now); n < 4 {
-			t.Errorf("app server %d may run %d where there is room for all", k, n)
+	c.wants = []int{1, 1, 1, 1}
+	c.advance(3)
+	for k, h := range c.holders {
+		if n := h.Allowed(c.now); n < 4 {
+			t.Errorf("app server %d may run %d where there are permits for all", k, n)
 		}
 	}
 }
 
-// Demand that moves is followed at once, and nothing moves without need.
-func TestFollows(t *testing.T) {
-	f := newFleet(t, Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"}, Lease: lending}, 4)
+// Permits follow demand that moves to another app server within a second, and do not move while demand stays
+// the same.
+func TestDemandFollowed(t *testing.T) {
+	c := newCluster(t, Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"},
+		Lease: testLease}, 4)
 	for round := range 6 {
-		f.wants = make([]int, 4)
-		f.wants[round%4] = 40
-		f.pass(1)
-		if n := f.holders[round%4].running; n < 16 {
-			t.Errorf("after a second app server %d runs %d: %+v", round%4, n, f.allocator.Holders(f.now))
+		c.wants = make([]int, 4)
+		c.wants[round%4] = 40
+		c.advance(1)
+		if n := c.holders[round%4].running; n < 16 {
+			t.Errorf("after a second app server %d runs %d: %+v", round%4, n, c.allocator.Holders(c.now))
 		}
 	}
-	f.wants = []int{9, 9, 9, 9}
-	f.pass(2)
+	c.wants = []int{9, 9, 9, 9}
+	c.advance(2)
 	moves, had := 0, make([]int, 4)
 	for range 500 {
-		f.pass(0.01)
-		for k, h := range f.holders {
-			if n := h.Allowed(f.now); n != had[k] && had[k] > 0 {
+		c.advance(0.01)
+		for k, h := range c.holders {
+			if n := h.Allowed(c.now); n != had[k] && had[k] > 0 {
 				moves++
 			}
-			had[k] = h.Allowed(f.now)
+			had[k] = h.Allowed(c.now)
 		}
 	}
 	if moves > 4 {
@@ -119,19 +124,22 @@
 	}
 }
 
-// Forty app servers for a limit of ten: each has its turn, with reserved permits for some and without.
-func TestFortyForTen(t *testing.T) {
-	for _, floored := range [][]string{nil, {"a00", "a01"}} {
-		f := newFleet(t, Config{Limit: 10, Reserved: min(len(floored), 1), ReservedMembers: floored, Lease: lending}, 40)
-		for k := range f.wants {
-			f.wants[k] = 5
+// With more app servers than permits each gets its turn, with reserved permits for some app servers and
+// without.
+func TestMoreHoldersThanPermits(t *testing.T) {
+	for _, reservedMembers := range [][]string{nil, {"a00", "a01"}} {
+		c := newCluster(t, Config{Limit: 10, Reserved: min(len(reservedMembers), 1),
+			ReservedMembers: reservedMembers,
+			Lease:           testLease}, 40)
+		for k := range c.wants {
+			c.wants[k] = 5
 		}
-		f.pass(20)
+		c.advance(20)
 		sum := 0.0
-		for k, ran := range f.ran {
-			sum += ran
-			if ran < 0.5 {
-				t.Errorf("app server %d ran for %.2f s of 20", k, ran)
+		for k, runSeconds := range c.runSeconds {
+			sum += runSeconds
+			if runSeconds < 0.5 {
+				t.Errorf("app server %d ran for %.2f s of 20", k, runSeconds)
 			}
 		}
 		if sum < 0.7*10*20 {
@@ -140,74 +148,80 @@
 	}
 }
 
-// Without an allocator each falls to its reserved permits when its grant ends; a new one grants what is proved at once, and the rest later.
+// Without an allocator each app server falls back to its reserved permits when its grant expires. A new allocator
+// grants what holders have reported at once, and the rest after the former grants have expired.
 func TestNewAllocator(t *testing.T) {
-	config := Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"}, Lease: lending}
-	f := newFleet(t, config, 4)
-	f.wants = []int{40, 0, 0, 0}
-	f.pass(2)
-	before := f.holders[0].Allowed(f.now)
-	f.allocator = NewAllocator("o", 2, config, f.now)
-	for _, h := range f.holders {
-		h.ObserveTerm(2, f.now)
-	}
-	f.pass(0.5)
-	if n := f.holders[0].Allowed(f.now); n < before {
+	config := Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"},
+		Lease: testLease}
+	c := newCluster(t, config, 4)
+	c.wants = []int{40, 0, 0, 0}
+	c.advance(2)
+	before := c.holders[0].Allowed(c.now)
+	c.allocator = NewAllocator("o", 2, config, c.now)
+	for _, leaseholder := range c.holders {
+		leaseholder.ObserveTerm(2, c.now)
+	}
+	c.advance(0.5)
+	if n := c.holders[0].Allowed(c.now); n < before {
 		t.Errorf("%d are left of %d after a change of allocator", n, before)
 	}
-	f.wants = []int{0, 40, 0, 0} // what is proved moves at once
-	f.pass(1)
-	if n := f.holders[1].running; n < 15 {
+	c.wants = []int{0, 40, 0, 0} // permits that were reported move at once
+	c.advance(1)
+	if n := c.holders[1].running; n < 15 {
 		t.Errorf("%d run where the demand has moved", n)
 	}
-	if h := f.holders[1]; h.ObserveTerm(1, f.now) {
-		t.Error("a former allocator is listened to")
+	if leaseholder := c.holders[1]; leaseholder.ObserveTerm(1, c.now) {
+		t.Error("the term of a former allocator is accepted")
 	}
-	f.allocator = NewAllocator("o", 9, config, f.now) // nobody hears of it
-	f.pass(3)
-	for k, h := range f.holders {
-		if n := h.Allowed(f.now); n != 1 {
+	c.allocator = NewAllocator("o", 9, config, c.now) // nobody observes its term
+	c.advance(3)
+	for k, leaseholder := range c.holders {
+		if n := leaseholder.Allowed(c.now); n != 1 {
 			t.Errorf("app server %d may run %d without an allocator", k, n)
 		}
 	}
 }
 
-// A limit that is lowered takes effect as grants end; one that is found follows what runs take.
+// A lowered limit takes effect as grants expire, and an adaptive limit follows the run times.
 func TestLimit(t *testing.T) {
-	config := Config{Limit: 20, Lease: lending}
-	f := newFleet(t, config, 2)
-	f.wants = []int{40, 40}
-	f.pass(1)
+	config := Config{Limit: 20, Lease: testLease}
+	c := newCluster(t, config, 2)
+	c.wants = []int{40, 40}
+	c.advance(1)
 	config.Limit = 8
-	f.allocator.UpdateLimits(config)
-	f.pass(1)
-	if n := f.holders[0].running + f.holders[1].running; n > 8 || n < 6 {
+	c.allocator.UpdateLimits(config)
+	c.advance(1)
+	if n := c.holders[0].running + c.holders[1].running; n > 8 || n < 6 {
 		t.Errorf("%d run under a limit of 8", n)
 	}
-	auto := Config{Limit: 100, MinLimit: 4, Target: 0.11, Lease: lending}
-	k := NewAllocator("o", 1, auto, 0)
+	adaptive := Config{Limit: 100, MinLimit: 4, Target: 0.11, Lease: testLease}
+	allocator := NewAllocator("o", 1, adaptive, 0)
 	number := uint64(0)
-	bears := 40.0
+	capacity := 40.0
 	for now := 10.0; now < 60; now += 0.05 {
 		number++
 		if now > 35 {
-			bears = 12
+			capacity = 12
 		}
-		q := Request{Request: owner.Request{Role: "o", From: owner.Incarnation{Name: "a", ID: 1}, Number: number, Term: 1, Wants: 200, Uses: k.Limit()},
-			Criticality: 1, RunTime: 0.1 * max(1, float64(k.Limit())/bears)}
-		k.HandleRequest(q, now)
-		if at := float64(k.Limit()); (now > 30 && now < 35 || now > 55) && (at < 0.8*bears || at > 1.2*bears) {
-			t.Fatalf("at %.1f s the limit is %.0f, and %.0f can be borne", now, at, bears)
+		request := Request{Request: owner.Request{Role: "o", From: owner.Incarnation{Name: "a", ID: 1},
+			Number: number, Term: 1, Wants: 200, Uses: allocator.Limit()},
+			Criticality: 1, RunTime: 0.1 * max(1, float64(allocator.Limit())/capacity)}
+		allocator.HandleRequest(request, now)
+		if limit := float64(allocator.Limit()); (now > 30 && now < 35 || now > 55) &&
+			(limit < 0.8*capacity || limit > 1.2*capacity) {
+			t.Fatalf("at %.1f s the limit is %.0f, and the downstream serves %.0f", now, limit,
+				capacity)
 		}
 	}
 }
 
-// Terms that contradict themselves are refused.
-func TestTerms(t *testing.T) {
-	for _, config := range []Config{{}, {Limit: 4, MinLimit: 5}, {Limit: 4, Reserved: 2, ReservedMembers: []string{"a", "b", "c"}},
+// Configurations that contradict themselves are rejected.
+func TestConfigCheck(t *testing.T) {
+	for _, config := range []Config{{}, {Limit: 4, MinLimit: 5},
+		{Limit: 4, Reserved: 2, ReservedMembers: []string{"a", "b", "c"}},
 		{Limit: 9, MinLimit: 2, Reserved: 1, ReservedMembers: []string{"a", "b", "c"}}} {
 		if config.Check() == nil {
-			t.Errorf("%+v are taken", config)
+			t.Errorf("%+v is accepted", config)
 		}
 	}
 	if err := (Config{Limit: 3, Reserved: 1, ReservedMembers: []string{"a", "b", "c"}}).Check(); err != nil {
@@ -215,117 +229,120 @@
 	}
 }
 
-// small is two holders with slow clocks, one of which has a reserved permits, and two allocators after one another with a fast one.
-type small struct {
-	config    Config
-	at, units int
-	asks      [2]int8
-	starts    int8
-	deaths    int8
-	second    bool
-	allocator *Allocator
-	holders   [2]Leaseholder
-	requests  []Request
-	answers   []owner.Answer
-	runs      [3][]int // when each began; last, of one that died
-	rash      bool     // a new life uses its reserved permits at once
+// model is two holders with slow clocks, one of which has a reserved permit, and two successive allocators
+// with a fast clock.
+type model struct {
+	config                  Config
+	elapsedUnits, unitsLeft int
+	requestsLeft            [2]int8
+	startsLeft              int8
+	deathsLeft              int8
+	secondAllocator         bool
+	allocator               *Allocator
+	holders                 [2]Leaseholder
+	requests                []Request
+	answers                 []owner.Answer
+	runStarts               [3][]int // when each run started, by holder; the last entry is for a holder that died
+	skipReservedWait        bool     // a restarted holder uses its reserved permits at once
 }
 
-const smallUnit, smallLimit = 0.5, 2
+const timeUnit, modelLimit = 0.5, 2
 
-func (s *small) holdersClock() float64    { return 10 + float64(s.at)*smallUnit*0.87 }
-func (s *small) allocatorsClock() float64 { return 10 + float64(s.at)*smallUnit*1.13 }
+func (s *model) holdersClock() float64    { return 10 + float64(s.elapsedUnits)*timeUnit*0.87 }
+func (s *model) allocatorsClock() float64 { return 10 + float64(s.elapsedUnits)*timeUnit*1.13 }
 
 const (
-	passes   = iota << 8
-	takesOff // the second allocator begins
-	hears    // a holder hears of it
-	asks
-	starts
-	dies
-	answers // a question comes
-	takes   // an answer comes
+	actionTimePasses      = iota << 8
+	actionSecondAllocator // the second allocator takes over
+	actionObserveTerm     // a holder learns of the second allocator
+	actionRequest         // a holder sends a request
+	actionStart           // a holder starts a run
+	actionRestart         // a holder dies, and its next incarnation starts
+	actionRequestArrives
+	actionAnswerArrives
 )
 
-func (s *small) acts(all []uint16) []uint16 {
-	if s.units > 0 {
-		all = append(all, passes)
+func (s *model) actions(all []uint16) []uint16 {
+	if s.unitsLeft > 0 {
+		all = append(all, actionTimePasses)
 	}
-	if !s.second {
-		all = append(all, takesOff)
+	if !s.secondAllocator {
+		all = append(all, actionSecondAllocator)
 	}
 	for k := range s.holders {
-		if s.second && s.holders[k].requester.KnownTerm() < 2 {
-			all = append(all, hears|uint16(k))
+		if s.secondAllocator && s.holders[k].requester.KnownTerm() < 2 {
+			all = append(all, actionObserveTerm|uint16(k))
 		}
-		if s.asks[k] > 0 {
-			all = append(all, asks|uint16(k))
+		if s.requestsLeft[k] > 0 {
+			all = append(all, actionRequest|uint16(k))
 		}
-		if s.starts > 0 && s.holders[k].CanStart(s.holdersClock()) {
-			all = append(all, starts|uint16(k))
+		if s.startsLeft > 0 && s.holders[k].CanStart(s.holdersClock()) {
+			all = append(all, actionStart|uint16(k))
 		}
 	}
-	if s.deaths > 0 {
-		all = append(all, dies)
+	if s.deathsLeft > 0 {
+		all = append(all, actionRestart)
 	}
 	for k := range s.requests {
-		all = append(all, answers|uint16(k))
+		all = append(all, actionRequestArrives|uint16(k))
 	}
 	for k := range s.answers {
-		all = append(all, takes|uint16(k))
+		all = append(all, actionAnswerArrives|uint16(k))
 	}
 	return all
 }
 
-func (s *small) born(k int, birth uint64) {
-	h := NewLeaseholder(owner.Incarnation{Name: fmt.Sprint("a", k), ID: birth}, "o", s.config, s.holdersClock())
-	if birth == 1 || s.rash {
-		h.reservedFrom = 0 // nobody was there before
-	}
-	h.ObserveTerm(1, 0)
-	s.holders[k] = *h
+func (s *model) startHolder(k int, id uint64) {
+	holder := NewLeaseholder(owner.Incarnation{Name: fmt.Sprint("a", k), ID: id}, "o", s.config,
+		s.holdersClock())
+	if id == 1 || s.skipReservedWait {
+		holder.reservedFrom = 0 // no earlier incarnation exists
+	}
+	holder.ObserveTerm(1, 0)
+	s.holders[k] = *holder
 }
 
-func (s *small) after(act uint16) *small {
+func (s *model) apply(act uint16) *model {
 	next := *s
 	n := &next
 	k := int(act & 0xff)
-	for j := range n.holders {
-		requester := *s.holders[j].requester
-		n.holders[j].requester = &requester
+	for i := range n.holders {
+		requester := *s.holders[i].requester
+		n.holders[i].requester = &requester
 	}
 	h, now := &n.holders[k%2], n.holdersClock()
 	switch act &^ 0xff {
-	case passes:
-		n.at++
-		n.units--
-		for j := range n.runs { // all are over once the tail is
-			over := func(began int) bool { return float64(n.at-began)*smallUnit*0.87 > s.config.Lease.Grace }
-			n.runs[j] = slices.DeleteFunc(slices.Clone(n.runs[j]), over)
-			if j < 2 {
-				n.holders[j].running = len(n.runs[j])
+	case actionTimePasses:
+		n.elapsedUnits++
+		n.unitsLeft--
+		for i := range n.runStarts { // runs end within the grace period
+			ended := func(began int) bool { return float64(n.elapsedUnits-began)*timeUnit*0.87 > s.config.Lease.Grace }
+			n.runStarts[i] = slices.DeleteFunc(slices.Clone(n.runStarts[i]), ended)
+			if i < 2 {
+				n.holders[i].running = len(n.runStarts[i])
 			}
 		}
-	case takesOff:
-		n.second = true
+	case actionSecondAllocator:
+		n.secondAllocator = true
 		n.allocator = NewAllocator("o", 2, s.config, n.allocatorsClock())
-	case hears:
+	case actionObserveTerm:
 		h.ObserveTerm(2, now)
-	case asks:
-		n.asks[k]--
-		h.due, h.answered, h.counted, h.began, h.area, h.mean, h.most = 0, true, now, now, 0, smallLimit, smallLimit
+	case actionRequest:
+		n.requestsLeft[k]--
+		h.nextRequestAt, h.answered, h.countedAt, h.intervalStart, h.demandIntegral, h.meanDemand, h.peakDemand =
+			0, true, now, now, 0, modelLimit, modelLimit
 		if q, ok := h.Tick(now); ok {
 			n.requests = append(slices.Clone(s.requests), q)
 		}
-	case starts:
-		n.starts--
+	case actionStart:
+		n.startsLeft--
 		h.Started(1, now)
-		n.runs[k] = append(slices.Clone(s.runs[k]), n.at)
-	case dies:
-		n.deaths--
-		n.runs[2], n.runs[0] = n.runs[0], nil
-		n.born(0, 2)
-	case answers:
+		n.runStarts[k] = append(slices.Clone(s.runStarts[k]), n.elapsedUnits)
+	case actionRestart:
+		n.deathsLeft--
+		n.runStarts[2], n.runStarts[0] = n.runStarts[0], nil
+		n.startHolder(0, 2)
+	case actionRequestArrives:
 		q := s.requests[k]
 		n.requests = slices.Delete(slices.Clone(s.requests), k, k+1)
 		allocator := *s.allocator
@@ -339,32 +356,36 @@
 		if a, ok := allocator.HandleRequest(q, n.allocatorsClock()); ok {
 			n.answers = append(slices.Clone(s.answers), a)
 		}
-	case takes:
+	case actionAnswerArrives:
 		a := s.answers[k]
 		n.answers = slices.Delete(slices.Clone(s.answers), k, k+1)
 		n.holders[a.To.Name[1]-'0'].HandleAnswer(a, now)
 	}
-	for j := range n.holders { // when it last asked and what it asked on the mean are no part of what is walked
-		n.holders[j].due, n.holders[j].asked, n.holders[j].answered, n.holders[j].criticality = 0, 0, true, 1
-		n.holders[j].count(now)
-		n.holders[j].area, n.holders[j].mean, n.holders[j].most = 0, 0, 0
+	// request times and averages are not part of the explored state
+	for i := range n.holders {
+		n.holders[i].nextRequestAt, n.holders[i].requestedAt, n.holders[i].answered, n.holders[i].criticality =
+			0, 0, true, 1
+		n.holders[i].count(now)
+		n.holders[i].demandIntegral, n.holders[i].meanDemand, n.holders[i].peakDemand = 0, 0, 0
 	}
 	return n
 }
 
-func (s *small) wrong() string {
-	if n := len(s.runs[0]) + len(s.runs[1]) + len(s.runs[2]); n > smallLimit {
-		return fmt.Sprintf("%d run, of %d", n, smallLimit)
+func (s *model) violation() string {
+	if n := len(s.runStarts[0]) + len(s.runStarts[1]) + len(s.runStarts[2]); n > modelLimit {
+		return fmt.Sprintf("%d run with a limit of %d", n, modelLimit)
 	}
 	return ""
 }
 
-func (s *small) key() uint64 {
+func (s *model) key() uint64 {
 	h := explore.NewHash()
-	text := fmt.Sprint(s.at, s.asks, s.starts, s.deaths, s.second, s.runs, s.allocator.Grantor, s.allocator.allocatedAt)
+	text := fmt.Sprint(s.elapsedUnits, s.requestsLeft, s.startsLeft, s.deathsLeft, s.secondAllocator,
+		s.runStarts, s.allocator.Grantor,
+		s.allocator.allocatedAt)
 	for k := range s.holders {
-		x := &s.holders[k]
-		text += fmt.Sprint(*x.requester, x.reservedFrom, x.running)
+		holder := &s.holders[k]
+		text += fmt.Sprint(*holder.requester, holder.reservedFrom, holder.running)
 	}
 	var flight []string
 	for _, q := range s.requests {
@@ -380,31 +401,37 @@
 	return uint64(h)
 }
 
-func (s *small) tell(act uint16) string {
-	return fmt.Sprintf("%.1f %s %d", float64(s.at)*smallUnit, []string{"time passes", "the second allocator begins", "hears of it: holder", "asks: holder",
-		"starts a run: holder", "holder 0 dies and begins anew", "comes: request", "comes: answer"}[act>>8], act&0xff)
+func (s *model) describe(act uint16) string {
+	return fmt.Sprintf("%.1f %s %d", float64(s.elapsedUnits)*timeUnit,
+		[]string{"time passes", "the second allocator takes over", "observes the second term: holder",
+			"requests: holder", "starts a run: holder", "holder 0 dies and restarts", "arrives: request",
+			"arrives: answer"}[act>>8], act&0xff)
 }
 
-func walk(loan owner.Lease, asks [2]int8, starts, deaths int8, rash bool, most int) explore.Result {
-	s := &small{config: Config{Limit: smallLimit, Reserved: 1, ReservedMembers: []string{"a0"}, Lease: loan}, units: 5, asks: asks, starts: starts, deaths: deaths, rash: rash}
+func exploreModel(lease owner.Lease, requestsLeft [2]int8, startsLeft, deathsLeft int8,
+	skipReservedWait bool, maxStates int) explore.Result {
+	s := &model{config: Config{Limit: modelLimit, Reserved: 1, ReservedMembers: []string{"a0"},
+		Lease: lease}, unitsLeft: 5, requestsLeft: requestsLeft, startsLeft: startsLeft, deathsLeft: deathsLeft,
+		skipReservedWait: skipReservedWait}
 	s.allocator = NewAllocator("o", 1, s.config, -100)
 	for k := range s.holders {
-		s.born(k, 1)
+		s.startHolder(k, 1)
 	}
-	return explore.World[*small]{Begin: s, Acts: (*small).acts, After: (*small).after, Key: (*small).key, Wrong: (*small).wrong, Tell: (*small).tell}.Walk(most)
+	return explore.World[*model]{Begin: s, Acts: (*model).actions, After: (*model).apply, Key: (*model).key,
+		Wrong: (*model).violation, Tell: (*model).describe}.Walk(maxStates)
 }
 
-var smallLoan = owner.Lease{Length: 1, Grace: 0.9, Drift: 0.3}
+var modelLease = owner.Lease{Length: 1, Grace: 0.9, Drift: 0.3}
 
-var long = flag.Bool("long", false, "walk through what takes minutes too")
+var long = flag.Bool("long", false, "also explore the models that take minutes")
 
-// Through a change of allocator, deaths, and whatever comes late or never, no more run than may; and each rule that is left out is
-// missed, with a shortest trace.
+// Through a change of allocator, restarts, and messages that arrive in any order or never, no more runs than
+// the limit are under way.
 func TestExhaustive(t *testing.T) {
 	began := time.Now()
 	type bounds struct {
-		asks           [2]int8
-		starts, deaths int8
+		requestsLeft           [2]int8
+		startsLeft, deathsLeft int8
 	}
 	all := []bounds{{[2]int8{1, 1}, 2, 0}, {[2]int8{1, 1}, 3, 0}, {[2]int8{1, 1}, 2, 1}}
 	if explore.Race {
@@ -414,7 +441,7 @@
 		all = append(all, bounds{[2]int8{1, 1}, 3, 1}, bounds{[2]int8{2, 1}, 2, 0})
 	}
 	for _, one := range all {
-		r := walk(smallLoan, one.asks, one.starts, one.deaths, false, 4e6)
+		r := exploreModel(modelLease, one.requestsLeft, one.startsLeft, one.deathsLeft, false, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
 		if r.Wrong != "" || !r.Complete {
 			t.Errorf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
@@ -422,28 +449,30 @@
 	}
 }
 
-func TestFound(t *testing.T) {
+// Disabling any one rule leads to a violation.
+func TestDisabledRules(t *testing.T) {
 	for _, one := range []struct {
-		what   string
-		rule   owner.Rule
-		asks   [2]int8
-		starts int8
-		deaths int8
+		what         string
+		rule         owner.Rule
+		requestsLeft [2]int8
+		startsLeft   int8
+		deathsLeft   int8
 	}{
-		{"what goes on past a grant", owner.Tails, [2]int8{1, 1}, 3, 0},
-		{"waiting out the former allocator", owner.Settled, [2]int8{1, 1}, 3, 0},
+		{"the grace period of a grant", owner.GracePeriods, [2]int8{1, 1}, 3, 0},
+		{"waiting for the former allocator's grants to expire", owner.WaitForFormerGrants, [2]int8{1, 1}, 3,
+			0},
 		{"counting from the request", owner.FromRequest, [2]int8{1, 1}, 3, 0},
-		{"a new life's wait for its reserved permits", 0, [2]int8{0, 1}, 3, 1},
+		{"the wait of a restarted holder for its reserved permits", 0, [2]int8{0, 1}, 3, 1},
 	} {
 		if explore.Race && one.rule != 0 {
-			continue // they are found late
+			continue // these take long to find
 		}
-		loan := smallLoan
-		loan.Disabled = one.rule
-		r := walk(loan, one.asks, one.starts, one.deaths, one.rule == 0, 3e6)
+		lease := modelLease
+		lease.Disabled = one.rule
+		r := exploreModel(lease, one.requestsLeft, one.startsLeft, one.deathsLeft, one.rule == 0, 3e6)
 		t.Logf("without %s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
-			t.Errorf("without %s nothing goes wrong", one.what)
+			t.Errorf("without %s no violation is found", one.what)
 		}
 	}
 }
