--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -19,7 +19,7 @@
 	allocator   *Allocator
 	holders     []*Leaseholder
 	criticality []float64
-	wants       []int // how many RPCs each keeps running and waiting
+	wants       []int     // how many RPCs each keeps running and waiting
 	runSeconds  []float64 // time that the runs of each took in all
 }
 
