--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -13,323 +13,341 @@
 	"valveglade/rig/explore"
 )
 
-// bounds are what may happen at the most.
+// bounds limits the events that the explorer tries.
 type bounds struct {
-	unit    float64    // of time, in leases
-	units   int        // that pass
-	rounds  [2]int8    // claims and renewals that a candidate begins
-	again   int8       // voters that start again
-	lost    int8       // answers that are lost, where the voter keeps its vote for nothing; questions are lost freely
-	late    int8       // answers that come later
-	doubled int8       // questions that come twice
-	drains  int8       // candidates that leave
-	orders  int8       // that are checked
-	disk    bool       // whether voters have one
-	rates   [3]float64 // of the candidates' clocks, and of the voters'
-	lists   [2][][]string
+	timeUnit       float64    // the time step, in leases
+	unitsLeft      int        // time steps that may pass
+	roundsLeft     [2]int8    // vote requests and renewals that each candidate may send
+	restartsLeft   int8       // voter restarts
+	lossesLeft     int8       // answers that may be lost after a vote; requests may be lost without limit
+	delaysLeft     int8       // answers that may be delayed
+	duplicatesLeft int8       // requests that may arrive twice
+	drainsLeft     int8       // owners that may stop campaigning
+	commandsLeft   int8       // commands for which an owner checks its lease
+	persistent     bool       // whether voters persist their votes
+	clockRates     [3]float64 // of the candidates' clocks, and last of the voters'
+	lists          [2][][]string
 }
 
-// state is all there is at one time.
+// state is the state of the explored system.
 type state struct {
-	at     int
-	voters [mostVoters]Voter
-	disk   [mostVoters]Vote
-	wrote  [mostVoters]int
-	cand   [2]Candidate
-	flight []Message
-	hand   [2]uint64
-	fence  uint64
-	owned  uint64 // the highest term that was owned, and by whom
-	by     int
-	bounds // what is left of them
-	timing Timing
-	broken string
+	elapsedUnits   int
+	voters         [maxVoters]Voter
+	persisted      [maxVoters]Vote
+	persistedAt    [maxVoters]int
+	candidates     [2]Candidate
+	inFlight       []Message
+	checkedTerms   [2]uint64
+	highestCommand uint64
+	highestOwned   uint64 // the highest term that had an owner
+	ownedBy        int    // index of its owner, -1 for none
+	bounds                // the remaining ones
+	timing         Timing
+	violation      string
 }
 
-// mostVoters is how many there are: three, and those of another list.
-const mostVoters = 5
+// maxVoters is the number of voters: three, and those of a changed list.
+const maxVoters = 5
 
 var voterNames = []string{"v0", "v1", "v2", "v3", "v4"}
 
-func (s *state) clock(k int) float64 { return float64(s.at) * s.unit * s.rates[k] }
+func (s *state) clock(k int) float64 { return float64(s.elapsedUnits) * s.timeUnit * s.clockRates[k] }
 
-func (b bounds) begin(timing Timing) *state {
-	s := &state{bounds: b, timing: timing, by: -1}
+func (b bounds) initialState(timing Timing) *state {
+	s := &state{bounds: b, timing: timing, ownedBy: -1}
 	for k := range s.voters {
 		s.voters[k] = *NewVoter(voterNames[k], nil, true, 0, 0, timing)
-		s.wrote[k] = math.MinInt32
+		s.persistedAt[k] = math.MinInt32
 	}
-	for k := range s.cand {
-		s.cand[k] = *NewCandidate(Incarnation{fmt.Sprintf("c%d", k), 1}, "o", b.lists[k], 1, 0, timing)
-		s.cand[k].campaigning = true
+	for k := range s.candidates {
+		s.candidates[k] = *NewCandidate(Incarnation{fmt.Sprintf("c%d", k), 1}, "o", b.lists[k], 1, 0, timing)
+		s.candidates[k].campaigning = true
 	}
 	return s
 }
 
-// What can happen, each with whom or what it happens to.
+// The events. The low byte holds the index of the candidate, voter or message concerned.
 const (
-	passes  = iota << 8
-	ticks   // a candidate renews, or campaigns
-	takes   // a voter takes a question, and its answer is heard at once
-	loses   // a voter takes a question, and its answer is lost
-	delays  // a voter takes a question, and its answer is on its way
-	doubles // a voter takes a question, and its answer is lost; the question comes again
-	hears   // a candidate hears an answer that was on its way
-	starts
-	leaves
-	checks
-	sends
+	eventTimePasses        = iota << 8
+	eventTick              // a candidate renews, campaigns, or gives up an expired lease
+	eventRequest           // a request arrives, and its answer at once
+	eventAnswerLost        // a request arrives, and its answer is lost
+	eventAnswerDelayed     // a request arrives, and its answer stays in flight
+	eventRequestDuplicated // a request arrives, its answer is lost, and the request stays in flight
+	eventAnswer            // an answer in flight arrives
+	eventRestart           // a voter restarts
+	eventDrain             // an owner stops campaigning
+	eventCheckLease        // an owner checks its lease for a command
+	eventSendCommand       // a candidate sends the command
 )
 
-// acts lists what can happen.
-func (s *state) acts(all []uint16) []uint16 {
-	if s.cand[0].round == 0 {
-		return append(all, ticks) // somebody is first, and what is before that is of no matter
+// events lists the events possible in this state.
+func (s *state) events(all []uint16) []uint16 {
+	if s.candidates[0].round == 0 {
+		return append(all, eventTick) // one candidate is the first to act; nothing before matters
 	}
-	if s.units > 0 {
-		all = append(all, passes)
+	if s.unitsLeft > 0 {
+		all = append(all, eventTimePasses)
 	}
-	for k := range s.cand {
-		c, now := &s.cand[k], s.clock(k)
-		if c.stage == leading && now >= c.until || c.stage == campaigning || c.campaigning && s.rounds[k] > 0 {
-			all = append(all, ticks|uint16(k))
+	for k := range s.candidates {
+		c, now := &s.candidates[k], s.clock(k)
+		if c.stage == leading && now >= c.leaseEnd || c.stage == campaigning ||
+			c.campaigning && s.roundsLeft[k] > 0 {
+			all = append(all, eventTick|uint16(k))
 		}
-		if s.drains > 0 && c.campaigning && c.stage == leading {
-			all = append(all, leaves|uint16(k))
+		if s.drainsLeft > 0 && c.campaigning && c.stage == leading {
+			all = append(all, eventDrain|uint16(k))
 		}
-		if _, _, ok := c.Owns(now); ok && s.orders > 0 && s.hand[k] == 0 {
-			all = append(all, checks|uint16(k))
+		if _, _, ok := c.Owns(now); ok && s.commandsLeft > 0 && s.checkedTerms[k] == 0 {
+			all = append(all, eventCheckLease|uint16(k))
 		}
-		if s.hand[k] != 0 {
-			all = append(all, sends|uint16(k))
+		if s.checkedTerms[k] != 0 {
+			all = append(all, eventSendCommand|uint16(k))
 		}
 	}
-	for k, m := range s.flight {
+	for k, m := range s.inFlight {
 		if m.Kind > StepDown {
-			all = append(all, hears|uint16(k))
+			all = append(all, eventAnswer|uint16(k))
 			continue
 		}
-		all = append(all, takes|uint16(k))
+		all = append(all, eventRequest|uint16(k))
 		if m.Kind == StepDown {
 			continue
 		}
-		if s.lost > 0 {
-			all = append(all, loses|uint16(k))
+		if s.lossesLeft > 0 {
+			all = append(all, eventAnswerLost|uint16(k))
 		}
-		if s.late > 0 && s.age(m) > 0 {
-			all = append(all, delays|uint16(k))
+		if s.delaysLeft > 0 && s.requestAge(m) > 0 {
+			all = append(all, eventAnswerDelayed|uint16(k))
 		}
-		if s.doubled > 0 {
-			all = append(all, doubles|uint16(k))
+		if s.duplicatesLeft > 0 {
+			all = append(all, eventRequestDuplicated|uint16(k))
 		}
 	}
-	if s.again > 0 {
+	if s.restartsLeft > 0 {
 		for k, name := range voterNames {
-			if slices.Contains(s.cand[0].voters, name) || slices.Contains(s.cand[1].voters, name) {
-				all = append(all, starts|uint16(k))
+			if slices.Contains(s.candidates[0].voters, name) ||
+				slices.Contains(s.candidates[1].voters, name) {
+				all = append(all, eventRestart|uint16(k))
 			}
 		}
 	}
 	return all
 }
 
-// after is what comes of it.
-func (before *state) after(act uint16) *state {
-	next := *before
-	s := &next
-	s.flight = slices.Clone(before.flight)
+// apply returns the state after an event.
+func (current *state) apply(act uint16) *state {
+	copied := *current
+	s := &copied
+	s.inFlight = slices.Clone(current.inFlight)
 	k := int(act & 0xff)
 	switch act &^ 0xff {
-	case passes:
-		s.at++
-		s.units--
-	case ticks:
+	case eventTimePasses:
+		s.elapsedUnits++
+		s.unitsLeft--
+	case eventTick:
 		s.tick(k)
-	case leaves:
-		s.drains--
-		s.cand[k].SetCampaigning(false, s.clock(k))
-	case checks:
-		s.orders--
-		s.hand[k], _, _ = s.cand[k].Owns(s.clock(k))
-	case sends:
-		f := NewFence(s.timing)
-		f.highest["o"] = s.fence
-		if known, ok := f.Pass("o", s.hand[k]); !ok {
-			s.cand[k].HandleStaleTerm(known, s.clock(k))
-		} else if s.hand[k] < s.fence {
-			s.broken = fmt.Sprintf("an order of term %d had its effect after one of %d", s.hand[k], s.fence)
+	case eventDrain:
+		s.drainsLeft--
+		s.candidates[k].SetCampaigning(false, s.clock(k))
+	case eventCheckLease:
+		s.commandsLeft--
+		s.checkedTerms[k], _, _ = s.candidates[k].Owns(s.clock(k))
+	case eventSendCommand:
+		fence := NewFence(s.timing)
+		fence.highestTerms["o"] = s.highestCommand
+		if highest, ok := fence.Pass("o", s.checkedTerms[k]); !ok {
+			s.candidates[k].HandleStaleTerm(highest, s.clock(k))
+		} else if s.checkedTerms[k] < s.highestCommand {
+			s.violation = fmt.Sprintf("a command of term %d was executed after one of %d",
+				s.checkedTerms[k], s.highestCommand)
 		}
-		s.fence, s.hand[k] = f.highest["o"], 0
-	case starts:
-		s.again--
-		kept, whole := map[string]Vote(nil), false
-		if s.disk[k].Term > 0 && s.bounds.disk {
-			kept, whole = map[string]Vote{"o": s.disk[k]}, float64(s.at-s.wrote[k])*s.unit < s.timing.Lease/2
+		s.highestCommand, s.checkedTerms[k] = fence.highestTerms["o"], 0
+	case eventRestart:
+		s.restartsLeft--
+		votes, complete := map[string]Vote(nil), false
+		if s.persisted[k].Term > 0 && s.bounds.persistent {
+			votes, complete = map[string]Vote{"o": s.persisted[k]},
+				float64(s.elapsedUnits-s.persistedAt[k])*s.timeUnit < s.timing.Lease/2
 		}
-		s.voters[k] = *NewVoter(voterNames[k], kept, whole, uint64(1000*(s.at+1)), s.clock(2), s.timing)
-	case hears:
-		s.hear(s.flight[k])
-		s.flight = slices.Delete(s.flight, k, k+1)
-	case takes, loses, delays, doubles:
-		m := s.flight[k]
-		if act&^0xff == doubles {
-			s.doubled--
+		s.voters[k] = *NewVoter(voterNames[k], votes, complete, uint64(1000*(s.elapsedUnits+1)), s.clock(2),
+			s.timing)
+	case eventAnswer:
+		s.deliverAnswer(s.inFlight[k])
+		s.inFlight = slices.Delete(s.inFlight, k, k+1)
+	case eventRequest, eventAnswerLost, eventAnswerDelayed, eventRequestDuplicated:
+		m := s.inFlight[k]
+		if act&^0xff == eventRequestDuplicated {
+			s.duplicatesLeft--
 		} else {
-			s.flight = slices.Delete(s.flight, k, k+1)
+			s.inFlight = slices.Delete(s.inFlight, k, k+1)
 		}
-		a, ok := s.take(m)
+		answer, ok := s.deliverRequest(m)
 		switch act &^ 0xff {
-		case loses:
-			s.lost--
-		case takes:
+		case eventAnswerLost:
+			s.lossesLeft--
+		case eventRequest:
 			if ok {
-				s.hear(a)
+				s.deliverAnswer(answer)
 			}
-		case delays:
-			s.late--
+		case eventAnswerDelayed:
+			s.delaysLeft--
 			if ok {
-				s.flight = append(s.flight, a)
+				s.inFlight = append(s.inFlight, answer)
 			}
 		}
 	}
-	for k := range s.cand {
-		s.flight = append(s.flight, s.cand[k].Ready()...)
-		s.cand[k].drawn, s.cand[k].other = 0, Message{}
-		s.cand[k].due = s.clock(k) // it may do what is next at any time: how long it waits is no part of what keeps others out
+	for k := range s.candidates {
+		s.inFlight = append(s.inFlight, s.candidates[k].Ready()...)
+		s.candidates[k].randomDraws, s.candidates[k].lastRejection = 0, Message{}
+		s.candidates[k].nextStepAt = s.clock(k) // may act at any time: safety does not depend on its delays
 	}
-	s.flight = slices.DeleteFunc(s.flight, s.idle)
-	s.look()
+	s.inFlight = slices.DeleteFunc(s.inFlight, s.hasNoEffect)
+	s.checkInvariants()
 	return s
 }
 
-// tick has a candidate do what is next. That it asks first whether it would win keeps it from disturbing others, and keeps
-// nobody out: so it is taken to have been told by everybody that it would, and every term.
+// tick has a candidate take its next step. Pre-votes prevent disturbance only and are not needed for safety,
+// so every voter is taken to grant them, and the candidate to know every term.
 func (s *state) tick(k int) {
-	c, now := &s.cand[k], s.clock(k)
-	round := c.round
+	c, now := &s.candidates[k], s.clock(k)
+	roundBefore := c.round
 	c.Tick(now)
 	if c.stage == prevoting {
-		for v := range s.voters {
-			c.highest = max(c.highest, s.voters[v].votes["o"].Term, s.voters[v].minTerm)
+		for i := range s.voters {
+			c.highest = max(c.highest, s.voters[i].votes["o"].Term, s.voters[i].minTerm)
 		}
 		for _, name := range voterNames {
-			c.HandleAnswer(Message{Kind: PreVoteGranted, Role: "o", From: Incarnation{Name: name}, Round: c.round}, now)
+			c.HandleAnswer(Message{Kind: PreVoteGranted, Role: "o", From: Incarnation{Name: name},
+				Round: c.round}, now)
 		}
 	}
-	if c.round != round && c.stage >= campaigning {
-		s.rounds[k]--
+	if c.round != roundBefore && c.stage >= campaigning {
+		s.roundsLeft[k]--
 	}
 	c.ready = slices.DeleteFunc(c.ready, func(m Message) bool { return m.Kind == PreVote })
 }
 
-func (s *state) hear(m Message) { s.cand[m.To[1]-'0'].HandleAnswer(m, s.clock(int(m.To[1]-'0'))) }
+func (s *state) deliverAnswer(m Message) {
+	s.candidates[m.To[1]-'0'].HandleAnswer(m, s.clock(int(m.To[1]-'0')))
+}
 
-// take has a voter answer. A refusal is as good as lost: all that it brings about is that somebody steps down.
-func (s *state) take(m Message) (Message, bool) {
+// deliverRequest has a voter handle a request. Rejections are treated as lost: their only effect is that a
+// candidate steps down.
+func (s *state) deliverRequest(m Message) (Message, bool) {
 	k := int(m.To[1] - '0')
 	v := &s.voters[k]
-	v.votes, v.rejected = maps.Clone(v.votes), map[string][]Message{}
+	v.votes, v.waiting = maps.Clone(v.votes), map[string][]Message{}
 	answers := v.HandleMessage(m, s.clock(2))
 	if len(answers) == 0 {
 		return Message{}, false
 	}
-	a := answers[0]
-	if a.Sync {
-		s.disk[k], s.wrote[k] = v.votes["o"], s.at
+	answer := answers[0]
+	if answer.Sync {
+		s.persisted[k], s.persistedAt[k] = v.votes["o"], s.elapsedUnits
 	}
-	return a, a.Kind == Granted
+	return answer, answer.Kind == Granted
 }
 
-// idle tells what can have no effect any more, whenever it comes.
-func (s *state) idle(m Message) bool {
+// hasNoEffect reports whether a message can no longer change anything, whenever it arrives.
+func (s *state) hasNoEffect(m Message) bool {
 	if m.Kind > StepDown {
-		c := &s.cand[m.To[1]-'0']
-		return s.age(m) == 0 || c.acked[slices.Index(c.voters, m.From.Name)] >= c.asked[m.Round%rounds]
+		c := &s.candidates[m.To[1]-'0']
+		return s.requestAge(m) == 0 ||
+			c.ackedRequestAt[slices.Index(c.voters, m.From.Name)] >= c.requestedAt[m.Round%trackedRounds]
 	}
 	v := &s.voters[m.To[1]-'0']
-	p := v.votes["o"]
-	return m.Term < p.Term || m.Term == p.Term && p.Holder != m.From || m.Kind == StepDown && m.Term > p.Term || m.Term <= v.minTerm && m.Term != p.Term
+	vote := v.votes["o"]
+	return m.Term < vote.Term || m.Term == vote.Term && vote.Holder != m.From ||
+		m.Kind == StepDown && m.Term > vote.Term || m.Term <= v.minTerm && m.Term != vote.Term
 }
 
-// age is how long ago the question was asked, for an answer that still counts, in some small unit and from one; 0 for others.
-func (s *state) age(m Message) uint64 {
+// requestAge returns how long ago the request of an answer that is still accepted was sent, in units of 1e-5
+// leases and starting from one; 0 for other messages.
+func (s *state) requestAge(m Message) uint64 {
 	k := m.From.Name[1] - '0'
 	if m.Kind > StepDown {
 		k = m.To[1] - '0'
 	}
-	c := &s.cand[k]
-	if m.Kind == StepDown || c.stage != campaigning && c.stage != leading || m.Term != c.term || m.Round < c.first {
+	c := &s.candidates[k]
+	if m.Kind == StepDown || c.stage != campaigning && c.stage != leading || m.Term != c.term ||
+		m.Round < c.firstVoteRound {
 		return 0
 	}
-	return uint64(math.Round((s.clock(int(k))-c.asked[m.Round%rounds])*1e5)) + 1
+	return uint64(math.Round((s.clock(int(k))-c.requestedAt[m.Round%trackedRounds])*1e5)) + 1
 }
 
-// look asks what must hold at any time.
-func (s *state) look() {
+// checkInvariants records a violation of the properties that must always hold.
+func (s *state) checkInvariants() {
 	owners := 0
-	for k := range s.cand {
-		term, _, ok := s.cand[k].Owns(s.clock(k))
+	for k := range s.candidates {
+		term, _, ok := s.candidates[k].Owns(s.clock(k))
 		if !ok {
 			continue
 		}
 		owners++
 		switch {
-		case term == s.owned && s.by != k:
-			s.broken = fmt.Sprintf("term %d has two owners", term)
-		case term < s.owned && s.by != k:
-			s.broken = fmt.Sprintf("term %d is owned after %d", term, s.owned)
-		case term > s.owned:
-			s.owned, s.by = term, k
+		case term == s.highestOwned && s.ownedBy != k:
+			s.violation = fmt.Sprintf("term %d has two owners", term)
+		case term < s.highestOwned && s.ownedBy != k:
+			s.violation = fmt.Sprintf("term %d is owned after %d", term, s.highestOwned)
+		case term > s.highestOwned:
+			s.highestOwned, s.ownedBy = term, k
 		}
 	}
 	if owners > 1 {
-		s.broken = "two owners at one time"
+		s.violation = "two owners at one time"
 	}
 }
 
-// key is what makes it another state, as a number: voters in the order of what is said of them, times as what is left.
+// key returns a hash that identifies the state: voters are sorted by what is recorded of them, so that their
+// names do not matter, and times are relative to now.
 func (s *state) key() uint64 {
-	left := func(at, now float64) uint32 { return uint32(max(0, math.Round((at-now)*1e5))) }
-	var parts [mostVoters][16]uint64
-	var chunks [mostVoters][]uint64
+	remaining := func(at, now float64) uint32 { return uint32(max(0, math.Round((at-now)*1e5))) }
+	var parts [maxVoters][16]uint64
+	var chunks [maxVoters][]uint64
 	for k := range s.voters {
-		v, p := &s.voters[k], s.voters[k].votes["o"]
+		v, vote := &s.voters[k], s.voters[k].votes["o"]
 		now := s.clock(2)
 		holder := uint64(0)
-		if p.Term > 0 {
-			holder = uint64(p.Holder.Name[1]-'0') + 1
+		if vote.Term > 0 {
+			holder = uint64(vote.Holder.Name[1]-'0') + 1
 		}
-		c := append(parts[k][:0], p.Term<<34|holder<<32|uint64(left(p.Until, now)), v.minTerm<<32|uint64(left(v.silentUntil, now)))
-		if d := s.disk[k]; d.Term > 0 && s.again > 0 && s.bounds.disk {
-			c = append(c, d.Term<<8|uint64(d.Holder.Name[1]-'0')<<4|uint64(min(s.at-s.wrote[k], 3)))
+		c := append(parts[k][:0], vote.Term<<34|holder<<32|uint64(remaining(vote.Until, now)),
+			v.minTerm<<32|uint64(remaining(v.silentUntil, now)))
+		if persisted := s.persisted[k]; persisted.Term > 0 && s.restartsLeft > 0 && s.bounds.persistent {
+			c = append(c,
+				persisted.Term<<8|uint64(persisted.Holder.Name[1]-'0')<<4|
+					uint64(min(s.elapsedUnits-s.persistedAt[k], 3)))
 		} else {
 			c = append(c, 0)
 		}
-		said := uint64(0)
-		for n := range s.cand {
-			asked := slices.Index(s.cand[n].voters, voterNames[k])
-			if said <<= 28; asked < 0 {
+		acknowledged := uint64(0)
+		for n := range s.candidates {
+			voterIndex := slices.Index(s.candidates[n].voters, voterNames[k])
+			if acknowledged <<= 28; voterIndex < 0 {
 				continue
 			}
-			said |= 1
-			if at := s.cand[n].acked[asked]; s.cand[n].stage >= campaigning && !math.IsInf(at, -1) {
-				said |= 2 | uint64(left(s.clock(n), at))<<2
+			acknowledged |= 1
+			if at := s.candidates[n].ackedRequestAt[voterIndex]; s.candidates[n].stage >= campaigning &&
+				!math.IsInf(at, -1) {
+				acknowledged |= 2 | uint64(remaining(s.clock(n), at))<<2
 			}
 		}
-		c = append(c, said)
-		from := len(c)
-		for _, m := range s.flight {
-			who, voter := m.From.Name, m.To
+		c = append(c, acknowledged)
+		messagesStart := len(c)
+		for _, m := range s.inFlight {
+			candidateName, voter := m.From.Name, m.To
 			if m.Kind > StepDown {
-				who, voter = m.To, m.From.Name
+				candidateName, voter = m.To, m.From.Name
 			}
 			if int(voter[1]-'0') != k {
 				continue
 			}
-			n := int(who[1] - '0')
-			c = append(c, m.Term<<40|s.age(m)<<8|uint64(m.Kind)<<4|uint64(n))
+			n := int(candidateName[1] - '0')
+			c = append(c, m.Term<<40|s.requestAge(m)<<8|uint64(m.Kind)<<4|uint64(n))
 		}
-		slices.Sort(c[from:])
+		slices.Sort(c[messagesStart:])
 		chunks[k] = c
 	}
 	slices.SortFunc(chunks[:], slices.Compare)
@@ -341,96 +359,117 @@
 			add(v)
 		}
 	}
-	for k := range s.cand {
-		c, now := &s.cand[k], s.clock(k)
-		add(uint64(c.stage)<<60 | c.term<<40 | uint64(s.rounds[k])<<1)
+	for k := range s.candidates {
+		c, now := &s.candidates[k], s.clock(k)
+		add(uint64(c.stage)<<60 | c.term<<40 | uint64(s.roundsLeft[k])<<1)
 		if c.stage >= campaigning {
-			add(uint64(left(c.until, now))<<32 | uint64(left(now, c.asked[c.round%rounds])))
+			add(uint64(remaining(c.leaseEnd, now))<<32 |
+				uint64(remaining(now, c.requestedAt[c.round%trackedRounds])))
 		}
-		wants := uint64(0)
+		wantsRole := uint64(0)
 		if c.campaigning {
-			wants = 1
+			wantsRole = 1
 		}
-		add(s.hand[k]<<1 | wants)
+		add(s.checkedTerms[k]<<1 | wantsRole)
 	}
-	add(s.fence<<32 | s.owned<<4 | uint64(s.by+1))
-	add(uint64(s.units)<<40 | uint64(s.again)<<32 | uint64(s.doubled)<<24 | uint64(s.drains)<<16 | uint64(s.orders)<<8 | uint64(s.late)<<4 | uint64(s.lost))
+	add(s.highestCommand<<32 | s.highestOwned<<4 | uint64(s.ownedBy+1))
+	add(uint64(s.unitsLeft)<<40 | uint64(s.restartsLeft)<<32 | uint64(s.duplicatesLeft)<<24 |
+		uint64(s.drainsLeft)<<16 | uint64(s.commandsLeft)<<8 | uint64(s.delaysLeft)<<4 | uint64(s.lossesLeft))
 	return uint64(h)
 }
 
-// tell says what happens, for people.
-func (s *state) tell(act uint16) string {
-	what := map[uint16]string{passes: "time passes", ticks: "c%d campaigns, or renews, or sees that its lease is over", starts: "v%d starts again",
-		leaves: "c%d leaves", checks: "c%d checks its lease, and has an order in its hands", sends: "c%d sends its order"}[act&^0xff]
+// describe returns a line of the trace for an event.
+func (s *state) describe(act uint16) string {
+	description := map[uint16]string{eventTimePasses: "time passes",
+		eventTick: "c%d campaigns, renews, or gives up its expired lease", eventRestart: "v%d restarts",
+		eventDrain: "c%d stops campaigning", eventCheckLease: "c%d checks its lease for a command",
+		eventSendCommand: "c%d sends its command"}[act&^0xff]
 	switch {
-	case strings.Contains(what, "%d"):
-		what = fmt.Sprintf(what, act&0xff)
-	case what == "":
-		m := s.flight[act&0xff]
-		words := []string{"would you?", "claim", "renew", "resign", "I would", "granted", "refused"}
-		what = fmt.Sprintf("%s to %s: %s, term %d", m.From.Name, m.To, words[m.Kind], m.Term) + map[uint16]string{takes: ", and hears the answer",
-			loses: ", and the answer is lost", delays: ", and the answer is on its way", doubles: ", the answer is lost, and it will come again"}[act&^0xff]
+	case strings.Contains(description, "%d"):
+		description = fmt.Sprintf(description, act&0xff)
+	case description == "":
+		m := s.inFlight[act&0xff]
+		kinds := []string{"pre-vote", "request vote", "renew", "step down", "pre-vote granted", "granted",
+			"rejected"}
+		description = fmt.Sprintf("%s to %s: %s, term %d", m.From.Name, m.To, kinds[m.Kind], m.Term) +
+			map[uint16]string{eventRequest: ", and the answer arrives",
+				eventAnswerLost: ", and the answer is lost", eventAnswerDelayed: ", and the answer stays in flight",
+				eventRequestDuplicated: ", the answer is lost, and the request stays in flight"}[act&^0xff]
 	}
-	what = fmt.Sprintf("%.2f %s", float64(s.at)*s.unit, what)
-	after := s.after(act)
-	for k := range after.cand {
-		if term, _, ok := after.cand[k].Owns(after.clock(k)); ok {
-			what += fmt.Sprintf("; c%d owns %d", k, term)
+	description = fmt.Sprintf("%.2f %s", float64(s.elapsedUnits)*s.timeUnit, description)
+	next := s.apply(act)
+	for k := range next.candidates {
+		if term, _, ok := next.candidates[k].Owns(next.clock(k)); ok {
+			description += fmt.Sprintf("; c%d owns %d", k, term)
 		}
 	}
-	return what
+	return description
 }
 
 func (b bounds) walk(timing Timing) explore.Result {
-	return explore.World[*state]{Begin: b.begin(timing), Acts: (*state).acts, After: (*state).after, Key: (*state).key,
-		Wrong: func(s *state) string { return s.broken }, Tell: (*state).tell}.Walk(8e6)
+	return explore.World[*state]{Begin: b.initialState(timing), Acts: (*state).events,
+		After: (*state).apply, Key: (*state).key,
+		Wrong: func(s *state) string { return s.violation }, Tell: (*state).describe}.Walk(8e6)
 }
 
-// drifting is a bound on drift so wide that it shows within quarters of a lease.
-var drifting = Timing{Lease: 1, Drift: 0.3, Margin: 0.02}
+// wideDriftTiming has so much drift that its effects show within quarters of a lease.
+var wideDriftTiming = Timing{Lease: 1, Drift: 0.3, Margin: 0.02}
 
 var (
-	known = [][]string{{"v0", "v1", "v2"}}
-	next  = [][]string{{"v0", "v1", "v3"}}
-	both  = [][]string{{"v0", "v1", "v2"}, {"v0", "v1", "v3"}}
-	alike = [2][][]string{known, known}
+	initialVoters = [][]string{{"v0", "v1", "v2"}}
+	changedVoters = [][]string{{"v0", "v1", "v3"}}
+	jointVoters   = [][]string{{"v0", "v1", "v2"}, {"v0", "v1", "v3"}}
+	sameLists     = [2][][]string{initialVoters, initialVoters}
 
-	firstSlow  = [3]float64{0.87, 1.13, 1.13} // the owner's clock lags by as much as it may
+	firstSlow  = [3]float64{0.87, 1.13, 1.13} // the first candidate's clock lags by almost the bound
 	secondSlow = [3]float64{1.13, 0.87, 1.13}
 	votersSlow = [3]float64{1.13, 1.13, 0.87}
 )
 
-var long = flag.Bool("long", false, "walk through what takes minutes too")
+var long = flag.Bool("long", false, "also explore the models that take minutes")
 
-// small is what there is time for: little under the race detector, all but the largest otherwise.
-func small(all []bounds) []bounds {
+// selectBounds returns the first two bounds under the race detector, which is slow, and adds the largest
+// with -long.
+func selectBounds(all []bounds) []bounds {
 	if explore.Race {
 		return all[:2]
 	}
 	if *long {
-		all = append(all, bounds{unit: 0.25, units: 5, rounds: [2]int8{2, 1}, rates: votersSlow, lists: alike},
-			bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 2}, rates: firstSlow, lists: [2][][]string{next, both}},
-			bounds{unit: 0.5, units: 3, rounds: [2]int8{2, 1}, rates: firstSlow, lists: alike, late: 1})
+		all = append(all, bounds{timeUnit: 0.25, unitsLeft: 5, roundsLeft: [2]int8{2, 1},
+			clockRates: votersSlow, lists: sameLists},
+			bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 2}, clockRates: firstSlow,
+				lists: [2][][]string{changedVoters, jointVoters}},
+			bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{2, 1}, clockRates: firstSlow,
+				lists: sameLists, delaysLeft: 1})
 	}
 	return all
 }
 
-// Everything that can happen within the bounds, and nothing goes wrong.
+// No sequence of events within the bounds leads to a violation.
 func TestExhaustive(t *testing.T) {
-	for _, b := range small([]bounds{
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, disk: true, again: 1},
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, orders: 2},
-		{unit: 0.5, units: 3, rounds: [2]int8{2, 1}, rates: firstSlow, lists: alike, disk: true, again: 1},
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, again: 2},
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, late: 1, lost: 1, doubled: 1},
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: secondSlow, lists: alike, late: 1, again: 1, disk: true, drains: 1},
-		{unit: 0.25, units: 5, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, disk: true, again: 1},
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 2}, rates: firstSlow, lists: [2][][]string{known, both}},
-		{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: votersSlow, lists: [2][][]string{next, both}},
+	for _, b := range selectBounds([]bounds{
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow, lists: sameLists,
+			persistent: true, restartsLeft: 1},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow, lists: sameLists,
+			commandsLeft: 2},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{2, 1}, clockRates: firstSlow, lists: sameLists,
+			persistent: true, restartsLeft: 1},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow, lists: sameLists,
+			restartsLeft: 2},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow, lists: sameLists,
+			delaysLeft: 1, lossesLeft: 1, duplicatesLeft: 1},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: secondSlow, lists: sameLists,
+			delaysLeft: 1, restartsLeft: 1, persistent: true, drainsLeft: 1},
+		{timeUnit: 0.25, unitsLeft: 5, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow, lists: sameLists,
+			persistent: true, restartsLeft: 1},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 2}, clockRates: firstSlow,
+			lists: [2][][]string{initialVoters, jointVoters}},
+		{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: votersSlow,
+			lists: [2][][]string{changedVoters, jointVoters}},
 	}) {
 		t.Run("", func(t *testing.T) {
 			began := time.Now()
-			r := b.walk(drifting)
+			r := b.walk(wideDriftTiming)
 			t.Logf("%+v: %d states, depth %d, %.1f s", b, r.States, r.Depth, time.Since(began).Seconds())
 			if r.Wrong != "" || !r.Complete {
 				t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
@@ -439,27 +478,35 @@
 	}
 }
 
-// Each rule that is left out is missed, with a shortest trace that shows how; and so is a change of voters that skips the
-// step between.
-func TestFound(t *testing.T) {
-	for _, one := range []struct {
-		what string
-		rule Rule
+// Disabling any one rule leads to a violation, and so does a change of voters without the joint step between
+// the lists.
+func TestDisabledRules(t *testing.T) {
+	for _, test := range []struct {
+		description string
+		rule        Rule
 		bounds
 	}{
-		{"the margin", Margins, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike}},
-		{"votes over a restart", PersistedVotes, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, disk: true, again: 1}},
-		{"silence without votes", Silence, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, again: 1}},
-		{"counting from the question", FromRequest, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, late: 2}},
-		{"the fence", Fences, bounds{unit: 0.5, units: 3, rounds: [2]int8{1, 1}, rates: firstSlow, lists: alike, orders: 2}},
-		{"the step between two lists", 0, bounds{unit: 0.5, units: 1, rounds: [2]int8{1, 1}, rates: firstSlow, lists: [2][][]string{known, {{"v0", "v3", "v4"}}}}},
+		{"the margin", Margins, bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1},
+			clockRates: firstSlow, lists: sameLists}},
+		{"votes across a restart", PersistedVotes,
+			bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow,
+				lists: sameLists, persistent: true, restartsLeft: 1}},
+		{"silence without votes", StartupSilence, bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1,
+			1}, clockRates: firstSlow, lists: sameLists, restartsLeft: 1}},
+		{"counting from the request", FromRequest,
+			bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1}, clockRates: firstSlow,
+				lists: sameLists, delaysLeft: 2}},
+		{"the fence", Fences, bounds{timeUnit: 0.5, unitsLeft: 3, roundsLeft: [2]int8{1, 1},
+			clockRates: firstSlow, lists: sameLists, commandsLeft: 2}},
+		{"the joint step between two lists", 0, bounds{timeUnit: 0.5, unitsLeft: 1, roundsLeft: [2]int8{1,
+			1}, clockRates: firstSlow, lists: [2][][]string{initialVoters, {{"v0", "v3", "v4"}}}}},
 	} {
-		timing := drifting
-		timing.Disabled = one.rule
-		r := one.walk(timing)
-		t.Logf("without %s: %s, after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
+		timing := wideDriftTiming
+		timing.Disabled = test.rule
+		r := test.walk(timing)
+		t.Logf("without %s: %s, after %d states\n%s", test.description, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
-			t.Errorf("without %s nothing goes wrong", one.what)
+			t.Errorf("without %s no violation is found", test.description)
 		}
 	}
 }
--- a/logic/owner/fence.go
+++ b/logic/owner/fence.go
@@ -1,20 +1,20 @@
 package owner
 
-// Fence is held by whoever carries out commands of a role: it rejects those of terms that are over.
+// Fence rejects commands of superseded terms. It is kept by the process that executes the commands of a role.
 type Fence struct {
-	timing  Timing
-	highest map[string]uint64
+	timing       Timing
+	highestTerms map[string]uint64 // by role
 }
 
-// NewFence knows of no term.
-func NewFence(timing Timing) *Fence { return &Fence{timing: timing, highest: map[string]uint64{}} }
+// NewFence returns a fence that knows no term.
+func NewFence(timing Timing) *Fence { return &Fence{timing: timing, highestTerms: map[string]uint64{}} }
 
-// Pass reports whether a command under a term may be carried out, and otherwise the term that is known.
-func (f *Fence) Pass(role string, term uint64) (known uint64, ok bool) {
-	known = f.highest[role]
-	if term < known && f.timing.enabled(Fences) {
-		return known, false
+// Pass reports whether a command under a term may be executed, and the highest term known if not.
+func (f *Fence) Pass(role string, term uint64) (highest uint64, ok bool) {
+	highest = f.highestTerms[role]
+	if term < highest && f.timing.enabled(Fences) {
+		return highest, false
 	}
-	f.highest[role] = max(known, term)
-	return known, true
+	f.highestTerms[role] = max(highest, term)
+	return highest, true
 }
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -11,40 +11,41 @@
 	"valveglade/rig/explore"
 )
 
-// lending is a role that changes hands once, two requesters with slow clocks, and what they have under way. That the former
-// owner's lease is over before the next one begins is what TestExhaustive is for; here it is taken for granted, and nothing
-// else is: a question or an answer may come at any time, twice or never, and a requester may not have heard of the new owner.
-type lending struct {
-	lease      Lease
-	at         int
-	units      int
-	asks       [2]int8
-	doubled    int8
-	deaths     int8
-	second     bool // the second owner has begun
-	owners     [2]Grantor
-	requesters [2]Requester
-	heard      [2]bool // of the second owner
-	requests   []Request
-	answers    []Answer
-	under      [3][lendable]float64 // until when each part may be in use, by requester; last, one that died
+// grantModel is a role that changes hands once, two requesters with slow clocks, and their permits in use. It
+// assumes that the former owner's lease has expired before the next one's begins, which TestExhaustive
+// checks, and nothing else: a request or an answer may arrive at any time, twice or never, and a requester
+// may not know the new owner.
+type grantModel struct {
+	lease          Lease
+	elapsedUnits   int
+	unitsLeft      int
+	requestsLeft   [2]int8
+	duplicatesLeft int8
+	restartsLeft   int8
+	secondOwner    bool // the second owner has taken over
+	owners         [2]Grantor
+	requesters     [2]Requester
+	knowsSecond    [2]bool // whether each requester knows the second owner
+	requests       []Request
+	answers        []Answer
+	inUseUntil     [3][permitCount]float64 // of each permit, by requester; the last entry is for one that died
 }
 
 const (
-	lendable  = 2
-	lendUnit  = 0.5
-	slowClock = 0.87 // of requesters
-	fastClock = 1.13 // of owners: the two drift apart by almost the bound
+	permitCount = 2
+	timeUnit    = 0.5
+	slowClock   = 0.87 // of requesters
+	fastClock   = 1.13 // of owners: the two drift apart by almost the bound
 )
 
-func (s *lending) ownersClock() float64     { return float64(s.at) * lendUnit * fastClock }
-func (s *lending) requestersClock() float64 { return float64(s.at) * lendUnit * slowClock }
+func (s *grantModel) ownerClock() float64     { return float64(s.elapsedUnits) * timeUnit * fastClock }
+func (s *grantModel) requesterClock() float64 { return float64(s.elapsedUnits) * timeUnit * slowClock }
 
-// used is how much one may have under way now.
-func (s *lending) used(k int) int {
+// inUse returns how many permits a requester may be using now.
+func (s *grantModel) inUse(k int) int {
 	n := 0
-	for _, until := range s.under[k] {
-		if s.requestersClock() < until {
+	for _, until := range s.inUseUntil[k] {
+		if s.requesterClock() < until {
 			n++
 		}
 	}
@@ -52,130 +53,133 @@
 }
 
 const (
-	lendPasses  = iota << 8
-	lendNext    // the second owner takes over
-	lendHears   // a requester hears that it has
-	lendAsks    // a requester asks
-	lendDies    // a requester dies, and another incarnation of it begins
-	lendGrants  // a question comes: low bits whose and what is granted at the most
-	lendDoubles // the same, and the question comes again
-	lendTakes   // an answer comes
+	actionTimePasses     = iota << 8
+	actionSecondOwner    // the second owner takes over
+	actionObserveTerm    // a requester learns of the second owner
+	actionRequest        // a requester sends a request
+	actionRestart        // a requester dies, and its next incarnation starts
+	actionGrant          // a request arrives; the low byte holds its index and the most to grant
+	actionGrantDuplicate // the same, and the request will arrive again
+	actionAnswer         // an answer arrives
 )
 
-func (s *lending) acts(all []uint16) []uint16 {
-	if s.units > 0 {
-		all = append(all, lendPasses)
+func (s *grantModel) actions(all []uint16) []uint16 {
+	if s.unitsLeft > 0 {
+		all = append(all, actionTimePasses)
 	}
-	if !s.second {
-		all = append(all, lendNext)
+	if !s.secondOwner {
+		all = append(all, actionSecondOwner)
 	}
 	for k := range s.requesters {
-		if s.second && !s.heard[k] {
-			all = append(all, lendHears|uint16(k))
+		if s.secondOwner && !s.knowsSecond[k] {
+			all = append(all, actionObserveTerm|uint16(k))
 		}
-		if s.asks[k] > 0 {
-			all = append(all, lendAsks|uint16(k))
+		if s.requestsLeft[k] > 0 {
+			all = append(all, actionRequest|uint16(k))
 		}
-		if s.deaths > 0 && k == 0 {
-			all = append(all, lendDies)
+		if s.restartsLeft > 0 && k == 0 {
+			all = append(all, actionRestart)
 		}
 	}
 	for k := range s.requests {
-		for n := range lendable + 1 {
-			all = append(all, lendGrants|uint16(k)<<2|uint16(n))
-			if s.doubled > 0 {
-				all = append(all, lendDoubles|uint16(k)<<2|uint16(n))
+		for n := range permitCount + 1 {
+			all = append(all, actionGrant|uint16(k)<<2|uint16(n))
+			if s.duplicatesLeft > 0 {
+				all = append(all, actionGrantDuplicate|uint16(k)<<2|uint16(n))
 			}
 		}
 	}
 	for k := range s.answers {
-		all = append(all, lendTakes|uint16(k))
+		all = append(all, actionAnswer|uint16(k))
 	}
 	return all
 }
 
-func (before *lending) after(act uint16) *lending {
-	next := *before
+func (current *grantModel) apply(act uint16) *grantModel {
+	next := *current
 	s := &next
 	k := int(act & 0xff)
-	switch what := act &^ 0xff; what {
-	case lendPasses:
-		s.at++
-		s.units--
-	case lendNext:
-		s.second = true
-		s.owners[1] = *NewGrantor("o", 2, lendable, s.ownersClock(), s.lease)
-	case lendHears:
-		s.heard[k] = true
+	switch action := act &^ 0xff; action {
+	case actionTimePasses:
+		s.elapsedUnits++
+		s.unitsLeft--
+	case actionSecondOwner:
+		s.secondOwner = true
+		s.owners[1] = *NewGrantor("o", 2, permitCount, s.ownerClock(), s.lease)
+	case actionObserveTerm:
+		s.knowsSecond[k] = true
 		s.requesters[k].ObserveTerm(2)
-	case lendAsks:
-		s.asks[k]--
-		s.requests = append(slices.Clone(s.requests), s.requesters[k].Request(lendable, s.used(k), s.requestersClock()))
-	case lendDies:
-		s.deaths--
-		s.under[2] = s.under[0]
-		s.under[0] = [lendable]float64{}
-		s.heard[0] = false
+	case actionRequest:
+		s.requestsLeft[k]--
+		s.requests = append(slices.Clone(s.requests), s.requesters[k].Request(permitCount, s.inUse(k),
+			s.requesterClock()))
+	case actionRestart:
+		s.restartsLeft--
+		s.inUseUntil[2] = s.inUseUntil[0]
+		s.inUseUntil[0] = [permitCount]float64{}
+		s.knowsSecond[0] = false
 		s.requesters[0] = *NewRequester(Incarnation{"a0", 2}, "o", s.lease)
 		s.requesters[0].ObserveTerm(1)
-	case lendGrants, lendDoubles:
-		q := s.requests[k>>2]
-		if what == lendDoubles {
-			s.doubled--
+	case actionGrant, actionGrantDuplicate:
+		request := s.requests[k>>2]
+		if action == actionGrantDuplicate {
+			s.duplicatesLeft--
 		} else {
 			s.requests = slices.Delete(slices.Clone(s.requests), k>>2, k>>2+1)
 		}
-		owner := 0
-		if s.second {
-			owner = 1 // the first one's lease is over: it answers nothing, though it may have answered just before
+		ownerIndex := 0
+		if s.secondOwner {
+			ownerIndex = 1 // the first owner's lease has expired; its answers may still be in flight
 		}
-		g := &s.owners[owner]
+		g := &s.owners[ownerIndex]
 		*g = *g.Clone()
-		if g.HandleRequest(q, s.ownersClock()) {
-			s.answers = append(slices.Clone(s.answers), g.Grant(q, k&3, s.ownersClock()))
+		if g.HandleRequest(request, s.ownerClock()) {
+			s.answers = append(slices.Clone(s.answers), g.Grant(request, k&3, s.ownerClock()))
 		}
-	case lendTakes:
-		m := s.answers[k]
+	case actionAnswer:
+		answer := s.answers[k]
 		s.answers = slices.Delete(slices.Clone(s.answers), k, k+1)
-		s.take(m)
+		s.useAnswer(answer)
 	}
-	s.requests = slices.DeleteFunc(slices.Clone(s.requests), func(q Request) bool { return q.From != s.requesters[q.From.Name[1]-'0'].self })
-	s.answers = slices.DeleteFunc(slices.Clone(s.answers), func(m Answer) bool {
-		a := &s.requesters[m.To.Name[1]-'0']
-		return m.To != a.self || m.Number < a.number && s.lease.enabled(Current)
+	s.requests = slices.DeleteFunc(slices.Clone(s.requests),
+		func(request Request) bool { return request.From != s.requesters[request.From.Name[1]-'0'].self })
+	s.answers = slices.DeleteFunc(slices.Clone(s.answers), func(answer Answer) bool {
+		requester := &s.requesters[answer.To.Name[1]-'0']
+		return answer.To != requester.self ||
+			answer.Number < requester.number && s.lease.enabled(LatestRequestOnly)
 	})
 	return s
 }
 
-// take has a requester use all that it is granted, and go on with what it had for as long as it may.
-func (s *lending) take(m Answer) {
-	k, now := int(m.To.Name[1]-'0'), s.requestersClock()
-	a := &s.requesters[k]
-	before, _ := a.Holds(now)
-	if !a.HandleAnswer(m, now) {
+// useAnswer has a requester use all granted permits at once, and those that it loses for as long as it may.
+func (s *grantModel) useAnswer(answer Answer) {
+	k, now := int(answer.To.Name[1]-'0'), s.requesterClock()
+	requester := &s.requesters[k]
+	before, _ := requester.Holds(now)
+	if !requester.HandleAnswer(answer, now) {
 		return
 	}
-	for n := range lendable {
-		if n < a.holds {
-			s.under[k][n] = a.until + s.lease.Grace
+	for n := range permitCount {
+		if n < requester.granted {
+			s.inUseUntil[k][n] = requester.grantEnd + s.lease.Grace
 		} else if n < before {
-			s.under[k][n] = now + s.lease.Grace
+			s.inUseUntil[k][n] = now + s.lease.Grace
 		}
 	}
 }
 
-func (s *lending) wrong() string {
+func (s *grantModel) violation() string {
 	all := 0
-	for k := range s.under {
-		all += s.used(k)
+	for k := range s.inUseUntil {
+		all += s.inUse(k)
 	}
-	if all > lendable {
-		return fmt.Sprintf("%d of %d are in use", all, lendable)
+	if all > permitCount {
+		return fmt.Sprintf("%d of %d permits are in use", all, permitCount)
 	}
 	return ""
 }
 
-func (s *lending) key() uint64 {
+func (s *grantModel) key() uint64 {
 	h := explore.NewHash()
 	left := func(at, now float64) uint64 { return uint64(max(0, math.Round((at-now)*1e4))) }
 	bit := func(b bool) uint64 {
@@ -184,91 +188,107 @@
 		}
 		return 0
 	}
-	h.Add(uint64(s.units)<<32 | uint64(s.asks[0])<<24 | uint64(s.asks[1])<<16 | uint64(s.doubled)<<8 | uint64(s.deaths)<<4 | bit(s.second))
+	h.Add(uint64(s.unitsLeft)<<32 | uint64(s.requestsLeft[0])<<24 | uint64(s.requestsLeft[1])<<16 |
+		uint64(s.duplicatesLeft)<<8 | uint64(s.restartsLeft)<<4 | bit(s.secondOwner))
 	for k := range s.requesters {
-		a := &s.requesters[k]
-		h.Add(a.self.ID<<32 | a.number<<24 | uint64(a.holds)<<16 | bit(s.heard[k]))
-		h.Add(left(a.until, s.requestersClock())<<32 | left(s.requestersClock(), a.asked))
+		requester := &s.requesters[k]
+		h.Add(requester.self.ID<<32 | requester.number<<24 | uint64(requester.granted)<<16 |
+			bit(s.knowsSecond[k]))
+		h.Add(left(requester.grantEnd, s.requesterClock())<<32 |
+			left(s.requesterClock(), requester.requestedAt))
 	}
-	for _, u := range s.under {
+	for _, u := range s.inUseUntil {
 		for _, until := range u {
-			h.Add(left(until, s.requestersClock()))
+			h.Add(left(until, s.requesterClock()))
 		}
 	}
 	g := &s.owners[0]
-	if s.second {
+	if s.secondOwner {
 		g = &s.owners[1]
 	}
-	h.Add(left(g.settled, s.ownersClock())<<8 | uint64(g.confirmed))
-	for _, incarnation := range slices.SortedFunc(maps.Keys(g.ledger), func(a, b Incarnation) int { return int(a.Name[1]) - int(b.Name[1]) + 4*int(a.ID) - 4*int(b.ID) }) {
-		o := g.ledger[incarnation]
-		h.Add(uint64(incarnation.Name[1])<<32 | incarnation.ID<<24 | o.number<<16 | uint64(o.reported)<<8 | uint64(o.granted))
-		h.Add(left(o.reportedUntil, s.ownersClock())<<32 | left(o.grantedUntil, s.ownersClock()))
+	h.Add(left(g.settledAt, s.ownerClock())<<8 | uint64(g.reportedTotal))
+	for _, incarnation := range slices.SortedFunc(maps.Keys(g.ledger), func(a, b Incarnation) int {
+		return int(a.Name[1]) - int(b.Name[1]) + 4*int(a.ID) - 4*int(b.ID)
+	}) {
+		held := g.ledger[incarnation]
+		h.Add(uint64(incarnation.Name[1])<<32 | incarnation.ID<<24 | held.lastRequest<<16 |
+			uint64(held.reported)<<8 | uint64(held.granted))
+		h.Add(left(held.reportedUntil, s.ownerClock())<<32 | left(held.grantedUntil, s.ownerClock()))
 	}
-	var flight []uint64
-	for _, q := range s.requests {
-		flight = append(flight, 1<<60|uint64(q.From.Name[1]-'0')<<58|q.Number<<50|q.Term<<46|uint64(q.Holds)<<44|uint64(q.Uses)<<42|left(q.Left, 0))
+	var inFlight []uint64
+	for _, request := range s.requests {
+		inFlight = append(inFlight,
+			1<<60|uint64(request.From.Name[1]-'0')<<58|request.Number<<50|request.Term<<46|
+				uint64(request.Holds)<<44|uint64(request.Uses)<<42|left(request.Left, 0))
 	}
-	for _, m := range s.answers {
-		flight = append(flight, uint64(m.To.Name[1]-'0')<<58|m.Number<<50|m.Term<<46|uint64(m.Grants)<<44)
+	for _, answer := range s.answers {
+		inFlight = append(inFlight,
+			uint64(answer.To.Name[1]-'0')<<58|answer.Number<<50|answer.Term<<46|uint64(answer.Grants)<<44)
 	}
-	slices.Sort(flight)
-	for _, v := range flight {
+	slices.Sort(inFlight)
+	for _, v := range inFlight {
 		h.Add(v)
 	}
 	return uint64(h)
 }
 
-func (s *lending) tell(act uint16) string {
+func (s *grantModel) describe(act uint16) string {
 	k := act & 0xff
-	when := fmt.Sprintf("%.1f ", float64(s.at)*lendUnit)
+	prefix := fmt.Sprintf("%.1f ", float64(s.elapsedUnits)*timeUnit)
 	switch act &^ 0xff {
-	case lendPasses:
-		return when + "time passes"
-	case lendNext:
-		return when + "the second owner takes over"
-	case lendHears:
-		return when + fmt.Sprintf("a%d hears of the second owner", k)
-	case lendAsks:
-		holds, _ := s.requesters[k].Holds(s.requestersClock())
-		return when + fmt.Sprintf("a%d asks, holding %d", k, holds)
-	case lendDies:
-		return when + "a0 dies, what it began goes on, and another incarnation of it begins"
-	case lendTakes:
-		m := s.answers[k]
-		return when + fmt.Sprintf("a%d hears answer %d: %d", m.To.Name[1]-'0', m.Number, m.Grants)
+	case actionTimePasses:
+		return prefix + "time passes"
+	case actionSecondOwner:
+		return prefix + "the second owner takes over"
+	case actionObserveTerm:
+		return prefix + fmt.Sprintf("a%d learns of the second owner", k)
+	case actionRequest:
+		holds, _ := s.requesters[k].Holds(s.requesterClock())
+		return prefix + fmt.Sprintf("a%d sends a request, holding %d", k, holds)
+	case actionRestart:
+		return prefix + "a0 dies, its work continues, and its next incarnation starts"
+	case actionAnswer:
+		answer := s.answers[k]
+		return prefix + fmt.Sprintf("a%d receives answer %d: %d", answer.To.Name[1]-'0', answer.Number,
+			answer.Grants)
 	}
-	q := s.requests[k>>2]
-	return when + fmt.Sprintf("question %d of a%d comes, under term %d; %d are to be granted", q.Number, q.From.Name[1]-'0', q.Term, k&3)
+	request := s.requests[k>>2]
+	return prefix + fmt.Sprintf("request %d of a%d arrives, under term %d; at most %d are granted",
+		request.Number, request.From.Name[1]-'0', request.Term, k&3)
 }
 
-func lend(lease Lease, asks [2]int8, units int, doubled, deaths int8, most int) explore.Result {
-	s := &lending{lease: lease, units: units, asks: asks, doubled: doubled, deaths: deaths}
-	s.owners[0] = *NewGrantor("o", 1, lendable, -9, lease)
+func exploreGrants(lease Lease, requestsLeft [2]int8, unitsLeft int, duplicatesLeft, restartsLeft int8,
+	maxStates int) explore.Result {
+	s := &grantModel{lease: lease, unitsLeft: unitsLeft, requestsLeft: requestsLeft,
+		duplicatesLeft: duplicatesLeft, restartsLeft: restartsLeft}
+	s.owners[0] = *NewGrantor("o", 1, permitCount, -9, lease)
 	for k := range s.requesters {
 		s.requesters[k] = *NewRequester(Incarnation{fmt.Sprintf("a%d", k), 1}, "o", lease)
 		s.requesters[k].ObserveTerm(1)
 	}
-	return explore.World[*lending]{Begin: s, Acts: (*lending).acts, After: (*lending).after, Key: (*lending).key, Wrong: (*lending).wrong, Tell: (*lending).tell}.Walk(most)
+	return explore.World[*grantModel]{Begin: s, Acts: (*grantModel).actions, After: (*grantModel).apply,
+		Key: (*grantModel).key, Wrong: (*grantModel).violation, Tell: (*grantModel).describe}.Walk(maxStates)
 }
 
 var grantLease = Lease{Length: 1, Grace: 0.4, Drift: 0.3}
 
-// Whatever comes when, the parts in use are never more than there are, through a change of owner of which requesters may not have
-// heard.
+// Through a change of owner that requesters may not know of, and with messages in any order, no more permits
+// than the quota are in use.
 func TestGrantsExhaustive(t *testing.T) {
 	type bounds struct {
-		asks            [2]int8
-		units           int
-		doubled, deaths int8
+		requestsLeft                 [2]int8
+		unitsLeft                    int
+		duplicatesLeft, restartsLeft int8
 	}
-	all := []bounds{{[2]int8{1, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 0}, {[2]int8{2, 1}, 5, 0, 0}, {[2]int8{2, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 1}}
+	all := []bounds{{[2]int8{1, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 0}, {[2]int8{2, 1}, 5, 0, 0},
+		{[2]int8{2, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 1}}
 	if explore.Race {
 		all = all[:1]
 	}
 	for _, one := range all {
 		began := time.Now()
-		r := lend(grantLease, one.asks, one.units, one.doubled, one.deaths, 4e6)
+		r := exploreGrants(grantLease, one.requestsLeft, one.unitsLeft, one.duplicatesLeft,
+			one.restartsLeft, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
 		if r.Wrong != "" || !r.Complete {
 			t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
@@ -276,18 +296,19 @@
 	}
 }
 
-// Each rule that is left out is missed.
-func TestGrantsMissed(t *testing.T) {
-	for _, rule := range []Rule{FromRequest, Settled, Current, Tails, Addressed} {
-		if rule == Addressed && explore.Race {
-			break // it is found late
+// Disabling any one rule of grants leads to a violation.
+func TestDisabledGrantRules(t *testing.T) {
+	for _, rule := range []Rule{FromRequest, WaitForFormerGrants, LatestRequestOnly, GracePeriods,
+		TermMatch} {
+		if rule == TermMatch && explore.Race {
+			break // its violation takes long to find
 		}
 		lease := grantLease
 		lease.Disabled = rule
-		r := lend(lease, [2]int8{2, 1}, 4, 0, 0, 4e6)
-		t.Logf("rule %b left out: %s after %d states\n%s", rule, r.Wrong, r.States, r.Trace)
+		r := exploreGrants(lease, [2]int8{2, 1}, 4, 0, 0, 4e6)
+		t.Logf("rule %b disabled: %s after %d states\n%s", rule, r.Wrong, r.States, r.Trace)
 		if r.Wrong == "" {
-			t.Errorf("rule %b is left out, and nobody notices", rule)
+			t.Errorf("rule %b is disabled, and no violation is found", rule)
 		}
 	}
 }
--- a/logic/owner/grantor.go
+++ b/logic/owner/grantor.go
@@ -6,40 +6,42 @@
 	"slices"
 )
 
-// Grantor is an owner's part under one term. Of the whole it grants what is proved free: until all that former owners may have
-// granted is over, that is what holders have told it, since it began, that they hold; it may be moved among them.
+// Grantor grants permits of a quota for the owner of a role under one term. It grants only permits known to
+// be free. Until all grants of former owners have expired, these are the permits that holders have reported
+// to it since its term began; it may move them between holders.
 type Grantor struct {
-	lease     Lease
-	role      string
-	term      uint64
-	total     int
-	confirmed int     // what holders reported at first
-	settled   float64 // when nothing is left of former owners' grants
-	ledger    map[Incarnation]*holding
+	lease         Lease
+	role          string
+	term          uint64
+	total         int
+	reportedTotal int     // sum of the permits in the first request of each holder
+	settledAt     float64 // when all grants of former owners have expired
+	ledger        map[Incarnation]*holding
 }
 
-// holding is what one holder may have, at the most.
+// holding is the upper bound on the permits of one holder.
 type holding struct {
-	number        uint64 // of its last request
-	reported      int    // what it had as it made the request, and until when that may last
-	reportedUntil float64
-	granted       int // what it was answered, and until when that may last
-	grantedUntil  float64
+	lastRequest   uint64  // number of its last request
+	reported      int     // permits that it had at its last request
+	reportedUntil float64 // when these have expired
+	granted       int     // permits granted in answer to its last request
+	grantedUntil  float64 // when these have expired
 	wants         int
 	uses          int
-	heard         float64
+	lastRequestAt float64
 }
 
-// NewGrantor begins as the role is acquired: not before the former owner's lease is over.
+// NewGrantor returns a grantor for a term that starts now. The former owner's lease must have expired.
 func NewGrantor(role string, term uint64, total int, now float64, lease Lease) *Grantor {
-	g := &Grantor{lease: lease, role: role, term: term, total: total, settled: now + lease.Expiry(), ledger: map[Incarnation]*holding{}}
-	if !lease.enabled(Settled) {
-		g.settled = now
+	g := &Grantor{lease: lease, role: role, term: term, total: total, settledAt: now + lease.Expiry(),
+		ledger: map[Incarnation]*holding{}}
+	if !lease.enabled(WaitForFormerGrants) {
+		g.settledAt = now
 	}
 	return g
 }
 
-// Held is what a holder was last answered, or told, whichever came last.
+// Held returns the permits last granted to a holder or, since a new request has come, reported by it.
 func (g *Grantor) Held(incarnation Incarnation) int {
 	h := g.ledger[incarnation]
 	if h == nil {
@@ -48,36 +50,36 @@
 	return max(h.granted, h.reported)
 }
 
-// Clone is for those who walk through all that can happen: nothing that is done to one is done to the other.
+// Clone returns an independent copy, for tests that explore all sequences of events.
 func (g *Grantor) Clone() *Grantor {
 	c := *g
 	c.ledger = map[Incarnation]*holding{}
 	for incarnation, h := range g.ledger {
-		one := *h
-		c.ledger[incarnation] = &one
+		copied := *h
+		c.ledger[incarnation] = &copied
 	}
 	return &c
 }
 
-// String tells all of it, for the same purpose.
+// String returns the complete state as text, for the same tests.
 func (g *Grantor) String() string {
-	all := fmt.Sprint(g.term, g.total, g.confirmed, g.settled)
+	text := fmt.Sprint(g.term, g.total, g.reportedTotal, g.settledAt)
 	for _, h := range g.Holders(math.Inf(-1)) {
-		all += fmt.Sprint(h.Incarnation, *g.ledger[h.Incarnation])
+		text += fmt.Sprint(h.Incarnation, *g.ledger[h.Incarnation])
 	}
-	return all
+	return text
 }
 
-// Term is the one that it grants under.
+// Term returns the term under which it grants.
 func (g *Grantor) Term() uint64 { return g.term }
 
-// Settled tells whether nothing is left of what former owners granted.
-func (g *Grantor) Settled(now float64) bool { return now >= g.settled }
+// Settled reports whether all grants of former owners have expired.
+func (g *Grantor) Settled(now float64) bool { return now >= g.settledAt }
 
-// SetTotal changes what there is to grant; what has been granted stays granted until it is over.
+// SetTotal changes the quota. Permits already granted stay valid until they expire.
 func (g *Grantor) SetTotal(total int) { g.total = total }
 
-// maxHeld is what a holder may have now at the most.
+// maxHeld returns the most permits that a holder may have now.
 func (h *holding) maxHeld(now float64) int {
 	n := 0
 	if now < h.reportedUntil {
@@ -89,11 +91,11 @@
 	return n
 }
 
-// Available is what could be granted now to one holder, what it has among it.
+// Available returns how many permits one holder could be granted now, including those that it has.
 func (g *Grantor) Available(to Incarnation, now float64) int {
 	n := g.total
 	if !g.Settled(now) {
-		n = min(n, g.confirmed)
+		n = min(n, g.reportedTotal)
 	}
 	for incarnation, h := range g.ledger {
 		if incarnation != to {
@@ -103,79 +105,83 @@
 	return max(n, 0)
 }
 
-// maxHolders is how many holders are known at once; a fleet is smaller.
+// maxHolders limits the holders in the ledger; a fleet is smaller.
 const maxHolders = 1024
 
-// HandleRequest takes a request in, and tells whether it is to be answered: not one that was put to another owner, nor one that is
-// older than another of the same requester's, for which no answer would count.
-func (g *Grantor) HandleRequest(q Request, now float64) bool {
-	if q.Role != g.role || q.Term != g.term && g.lease.enabled(Addressed) {
+// HandleRequest records a request and reports whether it has to be answered. Requests to the owner of another
+// term are ignored, and so are those older than the requester's last one, whose answer the requester would
+// ignore.
+func (g *Grantor) HandleRequest(request Request, now float64) bool {
+	if request.Role != g.role || request.Term != g.term && g.lease.enabled(TermMatch) {
 		return false
 	}
-	h := g.ledger[q.From]
+	h := g.ledger[request.From]
 	if h == nil {
 		if g.dropExpired(now); len(g.ledger) >= maxHolders {
 			return false
 		}
 		h = &holding{}
-		g.ledger[q.From] = h
-		g.confirmed += q.Holds
-	} else if q.Number <= h.number {
+		g.ledger[request.From] = h
+		g.reportedTotal += request.Holds
+	} else if request.Number <= h.lastRequest {
 		return false
 	}
-	// Of all answers before this request none counts any more: what it says is what it has.
-	h.number, h.wants, h.uses, h.heard = q.Number, q.Wants, q.Uses, now
-	h.reported, h.reportedUntil = max(q.Holds, q.Uses), now+(q.Left+g.tail())*(1+g.lease.Drift)
+	// The requester ignores answers to earlier requests from now on: it has what this request reports.
+	h.lastRequest, h.wants, h.uses, h.lastRequestAt = request.Number, request.Wants, request.Uses, now
+	h.reported, h.reportedUntil = max(request.Holds, request.Uses),
+		now+(request.Left+g.gracePeriod())*(1+g.lease.Drift)
 	h.granted, h.grantedUntil = 0, 0
 	return true
 }
 
-func (g *Grantor) tail() float64 {
-	if !g.lease.enabled(Tails) {
+func (g *Grantor) gracePeriod() float64 {
+	if !g.lease.enabled(GracePeriods) {
 		return 0
 	}
 	return g.lease.Grace
 }
 
-// Grant answers a request that was taken in: n at the most, less where that is not free. The owner's lease has to be checked
-// after the request came and before this is called, at the same reading of the clock; what comes of it may then leave
-// however late.
-func (g *Grantor) Grant(q Request, n int, now float64) Answer {
-	h := g.ledger[q.From]
-	h.granted = max(0, min(n, g.Available(q.From, now)))
+// Grant answers a request that HandleRequest accepted. It grants n permits, or fewer if fewer are free. The
+// caller has to check the owner's lease after the request arrived and before the call, at the clock reading
+// that it passes as now; the answer may then be sent at any later time.
+func (g *Grantor) Grant(request Request, n int, now float64) Answer {
+	h := g.ledger[request.From]
+	h.granted = max(0, min(n, g.Available(request.From, now)))
 	h.grantedUntil = now + g.lease.Expiry()
-	return Answer{Role: g.role, To: q.From, Number: q.Number, Term: g.term, Grants: h.granted}
+	return Answer{Role: g.role, To: request.From, Number: request.Number, Term: g.term, Grants: h.granted}
 }
 
-// dropExpired drops holders of whom nothing is left. Until it is settled all stay, as what they told counts once.
+// dropExpired removes holders whose permits have expired. While grants of former owners may exist all holders
+// are kept, as the permits of each may be added to reportedTotal only once.
 func (g *Grantor) dropExpired(now float64) {
 	if !g.Settled(now) {
 		return
 	}
 	for incarnation, h := range g.ledger {
-		if h.maxHeld(now) == 0 && now > h.heard+g.lease.Expiry() {
+		if h.maxHeld(now) == 0 && now > h.lastRequestAt+g.lease.Expiry() {
 			delete(g.ledger, incarnation)
 		}
 	}
 }
 
-// HolderStatus is one holder as the owner sees it.
+// HolderStatus is the owner's view of one holder.
 type HolderStatus struct {
 	Incarnation
-	MaxHeld      int // at the most
+	MaxHeld      int // upper bound of the permits that it may have
 	Granted      int
 	Wanted       int
 	InUse        int
-	Left         float64 // until nothing is left of what it had, in seconds
-	SinceRequest float64 // how long ago it last asked, in seconds
+	Left         float64 // until its permits have expired, in seconds
+	SinceRequest float64 // time since its last request, in seconds
 }
 
-// Holders lists them by name.
+// Holders lists the holders, sorted by name.
 func (g *Grantor) Holders(now float64) []HolderStatus {
 	g.dropExpired(now)
 	var all []HolderStatus
 	for incarnation, h := range g.ledger {
-		all = append(all, HolderStatus{incarnation, h.maxHeld(now), h.granted, h.wants, h.uses, max(h.reportedUntil, h.grantedUntil) - now, now - h.heard})
+		all = append(all, HolderStatus{incarnation, h.maxHeld(now), h.granted, h.wants, h.uses,
+			max(h.reportedUntil, h.grantedUntil) - now, now - h.lastRequestAt})
 	}
 	slices.SortFunc(all, func(a, b HolderStatus) int {
 		if a.Name != b.Name {
--- a/logic/owner/owner_test.go
+++ b/logic/owner/owner_test.go
@@ -9,208 +9,221 @@
 	"testing"
 )
 
-// world is three voters and two candidates with clocks of their own, a network that loses, doubles and delays, and somebody
-// who carries out orders. What happens next is left to chance from a seed; the trace is what did.
-type world struct {
-	timing Timing
-	chance *rand.Rand
-	now    float64
-	voters []*Voter
-	kept   []map[string]Vote // on each one's disk
-	cand   []*Candidate
-	asleep []bool
-	hand   []uint64 // the term of an order that a candidate has checked and not sent, 0 for none
-	rate   []float64
-	flight []Message
-	fence  *Fence
-	terms  []uint64 // under which somebody owned, in the order in which that was first seen
-	owner  map[uint64]int
-	owned  int
-	newest uint64 // of an order that was carried out
-	trace  []string
-	wrong  string
-	// The mood of a walk: how far time goes at once, and how often things are lost, start again and sleep. What is
-	// dangerous in one is out of reach in another.
-	pace, loss, again, sleep float64
+// simulation is three voters and two candidates with clocks of their own, a network that loses, duplicates
+// and delays messages, and an executor of commands. The events are drawn at random from a seed, and recorded
+// in the trace.
+type simulation struct {
+	timing         Timing
+	chance         *rand.Rand
+	now            float64
+	voters         []*Voter
+	persisted      []map[string]Vote // by voter: the votes on its disk
+	candidates     []*Candidate
+	paused         []bool
+	checkedTerms   []uint64 // by candidate: term of a command that it checked and has not sent; 0 for none
+	clockRates     []float64
+	inFlight       []Message
+	fence          *Fence
+	observedTerms  []uint64 // terms with an owner, in the order of their first observation
+	ownerByTerm    map[uint64]int
+	ownedTerms     int
+	highestCommand uint64 // the highest term of an executed command
+	trace          []string
+	violation      string
+	// Parameters drawn for each run, as some failures show only under certain combinations.
+	maxTimeStep        float64
+	lossProbability    float64 // of a message that is delivered
+	restartProbability float64 // of a voter, per event
+	pauseProbability   float64 // of a candidate being paused or resumed, per event
 }
 
-const voters = 3
+const voterCount = 3
 
-// local is what a process's own clock shows.
-func (w *world) local(process int) float64 { return 1000*float64(process) + w.now*w.rate[process] }
+// localTime returns the reading of a process's own clock.
+func (s *simulation) localTime(process int) float64 {
+	return 1000*float64(process) + s.now*s.clockRates[process]
+}
 
-func newWorld(seed uint64, timing Timing) *world {
-	w := &world{timing: timing, chance: rand.New(rand.NewPCG(seed, 3)), owner: map[uint64]int{}, fence: NewFence(timing),
-		asleep: make([]bool, 2), hand: make([]uint64, 2)}
-	pick := func(of ...float64) float64 { return of[w.chance.IntN(len(of))] }
-	w.pace, w.loss, w.again, w.sleep = pick(0.02, 0.1, 0.3), pick(0, 0.08, 0.3), pick(0, 0.002, 0.02), pick(0, 0.01, 0.05)
+func newSimulation(seed uint64, timing Timing) *simulation {
+	s := &simulation{timing: timing, chance: rand.New(rand.NewPCG(seed, 3)), ownerByTerm: map[uint64]int{},
+		fence: NewFence(timing), paused: make([]bool, 2), checkedTerms: make([]uint64, 2)}
+	pick := func(of ...float64) float64 { return of[s.chance.IntN(len(of))] }
+	s.maxTimeStep, s.lossProbability, s.restartProbability, s.pauseProbability =
+		pick(0.02, 0.1, 0.3), pick(0, 0.08, 0.3), pick(0, 0.002, 0.02), pick(0, 0.01, 0.05)
 	names := []string{"v0", "v1", "v2"}
-	for k := range voters + 2 {
+	for k := range voterCount + 2 {
 		// Any two clocks drift apart by at most the bound.
-		w.rate = append(w.rate, 1+timing.Drift*(w.chance.Float64()-0.5)*0.98)
-		if k < voters {
-			w.voters = append(w.voters, NewVoter(names[k], map[string]Vote{}, true, 0, w.local(k), timing))
-			w.kept = append(w.kept, map[string]Vote{})
+		s.clockRates = append(s.clockRates, 1+timing.Drift*(s.chance.Float64()-0.5)*0.98)
+		if k < voterCount {
+			s.voters = append(s.voters, NewVoter(names[k], map[string]Vote{}, true, 0, s.localTime(k),
+				timing))
+			s.persisted = append(s.persisted, map[string]Vote{})
 		}
 	}
 	for k := range 2 {
-		c := NewCandidate(Incarnation{fmt.Sprintf("c%d", k), 1}, "o", [][]string{names}, seed+uint64(k), w.local(voters+k), timing)
-		c.SetCampaigning(true, w.local(voters+k))
-		w.cand = append(w.cand, c)
+		c := NewCandidate(Incarnation{fmt.Sprintf("c%d", k), 1}, "o", [][]string{names}, seed+uint64(k),
+			s.localTime(voterCount+k), timing)
+		c.SetCampaigning(true, s.localTime(voterCount+k))
+		s.candidates = append(s.candidates, c)
 	}
-	return w
+	return s
 }
 
-func (w *world) say(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%6.3f ", w.now)+fmt.Sprintf(format, args...))
+func (s *simulation) logf(format string, args ...any) {
+	s.trace = append(s.trace, fmt.Sprintf("%6.3f ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// step is one thing that happens.
-func (w *world) step(disks bool) {
-	rand := w.chance.Float64
-	switch x := rand(); {
-	case x < w.again:
-		k := w.chance.IntN(voters)
-		w.say("v%d starts again", k)
-		kept := map[string]Vote(nil)
-		if disks {
-			kept = w.kept[k]
-		}
-		w.voters[k] = NewVoter(fmt.Sprintf("v%d", k), kept, disks, uint64(w.now*1000), w.local(k), w.timing)
-	case rand() < w.sleep:
-		k := w.chance.IntN(2)
-		w.asleep[k] = !w.asleep[k]
-		w.say("c%d sleeps: %v", k, w.asleep[k])
-	case rand() < 0.1: // an owner checks its lease, and has an order in its hands
-		k := w.chance.IntN(2)
-		if term, _, ok := w.cand[k].Owns(w.local(voters + k)); ok && !w.asleep[k] {
-			w.hand[k] = term
-		}
-	case rand() < 0.1: // and sends it, however much later
-		k := w.chance.IntN(2)
-		if w.hand[k] == 0 || w.asleep[k] {
+// step simulates one event.
+func (s *simulation) step(persistent bool) {
+	random := s.chance.Float64
+	switch x := random(); {
+	case x < s.restartProbability:
+		k := s.chance.IntN(voterCount)
+		s.logf("v%d restarts", k)
+		votes := map[string]Vote(nil)
+		if persistent {
+			votes = s.persisted[k]
+		}
+		s.voters[k] = NewVoter(fmt.Sprintf("v%d", k), votes, persistent, uint64(s.now*1000), s.localTime(k),
+			s.timing)
+	case random() < s.pauseProbability:
+		k := s.chance.IntN(2)
+		s.paused[k] = !s.paused[k]
+		s.logf("c%d paused: %v", k, s.paused[k])
+	case random() < 0.1: // an owner checks its lease before it sends a command
+		k := s.chance.IntN(2)
+		if term, _, ok := s.candidates[k].Owns(s.localTime(voterCount + k)); ok && !s.paused[k] {
+			s.checkedTerms[k] = term
+		}
+	case random() < 0.1: // and sends the command at any later time
+		k := s.chance.IntN(2)
+		if s.checkedTerms[k] == 0 || s.paused[k] {
 			break
 		}
-		term := w.hand[k]
-		w.hand[k] = 0
-		known, ok := w.fence.Pass("o", term)
-		w.say("c%d orders under %d: %v", k, term, ok)
+		term := s.checkedTerms[k]
+		s.checkedTerms[k] = 0
+		known, ok := s.fence.Pass("o", term)
+		s.logf("c%d sends a command under %d: %v", k, term, ok)
 		if !ok {
-			w.cand[k].HandleStaleTerm(known, w.local(voters+k))
+			s.candidates[k].HandleStaleTerm(known, s.localTime(voterCount+k))
 			break
 		}
-		if term < w.newest {
-			w.wrong = fmt.Sprintf("an order of term %d had its effect after one of %d", term, w.newest)
+		if term < s.highestCommand {
+			s.violation = fmt.Sprintf("a command of term %d was executed after one of %d", term,
+				s.highestCommand)
 		}
-		w.newest = max(w.newest, term)
-	case len(w.flight) > 0 && rand() < 0.75:
-		k := w.chance.IntN(len(w.flight))
-		m := w.flight[k]
-		if rand() > 0.08 { // otherwise it stays on the way too: it is doubled
-			w.flight = slices.Delete(w.flight, k, k+1)
+		s.highestCommand = max(s.highestCommand, term)
+	case len(s.inFlight) > 0 && random() < 0.75:
+		k := s.chance.IntN(len(s.inFlight))
+		m := s.inFlight[k]
+		if random() > 0.08 { // otherwise it stays in flight too, as a duplicate
+			s.inFlight = slices.Delete(s.inFlight, k, k+1)
 		}
-		if rand() < w.loss {
+		if random() < s.lossProbability {
 			return
 		}
-		w.deliver(m)
+		s.deliver(m)
 	default:
-		w.now += w.pace * rand()
-		for k, c := range w.cand {
-			if !w.asleep[k] {
-				c.Tick(w.local(voters + k))
+		s.now += s.maxTimeStep * random()
+		for k, c := range s.candidates {
+			if !s.paused[k] {
+				c.Tick(s.localTime(voterCount + k))
 			}
 		}
 	}
-	w.collect()
-	w.look()
+	s.collectMessages()
+	s.checkInvariants()
 }
 
-func (w *world) collect() {
-	for _, c := range w.cand {
-		w.flight = append(w.flight, c.Ready()...)
+func (s *simulation) collectMessages() {
+	for _, c := range s.candidates {
+		s.inFlight = append(s.inFlight, c.Ready()...)
 	}
-	for len(w.flight) > 40 { // what is on the way is bounded, as it is on any network
-		w.flight = slices.Delete(w.flight, 0, 1)
+	for len(s.inFlight) > 40 { // as on any network, the messages in flight are bounded
+		s.inFlight = slices.Delete(s.inFlight, 0, 1)
 	}
 }
 
-func (w *world) deliver(m Message) {
-	for k, v := range w.voters {
+func (s *simulation) deliver(m Message) {
+	for k, v := range s.voters {
 		if v.name != m.To || m.Kind > StepDown {
 			continue
 		}
-		for _, a := range v.HandleMessage(m, w.local(k)) {
-			w.say("%s to %s: word %d term %d round %d; %d", m.From.Name, m.To, m.Kind, m.Term, m.Round, a.Kind)
+		for _, a := range v.HandleMessage(m, s.localTime(k)) {
+			s.logf("%s to %s: kind %d term %d round %d; %d", m.From.Name, m.To, m.Kind, m.Term, m.Round,
+				a.Kind)
 			if a.Sync {
-				w.kept[k] = maps.Clone(v.Votes())
+				s.persisted[k] = maps.Clone(v.Votes())
 			}
-			w.flight = append(w.flight, a)
+			s.inFlight = append(s.inFlight, a)
 		}
 	}
-	for k, c := range w.cand {
-		if c.self.Name == m.To && m.Kind > StepDown && !w.asleep[k] {
-			w.say("%s hears %s: word %d term %d round %d", m.To, m.From.Name, m.Kind, m.Term, m.Round)
-			c.HandleAnswer(m, w.local(voters+k))
+	for k, c := range s.candidates {
+		if c.self.Name == m.To && m.Kind > StepDown && !s.paused[k] {
+			s.logf("%s receives from %s: kind %d term %d round %d", m.To, m.From.Name, m.Kind, m.Term,
+				m.Round)
+			c.HandleAnswer(m, s.localTime(voterCount+k))
 		}
 	}
 }
 
-// look asks what must hold at any time.
-func (w *world) look() {
+// checkInvariants records a violation of the properties that must always hold.
+func (s *simulation) checkInvariants() {
 	owners := 0
-	for k, c := range w.cand {
-		term, _, ok := c.Owns(w.local(voters + k))
+	for k, c := range s.candidates {
+		term, _, ok := c.Owns(s.localTime(voterCount + k))
 		if !ok {
 			continue
 		}
 		owners++
-		if by, seen := w.owner[term]; seen && by != k {
-			w.wrong = fmt.Sprintf("term %d has two owners", term)
+		if owner, seen := s.ownerByTerm[term]; seen && owner != k {
+			s.violation = fmt.Sprintf("term %d has two owners", term)
 		} else if !seen {
-			w.owner[term] = k
-			w.say("c%d owns under %d", k, term)
-			if len(w.terms) > 0 && term <= slices.Max(w.terms) {
-				w.wrong = fmt.Sprintf("term %d comes after %d", term, slices.Max(w.terms))
+			s.ownerByTerm[term] = k
+			s.logf("c%d owns under %d", k, term)
+			if len(s.observedTerms) > 0 && term <= slices.Max(s.observedTerms) {
+				s.violation = fmt.Sprintf("term %d comes after %d", term, slices.Max(s.observedTerms))
 			}
-			w.terms = append(w.terms, term)
-			w.owned++
+			s.observedTerms = append(s.observedTerms, term)
+			s.ownedTerms++
 		}
 	}
 	if owners > 1 {
-		w.wrong = "two owners at one time"
+		s.violation = "two owners at one time"
 	}
 }
 
-// walk gives what went wrong on one seed, with the trace.
-func walk(seed uint64, timing Timing, disks bool, steps int) (w *world) {
-	w = newWorld(seed, timing)
+// runSimulation runs a simulation up to its first violation.
+func runSimulation(seed uint64, timing Timing, persistent bool, steps int) (s *simulation) {
+	s = newSimulation(seed, timing)
 	for range steps {
-		if w.step(disks); w.wrong != "" {
+		if s.step(persistent); s.violation != "" {
 			break
 		}
 	}
-	return w
+	return s
 }
 
-const walks = 300
+const simulationRuns = 300
 
-var usual = Timing{Lease: 1, Drift: 0.08, Margin: 0.02}
+var defaultTiming = Timing{Lease: 1, Drift: 0.08, Margin: 0.02}
 
-// Whatever is lost, doubled, late, stopped and started again, with disks and without: one owner at a time, terms that rise,
-// and no effect of a late owner. And it is not for want of owners.
-func TestWalks(t *testing.T) {
-	for _, disks := range []bool{true, false} {
+// Whatever is lost, duplicated, delayed, paused and restarted, with and without persisted votes: at most one
+// owner at a time, rising terms, and no command of a superseded owner is executed. The runs do have owners.
+func TestRandomRuns(t *testing.T) {
+	for _, persistent := range []bool{true, false} {
 		owned := 0
-		for seed := range uint64(walks) {
-			w := walk(seed, usual, disks, 600)
-			owned += w.owned
-			if w.wrong != "" {
-				t.Fatalf("seed %d, disks %v: %s\n%s", seed, disks, w.wrong, strings.Join(w.trace[max(0, len(w.trace)-60):], "\n"))
+		for seed := range uint64(simulationRuns) {
+			s := runSimulation(seed, defaultTiming, persistent, 600)
+			owned += s.ownedTerms
+			if s.violation != "" {
+				t.Fatalf("seed %d, persistent %v: %s\n%s", seed, persistent, s.violation,
+					strings.Join(s.trace[max(0, len(s.trace)-60):], "\n"))
 			}
 		}
-		t.Logf("disks %v: %d terms were owned in %d walks", disks, owned, walks)
-		if owned < walks {
-			t.Errorf("disks %v: only %d terms were owned", disks, owned)
+		t.Logf("persistent %v: %d terms were owned in %d runs", persistent, owned, simulationRuns)
+		if owned < simulationRuns {
+			t.Errorf("persistent %v: only %d terms were owned", persistent, owned)
 		}
 	}
 }
--- a/logic/owner/requester.go
+++ b/logic/owner/requester.go
@@ -1,16 +1,16 @@
 package owner
 
-// Requester is one process's part in requesting grants.
+// Requester requests grants for one process and keeps track of the current one.
 type Requester struct {
-	lease     Lease
-	self      Incarnation
-	role      string
-	knownTerm uint64 // the highest term heard of
-	number    uint64
-	asked     float64
-	holds     int
-	until     float64
-	term      uint64 // under which it holds
+	lease       Lease
+	self        Incarnation
+	role        string
+	knownTerm   uint64  // the highest known term of an owner; 0 if none is known
+	number      uint64  // of the last request
+	requestedAt float64 // when the last request was made
+	granted     int     // permits of the current grant
+	grantEnd    float64 // when the current grant expires
+	grantTerm   uint64  // term of the current grant
 }
 
 // NewRequester returns a requester that holds nothing.
@@ -18,48 +18,51 @@
 	return &Requester{lease: lease, self: self, role: role}
 }
 
-// ObserveTerm takes in that there is an owner under a term; false if a higher one is known.
-func (a *Requester) ObserveTerm(term uint64) bool {
-	if term < a.knownTerm {
+// ObserveTerm records that an owner exists under a term. It returns false if a higher term is known.
+func (r *Requester) ObserveTerm(term uint64) bool {
+	if term < r.knownTerm {
 		return false
 	}
-	a.knownTerm = term
+	r.knownTerm = term
 	return true
 }
 
-// KnownTerm is the highest term heard of, 0 for none.
-func (a *Requester) KnownTerm() uint64 { return a.knownTerm }
+// KnownTerm returns the highest known term, or 0 if none is known.
+func (r *Requester) KnownTerm() uint64 { return r.knownTerm }
 
-// Request makes a new request, and voids whatever may still come in answer to one before. Uses is what is under way.
-func (a *Requester) Request(wants, uses int, now float64) Request {
-	a.number++
-	a.asked = now
-	holds, left := a.Holds(now)
-	return Request{Role: a.role, From: a.self, Number: a.number, Term: a.knownTerm, Holds: holds, Uses: uses, Left: left, Wants: wants}
+// Request returns a new request. Answers to earlier requests are ignored from then on. Uses is the number of
+// permits in use.
+func (r *Requester) Request(wants, uses int, now float64) Request {
+	r.number++
+	r.requestedAt = now
+	holds, left := r.Holds(now)
+	return Request{Role: r.role, From: r.self, Number: r.number, Term: r.knownTerm, Holds: holds,
+		Uses: uses, Left: left, Wants: wants}
 }
 
-// HandleAnswer takes an answer in, and tells whether it counts.
-func (a *Requester) HandleAnswer(m Answer, now float64) bool {
-	if m.Role != a.role || m.To != a.self || m.Number != a.number && a.lease.enabled(Current) || m.Number > a.number {
+// HandleAnswer handles an answer and reports whether it was accepted.
+func (r *Requester) HandleAnswer(answer Answer, now float64) bool {
+	if answer.Role != r.role || answer.To != r.self ||
+		answer.Number != r.number && r.lease.enabled(LatestRequestOnly) || answer.Number > r.number {
 		return false
 	}
-	from := a.asked
-	if !a.lease.enabled(FromRequest) {
-		from = now
+	start := r.requestedAt
+	if !r.lease.enabled(FromRequest) {
+		start = now
 	}
-	until := from + a.lease.Length
-	if now >= until {
-		return false // it took too long
+	end := start + r.lease.Length
+	if now >= end {
+		return false // the grant has expired already
 	}
-	a.holds, a.until, a.term = m.Grants, until, m.Term
+	r.granted, r.grantEnd, r.grantTerm = answer.Grants, end, answer.Term
 	return true
 }
 
-// Holds is what it may begin under now, in all, and for how long, in seconds. Whoever acts on it later than that has to look
-// again.
-func (a *Requester) Holds(now float64) (n int, left float64) {
-	if now >= a.until {
+// Holds returns how many permits may be in use now for new work, and for how long, in seconds. The caller has
+// to call it again after that time.
+func (r *Requester) Holds(now float64) (n int, left float64) {
+	if now >= r.grantEnd {
 		return 0, 0
 	}
-	return a.holds, a.until - now
+	return r.granted, r.grantEnd - now
 }
--- a/logic/owner/voter.go
+++ b/logic/owner/voter.go
@@ -2,102 +2,109 @@
 
 import "slices"
 
-// Vote is what a voter has to remember of one role.
+// Vote is a voter's vote for one role, which it has to persist.
 type Vote struct {
-	Term   uint64 // highest granted
+	Term   uint64 // the highest term granted
 	Holder Incarnation
-	Until  float64 // its lease, on the voter's clock
+	Until  float64 // end of the holder's lease, on the voter's clock
 }
 
-// Voter is one voter's part in all roles.
+// Voter votes and grants leases for all roles on behalf of one process.
 type Voter struct {
 	timing      Timing
 	name        string
-	silentUntil float64 // until when it says nothing
-	minTerm     uint64  // terms are above
+	silentUntil float64 // until then it answers nothing
+	minTerm     uint64  // granted terms must be higher
 	votes       map[string]Vote
-	rejected    map[string][]Message // the last candidates that were told to wait, by role: they hear when it is free
+	waiting     map[string][]Message // prepared notifications to the last rejected candidates, by role
 }
 
-// maxRejected is how many candidates hear that a role is free, of those that were rejected: enough that one of them takes it.
-const maxRejected = 8
+// maxWaitingCandidates is how many rejected candidates are notified when a role becomes free: enough that one
+// of them acquires it.
+const maxWaitingCandidates = 8
 
-// NewVoter begins at a time. Votes are its votes from before, as far as there are any; whole tells that none is missing
-// from them that could still hold. Where that is not sure, as nothing lasts or what was found may be older than the last
-// vote, it is silent for the longest lease. MinTerm is a term that none before can have reached: the wall clock in
-// milliseconds.
-func NewVoter(name string, votes map[string]Vote, whole bool, minTerm uint64, now float64, timing Timing) *Voter {
-	v := &Voter{timing: timing, name: name, silentUntil: now, minTerm: minTerm, votes: map[string]Vote{}, rejected: map[string][]Message{}}
-	if !whole && timing.enabled(Silence) {
+// NewVoter returns a voter that starts now. Votes are its persisted votes, if any; complete means that no
+// vote that may still be valid is missing from them. If votes may be missing, because they are not persisted
+// or the copy may be older than the last vote, the voter stays silent for the longest lease. MinTerm is a
+// term that no earlier term can have reached: the wall clock in milliseconds.
+func NewVoter(name string, votes map[string]Vote, complete bool, minTerm uint64, now float64,
+	timing Timing) *Voter {
+	v := &Voter{timing: timing, name: name, silentUntil: now, minTerm: minTerm, votes: map[string]Vote{},
+		waiting: map[string][]Message{}}
+	if !complete && timing.enabled(StartupSilence) {
 		v.silentUntil = now + timing.LongestLease()
 	}
 	if timing.enabled(PersistedVotes) {
-		for role, p := range votes {
-			p.Until = now + timing.Lease // how long it was down nobody knows: the whole of it, then
-			v.votes[role] = p
+		for role, vote := range votes {
+			vote.Until = now + timing.Lease // the downtime is unknown, so a full lease is assumed
+			v.votes[role] = vote
 		}
 	}
 	return v
 }
 
-// Votes returns what has to be persisted.
+// Votes returns the votes, which the caller has to persist.
 func (v *Voter) Votes() map[string]Vote { return v.votes }
 
-// Silent tells whether it says nothing yet.
+// Silent reports whether the voter does not answer yet, as it started without its votes.
 func (v *Voter) Silent(now float64) bool { return now < v.silentUntil }
 
-// HandleMessage returns what is to be answered to a candidate, and to others that wait; nothing while it is silent.
+// HandleMessage handles a candidate's message. It returns the answer, or the notifications to waiting
+// candidates; nothing while the voter is silent.
 func (v *Voter) HandleMessage(m Message, now float64) []Message {
 	if v.Silent(now) {
 		return nil
 	}
-	p := v.votes[m.Role]
-	a := Message{Kind: Rejected, Role: m.Role, From: Incarnation{Name: v.name}, To: m.From.Name, Term: max(p.Term, v.minTerm), Round: m.Round}
-	others := p.Holder != m.From && now < p.Until
+	vote := v.votes[m.Role]
+	reply := Message{Kind: Rejected, Role: m.Role, From: Incarnation{Name: v.name}, To: m.From.Name,
+		Term: max(vote.Term, v.minTerm), Round: m.Round}
+	heldByOther := vote.Holder != m.From && now < vote.Until
 	switch m.Kind {
 	case PreVote:
-		if !others {
-			a.Kind = PreVoteGranted
+		if !heldByOther {
+			reply.Kind = PreVoteGranted
 		}
 	case RequestVote:
-		// Under a term that was granted once nobody else is granted anything; the same candidate's request may come twice.
-		again := m.Term == p.Term && p.Holder == m.From
-		if !others && (m.Term > a.Term || again) {
+		// A term is granted to one candidate only, whose request may be repeated.
+		repeated := m.Term == vote.Term && vote.Holder == m.From
+		if !heldByOther && (m.Term > reply.Term || repeated) {
 			v.votes[m.Role] = Vote{m.Term, m.From, now + v.timing.Lease}
-			a.Kind, a.Term, a.Sync = Granted, m.Term, true
+			reply.Kind, reply.Term, reply.Sync = Granted, m.Term, true
 		}
 	case Renew:
-		// One that has missed the first vote, as it was down or cut off, joins those that granted it.
-		if m.Term == p.Term && p.Holder == m.From || !others && m.Term > a.Term {
+		// A voter that missed the vote request, because it was down or unreachable, grants the lease now.
+		if m.Term == vote.Term && vote.Holder == m.From || !heldByOther && m.Term > reply.Term {
 			v.votes[m.Role] = Vote{m.Term, m.From, now + v.timing.Lease}
-			a.Kind, a.Sync = Granted, true
+			reply.Kind, reply.Sync = Granted, true
 		}
-		a.Term = v.votes[m.Role].Term // the minimum term does not supersede anybody
+		reply.Term = v.votes[m.Role].Term // without minTerm, which supersedes no owner
 	case StepDown:
-		if m.Term == p.Term && p.Holder == m.From {
-			p.Until = now
-			v.votes[m.Role] = p
-			free := v.rejected[m.Role]
-			delete(v.rejected, m.Role)
-			return free
+		if m.Term == vote.Term && vote.Holder == m.From {
+			vote.Until = now
+			v.votes[m.Role] = vote
+			notifications := v.waiting[m.Role]
+			delete(v.waiting, m.Role)
+			return notifications
 		}
 		return nil
 	default:
 		return nil
 	}
-	if a.Kind == Rejected && others {
-		a.Left, a.Holder = p.Until-now, p.Holder.Name
-		v.remember(a)
+	if reply.Kind == Rejected && heldByOther {
+		reply.Left, reply.Holder = vote.Until-now, vote.Holder.Name
+		v.notifyWhenFree(reply)
 	}
-	return []Message{a}
+	return []Message{reply}
 }
 
-// remember has a candidate told when the role is free: as an answer to the request that is rejected now.
-func (v *Voter) remember(a Message) {
-	a.Kind, a.Left, a.Holder = PreVoteGranted, 0, ""
-	all := slices.DeleteFunc(v.rejected[a.Role], func(b Message) bool { return b.To == a.To })
-	if len(all) == maxRejected {
-		all = all[1:]
+// notifyWhenFree records a candidate to notify when the role becomes free, with an answer to the request now
+// rejected.
+func (v *Voter) notifyWhenFree(reply Message) {
+	reply.Kind, reply.Left, reply.Holder = PreVoteGranted, 0, ""
+	waiting := slices.DeleteFunc(v.waiting[reply.Role],
+		func(other Message) bool { return other.To == reply.To })
+	if len(waiting) == maxWaitingCandidates {
+		waiting = waiting[1:]
 	}
-	v.rejected[a.Role] = append(all, a)
+	v.waiting[reply.Role] = append(waiting, reply)
 }
