--- a/logic/claim/claim.go
+++ b/logic/claim/claim.go
@@ -42,8 +42,7 @@
 	Digest uint64            // of the body
 	Runner owner.Incarnation // the process that may run it
 	Done   bool              // the run succeeded, and its runner has the result
-	// expiry: on the clock of the process that stores it, and as a duration in messages
-	Until float64
+	Until  float64           // expiry, on the clock of the process that stores it; in messages a duration
 }
 
 // MessageKind is the kind of a message.
@@ -55,17 +54,15 @@
 	Granted                           // the claim is granted: the claimer may run the token
 	AlreadyClaimed                    // rejected: the runner named in Claim has claimed it
 	BodyMismatch                      // rejected: the token was claimed with another body
-	// rejected: no claim is known, but an earlier one may exist for up to Remaining
-	Unknown
-	StaleTerm  // rejected: a later term is known, whose owner has to be asked
-	Finished   // claimer to owner: the run succeeded (Done), or never started
-	Replicate  // owner to backup: record this claim
-	Replicated // backup to owner: recorded
-	// new owner to a member of an earlier assignment: fence yourself and send your claims
-	Collect
-	Collected   // answers Collect
-	Transfer    // new owner to its backup: all claims
-	Transferred // answers Transfer
+	Unknown                           // rejected: an unknown claim may exist for up to Remaining
+	StaleTerm                         // rejected: a later term is known, and its owner has to decide
+	Finished                          // claimer to owner: the run succeeded (Done), or never started
+	Replicate                         // owner to backup: record this claim
+	Replicated                        // backup to owner: recorded
+	Collect                           // new owner to an earlier member: fence yourself, send your claims
+	Collected                         // answers Collect
+	Transfer                          // new owner to its backup: all claims
+	Transferred                       // answers Transfer
 )
 
 // Message is sent between two processes, about one slot.
