--- a/logic/share/allocator.go
+++ b/logic/share/allocator.go
@@ -14,13 +14,13 @@
 	config       Config
 	limit        float64 // the current limit: adaptive, or as configured
 	demands      map[owner.Incarnation]*demand
-	allocatedAt  float64 // when the allocation was last computed
-	allocation   map[owner.Incarnation]int
-	adjustedAt   float64 // when the limit was last adjusted
-	runTimeSum   float64 // sum of the mean run times that app servers reported since then
-	runTimeCount float64 // number of these reports
-	meanRunTime  float64 // moving average of the run times, in seconds; 0 before the first report
-	inUse        int
+	allocatedAt  float64                   // when the allocation was last computed
+	allocation   map[owner.Incarnation]int // permits by holder
+	adjustedAt   float64                   // when the limit was last adjusted
+	runTimeSum   float64                   // sum of the mean run times that app servers reported since then
+	runTimeCount float64                   // number of these reports
+	meanRunTime  float64                   // moving average of the run times, in seconds; 0 at first
+	inUse        int                       // reported permits in use, at the last allocation
 }
 
 // demand is a holder's last request.
@@ -128,8 +128,7 @@
 		a.inUse += d.uses
 	}
 	slices.SortFunc(holders, func(x, y owner.Incarnation) int {
-		return cmp.Or(cmp.Compare(x.Name, y.Name),
-			cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.ID, y.ID))
 	})
 	a.allocation = make(map[owner.Incarnation]int, len(holders))
 	pool := max(a.pool(), 0)
@@ -172,13 +171,13 @@
 	// gains priority with time, so that all get their turn.
 	priority := func(incarnation owner.Incarnation) float64 {
 		d := a.demands[incarnation]
-		fraction := low*d.criticality - math.Floor(low*d.criticality)
+		score := low*d.criticality - math.Floor(low*d.criticality)
 		if d.starvedSince > 0 {
-			fraction += (now - d.starvedSince) / starvationTime
+			score += (now - d.starvedSince) / starvationTime
 		} else if held := a.Held(incarnation); held > filledTo(incarnation, low) {
-			fraction++ // it holds the permit already, and moving it leaves it unused for a while
+			score++ // it holds the permit already, and moving it leaves it unused for a while
 		}
-		return fraction
+		return score
 	}
 	slices.SortStableFunc(holders, func(x, y owner.Incarnation) int {
 		return cmp.Compare(priority(y),
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -71,8 +71,8 @@
 
 var testLease = owner.Lease{Length: 2, Grace: 0.5, Drift: 0.01}
 
-// Small demands are met, the rest is divided by criticality, and permits that nobody wants are spread over all
-// app servers.
+// Small demands are met, the rest is divided by criticality, and permits that nobody wants are spread over
+// all app servers.
 func TestFair(t *testing.T) {
 	c := newCluster(t, Config{Limit: 20, Lease: testLease}, 4)
 	c.wants = []int{1, 30, 30, 0}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Without an allocator each app server falls back to its reserved permits when its grant expires. A new allocator
-// grants what holders have reported at once, and the rest after the former grants have expired.
+// Without an allocator each app server falls back to its reserved permits when its grant expires. A new
+// allocator grants what holders have reported at once, and the rest after the former grants have expired.
 func TestNewAllocator(t *testing.T) {
 	config := Config{Limit: 20, Reserved: 1, ReservedMembers: []string{"a00", "a01", "a02", "a03"},
 		Lease: testLease}
@@ -232,18 +232,19 @@
 // model is two holders with slow clocks, one of which has a reserved permit, and two successive allocators
 // with a fast clock.
 type model struct {
-	config                  Config
-	elapsedUnits, unitsLeft int
-	requestsLeft            [2]int8
-	startsLeft              int8
-	deathsLeft              int8
-	secondAllocator         bool
-	allocator               *Allocator
-	holders                 [2]Leaseholder
-	requests                []Request
-	answers                 []owner.Answer
-	runStarts               [3][]int // when each run started, by holder; the last entry is for a holder that died
-	skipReservedWait        bool     // a restarted holder uses its reserved permits at once
+	config           Config
+	elapsedUnits     int
+	unitsLeft        int
+	requestsLeft     [2]int8
+	startsLeft       int8
+	deathsLeft       int8
+	secondAllocator  bool
+	allocator        *Allocator
+	holders          [2]Leaseholder
+	requests         []Request
+	answers          []owner.Answer
+	runStarts        [3][]int // start of each run, by holder; last, those of one that died
+	skipReservedWait bool     // a restarted holder uses its reserved permits at once
 }
 
 const timeUnit, modelLimit = 0.5, 2
