--- a/server/fleet.go
+++ b/server/fleet.go
@@ -162,7 +162,7 @@
 		for _, name := range setting.Methods {
 			method := slices.Index(c.Methods, name)
 			shareConfig.Methods = append(shareConfig.Methods, method)
-			shareConfig.Lease.Tail = max(shareConfig.Lease.Tail, c.Rules.Methods[method].Deadline)
+			shareConfig.Lease.Grace = max(shareConfig.Lease.Grace, c.Rules.Methods[method].Deadline)
 		}
 		configs = append(configs, shareConfig)
 	}
