--- a/fleet/distribution_storage.go
+++ b/fleet/distribution_storage.go
@@ -91,7 +91,7 @@
 }
 
 // logRefusedFiles tells of files that were moved aside at a start.
-func (d *Distribution) logRefusedFiles(refused []configstore.Refused) {
+func (d *Distribution) logRefusedFiles(refused []configstore.RejectedFile) {
 	for _, one := range refused {
 		d.log.Error("a file of the configuration is not taken", zap.String("moved_to", one.MovedTo), zap.Error(one.Err))
 	}
--- a/store/configstore/files.go
+++ b/store/configstore/files.go
@@ -66,7 +66,7 @@
 
 // readFile calls read with an open file; it reports false if there is none. A file that read refuses is moved aside and reported
 // in refused; other errors are returned.
-func readFile(path string, refused *[]Refused, read func(file *os.File) error) (found bool, err error) {
+func readFile(path string, refused *[]RejectedFile, read func(file *os.File) error) (found bool, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -94,11 +94,11 @@
 	return errors.As(err, &damage) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
 }
 
-func moveAside(path string, why error, refused *[]Refused) error {
+func moveAside(path string, why error, refused *[]RejectedFile) error {
 	aside := path + refusedSuffix
 	if err := os.Rename(path, aside); err != nil {
 		return err
 	}
-	*refused = append(*refused, Refused{Err: why, MovedTo: aside})
+	*refused = append(*refused, RejectedFile{Err: why, MovedTo: aside})
 	return syncFolder(filepath.Dir(path))
 }
--- a/store/configstore/recover.go
+++ b/store/configstore/recover.go
@@ -15,13 +15,13 @@
 	Last      Version           // of the last entry, or of the snapshot if there is none after it
 	Entries   int               // after the snapshot
 	Vote      Vote
-	TornBytes int64     // cut off the log's end
-	Refused   []Refused // files moved aside
+	TornBytes int64          // cut off the log's end
+	Refused   []RejectedFile // files moved aside
 }
 
-// Refused is a file that was not taken, and where it is now. A voter with a refused file may have lost what it acknowledged:
+// RejectedFile is a file that was not taken, and where it is now. A voter with a refused file may have lost what it acknowledged:
 // it must not vote or campaign before it has a snapshot from the current leader and a term that is newer.
-type Refused struct {
+type RejectedFile struct {
 	Err     error // *DamageError, *FormatError, *OwnerError or *GapError
 	MovedTo string
 }
--- a/store/configstore/store_test.go
+++ b/store/configstore/store_test.go
@@ -279,7 +279,7 @@
 	if len(found.Refused) != 3 || found.Last != (Version{}) || found.Vote != (Vote{}) || found.Table.Len() != 0 {
 		t.Errorf("of another app server: %+v", found)
 	}
-	if !slices.ContainsFunc(found.Refused, func(one Refused) bool { return errors.As(one.Err, &other) && other.Owner == owner }) {
+	if !slices.ContainsFunc(found.Refused, func(one RejectedFile) bool { return errors.As(one.Err, &other) && other.Owner == owner }) {
 		t.Errorf("refused: %v", found.Refused)
 	}
 	must(t, os.Remove(filepath.Join(folder, snapshotName)))
