--- a/fleet/distribution_file.go
+++ b/fleet/distribution_file.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	f.store = store
-	f.d.logRefusedFiles(found.Refused)
+	f.d.logRefusedFiles(found.RejectedFiles)
 	digest, err := os.ReadFile(f.scopePath())
 	if err != nil || string(digest) != f.digest {
 		return nil
--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -203,8 +203,8 @@
 	}
 	l.store = store
 	// A folder that has forgotten what this process has promised in it is another one.
-	if len(found.Refused) > 0 || found.Vote.Term < l.promised || found.Last.Index < l.saved {
-		l.d.logRefusedFiles(found.Refused)
+	if len(found.RejectedFiles) > 0 || found.Vote.Term < l.promised || found.Last.Index < l.saved {
+		l.d.logRefusedFiles(found.RejectedFiles)
 		if err := l.recoverFromOthers(ctx); err != nil {
 			return configlog.Stored{}, err
 		}
--- a/store/configstore/recover.go
+++ b/store/configstore/recover.go
@@ -10,13 +10,13 @@
 
 // Recovered is what Open found.
 type Recovered struct {
-	Table     configtable.Table // of the snapshot, without the log's entries
-	Version   Version           // of the snapshot
-	Last      Version           // of the last entry, or of the snapshot if there is none after it
-	Entries   int               // after the snapshot
-	Vote      Vote
-	TornBytes int64          // cut off the log's end
-	Refused   []RejectedFile // files moved aside
+	Table         configtable.Table // of the snapshot, without the log's entries
+	Version       Version           // of the snapshot
+	Last          Version           // of the last entry, or of the snapshot if there is none after it
+	Entries       int               // after the snapshot
+	Vote          Vote
+	TornBytes     int64          // cut off the log's end
+	RejectedFiles []RejectedFile // files moved aside
 }
 
 // RejectedFile is a file that was not taken, and where it is now. A voter with a refused file may have lost what it acknowledged:
@@ -56,7 +56,7 @@
 
 func (s *Store) recoverSnapshot(found *Recovered) error {
 	path := s.path(snapshotName)
-	_, err := readFile(path, &found.Refused, func(file *os.File) (err error) {
+	_, err := readFile(path, &found.RejectedFiles, func(file *os.File) (err error) {
 		found.Table, found.Version, err = readSnapshot(path, file, s.owner)
 		return err
 	})
@@ -66,7 +66,7 @@
 
 func (s *Store) recoverVote(found *Recovered) error {
 	path := s.path(voteName)
-	_, err := readFile(path, &found.Refused, func(file *os.File) (err error) {
+	_, err := readFile(path, &found.RejectedFiles, func(file *os.File) (err error) {
 		found.Vote, err = readVote(path, file, s.owner)
 		return err
 	})
@@ -76,7 +76,7 @@
 // recoverLog checks the log, cuts a torn record off, and opens it for writing; without one it begins one after the snapshot.
 func (s *Store) recoverLog(found *Recovered) error {
 	var state logState
-	present, err := readFile(s.path(logName), &found.Refused, func(file *os.File) (err error) {
+	present, err := readFile(s.path(logName), &found.RejectedFiles, func(file *os.File) (err error) {
 		state, err = checkLog(file, s.owner, s.version)
 		return err
 	})
--- a/store/configstore/size_test.go
+++ b/store/configstore/size_test.go
@@ -25,7 +25,7 @@
 	}
 	started := time.Now()
 	_, found := open(t, folder)
-	fmt.Printf("opened %d entries in %v, refused %v; %s\n", found.Table.Len(), time.Since(started), found.Refused, residentMemory(t))
+	fmt.Printf("opened %d entries in %v, refused %v; %s\n", found.Table.Len(), time.Since(started), found.RejectedFiles, residentMemory(t))
 	table, err := found.Table, error(nil)
 	for k := range dayOfChanges {
 		change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: fmt.Sprintf("service-%05d", k*7919%13_000), Name: fmt.Sprintf("new-%d", k%5000)}
--- a/store/configstore/store_test.go
+++ b/store/configstore/store_test.go
@@ -136,8 +136,8 @@
 		if want := 6 + countBelow(ends, cut); last != want {
 			t.Fatalf("cut at %d: %d entries, want %d", cut, last, want)
 		}
-		if header := ends[0]; (cut < header) != (len(found.Refused) == 1) || cut >= header && found.TornBytes != int64(cut-largestBelow(ends, cut)) {
-			t.Fatalf("cut at %d: refused %v, torn %d", cut, found.Refused, found.TornBytes)
+		if header := ends[0]; (cut < header) != (len(found.RejectedFiles) == 1) || cut >= header && found.TornBytes != int64(cut-largestBelow(ends, cut)) {
+			t.Fatalf("cut at %d: refused %v, torn %d", cut, found.RejectedFiles, found.TornBytes)
 		}
 		store, _ := open(t, target)
 		must(t, store.Append([]Entry{entry(t, last+1)}))
@@ -193,11 +193,11 @@
 				want, refused = 0, snapshotName+logName // the log goes on from the snapshot
 			}
 			moved := ""
-			for _, one := range found.Refused {
+			for _, one := range found.RejectedFiles {
 				moved += filepath.Base(one.MovedTo[:len(one.MovedTo)-len(refusedSuffix)])
 			}
 			if last != want || moved != refused || (found.Vote == Vote{9, "n2"}) == (name == voteName) {
-				t.Fatalf("%s byte %d: %d entries, vote %v, refused %v", name, at, last, found.Vote, found.Refused)
+				t.Fatalf("%s byte %d: %d entries, vote %v, refused %v", name, at, last, found.Vote, found.RejectedFiles)
 			}
 		}
 	}
@@ -213,7 +213,7 @@
 		must(t, os.WriteFile(filepath.Join(target, "."+snapshotName+"123"), []byte("vgcs"), 0o600))
 		last, found := checkPrefix(t, target)
 		files, _ := filepath.Glob(filepath.Join(target, ".*"))
-		if last != 18 || found.Version.Index != snapshot || len(found.Refused) > 0 || found.Vote.Term != 9 || len(files) > 0 {
+		if last != 18 || found.Version.Index != snapshot || len(found.RejectedFiles) > 0 || found.Vote.Term != 9 || len(files) > 0 {
 			t.Fatalf("%s: %d entries, %+v, %v", step, last, found, files)
 		}
 	}
@@ -276,18 +276,18 @@
 	must(t, err)
 	store.Close()
 	var other *OwnerError
-	if len(found.Refused) != 3 || found.Last != (Version{}) || found.Vote != (Vote{}) || found.Table.Len() != 0 {
+	if len(found.RejectedFiles) != 3 || found.Last != (Version{}) || found.Vote != (Vote{}) || found.Table.Len() != 0 {
 		t.Errorf("of another app server: %+v", found)
 	}
-	if !slices.ContainsFunc(found.Refused, func(one RejectedFile) bool { return errors.As(one.Err, &other) && other.Owner == owner }) {
-		t.Errorf("refused: %v", found.Refused)
+	if !slices.ContainsFunc(found.RejectedFiles, func(one RejectedFile) bool { return errors.As(one.Err, &other) && other.Owner == owner }) {
+		t.Errorf("refused: %v", found.RejectedFiles)
 	}
 	must(t, os.Remove(filepath.Join(folder, snapshotName)))
 	must(t, os.WriteFile(filepath.Join(folder, voteName), []byte("vgcs\x02\x00\x00\x00V\x00"), 0o600))
 	_, found = open(t, folder)
 	var gap *GapError
 	var format *FormatError
-	if len(found.Refused) != 2 || !errors.As(found.Refused[0].Err, &format) || format.Format != 2 || !errors.As(found.Refused[1].Err, &gap) || found.Last != (Version{}) {
+	if len(found.RejectedFiles) != 2 || !errors.As(found.RejectedFiles[0].Err, &format) || format.Format != 2 || !errors.As(found.RejectedFiles[1].Err, &gap) || found.Last != (Version{}) {
 		t.Errorf("without the snapshot, with a vote of a later format: %+v", found)
 	}
 }
