--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -172,7 +172,7 @@
 		return err
 	}
 	began := time.Now()
-	if err := store.Install(table, configstore.Version{Term: 1, Index: tableChanges + 1}); err != nil {
+	if err := store.InstallSnapshot(table, configstore.Version{Term: 1, Index: tableChanges + 1}); err != nil {
 		return err
 	}
 	t.writeSeconds = time.Since(began).Seconds()
--- a/fleet/distribution_file.go
+++ b/fleet/distribution_file.go
@@ -204,7 +204,7 @@
 		return nil // a snapshot comes, and is saved whole
 	}
 	if whole {
-		if err := f.store.Install(state.Table, storedVersion(state.Version)); err != nil {
+		if err := f.store.InstallSnapshot(state.Table, storedVersion(state.Version)); err != nil {
 			return err
 		}
 		return renameio.WriteFile(f.scopePath(), []byte(f.digest), 0o600, renameio.WithTempDir(f.d.cfg.Folder))
--- a/fleet/distribution_persist.go
+++ b/fleet/distribution_persist.go
@@ -17,7 +17,7 @@
 	}
 	if p.Reset {
 		state := l.d.Table()
-		if err := l.store.Install(state.Table, storedVersion(p.Base)); err != nil {
+		if err := l.store.InstallSnapshot(state.Table, storedVersion(p.Base)); err != nil {
 			return err
 		}
 		l.saved = p.Base.Index
--- a/fleet/distribution_recover.go
+++ b/fleet/distribution_recover.go
@@ -39,7 +39,7 @@
 	if err := l.store.SaveVote(configstore.Vote{Term: state.Version.Term}); err != nil {
 		return err
 	}
-	if err := l.store.Install(state.Table, storedVersion(state.Version)); err != nil {
+	if err := l.store.InstallSnapshot(state.Table, storedVersion(state.Version)); err != nil {
 		return err
 	}
 	l.promised, l.saved = state.Version.Term, state.Version.Index
--- a/store/configstore/store.go
+++ b/store/configstore/store.go
@@ -179,9 +179,9 @@
 	})
 }
 
-// Install replaces everything by a snapshot from another app server: no entry after it is kept. The vote stays. Entries that are
-// not in the snapshot go first, so that an interrupted Install leaves none of them after it.
-func (s *Store) Install(table configtable.Table, version Version) error {
+// InstallSnapshot replaces everything by a snapshot from another app server: no entry after it is kept. The vote stays. Entries that are
+// not in the snapshot go first, so that an interrupted InstallSnapshot leaves none of them after it.
+func (s *Store) InstallSnapshot(table configtable.Table, version Version) error {
 	if version.Index < s.version.Index || version.Term < s.version.Term {
 		return &OrderError{Last: s.version, Next: version}
 	}
--- a/store/configstore/store_test.go
+++ b/store/configstore/store_test.go
@@ -249,12 +249,12 @@
 	if last, found := checkPrefix(t, copied(t, folder)); last != 12 || found.Entries != 0 {
 		t.Fatalf("%d entries, %+v", last, found)
 	}
-	must(t, store.Install(tableAt(t, 30), versionAt(30)))
+	must(t, store.InstallSnapshot(tableAt(t, 30), versionAt(30)))
 	if last, found := checkPrefix(t, copied(t, folder)); last != 30 || found.Entries != 0 || found.Vote.Term != 9 {
 		t.Fatalf("%d entries, %+v", last, found)
 	}
 	var order *OrderError
-	for _, err := range []error{store.Install(tableAt(t, 6), versionAt(6)), store.Truncate(30), store.Append([]Entry{entry(t, 30)}),
+	for _, err := range []error{store.InstallSnapshot(tableAt(t, 6), versionAt(6)), store.Truncate(30), store.Append([]Entry{entry(t, 30)}),
 		store.Append([]Entry{{Term: 1, Index: 31}}), store.Append([]Entry{entry(t, 32), entry(t, 31)})} {
 		if !errors.As(err, &order) {
 			t.Errorf("%v is no error of order", err)
