--- a/fleet/distribution_snapshot.go
+++ b/fleet/distribution_snapshot.go
@@ -60,7 +60,7 @@
 	if !yield(configlog.Change{Service: service, Payload: head}) {
 		return false
 	}
-	for entry := range table.Service(service) {
+	for entry := range table.ServiceEntries(service) {
 		if !yield(configlog.Change{Service: service, Payload: entry.AppendEntry([]byte{recordEntry})}) {
 			return false
 		}
--- a/logic/configtable/table.go
+++ b/logic/configtable/table.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// Service iterates over the entries of a service as Puts, in order of kind and name.
-func (t Table) Service(service string) iter.Seq[Change] {
+// ServiceEntries iterates over the entries of a service as Puts, in order of kind and name.
+func (t Table) ServiceEntries(service string) iter.Seq[Change] {
 	service = strings.Clone(service)
 	return func(yield func(Change) bool) {
 		t.walkService(service, func(key, value []byte) bool {
--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -55,7 +55,7 @@
 		if err := builder.AddService(service, m.last[service]); err != nil || table.LastIndex(service) != m.last[service] {
 			t.Fatalf("service %s: last index %d, want %d (%v)", service, table.LastIndex(service), m.last[service], err)
 		}
-		for entry := range table.Service(service) {
+		for entry := range table.ServiceEntries(service) {
 			if err := builder.Add(entry); err != nil || m.entries[entry.Key()] != entry {
 				t.Fatalf("entry %v, want %v (%v)", entry, m.entries[entry.Key()], err)
 			}
@@ -150,7 +150,7 @@
 func replaceService(t *rapid.T, table Table, want model, service string, index uint64) (Table, uint64) {
 	var kept []Change
 	last := index * rapid.Uint64Range(0, 1).Draw(t, "keep")
-	for k, entry := range slices.Collect(table.Service(service)) {
+	for k, entry := range slices.Collect(table.ServiceEntries(service)) {
 		if delete(want.entries, entry.Key()); last > 0 && k%2 == 0 {
 			kept = append(kept, entry)
 			want.entries[entry.Key()] = entry
--- a/store/configstore/snapshot.go
+++ b/store/configstore/snapshot.go
@@ -29,7 +29,7 @@
 		record = append(record, byte(len(service)))
 		record = append(record, service...)
 		out.Write(record)
-		for entry := range table.Service(service) {
+		for entry := range table.ServiceEntries(service) {
 			record = entry.AppendEntry(append(record[:0], entryTag, 0, 0))
 			binary.LittleEndian.PutUint16(record[1:], uint16(len(record)-3))
 			if _, err := out.Write(record); err != nil {
