--- a/logic/configtable/apply.go
+++ b/logic/configtable/apply.go
@@ -27,16 +27,16 @@
 // LastIndex of its service. All changes are applied or none: a change that is not valid gives its *ChangeError, an index not
 // above its service's last one an *IndexError. Deleting an absent entry only moves LastIndex.
 func (t Table) Apply(changes []CommittedChange) (Table, error) {
-	for _, one := range changes {
-		if err := one.Change.Validate(); err != nil {
+	for _, committed := range changes {
+		if err := committed.Change.Validate(); err != nil {
 			return t, err
 		}
 	}
-	edits := make([]edit, 0, 2*len(changes))
+	edits := make([]recordEdit, 0, 2*len(changes))
 	for _, one := range changes {
 		edits = append(edits, serviceEdit(one.Change.Service, one.Index), entryEdit(one.Change))
 	}
-	slices.SortStableFunc(edits, compareEdits)
+	slices.SortStableFunc(edits, compareEditKeys)
 	if err := t.checkIndices(edits); err != nil {
 		return t, err
 	}
@@ -44,38 +44,38 @@
 }
 
 // serviceEdit sets the last index of a service.
-func serviceEdit(service string, lastIndex uint64) edit {
+func serviceEdit(service string, lastIndex uint64) recordEdit {
 	buffer := make([]byte, 0, len(service)+1+binary.MaxVarintLen64)
 	key := appendServiceKey(buffer, service)
-	all := binary.AppendUvarint(key, lastIndex)
-	return edit{key: key, value: all[len(key):]}
+	encoded := binary.AppendUvarint(key, lastIndex)
+	return recordEdit{key: key, value: encoded[len(key):]}
 }
 
-func entryEdit(change Change) edit {
-	room := len(change.Service) + 2 + len(change.Name)
+func entryEdit(change Change) recordEdit {
+	capacity := len(change.Service) + 2 + len(change.Name)
 	if change.Operation == Delete {
-		key := appendKey(make([]byte, 0, room), change.Kind, change.Service, change.Name)
-		return edit{key: key, remove: true}
+		key := appendKey(make([]byte, 0, capacity), change.Kind, change.Service, change.Name)
+		return recordEdit{key: key, remove: true}
 	}
-	room += 1 + len(change.Value.Route.Method) + 3*binary.MaxVarintLen64
-	key := appendKey(make([]byte, 0, room), change.Kind, change.Service, change.Name)
-	all := change.appendValue(key)
-	return edit{key: key, value: all[len(key):]}
+	capacity += 1 + len(change.Value.Route.Method) + 3*binary.MaxVarintLen64
+	key := appendKey(make([]byte, 0, capacity), change.Kind, change.Service, change.Name)
+	encoded := change.appendValue(key)
+	return recordEdit{key: key, value: encoded[len(key):]}
 }
 
 // checkIndices checks that the edits of each service's last index, which follow each other in the order of the log, rise.
-func (t Table) checkIndices(edits []edit) error {
+func (t Table) checkIndices(edits []recordEdit) error {
 	var service string
 	var last uint64
-	for _, one := range edits {
-		if !isServiceKey(one.key) {
+	for _, edit := range edits {
+		if !isServiceKey(edit.key) {
 			continue
 		}
-		if name := one.key[:len(one.key)-1]; string(name) != service {
+		if name := edit.key[:len(edit.key)-1]; string(name) != service {
 			service = string(name)
 			last = t.LastIndex(service)
 		}
-		index, _ := binary.Uvarint(one.value)
+		index, _ := binary.Uvarint(edit.value)
 		if index <= last {
 			return &IndexError{Service: service, Index: index, Last: last}
 		}
@@ -85,20 +85,20 @@
 }
 
 // applyEdits applies edits in order of key. Of several of one key the last one counts.
-func (t Table) applyEdits(edits []edit) Table {
+func (t Table) applyEdits(edits []recordEdit) Table {
 	if len(edits) == 0 {
 		return t
 	}
 	unique := edits[:0]
-	for k, one := range edits {
-		if k+1 < len(edits) && bytes.Equal(one.key, edits[k+1].key) {
+	for i, edit := range edits {
+		if i+1 < len(edits) && bytes.Equal(edit.key, edits[i+1].key) {
 			continue
 		}
-		unique = append(unique, one)
+		unique = append(unique, edit)
 	}
-	var e editor
-	root := e.apply(t.root, unique)
-	return Table{root: root, entries: t.entries + e.entries, services: t.services + e.services, digest: t.digest + e.digest}
+	var editor treeEditor
+	root := editor.apply(t.root, unique)
+	return Table{root: root, entries: t.entries + editor.entries, services: t.services + editor.services, digest: t.digest + editor.digest}
 }
 
 // ReplaceService returns a table in which service has exactly these entries and last index, as from a snapshot of it. Entries
@@ -111,7 +111,7 @@
 	if lastIndex == 0 && len(entries) > 0 {
 		return t, &IndexError{Service: service}
 	}
-	edits := t.removalOf(service)
+	edits := t.removalEdits(service)
 	if lastIndex > 0 {
 		edits = append(edits, serviceEdit(service, lastIndex))
 	}
@@ -124,15 +124,15 @@
 		}
 		edits = append(edits, entryEdit(entry))
 	}
-	slices.SortStableFunc(edits, compareEdits)
+	slices.SortStableFunc(edits, compareEditKeys)
 	return t.applyEdits(edits), nil
 }
 
-// removalOf returns the edits that remove all records of a service.
-func (t Table) removalOf(service string) []edit {
-	edits := []edit{{key: appendServiceKey(nil, service), remove: true}}
+// removalEdits returns the edits that remove all records of a service.
+func (t Table) removalEdits(service string) []recordEdit {
+	edits := []recordEdit{{key: appendServiceKey(nil, service), remove: true}}
 	t.walkService(service, func(key, value []byte) bool {
-		edits = append(edits, edit{key: bytes.Clone(key), remove: true})
+		edits = append(edits, recordEdit{key: bytes.Clone(key), remove: true})
 		return true
 	})
 	return edits
--- a/logic/configtable/builder.go
+++ b/logic/configtable/builder.go
@@ -6,18 +6,18 @@
 	"fmt"
 )
 
-// builtLeafBytes is the size of a leaf that a Builder makes: it leaves room, so that the first changes don't split it.
-const builtLeafBytes = maxLeafBytes * 7 / 8
+// builderLeafBytes is the size of a leaf that a Builder makes: it leaves room, so that the first changes don't split it.
+const builderLeafBytes = maxLeafBytes * 7 / 8
 
 // Builder makes a Table from entries in order, as a snapshot has them, without the cost of a change each.
 // The zero Builder is ready for use.
 type Builder struct {
-	writer  leafWriter
-	leaves  []*node
-	service string
-	key     []byte // scratch for the next key
-	value   []byte // scratch for the next value
-	table   Table
+	writer         leafWriter
+	finishedLeaves []*node
+	currentService string
+	keyBuffer      []byte // scratch for the next key
+	valueBuffer    []byte // scratch for the next value
+	table          Table
 }
 
 // OrderError reports an entry or service that does not follow the one before it.
@@ -38,12 +38,12 @@
 	if lastIndex == 0 {
 		return &IndexError{Service: service}
 	}
-	b.key = appendServiceKey(b.key[:0], service)
-	b.value = binary.AppendUvarint(b.value[:0], lastIndex)
+	b.keyBuffer = appendServiceKey(b.keyBuffer[:0], service)
+	b.valueBuffer = binary.AppendUvarint(b.valueBuffer[:0], lastIndex)
 	if !b.addRecord() {
 		return &OrderError{Service: service}
 	}
-	b.service = service
+	b.currentService = service
 	b.table.services++
 	return nil
 }
@@ -57,40 +57,40 @@
 	if entry.Operation != Put {
 		return changeError("operation", "an entry is a put")
 	}
-	b.key = appendKey(b.key[:0], entry.Kind, entry.Service, entry.Name)
-	b.value = entry.appendValue(b.value[:0])
-	if entry.Service != b.service || !b.addRecord() {
+	b.keyBuffer = appendKey(b.keyBuffer[:0], entry.Kind, entry.Service, entry.Name)
+	b.valueBuffer = entry.appendValue(b.valueBuffer[:0])
+	if entry.Service != b.currentService || !b.addRecord() {
 		return &OrderError{Service: entry.Service, Name: entry.Name}
 	}
 	b.table.entries++
-	b.table.digest += digestRecord(b.key, b.value)
+	b.table.digest += digestRecord(b.keyBuffer, b.valueBuffer)
 	return nil
 }
 
 // addRecord adds the record in the scratch buffers and reports whether its key follows the last one.
 func (b *Builder) addRecord() bool {
-	if bytes.Compare(b.key, b.writer.previous) <= 0 {
+	if bytes.Compare(b.keyBuffer, b.writer.previousKey) <= 0 {
 		return false
 	}
-	if len(b.writer.slab) >= builtLeafBytes {
-		b.flush()
+	if len(b.writer.records) >= builderLeafBytes {
+		b.finishLeaf()
 	}
-	b.writer.add(b.key, b.value)
+	b.writer.add(b.keyBuffer, b.valueBuffer)
 	return true
 }
 
-// flush ends a leaf; the next record is written whole.
-func (b *Builder) flush() {
-	b.leaves = append(b.leaves, newLeaf(b.writer.slab))
-	b.writer.slab = b.writer.slab[:0]
-	b.writer.previous = b.writer.previous[:0]
+// finishLeaf ends a leaf; the next record is written whole.
+func (b *Builder) finishLeaf() {
+	b.finishedLeaves = append(b.finishedLeaves, newLeaf(b.writer.records))
+	b.writer.records = b.writer.records[:0]
+	b.writer.previousKey = b.writer.previousKey[:0]
 }
 
 // Table returns what was added. The Builder is not used afterwards.
 func (b *Builder) Table() Table {
-	if len(b.writer.slab) > 0 {
-		b.flush()
+	if len(b.writer.records) > 0 {
+		b.finishLeaf()
 	}
-	b.table.root = rootOf(b.leaves)
+	b.table.root = buildRoot(b.finishedLeaves)
 	return b.table
 }
--- a/logic/configtable/change.go
+++ b/logic/configtable/change.go
@@ -145,8 +145,8 @@
 	if len(name) > MaxNameBytes {
 		return changeError(field, "%d bytes are more than %d", len(name), MaxNameBytes)
 	}
-	for k := range len(name) {
-		if name[k] <= ' ' || name[k] > '~' {
+	for i := range len(name) {
+		if name[i] <= ' ' || name[i] > '~' {
 			return changeError(field, "%q has a byte that is not printable ASCII, or a space", name)
 		}
 	}
--- a/logic/configtable/change_test.go
+++ b/logic/configtable/change_test.go
@@ -63,7 +63,7 @@
 // Each field is checked, and the error names it.
 func TestValidate(t *testing.T) {
 	route := Change{Put, Route, "s", "n", Value{Route: RouteValue{"m", 250, 1000, 0.5}}}
-	for _, bad := range []struct {
+	for _, testCase := range []struct {
 		field string
 		spoil func(c *Change)
 	}{
@@ -83,10 +83,10 @@
 		{"criticality", func(c *Change) { c.Value.Route.Criticality = math.Copysign(0, -1) }},
 	} {
 		change := route
-		bad.spoil(&change)
+		testCase.spoil(&change)
 		var fault *ChangeError
-		if err := change.Validate(); !errors.As(err, &fault) || fault.Field != bad.field {
-			t.Errorf("%v: %v, want an error of %s", change, err, bad.field)
+		if err := change.Validate(); !errors.As(err, &fault) || fault.Field != testCase.field {
+			t.Errorf("%v: %v, want an error of %s", change, err, testCase.field)
 		}
 		if _, err := change.Encode(); err == nil {
 			t.Errorf("%v is encoded", change)
--- a/logic/configtable/codec.go
+++ b/logic/configtable/codec.go
@@ -20,14 +20,14 @@
 	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	to := make([]byte, 0, 8+len(c.Service)+len(c.Name)+maxValueBytes)
-	to = append(to, byte(c.Operation), byte(c.Kind))
-	to = appendString(to, c.Service)
-	to = appendString(to, c.Name)
+	encoded := make([]byte, 0, 8+len(c.Service)+len(c.Name)+maxValueBytes)
+	encoded = append(encoded, byte(c.Operation), byte(c.Kind))
+	encoded = appendString(encoded, c.Service)
+	encoded = appendString(encoded, c.Name)
 	if c.Operation == Put {
-		to = c.appendValue(to)
+		encoded = c.appendValue(encoded)
 	}
-	return to, nil
+	return encoded, nil
 }
 
 // Decode reads one change that fills data. It accepts exactly what Encode returns; anything else gives a *DecodeError,
@@ -36,7 +36,7 @@
 	if len(data) > MaxEncodedBytes {
 		return Change{}, &DecodeError{"too long"}
 	}
-	r := reader{rest: data}
+	r := fieldReader{rest: data}
 	c := Change{Operation: Operation(r.byte()), Kind: Kind(r.byte())}
 	c.Service = r.string()
 	c.Name = r.string()
@@ -47,15 +47,15 @@
 }
 
 // AppendEntry appends the entry that a valid Put describes, without its service, for a snapshot of one service.
-func (c Change) AppendEntry(to []byte) []byte {
-	to = append(to, byte(c.Kind))
-	to = appendString(to, c.Name)
-	return c.appendValue(to)
+func (c Change) AppendEntry(dst []byte) []byte {
+	dst = append(dst, byte(c.Kind))
+	dst = appendString(dst, c.Name)
+	return c.appendValue(dst)
 }
 
 // DecodeEntry reads what AppendEntry wrote, as a Put of service; data holds that one entry and nothing more.
 func DecodeEntry(service string, data []byte) (Change, error) {
-	r := reader{rest: data}
+	r := fieldReader{rest: data}
 	c := Change{Operation: Put, Kind: Kind(r.byte()), Service: service}
 	c.Name = r.string()
 	c.Value = r.value(c.Kind)
@@ -65,40 +65,40 @@
 // maxValueBytes bounds an encoded value: a method and three numbers.
 const maxValueBytes = 1 + MaxNameBytes + 3*binary.MaxVarintLen64
 
-func (c Change) appendValue(to []byte) []byte {
+func (c Change) appendValue(dst []byte) []byte {
 	if c.Kind == Tenant {
-		return appendNumber(to, c.Value.Tenant.QuotaPerSecond)
+		return appendNumber(dst, c.Value.Tenant.QuotaPerSecond)
 	}
 	route := c.Value.Route
-	to = appendString(to, route.Method)
-	to = appendNumber(to, route.LatencyTargetMilliseconds)
-	to = appendNumber(to, route.DeadlineMilliseconds)
-	return appendNumber(to, route.Criticality)
+	dst = appendString(dst, route.Method)
+	dst = appendNumber(dst, route.LatencyTargetMilliseconds)
+	dst = appendNumber(dst, route.DeadlineMilliseconds)
+	return appendNumber(dst, route.Criticality)
 }
 
-func appendString(to []byte, text string) []byte {
-	to = append(to, byte(len(text)))
-	return append(to, text...)
+func appendString(dst []byte, text string) []byte {
+	dst = append(dst, byte(len(text)))
+	return append(dst, text...)
 }
 
-func appendNumber(to []byte, number float64) []byte {
-	return binary.AppendUvarint(to, bits.ReverseBytes64(math.Float64bits(number)))
+func appendNumber(dst []byte, number float64) []byte {
+	return binary.AppendUvarint(dst, bits.ReverseBytes64(math.Float64bits(number)))
 }
 
-// reader takes fields off the front of rest. After a failure all fields are zero and finish reports it.
-type reader struct {
-	rest   []byte
-	failed string
+// fieldReader takes fields off the front of rest. After a failure all fields are zero and finish reports it.
+type fieldReader struct {
+	rest    []byte
+	failure string
 }
 
-func (r *reader) fail(reason string) {
-	if r.failed == "" {
-		r.failed = reason
+func (r *fieldReader) fail(reason string) {
+	if r.failure == "" {
+		r.failure = reason
 	}
 	r.rest = nil
 }
 
-func (r *reader) byte() byte {
+func (r *fieldReader) byte() byte {
 	if len(r.rest) == 0 {
 		r.fail("too short")
 		return 0
@@ -108,7 +108,7 @@
 	return first
 }
 
-func (r *reader) string() string {
+func (r *fieldReader) string() string {
 	length := int(r.byte())
 	if length > len(r.rest) {
 		r.fail("too short")
@@ -119,7 +119,7 @@
 	return text
 }
 
-func (r *reader) number() float64 {
+func (r *fieldReader) number() float64 {
 	number, length := binary.Uvarint(r.rest)
 	if length <= 0 {
 		r.fail("no number")
@@ -133,7 +133,7 @@
 	return math.Float64frombits(bits.ReverseBytes64(number))
 }
 
-func (r *reader) value(kind Kind) (value Value) {
+func (r *fieldReader) value(kind Kind) (value Value) {
 	switch kind {
 	case Tenant:
 		value.Tenant.QuotaPerSecond = r.number()
@@ -146,12 +146,12 @@
 	return value
 }
 
-func (r *reader) finish(c Change) (Change, error) {
-	if r.failed == "" && len(r.rest) > 0 {
-		r.failed = "bytes follow it"
+func (r *fieldReader) finish(c Change) (Change, error) {
+	if r.failure == "" && len(r.rest) > 0 {
+		r.failure = "bytes follow it"
 	}
-	if r.failed != "" {
-		return Change{}, &DecodeError{r.failed}
+	if r.failure != "" {
+		return Change{}, &DecodeError{r.failure}
 	}
 	if err := c.Validate(); err != nil {
 		return Change{}, err
--- a/logic/configtable/leaf.go
+++ b/logic/configtable/leaf.go
@@ -19,15 +19,15 @@
 
 // appendServiceKey appends the key of a service's own record, which is before those of its entries. Names have no byte below
 // the space, so that keys sort by service, then kind, then name.
-func appendServiceKey(to []byte, service string) []byte {
-	to = append(to, service...)
-	return append(to, 0)
+func appendServiceKey(dst []byte, service string) []byte {
+	dst = append(dst, service...)
+	return append(dst, 0)
 }
 
-func appendKey(to []byte, kind Kind, service, name string) []byte {
-	to = appendServiceKey(to, service)
-	to = append(to, byte(kind))
-	return append(to, name...)
+func appendKey(dst []byte, kind Kind, service, name string) []byte {
+	dst = appendServiceKey(dst, service)
+	dst = append(dst, byte(kind))
+	return append(dst, name...)
 }
 
 // isServiceKey reports whether a key is that of a service's own record, whose value is the last index as a varint.
@@ -41,95 +41,95 @@
 
 // leafCursor reads the records of a slab one after another.
 type leafCursor struct {
-	rest  []byte
-	key   []byte // of the current record, valid until next
-	value []byte // of the current record, part of the slab
+	remaining []byte
+	key       []byte // of the current record, valid until next
+	value     []byte // of the current record, part of the slab
 }
 
 // next moves to the next record and reports whether there is one.
 func (c *leafCursor) next() bool {
-	if len(c.rest) == 0 {
+	if len(c.remaining) == 0 {
 		return false
 	}
-	shared, added := c.take()
-	c.key = append(c.key[:shared], added...)
+	shared, suffix := c.readRecord()
+	c.key = append(c.key[:shared], suffix...)
 	return true
 }
 
-// take takes a record off rest without its key: how much of the last key it shares, and what follows that.
-func (c *leafCursor) take() (shared int, added []byte) {
-	shared = c.length()
-	size := c.length()
-	added = c.rest[:size]
-	c.rest = c.rest[size:]
-	size = c.length()
-	c.value = c.rest[:size:size]
-	c.rest = c.rest[size:]
-	return shared, added
+// readRecord takes a record off rest without its key: how much of the last key it shares, and what follows that.
+func (c *leafCursor) readRecord() (shared int, suffix []byte) {
+	shared = c.readLength()
+	size := c.readLength()
+	suffix = c.remaining[:size]
+	c.remaining = c.remaining[size:]
+	size = c.readLength()
+	c.value = c.remaining[:size:size]
+	c.remaining = c.remaining[size:]
+	return shared, suffix
 }
 
-func (c *leafCursor) length() int {
-	if first := c.rest[0]; first < 0x80 {
-		c.rest = c.rest[1:]
+func (c *leafCursor) readLength() int {
+	if first := c.remaining[0]; first < 0x80 {
+		c.remaining = c.remaining[1:]
 		return int(first)
 	}
-	length, size := binary.Uvarint(c.rest)
-	c.rest = c.rest[size:]
+	length, size := binary.Uvarint(c.remaining)
+	c.remaining = c.remaining[size:]
 	return int(length)
 }
 
 // leafWriter writes records in order of key into one slab.
 type leafWriter struct {
-	slab     []byte
-	previous []byte // key of the last record
+	records     []byte
+	previousKey []byte // key of the last record
 }
 
 func (w *leafWriter) reset() {
-	w.slab = w.slab[:0]
-	w.previous = w.previous[:0]
+	w.records = w.records[:0]
+	w.previousKey = w.previousKey[:0]
 }
 
 func (w *leafWriter) add(key, value []byte) {
 	shared := 0
-	for shared < len(w.previous) && shared < len(key) && w.previous[shared] == key[shared] {
+	for shared < len(w.previousKey) && shared < len(key) && w.previousKey[shared] == key[shared] {
 		shared++
 	}
-	w.slab = binary.AppendUvarint(w.slab, uint64(shared))
-	w.slab = binary.AppendUvarint(w.slab, uint64(len(key)-shared))
-	w.slab = append(w.slab, key[shared:]...)
-	w.slab = binary.AppendUvarint(w.slab, uint64(len(value)))
-	w.slab = append(w.slab, value...)
-	w.previous = append(w.previous[:0], key...)
+	w.records = binary.AppendUvarint(w.records, uint64(shared))
+	w.records = binary.AppendUvarint(w.records, uint64(len(key)-shared))
+	w.records = append(w.records, key[shared:]...)
+	w.records = binary.AppendUvarint(w.records, uint64(len(value)))
+	w.records = append(w.records, value...)
+	w.previousKey = append(w.previousKey[:0], key...)
 }
 
 // newLeaf copies a slab that is not empty.
-func newLeaf(slab []byte) *node {
-	cursor := leafCursor{rest: slab}
+func newLeaf(records []byte) *node {
+	cursor := leafCursor{remaining: records}
 	cursor.next()
-	return &node{low: string(cursor.key), slab: bytes.Clone(slab)}
+	return &node{minKey: string(cursor.key), records: bytes.Clone(records)}
 }
 
-// splitSlab appends leaves of about equal size, none above maxLeafBytes by more than a record, with the records of slab.
-func splitSlab(to []*node, slab []byte) []*node {
-	if len(slab) == 0 {
-		return to
+// splitIntoLeaves appends leaves of about equal size, none above maxLeafBytes by more than a record, with the records of slab.
+func splitIntoLeaves(dst []*node, records []byte) []*node {
+	if len(records) == 0 {
+		return dst
 	}
-	if len(slab) <= maxLeafBytes {
-		return append(to, newLeaf(slab))
+	if len(records) <= maxLeafBytes {
+		return append(dst, newLeaf(records))
 	}
-	pieces := (len(slab) + maxLeafBytes - 1) / maxLeafBytes
-	size := len(slab) / pieces
-	cursor := leafCursor{rest: slab}
+	leafCount := (len(records) + maxLeafBytes - 1) / maxLeafBytes
+	targetBytes := len(records) / leafCount
+	cursor := leafCursor{remaining: records}
 	var writer leafWriter
 	for cursor.next() {
 		writer.add(cursor.key, cursor.value)
-		if len(writer.slab) >= size {
-			to = append(to, newLeaf(writer.slab))
+		if len(writer.records) >= targetBytes {
+			dst = append(dst, newLeaf(writer.records))
 			writer.reset()
 		}
 	}
-	if len(writer.slab) > 0 {
-		to = append(to, newLeaf(writer.slab))
+	if len(writer.records) > 0 {
+		dst = append(dst, newLeaf(writer.records))
 	}
-	return to
+	return dst
 }
--- a/logic/configtable/search.go
+++ b/logic/configtable/search.go
@@ -8,30 +8,30 @@
 		return nil, false
 	}
 	for !n.isLeaf() {
-		n = n.children[n.childFor(key)]
+		n = n.children[n.childIndex(key)]
 	}
-	return findInSlab(n.slab, key)
+	return findInLeaf(n.records, key)
 }
 
-// findInSlab compares a key with those of a slab without putting any together. The keys passed are below it, and the last
+// findInLeaf compares a key with those of a slab without putting any together. The keys passed are below it, and the last
 // of them shares its first matched bytes.
-func findInSlab(slab, key []byte) ([]byte, bool) {
+func findInLeaf(records, key []byte) ([]byte, bool) {
 	matched := 0
-	cursor := leafCursor{rest: slab}
-	for len(cursor.rest) > 0 {
-		shared, added := cursor.take()
+	cursor := leafCursor{remaining: records}
+	for len(cursor.remaining) > 0 {
+		shared, suffix := cursor.readRecord()
 		if shared > matched {
 			continue // differs from key where the one before it does
 		}
 		matched = shared // less where slabs were joined: the first record of the second shares nothing
-		for len(added) > 0 && matched < len(key) && added[0] == key[matched] {
-			added = added[1:]
+		for len(suffix) > 0 && matched < len(key) && suffix[0] == key[matched] {
+			suffix = suffix[1:]
 			matched++
 		}
 		switch {
-		case len(added) == 0 && matched == len(key):
+		case len(suffix) == 0 && matched == len(key):
 			return cursor.value, true
-		case len(added) > 0 && (matched == len(key) || added[0] > key[matched]):
+		case len(suffix) > 0 && (matched == len(key) || suffix[0] > key[matched]):
 			return nil, false
 		}
 	}
@@ -45,14 +45,14 @@
 		return true
 	}
 	if !n.isLeaf() {
-		for _, child := range n.children[n.childFor(from):] {
+		for _, child := range n.children[n.childIndex(from):] {
 			if !child.walk(from, visit) {
 				return false
 			}
 		}
 		return true
 	}
-	cursor := leafCursor{rest: n.slab}
+	cursor := leafCursor{remaining: n.records}
 	for cursor.next() {
 		if bytes.Compare(cursor.key, from) >= 0 && !visit(cursor.key, cursor.value) {
 			return false
--- a/logic/configtable/table.go
+++ b/logic/configtable/table.go
@@ -26,7 +26,7 @@
 	if err := change.Validate(); err != nil {
 		return err
 	}
-	_, present := t.value(change.Kind, change.Service, change.Name)
+	_, present := t.encodedValue(change.Kind, change.Service, change.Name)
 	switch {
 	case change.Operation == Delete && !present:
 		return changeError("name", "service %s has no entry %q of this kind", change.Service, change.Name)
@@ -36,29 +36,29 @@
 	return nil
 }
 
-// value returns the encoded value of an entry.
-func (t Table) value(kind Kind, service, name string) ([]byte, bool) {
+// encodedValue returns the encoded encodedValue of an entry.
+func (t Table) encodedValue(kind Kind, service, name string) ([]byte, bool) {
 	var buffer [maxKeyBytes]byte
 	return t.root.find(appendKey(buffer[:0], kind, service, name))
 }
 
 // Route returns the value of a route of a service.
 func (t Table) Route(service, name string) (RouteValue, bool) {
-	encoded, found := t.value(Route, service, name)
+	encoded, found := t.encodedValue(Route, service, name)
 	if !found {
 		return RouteValue{}, false
 	}
-	r := reader{rest: encoded}
+	r := fieldReader{rest: encoded}
 	return r.value(Route).Route, true
 }
 
 // Tenant returns the value of a tenant of a service.
 func (t Table) Tenant(service, name string) (TenantValue, bool) {
-	encoded, found := t.value(Tenant, service, name)
+	encoded, found := t.encodedValue(Tenant, service, name)
 	if !found {
 		return TenantValue{}, false
 	}
-	r := reader{rest: encoded}
+	r := fieldReader{rest: encoded}
 	return r.value(Tenant).Tenant, true
 }
 
@@ -100,12 +100,12 @@
 		for {
 			var service string
 			var index uint64
-			last := t.root.walk(from, func(key, value []byte) bool {
+			finished := t.root.walk(from, func(key, value []byte) bool {
 				service = string(key[:len(key)-1])
 				index, _ = binary.Uvarint(value)
 				return false
 			})
-			if last || !yield(service, index) {
+			if finished || !yield(service, index) {
 				return
 			}
 			from = appendServiceKey(from[:0], service)
@@ -151,7 +151,7 @@
 // decodeRecord returns the entry of a record as a Put.
 func decodeRecord(service string, key, value []byte) Change {
 	_, kind, name := splitKey(key)
-	r := reader{rest: value}
+	r := fieldReader{rest: value}
 	return Change{Operation: Put, Kind: kind, Service: service, Name: string(name), Value: r.value(kind)}
 }
 
--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -21,12 +21,12 @@
 
 func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.last)} }
 
-func (m model) apply(one CommittedChange) {
-	m.last[one.Change.Service] = one.Index
-	if one.Change.Operation == Put {
-		m.entries[one.Change.Key()] = one.Change
+func (m model) apply(committed CommittedChange) {
+	m.last[committed.Change.Service] = committed.Index
+	if committed.Change.Operation == Put {
+		m.entries[committed.Change.Key()] = committed.Change
 	} else {
-		delete(m.entries, one.Change.Key())
+		delete(m.entries, committed.Change.Key())
 	}
 }
 
@@ -77,8 +77,8 @@
 // checkShape checks that all leaves are equally deep, and that no node is larger than it may be.
 func checkShape(t *rapid.T, n *node) (depth int) {
 	if n.isLeaf() {
-		if len(n.slab) > maxLeafBytes+maxKeyBytes+maxValueBytes {
-			t.Fatalf("a leaf of %d bytes", len(n.slab))
+		if len(n.records) > maxLeafBytes+maxKeyBytes+maxValueBytes {
+			t.Fatalf("a leaf of %d bytes", len(n.records))
 		}
 		return 1
 	}
@@ -87,8 +87,8 @@
 	}
 	for k, child := range n.children {
 		below := checkShape(t, child)
-		if k > 0 && (below != depth || child.low <= n.children[k-1].low) {
-			t.Fatalf("child %d, low %q, is %d deep, and the one before %d", k, child.low, below, depth)
+		if k > 0 && (below != depth || child.minKey <= n.children[k-1].minKey) {
+			t.Fatalf("child %d, low %q, is %d deep, and the one before %d", k, child.minKey, below, depth)
 		}
 		depth = below
 	}
@@ -296,7 +296,7 @@
 	started := processorTime(b)
 	for k := 0; b.Loop(); k++ {
 		key := keys[k%len(keys)]
-		if _, found := table.value(key.Kind, key.Service, key.Name); !found {
+		if _, found := table.encodedValue(key.Kind, key.Service, key.Name); !found {
 			b.Fatal(key)
 		}
 	}
--- a/logic/configtable/text.go
+++ b/logic/configtable/text.go
@@ -35,31 +35,31 @@
 // at most 20; no change is returned with them.
 func ParseChanges(path string, text []byte) ([]Change, error) {
 	var changes []Change
-	var faults []error
-	lines := map[Key]int{}
-	number := 0
+	var lineErrors []error
+	lineOfKey := map[Key]int{}
+	lineNumber := 0
 	for line := range strings.Lines(string(text)) {
-		number++
+		lineNumber++
 		words := strings.Fields(line)
 		if len(words) == 0 || words[0][0] == '#' {
 			continue
 		}
-		change, fault := parseLine(words)
-		if fault == nil && lines[change.Key()] > 0 {
-			fault = &LineError{Name: change.Name, Reason: fmt.Sprintf("changed before, in line %d", lines[change.Key()])}
+		change, lineErr := parseLine(words)
+		if lineErr == nil && lineOfKey[change.Key()] > 0 {
+			lineErr = &LineError{Name: change.Name, Reason: fmt.Sprintf("changed before, in line %d", lineOfKey[change.Key()])}
 		}
-		if fault != nil {
-			fault.Path, fault.Line = path, number
-			if faults = append(faults, fault); len(faults) == maxLineErrors {
+		if lineErr != nil {
+			lineErr.Path, lineErr.Line = path, lineNumber
+			if lineErrors = append(lineErrors, lineErr); len(lineErrors) == maxLineErrors {
 				break
 			}
 			continue
 		}
-		lines[change.Key()] = number
+		lineOfKey[change.Key()] = lineNumber
 		changes = append(changes, change)
 	}
-	if len(faults) > 0 {
-		return nil, errors.Join(faults...)
+	if len(lineErrors) > 0 {
+		return nil, errors.Join(lineErrors...)
 	}
 	return changes, nil
 }
@@ -109,29 +109,29 @@
 
 // parseFields reads words such as quota=120: each field of the change once, and no other.
 func (c *Change) parseFields(words []string) error {
-	set := map[string]bool{}
+	seen := map[string]bool{}
 	names := c.fieldNames()
 	for _, word := range words {
 		field, text, found := strings.Cut(word, "=")
 		switch {
 		case !found:
 			return fmt.Errorf("%q is no FIELD=VALUE", word)
-		case set[field]:
+		case seen[field]:
 			return changeError(field, "set twice")
 		}
-		set[field] = true
+		seen[field] = true
 		if err := c.parseField(field, text); err != nil {
 			return err
 		}
 	}
 	for _, name := range names {
-		if !set[name] {
+		if !seen[name] {
 			return changeError(name, "missing")
 		}
-		delete(set, name)
+		delete(seen, name)
 	}
 	for _, word := range words {
-		if field, _, _ := strings.Cut(word, "="); set[field] {
+		if field, _, _ := strings.Cut(word, "="); seen[field] {
 			return changeError(field, "not a field here; there are %s", strings.Join(names, ", "))
 		}
 	}
@@ -185,8 +185,8 @@
 // String returns the text form, which ParseChanges reads back as the same change.
 func (c Change) String() string {
 	var line strings.Builder
-	line.WriteString(nameOf(c.Operation == Delete, "delete", "put"))
-	line.WriteString(nameOf(c.Kind == Tenant, " tenant ", " route "))
+	line.WriteString(choose(c.Operation == Delete, "delete", "put"))
+	line.WriteString(choose(c.Kind == Tenant, " tenant ", " route "))
 	line.WriteString(c.Name)
 	for _, field := range c.fieldNames() {
 		line.WriteString(" " + field + "=" + c.formatField(field))
@@ -194,11 +194,11 @@
 	return line.String()
 }
 
-func nameOf(first bool, whenFirst, otherwise string) string {
-	if first {
-		return whenFirst
+func choose(condition bool, whenTrue, whenFalse string) string {
+	if condition {
+		return whenTrue
 	}
-	return otherwise
+	return whenFalse
 }
 
 func (c Change) formatField(field string) string {
--- a/logic/configtable/tree.go
+++ b/logic/configtable/tree.go
@@ -13,40 +13,40 @@
 
 // node is a part of an immutable tree: a leaf, which has a slab, or an inner node, which has children of one depth.
 type node struct {
-	low      string // the lowest key below it
-	slab     []byte
+	minKey   string // the lowest key below it
+	records  []byte
 	children []*node
 }
 
 func (n *node) isLeaf() bool { return n.children == nil }
 
-func newInner(children []*node) *node { return &node{low: children[0].low, children: children} }
+func newInner(children []*node) *node { return &node{minKey: children[0].minKey, children: children} }
 
-// childFor returns the position of the child that has a key or would have it.
-func (n *node) childFor(key []byte) int {
-	least, most := 0, len(n.children)
-	for most-least > 1 {
-		middle := (least + most) / 2
-		if n.children[middle].low <= string(key) {
-			least = middle
+// childIndex returns the position of the child that has a key or would have it.
+func (n *node) childIndex(key []byte) int {
+	low, high := 0, len(n.children)
+	for high-low > 1 {
+		middle := (low + high) / 2
+		if n.children[middle].minKey <= string(key) {
+			low = middle
 		} else {
-			most = middle
+			high = middle
 		}
 	}
-	return least
+	return low
 }
 
-// edit sets or removes one record.
-type edit struct {
+// recordEdit sets or removes one record.
+type recordEdit struct {
 	key    []byte
 	value  []byte
 	remove bool
 }
 
-func compareEdits(a, b edit) int { return bytes.Compare(a.key, b.key) }
+func compareEditKeys(a, b recordEdit) int { return bytes.Compare(a.key, b.key) }
 
-// editor applies edits to a tree and counts what they do. Its writer is kept from leaf to leaf.
-type editor struct {
+// treeEditor applies edits to a tree and counts what they do. Its writer is kept from leaf to leaf.
+type treeEditor struct {
 	writer   leafWriter
 	entries  int    // added, less removed
 	services int    // added, less removed
@@ -54,18 +54,18 @@
 }
 
 // apply returns the root of a tree with the edits, which are in order and name each key once. All nodes without edits are shared.
-func (e *editor) apply(root *node, edits []edit) *node {
-	var top []*node
+func (e *treeEditor) apply(root *node, edits []recordEdit) *node {
+	var nodes []*node
 	if root == nil {
-		top = e.applyToLeaf(nil, &node{}, edits)
+		nodes = e.applyToLeaf(nil, &node{}, edits)
 	} else {
-		top = e.applyTo(nil, root, edits)
+		nodes = e.applyToNode(nil, root, edits)
 	}
-	return rootOf(top)
+	return buildRoot(nodes)
 }
 
-// rootOf adds levels above nodes of one depth until there is one node, and takes off levels with one child.
-func rootOf(nodes []*node) *node {
+// buildRoot adds levels above nodes of one depth until there is one node, and takes off levels with one child.
+func buildRoot(nodes []*node) *node {
 	for len(nodes) > 1 {
 		nodes = groupChildren(nil, nodes)
 	}
@@ -79,37 +79,37 @@
 	return root
 }
 
-// applyTo appends the nodes that take the place of n, all of its depth: none, one or several.
-func (e *editor) applyTo(to []*node, n *node, edits []edit) []*node {
+// applyToNode appends the nodes that take the place of n, all of its depth: none, one or several.
+func (e *treeEditor) applyToNode(dst []*node, n *node, edits []recordEdit) []*node {
 	if n.isLeaf() {
-		return e.applyToLeaf(to, n, edits)
+		return e.applyToLeaf(dst, n, edits)
 	}
 	children := make([]*node, 0, len(n.children)+1)
-	kept, small := 0, false // kept counts the old children that are dealt with
+	handled, hasSmall := 0, false // kept counts the old children that are dealt with
 	for len(edits) > 0 {
-		position := n.childFor(edits[0].key)
-		children = append(children, n.children[kept:position]...)
-		kept = position + 1
-		mine := edits
-		if kept < len(n.children) {
-			mine = edits[:editsBelow(edits, n.children[kept].low)]
+		position := n.childIndex(edits[0].key)
+		children = append(children, n.children[handled:position]...)
+		handled = position + 1
+		childEdits := edits
+		if handled < len(n.children) {
+			childEdits = edits[:editsBefore(edits, n.children[handled].minKey)]
 		}
-		edits = edits[len(mine):]
-		replaced := len(children)
-		children = e.applyTo(children, n.children[position], mine)
-		small = small || slices.ContainsFunc(children[replaced:], (*node).isSmall)
+		edits = edits[len(childEdits):]
+		firstReplacement := len(children)
+		children = e.applyToNode(children, n.children[position], childEdits)
+		hasSmall = hasSmall || slices.ContainsFunc(children[firstReplacement:], (*node).isSmall)
 	}
-	children = append(children, n.children[kept:]...)
-	if small {
-		children = joinSmall(children)
+	children = append(children, n.children[handled:]...)
+	if hasSmall {
+		children = mergeSmall(children)
 	}
-	return groupChildren(to, children)
+	return groupChildren(dst, children)
 }
 
-// editsBelow returns how many of the edits have a key below low.
-func editsBelow(edits []edit, low string) int {
-	position, _ := slices.BinarySearchFunc(edits, low, func(one edit, low string) int {
-		if string(one.key) < low {
+// editsBefore returns how many of the edits have a key below low.
+func editsBefore(edits []recordEdit, minKey string) int {
+	position, _ := slices.BinarySearchFunc(edits, minKey, func(edit recordEdit, low string) int {
+		if string(edit.key) < low {
 			return -1
 		}
 		return 1
@@ -118,38 +118,38 @@
 }
 
 // applyToLeaf merges the records of a leaf with the edits.
-func (e *editor) applyToLeaf(to []*node, leaf *node, edits []edit) []*node {
+func (e *treeEditor) applyToLeaf(dst []*node, leaf *node, edits []recordEdit) []*node {
 	e.writer.reset()
-	cursor := leafCursor{rest: leaf.slab}
+	cursor := leafCursor{remaining: leaf.records}
 	for cursor.next() {
 		for len(edits) > 0 && bytes.Compare(edits[0].key, cursor.key) < 0 {
 			e.insert(edits[0])
 			edits = edits[1:]
 		}
 		if len(edits) > 0 && bytes.Equal(edits[0].key, cursor.key) {
-			e.count(cursor.key, cursor.value, -1)
+			e.countRecord(cursor.key, cursor.value, -1)
 			e.insert(edits[0])
 			edits = edits[1:]
 			continue
 		}
 		e.writer.add(cursor.key, cursor.value)
 	}
-	for _, one := range edits {
-		e.insert(one)
+	for _, edit := range edits {
+		e.insert(edit)
 	}
-	return splitSlab(to, e.writer.slab)
+	return splitIntoLeaves(dst, e.writer.records)
 }
 
-func (e *editor) insert(one edit) {
-	if one.remove {
+func (e *treeEditor) insert(edit recordEdit) {
+	if edit.remove {
 		return
 	}
-	e.writer.add(one.key, one.value)
-	e.count(one.key, one.value, +1)
+	e.writer.add(edit.key, edit.value)
+	e.countRecord(edit.key, edit.value, +1)
 }
 
-// count counts a record that is added, with a sign of +1, or removed, with -1.
-func (e *editor) count(key, value []byte, sign int) {
+// countRecord counts a record that is added, with a sign of +1, or removed, with -1.
+func (e *treeEditor) countRecord(key, value []byte, sign int) {
 	if isServiceKey(key) {
 		e.services += sign
 		return
@@ -159,41 +159,41 @@
 }
 
 // groupChildren appends inner nodes of about equal size with the children.
-func groupChildren(to []*node, children []*node) []*node {
+func groupChildren(dst []*node, children []*node) []*node {
 	if len(children) == 0 {
-		return to
+		return dst
 	}
-	groups := (len(children) + maxChildren - 1) / maxChildren
-	for k := range groups {
-		from, until := k*len(children)/groups, (k+1)*len(children)/groups
-		group := children[from:until]
-		if groups > 1 {
+	groupCount := (len(children) + maxChildren - 1) / maxChildren
+	for i := range groupCount {
+		start, end := i*len(children)/groupCount, (i+1)*len(children)/groupCount
+		group := children[start:end]
+		if groupCount > 1 {
 			group = slices.Clone(group)
 		}
-		to = append(to, newInner(group))
+		dst = append(dst, newInner(group))
 	}
-	return to
+	return dst
 }
 
-// joinSmall joins, in place, small nodes with a neighbour where both fit into one, so that deletes don't leave a tree of crumbs.
-func joinSmall(nodes []*node) []*node {
-	joined := nodes[:0]
+// mergeSmall joins, in place, small nodes with a neighbour where both fit into one, so that deletes don't leave a tree of crumbs.
+func mergeSmall(nodes []*node) []*node {
+	merged := nodes[:0]
 	for _, next := range nodes {
-		if len(joined) > 0 {
-			last := joined[len(joined)-1]
+		if len(merged) > 0 {
+			last := merged[len(merged)-1]
 			if (last.isSmall() || next.isSmall()) && last.fitsWith(next) {
-				joined[len(joined)-1] = last.join(next)
+				merged[len(merged)-1] = last.merge(next)
 				continue
 			}
 		}
-		joined = append(joined, next)
+		merged = append(merged, next)
 	}
-	return joined
+	return merged
 }
 
 func (n *node) isSmall() bool {
 	if n.isLeaf() {
-		return len(n.slab) < minLeafBytes
+		return len(n.records) < minLeafBytes
 	}
 	return len(n.children) < minChildren
 }
@@ -201,15 +201,15 @@
 // fitsWith leaves room for what comes next, so that nodes are not joined and split in turn.
 func (n *node) fitsWith(next *node) bool {
 	if n.isLeaf() {
-		return len(n.slab)+len(next.slab) <= maxLeafBytes*3/4
+		return len(n.records)+len(next.records) <= maxLeafBytes*3/4
 	}
 	return len(n.children)+len(next.children) <= maxChildren*3/4
 }
 
-// join makes one node of two. The first record of a slab shares nothing, so that slabs can follow each other in one.
-func (n *node) join(next *node) *node {
+// merge makes one node of two. The first record of a slab shares nothing, so that slabs can follow each other in one.
+func (n *node) merge(next *node) *node {
 	if n.isLeaf() {
-		return &node{low: n.low, slab: slices.Concat(n.slab, next.slab)}
+		return &node{minKey: n.minKey, records: slices.Concat(n.records, next.records)}
 	}
 	return newInner(slices.Concat(n.children, next.children))
 }
