--- a/logic/configtable/change_test.go
+++ b/logic/configtable/change_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Every valid change is read back the same from its binary form, its entry and its text.
+// A valid change survives a round trip through its binary form, its snapshot entry and its text form.
 func TestChangeRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		change := generateChange().Draw(t, "change")
@@ -60,12 +60,12 @@
 	})
 }
 
-// Each field is checked, and the error names it.
+// Validate checks each field, and the error names the invalid one.
 func TestValidate(t *testing.T) {
 	route := Change{Put, Route, "s", "n", Value{Route: RouteValue{"m", 250, 1000, 0.5}}}
 	for _, testCase := range []struct {
-		field string
-		spoil func(c *Change)
+		field   string
+		corrupt func(c *Change)
 	}{
 		{"operation", func(c *Change) { c.Operation = 3 }},
 		{"operation", func(c *Change) { c.Operation = Delete }},
@@ -83,7 +83,7 @@
 		{"criticality", func(c *Change) { c.Value.Route.Criticality = math.Copysign(0, -1) }},
 	} {
 		change := route
-		testCase.spoil(&change)
+		testCase.corrupt(&change)
 		var fault *ChangeError
 		if err := change.Validate(); !errors.As(err, &fault) || fault.Field != testCase.field {
 			t.Errorf("%v: %v, want an error of %s", change, err, testCase.field)
@@ -94,7 +94,7 @@
 	}
 }
 
-// Every faulty line of a file is told.
+// ParseChanges reports every invalid line of a file.
 func ExampleParseChanges() {
 	changes, err := ParseChanges("ops.txt", []byte("# quotas\n\nput tenant a service=s quota=120\n"+
 		"put route r deadline=1s service=s method=m target=250ms criticality=0.5\ndelete tenant b service=s\n"))
@@ -106,15 +106,15 @@
 	fmt.Println(err)
 	// Output:
 	// [put tenant a service=s quota=120 put route r service=s method=m target=250ms deadline=1000ms criticality=0.5 delete tenant b service=s] <nil>
-	// ops.txt:1: put or delete, route or tenant, and a name are wanted
-	// ops.txt:2: set: put or delete is wanted
-	// ops.txt:3: host: route or tenant is wanted
+	// ops.txt:1: want put or delete, route or tenant, and a name
+	// ops.txt:2: set: want put or delete
+	// ops.txt:3: host: want route or tenant
 	// ops.txt:4: a: service: missing
-	// ops.txt:5: a: quota: "-1" is no number such as 120 or 0.5
+	// ops.txt:5: a: quota: "-1" is not a number such as 120 or 0.5
 	// ops.txt:6: a: quota: set twice
-	// ops.txt:7: a: target: not a field here; there are service, quota
-	// ops.txt:8: a: "quota" is no FIELD=VALUE
+	// ops.txt:7: a: target: unknown field; want service, quota
+	// ops.txt:8: a: "quota" is not of the form FIELD=VALUE
 	// ops.txt:9: r: deadline: 1000ms is less than the latency target of 2000ms
-	// ops.txt:10: r: target: "1e3ms" is no time such as 250ms, 1.5s or 2m
-	// ops.txt:12: b: changed before, in line 11
+	// ops.txt:10: r: target: "1e3ms" is not a duration such as 250ms, 1.5s or 2m
+	// ops.txt:12: b: the entry is already changed in line 11
 }
--- a/logic/configtable/text.go
+++ b/logic/configtable/text.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// LineError reports a line of an operators' file that is not a change.
+// LineError reports a line of a change file that is not a valid change.
 type LineError struct {
 	Path   string
 	Line   int
-	Name   string // of the entry or the field; "" where the line has none
+	Name   string // of the entry, or the word that was found instead; empty if the line is too short
 	Reason string
 }
 
@@ -22,17 +22,17 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Name, e.Reason)
 }
 
-// maxLineErrors bounds how many faulty lines are reported at once.
+// maxLineErrors limits the number of invalid lines that one call reports.
 const maxLineErrors = 20
 
-// ParseChanges reads the operators' text form, one change a line:
+// ParseChanges parses the text form of changes, one change per line:
 //
 //	put route NAME service=S method=M target=250ms deadline=1s criticality=0.5
 //	put tenant NAME service=S quota=120
 //	delete tenant NAME service=S
 //
-// Blank lines and lines that begin with # are skipped. An entry may be named once. Faulty lines give a *LineError each, joined,
-// at most 20; no change is returned with them.
+// Blank lines and lines that begin with # are skipped. Each entry may occur only once. On failure it returns
+// no changes and the joined *LineErrors of the invalid lines, at most 20.
 func ParseChanges(path string, text []byte) ([]Change, error) {
 	var changes []Change
 	var lineErrors []error
@@ -46,7 +46,8 @@
 		}
 		change, lineErr := parseLine(words)
 		if lineErr == nil && lineOfKey[change.Key()] > 0 {
-			lineErr = &LineError{Name: change.Name, Reason: fmt.Sprintf("changed before, in line %d", lineOfKey[change.Key()])}
+			lineErr = &LineError{Name: change.Name,
+				Reason: fmt.Sprintf("the entry is already changed in line %d", lineOfKey[change.Key()])}
 		}
 		if lineErr != nil {
 			lineErr.Path, lineErr.Line = path, lineNumber
@@ -64,11 +65,11 @@
 	return changes, nil
 }
 
-// parseLine reads the words of a line; path and line number of the error are the caller's.
+// parseLine parses the words of a line. The caller sets the path and line number of the error.
 func parseLine(words []string) (Change, *LineError) {
 	var c Change
 	if len(words) < 3 {
-		return c, &LineError{Reason: "put or delete, route or tenant, and a name are wanted"}
+		return c, &LineError{Reason: "want put or delete, route or tenant, and a name"}
 	}
 	switch words[0] {
 	case "put":
@@ -76,7 +77,7 @@
 	case "delete":
 		c.Operation = Delete
 	default:
-		return c, &LineError{Name: words[0], Reason: "put or delete is wanted"}
+		return c, &LineError{Name: words[0], Reason: "want put or delete"}
 	}
 	switch words[1] {
 	case "route":
@@ -84,7 +85,7 @@
 	case "tenant":
 		c.Kind = Tenant
 	default:
-		return c, &LineError{Name: words[1], Reason: "route or tenant is wanted"}
+		return c, &LineError{Name: words[1], Reason: "want route or tenant"}
 	}
 	c.Name = words[2]
 	if err := c.parseFields(words[3:]); err != nil {
@@ -96,7 +97,7 @@
 	return c, nil
 }
 
-// fieldNames are the fields that a line has, in the order in which String writes them.
+// fieldNames returns the fields of the change's text form, in the order in which String writes them.
 func (c *Change) fieldNames() []string {
 	switch {
 	case c.Operation == Delete:
@@ -107,7 +108,7 @@
 	return []string{"service", "method", "target", "deadline", "criticality"}
 }
 
-// parseFields reads words such as quota=120: each field of the change once, and no other.
+// parseFields parses words such as quota=120. Each field of the change must occur exactly once, and no other.
 func (c *Change) parseFields(words []string) error {
 	seen := map[string]bool{}
 	names := c.fieldNames()
@@ -115,7 +116,7 @@
 		field, text, found := strings.Cut(word, "=")
 		switch {
 		case !found:
-			return fmt.Errorf("%q is no FIELD=VALUE", word)
+			return fmt.Errorf("%q is not of the form FIELD=VALUE", word)
 		case seen[field]:
 			return changeError(field, "set twice")
 		}
@@ -132,7 +133,7 @@
 	}
 	for _, word := range words {
 		if field, _, _ := strings.Cut(word, "="); seen[field] {
-			return changeError(field, "not a field here; there are %s", strings.Join(names, ", "))
+			return changeError(field, "unknown field; want %s", strings.Join(names, ", "))
 		}
 	}
 	return nil
@@ -156,7 +157,7 @@
 	return err
 }
 
-// parseMilliseconds reads a time in one unit: 250ms, 1.5s or 2m.
+// parseMilliseconds parses a duration in one unit: 250ms, 1.5s or 2m.
 func parseMilliseconds(field, text string) (float64, error) {
 	for _, unit := range []struct {
 		suffix       string
@@ -170,19 +171,19 @@
 			return value * unit.milliseconds, nil
 		}
 	}
-	return 0, changeError(field, "%q is no time such as 250ms, 1.5s or 2m", text)
+	return 0, changeError(field, "%q is not a duration such as 250ms, 1.5s or 2m", text)
 }
 
-// parseNumber reads digits with at most one point; no exponent, sign or word.
+// parseNumber parses digits with at most one decimal point, without exponent or sign.
 func parseNumber(field, text string) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" {
-		return 0, changeError(field, "%q is no number such as 120 or 0.5", text)
+		return 0, changeError(field, "%q is not a number such as 120 or 0.5", text)
 	}
 	return value, nil
 }
 
-// String returns the text form, which ParseChanges reads back as the same change.
+// String returns the text form of the change. ParseChanges parses it to the same change.
 func (c Change) String() string {
 	var line strings.Builder
 	line.WriteString(choose(c.Operation == Delete, "delete", "put"))
@@ -194,6 +195,7 @@
 	return line.String()
 }
 
+// choose returns whenTrue if the condition holds, otherwise whenFalse.
 func choose(condition bool, whenTrue, whenFalse string) string {
 	if condition {
 		return whenTrue
