--- a/logic/configtable/apply.go
+++ b/logic/configtable/apply.go
@@ -7,25 +7,27 @@
 	"slices"
 )
 
-// CommittedChange is a change with the index of its entry in the log.
+// CommittedChange is a change with the index of its log entry.
 type CommittedChange struct {
 	Index  uint64 // at least 1
 	Change Change
 }
 
-// IndexError reports a change that is not newer than what the table has of its service.
+// IndexError reports a log index that is not above the last index of its service.
 type IndexError struct {
-	Service     string
-	Index, Last uint64
+	Service string
+	Index   uint64 // of the rejected change
+	Last    uint64 // last index applied to the service
 }
 
 func (e *IndexError) Error() string {
-	return fmt.Sprintf("service %s: index %d does not follow %d", e.Service, e.Index, e.Last)
+	return fmt.Sprintf("service %s: index %d is not above the last index %d", e.Service, e.Index, e.Last)
 }
 
-// Apply returns a table with the changes applied in order; t is unchanged and shares all that is untouched. Each change sets
-// LastIndex of its service. All changes are applied or none: a change that is not valid gives its *ChangeError, an index not
-// above its service's last one an *IndexError. Deleting an absent entry only moves LastIndex.
+// Apply returns a table with the changes applied in order. t is not modified; both tables share the unchanged
+// nodes. Each change sets LastIndex of its service, and deleting an absent entry changes nothing else.
+// Apply is atomic: an invalid change returns its *ChangeError, an index that is not above the service's last
+// index an *IndexError, and in both cases no change is applied.
 func (t Table) Apply(changes []CommittedChange) (Table, error) {
 	for _, committed := range changes {
 		if err := committed.Change.Validate(); err != nil {
@@ -43,7 +45,7 @@
 	return t.applyEdits(edits), nil
 }
 
-// serviceEdit sets the last index of a service.
+// serviceEdit returns the edit that sets the last index of a service.
 func serviceEdit(service string, lastIndex uint64) recordEdit {
 	buffer := make([]byte, 0, len(service)+1+binary.MaxVarintLen64)
 	key := appendServiceKey(buffer, service)
@@ -51,6 +53,7 @@
 	return recordEdit{key: key, value: encoded[len(key):]}
 }
 
+// entryEdit returns the edit that puts or deletes the entry of a change.
 func entryEdit(change Change) recordEdit {
 	capacity := len(change.Service) + 2 + len(change.Name)
 	if change.Operation == Delete {
@@ -63,7 +66,8 @@
 	return recordEdit{key: key, value: encoded[len(key):]}
 }
 
-// checkIndices checks that the edits of each service's last index, which follow each other in the order of the log, rise.
+// checkIndices returns an *IndexError unless the last indices of each service increase. The edits are sorted
+// by key, and the edits of one key are in log order.
 func (t Table) checkIndices(edits []recordEdit) error {
 	var service string
 	var last uint64
@@ -84,7 +88,7 @@
 	return nil
 }
 
-// applyEdits applies edits in order of key. Of several of one key the last one counts.
+// applyEdits applies edits that are sorted by key. The last of several edits of a key wins.
 func (t Table) applyEdits(edits []recordEdit) Table {
 	if len(edits) == 0 {
 		return t
@@ -98,12 +102,18 @@
 	}
 	var editor treeEditor
 	root := editor.apply(t.root, unique)
-	return Table{root: root, entries: t.entries + editor.entries, services: t.services + editor.services, digest: t.digest + editor.digest}
+	return Table{
+		root:     root,
+		entries:  t.entries + editor.entries,
+		services: t.services + editor.services,
+		digest:   t.digest + editor.digest,
+	}
 }
 
-// ReplaceService returns a table in which service has exactly these entries and last index, as from a snapshot of it. Entries
-// are valid Puts of that service in any order. With lastIndex 0 and no entries the service is removed. The error is a
-// *ChangeError, or an *IndexError for entries without a last index.
+// ReplaceService returns a table in which service has exactly these entries and this last index, as read from
+// a snapshot of the service. Entries are valid Puts of that service in any order. With lastIndex 0 and no
+// entries the service is removed. The error is a *ChangeError, or an *IndexError for entries without a last
+// index.
 func (t Table) ReplaceService(service string, lastIndex uint64, entries []Change) (Table, error) {
 	if err := ValidateService(service); err != nil {
 		return t, err
@@ -128,7 +138,7 @@
 	return t.applyEdits(edits), nil
 }
 
-// removalEdits returns the edits that remove all records of a service.
+// removalEdits returns the edits that remove the service record and all entries of a service.
 func (t Table) removalEdits(service string) []recordEdit {
 	edits := []recordEdit{{key: appendServiceKey(nil, service), remove: true}}
 	t.walkService(service, func(key, value []byte) bool {
--- a/logic/configtable/builder.go
+++ b/logic/configtable/builder.go
@@ -6,31 +6,33 @@
 	"fmt"
 )
 
-// builderLeafBytes is the size of a leaf that a Builder makes: it leaves room, so that the first changes don't split it.
+// builderLeafBytes is the size at which a Builder ends a leaf. It is below maxLeafBytes so that the first
+// changes do not split the leaf.
 const builderLeafBytes = maxLeafBytes * 7 / 8
 
-// Builder makes a Table from entries in order, as a snapshot has them, without the cost of a change each.
-// The zero Builder is ready for use.
+// Builder builds a Table from sorted entries, such as those of a snapshot, at a lower cost than applying a
+// change for each. The zero Builder is ready for use.
 type Builder struct {
 	writer         leafWriter
 	finishedLeaves []*node
 	currentService string
-	keyBuffer      []byte // scratch for the next key
-	valueBuffer    []byte // scratch for the next value
+	keyBuffer      []byte // reused for the next key
+	valueBuffer    []byte // reused for the next value
 	table          Table
 }
 
-// OrderError reports an entry or service that does not follow the one before it.
+// OrderError reports an entry or service whose key is not above the previous key.
 type OrderError struct {
-	Service, Name string
+	Service string
+	Name    string // of the entry; empty for a service
 }
 
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("service %s name %q: out of order", e.Service, e.Name)
+	return fmt.Sprintf("service %s name %q: out of order: want a key above the previous one", e.Service, e.Name)
 }
 
-// AddService begins a service; services come in order of name. The error is a *ChangeError, an *OrderError, or an *IndexError
-// for a last index of 0.
+// AddService starts a service. Services must be added in order of name. The error is a *ChangeError, an
+// *OrderError, or an *IndexError for a last index of 0.
 func (b *Builder) AddService(service string, lastIndex uint64) error {
 	if err := ValidateService(service); err != nil {
 		return err
@@ -48,14 +50,14 @@
 	return nil
 }
 
-// Add adds an entry, a valid Put, of the service that AddService began last; entries come in order of kind and name. The error
-// is a *ChangeError or an *OrderError.
+// Add adds an entry, a valid Put, of the service that AddService started last. Entries must be added in order
+// of kind and name. The error is a *ChangeError or an *OrderError.
 func (b *Builder) Add(entry Change) error {
 	if err := entry.Validate(); err != nil {
 		return err
 	}
 	if entry.Operation != Put {
-		return changeError("operation", "an entry is a put")
+		return changeError("operation", "want a put, found a delete")
 	}
 	b.keyBuffer = appendKey(b.keyBuffer[:0], entry.Kind, entry.Service, entry.Name)
 	b.valueBuffer = entry.appendValue(b.valueBuffer[:0])
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// addRecord adds the record in the scratch buffers and reports whether its key follows the last one.
+// addRecord adds the record in keyBuffer and valueBuffer. It reports false, and adds nothing, if the key is
+// not above the previous key.
 func (b *Builder) addRecord() bool {
 	if bytes.Compare(b.keyBuffer, b.writer.previousKey) <= 0 {
 		return false
@@ -79,14 +82,14 @@
 	return true
 }
 
-// finishLeaf ends a leaf; the next record is written whole.
+// finishLeaf ends the current leaf. The next record is written with its full key.
 func (b *Builder) finishLeaf() {
 	b.finishedLeaves = append(b.finishedLeaves, newLeaf(b.writer.records))
 	b.writer.records = b.writer.records[:0]
 	b.writer.previousKey = b.writer.previousKey[:0]
 }
 
-// Table returns what was added. The Builder is not used afterwards.
+// Table returns the table of all added entries. The Builder must not be used afterwards.
 func (b *Builder) Table() Table {
 	if len(b.writer.records) > 0 {
 		b.finishLeaf()
--- a/logic/configtable/change.go
+++ b/logic/configtable/change.go
@@ -1,7 +1,10 @@
-// Package configtable holds the configuration that a fleet of app servers distributes: routes and tenants, each of a service.
-// A Change puts or deletes one entry; it is checked, encoded and read from text here. A Table is an immutable, ordered index of
-// all entries: applying changes gives a new Table that shares everything untouched, so that readers never wait and a change
-// costs the same in a large table as in a small one. Nothing here does I/O, reads a clock or starts a goroutine.
+// Package configtable holds the configuration that a fleet of app servers distributes: routes and tenants,
+// each of a service.
+//
+// A Change puts or deletes one entry. The package validates changes, encodes them and parses their text form.
+// A Table is a persistent B-tree of all entries: applying changes copies the path to the changed leaves and
+// shares all other nodes with the old table. Readers therefore never block, and a change in a large table
+// costs about as much as in a small one. The package does no I/O, reads no clock and starts no goroutines.
 package configtable
 
 import (
@@ -9,7 +12,7 @@
 	"math"
 )
 
-// Operation is what a change does.
+// Operation is the action of a change on an entry.
 type Operation uint8
 
 const (
@@ -17,7 +20,7 @@
 	Delete Operation = 2 // removes an entry; removing one that is absent has no effect
 )
 
-// Kind is what an entry describes.
+// Kind is the type of an entry.
 type Kind uint8
 
 const (
@@ -50,7 +53,7 @@
 	Service, Name string
 }
 
-// Change puts or deletes one entry. A Delete has the zero Value.
+// Change puts or deletes one entry. The Value of a Delete is zero.
 type Change struct {
 	Operation     Operation
 	Kind          Kind
@@ -58,10 +61,10 @@
 	Value         Value
 }
 
-// Key returns the identity of the entry that the change puts or deletes.
+// Key returns the key of the entry that the change puts or deletes.
 func (c Change) Key() Key { return Key{c.Kind, c.Service, c.Name} }
 
-// Limits of what a change may contain.
+// Limits on the contents of a change.
 const (
 	MaxNameBytes    = 128       // of a service, a name or a method
 	MaxMilliseconds = 3_600_000 // an hour, of a latency target or a deadline
@@ -70,9 +73,11 @@
 	MaxEncodedBytes = 1024      // of an encoded change
 )
 
-// ChangeError reports the field of a change that is not valid.
+// ChangeError reports an invalid field of a change.
 type ChangeError struct {
-	Field  string // as in the text form: operation, kind, service, name, method, target, deadline, criticality, quota
+	// Field is named as in the text form: operation, kind, service, name, method, target, deadline, criticality
+	// or quota.
+	Field  string
 	Reason string
 }
 
@@ -82,7 +87,7 @@
 	return &ChangeError{Field: field, Reason: fmt.Sprintf(reason, args...)}
 }
 
-// Validate returns a *ChangeError for the first field that is not valid, or nil.
+// Validate returns a *ChangeError for the first invalid field, or nil.
 func (c Change) Validate() error {
 	if c.Operation != Put && c.Operation != Delete {
 		return changeError("operation", "%d is neither put nor delete", c.Operation)
@@ -99,21 +104,22 @@
 	return c.validateValue()
 }
 
+// validateValue checks that the value is valid and belongs to the operation and kind of the change.
 func (c Change) validateValue() error {
 	if c.Operation == Delete {
 		if c.Value != (Value{}) {
-			return changeError("operation", "a delete has no value")
+			return changeError("operation", "a delete must not have a value")
 		}
 		return nil
 	}
 	if c.Kind == Tenant {
 		if c.Value.Route != (RouteValue{}) {
-			return changeError("kind", "a tenant has no value of a route")
+			return changeError("kind", "a tenant must not have the value of a route")
 		}
 		return validateNumber("quota", c.Value.Tenant.QuotaPerSecond, 0, MaxQuota)
 	}
 	if c.Value.Tenant != (TenantValue{}) {
-		return changeError("kind", "a route has no value of a tenant")
+		return changeError("kind", "a route must not have the value of a tenant")
 	}
 	return c.Value.Route.validate()
 }
@@ -135,7 +141,7 @@
 	return validateNumber("criticality", r.Criticality, 0, 1)
 }
 
-// ValidateService returns a *ChangeError if name can not be that of a service.
+// ValidateService returns a *ChangeError if name is not a valid name of a service.
 func ValidateService(name string) error { return validateName("service", name) }
 
 func validateName(field, name string) error {
@@ -153,7 +159,8 @@
 	return nil
 }
 
-// validateNumber refuses negative zero too, so that each number has one encoding.
+// validateNumber checks that a number is within a range. It also rejects negative zero, so that each number
+// has exactly one encoding.
 func validateNumber(field string, number, least, most float64) error {
 	if !(number >= least && number <= most) || math.Signbit(number) {
 		return changeError(field, "%g is not from %g to %g", number, least, most)
--- a/logic/configtable/codec.go
+++ b/logic/configtable/codec.go
@@ -13,9 +13,10 @@
 
 func (e *DecodeError) Error() string { return "not an encoded change: " + e.Reason }
 
-// Encode returns the binary form of a valid change, at most MaxEncodedBytes long, or the *ChangeError of Validate. It is one
-// byte each for operation and kind, service, name and, for a Put, the value. A string is its length in a byte and its bytes; a
-// number is the reversed bits of a float64 as a varint, which is short for whole numbers.
+// Encode returns the binary form of a valid change, at most MaxEncodedBytes long, or the *ChangeError of
+// Validate. The form is one byte each for operation and kind, then service, name and, for a Put, the value. A
+// string is one byte of length and its bytes. A number is a float64 with its bytes reversed, as a varint,
+// which is short for small integers.
 func (c Change) Encode() ([]byte, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -30,11 +31,11 @@
 	return encoded, nil
 }
 
-// Decode reads one change that fills data. It accepts exactly what Encode returns; anything else gives a *DecodeError,
-// or a *ChangeError where the fields are readable and not valid.
+// Decode decodes the change that occupies all of data. It accepts exactly the results of Encode. Other input
+// returns a *DecodeError, or a *ChangeError if the fields can be decoded but are invalid.
 func Decode(data []byte) (Change, error) {
 	if len(data) > MaxEncodedBytes {
-		return Change{}, &DecodeError{"too long"}
+		return Change{}, &DecodeError{"longer than MaxEncodedBytes"}
 	}
 	r := fieldReader{rest: data}
 	c := Change{Operation: Operation(r.byte()), Kind: Kind(r.byte())}
@@ -46,14 +47,15 @@
 	return r.finish(c)
 }
 
-// AppendEntry appends the entry that a valid Put describes, without its service, for a snapshot of one service.
+// AppendEntry appends the encoded entry of a valid Put without its service, for a snapshot of one service.
 func (c Change) AppendEntry(dst []byte) []byte {
 	dst = append(dst, byte(c.Kind))
 	dst = appendString(dst, c.Name)
 	return c.appendValue(dst)
 }
 
-// DecodeEntry reads what AppendEntry wrote, as a Put of service; data holds that one entry and nothing more.
+// DecodeEntry decodes one entry that AppendEntry encoded and returns it as a Put of service. The entry must
+// occupy all of data.
 func DecodeEntry(service string, data []byte) (Change, error) {
 	r := fieldReader{rest: data}
 	c := Change{Operation: Put, Kind: Kind(r.byte()), Service: service}
@@ -62,7 +64,7 @@
 	return r.finish(c)
 }
 
-// maxValueBytes bounds an encoded value: a method and three numbers.
+// maxValueBytes is the maximum size of an encoded value: a method and three numbers.
 const maxValueBytes = 1 + MaxNameBytes + 3*binary.MaxVarintLen64
 
 func (c Change) appendValue(dst []byte) []byte {
@@ -85,7 +87,8 @@
 	return binary.AppendUvarint(dst, bits.ReverseBytes64(math.Float64bits(number)))
 }
 
-// fieldReader takes fields off the front of rest. After a failure all fields are zero and finish reports it.
+// fieldReader decodes fields from the front of rest. After a failure all further fields are zero, and finish
+// returns the first failure as an error.
 type fieldReader struct {
 	rest    []byte
 	failure string
@@ -100,7 +103,7 @@
 
 func (r *fieldReader) byte() byte {
 	if len(r.rest) == 0 {
-		r.fail("too short")
+		r.fail("too short: want one more byte")
 		return 0
 	}
 	first := r.rest[0]
@@ -111,7 +114,7 @@
 func (r *fieldReader) string() string {
 	length := int(r.byte())
 	if length > len(r.rest) {
-		r.fail("too short")
+		r.fail("too short: a string ends after the data")
 		return ""
 	}
 	text := string(r.rest[:length])
@@ -122,11 +125,11 @@
 func (r *fieldReader) number() float64 {
 	number, length := binary.Uvarint(r.rest)
 	if length <= 0 {
-		r.fail("no number")
+		r.fail("want a varint, found none")
 		return 0
 	}
 	if length > 1 && r.rest[length-1] == 0 {
-		r.fail("a number is longer than it needs to be")
+		r.fail("a varint is longer than needed")
 		return 0
 	}
 	r.rest = r.rest[length:]
@@ -146,9 +149,10 @@
 	return value
 }
 
+// finish returns the change, or the first error of decoding or of Validate.
 func (r *fieldReader) finish(c Change) (Change, error) {
 	if r.failure == "" && len(r.rest) > 0 {
-		r.failure = "bytes follow it"
+		r.failure = "extra bytes at the end"
 	}
 	if r.failure != "" {
 		return Change{}, &DecodeError{r.failure}
--- a/logic/configtable/digest.go
+++ b/logic/configtable/digest.go
@@ -1,10 +1,11 @@
 package configtable
 
-// Digest is a fingerprint of entries that does not depend on the order in which they came: the sum of one for each entry, so
-// that the digests of disjoint sets add up. It is no defence against forgery.
+// Digest is an order-independent hash of a set of entries: the sum of the hashes of all entries, so that the
+// digest of a union of disjoint sets is the sum of their digests. It is not cryptographic.
 type Digest uint64
 
-// The constants of FNV-1a, and those of the finalizer of MurmurHash3, which spreads each bit over all.
+// Constants of FNV-1a, and of the finalizer of MurmurHash3, which makes each bit of the hash depend on all
+// others.
 const (
 	fnvOffset         = 14695981039346656037
 	fnvPrime          = 1099511628211
@@ -13,7 +14,8 @@
 	murmurShift       = 33
 )
 
-// digestRecord hashes the record of an entry; the key's length between the two keeps them apart.
+// digestRecord hashes the record of an entry. The key's length is hashed between key and value, so that bytes
+// moved from one to the other change the hash.
 func digestRecord(key, value []byte) Digest {
 	hash := uint64(fnvOffset)
 	for _, b := range key {
--- a/logic/configtable/leaf.go
+++ b/logic/configtable/leaf.go
@@ -5,45 +5,48 @@
 	"encoding/binary"
 )
 
-// A leaf is a slab of records in order of key. A record is four parts: how many bytes its key shares with the one before, how
-// many follow, those bytes, and the length and bytes of its value; lengths are varints. The first record of a leaf shares none.
+// A leaf holds its records in order of key, with prefix compression, in one byte slice. A record consists of
+// the number of bytes that its key shares with the previous key, the number of bytes that follow, these
+// bytes, and the length and bytes of the value. Lengths are varints. The first record of a leaf shares no
+// bytes.
 
-// maxLeafBytes bounds a leaf's slab, and with it what a change copies: some forty entries.
+// maxLeafBytes limits the records of a leaf, and so the bytes that a change copies: about forty entries.
 const maxLeafBytes = 1024
 
-// minLeafBytes is the size below which a changed leaf is joined with a neighbour.
+// minLeafBytes is the size below which a changed leaf is merged with a neighbour.
 const minLeafBytes = maxLeafBytes / 4
 
 // maxKeyBytes is the length of the longest key: a service, a zero byte, a kind and a name.
 const maxKeyBytes = 2*MaxNameBytes + 2
 
-// appendServiceKey appends the key of a service's own record, which is before those of its entries. Names have no byte below
-// the space, so that keys sort by service, then kind, then name.
+// appendServiceKey appends the key of the service record, which sorts before the entries of the service.
+// Names contain no byte below the space, so that keys sort by service, then kind, then name.
 func appendServiceKey(dst []byte, service string) []byte {
 	dst = append(dst, service...)
 	return append(dst, 0)
 }
 
+// appendKey appends the key of an entry.
 func appendKey(dst []byte, kind Kind, service, name string) []byte {
 	dst = appendServiceKey(dst, service)
 	dst = append(dst, byte(kind))
 	return append(dst, name...)
 }
 
-// isServiceKey reports whether a key is that of a service's own record, whose value is the last index as a varint.
+// isServiceKey reports whether a key is that of a service record, whose value is the last index as a varint.
 func isServiceKey(key []byte) bool { return key[len(key)-1] == 0 }
 
-// splitKey takes the key of an entry apart.
+// splitKey splits the key of an entry into its parts.
 func splitKey(key []byte) (service []byte, kind Kind, name []byte) {
 	end := bytes.IndexByte(key, 0)
 	return key[:end], Kind(key[end+1]), key[end+2:]
 }
 
-// leafCursor reads the records of a slab one after another.
+// leafCursor iterates over the encoded records of a leaf.
 type leafCursor struct {
 	remaining []byte
-	key       []byte // of the current record, valid until next
-	value     []byte // of the current record, part of the slab
+	key       []byte // of the current record, valid until the next call of next
+	value     []byte // of the current record, aliasing the leaf's records
 }
 
 // next moves to the next record and reports whether there is one.
@@ -56,7 +59,8 @@
 	return true
 }
 
-// readRecord takes a record off rest without its key: how much of the last key it shares, and what follows that.
+// readRecord reads a record without assembling its key. It returns how many bytes the key shares with the
+// previous key, and the suffix that follows them.
 func (c *leafCursor) readRecord() (shared int, suffix []byte) {
 	shared = c.readLength()
 	size := c.readLength()
@@ -68,6 +72,7 @@
 	return shared, suffix
 }
 
+// readLength reads a varint, with a fast path for one byte.
 func (c *leafCursor) readLength() int {
 	if first := c.remaining[0]; first < 0x80 {
 		c.remaining = c.remaining[1:]
@@ -78,7 +83,7 @@
 	return int(length)
 }
 
-// leafWriter writes records in order of key into one slab.
+// leafWriter encodes records, which come in order of key.
 type leafWriter struct {
 	records     []byte
 	previousKey []byte // key of the last record
@@ -102,14 +107,15 @@
 	w.previousKey = append(w.previousKey[:0], key...)
 }
 
-// newLeaf copies a slab that is not empty.
+// newLeaf returns a leaf with a copy of records, which must not be empty.
 func newLeaf(records []byte) *node {
 	cursor := leafCursor{remaining: records}
 	cursor.next()
 	return &node{minKey: string(cursor.key), records: bytes.Clone(records)}
 }
 
-// splitIntoLeaves appends leaves of about equal size, none above maxLeafBytes by more than a record, with the records of slab.
+// splitIntoLeaves appends leaves of about equal size with all records. None exceeds maxLeafBytes by more than
+// one record.
 func splitIntoLeaves(dst []*node, records []byte) []*node {
 	if len(records) == 0 {
 		return dst
--- a/logic/configtable/search.go
+++ b/logic/configtable/search.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// find returns the value of the record with a key.
+// find returns the value of the record with this key.
 func (n *node) find(key []byte) ([]byte, bool) {
 	if n == nil {
 		return nil, false
@@ -13,17 +13,18 @@
 	return findInLeaf(n.records, key)
 }
 
-// findInLeaf compares a key with those of a slab without putting any together. The keys passed are below it, and the last
-// of them shares its first matched bytes.
+// findInLeaf returns the value of the record with this key. It compares keys without reassembling them from
+// their prefixes: every record that it has passed has a lower key, and the last of them has the first matched
+// bytes of key in common with it.
 func findInLeaf(records, key []byte) ([]byte, bool) {
 	matched := 0
 	cursor := leafCursor{remaining: records}
 	for len(cursor.remaining) > 0 {
 		shared, suffix := cursor.readRecord()
 		if shared > matched {
-			continue // differs from key where the one before it does
+			continue // differs from key at the same byte as the previous record
 		}
-		matched = shared // less where slabs were joined: the first record of the second shares nothing
+		matched = shared // lower than before at a merge of two leaves, where a record shares no bytes
 		for len(suffix) > 0 && matched < len(key) && suffix[0] == key[matched] {
 			suffix = suffix[1:]
 			matched++
@@ -38,8 +39,8 @@
 	return nil, false
 }
 
-// walk visits the records from a key on, in order, until visit returns false; it reports whether it did not. A key is valid
-// during the visit only.
+// walk visits the records whose keys are at least from, in order, until visit returns false. It reports
+// whether it visited all of them. A key is valid only during the call of visit.
 func (n *node) walk(from []byte, visit func(key, value []byte) bool) bool {
 	if n == nil {
 		return true
--- a/logic/configtable/table.go
+++ b/logic/configtable/table.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// MaxEntries bounds a table: the design size of 1.376 million and as much again as a half of it, which keeps a table within the
-// 128 MB that an app server may give it.
+// MaxEntries limits the entries of a table. It is about one and a half times the design size of 1.376 million
+// entries and keeps a table within the 128 MB that an app server may spend on it.
 const MaxEntries = 2_000_000
 
-// Table is an immutable set of entries, with the index of each service's last log entry. The zero Table is empty. A Table is
-// safe for concurrent use and is copied freely: a copy is a few words. A reader may keep an old one as long as it likes.
+// Table is an immutable, ordered set of entries, with the index of the last log entry of each service. The
+// zero Table is empty. A Table is safe for concurrent use and cheap to copy. An old Table stays valid.
 type Table struct {
 	root     *node // nil in an empty table
 	entries  int
@@ -20,8 +20,8 @@
 	digest   Digest
 }
 
-// Check returns the error for which a change is to be refused before it enters the log: that of Validate, or a *ChangeError for
-// a delete of an absent entry or a put beyond MaxEntries.
+// Check returns an error if a change must be rejected before it is appended to the log: the error of
+// Validate, or a *ChangeError for deleting an absent entry or for a new entry beyond MaxEntries.
 func (t Table) Check(change Change) error {
 	if err := change.Validate(); err != nil {
 		return err
@@ -31,7 +31,7 @@
 	case change.Operation == Delete && !present:
 		return changeError("name", "service %s has no entry %q of this kind", change.Service, change.Name)
 	case change.Operation == Put && !present && t.entries >= MaxEntries:
-		return changeError("name", "the table has %d entries and takes no more", t.entries)
+		return changeError("name", "the table has %d entries, the maximum", t.entries)
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 	return r.value(Tenant).Tenant, true
 }
 
-// LastIndex returns the index of the last log entry applied to a service, 0 if there was none. It stays when the service's
-// last entry is deleted.
+// LastIndex returns the index of the last log entry applied to a service, or 0 if there is none. It remains
+// after all entries of the service are deleted.
 func (t Table) LastIndex(service string) uint64 {
 	var buffer [maxKeyBytes]byte
 	encoded, found := t.root.find(appendServiceKey(buffer[:0], service))
@@ -77,13 +77,14 @@
 // Len returns the number of entries.
 func (t Table) Len() int { return t.entries }
 
-// ServiceCount returns the number of services that have a last index, with entries or without.
+// ServiceCount returns the number of services that have a last index, including those without entries.
 func (t Table) ServiceCount() int { return t.services }
 
-// Digest returns the fingerprint of all entries; last indices are not in it. It takes no time: tables carry it.
+// Digest returns the digest of all entries, without the last indices. The table stores it, so the call is
+// cheap.
 func (t Table) Digest() Digest { return t.digest }
 
-// ServiceDigest returns the fingerprint of the entries of one service.
+// ServiceDigest returns the digest of the entries of one service.
 func (t Table) ServiceDigest(service string) Digest {
 	var sum Digest
 	t.walkService(service, func(key, value []byte) bool {
@@ -93,7 +94,7 @@
 	return sum
 }
 
-// Services iterates over all services and their last indices, in order of name. It passes over the entries between them.
+// Services iterates over all services and their last indices, in order of name. It skips the entries.
 func (t Table) Services() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) {
 		var from []byte
@@ -124,7 +125,8 @@
 	}
 }
 
-// walkService visits the records of a service's entries, without its own record, until visit returns false.
+// walkService visits the records of a service's entries, without the service record, until visit returns
+// false.
 func (t Table) walkService(service string, visit func(key, value []byte) bool) {
 	from := appendServiceKey(nil, service)
 	prefix := string(from)
@@ -155,7 +157,7 @@
 	return Change{Operation: Put, Kind: kind, Service: service, Name: string(name), Value: r.value(kind)}
 }
 
-// String tells the table's size and fingerprint.
+// String returns the table's size and digest.
 func (t Table) String() string {
 	return fmt.Sprintf("%d entries of %d services, digest %016x", t.entries, t.services, uint64(t.digest))
 }
--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is a table as a plain map.
+// model is a reference implementation of a table with plain maps.
 type model struct {
 	entries map[Key]Change
 	last    map[string]uint64
@@ -34,7 +34,7 @@
 	return slices.Compare([]string{a.Service, string(rune(a.Kind)), a.Name}, []string{b.Service, string(rune(b.Kind)), b.Name})
 }
 
-// check compares everything that a table tells with the model.
+// check compares all observable contents of a table with the model.
 func (m model) check(t *rapid.T, table Table) {
 	want := slices.SortedFunc(maps.Values(m.entries), compareKeys)
 	if got := slices.Collect(table.All()); !slices.Equal(got, want) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// checkShape checks that all leaves are equally deep, and that no node is larger than it may be.
+// checkShape checks that all leaves have the same depth and that no node exceeds its maximum size.
 func checkShape(t *rapid.T, n *node) (depth int) {
 	if n.isLeaf() {
 		if len(n.records) > maxLeafBytes+maxKeyBytes+maxValueBytes {
@@ -95,7 +95,8 @@
 	return depth + 1
 }
 
-// generateChange draws from few names of unlike lengths, so that entries are replaced, deleted and spread over leaves.
+// generateChange draws from few names of different lengths, so that entries are replaced, deleted and spread
+// over leaves.
 func generateChange() *rapid.Generator[Change] {
 	return rapid.Custom(func(t *rapid.T) Change {
 		c := Change{
@@ -115,8 +116,8 @@
 	})
 }
 
-// A table is what a plain map is after the same changes, in batches of any size and with services replaced; earlier tables
-// stay as they were.
+// A table equals a plain map after the same changes, applied in batches of any size and with services
+// replaced. Earlier tables stay unchanged.
 func TestTableAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tables []Table
@@ -166,7 +167,7 @@
 	return table, index
 }
 
-// A batch with a fault changes nothing and names it.
+// A batch with an invalid change changes nothing, and the error names the invalid field or index.
 func TestApplyRefuses(t *testing.T) {
 	put := Change{Put, Tenant, "s", "n", Value{Tenant: TenantValue{1}}}
 	table, err := Table{}.Apply([]CommittedChange{{5, put}})
@@ -191,7 +192,8 @@
 	}
 }
 
-// sizedChange is the k-th entry of a table of the design's proportions: of 18 entries one is a route, and a service has 106.
+// sizedChange returns the k-th entry of a table with the proportions of the design: one of 18 entries is a
+// route, and a service has 106 entries.
 func sizedChange(k int) Change {
 	c := Change{Operation: Put, Kind: Tenant, Service: fmt.Sprintf("service-%05d", k/106)}
 	if k%18 == 0 {
@@ -217,7 +219,7 @@
 	return table
 }
 
-// changeAt puts a random entry anew.
+// changeAt replaces the value of a random entry.
 func changeAt(t testing.TB, table Table, entries, step int) Table {
 	change := sizedChange(rand.New(rand.NewPCG(uint64(step), 2)).IntN(entries))
 	change.Value.Tenant.QuotaPerSecond = 0
@@ -231,7 +233,7 @@
 	return table
 }
 
-// What a change allocates in a table a hundred times as large is less than twice as much.
+// A change in a table a hundred times as large allocates less than twice as many bytes.
 func TestCostOfChangeDoesNotGrow(t *testing.T) {
 	allocated := func(entries int) uint64 {
 		const steps = 2000
@@ -259,7 +261,7 @@
 			runtime.ReadMemStats(&before)
 			table := sizedTable(b, entries)
 			step := 0
-			for ; step < entries/2; step++ { // leaves as they are after a time of changes, not freshly packed
+			for ; step < entries/2; step++ { // fill leaves as a series of changes does, not freshly packed
 				table = changeAt(b, table, entries, step)
 			}
 			runtime.GC()
@@ -276,7 +278,8 @@
 	}
 }
 
-// processorTime is what the process has used, in nanoseconds: on a machine that others use too it tells more than the clock.
+// processorTime returns the CPU time of the process in nanoseconds. On a shared machine it varies less than
+// wall clock time.
 func processorTime(b *testing.B) int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/logic/configtable/tree.go
+++ b/logic/configtable/tree.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// maxChildren bounds the children of an inner node, which a change below it copies.
+// maxChildren limits the children of an inner node, which every change below the node copies.
 const maxChildren = 48
 
-// minChildren is the number below which a changed inner node is joined with a neighbour.
+// minChildren is the number below which a changed inner node is merged with a neighbour.
 const minChildren = maxChildren / 4
 
-// node is a part of an immutable tree: a leaf, which has a slab, or an inner node, which has children of one depth.
+// node is an immutable node of a B-tree: a leaf, which has records, or an inner node, whose children all have
+// the same depth.
 type node struct {
-	minKey   string // the lowest key below it
+	minKey   string // lowest key of the node and its descendants
 	records  []byte
 	children []*node
 }
@@ -22,7 +23,7 @@
 
 func newInner(children []*node) *node { return &node{minKey: children[0].minKey, children: children} }
 
-// childIndex returns the position of the child that has a key or would have it.
+// childIndex returns the index of the child whose key range contains key.
 func (n *node) childIndex(key []byte) int {
 	low, high := 0, len(n.children)
 	for high-low > 1 {
@@ -45,7 +46,7 @@
 
 func compareEditKeys(a, b recordEdit) int { return bytes.Compare(a.key, b.key) }
 
-// treeEditor applies edits to a tree and counts what they do. Its writer is kept from leaf to leaf.
+// treeEditor applies edits to a tree and counts their effects. It reuses its writer for all leaves.
 type treeEditor struct {
 	writer   leafWriter
 	entries  int    // added, less removed
@@ -53,7 +54,8 @@
 	digest   Digest // added, less removed
 }
 
-// apply returns the root of a tree with the edits, which are in order and name each key once. All nodes without edits are shared.
+// apply returns the root of a tree with the edits applied. The edits are sorted, with one edit per key. Nodes
+// without edits are shared with the old tree.
 func (e *treeEditor) apply(root *node, edits []recordEdit) *node {
 	var nodes []*node
 	if root == nil {
@@ -64,7 +66,8 @@
 	return buildRoot(nodes)
 }
 
-// buildRoot adds levels above nodes of one depth until there is one node, and takes off levels with one child.
+// buildRoot adds levels above nodes of equal depth until one root remains. It removes root levels with
+// only one child.
 func buildRoot(nodes []*node) *node {
 	for len(nodes) > 1 {
 		nodes = groupChildren(nil, nodes)
@@ -79,13 +82,13 @@
 	return root
 }
 
-// applyToNode appends the nodes that take the place of n, all of its depth: none, one or several.
+// applyToNode appends the nodes that replace n, none, one or several, all at the depth of n.
 func (e *treeEditor) applyToNode(dst []*node, n *node, edits []recordEdit) []*node {
 	if n.isLeaf() {
 		return e.applyToLeaf(dst, n, edits)
 	}
 	children := make([]*node, 0, len(n.children)+1)
-	handled, hasSmall := 0, false // kept counts the old children that are dealt with
+	handled, hasSmall := 0, false // kept is the number of old children already copied or replaced
 	for len(edits) > 0 {
 		position := n.childIndex(edits[0].key)
 		children = append(children, n.children[handled:position]...)
@@ -106,7 +109,7 @@
 	return groupChildren(dst, children)
 }
 
-// editsBefore returns how many of the edits have a key below low.
+// editsBefore returns the number of edits whose key is below minKey.
 func editsBefore(edits []recordEdit, minKey string) int {
 	position, _ := slices.BinarySearchFunc(edits, minKey, func(edit recordEdit, low string) int {
 		if string(edit.key) < low {
@@ -117,7 +120,7 @@
 	return position
 }
 
-// applyToLeaf merges the records of a leaf with the edits.
+// applyToLeaf merges the records of a leaf with the edits and appends the resulting leaves.
 func (e *treeEditor) applyToLeaf(dst []*node, leaf *node, edits []recordEdit) []*node {
 	e.writer.reset()
 	cursor := leafCursor{remaining: leaf.records}
@@ -148,7 +151,7 @@
 	e.countRecord(edit.key, edit.value, +1)
 }
 
-// countRecord counts a record that is added, with a sign of +1, or removed, with -1.
+// countRecord updates the counts and the digest for a record that is added (sign +1) or removed (sign -1).
 func (e *treeEditor) countRecord(key, value []byte, sign int) {
 	if isServiceKey(key) {
 		e.services += sign
@@ -158,7 +161,7 @@
 	e.digest += Digest(sign) * digestRecord(key, value)
 }
 
-// groupChildren appends inner nodes of about equal size with the children.
+// groupChildren distributes the children over inner nodes of about equal size and appends these.
 func groupChildren(dst []*node, children []*node) []*node {
 	if len(children) == 0 {
 		return dst
@@ -175,7 +178,8 @@
 	return dst
 }
 
-// mergeSmall joins, in place, small nodes with a neighbour where both fit into one, so that deletes don't leave a tree of crumbs.
+// mergeSmall merges, in place, small nodes with a neighbour where both fit into one node, so that deletions
+// do not leave many small nodes.
 func mergeSmall(nodes []*node) []*node {
 	merged := nodes[:0]
 	for _, next := range nodes {
@@ -198,7 +202,8 @@
 	return len(n.children) < minChildren
 }
 
-// fitsWith leaves room for what comes next, so that nodes are not joined and split in turn.
+// fitsWith reports whether the merged node is at most three quarters full, so that nodes are not merged and
+// split alternately.
 func (n *node) fitsWith(next *node) bool {
 	if n.isLeaf() {
 		return len(n.records)+len(next.records) <= maxLeafBytes*3/4
@@ -206,7 +211,8 @@
 	return len(n.children)+len(next.children) <= maxChildren*3/4
 }
 
-// merge makes one node of two. The first record of a slab shares nothing, so that slabs can follow each other in one.
+// merge returns one node with the contents of both. The first record of a leaf shares no bytes with a
+// previous key, so that the records of two leaves can be concatenated.
 func (n *node) merge(next *node) *node {
 	if n.isLeaf() {
 		return &node{minKey: n.minKey, records: slices.Concat(n.records, next.records)}
