--- a/store/configstore/errors.go
+++ b/store/configstore/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// DamageError reports a file whose contents do not match their checksum or their own rules.
-type DamageError struct {
+// CorruptionError reports a file whose contents do not match their checksum or their own rules.
+type CorruptionError struct {
 	Path   string
 	Offset int64
 	Reason string
 }
 
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s: byte %d: %s", e.Path, e.Offset, e.Reason)
 }
 
@@ -37,12 +37,12 @@
 
 // GapError reports a log that begins after the snapshot ends.
 type GapError struct {
-	Path            string
-	Begins, Reaches Version // where the log begins, and how far the snapshot reaches
+	Path                  string
+	LogStart, SnapshotEnd Version // where the log begins, and how far the snapshot reaches
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("%s: begins after index %d, the snapshot ends at %d", e.Path, e.Begins.Index, e.Reaches.Index)
+	return fmt.Sprintf("%s: begins after index %d, the snapshot ends at %d", e.Path, e.LogStart.Index, e.SnapshotEnd.Index)
 }
 
 // OrderError reports an entry that does not follow the last one.
--- a/store/configstore/files.go
+++ b/store/configstore/files.go
@@ -13,10 +13,10 @@
 
 // The files of a folder.
 const (
-	snapshotName  = "snapshot"
-	logName       = "log"
-	voteName      = "vote"
-	refusedSuffix = ".refused" // of a file moved aside; a later one takes its place
+	snapshotName   = "snapshot"
+	logName        = "log"
+	voteName       = "vote"
+	rejectedSuffix = ".refused" // of a file moved aside; a later one takes its place
 )
 
 const filePermissions, folderPermissions = 0o600, 0o700
@@ -46,8 +46,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// removePending removes what an interrupted replaceFile left.
-func removePending(folder string) error {
+// removeTemporaryFiles removes what an interrupted replaceFile left.
+func removeTemporaryFiles(folder string) error {
 	files, err := os.ReadDir(folder)
 	if err != nil {
 		return err
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// readFile calls read with an open file; it reports false if there is none. A file that read refuses is moved aside and reported
+// readOrReject calls read with an open file; it reports false if there is none. A file that read refuses is moved aside and reported
 // in refused; other errors are returned.
-func readFile(path string, refused *[]RejectedFile, read func(file *os.File) error) (found bool, err error) {
+func readOrReject(path string, rejected *[]RejectedFile, read func(file *os.File) error) (exists bool, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -79,26 +79,26 @@
 	if err == nil {
 		return true, nil
 	}
-	if !isRefusal(err) {
+	if !isRejection(err) {
 		return false, err
 	}
-	return false, moveAside(path, err, refused)
+	return false, moveAside(path, err, rejected)
 }
 
-// isRefusal reports whether an error tells of a file's contents rather than of the file system.
-func isRefusal(err error) bool {
-	var damage *DamageError
+// isRejection reports whether an error tells of a file's contents rather than of the file system.
+func isRejection(err error) bool {
+	var corruption *CorruptionError
 	var format *FormatError
 	var owner *OwnerError
 	var gap *GapError
-	return errors.As(err, &damage) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
+	return errors.As(err, &corruption) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
 }
 
-func moveAside(path string, why error, refused *[]RejectedFile) error {
-	aside := path + refusedSuffix
+func moveAside(path string, reason error, rejected *[]RejectedFile) error {
+	aside := path + rejectedSuffix
 	if err := os.Rename(path, aside); err != nil {
 		return err
 	}
-	*refused = append(*refused, RejectedFile{Err: why, MovedTo: aside})
+	*rejected = append(*rejected, RejectedFile{Err: reason, MovedTo: aside})
 	return syncFolder(filepath.Dir(path))
 }
--- a/store/configstore/format.go
+++ b/store/configstore/format.go
@@ -10,9 +10,9 @@
 // Every file begins with a header: the magic, a format, what the file is, the app server's name, a version, and a CRC-32C of all
 // of that. Whole numbers are little-endian.
 const (
-	magic        = "vgcs"
-	formatNumber = 1
-	maxOwner     = 255 // bytes of an app server's name
+	magic         = "vgcs"
+	formatNumber  = 1
+	maxOwnerBytes = 255 // bytes of an app server's name
 )
 
 // fileKind is what a file is.
@@ -27,9 +27,9 @@
 // checksumBytes is the size of a CRC-32C.
 const checksumBytes = 4
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
+func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoliTable) }
 
 // header is what a file says of itself.
 type header struct {
@@ -78,61 +78,61 @@
 	if err != nil {
 		return r.buffer[:got], err
 	}
-	r.sum = crc32.Update(r.sum, castagnoli, r.buffer)
+	r.sum = crc32.Update(r.sum, castagnoliTable, r.buffer)
 	return r.buffer, nil
 }
 
-// need is read where the file may not end: its end is a *DamageError.
-func (r *fileReader) need(size int) ([]byte, error) {
+// readFull is read where the file may not end: its end is a *CorruptionError.
+func (r *fileReader) readFull(size int) ([]byte, error) {
 	data, err := r.read(size)
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return nil, r.damage("the file ends too early")
+		return nil, r.corruption("the file ends too early")
 	}
 	return data, err
 }
 
 func (r *fileReader) uint64() (uint64, error) {
-	data, err := r.need(8)
+	data, err := r.readFull(8)
 	if err != nil {
 		return 0, err
 	}
 	return binary.LittleEndian.Uint64(data), nil
 }
 
-// checkSum reads a checksum and compares it with that of everything before it.
-func (r *fileReader) checkSum() error {
+// verifyChecksum reads a checksum and compares it with that of everything before it.
+func (r *fileReader) verifyChecksum() error {
 	want := r.sum
-	data, err := r.need(checksumBytes)
+	data, err := r.readFull(checksumBytes)
 	if err != nil {
 		return err
 	}
 	if binary.LittleEndian.Uint32(data) != want {
-		return r.damage("wrong checksum")
+		return r.corruption("wrong checksum")
 	}
 	return nil
 }
 
-// checkEnd checks that the file ends here.
-func (r *fileReader) checkEnd() error {
+// expectEOF checks that the file ends here.
+func (r *fileReader) expectEOF() error {
 	switch _, err := r.source.ReadByte(); err {
 	case io.EOF:
 		return nil
 	case nil:
-		return r.damage("bytes follow the end")
+		return r.corruption("bytes follow the end")
 	default:
 		return err
 	}
 }
 
-func (r *fileReader) damage(reason string) error {
-	return &DamageError{Path: r.path, Offset: r.offset, Reason: reason}
+func (r *fileReader) corruption(reason string) error {
+	return &CorruptionError{Path: r.path, Offset: r.offset, Reason: reason}
 }
 
 // header reads the header of a file of a kind and an owner, and returns its version. The format is looked at first, the owner
 // only once the checksum is right.
 func (r *fileReader) header(kind fileKind, owner string) (Version, error) {
 	var version Version
-	start, err := r.need(len(magic) + 4 + 2)
+	start, err := r.readFull(len(magic) + 4 + 2)
 	if err != nil {
 		return version, err
 	}
@@ -142,22 +142,22 @@
 	if format := binary.LittleEndian.Uint32(start[len(magic):]); format != formatNumber {
 		return version, &FormatError{Path: r.path, Format: format}
 	}
-	data, err := r.need(int(start[len(magic)+5]))
+	data, err := r.readFull(int(start[len(magic)+5]))
 	if err != nil {
 		return version, err
 	}
-	found := string(data)
+	foundOwner := string(data)
 	if version.Term, err = r.uint64(); err != nil {
 		return version, err
 	}
 	if version.Index, err = r.uint64(); err != nil {
 		return version, err
 	}
-	if err = r.checkSum(); err != nil {
+	if err = r.verifyChecksum(); err != nil {
 		return version, err
 	}
-	if found != owner {
-		return version, &OwnerError{Path: r.path, Owner: found, Want: owner}
+	if foundOwner != owner {
+		return version, &OwnerError{Path: r.path, Owner: foundOwner, Want: owner}
 	}
 	return version, nil
 }
--- a/store/configstore/fuzz_test.go
+++ b/store/configstore/fuzz_test.go
@@ -17,7 +17,7 @@
 		whole := appendChecksum(append(bytes.Clone(head), body...))
 		table, version, err := readSnapshot("f", bytes.NewReader(whole), owner)
 		if err != nil {
-			if !isRefusal(err) || table.Len() > 0 {
+			if !isRejection(err) || table.Len() > 0 {
 				t.Fatalf("%v with %v", table, err)
 			}
 			return
@@ -40,12 +40,12 @@
 	f.Add(records, byte(0))
 	f.Fuzz(func(t *testing.T, body []byte, start byte) {
 		snapshot := Version{Index: uint64(start)}
-		scan, err := newLogScan("f", bytes.NewReader(append(bytes.Clone(head), body...)), owner, snapshot)
+		scan, err := newLogScanner("f", bytes.NewReader(append(bytes.Clone(head), body...)), owner, snapshot)
 		must(t, err)
 		for last := snapshot; ; last = scan.last {
 			got, at, err := scan.next()
 			if err != nil {
-				if err != io.EOF && !errors.Is(err, errTorn) && !isRefusal(err) {
+				if err != io.EOF && !errors.Is(err, errTornRecord) && !isRejection(err) {
 					t.Fatal(err)
 				}
 				return
--- a/store/configstore/record.go
+++ b/store/configstore/record.go
@@ -12,8 +12,8 @@
 const (
 	recordHeaderBytes = 3 * checksumBytes
 	bodyFixedBytes    = 3*8 + 1
-	maxService        = 255
-	maxBodyBytes      = bodyFixedBytes + maxService + MaxPayloadBytes
+	maxServiceBytes   = 255
+	maxBodyBytes      = bodyFixedBytes + maxServiceBytes + MaxPayloadBytes
 )
 
 // appendRecord appends the record of an entry whose service and payload are within their bounds.
@@ -33,10 +33,10 @@
 	return to
 }
 
-// errTorn tells that the log ends in a record that was not written whole.
-var errTorn = errors.New("torn record")
+// errTornRecord tells that the log ends in a record that was not written whole.
+var errTornRecord = errors.New("torn record")
 
-// record reads the next record of a log. Its end is io.EOF; errTorn stands for a last record that was not written whole: the
+// record reads the next record of a log. Its end is io.EOF; errTornRecord stands for a last record that was not written whole: the
 // file ends within it, or it fails its checksum and nothing but zeros, as of blocks never written, follows it.
 func (r *fileReader) record() (Entry, error) {
 	head, err := r.read(recordHeaderBytes)
@@ -44,7 +44,7 @@
 		return Entry{}, io.EOF
 	}
 	if err == io.ErrUnexpectedEOF {
-		return Entry{}, errTorn
+		return Entry{}, errTornRecord
 	}
 	if err != nil {
 		return Entry{}, err
@@ -52,20 +52,20 @@
 	size := binary.LittleEndian.Uint32(head)
 	sum := binary.LittleEndian.Uint32(head[checksumBytes:])
 	if checksum(head[:2*checksumBytes]) != binary.LittleEndian.Uint32(head[2*checksumBytes:]) {
-		return Entry{}, r.tornOrDamaged("wrong checksum of a record's header")
+		return Entry{}, r.tornOrCorrupt("wrong checksum of a record's header")
 	}
 	if size < bodyFixedBytes || size > maxBodyBytes {
-		return Entry{}, r.damage("a record has a length that none has")
+		return Entry{}, r.corruption("a record has a length that none has")
 	}
 	body, err := r.read(int(size))
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return Entry{}, errTorn
+		return Entry{}, errTornRecord
 	}
 	if err != nil {
 		return Entry{}, err
 	}
 	if checksum(body) != sum {
-		return Entry{}, r.tornOrDamaged("wrong checksum of a record")
+		return Entry{}, r.tornOrCorrupt("wrong checksum of a record")
 	}
 	return r.decodeBody(body)
 }
@@ -79,26 +79,26 @@
 	size := int(body[bodyFixedBytes-1])
 	rest := body[bodyFixedBytes:]
 	if size > len(rest) {
-		return Entry{}, r.damage("a record is shorter than its service")
+		return Entry{}, r.corruption("a record is shorter than its service")
 	}
 	entry.Service = string(rest[:size])
 	entry.Payload = rest[size:]
 	return entry, nil
 }
 
-// tornOrDamaged reads to the end of the file: errTorn if only zeros are left, else a *DamageError.
-func (r *fileReader) tornOrDamaged(reason string) error {
-	damage := r.damage(reason)
+// tornOrCorrupt reads to the end of the file: errTornRecord if only zeros are left, else a *CorruptionError.
+func (r *fileReader) tornOrCorrupt(reason string) error {
+	corruption := r.corruption(reason)
 	for {
-		one, err := r.source.ReadByte()
+		b, err := r.source.ReadByte()
 		if err == io.EOF {
-			return errTorn
+			return errTornRecord
 		}
 		if err != nil {
 			return err
 		}
-		if one != 0 {
-			return damage
+		if b != 0 {
+			return corruption
 		}
 	}
 }
--- a/store/configstore/snapshot.go
+++ b/store/configstore/snapshot.go
@@ -19,7 +19,7 @@
 
 // writeSnapshot writes a snapshot of a table.
 func writeSnapshot(to io.Writer, owner string, table configtable.Table, version Version) error {
-	sum := crc32.New(castagnoli)
+	sum := crc32.New(castagnoliTable)
 	out := bufio.NewWriterSize(io.MultiWriter(to, sum), 64<<10)
 	out.Write(header{snapshotFile, owner, version}.encode()) // errors of a bufio.Writer stay until Flush
 	var record []byte
@@ -80,7 +80,7 @@
 
 // record reads one record and reports whether it is the tag of the end.
 func (r *snapshotReader) record() (done bool, err error) {
-	tag, err := r.need(1)
+	tag, err := r.readFull(1)
 	if err != nil {
 		return false, err
 	}
@@ -92,7 +92,7 @@
 	case endTag:
 		return true, nil
 	}
-	return false, r.damage("no record begins here")
+	return false, r.corruption("no record begins here")
 }
 
 func (r *snapshotReader) addService() error {
@@ -100,27 +100,27 @@
 	if err != nil {
 		return err
 	}
-	size, err := r.need(1)
+	size, err := r.readFull(1)
 	if err != nil {
 		return err
 	}
-	name, err := r.need(int(size[0]))
+	name, err := r.readFull(int(size[0]))
 	if err != nil {
 		return err
 	}
 	r.service = string(name)
 	if err := r.builder.AddService(r.service, lastIndex); err != nil {
-		return r.damage(err.Error())
+		return r.corruption(err.Error())
 	}
 	return nil
 }
 
 func (r *snapshotReader) addEntry() error {
-	size, err := r.need(2)
+	size, err := r.readFull(2)
 	if err != nil {
 		return err
 	}
-	data, err := r.need(int(binary.LittleEndian.Uint16(size)))
+	data, err := r.readFull(int(binary.LittleEndian.Uint16(size)))
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 		err = r.builder.Add(entry)
 	}
 	if err != nil {
-		return r.damage(err.Error())
+		return r.corruption(err.Error())
 	}
 	return nil
 }
@@ -144,15 +144,15 @@
 	if err != nil {
 		return configtable.Table{}, err
 	}
-	if err := r.checkSum(); err != nil {
+	if err := r.verifyChecksum(); err != nil {
 		return configtable.Table{}, err
 	}
-	if err := r.checkEnd(); err != nil {
+	if err := r.expectEOF(); err != nil {
 		return configtable.Table{}, err
 	}
 	table := r.builder.Table()
 	if uint64(table.Len()) != entries || uint64(table.Digest()) != digest {
-		return configtable.Table{}, r.damage("the entries are not those that were written")
+		return configtable.Table{}, r.corruption("the entries are not those that were written")
 	}
 	return table, nil
 }
--- a/store/configstore/store.go
+++ b/store/configstore/store.go
@@ -30,14 +30,14 @@
 
 // Store is the folder of one app server. Its methods are not safe for concurrent use, but for WriteSnapshot.
 type Store struct {
-	folder  string
-	owner   string
-	version Version  // of the snapshot that the log goes on from
-	last    Version  // of the last entry, or of the snapshot
-	log     *os.File // open for reading and writing
-	end     int64    // of the log's last record
-	failed  error    // of a write whose outcome is not known: nothing is written after it
-	scratch []byte
+	folder          string
+	owner           string
+	snapshotVersion Version  // of the snapshot that the log goes on from
+	last            Version  // of the last entry, or of the snapshot
+	log             *os.File // open for reading and writing
+	logEnd          int64    // of the log's last record
+	failure         error    // of a write whose outcome is not known: nothing is written after it
+	appendBuffer    []byte
 }
 
 // ReadEntries calls visit for each entry after the snapshot whose index is at least from, in order, until visit returns an
@@ -65,41 +65,41 @@
 }
 
 // scan reads the open log up to its last whole record.
-func (s *Store) scan() (*logScan, error) {
-	return newLogScan(s.log.Name(), io.NewSectionReader(s.log, 0, s.end), s.owner, s.version)
+func (s *Store) scan() (*logScanner, error) {
+	return newLogScanner(s.log.Name(), io.NewSectionReader(s.log, 0, s.logEnd), s.owner, s.snapshotVersion)
 }
 
 // Append writes entries at the end of the log; they are durable after Sync. An entry that does not follow the last one gives
 // an *OrderError, one that is too large a *SizeError, and nothing is written.
 func (s *Store) Append(entries []Entry) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	last := s.last
-	s.scratch = s.scratch[:0]
+	s.appendBuffer = s.appendBuffer[:0]
 	for _, entry := range entries {
 		next := Version{Term: entry.Term, Index: entry.Index}
 		if next.Index <= last.Index || next.Term < last.Term {
 			return &OrderError{Last: last, Next: next}
 		}
-		if len(entry.Service) > maxService || len(entry.Payload) > MaxPayloadBytes {
+		if len(entry.Service) > maxServiceBytes || len(entry.Payload) > MaxPayloadBytes {
 			return &SizeError{Service: len(entry.Service), Payload: len(entry.Payload)}
 		}
-		s.scratch = appendRecord(s.scratch, entry)
+		s.appendBuffer = appendRecord(s.appendBuffer, entry)
 		last = next
 	}
-	if _, err := s.log.WriteAt(s.scratch, s.end); err != nil {
+	if _, err := s.log.WriteAt(s.appendBuffer, s.logEnd); err != nil {
 		return s.undoAppend(err)
 	}
 	s.last = last
-	s.end += int64(len(s.scratch))
+	s.logEnd += int64(len(s.appendBuffer))
 	return nil
 }
 
 // undoAppend cuts off what a failed write left; if that fails too, the store writes nothing any more.
 func (s *Store) undoAppend(err error) error {
-	if undo := s.cutLog(s.end); undo != nil {
-		s.failed = undo
+	if undo := s.truncateLog(s.logEnd); undo != nil {
+		s.failure = undo
 	}
 	return err
 }
@@ -107,21 +107,21 @@
 // Sync makes what was appended durable. After a failure the store writes nothing any more, as it is not known what is durable;
 // it is to be opened again.
 func (s *Store) Sync() error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
-	s.failed = s.log.Sync()
-	return s.failed
+	s.failure = s.log.Sync()
+	return s.failure
 }
 
 // Truncate removes the entries from an index on, durably. Entries that the snapshot contains can not be removed: that is an
 // *OrderError.
 func (s *Store) Truncate(from uint64) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
-	if from <= s.version.Index {
-		return &OrderError{Last: s.version, Next: Version{Index: from}}
+	if from <= s.snapshotVersion.Index {
+		return &OrderError{Last: s.snapshotVersion, Next: Version{Index: from}}
 	}
 	if from > s.last.Index {
 		return nil
@@ -134,10 +134,10 @@
 	if err != nil {
 		return err
 	}
-	if s.failed = s.cutLog(end); s.failed != nil {
-		return s.failed
+	if s.failure = s.truncateLog(end); s.failure != nil {
+		return s.failure
 	}
-	s.end, s.last = end, last
+	s.logEnd, s.last = end, last
 	return nil
 }
 
@@ -152,8 +152,8 @@
 // WriteSnapshot is the first step of Compact. It may run while other methods do, but TrimLog and Install; version must not be
 // below that of the snapshot that is there.
 func (s *Store) WriteSnapshot(table configtable.Table, version Version) error {
-	if version.Index < s.version.Index || version.Term < s.version.Term {
-		return &OrderError{Last: s.version, Next: version}
+	if version.Index < s.snapshotVersion.Index || version.Term < s.snapshotVersion.Term {
+		return &OrderError{Last: s.snapshotVersion, Next: version}
 	}
 	return replaceFile(s.path(snapshotName), func(to io.Writer) error {
 		return writeSnapshot(to, s.owner, table, version)
@@ -162,8 +162,8 @@
 
 // TrimLog is the second step of Compact: it drops the log's entries that the snapshot of a version contains.
 func (s *Store) TrimLog(version Version) error {
-	if s.failed != nil {
-		return s.failed
+	if s.failure != nil {
+		return s.failure
 	}
 	scan, err := s.scan()
 	if err != nil {
@@ -174,7 +174,7 @@
 		return err
 	}
 	return s.replaceLog(version, func(to io.Writer) error {
-		_, err := io.Copy(to, io.NewSectionReader(s.log, from, s.end-from))
+		_, err := io.Copy(to, io.NewSectionReader(s.log, from, s.logEnd-from))
 		return err
 	})
 }
@@ -182,8 +182,8 @@
 // InstallSnapshot replaces everything by a snapshot from another app server: no entry after it is kept. The vote stays. Entries that are
 // not in the snapshot go first, so that an interrupted InstallSnapshot leaves none of them after it.
 func (s *Store) InstallSnapshot(table configtable.Table, version Version) error {
-	if version.Index < s.version.Index || version.Term < s.version.Term {
-		return &OrderError{Last: s.version, Next: version}
+	if version.Index < s.snapshotVersion.Index || version.Term < s.snapshotVersion.Term {
+		return &OrderError{Last: s.snapshotVersion, Next: version}
 	}
 	if err := s.Truncate(version.Index + 1); err != nil {
 		return err
@@ -201,39 +201,39 @@
 		return write(to)
 	})
 	if err != nil {
-		if s.log != nil && !s.isLogInPlace() {
-			s.failed = err
+		if s.log != nil && !s.isLogCurrent() {
+			s.failure = err
 		}
 		return err
 	}
-	if s.failed = s.openLog(); s.failed != nil {
-		return s.failed
+	if s.failure = s.openLog(); s.failure != nil {
+		return s.failure
 	}
 	info, err := s.log.Stat()
 	if err != nil {
-		s.failed = err
+		s.failure = err
 		return err
 	}
-	s.version, s.end = version, info.Size()
+	s.snapshotVersion, s.logEnd = version, info.Size()
 	if s.last.Index <= version.Index {
 		s.last = version
 	}
 	return nil
 }
 
-// isLogInPlace reports whether the open log is still the one in the folder: what is written to another would be lost.
-func (s *Store) isLogInPlace() bool {
-	there, err := os.Stat(s.path(logName))
+// isLogCurrent reports whether the open log is still the one in the folder: what is written to another would be lost.
+func (s *Store) isLogCurrent() bool {
+	onDisk, err := os.Stat(s.path(logName))
 	if err != nil {
 		return false
 	}
-	open, err := s.log.Stat()
-	return err == nil && os.SameFile(there, open)
+	opened, err := s.log.Stat()
+	return err == nil && os.SameFile(onDisk, opened)
 }
 
 // SaveVote replaces the vote, durably.
 func (s *Store) SaveVote(vote Vote) error {
-	if len(vote.Candidate) > maxOwner {
+	if len(vote.Candidate) > maxOwnerBytes {
 		return &NameError{Name: vote.Candidate}
 	}
 	return replaceFile(s.path(voteName), func(to io.Writer) error {
@@ -243,7 +243,7 @@
 }
 
 // LogBytes returns the size of the log file, for the decision when to compact.
-func (s *Store) LogBytes() int64 { return s.end }
+func (s *Store) LogBytes() int64 { return s.logEnd }
 
 // Close closes the log file without making it durable.
 func (s *Store) Close() error { return s.log.Close() }
--- a/store/configstore/store_test.go
+++ b/store/configstore/store_test.go
@@ -194,7 +194,7 @@
 			}
 			moved := ""
 			for _, one := range found.RejectedFiles {
-				moved += filepath.Base(one.MovedTo[:len(one.MovedTo)-len(refusedSuffix)])
+				moved += filepath.Base(one.MovedTo[:len(one.MovedTo)-len(rejectedSuffix)])
 			}
 			if last != want || moved != refused || (found.Vote == Vote{9, "n2"}) == (name == voteName) {
 				t.Fatalf("%s byte %d: %d entries, vote %v, refused %v", name, at, last, found.Vote, found.RejectedFiles)
--- a/store/configstore/vote.go
+++ b/store/configstore/vote.go
@@ -26,19 +26,19 @@
 	if err != nil {
 		return Vote{}, err
 	}
-	size, err := r.need(1)
+	size, err := r.readFull(1)
 	if err != nil {
 		return Vote{}, err
 	}
-	name, err := r.need(int(size[0]))
+	name, err := r.readFull(int(size[0]))
 	if err != nil {
 		return Vote{}, err
 	}
 	vote := Vote{Term: version.Term, Candidate: string(name)}
-	if err := r.checkSum(); err != nil {
+	if err := r.verifyChecksum(); err != nil {
 		return Vote{}, err
 	}
-	if err := r.checkEnd(); err != nil {
+	if err := r.expectEOF(); err != nil {
 		return Vote{}, err
 	}
 	return vote, nil
