--- a/store/configstore/files.go
+++ b/store/configstore/files.go
@@ -11,17 +11,18 @@
 	"github.com/google/renameio/v2"
 )
 
-// The files of a folder.
+// Names of the files in a store's folder.
 const (
 	snapshotName   = "snapshot"
 	logName        = "log"
 	voteName       = "vote"
-	rejectedSuffix = ".refused" // of a file moved aside; a later one takes its place
+	rejectedSuffix = ".refused" // of a file that was moved aside; replaces an earlier one
 )
 
 const filePermissions, folderPermissions = 0o600, 0o700
 
-// replaceFile writes a file whole, durably: after a crash there is the former one or the new one.
+// replaceFile replaces a file atomically and durably: it writes and fsyncs a temporary file and renames it. After a
+// crash the file has either its old or its new contents.
 func replaceFile(path string, write func(to io.Writer) error) error {
 	pending, err := renameio.NewPendingFile(path, renameio.WithTempDir(filepath.Dir(path)), renameio.WithPermissions(filePermissions))
 	if err != nil {
@@ -37,7 +38,7 @@
 	return syncFolder(filepath.Dir(path))
 }
 
-// syncFolder makes the names in a folder durable.
+// syncFolder fsyncs a folder, so that renames and new files in it are durable.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// removeTemporaryFiles removes what an interrupted replaceFile left.
+// removeTemporaryFiles removes the temporary files of interrupted replaceFile calls.
 func removeTemporaryFiles(folder string) error {
 	files, err := os.ReadDir(folder)
 	if err != nil {
@@ -64,8 +65,9 @@
 	return nil
 }
 
-// readOrReject calls read with an open file; it reports false if there is none. A file that read refuses is moved aside and reported
-// in refused; other errors are returned.
+// readOrReject opens a file and calls read with it. It reports whether the file was read: if it is absent, or if read
+// rejects its contents, the result is false. A rejected file is moved aside and appended to rejected; other errors
+// are returned.
 func readOrReject(path string, rejected *[]RejectedFile, read func(file *os.File) error) (exists bool, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -85,7 +87,7 @@
 	return false, moveAside(path, err, rejected)
 }
 
-// isRejection reports whether an error tells of a file's contents rather than of the file system.
+// isRejection reports whether an error is about a file's contents rather than from the file system.
 func isRejection(err error) bool {
 	var corruption *CorruptionError
 	var format *FormatError
@@ -94,6 +96,7 @@
 	return errors.As(err, &corruption) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
 }
 
+// moveAside renames a rejected file and appends it to rejected.
 func moveAside(path string, reason error, rejected *[]RejectedFile) error {
 	aside := path + rejectedSuffix
 	if err := os.Rename(path, aside); err != nil {
--- a/store/configstore/format.go
+++ b/store/configstore/format.go
@@ -7,15 +7,15 @@
 	"io"
 )
 
-// Every file begins with a header: the magic, a format, what the file is, the app server's name, a version, and a CRC-32C of all
-// of that. Whole numbers are little-endian.
+// Every file begins with a header: the magic bytes, the format version, the file kind, the length and bytes of the app
+// server's name, the term and index of a log version, and a CRC-32C of all of these. Integers are little-endian.
 const (
 	magic         = "vgcs"
 	formatNumber  = 1
 	maxOwnerBytes = 255 // bytes of an app server's name
 )
 
-// fileKind is what a file is.
+// fileKind identifies the purpose of a file.
 type fileKind byte
 
 const (
@@ -31,14 +31,14 @@
 
 func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoliTable) }
 
-// header is what a file says of itself.
+// header is the content of a file's header.
 type header struct {
 	kind    fileKind
 	owner   string
-	version Version // of a snapshot; where a log begins; a vote has the term only
+	version Version // last version in a snapshot; version before a log's entries; a vote has only a term
 }
 
-// encode returns the bytes of the header.
+// encode returns the encoded header with its checksum.
 func (h header) encode() []byte {
 	data := append([]byte(magic), 0, 0, 0, 0)
 	binary.LittleEndian.PutUint32(data[len(magic):], formatNumber)
@@ -49,12 +49,13 @@
 	return appendChecksum(data)
 }
 
-// appendChecksum appends the checksum of what is there.
+// appendChecksum appends the checksum of data.
 func appendChecksum(data []byte) []byte {
 	return binary.LittleEndian.AppendUint32(data, checksum(data))
 }
 
-// fileReader reads a file from its beginning, in little memory, with a running checksum and offset.
+// fileReader reads a file sequentially through a small buffer. It maintains the offset and the checksum of all bytes
+// read.
 type fileReader struct {
 	path   string
 	source *bufio.Reader
@@ -67,7 +68,7 @@
 	return &fileReader{path: path, source: bufio.NewReaderSize(source, 64<<10)}
 }
 
-// read returns the next size bytes, valid until the next read. The error is that of io.ReadFull.
+// read returns the next size bytes, valid until the next read. It returns the errors of io.ReadFull.
 func (r *fileReader) read(size int) ([]byte, error) {
 	if cap(r.buffer) < size {
 		r.buffer = make([]byte, size)
@@ -82,11 +83,11 @@
 	return r.buffer, nil
 }
 
-// readFull is read where the file may not end: its end is a *CorruptionError.
+// readFull is like read, but returns a *CorruptionError if the file ends early.
 func (r *fileReader) readFull(size int) ([]byte, error) {
 	data, err := r.read(size)
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return nil, r.corruption("the file ends too early")
+		return nil, r.corruption("unexpected end of file")
 	}
 	return data, err
 }
@@ -99,7 +100,7 @@
 	return binary.LittleEndian.Uint64(data), nil
 }
 
-// verifyChecksum reads a checksum and compares it with that of everything before it.
+// verifyChecksum reads a checksum and compares it with that of all bytes before it.
 func (r *fileReader) verifyChecksum() error {
 	want := r.sum
 	data, err := r.readFull(checksumBytes)
@@ -107,18 +108,18 @@
 		return err
 	}
 	if binary.LittleEndian.Uint32(data) != want {
-		return r.corruption("wrong checksum")
+		return r.corruption("checksum mismatch")
 	}
 	return nil
 }
 
-// expectEOF checks that the file ends here.
+// expectEOF returns a *CorruptionError unless the file ends at the offset.
 func (r *fileReader) expectEOF() error {
 	switch _, err := r.source.ReadByte(); err {
 	case io.EOF:
 		return nil
 	case nil:
-		return r.corruption("bytes follow the end")
+		return r.corruption("extra bytes after the end")
 	default:
 		return err
 	}
@@ -128,8 +129,8 @@
 	return &CorruptionError{Path: r.path, Offset: r.offset, Reason: reason}
 }
 
-// header reads the header of a file of a kind and an owner, and returns its version. The format is looked at first, the owner
-// only once the checksum is right.
+// header reads the header of a file, checks its kind and owner and returns its version. It checks the format first,
+// as other formats may differ in the rest, and the owner only after the checksum.
 func (r *fileReader) header(kind fileKind, owner string) (Version, error) {
 	var version Version
 	start, err := r.readFull(len(magic) + 4 + 2)
--- a/store/configstore/logfile.go
+++ b/store/configstore/logfile.go
@@ -6,16 +6,16 @@
 	"os"
 )
 
-// logScanner reads a log from its beginning. Entries that the snapshot contains are passed over.
+// logScanner reads a log from its beginning. It skips entries that the snapshot contains.
 type logScanner struct {
 	*fileReader
 	snapshot Version
 	last     Version // of the last entry read, or of the snapshot
 	logStart Version // from the header
-	previous uint64  // index of the last record, passed over or not
+	previous uint64  // index of the last record, skipped or not
 }
 
-// newLogScanner reads the header of a log.
+// newLogScanner reads the header of a log. It returns a *GapError if the log begins after the snapshot ends.
 func newLogScanner(path string, source io.Reader, owner string, snapshot Version) (*logScanner, error) {
 	scan := &logScanner{fileReader: newFileReader(path, source), snapshot: snapshot, last: snapshot}
 	logStart, err := scan.header(logFile, owner)
@@ -29,8 +29,8 @@
 	return scan, nil
 }
 
-// next returns the next entry after the snapshot and the offset of its record. The error is io.EOF at the end, errTornRecord for a torn
-// last record, which begins at the offset, a *CorruptionError, or that of the file system.
+// next returns the next entry after the snapshot and the offset of its record. The error is io.EOF at the end of the
+// log, errTornRecord for a torn last record, which begins at the offset, a *CorruptionError, or a file system error.
 func (s *logScanner) next() (Entry, int64, error) {
 	for {
 		offset := s.offset
@@ -39,22 +39,22 @@
 			return Entry{}, offset, err
 		}
 		if entry.Index <= s.previous {
-			return Entry{}, offset, s.corruption("a record's index is not above that of the one before it")
+			return Entry{}, offset, s.corruption("a record's index is not above that of the previous record")
 		}
 		s.previous = entry.Index
 		if entry.Index <= s.snapshot.Index {
 			continue
 		}
 		if entry.Term < s.last.Term {
-			return Entry{}, offset, s.corruption("a record's term is below that of the one before it")
+			return Entry{}, offset, s.corruption("a record's term is below that of the previous record")
 		}
 		s.last = Version{Term: entry.Term, Index: entry.Index}
 		return entry, offset, nil
 	}
 }
 
-// scanTo reads entries until one has at least an index, and returns the offset of its record, or of the log's end, and the
-// version before it.
+// scanTo reads up to the first entry whose index is at least index. It returns the offset of the entry's record, or
+// the end of the log if there is none, and the version before it.
 func (s *logScanner) scanTo(index uint64) (int64, Version, error) {
 	for {
 		before := s.last
@@ -71,15 +71,15 @@
 	}
 }
 
-// logState is what a whole scan of a log found.
+// logState is the result of reading a log to its end.
 type logState struct {
 	last      Version
 	entries   int
-	end       int64 // of the last whole record
-	tornBytes int64 // bytes after it
+	end       int64 // end of the last intact record
+	tornBytes int64 // bytes of a torn record after end
 }
 
-// checkLog reads a whole log.
+// checkLog reads and checks a log to its end.
 func checkLog(file *os.File, owner string, snapshot Version) (logState, error) {
 	scan, err := newLogScanner(file.Name(), file, owner, snapshot)
 	if err != nil {
--- a/store/configstore/record.go
+++ b/store/configstore/record.go
@@ -6,9 +6,9 @@
 	"io"
 )
 
-// A record of the log is a header and a body. The header is the body's length, the body's CRC-32C, and a CRC-32C of those two, so
-// that a damaged length is told from the end of an interrupted write. The body is term, index and previous index, the length of
-// the service and the service, and the payload.
+// A log record has a header and a body. The header is the body's length, the body's CRC-32C and a CRC-32C of these two.
+// The header's own checksum distinguishes a corrupt length from a torn write. The body is the term, the index, the
+// previous index of the service, the length and bytes of the service, and the payload.
 const (
 	recordHeaderBytes = 3 * checksumBytes
 	bodyFixedBytes    = 3*8 + 1
@@ -16,7 +16,7 @@
 	maxBodyBytes      = bodyFixedBytes + maxServiceBytes + MaxPayloadBytes
 )
 
-// appendRecord appends the record of an entry whose service and payload are within their bounds.
+// appendRecord appends the record of an entry. The caller has checked the sizes of service and payload.
 func appendRecord(to []byte, entry Entry) []byte {
 	start := len(to)
 	to = append(to, make([]byte, recordHeaderBytes)...)
@@ -33,11 +33,12 @@
 	return to
 }
 
-// errTornRecord tells that the log ends in a record that was not written whole.
+// errTornRecord reports that the last record of the log was written incompletely.
 var errTornRecord = errors.New("torn record")
 
-// record reads the next record of a log. Its end is io.EOF; errTornRecord stands for a last record that was not written whole: the
-// file ends within it, or it fails its checksum and nothing but zeros, as of blocks never written, follows it.
+// record reads the next record of a log. It returns io.EOF at the end of the log, and errTornRecord for a torn last
+// record: either the file ends within it, or its checksum is wrong and only zeros follow, as in blocks that were
+// allocated and never written.
 func (r *fileReader) record() (Entry, error) {
 	head, err := r.read(recordHeaderBytes)
 	if err == io.EOF {
@@ -52,10 +53,10 @@
 	size := binary.LittleEndian.Uint32(head)
 	sum := binary.LittleEndian.Uint32(head[checksumBytes:])
 	if checksum(head[:2*checksumBytes]) != binary.LittleEndian.Uint32(head[2*checksumBytes:]) {
-		return Entry{}, r.tornOrCorrupt("wrong checksum of a record's header")
+		return Entry{}, r.tornOrCorrupt("checksum mismatch in a record's header")
 	}
 	if size < bodyFixedBytes || size > maxBodyBytes {
-		return Entry{}, r.corruption("a record has a length that none has")
+		return Entry{}, r.corruption("a record's length is out of range")
 	}
 	body, err := r.read(int(size))
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
@@ -65,11 +66,12 @@
 		return Entry{}, err
 	}
 	if checksum(body) != sum {
-		return Entry{}, r.tornOrCorrupt("wrong checksum of a record")
+		return Entry{}, r.tornOrCorrupt("checksum mismatch in a record")
 	}
 	return r.decodeBody(body)
 }
 
+// decodeBody decodes the body of a record; the entry's payload aliases it.
 func (r *fileReader) decodeBody(body []byte) (Entry, error) {
 	entry := Entry{
 		Term:     binary.LittleEndian.Uint64(body),
@@ -79,14 +81,15 @@
 	size := int(body[bodyFixedBytes-1])
 	rest := body[bodyFixedBytes:]
 	if size > len(rest) {
-		return Entry{}, r.corruption("a record is shorter than its service")
+		return Entry{}, r.corruption("a record ends within its service")
 	}
 	entry.Service = string(rest[:size])
 	entry.Payload = rest[size:]
 	return entry, nil
 }
 
-// tornOrCorrupt reads to the end of the file: errTornRecord if only zeros are left, else a *CorruptionError.
+// tornOrCorrupt reads to the end of the file. It returns errTornRecord if only zeros are left, else a *CorruptionError
+// at the current offset.
 func (r *fileReader) tornOrCorrupt(reason string) error {
 	corruption := r.corruption(reason)
 	for {
--- a/store/configstore/recover.go
+++ b/store/configstore/recover.go
@@ -8,26 +8,28 @@
 	"valveglade/logic/configtable"
 )
 
-// Recovered is what Open found.
+// Recovered is the state that Open recovered from disk.
 type Recovered struct {
 	Table         configtable.Table // of the snapshot, without the log's entries
 	Version       Version           // of the snapshot
-	Last          Version           // of the last entry, or of the snapshot if there is none after it
-	Entries       int               // after the snapshot
+	Last          Version           // of the last log entry, or of the snapshot if there is none after it
+	Entries       int               // number of log entries after the snapshot
 	Vote          Vote
-	TornBytes     int64          // cut off the log's end
-	RejectedFiles []RejectedFile // files moved aside
+	TornBytes     int64          // size of the torn record that was truncated from the log
+	RejectedFiles []RejectedFile // files with rejected contents, moved aside
 }
 
-// RejectedFile is a file that was not taken, and where it is now. A voter with a refused file may have lost what it acknowledged:
-// it must not vote or campaign before it has a snapshot from the current leader and a term that is newer.
+// RejectedFile describes a file that Open rejected and moved aside. A voter with a rejected file may have lost entries
+// or votes that it acknowledged: it must not vote or campaign before it has a snapshot from the current leader and a
+// newer term.
 type RejectedFile struct {
-	Err     error // *CorruptionError, *FormatError, *OwnerError or *GapError
-	MovedTo string
+	Err     error  // *CorruptionError, *FormatError, *OwnerError or *GapError
+	MovedTo string // path of the moved file
 }
 
-// Open reads the folder of the app server called name, which is created if absent. The error is that of the file system;
-// refused files are no error but reported in Recovered. No other Store may have the folder open.
+// Open opens the store of the app server called name in a folder, which is created if absent. It returns a *NameError
+// or a file system error; rejected files are not an error but listed in Recovered. Only one Store at a time may have a
+// folder open.
 func Open(folder, name string) (*Store, *Recovered, error) {
 	if len(name) > maxOwnerBytes {
 		return nil, nil, &NameError{Name: name}
@@ -73,7 +75,8 @@
 	return err
 }
 
-// recoverLog checks the log, cuts a torn record off, and opens it for writing; without one it begins one after the snapshot.
+// recoverLog checks the log, truncates a torn record and opens the log for writing. If there is no valid log, it
+// creates one that begins after the snapshot.
 func (s *Store) recoverLog(found *Recovered) error {
 	var state logState
 	present, err := readOrReject(s.path(logName), &found.RejectedFiles, func(file *os.File) (err error) {
@@ -98,28 +101,28 @@
 	if state.tornBytes > 0 {
 		return s.truncateLog(state.end)
 	}
-	return s.log.Sync() // what a process wrote that ended before Sync is to be durable before it counts
+	return s.log.Sync() // a previous process may have ended before Sync; its entries must be durable before use
 }
 
-// createLog replaces the log by one without entries, after the snapshot.
+// createLog replaces the log with an empty one that begins after the snapshot.
 func (s *Store) createLog() error {
 	return s.replaceLog(s.snapshotVersion, func(io.Writer) error { return nil })
 }
 
-// openLog opens the log file, in place of the one that was open.
+// openLog opens the log file and closes the previously open one.
 func (s *Store) openLog() error {
 	file, err := os.OpenFile(s.path(logName), os.O_RDWR, 0)
 	if err != nil {
 		return err
 	}
 	if s.log != nil {
-		s.log.Close() // replaced: nothing in it is wanted
+		s.log.Close() // the file was replaced, so an error does not matter
 	}
 	s.log = file
 	return nil
 }
 
-// truncateLog ends the log at an offset, durably.
+// truncateLog truncates the log at an offset and fsyncs it.
 func (s *Store) truncateLog(end int64) error {
 	if err := s.log.Truncate(end); err != nil {
 		return err
--- a/store/configstore/snapshot.go
+++ b/store/configstore/snapshot.go
@@ -9,8 +9,9 @@
 	"valveglade/logic/configtable"
 )
 
-// A snapshot is a header, records, and a CRC-32C of all of it. A record is a tag and: of a service, its last index and its name;
-// of an entry of the service before it, the entry as configtable encodes it; at the end, the number of entries and their digest.
+// A snapshot file is a header, records and a CRC-32C of both. A record is a tag followed by, for a service, its last
+// index and its name; for an entry of the preceding service, the length and bytes of the entry as configtable encodes
+// it; for the end record, the number of entries and their digest.
 const (
 	serviceTag = 's'
 	entryTag   = 'e'
@@ -21,7 +22,7 @@
 func writeSnapshot(to io.Writer, owner string, table configtable.Table, version Version) error {
 	sum := crc32.New(castagnoliTable)
 	out := bufio.NewWriterSize(io.MultiWriter(to, sum), 64<<10)
-	out.Write(header{snapshotFile, owner, version}.encode()) // errors of a bufio.Writer stay until Flush
+	out.Write(header{snapshotFile, owner, version}.encode()) // a bufio.Writer keeps its first error until Flush
 	var record []byte
 	for service, lastIndex := range table.Services() {
 		record = append(record[:0], serviceTag)
@@ -55,7 +56,7 @@
 	service string
 }
 
-// readSnapshot returns the table of a whole snapshot.
+// readSnapshot reads a snapshot to its end and returns its table and version.
 func readSnapshot(path string, source io.Reader, owner string) (configtable.Table, Version, error) {
 	r := snapshotReader{fileReader: newFileReader(path, source)}
 	version, err := r.header(snapshotFile, owner)
@@ -78,7 +79,7 @@
 	return table, version, nil
 }
 
-// record reads one record and reports whether it is the tag of the end.
+// record reads one record. For the end record it reads only the tag and reports true.
 func (r *snapshotReader) record() (done bool, err error) {
 	tag, err := r.readFull(1)
 	if err != nil {
@@ -92,7 +93,7 @@
 	case endTag:
 		return true, nil
 	}
-	return false, r.corruption("no record begins here")
+	return false, r.corruption("unknown record tag")
 }
 
 func (r *snapshotReader) addService() error {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// finish reads what follows the tag of the end and compares it with the table.
+// finish reads the rest of the end record and the checksum and compares them with the table.
 func (r *snapshotReader) finish() (configtable.Table, error) {
 	entries, err := r.uint64()
 	if err != nil {
@@ -152,7 +153,7 @@
 	}
 	table := r.builder.Table()
 	if uint64(table.Len()) != entries || uint64(table.Digest()) != digest {
-		return configtable.Table{}, r.corruption("the entries are not those that were written")
+		return configtable.Table{}, r.corruption("the number of entries or their digest does not match the end record")
 	}
 	return table, nil
 }
--- a/store/configstore/store.go
+++ b/store/configstore/store.go
@@ -1,7 +1,8 @@
-// Package configstore keeps a configuration table on disk: a snapshot file, a log of the entries since, and the vote of a
-// voter, in one folder of one app server. Every file carries the app server's name, a format and checksums. A file is taken
-// whole or not at all; only a torn last record of the log, as an interrupted write leaves it, is cut off. A file that is
-// damaged, of another format or of another app server is moved aside and reported, so that a start can go on without it.
+// Package configstore stores a configuration table on disk: a snapshot file, a write-ahead log of the entries after it,
+// and the vote of a voter, in one folder per app server. Every file carries the app server's name, a format version and
+// checksums. Recovery accepts or rejects a file as a unit, except that a torn last record of the log, left by an
+// interrupted write, is truncated. A file that is corrupt, of another format or of another app server is moved aside
+// and reported, so that the app server can start without it.
 package configstore
 
 import (
@@ -11,37 +12,38 @@
 	"valveglade/logic/configtable"
 )
 
-// Version is a place in the ordered log: the term of the leader that appended the entry, and its index.
+// Version is a position in the replicated log.
 type Version struct {
-	Term, Index uint64
+	Term  uint64 // of the leader that appended the entry
+	Index uint64 // of the entry
 }
 
-// Entry is one entry of the log as it is stored.
+// Entry is a stored log entry.
 type Entry struct {
-	Term     uint64 // at least that of the entry before it
-	Index    uint64 // above that of the entry before it; gaps are allowed, for an app server that takes some services only
+	Term     uint64 // at least that of the previous entry
+	Index    uint64 // above that of the previous entry; gaps are allowed, as an app server may store only some services
 	Previous uint64 // index of the previous entry of the service
-	Service  string // may be empty, for an entry of the log's own; at most 255 bytes
+	Service  string // at most 255 bytes; empty for an internal entry of the log
 	Payload  []byte // at most MaxPayloadBytes
 }
 
-// MaxPayloadBytes bounds the payload of an entry; an encoded change is far below.
+// MaxPayloadBytes limits the payload of an entry. Encoded changes are much smaller.
 const MaxPayloadBytes = 16 << 10
 
-// Store is the folder of one app server. Its methods are not safe for concurrent use, but for WriteSnapshot.
+// Store is the open store of one app server. Its methods are not safe for concurrent use, except WriteSnapshot.
 type Store struct {
 	folder          string
 	owner           string
-	snapshotVersion Version  // of the snapshot that the log goes on from
-	last            Version  // of the last entry, or of the snapshot
+	snapshotVersion Version  // of the snapshot that precedes the log
+	last            Version  // of the last log entry, or of the snapshot
 	log             *os.File // open for reading and writing
-	logEnd          int64    // of the log's last record
-	failure         error    // of a write whose outcome is not known: nothing is written after it
+	logEnd          int64    // offset after the last record of the log
+	failure         error    // of a write with unknown outcome; all later writes return it
 	appendBuffer    []byte
 }
 
-// ReadEntries calls visit for each entry after the snapshot whose index is at least from, in order, until visit returns an
-// error, which it returns. One entry at a time is in memory; its payload is valid during the call only.
+// ReadEntries calls visit, in order, for each entry after the snapshot whose index is at least from. It stops at the
+// first error of visit and returns it. It keeps one entry in memory; the payload is valid only during the call.
 func (s *Store) ReadEntries(from uint64, visit func(Entry) error) error {
 	scan, err := s.scan()
 	if err != nil {
@@ -64,13 +66,13 @@
 	}
 }
 
-// scan reads the open log up to its last whole record.
+// scan returns a scanner of the open log up to the end of its last record.
 func (s *Store) scan() (*logScanner, error) {
 	return newLogScanner(s.log.Name(), io.NewSectionReader(s.log, 0, s.logEnd), s.owner, s.snapshotVersion)
 }
 
-// Append writes entries at the end of the log; they are durable after Sync. An entry that does not follow the last one gives
-// an *OrderError, one that is too large a *SizeError, and nothing is written.
+// Append writes entries at the end of the log; they are durable after Sync. It returns an *OrderError for an entry that
+// is out of order and a *SizeError for one that is too large; in both cases it writes nothing.
 func (s *Store) Append(entries []Entry) error {
 	if s.failure != nil {
 		return s.failure
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// undoAppend cuts off what a failed write left; if that fails too, the store writes nothing any more.
+// undoAppend truncates the log after a failed write. If that fails too, all later writes fail.
 func (s *Store) undoAppend(err error) error {
 	if undo := s.truncateLog(s.logEnd); undo != nil {
 		s.failure = undo
@@ -104,8 +106,8 @@
 	return err
 }
 
-// Sync makes what was appended durable. After a failure the store writes nothing any more, as it is not known what is durable;
-// it is to be opened again.
+// Sync makes all appended entries durable. After a failure it is unknown which entries are durable: all later writes
+// fail, and the store must be reopened.
 func (s *Store) Sync() error {
 	if s.failure != nil {
 		return s.failure
@@ -114,8 +116,8 @@
 	return s.failure
 }
 
-// Truncate removes the entries from an index on, durably. Entries that the snapshot contains can not be removed: that is an
-// *OrderError.
+// Truncate durably removes all entries whose index is at least from. It returns an *OrderError if the snapshot contains
+// one of them.
 func (s *Store) Truncate(from uint64) error {
 	if s.failure != nil {
 		return s.failure
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// Compact writes a snapshot of committed entries, durably, and then a log with only the entries after it, which are kept.
+// Compact durably writes a snapshot of committed entries and then removes the entries that it contains from the log.
 func (s *Store) Compact(table configtable.Table, version Version) error {
 	if err := s.WriteSnapshot(table, version); err != nil {
 		return err
@@ -149,8 +151,8 @@
 	return s.TrimLog(version)
 }
 
-// WriteSnapshot is the first step of Compact. It may run while other methods do, but TrimLog and Install; version must not be
-// below that of the snapshot that is there.
+// WriteSnapshot is the first step of Compact. It may run concurrently with other methods except TrimLog and
+// InstallSnapshot. The version must not be below that of the current snapshot.
 func (s *Store) WriteSnapshot(table configtable.Table, version Version) error {
 	if version.Index < s.snapshotVersion.Index || version.Term < s.snapshotVersion.Term {
 		return &OrderError{Last: s.snapshotVersion, Next: version}
@@ -160,7 +162,7 @@
 	})
 }
 
-// TrimLog is the second step of Compact: it drops the log's entries that the snapshot of a version contains.
+// TrimLog is the second step of Compact: it removes the log entries that the snapshot of this version contains.
 func (s *Store) TrimLog(version Version) error {
 	if s.failure != nil {
 		return s.failure
@@ -179,8 +181,9 @@
 	})
 }
 
-// InstallSnapshot replaces everything by a snapshot from another app server: no entry after it is kept. The vote stays. Entries that are
-// not in the snapshot go first, so that an interrupted InstallSnapshot leaves none of them after it.
+// InstallSnapshot replaces the snapshot and the log with a snapshot from another app server and keeps no later entries.
+// The vote is unchanged. Entries after the snapshot are truncated first, so that an interrupted call leaves none of
+// them behind the new snapshot.
 func (s *Store) InstallSnapshot(table configtable.Table, version Version) error {
 	if version.Index < s.snapshotVersion.Index || version.Term < s.snapshotVersion.Term {
 		return &OrderError{Last: s.snapshotVersion, Next: version}
@@ -191,7 +194,8 @@
 	return s.Compact(table, version)
 }
 
-// replaceLog replaces the log by one that goes on from the snapshot of a version, with the records that write writes.
+// replaceLog atomically replaces the log with one that follows the snapshot of a version and has the records that write
+// writes.
 func (s *Store) replaceLog(version Version, write func(to io.Writer) error) error {
 	head := header{logFile, s.owner, version}.encode()
 	err := replaceFile(s.path(logName), func(to io.Writer) error {
@@ -221,7 +225,7 @@
 	return nil
 }
 
-// isLogCurrent reports whether the open log is still the one in the folder: what is written to another would be lost.
+// isLogCurrent reports whether the open log is still the file in the folder. Writes to a replaced file would be lost.
 func (s *Store) isLogCurrent() bool {
 	onDisk, err := os.Stat(s.path(logName))
 	if err != nil {
@@ -231,7 +235,7 @@
 	return err == nil && os.SameFile(onDisk, opened)
 }
 
-// SaveVote replaces the vote, durably.
+// SaveVote durably replaces the vote.
 func (s *Store) SaveVote(vote Vote) error {
 	if len(vote.Candidate) > maxOwnerBytes {
 		return &NameError{Name: vote.Candidate}
@@ -242,8 +246,8 @@
 	})
 }
 
-// LogBytes returns the size of the log file, for the decision when to compact.
+// LogBytes returns the size of the log file, by which callers decide when to compact.
 func (s *Store) LogBytes() int64 { return s.logEnd }
 
-// Close closes the log file without making it durable.
+// Close closes the log file without fsync.
 func (s *Store) Close() error { return s.log.Close() }
--- a/store/configstore/vote.go
+++ b/store/configstore/vote.go
@@ -4,13 +4,13 @@
 	"io"
 )
 
-// A vote file is a header, whose version has the term, the length of the candidate's name in a byte, that name, and a CRC-32C of
-// all of it.
+// A vote file is a header, whose version contains the term, one byte with the length of the candidate's name, the name,
+// and a CRC-32C of all of these.
 
-// Vote is what a voter has promised.
+// Vote is the persistent election state of a voter.
 type Vote struct {
-	Term      uint64 // the highest term that it has seen
-	Candidate string // for whom it voted in that term, or ""; at most 255 bytes
+	Term      uint64 // highest term that the voter has seen
+	Candidate string // voted for in that term, or ""; at most 255 bytes
 }
 
 func encodeVote(owner string, vote Vote) []byte {
