--- a/logic/configtable/change.go
+++ b/logic/configtable/change.go
@@ -38,7 +38,7 @@
 
 // TenantValue is the value of a tenant.
 type TenantValue struct {
-	QuotaPerSecond float64 // RPCs a second over the whole fleet; 0 admits none
+	QuotaPerSecond float64 // RPCs per second in the entire fleet; 0 admits none
 }
 
 // Value is the value of an entry. Only the field of the entry's kind is set.
--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -174,8 +174,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := put
-	bad.Value.Tenant.QuotaPerSecond = -1
+	invalid := put
+	invalid.Value.Tenant.QuotaPerSecond = -1
 	var index *IndexError
 	var change *ChangeError
 	for _, batch := range [][]CommittedChange{{{5, put}}, {{0, put}}, {{7, put}, {6, put}}, {{6, put}, {6, put}}} {
@@ -183,8 +183,8 @@
 			t.Errorf("%v: %v", batch, err)
 		}
 	}
-	if after, err := table.Apply([]CommittedChange{{6, put}, {7, bad}}); !errors.As(err, &change) || change.Field != "quota" || after != table {
-		t.Errorf("a faulty change: %v", err)
+	if after, err := table.Apply([]CommittedChange{{6, put}, {7, invalid}}); !errors.As(err, &change) || change.Field != "quota" || after != table {
+		t.Errorf("an invalid change: %v", err)
 	}
 	absent := Change{Operation: Delete, Kind: Route, Service: "s", Name: "n"}
 	if err := table.Check(absent); !errors.As(err, &change) || table.Check(put) != nil {
--- a/store/configstore/fuzz_test.go
+++ b/store/configstore/fuzz_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// A snapshot with right checksums is refused, or it is the one file that its table is written as.
+// A snapshot with valid checksums is either rejected, or equals the encoding of the table that is read from it.
 func FuzzSnapshot(f *testing.F) {
 	head := header{snapshotFile, owner, versionAt(9)}.encode()
 	var file bytes.Buffer
 	must(f, writeSnapshot(&file, owner, tableAt(f, 9), versionAt(9)))
 	f.Add(file.Bytes()[len(head) : file.Len()-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		whole := appendChecksum(append(bytes.Clone(head), body...))
-		table, version, err := readSnapshot("f", bytes.NewReader(whole), owner)
+		original := appendChecksum(append(bytes.Clone(head), body...))
+		table, version, err := readSnapshot("f", bytes.NewReader(original), owner)
 		if err != nil {
 			if !isRejection(err) || table.Len() > 0 {
 				t.Fatalf("%v with %v", table, err)
@@ -24,13 +24,14 @@
 		}
 		var again bytes.Buffer
 		must(t, writeSnapshot(&again, owner, table, version))
-		if !bytes.Equal(again.Bytes(), whole) {
-			t.Fatalf("%x is read, and written as %x", whole, again.Bytes())
+		if !bytes.Equal(again.Bytes(), original) {
+			t.Fatalf("%x is read, and written as %x", original, again.Bytes())
 		}
 	})
 }
 
-// Any bytes after a log's header give entries in order, each written as it was read, and then an end or a refusal.
+// Any bytes after a log's header yield entries in order, each with the same encoding as in the input, and then the end
+// of the log or a rejection.
 func FuzzLog(f *testing.F) {
 	head := header{logFile, owner, Version{}}.encode()
 	var records []byte
--- a/store/configstore/size_test.go
+++ b/store/configstore/size_test.go
@@ -14,10 +14,10 @@
 	"valveglade/logic/configtable"
 )
 
-// openFolder is the variable that names the folder which TestOpenProcess opens, in a process of its own.
+// openFolder is the environment variable with the folder that TestOpenProcess opens in a child process.
 const openFolder = "CONFIGSTORE_OPEN_FOLDER"
 
-// TestOpenProcess is what BenchmarkDesignSize starts anew, to see what a start takes.
+// TestOpenProcess is run by BenchmarkDesignSize in a child process to measure the time and memory of a start.
 func TestOpenProcess(t *testing.T) {
 	folder := os.Getenv(openFolder)
 	if folder == "" {
@@ -25,7 +25,7 @@
 	}
 	started := time.Now()
 	_, found := open(t, folder)
-	fmt.Printf("opened %d entries in %v, refused %v; %s\n", found.Table.Len(), time.Since(started), found.RejectedFiles, residentMemory(t))
+	fmt.Printf("opened %d entries in %v, rejected %v; %s\n", found.Table.Len(), time.Since(started), found.RejectedFiles, residentMemory(t))
 	table, err := found.Table, error(nil)
 	for k := range dayOfChanges {
 		change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: fmt.Sprintf("service-%05d", k*7919%13_000), Name: fmt.Sprintf("new-%d", k%5000)}
@@ -36,17 +36,18 @@
 	fmt.Printf("after %d changes %v; %s\n", dayOfChanges, table, residentMemory(t))
 }
 
-// dayOfChanges is how many changes the design has in a day.
+// dayOfChanges is the number of changes per day in the design.
 const dayOfChanges = 90_000
 
-// residentMemory tells what the process has, and the most that it had.
+// residentMemory returns the current and the peak resident memory of the process.
 func residentMemory(t *testing.T) string {
 	status, err := os.ReadFile("/proc/self/status")
 	must(t, err)
 	return strings.Join(regexp.MustCompile(`Vm(HWM|RSS):.*`).FindAllString(string(status), -1), ", ")
 }
 
-// BenchmarkDesignSize writes and reads a snapshot of the design size: 13,000 services, 76,000 routes, 1.3 million tenants.
+// BenchmarkDesignSize writes and reads a snapshot of the design size: 13,000 services, 76,000 routes, 1.3 million
+// tenants.
 func BenchmarkDesignSize(b *testing.B) {
 	var builder configtable.Builder
 	random := rand.New(rand.NewPCG(1, 1))
@@ -73,9 +74,9 @@
 		b.ReportMetric(time.Since(started).Seconds(), "s/write")
 		child := exec.Command(os.Args[0], "-test.run=^TestOpenProcess$")
 		child.Env = append(os.Environ(), openFolder+"="+folder)
-		told, err := child.CombinedOutput()
+		output, err := child.CombinedOutput()
 		must(b, err)
-		b.Logf("%v\n%s", table, told)
+		b.Logf("%v\n%s", table, output)
 	}
 	info, err := os.Stat(filepath.Join(folder, snapshotName))
 	must(b, err)
--- a/store/configstore/store_test.go
+++ b/store/configstore/store_test.go
@@ -14,7 +14,7 @@
 
 const owner = "n1"
 
-// committed is the k-th change of the tests: three services, quotas that rise, and now and then a delete.
+// committed returns the k-th change of the tests: three services, increasing quotas, and every fifth change a delete.
 func committed(k int) configtable.CommittedChange {
 	change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: fmt.Sprintf("s%d", k%3), Name: fmt.Sprintf("t%d", k%7)}
 	if k%5 == 4 {
@@ -34,7 +34,7 @@
 	return Entry{Term: uint64(1 + k/10), Index: uint64(k), Previous: uint64(max(k-3, 0)), Service: change.Service, Payload: payload}
 }
 
-// tableAt is the table after the first changes.
+// tableAt returns the table after the first changes, up to last.
 func tableAt(t testing.TB, last int) configtable.Table {
 	var table configtable.Table
 	for k := 1; k <= last; k++ {
@@ -63,8 +63,8 @@
 	return store, found
 }
 
-// contents reads a folder and returns the table after all its entries, and the index of the last one. Every entry is compared
-// with the one that was written.
+// contents opens a folder and returns the table after all its entries and the last index. It compares every entry with
+// the one that was written.
 func contents(t testing.TB, folder string) (table configtable.Table, last int, found *Recovered) {
 	t.Helper()
 	store, found := open(t, folder)
@@ -86,7 +86,7 @@
 	return table, last, found
 }
 
-// checkPrefix checks that a folder has what the first changes make, and returns how many they are.
+// checkPrefix checks that a folder holds the result of a prefix of the changes, and returns the length of the prefix.
 func checkPrefix(t testing.TB, folder string) (int, *Recovered) {
 	t.Helper()
 	table, last, found := contents(t, folder)
@@ -101,7 +101,7 @@
 	return last, found
 }
 
-// filled makes a folder with a snapshot after snapshot entries, a vote, and a log of the entries from there to last.
+// filled returns a folder with a snapshot of the first entries, a vote, and a log of the entries after it up to last.
 func filled(t testing.TB, snapshot, last int) string {
 	folder := t.TempDir()
 	store, _ := open(t, folder)
@@ -122,22 +122,22 @@
 	return target
 }
 
-// A log cut at any byte gives a prefix of its entries, and goes on from there.
+// A log truncated at any byte recovers a prefix of its entries and accepts further ones.
 func TestLogCutAtEveryByte(t *testing.T) {
 	t.Parallel()
 	folder := filled(t, 6, 12)
-	whole, err := os.ReadFile(filepath.Join(folder, logName))
+	original, err := os.ReadFile(filepath.Join(folder, logName))
 	must(t, err)
 	ends := recordEnds(t)
 	target := copied(t, folder)
-	for cut := range whole {
-		must(t, os.WriteFile(filepath.Join(target, logName), whole[:cut], 0o600))
+	for cut := range original {
+		must(t, os.WriteFile(filepath.Join(target, logName), original[:cut], 0o600))
 		last, found := checkPrefix(t, target)
 		if want := 6 + countBelow(ends, cut); last != want {
 			t.Fatalf("cut at %d: %d entries, want %d", cut, last, want)
 		}
 		if header := ends[0]; (cut < header) != (len(found.RejectedFiles) == 1) || cut >= header && found.TornBytes != int64(cut-largestBelow(ends, cut)) {
-			t.Fatalf("cut at %d: refused %v, torn %d", cut, found.RejectedFiles, found.TornBytes)
+			t.Fatalf("cut at %d: rejected %v, torn %d", cut, found.RejectedFiles, found.TornBytes)
 		}
 		store, _ := open(t, target)
 		must(t, store.Append([]Entry{entry(t, last+1)}))
@@ -147,7 +147,7 @@
 	}
 }
 
-// recordEnds are the offsets after the header of the log of filled(6, 12), and after each of its records.
+// recordEnds returns the offsets after the header and after each record of the log of filled(6, 12).
 func recordEnds(t testing.TB) []int {
 	ends := []int{len(header{logFile, owner, versionAt(6)}.encode())}
 	for k := 7; k <= 12; k++ {
@@ -168,42 +168,44 @@
 
 func largestBelow(ends []int, cut int) int { return ends[countBelow(ends, cut)] }
 
-// A changed byte is never taken: its file is moved aside, but for the log's last record, which can not be told from a torn one.
+// A file with a changed byte is moved aside, except that a changed last record of the log is truncated, as it cannot be
+// distinguished from a torn write.
 func TestEveryByteChanged(t *testing.T) {
 	t.Parallel()
 	folder := filled(t, 6, 12)
 	ends := recordEnds(t)
 	lastBody := ends[len(ends)-2] + recordHeaderBytes
 	for _, name := range []string{snapshotName, logName, voteName} {
-		whole, err := os.ReadFile(filepath.Join(folder, name))
+		original, err := os.ReadFile(filepath.Join(folder, name))
 		must(t, err)
-		for at := range whole {
+		for at := range original {
 			target := copied(t, folder)
-			changed := bytes.Clone(whole)
+			changed := bytes.Clone(original)
 			changed[at] ^= 0x10
 			must(t, os.WriteFile(filepath.Join(target, name), changed, 0o600))
 			last, found := checkPrefix(t, target)
-			want, refused := 12, name
+			want, rejected := 12, name
 			switch {
 			case name == logName && at >= lastBody:
-				want, refused = 11, ""
+				want, rejected = 11, ""
 			case name == logName:
 				want = 6
 			case name == snapshotName:
-				want, refused = 0, snapshotName+logName // the log goes on from the snapshot
+				want, rejected = 0, snapshotName+logName // the log follows the rejected snapshot
 			}
 			moved := ""
 			for _, one := range found.RejectedFiles {
 				moved += filepath.Base(one.MovedTo[:len(one.MovedTo)-len(rejectedSuffix)])
 			}
-			if last != want || moved != refused || (found.Vote == Vote{9, "n2"}) == (name == voteName) {
-				t.Fatalf("%s byte %d: %d entries, vote %v, refused %v", name, at, last, found.Vote, found.RejectedFiles)
+			if last != want || moved != rejected || (found.Vote == Vote{9, "n2"}) == (name == voteName) {
+				t.Fatalf("%s byte %d: %d entries, vote %v, rejected %v", name, at, last, found.Vote, found.RejectedFiles)
 			}
 		}
 	}
 }
 
-// A compaction that stops after any of its steps leaves all entries; so does what it left unfinished.
+// A compaction interrupted after any step loses no entries, and its temporary files are removed. Appends may continue
+// while a snapshot is written.
 func TestCompactionStopped(t *testing.T) {
 	folder := filled(t, 6, 18)
 	store, _ := open(t, folder)
@@ -226,7 +228,7 @@
 	check("all in the snapshot", 18)
 	written := make(chan error)
 	go func() { written <- store.WriteSnapshot(tableAt(t, 18), versionAt(18)) }()
-	for k := 19; k <= 30; k++ { // goes on while a snapshot is written
+	for k := 19; k <= 30; k++ { // appends continue while a snapshot is written
 		must(t, store.Append([]Entry{entry(t, k)}))
 		must(t, store.Sync())
 	}
@@ -236,7 +238,8 @@
 	}
 }
 
-// A snapshot from others takes the place of everything, also where the log has entries that it does not.
+// An installed snapshot replaces the table and the log, also after an interrupted InstallSnapshot and where the log has
+// entries that the snapshot does not contain.
 func TestInstallStopped(t *testing.T) {
 	folder := filled(t, 6, 18)
 	store, _ := open(t, folder)
@@ -257,19 +260,20 @@
 	for _, err := range []error{store.InstallSnapshot(tableAt(t, 6), versionAt(6)), store.Truncate(30), store.Append([]Entry{entry(t, 30)}),
 		store.Append([]Entry{{Term: 1, Index: 31}}), store.Append([]Entry{entry(t, 32), entry(t, 31)})} {
 		if !errors.As(err, &order) {
-			t.Errorf("%v is no error of order", err)
+			t.Errorf("%v is not an *OrderError", err)
 		}
 	}
 	var size *SizeError
 	if err := store.Append([]Entry{{Term: 9, Index: 31, Payload: make([]byte, MaxPayloadBytes+1)}}); !errors.As(err, &size) {
-		t.Errorf("%v is no error of size", err)
+		t.Errorf("%v is not a *SizeError", err)
 	}
 	if last, _ := checkPrefix(t, folder); last != 30 {
-		t.Errorf("%d entries after refused ones", last)
+		t.Errorf("%d entries after rejected ones", last)
 	}
 }
 
-// Files of others are moved aside, each with an error of its own kind; a voter's entries before them are not made up.
+// Files of another app server or format, and a log without its snapshot, are moved aside, each with its typed error.
+// The recovered state does not invent entries in their place.
 func TestFilesOfOthers(t *testing.T) {
 	folder := filled(t, 6, 12)
 	store, found, err := Open(copied(t, folder), "n2")
@@ -280,7 +284,7 @@
 		t.Errorf("of another app server: %+v", found)
 	}
 	if !slices.ContainsFunc(found.RejectedFiles, func(one RejectedFile) bool { return errors.As(one.Err, &other) && other.Owner == owner }) {
-		t.Errorf("refused: %v", found.RejectedFiles)
+		t.Errorf("rejected: %v", found.RejectedFiles)
 	}
 	must(t, os.Remove(filepath.Join(folder, snapshotName)))
 	must(t, os.WriteFile(filepath.Join(folder, voteName), []byte("vgcs\x02\x00\x00\x00V\x00"), 0o600))
@@ -292,7 +296,7 @@
 	}
 }
 
-// A compaction that fails leaves the log in use; once the log is no more the folder's, nothing is written to it.
+// After a failed compaction the log stays usable. Once the open log is no longer the file in the folder, writes fail.
 func TestCompactionFails(t *testing.T) {
 	folder := filled(t, 6, 18)
 	store, _ := open(t, folder)
