--- a/store/configstore/files.go
+++ b/store/configstore/files.go
@@ -19,12 +19,16 @@
 	rejectedSuffix = ".refused" // of a file that was moved aside; replaces an earlier one
 )
 
-const filePermissions, folderPermissions = 0o600, 0o700
+const (
+	filePermissions   = 0o600 // of all files; only the app server's user may access them
+	folderPermissions = 0o700
+)
 
 // replaceFile replaces a file atomically and durably: it writes and fsyncs a temporary file and renames it. After a
 // crash the file has either its old or its new contents.
 func replaceFile(path string, write func(to io.Writer) error) error {
-	pending, err := renameio.NewPendingFile(path, renameio.WithTempDir(filepath.Dir(path)), renameio.WithPermissions(filePermissions))
+	pending, err := renameio.NewPendingFile(path,
+		renameio.WithTempDir(filepath.Dir(path)), renameio.WithPermissions(filePermissions))
 	if err != nil {
 		return err
 	}
@@ -68,7 +72,7 @@
 // readOrReject opens a file and calls read with it. It reports whether the file was read: if it is absent, or if read
 // rejects its contents, the result is false. A rejected file is moved aside and appended to rejected; other errors
 // are returned.
-func readOrReject(path string, rejected *[]RejectedFile, read func(file *os.File) error) (exists bool, err error) {
+func readOrReject(path string, rejected *[]RejectedFile, read func(file *os.File) error) (accepted bool, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
--- a/store/configstore/format.go
+++ b/store/configstore/format.go
@@ -11,7 +11,7 @@
 // server's name, the term and index of a log version, and a CRC-32C of all of these. Integers are little-endian.
 const (
 	magic         = "vgcs"
-	formatNumber  = 1
+	formatVersion = 1
 	maxOwnerBytes = 255 // bytes of an app server's name
 )
 
@@ -34,14 +34,14 @@
 // header is the content of a file's header.
 type header struct {
 	kind    fileKind
-	owner   string
+	owner   string  // name of the app server
 	version Version // last version in a snapshot; version before a log's entries; a vote has only a term
 }
 
 // encode returns the encoded header with its checksum.
 func (h header) encode() []byte {
 	data := append([]byte(magic), 0, 0, 0, 0)
-	binary.LittleEndian.PutUint32(data[len(magic):], formatNumber)
+	binary.LittleEndian.PutUint32(data[len(magic):], formatVersion)
 	data = append(data, byte(h.kind), byte(len(h.owner)))
 	data = append(data, h.owner...)
 	data = binary.LittleEndian.AppendUint64(data, h.version.Term)
@@ -57,11 +57,11 @@
 // fileReader reads a file sequentially through a small buffer. It maintains the offset and the checksum of all bytes
 // read.
 type fileReader struct {
-	path   string
+	path   string // for errors
 	source *bufio.Reader
-	offset int64
-	sum    uint32
-	buffer []byte
+	offset int64  // of the next byte
+	sum    uint32 // CRC-32C of all bytes read
+	buffer []byte // reused by read
 }
 
 func newFileReader(path string, source io.Reader) *fileReader {
@@ -92,6 +92,7 @@
 	return data, err
 }
 
+// uint64 reads a little-endian integer.
 func (r *fileReader) uint64() (uint64, error) {
 	data, err := r.readFull(8)
 	if err != nil {
@@ -125,6 +126,7 @@
 	}
 }
 
+// corruption returns a *CorruptionError at the current offset.
 func (r *fileReader) corruption(reason string) error {
 	return &CorruptionError{Path: r.path, Offset: r.offset, Reason: reason}
 }
@@ -140,7 +142,7 @@
 	if string(start[:len(magic)]) != magic || fileKind(start[len(magic)+4]) != kind {
 		return version, &FormatError{Path: r.path}
 	}
-	if format := binary.LittleEndian.Uint32(start[len(magic):]); format != formatNumber {
+	if format := binary.LittleEndian.Uint32(start[len(magic):]); format != formatVersion {
 		return version, &FormatError{Path: r.path, Format: format}
 	}
 	data, err := r.readFull(int(start[len(magic)+5]))
--- a/store/configstore/logfile.go
+++ b/store/configstore/logfile.go
@@ -73,10 +73,10 @@
 
 // logState is the result of reading a log to its end.
 type logState struct {
-	last      Version
-	entries   int
-	end       int64 // end of the last intact record
-	tornBytes int64 // bytes of a torn record after end
+	last      Version // of the last entry, or of the snapshot
+	entries   int     // after the snapshot
+	end       int64   // end of the last intact record
+	tornBytes int64   // bytes of a torn record after end
 }
 
 // checkLog reads and checks a log to its end.
--- a/store/configstore/recover.go
+++ b/store/configstore/recover.go
@@ -79,14 +79,14 @@
 // creates one that begins after the snapshot.
 func (s *Store) recoverLog(found *Recovered) error {
 	var state logState
-	present, err := readOrReject(s.path(logName), &found.RejectedFiles, func(file *os.File) (err error) {
+	accepted, err := readOrReject(s.path(logName), &found.RejectedFiles, func(file *os.File) (err error) {
 		state, err = checkLog(file, s.owner, s.snapshotVersion)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if !present {
+	if !accepted {
 		if err := s.createLog(); err != nil {
 			return err
 		}
--- a/store/configstore/store.go
+++ b/store/configstore/store.go
@@ -38,8 +38,8 @@
 	last            Version  // of the last log entry, or of the snapshot
 	log             *os.File // open for reading and writing
 	logEnd          int64    // offset after the last record of the log
-	failure         error    // of a write with unknown outcome; all later writes return it
-	appendBuffer    []byte
+	failure         error    // of a write with unknown outcome; all later writes to the log return it
+	appendBuffer    []byte   // reused by Append
 }
 
 // ReadEntries calls visit, in order, for each entry after the snapshot whose index is at least from. It stops at the
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// undoAppend truncates the log after a failed write. If that fails too, all later writes fail.
+// undoAppend truncates the log after a failed write. If that fails too, all later writes to the log fail.
 func (s *Store) undoAppend(err error) error {
 	if undo := s.truncateLog(s.logEnd); undo != nil {
 		s.failure = undo
@@ -106,8 +106,8 @@
 	return err
 }
 
-// Sync makes all appended entries durable. After a failure it is unknown which entries are durable: all later writes
-// fail, and the store must be reopened.
+// Sync makes all appended entries durable. After a failure it is unknown which entries are durable: all later writes to
+// the log fail, and the store must be reopened.
 func (s *Store) Sync() error {
 	if s.failure != nil {
 		return s.failure
