--- a/logic/configtable/table.go
+++ b/logic/configtable/table.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// encodedValue returns the encoded encodedValue of an entry.
+// encodedValue returns the encoded value of an entry.
 func (t Table) encodedValue(kind Kind, service, name string) ([]byte, bool) {
 	var buffer [maxKeyBytes]byte
 	return t.root.find(appendKey(buffer[:0], kind, service, name))
