--- a/logic/configtable/tree.go
+++ b/logic/configtable/tree.go
@@ -88,7 +88,7 @@
 		return e.applyToLeaf(dst, n, edits)
 	}
 	children := make([]*node, 0, len(n.children)+1)
-	handled, hasSmall := 0, false // kept is the number of old children already copied or replaced
+	handled, hasSmall := 0, false // handled is the number of old children already copied or replaced
 	for len(edits) > 0 {
 		position := n.childIndex(edits[0].key)
 		children = append(children, n.children[handled:position]...)
