--- a/fleet/distribution_file.go
+++ b/fleet/distribution_file.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	f.store = store
-	f.d.logRefusedFiles(found.Refused)
+	f.d.logRefusedFiles(found.RejectedFiles)
 	digest, err := os.ReadFile(f.scopePath())
 	if err != nil || string(digest) != f.digest {
 		return nil
@@ -204,7 +204,7 @@
 		return nil // a snapshot comes, and is saved whole
 	}
 	if whole {
-		if err := f.store.Install(state.Table, storedVersion(state.Version)); err != nil {
+		if err := f.store.InstallSnapshot(state.Table, storedVersion(state.Version)); err != nil {
 			return err
 		}
 		return renameio.WriteFile(f.scopePath(), []byte(f.digest), 0o600, renameio.WithTempDir(f.d.cfg.Folder))
--- a/logic/configtable/search.go
+++ b/logic/configtable/search.go
@@ -2,57 +2,58 @@
 
 import "bytes"
 
-// find returns the value of the record with a key.
+// find returns the value of the record with this key.
 func (n *node) find(key []byte) ([]byte, bool) {
 	if n == nil {
 		return nil, false
 	}
 	for !n.isLeaf() {
-		n = n.children[n.childFor(key)]
+		n = n.children[n.childIndex(key)]
 	}
-	return findInSlab(n.slab, key)
+	return findInLeaf(n.records, key)
 }
 
-// findInSlab compares a key with those of a slab without putting any together. The keys passed are below it, and the last
-// of them shares its first matched bytes.
-func findInSlab(slab, key []byte) ([]byte, bool) {
+// findInLeaf returns the value of the record with this key. It compares keys without reassembling them from
+// their prefixes: every record that it has passed has a lower key, and the last of them has the first matched
+// bytes of key in common with it.
+func findInLeaf(records, key []byte) ([]byte, bool) {
 	matched := 0
-	cursor := leafCursor{rest: slab}
-	for len(cursor.rest) > 0 {
-		shared, added := cursor.take()
+	cursor := leafCursor{remaining: records}
+	for len(cursor.remaining) > 0 {
+		shared, suffix := cursor.readRecord()
 		if shared > matched {
-			continue // differs from key where the one before it does
+			continue // differs from key at the same byte as the previous record
 		}
-		matched = shared // less where slabs were joined: the first record of the second shares nothing
-		for len(added) > 0 && matched < len(key) && added[0] == key[matched] {
-			added = added[1:]
+		matched = shared // lower than before at a merge of two leaves, where a record shares no bytes
+		for len(suffix) > 0 && matched < len(key) && suffix[0] == key[matched] {
+			suffix = suffix[1:]
 			matched++
 		}
 		switch {
-		case len(added) == 0 && matched == len(key):
+		case len(suffix) == 0 && matched == len(key):
 			return cursor.value, true
-		case len(added) > 0 && (matched == len(key) || added[0] > key[matched]):
+		case len(suffix) > 0 && (matched == len(key) || suffix[0] > key[matched]):
 			return nil, false
 		}
 	}
 	return nil, false
 }
 
-// walk visits the records from a key on, in order, until visit returns false; it reports whether it did not. A key is valid
-// during the visit only.
+// walk visits the records whose keys are at least from, in order, until visit returns false. It reports
+// whether it visited all of them. A key is valid only during the call of visit.
 func (n *node) walk(from []byte, visit func(key, value []byte) bool) bool {
 	if n == nil {
 		return true
 	}
 	if !n.isLeaf() {
-		for _, child := range n.children[n.childFor(from):] {
+		for _, child := range n.children[n.childIndex(from):] {
 			if !child.walk(from, visit) {
 				return false
 			}
 		}
 		return true
 	}
-	cursor := leafCursor{rest: n.slab}
+	cursor := leafCursor{remaining: n.records}
 	for cursor.next() {
 		if bytes.Compare(cursor.key, from) >= 0 && !visit(cursor.key, cursor.value) {
 			return false
--- a/store/configstore/files.go
+++ b/store/configstore/files.go
@@ -11,19 +11,24 @@
 	"github.com/google/renameio/v2"
 )
 
-// The files of a folder.
+// Names of the files in a store's folder.
 const (
-	snapshotName  = "snapshot"
-	logName       = "log"
-	voteName      = "vote"
-	refusedSuffix = ".refused" // of a file moved aside; a later one takes its place
+	snapshotName   = "snapshot"
+	logName        = "log"
+	voteName       = "vote"
+	rejectedSuffix = ".refused" // of a file that was moved aside; replaces an earlier one
 )
 
-const filePermissions, folderPermissions = 0o600, 0o700
+const (
+	filePermissions   = 0o600 // of all files; only the app server's user may access them
+	folderPermissions = 0o700
+)
 
-// replaceFile writes a file whole, durably: after a crash there is the former one or the new one.
+// replaceFile replaces a file atomically and durably: it writes and fsyncs a temporary file and renames it. After a
+// crash the file has either its old or its new contents.
 func replaceFile(path string, write func(to io.Writer) error) error {
-	pending, err := renameio.NewPendingFile(path, renameio.WithTempDir(filepath.Dir(path)), renameio.WithPermissions(filePermissions))
+	pending, err := renameio.NewPendingFile(path,
+		renameio.WithTempDir(filepath.Dir(path)), renameio.WithPermissions(filePermissions))
 	if err != nil {
 		return err
 	}
@@ -37,7 +42,7 @@
 	return syncFolder(filepath.Dir(path))
 }
 
-// syncFolder makes the names in a folder durable.
+// syncFolder fsyncs a folder, so that renames and new files in it are durable.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -46,8 +51,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// removePending removes what an interrupted replaceFile left.
-func removePending(folder string) error {
+// removeTemporaryFiles removes the temporary files of interrupted replaceFile calls.
+func removeTemporaryFiles(folder string) error {
 	files, err := os.ReadDir(folder)
 	if err != nil {
 		return err
@@ -64,9 +69,10 @@
 	return nil
 }
 
-// readFile calls read with an open file; it reports false if there is none. A file that read refuses is moved aside and reported
-// in refused; other errors are returned.
-func readFile(path string, refused *[]Refused, read func(file *os.File) error) (found bool, err error) {
+// readOrReject opens a file and calls read with it. It reports whether the file was read: if it is absent, or if read
+// rejects its contents, the result is false. A rejected file is moved aside and appended to rejected; other errors
+// are returned.
+func readOrReject(path string, rejected *[]RejectedFile, read func(file *os.File) error) (accepted bool, err error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -79,26 +85,27 @@
 	if err == nil {
 		return true, nil
 	}
-	if !isRefusal(err) {
+	if !isRejection(err) {
 		return false, err
 	}
-	return false, moveAside(path, err, refused)
+	return false, moveAside(path, err, rejected)
 }
 
-// isRefusal reports whether an error tells of a file's contents rather than of the file system.
-func isRefusal(err error) bool {
-	var damage *DamageError
+// isRejection reports whether an error is about a file's contents rather than from the file system.
+func isRejection(err error) bool {
+	var corruption *CorruptionError
 	var format *FormatError
 	var owner *OwnerError
 	var gap *GapError
-	return errors.As(err, &damage) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
+	return errors.As(err, &corruption) || errors.As(err, &format) || errors.As(err, &owner) || errors.As(err, &gap)
 }
 
-func moveAside(path string, why error, refused *[]Refused) error {
-	aside := path + refusedSuffix
+// moveAside renames a rejected file and appends it to rejected.
+func moveAside(path string, reason error, rejected *[]RejectedFile) error {
+	aside := path + rejectedSuffix
 	if err := os.Rename(path, aside); err != nil {
 		return err
 	}
-	*refused = append(*refused, Refused{Err: why, MovedTo: aside})
+	*rejected = append(*rejected, RejectedFile{Err: reason, MovedTo: aside})
 	return syncFolder(filepath.Dir(path))
 }
--- a/store/configstore/format.go
+++ b/store/configstore/format.go
@@ -7,15 +7,15 @@
 	"io"
 )
 
-// Every file begins with a header: the magic, a format, what the file is, the app server's name, a version, and a CRC-32C of all
-// of that. Whole numbers are little-endian.
+// Every file begins with a header: the magic bytes, the format version, the file kind, the length and bytes of the app
+// server's name, the term and index of a log version, and a CRC-32C of all of these. Integers are little-endian.
 const (
-	magic        = "vgcs"
-	formatNumber = 1
-	maxOwner     = 255 // bytes of an app server's name
+	magic         = "vgcs"
+	formatVersion = 1
+	maxOwnerBytes = 255 // bytes of an app server's name
 )
 
-// fileKind is what a file is.
+// fileKind identifies the purpose of a file.
 type fileKind byte
 
 const (
@@ -27,21 +27,21 @@
 // checksumBytes is the size of a CRC-32C.
 const checksumBytes = 4
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
+func checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoliTable) }
 
-// header is what a file says of itself.
+// header is the content of a file's header.
 type header struct {
 	kind    fileKind
-	owner   string
-	version Version // of a snapshot; where a log begins; a vote has the term only
+	owner   string  // name of the app server
+	version Version // last version in a snapshot; version before a log's entries; a vote has only a term
 }
 
-// encode returns the bytes of the header.
+// encode returns the encoded header with its checksum.
 func (h header) encode() []byte {
 	data := append([]byte(magic), 0, 0, 0, 0)
-	binary.LittleEndian.PutUint32(data[len(magic):], formatNumber)
+	binary.LittleEndian.PutUint32(data[len(magic):], formatVersion)
 	data = append(data, byte(h.kind), byte(len(h.owner)))
 	data = append(data, h.owner...)
 	data = binary.LittleEndian.AppendUint64(data, h.version.Term)
@@ -49,25 +49,26 @@
 	return appendChecksum(data)
 }
 
-// appendChecksum appends the checksum of what is there.
+// appendChecksum appends the checksum of data.
 func appendChecksum(data []byte) []byte {
 	return binary.LittleEndian.AppendUint32(data, checksum(data))
 }
 
-// fileReader reads a file from its beginning, in little memory, with a running checksum and offset.
+// fileReader reads a file sequentially through a small buffer. It maintains the offset and the checksum of all bytes
+// read.
 type fileReader struct {
-	path   string
+	path   string // for errors
 	source *bufio.Reader
-	offset int64
-	sum    uint32
-	buffer []byte
+	offset int64  // of the next byte
+	sum    uint32 // CRC-32C of all bytes read
+	buffer []byte // reused by read
 }
 
 func newFileReader(path string, source io.Reader) *fileReader {
 	return &fileReader{path: path, source: bufio.NewReaderSize(source, 64<<10)}
 }
 
-// read returns the next size bytes, valid until the next read. The error is that of io.ReadFull.
+// read returns the next size bytes, valid until the next read. It returns the errors of io.ReadFull.
 func (r *fileReader) read(size int) ([]byte, error) {
 	if cap(r.buffer) < size {
 		r.buffer = make([]byte, size)
@@ -78,86 +79,88 @@
 	if err != nil {
 		return r.buffer[:got], err
 	}
-	r.sum = crc32.Update(r.sum, castagnoli, r.buffer)
+	r.sum = crc32.Update(r.sum, castagnoliTable, r.buffer)
 	return r.buffer, nil
 }
 
-// need is read where the file may not end: its end is a *DamageError.
-func (r *fileReader) need(size int) ([]byte, error) {
+// readFull is like read, but returns a *CorruptionError if the file ends early.
+func (r *fileReader) readFull(size int) ([]byte, error) {
 	data, err := r.read(size)
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return nil, r.damage("the file ends too early")
+		return nil, r.corruption("unexpected end of file")
 	}
 	return data, err
 }
 
+// uint64 reads a little-endian integer.
 func (r *fileReader) uint64() (uint64, error) {
-	data, err := r.need(8)
+	data, err := r.readFull(8)
 	if err != nil {
 		return 0, err
 	}
 	return binary.LittleEndian.Uint64(data), nil
 }
 
-// checkSum reads a checksum and compares it with that of everything before it.
-func (r *fileReader) checkSum() error {
+// verifyChecksum reads a checksum and compares it with that of all bytes before it.
+func (r *fileReader) verifyChecksum() error {
 	want := r.sum
-	data, err := r.need(checksumBytes)
+	data, err := r.readFull(checksumBytes)
 	if err != nil {
 		return err
 	}
 	if binary.LittleEndian.Uint32(data) != want {
-		return r.damage("wrong checksum")
+		return r.corruption("checksum mismatch")
 	}
 	return nil
 }
 
-// checkEnd checks that the file ends here.
-func (r *fileReader) checkEnd() error {
+// expectEOF returns a *CorruptionError unless the file ends at the offset.
+func (r *fileReader) expectEOF() error {
 	switch _, err := r.source.ReadByte(); err {
 	case io.EOF:
 		return nil
 	case nil:
-		return r.damage("bytes follow the end")
+		return r.corruption("extra bytes after the end")
 	default:
 		return err
 	}
 }
 
-func (r *fileReader) damage(reason string) error {
-	return &DamageError{Path: r.path, Offset: r.offset, Reason: reason}
+// corruption returns a *CorruptionError at the current offset.
+func (r *fileReader) corruption(reason string) error {
+	return &CorruptionError{Path: r.path, Offset: r.offset, Reason: reason}
 }
 
-// header reads the header of a file of a kind and an owner, and returns its version. The format is looked at first, the owner
-// only once the checksum is right.
+// header reads the header of a file, checks its kind and owner and returns its version. It checks the format first,
+// as other formats may differ in the rest, and the owner only after the checksum.
 func (r *fileReader) header(kind fileKind, owner string) (Version, error) {
 	var version Version
-	start, err := r.need(len(magic) + 4 + 2)
+	start, err := r.readFull(len(magic) + 4 + 2)
 	if err != nil {
 		return version, err
 	}
 	if string(start[:len(magic)]) != magic || fileKind(start[len(magic)+4]) != kind {
 		return version, &FormatError{Path: r.path}
 	}
-	if format := binary.LittleEndian.Uint32(start[len(magic):]); format != formatNumber {
+	if format := binary.LittleEndian.Uint32(start[len(magic):]); format != formatVersion {
 		return version, &FormatError{Path: r.path, Format: format}
 	}
-	data, err := r.need(int(start[len(magic)+5]))
+	data, err := r.readFull(int(start[len(magic)+5]))
 	if err != nil {
 		return version, err
 	}
-	found := string(data)
+	foundOwner := string(data)
 	if version.Term, err = r.uint64(); err != nil {
 		return version, err
 	}
 	if version.Index, err = r.uint64(); err != nil {
 		return version, err
 	}
-	if err = r.checkSum(); err != nil {
+	if err = r.verifyChecksum(); err != nil {
 		return version, err
 	}
-	if found != owner {
-		return version, &OwnerError{Path: r.path, Owner: found, Want: owner}
+	if foundOwner != owner {
+		return version, &OwnerError{Path: r.path, Owner: foundOwner, Want: owner}
 	}
 	return version, nil
 }
--- a/store/configstore/snapshot.go
+++ b/store/configstore/snapshot.go
@@ -9,8 +9,9 @@
 	"valveglade/logic/configtable"
 )
 
-// A snapshot is a header, records, and a CRC-32C of all of it. A record is a tag and: of a service, its last index and its name;
-// of an entry of the service before it, the entry as configtable encodes it; at the end, the number of entries and their digest.
+// A snapshot file is a header, records and a CRC-32C of both. A record is a tag followed by, for a service, its last
+// index and its name; for an entry of the preceding service, the length and bytes of the entry as configtable encodes
+// it; for the end record, the number of entries and their digest.
 const (
 	serviceTag = 's'
 	entryTag   = 'e'
@@ -19,9 +20,9 @@
 
 // writeSnapshot writes a snapshot of a table.
 func writeSnapshot(to io.Writer, owner string, table configtable.Table, version Version) error {
-	sum := crc32.New(castagnoli)
+	sum := crc32.New(castagnoliTable)
 	out := bufio.NewWriterSize(io.MultiWriter(to, sum), 64<<10)
-	out.Write(header{snapshotFile, owner, version}.encode()) // errors of a bufio.Writer stay until Flush
+	out.Write(header{snapshotFile, owner, version}.encode()) // a bufio.Writer keeps its first error until Flush
 	var record []byte
 	for service, lastIndex := range table.Services() {
 		record = append(record[:0], serviceTag)
@@ -29,7 +30,7 @@
 		record = append(record, byte(len(service)))
 		record = append(record, service...)
 		out.Write(record)
-		for entry := range table.Service(service) {
+		for entry := range table.ServiceEntries(service) {
 			record = entry.AppendEntry(append(record[:0], entryTag, 0, 0))
 			binary.LittleEndian.PutUint16(record[1:], uint16(len(record)-3))
 			if _, err := out.Write(record); err != nil {
@@ -55,7 +56,7 @@
 	service string
 }
 
-// readSnapshot returns the table of a whole snapshot.
+// readSnapshot reads a snapshot to its end and returns its table and version.
 func readSnapshot(path string, source io.Reader, owner string) (configtable.Table, Version, error) {
 	r := snapshotReader{fileReader: newFileReader(path, source)}
 	version, err := r.header(snapshotFile, owner)
@@ -78,9 +79,9 @@
 	return table, version, nil
 }
 
-// record reads one record and reports whether it is the tag of the end.
+// record reads one record. For the end record it reads only the tag and reports true.
 func (r *snapshotReader) record() (done bool, err error) {
-	tag, err := r.need(1)
+	tag, err := r.readFull(1)
 	if err != nil {
 		return false, err
 	}
@@ -92,7 +93,7 @@
 	case endTag:
 		return true, nil
 	}
-	return false, r.damage("no record begins here")
+	return false, r.corruption("unknown record tag")
 }
 
 func (r *snapshotReader) addService() error {
@@ -100,27 +101,27 @@
 	if err != nil {
 		return err
 	}
-	size, err := r.need(1)
+	size, err := r.readFull(1)
 	if err != nil {
 		return err
 	}
-	name, err := r.need(int(size[0]))
+	name, err := r.readFull(int(size[0]))
 	if err != nil {
 		return err
 	}
 	r.service = string(name)
 	if err := r.builder.AddService(r.service, lastIndex); err != nil {
-		return r.damage(err.Error())
+		return r.corruption(err.Error())
 	}
 	return nil
 }
 
 func (r *snapshotReader) addEntry() error {
-	size, err := r.need(2)
+	size, err := r.readFull(2)
 	if err != nil {
 		return err
 	}
-	data, err := r.need(int(binary.LittleEndian.Uint16(size)))
+	data, err := r.readFull(int(binary.LittleEndian.Uint16(size)))
 	if err != nil {
 		return err
 	}
@@ -129,12 +130,12 @@
 		err = r.builder.Add(entry)
 	}
 	if err != nil {
-		return r.damage(err.Error())
+		return r.corruption(err.Error())
 	}
 	return nil
 }
 
-// finish reads what follows the tag of the end and compares it with the table.
+// finish reads the rest of the end record and the checksum and compares them with the table.
 func (r *snapshotReader) finish() (configtable.Table, error) {
 	entries, err := r.uint64()
 	if err != nil {
@@ -144,15 +145,15 @@
 	if err != nil {
 		return configtable.Table{}, err
 	}
-	if err := r.checkSum(); err != nil {
+	if err := r.verifyChecksum(); err != nil {
 		return configtable.Table{}, err
 	}
-	if err := r.checkEnd(); err != nil {
+	if err := r.expectEOF(); err != nil {
 		return configtable.Table{}, err
 	}
 	table := r.builder.Table()
 	if uint64(table.Len()) != entries || uint64(table.Digest()) != digest {
-		return configtable.Table{}, r.damage("the entries are not those that were written")
+		return configtable.Table{}, r.corruption("the number of entries or their digest does not match the end record")
 	}
 	return table, nil
 }
