--- a/internal/kernel/link.go
+++ b/internal/kernel/link.go
@@ -21,15 +21,15 @@
 	Ran                   // it was started
 )
 
-// Attempt is the error of a run that has no result.
-type Attempt struct {
+// RunError is the error of a run that has no result.
+type RunError struct {
 	Reach   Reach
 	Stopped bool // off the cores by our command, or because its answer had been given
 	Unknown bool // the kernel knows no such RPC
 	Why     string
 }
 
-func (a *Attempt) Error() string {
+func (a *RunError) Error() string {
 	return fmt.Sprintf("run %s (%s)", a.Why, [...]string{"never started", "sent", "started"}[a.Reach])
 }
 
@@ -103,12 +103,12 @@
 	}
 	line, err := encode(sched{"SCHED", uid, lane, body})
 	if err != nil {
-		return &Attempt{Why: err.Error()}
+		return &RunError{Why: err.Error()}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs[uid] != nil {
-		return &Attempt{Why: "its name is taken by another run"}
+		return &RunError{Why: "its name is taken by another run"}
 	}
 	t := &task[K]{run: run, uid: uid, repeatable: repeatable}
 	l.runs[uid] = t
@@ -130,7 +130,7 @@
 	}
 	l.mu.Unlock()
 	if t != nil && !begun {
-		l.owner.Ended(t.run, 0, nil, &Attempt{Reach: NeverRan, Why: "given up"})
+		l.owner.Ended(t.run, 0, nil, &RunError{Reach: NeverRan, Why: "given up"})
 	}
 }
 
--- a/internal/kernel/random_test.go
+++ b/internal/kernel/random_test.go
@@ -52,7 +52,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	defer k.owed.Done()
-	var attempt *Attempt
+	var attempt *RunError
 	switch o.ends++; {
 	case o.ends > 1:
 		k.Errorf("%s ended twice", o.uid)
--- a/server/runs.go
+++ b/server/runs.go
@@ -38,7 +38,7 @@
 // Ended handles the kernel's report of a finished run.
 func (s *Server) Ended(r *run, took float64, result []byte, err error) {
 	outcome := rpc.OK
-	attempt := (*kernel.Attempt)(nil)
+	attempt := (*kernel.RunError)(nil)
 	if errors.As(err, &attempt) {
 		switch {
 		case attempt.Reach == kernel.NeverRan:
