--- a/internal/kernel/link.go
+++ b/internal/kernel/link.go
@@ -23,14 +23,14 @@
 
 // RunError is the error of a run that has no result.
 type RunError struct {
-	Reach   Reach
-	Stopped bool // off the cores by our command, or because its answer had been given
-	Unknown bool // the kernel knows no such RPC
-	Why     string
+	Progress Reach
+	Stopped  bool // off the cores by our command, or because its answer had been given
+	Unknown  bool // the kernel knows no such RPC
+	Why      string
 }
 
 func (a *RunError) Error() string {
-	return fmt.Sprintf("run %s (%s)", a.Why, [...]string{"never started", "sent", "started"}[a.Reach])
+	return fmt.Sprintf("run %s (%s)", a.Why, [...]string{"never started", "sent", "started"}[a.Progress])
 }
 
 // Owner is told what the kernel says about the runs that it asked for; K is its name for them.
@@ -130,7 +130,7 @@
 	}
 	l.mu.Unlock()
 	if t != nil && !begun {
-		l.owner.Ended(t.run, 0, nil, &RunError{Reach: NeverRan, Why: "given up"})
+		l.owner.Ended(t.run, 0, nil, &RunError{Progress: NeverRan, Why: "given up"})
 	}
 }
 
--- a/internal/kernel/notices.go
+++ b/internal/kernel/notices.go
@@ -155,14 +155,14 @@
 	var end error
 	switch {
 	case n.Code == "fine" && n.garbled:
-		end = &RunError{Reach: Ran, Why: "unreadable result"}
+		end = &RunError{Progress: Ran, Why: "unreadable result"}
 	case n.Code == "fine":
 	case n.Code == "late":
-		end = &RunError{Reach: NeverRan, Why: n.Code}
+		end = &RunError{Progress: NeverRan, Why: n.Code}
 	case n.Code == "broken_off":
-		end = &RunError{Reach: Ran, Stopped: true, Why: n.Code}
+		end = &RunError{Progress: Ran, Stopped: true, Why: n.Code}
 	default:
-		end = &RunError{Reach: Ran, Why: n.Code}
+		end = &RunError{Progress: Ran, Why: n.Code}
 	}
 	if end != nil {
 		n.Content = nil // a run that failed has no result
@@ -184,7 +184,7 @@
 	case "SCHED":
 		// It knows no RPC of this id, lane and body: a repeat may be a genuine one. What may not run twice is asked for once
 		// only, so that this is no second copy of what has run.
-		r.ended(n.UID, 0, nil, &RunError{Reach: NeverRan, Unknown: true, Why: "not carried out"})
+		r.ended(n.UID, 0, nil, &RunError{Progress: NeverRan, Unknown: true, Why: "not carried out"})
 	case "SYSINFO": // a site without gauges: it marks the order of commands all the same
 		r.refusalLogged = true
 		r.answers = r.inform("", nil) || r.answers
@@ -250,7 +250,7 @@
 			}
 			l.mu.Unlock()
 			if known {
-				l.owner.Ended(t.run, 0, nil, &RunError{Reach: Sent, Why: "end lost"})
+				l.owner.Ended(t.run, 0, nil, &RunError{Progress: Sent, Why: "end lost"})
 			}
 		}
 	})
--- a/internal/kernel/random_test.go
+++ b/internal/kernel/random_test.go
@@ -58,7 +58,7 @@
 		k.Errorf("%s ended twice", o.uid)
 	case err == nil && (o.begun == 0 || string(result) != "of "+o.body):
 		k.Errorf("%s, started %d times, has the result %q", o.uid, o.begun, result)
-	case errors.As(err, &attempt) && attempt.Reach == NeverRan && o.begun > 0 && o.once:
+	case errors.As(err, &attempt) && attempt.Progress == NeverRan && o.begun > 0 && o.once:
 		k.Errorf("%s was started, and is told off as never run: %v", o.uid, err)
 	}
 	o.over = true
--- a/server/runs.go
+++ b/server/runs.go
@@ -41,7 +41,7 @@
 	attempt := (*kernel.RunError)(nil)
 	if errors.As(err, &attempt) {
 		switch {
-		case attempt.Reach == kernel.NeverRan:
+		case attempt.Progress == kernel.NeverRan:
 			outcome = rpc.NotStarted
 		case attempt.Stopped:
 			outcome = rpc.Cancelled
@@ -49,7 +49,7 @@
 			outcome = rpc.Error
 		}
 	}
-	if attempt == nil || attempt.Reach != kernel.Sent {
+	if attempt == nil || attempt.Progress != kernel.Sent {
 		r.conn.recordKernelVerdict(attempt == nil || !attempt.Unknown)
 	}
 	s.recoverPanic(func() error {
