--- a/internal/kernel/fault_test.go
+++ b/internal/kernel/fault_test.go
@@ -120,12 +120,12 @@
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "pay", nil, false)
-	c.Pause("a")
+	c.Preempt("a")
 	c.owner(1)
 	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
 	c.owner(1)
 	c.hear(2)
-	c.Pause("b")
+	c.Preempt("b")
 	c.hear(1)
 	c.end()
 	// Output:
@@ -147,7 +147,7 @@
 	c.Run("C", "c", "pay", nil, false)
 	c.hear(3)
 	for _, uid := range []string{"a", "b", "c"} {
-		c.Pause(uid)
+		c.Preempt(uid)
 	}
 	c.hear(3)
 	c.conn.Close()
--- a/internal/kernel/link.go
+++ b/internal/kernel/link.go
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// Pause stops a run, in the way of the site. What has not been asked for yet never is.
-func (l *Link[K]) Pause(uid string) {
+// Preempt stops a run, in the way of the site. What has not been asked for yet never is.
+func (l *Link[K]) Preempt(uid string) {
 	line, _ := encode(preempt{"PREEMPT", uid})
 	l.mu.Lock()
 	t := l.runs[uid]
--- a/internal/kernel/link_test.go
+++ b/internal/kernel/link_test.go
@@ -111,13 +111,13 @@
 		c.Run("R"+uid, uid, "look", nil, true)
 		c.hear(1)
 		if code == "broken_off" {
-			c.Pause(uid)
+			c.Preempt(uid)
 			c.hear(1)
 		}
 		c.say(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"%s","wall_ms":20,"content":"AP8="}`, k+1, uid, code))
 		c.owner(1)
 	}
-	c.Pause("b") // has ended
+	c.Preempt("b") // has ended
 	c.say(`{"action":"EINVAL","code":"SCHED","uid":"a"}`)
 	c.owner(2)
 	c.end()
--- a/internal/kernel/random_test.go
+++ b/internal/kernel/random_test.go
@@ -208,7 +208,7 @@
 		k.Error(err)
 	}
 	if stop {
-		k.Pause(o.uid)
+		k.Preempt(o.uid)
 	}
 }
 
--- a/server/loops.go
+++ b/server/loops.go
@@ -42,7 +42,7 @@
 			s.gate.Report(s.clock.now(), job.RPC, rpc.NotStarted, 0, nil)
 		}
 	case gate.Pause:
-		s.link.Pause(pending.uid)
+		s.link.Preempt(pending.uid)
 	case gate.Serve:
 		s.monitor.succeeded[pending.method].Add(1)
 		pending.respond(len(job.Result), func(out []byte, load float64) []byte {
