--- a/internal/kernel/link.go
+++ b/internal/kernel/link.go
@@ -164,9 +164,9 @@
 	return l.meters
 }
 
-// Waits is how long the oldest command has waited to be taken up by the link's writer. It is not known while the link is
+// QueueDelay is how long the oldest command has waited to be taken up by the link's writer. It is not known while the link is
 // down or being moved, or while the writer waits for the kernel to read: that is not this process's own doing.
-func (l *Link[K]) Waits() (time.Duration, bool) {
+func (l *Link[K]) QueueDelay() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next := l.commands.next()
--- a/server/monitor.go
+++ b/server/monitor.go
@@ -225,7 +225,7 @@
 	lockStart := time.Now()
 	s.gate.Credit()
 	reading[pressure.LockWait] = time.Since(lockStart).Seconds()
-	if waits, known := s.link.Waits(); known {
+	if waits, known := s.link.QueueDelay(); known {
 		reading[pressure.LinkQueue] = waits.Seconds()
 	}
 	delaySum, count := m.readDelaySum.Swap(0), m.readDelayCount.Swap(0)
