--- a/client/conn_read.go
+++ b/client/conn_read.go
@@ -47,7 +47,7 @@
 		if handler.err != nil {
 			return handler.err
 		}
-		buffer.Take(size)
+		buffer.Discard(size)
 		if timed { // The frame is complete. If the next one has begun, it gets its own timeout.
 			timed = false
 			conn.nc.SetReadDeadline(time.Time{})
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -163,7 +163,7 @@
 			}
 			if size > 0 {
 				_ = frame
-				buffer.Take(size)
+				buffer.Discard(size)
 				break
 			}
 		}
--- a/cmd/rehearse/planted.go
+++ b/cmd/rehearse/planted.go
@@ -149,7 +149,7 @@
 			if !bytes.Contains(in.Bytes()[:size], []byte("execute")) || !p.now(plantLostAnswer) {
 				_, err = to.Write(in.Bytes()[:size])
 			}
-			in.Take(size)
+			in.Discard(size)
 		}
 		if err != nil {
 			return
@@ -181,7 +181,7 @@
 				p.mu.Unlock()
 			}
 			_, err = to.Write(frame)
-			in.Take(size)
+			in.Discard(size)
 		}
 		if err != nil {
 			return
--- a/internal/kernel/notices.go
+++ b/internal/kernel/notices.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		line := b[:end]
-		in.Take(end + 1)
+		in.Discard(end + 1)
 		if r.late = false; r.answers {
 			conn.SetReadDeadline(time.Now().Add(silence))
 		}
@@ -93,7 +93,7 @@
 	err := in.Fill(conn)
 	switch {
 	case errors.Is(err, readbuffer.ErrFull):
-		in.Take(len(in.Bytes()))
+		in.Discard(len(in.Bytes()))
 		r.skipping = true
 		return nil
 	case errors.Is(err, os.ErrDeadlineExceeded) && !r.late:
--- a/internal/readbuffer/readbuffer.go
+++ b/internal/readbuffer/readbuffer.go
@@ -51,5 +51,5 @@
 // Bytes is what has been read and not taken, good until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.from:b.to] }
 
-// Take passes over the first n bytes.
-func (b *Buffer) Take(n int) { b.from += n }
+// Discard passes over the first n bytes.
+func (b *Buffer) Discard(n int) { b.from += n }
--- a/internal/readbuffer/readbuffer_test.go
+++ b/internal/readbuffer/readbuffer_test.go
@@ -15,9 +15,9 @@
 			break
 		}
 	}
-	in.Take(initialSize)
+	in.Discard(initialSize)
 	fmt.Println(in.Fill(long), len(in.Bytes()), len(in.data))
-	in.Take(initialSize + 100)
+	in.Discard(initialSize + 100)
 	fmt.Println(in.Fill(strings.NewReader("y")), string(in.Bytes()))
 	fmt.Println(in.Fill(strings.NewReader("")), string(in.Bytes()))
 	// Output:
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -83,7 +83,7 @@
 		}
 		a := naiveAnswer{err: errNaive}
 		err = thrift.DecodeAnswer(b, &a)
-		c.in.Take(size)
+		c.in.Discard(size)
 		if err != nil || a.draining {
 			c.Close()
 			return nil, errNaive
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -255,7 +255,7 @@
 			err = in.Fill(c)
 		case err == nil:
 			err = thrift.DecodeAnswer(frame, c)
-			in.Take(size)
+			in.Discard(size)
 		}
 		if err != nil { // what cannot be read is the checker's to tell
 			return
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -103,7 +103,7 @@
 				err = in.Fill(conn)
 			case err == nil:
 				err = thrift.DecodeAnswer(frame, &answer)
-				in.Take(size)
+				in.Discard(size)
 			}
 			if err != nil {
 				return
--- a/rig/router.go
+++ b/rig/router.go
@@ -148,7 +148,7 @@
 		}
 		if err == nil && size > 0 {
 			err = thrift.DecodeAnswer(frame, to)
-			in.Take(size)
+			in.Discard(size)
 		}
 		if err != nil {
 			return
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -154,7 +154,7 @@
 		if thrift.Decode(frame, in2) != nil {
 			return
 		}
-		in.Take(size)
+		in.Discard(size)
 	}
 }
 
--- a/server/reader.go
+++ b/server/reader.go
@@ -63,7 +63,7 @@
 		if err := c.decode(frame, full); err != nil {
 			return err
 		}
-		in.Take(size)
+		in.Discard(size)
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
@@ -202,7 +202,7 @@
 	c.boundNextRead(messageTimeout)
 	for remaining := size; ; {
 		n := min(remaining, len(in.Bytes()))
-		in.Take(n)
+		in.Discard(n)
 		if remaining -= n; remaining == 0 {
 			return true, nil
 		}
--- a/server/reject.go
+++ b/server/reject.go
@@ -121,7 +121,7 @@
 		if thrift.Decode(frame, r) != nil {
 			return
 		}
-		in.Take(size)
+		in.Discard(size)
 	}
 }
 
