--- a/internal/readbuffer/readbuffer.go
+++ b/internal/readbuffer/readbuffer.go
@@ -11,9 +11,9 @@
 
 // Buffer grows as it needs, is compacted in place, and never passes its limit.
 type Buffer struct {
-	data     []byte
-	from, to int
-	limit    int
+	data       []byte
+	start, end int
+	limit      int
 }
 
 // initialSize holds a usual message; most connections never need more.
@@ -26,22 +26,22 @@
 
 // Fill reads once from r, behind what has not been taken yet.
 func (b *Buffer) Fill(r io.Reader) error {
-	if b.from == b.to {
-		b.from, b.to = 0, 0
+	if b.start == b.end {
+		b.start, b.end = 0, 0
 	}
-	if b.to == len(b.data) {
-		if b.from == 0 {
+	if b.end == len(b.data) {
+		if b.start == 0 {
 			if len(b.data) >= b.limit {
 				return ErrFull
 			}
 			b.data = append(b.data, make([]byte, min(len(b.data), b.limit-len(b.data)))...)
 		} else {
-			b.to = copy(b.data, b.data[b.from:b.to])
-			b.from = 0
+			b.end = copy(b.data, b.data[b.start:b.end])
+			b.start = 0
 		}
 	}
-	n, err := r.Read(b.data[b.to:])
-	b.to += n
+	n, err := r.Read(b.data[b.end:])
+	b.end += n
 	if n > 0 {
 		return nil
 	}
@@ -49,7 +49,7 @@
 }
 
 // Bytes is what has been read and not taken, good until the next Fill.
-func (b *Buffer) Bytes() []byte { return b.data[b.from:b.to] }
+func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
 // Discard passes over the first n bytes.
-func (b *Buffer) Discard(n int) { b.from += n }
+func (b *Buffer) Discard(n int) { b.start += n }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// period: a report lapses after 3 s and a quarter of them are lost. Twelve in that time are all lost once in
+// reportInterval: a report lapses after 3 s and a quarter of them are lost. Twelve in that time are all lost once in
 // sixteen million times; three, as there were at 0.8 s, once in a minute.
-const period = 250 * time.Millisecond
+const reportInterval = 250 * time.Millisecond
 
 // listenUDP opens the socket that reports go out on.
 var listenUDP = func() (*net.UDPConn, error) { return net.ListenUDP("udp", nil) }
@@ -20,7 +20,7 @@
 // more that was lost.
 func Report(ctx context.Context, say func() (at netip.AddrPort, name string, on bool), changed <-chan struct{}) error {
 	var conn *net.UDPConn
-	beat := time.NewTicker(period)
+	beat := time.NewTicker(reportInterval)
 	defer beat.Stop()
 	for {
 		if conn == nil {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// patience is for what must come.
-const patience = 20 * time.Second
+// testTimeout is for what must come.
+const testTimeout = 20 * time.Second
 
-// hear waits for one report.
-func hear(t *testing.T, conn net.PacketConn) string {
+// readReport waits for one report.
+func readReport(t *testing.T, conn net.PacketConn) string {
 	t.Helper()
 	buffer := make([]byte, 100)
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	n, _, err := conn.ReadFrom(buffer)
 	if err != nil {
 		t.Fatal(err)
@@ -46,17 +46,17 @@
 	go func() {
 		over <- Report(ctx, func() (netip.AddrPort, string, bool) { return address, "n1", true }, nil)
 	}()
-	if report := hear(t, roster); report != "HERE n1 on" {
+	if report := readReport(t, roster); report != "HERE n1 on" {
 		t.Errorf("heard %q", report)
 	}
 	roster.Close()
-	time.Sleep(3 * period) // reports that nobody hears
+	time.Sleep(3 * reportInterval) // reports that nobody hears
 	if roster, err = net.ListenPacket("udp", address.String()); err != nil {
 		t.Fatal(err)
 	}
 	defer roster.Close()
 	returned := time.Now()
-	hear(t, roster)
+	readReport(t, roster)
 	if took := time.Since(returned); took > 3*time.Second {
 		t.Errorf("back on the roster after %v", took)
 	}
