--- a/internal/procstats/procstats_test.go
+++ b/internal/procstats/procstats_test.go
@@ -58,8 +58,8 @@
 				t.Fatal(err)
 			}
 		}
-		s := &Source{group: dir}
-		held, ok := s.held()
+		s := &Sampler{cgroup: dir}
+		held, ok := s.throttledSeconds()
 		if q := s.quota(); q != c.quota || ok == math.IsNaN(c.held) || ok && held != c.held {
 			t.Errorf("%s: quota %g, held %g %v", name, q, held, ok)
 		}
