--- a/internal/kernel/connect.go
+++ b/internal/kernel/connect.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	firstTry     = 5 * time.Millisecond
-	lastTry      = 250 * time.Millisecond // a connection on one machine costs little
-	handoverTime = 250 * time.Millisecond // of a second and a half in which an old address still serves
+	initialBackoff         = 5 * time.Millisecond
+	maxBackoff             = 250 * time.Millisecond // a connection on one machine costs little
+	defaultHandoverTimeout = 250 * time.Millisecond // of a second and a half in which an old address still serves
 )
 
 // Serve keeps the link up until ctx ends.
@@ -33,40 +33,40 @@
 			down = false
 		}
 	}
-	pause := firstTry // against a kernel that takes connections and ends them at once
+	pause := initialBackoff // against a kernel that takes connections and ends them at once
 	for {
 		conn, err := l.dial(ctx, failed)
 		for err == nil {
 			began := time.Now()
 			var next net.Conn
-			if next, err = l.hold(ctx, conn, up); next != nil {
+			if next, err = l.serveConnection(ctx, conn, up); next != nil {
 				l.log.Info("kernel link moved", zap.Stringer("to", next.RemoteAddr()))
 				conn, err = next, nil
 			}
-			if time.Since(began) > lastTry {
-				pause = firstTry
+			if time.Since(began) > maxBackoff {
+				pause = initialBackoff
 			}
 		}
 		failed(err)
 		if !sleep(ctx, pause) {
 			return nil
 		}
-		pause = min(2*pause, lastTry)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
 // dial tries until a connection stands or ctx ends.
 func (l *Link[K]) dial(ctx context.Context, failed func(error)) (net.Conn, error) {
 	var dialer net.Dialer
-	for pause := firstTry; ; pause = min(2*pause, lastTry) {
+	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
 		l.mu.Lock()
-		at := l.at
+		at := l.address
 		select {
-		case <-l.moved: // it is this one
+		case <-l.addressChanged: // it is this one
 		default:
 		}
 		l.mu.Unlock()
-		try, end := context.WithTimeout(ctx, silence)
+		try, end := context.WithTimeout(ctx, ioTimeout)
 		conn, err := dialer.DialContext(try, "tcp", at.String())
 		end()
 		if err == nil {
@@ -93,11 +93,11 @@
 // errMoved ends a connection in whose place another stands.
 var errMoved = errors.New("kernel link moved")
 
-// hold uses a connection until it ends, or until one to a new address stands: next.
-func (l *Link[K]) hold(ctx context.Context, conn net.Conn, up func()) (next net.Conn, err error) {
+// serveConnection uses a connection until it ends, or until one to a new address stands: next.
+func (l *Link[K]) serveConnection(ctx context.Context, conn net.Conn, up func()) (next net.Conn, err error) {
 	l.mu.Lock()
-	l.session++
-	open := fmt.Sprintf(`{"action":"OPEN","pos":%d}`+"\n", l.pos)
+	l.connectionNumber++
+	open := fmt.Sprintf(`{"action":"OPEN","pos":%d}`+"\n", l.lastPos)
 	l.mu.Unlock()
 	sides, live := errgroup.WithContext(ctx)
 	defer context.AfterFunc(live, func() { conn.Close() })()
@@ -112,13 +112,13 @@
 		select {
 		case <-live.Done():
 			return nil
-		case <-l.moved:
+		case <-l.addressChanged:
 		}
 		var err error
 		if next, err = l.dial(live, func(error) {}); err != nil {
 			return nil // the old connection has ended meanwhile; the new address is dialled anyway
 		}
-		l.handOver(live)
+		l.flush(live)
 		return errMoved
 	})
 	err = sides.Wait()
@@ -126,34 +126,34 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// What may not have been read is sent again on the next connection, unless it must not run twice.
-	l.session++
-	l.up, l.handover = false, staying
-	l.inDoubt = append(l.inDoubt, l.commands.reopen()...)
+	l.connectionNumber++
+	l.synced, l.handover = false, noHandover
+	l.unconfirmed = append(l.unconfirmed, l.commands.prepareReconnect()...)
 	return next, err
 }
 
-// handOver ends what goes on on a connection in good order: the kernel has read all that was written, and answers that it has.
+// flush ends what goes on on a connection in good order: the kernel has read all that was written, and answers that it has.
 // What is decided meanwhile waits for the next connection.
-func (l *Link[K]) handOver(ctx context.Context) {
+func (l *Link[K]) flush(ctx context.Context) {
 	l.mu.Lock()
-	up := l.up
+	up := l.synced
 	if up {
 		select {
-		case <-l.handoverReady:
+		case <-l.flushAcknowledged:
 		default:
 		}
-		l.handover = finishing
-		l.push(l.commands.question())
+		l.handover = flushing
+		l.push(l.commands.newQuery())
 	}
 	l.mu.Unlock()
 	if !up {
 		return
 	}
-	late := time.NewTimer(l.handoverFor)
+	late := time.NewTimer(l.handoverTimeout)
 	defer late.Stop()
 	select {
 	case <-ctx.Done():
-	case <-l.handoverReady:
+	case <-l.flushAcknowledged:
 	case <-late.C:
 	}
 }
@@ -165,7 +165,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.work:
+		case <-l.commandReady:
 		}
 		l.gather(&out)
 		if len(out.bytes) == 0 {
@@ -175,7 +175,7 @@
 		l.mu.Lock()
 		l.writing = false
 		if err != nil {
-			out.unwritten(n)
+			out.markUnwritten(n)
 		}
 		l.mu.Unlock()
 		if err != nil {
@@ -192,8 +192,8 @@
 
 // firstStart is a task whose command goes out for the first time.
 type firstStart[K any] struct {
-	task *task[K]
-	at   int // where its line begins
+	task   *task[K]
+	offset int // where its line begins
 }
 
 // gather takes up what may be written now.
@@ -202,27 +202,27 @@
 	defer l.mu.Unlock()
 	out.bytes, out.starts = out.bytes[:0], out.starts[:0]
 	now := time.Now()
-	for c := l.commands.next(); c != nil && l.handover != handedOver; c = l.commands.next() {
-		if !l.up && c.echo == "" {
+	for c := l.commands.next(); c != nil && l.handover != flushed; c = l.commands.next() {
+		if !l.synced && c.echo == "" {
 			break // until the question before it has been answered
 		}
-		if c.start && !c.task.asked {
+		if c.isSched && !c.task.sent {
 			out.starts = append(out.starts, firstStart[K]{c.task, len(out.bytes)})
 		}
 		out.bytes = append(out.bytes, c.line...)
-		if l.handover == finishing && c.echo != "" && l.commands.asked() == c {
-			l.handover = handedOver
+		if l.handover == flushing && c.echo != "" && l.commands.pendingQuery() == c {
+			l.handover = flushed
 		}
-		l.commands.take(now)
+		l.commands.markWritten(now)
 	}
 	l.writing = len(out.bytes) > 0
 }
 
-// unwritten takes back what lies past the first n bytes: the kernel cannot have read of it.
-func (out *batch[K]) unwritten(n int) {
+// markUnwritten takes back what lies past the first n bytes: the kernel cannot have read of it.
+func (out *batch[K]) markUnwritten(n int) {
 	for _, s := range out.starts {
-		if s.at >= n {
-			s.task.asked = false
+		if s.offset >= n {
+			s.task.sent = false
 		}
 	}
 }
@@ -230,7 +230,7 @@
 // writeAll gives a write that was late a second chance: it may be this process that stood still.
 func writeAll(conn net.Conn, out []byte) (n int, err error) {
 	for range 2 {
-		conn.SetWriteDeadline(time.Now().Add(silence))
+		conn.SetWriteDeadline(time.Now().Add(ioTimeout))
 		var more int
 		more, err = conn.Write(out[n:])
 		if n += more; !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/kernel/fault_test.go
+++ b/internal/kernel/fault_test.go
@@ -13,17 +13,17 @@
 )
 
 // boot takes the next connection and says that the kernel is up; its first question is answered.
-func (c *cores) boot(notices ...string) {
+func (c *fakeKernel) boot(notices ...string) {
 	c.accept()
-	c.say(append([]string{`{"action":"BOOTED","code":"running","wall_ms":10}`}, notices...)...)
-	c.hear(1)
-	c.owner(1)
+	c.send(append([]string{`{"action":"BOOTED","code":"running","wall_ms":10}`}, notices...)...)
+	c.printCommands(1)
+	c.printEvents(1)
 }
 
-// quiet tells whether nothing more was told or asked within a moment.
-func (c *cores) quiet() {
+// printUnexpected tells whether nothing more was told or asked within a moment.
+func (c *fakeKernel) printUnexpected() {
 	select {
-	case told := <-c.told:
+	case told := <-c.events:
 		fmt.Println(told)
 	default:
 	}
@@ -39,20 +39,20 @@
 func Example_forms() {
 	c := start()
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":1e1,"more":[{}]}`)
-	c.hear(1)
-	c.owner(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":1e1,"more":[{}]}`)
+	c.printCommands(1)
+	c.printEvents(1)
 	for k, uid := range []string{"a", "b", "c", "d"} {
 		c.Run("R"+uid, uid, `<&> "é" `+string(rune('0'+k)), nil, true)
 	}
-	c.hear(4)
-	c.say(`{"action":"REAP","pos":1.0,"uid":"a","code":"fine","wall_ms":5,"content":null}`,
+	c.printCommands(4)
+	c.send(`{"action":"REAP","pos":1.0,"uid":"a","code":"fine","wall_ms":5,"content":null}`,
 		`{"action":"REAP","pos":2e0,"uid":"b","code":"fine","wall_ms":5,"content":"Yg==","echo":7,"meters":"none"}`,
 		`{"action":"REAP","pos":3,"uid":"c","code":"fine","wall_ms":5,"content":"not base64"}`,
 		`{"action":"REAP","pos":4,"uid":"d","code":"fine","wall_ms":"long","content":"ZA=="}`)
-	c.owner(4)
+	c.printEvents(4)
 	go c.Gauges(20 * time.Second)
-	c.hear(1)
+	c.printCommands(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -76,9 +76,9 @@
 	c.boot(`{"action":"DMESG","pos":1,"code":"`+strings.Repeat("hm ", 1<<17)+`"}`,
 		`{"action":"DMESG","pos":2,"code":"hm"}`)
 	c.Run("A", "a", "look", nil, true)
-	c.hear(1)
-	c.say(`{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`)
-	c.owner(1)
+	c.printCommands(1)
+	c.send(`{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -91,17 +91,17 @@
 
 // A kernel that never answers the first question is asked for runs all the same.
 func Example_unanswered() {
-	c := startWith(func(l *Link[string]) { l.syncFor = 50 * time.Millisecond })
+	c := startWith(func(l *Link[string]) { l.syncTimeout = 50 * time.Millisecond })
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.owner(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printEvents(1)
 	for range 2 {
 		line, _ := c.lines.ReadString('\n')
 		fmt.Print(line)
 	}
-	c.say(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5}`)
-	c.owner(1)
+	c.send(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5}`)
+	c.printEvents(1)
 	fmt.Println(c.Gauges(time.Millisecond))
 	c.end()
 	// Output:
@@ -121,12 +121,12 @@
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "pay", nil, false)
 	c.Preempt("a")
-	c.owner(1)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.owner(1)
-	c.hear(2)
+	c.printEvents(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printEvents(1)
+	c.printCommands(2)
 	c.Preempt("b")
-	c.hear(1)
+	c.printCommands(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -145,19 +145,19 @@
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "look", nil, true)
 	c.Run("C", "c", "pay", nil, false)
-	c.hear(3)
+	c.printCommands(3)
 	for _, uid := range []string{"a", "b", "c"} {
 		c.Preempt(uid)
 	}
-	c.hear(3)
+	c.printCommands(3)
 	c.conn.Close()
 	c.boot(`{"action":"REAP","pos":1,"uid":"a","code":"broken_off","wall_ms":5}`)
-	c.owner(1)
-	c.hear(3)
-	c.say(`{"action":"REAP","pos":2,"uid":"c","code":"broken_off","wall_ms":5}`,
+	c.printEvents(1)
+	c.printCommands(3)
+	c.send(`{"action":"REAP","pos":2,"uid":"c","code":"broken_off","wall_ms":5}`,
 		`{"action":"REAP","pos":3,"uid":"b","code":"broken_off","wall_ms":5}`)
-	c.owner(2)
-	c.quiet()
+	c.printEvents(2)
+	c.printUnexpected()
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -184,21 +184,21 @@
 // The time for the first answer is that of its own connection: once that has ended, nothing is sent on the next before the
 // kernel says that it is up.
 func Example_unansweredBefore() {
-	c := startWith(func(l *Link[string]) { l.syncFor = 30 * time.Millisecond })
+	c := startWith(func(l *Link[string]) { l.syncTimeout = 30 * time.Millisecond })
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.owner(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printEvents(1)
 	at := c.Addr().String()
 	c.Listener.Close() // nobody listens there for a while
 	c.conn.Close()
-	time.Sleep(2 * c.syncFor) // the time is over
+	time.Sleep(2 * c.syncTimeout) // the time is over
 	var err error
 	if c.Listener, err = net.Listen("tcp", at); err != nil {
 		panic(err)
 	}
 	c.accept()
-	c.quiet()
+	c.printUnexpected()
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -210,10 +210,10 @@
 // The link moves in good order: what has been written is read on the old connection before the new one takes its place, so
 // that nothing is in doubt that must not run twice.
 func Example_movedOnce() {
-	c := startWith(func(l *Link[string]) { l.doubtFor, l.handoverFor = 20*time.Millisecond, 20*time.Second })
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout, l.handoverTimeout = 20*time.Millisecond, 20*time.Second })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	old := c.Listener
 	second, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -221,13 +221,13 @@
 	}
 	c.Listener = second
 	c.Move(netip.MustParseAddrPort(second.Addr().String()))
-	c.hear(1)
+	c.printCommands(1)
 	c.boot()
 	c.Run("B", "b", "pay", nil, false)
-	c.hear(1)
-	c.quiet() // for longer than a doubt lasts
-	c.say(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5}`)
-	c.owner(1)
+	c.printCommands(1)
+	c.printUnexpected() // for longer than a doubt lasts
+	c.send(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5}`)
+	c.printEvents(1)
 	old.Close()
 	c.end()
 	// Output:
@@ -244,13 +244,13 @@
 	// ended: <nil>
 }
 
-// script is a connection of which each read gives the next step, an error or text.
-type script struct {
+// scriptedConn is a connection of which each read gives the next step, an error or text.
+type scriptedConn struct {
 	net.Conn
 	steps []any
 }
 
-func (s *script) Read(b []byte) (int, error) {
+func (s *scriptedConn) Read(b []byte) (int, error) {
 	if len(s.steps) == 0 {
 		return 0, io.EOF
 	}
@@ -262,21 +262,21 @@
 	return copy(b, step.(string)), nil
 }
 
-func (s *script) SetReadDeadline(time.Time) error { return nil }
+func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
 // This process was stopped for longer than a silent kernel is borne, so that the deadline is over before what came meanwhile
 // is read: that is read first, and only a kernel that stays silent has its link made anew.
 func Example_stoppedProcess() {
-	c := &cores{told: make(chan string, 10)}
+	c := &fakeKernel{events: make(chan string, 10)}
 	l := New[string](netip.AddrPort{}, c, zap.NewNop())
-	fmt.Println(l.read(&script{steps: []any{
+	fmt.Println(l.read(&scriptedConn{steps: []any{
 		`{"action":"BOOTED","code":"running","wall_ms":10}` + "\n" + `{"action":"INFO","echo":"1","meters":[]}` + "\n",
 		os.ErrDeadlineExceeded, `{"action":"DMESG","pos":1,"code":"hm"}` + "\n",
 		os.ErrDeadlineExceeded, `{"action":"DMESG","pos":2,"code":"hm"}` + "\n",
 		os.ErrDeadlineExceeded, os.ErrDeadlineExceeded,
 		`{"action":"DMESG","pos":3,"code":"hm"}` + "\n",
 	}}, func() {}))
-	fmt.Println(l.pos)
+	fmt.Println(l.lastPos)
 	// Output:
 	// i/o timeout
 	// 2
@@ -284,10 +284,10 @@
 
 // The new address takes the connection and says nothing; what is decided waits, and another move ends that.
 func Example_movedTwice() {
-	c := startWith(func(l *Link[string]) { l.handoverFor = 20 * time.Second })
+	c := startWith(func(l *Link[string]) { l.handoverTimeout = 20 * time.Second })
 	c.boot()
 	c.Run("X", "x", "look", nil, true)
-	c.hear(1) // so its first question has been answered
+	c.printCommands(1) // so its first question has been answered
 	old := c.Listener
 	defer old.Close()
 	var err error
@@ -298,15 +298,15 @@
 		defer c.Listener.Close()
 		c.Move(netip.MustParseAddrPort(c.Addr().String()))
 		if moves == 0 {
-			c.hear(1) // the last question on the first connection
+			c.printCommands(1) // the last question on the first connection
 			c.Run("A", "a", "look", nil, true)
 		}
 		c.accept()
-		c.quiet()
+		c.printUnexpected()
 	}
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.owner(1)
-	c.hear(2)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printEvents(1)
+	c.printCommands(2)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
--- a/internal/kernel/link_test.go
+++ b/internal/kernel/link_test.go
@@ -14,27 +14,27 @@
 	"go.uber.org/zap"
 )
 
-// cores is a stand-in kernel: the test reads its commands and writes its notices, line by line.
-type cores struct {
+// fakeKernel is a stand-in kernel: the test reads its commands and writes its notices, line by line.
+type fakeKernel struct {
 	net.Listener
-	conn  net.Conn
-	lines *bufio.Reader
-	told  chan string // what the link told its owner
+	conn   net.Conn
+	lines  *bufio.Reader
+	events chan string // what the link told its owner
 	*Link[string]
-	end     func()
-	without bool // gauges
+	end      func()
+	noGauges bool // gauges
 }
 
-func start() *cores { return startWith(nil) }
+func start() *fakeKernel { return startWith(nil) }
 
-func startWith(change func(l *Link[string])) *cores {
+func startWith(change func(l *Link[string])) *fakeKernel {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	c := &cores{Listener: listener, told: make(chan string, 100)}
+	c := &fakeKernel{Listener: listener, events: make(chan string, 100)}
 	c.Link = New[string](netip.MustParseAddrPort(listener.Addr().String()), c, zap.NewNop())
-	c.Link.lossSpan = 0 // what is answered for is with the kernel, unless the test says otherwise
+	c.Link.lossWindow = 0 // what is answered for is with the kernel, unless the test says otherwise
 	if change != nil {
 		change(c.Link)
 	}
@@ -49,49 +49,49 @@
 	return c
 }
 
-func (c *cores) Booted(ago float64, cold bool) {
-	c.told <- fmt.Sprintf("booted %g ago, cold %v", ago, cold)
+func (c *fakeKernel) Booted(ago float64, cold bool) {
+	c.events <- fmt.Sprintf("booted %g ago, cold %v", ago, cold)
 }
-func (c *cores) Ended(run string, took float64, result []byte, err error) {
-	c.told <- fmt.Sprintf("%s ended after %g: %q, %v", run, took, result, err)
+func (c *fakeKernel) Ended(run string, took float64, result []byte, err error) {
+	c.events <- fmt.Sprintf("%s ended after %g: %q, %v", run, took, result, err)
 }
 
 // accept takes the next connection and prints its first command.
-func (c *cores) accept() {
+func (c *fakeKernel) accept() {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		panic(err)
 	}
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	c.conn, c.lines = conn, bufio.NewReader(conn)
-	c.hear(1)
+	c.printCommands(1)
 }
 
-// hear prints the next n commands and answers what asks for gauges.
-func (c *cores) hear(n int) {
+// printCommands prints the next n commands and answers what asks for gauges.
+func (c *fakeKernel) printCommands(n int) {
 	for range n {
 		line, err := c.lines.ReadString('\n')
 		fmt.Println("<", strings.TrimSpace(line), err)
 		var m struct{ Action, Echo string }
 		switch json.Unmarshal([]byte(line), &m); {
 		case m.Action != "SYSINFO":
-		case c.without:
-			c.say(`{"action":"EINVAL","code":"SYSINFO"}`)
+		case c.noGauges:
+			c.send(`{"action":"EINVAL","code":"SYSINFO"}`)
 		default:
-			c.say(`{"action":"INFO","echo":"` + m.Echo + `","meters":[0.5,3]}`)
+			c.send(`{"action":"INFO","echo":"` + m.Echo + `","meters":[0.5,3]}`)
 		}
 	}
 }
 
-func (c *cores) say(lines ...string) {
+func (c *fakeKernel) send(lines ...string) {
 	fmt.Fprint(c.conn, strings.Join(lines, "\n")+"\n")
 }
 
-// owner prints the next n things that the owner was told.
-func (c *cores) owner(n int) {
+// printEvents prints the next n things that the printEvents was told.
+func (c *fakeKernel) printEvents(n int) {
 	for range n {
 		select {
-		case told := <-c.told:
+		case told := <-c.events:
 			fmt.Println(told)
 		case <-time.After(20 * time.Second):
 			fmt.Println("nothing told")
@@ -103,23 +103,23 @@
 	c := start()
 	c.accept()
 	c.Run("A", "a", "look", []byte{0, 255}, true)
-	c.say(`{"action":"BOOTED","code":"starting","wall_ms":1500}`)
-	c.hear(2)
+	c.send(`{"action":"BOOTED","code":"starting","wall_ms":1500}`)
+	c.printCommands(2)
 	fmt.Println(c.Run("A", "a", "look", nil, true))
 	for k, code := range []string{"fine", "fault", "broken_off", "late"} {
 		uid := string(rune('b' + k))
 		c.Run("R"+uid, uid, "look", nil, true)
-		c.hear(1)
+		c.printCommands(1)
 		if code == "broken_off" {
 			c.Preempt(uid)
-			c.hear(1)
+			c.printCommands(1)
 		}
-		c.say(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"%s","wall_ms":20,"content":"AP8="}`, k+1, uid, code))
-		c.owner(1)
+		c.send(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"%s","wall_ms":20,"content":"AP8="}`, k+1, uid, code))
+		c.printEvents(1)
 	}
 	c.Preempt("b") // has ended
-	c.say(`{"action":"EINVAL","code":"SCHED","uid":"a"}`)
-	c.owner(2)
+	c.send(`{"action":"EINVAL","code":"SCHED","uid":"a"}`)
+	c.printEvents(2)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -145,30 +145,30 @@
 func Example_lost() {
 	c := start()
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.hear(1)
-	c.owner(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printCommands(1)
+	c.printEvents(1)
 	c.Run("A", "a", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	asked := make(chan []float64)
 	go func() { asked <- c.Gauges(20 * time.Second) }()
-	c.hear(1) // the answer proves that a's command has been read
+	c.printCommands(1) // the answer proves that a's command has been read
 	fmt.Println("gauges", <-asked)
 	c.Run("B", "b", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	c.Run("C", "c", "look", nil, true)
-	c.hear(1)
-	c.say(`{"action":"REAP","pos":1,"uid":"x","code":"fine","wall_ms":1}`, `{"action":"DMESG","pos":2,"code":"hm"}`)
+	c.printCommands(1)
+	c.send(`{"action":"REAP","pos":1,"uid":"x","code":"fine","wall_ms":1}`, `{"action":"DMESG","pos":2,"code":"hm"}`)
 	c.conn.Close()
 	c.accept()
 	c.Run("D", "d", "look", nil, true)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":99}`, `{"action":"DMESG","pos":2,"code":"hm"}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":99}`, `{"action":"DMESG","pos":2,"code":"hm"}`,
 		`{"action":"REAP","pos":3,"uid":"b","code":"fine","wall_ms":5,"content":"Yg=="}`,
 		`{"action":"REAP","pos":3,"uid":"c","code":"fine","wall_ms":5}`)
-	c.owner(2)
-	c.hear(3)
-	c.say(`{"action":"REAP","pos":4,"uid":"a","code":"fine","wall_ms":6,"content":"YQ=="}`)
-	c.owner(1)
+	c.printEvents(2)
+	c.printCommands(3)
+	c.send(`{"action":"REAP","pos":4,"uid":"a","code":"fine","wall_ms":6,"content":"YQ=="}`)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -193,19 +193,19 @@
 // that nobody asked for proves nothing to have been read.
 func Example_gaugeless() {
 	c := start()
-	c.without = true
+	c.noGauges = true
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.hear(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printCommands(1)
 	c.Run("A", "a", "look", nil, true)
-	c.hear(1)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`, `{"action":"INFO","meters":[1]}`)
+	c.printCommands(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`, `{"action":"INFO","meters":[1]}`)
 	c.Run("B", "b", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.hear(3)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printCommands(3)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -223,16 +223,16 @@
 func Example_gap() {
 	c := start()
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.hear(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printCommands(1)
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "look", nil, true)
-	c.hear(2)
-	c.say(`{"action":"DMESG","pos":1,"code":"hm"}`, `{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`)
+	c.printCommands(2)
+	c.send(`{"action":"DMESG","pos":1,"code":"hm"}`, `{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`)
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`, `{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`, `{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`,
 		`not JSON`, `{"action":"SING"}`, `{"action":"REAP","pos":9,"uid":"b","code":"fine","wall_ms":5}`)
-	c.owner(4)
+	c.printEvents(4)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -250,25 +250,25 @@
 // Notices that the kernel has no longer: a run that ended with one of them is let go after a while, and would
 // else count as running for ever; one whose end comes, and one asked for later, end as they should.
 func Example_doubt() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 50 * time.Millisecond })
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.hear(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printCommands(1)
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "look", nil, true)
-	c.hear(2)
+	c.printCommands(2)
 	go c.Gauges(20 * time.Second)
-	c.hear(1) // its answer proves that both have been read
+	c.printCommands(1) // its answer proves that both have been read
 	c.conn.Close()
 	c.accept()
 	c.Run("C", "c", "look", nil, true)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":99}`, `{"action":"DMESG","pos":4001,"code":"hm"}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":99}`, `{"action":"DMESG","pos":4001,"code":"hm"}`,
 		`{"action":"REAP","pos":4002,"uid":"b","code":"fine","wall_ms":6,"content":"Yg=="}`)
-	c.owner(4)
-	c.hear(2)
-	c.say(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`,
+	c.printEvents(4)
+	c.printCommands(2)
+	c.send(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`,
 		`{"action":"REAP","pos":4004,"uid":"c","code":"fine","wall_ms":6}`)
-	c.owner(1)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -293,11 +293,11 @@
 func Example_moved() {
 	c := start()
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`)
-	c.hear(1)
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
+	c.printCommands(1)
 	c.Run("A", "a", "look", nil, true)
-	c.hear(1)
-	c.say(`{"action":"DMESG","pos":1,"code":"hm"}`)
+	c.printCommands(1)
+	c.send(`{"action":"DMESG","pos":1,"code":"hm"}`)
 	c.Move(netip.MustParseAddrPort(c.Addr().String())) // where it is already
 	second, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -307,16 +307,16 @@
 	second.Close() // nobody listens there yet
 	c.Move(netip.MustParseAddrPort(at))
 	c.Run("B", "b", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	c.Listener.Close()
 	if c.Listener, err = net.Listen("tcp", at); err != nil {
 		panic(err)
 	}
 	c.accept()
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":99}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":99}`,
 		`{"action":"REAP","pos":2,"uid":"a","code":"fine","wall_ms":5,"content":"YQ=="}`)
-	c.owner(3)
-	c.hear(2)
+	c.printEvents(3)
+	c.printCommands(2)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -337,10 +337,10 @@
 	f.Add([]byte(`{"action":"INFO","echo":"1","meters":[1,2]}` + "\n" + `{"action":"BOOTED","wall_ms":1}` + "\n"))
 	f.Add([]byte(`{"action":"EINVAL","code":"SCHED","uid":"a"}` + "\n" + `{"action":"DMESG","pos":7}` + "\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := &cores{told: make(chan string, 1+len(text))}
+		c := &fakeKernel{events: make(chan string, 1+len(text))}
 		l := New[string](netip.AddrPort{}, c, zap.NewNop())
 		l.Run("A", "a", "look", nil, true)
-		l.commands.take(time.Now())
+		l.commands.markWritten(time.Now())
 		near, far := net.Pipe()
 		go func() {
 			far.Write(text)
@@ -351,8 +351,8 @@
 		}
 		near.Close()
 		ended := 0
-		for close(c.told); ; {
-			told, ok := <-c.told
+		for close(c.events); ; {
+			told, ok := <-c.events
 			if !ok {
 				break
 			}
--- a/internal/kernel/notices.go
+++ b/internal/kernel/notices.go
@@ -28,40 +28,40 @@
 	Echo    string    `json:"echo"`
 	Meters  []float64 `json:"meters"`
 
-	garbled bool // its content cannot be read
+	contentInvalid bool // its content cannot be read
 }
 
 // decode reads a line. A field of another kind than it should be is as one left out: it may be of no use here.
 func (n *notice) decode(line []byte) error {
 	err := json.Unmarshal(line, n)
 	if kind := (*json.UnmarshalTypeError)(nil); errors.As(err, &kind) {
-		n.garbled = kind.Field == "content"
+		n.contentInvalid = kind.Field == "content"
 		return nil
 	}
 	if corrupt := base64.CorruptInputError(0); errors.As(err, &corrupt) {
-		n.garbled = true
+		n.contentInvalid = true
 		return nil
 	}
 	return err
 }
 
-// reader is what is known of one connection's notices.
-type reader[K any] struct {
+// noticeReader is what is known of one connection's notices.
+type noticeReader[K any] struct {
 	*Link[K]
-	booted        bool
-	answers       bool // the kernel has answered a question, so that its silence tells something
-	first         bool // no notice has come yet
-	blind         bool // a line was not understood and may have been a notice: the next one's number tells nothing
-	refusalLogged bool // the site has no gauges, which has been said
-	unknownLogged bool // an end of a run not in hand has been logged
-	skipping      bool // the line that comes is too long, and passed over
-	late          bool // nothing has come for as long as a silent kernel is borne
+	booted           bool
+	answersQueries   bool // the kernel has answered a question, so that its silence tells something
+	awaitingFirst    bool // no notice has come yet
+	positionUnknown  bool // a line was not understood and may have been a notice: the next one's number tells nothing
+	refusalLogged    bool // the site has no gauges, which has been said
+	unknownRunLogged bool // an end of a run not in hand has been logged
+	skippingLine     bool // the line that comes is too long, and passed over
+	timedOut         bool // nothing has come for as long as a silent kernel is borne
 }
 
 // read takes notices until the connection ends.
 func (l *Link[K]) read(conn net.Conn, up func()) error {
 	in := readbuffer.New(maxLine)
-	r := reader[K]{Link: l, first: true}
+	r := noticeReader[K]{Link: l, awaitingFirst: true}
 	for {
 		b := in.Bytes()
 		end := bytes.IndexByte(b, '\n')
@@ -73,15 +73,15 @@
 		}
 		line := b[:end]
 		in.Discard(end + 1)
-		if r.late = false; r.answers {
-			conn.SetReadDeadline(time.Now().Add(silence))
+		if r.timedOut = false; r.answersQueries {
+			conn.SetReadDeadline(time.Now().Add(ioTimeout))
 		}
-		if r.skipping {
-			r.skipping = false
-			r.passOver("kernel line passed over", zap.String("why", "too long"))
+		if r.skippingLine {
+			r.skippingLine = false
+			r.logUnreadable("kernel line passed over", zap.String("why", "too long"))
 			continue
 		}
-		if err := r.take(line, up); err != nil {
+		if err := r.handle(line, up); err != nil {
 			return err
 		}
 	}
@@ -89,42 +89,42 @@
 
 // fill reads on. A line that is longer than any that means something is thrown away as it comes; and what came while this
 // process itself stood still is looked for before the kernel is taken for silent.
-func (r *reader[K]) fill(in *readbuffer.Buffer, conn net.Conn) error {
+func (r *noticeReader[K]) fill(in *readbuffer.Buffer, conn net.Conn) error {
 	err := in.Fill(conn)
 	switch {
 	case errors.Is(err, readbuffer.ErrFull):
 		in.Discard(len(in.Bytes()))
-		r.skipping = true
+		r.skippingLine = true
 		return nil
-	case errors.Is(err, os.ErrDeadlineExceeded) && !r.late:
-		r.late = true
-		conn.SetReadDeadline(time.Now().Add(askAgain))
+	case errors.Is(err, os.ErrDeadlineExceeded) && !r.timedOut:
+		r.timedOut = true
+		conn.SetReadDeadline(time.Now().Add(queryTimeout))
 		return nil
 	}
 	return err
 }
 
-// passOver logs the first line that is not understood.
-func (r *reader[K]) passOver(what string, why zap.Field) {
-	if !r.blind {
+// logUnreadable logs the first line that is not understood.
+func (r *noticeReader[K]) logUnreadable(what string, why zap.Field) {
+	if !r.positionUnknown {
 		r.log.Warn(what, why)
 	}
-	r.blind = true
+	r.positionUnknown = true
 }
 
-// take acts on one line.
-func (r *reader[K]) take(line []byte, up func()) error {
+// handle acts on one line.
+func (r *noticeReader[K]) handle(line []byte, up func()) error {
 	var n notice
 	if err := n.decode(line); err != nil {
-		r.passOver("kernel line passed over", zap.Error(err))
+		r.logUnreadable("kernel line passed over", zap.Error(err))
 		return nil
 	}
 	if n.Pos >= 1 {
-		fresh, whole := r.follow(int(n.Pos), r.first || r.blind)
+		fresh, whole := r.trackPosition(int(n.Pos), r.awaitingFirst || r.positionUnknown)
 		if !whole {
 			return errors.New("a notice is missing")
 		}
-		r.first, r.blind = false, false
+		r.awaitingFirst, r.positionUnknown = false, false
 		if !fresh {
 			return nil
 		}
@@ -138,45 +138,45 @@
 			up()
 		}
 	case "INFO":
-		r.answers = r.inform(n.Echo, n.Meters) || r.answers
+		r.answersQueries = r.handleInfo(n.Echo, n.Meters) || r.answersQueries
 	case "REAP":
-		r.reap(&n)
+		r.handleReap(&n)
 	case "EINVAL":
-		r.refused(&n)
+		r.handleRejection(&n)
 	case "DMESG":
 	default:
-		r.passOver("kernel word not known", zap.String("action", n.Action))
+		r.logUnreadable("kernel word not known", zap.String("action", n.Action))
 	}
 	return nil
 }
 
-// reap takes note of the end of a run.
-func (r *reader[K]) reap(n *notice) {
+// handleReap takes note of the end of a run.
+func (r *noticeReader[K]) handleReap(n *notice) {
 	var end error
 	switch {
-	case n.Code == "fine" && n.garbled:
-		end = &RunError{Progress: Ran, Why: "unreadable result"}
+	case n.Code == "fine" && n.contentInvalid:
+		end = &RunError{Progress: Started, Reason: "unreadable result"}
 	case n.Code == "fine":
 	case n.Code == "late":
-		end = &RunError{Progress: NeverRan, Why: n.Code}
+		end = &RunError{Progress: NeverRan, Reason: n.Code}
 	case n.Code == "broken_off":
-		end = &RunError{Progress: Ran, Stopped: true, Why: n.Code}
+		end = &RunError{Progress: Started, Stopped: true, Reason: n.Code}
 	default:
-		end = &RunError{Progress: Ran, Why: n.Code}
+		end = &RunError{Progress: Started, Reason: n.Code}
 	}
 	if end != nil {
 		n.Content = nil // a run that failed has no result
 	}
 	took := max(n.Took, 0) / 1000
-	r.took(took)
-	if !r.ended(n.UID, took, n.Content, end) && !r.unknownLogged {
-		r.unknownLogged = true
+	r.recordRunTime(took)
+	if !r.finishRun(n.UID, took, n.Content, end) && !r.unknownRunLogged {
+		r.unknownRunLogged = true
 		r.log.Warn("end of a run not in hand", zap.String("run", n.UID))
 	}
 }
 
-// refused takes note of a command that was not carried out.
-func (r *reader[K]) refused(n *notice) {
+// handleRejection takes note of a command that was not carried out.
+func (r *noticeReader[K]) handleRejection(n *notice) {
 	if n.Code != "SYSINFO" || !r.refusalLogged {
 		r.log.Warn("kernel did not carry out", zap.String("command", n.Code), zap.String("run", n.UID))
 	}
@@ -184,37 +184,37 @@
 	case "SCHED":
 		// It knows no RPC of this id, lane and body: a repeat may be a genuine one. What may not run twice is asked for once
 		// only, so that this is no second copy of what has run.
-		r.ended(n.UID, 0, nil, &RunError{Progress: NeverRan, Unknown: true, Why: "not carried out"})
+		r.finishRun(n.UID, 0, nil, &RunError{Progress: NeverRan, Unknown: true, Reason: "not carried out"})
 	case "SYSINFO": // a site without gauges: it marks the order of commands all the same
 		r.refusalLogged = true
-		r.answers = r.inform("", nil) || r.answers
+		r.answersQueries = r.handleInfo("", nil) || r.answersQueries
 	}
 }
 
-// follow counts a notice: fresh if it has not been read before, not whole if one before it has not come. What
+// trackPosition counts a notice: fresh if it has not been read before, not whole if one before it has not come. What
 // is missing is asked for once, on a new connection; after that, or behind an unreadable line, it is lost.
-func (l *Link[K]) follow(pos int, lost bool) (fresh, whole bool) {
+func (l *Link[K]) trackPosition(pos int, lost bool) (fresh, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case pos <= l.pos:
+	case pos <= l.lastPos:
 		return false, true
-	case pos > l.pos+1 && !lost:
+	case pos > l.lastPos+1 && !lost:
 		return false, false
-	case pos > l.pos+1:
-		l.log.Warn("notices lost", zap.Int("from", l.pos+1), zap.Int("to", pos-1))
-		l.doubt()
+	case pos > l.lastPos+1:
+		l.log.Warn("notices lost", zap.Int("from", l.lastPos+1), zap.Int("to", pos-1))
+		l.markUnconfirmed()
 	}
-	l.pos = pos
+	l.lastPos = pos
 	return true, true
 }
 
-// doubt is for the runs in hand when notices are lost: among these there may have been their ends. What waits to be asked for
-// again on this connection is not in doubt. Called under the lock.
-func (l *Link[K]) doubt() {
+// markUnconfirmed is for the runs in hand when notices are lost: among these there may have been their ends. What waits to be asked for
+// again on this connection is not in markUnconfirmed. Called under the lock.
+func (l *Link[K]) markUnconfirmed() {
 	waits := map[*task[K]]bool{}
 	for _, c := range l.commands.list {
-		if c.start && c.wrote.IsZero() {
+		if c.isSched && c.writtenAt.IsZero() {
 			waits[c.task] = true
 		}
 	}
@@ -224,44 +224,44 @@
 			inDoubt = append(inDoubt, t)
 		}
 	}
-	l.endInDoubt(inDoubt)
+	l.expireUnconfirmed(inDoubt)
 }
 
-// took takes note of how long a run took.
-func (l *Link[K]) took(span float64) {
+// recordRunTime takes note of how long a run recordRunTime.
+func (l *Link[K]) recordRunTime(span float64) {
 	const kept = 0.98 // of what the longest took, with each that is shorter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.longest = max(time.Duration(min(span, longRun.Seconds())*float64(time.Second)), time.Duration(kept*float64(l.longest)))
+	l.longestRun = max(time.Duration(min(span, maxRunTime.Seconds())*float64(time.Second)), time.Duration(kept*float64(l.longestRun)))
 }
 
-// endInDoubt ends runs after a while, unless their end comes after all: without one a run would count for ever. The while is twice
+// expireUnconfirmed ends runs after a while, unless their end comes after all: without one a run would count for ever. The while is twice
 // what the longest run of late took. Called under the lock.
-func (l *Link[K]) endInDoubt(inDoubt []*task[K]) {
+func (l *Link[K]) expireUnconfirmed(inDoubt []*task[K]) {
 	if len(inDoubt) == 0 {
 		return
 	}
-	time.AfterFunc(min(l.doubtFor, max(2*l.longest, minDoubt)), func() {
+	time.AfterFunc(min(l.unconfirmedTimeout, max(2*l.longestRun, minUnconfirmedTimeout)), func() {
 		for _, t := range inDoubt {
 			l.mu.Lock()
 			known := l.runs[t.uid] == t
 			if known {
-				l.drop(t)
+				l.forgetRun(t)
 			}
 			l.mu.Unlock()
 			if known {
-				l.owner.Ended(t.run, 0, nil, &RunError{Progress: Sent, Why: "end lost"})
+				l.owner.Ended(t.run, 0, nil, &RunError{Progress: Sent, Reason: "end lost"})
 			}
 		}
 	})
 }
 
-// ended tells the owner of a run's end. The end of what has not been asked for is that of another run, whose name it has now.
-func (l *Link[K]) ended(uid string, took float64, result []byte, err error) (known bool) {
+// finishRun tells the owner of a run's end. The end of what has not been asked for is that of another run, whose name it has now.
+func (l *Link[K]) finishRun(uid string, took float64, result []byte, err error) (known bool) {
 	l.mu.Lock()
 	t := l.runs[uid]
-	if known = t != nil && t.asked; known {
-		l.drop(t)
+	if known = t != nil && t.sent; known {
+		l.forgetRun(t)
 	}
 	l.mu.Unlock()
 	if known {
@@ -270,10 +270,10 @@
 	return known
 }
 
-// drop forgets a run and all commands for it. Called under the lock.
-func (l *Link[K]) drop(t *task[K]) {
+// forgetRun forgets a run and all commands for it. Called under the lock.
+func (l *Link[K]) forgetRun(t *task[K]) {
 	delete(l.runs, t.uid)
-	l.commands.remove(func(c *command[K]) bool { return c.task == t })
+	l.commands.removeIf(func(c *command[K]) bool { return c.task == t })
 }
 
 // sync puts a question before all commands that may have been lost: its answer comes after the notices up to
@@ -281,42 +281,42 @@
 func (l *Link[K]) sync() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.commands.first(l.commands.question())
-	session := l.session
-	time.AfterFunc(l.syncFor, func() {
+	l.commands.pushFront(l.commands.newQuery())
+	session := l.connectionNumber
+	time.AfterFunc(l.syncTimeout, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.session == session && !l.up {
+		if l.connectionNumber == session && !l.synced {
 			l.log.Warn("kernel answers no question")
-			l.markUp()
+			l.markSynced()
 		}
 	})
-	signal(l.work)
+	signal(l.commandReady)
 }
 
-// markUp lets commands go out. Called under the lock.
-func (l *Link[K]) markUp() {
-	l.up = true
-	l.endInDoubt(l.inDoubt)
-	l.inDoubt = nil
-	signal(l.work)
+// markSynced lets commands go out. Called under the lock.
+func (l *Link[K]) markSynced() {
+	l.synced = true
+	l.expireUnconfirmed(l.unconfirmed)
+	l.unconfirmed = nil
+	signal(l.commandReady)
 }
 
-// inform takes the answer to a question, and tells whether it is one.
-func (l *Link[K]) inform(echo string, meters []float64) bool {
+// handleInfo takes the answer to a question, and tells whether it is one.
+func (l *Link[K]) handleInfo(echo string, meters []float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.commands.answered(echo, l.lossSpan) {
+	if !l.commands.acknowledge(echo, l.lossWindow) {
 		return false
 	}
-	l.meters, l.measured = meters, time.Now()
-	if l.handover == handedOver && l.commands.asked() == nil {
-		l.commands.readAll()
-		signal(l.handoverReady)
+	l.gauges, l.gaugesAt = meters, time.Now()
+	if l.handover == flushed && l.commands.pendingQuery() == nil {
+		l.commands.removeWritten()
+		signal(l.flushAcknowledged)
 	}
-	if !l.up {
-		l.markUp()
+	if !l.synced {
+		l.markSynced()
 	}
-	signal(l.informed)
+	signal(l.gaugesReady)
 	return true
 }
--- a/internal/kernel/random_test.go
+++ b/internal/kernel/random_test.go
@@ -16,65 +16,65 @@
 	"go.uber.org/zap"
 )
 
-// order is one run as its owner asked for it, and what has come of it.
-type order struct {
+// testRun is one run as its owner asked for it, and what has come of it.
+type testRun struct {
 	uid, body string
 	once      bool
-	begun     int  // how often the kernel has started it
+	starts    int  // how often the kernel has started it
 	running   bool // there
-	over      bool // its owner has had its end
+	ended     bool // its owner has had its end
 	ends      int
 }
 
-// badKernel is a kernel whose links break at any point, with what came on them in the last 50 ms lost, whatever was answered;
+// faultyKernel is a kernel whose links break at any point, with what came on them in the last 50 ms lost, whatever was answered;
 // whose notices come twice, in pieces, behind remarks and late.
-type badKernel struct {
+type faultyKernel struct {
 	*testing.T
 	net.Listener
-	*Link[*order]
+	*Link[*testRun]
 
-	mu      sync.Mutex
-	r       *rand.Rand
-	orders  map[string]*order
-	notices []string
-	conn    net.Conn
-	deaf    bool // what comes on the link is lost
-	synced  bool // the first question on it has been answered
-	loses   bool // it does so before it breaks
-	lines   int  // until the link breaks
-	owed    sync.WaitGroup
+	mu               sync.Mutex
+	rng              *rand.Rand
+	orders           map[string]*testRun
+	notices          []string
+	conn             net.Conn
+	discarding       bool // what comes on the link is lost
+	answered         bool // the first question on it has been answered
+	losesBeforeBreak bool // it does so before it breaks
+	linesLeft        int  // until the link breaks
+	pending          sync.WaitGroup
 }
 
-func (k *badKernel) Booted(float64, bool) {}
+func (k *faultyKernel) Booted(float64, bool) {}
 
 // Ended judges what the owner is told.
-func (k *badKernel) Ended(o *order, _ float64, result []byte, err error) {
+func (k *faultyKernel) Ended(o *testRun, _ float64, result []byte, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	defer k.owed.Done()
+	defer k.pending.Done()
 	var attempt *RunError
 	switch o.ends++; {
 	case o.ends > 1:
 		k.Errorf("%s ended twice", o.uid)
-	case err == nil && (o.begun == 0 || string(result) != "of "+o.body):
-		k.Errorf("%s, started %d times, has the result %q", o.uid, o.begun, result)
-	case errors.As(err, &attempt) && attempt.Progress == NeverRan && o.begun > 0 && o.once:
+	case err == nil && (o.starts == 0 || string(result) != "of "+o.body):
+		k.Errorf("%s, started %d times, has the result %q", o.uid, o.starts, result)
+	case errors.As(err, &attempt) && attempt.Progress == NeverRan && o.starts > 0 && o.once:
 		k.Errorf("%s was started, and is told off as never run: %v", o.uid, err)
 	}
-	o.over = true
+	o.ended = true
 }
 
-func (k *badKernel) serve() {
+func (k *faultyKernel) serve() {
 	for {
 		conn, err := k.Accept()
 		if err != nil {
 			return
 		}
-		go k.talk(conn)
+		go k.serveLink(conn)
 	}
 }
 
-func (k *badKernel) talk(conn net.Conn) {
+func (k *faultyKernel) serveLink(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
@@ -95,23 +95,23 @@
 			if k.conn != nil {
 				k.conn.Close()
 			}
-			k.conn, k.deaf, k.synced, k.loses, k.lines = conn, false, false, k.r.IntN(2) == 0, 10+k.r.IntN(300)
+			k.conn, k.discarding, k.answered, k.losesBeforeBreak, k.linesLeft = conn, false, false, k.rng.IntN(2) == 0, 10+k.rng.IntN(300)
 			k.write(`{"action":"BOOTED","code":"running","wall_ms":5}`)
 			for _, n := range k.notices[min(m.Pos, len(k.notices)):] {
 				k.write(n)
 			}
 		case "SYSINFO":
 			k.write(fmt.Sprintf(`{"action":"INFO","echo":"%s","meters":[]}`, m.Echo))
-			if !k.synced { // the runs end before anything that is sent on this answer can have come
-				k.synced = true
+			if !k.answered { // the runs end before anything that is sent on this answer can have come
+				k.answered = true
 				k.endAll()
 			}
 		case "SCHED":
-			if !k.deaf {
+			if !k.discarding {
 				k.start(m.UID, string(m.Content))
 			}
 		case "PREEMPT":
-			if o := k.orders[m.UID]; !k.deaf && o != nil && o.running {
+			if o := k.orders[m.UID]; !k.discarding && o != nil && o.running {
 				k.end(o, "broken_off")
 			}
 		}
@@ -120,7 +120,7 @@
 }
 
 // start begins a run, or refuses it.
-func (k *badKernel) start(uid, body string) {
+func (k *faultyKernel) start(uid, body string) {
 	o := k.orders[uid]
 	switch {
 	case o == nil || o.body != body:
@@ -129,14 +129,14 @@
 			k.Errorf("%s came with another body: %q", uid, body)
 		}
 	case o.running:
-	case o.over:
+	case o.ended:
 		k.notice(fmt.Sprintf(`"action":"REAP","uid":"%s","code":"late","wall_ms":0`, uid))
 	default:
 		o.running = true
-		if o.begun++; o.once && o.begun > 1 {
+		if o.starts++; o.once && o.starts > 1 {
 			k.Errorf("%s was started twice", uid)
 		}
-		time.AfterFunc(time.Duration(k.r.IntN(20))*time.Millisecond, func() {
+		time.AfterFunc(time.Duration(k.rng.IntN(20))*time.Millisecond, func() {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			k.end(o, "fine")
@@ -144,7 +144,7 @@
 	}
 }
 
-func (k *badKernel) end(o *order, code string) {
+func (k *faultyKernel) end(o *testRun, code string) {
 	if o.running {
 		o.running = false
 		content, _ := json.Marshal([]byte("of " + o.body))
@@ -152,16 +152,16 @@
 	}
 }
 
-func (k *badKernel) endAll() {
+func (k *faultyKernel) endAll() {
 	for _, o := range k.orders {
-		if k.r.IntN(2) == 0 {
+		if k.rng.IntN(2) == 0 {
 			k.end(o, "fine")
 		}
 	}
 }
 
-func (k *badKernel) notice(text string) {
-	if k.r.IntN(5) == 0 {
+func (k *faultyKernel) notice(text string) {
+	if k.rng.IntN(5) == 0 {
 		k.notice(`"action":"DMESG","code":"hm"`)
 	}
 	n := fmt.Sprintf(`{"pos":%d,%s}`, len(k.notices)+1, text)
@@ -170,40 +170,40 @@
 }
 
 // write sends a line, in pieces or twice, or breaks the link at any point of it.
-func (k *badKernel) write(line string) {
+func (k *faultyKernel) write(line string) {
 	if k.conn == nil {
 		return
 	}
 	line += "\n"
-	switch k.lines--; {
-	case k.lines == 0:
-		k.conn.Write([]byte(line[:k.r.IntN(len(line)+1)]))
+	switch k.linesLeft--; {
+	case k.linesLeft == 0:
+		k.conn.Write([]byte(line[:k.rng.IntN(len(line)+1)]))
 		k.conn.Close()
 		k.conn = nil
 		return
-	case k.lines < 20 && k.loses:
-		if !k.deaf {
-			k.deaf = true
+	case k.linesLeft < 20 && k.losesBeforeBreak:
+		if !k.discarding {
+			k.discarding = true
 			deaf := k.conn
 			time.AfterFunc(50*time.Millisecond, func() { deaf.Close() }) // then at the latest
 		}
 	}
-	if k.r.IntN(4) == 0 {
+	if k.rng.IntN(4) == 0 {
 		line += line
 	}
-	cut := k.r.IntN(len(line) + 1)
+	cut := k.rng.IntN(len(line) + 1)
 	k.conn.Write([]byte(line[:cut]))
 	k.conn.Write([]byte(line[cut:]))
 }
 
-// order asks for a run, and at times stops it.
-func (k *badKernel) order(n int) {
+// requestRun asks for a run, and at times stops it.
+func (k *faultyKernel) requestRun(n int) {
 	k.mu.Lock()
-	o := &order{uid: fmt.Sprintf("%016x", n), body: fmt.Sprintf("<body> %d", n), once: k.r.IntN(2) == 0}
+	o := &testRun{uid: fmt.Sprintf("%016x", n), body: fmt.Sprintf("<body> %d", n), once: k.rng.IntN(2) == 0}
 	k.orders[o.uid] = o
-	stop, lane := k.r.IntN(10) == 0, []string{"look", `<&> "é"`}[k.r.IntN(2)]
+	stop, lane := k.rng.IntN(10) == 0, []string{"look", `<&> "é"`}[k.rng.IntN(2)]
 	k.mu.Unlock()
-	k.owed.Add(1)
+	k.pending.Add(1)
 	if err := k.Link.Run(o, o.uid, lane, []byte(o.body), !o.once); err != nil {
 		k.Error(err)
 	}
@@ -214,7 +214,7 @@
 
 // Whatever a bad kernel does, each run ends once for its owner, with its own result; what must not run twice does not, and what
 // was started is never told off as never run.
-func TestDrawn(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -222,22 +222,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := &badKernel{T: t, Listener: listener, r: rand.New(rand.NewPCG(seed, 42)), orders: map[string]*order{}}
-			k.Link = New[*order](netip.MustParseAddrPort(listener.Addr().String()), k, zap.NewNop())
-			k.doubtFor = 200 * time.Millisecond
+			k := &faultyKernel{T: t, Listener: listener, rng: rand.New(rand.NewPCG(seed, 42)), orders: map[string]*testRun{}}
+			k.Link = New[*testRun](netip.MustParseAddrPort(listener.Addr().String()), k, zap.NewNop())
+			k.unconfirmedTimeout = 200 * time.Millisecond
 			ctx, stop := context.WithCancel(context.Background())
 			served := make(chan error)
 			go func() { served <- k.Serve(ctx) }()
 			go k.serve()
 			for n := range 1000 {
-				k.order(n)
+				k.requestRun(n)
 				if n%4 == 0 {
 					k.Gauges(2 * time.Millisecond)
 				}
 			}
 			ended := make(chan struct{})
 			go func() {
-				k.owed.Wait()
+				k.pending.Wait()
 				close(ended)
 			}()
 			for late := time.After(20 * time.Second); ; k.Gauges(2 * time.Millisecond) {
@@ -257,7 +257,7 @@
 			defer k.mu.Unlock()
 			once := 0
 			for _, o := range k.orders {
-				if o.once && o.begun == 0 {
+				if o.once && o.starts == 0 {
 					once++
 				}
 			}
--- a/internal/kernel/unconfirmed_test.go
+++ b/internal/kernel/unconfirmed_test.go
@@ -15,18 +15,18 @@
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
 	c.Run("B", "b", "look", nil, true)
-	c.hear(2)
+	c.printCommands(2)
 	c.conn.Close()
 	c.accept()
 	c.Run("C", "c", "pay", nil, false)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":20}`)
-	c.owner(1)
-	c.hear(3)
-	c.quiet()
-	c.say(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5,"content":"YQ=="}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":20}`)
+	c.printEvents(1)
+	c.printCommands(3)
+	c.printUnexpected()
+	c.send(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5,"content":"YQ=="}`,
 		`{"action":"REAP","pos":2,"uid":"b","code":"fine","wall_ms":5}`,
 		`{"action":"REAP","pos":3,"uid":"c","code":"fine","wall_ms":5}`)
-	c.owner(3)
+	c.printEvents(3)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -47,14 +47,14 @@
 
 // The same run when its command was lost: no end ever comes, and it is let go after a while.
 func Example_onceLost() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 50 * time.Millisecond })
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
-	c.owner(1)
-	c.quiet()
+	c.printEvents(1)
+	c.printUnexpected()
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -71,14 +71,14 @@
 // Notices are lost, and among them may be the end of a run whose command the kernel may not have read: one that must not run
 // twice is not asked for again.
 func Example_onceDoubted() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 50 * time.Millisecond })
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot(`{"action":"DMESG","pos":4001,"code":"hm"}`)
-	c.owner(1)
-	c.quiet()
+	c.printEvents(1)
+	c.printUnexpected()
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -94,20 +94,20 @@
 
 // A run in doubt ends, and its name comes back for another: the doubt is of the first alone.
 func Example_doubtOfTheFirst() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 100 * time.Millisecond })
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 100 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	go c.Gauges(20 * time.Second)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot(`{"action":"DMESG","pos":4001,"code":"hm"}`, `{"action":"REAP","pos":4002,"uid":"a","code":"fine","wall_ms":6}`)
-	c.owner(1)
+	c.printEvents(1)
 	c.Run("second A", "a", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	time.Sleep(200 * time.Millisecond) // the doubt's time is over
-	c.say(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`)
-	c.owner(1)
+	c.send(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -130,12 +130,12 @@
 	c := start()
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`,
 		`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5,"content":"AP8="}`)
-	c.owner(1)
-	c.hear(2)
-	c.say(`{"action":"REAP","pos":2,"uid":"a","code":"fine","wall_ms":6,"content":"YQ=="}`)
-	c.owner(1)
+	c.printEvents(1)
+	c.printCommands(2)
+	c.send(`{"action":"REAP","pos":2,"uid":"a","code":"fine","wall_ms":6,"content":"YQ=="}`)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -148,17 +148,17 @@
 
 // What the kernel has read in the last moments before a break may be lost although it has answered a later question.
 func Example_lostAfterAnswer() {
-	c := startWith(func(l *Link[string]) { l.doubtFor, l.lossSpan = 50*time.Millisecond, 20*time.Second })
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout, l.lossWindow = 50*time.Millisecond, 20*time.Second })
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "pay", nil, false)
-	c.hear(2)
+	c.printCommands(2)
 	go c.Gauges(20 * time.Second)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
-	c.hear(1)
-	c.owner(1)
+	c.printCommands(1)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -184,16 +184,16 @@
 		uid := fmt.Sprint(k)
 		c.Run(uid, uid, "look", nil, true)
 		c.lines.ReadString('\n')
-		c.say(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"fine","wall_ms":5}`, k+1, uid))
-		<-c.told
+		c.send(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"fine","wall_ms":5}`, k+1, uid))
+		<-c.events
 	}
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
 	began := time.Now()
-	c.owner(1)
-	fmt.Println(time.Since(began) < longRun/2)
+	c.printEvents(1)
+	fmt.Println(time.Since(began) < maxRunTime/2)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
