--- a/internal/kernel/connect.go
+++ b/internal/kernel/connect.go
@@ -14,71 +14,72 @@
 
 const (
 	initialBackoff         = 5 * time.Millisecond
-	maxBackoff             = 250 * time.Millisecond // a connection on one machine costs little
-	defaultHandoverTimeout = 250 * time.Millisecond // of a second and a half in which an old address still serves
+	maxBackoff             = 250 * time.Millisecond // low, as connecting on one machine is cheap
+	defaultHandoverTimeout = 250 * time.Millisecond // the old address is served for 1.5 s after a move
 )
 
-// Serve keeps the link up until ctx ends.
+// Serve keeps the link connected until ctx ends.
 func (l *Link[K]) Serve(ctx context.Context) error {
 	down := false
-	failed := func(err error) {
+	onFailure := func(err error) {
 		if !down && ctx.Err() == nil {
 			l.log.Warn("kernel link down", zap.Error(err))
 			down = true
 		}
 	}
-	up := func() {
+	onBooted := func() {
 		if down {
 			l.log.Info("kernel link up again")
 			down = false
 		}
 	}
-	pause := initialBackoff // against a kernel that takes connections and ends them at once
+	backoff := initialBackoff // for a kernel that accepts connections and closes them at once
 	for {
-		conn, err := l.dial(ctx, failed)
+		conn, err := l.dial(ctx, onFailure)
 		for err == nil {
-			began := time.Now()
+			connectedAt := time.Now()
 			var next net.Conn
-			if next, err = l.serveConnection(ctx, conn, up); next != nil {
+			if next, err = l.serveConnection(ctx, conn, onBooted); next != nil {
 				l.log.Info("kernel link moved", zap.Stringer("to", next.RemoteAddr()))
 				conn, err = next, nil
 			}
-			if time.Since(began) > maxBackoff {
-				pause = initialBackoff
+			if time.Since(connectedAt) > maxBackoff {
+				backoff = initialBackoff
 			}
 		}
-		failed(err)
-		if !sleep(ctx, pause) {
+		onFailure(err)
+		if !sleep(ctx, backoff) {
 			return nil
 		}
-		pause = min(2*pause, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// dial tries until a connection stands or ctx ends.
-func (l *Link[K]) dial(ctx context.Context, failed func(error)) (net.Conn, error) {
+// dial retries with exponential backoff until a connection is open or ctx ends.
+func (l *Link[K]) dial(ctx context.Context, onFailure func(error)) (net.Conn, error) {
 	var dialer net.Dialer
-	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		l.mu.Lock()
-		at := l.address
+		address := l.address
 		select {
-		case <-l.addressChanged: // it is this one
+		case <-l.addressChanged: // this attempt uses the new address already
 		default:
 		}
 		l.mu.Unlock()
-		try, end := context.WithTimeout(ctx, ioTimeout)
-		conn, err := dialer.DialContext(try, "tcp", at.String())
-		end()
+		attemptCtx, cancel := context.WithTimeout(ctx, ioTimeout)
+		conn, err := dialer.DialContext(attemptCtx, "tcp", address.String())
+		cancel()
 		if err == nil {
 			return conn, nil
 		}
-		failed(err)
-		if !sleep(ctx, pause) {
+		onFailure(err)
+		if !sleep(ctx, backoff) {
 			return nil, ctx.Err()
 		}
 	}
 }
 
+// sleep waits for t; it returns false if ctx ended first.
 func sleep(ctx context.Context, t time.Duration) bool {
 	timer := time.NewTimer(t)
 	defer timer.Stop()
@@ -90,54 +91,55 @@
 	}
 }
 
-// errMoved ends a connection in whose place another stands.
+// errMoved ends a connection that has been replaced by one to a new address.
 var errMoved = errors.New("kernel link moved")
 
-// serveConnection uses a connection until it ends, or until one to a new address stands: next.
-func (l *Link[K]) serveConnection(ctx context.Context, conn net.Conn, up func()) (next net.Conn, err error) {
+// serveConnection reads and writes on a connection until it fails, or until one to a new address, next, replaces
+// it.
+func (l *Link[K]) serveConnection(ctx context.Context, conn net.Conn, onBooted func()) (next net.Conn, err error) {
 	l.mu.Lock()
 	l.connectionNumber++
 	open := fmt.Sprintf(`{"action":"OPEN","pos":%d}`+"\n", l.lastPos)
 	l.mu.Unlock()
-	sides, live := errgroup.WithContext(ctx)
-	defer context.AfterFunc(live, func() { conn.Close() })()
-	sides.Go(func() error {
+	group, groupCtx := errgroup.WithContext(ctx)
+	defer context.AfterFunc(groupCtx, func() { conn.Close() })()
+	group.Go(func() error {
 		if _, err := conn.Write([]byte(open)); err != nil {
 			return err
 		}
-		return l.write(live, conn)
+		return l.write(groupCtx, conn)
 	})
-	sides.Go(func() error { return l.read(conn, up) })
-	sides.Go(func() error {
+	group.Go(func() error { return l.read(conn, onBooted) })
+	group.Go(func() error {
 		select {
-		case <-live.Done():
+		case <-groupCtx.Done():
 			return nil
 		case <-l.addressChanged:
 		}
 		var err error
-		if next, err = l.dial(live, func(error) {}); err != nil {
-			return nil // the old connection has ended meanwhile; the new address is dialled anyway
+		if next, err = l.dial(groupCtx, func(error) {}); err != nil {
+			return nil // the old connection has failed; Serve dials the new address anyway
 		}
-		l.flush(live)
+		l.flush(groupCtx)
 		return errMoved
 	})
-	err = sides.Wait()
+	err = group.Wait()
 	conn.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// What may not have been read is sent again on the next connection, unless it must not run twice.
+	// Commands that may not have been read are resent on the next connection, unless their run must not run twice.
 	l.connectionNumber++
 	l.synced, l.handover = false, noHandover
 	l.unconfirmed = append(l.unconfirmed, l.commands.prepareReconnect()...)
 	return next, err
 }
 
-// flush ends what goes on on a connection in good order: the kernel has read all that was written, and answers that it has.
-// What is decided meanwhile waits for the next connection.
+// flush ends the use of a connection cleanly: it waits until the kernel has confirmed reading all that was
+// written. Commands queued meanwhile wait for the next connection.
 func (l *Link[K]) flush(ctx context.Context) {
 	l.mu.Lock()
-	up := l.synced
-	if up {
+	synced := l.synced
+	if synced {
 		select {
 		case <-l.flushAcknowledged:
 		default:
@@ -146,19 +148,19 @@
 		l.push(l.commands.newQuery())
 	}
 	l.mu.Unlock()
-	if !up {
+	if !synced {
 		return
 	}
-	late := time.NewTimer(l.handoverTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(l.handoverTimeout)
+	defer timeout.Stop()
 	select {
 	case <-ctx.Done():
 	case <-l.flushAcknowledged:
-	case <-late.C:
+	case <-timeout.C:
 	}
 }
 
-// write sends what has been decided, several commands at once where they are ready.
+// write writes queued commands, batching those that are ready.
 func (l *Link[K]) write(ctx context.Context, conn net.Conn) error {
 	var out batch[K]
 	for {
@@ -184,19 +186,19 @@
 	}
 }
 
-// batch is what goes out in one write.
+// batch is the commands that go out in one write.
 type batch[K any] struct {
 	bytes  []byte
 	starts []firstStart[K]
 }
 
-// firstStart is a task whose command goes out for the first time.
+// firstStart is a task whose command is written for the first time.
 type firstStart[K any] struct {
 	task   *task[K]
-	offset int // where its line begins
+	offset int // where its line begins in the batch
 }
 
-// gather takes up what may be written now.
+// gather fills the batch with the commands that may be written now.
 func (l *Link[K]) gather(out *batch[K]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,7 +206,7 @@
 	now := time.Now()
 	for c := l.commands.next(); c != nil && l.handover != flushed; c = l.commands.next() {
 		if !l.synced && c.echo == "" {
-			break // until the question before it has been answered
+			break // nothing else before the reply to the first query
 		}
 		if c.isSched && !c.task.sent {
 			out.starts = append(out.starts, firstStart[K]{c.task, len(out.bytes)})
@@ -218,7 +220,7 @@
 	l.writing = len(out.bytes) > 0
 }
 
-// markUnwritten takes back what lies past the first n bytes: the kernel cannot have read of it.
+// markUnwritten resets the tasks whose command lies past the first n bytes: the kernel cannot have read it.
 func (out *batch[K]) markUnwritten(n int) {
 	for _, s := range out.starts {
 		if s.offset >= n {
@@ -227,7 +229,7 @@
 	}
 }
 
-// writeAll gives a write that was late a second chance: it may be this process that stood still.
+// writeAll retries a write once after a timeout, as the cause may be that this process was paused.
 func writeAll(conn net.Conn, out []byte) (n int, err error) {
 	for range 2 {
 		conn.SetWriteDeadline(time.Now().Add(ioTimeout))
--- a/internal/kernel/fault_test.go
+++ b/internal/kernel/fault_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// boot takes the next connection and says that the kernel is up; its first question is answered.
+// boot accepts the next connection, sends BOOTED and the given notices, and answers the first query.
 func (c *fakeKernel) boot(notices ...string) {
 	c.accept()
 	c.send(append([]string{`{"action":"BOOTED","code":"running","wall_ms":10}`}, notices...)...)
@@ -20,11 +20,11 @@
 	c.printEvents(1)
 }
 
-// printUnexpected tells whether nothing more was told or asked within a moment.
+// printUnexpected prints an event or a command that arrives within 50 ms.
 func (c *fakeKernel) printUnexpected() {
 	select {
-	case told := <-c.events:
-		fmt.Println(told)
+	case event := <-c.events:
+		fmt.Println(event)
 	default:
 	}
 	c.conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -34,9 +34,9 @@
 	c.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 }
 
-// Names go out as they are, and numbers come in any form that JSON has; a field of another kind than it should be costs only
-// itself, and what is of no use may be anything.
-func Example_forms() {
+// Names are not escaped in commands. Notices may have numbers in any JSON form; a field of an unexpected type
+// costs only itself, and fields that are not needed may be anything.
+func Example_noticeFormats() {
 	c := start()
 	c.accept()
 	c.send(`{"action":"BOOTED","code":"running","wall_ms":1e1,"more":[{}]}`)
@@ -70,8 +70,8 @@
 	// ended: <nil>
 }
 
-// A remark longer than any line that means something is passed over; else it would come again on every new link.
-func Example_longRemark() {
+// A DMESG line longer than maxLine is discarded. If it broke the connection, it would be resent on each new one.
+func Example_longLine() {
 	c := start()
 	c.boot(`{"action":"DMESG","pos":1,"code":"`+strings.Repeat("hm ", 1<<17)+`"}`,
 		`{"action":"DMESG","pos":2,"code":"hm"}`)
@@ -89,7 +89,7 @@
 	// ended: <nil>
 }
 
-// A kernel that never answers the first question is asked for runs all the same.
+// Commands are sent to a kernel that never replies to the first query.
 func Example_unanswered() {
 	c := startWith(func(l *Link[string]) { l.syncTimeout = 50 * time.Millisecond })
 	c.accept()
@@ -114,8 +114,8 @@
 	// ended: <nil>
 }
 
-// What is given up before its command went out, here as the kernel is not up yet, is never asked for.
-func Example_givenUpBefore() {
+// A run that is preempted before its command was written, here as the kernel has not booted, is never sent.
+func Example_preemptedBeforeSent() {
 	c := start()
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
@@ -130,7 +130,7 @@
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
-	// A ended after 0: "", run given up (never started)
+	// A ended after 0: "", run preempted before it was sent (never started)
 	// booted 0.01 ago, cold false
 	// < {"action":"SYSINFO","echo":"1"} <nil>
 	// < {"action":"SCHED","uid":"b","lane":"pay","content":""} <nil>
@@ -138,8 +138,9 @@
 	// ended: <nil>
 }
 
-// A run is stopped and the link breaks: both commands are sent again in their order, unless its end is among the notices.
-func Example_stopLost() {
+// The connection breaks after runs were preempted: SCHED and PREEMPT are resent in order, unless the run's end is
+// among the notices.
+func Example_preemptLost() {
 	c := start()
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
@@ -181,18 +182,18 @@
 	// ended: <nil>
 }
 
-// The time for the first answer is that of its own connection: once that has ended, nothing is sent on the next before the
-// kernel says that it is up.
-func Example_unansweredBefore() {
+// The timeout of the first query belongs to its own connection: once that has ended, nothing is sent on the next
+// one before BOOTED.
+func Example_unansweredThenReconnect() {
 	c := startWith(func(l *Link[string]) { l.syncTimeout = 30 * time.Millisecond })
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
 	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
 	c.printEvents(1)
 	at := c.Addr().String()
-	c.Listener.Close() // nobody listens there for a while
+	c.Listener.Close() // nothing listens there for a while
 	c.conn.Close()
-	time.Sleep(2 * c.syncTimeout) // the time is over
+	time.Sleep(2 * c.syncTimeout) // past the timeout
 	var err error
 	if c.Listener, err = net.Listen("tcp", at); err != nil {
 		panic(err)
@@ -207,8 +208,8 @@
 	// ended: <nil>
 }
 
-// The link moves in good order: what has been written is read on the old connection before the new one takes its place, so
-// that nothing is in doubt that must not run twice.
+// In an orderly move all that was written is read on the old connection before the new one replaces it, so that no
+// run that must not run twice is left unconfirmed.
 func Example_movedOnce() {
 	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout, l.handoverTimeout = 20*time.Millisecond, 20*time.Second })
 	c.boot()
@@ -225,7 +226,7 @@
 	c.boot()
 	c.Run("B", "b", "pay", nil, false)
 	c.printCommands(1)
-	c.printUnexpected() // for longer than a doubt lasts
+	c.printUnexpected() // for longer than the timeout of unconfirmed runs
 	c.send(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5}`)
 	c.printEvents(1)
 	old.Close()
@@ -244,7 +245,7 @@
 	// ended: <nil>
 }
 
-// scriptedConn is a connection of which each read gives the next step, an error or text.
+// scriptedConn is a connection whose reads return the given steps in turn, each an error or text.
 type scriptedConn struct {
 	net.Conn
 	steps []any
@@ -264,9 +265,9 @@
 
 func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-// This process was stopped for longer than a silent kernel is borne, so that the deadline is over before what came meanwhile
-// is read: that is read first, and only a kernel that stays silent has its link made anew.
-func Example_stoppedProcess() {
+// This process was paused for longer than the read timeout, so that the deadline has passed before the data that
+// arrived meanwhile is read. That data is read first; only a kernel that stays silent loses its connection.
+func Example_pausedProcess() {
 	c := &fakeKernel{events: make(chan string, 10)}
 	l := New[string](netip.AddrPort{}, c, zap.NewNop())
 	fmt.Println(l.read(&scriptedConn{steps: []any{
@@ -282,12 +283,12 @@
 	// 2
 }
 
-// The new address takes the connection and says nothing; what is decided waits, and another move ends that.
+// The new address accepts the connection but sends nothing: commands wait, until another move replaces it.
 func Example_movedTwice() {
 	c := startWith(func(l *Link[string]) { l.handoverTimeout = 20 * time.Second })
 	c.boot()
 	c.Run("X", "x", "look", nil, true)
-	c.printCommands(1) // so its first question has been answered
+	c.printCommands(1) // by then the first query has been answered
 	old := c.Listener
 	defer old.Close()
 	var err error
@@ -298,7 +299,7 @@
 		defer c.Listener.Close()
 		c.Move(netip.MustParseAddrPort(c.Addr().String()))
 		if moves == 0 {
-			c.printCommands(1) // the last question on the first connection
+			c.printCommands(1) // the last query on the first connection
 			c.Run("A", "a", "look", nil, true)
 		}
 		c.accept()
--- a/internal/kernel/link_test.go
+++ b/internal/kernel/link_test.go
@@ -14,15 +14,15 @@
 	"go.uber.org/zap"
 )
 
-// fakeKernel is a stand-in kernel: the test reads its commands and writes its notices, line by line.
+// fakeKernel is a test double of the kernel: the test reads its commands and writes its notices, line by line.
 type fakeKernel struct {
 	net.Listener
 	conn   net.Conn
 	lines  *bufio.Reader
-	events chan string // what the link told its owner
+	events chan string // calls of the owner's methods, as text
 	*Link[string]
 	end      func()
-	noGauges bool // gauges
+	noGauges bool // SYSINFO is rejected
 }
 
 func start() *fakeKernel { return startWith(nil) }
@@ -34,29 +34,29 @@
 	}
 	c := &fakeKernel{Listener: listener, events: make(chan string, 100)}
 	c.Link = New[string](netip.MustParseAddrPort(listener.Addr().String()), c, zap.NewNop())
-	c.Link.lossWindow = 0 // what is answered for is with the kernel, unless the test says otherwise
+	c.Link.lossWindow = 0 // a command before an answered query cannot be lost, unless the test changes this
 	if change != nil {
 		change(c.Link)
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error)
 	go func() { served <- c.Serve(ctx) }()
 	c.end = func() {
-		stop()
+		cancel()
 		fmt.Println("ended:", <-served)
 		listener.Close()
 	}
 	return c
 }
 
-func (c *fakeKernel) Booted(ago float64, cold bool) {
-	c.events <- fmt.Sprintf("booted %g ago, cold %v", ago, cold)
+func (c *fakeKernel) Booted(uptime float64, cold bool) {
+	c.events <- fmt.Sprintf("booted %g ago, cold %v", uptime, cold)
 }
 func (c *fakeKernel) Ended(run string, took float64, result []byte, err error) {
 	c.events <- fmt.Sprintf("%s ended after %g: %q, %v", run, took, result, err)
 }
 
-// accept takes the next connection and prints its first command.
+// accept accepts the next connection and prints its first command.
 func (c *fakeKernel) accept() {
 	conn, err := c.Listener.Accept()
 	if err != nil {
@@ -67,7 +67,7 @@
 	c.printCommands(1)
 }
 
-// printCommands prints the next n commands and answers what asks for gauges.
+// printCommands prints the next n commands and replies to each SYSINFO.
 func (c *fakeKernel) printCommands(n int) {
 	for range n {
 		line, err := c.lines.ReadString('\n')
@@ -87,14 +87,14 @@
 	fmt.Fprint(c.conn, strings.Join(lines, "\n")+"\n")
 }
 
-// printEvents prints the next n things that the printEvents was told.
+// printEvents prints the next n events that the owner received.
 func (c *fakeKernel) printEvents(n int) {
 	for range n {
 		select {
-		case told := <-c.events:
-			fmt.Println(told)
+		case event := <-c.events:
+			fmt.Println(event)
 		case <-time.After(20 * time.Second):
-			fmt.Println("nothing told")
+			fmt.Println("no event")
 		}
 	}
 }
@@ -117,7 +117,7 @@
 		c.send(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"%s","wall_ms":20,"content":"AP8="}`, k+1, uid, code))
 		c.printEvents(1)
 	}
-	c.Preempt("b") // has ended
+	c.Preempt("b") // has ended already
 	c.send(`{"action":"EINVAL","code":"SCHED","uid":"a"}`)
 	c.printEvents(2)
 	c.end()
@@ -125,7 +125,7 @@
 	// < {"action":"OPEN","pos":0} <nil>
 	// < {"action":"SYSINFO","echo":"1"} <nil>
 	// < {"action":"SCHED","uid":"a","lane":"look","content":"AP8="} <nil>
-	// run its name is taken by another run (never started)
+	// run uid is in use by another run (never started)
 	// < {"action":"SCHED","uid":"b","lane":"look","content":""} <nil>
 	// booted 1.5 ago, cold true
 	// < {"action":"SCHED","uid":"c","lane":"look","content":""} <nil>
@@ -136,13 +136,13 @@
 	// < {"action":"SCHED","uid":"e","lane":"look","content":""} <nil>
 	// Rd ended after 0.02: "", run broken_off (started)
 	// Re ended after 0.02: "", run late (never started)
-	// A ended after 0: "", run not carried out (never started)
+	// A ended after 0: "", run rejected by the kernel (never started)
 	// ended: <nil>
 }
 
-// The link breaks: what the kernel has surely read is not sent again, what it may not have read is, behind the
-// notices that came meanwhile. Nothing that has ended is sent again, and no notice is taken twice.
-func Example_lost() {
+// After a disconnect, commands that the kernel has certainly read are not resent. Others are, after the notices
+// that arrived meanwhile: no run that has ended is sent again, and no notice is handled twice.
+func Example_reconnect() {
 	c := start()
 	c.accept()
 	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
@@ -150,10 +150,10 @@
 	c.printEvents(1)
 	c.Run("A", "a", "look", nil, true)
 	c.printCommands(1)
-	asked := make(chan []float64)
-	go func() { asked <- c.Gauges(20 * time.Second) }()
-	c.printCommands(1) // the answer proves that a's command has been read
-	fmt.Println("gauges", <-asked)
+	gauges := make(chan []float64)
+	go func() { gauges <- c.Gauges(20 * time.Second) }()
+	c.printCommands(1) // the reply proves that a's command has been read
+	fmt.Println("gauges", <-gauges)
 	c.Run("B", "b", "look", nil, true)
 	c.printCommands(1)
 	c.Run("C", "c", "look", nil, true)
@@ -189,9 +189,9 @@
 	// ended: <nil>
 }
 
-// Where the site allows no gauges commands go out all the same; a second BOOTED changes nothing, and an INFO
-// that nobody asked for proves nothing to have been read.
-func Example_gaugeless() {
+// Commands are sent to a kernel that rejects SYSINFO. A second BOOTED changes nothing, and an INFO without a query
+// confirms nothing.
+func Example_withoutGauges() {
 	c := start()
 	c.noGauges = true
 	c.accept()
@@ -219,7 +219,7 @@
 	// ended: <nil>
 }
 
-// A missing notice is asked for again, once; lines that cannot be read are passed over.
+// A missing notice is requested once, by reconnecting; unreadable lines are skipped.
 func Example_gap() {
 	c := start()
 	c.accept()
@@ -230,7 +230,8 @@
 	c.printCommands(2)
 	c.send(`{"action":"DMESG","pos":1,"code":"hm"}`, `{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`)
 	c.accept()
-	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`, `{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`,
+		`{"action":"REAP","pos":3,"uid":"a","code":"fine","wall_ms":5}`,
 		`not JSON`, `{"action":"SING"}`, `{"action":"REAP","pos":9,"uid":"b","code":"fine","wall_ms":5}`)
 	c.printEvents(4)
 	c.end()
@@ -247,9 +248,9 @@
 	// ended: <nil>
 }
 
-// Notices that the kernel has no longer: a run that ended with one of them is let go after a while, and would
-// else count as running for ever; one whose end comes, and one asked for later, end as they should.
-func Example_doubt() {
+// The kernel no longer has some notices. A run whose end was among them ends after a timeout and would otherwise
+// be pending forever; a run whose end arrives, and one requested later, end normally.
+func Example_noticesLost() {
 	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.accept()
 	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`)
@@ -258,7 +259,7 @@
 	c.Run("B", "b", "look", nil, true)
 	c.printCommands(2)
 	go c.Gauges(20 * time.Second)
-	c.printCommands(1) // its answer proves that both have been read
+	c.printCommands(1) // the reply proves that both have been read
 	c.conn.Close()
 	c.accept()
 	c.Run("C", "c", "look", nil, true)
@@ -287,9 +288,9 @@
 	// ended: <nil>
 }
 
-// The kernel moves: the old connection serves until one to the new address stands, then runs, the number of the
-// last notice and what may not have been read go over, here because the old address does not answer the last question, the
-// second. Before there was Move the link died with the old address.
+// The kernel moves. The old connection is used until one to the new address is open; then pending runs, the
+// position of the last notice, and commands that may not have been read are carried over. Here the old address
+// does not reply to the last query, the second. Without Move the link died with the old address.
 func Example_moved() {
 	c := start()
 	c.accept()
@@ -298,13 +299,13 @@
 	c.Run("A", "a", "look", nil, true)
 	c.printCommands(1)
 	c.send(`{"action":"DMESG","pos":1,"code":"hm"}`)
-	c.Move(netip.MustParseAddrPort(c.Addr().String())) // where it is already
+	c.Move(netip.MustParseAddrPort(c.Addr().String())) // the present address
 	second, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	at := second.Addr().String()
-	second.Close() // nobody listens there yet
+	second.Close() // nothing listens there yet
 	c.Move(netip.MustParseAddrPort(at))
 	c.Run("B", "b", "look", nil, true)
 	c.printCommands(1)
@@ -341,22 +342,22 @@
 		l := New[string](netip.AddrPort{}, c, zap.NewNop())
 		l.Run("A", "a", "look", nil, true)
 		l.commands.markWritten(time.Now())
-		near, far := net.Pipe()
+		linkSide, kernelSide := net.Pipe()
 		go func() {
-			far.Write(text)
-			far.Close()
+			kernelSide.Write(text)
+			kernelSide.Close()
 		}()
-		if err := l.read(near, func() {}); err == nil {
+		if err := l.read(linkSide, func() {}); err == nil {
 			t.Error("ended without an error")
 		}
-		near.Close()
+		linkSide.Close()
 		ended := 0
 		for close(c.events); ; {
-			told, ok := <-c.events
+			event, ok := <-c.events
 			if !ok {
 				break
 			}
-			if strings.HasPrefix(told, "A ended") {
+			if strings.HasPrefix(event, "A ended") {
 				ended++
 			}
 		}
--- a/internal/kernel/notices.go
+++ b/internal/kernel/notices.go
@@ -14,10 +14,10 @@
 	"valveglade/internal/readbuffer"
 )
 
-// maxLine holds a result of 4 KiB in base64 many times over.
+// maxLine is many times the size of a 4 KiB result in base64.
 const maxLine = 64 << 10
 
-// notice is a line of the kernel's, of any kind. Numbers may come in any form that JSON has.
+// notice is a line from the kernel, of any kind. Numbers may have any form that JSON allows.
 type notice struct {
 	Action  string    `json:"action"`
 	Pos     float64   `json:"pos"`
@@ -28,14 +28,14 @@
 	Echo    string    `json:"echo"`
 	Meters  []float64 `json:"meters"`
 
-	contentInvalid bool // its content cannot be read
+	contentInvalid bool // the content could not be decoded
 }
 
-// decode reads a line. A field of another kind than it should be is as one left out: it may be of no use here.
+// decode parses a line. A field of an unexpected type is treated as absent, as it may not be needed here.
 func (n *notice) decode(line []byte) error {
 	err := json.Unmarshal(line, n)
-	if kind := (*json.UnmarshalTypeError)(nil); errors.As(err, &kind) {
-		n.contentInvalid = kind.Field == "content"
+	if typeErr := (*json.UnmarshalTypeError)(nil); errors.As(err, &typeErr) {
+		n.contentInvalid = typeErr.Field == "content"
 		return nil
 	}
 	if corrupt := base64.CorruptInputError(0); errors.As(err, &corrupt) {
@@ -45,33 +45,33 @@
 	return err
 }
 
-// noticeReader is what is known of one connection's notices.
+// noticeReader holds the state of reading one connection's notices.
 type noticeReader[K any] struct {
 	*Link[K]
 	booted           bool
-	answersQueries   bool // the kernel has answered a question, so that its silence tells something
-	awaitingFirst    bool // no notice has come yet
-	positionUnknown  bool // a line was not understood and may have been a notice: the next one's number tells nothing
-	refusalLogged    bool // the site has no gauges, which has been said
-	unknownRunLogged bool // an end of a run not in hand has been logged
-	skippingLine     bool // the line that comes is too long, and passed over
-	timedOut         bool // nothing has come for as long as a silent kernel is borne
+	answersQueries   bool // the kernel has replied to a query, so read timeouts apply from now on
+	awaitingFirst    bool // no notice has been read yet
+	positionUnknown  bool // an unreadable line may have been a notice, so a gap before the next one is accepted
+	refusalLogged    bool // the rejection of SYSINFO by a kernel without gauges has been logged
+	unknownRunLogged bool // the end of a run that is not pending has been logged
+	skippingLine     bool // the present line is too long and is discarded
+	timedOut         bool // the read deadline has passed once without data
 }
 
-// read takes notices until the connection ends.
-func (l *Link[K]) read(conn net.Conn, up func()) error {
+// read handles notices until the connection ends.
+func (l *Link[K]) read(conn net.Conn, onBooted func()) error {
 	in := readbuffer.New(maxLine)
 	r := noticeReader[K]{Link: l, awaitingFirst: true}
 	for {
-		b := in.Bytes()
-		end := bytes.IndexByte(b, '\n')
+		buffered := in.Bytes()
+		end := bytes.IndexByte(buffered, '\n')
 		if end < 0 {
 			if err := r.fill(in, conn); err != nil {
 				return err
 			}
 			continue
 		}
-		line := b[:end]
+		line := buffered[:end]
 		in.Discard(end + 1)
 		if r.timedOut = false; r.answersQueries {
 			conn.SetReadDeadline(time.Now().Add(ioTimeout))
@@ -81,14 +81,14 @@
 			r.logUnreadable("kernel line passed over", zap.String("why", "too long"))
 			continue
 		}
-		if err := r.handle(line, up); err != nil {
+		if err := r.handle(line, onBooted); err != nil {
 			return err
 		}
 	}
 }
 
-// fill reads on. A line that is longer than any that means something is thrown away as it comes; and what came while this
-// process itself stood still is looked for before the kernel is taken for silent.
+// fill reads more data. It discards a line longer than maxLine as it arrives. After a first read timeout it reads
+// again before it takes the kernel for silent, as data may have arrived while this process was paused.
 func (r *noticeReader[K]) fill(in *readbuffer.Buffer, conn net.Conn) error {
 	err := in.Fill(conn)
 	switch {
@@ -104,28 +104,28 @@
 	return err
 }
 
-// logUnreadable logs the first line that is not understood.
-func (r *noticeReader[K]) logUnreadable(what string, why zap.Field) {
+// logUnreadable logs the first of a series of lines that are not understood.
+func (r *noticeReader[K]) logUnreadable(message string, cause zap.Field) {
 	if !r.positionUnknown {
-		r.log.Warn(what, why)
+		r.log.Warn(message, cause)
 	}
 	r.positionUnknown = true
 }
 
-// handle acts on one line.
-func (r *noticeReader[K]) handle(line []byte, up func()) error {
+// handle processes one line.
+func (r *noticeReader[K]) handle(line []byte, onBooted func()) error {
 	var n notice
 	if err := n.decode(line); err != nil {
 		r.logUnreadable("kernel line passed over", zap.Error(err))
 		return nil
 	}
 	if n.Pos >= 1 {
-		fresh, whole := r.trackPosition(int(n.Pos), r.awaitingFirst || r.positionUnknown)
-		if !whole {
+		isNew, complete := r.trackPosition(int(n.Pos), r.awaitingFirst || r.positionUnknown)
+		if !complete {
 			return errors.New("a notice is missing")
 		}
 		r.awaitingFirst, r.positionUnknown = false, false
-		if !fresh {
+		if !isNew {
 			return nil
 		}
 	}
@@ -135,7 +135,7 @@
 			r.booted = true
 			r.owner.Booted(max(n.Took, 0)/1000, n.Code == "starting")
 			r.sync()
-			up()
+			onBooted()
 		}
 	case "INFO":
 		r.answersQueries = r.handleInfo(n.Echo, n.Meters) || r.answersQueries
@@ -150,56 +150,57 @@
 	return nil
 }
 
-// handleReap takes note of the end of a run.
+// handleReap processes the end of a run.
 func (r *noticeReader[K]) handleReap(n *notice) {
-	var end error
+	var runErr error
 	switch {
 	case n.Code == "fine" && n.contentInvalid:
-		end = &RunError{Progress: Started, Reason: "unreadable result"}
+		runErr = &RunError{Progress: Started, Reason: "unreadable result"}
 	case n.Code == "fine":
 	case n.Code == "late":
-		end = &RunError{Progress: NeverRan, Reason: n.Code}
+		runErr = &RunError{Progress: NeverRan, Reason: n.Code}
 	case n.Code == "broken_off":
-		end = &RunError{Progress: Started, Stopped: true, Reason: n.Code}
+		runErr = &RunError{Progress: Started, Stopped: true, Reason: n.Code}
 	default:
-		end = &RunError{Progress: Started, Reason: n.Code}
+		runErr = &RunError{Progress: Started, Reason: n.Code}
 	}
-	if end != nil {
+	if runErr != nil {
 		n.Content = nil // a run that failed has no result
 	}
 	took := max(n.Took, 0) / 1000
 	r.recordRunTime(took)
-	if !r.finishRun(n.UID, took, n.Content, end) && !r.unknownRunLogged {
+	if !r.finishRun(n.UID, took, n.Content, runErr) && !r.unknownRunLogged {
 		r.unknownRunLogged = true
 		r.log.Warn("end of a run not in hand", zap.String("run", n.UID))
 	}
 }
 
-// handleRejection takes note of a command that was not carried out.
+// handleRejection processes the notice that a command was not carried out.
 func (r *noticeReader[K]) handleRejection(n *notice) {
 	if n.Code != "SYSINFO" || !r.refusalLogged {
 		r.log.Warn("kernel did not carry out", zap.String("command", n.Code), zap.String("run", n.UID))
 	}
 	switch n.Code {
 	case "SCHED":
-		// It knows no RPC of this id, lane and body: a repeat may be a genuine one. What may not run twice is asked for once
-		// only, so that this is no second copy of what has run.
-		r.finishRun(n.UID, 0, nil, &RunError{Progress: NeverRan, Unknown: true, Reason: "not carried out"})
-	case "SYSINFO": // a site without gauges: it marks the order of commands all the same
+		// The kernel knows no RPC with this uid, lane and body. A retry by the caller may be a genuine request. The start
+		// of a run that must not run twice is sent only once, so the rejected command was not a second copy.
+		r.finishRun(n.UID, 0, nil, &RunError{Progress: NeverRan, Unknown: true, Reason: "rejected by the kernel"})
+	case "SYSINFO": // a kernel without gauges; its rejection still confirms the commands before it
 		r.refusalLogged = true
 		r.answersQueries = r.handleInfo("", nil) || r.answersQueries
 	}
 }
 
-// trackPosition counts a notice: fresh if it has not been read before, not whole if one before it has not come. What
-// is missing is asked for once, on a new connection; after that, or behind an unreadable line, it is lost.
-func (l *Link[K]) trackPosition(pos int, lost bool) (fresh, whole bool) {
+// trackPosition records a notice's sequence position. isNew is false if it was read before; complete is false if
+// an earlier one is missing. A missing notice is requested once, by reconnecting; if it is missing again, or an
+// unreadable line came before, it is lost.
+func (l *Link[K]) trackPosition(pos int, acceptGap bool) (isNew, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case pos <= l.lastPos:
 		return false, true
-	case pos > l.lastPos+1 && !lost:
+	case pos > l.lastPos+1 && !acceptGap:
 		return false, false
 	case pos > l.lastPos+1:
 		l.log.Warn("notices lost", zap.Int("from", l.lastPos+1), zap.Int("to", pos-1))
@@ -209,54 +210,56 @@
 	return true, true
 }
 
-// markUnconfirmed is for the runs in hand when notices are lost: among these there may have been their ends. What waits to be asked for
-// again on this connection is not in markUnconfirmed. Called under the lock.
+// markUnconfirmed treats the pending runs as unconfirmed when notices are lost, as their end may be among these.
+// Runs whose command is still to be written on this connection are excluded. The caller holds l.mu.
 func (l *Link[K]) markUnconfirmed() {
-	waits := map[*task[K]]bool{}
+	unwritten := map[*task[K]]bool{}
 	for _, c := range l.commands.list {
 		if c.isSched && c.writtenAt.IsZero() {
-			waits[c.task] = true
+			unwritten[c.task] = true
 		}
 	}
-	var inDoubt []*task[K]
+	var unconfirmed []*task[K]
 	for _, t := range l.runs {
-		if !waits[t] {
-			inDoubt = append(inDoubt, t)
+		if !unwritten[t] {
+			unconfirmed = append(unconfirmed, t)
 		}
 	}
-	l.expireUnconfirmed(inDoubt)
+	l.expireUnconfirmed(unconfirmed)
 }
 
-// recordRunTime takes note of how long a run recordRunTime.
-func (l *Link[K]) recordRunTime(span float64) {
-	const kept = 0.98 // of what the longest took, with each that is shorter
+// recordRunTime updates the decaying maximum of the run times.
+func (l *Link[K]) recordRunTime(seconds float64) {
+	const decay = 0.98 // of the maximum, for each run that is shorter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.longestRun = max(time.Duration(min(span, maxRunTime.Seconds())*float64(time.Second)), time.Duration(kept*float64(l.longestRun)))
+	l.longestRun = max(time.Duration(min(seconds, maxRunTime.Seconds())*float64(time.Second)),
+		time.Duration(decay*float64(l.longestRun)))
 }
 
-// expireUnconfirmed ends runs after a while, unless their end comes after all: without one a run would count for ever. The while is twice
-// what the longest run of late took. Called under the lock.
-func (l *Link[K]) expireUnconfirmed(inDoubt []*task[K]) {
-	if len(inDoubt) == 0 {
+// expireUnconfirmed ends runs after a timeout, unless their end is reported before: otherwise a lost end would
+// leave the run pending forever. The timeout is twice the longest recent run time. The caller holds l.mu.
+func (l *Link[K]) expireUnconfirmed(unconfirmed []*task[K]) {
+	if len(unconfirmed) == 0 {
 		return
 	}
 	time.AfterFunc(min(l.unconfirmedTimeout, max(2*l.longestRun, minUnconfirmedTimeout)), func() {
-		for _, t := range inDoubt {
+		for _, t := range unconfirmed {
 			l.mu.Lock()
-			known := l.runs[t.uid] == t
-			if known {
+			pending := l.runs[t.uid] == t
+			if pending {
 				l.forgetRun(t)
 			}
 			l.mu.Unlock()
-			if known {
+			if pending {
 				l.owner.Ended(t.run, 0, nil, &RunError{Progress: Sent, Reason: "end lost"})
 			}
 		}
 	})
 }
 
-// finishRun tells the owner of a run's end. The end of what has not been asked for is that of another run, whose name it has now.
+// finishRun reports a run's end to the owner. A notice for a run whose command has not been written yet belongs to
+// an earlier run with the same uid and is ignored.
 func (l *Link[K]) finishRun(uid string, took float64, result []byte, err error) (known bool) {
 	l.mu.Lock()
 	t := l.runs[uid]
@@ -270,23 +273,23 @@
 	return known
 }
 
-// forgetRun forgets a run and all commands for it. Called under the lock.
+// forgetRun removes a run and all commands for it. The caller holds l.mu.
 func (l *Link[K]) forgetRun(t *task[K]) {
 	delete(l.runs, t.uid)
 	l.commands.removeIf(func(c *command[K]) bool { return c.task == t })
 }
 
-// sync puts a question before all commands that may have been lost: its answer comes after the notices up to
-// now, and what has ended by them is not sent again. A kernel that does not answer is not waited for without end.
+// sync puts a query before all commands that may have been lost. Its reply comes after all earlier notices, so
+// that runs that have ended are not sent again. After syncTimeout commands are written without a reply.
 func (l *Link[K]) sync() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.commands.pushFront(l.commands.newQuery())
-	session := l.connectionNumber
+	number := l.connectionNumber
 	time.AfterFunc(l.syncTimeout, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.connectionNumber == session && !l.synced {
+		if l.connectionNumber == number && !l.synced {
 			l.log.Warn("kernel answers no question")
 			l.markSynced()
 		}
@@ -294,7 +297,7 @@
 	signal(l.commandReady)
 }
 
-// markSynced lets commands go out. Called under the lock.
+// markSynced lets commands be written. The caller holds l.mu.
 func (l *Link[K]) markSynced() {
 	l.synced = true
 	l.expireUnconfirmed(l.unconfirmed)
@@ -302,7 +305,7 @@
 	signal(l.commandReady)
 }
 
-// handleInfo takes the answer to a question, and tells whether it is one.
+// handleInfo processes the reply to a query. It returns false if no query is pending for it.
 func (l *Link[K]) handleInfo(echo string, meters []float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
