--- a/internal/kernel/commands.go
+++ b/internal/kernel/commands.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// task is one run that was asked for.
+// task is a run that was requested and has not ended.
 type task[K any] struct {
 	run        K
 	uid        string
-	repeatable bool // it may run a second time
+	repeatable bool // may be executed a second time
 	sent       bool // its command may have been read
 }
 
-// command is one line that the kernel may not have read yet, or may have lost.
+// command is a line that the kernel may not have read yet, or may have lost.
 type command[K any] struct {
-	queuedAt       time.Time // when it was decided
-	writtenAt      time.Time // on this connection, zero if it has not been
-	acknowledgedAt time.Time // when an answer proved that it had been read on this connection, zero before
+	queuedAt       time.Time
+	writtenAt      time.Time // on the present connection, zero before
+	acknowledgedAt time.Time // when a reply proved that it had been read on the present connection, zero before
 	task           *task[K]  // nil for SYSINFO
-	isSched        bool      // it is SCHED
-	echo           string    // of SYSINFO
+	isSched        bool      // SCHED, not PREEMPT or SYSINFO
+	echo           string    // SYSINFO only: the kernel returns it in the reply
 	line           []byte
 }
 
-// sched, preempt and sysinfo are the lines of commands as they go out.
+// sched, preempt and sysinfo are the JSON commands.
 type sched struct {
 	Action  string `json:"action"`
 	UID     string `json:"uid"`
@@ -45,30 +45,30 @@
 	Echo   string `json:"echo"`
 }
 
-// encode gives a command's line; names go out as they are, without the escapes that are for web pages.
-func encode(message any) ([]byte, error) {
+// encode returns a command's line. Names are not HTML-escaped.
+func encode(cmd any) ([]byte, error) {
 	var line bytes.Buffer
 	encoder := json.NewEncoder(&line)
 	encoder.SetEscapeHTML(false)
-	err := encoder.Encode(message) // which ends the line
+	err := encoder.Encode(cmd) // Encode appends the newline
 	return line.Bytes(), err
 }
 
-// commands are what the kernel may not have read, in the order decided. Those that have been written on this connection come
-// first. The link's lock guards it.
+// commands holds what the kernel may not have read, in order of arrival. Commands written on the present
+// connection come first. It is guarded by the link's mutex.
 type commands[K any] struct {
 	list      []command[K]
-	unwritten int // how many, from the end, have not been written on this connection
-	lastEcho  int // of the last question
+	unwritten int // how many at the end have not been written on the present connection
+	lastEcho  int // number of the last query
 }
 
-func (c *commands[K]) push(one command[K]) {
-	one.queuedAt = time.Now()
-	c.list = append(c.list, one)
+func (c *commands[K]) push(cmd command[K]) {
+	cmd.queuedAt = time.Now()
+	c.list = append(c.list, cmd)
 	c.unwritten++
 }
 
-// newQuery is a SYSINFO: its answer proves that all before it has been read.
+// newQuery returns a SYSINFO command. Its reply proves that the kernel has read all commands before it.
 func (c *commands[K]) newQuery() command[K] {
 	c.lastEcho++
 	echo := strconv.Itoa(c.lastEcho)
@@ -76,16 +76,16 @@
 	return command[K]{queuedAt: time.Now(), echo: echo, line: line}
 }
 
-// pushFront puts a command before all others; none has been written on this connection yet.
-func (c *commands[K]) pushFront(one command[K]) {
-	c.list = slices.Insert(c.list, 0, one)
+// pushFront inserts a command before all others, when none has been written on the present connection yet.
+func (c *commands[K]) pushFront(cmd command[K]) {
+	c.list = slices.Insert(c.list, 0, cmd)
 	c.unwritten = len(c.list)
 }
 
-// removeWritten takes out all that has been written.
+// removeWritten removes all commands that have been written.
 func (c *commands[K]) removeWritten() { c.list = c.list[len(c.list)-c.unwritten:] }
 
-// next is the first command that has not been written, nil if there is none.
+// next returns the first command that has not been written, nil if there is none.
 func (c *commands[K]) next() *command[K] {
 	if c.unwritten == 0 {
 		return nil
@@ -93,78 +93,79 @@
 	return &c.list[len(c.list)-c.unwritten]
 }
 
-// markWritten marks the next command as written.
+// markWritten records that the next command is being written.
 func (c *commands[K]) markWritten(now time.Time) {
-	one := c.next()
-	one.writtenAt = now
-	if one.task != nil {
-		one.task.sent = true
+	cmd := c.next()
+	cmd.writtenAt = now
+	if cmd.task != nil {
+		cmd.task.sent = true
 	}
 	c.unwritten--
 }
 
-// removeIf takes out what drop tells.
-func (c *commands[K]) removeIf(drop func(one *command[K]) bool) {
-	at, sent := 0, len(c.list)-c.unwritten
-	c.list = slices.DeleteFunc(c.list, func(one command[K]) bool {
-		at++
-		if !drop(&one) {
+// removeIf removes the commands for which drop returns true.
+func (c *commands[K]) removeIf(drop func(cmd *command[K]) bool) {
+	position, written := 0, len(c.list)-c.unwritten
+	c.list = slices.DeleteFunc(c.list, func(cmd command[K]) bool {
+		position++
+		if !drop(&cmd) {
 			return false
 		}
-		if at > sent {
+		if position > written {
 			c.unwritten--
 		}
 		return true
 	})
 }
 
-// pendingQuery gives the youngest question that has no answer yet, nil if there is none.
+// pendingQuery returns the most recent query without a reply, nil if there is none.
 func (c *commands[K]) pendingQuery() *command[K] {
-	for k := len(c.list) - 1; k >= 0; k-- {
-		if c.list[k].echo != "" {
-			return &c.list[k]
+	for i := len(c.list) - 1; i >= 0; i-- {
+		if c.list[i].echo != "" {
+			return &c.list[i]
 		}
 	}
 	return nil
 }
 
-// acknowledge takes note that the kernel has read all up to a question; without an echo it is the first one. What was known to be
-// read so long before that question was asked is with the kernel for good: a break cannot cost it any more. It tells
-// whether there is such a question.
-func (c *commands[K]) acknowledge(echo string, lossSpan time.Duration) bool {
-	k := slices.IndexFunc(c.list[:len(c.list)-c.unwritten], func(one command[K]) bool {
-		return one.echo != "" && (echo == "" || one.echo == echo)
+// acknowledge records that the kernel has read all commands up to a query; an empty echo means the first query. A
+// command that was known to be read at least lossWindow before that query was written cannot be lost by a
+// disconnect any more and is removed. It returns false if there is no such query.
+func (c *commands[K]) acknowledge(echo string, lossWindow time.Duration) bool {
+	queryIndex := slices.IndexFunc(c.list[:len(c.list)-c.unwritten], func(cmd command[K]) bool {
+		return cmd.echo != "" && (echo == "" || cmd.echo == echo)
 	})
-	if k < 0 {
+	if queryIndex < 0 {
 		return false
 	}
-	now, safe := time.Now(), c.list[k].writtenAt.Add(-lossSpan)
-	for j := range c.list[:k] {
-		if one := &c.list[j]; one.acknowledgedAt.IsZero() {
-			one.acknowledgedAt = now
+	now, safeBefore := time.Now(), c.list[queryIndex].writtenAt.Add(-lossWindow)
+	for i := range c.list[:queryIndex] {
+		if cmd := &c.list[i]; cmd.acknowledgedAt.IsZero() {
+			cmd.acknowledgedAt = now
 		}
 	}
-	at := 0
-	c.removeIf(func(one *command[K]) bool {
-		at++
-		return at <= k+1 && (one.echo != "" || lossSpan == 0 || !one.acknowledgedAt.After(safe))
+	position := 0
+	c.removeIf(func(cmd *command[K]) bool {
+		position++
+		return position <= queryIndex+1 && (cmd.echo != "" || lossWindow == 0 || !cmd.acknowledgedAt.After(safeBefore))
 	})
 	return true
 }
 
-// prepareReconnect readies the list for a new connection: questions are void, and what may have been read and may not run twice is not
-// asked for again. It gives the tasks of these, of which it is not known any more whether they run.
-func (c *commands[K]) prepareReconnect() (inDoubt []*task[K]) {
-	c.removeIf(func(one *command[K]) bool {
-		if one.isSched && one.task.sent && !one.task.repeatable {
-			inDoubt = append(inDoubt, one.task)
+// prepareReconnect prepares the commands for a new connection: pending queries are dropped, and so are starts that
+// may have been read and must not be repeated. It returns the tasks of the latter, as whether they run is not
+// known.
+func (c *commands[K]) prepareReconnect() (unconfirmed []*task[K]) {
+	c.removeIf(func(cmd *command[K]) bool {
+		if cmd.isSched && cmd.task.sent && !cmd.task.repeatable {
+			unconfirmed = append(unconfirmed, cmd.task)
 			return true
 		}
-		return one.echo != ""
+		return cmd.echo != ""
 	})
-	for k := range c.list {
-		c.list[k].writtenAt, c.list[k].acknowledgedAt = time.Time{}, time.Time{}
+	for i := range c.list {
+		c.list[i].writtenAt, c.list[i].acknowledgedAt = time.Time{}, time.Time{}
 	}
 	c.unwritten = len(c.list)
-	return inDoubt
+	return unconfirmed
 }
