--- a/internal/kernel/random_test.go
+++ b/internal/kernel/random_test.go
@@ -16,18 +16,18 @@
 	"go.uber.org/zap"
 )
 
-// testRun is one run as its owner asked for it, and what has come of it.
+// testRun is a run that the test requested, with what the kernel and the owner have seen of it.
 type testRun struct {
 	uid, body string
-	once      bool
+	once      bool // must not run twice
 	starts    int  // how often the kernel has started it
-	running   bool // there
-	ended     bool // its owner has had its end
-	ends      int
+	running   bool // on the kernel
+	ended     bool // its end was reported to the owner
+	ends      int  // how often its end was reported
 }
 
-// faultyKernel is a kernel whose links break at any point, with what came on them in the last 50 ms lost, whatever was answered;
-// whose notices come twice, in pieces, behind remarks and late.
+// faultyKernel is a kernel whose connections break at any point and may lose what it read in the last 50 ms, even
+// if it replied to later queries. Its notices are duplicated, split, late and mixed with DMESG lines.
 type faultyKernel struct {
 	*testing.T
 	net.Listener
@@ -35,33 +35,33 @@
 
 	mu               sync.Mutex
 	rng              *rand.Rand
-	orders           map[string]*testRun
+	testRuns         map[string]*testRun
 	notices          []string
 	conn             net.Conn
-	discarding       bool // what comes on the link is lost
-	answered         bool // the first question on it has been answered
-	losesBeforeBreak bool // it does so before it breaks
-	linesLeft        int  // until the link breaks
+	discarding       bool // commands on this connection are lost
+	answered         bool // the first query on this connection
+	losesBeforeBreak bool // commands are discarded for a while before this connection breaks
+	linesLeft        int  // to be written before this connection breaks
 	pending          sync.WaitGroup
 }
 
 func (k *faultyKernel) Booted(float64, bool) {}
 
-// Ended judges what the owner is told.
-func (k *faultyKernel) Ended(o *testRun, _ float64, result []byte, err error) {
+// Ended checks each end that the link reports to its owner.
+func (k *faultyKernel) Ended(run *testRun, _ float64, result []byte, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	defer k.pending.Done()
-	var attempt *RunError
-	switch o.ends++; {
-	case o.ends > 1:
-		k.Errorf("%s ended twice", o.uid)
-	case err == nil && (o.starts == 0 || string(result) != "of "+o.body):
-		k.Errorf("%s, started %d times, has the result %q", o.uid, o.starts, result)
-	case errors.As(err, &attempt) && attempt.Progress == NeverRan && o.starts > 0 && o.once:
-		k.Errorf("%s was started, and is told off as never run: %v", o.uid, err)
+	var runErr *RunError
+	switch run.ends++; {
+	case run.ends > 1:
+		k.Errorf("%s ended twice", run.uid)
+	case err == nil && (run.starts == 0 || string(result) != "of "+run.body):
+		k.Errorf("%s, started %d times, has the result %q", run.uid, run.starts, result)
+	case errors.As(err, &runErr) && runErr.Progress == NeverRan && run.starts > 0 && run.once:
+		k.Errorf("%s was started, and is reported as never run: %v", run.uid, err)
 	}
-	o.ended = true
+	run.ended = true
 }
 
 func (k *faultyKernel) serve() {
@@ -88,21 +88,22 @@
 		}
 		k.mu.Lock()
 		if json.Unmarshal([]byte(line), &m) != nil {
-			k.Errorf("no command: %q", line)
+			k.Errorf("invalid command: %q", line)
 		}
 		switch m.Action {
 		case "OPEN":
 			if k.conn != nil {
 				k.conn.Close()
 			}
-			k.conn, k.discarding, k.answered, k.losesBeforeBreak, k.linesLeft = conn, false, false, k.rng.IntN(2) == 0, 10+k.rng.IntN(300)
+			k.conn, k.discarding, k.answered, k.losesBeforeBreak, k.linesLeft =
+				conn, false, false, k.rng.IntN(2) == 0, 10+k.rng.IntN(300)
 			k.write(`{"action":"BOOTED","code":"running","wall_ms":5}`)
 			for _, n := range k.notices[min(m.Pos, len(k.notices)):] {
 				k.write(n)
 			}
 		case "SYSINFO":
 			k.write(fmt.Sprintf(`{"action":"INFO","echo":"%s","meters":[]}`, m.Echo))
-			if !k.answered { // the runs end before anything that is sent on this answer can have come
+			if !k.answered { // these runs end before a command that follows the reply can have arrived
 				k.answered = true
 				k.endAll()
 			}
@@ -111,51 +112,51 @@
 				k.start(m.UID, string(m.Content))
 			}
 		case "PREEMPT":
-			if o := k.orders[m.UID]; !k.discarding && o != nil && o.running {
-				k.end(o, "broken_off")
+			if run := k.testRuns[m.UID]; !k.discarding && run != nil && run.running {
+				k.end(run, "broken_off")
 			}
 		}
 		k.mu.Unlock()
 	}
 }
 
-// start begins a run, or refuses it.
+// start starts a run, or rejects it.
 func (k *faultyKernel) start(uid, body string) {
-	o := k.orders[uid]
+	run := k.testRuns[uid]
 	switch {
-	case o == nil || o.body != body:
+	case run == nil || run.body != body:
 		k.write(fmt.Sprintf(`{"action":"EINVAL","code":"SCHED","uid":"%s"}`, uid))
-		if o != nil {
+		if run != nil {
 			k.Errorf("%s came with another body: %q", uid, body)
 		}
-	case o.running:
-	case o.ended:
+	case run.running:
+	case run.ended:
 		k.notice(fmt.Sprintf(`"action":"REAP","uid":"%s","code":"late","wall_ms":0`, uid))
 	default:
-		o.running = true
-		if o.starts++; o.once && o.starts > 1 {
+		run.running = true
+		if run.starts++; run.once && run.starts > 1 {
 			k.Errorf("%s was started twice", uid)
 		}
 		time.AfterFunc(time.Duration(k.rng.IntN(20))*time.Millisecond, func() {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			k.end(o, "fine")
+			k.end(run, "fine")
 		})
 	}
 }
 
-func (k *faultyKernel) end(o *testRun, code string) {
-	if o.running {
-		o.running = false
-		content, _ := json.Marshal([]byte("of " + o.body))
-		k.notice(fmt.Sprintf(`"action":"REAP","uid":"%s","code":"%s","wall_ms":2,"content":%s`, o.uid, code, content))
+func (k *faultyKernel) end(run *testRun, code string) {
+	if run.running {
+		run.running = false
+		content, _ := json.Marshal([]byte("of " + run.body))
+		k.notice(fmt.Sprintf(`"action":"REAP","uid":"%s","code":"%s","wall_ms":2,"content":%s`, run.uid, code, content))
 	}
 }
 
 func (k *faultyKernel) endAll() {
-	for _, o := range k.orders {
+	for _, run := range k.testRuns {
 		if k.rng.IntN(2) == 0 {
-			k.end(o, "fine")
+			k.end(run, "fine")
 		}
 	}
 }
@@ -169,7 +170,7 @@
 	k.write(n)
 }
 
-// write sends a line, in pieces or twice, or breaks the link at any point of it.
+// write writes a line, split or twice, or breaks the connection at any point of it.
 func (k *faultyKernel) write(line string) {
 	if k.conn == nil {
 		return
@@ -184,8 +185,8 @@
 	case k.linesLeft < 20 && k.losesBeforeBreak:
 		if !k.discarding {
 			k.discarding = true
-			deaf := k.conn
-			time.AfterFunc(50*time.Millisecond, func() { deaf.Close() }) // then at the latest
+			failing := k.conn
+			time.AfterFunc(50*time.Millisecond, func() { failing.Close() }) // at the latest, if too few lines follow
 		}
 	}
 	if k.rng.IntN(4) == 0 {
@@ -196,24 +197,24 @@
 	k.conn.Write([]byte(line[cut:]))
 }
 
-// requestRun asks for a run, and at times stops it.
+// requestRun requests a run, and preempts one in ten.
 func (k *faultyKernel) requestRun(n int) {
 	k.mu.Lock()
-	o := &testRun{uid: fmt.Sprintf("%016x", n), body: fmt.Sprintf("<body> %d", n), once: k.rng.IntN(2) == 0}
-	k.orders[o.uid] = o
-	stop, lane := k.rng.IntN(10) == 0, []string{"look", `<&> "é"`}[k.rng.IntN(2)]
+	run := &testRun{uid: fmt.Sprintf("%016x", n), body: fmt.Sprintf("<body> %d", n), once: k.rng.IntN(2) == 0}
+	k.testRuns[run.uid] = run
+	preempted, lane := k.rng.IntN(10) == 0, []string{"look", `<&> "é"`}[k.rng.IntN(2)]
 	k.mu.Unlock()
 	k.pending.Add(1)
-	if err := k.Link.Run(o, o.uid, lane, []byte(o.body), !o.once); err != nil {
+	if err := k.Link.Run(run, run.uid, lane, []byte(run.body), !run.once); err != nil {
 		k.Error(err)
 	}
-	if stop {
-		k.Preempt(o.uid)
+	if preempted {
+		k.Preempt(run.uid)
 	}
 }
 
-// Whatever a bad kernel does, each run ends once for its owner, with its own result; what must not run twice does not, and what
-// was started is never told off as never run.
+// Under random kernel faults each run ends once for its owner and with its own result. A run that must not run
+// twice is not started twice, and none that was started is reported as never run.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -222,10 +223,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := &faultyKernel{T: t, Listener: listener, rng: rand.New(rand.NewPCG(seed, 42)), orders: map[string]*testRun{}}
+			k := &faultyKernel{T: t, Listener: listener, rng: rand.New(rand.NewPCG(seed, 42)), testRuns: map[string]*testRun{}}
 			k.Link = New[*testRun](netip.MustParseAddrPort(listener.Addr().String()), k, zap.NewNop())
 			k.unconfirmedTimeout = 200 * time.Millisecond
-			ctx, stop := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			served := make(chan error)
 			go func() { served <- k.Serve(ctx) }()
 			go k.serve()
@@ -240,28 +241,28 @@
 				k.pending.Wait()
 				close(ended)
 			}()
-			for late := time.After(20 * time.Second); ; k.Gauges(2 * time.Millisecond) {
+			for deadline := time.After(20 * time.Second); ; k.Gauges(2 * time.Millisecond) {
 				select {
 				case <-ended:
-				case <-late:
+				case <-deadline:
 					t.Error("some runs have no end")
 				default:
 					continue
 				}
 				break
 			}
-			stop()
+			cancel()
 			<-served
 			listener.Close()
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			once := 0
-			for _, o := range k.orders {
-				if o.once && o.starts == 0 {
-					once++
+			neverStarted := 0
+			for _, run := range k.testRuns {
+				if run.once && run.starts == 0 {
+					neverStarted++
 				}
 			}
-			t.Logf("%d runs that must not run twice never ran", once)
+			t.Logf("%d runs that must not run twice never ran", neverStarted)
 		})
 	}
 }
