--- a/internal/kernel/unconfirmed_test.go
+++ b/internal/kernel/unconfirmed_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// What is in doubt once the link has broken or notices were lost.
+// Tests of unconfirmed runs: those whose end may have been lost with a connection or with notices.
 
-// A run that must not run twice, and that the kernel may have read of before the link broke: it ends between the kernel's word
-// on the new link and what would be sent again, and to ask for it again would run it again. What has never been written
-// goes out, and so does what may run twice.
+// The connection ends after a run that must not run twice was written, so that the kernel may have read its
+// command. It is not sent again, and its end arrives on the next connection. A run that was never written, and one
+// that may run twice, are sent.
 func Example_once() {
 	c := start()
 	c.boot()
@@ -45,8 +45,8 @@
 	// ended: <nil>
 }
 
-// The same run when its command was lost: no end ever comes, and it is let go after a while.
-func Example_onceLost() {
+// As in Example_once, but the command was lost: no end arrives, and the run ends as Sent after a timeout.
+func Example_onceCommandLost() {
 	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
@@ -68,9 +68,9 @@
 	// ended: <nil>
 }
 
-// Notices are lost, and among them may be the end of a run whose command the kernel may not have read: one that must not run
-// twice is not asked for again.
-func Example_onceDoubted() {
+// Lost notices may include the end of a run that must not run twice and whose command may not have been read: it
+// is not sent again.
+func Example_onceNoticesLost() {
 	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
@@ -92,8 +92,8 @@
 	// ended: <nil>
 }
 
-// A run in doubt ends, and its name comes back for another: the doubt is of the first alone.
-func Example_doubtOfTheFirst() {
+// An unconfirmed run ends and its uid is used by another run: the timeout of the first does not end the second.
+func Example_unconfirmedUIDReused() {
 	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 100 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
@@ -105,7 +105,7 @@
 	c.printEvents(1)
 	c.Run("second A", "a", "look", nil, true)
 	c.printCommands(1)
-	time.Sleep(200 * time.Millisecond) // the doubt's time is over
+	time.Sleep(200 * time.Millisecond) // past the timeout of the first run
 	c.send(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`)
 	c.printEvents(1)
 	c.end()
@@ -124,9 +124,9 @@
 	// ended: <nil>
 }
 
-// The end of a run whose command has not gone out yet is another's, who had the same name before: its result is not given to
-// this one.
-func Example_endOfAnother() {
+// A notice for a run whose command has not been written yet belongs to an earlier run with the same uid: its
+// result is not given to the later one.
+func Example_endOfEarlierRun() {
 	c := start()
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
@@ -146,8 +146,8 @@
 	// ended: <nil>
 }
 
-// What the kernel has read in the last moments before a break may be lost although it has answered a later question.
-func Example_lostAfterAnswer() {
+// A command that the kernel read shortly before a disconnect may be lost although a later query was answered.
+func Example_lostAfterReply() {
 	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout, l.lossWindow = 50*time.Millisecond, 20*time.Second })
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
@@ -175,9 +175,9 @@
 	// ended: <nil>
 }
 
-// Where runs take milliseconds a run in doubt is let go soon: until then it takes a core's place, on a machine
-// with one core everybody's.
-func Example_doubtShort() {
+// Where runs take milliseconds, the timeout of an unconfirmed run is short: until then it occupies a core, which
+// on a machine with one core blocks all other runs.
+func Example_unconfirmedTimeoutShort() {
 	c := start()
 	c.boot()
 	for k := range 400 {
@@ -191,9 +191,9 @@
 	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
-	began := time.Now()
+	reconnectedAt := time.Now()
 	c.printEvents(1)
-	fmt.Println(time.Since(began) < maxRunTime/2)
+	fmt.Println(time.Since(reconnectedAt) < maxRunTime/2)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
