--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster reports this app server to the list from which routers learn of it.
+// Package roster reports this app server's state to the roster, from which routers learn of app servers.
 package roster
 
 import (
@@ -8,20 +8,25 @@
 	"time"
 )
 
-// reportInterval: a report lapses after 3 s and a quarter of them are lost. Twelve in that time are all lost once in
-// sixteen million times; three, as there were at 0.8 s, once in a minute.
+// reportInterval allows 12 reports within the 3 s after which a report expires. With a quarter of the reports
+// lost, all 12 are lost once in sixteen million times; of three, at an interval of 0.8 s, all were lost once a
+// minute.
 const reportInterval = 250 * time.Millisecond
 
-// listenUDP opens the socket that reports go out on.
+// listenUDP opens the socket that reports are sent from; tests replace it.
 var listenUDP = func() (*net.UDPConn, error) { return net.ListenUDP("udp", nil) }
 
-// Report sends what say gives, each period and at once on each change, until ctx ends; what it gives may be
-// another roster than before. A roster that is down answers nothing, so a report that could not be sent is one
-// more that was lost.
-func Report(ctx context.Context, say func() (at netip.AddrPort, name string, on bool), changed <-chan struct{}) error {
+// Report sends what current returns, at each interval and on each change, until ctx ends. The roster's address may
+// change between calls. A roster that is down sends no reply, so a report that could not be sent is treated like a
+// lost one.
+func Report(
+	ctx context.Context,
+	current func() (address netip.AddrPort, name string, listed bool),
+	changed <-chan struct{},
+) error {
 	var conn *net.UDPConn
-	beat := time.NewTicker(reportInterval)
-	defer beat.Stop()
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
 	for {
 		if conn == nil {
 			if c, err := listenUDP(); err == nil {
@@ -30,18 +35,18 @@
 			}
 		}
 		if conn != nil {
-			at, name, on := say()
-			word := " on"
-			if !on {
-				word = " off"
+			address, name, listed := current()
+			status := " on"
+			if !listed {
+				status = " off"
 			}
-			conn.WriteToUDPAddrPort([]byte("HERE "+name+word), at)
+			conn.WriteToUDPAddrPort([]byte("HERE "+name+status), address)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-		case <-beat.C:
+		case <-ticker.C:
 		}
 	}
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// testTimeout is for what must come.
+// testTimeout bounds the wait for events that must happen.
 const testTimeout = 20 * time.Second
 
-// readReport waits for one report.
+// readReport reads one report.
 func readReport(t *testing.T, conn net.PacketConn) string {
 	t.Helper()
 	buffer := make([]byte, 100)
@@ -24,44 +24,44 @@
 	return string(buffer[:n])
 }
 
-// Reports begin once there is a descriptor for their socket, and go on over an outage of the roster.
+// Reports start once a descriptor for their socket is available, and continue after an outage of the roster.
 func TestReportOutages(t *testing.T) {
 	failures := 2
-	usual := listenUDP
-	defer func() { listenUDP = usual }()
+	original := listenUDP
+	defer func() { listenUDP = original }()
 	listenUDP = func() (*net.UDPConn, error) {
 		if failures > 0 {
 			failures--
 			return nil, &net.OpError{Op: "listen", Err: syscall.EMFILE}
 		}
-		return usual()
+		return original()
 	}
 	roster, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := netip.MustParseAddrPort(roster.LocalAddr().String())
-	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan error)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error)
 	go func() {
-		over <- Report(ctx, func() (netip.AddrPort, string, bool) { return address, "n1", true }, nil)
+		done <- Report(ctx, func() (netip.AddrPort, string, bool) { return address, "n1", true }, nil)
 	}()
 	if report := readReport(t, roster); report != "HERE n1 on" {
-		t.Errorf("heard %q", report)
+		t.Errorf("received %q", report)
 	}
 	roster.Close()
-	time.Sleep(3 * reportInterval) // reports that nobody hears
+	time.Sleep(3 * reportInterval) // reports that are lost
 	if roster, err = net.ListenPacket("udp", address.String()); err != nil {
 		t.Fatal(err)
 	}
 	defer roster.Close()
-	returned := time.Now()
+	restartedAt := time.Now()
 	readReport(t, roster)
-	if took := time.Since(returned); took > 3*time.Second {
+	if took := time.Since(restartedAt); took > 3*time.Second {
 		t.Errorf("back on the roster after %v", took)
 	}
-	stop()
-	if err := <-over; err != nil {
+	cancel()
+	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
