--- a/internal/readbuffer/readbuffer.go
+++ b/internal/readbuffer/readbuffer.go
@@ -1,4 +1,4 @@
-// Package readbuffer is the one read buffer that a connection has.
+// Package readbuffer provides the read buffer of a connection.
 package readbuffer
 
 import (
@@ -6,13 +6,13 @@
 	"io"
 )
 
-// ErrFull tells that a message does not fit into the largest buffer allowed.
+// ErrFull is returned when a message does not fit into the largest buffer allowed.
 var ErrFull = errors.New("message larger than the buffer may grow")
 
-// Buffer grows as it needs, is compacted in place, and never passes its limit.
+// Buffer grows as needed up to its limit, and is compacted in place.
 type Buffer struct {
 	data       []byte
-	start, end int
+	start, end int // bounds in data of what has been read and not discarded
 	limit      int
 }
 
@@ -24,7 +24,7 @@
 	return &Buffer{data: make([]byte, min(initialSize, limit)), limit: limit}
 }
 
-// Fill reads once from r, behind what has not been taken yet.
+// Fill reads once from r and appends to the bytes that have not been discarded.
 func (b *Buffer) Fill(r io.Reader) error {
 	if b.start == b.end {
 		b.start, b.end = 0, 0
@@ -48,8 +48,8 @@
 	return err
 }
 
-// Bytes is what has been read and not taken, good until the next Fill.
+// Bytes returns what has been read and not discarded. It is valid until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Discard passes over the first n bytes.
+// Discard removes the first n bytes.
 func (b *Buffer) Discard(n int) { b.start += n }
