--- a/internal/kernel/notices.go
+++ b/internal/kernel/notices.go
@@ -14,10 +14,10 @@
 	"valveglade/internal/readbuffer"
 )
 
-// maxLine holds a result of 4 KiB in base64 many times over.
+// maxLine is many times the size of a 4 KiB result in base64.
 const maxLine = 64 << 10
 
-// notice is a line of the kernel's, of any kind. Numbers may come in any form that JSON has.
+// notice is a line from the kernel, of any kind. Numbers may have any form that JSON allows.
 type notice struct {
 	Action  string    `json:"action"`
 	Pos     float64   `json:"pos"`
@@ -28,104 +28,104 @@
 	Echo    string    `json:"echo"`
 	Meters  []float64 `json:"meters"`
 
-	garbled bool // its content cannot be read
+	contentInvalid bool // the content could not be decoded
 }
 
-// decode reads a line. A field of another kind than it should be is as one left out: it may be of no use here.
+// decode parses a line. A field of an unexpected type is treated as absent, as it may not be needed here.
 func (n *notice) decode(line []byte) error {
 	err := json.Unmarshal(line, n)
-	if kind := (*json.UnmarshalTypeError)(nil); errors.As(err, &kind) {
-		n.garbled = kind.Field == "content"
+	if typeErr := (*json.UnmarshalTypeError)(nil); errors.As(err, &typeErr) {
+		n.contentInvalid = typeErr.Field == "content"
 		return nil
 	}
 	if corrupt := base64.CorruptInputError(0); errors.As(err, &corrupt) {
-		n.garbled = true
+		n.contentInvalid = true
 		return nil
 	}
 	return err
 }
 
-// reader is what is known of one connection's notices.
-type reader[K any] struct {
+// noticeReader holds the state of reading one connection's notices.
+type noticeReader[K any] struct {
 	*Link[K]
-	booted        bool
-	answers       bool // the kernel has answered a question, so that its silence tells something
-	first         bool // no notice has come yet
-	blind         bool // a line was not understood and may have been a notice: the next one's number tells nothing
-	refusalLogged bool // the site has no gauges, which has been said
-	unknownLogged bool // an end of a run not in hand has been logged
-	skipping      bool // the line that comes is too long, and passed over
-	late          bool // nothing has come for as long as a silent kernel is borne
+	booted           bool
+	answersQueries   bool // the kernel has replied to a query, so read timeouts apply from now on
+	awaitingFirst    bool // no notice has been read yet
+	positionUnknown  bool // an unreadable line may have been a notice, so a gap before the next one is accepted
+	refusalLogged    bool // the rejection of SYSINFO by a kernel without gauges has been logged
+	unknownRunLogged bool // the end of a run that is not pending has been logged
+	skippingLine     bool // the present line is too long and is discarded
+	timedOut         bool // the read deadline has passed once without data
 }
 
-// read takes notices until the connection ends.
-func (l *Link[K]) read(conn net.Conn, up func()) error {
+// read handles notices until the connection ends.
+func (l *Link[K]) read(conn net.Conn, onBooted func()) error {
 	in := readbuffer.New(maxLine)
-	r := reader[K]{Link: l, first: true}
+	r := noticeReader[K]{Link: l, awaitingFirst: true}
 	for {
-		b := in.Bytes()
-		end := bytes.IndexByte(b, '\n')
+		buffered := in.Bytes()
+		end := bytes.IndexByte(buffered, '\n')
 		if end < 0 {
 			if err := r.fill(in, conn); err != nil {
 				return err
 			}
 			continue
 		}
-		line := b[:end]
-		in.Take(end + 1)
-		if r.late = false; r.answers {
-			conn.SetReadDeadline(time.Now().Add(silence))
+		line := buffered[:end]
+		in.Discard(end + 1)
+		if r.timedOut = false; r.answersQueries {
+			conn.SetReadDeadline(time.Now().Add(ioTimeout))
 		}
-		if r.skipping {
-			r.skipping = false
-			r.passOver("kernel line passed over", zap.String("why", "too long"))
+		if r.skippingLine {
+			r.skippingLine = false
+			r.logUnreadable("kernel line passed over", zap.String("why", "too long"))
 			continue
 		}
-		if err := r.take(line, up); err != nil {
+		if err := r.handle(line, onBooted); err != nil {
 			return err
 		}
 	}
 }
 
-// fill reads on. A line that is longer than any that means something is thrown away as it comes; and what came while this
-// process itself stood still is looked for before the kernel is taken for silent.
-func (r *reader[K]) fill(in *readbuffer.Buffer, conn net.Conn) error {
+// fill reads more data. It discards a line longer than maxLine as it arrives. After a first read timeout it reads
+// again before it takes the kernel for silent, as data may have arrived while this process was paused.
+func (r *noticeReader[K]) fill(in *readbuffer.Buffer, conn net.Conn) error {
 	err := in.Fill(conn)
 	switch {
 	case errors.Is(err, readbuffer.ErrFull):
-		in.Take(len(in.Bytes()))
-		r.skipping = true
+		in.Discard(len(in.Bytes()))
+		r.skippingLine = true
 		return nil
-	case errors.Is(err, os.ErrDeadlineExceeded) && !r.late:
-		r.late = true
-		conn.SetReadDeadline(time.Now().Add(askAgain))
+	case errors.Is(err, os.ErrDeadlineExceeded) && !r.timedOut:
+		r.timedOut = true
+		conn.SetReadDeadline(time.Now().Add(queryTimeout))
 		return nil
 	}
 	return err
 }
 
-// passOver logs the first line that is not understood.
-func (r *reader[K]) passOver(what string, why zap.Field) {
-	if !r.blind {
-		r.log.Warn(what, why)
+// logUnreadable logs the first of a series of lines that are not understood.
+func (r *noticeReader[K]) logUnreadable(message string, cause zap.Field) {
+	if !r.positionUnknown {
+		r.log.Warn(message, cause)
 	}
-	r.blind = true
+	r.positionUnknown = true
 }
 
-// take acts on one line.
-func (r *reader[K]) take(line []byte, up func()) error {
+// handle processes one line.
+func (r *noticeReader[K]) handle(line []byte, onBooted func()) error {
 	var n notice
 	if err := n.decode(line); err != nil {
-		r.passOver("kernel line passed over", zap.Error(err))
+		r.logUnreadable("kernel line passed over", zap.Error(err))
 		return nil
 	}
 	if n.Pos >= 1 {
-		fresh, whole := r.follow(int(n.Pos), r.first || r.blind)
-		if !whole {
+		isNew, complete := r.trackPosition(int(n.Pos), r.awaitingFirst || r.positionUnknown)
+		if !complete {
 			return errors.New("a notice is missing")
 		}
-		r.first, r.blind = false, false
-		if !fresh {
+		r.awaitingFirst, r.positionUnknown = false, false
+		if !isNew {
 			return nil
 		}
 	}
@@ -135,133 +135,136 @@
 			r.booted = true
 			r.owner.Booted(max(n.Took, 0)/1000, n.Code == "starting")
 			r.sync()
-			up()
+			onBooted()
 		}
 	case "INFO":
-		r.answers = r.inform(n.Echo, n.Meters) || r.answers
+		r.answersQueries = r.handleInfo(n.Echo, n.Meters) || r.answersQueries
 	case "REAP":
-		r.reap(&n)
+		r.handleReap(&n)
 	case "EINVAL":
-		r.refused(&n)
+		r.handleRejection(&n)
 	case "DMESG":
 	default:
-		r.passOver("kernel word not known", zap.String("action", n.Action))
+		r.logUnreadable("kernel word not known", zap.String("action", n.Action))
 	}
 	return nil
 }
 
-// reap takes note of the end of a run.
-func (r *reader[K]) reap(n *notice) {
-	var end error
+// handleReap processes the end of a run.
+func (r *noticeReader[K]) handleReap(n *notice) {
+	var runErr error
 	switch {
-	case n.Code == "fine" && n.garbled:
-		end = &Attempt{Reach: Ran, Why: "unreadable result"}
+	case n.Code == "fine" && n.contentInvalid:
+		runErr = &RunError{Progress: Started, Reason: "unreadable result"}
 	case n.Code == "fine":
 	case n.Code == "late":
-		end = &Attempt{Reach: NeverRan, Why: n.Code}
+		runErr = &RunError{Progress: NeverRan, Reason: n.Code}
 	case n.Code == "broken_off":
-		end = &Attempt{Reach: Ran, Stopped: true, Why: n.Code}
+		runErr = &RunError{Progress: Started, Stopped: true, Reason: n.Code}
 	default:
-		end = &Attempt{Reach: Ran, Why: n.Code}
+		runErr = &RunError{Progress: Started, Reason: n.Code}
 	}
-	if end != nil {
+	if runErr != nil {
 		n.Content = nil // a run that failed has no result
 	}
 	took := max(n.Took, 0) / 1000
-	r.took(took)
-	if !r.ended(n.UID, took, n.Content, end) && !r.unknownLogged {
-		r.unknownLogged = true
+	r.recordRunTime(took)
+	if !r.finishRun(n.UID, took, n.Content, runErr) && !r.unknownRunLogged {
+		r.unknownRunLogged = true
 		r.log.Warn("end of a run not in hand", zap.String("run", n.UID))
 	}
 }
 
-// refused takes note of a command that was not carried out.
-func (r *reader[K]) refused(n *notice) {
+// handleRejection processes the notice that a command was not carried out.
+func (r *noticeReader[K]) handleRejection(n *notice) {
 	if n.Code != "SYSINFO" || !r.refusalLogged {
 		r.log.Warn("kernel did not carry out", zap.String("command", n.Code), zap.String("run", n.UID))
 	}
 	switch n.Code {
 	case "SCHED":
-		// It knows no RPC of this id, lane and body: a repeat may be a genuine one. What may not run twice is asked for once
-		// only, so that this is no second copy of what has run.
-		r.ended(n.UID, 0, nil, &Attempt{Reach: NeverRan, Unknown: true, Why: "not carried out"})
-	case "SYSINFO": // a site without gauges: it marks the order of commands all the same
+		// The kernel knows no RPC with this uid, lane and body. A retry by the caller may be a genuine request. The start
+		// of a run that must not run twice is sent only once, so the rejected command was not a second copy.
+		r.finishRun(n.UID, 0, nil, &RunError{Progress: NeverRan, Unknown: true, Reason: "rejected by the kernel"})
+	case "SYSINFO": // a kernel without gauges; its rejection still confirms the commands before it
 		r.refusalLogged = true
-		r.answers = r.inform("", nil) || r.answers
+		r.answersQueries = r.handleInfo("", nil) || r.answersQueries
 	}
 }
 
-// follow counts a notice: fresh if it has not been read before, not whole if one before it has not come. What
-// is missing is asked for once, on a new connection; after that, or behind an unreadable line, it is lost.
-func (l *Link[K]) follow(pos int, lost bool) (fresh, whole bool) {
+// trackPosition records a notice's sequence position. isNew is false if it was read before; complete is false if
+// an earlier one is missing. A missing notice is requested once, by reconnecting; if it is missing again, or an
+// unreadable line came before, it is lost.
+func (l *Link[K]) trackPosition(pos int, acceptGap bool) (isNew, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case pos <= l.pos:
+	case pos <= l.lastPos:
 		return false, true
-	case pos > l.pos+1 && !lost:
+	case pos > l.lastPos+1 && !acceptGap:
 		return false, false
-	case pos > l.pos+1:
-		l.log.Warn("notices lost", zap.Int("from", l.pos+1), zap.Int("to", pos-1))
-		l.doubt()
+	case pos > l.lastPos+1:
+		l.log.Warn("notices lost", zap.Int("from", l.lastPos+1), zap.Int("to", pos-1))
+		l.markUnconfirmed()
 	}
-	l.pos = pos
+	l.lastPos = pos
 	return true, true
 }
 
-// doubt is for the runs in hand when notices are lost: among these there may have been their ends. What waits to be asked for
-// again on this connection is not in doubt. Called under the lock.
-func (l *Link[K]) doubt() {
-	waits := map[*task[K]]bool{}
+// markUnconfirmed treats the pending runs as unconfirmed when notices are lost, as their end may be among these.
+// Runs whose command is still to be written on this connection are excluded. The caller holds l.mu.
+func (l *Link[K]) markUnconfirmed() {
+	unwritten := map[*task[K]]bool{}
 	for _, c := range l.commands.list {
-		if c.start && c.wrote.IsZero() {
-			waits[c.task] = true
+		if c.isSched && c.writtenAt.IsZero() {
+			unwritten[c.task] = true
 		}
 	}
-	var inDoubt []*task[K]
+	var unconfirmed []*task[K]
 	for _, t := range l.runs {
-		if !waits[t] {
-			inDoubt = append(inDoubt, t)
+		if !unwritten[t] {
+			unconfirmed = append(unconfirmed, t)
 		}
 	}
-	l.endInDoubt(inDoubt)
+	l.expireUnconfirmed(unconfirmed)
 }
 
-// took takes note of how long a run took.
-func (l *Link[K]) took(span float64) {
-	const kept = 0.98 // of what the longest took, with each that is shorter
+// recordRunTime updates the decaying maximum of the run times.
+func (l *Link[K]) recordRunTime(seconds float64) {
+	const decay = 0.98 // of the maximum, for each run that is shorter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.longest = max(time.Duration(min(span, longRun.Seconds())*float64(time.Second)), time.Duration(kept*float64(l.longest)))
+	l.longestRun = max(time.Duration(min(seconds, maxRunTime.Seconds())*float64(time.Second)),
+		time.Duration(decay*float64(l.longestRun)))
 }
 
-// endInDoubt ends runs after a while, unless their end comes after all: without one a run would count for ever. The while is twice
-// what the longest run of late took. Called under the lock.
-func (l *Link[K]) endInDoubt(inDoubt []*task[K]) {
-	if len(inDoubt) == 0 {
+// expireUnconfirmed ends runs after a timeout, unless their end is reported before: otherwise a lost end would
+// leave the run pending forever. The timeout is twice the longest recent run time. The caller holds l.mu.
+func (l *Link[K]) expireUnconfirmed(unconfirmed []*task[K]) {
+	if len(unconfirmed) == 0 {
 		return
 	}
-	time.AfterFunc(min(l.doubtFor, max(2*l.longest, minDoubt)), func() {
-		for _, t := range inDoubt {
+	time.AfterFunc(min(l.unconfirmedTimeout, max(2*l.longestRun, minUnconfirmedTimeout)), func() {
+		for _, t := range unconfirmed {
 			l.mu.Lock()
-			known := l.runs[t.uid] == t
-			if known {
-				l.drop(t)
+			pending := l.runs[t.uid] == t
+			if pending {
+				l.forgetRun(t)
 			}
 			l.mu.Unlock()
-			if known {
-				l.owner.Ended(t.run, 0, nil, &Attempt{Reach: Sent, Why: "end lost"})
+			if pending {
+				l.owner.Ended(t.run, 0, nil, &RunError{Progress: Sent, Reason: "end lost"})
 			}
 		}
 	})
 }
 
-// ended tells the owner of a run's end. The end of what has not been asked for is that of another run, whose name it has now.
-func (l *Link[K]) ended(uid string, took float64, result []byte, err error) (known bool) {
+// finishRun reports a run's end to the owner. A notice for a run whose command has not been written yet belongs to
+// an earlier run with the same uid and is ignored.
+func (l *Link[K]) finishRun(uid string, took float64, result []byte, err error) (known bool) {
 	l.mu.Lock()
 	t := l.runs[uid]
-	if known = t != nil && t.asked; known {
-		l.drop(t)
+	if known = t != nil && t.sent; known {
+		l.forgetRun(t)
 	}
 	l.mu.Unlock()
 	if known {
@@ -270,53 +273,53 @@
 	return known
 }
 
-// drop forgets a run and all commands for it. Called under the lock.
-func (l *Link[K]) drop(t *task[K]) {
+// forgetRun removes a run and all commands for it. The caller holds l.mu.
+func (l *Link[K]) forgetRun(t *task[K]) {
 	delete(l.runs, t.uid)
-	l.commands.remove(func(c *command[K]) bool { return c.task == t })
+	l.commands.removeIf(func(c *command[K]) bool { return c.task == t })
 }
 
-// sync puts a question before all commands that may have been lost: its answer comes after the notices up to
-// now, and what has ended by them is not sent again. A kernel that does not answer is not waited for without end.
+// sync puts a query before all commands that may have been lost. Its reply comes after all earlier notices, so
+// that runs that have ended are not sent again. After syncTimeout commands are written without a reply.
 func (l *Link[K]) sync() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.commands.first(l.commands.question())
-	session := l.session
-	time.AfterFunc(l.syncFor, func() {
+	l.commands.pushFront(l.commands.newQuery())
+	number := l.connectionNumber
+	time.AfterFunc(l.syncTimeout, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.session == session && !l.up {
+		if l.connectionNumber == number && !l.synced {
 			l.log.Warn("kernel answers no question")
-			l.markUp()
+			l.markSynced()
 		}
 	})
-	signal(l.work)
+	signal(l.commandReady)
 }
 
-// markUp lets commands go out. Called under the lock.
-func (l *Link[K]) markUp() {
-	l.up = true
-	l.endInDoubt(l.inDoubt)
-	l.inDoubt = nil
-	signal(l.work)
+// markSynced lets commands be written. The caller holds l.mu.
+func (l *Link[K]) markSynced() {
+	l.synced = true
+	l.expireUnconfirmed(l.unconfirmed)
+	l.unconfirmed = nil
+	signal(l.commandReady)
 }
 
-// inform takes the answer to a question, and tells whether it is one.
-func (l *Link[K]) inform(echo string, meters []float64) bool {
+// handleInfo processes the reply to a query. It returns false if no query is pending for it.
+func (l *Link[K]) handleInfo(echo string, meters []float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.commands.answered(echo, l.lossSpan) {
+	if !l.commands.acknowledge(echo, l.lossWindow) {
 		return false
 	}
-	l.meters, l.measured = meters, time.Now()
-	if l.handover == handedOver && l.commands.asked() == nil {
-		l.commands.readAll()
-		signal(l.handoverReady)
+	l.gauges, l.gaugesAt = meters, time.Now()
+	if l.handover == flushed && l.commands.pendingQuery() == nil {
+		l.commands.removeWritten()
+		signal(l.flushAcknowledged)
 	}
-	if !l.up {
-		l.markUp()
+	if !l.synced {
+		l.markSynced()
 	}
-	signal(l.informed)
+	signal(l.gaugesReady)
 	return true
 }
--- a/internal/kernel/doubt_test.go
+++ b/internal/kernel/unconfirmed_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// What is in doubt once the link has broken or notices were lost.
+// Tests of unconfirmed runs: those whose end may have been lost with a connection or with notices.
 
-// A run that must not run twice, and that the kernel may have read of before the link broke: it ends between the kernel's word
-// on the new link and what would be sent again, and to ask for it again would run it again. What has never been written
-// goes out, and so does what may run twice.
+// The connection ends after a run that must not run twice was written, so that the kernel may have read its
+// command. It is not sent again, and its end arrives on the next connection. A run that was never written, and one
+// that may run twice, are sent.
 func Example_once() {
 	c := start()
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
 	c.Run("B", "b", "look", nil, true)
-	c.hear(2)
+	c.printCommands(2)
 	c.conn.Close()
 	c.accept()
 	c.Run("C", "c", "pay", nil, false)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":20}`)
-	c.owner(1)
-	c.hear(3)
-	c.quiet()
-	c.say(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5,"content":"YQ=="}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":20}`)
+	c.printEvents(1)
+	c.printCommands(3)
+	c.printUnexpected()
+	c.send(`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5,"content":"YQ=="}`,
 		`{"action":"REAP","pos":2,"uid":"b","code":"fine","wall_ms":5}`,
 		`{"action":"REAP","pos":3,"uid":"c","code":"fine","wall_ms":5}`)
-	c.owner(3)
+	c.printEvents(3)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -45,16 +45,16 @@
 	// ended: <nil>
 }
 
-// The same run when its command was lost: no end ever comes, and it is let go after a while.
-func Example_onceLost() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 50 * time.Millisecond })
+// As in Example_once, but the command was lost: no end arrives, and the run ends as Sent after a timeout.
+func Example_onceCommandLost() {
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
-	c.owner(1)
-	c.quiet()
+	c.printEvents(1)
+	c.printUnexpected()
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -68,17 +68,17 @@
 	// ended: <nil>
 }
 
-// Notices are lost, and among them may be the end of a run whose command the kernel may not have read: one that must not run
-// twice is not asked for again.
-func Example_onceDoubted() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 50 * time.Millisecond })
+// Lost notices may include the end of a run that must not run twice and whose command may not have been read: it
+// is not sent again.
+func Example_onceNoticesLost() {
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 50 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot(`{"action":"DMESG","pos":4001,"code":"hm"}`)
-	c.owner(1)
-	c.quiet()
+	c.printEvents(1)
+	c.printUnexpected()
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -92,22 +92,22 @@
 	// ended: <nil>
 }
 
-// A run in doubt ends, and its name comes back for another: the doubt is of the first alone.
-func Example_doubtOfTheFirst() {
-	c := startWith(func(l *Link[string]) { l.doubtFor = 100 * time.Millisecond })
+// An unconfirmed run ends and its uid is used by another run: the timeout of the first does not end the second.
+func Example_unconfirmedUIDReused() {
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout = 100 * time.Millisecond })
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
-	c.hear(1)
+	c.printCommands(1)
 	go c.Gauges(20 * time.Second)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot(`{"action":"DMESG","pos":4001,"code":"hm"}`, `{"action":"REAP","pos":4002,"uid":"a","code":"fine","wall_ms":6}`)
-	c.owner(1)
+	c.printEvents(1)
 	c.Run("second A", "a", "look", nil, true)
-	c.hear(1)
-	time.Sleep(200 * time.Millisecond) // the doubt's time is over
-	c.say(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`)
-	c.owner(1)
+	c.printCommands(1)
+	time.Sleep(200 * time.Millisecond) // past the timeout of the first run
+	c.send(`{"action":"REAP","pos":4003,"uid":"a","code":"fine","wall_ms":6}`)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -124,18 +124,18 @@
 	// ended: <nil>
 }
 
-// The end of a run whose command has not gone out yet is another's, who had the same name before: its result is not given to
-// this one.
-func Example_endOfAnother() {
+// A notice for a run whose command has not been written yet belongs to an earlier run with the same uid: its
+// result is not given to the later one.
+func Example_endOfEarlierRun() {
 	c := start()
 	c.accept()
 	c.Run("A", "a", "look", nil, true)
-	c.say(`{"action":"BOOTED","code":"running","wall_ms":10}`,
+	c.send(`{"action":"BOOTED","code":"running","wall_ms":10}`,
 		`{"action":"REAP","pos":1,"uid":"a","code":"fine","wall_ms":5,"content":"AP8="}`)
-	c.owner(1)
-	c.hear(2)
-	c.say(`{"action":"REAP","pos":2,"uid":"a","code":"fine","wall_ms":6,"content":"YQ=="}`)
-	c.owner(1)
+	c.printEvents(1)
+	c.printCommands(2)
+	c.send(`{"action":"REAP","pos":2,"uid":"a","code":"fine","wall_ms":6,"content":"YQ=="}`)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -146,19 +146,19 @@
 	// ended: <nil>
 }
 
-// What the kernel has read in the last moments before a break may be lost although it has answered a later question.
-func Example_lostAfterAnswer() {
-	c := startWith(func(l *Link[string]) { l.doubtFor, l.lossSpan = 50*time.Millisecond, 20*time.Second })
+// A command that the kernel read shortly before a disconnect may be lost although a later query was answered.
+func Example_lostAfterReply() {
+	c := startWith(func(l *Link[string]) { l.unconfirmedTimeout, l.lossWindow = 50*time.Millisecond, 20*time.Second })
 	c.boot()
 	c.Run("A", "a", "look", nil, true)
 	c.Run("B", "b", "pay", nil, false)
-	c.hear(2)
+	c.printCommands(2)
 	go c.Gauges(20 * time.Second)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
-	c.hear(1)
-	c.owner(1)
+	c.printCommands(1)
+	c.printEvents(1)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
@@ -175,25 +175,25 @@
 	// ended: <nil>
 }
 
-// Where runs take milliseconds a run in doubt is let go soon: until then it takes a core's place, on a machine
-// with one core everybody's.
-func Example_doubtShort() {
+// Where runs take milliseconds, the timeout of an unconfirmed run is short: until then it occupies a core, which
+// on a machine with one core blocks all other runs.
+func Example_unconfirmedTimeoutShort() {
 	c := start()
 	c.boot()
 	for k := range 400 {
 		uid := fmt.Sprint(k)
 		c.Run(uid, uid, "look", nil, true)
 		c.lines.ReadString('\n')
-		c.say(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"fine","wall_ms":5}`, k+1, uid))
-		<-c.told
+		c.send(fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":"%s","code":"fine","wall_ms":5}`, k+1, uid))
+		<-c.events
 	}
 	c.Run("A", "a", "pay", nil, false)
-	c.hear(1)
+	c.printCommands(1)
 	c.conn.Close()
 	c.boot()
-	began := time.Now()
-	c.owner(1)
-	fmt.Println(time.Since(began) < longRun/2)
+	reconnectedAt := time.Now()
+	c.printEvents(1)
+	fmt.Println(time.Since(reconnectedAt) < maxRunTime/2)
 	c.end()
 	// Output:
 	// < {"action":"OPEN","pos":0} <nil>
--- a/internal/procstats/procstats.go
+++ b/internal/procstats/procstats.go
@@ -1,5 +1,5 @@
-// Package procstats measures the process for logic/pressure: what the system and Go's runtime say of it. It decides
-// nothing. What a platform does not show stays unknown.
+// Package procstats measures the process for logic/pressure, from the operating system and the Go runtime. It
+// decides nothing. What a platform does not report stays unknown.
 package procstats
 
 import (
@@ -17,182 +17,189 @@
 	"valveglade/logic/pressure"
 )
 
-// Limits are what the process may use.
+// Limits are the resources that the process may use.
 type Limits struct {
-	Cores   float64 // 0 if nobody has said
+	Cores   float64 // 0 if not configured
 	Memory  int     // bytes
 	Sockets int
 }
 
-// Source measures. It is not safe for use by many goroutines.
-type Source struct {
-	proc    procfs.Proc
-	hasProc bool
-	group   string // the folder of the control group that bounds the processor, empty if there is none
-	samples []metrics.Sample
-	before  []uint64 // the latencies' counts at the last reading
-	counts  []uint64
+// Sampler measures the process. It is not safe for concurrent use.
+type Sampler struct {
+	proc        procfs.Proc
+	hasProc     bool
+	cgroup      string // folder of the control group that limits the CPU, empty if there is none
+	samples     []metrics.Sample
+	lastCounts  []uint64 // of the scheduling latencies' histogram at the last reading
+	deltaCounts []uint64 // since the reading before
 
-	at        time.Time
-	offset    time.Duration // of the wall clock to the steady one
-	cpu       time.Duration
-	collected float64
-	busy      float64
-	throttled float64
-	seldom    time.Time
-	slow      pressure.Reading // of what is measured seldom
+	// State of the last readings. Times without a unit in their type are in seconds.
+	lastRead      time.Time
+	wallOffset    time.Duration // of the wall clock from the monotonic one
+	lastCPU       time.Duration
+	lastGC        float64
+	lastBusy      float64
+	lastThrottled float64
+	lastSlowRead  time.Time
+	slowReading   pressure.Reading // what is measured at slowReadInterval
 }
 
 const (
-	// seldomEvery is for what costs a system call or more and does not move fast.
-	seldomEvery = 250 * time.Millisecond
-	// stepped is by how much the wall clock may move against the steady one between two readings before it counts as
-	// set: clocks that are slewed gain half a millisecond a second.
-	stepped = 5 * time.Millisecond
+	// slowReadInterval is for what costs a system call or more and changes slowly.
+	slowReadInterval = 250 * time.Millisecond
+	// clockStepThreshold is the change of the wall clock against the monotonic one between two readings that counts as
+	// a step: clocks that are slewed gain half a millisecond a second.
+	clockStepThreshold = 5 * time.Millisecond
 )
 
-const latencies, collector, idle, total = 0, 1, 2, 3
+// Indices of Sampler.samples.
+const schedLatencies, gcTime, idleTime, totalTime = 0, 1, 2, 3
 
-// New finds out what this platform shows.
-func New() *Source {
-	s := &Source{samples: []metrics.Sample{{Name: "/sched/latencies:seconds"}, {Name: "/cpu/classes/gc/total:cpu-seconds"},
-		{Name: "/cpu/classes/idle:cpu-seconds"}, {Name: "/cpu/classes/total:cpu-seconds"}}, slow: pressure.Unknown()}
+// New returns a sampler of what this platform reports.
+func New() *Sampler {
+	s := &Sampler{samples: []metrics.Sample{
+		{Name: "/sched/latencies:seconds"},
+		{Name: "/cpu/classes/gc/total:cpu-seconds"},
+		{Name: "/cpu/classes/idle:cpu-seconds"},
+		{Name: "/cpu/classes/total:cpu-seconds"},
+	}, slowReading: pressure.Unknown()}
 	proc, err := procfs.Self()
 	s.proc, s.hasProc = proc, err == nil
 	if s.hasProc {
-		s.group = bounding(proc, "/sys/fs/cgroup")
+		s.cgroup = cpuCgroup(proc, "/sys/fs/cgroup")
 	}
-	s.at = time.Now()
-	s.offset = time.Duration(s.at.UnixNano()) - time.Since(steady)
-	s.cpu = used()
+	s.lastRead = time.Now()
+	s.wallOffset = time.Duration(s.lastRead.UnixNano()) - time.Since(monotonicStart)
+	s.lastCPU = cpuTime()
 	return s
 }
 
-// steady is where the steady clock is read from.
-var steady = time.Now()
+// monotonicStart is the origin of the monotonic clock's readings.
+var monotonicStart = time.Now()
 
-// used is the processor time that the process has taken.
-func used() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+// cpuTime returns the CPU time that the process has used.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Read fills in what the system and the runtime show; step tells that the wall clock was set since the last reading.
-func (s *Source) Read(l Limits) (r pressure.Reading, step bool) {
+// Read measures what the system and the runtime report. step reports whether the wall clock was set since the last
+// reading.
+func (s *Sampler) Read(limits Limits) (reading pressure.Reading, step bool) {
 	now := time.Now()
-	passed := now.Sub(s.at).Seconds()
-	s.at = now
-	// Differences of time.Time are of the steady clock; what the wall clock says beside it shows its steps.
-	offset := time.Duration(now.UnixNano()) - now.Sub(steady)
-	step = offset-s.offset > stepped || s.offset-offset > stepped
-	s.offset = offset
-	r = pressure.Unknown()
+	elapsed := now.Sub(s.lastRead).Seconds()
+	s.lastRead = now
+	// Differences of time.Time use the monotonic clock; the wall clock's offset to it shows its steps.
+	offset := time.Duration(now.UnixNano()) - now.Sub(monotonicStart)
+	step = offset-s.wallOffset > clockStepThreshold || s.wallOffset-offset > clockStepThreshold
+	s.wallOffset = offset
+	reading = pressure.Unknown()
 	metrics.Read(s.samples)
-	s.latency(&r)
-	s.collect(&r)
-	if now.Sub(s.seldom) >= seldomEvery {
-		span := now.Sub(s.seldom).Seconds()
-		first := s.seldom.IsZero()
-		s.seldom = now
-		s.rare(l, span, first)
+	s.readSchedLatency(&reading)
+	s.readGCShare(&reading)
+	if now.Sub(s.lastSlowRead) >= slowReadInterval {
+		seconds := now.Sub(s.lastSlowRead).Seconds()
+		first := s.lastSlowRead.IsZero()
+		s.lastSlowRead = now
+		s.readSlow(limits, seconds, first)
 	}
-	for _, k := range []pressure.Signal{pressure.CPU, pressure.Throttled, pressure.Memory} {
-		r[k] = s.slow[k]
+	for _, signal := range []pressure.Signal{pressure.CPU, pressure.Throttled, pressure.Memory} {
+		reading[signal] = s.slowReading[signal]
 	}
-	if passed <= 0 {
+	if elapsed <= 0 {
 		return pressure.Unknown(), step
 	}
-	return r, step
+	return reading, step
 }
 
-// latency is the 99th percentile of the waits for a processor since the last reading.
-func (s *Source) latency(r *pressure.Reading) {
-	if s.samples[latencies].Value.Kind() != metrics.KindFloat64Histogram {
+// readSchedLatency sets the 99th percentile of the waits for a processor since the last reading.
+func (s *Sampler) readSchedLatency(reading *pressure.Reading) {
+	if s.samples[schedLatencies].Value.Kind() != metrics.KindFloat64Histogram {
 		return
 	}
-	h := s.samples[latencies].Value.Float64Histogram()
-	if len(s.before) != len(h.Counts) {
-		s.before, s.counts = make([]uint64, len(h.Counts)), make([]uint64, len(h.Counts))
-		copy(s.before, h.Counts)
+	histogram := s.samples[schedLatencies].Value.Float64Histogram()
+	if len(s.lastCounts) != len(histogram.Counts) {
+		s.lastCounts, s.deltaCounts = make([]uint64, len(histogram.Counts)), make([]uint64, len(histogram.Counts))
+		copy(s.lastCounts, histogram.Counts)
 		return
 	}
-	all := uint64(0)
-	for k, n := range h.Counts {
-		s.counts[k] = n - s.before[k]
-		all += s.counts[k]
-		s.before[k] = n
+	total := uint64(0)
+	for i, count := range histogram.Counts {
+		s.deltaCounts[i] = count - s.lastCounts[i]
+		total += s.deltaCounts[i]
+		s.lastCounts[i] = count
 	}
-	if all == 0 {
+	if total == 0 {
 		return
 	}
-	rest := all / 100
-	for k := len(s.counts) - 1; k >= 0; k-- {
-		if s.counts[k] > rest {
-			if edge := h.Buckets[k]; !math.IsInf(edge, 0) {
-				r[pressure.Scheduler] = max(edge, 0)
+	remaining := total / 100
+	for i := len(s.deltaCounts) - 1; i >= 0; i-- {
+		if s.deltaCounts[i] > remaining {
+			if lower := histogram.Buckets[i]; !math.IsInf(lower, 0) {
+				reading[pressure.Scheduler] = max(lower, 0)
 			}
 			return
 		}
-		rest -= s.counts[k]
+		remaining -= s.deltaCounts[i]
 	}
 }
 
-// collect is the collector's share of the processor time that was not idle. The runtime brings it up to date with each
-// collection only; in between the share of the last one holds.
-func (s *Source) collect(r *pressure.Reading) {
-	for _, k := range []int{collector, idle, total} {
-		if s.samples[k].Value.Kind() != metrics.KindFloat64 {
+// readGCShare sets the garbage collector's share of the CPU time that was not idle. The runtime updates these
+// times only with each collection; until the next one the last share is returned.
+func (s *Sampler) readGCShare(reading *pressure.Reading) {
+	for _, i := range []int{gcTime, idleTime, totalTime} {
+		if s.samples[i].Value.Kind() != metrics.KindFloat64 {
 			return
 		}
 	}
-	spent := s.samples[collector].Value.Float64()
-	busy := s.samples[total].Value.Float64() - s.samples[idle].Value.Float64()
-	if d := busy - s.busy; d > 0.05 { // seconds; over less the estimate is coarse
-		s.slow[pressure.Collector] = (spent - s.collected) / d
-		s.collected, s.busy = spent, busy
+	gc := s.samples[gcTime].Value.Float64()
+	busy := s.samples[totalTime].Value.Float64() - s.samples[idleTime].Value.Float64()
+	if delta := busy - s.lastBusy; delta > 0.05 { // seconds; over a shorter time the estimate is coarse
+		s.slowReading[pressure.Collector] = (gc - s.lastGC) / delta
+		s.lastGC, s.lastBusy = gc, busy
 	}
-	r[pressure.Collector] = s.slow[pressure.Collector]
+	reading[pressure.Collector] = s.slowReading[pressure.Collector]
 }
 
-// rare reads what costs more.
-func (s *Source) rare(l Limits, span float64, first bool) {
-	cpu := used()
-	cores := l.Cores
+// readSlow measures what costs more, over the seconds since its last call.
+func (s *Sampler) readSlow(limits Limits, seconds float64, first bool) {
+	cpu := cpuTime()
+	cores := limits.Cores
 	if quota := s.quota(); quota > 0 && (cores <= 0 || quota < cores) {
 		cores = quota
 	}
-	if !first && cores > 0 && span > 0 {
-		s.slow[pressure.CPU] = (cpu - s.cpu).Seconds() / span / cores
+	if !first && cores > 0 && seconds > 0 {
+		s.slowReading[pressure.CPU] = (cpu - s.lastCPU).Seconds() / seconds / cores
 	}
-	s.cpu = cpu
-	if t, ok := s.held(); ok {
-		if !first && span > 0 {
-			s.slow[pressure.Throttled] = (t - s.throttled) / span
+	s.lastCPU = cpu
+	if throttled, ok := s.throttledSeconds(); ok {
+		if !first && seconds > 0 {
+			s.slowReading[pressure.Throttled] = (throttled - s.lastThrottled) / seconds
 		}
-		s.throttled = t
+		s.lastThrottled = throttled
 	}
-	if s.hasProc && l.Memory > 0 {
+	if s.hasProc && limits.Memory > 0 {
 		if stat, err := s.proc.Stat(); err == nil {
-			s.slow[pressure.Memory] = float64(stat.ResidentMemory()) / float64(l.Memory)
+			s.slowReading[pressure.Memory] = float64(stat.ResidentMemory()) / float64(limits.Memory)
 		} else {
-			s.slow[pressure.Memory] = math.NaN()
+			s.slowReading[pressure.Memory] = math.NaN()
 		}
 	}
 }
 
-// bounding is the folder of the control group whose quota counts, of either version.
-func bounding(proc procfs.Proc, root string) string {
+// cpuCgroup returns the folder of the control group whose CPU quota applies, of cgroup version 1 or 2.
+func cpuCgroup(proc procfs.Proc, root string) string {
 	groups, err := proc.Cgroups()
 	if err != nil {
 		return ""
 	}
-	for _, g := range groups {
-		for _, folder := range []string{filepath.Join(root, "cpu", g.Path), filepath.Join(root, g.Path)} {
-			named := g.HierarchyID == 0 || contains(g.Controllers, "cpu")
-			if _, err := os.Stat(filepath.Join(folder, "cpu.stat")); err == nil && named {
+	for _, group := range groups {
+		for _, folder := range []string{filepath.Join(root, "cpu", group.Path), filepath.Join(root, group.Path)} {
+			hasCPU := group.HierarchyID == 0 || contains(group.Controllers, "cpu")
+			if _, err := os.Stat(filepath.Join(folder, "cpu.stat")); err == nil && hasCPU {
 				return folder
 			}
 		}
@@ -200,53 +207,54 @@
 	return ""
 }
 
-func contains(all []string, one string) bool {
-	for _, s := range all {
-		if s == one {
+func contains(list []string, wanted string) bool {
+	for _, s := range list {
+		if s == wanted {
 			return true
 		}
 	}
 	return false
 }
 
-// quota is how many cores the control group allows, 0 for all.
-func (s *Source) quota() float64 {
-	if s.group == "" {
+// quota returns how many cores the control group allows, 0 if it sets no limit.
+func (s *Sampler) quota() float64 {
+	if s.cgroup == "" {
 		return 0
 	}
-	if text, err := os.ReadFile(filepath.Join(s.group, "cpu.max")); err == nil {
-		f := strings.Fields(string(text))
-		if len(f) != 2 {
+	if text, err := os.ReadFile(filepath.Join(s.cgroup, "cpu.max")); err == nil {
+		fields := strings.Fields(string(text))
+		if len(fields) != 2 {
 			return 0
 		}
-		return ratio(f[0], f[1])
+		return ratio(fields[0], fields[1])
 	}
-	quota, err := os.ReadFile(filepath.Join(s.group, "cpu.cfs_quota_us"))
+	quota, err := os.ReadFile(filepath.Join(s.cgroup, "cpu.cfs_quota_us"))
 	if err != nil {
 		return 0
 	}
-	period, err := os.ReadFile(filepath.Join(s.group, "cpu.cfs_period_us"))
+	period, err := os.ReadFile(filepath.Join(s.cgroup, "cpu.cfs_period_us"))
 	if err != nil {
 		return 0
 	}
 	return ratio(strings.TrimSpace(string(quota)), strings.TrimSpace(string(period)))
 }
 
-func ratio(a, b string) float64 {
-	x, err := strconv.ParseFloat(a, 64)
-	y, err2 := strconv.ParseFloat(b, 64)
-	if err != nil || err2 != nil || x <= 0 || y <= 0 { // "max" and -1 are for no bound
+// ratio returns the quotient of two numbers, 0 if either is not positive.
+func ratio(numerator, denominator string) float64 {
+	x, err := strconv.ParseFloat(numerator, 64)
+	y, err2 := strconv.ParseFloat(denominator, 64)
+	if err != nil || err2 != nil || x <= 0 || y <= 0 { // "max" and -1 mean no limit
 		return 0
 	}
 	return x / y
 }
 
-// held is for how many seconds the control group has been kept off its cores.
-func (s *Source) held() (seconds float64, ok bool) {
-	if s.group == "" {
+// throttledSeconds returns for how long the control group has been throttled.
+func (s *Sampler) throttledSeconds() (seconds float64, ok bool) {
+	if s.cgroup == "" {
 		return 0, false
 	}
-	text, err := os.ReadFile(filepath.Join(s.group, "cpu.stat"))
+	text, err := os.ReadFile(filepath.Join(s.cgroup, "cpu.stat"))
 	if err != nil {
 		return 0, false
 	}
--- a/internal/readbuffer/readbuffer.go
+++ b/internal/readbuffer/readbuffer.go
@@ -1,4 +1,4 @@
-// Package readbuffer is the one read buffer that a connection has.
+// Package readbuffer provides the read buffer of a connection.
 package readbuffer
 
 import (
@@ -6,14 +6,14 @@
 	"io"
 )
 
-// ErrFull tells that a message does not fit into the largest buffer allowed.
+// ErrFull is returned when a message does not fit into the largest buffer allowed.
 var ErrFull = errors.New("message larger than the buffer may grow")
 
-// Buffer grows as it needs, is compacted in place, and never passes its limit.
+// Buffer grows as needed up to its limit, and is compacted in place.
 type Buffer struct {
-	data     []byte
-	from, to int
-	limit    int
+	data       []byte
+	start, end int // bounds in data of what has been read and not discarded
+	limit      int
 }
 
 // initialSize holds a usual message; most connections never need more.
@@ -24,32 +24,32 @@
 	return &Buffer{data: make([]byte, min(initialSize, limit)), limit: limit}
 }
 
-// Fill reads once from r, behind what has not been taken yet.
+// Fill reads once from r and appends to the bytes that have not been discarded.
 func (b *Buffer) Fill(r io.Reader) error {
-	if b.from == b.to {
-		b.from, b.to = 0, 0
+	if b.start == b.end {
+		b.start, b.end = 0, 0
 	}
-	if b.to == len(b.data) {
-		if b.from == 0 {
+	if b.end == len(b.data) {
+		if b.start == 0 {
 			if len(b.data) >= b.limit {
 				return ErrFull
 			}
 			b.data = append(b.data, make([]byte, min(len(b.data), b.limit-len(b.data)))...)
 		} else {
-			b.to = copy(b.data, b.data[b.from:b.to])
-			b.from = 0
+			b.end = copy(b.data, b.data[b.start:b.end])
+			b.start = 0
 		}
 	}
-	n, err := r.Read(b.data[b.to:])
-	b.to += n
+	n, err := r.Read(b.data[b.end:])
+	b.end += n
 	if n > 0 {
 		return nil
 	}
 	return err
 }
 
-// Bytes is what has been read and not taken, good until the next Fill.
-func (b *Buffer) Bytes() []byte { return b.data[b.from:b.to] }
+// Bytes returns what has been read and not discarded. It is valid until the next Fill.
+func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Take passes over the first n bytes.
-func (b *Buffer) Take(n int) { b.from += n }
+// Discard removes the first n bytes.
+func (b *Buffer) Discard(n int) { b.start += n }
