--- a/logic/configtable/apply.go
+++ b/logic/configtable/apply.go
@@ -35,8 +35,9 @@
 		}
 	}
 	edits := make([]recordEdit, 0, 2*len(changes))
-	for _, one := range changes {
-		edits = append(edits, serviceEdit(one.Change.Service, one.Index), entryEdit(one.Change))
+	for _, committedChange := range changes {
+		edits = append(edits, serviceEdit(committedChange.Change.Service, committedChange.Index),
+			entryEdit(committedChange.Change))
 	}
 	slices.SortStableFunc(edits, compareEditKeys)
 	if err := t.checkIndices(edits); err != nil {
--- a/logic/configtable/change.go
+++ b/logic/configtable/change.go
@@ -1,10 +1,10 @@
 // Package configtable holds the configuration that a fleet of app servers distributes: routes and tenants,
-// each of a service.
+// each belonging to a service.
 //
 // A Change puts or deletes one entry. The package validates changes, encodes them and parses their text form.
 // A Table is a persistent B-tree of all entries: applying changes copies the path to the changed leaves and
-// shares all other nodes with the old table. Readers therefore never block, and a change in a large table
-// costs about as much as in a small one. The package does no I/O, reads no clock and starts no goroutines.
+// shares all other nodes with the original table. Readers therefore never block, and a change in a large
+// table costs about as much as in a small one. The package does no I/O, reads no clock and starts no goroutines.
 package configtable
 
 import (
@@ -25,7 +25,7 @@
 
 const (
 	Route  Kind = 1 // how RPCs of a method are served
-	Tenant Kind = 2 // what a caller may use
+	Tenant Kind = 2 // the quota of a caller
 )
 
 // RouteValue is the value of a route.
@@ -128,7 +128,8 @@
 	if err := validateName("method", r.Method); err != nil {
 		return err
 	}
-	if err := validateNumber("target", r.LatencyTargetMilliseconds, MinMilliseconds, MaxMilliseconds); err != nil {
+	if err := validateNumber("target", r.LatencyTargetMilliseconds,
+		MinMilliseconds, MaxMilliseconds); err != nil {
 		return err
 	}
 	if err := validateNumber("deadline", r.DeadlineMilliseconds, MinMilliseconds, MaxMilliseconds); err != nil {
--- a/logic/configtable/digest.go
+++ b/logic/configtable/digest.go
@@ -18,12 +18,12 @@
 // moved from one to the other change the hash.
 func digestRecord(key, value []byte) Digest {
 	hash := uint64(fnvOffset)
-	for _, b := range key {
-		hash = (hash ^ uint64(b)) * fnvPrime
+	for _, keyByte := range key {
+		hash = (hash ^ uint64(keyByte)) * fnvPrime
 	}
 	hash = (hash ^ uint64(len(key))) * fnvPrime
-	for _, one := range value {
-		hash = (hash ^ uint64(one)) * fnvPrime
+	for _, valueByte := range value {
+		hash = (hash ^ uint64(valueByte)) * fnvPrime
 	}
 	hash = (hash ^ hash>>murmurShift) * murmurMultiplier1
 	hash = (hash ^ hash>>murmurShift) * murmurMultiplier2
