--- a/logic/configtable/change_test.go
+++ b/logic/configtable/change_test.go
@@ -17,14 +17,14 @@
 		change := generateChange().Draw(t, "change")
 		encoded, err := change.Encode()
 		if err != nil || len(encoded) > MaxEncodedBytes {
-			t.Fatalf("%d bytes, %v", len(encoded), err)
+			t.Fatalf("encoded as %d bytes: %v", len(encoded), err)
 		}
 		if got, err := Decode(encoded); err != nil || got != change {
 			t.Fatalf("decoded %v, want %v (%v)", got, change, err)
 		}
 		for cut := range encoded {
 			if got, err := Decode(encoded[:cut]); err == nil {
-				t.Fatalf("the first %d bytes of %v give %v", cut, change, got)
+				t.Fatalf("the first %d bytes of %v decode to %v, want an error", cut, change, got)
 			}
 		}
 		if got, err := ParseChanges("f", []byte(change.String())); err != nil || len(got) != 1 || got[0] != change {
@@ -38,31 +38,32 @@
 	})
 }
 
+// Decode accepts only the exact results of Encode; all other input returns a typed error and no change.
 func FuzzDecode(f *testing.F) {
-	for k := range 20 {
-		encoded, _ := sizedChange(k).Encode()
+	for index := range 20 {
+		encoded, _ := sizedChange(index).Encode()
 		f.Add(encoded)
 	}
 	f.Add([]byte{2, 1, 1, 's', 1, 'n'})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		change, err := Decode(data)
 		if err != nil {
-			var decode *DecodeError
-			var field *ChangeError
-			if change != (Change{}) || !errors.As(err, &decode) && !errors.As(err, &field) {
-				t.Fatalf("%v with %v", change, err)
+			var decodeErr *DecodeError
+			var changeErr *ChangeError
+			if change != (Change{}) || !errors.As(err, &decodeErr) && !errors.As(err, &changeErr) {
+				t.Fatalf("decoded %v with error %v", change, err)
 			}
 			return
 		}
-		if again, err := change.Encode(); err != nil || !bytes.Equal(again, data) {
-			t.Fatalf("%x is accepted, and encoded as %x (%v)", data, again, err)
+		if reencoded, err := change.Encode(); err != nil || !bytes.Equal(reencoded, data) {
+			t.Fatalf("%x is decoded, but encoded again as %x (%v)", data, reencoded, err)
 		}
 	})
 }
 
 // Validate checks each field, and the error names the invalid one.
 func TestValidate(t *testing.T) {
-	route := Change{Put, Route, "s", "n", Value{Route: RouteValue{"m", 250, 1000, 0.5}}}
+	valid := Change{Put, Route, "s", "n", Value{Route: RouteValue{"m", 250, 1000, 0.5}}}
 	for _, testCase := range []struct {
 		field   string
 		corrupt func(c *Change)
@@ -82,14 +83,14 @@
 		{"deadline", func(c *Change) { c.Value.Route.DeadlineMilliseconds = math.Inf(1) }},
 		{"criticality", func(c *Change) { c.Value.Route.Criticality = math.Copysign(0, -1) }},
 	} {
-		change := route
+		change := valid
 		testCase.corrupt(&change)
-		var fault *ChangeError
-		if err := change.Validate(); !errors.As(err, &fault) || fault.Field != testCase.field {
-			t.Errorf("%v: %v, want an error of %s", change, err, testCase.field)
+		var changeErr *ChangeError
+		if err := change.Validate(); !errors.As(err, &changeErr) || changeErr.Field != testCase.field {
+			t.Errorf("%v: error %v, want a *ChangeError of field %s", change, err, testCase.field)
 		}
 		if _, err := change.Encode(); err == nil {
-			t.Errorf("%v is encoded", change)
+			t.Errorf("the invalid change %v is encoded", change)
 		}
 	}
 }
@@ -99,9 +100,12 @@
 	changes, err := ParseChanges("ops.txt", []byte("# quotas\n\nput tenant a service=s quota=120\n"+
 		"put route r deadline=1s service=s method=m target=250ms criticality=0.5\ndelete tenant b service=s\n"))
 	fmt.Println(changes, err)
-	_, err = ParseChanges("ops.txt", []byte("put tenant\nset tenant a\nput host a\nput tenant a quota=1\nput tenant a service=s quota=-1\n"+
-		"put tenant a service=s quota=1 quota=2\nput tenant a service=s quota=1 target=1s\nput tenant a service=s quota\n"+
-		"put route r service=s method=m target=2s deadline=1s criticality=0\nput route r service=s method=m target=1e3ms deadline=1s criticality=0\n"+
+	_, err = ParseChanges("ops.txt", []byte("put tenant\nset tenant a\nput host a\nput tenant a quota=1\n"+
+		"put tenant a service=s quota=-1\n"+
+		"put tenant a service=s quota=1 quota=2\nput tenant a service=s quota=1 target=1s\n"+
+		"put tenant a service=s quota\n"+
+		"put route r service=s method=m target=2s deadline=1s criticality=0\n"+
+		"put route r service=s method=m target=1e3ms deadline=1s criticality=0\n"+
 		"delete tenant b service=s\ndelete tenant b service=s\n"))
 	fmt.Println(err)
 	// Output:
