--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -31,7 +31,8 @@
 }
 
 func compareKeys(a, b Change) int {
-	return slices.Compare([]string{a.Service, string(rune(a.Kind)), a.Name}, []string{b.Service, string(rune(b.Kind)), b.Name})
+	return slices.Compare([]string{a.Service, string(rune(a.Kind)), a.Name},
+		[]string{b.Service, string(rune(b.Kind)), b.Name})
 }
 
 // check compares all observable contents of a table with the model.
@@ -44,7 +45,7 @@
 		t.Fatalf("services are %v, want %v", got, m.last)
 	}
 	if table.Len() != len(want) || table.ServiceCount() != len(m.last) {
-		t.Fatalf("%v, want %d entries of %d services", table, len(want), len(m.last))
+		t.Fatalf("table has %v, want %d entries of %d services", table, len(want), len(m.last))
 	}
 	if table.root != nil {
 		checkShape(t, table.root)
@@ -52,8 +53,10 @@
 	var builder Builder
 	var digests Digest
 	for _, service := range slices.Sorted(maps.Keys(m.last)) {
-		if err := builder.AddService(service, m.last[service]); err != nil || table.LastIndex(service) != m.last[service] {
-			t.Fatalf("service %s: last index %d, want %d (%v)", service, table.LastIndex(service), m.last[service], err)
+		if err := builder.AddService(service, m.last[service]); err != nil ||
+			table.LastIndex(service) != m.last[service] {
+			t.Fatalf("service %s: last index %d, want %d (%v)",
+				service, table.LastIndex(service), m.last[service], err)
 		}
 		for entry := range table.ServiceEntries(service) {
 			if err := builder.Add(entry); err != nil || m.entries[entry.Key()] != entry {
@@ -62,13 +65,15 @@
 		}
 		digests += table.ServiceDigest(service)
 	}
-	if built := builder.Table(); built.Len() != len(want) || built.Digest() != table.Digest() || digests != table.Digest() {
-		t.Fatalf("built %v, sum of services %x, want %v", built, digests, table)
+	if built := builder.Table(); built.Len() != len(want) ||
+		built.Digest() != table.Digest() || digests != table.Digest() {
+		t.Fatalf("built %v, sum of the service digests %x, want %v", built, digests, table)
 	}
 	for _, entry := range want {
 		route, _ := table.Route(entry.Service, entry.Name)
 		tenant, _ := table.Tenant(entry.Service, entry.Name)
-		if got := (Value{route, tenant}); entry.Kind == Route && route != entry.Value.Route || entry.Kind == Tenant && tenant != entry.Value.Tenant {
+		if got := (Value{route, tenant}); entry.Kind == Route && route != entry.Value.Route ||
+			entry.Kind == Tenant && tenant != entry.Value.Tenant {
 			t.Fatalf("%v is looked up as %v", entry, got)
 		}
 	}
@@ -78,19 +83,20 @@
 func checkShape(t *rapid.T, n *node) (depth int) {
 	if n.isLeaf() {
 		if len(n.records) > maxLeafBytes+maxKeyBytes+maxValueBytes {
-			t.Fatalf("a leaf of %d bytes", len(n.records))
+			t.Fatalf("a leaf has %d bytes", len(n.records))
 		}
 		return 1
 	}
 	if len(n.children) > maxChildren {
-		t.Fatalf("a node of %d children", len(n.children))
+		t.Fatalf("a node has %d children", len(n.children))
 	}
-	for k, child := range n.children {
-		below := checkShape(t, child)
-		if k > 0 && (below != depth || child.minKey <= n.children[k-1].minKey) {
-			t.Fatalf("child %d, low %q, is %d deep, and the one before %d", k, child.minKey, below, depth)
+	for i, child := range n.children {
+		childDepth := checkShape(t, child)
+		if i > 0 && (childDepth != depth || child.minKey <= n.children[i-1].minKey) {
+			t.Fatalf("child %d with lowest key %q has depth %d, the previous child %d",
+				i, child.minKey, childDepth, depth)
 		}
-		depth = below
+		depth = childDepth
 	}
 	return depth + 1
 }
@@ -108,7 +114,8 @@
 		if c.Operation == Put && c.Kind == Route {
 			target := rapid.Float64Range(MinMilliseconds, MaxMilliseconds).Draw(t, "target")
 			deadline := rapid.Float64Range(target, MaxMilliseconds).Draw(t, "deadline")
-			c.Value.Route = RouteValue{rapid.StringMatching(`[!-~]{1,128}`).Draw(t, "method"), target, deadline, rapid.Float64Range(0, 1).Draw(t, "criticality")}
+			c.Value.Route = RouteValue{rapid.StringMatching(`[!-~]{1,128}`).Draw(t, "method"),
+				target, deadline, rapid.Float64Range(0, 1).Draw(t, "criticality")}
 		} else if c.Operation == Put {
 			c.Value.Tenant.QuotaPerSecond = rapid.Float64Range(0, MaxQuota).Draw(t, "quota")
 		}
@@ -116,9 +123,9 @@
 	})
 }
 
-// A table equals a plain map after the same changes, applied in batches of any size and with services
-// replaced. Earlier tables stay unchanged.
-func TestTableAgainstMap(t *testing.T) {
+// A table has the same contents as a plain map after the same changes, applied in batches of any size and
+// with services replaced. Earlier tables stay unchanged.
+func TestTableMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tables []Table
 		var models []model
@@ -141,26 +148,27 @@
 			}
 			tables, models = append(tables, table), append(models, want)
 		}
-		for k := range tables {
-			models[k].check(t, tables[k])
+		for i := range tables {
+			models[i].check(t, tables[i])
 		}
 	})
 }
 
-// replaceService keeps every other entry of a service, or removes it.
+// replaceService replaces a service, in the table and in the model, with every other of its entries, or
+// removes the service.
 func replaceService(t *rapid.T, table Table, want model, service string, index uint64) (Table, uint64) {
 	var kept []Change
-	last := index * rapid.Uint64Range(0, 1).Draw(t, "keep")
-	for k, entry := range slices.Collect(table.ServiceEntries(service)) {
-		if delete(want.entries, entry.Key()); last > 0 && k%2 == 0 {
+	lastIndex := index * rapid.Uint64Range(0, 1).Draw(t, "keep")
+	for i, entry := range slices.Collect(table.ServiceEntries(service)) {
+		if delete(want.entries, entry.Key()); lastIndex > 0 && i%2 == 0 {
 			kept = append(kept, entry)
 			want.entries[entry.Key()] = entry
 		}
 	}
-	if want.last[service] = last; last == 0 {
+	if want.last[service] = lastIndex; lastIndex == 0 {
 		delete(want.last, service)
 	}
-	table, err := table.ReplaceService(service, last, kept)
+	table, err := table.ReplaceService(service, lastIndex, kept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +176,7 @@
 }
 
 // A batch with an invalid change changes nothing, and the error names the invalid field or index.
-func TestApplyRefuses(t *testing.T) {
+func TestApplyInvalidChange(t *testing.T) {
 	put := Change{Put, Tenant, "s", "n", Value{Tenant: TenantValue{1}}}
 	table, err := Table{}.Apply([]CommittedChange{{5, put}})
 	if err != nil {
@@ -176,41 +184,46 @@
 	}
 	invalid := put
 	invalid.Value.Tenant.QuotaPerSecond = -1
-	var index *IndexError
-	var change *ChangeError
-	for _, batch := range [][]CommittedChange{{{5, put}}, {{0, put}}, {{7, put}, {6, put}}, {{6, put}, {6, put}}} {
-		if after, err := table.Apply(batch); !errors.As(err, &index) || after != table {
-			t.Errorf("%v: %v", batch, err)
+	var indexErr *IndexError
+	var changeErr *ChangeError
+	for _, batch := range [][]CommittedChange{
+		{{5, put}}, {{0, put}}, {{7, put}, {6, put}}, {{6, put}, {6, put}},
+	} {
+		if after, err := table.Apply(batch); !errors.As(err, &indexErr) || after != table {
+			t.Errorf("%v: error %v, want an *IndexError and no change", batch, err)
 		}
 	}
-	if after, err := table.Apply([]CommittedChange{{6, put}, {7, invalid}}); !errors.As(err, &change) || change.Field != "quota" || after != table {
-		t.Errorf("an invalid change: %v", err)
+	if after, err := table.Apply([]CommittedChange{{6, put}, {7, invalid}}); !errors.As(err, &changeErr) ||
+		changeErr.Field != "quota" || after != table {
+		t.Errorf("an invalid change: error %v, want a *ChangeError of field quota and no change", err)
 	}
 	absent := Change{Operation: Delete, Kind: Route, Service: "s", Name: "n"}
-	if err := table.Check(absent); !errors.As(err, &change) || table.Check(put) != nil {
-		t.Errorf("a delete of an absent entry: %v", err)
+	if err := table.Check(absent); !errors.As(err, &changeErr) || table.Check(put) != nil {
+		t.Errorf("deleting an absent entry: error %v, want a *ChangeError", err)
 	}
 }
 
-// sizedChange returns the k-th entry of a table with the proportions of the design: one of 18 entries is a
-// route, and a service has 106 entries.
-func sizedChange(k int) Change {
-	c := Change{Operation: Put, Kind: Tenant, Service: fmt.Sprintf("service-%05d", k/106)}
-	if k%18 == 0 {
-		c.Kind, c.Name = Route, fmt.Sprintf("route-%02d", k%106)
-		c.Value.Route = RouteValue{fmt.Sprintf("valveglade.Service%05d/Method%02d", k/106, k%106), 250, 1000, 0.5}
+// sizedChange returns the entry at index of a table with the proportions of the design: one of 18 entries is
+// a route, and a service has 106 entries.
+func sizedChange(index int) Change {
+	c := Change{Operation: Put, Kind: Tenant, Service: fmt.Sprintf("service-%05d", index/106)}
+	if index%18 == 0 {
+		c.Kind, c.Name = Route, fmt.Sprintf("route-%02d", index%106)
+		c.Value.Route = RouteValue{fmt.Sprintf("valveglade.Service%05d/Method%02d", index/106, index%106),
+			250, 1000, 0.5}
 		return c
 	}
-	random := rand.New(rand.NewPCG(uint64(k), 1))
+	random := rand.New(rand.NewPCG(uint64(index), 1))
 	c.Name = fmt.Sprintf("account-%012x", random.Uint64()>>16)
 	c.Value.Tenant.QuotaPerSecond = float64(random.IntN(100_000)) / 10
 	return c
 }
 
+// sizedTable returns a table with the first entries of sizedChange.
 func sizedTable(t testing.TB, entries int) Table {
 	all := make([]CommittedChange, entries)
-	for k := range all {
-		all[k] = CommittedChange{uint64(k + 1), sizedChange(k)}
+	for i := range all {
+		all[i] = CommittedChange{uint64(i + 1), sizedChange(i)}
 	}
 	table, err := Table{}.Apply(all)
 	if err != nil {
@@ -219,7 +232,7 @@
 	return table
 }
 
-// changeAt replaces the value of a random entry.
+// changeAt replaces the value of an entry that is chosen at random, with step as the seed.
 func changeAt(t testing.TB, table Table, entries, step int) Table {
 	change := sizedChange(rand.New(rand.NewPCG(uint64(step), 2)).IntN(entries))
 	change.Value.Tenant.QuotaPerSecond = 0
@@ -233,8 +246,8 @@
 	return table
 }
 
-// A change in a table a hundred times as large allocates less than twice as many bytes.
-func TestCostOfChangeDoesNotGrow(t *testing.T) {
+// A change allocates at most twice as many bytes in a table that is a hundred times as large.
+func TestChangeAllocationsInLargeTable(t *testing.T) {
 	allocated := func(entries int) uint64 {
 		const steps = 2000
 		table := sizedTable(t, entries)
@@ -247,9 +260,10 @@
 		return (after.TotalAlloc - before.TotalAlloc) / steps
 	}
 	small, large := allocated(1000), allocated(100_000)
-	t.Logf("%d bytes a change at 1,000 entries, %d at 100,000", small, large)
+	t.Logf("a change allocates %d bytes at 1,000 entries, %d at 100,000", small, large)
 	if large > 2*small || large > 16<<10 {
-		t.Errorf("a change allocates %d bytes at 1,000 entries and %d at 100,000", small, large)
+		t.Errorf("a change allocates %d bytes at 1,000 entries and %d at 100,000, want at most twice as many and 16 KiB",
+			small, large)
 	}
 }
 
@@ -261,18 +275,18 @@
 			runtime.ReadMemStats(&before)
 			table := sizedTable(b, entries)
 			step := 0
-			for ; step < entries/2; step++ { // fill leaves as a series of changes does, not freshly packed
+			for ; step < entries/2; step++ { // leaves are filled as after many changes, not freshly packed
 				table = changeAt(b, table, entries, step)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ReportAllocs()
-			started, from := processorTime(b), step
+			started, firstStep := processorTime(b), step
 			for b.Loop() {
 				step++
 				table = changeAt(b, table, entries, step)
 			}
-			b.ReportMetric(float64(processorTime(b)-started)/float64(step-from), "cpu-ns/op")
+			b.ReportMetric(float64(processorTime(b)-started)/float64(step-firstStep), "cpu-ns/op")
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(entries), "bytes/entry")
 		})
 	}
@@ -292,13 +306,13 @@
 	const entries = 1_376_000
 	table := sizedTable(b, entries)
 	keys := make([]Change, 1<<16)
-	for k := range keys {
-		keys[k] = sizedChange(rand.New(rand.NewPCG(uint64(k), 3)).IntN(entries))
+	for i := range keys {
+		keys[i] = sizedChange(rand.New(rand.NewPCG(uint64(i), 3)).IntN(entries))
 	}
 	b.ReportAllocs()
 	started := processorTime(b)
-	for k := 0; b.Loop(); k++ {
-		key := keys[k%len(keys)]
+	for i := 0; b.Loop(); i++ {
+		key := keys[i%len(keys)]
 		if _, found := table.encodedValue(key.Kind, key.Service, key.Name); !found {
 			b.Fatal(key)
 		}
