--- a/store/configstore/errors.go
+++ b/store/configstore/errors.go
@@ -55,7 +55,8 @@
 }
 
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("entry %d of term %d does not follow entry %d of term %d", e.Next.Index, e.Next.Term, e.Last.Index, e.Last.Term)
+	return fmt.Sprintf("entry %d of term %d does not follow entry %d of term %d",
+		e.Next.Index, e.Next.Term, e.Last.Index, e.Last.Term)
 }
 
 // SizeError reports an entry that is too large.
--- a/store/configstore/recover.go
+++ b/store/configstore/recover.go
@@ -56,20 +56,20 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-func (s *Store) recoverSnapshot(found *Recovered) error {
+func (s *Store) recoverSnapshot(recovered *Recovered) error {
 	path := s.path(snapshotName)
-	_, err := readOrReject(path, &found.RejectedFiles, func(file *os.File) (err error) {
-		found.Table, found.Version, err = readSnapshot(path, file, s.owner)
+	_, err := readOrReject(path, &recovered.RejectedFiles, func(file *os.File) (err error) {
+		recovered.Table, recovered.Version, err = readSnapshot(path, file, s.owner)
 		return err
 	})
-	s.snapshotVersion = found.Version
+	s.snapshotVersion = recovered.Version
 	return err
 }
 
-func (s *Store) recoverVote(found *Recovered) error {
+func (s *Store) recoverVote(recovered *Recovered) error {
 	path := s.path(voteName)
-	_, err := readOrReject(path, &found.RejectedFiles, func(file *os.File) (err error) {
-		found.Vote, err = readVote(path, file, s.owner)
+	_, err := readOrReject(path, &recovered.RejectedFiles, func(file *os.File) (err error) {
+		recovered.Vote, err = readVote(path, file, s.owner)
 		return err
 	})
 	return err
@@ -77,9 +77,9 @@
 
 // recoverLog checks the log, truncates a torn record and opens the log for writing. If there is no valid log, it
 // creates one that begins after the snapshot.
-func (s *Store) recoverLog(found *Recovered) error {
+func (s *Store) recoverLog(recovered *Recovered) error {
 	var state logState
-	accepted, err := readOrReject(s.path(logName), &found.RejectedFiles, func(file *os.File) (err error) {
+	accepted, err := readOrReject(s.path(logName), &recovered.RejectedFiles, func(file *os.File) (err error) {
 		state, err = checkLog(file, s.owner, s.snapshotVersion)
 		return err
 	})
@@ -90,14 +90,14 @@
 		if err := s.createLog(); err != nil {
 			return err
 		}
-		found.Last = s.last
+		recovered.Last = s.last
 		return nil
 	}
 	if err := s.openLog(); err != nil {
 		return err
 	}
 	s.last, s.logEnd = state.last, state.end
-	found.Last, found.Entries, found.TornBytes = state.last, state.entries, state.tornBytes
+	recovered.Last, recovered.Entries, recovered.TornBytes = state.last, state.entries, state.tornBytes
 	if state.tornBytes > 0 {
 		return s.truncateLog(state.end)
 	}
