--- a/logic/configtable/change.go
+++ b/logic/configtable/change.go
@@ -4,7 +4,8 @@
 // A Change puts or deletes one entry. The package validates changes, encodes them and parses their text form.
 // A Table is a persistent B-tree of all entries: applying changes copies the path to the changed leaves and
 // shares all other nodes with the original table. Readers therefore never block, and a change in a large
-// table costs about as much as in a small one. The package does no I/O, reads no clock and starts no goroutines.
+// table costs about as much as in a small one. The package does no I/O, reads no clock and starts no
+// goroutines.
 package configtable
 
 import (
--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -15,14 +15,14 @@
 
 // model is a reference implementation of a table with plain maps.
 type model struct {
-	entries map[Key]Change
-	last    map[string]uint64
+	entries     map[Key]Change
+	lastIndices map[string]uint64
 }
 
-func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.last)} }
+func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.lastIndices)} }
 
 func (m model) apply(committed CommittedChange) {
-	m.last[committed.Change.Service] = committed.Index
+	m.lastIndices[committed.Change.Service] = committed.Index
 	if committed.Change.Operation == Put {
 		m.entries[committed.Change.Key()] = committed.Change
 	} else {
@@ -41,22 +41,22 @@
 	if got := slices.Collect(table.All()); !slices.Equal(got, want) {
 		t.Fatalf("entries are %v, want %v", got, want)
 	}
-	if got := maps.Collect(table.Services()); !maps.Equal(got, m.last) {
-		t.Fatalf("services are %v, want %v", got, m.last)
+	if got := maps.Collect(table.Services()); !maps.Equal(got, m.lastIndices) {
+		t.Fatalf("services are %v, want %v", got, m.lastIndices)
 	}
-	if table.Len() != len(want) || table.ServiceCount() != len(m.last) {
-		t.Fatalf("table has %v, want %d entries of %d services", table, len(want), len(m.last))
+	if table.Len() != len(want) || table.ServiceCount() != len(m.lastIndices) {
+		t.Fatalf("table has %v, want %d entries of %d services", table, len(want), len(m.lastIndices))
 	}
 	if table.root != nil {
 		checkShape(t, table.root)
 	}
 	var builder Builder
 	var digests Digest
-	for _, service := range slices.Sorted(maps.Keys(m.last)) {
-		if err := builder.AddService(service, m.last[service]); err != nil ||
-			table.LastIndex(service) != m.last[service] {
+	for _, service := range slices.Sorted(maps.Keys(m.lastIndices)) {
+		if err := builder.AddService(service, m.lastIndices[service]); err != nil ||
+			table.LastIndex(service) != m.lastIndices[service] {
 			t.Fatalf("service %s: last index %d, want %d (%v)",
-				service, table.LastIndex(service), m.last[service], err)
+				service, table.LastIndex(service), m.lastIndices[service], err)
 		}
 		for entry := range table.ServiceEntries(service) {
 			if err := builder.Add(entry); err != nil || m.entries[entry.Key()] != entry {
@@ -165,8 +165,8 @@
 			want.entries[entry.Key()] = entry
 		}
 	}
-	if want.last[service] = lastIndex; lastIndex == 0 {
-		delete(want.last, service)
+	if want.lastIndices[service] = lastIndex; lastIndex == 0 {
+		delete(want.lastIndices, service)
 	}
 	table, err := table.ReplaceService(service, lastIndex, kept)
 	if err != nil {
@@ -262,7 +262,7 @@
 	small, large := allocated(1000), allocated(100_000)
 	t.Logf("a change allocates %d bytes at 1,000 entries, %d at 100,000", small, large)
 	if large > 2*small || large > 16<<10 {
-		t.Errorf("a change allocates %d bytes at 1,000 entries and %d at 100,000, want at most twice as many and 16 KiB",
+		t.Errorf("a change allocates %d bytes at 1,000 entries and %d at 100,000, want at most twice and 16 KiB",
 			small, large)
 	}
 }
