--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -16,13 +16,13 @@
 // model is a reference implementation of a table with plain maps.
 type model struct {
 	entries     map[Key]Change
-	lastIndices map[string]uint64
+	lastIndex map[string]uint64
 }
 
-func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.lastIndices)} }
+func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.lastIndex)} }
 
 func (m model) apply(committed CommittedChange) {
-	m.lastIndices[committed.Change.Service] = committed.Index
+	m.lastIndex[committed.Change.Service] = committed.Index
 	if committed.Change.Operation == Put {
 		m.entries[committed.Change.Key()] = committed.Change
 	} else {
@@ -41,22 +41,22 @@
 	if got := slices.Collect(table.All()); !slices.Equal(got, want) {
 		t.Fatalf("entries are %v, want %v", got, want)
 	}
-	if got := maps.Collect(table.Services()); !maps.Equal(got, m.lastIndices) {
-		t.Fatalf("services are %v, want %v", got, m.lastIndices)
+	if got := maps.Collect(table.Services()); !maps.Equal(got, m.lastIndex) {
+		t.Fatalf("services are %v, want %v", got, m.lastIndex)
 	}
-	if table.Len() != len(want) || table.ServiceCount() != len(m.lastIndices) {
-		t.Fatalf("table has %v, want %d entries of %d services", table, len(want), len(m.lastIndices))
+	if table.Len() != len(want) || table.ServiceCount() != len(m.lastIndex) {
+		t.Fatalf("table has %v, want %d entries of %d services", table, len(want), len(m.lastIndex))
 	}
 	if table.root != nil {
 		checkShape(t, table.root)
 	}
 	var builder Builder
 	var digests Digest
-	for _, service := range slices.Sorted(maps.Keys(m.lastIndices)) {
-		if err := builder.AddService(service, m.lastIndices[service]); err != nil ||
-			table.LastIndex(service) != m.lastIndices[service] {
+	for _, service := range slices.Sorted(maps.Keys(m.lastIndex)) {
+		if err := builder.AddService(service, m.lastIndex[service]); err != nil ||
+			table.LastIndex(service) != m.lastIndex[service] {
 			t.Fatalf("service %s: last index %d, want %d (%v)",
-				service, table.LastIndex(service), m.lastIndices[service], err)
+				service, table.LastIndex(service), m.lastIndex[service], err)
 		}
 		for entry := range table.ServiceEntries(service) {
 			if err := builder.Add(entry); err != nil || m.entries[entry.Key()] != entry {
@@ -165,8 +165,8 @@
 			want.entries[entry.Key()] = entry
 		}
 	}
-	if want.lastIndices[service] = lastIndex; lastIndex == 0 {
-		delete(want.lastIndices, service)
+	if want.lastIndex[service] = lastIndex; lastIndex == 0 {
+		delete(want.lastIndex, service)
 	}
 	table, err := table.ReplaceService(service, lastIndex, kept)
 	if err != nil {
