--- a/logic/configtable/table_test.go
+++ b/logic/configtable/table_test.go
@@ -15,8 +15,8 @@
 
 // model is a reference implementation of a table with plain maps.
 type model struct {
-	entries     map[Key]Change
-	lastIndex map[string]uint64
+	entries   map[Key]Change
+	lastIndex map[string]uint64 // by service
 }
 
 func (m model) clone() model { return model{maps.Clone(m.entries), maps.Clone(m.lastIndex)} }
