--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,4 +1,5 @@
-// Package logsink takes log lines without ever waiting for whoever reads them. Lines that find no room are dropped and counted.
+// Package logsink provides a log writer that never blocks its callers on a slow or failing destination. Lines that do
+// not fit into its buffer are dropped and counted.
 package logsink
 
 import (
@@ -9,30 +10,33 @@
 	"time"
 )
 
-// Sink is an io.Writer of whole lines in front of a writer that may block or fail. It is safe for use by many goroutines.
+// Sink is an io.Writer that buffers whole lines for a destination that may block or fail. It is safe for concurrent
+// use.
 type Sink struct {
-	to       io.Writer
-	capacity int
+	to       io.Writer // the destination
+	capacity int       // limit of pending, in bytes
 
 	mu      sync.Mutex
-	pending []byte
-	spare   []byte
-	dropped int
+	pending []byte // lines not yet handed to the destination
+	spare   []byte // empty buffer, used for pending after the next swap
+	dropped int    // lines dropped and not yet reported in the log
 	closed  bool
 
-	wake    chan struct{} // holds one while lines are pending
-	written chan struct{} // closed once everything is written after Close
+	wake    chan struct{} // holds a token while lines are pending
+	written chan struct{} // closed after Close, once all pending lines are written
 	lost    atomic.Int64  // lines dropped since the start, see Dropped
 }
 
-// New starts a sink that keeps at most capacity bytes for to, and as many that are being written.
+// New starts a sink that writes to the given destination. It buffers at most capacity bytes, in addition to at most as
+// many that are being written.
 func New(to io.Writer, capacity int) *Sink {
 	s := &Sink{to: to, capacity: capacity, wake: make(chan struct{}, 1), written: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes one line, or drops it. It neither blocks nor fails.
+// Write buffers one line, or drops it if it does not fit or the sink is closed. It neither blocks on the destination
+// nor returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,13 +49,14 @@
 	return len(line), nil
 }
 
-// Sync does nothing: whoever writes a line never waits for it. See Close.
+// Sync does nothing, since callers that log must never wait for the destination. Close flushes the buffer.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped is how many lines have been dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (s *Sink) Dropped() int { return int(s.lost.Load()) }
 
-// Close takes no more lines, and waits at most so long until those that it has are written. It reports whether they are.
+// Close stops accepting lines and waits at most the given time until the buffered ones are written. It reports whether
+// they were.
 func (s *Sink) Close(within time.Duration) bool {
 	s.mu.Lock()
 	s.closed = true
@@ -67,12 +72,13 @@
 	}
 }
 
-// drop is called under the lock.
+// drop counts dropped lines. The caller holds s.mu.
 func (s *Sink) drop(lines int) {
 	s.dropped += lines
 	s.lost.Add(int64(lines))
 }
 
+// signal wakes run, unless a wake-up is already queued.
 func (s *Sink) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -80,7 +86,7 @@
 	}
 }
 
-// run writes what is pending until the sink is closed and everything is written.
+// run writes pending lines until the sink is closed and all of them are written.
 func (s *Sink) run() {
 	defer close(s.written)
 	for range s.wake {
@@ -97,7 +103,7 @@
 	}
 }
 
-// take swaps the buffers.
+// take returns the pending lines and the number of unreported dropped ones, and makes the spare buffer the pending one.
 func (s *Sink) take() (lines []byte, dropped int, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +113,8 @@
 	return lines, dropped, s.closed
 }
 
-// write brings lines to the writer, and then how many were dropped behind them. What a writer that fails does not take is lost.
+// write passes lines to the destination, followed by a message with the number of lines dropped after them. Lines for
+// which the destination returns an error are lost.
 func (s *Sink) write(lines []byte, dropped int) {
 	s.to.Write(lines)
 	if dropped > 0 {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -11,13 +11,13 @@
 
 const patience = 20 * time.Second
 
-// gate is a writer that holds each write until it is let through.
+// gate is a writer whose writes block until it is opened.
 type gate struct {
 	mu    sync.Mutex
 	taken bytes.Buffer
-	begun chan bool // one for each write that has begun
-	let   chan bool // closed: no more holding
-	err   error
+	begun chan bool // receives a value at the start of each write
+	let   chan bool // closed to unblock all writes
+	err   error     // returned by Write if not nil
 }
 
 func newGate() *gate { return &gate{begun: make(chan bool, 1000), let: make(chan bool)} }
@@ -39,51 +39,52 @@
 	return g.taken.String()
 }
 
-// Whoever logs is never held up by a writer that does not return; what finds no room is counted, and told once there is room.
+// Write does not block while the destination does. Lines that do not fit are counted, and their number is logged once
+// the destination accepts writes again.
 func TestBlocked(t *testing.T) {
 	g := newGate()
 	s := New(g, 100)
 	line := strings.Repeat("x", 39) + "\n"
 	s.Write([]byte(line))
-	<-g.begun // the first is being written, and held there
+	<-g.begun // the first line is being written, and blocked there
 	for range 5 {
 		if n, err := s.Write([]byte(line)); n != len(line) || err != nil {
-			t.Fatalf("a line: %d, %v", n, err)
+			t.Fatalf("Write returned %d, %v; want %d, nil", n, err, len(line))
 		}
 	}
 	if s.Dropped() != 3 {
-		t.Errorf("dropped %d lines, wanted 3", s.Dropped())
+		t.Errorf("dropped %d lines, want 3", s.Dropped())
 	}
 	close(g.let)
 	if !s.Close(patience) {
-		t.Error("not written")
+		t.Error("Close timed out before all lines were written")
 	}
 	want := line + line + line + `{"level":"warn","msg":"log lines dropped","lines":3}` + "\n"
 	if got := g.String(); got != want {
-		t.Errorf("written:\n%swanted:\n%s", got, want)
+		t.Errorf("written:\n%swant:\n%s", got, want)
 	}
 }
 
-// Close returns in time although the writer never does.
+// Close returns after its timeout while the destination is blocked.
 func TestCloseBlocked(t *testing.T) {
 	g := newGate()
 	s := New(g, 100)
 	s.Write([]byte("one\n"))
 	<-g.begun
 	if s.Close(time.Millisecond) {
-		t.Error("told as written what is held")
+		t.Error("Close reported lines as written while the destination was blocked")
 	}
 	s.Write([]byte("late\n"))
 	if s.Dropped() != 1 {
-		t.Errorf("dropped %d lines after the end, wanted 1", s.Dropped())
+		t.Errorf("dropped %d lines after Close, want 1", s.Dropped())
 	}
 	close(g.let)
 	if !s.Close(patience) {
-		t.Error("not written")
+		t.Error("Close timed out before all lines were written")
 	}
 }
 
-// A writer that fails costs the lines, nothing else.
+// A destination that returns an error loses the lines of that write; later lines are still written.
 func TestFailing(t *testing.T) {
 	g := newGate()
 	g.err = errors.New("broken pipe")
@@ -100,7 +101,7 @@
 	}
 }
 
-// Many goroutines: each line is whole, or counted.
+// With concurrent writers each line is either written whole or counted as dropped.
 func TestTogether(t *testing.T) {
 	g := newGate()
 	close(g.let)
@@ -118,6 +119,6 @@
 	s.Close(patience)
 	whole := strings.Count(g.String(), "0123456789\n")
 	if whole+s.Dropped() != writers*each {
-		t.Errorf("%d lines and %d dropped of %d", whole, s.Dropped(), writers*each)
+		t.Errorf("%d lines written and %d dropped, want %d in all", whole, s.Dropped(), writers*each)
 	}
 }
