--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the deployment's settings out of a JSON object, in the names of the simulator's wire.
+// Package settings reads a deployment's settings from a JSON object whose keys are named as in the simulator's protocol.
 package settings
 
 import (
@@ -6,11 +6,11 @@
 	"valveglade/rpc"
 )
 
-// unknownWindow is for how many seconds tokens are remembered where neither a window nor a deadline is told: longer than
-// clients go on asking.
+// unknownWindow is the time in seconds for which tokens are remembered where the settings give neither a window nor a
+// deadline. It is longer than clients keep retrying.
 const unknownWindow = 3600
 
-// Parse reads all settings, as the simulator's wire carries them.
+// Parse reads all settings, in the form of the simulator's protocol.
 func Parse(text []byte) (rpc.Settings, error) {
 	o, err := jsonobject.Parse(text)
 	if err != nil {
@@ -22,10 +22,12 @@
 	return s, o.Err()
 }
 
-// Read reads the settings that an app server on sockets goes by, and its methods' names; the object's Err tells what is
-// wrong with them. What is left out, or null, gets the mildest meaning that keeps the rules, here or in the module.
+// Read reads the settings that apply to an app server on sockets, and the names of its methods. Invalid settings are
+// reported by the object's Err. A setting that is absent or null gets the most lenient default that keeps the rules,
+// either here or in the module.
 //
-// Routers on sockets tell no tenant and no subject of a read: faults of the settings of both do not matter, and have none of them count.
+// Routers on sockets send neither the tenant of an RPC nor the subject of a read. Invalid settings of tenants and reads
+// are therefore no error; if there is one among them, all of them are ignored.
 func Read(o *jsonobject.Object) (s rpc.Settings, names []string) {
 	s, names = readServed(o)
 	shared, lenient := s, o.Detached()
@@ -36,6 +38,7 @@
 	return s, names
 }
 
+// readServed reads the settings that apply both in the simulator and on sockets, and the names of the methods.
 func readServed(o *jsonobject.Object) (s rpc.Settings, names []string) {
 	s.Methods, names = readMethods(o)
 	readMachine(&s.Machine, o.Object("domain"))
@@ -52,6 +55,7 @@
 	return s, names
 }
 
+// readMethods reads the methods and their names from the profiles, in the same order.
 func readMethods(o *jsonobject.Object) (methods []rpc.Method, names []string) {
 	for profile := range o.Objects("profiles") {
 		var m rpc.Method
@@ -73,7 +77,7 @@
 	return methods, names
 }
 
-// longestWait is for how many seconds clients ask for one RPC of a method again, at the most.
+// longestWait returns the longest time in seconds for which clients retry an RPC of a method.
 func longestWait(m rpc.Method) float64 {
 	if m.Deadline > 0 {
 		return m.Deadline
@@ -81,6 +85,7 @@
 	return max(unknownWindow, m.Target)
 }
 
+// readMachine reads the settings of the machine that apply both in the simulator and on sockets.
 func readMachine(m *rpc.Machine, domain *jsonobject.Object) {
 	preemption, signal := string(rpc.NoPreemption), "none"
 	domain.Text("preemption", &preemption)
@@ -99,7 +104,8 @@
 	domain.Number("runFactor", &m.RunFactor)
 }
 
-// readCalls reads what matters only where calls to the layer below are made, or the machine's start is told with the settings.
+// readCalls reads the settings that matter only where calls to the layer below are made, or where the settings include
+// the state in which the machine starts.
 func readCalls(m *rpc.Machine, domain *jsonobject.Object) {
 	m.CallsDownstream, m.SkipWorth = domain.Flags("callsByClass"), domain.Numbers("classSkipWorth")
 	domain.Number("callsOut", &m.MaxDownstreamCalls)
@@ -108,7 +114,7 @@
 	domain.Flag("justStarted", &m.Cold)
 }
 
-// readSharing reads what matters only where RPCs tell their tenant and what they read about.
+// readSharing reads the settings that matter only where RPCs carry their tenant and the subject of a read.
 func readSharing(s *rpc.Settings, o *jsonobject.Object) {
 	for account := range o.Objects("accounts") {
 		var t rpc.Tenant
