--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -1,5 +1,6 @@
-// Package jsonobject reads JSON objects of which only some keys matter. What nobody asks for may have any shape; a key that
-// is asked for and has the wrong one is named by its path. An absent key and one that is null leave the default as it is.
+// Package jsonobject reads JSON objects of which only some keys are used. Keys that are not read may hold values of any
+// type; a key that is read and holds a value of the wrong type is an error that gives the key's path. A key that is
+// absent or null leaves the default unchanged.
 package jsonobject
 
 import (
@@ -12,37 +13,39 @@
 	"strconv"
 )
 
-// Error names a key whose value cannot be used.
+// Error reports a key whose value is invalid.
 type Error struct {
-	Path, Reason string
+	Path   string // path of the key in the document, such as list[0].name
+	Reason string
 }
 
 func (e *Error) Error() string { return e.Path + ": " + e.Reason }
 
-// Largest bounds numbers, as what lies beyond means the same to any server: in seconds it is thirty million years. Sums and
-// products of a few such numbers stay finite.
+// Largest is the largest absolute value of a number; greater ones are clamped to it, as no server treats them
+// differently: in seconds it is thirty million years. Sums and products of a few such numbers stay finite.
 const Largest = 1e15
 
-// members are what an object holds, not decoded yet: most of a large file may be of no use here.
+// members maps the keys of an object to their values, which are decoded only when read: most of a large file may be
+// unused.
 type members map[string]json.RawMessage
 
-// Object is a JSON object and its place in the whole.
+// Object is a JSON object and its position in the document.
 type Object struct {
 	place
 	fields members
-	failed *error // the first one, of the outermost and all within
+	failed *error // the first error, shared by the root object and all objects nested in it
 }
 
-// place is where an object stands: under a key of another, by its index if it is of an array there.
+// place is the position of an object: a key of its parent, and an index if the key holds an array.
 type place struct {
-	in    *Object // nil for the outermost
+	in    *Object // the parent, nil for the root object
 	key   string
-	index int // notInArray if it is not
+	index int // notInArray if the key holds the object itself
 }
 
 const notInArray = -1
 
-// Parse reads text that holds one JSON object and nothing else.
+// Parse parses a text that consists of exactly one JSON object.
 func Parse(text []byte) (*Object, error) {
 	var fields members
 	err := json.Unmarshal(text, &fields)
@@ -56,20 +59,21 @@
 	return &Object{fields: fields, failed: new(error)}, nil
 }
 
-// Err returns the first error of this object, of what it lies in and of what lies in it; nil if there was none.
+// Err returns the first error found so far in the document, in this object or any other; nil if there was none.
 func (o *Object) Err() error { return *o.failed }
 
-// Detached returns the same object with errors of its own, for keys whose faults do not matter to whoever reads the whole.
+// Detached returns a copy of the object that records errors separately, for keys whose errors must not invalidate the
+// document.
 func (o *Object) Detached() *Object {
 	detached := *o
 	detached.failed = new(error)
 	return &detached
 }
 
-// Has reports whether the object has a key that is not null.
+// Has reports whether the object has the key with a value other than null.
 func (o *Object) Has(key string) bool { return kind(o.fields[key]) != null }
 
-// Path returns where a key of the object stands in the whole.
+// Path returns the path of a key of the object in the document.
 func (o *Object) Path(key string) string {
 	if o.in == nil {
 		return key
@@ -81,12 +85,12 @@
 	return path + "." + key
 }
 
-// Object returns the object under a key; an empty one if there is none.
+// Object returns the object under a key, or an empty one if the key is absent or null.
 func (o *Object) Object(key string) *Object {
 	return o.object(key, notInArray, o.fields[key])
 }
 
-// ObjectIfAny is Object where another shape counts as an empty object.
+// ObjectIfAny is like Object, but returns an empty object instead of recording an error if the value is of another type.
 func (o *Object) ObjectIfAny(key string) *Object {
 	if kind(o.fields[key]) != object {
 		return o.object(key, notInArray, nil)
@@ -94,8 +98,8 @@
 	return o.Object(key)
 }
 
-// Objects goes through the objects of the array under a key, one decoded at a time; an element that is null counts as an empty
-// object.
+// Objects iterates over the objects of the array under a key and decodes them one at a time. An element that is null is
+// returned as an empty object.
 func (o *Object) Objects(key string) iter.Seq[*Object] {
 	return func(yield func(*Object) bool) {
 		for k, raw := range o.elements(key) {
@@ -106,7 +110,7 @@
 	}
 }
 
-// object returns the object that stands under a key, or at an index of the array there.
+// object returns the object under a key, or at an index of the array under it.
 func (o *Object) object(key string, index int, raw json.RawMessage) *Object {
 	in := &Object{place: place{o, key, index}, failed: o.failed}
 	if o.has(key, index, raw, object) {
@@ -133,10 +137,10 @@
 	}
 }
 
-// Flag reads true or false.
+// Flag reads a boolean.
 func (o *Object) Flag(key string, into *bool) { o.flag(key, notInArray, o.fields[key], into) }
 
-// Flags reads an array of true and false.
+// Flags reads an array of booleans.
 func (o *Object) Flags(key string) (all []bool) {
 	for k, raw := range o.elements(key) {
 		all = append(all, false)
@@ -151,7 +155,7 @@
 	}
 }
 
-// Number reads a number, at most Largest on either side of 0.
+// Number reads a number, clamped to the range from -Largest to Largest.
 func (o *Object) Number(key string, into *float64) { o.number(key, notInArray, o.fields[key], into) }
 
 // Numbers reads an array of numbers.
@@ -165,12 +169,13 @@
 
 func (o *Object) number(key string, index int, raw json.RawMessage, into *float64) {
 	if o.has(key, index, raw, number) {
-		parsed, _ := strconv.ParseFloat(string(raw), 64) // what is too large gives an infinity
+		parsed, _ := strconv.ParseFloat(string(raw), 64) // a number out of range gives an infinity
 		*into = min(max(parsed, -Largest), Largest)
 	}
 }
 
-// Whole reads a whole number in whatever form, such as 6, 6.0 or 6e0, at most math.MaxInt32 on either side of 0.
+// Whole reads an integer in any JSON form, such as 6, 6.0 or 6e0, clamped to the range from -math.MaxInt32 to
+// math.MaxInt32.
 func (o *Object) Whole(key string, into *int) {
 	read := float64(*into)
 	o.Number(key, &read)
@@ -181,7 +186,7 @@
 	*into = int(min(max(read, -math.MaxInt32), math.MaxInt32))
 }
 
-// Fail notes that a key's value cannot be used; the first such note stays.
+// Fail records that the value of a key is invalid. Only the first error of a document is kept.
 func (o *Object) Fail(key, why string, args ...any) { o.fail(key, notInArray, why, args...) }
 
 func (o *Object) fail(key string, index int, why string, args ...any) {
@@ -195,7 +200,7 @@
 	*o.failed = &Error{path, fmt.Sprintf(why, args...)}
 }
 
-// elements returns what the array under a key holds, not decoded yet.
+// elements returns the elements of the array under a key, not yet decoded.
 func (o *Object) elements(key string) (all []json.RawMessage) {
 	if raw := o.fields[key]; o.has(key, notInArray, raw, array) {
 		json.Unmarshal(raw, &all)
@@ -203,7 +208,8 @@
 	return all
 }
 
-// has tells whether a value is there and of the type that is wanted. All of it is valid JSON, as the whole was.
+// has reports whether a value is present and of the wanted type, and records an error if it is of another one. The value
+// is valid JSON, since Parse has checked the whole document.
 func (o *Object) has(key string, index int, raw json.RawMessage, wanted jsonType) bool {
 	switch there := kind(raw); there {
 	case wanted:
@@ -215,7 +221,7 @@
 	return false
 }
 
-// jsonType is what JSON calls a value's type.
+// jsonType is the type of a JSON value.
 type jsonType string
 
 const (
@@ -227,7 +233,7 @@
 	number jsonType = "number"
 )
 
-// kind returns the type of valid JSON by its first byte; what is not there counts as null.
+// kind returns the type of a valid JSON value by its first byte; an absent value counts as null.
 func kind(raw json.RawMessage) jsonType {
 	if len(raw) == 0 {
 		return null
@@ -247,6 +253,7 @@
 	return number
 }
 
+// phrase returns the type with an article, for error messages.
 func (t jsonType) phrase() string {
 	switch t {
 	case flag:
--- a/internal/jsonobject/jsonobject_test.go
+++ b/internal/jsonobject/jsonobject_test.go
@@ -15,7 +15,7 @@
 	return o
 }
 
-// Values of every type, whole numbers in every form; what is absent or null leaves the default.
+// Values of every type and integers in every form are read; an absent or null key leaves the default unchanged.
 func Example_values() {
 	o := parse(`{"text":"<&>","flag":true,"six":6.0,"seven":7e0,"huge":1e999,"null":null,"unasked":[{"x":1e999}],
 		"in":{"flags":[true,null],"numbers":[1,null,2.5],"texts":["a",null]},"list":[{"k":1},null]}`)
@@ -53,7 +53,7 @@
 	// true <nil>
 }
 
-// What is asked for and has another type is named by its path, the first one alone.
+// A value of the wrong type is reported with the path of its key. Only the first error is kept.
 func Example_errors() {
 	for _, read := range []func(o *Object){
 		func(o *Object) { o.Text("in", new(string)) },
