--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -13,24 +13,24 @@
 // Sink is an io.Writer that buffers whole lines for a destination that may block or fail. It is safe for concurrent
 // use.
 type Sink struct {
-	to       io.Writer // the destination
-	capacity int       // limit of pending, in bytes
+	destination io.Writer
+	capacity    int // limit of pending, in bytes
 
-	mu      sync.Mutex
-	pending []byte // lines not yet handed to the destination
-	spare   []byte // empty buffer, used for pending after the next swap
-	dropped int    // lines dropped and not yet reported in the log
-	closed  bool
+	mu         sync.Mutex
+	pending    []byte // lines not yet handed to the destination
+	spare      []byte // empty buffer, used for pending after the next swap
+	unreported int    // lines dropped and not yet reported in the log
+	closed     bool
 
-	wake    chan struct{} // holds a token while lines are pending
-	written chan struct{} // closed after Close, once all pending lines are written
-	lost    atomic.Int64  // lines dropped since the start, see Dropped
+	wake         chan struct{} // holds a token while lines are pending
+	written      chan struct{} // closed after Close, once all pending lines are written
+	totalDropped atomic.Int64  // lines dropped since the start, see Dropped
 }
 
 // New starts a sink that writes to the given destination. It buffers at most capacity bytes, in addition to at most as
 // many that are being written.
-func New(to io.Writer, capacity int) *Sink {
-	s := &Sink{to: to, capacity: capacity, wake: make(chan struct{}, 1), written: make(chan struct{})}
+func New(destination io.Writer, capacity int) *Sink {
+	s := &Sink{destination: destination, capacity: capacity, wake: make(chan struct{}, 1), written: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -53,29 +53,29 @@
 func (s *Sink) Sync() error { return nil }
 
 // Dropped returns the number of lines dropped since the start.
-func (s *Sink) Dropped() int { return int(s.lost.Load()) }
+func (s *Sink) Dropped() int { return int(s.totalDropped.Load()) }
 
 // Close stops accepting lines and waits at most the given time until the buffered ones are written. It reports whether
 // they were.
-func (s *Sink) Close(within time.Duration) bool {
+func (s *Sink) Close(timeout time.Duration) bool {
 	s.mu.Lock()
 	s.closed = true
 	s.signal()
 	s.mu.Unlock()
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-s.written:
 		return true
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
 
 // drop counts dropped lines. The caller holds s.mu.
 func (s *Sink) drop(lines int) {
-	s.dropped += lines
-	s.lost.Add(int64(lines))
+	s.unreported += lines
+	s.totalDropped.Add(int64(lines))
 }
 
 // signal wakes run, unless a wake-up is already queued.
@@ -91,7 +91,7 @@
 	defer close(s.written)
 	for range s.wake {
 		for {
-			lines, dropped, closed := s.take()
+			lines, dropped, closed := s.swapBuffers()
 			if len(lines) == 0 && dropped == 0 {
 				if closed {
 					return
@@ -103,22 +103,23 @@
 	}
 }
 
-// take returns the pending lines and the number of unreported dropped ones, and makes the spare buffer the pending one.
-func (s *Sink) take() (lines []byte, dropped int, closed bool) {
+// swapBuffers returns the pending lines and the number of unreported dropped ones, and makes the spare buffer the
+// pending one.
+func (s *Sink) swapBuffers() (lines []byte, dropped int, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines, dropped = s.pending, s.dropped
+	lines, dropped = s.pending, s.unreported
 	s.pending, s.spare = s.spare[:0], nil
-	s.dropped = 0
+	s.unreported = 0
 	return lines, dropped, s.closed
 }
 
 // write passes lines to the destination, followed by a message with the number of lines dropped after them. Lines for
 // which the destination returns an error are lost.
 func (s *Sink) write(lines []byte, dropped int) {
-	s.to.Write(lines)
+	s.destination.Write(lines)
 	if dropped > 0 {
-		fmt.Fprintf(s.to, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", dropped)
+		fmt.Fprintf(s.destination, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", dropped)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -9,44 +9,46 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const closeTimeout = 20 * time.Second
 
-// gate is a writer whose writes block until it is opened.
-type gate struct {
-	mu    sync.Mutex
-	taken bytes.Buffer
-	begun chan bool // receives a value at the start of each write
-	let   chan bool // closed to unblock all writes
-	err   error     // returned by Write if not nil
+// blockingWriter is a writer whose writes block until unblock is closed.
+type blockingWriter struct {
+	mu      sync.Mutex
+	written bytes.Buffer
+	started chan bool // receives a value at the start of each write
+	unblock chan bool // closed to unblock all writes
+	err     error     // returned by Write if not nil
 }
 
-func newGate() *gate { return &gate{begun: make(chan bool, 1000), let: make(chan bool)} }
+func newBlockingWriter() *blockingWriter {
+	return &blockingWriter{started: make(chan bool, 1000), unblock: make(chan bool)}
+}
 
-func (g *gate) Write(b []byte) (int, error) {
-	g.begun <- true
-	<-g.let
+func (g *blockingWriter) Write(b []byte) (int, error) {
+	g.started <- true
+	<-g.unblock
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.err != nil {
 		return 0, g.err
 	}
-	return g.taken.Write(b)
+	return g.written.Write(b)
 }
 
-func (g *gate) String() string {
+func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.taken.String()
+	return g.written.String()
 }
 
 // Write does not block while the destination does. Lines that do not fit are counted, and their number is logged once
 // the destination accepts writes again.
 func TestBlocked(t *testing.T) {
-	g := newGate()
+	g := newBlockingWriter()
 	s := New(g, 100)
 	line := strings.Repeat("x", 39) + "\n"
 	s.Write([]byte(line))
-	<-g.begun // the first line is being written, and blocked there
+	<-g.started // the first line is being written, and blocked there
 	for range 5 {
 		if n, err := s.Write([]byte(line)); n != len(line) || err != nil {
 			t.Fatalf("Write returned %d, %v; want %d, nil", n, err, len(line))
@@ -55,8 +57,8 @@
 	if s.Dropped() != 3 {
 		t.Errorf("dropped %d lines, want 3", s.Dropped())
 	}
-	close(g.let)
-	if !s.Close(patience) {
+	close(g.unblock)
+	if !s.Close(closeTimeout) {
 		t.Error("Close timed out before all lines were written")
 	}
 	want := line + line + line + `{"level":"warn","msg":"log lines dropped","lines":3}` + "\n"
@@ -67,10 +69,10 @@
 
 // Close returns after its timeout while the destination is blocked.
 func TestCloseBlocked(t *testing.T) {
-	g := newGate()
+	g := newBlockingWriter()
 	s := New(g, 100)
 	s.Write([]byte("one\n"))
-	<-g.begun
+	<-g.started
 	if s.Close(time.Millisecond) {
 		t.Error("Close reported lines as written while the destination was blocked")
 	}
@@ -78,33 +80,33 @@
 	if s.Dropped() != 1 {
 		t.Errorf("dropped %d lines after Close, want 1", s.Dropped())
 	}
-	close(g.let)
-	if !s.Close(patience) {
+	close(g.unblock)
+	if !s.Close(closeTimeout) {
 		t.Error("Close timed out before all lines were written")
 	}
 }
 
 // A destination that returns an error loses the lines of that write; later lines are still written.
-func TestFailing(t *testing.T) {
-	g := newGate()
+func TestFailingDestination(t *testing.T) {
+	g := newBlockingWriter()
 	g.err = errors.New("broken pipe")
-	close(g.let)
+	close(g.unblock)
 	s := New(g, 100)
 	s.Write([]byte("one\n"))
-	<-g.begun
+	<-g.started
 	g.mu.Lock()
 	g.err = nil
 	g.mu.Unlock()
 	s.Write([]byte("two\n"))
-	if !s.Close(patience) || !strings.HasSuffix(g.String(), "two\n") {
+	if !s.Close(closeTimeout) || !strings.HasSuffix(g.String(), "two\n") {
 		t.Errorf("written: %q", g.String())
 	}
 }
 
 // With concurrent writers each line is either written whole or counted as dropped.
-func TestTogether(t *testing.T) {
-	g := newGate()
-	close(g.let)
+func TestConcurrent(t *testing.T) {
+	g := newBlockingWriter()
+	close(g.unblock)
 	s := New(g, 64)
 	var group sync.WaitGroup
 	const writers, each = 8, 100
@@ -116,9 +118,9 @@
 		})
 	}
 	group.Wait()
-	s.Close(patience)
-	whole := strings.Count(g.String(), "0123456789\n")
-	if whole+s.Dropped() != writers*each {
-		t.Errorf("%d lines written and %d dropped, want %d in all", whole, s.Dropped(), writers*each)
+	s.Close(closeTimeout)
+	written := strings.Count(g.String(), "0123456789\n")
+	if written+s.Dropped() != writers*each {
+		t.Errorf("%d lines written and %d dropped, want %d in all", written, s.Dropped(), writers*each)
 	}
 }
