--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads a deployment's settings from a JSON object whose keys are named as in the simulator's protocol.
+// Package settings reads a deployment's settings from a JSON object whose keys are named as in the simulator's
+// protocol.
 package settings
 
 import (
@@ -6,9 +7,9 @@
 	"valveglade/rpc"
 )
 
-// unknownWindow is the time in seconds for which tokens are remembered where the settings give neither a window nor a
-// deadline. It is longer than clients keep retrying.
-const unknownWindow = 3600
+// defaultTokenWindow is the time in seconds for which tokens are remembered where the settings give neither a window
+// nor a deadline. It is longer than clients keep retrying.
+const defaultTokenWindow = 3600
 
 // Parse reads all settings, in the form of the simulator's protocol.
 func Parse(text []byte) (rpc.Settings, error) {
@@ -16,9 +17,9 @@
 	if err != nil {
 		return rpc.Settings{}, err
 	}
-	s, _ := readServed(o)
-	readCalls(&s.Machine, o.Object("domain"))
-	readSharing(&s, o)
+	s, _ := readCommon(o)
+	readDownstreamCalls(&s.Machine, o.Object("domain"))
+	readTenantsAndReads(&s, o)
 	return s, o.Err()
 }
 
@@ -29,17 +30,17 @@
 // Routers on sockets send neither the tenant of an RPC nor the subject of a read. Invalid settings of tenants and reads
 // are therefore no error; if there is one among them, all of them are ignored.
 func Read(o *jsonobject.Object) (s rpc.Settings, names []string) {
-	s, names = readServed(o)
+	s, names = readCommon(o)
 	shared, lenient := s, o.Detached()
-	readSharing(&shared, lenient)
+	readTenantsAndReads(&shared, lenient)
 	if lenient.Err() == nil {
 		s = shared
 	}
 	return s, names
 }
 
-// readServed reads the settings that apply both in the simulator and on sockets, and the names of the methods.
-func readServed(o *jsonobject.Object) (s rpc.Settings, names []string) {
+// readCommon reads the settings that apply both in the simulator and on sockets, and the names of the methods.
+func readCommon(o *jsonobject.Object) (s rpc.Settings, names []string) {
 	s.Methods, names = readMethods(o)
 	readMachine(&s.Machine, o.Object("domain"))
 	rules := o.Object("rules")
@@ -69,7 +70,7 @@
 		profile.Number("lateWorth", &m.LateShare)
 		m.Kind = rpc.Kind(kind)
 		if m.Kind == rpc.Tokened && m.Window == 0 {
-			m.Window = longestWait(m)
+			m.Window = maxRetryTime(m)
 		}
 		methods = append(methods, m)
 		names = append(names, name)
@@ -77,12 +78,12 @@
 	return methods, names
 }
 
-// longestWait returns the longest time in seconds for which clients retry an RPC of a method.
-func longestWait(m rpc.Method) float64 {
+// maxRetryTime returns the longest time in seconds for which clients retry an RPC of a method.
+func maxRetryTime(m rpc.Method) float64 {
 	if m.Deadline > 0 {
 		return m.Deadline
 	}
-	return max(unknownWindow, m.Target)
+	return max(defaultTokenWindow, m.Target)
 }
 
 // readMachine reads the settings of the machine that apply both in the simulator and on sockets.
@@ -104,9 +105,9 @@
 	domain.Number("runFactor", &m.RunFactor)
 }
 
-// readCalls reads the settings that matter only where calls to the layer below are made, or where the settings include
-// the state in which the machine starts.
-func readCalls(m *rpc.Machine, domain *jsonobject.Object) {
+// readDownstreamCalls reads the settings that matter only where calls to the layer below are made, or where the
+// settings include the state in which the machine starts.
+func readDownstreamCalls(m *rpc.Machine, domain *jsonobject.Object) {
 	m.CallsDownstream, m.SkipWorth = domain.Flags("callsByClass"), domain.Numbers("classSkipWorth")
 	domain.Number("callsOut", &m.MaxDownstreamCalls)
 	domain.Number("shareSpanS", &m.DownstreamCallWindow)
@@ -114,8 +115,8 @@
 	domain.Flag("justStarted", &m.Cold)
 }
 
-// readSharing reads the settings that matter only where RPCs carry their tenant and the subject of a read.
-func readSharing(s *rpc.Settings, o *jsonobject.Object) {
+// readTenantsAndReads reads the settings that matter only where RPCs carry their tenant and the subject of a read.
+func readTenantsAndReads(s *rpc.Settings, o *jsonobject.Object) {
 	for account := range o.Objects("accounts") {
 		var t rpc.Tenant
 		account.Number("quotaRps", &t.Quota)
