--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -25,60 +25,60 @@
 // differently: in seconds it is thirty million years. Sums and products of a few such numbers stay finite.
 const Largest = 1e15
 
-// members maps the keys of an object to their values, which are decoded only when read: most of a large file may be
+// rawFields maps the keys of an object to their values, which are decoded only when read: most of a large file may be
 // unused.
-type members map[string]json.RawMessage
+type rawFields map[string]json.RawMessage
 
 // Object is a JSON object and its position in the document.
 type Object struct {
-	place
-	fields members
-	failed *error // the first error, shared by the root object and all objects nested in it
+	position
+	fields   rawFields
+	firstErr *error // the first error, shared by the root object and all objects nested in it
 }
 
-// place is the position of an object: a key of its parent, and an index if the key holds an array.
-type place struct {
-	in    *Object // the parent, nil for the root object
-	key   string
-	index int // notInArray if the key holds the object itself
+// position is the position of an object: a key of its parent, and an index if the key holds an array.
+type position struct {
+	parent *Object // the parent, nil for the root object
+	key    string
+	index  int // notInArray if the key holds the object itself
 }
 
 const notInArray = -1
 
 // Parse parses a text that consists of exactly one JSON object.
 func Parse(text []byte) (*Object, error) {
-	var fields members
+	var fields rawFields
 	err := json.Unmarshal(text, &fields)
-	otherType := (*json.UnmarshalTypeError)(nil)
-	if errors.As(err, &otherType) || err == nil && fields == nil {
-		return nil, fmt.Errorf("not a JSON object: it is of type %s", kind(bytes.TrimSpace(text)))
+	typeError := (*json.UnmarshalTypeError)(nil)
+	if errors.As(err, &typeError) || err == nil && fields == nil {
+		return nil, fmt.Errorf("not a JSON object: it is of type %s", typeOf(bytes.TrimSpace(text)))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("not a JSON object: %w", err)
 	}
-	return &Object{fields: fields, failed: new(error)}, nil
+	return &Object{fields: fields, firstErr: new(error)}, nil
 }
 
-// Err returns the first error found so far in the document, in this object or any other; nil if there was none.
-func (o *Object) Err() error { return *o.failed }
+// Err returns the first error found so far in any object of the document, or nil. See Detached for the exception.
+func (o *Object) Err() error { return *o.firstErr }
 
 // Detached returns a copy of the object that records errors separately, for keys whose errors must not invalidate the
 // document.
 func (o *Object) Detached() *Object {
 	detached := *o
-	detached.failed = new(error)
+	detached.firstErr = new(error)
 	return &detached
 }
 
 // Has reports whether the object has the key with a value other than null.
-func (o *Object) Has(key string) bool { return kind(o.fields[key]) != null }
+func (o *Object) Has(key string) bool { return typeOf(o.fields[key]) != null }
 
 // Path returns the path of a key of the object in the document.
 func (o *Object) Path(key string) string {
-	if o.in == nil {
+	if o.parent == nil {
 		return key
 	}
-	path := o.in.Path(o.key)
+	path := o.parent.Path(o.key)
 	if o.index != notInArray {
 		path += "[" + strconv.Itoa(o.index) + "]"
 	}
@@ -90,9 +90,10 @@
 	return o.object(key, notInArray, o.fields[key])
 }
 
-// ObjectIfAny is like Object, but returns an empty object instead of recording an error if the value is of another type.
+// ObjectIfAny is like Object, but returns an empty object instead of recording an error if the value is of another
+// type.
 func (o *Object) ObjectIfAny(key string) *Object {
-	if kind(o.fields[key]) != object {
+	if typeOf(o.fields[key]) != object {
 		return o.object(key, notInArray, nil)
 	}
 	return o.Object(key)
@@ -112,11 +113,11 @@
 
 // object returns the object under a key, or at an index of the array under it.
 func (o *Object) object(key string, index int, raw json.RawMessage) *Object {
-	in := &Object{place: place{o, key, index}, failed: o.failed}
+	child := &Object{position: position{o, key, index}, firstErr: o.firstErr}
 	if o.has(key, index, raw, object) {
-		json.Unmarshal(raw, &in.fields)
+		json.Unmarshal(raw, &child.fields)
 	}
-	return in
+	return child
 }
 
 // Text reads a string.
@@ -177,27 +178,27 @@
 // Whole reads an integer in any JSON form, such as 6, 6.0 or 6e0, clamped to the range from -math.MaxInt32 to
 // math.MaxInt32.
 func (o *Object) Whole(key string, into *int) {
-	read := float64(*into)
-	o.Number(key, &read)
-	if read != math.Trunc(read) {
-		o.Fail(key, "%g is not a whole number", read)
+	parsed := float64(*into)
+	o.Number(key, &parsed)
+	if parsed != math.Trunc(parsed) {
+		o.Fail(key, "%g is not a whole number", parsed)
 		return
 	}
-	*into = int(min(max(read, -math.MaxInt32), math.MaxInt32))
+	*into = int(min(max(parsed, -math.MaxInt32), math.MaxInt32))
 }
 
 // Fail records that the value of a key is invalid. Only the first error of a document is kept.
-func (o *Object) Fail(key, why string, args ...any) { o.fail(key, notInArray, why, args...) }
+func (o *Object) Fail(key, format string, args ...any) { o.fail(key, notInArray, format, args...) }
 
-func (o *Object) fail(key string, index int, why string, args ...any) {
-	if *o.failed != nil {
+func (o *Object) fail(key string, index int, format string, args ...any) {
+	if *o.firstErr != nil {
 		return
 	}
 	path := o.Path(key)
 	if index != notInArray {
 		path += "[" + strconv.Itoa(index) + "]"
 	}
-	*o.failed = &Error{path, fmt.Sprintf(why, args...)}
+	*o.firstErr = &Error{path, fmt.Sprintf(format, args...)}
 }
 
 // elements returns the elements of the array under a key, not yet decoded.
@@ -208,15 +209,15 @@
 	return all
 }
 
-// has reports whether a value is present and of the wanted type, and records an error if it is of another one. The value
-// is valid JSON, since Parse has checked the whole document.
+// has reports whether a value is present and of the wanted type, and records an error if it is of another one. The
+// value is valid JSON, since Parse has checked the whole document.
 func (o *Object) has(key string, index int, raw json.RawMessage, wanted jsonType) bool {
-	switch there := kind(raw); there {
+	switch found := typeOf(raw); found {
 	case wanted:
 		return true
 	case null:
 	default:
-		o.fail(key, index, "a JSON %s where %s is wanted", there, wanted.phrase())
+		o.fail(key, index, "a JSON %s where %s is wanted", found, wanted.phrase())
 	}
 	return false
 }
@@ -233,8 +234,8 @@
 	number jsonType = "number"
 )
 
-// kind returns the type of a valid JSON value by its first byte; an absent value counts as null.
-func kind(raw json.RawMessage) jsonType {
+// typeOf returns the type of a valid JSON value by its first byte; an absent value counts as null.
+func typeOf(raw json.RawMessage) jsonType {
 	if len(raw) == 0 {
 		return null
 	}
--- a/internal/jsonobject/jsonobject_test.go
+++ b/internal/jsonobject/jsonobject_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func parse(text string) *Object {
+func parseOrPrint(text string) *Object {
 	o, err := Parse([]byte(text))
 	if err != nil {
 		fmt.Println(err)
@@ -17,7 +17,7 @@
 
 // Values of every type and integers in every form are read; an absent or null key leaves the default unchanged.
 func Example_values() {
-	o := parse(`{"text":"<&>","flag":true,"six":6.0,"seven":7e0,"huge":1e999,"null":null,"unasked":[{"x":1e999}],
+	o := parseOrPrint(`{"text":"<&>","flag":true,"six":6.0,"seven":7e0,"huge":1e999,"null":null,"unasked":[{"x":1e999}],
 		"in":{"flags":[true,null],"numbers":[1,null,2.5],"texts":["a",null]},"list":[{"k":1},null]}`)
 	text, flag, number, whole := "default", false, 1.5, 3
 	o.Text("null", &text)
@@ -31,8 +31,8 @@
 		o.Whole(key, &whole)
 		fmt.Println(key, whole)
 	}
-	in := o.Object("in")
-	fmt.Println(in.Flags("flags"), in.Numbers("numbers"), in.Texts("texts"), in.Flags("absent"))
+	nested := o.Object("in")
+	fmt.Println(nested.Flags("flags"), nested.Numbers("numbers"), nested.Texts("texts"), nested.Flags("absent"))
 	for element := range o.Objects("list") {
 		element.Whole("k", &whole)
 		fmt.Println(element.Path("k"), element.Has("k"), whole)
@@ -68,14 +68,14 @@
 		func(o *Object) { o.Whole("half", new(int)) },
 		func(o *Object) { o.Object("in").Fail("x", "first"); o.Fail("y", "second") },
 	} {
-		o := parse(`{"in":{"array":[{},{"k":1.5}]},"half":0.5}`)
+		o := parseOrPrint(`{"in":{"array":[{},{"k":1.5}]},"half":0.5}`)
 		read(o)
 		fmt.Println(o.Err())
 	}
-	parse("")
-	parse("[]")
-	parse("{} {}")
-	parse(" null ")
+	parseOrPrint("")
+	parseOrPrint("[]")
+	parseOrPrint("{} {}")
+	parseOrPrint(" null ")
 	// Output:
 	// in: a JSON object where a string is wanted
 	// in.array: a JSON array where true or false is wanted
