--- a/internal/thrift/answers.go
+++ b/internal/thrift/answers.go
@@ -7,199 +7,203 @@
 	"strconv"
 )
 
-// Asker is told what a frame from an app server holds. Slices are good for the length of the call; load is the
+// Asker handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is the
 // published credit, below 0 if there is none.
 type Asker interface {
+	// Served handles the result of an RPC that ended ok.
 	Served(seq int32, result []byte, load float64)
-	// PushedBack is an RPC that never ran: whether no other app server is to be tried, and for how many seconds to
-	// stay away, 0 for no advice.
-	PushedBack(seq int32, last bool, after, load float64)
-	// Aborted comes without a promise; why is empty, or an application exception's text.
-	Aborted(seq int32, why string, load float64)
-	Checked(seq int32, good bool, load float64)
+	// PushedBack handles the rejection of an RPC that did not run. last forbids a retry at another app server;
+	// retryAfter is the retry-after delay in seconds, 0 if there is none.
+	PushedBack(seq int32, last bool, retryAfter, load float64)
+	// Aborted handles an RPC that failed and may or may not have run. reason is empty, or says what the app server
+	// replied instead of a result or an abort.
+	Aborted(seq int32, reason string, load float64)
+	// Checked handles the result of a health check.
+	Checked(seq int32, healthy bool, load float64)
+	// Draining handles the request to send no new RPCs on the connection.
 	Draining()
 }
 
-// errBlank is an answer that says nothing.
-var errBlank = errors.New("thrift: an answer with neither a result nor an exception")
+// errEmptyReply reports a reply whose result struct is empty.
+var errEmptyReply = errors.New("thrift: reply has neither a result nor an exception")
 
-// DecodeAnswer tells to what a frame from an app server holds. After an error nothing on the connection can be
-// trusted.
-func DecodeAnswer(frame []byte, to Asker) error {
-	r := reader{b: frame}
-	kind, name, seq, err := r.head()
+// DecodeAnswer decodes the message in a frame from an app server and passes it to the handler. After an error the
+// connection must be closed, since the rest of its data cannot be trusted.
+func DecodeAnswer(frame []byte, handler Asker) error {
+	r := decoder{b: frame}
+	kind, name, seq, err := r.messageHeader()
 	if err != nil {
 		return err
 	}
 	switch {
 	case kind == msgException:
-		why := "application exception"
-		err := r.fields(func(id int16, kind byte) bool {
+		reason := "application exception"
+		err := r.structFields(func(id int16, kind byte) bool {
 			if id != 1 || kind != typeString {
 				return false
 			}
-			why = string(r.bytes())
+			reason = string(r.bytes())
 			return true
 		})
 		if err == nil {
-			to.Aborted(seq, why, -1)
+			handler.Aborted(seq, reason, -1)
 		}
 		return err
 	case kind == msgOneway && string(name) == "draining":
-		err := r.fields(func(int16, byte) bool { return false })
+		err := r.structFields(func(int16, byte) bool { return false })
 		if err == nil {
-			to.Draining()
+			handler.Draining()
 		}
 		return err
 	case kind != msgReply:
-		return fmt.Errorf("thrift: message type %d", kind)
+		return fmt.Errorf("thrift: message type is %d, want 2 (reply), 3 (exception) or a oneway draining", kind)
 	case string(name) == "execute" || string(name) == "check":
-		return r.answer(seq, string(name) == "check", to)
+		return r.reply(seq, string(name) == "check", handler)
 	}
-	return fmt.Errorf("thrift: an answer to %.32q, which was not asked", name)
+	return fmt.Errorf("thrift: reply to method %.32q, want execute or check", name)
 }
 
-// answer reads the result of a call: one of an Answer, Trylater, Aborted.
-func (r *reader) answer(seq int32, check bool, to Asker) error {
-	const answer, refused, failed = 0, 1, 2
-	came := int16(-1)
+// reply decodes the result of a call: an Answer, or one of the exceptions Trylater and Aborted.
+func (r *decoder) reply(seq int32, check bool, handler Asker) error {
+	const answerField, trylaterField, abortedField = 0, 1, 2 // field ids of the result struct
+	outcome := int16(-1)
 	var body []byte
-	var good, last bool
-	after, load := 0.0, -1.0
-	var odd error
-	pairs := func() {
-		r.pairs(func(key, value []byte) {
-			figure := func(into *float64) {
-				v, ok := number(value)
+	var success, last bool
+	retryAfter, load := 0.0, -1.0
+	var invalid error
+	decodeMap := func() {
+		r.stringMap(func(key, value []byte) {
+			parseNonNegative := func(destination *float64) {
+				v, ok := parseDecimal(value)
 				if !ok || v < 0 {
-					odd = fmt.Errorf("thrift: %s of %.32q", key, value)
+					invalid = fmt.Errorf("thrift: %s is %.32q, want a number of at least 0", key, value)
 				}
-				*into = v
+				*destination = v
 			}
 			switch string(key) {
 			case "load":
-				figure(&load)
+				parseNonNegative(&load)
 			case "pushback":
-				figure(&after)
-				after /= 1000
+				parseNonNegative(&retryAfter)
+				retryAfter /= 1000
 			case "stop":
 				last = string(value) == "1"
 			}
 		})
 	}
-	err := r.fields(func(id int16, kind byte) bool {
-		if kind != typeStruct || id < answer || id > failed || came >= 0 {
+	err := r.structFields(func(id int16, kind byte) bool {
+		if kind != typeStruct || id < answerField || id > abortedField || outcome >= 0 {
 			return false
 		}
-		came = id
-		where := int16(1) // of the map
-		if id == answer {
-			where = 2
+		outcome = id
+		mapField := int16(1) // id of the field that holds the map
+		if id == answerField {
+			mapField = 2
 		}
-		if err := r.fields(func(field int16, kind byte) bool {
+		if err := r.structFields(func(field int16, kind byte) bool {
 			switch {
-			case field == where && kind == typeMap:
-				pairs()
-			case id == answer && field == 1 && kind == typeString:
+			case field == mapField && kind == typeMap:
+				decodeMap()
+			case id == answerField && field == 1 && kind == typeString:
 				body = r.bytes()
-			case id == answer && field == 3 && kind == typeBool:
-				good = r.byte() == 1
+			case id == answerField && field == 3 && kind == typeBool:
+				success = r.byte() == 1
 			default:
 				return false
 			}
 			return true
 		}); err != nil {
-			odd = err
+			invalid = err
 		}
 		return true
 	})
 	switch {
-	case odd != nil:
-		return odd
+	case invalid != nil:
+		return invalid
 	case err != nil:
 		return err
-	case came < 0:
-		return errBlank
-	case check && came == answer:
-		to.Checked(seq, good, load)
+	case outcome < 0:
+		return errEmptyReply
+	case check && outcome == answerField:
+		handler.Checked(seq, success, load)
 	case check:
-		to.Checked(seq, false, load)
-	case came == answer && !good:
-		to.Aborted(seq, "answered as not good", load)
-	case came == answer:
-		to.Served(seq, body, load)
-	case came == refused:
-		to.PushedBack(seq, last, after, load)
+		handler.Checked(seq, false, load)
+	case outcome == answerField && !success:
+		handler.Aborted(seq, "app server replied that the RPC failed", load)
+	case outcome == answerField:
+		handler.Served(seq, body, load)
+	case outcome == trylaterField:
+		handler.PushedBack(seq, last, retryAfter, load)
 	default:
-		to.Aborted(seq, "", load)
+		handler.Aborted(seq, "", load)
 	}
 	return nil
 }
 
-// Execute appends the frame of one RPC: recv and ttl are in seconds, crit from 0 to under 1, heap in KB. token and
-// row are left out when empty; again marks a further try.
-func Execute(b []byte, seq int32, method, uid string, src int, recv, ttl, heap, crit float64, again bool,
+// Execute appends the frame of an RPC. recv is in Unix seconds, ttl in seconds, heap in KB; crit is at least 0 and
+// below 1. token and row are omitted when empty; retry marks a retry.
+func Execute(b []byte, seq int32, method, uid string, src int, recv, ttl, heap, crit float64, retry bool,
 	token, row string, body []byte) []byte {
-	b, at := open(b, msgCall, "execute", seq)
-	b = append(field(b, typeMap, 1), typeString, typeString)
-	n := len(b)
+	b, start := beginFrame(b, msgCall, "execute", seq)
+	b = append(appendFieldHeader(b, typeMap, 1), typeString, typeString)
+	countAt := len(b)
 	b = append(b, 0, 0, 0, 0)
 	count := byte(0)
-	put := func(key string) { // its value is appended next
+	putKey := func(key string) { // the caller appends the value next
 		count++
-		b = text(b, key)
+		b = appendString(b, key)
 	}
-	put("op")
-	b = text(b, method)
-	put("call")
-	b = text(b, uid)
-	put("src")
-	b = digits(b, float64(src), 0)
-	put("recv")
-	b = digits(b, math.Floor(recv*1000), 0)
-	put("ttl")
-	b = digits(b, max(math.Floor(ttl*1000), 0), 0)
-	put("heap")
-	b = digits(b, heap, 1)
-	put("crit")
-	b = digits(b, crit, 4)
-	if again {
-		put("rep")
-		b = text(b, "1")
+	putKey("op")
+	b = appendString(b, method)
+	putKey("call")
+	b = appendString(b, uid)
+	putKey("src")
+	b = appendNumber(b, float64(src), 0)
+	putKey("recv")
+	b = appendNumber(b, math.Floor(recv*1000), 0)
+	putKey("ttl")
+	b = appendNumber(b, max(math.Floor(ttl*1000), 0), 0)
+	putKey("heap")
+	b = appendNumber(b, heap, 1)
+	putKey("crit")
+	b = appendNumber(b, crit, 4)
+	if retry {
+		putKey("rep")
+		b = appendString(b, "1")
 	}
 	if token != "" {
-		put("dedupe")
-		b = text(b, token)
+		putKey("dedupe")
+		b = appendString(b, token)
 	}
 	if row != "" {
-		put("row")
-		b = text(b, row)
+		putKey("row")
+		b = appendString(b, row)
 	}
-	b[n+3] = count
-	b = text(field(b, typeString, 2), body)
-	return shut(append(b, 0), at)
+	b[countAt+3] = count
+	b = appendString(appendFieldHeader(b, typeString, 2), body)
+	return endFrame(append(b, 0), start)
 }
 
-// digits writes a number as a string with so many decimals.
-func digits(b []byte, v float64, decimals int) []byte {
-	at := len(b)
+// appendNumber appends a number as a decimal string with the given number of decimals.
+func appendNumber(b []byte, v float64, decimals int) []byte {
+	start := len(b)
 	b = append(b, 0, 0, 0, 0)
 	b = strconv.AppendFloat(b, v, 'f', decimals, 64)
-	b[at+2], b[at+3] = byte((len(b)-at-4)>>8), byte(len(b)-at-4)
+	b[start+2], b[start+3] = byte((len(b)-start-4)>>8), byte(len(b)-start-4)
 	return b
 }
 
-// Interrupt appends the word that nobody waits for an RPC any more; seq is its own number.
+// Interrupt appends a message that cancels the RPC with sequence id target; seq is the message's own sequence id.
 func Interrupt(b []byte, seq, target int32) []byte {
-	b, at := open(b, msgOneway, "interrupt", seq)
-	b = field(b, typeI32, 1)
+	b, start := beginFrame(b, msgOneway, "interrupt", seq)
+	b = appendFieldHeader(b, typeI32, 1)
 	b = append(b, byte(target>>24), byte(target>>16), byte(target>>8), byte(target))
-	return shut(append(b, 0), at)
+	return endFrame(append(b, 0), start)
 }
 
 // Check appends a health check.
 func Check(b []byte, seq int32) []byte {
-	b, at := open(b, msgCall, "check", seq)
-	b = append(field(b, typeBool, 1), 0)
-	return shut(append(b, 0), at)
+	b, start := beginFrame(b, msgCall, "check", seq)
+	b = append(appendFieldHeader(b, typeBool, 1), 0)
+	return endFrame(append(b, 0), start)
 }
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -1,5 +1,5 @@
-// Package thrift reads and writes what routers and app servers say to each other, in both directions: Thrift's
-// strict binary protocol in frames.
+// Package thrift encodes and decodes the messages between routers and app servers, in both directions. They use the
+// framed transport and the strict binary protocol of Apache Thrift.
 package thrift
 
 import (
@@ -11,21 +11,25 @@
 	"strings"
 )
 
-// MaxFrame bounds a frame: a body of 2 KiB and its fields many times over, so that what is only too long by
-// the protocol's word still gets an answer.
+// MaxFrame is the maximum size of a frame, in bytes, without its length prefix. It is many times the size of the
+// largest valid RPC, with a body of 2 KiB and its fields, so that an RPC whose fields exceed their own limits can still
+// be decoded and answered.
 const MaxFrame = 32 << 10
 
-// MaxBody is the largest body that may be run.
+// MaxBody is the maximum size of an RPC's body, in bytes.
 const MaxBody = 2 << 10
 
-// Bounds of an RPC's fields. The platform's page has that of heap, in KB, and tokens of 32 bytes; four times that costs nothing.
-// The last time that is written with a year of four digits, in Unix milliseconds, is the last that any clock tells.
+// Limits of an RPC's fields.
 const (
-	mostHeap  = 2000
-	mostToken = 128
-	lastMilli = 253402300799999
+	// maxHeapKB is the exclusive upper bound of heap, as the platform defines it.
+	maxHeapKB = 2000
+	// maxTokenLength is in bytes. The platform's tokens have 32; accepting four times that costs nothing.
+	maxTokenLength = 128
+	// maxUnixMillis is the last millisecond of the year 9999. No clock shows a later time.
+	maxUnixMillis = 253402300799999
 )
 
+// Type ids of values, message types and the protocol version, as the Thrift binary protocol defines them.
 const (
 	typeBool   = 2
 	typeI32    = 8
@@ -40,32 +44,38 @@
 	msgException = 3
 	msgOneway    = 4
 
-	version = 0x80010000
-	deepest = 16 // of nested values in fields that are passed over
+	version         = 0x80010000
+	maxNestingDepth = 16 // of values nested in a skipped field
 )
 
-var errShort = errors.New("thrift: the frame ends inside a message")
+// errTruncated reports a value that is longer than the rest of its frame, or of an invalid size or type.
+var errTruncated = errors.New("thrift: the frame ends inside a message, or a value in it is malformed")
 
-// Router is told what a frame holds. Slices are good for the length of the call.
+// Router handles the messages that Decode finds. Slices are valid only until the method returns.
 type Router interface {
-	// Execute is one RPC; recv is in Unix seconds, ttl in seconds, +Inf where the router does not tell how long it waits.
-	// again marks a further try.
-	Execute(seq int32, op, call []byte, src int, recv, ttl, heap float64, again bool, dedupe, body []byte)
-	// Unreadable is an RPC of which something needed is missing or makes no sense.
-	Unreadable(seq int32, why string)
+	// Execute handles an RPC. src is the index of the caller, recv the time of its arrival at the router in Unix
+	// seconds, and heap its memory in KB. ttl is the time in seconds for which the router waits for the reply, +Inf
+	// where the router does not send it. retry marks a retry.
+	Execute(seq int32, op, call []byte, src int, recv, ttl, heap float64, retry bool, dedupe, body []byte)
+	// Unreadable handles an RPC of which the named field is missing or invalid.
+	Unreadable(seq int32, field string)
+	// Interrupt handles the cancellation of the RPC with sequence id target.
 	Interrupt(target int32)
+	// Check handles a health check.
 	Check(seq int32)
+	// Unknown handles a call of a method that does not exist.
 	Unknown(seq int32, method string)
 }
 
-// Frame gives the first whole frame of b and how many bytes it takes, 0 while it is not all there.
+// Frame returns the first frame of b without its length prefix, and its size with the prefix. The size is 0 while the
+// frame is incomplete. A length out of range is an error.
 func Frame(b []byte) (frame []byte, size int, err error) {
 	if len(b) < 4 {
 		return nil, 0, nil
 	}
 	n := binary.BigEndian.Uint32(b)
 	if n < 4 || n > MaxFrame {
-		return nil, 0, fmt.Errorf("thrift: a frame of %d bytes", int32(n))
+		return nil, 0, fmt.Errorf("thrift: frame length %d is out of range", int32(n))
 	}
 	if len(b) < 4+int(n) {
 		return nil, 0, nil
@@ -73,38 +83,39 @@
 	return b[4 : 4+n], 4 + int(n), nil
 }
 
-// Begun is what the start of a frame tells of an RPC that is not all there: enough to answer it unread.
+// Begun holds the fields of an RPC that are needed to reply to it before its frame is complete.
 type Begun struct {
-	Seq    int32
-	Method []byte
-	Token  []byte
-	Recv   float64
+	Seq    int32   // sequence id
+	Method []byte  // the method's name
+	Token  []byte  // idempotency token, empty if there is none
+	Recv   float64 // arrival at the router, in Unix seconds
 }
 
-// Peek reads the start of a frame, behind its length. It gives ok only where that is an RPC's and its fields are all
-// there, the body not yet.
-func Peek(b []byte) (k Begun, ok bool) {
-	r := reader{b: b}
-	kind, name, seq, err := r.head()
+// Peek decodes the start of a frame, without its length prefix. It returns ok only if the frame is an RPC's and all of
+// the map of fields is there, with a method; the body may be missing.
+func Peek(b []byte) (header Begun, ok bool) {
+	r := decoder{b: b}
+	kind, name, seq, err := r.messageHeader()
 	if err != nil || kind != msgCall || string(name) != "execute" || r.byte() != typeMap || r.i16() != 1 {
-		return k, false
+		return header, false
 	}
-	k.Seq = seq
-	r.pairs(func(key, value []byte) {
+	header.Seq = seq
+	r.stringMap(func(key, value []byte) {
 		switch string(key) {
 		case "op":
-			k.Method = value
+			header.Method = value
 		case "dedupe":
-			k.Token = value
+			header.Token = value
 		case "recv":
-			v, _ := number(value)
-			k.Recv = v / 1000
+			v, _ := parseDecimal(value)
+			header.Recv = v / 1000
 		}
 	})
-	return k, !r.short && len(k.Method) > 0
+	return header, !r.truncated && len(header.Method) > 0
 }
 
-// Length is how long the frame that begins b is to be, with its length field; 0 if that cannot be told.
+// Length returns the size of the frame at the start of b with its length prefix, or 0 if b is shorter than the prefix.
+// The size is not checked against MaxFrame.
 func Length(b []byte) int {
 	if len(b) < 4 {
 		return 0
@@ -112,22 +123,23 @@
 	return 4 + int(binary.BigEndian.Uint32(b))
 }
 
-// Decode tells to what a frame holds. After an error nothing on the connection can be trusted.
-func Decode(frame []byte, to Router) error {
-	r := reader{b: frame}
-	kind, name, seq, err := r.head()
+// Decode decodes the message in a frame from a router and passes it to the handler. After an error the connection must
+// be closed, since the rest of its data cannot be trusted.
+func Decode(frame []byte, handler Router) error {
+	r := decoder{b: frame}
+	kind, name, seq, err := r.messageHeader()
 	if err != nil {
 		return err
 	}
 	if kind != msgCall && kind != msgOneway {
-		return fmt.Errorf("thrift: message type %d", kind)
+		return fmt.Errorf("thrift: message type is %d, want 1 (call) or 4 (oneway)", kind)
 	}
 	switch string(name) {
 	case "execute":
-		return r.execute(seq, to)
+		return r.execute(seq, handler)
 	case "interrupt":
 		target, found := int32(0), false
-		err := r.fields(func(id int16, kind byte) bool {
+		err := r.structFields(func(id int16, kind byte) bool {
 			if id == 1 && kind == typeI32 {
 				target, found = r.i32(), true
 				return true
@@ -135,29 +147,30 @@
 			return false
 		})
 		if err == nil && found {
-			to.Interrupt(target)
+			handler.Interrupt(target)
 		}
 		return err
 	case "check":
-		err := r.fields(func(int16, byte) bool { return false })
+		err := r.structFields(func(int16, byte) bool { return false })
 		if err == nil {
-			to.Check(seq)
+			handler.Check(seq)
 		}
 		return err
 	}
-	if err := r.fields(func(int16, byte) bool { return false }); err != nil {
+	if err := r.structFields(func(int16, byte) bool { return false }); err != nil {
 		return err
 	}
 	if kind == msgCall {
-		to.Unknown(seq, string(name))
+		handler.Unknown(seq, string(name))
 	}
 	return nil
 }
 
-func (r *reader) execute(seq int32, to Router) error {
+// execute decodes the arguments of an RPC, validates them and passes them to the handler.
+func (r *decoder) execute(seq int32, handler Router) error {
 	var op, call, src, recv, ttl, heap, crit, dedupe, body []byte
-	again := false
-	err := r.fields(func(id int16, kind byte) bool {
+	retry := false
+	err := r.structFields(func(id int16, kind byte) bool {
 		switch {
 		case id == 2 && kind == typeString:
 			body = r.bytes()
@@ -165,7 +178,7 @@
 		case id != 1 || kind != typeMap:
 			return false
 		}
-		r.pairs(func(key, value []byte) {
+		r.stringMap(func(key, value []byte) {
 			switch string(key) {
 			case "op":
 				op = value
@@ -181,8 +194,8 @@
 				heap = value
 			case "crit":
 				crit = value
-			case "rep", "again": // again: of clients of earlier builds
-				again = again || marks(value)
+			case "rep", "again": // "again" is the name that clients of earlier builds use
+				retry = retry || isRetryMark(value)
 			case "dedupe":
 				dedupe = value
 			}
@@ -192,41 +205,41 @@
 	if err != nil {
 		return err
 	}
-	from, okSrc := number(src)
-	came, okRecv := number(recv)
-	left, okTTL := number(ttl)
-	if ttl == nil { // the settings say whether routers tell
-		left, okTTL = math.Inf(1), true
+	source, srcValid := parseDecimal(src)
+	receivedMillis, recvValid := parseDecimal(recv)
+	ttlMillis, ttlValid := parseDecimal(ttl)
+	if ttl == nil { // optional: the settings define whether routers send it
+		ttlMillis, ttlValid = math.Inf(1), true
 	}
-	size, okHeap := number(heap)
-	rank, okCrit := number(crit) // nothing here goes by it, but a figure out of range is no usual router's
+	heapKB, heapValid := parseDecimal(heap)
+	criticality, critValid := parseDecimal(crit) // not used, but a value out of range means that the router is faulty
 	switch {
 	case len(op) == 0:
-		to.Unreadable(seq, "op")
-	case !hex16(call):
-		to.Unreadable(seq, "call")
-	case !okSrc || from < 0 || from > math.MaxInt32 || from != math.Trunc(from):
-		to.Unreadable(seq, "src")
-	case !okRecv || came < 0 || came > lastMilli:
-		to.Unreadable(seq, "recv")
-	case !okTTL:
-		to.Unreadable(seq, "ttl")
-	case !okHeap || size <= 0 || size >= mostHeap:
-		to.Unreadable(seq, "heap")
-	case crit != nil && (!okCrit || rank < 0 || rank >= 1):
-		to.Unreadable(seq, "crit")
-	case len(dedupe) > mostToken:
-		to.Unreadable(seq, "dedupe")
+		handler.Unreadable(seq, "op")
+	case !isCallID(call):
+		handler.Unreadable(seq, "call")
+	case !srcValid || source < 0 || source > math.MaxInt32 || source != math.Trunc(source):
+		handler.Unreadable(seq, "src")
+	case !recvValid || receivedMillis < 0 || receivedMillis > maxUnixMillis:
+		handler.Unreadable(seq, "recv")
+	case !ttlValid:
+		handler.Unreadable(seq, "ttl")
+	case !heapValid || heapKB <= 0 || heapKB >= maxHeapKB:
+		handler.Unreadable(seq, "heap")
+	case crit != nil && (!critValid || criticality < 0 || criticality >= 1):
+		handler.Unreadable(seq, "crit")
+	case len(dedupe) > maxTokenLength:
+		handler.Unreadable(seq, "dedupe")
 	case len(body) > MaxBody:
-		to.Unreadable(seq, "body")
+		handler.Unreadable(seq, "body")
 	default:
-		to.Execute(seq, op, call, int(from), came/1000, left/1000, size, again, dedupe, body)
+		handler.Execute(seq, op, call, int(source), receivedMillis/1000, ttlMillis/1000, heapKB, retry, dedupe, body)
 	}
 	return nil
 }
 
-// marks tells whether the value of a mark sets it.
-func marks(value []byte) bool {
+// isRetryMark reports whether a value of the field "rep" marks a retry.
+func isRetryMark(value []byte) bool {
 	switch string(value) {
 	case "", "0", "false":
 		return false
@@ -234,7 +247,8 @@
 	return true
 }
 
-func hex16(b []byte) bool {
+// isCallID reports whether b consists of 16 hexadecimal digits.
+func isCallID(b []byte) bool {
 	for _, c := range b {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
 			return false
@@ -243,8 +257,9 @@
 	return len(b) == 16
 }
 
-// number reads a finite decimal number, and none of Go's other forms of one.
-func number(b []byte) (float64, bool) {
+// parseDecimal parses a finite decimal number. It rejects the other forms that strconv.ParseFloat accepts, such as
+// hexadecimal numbers, underscores, infinities and NaN.
+func parseDecimal(b []byte) (float64, bool) {
 	const decimal = "0123456789+-.eE"
 	for _, c := range b {
 		if strings.IndexByte(decimal, c) < 0 {
@@ -255,15 +270,17 @@
 	return v, err == nil
 }
 
-// reader takes values off a frame; short tells that one was not all there.
-type reader struct {
-	b     []byte
-	short bool
+// decoder decodes values from a frame. Once a value does not fit into the rest of the frame, that rest is dropped and
+// all further values are zero.
+type decoder struct {
+	b         []byte // the rest of the frame
+	truncated bool   // a value was longer than the rest of the frame, or malformed
 }
 
-func (r *reader) take(n int) []byte {
+// take returns the next n bytes, or nil if the frame has fewer.
+func (r *decoder) take(n int) []byte {
 	if n < 0 || n > len(r.b) {
-		r.short, r.b = true, nil
+		r.truncated, r.b = true, nil
 		return nil
 	}
 	v := r.b[:n]
@@ -271,117 +288,119 @@
 	return v
 }
 
-func (r *reader) byte() byte {
+func (r *decoder) byte() byte {
 	if v := r.take(1); v != nil {
 		return v[0]
 	}
 	return 0
 }
 
-func (r *reader) i16() int16 {
+func (r *decoder) i16() int16 {
 	if v := r.take(2); v != nil {
 		return int16(binary.BigEndian.Uint16(v))
 	}
 	return 0
 }
 
-func (r *reader) i32() int32 {
+func (r *decoder) i32() int32 {
 	if v := r.take(4); v != nil {
 		return int32(binary.BigEndian.Uint32(v))
 	}
 	return 0
 }
 
-func (r *reader) bytes() []byte { return r.take(int(r.i32())) }
+func (r *decoder) bytes() []byte { return r.take(int(r.i32())) }
 
-// head reads what each message begins with.
-func (r *reader) head() (kind byte, name []byte, seq int32, err error) {
-	head := uint32(r.i32())
+// messageHeader decodes the header of a message: version, message type, method name and sequence id.
+func (r *decoder) messageHeader() (kind byte, name []byte, seq int32, err error) {
+	versionAndKind := uint32(r.i32())
 	name, seq = r.bytes(), r.i32()
-	if r.short {
-		return 0, nil, 0, errShort
+	if r.truncated {
+		return 0, nil, 0, errTruncated
 	}
-	if head&0xffff0000 != version {
-		return 0, nil, 0, fmt.Errorf("thrift: version %#x", head)
+	if versionAndKind&0xffff0000 != version {
+		return 0, nil, 0, fmt.Errorf("thrift: message begins with %#x, want protocol version 0x8001", versionAndKind)
 	}
-	return byte(head), name, seq, nil
+	return byte(versionAndKind), name, seq, nil
 }
 
-// pairs goes through a map of strings.
-func (r *reader) pairs(take func(key, value []byte)) {
-	keys, values, n := r.byte(), r.byte(), r.i32()
-	if n < 0 || n > 0 && (keys != typeString || values != typeString) {
-		r.short = true // of no use to anybody
+// stringMap decodes a map of strings to strings and calls visit for each of its pairs.
+func (r *decoder) stringMap(visit func(key, value []byte)) {
+	keyKind, valueKind, n := r.byte(), r.byte(), r.i32()
+	if n < 0 || n > 0 && (keyKind != typeString || valueKind != typeString) {
+		r.truncated = true // a malformed map is handled like a truncated one
 		return
 	}
-	for ; n > 0 && !r.short; n-- {
-		if key, value := r.bytes(), r.bytes(); !r.short {
-			take(key, value)
+	for ; n > 0 && !r.truncated; n-- {
+		if key, value := r.bytes(), r.bytes(); !r.truncated {
+			visit(key, value)
 		}
 	}
 }
 
-// fields goes through a struct; take reads a field and says so, or the field is passed over.
-func (r *reader) fields(take func(id int16, kind byte) bool) error {
-	for !r.short {
+// structFields decodes the fields of a struct up to its stop field. visit either decodes the value of a field and
+// returns true, or returns false to have it skipped.
+func (r *decoder) structFields(visit func(id int16, kind byte) bool) error {
+	for !r.truncated {
 		kind := r.byte()
-		if kind == 0 && !r.short {
+		if kind == 0 && !r.truncated {
 			return nil
 		}
-		if id := r.i16(); !r.short && !take(id, kind) {
+		if id := r.i16(); !r.truncated && !visit(id, kind) {
 			if err := r.skip(kind, 0); err != nil {
 				return err
 			}
 		}
 	}
-	return errShort
+	return errTruncated
 }
 
-func (r *reader) skip(kind byte, depth int) error {
-	if depth > deepest {
-		return errors.New("thrift: nested too deep")
+// skip skips a value of the given type. depth is the number of skipped values that it is nested in.
+func (r *decoder) skip(kind byte, depth int) error {
+	if depth > maxNestingDepth {
+		return errors.New("thrift: skipped field is nested too deep")
 	}
 	switch kind {
-	case typeBool, 3:
+	case typeBool, 3: // 3: byte
 		r.take(1)
-	case 6:
+	case 6: // i16
 		r.take(2)
 	case typeI32:
 		r.take(4)
-	case 4, 10:
+	case 4, 10: // double and i64
 		r.take(8)
 	case typeString:
 		r.bytes()
 	case typeStruct:
-		for !r.short {
-			field := r.byte()
-			if field == 0 {
+		for !r.truncated {
+			fieldKind := r.byte()
+			if fieldKind == 0 {
 				break
 			}
 			r.i16()
-			if err := r.skip(field, depth+1); err != nil {
+			if err := r.skip(fieldKind, depth+1); err != nil {
 				return err
 			}
 		}
 	case typeMap, typeSet, typeList:
-		kinds := []byte{r.byte()}
+		elementKinds := []byte{r.byte()}
 		if kind == typeMap {
-			kinds = append(kinds, r.byte())
+			elementKinds = append(elementKinds, r.byte())
 		}
 		n := r.i32()
-		r.short = r.short || n < 0
-		for ; n > 0 && !r.short; n-- {
-			for _, k := range kinds {
+		r.truncated = r.truncated || n < 0
+		for ; n > 0 && !r.truncated; n-- {
+			for _, k := range elementKinds {
 				if err := r.skip(k, depth+1); err != nil {
 					return err
 				}
 			}
 		}
 	default:
-		return fmt.Errorf("thrift: value type %d", kind)
+		return fmt.Errorf("thrift: unknown type id %d in a skipped field", kind)
 	}
-	if r.short {
-		return errShort
+	if r.truncated {
+		return errTruncated
 	}
 	return nil
 }
