--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -83,8 +83,8 @@
 	return b[4 : 4+n], 4 + int(n), nil
 }
 
-// Begun holds the fields of an RPC that are needed to reply to it before its frame is complete.
-type Begun struct {
+// RPCHeader holds the fields of an RPC that are needed to reply to it before its frame is complete.
+type RPCHeader struct {
 	Seq    int32   // sequence id
 	Method []byte  // the method's name
 	Token  []byte  // idempotency token, empty if there is none
@@ -93,7 +93,7 @@
 
 // Peek decodes the start of a frame, without its length prefix. It returns ok only if the frame is an RPC's and all of
 // the map of fields is there, with a method; the body may be missing.
-func Peek(b []byte) (header Begun, ok bool) {
+func Peek(b []byte) (header RPCHeader, ok bool) {
 	r := decoder{b: b}
 	kind, name, seq, err := r.messageHeader()
 	if err != nil || kind != msgCall || string(name) != "execute" || r.byte() != typeMap || r.i16() != 1 {
