--- a/internal/thrift/answers.go
+++ b/internal/thrift/answers.go
@@ -7,9 +7,9 @@
 	"strconv"
 )
 
-// Asker handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is the
+// ReplyHandler handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is the
 // published credit, below 0 if there is none.
-type Asker interface {
+type ReplyHandler interface {
 	// Served handles the result of an RPC that ended ok.
 	Served(seq int32, result []byte, load float64)
 	// PushedBack handles the rejection of an RPC that did not run. last forbids a retry at another app server;
@@ -29,7 +29,7 @@
 
 // DecodeAnswer decodes the message in a frame from an app server and passes it to the handler. After an error the
 // connection must be closed, since the rest of its data cannot be trusted.
-func DecodeAnswer(frame []byte, handler Asker) error {
+func DecodeAnswer(frame []byte, handler ReplyHandler) error {
 	r := decoder{b: frame}
 	kind, name, seq, err := r.messageHeader()
 	if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // reply decodes the result of a call: an Answer, or one of the exceptions Trylater and Aborted.
-func (r *decoder) reply(seq int32, check bool, handler Asker) error {
+func (r *decoder) reply(seq int32, check bool, handler ReplyHandler) error {
 	const answerField, trylaterField, abortedField = 0, 1, 2 // field ids of the result struct
 	outcome := int16(-1)
 	var body []byte
--- a/rig/router.go
+++ b/rig/router.go
@@ -139,7 +139,7 @@
 
 // ReadAnswers passes each answer that an app server sends on a connection to its asker. It returns once the connection has
 // ended, or has carried what is no answer.
-func ReadAnswers(conn io.Reader, to thrift.Asker) {
+func ReadAnswers(conn io.Reader, to thrift.ReplyHandler) {
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
