--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -51,8 +51,8 @@
 // errTruncated reports a value that is longer than the rest of its frame, or of an invalid size or type.
 var errTruncated = errors.New("thrift: the frame ends inside a message, or a value in it is malformed")
 
-// Router handles the messages that Decode finds. Slices are valid only until the method returns.
-type Router interface {
+// RequestHandler handles the messages that Decode finds. Slices are valid only until the method returns.
+type RequestHandler interface {
 	// Execute handles an RPC. src is the index of the caller, recv the time of its arrival at the router in Unix
 	// seconds, and heap its memory in KB. ttl is the time in seconds for which the router waits for the reply, +Inf
 	// where the router does not send it. retry marks a retry.
@@ -125,7 +125,7 @@
 
 // Decode decodes the message in a frame from a router and passes it to the handler. After an error the connection must
 // be closed, since the rest of its data cannot be trusted.
-func Decode(frame []byte, handler Router) error {
+func Decode(frame []byte, handler RequestHandler) error {
 	r := decoder{b: frame}
 	kind, name, seq, err := r.messageHeader()
 	if err != nil {
@@ -167,7 +167,7 @@
 }
 
 // execute decodes the arguments of an RPC, validates them and passes them to the handler.
-func (r *decoder) execute(seq int32, handler Router) error {
+func (r *decoder) execute(seq int32, handler RequestHandler) error {
 	var op, call, src, recv, ttl, heap, crit, dedupe, body []byte
 	retry := false
 	err := r.structFields(func(id int16, kind byte) bool {
