--- a/config/config.go
+++ b/config/config.go
@@ -92,7 +92,7 @@
 	root.Number("stop_ms", &stopMS)
 	limits := root.Object("limits")
 	limits.Number("memory_mb", &memoryMB)
-	limits.Whole("sockets", &c.Sockets)
+	limits.Integer("sockets", &c.Sockets)
 	limits.Number("cores", &c.Cores)
 	c.StopTimeout, c.Memory = stopMS/1000, int(min(memoryMB, maxMemoryMB)*(1<<20))
 }
--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// Whole reads an integer in any JSON form, such as 6, 6.0 or 6e0, clamped to the range from -math.MaxInt32 to
+// Integer reads an integer in any JSON form, such as 6, 6.0 or 6e0, clamped to the range from -math.MaxInt32 to
 // math.MaxInt32.
-func (o *Object) Whole(key string, into *int) {
+func (o *Object) Integer(key string, into *int) {
 	parsed := float64(*into)
 	o.Number(key, &parsed)
 	if parsed != math.Trunc(parsed) {
--- a/internal/jsonobject/jsonobject_test.go
+++ b/internal/jsonobject/jsonobject_test.go
@@ -28,13 +28,13 @@
 	o.Number("huge", &number)
 	fmt.Println(text, flag, number)
 	for _, key := range []string{"six", "seven", "huge", "null"} {
-		o.Whole(key, &whole)
+		o.Integer(key, &whole)
 		fmt.Println(key, whole)
 	}
 	nested := o.Object("in")
 	fmt.Println(nested.Flags("flags"), nested.Numbers("numbers"), nested.Texts("texts"), nested.Flags("absent"))
 	for element := range o.Objects("list") {
-		element.Whole("k", &whole)
+		element.Integer("k", &whole)
 		fmt.Println(element.Path("k"), element.Has("k"), whole)
 	}
 	o.ObjectIfAny("text").Flag("k", &flag)
@@ -61,11 +61,11 @@
 		func(o *Object) { o.Object("in").Numbers("array") },
 		func(o *Object) {
 			for element := range o.Object("in").Objects("array") {
-				element.Whole("k", new(int))
+				element.Integer("k", new(int))
 			}
 		},
 		func(o *Object) { o.Object("half") },
-		func(o *Object) { o.Whole("half", new(int)) },
+		func(o *Object) { o.Integer("half", new(int)) },
 		func(o *Object) { o.Object("in").Fail("x", "first"); o.Fail("y", "second") },
 	} {
 		o := parseOrPrint(`{"in":{"array":[{},{"k":1.5}]},"half":0.5}`)
@@ -100,7 +100,7 @@
 		number, whole := 0.0, 0
 		for _, in := range slices.Concat(slices.Collect(o.Objects("k")), []*Object{o, o.ObjectIfAny("k")}) {
 			in.Number("k", &number)
-			in.Whole("k", &whole)
+			in.Integer("k", &whole)
 			in.Texts("k")
 		}
 		if math.IsNaN(number) || math.Abs(number) > Largest {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,8 +96,8 @@
 	if m.Downstream != "none" {
 		m.CallsDownstream = domain.Flags("callsByClass")
 	}
-	domain.Whole("callers", &m.Callers)
-	domain.Whole("nCores", &m.Cores)
+	domain.Integer("callers", &m.Callers)
+	domain.Integer("nCores", &m.Cores)
 	m.Gauges = domain.Texts("ownStats")
 	domain.Number("keepaliveMaxS", &m.KeepAlive)
 	domain.Number("entryKb", &m.EntryKB)
@@ -123,6 +123,6 @@
 		s.Tenants = append(s.Tenants, t)
 	}
 	o.Number("overShareWorth", &s.OverShareWorth)
-	o.Whole("replicasOfMe", &s.Replicas)
+	o.Integer("replicasOfMe", &s.Replicas)
 	o.Object("domain").Number("freshS", &s.Machine.ResultTTL)
 }
