--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -21,9 +21,9 @@
 
 func (e *Error) Error() string { return e.Path + ": " + e.Reason }
 
-// Largest is the largest absolute value of a number; greater ones are clamped to it, as no server treats them
+// MaxNumber is the largest absolute value of a number; greater ones are clamped to it, as no server treats them
 // differently: in seconds it is thirty million years. Sums and products of a few such numbers stay finite.
-const Largest = 1e15
+const MaxNumber = 1e15
 
 // rawFields maps the keys of an object to their values, which are decoded only when read: most of a large file may be
 // unused.
@@ -171,7 +171,7 @@
 func (o *Object) number(key string, index int, raw json.RawMessage, into *float64) {
 	if o.has(key, index, raw, number) {
 		parsed, _ := strconv.ParseFloat(string(raw), 64) // a number out of range gives an infinity
-		*into = min(max(parsed, -Largest), Largest)
+		*into = min(max(parsed, -MaxNumber), MaxNumber)
 	}
 }
 
--- a/internal/jsonobject/jsonobject_test.go
+++ b/internal/jsonobject/jsonobject_test.go
@@ -103,7 +103,7 @@
 			in.Integer("k", &whole)
 			in.Texts("k")
 		}
-		if math.IsNaN(number) || math.Abs(number) > Largest {
+		if math.IsNaN(number) || math.Abs(number) > MaxNumber {
 			t.Error(number)
 		}
 	})
--- a/server/fields_test.go
+++ b/server/fields_test.go
@@ -213,13 +213,13 @@
 // Durations of any length neither overflow nor become zero: an idle connection with an unlimited keepalive stays,
 // retry-after delays stay positive, and RPCs are answered.
 func Example_longDurations() {
-	for _, duration := range []float64{-jsonobject.Largest, -1e308, 1e308, math.Inf(1), jsonobject.Largest} {
+	for _, duration := range []float64{-jsonobject.MaxNumber, -1e308, 1e308, math.Inf(1), jsonobject.MaxNumber} {
 		fmt.Println(duration, seconds(duration) > 0)
 	}
 	h := newPreparedHarness(func(c *config.Config) {
-		c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime = jsonobject.Largest, jsonobject.Largest
+		c.Rules.Machine.KeepAlive, c.Rules.Rules.RampTime = jsonobject.MaxNumber, jsonobject.MaxNumber
 		c.Rules.Machine.Downstream, c.Rules.Machine.CallsDownstream = "tier", []bool{false, true}
-		c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = true, jsonobject.Largest
+		c.Rules.Ceilings.RetryAfter, c.Rules.Ceilings.MaxRetryAfter = true, jsonobject.MaxNumber
 	}, zap.NewNop(), func(s *Server) { s.idleCheckInterval = time.Millisecond })
 	h.coldStart = true
 	h.bootKernel()
