--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -90,9 +90,9 @@
 	return o.object(key, notInArray, o.fields[key])
 }
 
-// ObjectIfAny is like Object, but returns an empty object instead of recording an error if the value is of another
+// ObjectOrEmpty is like Object, but returns an empty object instead of recording an error if the value is of another
 // type.
-func (o *Object) ObjectIfAny(key string) *Object {
+func (o *Object) ObjectOrEmpty(key string) *Object {
 	if typeOf(o.fields[key]) != object {
 		return o.object(key, notInArray, nil)
 	}
--- a/internal/jsonobject/jsonobject_test.go
+++ b/internal/jsonobject/jsonobject_test.go
@@ -37,7 +37,7 @@
 		element.Integer("k", &whole)
 		fmt.Println(element.Path("k"), element.Has("k"), whole)
 	}
-	o.ObjectIfAny("text").Flag("k", &flag)
+	o.ObjectOrEmpty("text").Flag("k", &flag)
 	o.Object("null").Flag("k", &flag)
 	fmt.Println(flag, o.Err())
 	// Output:
@@ -98,7 +98,7 @@
 			return
 		}
 		number, whole := 0.0, 0
-		for _, in := range slices.Concat(slices.Collect(o.Objects("k")), []*Object{o, o.ObjectIfAny("k")}) {
+		for _, in := range slices.Concat(slices.Collect(o.Objects("k")), []*Object{o, o.ObjectOrEmpty("k")}) {
 			in.Number("k", &number)
 			in.Integer("k", &whole)
 			in.Texts("k")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,7 +49,7 @@
 	rules.Number("startCapacity", &s.Rules.StartCapacity)
 	rules.Number("rampTimeS", &s.Rules.RampTime)
 	rules.Number("fallS", &s.Rules.OverloadWindow)
-	o.ObjectIfAny("clients").Flag("marksRetry", &s.Clients.MarksRetry)
+	o.ObjectOrEmpty("clients").Flag("marksRetry", &s.Clients.MarksRetry)
 	ceilings := o.Object("ceilings")
 	ceilings.Flag("retryAfter", &s.Ceilings.RetryAfter)
 	ceilings.Number("maxRetryAfterS", &s.Ceilings.MaxRetryAfter)
