--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -59,7 +59,8 @@
 	return &Object{fields: fields, firstErr: new(error)}, nil
 }
 
-// Err returns the first error found so far in any object of the document, or nil. See Detached for the exception.
+// Err returns the first error found so far in any object of the document, or nil. Detached objects record
+// theirs separately.
 func (o *Object) Err() error { return *o.firstErr }
 
 // Detached returns a copy of the object that records errors separately, for keys whose errors must not invalidate the
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// closeTimeout is long enough for all pending lines to be written on a slow machine.
 const closeTimeout = 20 * time.Second
 
 // blockingWriter is a writer whose writes block until unblock is closed.
@@ -51,7 +52,7 @@
 	<-g.started // the first line is being written, and blocked there
 	for range 5 {
 		if n, err := s.Write([]byte(line)); n != len(line) || err != nil {
-			t.Fatalf("Write returned %d, %v; want %d, nil", n, err, len(line))
+			t.Fatalf("Write returned %d, %v; want the length of the line and no error", n, err)
 		}
 	}
 	if s.Dropped() != 3 {
