--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// closeTimeout is long enough for all pending lines to be written on a slow machine.
+// closeTimeout bounds Close where all pending lines are expected to be written.
 const closeTimeout = 20 * time.Second
 
 // blockingWriter is a writer whose writes block until unblock is closed.
--- a/internal/thrift/answers.go
+++ b/internal/thrift/answers.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// ReplyHandler handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is the
-// published credit, below 0 if there is none.
+// ReplyHandler handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is
+// the published credit, below 0 if there is none.
 type ReplyHandler interface {
 	// Served handles the result of an RPC that ended ok.
 	Served(seq int32, result []byte, load float64)
