--- a/internal/jsonobject/jsonobject_test.go
+++ b/internal/jsonobject/jsonobject_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func parse(text string) *Object {
+func parseOrPrint(text string) *Object {
 	o, err := Parse([]byte(text))
 	if err != nil {
 		fmt.Println(err)
@@ -15,9 +15,9 @@
 	return o
 }
 
-// Values of every type, whole numbers in every form; what is absent or null leaves the default.
+// Values of every type and integers in every form are read; an absent or null key leaves the default unchanged.
 func Example_values() {
-	o := parse(`{"text":"<&>","flag":true,"six":6.0,"seven":7e0,"huge":1e999,"null":null,"unasked":[{"x":1e999}],
+	o := parseOrPrint(`{"text":"<&>","flag":true,"six":6.0,"seven":7e0,"huge":1e999,"null":null,"unasked":[{"x":1e999}],
 		"in":{"flags":[true,null],"numbers":[1,null,2.5],"texts":["a",null]},"list":[{"k":1},null]}`)
 	text, flag, number, whole := "default", false, 1.5, 3
 	o.Text("null", &text)
@@ -28,16 +28,16 @@
 	o.Number("huge", &number)
 	fmt.Println(text, flag, number)
 	for _, key := range []string{"six", "seven", "huge", "null"} {
-		o.Whole(key, &whole)
+		o.Integer(key, &whole)
 		fmt.Println(key, whole)
 	}
-	in := o.Object("in")
-	fmt.Println(in.Flags("flags"), in.Numbers("numbers"), in.Texts("texts"), in.Flags("absent"))
+	nested := o.Object("in")
+	fmt.Println(nested.Flags("flags"), nested.Numbers("numbers"), nested.Texts("texts"), nested.Flags("absent"))
 	for element := range o.Objects("list") {
-		element.Whole("k", &whole)
+		element.Integer("k", &whole)
 		fmt.Println(element.Path("k"), element.Has("k"), whole)
 	}
-	o.ObjectIfAny("text").Flag("k", &flag)
+	o.ObjectOrEmpty("text").Flag("k", &flag)
 	o.Object("null").Flag("k", &flag)
 	fmt.Println(flag, o.Err())
 	// Output:
@@ -53,7 +53,7 @@
 	// true <nil>
 }
 
-// What is asked for and has another type is named by its path, the first one alone.
+// A value of the wrong type is reported with the path of its key. Only the first error is kept.
 func Example_errors() {
 	for _, read := range []func(o *Object){
 		func(o *Object) { o.Text("in", new(string)) },
@@ -61,21 +61,21 @@
 		func(o *Object) { o.Object("in").Numbers("array") },
 		func(o *Object) {
 			for element := range o.Object("in").Objects("array") {
-				element.Whole("k", new(int))
+				element.Integer("k", new(int))
 			}
 		},
 		func(o *Object) { o.Object("half") },
-		func(o *Object) { o.Whole("half", new(int)) },
+		func(o *Object) { o.Integer("half", new(int)) },
 		func(o *Object) { o.Object("in").Fail("x", "first"); o.Fail("y", "second") },
 	} {
-		o := parse(`{"in":{"array":[{},{"k":1.5}]},"half":0.5}`)
+		o := parseOrPrint(`{"in":{"array":[{},{"k":1.5}]},"half":0.5}`)
 		read(o)
 		fmt.Println(o.Err())
 	}
-	parse("")
-	parse("[]")
-	parse("{} {}")
-	parse(" null ")
+	parseOrPrint("")
+	parseOrPrint("[]")
+	parseOrPrint("{} {}")
+	parseOrPrint(" null ")
 	// Output:
 	// in: a JSON object where a string is wanted
 	// in.array: a JSON array where true or false is wanted
@@ -98,12 +98,12 @@
 			return
 		}
 		number, whole := 0.0, 0
-		for _, in := range slices.Concat(slices.Collect(o.Objects("k")), []*Object{o, o.ObjectIfAny("k")}) {
+		for _, in := range slices.Concat(slices.Collect(o.Objects("k")), []*Object{o, o.ObjectOrEmpty("k")}) {
 			in.Number("k", &number)
-			in.Whole("k", &whole)
+			in.Integer("k", &whole)
 			in.Texts("k")
 		}
-		if math.IsNaN(number) || math.Abs(number) > Largest {
+		if math.IsNaN(number) || math.Abs(number) > MaxNumber {
 			t.Error(number)
 		}
 	})
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,4 +1,5 @@
-// Package logsink takes log lines without ever waiting for whoever reads them. Lines that find no room are dropped and counted.
+// Package logsink provides a log writer that never blocks its callers on a slow or failing destination. Lines that do
+// not fit into its buffer are dropped and counted.
 package logsink
 
 import (
@@ -9,30 +10,33 @@
 	"time"
 )
 
-// Sink is an io.Writer of whole lines in front of a writer that may block or fail. It is safe for use by many goroutines.
+// Sink is an io.Writer that buffers whole lines for a destination that may block or fail. It is safe for concurrent
+// use.
 type Sink struct {
-	to       io.Writer
-	capacity int
+	destination io.Writer
+	capacity    int // limit of pending, in bytes
 
-	mu      sync.Mutex
-	pending []byte
-	spare   []byte
-	dropped int
-	closed  bool
+	mu         sync.Mutex
+	pending    []byte // lines not yet handed to the destination
+	spare      []byte // empty buffer, used for pending after the next swap
+	unreported int    // lines dropped and not yet reported in the log
+	closed     bool
 
-	wake    chan struct{} // holds one while lines are pending
-	written chan struct{} // closed once everything is written after Close
-	lost    atomic.Int64  // lines dropped since the start, see Dropped
+	wake         chan struct{} // holds a token while lines are pending
+	written      chan struct{} // closed after Close, once all pending lines are written
+	totalDropped atomic.Int64  // lines dropped since the start, see Dropped
 }
 
-// New starts a sink that keeps at most capacity bytes for to, and as many that are being written.
-func New(to io.Writer, capacity int) *Sink {
-	s := &Sink{to: to, capacity: capacity, wake: make(chan struct{}, 1), written: make(chan struct{})}
+// New starts a sink that writes to the given destination. It buffers at most capacity bytes, in addition to at most as
+// many that are being written.
+func New(destination io.Writer, capacity int) *Sink {
+	s := &Sink{destination: destination, capacity: capacity, wake: make(chan struct{}, 1), written: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes one line, or drops it. It neither blocks nor fails.
+// Write buffers one line, or drops it if it does not fit or the sink is closed. It neither blocks on the destination
+// nor returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,34 +49,36 @@
 	return len(line), nil
 }
 
-// Sync does nothing: whoever writes a line never waits for it. See Close.
+// Sync does nothing, since callers that log must never wait for the destination. Close flushes the buffer.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped is how many lines have been dropped since the start.
-func (s *Sink) Dropped() int { return int(s.lost.Load()) }
+// Dropped returns the number of lines dropped since the start.
+func (s *Sink) Dropped() int { return int(s.totalDropped.Load()) }
 
-// Close takes no more lines, and waits at most so long until those that it has are written. It reports whether they are.
-func (s *Sink) Close(within time.Duration) bool {
+// Close stops accepting lines and waits at most the given time until the buffered ones are written. It reports whether
+// they were.
+func (s *Sink) Close(timeout time.Duration) bool {
 	s.mu.Lock()
 	s.closed = true
 	s.signal()
 	s.mu.Unlock()
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-s.written:
 		return true
-	case <-late.C:
+	case <-timer.C:
 		return false
 	}
 }
 
-// drop is called under the lock.
+// drop counts dropped lines. The caller holds s.mu.
 func (s *Sink) drop(lines int) {
-	s.dropped += lines
-	s.lost.Add(int64(lines))
+	s.unreported += lines
+	s.totalDropped.Add(int64(lines))
 }
 
+// signal wakes run, unless a wake-up is already queued.
 func (s *Sink) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -80,12 +86,12 @@
 	}
 }
 
-// run writes what is pending until the sink is closed and everything is written.
+// run writes pending lines until the sink is closed and all of them are written.
 func (s *Sink) run() {
 	defer close(s.written)
 	for range s.wake {
 		for {
-			lines, dropped, closed := s.take()
+			lines, dropped, closed := s.swapBuffers()
 			if len(lines) == 0 && dropped == 0 {
 				if closed {
 					return
@@ -97,21 +103,23 @@
 	}
 }
 
-// take swaps the buffers.
-func (s *Sink) take() (lines []byte, dropped int, closed bool) {
+// swapBuffers returns the pending lines and the number of unreported dropped ones, and makes the spare buffer the
+// pending one.
+func (s *Sink) swapBuffers() (lines []byte, dropped int, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines, dropped = s.pending, s.dropped
+	lines, dropped = s.pending, s.unreported
 	s.pending, s.spare = s.spare[:0], nil
-	s.dropped = 0
+	s.unreported = 0
 	return lines, dropped, s.closed
 }
 
-// write brings lines to the writer, and then how many were dropped behind them. What a writer that fails does not take is lost.
+// write passes lines to the destination, followed by a message with the number of lines dropped after them. Lines for
+// which the destination returns an error are lost.
 func (s *Sink) write(lines []byte, dropped int) {
-	s.to.Write(lines)
+	s.destination.Write(lines)
 	if dropped > 0 {
-		fmt.Fprintf(s.to, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", dropped)
+		fmt.Fprintf(s.destination, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", dropped)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
