--- a/fleet/distribution.go
+++ b/fleet/distribution.go
@@ -43,38 +43,38 @@
 // Distribution is one process's part in the distribution of configuration: a voter's copy of the log, a distributor's feed, and
 // an app server's subscription, each as far as the process has that part. Nothing that an RPC waits for waits for it.
 type Distribution struct {
-	cfg      DistributionConfig
-	log      *zap.Logger
-	opener   StreamOpener
-	send     func(to string, packet []byte)
-	leader   func() (name string, known bool)
-	table    atomic.Pointer[TableState]
-	started  float64
-	replica  *replicaLoop
-	feed     *feedLoop
-	follower *followerLoop
-	cache    *lookupCache
-	counts   distributionCounts
+	cfg       DistributionConfig
+	log       *zap.Logger
+	opener    StreamOpener
+	send      func(to string, packet []byte)
+	leader    func() (name string, known bool)
+	table     atomic.Pointer[TableState]
+	startedAt float64
+	replica   *replicaLoop
+	feed      *feedLoop
+	follower  *followerLoop
+	cache     *lookupCache
+	counts    distributionCounts
 }
 
 // distributionCounts counts what was refused or dropped, for Status.
 type distributionCounts struct {
-	malformedPackets atomic.Int64
-	droppedPackets   atomic.Int64
-	malformedFrames  atomic.Int64
-	refusedFrames    atomic.Int64 // by the follower's machine
-	slowSubscribers  atomic.Int64
-	refusedChanges   atomic.Int64
-	unreadable       atomic.Int64 // committed changes that this version of the program can not read
-	failedWrites     atomic.Int64
-	skippedWrites    atomic.Int64 // of an app server's own file: a whole file is written later instead
+	malformedPackets  atomic.Int64
+	droppedPackets    atomic.Int64
+	malformedFrames   atomic.Int64
+	rejectedFrames    atomic.Int64 // by the follower's machine
+	slowSubscribers   atomic.Int64
+	rejectedChanges   atomic.Int64
+	unreadableChanges atomic.Int64 // committed changes that this version of the program can not read
+	failedWrites      atomic.Int64
+	skippedWrites     atomic.Int64 // of an app server's own file: a whole file is written later instead
 }
 
-// roleName is the elected role of the log's leader.
-const roleName = "config"
+// configRoleName is the elected role of the log's leader.
+const configRoleName = "config"
 
-// distributionTick is how often machines are told of time.
-const distributionTick = 50 * time.Millisecond
+// distributionTickInterval is how often machines are told of time.
+const distributionTickInterval = 50 * time.Millisecond
 
 // Distribute prepares this process's part in the distribution of configuration; nothing is sent before its Run. It is called
 // once, before Run of the fleet.
@@ -84,13 +84,13 @@
 	}
 	d := newDistribution(cfg, opener, f.log)
 	d.send = f.transport.Send
-	d.leader = func() (string, bool) { return f.roleOwner(roleName) }
+	d.leader = func() (string, bool) { return f.roleOwner(configRoleName) }
 	if d.replica != nil {
-		if err := f.Campaign(roleName, d.lead); err != nil {
+		if err := f.Campaign(configRoleName, d.lead); err != nil {
 			return nil, err
 		}
 		f.mu.Lock()
-		f.roles[roleName].ready = d.replica.ready.Load
+		f.roles[configRoleName].ready = d.replica.ready.Load
 		f.mu.Unlock()
 	}
 	f.distribution.Store(d)
@@ -112,18 +112,18 @@
 	if len(cfg.Distributors) == 0 {
 		cfg.Distributors = uniqueNames(cfg.Voters)
 	}
-	d := &Distribution{cfg: cfg, log: log, opener: opener, started: clock(), cache: newLookupCache(), leader: unknownLeader,
+	d := &Distribution{cfg: cfg, log: log, opener: opener, startedAt: clock(), cache: newLookupCache(), leader: unknownLeader,
 		send: func(string, []byte) { /* no other voter to send to */ }}
 	d.table.Store(&TableState{})
 	voters := uniqueNames(cfg.Voters)
-	votes, distributes := slices.Contains(voters, cfg.Name), slices.Contains(cfg.Distributors, cfg.Name)
-	if votes || distributes {
+	isVoter, isDistributor := slices.Contains(voters, cfg.Name), slices.Contains(cfg.Distributors, cfg.Name)
+	if isVoter || isDistributor {
 		d.feed = newFeedLoop(d)
 	}
 	switch {
-	case votes:
+	case isVoter:
 		d.replica = newReplicaLoop(d)
-	case distributes:
+	case isDistributor:
 		d.follower = newFollowerLoop(d, followerScope{all: true, distributors: voters})
 	default:
 		d.follower = newFollowerLoop(d, followerScope{all: cfg.AllServices, services: cfg.Services, distributors: cfg.Distributors})
@@ -170,7 +170,7 @@
 	if d.cfg.Socket != "" {
 		run("socket", d.serveSocket)
 	}
-	run("age", d.watchAge)
+	run("age", d.watchStaleness)
 	<-ctx.Done()
 	return nil
 }
@@ -233,20 +233,20 @@
 	}
 }
 
-// watchAge logs once when the configuration becomes too old, and once when it no longer is.
-func (d *Distribution) watchAge(ctx context.Context) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+// watchStaleness logs once when the configuration becomes too old, and once when it no longer is.
+func (d *Distribution) watchStaleness(ctx context.Context) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	stale := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		status := d.Status()
 		// At a start the age is unknown until the first word of a distributor: that is given as long as an age may be.
-		if status.Stale == stale || status.Stale && clock()-d.started < d.cfg.StaleAfter {
+		if status.Stale == stale || status.Stale && clock()-d.startedAt < d.cfg.StaleAfter {
 			continue
 		}
 		stale = status.Stale
--- a/fleet/distribution_apply.go
+++ b/fleet/distribution_apply.go
@@ -32,7 +32,7 @@
 	return applyReply{Version: version}
 }
 
-func truncate(text string, most int) string { return text[:min(len(text), most)] }
+func truncate(text string, maxBytes int) string { return text[:min(len(text), maxBytes)] }
 
 func (d *Distribution) apply(ctx context.Context, request applyRequest) (configlog.Version, error) {
 	if len(request.Text) > MaxChangeText || len(request.Path) > maxChangePath {
@@ -43,7 +43,7 @@
 	}
 	changes, err := configtable.ParseChanges(request.Path, request.Text)
 	if err != nil {
-		d.counts.refusedChanges.Add(1)
+		d.counts.rejectedChanges.Add(1)
 		return configlog.Version{}, err
 	}
 	if len(changes) == 0 {
@@ -53,9 +53,9 @@
 	if err != nil {
 		return configlog.Version{}, err
 	}
-	if fault := (*configtable.ChangeError)(nil); errors.As(outcome.Err, &fault) {
-		return configlog.Version{}, &configtable.LineError{Path: request.Path, Line: changeLine(request.Text, outcome.At),
-			Name: changes[outcome.At].Name, Reason: fault.Error()}
+	if changeErr := (*configtable.ChangeError)(nil); errors.As(outcome.Err, &changeErr) {
+		return configlog.Version{}, &configtable.LineError{Path: request.Path, Line: changeLine(request.Text, outcome.FaultIndex),
+			Name: changes[outcome.FaultIndex].Name, Reason: changeErr.Error()}
 	}
 	return outcome.Version, outcome.Err
 }
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	proposed := changesProposed{changes, make(chan proposalOutcome, 1)}
-	if err := d.replica.tell(ctx, proposed); err != nil {
+	if err := d.replica.enqueue(ctx, proposed); err != nil {
 		return proposalOutcome{}, err
 	}
 	select {
@@ -77,15 +77,15 @@
 }
 
 // changeLine is the line of the change of a number, from 0: blank lines and comments are none.
-func changeLine(text []byte, number int) int {
+func changeLine(text []byte, changeIndex int) int {
 	for k, line := range strings.Split(string(text), "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if number == 0 {
+		if changeIndex == 0 {
 			return k + 1
 		}
-		number--
+		changeIndex--
 	}
 	return 0
 }
@@ -103,30 +103,30 @@
 		request.Forwarded = true
 		return d.forwardTo(ctx, leader, request)
 	}
-	failed := errNotLeader
+	lastErr := errNotLeader
 	for _, voter := range uniqueNames(d.cfg.Voters) {
 		version, err := d.forwardTo(ctx, voter, request)
-		if unreached := (*unreachedError)(nil); !errors.As(err, &unreached) {
+		if unreached := (*unreachableError)(nil); !errors.As(err, &unreached) {
 			return version, err
 		}
-		failed = err
+		lastErr = err
 	}
-	return configlog.Version{}, failed
+	return configlog.Version{}, lastErr
 }
 
-// unreachedError tells that nothing was asked of another app server, as it could not be reached.
-type unreachedError struct{ err error }
+// unreachableError tells that nothing was asked of another app server, as it could not be reached.
+type unreachableError struct{ err error }
 
-func (e *unreachedError) Error() string { return e.err.Error() }
-func (e *unreachedError) Unwrap() error { return e.err }
+func (e *unreachableError) Error() string { return e.err.Error() }
+func (e *unreachableError) Unwrap() error { return e.err }
 
 // forwardTo asks another app server to apply a text.
 func (d *Distribution) forwardTo(ctx context.Context, name string, request applyRequest) (configlog.Version, error) {
-	opening, cancel := context.WithTimeout(ctx, connectTimeout)
-	stream, err := d.opener.OpenStream(opening, name)
+	openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := d.opener.OpenStream(openCtx, name)
 	cancel()
 	if err != nil {
-		return configlog.Version{}, &unreachedError{err}
+		return configlog.Version{}, &unreachableError{err}
 	}
 	defer stream.Close()
 	if err := stream.WriteFrame(encodeFrame(request), frameWriteTimeout); err != nil {
--- a/fleet/distribution_codec.go
+++ b/fleet/distribution_codec.go
@@ -22,7 +22,7 @@
 type fieldCodec interface {
 	byte(*byte)
 	number(*uint64) // of at most maxIndex
-	any64(*uint64)  // of any value, such as an identifier
+	uint64(*uint64) // of any value, such as an identifier
 	seconds(*float64)
 	flag(*bool)
 	text(*string)
@@ -60,12 +60,12 @@
 	}
 }
 
-// usualMessage is the capacity in bytes that most messages are encoded in without growing it.
-const usualMessage = 128
+// typicalMessageBytes is the capacity in bytes that most messages are encoded in without growing it.
+const typicalMessageBytes = 128
 
 // encodeMessage returns a prefix with the kind and the fields of a message after it, or nil for a type that has no format.
 func encodeMessage(formats []messageFormat, prefix string, message any) []byte {
-	w := messageWriter{out: append(make([]byte, 0, usualMessage), prefix...)}
+	w := messageWriter{out: append(make([]byte, 0, typicalMessageBytes), prefix...)}
 	for _, format := range formats {
 		if format.write(&w, message) {
 			return w.out
@@ -125,8 +125,8 @@
 type messageWriter struct{ out []byte }
 
 func (w *messageWriter) byte(b *byte)     { w.out = append(w.out, *b) }
-func (w *messageWriter) number(n *uint64) { w.any64(n) }
-func (w *messageWriter) any64(n *uint64)  { w.out = binary.BigEndian.AppendUint64(w.out, *n) }
+func (w *messageWriter) number(n *uint64) { w.uint64(n) }
+func (w *messageWriter) uint64(n *uint64) { w.out = binary.BigEndian.AppendUint64(w.out, *n) }
 func (w *messageWriter) text(s *string)   { w.count(len(*s)); w.out = append(w.out, *s...) }
 func (w *messageWriter) bytes(b *[]byte)  { w.count(len(*b)); w.out = append(w.out, *b...) }
 func (w *messageWriter) ok() bool         { return true }
@@ -173,13 +173,13 @@
 	return taken
 }
 
-func (r *messageReader) byte(b *byte)    { *b = r.take(1)[0] }
-func (r *messageReader) any64(n *uint64) { *n = binary.BigEndian.Uint64(r.take(8)) }
-func (r *messageReader) count(int) int   { return int(binary.BigEndian.Uint16(r.take(2))) }
-func (r *messageReader) text(s *string)  { *s = string(r.take(r.count(0))) }
+func (r *messageReader) byte(b *byte)     { *b = r.take(1)[0] }
+func (r *messageReader) uint64(n *uint64) { *n = binary.BigEndian.Uint64(r.take(8)) }
+func (r *messageReader) count(int) int    { return int(binary.BigEndian.Uint16(r.take(2))) }
+func (r *messageReader) text(s *string)   { *s = string(r.take(r.count(0))) }
 
 func (r *messageReader) number(n *uint64) {
-	if r.any64(n); *n > maxIndex {
+	if r.uint64(n); *n > maxIndex {
 		r.invalid()
 		*n = 0
 	}
@@ -187,7 +187,7 @@
 
 func (r *messageReader) seconds(s *float64) {
 	var bits uint64
-	r.any64(&bits)
+	r.uint64(&bits)
 	*s = math.Float64frombits(bits)
 	if !(*s >= 0 && *s <= maxSeconds) || math.Signbit(*s) {
 		r.invalid()
--- a/fleet/distribution_feed.go
+++ b/fleet/distribution_feed.go
@@ -13,14 +13,14 @@
 
 // Bounds and times of a distributor.
 const (
-	feedInbox         = 256     // events that may wait; whoever tells more waits itself
-	feedHistory       = 50_000  // entries kept for app servers that come back: thirteen hours of changes
-	feedBuffer        = 1 << 20 // bytes that wait for one subscriber
-	feedPart          = 16 << 10
-	feedHeartbeat     = 2.0 // seconds
-	feedLookups       = 16  // of one subscriber that wait
-	subscriberQueue   = 128 // frames that wait for one subscriber's connection
-	frameWriteTimeout = 5 * time.Second
+	feedInboxSize           = 256     // events that may wait; whoever tells more waits itself
+	feedHistoryEntries      = 50_000  // entries kept for app servers that come back: thirteen hours of changes
+	feedBufferBytes         = 1 << 20 // bytes that wait for one subscriber
+	feedPartBytes           = 16 << 10
+	feedHeartbeatSeconds    = 2.0 // seconds
+	maxLookupsPerSubscriber = 16  // of one subscriber that wait
+	subscriberQueueFrames   = 128 // frames that wait for one subscriber's connection
+	frameWriteTimeout       = 5 * time.Second
 )
 
 // Events of the feed's loop.
@@ -31,7 +31,7 @@
 		subscriber *subscriberConn
 		request    configlog.Subscribe
 	}
-	subscriberAsked struct {
+	subscriberRequested struct {
 		subscriber *subscriberConn
 		message    any // configlog.Subscribe or configlog.Lookup
 	}
@@ -40,31 +40,31 @@
 
 // subscriberConn is one subscriber's connection.
 type subscriberConn struct {
-	id     configlog.SubscriberID
-	stream *member.Stream
-	queue  chan []byte // frames to be written
-	ended  chan struct{}
+	id         configlog.SubscriberID
+	stream     *member.Stream
+	queue      chan []byte // frames to be written
+	writerDone chan struct{}
 }
 
 // feedLoop drives a distributor's configlog.Feed.
 type feedLoop struct {
-	d      *Distribution
-	inbox  chan any
-	lastID atomic.Uint64
-	served atomic.Int64 // subscribers now
-	total  atomic.Int64 // subscriptions so far
-	whole  atomic.Int64 // snapshots begun
+	d                 *Distribution
+	inbox             chan any
+	lastID            atomic.Uint64
+	subscriberCount   atomic.Int64 // subscribers now
+	subscriptionCount atomic.Int64 // subscriptions so far
+	snapshotCount     atomic.Int64 // snapshots begun
 
 	machine     *configlog.Feed
 	subscribers map[configlog.SubscriberID]*subscriberConn
 }
 
 func newFeedLoop(d *Distribution) *feedLoop {
-	return &feedLoop{d: d, inbox: make(chan any, feedInbox), subscribers: map[configlog.SubscriberID]*subscriberConn{}}
+	return &feedLoop{d: d, inbox: make(chan any, feedInboxSize), subscribers: map[configlog.SubscriberID]*subscriberConn{}}
 }
 
-// tell has the loop take an event. It waits if many do already: the loop itself never waits for a subscriber.
-func (l *feedLoop) tell(ctx context.Context, event any) {
+// enqueue has the loop take an event. It waits if many do already: the loop itself never waits for a subscriber.
+func (l *feedLoop) enqueue(ctx context.Context, event any) {
 	select {
 	case l.inbox <- event:
 	case <-ctx.Done():
@@ -73,21 +73,21 @@
 
 // run drives the machine until ctx ends.
 func (l *feedLoop) run(ctx context.Context) {
-	cfg := configlog.FeedConfig{HistoryEntries: feedHistory, BufferBytes: feedBuffer, PartBytes: feedPart, BytesPerSecond: l.d.cfg.BytesPerSecond,
-		HeartbeatEvery: feedHeartbeat, LookupsInFlight: feedLookups}
+	cfg := configlog.FeedConfig{HistoryEntries: feedHistoryEntries, BufferBytes: feedBufferBytes, PartBytes: feedPartBytes, BytesPerSecond: l.d.cfg.BytesPerSecond,
+		HeartbeatEvery: feedHeartbeatSeconds, LookupsInFlight: maxLookupsPerSubscriber}
 	l.machine = configlog.NewFeed(cfg, tableSnapshotter{l.d}, l.d.Table().Version, clock())
-	tick := time.NewTicker(distributionTick)
-	defer tick.Stop()
+	ticker := time.NewTicker(distributionTickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case event := <-l.inbox:
 			l.handle(event)
-		case <-tick.C:
+		case <-ticker.C:
 			l.machine.Tick(clock(), l.d.sourceAge())
 		}
-		l.carryOut()
+		l.processReady()
 	}
 }
 
@@ -110,13 +110,13 @@
 		}
 	case subscriberJoined:
 		l.subscribers[e.subscriber.id] = e.subscriber
-		l.served.Store(int64(len(l.subscribers)))
+		l.subscriberCount.Store(int64(len(l.subscribers)))
 		l.machine.Subscribe(e.subscriber.id, e.request, clock())
-	case subscriberAsked:
-		l.ask(e)
+	case subscriberRequested:
+		l.handleRequest(e)
 	case subscriberLeft:
 		l.machine.Unsubscribe(e.subscriber.id)
-		l.drop(e.subscriber)
+		l.remove(e.subscriber)
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-func (l *feedLoop) ask(e subscriberAsked) {
+func (l *feedLoop) handleRequest(e subscriberRequested) {
 	if l.subscribers[e.subscriber.id] == nil {
 		return
 	}
@@ -146,8 +146,8 @@
 	}
 }
 
-// carryOut passes on what the machine has to say. A connection whose queue is full is too slow, and closed.
-func (l *feedLoop) carryOut() {
+// processReady passes on what the machine has to say. A connection whose queue is full is too slow, and closed.
+func (l *feedLoop) processReady() {
 	ready := l.machine.Ready()
 	for _, out := range ready.Messages {
 		to := l.subscribers[out.Subscriber]
@@ -155,14 +155,14 @@
 			continue
 		}
 		if welcome, ok := out.Message.(configlog.Welcome); ok && welcome.Mode == configlog.WelcomeSnapshot {
-			l.whole.Add(1)
+			l.snapshotCount.Add(1)
 		}
 		select {
 		case to.queue <- encodeFrame(out.Message):
 		default:
 			l.d.counts.slowSubscribers.Add(1)
 			l.machine.Unsubscribe(to.id)
-			l.drop(to)
+			l.remove(to)
 		}
 	}
 	for _, closed := range ready.Closed {
@@ -170,32 +170,32 @@
 			if closed.Reason == configlog.CloseSlow {
 				l.d.counts.slowSubscribers.Add(1)
 			}
-			l.drop(to)
+			l.remove(to)
 		}
 	}
 }
 
-// drop forgets a subscriber; its writer ends once it has written what waits.
-func (l *feedLoop) drop(s *subscriberConn) {
+// remove forgets a subscriber; its writer ends once it has written what waits.
+func (l *feedLoop) remove(s *subscriberConn) {
 	if l.subscribers[s.id] == nil {
 		return
 	}
 	delete(l.subscribers, s.id)
-	l.served.Store(int64(len(l.subscribers)))
+	l.subscriberCount.Store(int64(len(l.subscribers)))
 	close(s.queue)
 }
 
 // serve keeps one subscription until its connection ends.
 func (l *feedLoop) serve(ctx context.Context, stream *member.Stream, request configlog.Subscribe) {
-	s := &subscriberConn{id: configlog.SubscriberID(l.lastID.Add(1)), stream: stream, queue: make(chan []byte, subscriberQueue),
-		ended: make(chan struct{})}
-	l.total.Add(1)
+	s := &subscriberConn{id: configlog.SubscriberID(l.lastID.Add(1)), stream: stream, queue: make(chan []byte, subscriberQueueFrames),
+		writerDone: make(chan struct{})}
+	l.subscriptionCount.Add(1)
 	go s.write(ctx)
-	l.tell(ctx, subscriberJoined{s, request})
+	l.enqueue(ctx, subscriberJoined{s, request})
 	defer func() {
-		l.tell(ctx, subscriberLeft{s})
+		l.enqueue(ctx, subscriberLeft{s})
 		select { // the queue may still hold frames of a connection that is closed with the reason in them
-		case <-s.ended:
+		case <-s.writerDone:
 		case <-ctx.Done():
 		}
 	}()
@@ -211,7 +211,7 @@
 		}
 		switch message.(type) {
 		case configlog.Subscribe, configlog.Lookup:
-			l.tell(ctx, subscriberAsked{s, message})
+			l.enqueue(ctx, subscriberRequested{s, message})
 		default:
 			l.d.counts.malformedFrames.Add(1)
 			return
@@ -221,7 +221,7 @@
 
 // write writes what waits for a subscriber, until the feed drops it, the connection fails or ctx ends.
 func (s *subscriberConn) write(ctx context.Context) {
-	defer close(s.ended)
+	defer close(s.writerDone)
 	defer s.stream.Close() // the reader ends with it, and has the feed drop it
 	for {
 		select {
--- a/fleet/distribution_fetch.go
+++ b/fleet/distribution_fetch.go
@@ -19,17 +19,17 @@
 var errNoSnapshot = errors.New("no other voter has the snapshot that is wanted")
 
 // fetchSnapshot gets the whole table from another voter, of the first version that wanted accepts.
-func (d *Distribution) fetchSnapshot(ctx context.Context, wanted func(configlog.Version) bool) (*TableState, error) {
+func (d *Distribution) fetchSnapshot(ctx context.Context, accept func(configlog.Version) bool) (*TableState, error) {
 	err := errNoSnapshot
 	for _, name := range uniqueNames(d.cfg.Voters) {
 		if name == d.cfg.Name {
 			continue
 		}
-		state, failed := d.fetchSnapshotFrom(ctx, name, wanted)
-		if failed == nil {
+		state, fetchErr := d.fetchSnapshotFrom(ctx, name, accept)
+		if fetchErr == nil {
 			return state, nil
 		}
-		err = errors.Join(err, fmt.Errorf("%s: %w", name, failed))
+		err = errors.Join(err, fmt.Errorf("%s: %w", name, fetchErr))
 	}
 	return nil, err
 }
@@ -45,27 +45,27 @@
 // countingOpener keeps the last stream that it opened, for its bytes.
 type countingOpener struct {
 	StreamOpener
-	last *member.Stream
+	lastStream *member.Stream
 }
 
 // OpenStream opens a stream.
 func (o *countingOpener) OpenStream(ctx context.Context, to string) (*member.Stream, error) {
 	stream, err := o.StreamOpener.OpenStream(ctx, to)
-	o.last = stream
+	o.lastStream = stream
 	return stream, err
 }
 
 func (o *countingOpener) bytes() int64 {
-	if o.last == nil {
+	if o.lastStream == nil {
 		return 0
 	}
-	read, written := o.last.Bytes()
+	read, written := o.lastStream.Bytes()
 	return read + written
 }
 
-func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string, wanted func(configlog.Version) bool) (*TableState, error) {
-	opening, cancel := context.WithTimeout(ctx, connectTimeout)
-	stream, err := d.opener.OpenStream(opening, name)
+func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string, accept func(configlog.Version) bool) (*TableState, error) {
+	openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := d.opener.OpenStream(openCtx, name)
 	cancel()
 	if err != nil {
 		return nil, err
@@ -73,11 +73,11 @@
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, func() { stream.Close() })
 	defer stop()
-	const number = 1
-	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: number, All: true}), frameWriteTimeout); err != nil {
+	const streamID = 1
+	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: streamID, All: true}), frameWriteTimeout); err != nil {
 		return nil, err
 	}
-	var stage tableStage
+	var stage stagedTable
 	var version configlog.Version
 	for sequence := uint64(1); ; sequence++ {
 		payload, err := stream.ReadFrame(snapshotFrameTimeout)
@@ -90,7 +90,7 @@
 		}
 		switch m := message.(type) {
 		case configlog.Welcome:
-			if sequence != 1 || m.Mode != configlog.WelcomeSnapshot || !wanted(m.Version) {
+			if sequence != 1 || m.Mode != configlog.WelcomeSnapshot || !accept(m.Version) {
 				return nil, errNoSnapshot
 			}
 			version = m.Version
--- a/fleet/distribution_file.go
+++ b/fleet/distribution_file.go
@@ -22,13 +22,13 @@
 
 // When an app server's own file is written.
 const (
-	fileBatch        = 256  // changes that wait
-	maxFileBatch     = 4096 // past it the whole table is written instead
-	filePause        = 2 * time.Second
-	fileDelay        = 10 * time.Second // of the first change that waits
-	fileVersionDelay = 30 * time.Second // of a version that has moved without a change here
-	fileRetry        = 5 * time.Second
-	fileTick         = 500 * time.Millisecond
+	fileBatchEntries  = 256  // changes that wait
+	maxPendingEntries = 4096 // past it the whole table is written instead
+	fileIdleDelay     = 2 * time.Second
+	maxFileDelay      = 10 * time.Second // of the first change that waits
+	fileVersionDelay  = 30 * time.Second // of a version that has moved without a change here
+	fileRetryDelay    = 5 * time.Second
+	fileTickInterval  = 500 * time.Millisecond
 )
 
 // scopeFile holds a digest of the services that the file is of. It is there while the file may be continued from, and gone while it
@@ -41,15 +41,15 @@
 	digest string // of the scope
 	store  *configstore.Store
 
-	mu        sync.Mutex
-	state     *TableState       // to be saved
-	pending   []configlog.Entry // of it, that are not saved
-	whole     bool              // all of it is to be written
-	invalid   bool              // what is saved is not to be continued from
-	lastSaved uint64            // index that the file reaches
-	first     time.Time         // of what waits
-	last      time.Time
-	failing   bool
+	mu             sync.Mutex
+	state          *TableState       // to be saved
+	pending        []configlog.Entry // of it, that are not saved
+	rewrite        bool              // all of it is to be written
+	invalidated    bool              // what is saved is not to be continued from
+	lastSaved      uint64            // index that the file reaches
+	firstPendingAt time.Time         // of what waits
+	lastPendingAt  time.Time
+	failing        bool
 }
 
 func newTableFile(d *Distribution, scope followerScope) *tableFile {
@@ -98,13 +98,13 @@
 	if len(entries) == 0 {
 		return
 	}
-	f.note()
-	if f.whole {
+	f.markDirty()
+	if f.rewrite {
 		return
 	}
-	if len(f.pending)+len(entries) > maxFileBatch {
+	if len(f.pending)+len(entries) > maxPendingEntries {
 		f.d.counts.skippedWrites.Add(int64(len(f.pending) + len(entries)))
-		f.pending, f.whole = nil, true
+		f.pending, f.rewrite = nil, true
 		return
 	}
 	f.pending = append(f.pending, entries...)
@@ -114,23 +114,23 @@
 func (f *tableFile) replace(state *TableState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note()
-	f.state, f.pending, f.whole = state, nil, true
+	f.markDirty()
+	f.state, f.pending, f.rewrite = state, nil, true
 }
 
 // invalidate has what is saved not be continued from.
 func (f *tableFile) invalidate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note()
-	f.invalid = true
+	f.markDirty()
+	f.invalidated = true
 }
 
-// note takes the time of something to be saved.
-func (f *tableFile) note() {
-	f.last = time.Now()
-	if f.first.IsZero() {
-		f.first = f.last
+// markDirty takes the time of something to be saved.
+func (f *tableFile) markDirty() {
+	f.lastPendingAt = time.Now()
+	if f.firstPendingAt.IsZero() {
+		f.firstPendingAt = f.lastPendingAt
 	}
 }
 
@@ -140,50 +140,50 @@
 		return
 	}
 	defer func() { f.store.Close() }()
-	tick := time.NewTicker(fileTick)
-	defer tick.Stop()
-	saved, retryAt := time.Now(), time.Time{}
+	ticker := time.NewTicker(fileTickInterval)
+	defer ticker.Stop()
+	lastSaveAt, retryAt := time.Now(), time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			f.save()
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if time.Now().Before(retryAt) || !f.due(saved) {
+		if time.Now().Before(retryAt) || !f.shouldSave(lastSaveAt) {
 			continue
 		}
-		saved = time.Now()
+		lastSaveAt = time.Now()
 		if !f.save() {
-			retryAt = time.Now().Add(fileRetry)
+			retryAt = time.Now().Add(fileRetryDelay)
 		}
 	}
 }
 
-// due reports whether something is to be saved now.
-func (f *tableFile) due(saved time.Time) bool {
+// shouldSave reports whether something is to be saved now.
+func (f *tableFile) shouldSave(lastSaveAt time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if !f.first.IsZero() {
-		return f.invalid || len(f.pending) >= fileBatch || now.Sub(f.last) >= filePause || now.Sub(f.first) >= fileDelay
+	if !f.firstPendingAt.IsZero() {
+		return f.invalidated || len(f.pending) >= fileBatchEntries || now.Sub(f.lastPendingAt) >= fileIdleDelay || now.Sub(f.firstPendingAt) >= maxFileDelay
 	}
-	return f.state != nil && f.state.Version.Index > f.lastSaved && now.Sub(saved) >= fileVersionDelay
+	return f.state != nil && f.state.Version.Index > f.lastSaved && now.Sub(lastSaveAt) >= fileVersionDelay
 }
 
 // save writes what waits. It reports false after a fault of the disk; the whole table is written then the next time.
 func (f *tableFile) save() bool {
 	f.mu.Lock()
-	state, pending, whole, invalid := f.state, f.pending, f.whole, f.invalid
-	f.pending, f.whole, f.invalid, f.first = nil, false, false, time.Time{}
+	state, pending, rewrite, invalidated := f.state, f.pending, f.rewrite, f.invalidated
+	f.pending, f.rewrite, f.invalidated, f.firstPendingAt = nil, false, false, time.Time{}
 	f.mu.Unlock()
-	err := f.write(state, pending, whole, invalid)
+	err := f.write(state, pending, rewrite, invalidated)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
 		f.d.counts.failedWrites.Add(1)
-		f.pending, f.whole, f.invalid = nil, true, invalid || f.invalid
-		f.note()
+		f.pending, f.rewrite, f.invalidated = nil, true, invalidated || f.invalidated
+		f.markDirty()
 	} else if state != nil {
 		f.lastSaved = state.Version.Index
 	}
@@ -194,26 +194,26 @@
 	return err == nil
 }
 
-func (f *tableFile) write(state *TableState, pending []configlog.Entry, whole, invalid bool) error {
-	if invalid || whole {
+func (f *tableFile) write(state *TableState, pending []configlog.Entry, rewrite, invalidated bool) error {
+	if invalidated || rewrite {
 		if err := os.Remove(f.scopePath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
-	if state == nil || invalid && !whole {
+	if state == nil || invalidated && !rewrite {
 		return nil // a snapshot comes, and is saved whole
 	}
-	if whole {
+	if rewrite {
 		if err := f.store.Install(state.Table, storedVersion(state.Version)); err != nil {
 			return err
 		}
 		return renameio.WriteFile(f.scopePath(), []byte(f.digest), 0o600, renameio.WithTempDir(f.d.cfg.Folder))
 	}
-	return f.extend(state, pending)
+	return f.appendPending(state, pending)
 }
 
-// extend appends changes, and the version where it has gone on without one.
-func (f *tableFile) extend(state *TableState, pending []configlog.Entry) error {
+// appendPending appends changes, and the version where it has gone on without one.
+func (f *tableFile) appendPending(state *TableState, pending []configlog.Entry) error {
 	entries := storedEntries(pending)
 	last := f.lastSaved
 	if len(pending) > 0 {
--- a/fleet/distribution_follower.go
+++ b/fleet/distribution_follower.go
@@ -15,15 +15,15 @@
 
 // Bounds and times of an app server's subscription.
 const (
-	followerInbox      = 64 // events that may wait; the connection's reader waits itself
-	followerQueue      = 32 // frames that wait to be sent to the distributor
-	followerTick       = 250 * time.Millisecond
-	followerSilent     = 7.0 // seconds without a word from the distributor: three heartbeats
-	followerBackoff    = 0.5 // seconds
-	followerMaxBackoff = 8.0 // seconds
-	followerMaxLookups = 16
-	connectTimeout     = 4 * time.Second
-	badSnapshotWait    = 10 * time.Second
+	followerInboxSize      = 64 // events that may wait; the connection's reader waits itself
+	followerQueueFrames    = 32 // frames that wait to be sent to the distributor
+	followerTickInterval   = 250 * time.Millisecond
+	followerSilenceSeconds = 7.0 // seconds without a word from the distributor: three heartbeats
+	followerMinBackoff     = 0.5 // seconds
+	followerMaxBackoff     = 8.0 // seconds
+	followerMaxLookups     = 16
+	connectTimeout         = 4 * time.Second
+	badSnapshotDelay       = 10 * time.Second
 )
 
 // followerScope is what a subscription is for, and whom it may be had from.
@@ -36,15 +36,15 @@
 // Events of the follower's loop. Connections are numbered; what comes of a former one is passed over.
 type (
 	connectionOpened struct {
-		number uint64
+		connID uint64
 		stream *member.Stream
 	}
-	connectionEnded struct{ number uint64 }
+	connectionEnded struct{ connID uint64 }
 	frameReceived   struct {
-		number  uint64
+		connID  uint64
 		payload []byte
 	}
-	lookupAsked struct {
+	lookupRequested struct {
 		kind  configlog.LookupKind
 		name  string
 		reply chan configlog.LookupDone // holds one
@@ -53,18 +53,18 @@
 
 // followerLoop drives an app server's configlog.Follower.
 type followerLoop struct {
-	d       *Distribution
-	scope   followerScope
-	inbox   chan any
-	file    *tableFile // nil where nothing lasts
-	status  atomic.Pointer[configlog.Status]
-	knownAt atomic.Uint64 // bits of the time when the table was last known to be as new as the leader's
-	bytes   atomic.Int64  // read and written by former connections
-	current atomic.Pointer[member.Stream]
+	d             *Distribution
+	scope         followerScope
+	inbox         chan any
+	file          *tableFile // nil where nothing lasts
+	status        atomic.Pointer[configlog.Status]
+	confirmedAt   atomic.Uint64 // bits of the time when the table was last known to be as new as the leader's
+	closedBytes   atomic.Int64  // read and written by former connections
+	currentStream atomic.Pointer[member.Stream]
 
 	machine *configlog.Follower
-	stage   *tableStage
-	number  uint64 // of the connection
+	stage   *stagedTable
+	connID  uint64 // of the connection
 	cancel  context.CancelFunc
 	queue   chan []byte // of the connection, nil without one
 	lastID  uint64
@@ -72,9 +72,9 @@
 }
 
 func newFollowerLoop(d *Distribution, scope followerScope) *followerLoop {
-	l := &followerLoop{d: d, scope: scope, inbox: make(chan any, followerInbox), lookups: map[uint64]chan configlog.LookupDone{}}
+	l := &followerLoop{d: d, scope: scope, inbox: make(chan any, followerInboxSize), lookups: map[uint64]chan configlog.LookupDone{}}
 	l.status.Store(&configlog.Status{Age: math.Inf(1), Stale: true})
-	l.knownAt.Store(math.Float64bits(math.Inf(-1)))
+	l.confirmedAt.Store(math.Float64bits(math.Inf(-1)))
 	if d.cfg.Folder != "" {
 		l.file = newTableFile(d, scope)
 	}
@@ -83,13 +83,13 @@
 
 // age is how old the knowledge of the configuration is, in seconds; infinite before the first word of a distributor.
 func (l *followerLoop) age() float64 {
-	return max(clock()-math.Float64frombits(l.knownAt.Load()), 0)
+	return max(clock()-math.Float64frombits(l.confirmedAt.Load()), 0)
 }
 
 // streamBytes is how many bytes have been read and written, on all connections.
 func (l *followerLoop) streamBytes() int64 {
-	total := l.bytes.Load()
-	if stream := l.current.Load(); stream != nil {
+	total := l.closedBytes.Load()
+	if stream := l.currentStream.Load(); stream != nil {
 		read, written := stream.Bytes()
 		total += read + written
 	}
@@ -110,28 +110,28 @@
 		}()
 		defer func() { <-saved }()
 	}
-	l.begin(l.d.Table().Version)
+	l.resetMachine(l.d.Table().Version)
 	defer l.disconnect()
-	tick := time.NewTicker(followerTick)
-	defer tick.Stop()
+	ticker := time.NewTicker(followerTickInterval)
+	defer ticker.Stop()
 	for {
-		l.carryOut(ctx)
+		l.processReady(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case event := <-l.inbox:
 			l.handle(event)
-		case <-tick.C:
+		case <-ticker.C:
 			l.machine.Tick(clock())
 		}
 	}
 }
 
-// begin makes the machine, with a table of a version.
-func (l *followerLoop) begin(version configlog.Version) {
+// resetMachine makes the machine, with a table of a version.
+func (l *followerLoop) resetMachine(version configlog.Version) {
 	l.machine = configlog.NewFollower(configlog.FollowerConfig{Name: l.d.cfg.Name, Services: l.scope.services, All: l.scope.all,
-		Distributors: l.scope.distributors, BytesPerSecond: l.d.cfg.BytesPerSecond, StaleAfter: l.d.cfg.StaleAfter, SilentAfter: followerSilent,
-		BackoffMin: followerBackoff, BackoffMax: followerMaxBackoff, Seed: rand.Uint64(), MaxLookups: followerMaxLookups}, version, clock())
+		Distributors: l.scope.distributors, BytesPerSecond: l.d.cfg.BytesPerSecond, StaleAfter: l.d.cfg.StaleAfter, SilentAfter: followerSilenceSeconds,
+		BackoffMin: followerMinBackoff, BackoffMax: followerMaxBackoff, Seed: rand.Uint64(), MaxLookups: followerMaxLookups}, version, clock())
 	l.machine.Tick(clock())
 }
 
@@ -140,19 +140,19 @@
 	now := clock()
 	switch e := event.(type) {
 	case connectionOpened:
-		if e.number == l.number {
+		if e.connID == l.connID {
 			l.machine.Connected(now)
 		}
 	case connectionEnded:
-		if e.number == l.number {
+		if e.connID == l.connID {
 			l.disconnect()
 			l.machine.Disconnected(now)
 		}
 	case frameReceived:
-		if e.number == l.number {
+		if e.connID == l.connID {
 			l.step(e.payload)
 		}
-	case lookupAsked:
+	case lookupRequested:
 		l.lastID++
 		if err := l.machine.Lookup(l.lastID, e.kind, e.name, now); err != nil {
 			e.reply <- configlog.LookupDone{Err: err}
@@ -173,13 +173,13 @@
 		return
 	}
 	if err := l.machine.Step(message, clock()); err != nil {
-		l.d.counts.refusedFrames.Add(1)
+		l.d.counts.rejectedFrames.Add(1)
 		l.d.log.Warn("configuration: a message of a distributor was refused", zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
 	}
 }
 
-// carryOut does what the machine has to do, in the order that it asks for.
-func (l *followerLoop) carryOut(ctx context.Context) {
+// processReady does what the machine has to do, in the order that it asks for.
+func (l *followerLoop) processReady(ctx context.Context) {
 	for _, action := range l.machine.Ready() {
 		switch a := action.(type) {
 		case configlog.Connect:
@@ -189,10 +189,10 @@
 		case configlog.Close:
 			l.disconnect()
 		case configlog.LookupDone:
-			l.answer(a)
+			l.completeLookup(a)
 		case configlog.Stage:
 			if a.First || l.stage == nil {
-				l.stage = &tableStage{}
+				l.stage = &stagedTable{}
 			}
 			l.stage.add(a.Records)
 		case configlog.Discard:
@@ -209,15 +209,15 @@
 			}
 		}
 	}
-	l.publish()
+	l.publishStatus()
 }
 
-// publish makes the machine's status that of the process.
-func (l *followerLoop) publish() {
+// publishStatus makes the machine's status that of the process.
+func (l *followerLoop) publishStatus() {
 	now := clock()
 	status := l.machine.Status(now)
 	l.status.Store(&status)
-	l.knownAt.Store(math.Float64bits(now - status.Age))
+	l.confirmedAt.Store(math.Float64bits(now - status.Age))
 }
 
 // apply has entries take effect, and passes them on to the feed and to the file.
@@ -226,7 +226,7 @@
 	state.Version = a.Version
 	l.d.table.Store(state)
 	if l.d.feed != nil && len(a.Entries) > 0 {
-		l.d.feed.tell(ctx, entriesCommitted{a.Entries})
+		l.d.feed.enqueue(ctx, entriesCommitted{a.Entries})
 	}
 	if l.file != nil {
 		l.file.append(a.Entries, state)
@@ -238,15 +238,15 @@
 	stage := l.stage
 	l.stage = nil
 	if stage == nil {
-		stage = &tableStage{}
+		stage = &stagedTable{}
 	}
 	table, err := stage.table()
 	if err != nil {
 		l.d.counts.malformedFrames.Add(1)
 		l.d.log.Error("configuration: a snapshot can not be read", zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
 		l.disconnect()
-		sleepContext(ctx, badSnapshotWait)
-		l.begin(l.d.Table().Version)
+		sleepContext(ctx, badSnapshotDelay)
+		l.resetMachine(l.d.Table().Version)
 		return false
 	}
 	state := &TableState{Table: table, Version: version}
@@ -262,14 +262,14 @@
 func (l *followerLoop) connect(ctx context.Context, distributor string) {
 	l.disconnect()
 	ctx, l.cancel = context.WithCancel(ctx)
-	number, queue := l.number, make(chan []byte, followerQueue)
+	connID, queue := l.connID, make(chan []byte, followerQueueFrames)
 	l.queue = queue
-	go l.serve(ctx, number, distributor, queue)
+	go l.serveConnection(ctx, connID, distributor, queue)
 }
 
 // disconnect ends the connection, if there is one.
 func (l *followerLoop) disconnect() {
-	l.number++
+	l.connID++
 	l.queue = nil
 	if l.cancel != nil {
 		l.cancel()
@@ -289,34 +289,34 @@
 	}
 }
 
-// serve is one connection: it reads here, and writes in a goroutine of its own.
-func (l *followerLoop) serve(ctx context.Context, number uint64, distributor string, queue <-chan []byte) {
+// serveConnection is one connection: it reads here, and writes in a goroutine of its own.
+func (l *followerLoop) serveConnection(ctx context.Context, connID uint64, distributor string, queue <-chan []byte) {
 	defer l.d.recoverPanic("connection")
-	defer l.post(ctx, connectionEnded{number})
-	opening, cancel := context.WithTimeout(ctx, connectTimeout)
-	stream, err := l.d.opener.OpenStream(opening, distributor)
+	defer l.post(ctx, connectionEnded{connID})
+	openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := l.d.opener.OpenStream(openCtx, distributor)
 	cancel()
 	if err != nil {
 		l.d.log.Debug("configuration: no connection", zap.String("distributor", distributor), zap.Error(err))
 		return
 	}
-	l.current.Store(stream)
+	l.currentStream.Store(stream)
 	defer func() {
 		stream.Close()
-		l.current.CompareAndSwap(stream, nil)
+		l.currentStream.CompareAndSwap(stream, nil)
 		read, written := stream.Bytes()
-		l.bytes.Add(read + written)
+		l.closedBytes.Add(read + written)
 	}()
 	stop := context.AfterFunc(ctx, func() { stream.Close() })
 	defer stop()
-	l.post(ctx, connectionOpened{number, stream})
+	l.post(ctx, connectionOpened{connID, stream})
 	go writeFrames(ctx, stream, queue)
 	for {
-		payload, err := stream.ReadFrame(2 * time.Duration(followerSilent*float64(time.Second)))
+		payload, err := stream.ReadFrame(2 * time.Duration(followerSilenceSeconds*float64(time.Second)))
 		if err != nil {
 			return
 		}
-		l.post(ctx, frameReceived{number, payload})
+		l.post(ctx, frameReceived{connID, payload})
 	}
 }
 
@@ -343,8 +343,8 @@
 	}
 }
 
-// answer gives the outcome of a lookup to whoever waits for it.
-func (l *followerLoop) answer(done configlog.LookupDone) {
+// completeLookup gives the outcome of a lookup to whoever waits for it.
+func (l *followerLoop) completeLookup(done configlog.LookupDone) {
 	if reply := l.lookups[done.ID]; reply != nil {
 		delete(l.lookups, done.ID)
 		reply <- done
--- a/fleet/distribution_frame.go
+++ b/fleet/distribution_frame.go
@@ -38,14 +38,14 @@
 // frameFormats are the messages of streams. Their fields are those of docs/configuration.md, in its order.
 var frameFormats = []messageFormat{
 	formatOf(frameSubscribe, func(c fieldCodec, m *configlog.Subscribe) {
-		c.any64(&m.Stream)
+		c.uint64(&m.Stream)
 		c.flag(&m.All)
 		versionFields(c, &m.From)
 		c.seconds(&m.BytesPerSecond)
 		listFields(c, &m.Services, fieldCodec.text)
 	}),
 	formatOf(frameWelcome, func(c fieldCodec, m *configlog.Welcome) {
-		c.any64(&m.Stream)
+		c.uint64(&m.Stream)
 		c.number(&m.Sequence)
 		c.byte((*byte)(&m.Mode))
 		if m.Mode < configlog.WelcomeResume || m.Mode > configlog.WelcomeBehind {
@@ -54,31 +54,31 @@
 		versionFields(c, &m.Version)
 	}),
 	formatOf(frameSnapshotPart, func(c fieldCodec, m *configlog.SnapshotPart) {
-		c.any64(&m.Stream)
+		c.uint64(&m.Stream)
 		c.number(&m.Sequence)
 		c.flag(&m.Done)
 		listFields(c, &m.Records, changeFields)
 	}),
 	formatOf(frameDelta, func(c fieldCodec, m *configlog.Delta) {
-		c.any64(&m.Stream)
+		c.uint64(&m.Stream)
 		c.number(&m.Sequence)
 		entryFields(c, &m.Entry)
 	}),
 	formatOf(frameHeartbeat, func(c fieldCodec, m *configlog.Heartbeat) {
-		c.any64(&m.Stream)
+		c.uint64(&m.Stream)
 		c.number(&m.Sequence)
 		versionFields(c, &m.Version)
 		c.seconds(&m.Age)
 	}),
 	formatOf(frameLookup, func(c fieldCodec, m *configlog.Lookup) {
-		c.any64(&m.Stream)
-		c.any64(&m.ID)
+		c.uint64(&m.Stream)
+		c.uint64(&m.ID)
 		c.byte((*byte)(&m.Kind))
 		c.text(&m.Name)
 	}),
 	formatOf(frameLookupReply, func(c fieldCodec, m *configlog.LookupReply) {
-		c.any64(&m.Stream)
-		c.any64(&m.ID)
+		c.uint64(&m.Stream)
+		c.uint64(&m.ID)
 		versionFields(c, &m.Version)
 		c.flag(&m.Found)
 		c.bytes(&m.Value)
--- a/fleet/distribution_lookup.go
+++ b/fleet/distribution_lookup.go
@@ -14,7 +14,7 @@
 // Bounds of what is kept of lookups.
 const (
 	lookupCacheEntries = 4096
-	lookupCacheTime    = 9.0 // seconds: half of the time in which a change is to be in force everywhere
+	lookupCacheTTL     = 9.0 // seconds: half of the time in which a change is to be in force everywhere
 )
 
 // LookupResult is one entry as of a version.
@@ -37,22 +37,22 @@
 	if result, ok := d.cache.get(kind, key, clock()); ok {
 		return result, nil
 	}
-	asked := lookupAsked{kind: configlog.LookupKind(kind), name: key, reply: make(chan configlog.LookupDone, 1)}
+	request := lookupRequested{kind: configlog.LookupKind(kind), name: key, reply: make(chan configlog.LookupDone, 1)}
 	select {
-	case d.follower.inbox <- asked:
+	case d.follower.inbox <- request:
 	case <-ctx.Done():
 		return LookupResult{}, ctx.Err()
 	}
 	select {
-	case done := <-asked.reply:
-		return d.lookedUp(kind, service, key, done)
+	case done := <-request.reply:
+		return d.finishLookup(kind, service, key, done)
 	case <-ctx.Done():
 		return LookupResult{}, ctx.Err()
 	}
 }
 
-// lookedUp reads the outcome of a lookup and keeps it.
-func (d *Distribution) lookedUp(kind configtable.Kind, service, key string, done configlog.LookupDone) (LookupResult, error) {
+// finishLookup reads the outcome of a lookup and keeps it.
+func (d *Distribution) finishLookup(kind configtable.Kind, service, key string, done configlog.LookupDone) (LookupResult, error) {
 	if done.Err != nil {
 		return LookupResult{}, done.Err
 	}
@@ -107,9 +107,9 @@
 }
 
 type cacheEntry struct {
-	key    cacheKey
-	result LookupResult
-	at     float64
+	key      cacheKey
+	result   LookupResult
+	storedAt float64
 }
 
 func newLookupCache() *lookupCache {
@@ -124,7 +124,7 @@
 		return LookupResult{}, false
 	}
 	entry := element.Value.(cacheEntry)
-	if now-entry.at > lookupCacheTime {
+	if now-entry.storedAt > lookupCacheTTL {
 		return LookupResult{}, false
 	}
 	c.order.MoveToFront(element)
--- a/fleet/distribution_parts_test.go
+++ b/fleet/distribution_parts_test.go
@@ -44,8 +44,8 @@
 	spoilt.Payload = spoilt.Payload[:3]
 	state := d.applyEntries(d.Table(), []configlog.Entry{committedPut(t, 1, "a", 1), spoilt, committedPut(t, 3, "c", 3), committedPut(t, 3, "again", 4),
 		{Version: configlog.Version{Term: 2, Index: 5}}})
-	if state.Version != (configlog.Version{Term: 2, Index: 5}) || state.Table.Len() != 2 || d.counts.unreadable.Load() != 2 {
-		t.Errorf("%v, %d entries, %d counted", state.Version, state.Table.Len(), d.counts.unreadable.Load())
+	if state.Version != (configlog.Version{Term: 2, Index: 5}) || state.Table.Len() != 2 || d.counts.unreadableChanges.Load() != 2 {
+		t.Errorf("%v, %d entries, %d counted", state.Version, state.Table.Len(), d.counts.unreadableChanges.Load())
 	}
 }
 
@@ -61,12 +61,12 @@
 	if !f.save() {
 		t.Fatal("not saved")
 	}
-	for k := range maxFileBatch + 10 {
+	for k := range maxPendingEntries + 10 {
 		entries := []configlog.Entry{committedPut(t, uint64(k+1), fmt.Sprint("t", k), 1)}
 		state = d.applyEntries(state, entries)
 		f.append(entries, state)
 	}
-	if !f.whole || d.counts.skippedWrites.Load() == 0 || len(f.pending) > 0 {
+	if !f.rewrite || d.counts.skippedWrites.Load() == 0 || len(f.pending) > 0 {
 		t.Errorf("%d wait, %d were skipped", len(f.pending), d.counts.skippedWrites.Load())
 	}
 	if !f.save() {
@@ -96,7 +96,7 @@
 	f.save()
 	moved := &TableState{Table: f.state.Table, Version: configlog.Version{Term: 3, Index: 900}}
 	f.append(nil, moved)
-	if f.due(time.Now()) || !f.due(time.Now().Add(-2*fileVersionDelay)) {
+	if f.shouldSave(time.Now()) || !f.shouldSave(time.Now().Add(-2*fileVersionDelay)) {
 		t.Error("the version alone is saved too early, or not at all")
 	}
 	f.save()
@@ -121,7 +121,7 @@
 	if _, ok := c.get(configtable.Tenant, "1", 0); ok {
 		t.Error("what is not used was kept")
 	}
-	if _, ok := c.get(configtable.Tenant, "0", lookupCacheTime+1); ok {
+	if _, ok := c.get(configtable.Tenant, "0", lookupCacheTTL+1); ok {
 		t.Error("an old result was given")
 	}
 	if _, ok := c.get(configtable.Route, "0", 0); ok {
@@ -144,13 +144,13 @@
 func TestSlowSubscriber(t *testing.T) {
 	d := newDistribution(DistributionConfig{Name: "v1", Voters: [][]string{{"v1"}}, BytesPerSecond: 1e9, StaleAfter: 18}, noOpener{}, zap.NewNop())
 	l := d.feed
-	cfg := configlog.FeedConfig{HistoryEntries: 10, BufferBytes: feedBuffer, PartBytes: feedPart, BytesPerSecond: 1e9, HeartbeatEvery: 1, LookupsInFlight: 1}
+	cfg := configlog.FeedConfig{HistoryEntries: 10, BufferBytes: feedBufferBytes, PartBytes: feedPartBytes, BytesPerSecond: 1e9, HeartbeatEvery: 1, LookupsInFlight: 1}
 	l.machine = configlog.NewFeed(cfg, tableSnapshotter{d}, configlog.Version{}, 0)
 	slow := &subscriberConn{id: 1, queue: make(chan []byte, 3)}
-	quick := &subscriberConn{id: 2, queue: make(chan []byte, subscriberQueue)}
+	quick := &subscriberConn{id: 2, queue: make(chan []byte, subscriberQueueFrames)}
 	for _, s := range []*subscriberConn{slow, quick} {
 		l.handle(subscriberJoined{s, configlog.Subscribe{Stream: 1, All: true}})
-		l.carryOut()
+		l.processReady()
 	}
 	for k := range 20 {
 		entry := committedPut(t, uint64(k+1), "a", float64(k))
@@ -158,7 +158,7 @@
 			entry.Previous = uint64(k)
 		}
 		l.handle(entriesCommitted{[]configlog.Entry{entry}})
-		l.carryOut()
+		l.processReady()
 	}
 	if l.subscribers[1] != nil || l.subscribers[2] == nil || d.counts.slowSubscribers.Load() != 1 || len(quick.queue) < 20 {
 		t.Errorf("%d subscribers, %d counted, %d frames for the quick one", len(l.subscribers), d.counts.slowSubscribers.Load(), len(quick.queue))
--- a/fleet/distribution_persist.go
+++ b/fleet/distribution_persist.go
@@ -13,20 +13,20 @@
 		if err := l.store.SaveVote(configstore.Vote{Term: p.Promised}); err != nil {
 			return err
 		}
-		l.promised = p.Promised
+		l.promisedTerm = p.Promised
 	}
 	if p.Reset {
 		state := l.d.Table()
 		if err := l.store.Install(state.Table, storedVersion(p.Base)); err != nil {
 			return err
 		}
-		l.saved = p.Base.Index
+		l.savedIndex = p.Base.Index
 	}
 	if p.TruncateFrom > 0 {
 		if err := l.store.Truncate(p.TruncateFrom); err != nil {
 			return err
 		}
-		l.saved = min(l.saved, p.TruncateFrom-1)
+		l.savedIndex = min(l.savedIndex, p.TruncateFrom-1)
 	}
 	if len(p.Entries) == 0 {
 		return nil
@@ -37,7 +37,7 @@
 	if err := l.store.Sync(); err != nil {
 		return err
 	}
-	l.saved = p.Entries[len(p.Entries)-1].Index
+	l.savedIndex = p.Entries[len(p.Entries)-1].Index
 	return nil
 }
 
@@ -61,7 +61,7 @@
 	}
 	d.table.Store(d.applyEntries(state, entries))
 	if d.feed != nil {
-		d.feed.tell(ctx, entriesCommitted{entries})
+		d.feed.enqueue(ctx, entriesCommitted{entries})
 	}
 }
 
@@ -69,6 +69,6 @@
 func (d *Distribution) replaceTable(ctx context.Context, state *TableState) {
 	d.table.Store(state)
 	if d.feed != nil {
-		d.feed.tell(ctx, tableReplaced{state.Version})
+		d.feed.enqueue(ctx, tableReplaced{state.Version})
 	}
 }
--- a/fleet/distribution_propose.go
+++ b/fleet/distribution_propose.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if status.Open+len(p.changes) > replicaMaxOpen {
-		p.reply <- proposalOutcome{Err: errCrowded}
+		p.reply <- proposalOutcome{Err: errOverloaded}
 		return
 	}
 	if status.Open == 0 {
@@ -23,21 +23,21 @@
 	}
 	table, payloads, outcome := checkChanges(l.speculative, status.Last.Index, p.changes)
 	if outcome.Err != nil {
-		l.d.counts.refusedChanges.Add(1)
+		l.d.counts.rejectedChanges.Add(1)
 		p.reply <- outcome
 		return
 	}
 	l.speculative = table
-	waits := &proposal{reply: p.reply}
+	pending := &proposal{reply: p.reply}
 	for k, change := range p.changes {
 		l.lastID++
 		err := l.machine.Propose(l.lastID, configlog.Change{Service: change.Service, Payload: payloads[k]}, clock())
 		if err != nil {
-			l.abandon(waits, k, err)
+			l.abandon(pending, k, err)
 			return
 		}
-		l.proposals[l.lastID] = waits
-		waits.waiting++
+		l.proposals[l.lastID] = pending
+		pending.uncommitted++
 	}
 }
 
@@ -47,15 +47,15 @@
 	var payloads [][]byte
 	for k, change := range changes {
 		if err := table.Check(change); err != nil {
-			return table, nil, proposalOutcome{At: k, Err: err}
+			return table, nil, proposalOutcome{FaultIndex: k, Err: err}
 		}
 		payload, err := change.Encode()
 		if err != nil {
-			return table, nil, proposalOutcome{At: k, Err: err}
+			return table, nil, proposalOutcome{FaultIndex: k, Err: err}
 		}
 		next, err := table.Apply([]configtable.CommittedChange{{Index: last + 1 + uint64(k), Change: change}})
 		if err != nil {
-			return table, nil, proposalOutcome{At: k, Err: err}
+			return table, nil, proposalOutcome{FaultIndex: k, Err: err}
 		}
 		table, payloads = next, append(payloads, payload)
 	}
@@ -63,44 +63,44 @@
 }
 
 // abandon ends a proposal of which a change was not taken. If others were taken before it, their outcome is not known.
-func (l *replicaLoop) abandon(waits *proposal, at int, err error) {
-	if waits.waiting > 0 {
+func (l *replicaLoop) abandon(pending *proposal, changeIndex int, err error) {
+	if pending.uncommitted > 0 {
 		err = configlog.ErrOutcomeUnknown
 	}
 	for id, other := range l.proposals {
-		if other == waits {
+		if other == pending {
 			delete(l.proposals, id)
 		}
 	}
-	waits.reply <- proposalOutcome{At: at, Err: err}
+	pending.reply <- proposalOutcome{FaultIndex: changeIndex, Err: err}
 }
 
 // resolve takes the outcome of one change; the last one of a proposal answers it.
 func (l *replicaLoop) resolve(result configlog.Result) {
-	waits := l.proposals[result.ID]
-	if waits == nil {
+	pending := l.proposals[result.ID]
+	if pending == nil {
 		return
 	}
 	delete(l.proposals, result.ID)
-	waits.waiting--
+	pending.uncommitted--
 	if result.Err != nil {
-		waits.outcome.Err = result.Err
+		pending.outcome.Err = result.Err
 	}
-	if result.Version.Compare(waits.outcome.Version) > 0 {
-		waits.outcome.Version = result.Version
+	if result.Version.Compare(pending.outcome.Version) > 0 {
+		pending.outcome.Version = result.Version
 	}
-	if waits.waiting == 0 {
-		waits.reply <- waits.outcome
+	if pending.uncommitted == 0 {
+		pending.reply <- pending.outcome
 	}
 }
 
-// endProposals ends all proposals; whether they are in the log is not known.
-func (l *replicaLoop) endProposals(err error) {
+// failProposals ends all proposals; whether they are in the log is not known.
+func (l *replicaLoop) failProposals(err error) {
 	ended := map[*proposal]bool{}
-	for _, waits := range l.proposals {
-		if !ended[waits] {
-			ended[waits] = true
-			waits.reply <- proposalOutcome{Err: errors.Join(configlog.ErrOutcomeUnknown, err)}
+	for _, pending := range l.proposals {
+		if !ended[pending] {
+			ended[pending] = true
+			pending.reply <- proposalOutcome{Err: errors.Join(configlog.ErrOutcomeUnknown, err)}
 		}
 	}
 	clear(l.proposals)
--- a/fleet/distribution_recover.go
+++ b/fleet/distribution_recover.go
@@ -10,25 +10,25 @@
 	"valveglade/store/configstore"
 )
 
-// recoverFromOthers is for a voter that lost its files, and with them what it promised and acknowledged. It waits for a snapshot
+// recoverFromPeers is for a voter that lost its files, and with them what it promised and acknowledged. It waits for a snapshot
 // of a term that began after that: the leader of such a term recovered the log without this voter. While the term stays the same its
 // leader is asked to end it.
-func (l *replicaLoop) recoverFromOthers(ctx context.Context) error {
-	first := uint64(0)
+func (l *replicaLoop) recoverFromPeers(ctx context.Context) error {
+	observedTerm := uint64(0)
 	for {
 		state, err := l.d.fetchSnapshot(ctx, func(version configlog.Version) bool {
-			if first == 0 {
-				first = version.Term
+			if observedTerm == 0 {
+				observedTerm = version.Term
 			}
-			return version.Term > first
+			return version.Term > observedTerm
 		})
 		if err == nil {
 			return l.installRecovered(state)
 		}
-		if first > 0 {
-			l.d.askForNewTerm(ctx, first)
+		if observedTerm > 0 {
+			l.d.requestNewTerm(ctx, observedTerm)
 		}
-		if !l.refuseFor(ctx, snapshotRetryWait) {
+		if !l.rejectEventsFor(ctx, snapshotRetryDelay) {
 			return ctx.Err()
 		}
 	}
@@ -42,19 +42,19 @@
 	if err := l.store.Install(state.Table, storedVersion(state.Version)); err != nil {
 		return err
 	}
-	l.promised, l.saved = state.Version.Term, state.Version.Index
+	l.promisedTerm, l.savedIndex = state.Version.Term, state.Version.Index
 	l.d.log.Info("configuration: this voter has files again", zap.Uint64("term", state.Version.Term), zap.Uint64("version", state.Version.Index))
 	return l.store.Close()
 }
 
-// askForNewTerm asks all other voters to end a term; the leader among them does.
-func (d *Distribution) askForNewTerm(ctx context.Context, term uint64) {
+// requestNewTerm asks all other voters to end a term; the leader among them does.
+func (d *Distribution) requestNewTerm(ctx context.Context, term uint64) {
 	for _, name := range uniqueNames(d.cfg.Voters) {
 		if name == d.cfg.Name {
 			continue
 		}
-		opening, cancel := context.WithTimeout(ctx, connectTimeout)
-		stream, err := d.opener.OpenStream(opening, name)
+		openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+		stream, err := d.opener.OpenStream(openCtx, name)
 		cancel()
 		if err != nil {
 			continue
@@ -64,8 +64,8 @@
 	}
 }
 
-// termRequestEvery is how often a leader may be asked to end its term.
-const termRequestEvery = 10 * time.Second
+// minTermRequestInterval is how often a leader may be asked to end its term.
+const minTermRequestInterval = 10 * time.Second
 
 // endTerm has this leader give up the role, if it leads under that term and has not been asked just now.
 func (d *Distribution) endTerm(term uint64) {
@@ -73,11 +73,11 @@
 		return
 	}
 	status := d.replica.status.Load()
-	last := d.replica.askedAt.Load()
-	if status.State != configlog.ReplicaLeader || status.Term != term || time.Since(epoch) < time.Duration(last)+termRequestEvery {
+	last := d.replica.termRequestedAt.Load()
+	if status.State != configlog.ReplicaLeader || status.Term != term || time.Since(epoch) < time.Duration(last)+minTermRequestInterval {
 		return
 	}
-	if d.replica.askedAt.CompareAndSwap(last, int64(time.Since(epoch))) {
+	if d.replica.termRequestedAt.CompareAndSwap(last, int64(time.Since(epoch))) {
 		d.log.Info("configuration: the term ends for a voter that lost its files", zap.Uint64("term", term))
 		d.replica.loseLeadership(term + 1)
 	}
--- a/fleet/distribution_snapshot.go
+++ b/fleet/distribution_snapshot.go
@@ -73,64 +73,64 @@
 	version configlog.Version
 	next    func() (configlog.Change, bool)
 	stop    func()
-	ahead   *configlog.Change // taken from next, and not given yet
+	peeked  *configlog.Change // taken from next, and not given yet
 	ended   bool
 }
 
 func (s *tableSnapshot) Version() configlog.Version { return s.version }
 
-// recordOverhead is what a record takes in a message beside its service and payload: two lengths.
-const recordOverhead = 4
+// recordOverheadBytes is what a record takes in a message beside its service and payload: two lengths.
+const recordOverheadBytes = 4
 
 // Next gives the following records of at most maxBytes, or one that is larger.
 func (s *tableSnapshot) Next(maxBytes int) (records []configlog.Change, done bool) {
 	size := 0
 	for s.peek() {
-		record := *s.ahead
-		size += recordOverhead + len(record.Service) + len(record.Payload)
+		record := *s.peeked
+		size += recordOverheadBytes + len(record.Service) + len(record.Payload)
 		if len(records) > 0 && size > maxBytes {
 			return records, false
 		}
 		records = append(records, record)
-		s.ahead = nil
+		s.peeked = nil
 	}
 	return records, true
 }
 
 // peek has the next record ready, and reports whether there is one.
 func (s *tableSnapshot) peek() bool {
-	if s.ahead == nil && !s.ended {
+	if s.peeked == nil && !s.ended {
 		record, ok := s.next()
 		s.ended = !ok
 		if ok {
-			s.ahead = &record
+			s.peeked = &record
 		}
 	}
-	return s.ahead != nil
+	return s.peeked != nil
 }
 
 func (s *tableSnapshot) Close() {
-	s.ended, s.ahead = true, nil
+	s.ended, s.peeked = true, nil
 	s.stop()
 }
 
-// tableStage builds a table from a snapshot's records beside the one in force.
-type tableStage struct {
+// stagedTable builds a table from a snapshot's records beside the one in force.
+type stagedTable struct {
 	builder configtable.Builder
 	err     error // of the first record that does not fit
 }
 
 // add takes some records. The first fault ends the stage.
-func (s *tableStage) add(records []configlog.Change) {
+func (s *stagedTable) add(records []configlog.Change) {
 	for _, record := range records {
 		if s.err != nil {
 			return
 		}
-		s.err = s.addOne(record)
+		s.err = s.addRecord(record)
 	}
 }
 
-func (s *tableStage) addOne(record configlog.Change) error {
+func (s *stagedTable) addRecord(record configlog.Change) error {
 	if len(record.Payload) == 0 {
 		return errMalformed
 	}
@@ -152,7 +152,7 @@
 }
 
 // table gives what was staged.
-func (s *tableStage) table() (configtable.Table, error) {
+func (s *stagedTable) table() (configtable.Table, error) {
 	if s.err != nil {
 		return configtable.Table{}, s.err
 	}
--- a/fleet/distribution_socket.go
+++ b/fleet/distribution_socket.go
@@ -22,11 +22,11 @@
 func ConfigSocket(viewSocket string) string { return viewSocket + ".config" }
 
 // SocketDescriptors is how many descriptors the local socket takes at the most: itself and its clients.
-const SocketDescriptors = 1 + socketClients
+const SocketDescriptors = 1 + maxSocketClients
 
 // Bounds of the local socket.
 const (
-	socketClients        = 4
+	maxSocketClients     = 4
 	maxSocketRequest     = 128 << 10 // bytes of JSON
 	socketRequestTimeout = 2 * time.Second
 	socketReplyTimeout   = 20 * time.Second
@@ -71,7 +71,7 @@
 		d.log.Error("configuration: the local socket belongs to a process that runs")
 		return
 	}
-	if at, err := os.Lstat(path); err == nil && at.Mode()&os.ModeSocket != 0 {
+	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		os.Remove(path) // of one that has ended
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -84,7 +84,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	places := make(chan struct{}, socketClients)
+	slots := make(chan struct{}, maxSocketClients)
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -94,9 +94,9 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			defer d.recoverPanic("socket")
 			d.serveClient(ctx, conn)
 		}()
@@ -110,16 +110,16 @@
 	if json.NewDecoder(io.LimitReader(conn, maxSocketRequest)).Decode(&request) != nil {
 		return
 	}
-	var answer any = d.Status()
+	var response any = d.Status()
 	if request.Apply {
 		reply := d.applyText(ctx, applyRequest{Path: request.Path, Text: request.Text})
-		answer = ApplyResult{reply.Version.Index, reply.Version.Term, reply.Error}
+		response = ApplyResult{reply.Version.Index, reply.Version.Term, reply.Error}
 	}
 	if request.Lookup != nil {
-		answer = d.lookupEntry(ctx, *request.Lookup)
+		response = d.lookupEntry(ctx, *request.Lookup)
 	}
 	conn.SetWriteDeadline(time.Now().Add(socketRequestTimeout))
-	json.NewEncoder(conn).Encode(answer)
+	json.NewEncoder(conn).Encode(response)
 }
 
 func (d *Distribution) lookupEntry(ctx context.Context, lookup EntryLookup) EntryResult {
@@ -139,23 +139,23 @@
 
 // AskDistribution asks the app server behind a local socket for its status.
 func AskDistribution(socket string) (status DistributionStatus, err error) {
-	err = askSocket(socket, socketRequest{}, &status)
+	err = querySocket(socket, socketRequest{}, &status)
 	return status, err
 }
 
 // ApplyChanges has the app server behind a local socket bring the changes of a text to the leader. A refusal is in the result.
 func ApplyChanges(socket, path string, text []byte) (result ApplyResult, err error) {
-	err = askSocket(socket, socketRequest{Apply: true, Path: path, Text: text}, &result)
+	err = querySocket(socket, socketRequest{Apply: true, Path: path, Text: text}, &result)
 	return result, err
 }
 
 // LookupEntry has the app server behind a local socket look up one entry.
 func LookupEntry(socket string, lookup EntryLookup) (result EntryResult, err error) {
-	err = askSocket(socket, socketRequest{Lookup: &lookup}, &result)
+	err = querySocket(socket, socketRequest{Lookup: &lookup}, &result)
 	return result, err
 }
 
-func askSocket(socket string, request socketRequest, answer any) error {
+func querySocket(socket string, request socketRequest, response any) error {
 	conn, err := net.DialTimeout("unix", socket, time.Second)
 	if err != nil {
 		return err
@@ -165,5 +165,5 @@
 	if err := json.NewEncoder(conn).Encode(request); err != nil {
 		return err
 	}
-	return json.NewDecoder(conn).Decode(answer)
+	return json.NewDecoder(conn).Decode(response)
 }
--- a/fleet/distribution_status.go
+++ b/fleet/distribution_status.go
@@ -40,7 +40,7 @@
 func (d *Distribution) Status() DistributionStatus {
 	state := d.Table()
 	s := DistributionStatus{Name: d.cfg.Name, Version: state.Version.Index, Term: state.Version.Term, Digest: fmt.Sprintf("%016x", uint64(state.Table.Digest())),
-		Entries: state.Table.Len(), Services: state.Table.ServiceCount(), Lookups: d.cache.len(), Refused: d.refusals()}
+		Entries: state.Table.Len(), Services: state.Table.ServiceCount(), Lookups: d.cache.len(), Refused: d.rejectionCounts()}
 	s.Leader, _ = d.leader()
 	age := d.sourceAge()
 	s.Stale = age > d.cfg.StaleAfter
@@ -48,7 +48,7 @@
 		s.Age = -1
 	}
 	if d.feed != nil {
-		s.Part, s.Subscribers, s.Subscriptions, s.SnapshotsServed = "distributor", d.feed.served.Load(), d.feed.total.Load(), d.feed.whole.Load()
+		s.Part, s.Subscribers, s.Subscriptions, s.SnapshotsServed = "distributor", d.feed.subscriberCount.Load(), d.feed.subscriptionCount.Load(), d.feed.snapshotCount.Load()
 	}
 	if d.replica != nil {
 		s.Part = "voter"
@@ -68,11 +68,11 @@
 var replicaStateNames = map[configlog.ReplicaState]string{configlog.ReplicaFollower: "follows", configlog.ReplicaPreparing: "asks for promises",
 	configlog.ReplicaFetching: "fetches", configlog.ReplicaLeader: "leads"}
 
-// refusals are all counts of what was refused or dropped, without those that are zero.
-func (d *Distribution) refusals() map[string]int64 {
+// rejectionCounts are all counts of what was refused or dropped, without those that are zero.
+func (d *Distribution) rejectionCounts() map[string]int64 {
 	all := map[string]int64{"malformed packets": d.counts.malformedPackets.Load(), "dropped packets": d.counts.droppedPackets.Load(),
 		"malformed frames": d.counts.malformedFrames.Load(), "slow subscribers": d.counts.slowSubscribers.Load(),
-		"refused changes": d.counts.refusedChanges.Load(), "unreadable changes": d.counts.unreadable.Load(),
+		"refused changes": d.counts.rejectedChanges.Load(), "unreadable changes": d.counts.unreadableChanges.Load(),
 		"failed writes": d.counts.failedWrites.Load(), "skipped writes": d.counts.skippedWrites.Load()}
 	if d.follower != nil {
 		c := d.follower.status.Load().Counts
@@ -90,9 +90,9 @@
 }
 
 // Table writes the status for people.
-func (s DistributionStatus) Table(to io.Writer) {
-	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	line := func(name, format string, args ...any) { fmt.Fprintf(t, name+"\t"+format+"\n", args...) }
+func (s DistributionStatus) Table(w io.Writer) {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	writeRow := func(name, format string, args ...any) { fmt.Fprintf(t, name+"\t"+format+"\n", args...) }
 	age := fmt.Sprintf("%gs", s.Age)
 	if s.Age < 0 {
 		age = "never known to be new"
@@ -100,23 +100,23 @@
 	if s.Stale {
 		age += "  STALE"
 	}
-	line("app server", "%s, %s, %s", s.Name, s.Part, s.State)
-	line("version", "%d of term %d", s.Version, s.Term)
-	line("age", "%s", age)
+	writeRow("app server", "%s, %s, %s", s.Name, s.Part, s.State)
+	writeRow("version", "%d of term %d", s.Version, s.Term)
+	writeRow("age", "%s", age)
 	if s.Distributor != "" {
-		line("distributor", "%s", s.Distributor)
+		writeRow("distributor", "%s", s.Distributor)
 	}
 	if s.Leader != "" {
-		line("leader", "%s", s.Leader)
+		writeRow("leader", "%s", s.Leader)
 	}
-	line("entries", "%d of %d services, digest %s", s.Entries, s.Services, s.Digest)
+	writeRow("entries", "%d of %d services, digest %s", s.Entries, s.Services, s.Digest)
 	if s.Part == "app server" {
-		line("taken", "%d changes, %d snapshots", s.Applied, s.SnapshotsTaken)
+		writeRow("taken", "%d changes, %d snapshots", s.Applied, s.SnapshotsTaken)
 	} else {
-		line("served", "%d subscribers now, %d subscriptions and %d snapshots so far", s.Subscribers, s.Subscriptions, s.SnapshotsServed)
+		writeRow("served", "%d subscribers now, %d subscriptions and %d snapshots so far", s.Subscribers, s.Subscriptions, s.SnapshotsServed)
 	}
 	for _, cause := range sortedCauses(s.Refused) {
-		line("refused", "%d %s", s.Refused[cause], cause)
+		writeRow("refused", "%d %s", s.Refused[cause], cause)
 	}
 	t.Flush()
 }
--- a/fleet/distribution_storage.go
+++ b/fleet/distribution_storage.go
@@ -86,7 +86,7 @@
 }
 
 func (d *Distribution) skipEntry(entry configlog.Entry, err error) {
-	d.counts.unreadable.Add(1)
+	d.counts.unreadableChanges.Add(1)
 	d.log.Error("a committed change of the configuration is not applied", zap.Uint64("version", entry.Index), zap.Error(err))
 }
 
