--- a/fleet/distribution.go
+++ b/fleet/distribution.go
@@ -16,32 +16,33 @@
 	"valveglade/member"
 )
 
-// DistributionConfig is what this process is told of the distribution of configuration.
+// DistributionConfig configures this process's part in the distribution of configuration.
 type DistributionConfig struct {
 	Name           string
-	Voters         [][]string // who replicates the log; as for elected roles
-	Distributors   []string   // who serves app servers; the voters if empty
-	Services       []string   // what this app server serves
-	AllServices    bool       // every service, in place of Services
-	Folder         string     // for this app server's own files; empty where nothing lasts
-	BytesPerSecond float64    // most that one subscriber is sent
-	StaleAfter     float64    // age in seconds from which the configuration is too old
-	Socket         string     // local socket for status and changes; empty for none
+	Voters         [][]string // voters that replicate the log, grouped as for elected roles
+	Distributors   []string   // nodes that serve app servers; the voters if empty
+	Services       []string   // services that this app server serves
+	AllServices    bool       // subscribe to every service; Services is ignored
+	Folder         string     // for persistent files; empty to persist nothing
+	BytesPerSecond float64    // send rate limit of one subscriber
+	StaleAfter     float64    // age in seconds past which the configuration is stale
+	Socket         string     // path of the local socket for status and changes; empty for none
 }
 
-// StreamOpener opens streams to other app servers: member.Member.
+// StreamOpener opens streams to other app servers. member.Member implements it.
 type StreamOpener interface {
 	OpenStream(ctx context.Context, to string) (*member.Stream, error)
 }
 
-// TableState is the configuration in force, as of a version of the log. It is immutable.
+// TableState is the configuration in force at a version of the log. It is immutable.
 type TableState struct {
 	Table   configtable.Table
 	Version configlog.Version
 }
 
-// Distribution is one process's part in the distribution of configuration: a voter's copy of the log, a distributor's feed, and
-// an app server's subscription, each as far as the process has that part. Nothing that an RPC waits for waits for it.
+// Distribution is one process's part in the distribution of configuration: a voter's replica of the log, a
+// distributor's feed and an app server's subscription. Parts that the process does not have are nil. RPC processing
+// never waits for it.
 type Distribution struct {
 	cfg       DistributionConfig
 	log       *zap.Logger
@@ -57,27 +58,27 @@
 	counts    distributionCounts
 }
 
-// distributionCounts counts what was refused or dropped, for Status.
+// distributionCounts counts rejected and dropped messages and failed writes, for Status.
 type distributionCounts struct {
 	malformedPackets  atomic.Int64
 	droppedPackets    atomic.Int64
 	malformedFrames   atomic.Int64
-	rejectedFrames    atomic.Int64 // by the follower's machine
+	rejectedFrames    atomic.Int64 // frames that the follower's state machine rejected
 	slowSubscribers   atomic.Int64
 	rejectedChanges   atomic.Int64
-	unreadableChanges atomic.Int64 // committed changes that this version of the program can not read
+	unreadableChanges atomic.Int64 // committed changes that this version of the program cannot decode or apply
 	failedWrites      atomic.Int64
-	skippedWrites     atomic.Int64 // of an app server's own file: a whole file is written later instead
+	skippedWrites     atomic.Int64 // changes not appended to the local file, which is rewritten whole instead
 }
 
 // configRoleName is the elected role of the log's leader.
 const configRoleName = "config"
 
-// distributionTickInterval is how often machines are told of time.
+// distributionTickInterval is the interval between clock ticks of the feed's and the replica's state machines.
 const distributionTickInterval = 50 * time.Millisecond
 
-// Distribute prepares this process's part in the distribution of configuration; nothing is sent before its Run. It is called
-// once, before Run of the fleet.
+// Distribute prepares this process's part in the distribution of configuration. Nothing is sent before the returned
+// Distribution's Run. Distribute must be called at most once, before Fleet.Run.
 func (f *Fleet) Distribute(cfg DistributionConfig, opener StreamOpener) (*Distribution, error) {
 	if len(cfg.Voters) == 0 {
 		return nil, errors.New("configuration is distributed only where there are voters")
@@ -97,7 +98,7 @@
 	return d, nil
 }
 
-// roleOwner tells who owns a role, as far as is known here.
+// roleOwner returns the owner of a role, if this process knows it.
 func (f *Fleet) roleOwner(role string) (name string, known bool) {
 	for _, owner := range f.Owners() {
 		if owner.Role == role && owner.Owner != "" {
@@ -107,13 +108,13 @@
 	return "", false
 }
 
-// newDistribution decides which parts this process has.
+// newDistribution creates the parts that this process has by its configuration.
 func newDistribution(cfg DistributionConfig, opener StreamOpener, log *zap.Logger) *Distribution {
 	if len(cfg.Distributors) == 0 {
 		cfg.Distributors = uniqueNames(cfg.Voters)
 	}
-	d := &Distribution{cfg: cfg, log: log, opener: opener, startedAt: clock(), cache: newLookupCache(), leader: unknownLeader,
-		send: func(string, []byte) { /* no other voter to send to */ }}
+	d := &Distribution{cfg: cfg, log: log, opener: opener, startedAt: clock(), cache: newLookupCache(),
+		leader: unknownLeader, send: func(string, []byte) { /* no transport to other voters */ }}
 	d.table.Store(&TableState{})
 	voters := uniqueNames(cfg.Voters)
 	isVoter, isDistributor := slices.Contains(voters, cfg.Name), slices.Contains(cfg.Distributors, cfg.Name)
@@ -126,19 +127,22 @@
 	case isDistributor:
 		d.follower = newFollowerLoop(d, followerScope{all: true, distributors: voters})
 	default:
-		d.follower = newFollowerLoop(d, followerScope{all: cfg.AllServices, services: cfg.Services, distributors: cfg.Distributors})
+		d.follower = newFollowerLoop(d, followerScope{
+			all: cfg.AllServices, services: cfg.Services, distributors: cfg.Distributors,
+		})
 	}
 	return d
 }
 
-// NewSubscriber prepares an app server's subscription alone, for a process that is no member of a fleet.
+// NewSubscriber returns a Distribution with an app server's subscription only, for a process that is not a fleet
+// member.
 func NewSubscriber(cfg DistributionConfig, opener StreamOpener, log *zap.Logger) *Distribution {
 	return newDistribution(cfg, opener, log)
 }
 
 func unknownLeader() (string, bool) { return "", false }
 
-// uniqueNames are the names of all lists, each once.
+// uniqueNames returns the names in all lists, sorted and without duplicates.
 func uniqueNames(lists [][]string) []string {
 	var all []string
 	for _, list := range lists {
@@ -148,7 +152,7 @@
 	return slices.Compact(all)
 }
 
-// Run takes part until ctx ends. An error ends the distribution here and nothing else: what is in force stays.
+// Run runs all parts until ctx ends. A panic ends only the part that it occurs in; the configuration in force is kept.
 func (d *Distribution) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -175,17 +179,18 @@
 	return nil
 }
 
-// recoverPanic has a panic end the part that it came in, and nothing else.
+// recoverPanic logs a panic, which ends only the part that it occurred in.
 func (d *Distribution) recoverPanic(part string) {
 	if p := recover(); p != nil {
 		d.log.Error("panic", zap.String("configuration", part), zap.Any("panic", p), zap.Stack("stack"))
 	}
 }
 
-// Table is the configuration in force; reading it never waits.
+// Table returns the configuration in force. It never blocks.
 func (d *Distribution) Table() *TableState { return d.table.Load() }
 
-// receive takes a packet of replication. It never waits: what does not fit is lost, as it may be on its way.
+// receive handles a replication packet. It never blocks: a packet that finds the queue full is dropped, which the
+// protocol tolerates like any packet loss.
 func (d *Distribution) receive(from string, packet []byte) {
 	message, err := decodeReplication(packet)
 	if err != nil {
@@ -203,10 +208,10 @@
 	}
 }
 
-// firstFrameTimeout is how long a stream may take to say what it is for.
+// firstFrameTimeout bounds the wait for the first frame of a stream, which states its purpose.
 const firstFrameTimeout = 5 * time.Second
 
-// ServeStream serves an incoming stream of another app server; it is a member.StreamHandler.
+// ServeStream serves an incoming stream from another app server. It is a member.StreamHandler.
 func (d *Distribution) ServeStream(ctx context.Context, s *member.Stream) {
 	defer d.recoverPanic("stream")
 	payload, err := s.ReadFrame(firstFrameTimeout)
@@ -233,7 +238,7 @@
 	}
 }
 
-// watchStaleness logs once when the configuration becomes too old, and once when it no longer is.
+// watchStaleness logs each change between a fresh and a stale configuration.
 func (d *Distribution) watchStaleness(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -245,13 +250,13 @@
 		case <-ticker.C:
 		}
 		status := d.Status()
-		// At a start the age is unknown until the first word of a distributor: that is given as long as an age may be.
+		// After a start the age is unknown until the first message from a distributor, which has StaleAfter to arrive.
 		if status.Stale == stale || status.Stale && clock()-d.startedAt < d.cfg.StaleAfter {
 			continue
 		}
 		stale = status.Stale
-		fields := []zap.Field{zap.Uint64("term", status.Term), zap.Uint64("version", status.Version), zap.String("age", fmt.Sprintf("%.1fs", status.Age)),
-			zap.String("distributor", status.Distributor)}
+		fields := []zap.Field{zap.Uint64("term", status.Term), zap.Uint64("version", status.Version),
+			zap.String("age", fmt.Sprintf("%.1fs", status.Age)), zap.String("distributor", status.Distributor)}
 		if stale {
 			d.log.Warn("configuration is stale", fields...)
 		} else {
--- a/fleet/distribution_apply.go
+++ b/fleet/distribution_apply.go
@@ -11,19 +11,19 @@
 	"valveglade/logic/configtable"
 )
 
-// MaxChangeText bounds the text of one set of changes, in bytes: it fits a frame with its path.
+// MaxChangeText is the largest text of one set of changes, in bytes. Together with its path it fits a frame.
 const MaxChangeText = 60_000
 
-// maxChangePath bounds the path that faults are told with.
+// maxChangePath is the longest file path, in bytes, that may accompany a set of changes for its error messages.
 const maxChangePath = 1024
 
-// How long a set of changes may take: to be committed, and to come back from the leader.
+// Timeouts of a set of changes: for its commit at the leader, and for the reply to a forwarded request.
 const (
 	commitTimeout  = 10 * time.Second
 	forwardTimeout = commitTimeout + 2*time.Second
 )
 
-// applyText has the changes of a text committed: by this process if it leads the log, else by way of a voter.
+// applyText commits the changes in a text, here if this process leads the log, otherwise through a voter.
 func (d *Distribution) applyText(ctx context.Context, request applyRequest) applyReply {
 	version, err := d.apply(ctx, request)
 	if err != nil {
@@ -36,7 +36,8 @@
 
 func (d *Distribution) apply(ctx context.Context, request applyRequest) (configlog.Version, error) {
 	if len(request.Text) > MaxChangeText || len(request.Path) > maxChangePath {
-		return configlog.Version{}, fmt.Errorf("%s: %d bytes are more than the %d of one set of changes", request.Path, len(request.Text), MaxChangeText)
+		return configlog.Version{}, fmt.Errorf("%s: %d bytes are more than the %d of one set of changes",
+			request.Path, len(request.Text), MaxChangeText)
 	}
 	if d.replica == nil || d.replica.status.Load().State != configlog.ReplicaLeader {
 		return d.forward(ctx, request)
@@ -47,20 +48,21 @@
 		return configlog.Version{}, err
 	}
 	if len(changes) == 0 {
-		return configlog.Version{}, fmt.Errorf("%s: no change is in it", request.Path)
+		return configlog.Version{}, fmt.Errorf("%s: no change in the file", request.Path)
 	}
 	outcome, err := d.propose(ctx, changes)
 	if err != nil {
 		return configlog.Version{}, err
 	}
 	if changeErr := (*configtable.ChangeError)(nil); errors.As(outcome.Err, &changeErr) {
-		return configlog.Version{}, &configtable.LineError{Path: request.Path, Line: changeLine(request.Text, outcome.FaultIndex),
-			Name: changes[outcome.FaultIndex].Name, Reason: changeErr.Error()}
+		return configlog.Version{}, &configtable.LineError{Path: request.Path,
+			Line: changeLine(request.Text, outcome.FaultIndex), Name: changes[outcome.FaultIndex].Name,
+			Reason: changeErr.Error()}
 	}
 	return outcome.Version, outcome.Err
 }
 
-// propose has the loop of the log take changes, and waits for their commit.
+// propose submits changes to the replica's loop and waits for their commit.
 func (d *Distribution) propose(ctx context.Context, changes []configtable.Change) (proposalOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -76,7 +78,8 @@
 	}
 }
 
-// changeLine is the line of the change of a number, from 0: blank lines and comments are none.
+// changeLine returns the line number, from 1, of the change with an index, from 0. Blank lines and comments are not
+// counted as changes. It returns 0 if there is no such change.
 func changeLine(text []byte, changeIndex int) int {
 	for k, line := range strings.Split(string(text), "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
@@ -90,7 +93,7 @@
 	return 0
 }
 
-// forward passes a text on: a voter to the leader, anybody else to a voter.
+// forward sends a request on: from a voter to the leader, from any other node to a voter.
 func (d *Distribution) forward(ctx context.Context, request applyRequest) (configlog.Version, error) {
 	if request.Forwarded {
 		return configlog.Version{}, errNotLeader
@@ -114,13 +117,13 @@
 	return configlog.Version{}, lastErr
 }
 
-// unreachableError tells that nothing was asked of another app server, as it could not be reached.
+// unreachableError reports that another app server could not be reached, so that no request was sent to it.
 type unreachableError struct{ err error }
 
 func (e *unreachableError) Error() string { return e.err.Error() }
 func (e *unreachableError) Unwrap() error { return e.err }
 
-// forwardTo asks another app server to apply a text.
+// forwardTo requests another app server to apply a text.
 func (d *Distribution) forwardTo(ctx context.Context, name string, request applyRequest) (configlog.Version, error) {
 	openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	stream, err := d.opener.OpenStream(openCtx, name)
