--- a/fleet/distribution_codec.go
+++ b/fleet/distribution_codec.go
@@ -8,28 +8,28 @@
 	"valveglade/logic/configlog"
 )
 
-// errMalformed is returned for bytes that are not a message of the distribution of configuration.
+// errMalformed is returned for bytes that are not a valid message of configuration distribution.
 var errMalformed = errors.New("not a message of the distribution of configuration")
 
-// maxIndex bounds indices and terms in messages: past what a log could come to, and far from where sums overflow.
+// maxIndex is the largest index or term in a message. No log grows that far, and sums of such values do not overflow.
 const maxIndex = 1 << 53
 
-// maxSeconds bounds ages and rates in messages.
+// maxSeconds is the largest age, in seconds, or rate in a message. An unknown age is encoded as maxSeconds.
 const maxSeconds = 1e12
 
-// fieldCodec is one side of the codec of a message: messageWriter appends the fields, messageReader fills them in. The fields of
-// each kind of message are listed once, by a function that both sides run; see messageFormat.
+// fieldCodec encodes or decodes the fields of a message: messageWriter appends them, messageReader fills them in. The
+// fields of each kind of message are listed once, in a function that serves both directions; see messageFormat.
 type fieldCodec interface {
 	byte(*byte)
-	number(*uint64) // of at most maxIndex
-	uint64(*uint64) // of any value, such as an identifier
+	number(*uint64) // at most maxIndex
+	uint64(*uint64) // any value, such as an identifier
 	seconds(*float64)
 	flag(*bool)
 	text(*string)
 	bytes(*[]byte)
-	count(int) int // writes the length of a list, or reads it whatever it is given; the length is returned
-	ok() bool      // whether all fields so far were sound
-	invalid()      // refuses the message that is read; has no effect on one that is written
+	count(int) int // writes the given list length, or ignores it and reads one; returns the length
+	ok() bool      // whether all fields so far were valid
+	invalid()      // marks the message being read as malformed; no effect when writing
 }
 
 // messageFormat is the codec of one kind of message.
@@ -39,7 +39,7 @@
 	read  func(*messageReader) any
 }
 
-// formatOf returns the codec of the messages of type M, whose fields are those that a function passes to a codec, in their order.
+// formatOf returns the codec of messages of type M. fields passes the fields of a message to the codec, in wire order.
 func formatOf[M any](kind byte, fields func(fieldCodec, *M)) messageFormat {
 	return messageFormat{
 		kind: kind,
@@ -60,10 +60,10 @@
 	}
 }
 
-// typicalMessageBytes is the capacity in bytes that most messages are encoded in without growing it.
+// typicalMessageBytes is the initial capacity of an encoded message; most messages fit without growing it.
 const typicalMessageBytes = 128
 
-// encodeMessage returns a prefix with the kind and the fields of a message after it, or nil for a type that has no format.
+// encodeMessage returns a prefix followed by the kind and the fields of a message, or nil for a type without a format.
 func encodeMessage(formats []messageFormat, prefix string, message any) []byte {
 	w := messageWriter{out: append(make([]byte, 0, typicalMessageBytes), prefix...)}
 	for _, format := range formats {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// decodeMessage reads what encodeMessage wrote after the prefix; anything else gives errMalformed.
+// decodeMessage decodes what encodeMessage wrote after the prefix. It returns errMalformed for anything else.
 func decodeMessage(formats []messageFormat, payload []byte) (any, error) {
 	r := messageReader{rest: payload}
 	var kind byte
@@ -108,7 +108,7 @@
 	changeFields(c, &e.Change)
 }
 
-// listFields is the field of a list: its length, then its elements. What is read ends with the first element that is not sound.
+// listFields encodes or decodes a list: its length, then its elements. Decoding stops at the first malformed element.
 func listFields[T any](c fieldCodec, list *[]T, element func(fieldCodec, *T)) {
 	for k := range c.count(len(*list)) {
 		if !c.ok() {
@@ -121,7 +121,8 @@
 	}
 }
 
-// messageWriter appends fields to a message. Numbers are big endian; a text or payload is its length (2 bytes) and its bytes.
+// messageWriter appends fields to a message. Numbers are big endian; a text or payload is its length (2 bytes) followed
+// by its bytes.
 type messageWriter struct{ out []byte }
 
 func (w *messageWriter) byte(b *byte)     { w.out = append(w.out, *b) }
@@ -137,7 +138,7 @@
 	return n
 }
 
-// seconds writes an age, or a rate; what is unknown, and so infinite, is written as the most.
+// seconds writes an age or a rate. An infinite value, which stands for an unknown one, is written as maxSeconds.
 func (w *messageWriter) seconds(s *float64) {
 	w.out = binary.BigEndian.AppendUint64(w.out, math.Float64bits(min(*s, maxSeconds)))
 }
@@ -150,8 +151,8 @@
 	w.out = append(w.out, b)
 }
 
-// messageReader takes fields from the front of a message. After the first field that is missing or out of its bounds all are
-// zero, and ok reports false.
+// messageReader reads fields from the front of a message. After the first field that is missing or out of bounds, all
+// further fields are zero and ok returns false.
 type messageReader struct {
 	rest   []byte
 	failed bool
@@ -203,7 +204,7 @@
 	*set = b == 1
 }
 
-// bytes copies, so that what is kept of a message does not keep all of it.
+// bytes copies the payload, so that keeping it does not retain the whole message.
 func (r *messageReader) bytes(b *[]byte) {
 	n := r.count(0)
 	if n == 0 {
--- a/fleet/distribution_frame.go
+++ b/fleet/distribution_frame.go
@@ -4,8 +4,8 @@
 	"valveglade/logic/configlog"
 )
 
-// Kinds of frames on a stream of the distribution. Subscribe to LookupReply are the messages of a subscription; ApplyRequest is the
-// only frame of a stream that brings changes to the leader, and ApplyReply its answer.
+// Kinds of frames on a distribution stream. Subscribe to LookupReply are the messages of a subscription. A stream that
+// submits changes carries one ApplyRequest and its ApplyReply. NewTermRequest is the only frame of its stream.
 const (
 	frameSubscribe byte = iota + 1
 	frameWelcome
@@ -19,23 +19,23 @@
 	frameNewTermRequest
 )
 
-// applyRequest asks for the changes of a text; see configtable.ParseChanges for its form.
+// applyRequest requests the changes in a text to be committed; configtable.ParseChanges documents its syntax.
 type applyRequest struct {
-	Path      string // of the operators' file, for messages of faults
-	Forwarded bool   // it has been passed on once, and is not again
+	Path      string // of the operator's file, for error messages
+	Forwarded bool   // it was forwarded to the leader and must not be forwarded again
 	Text      []byte
 }
 
-// applyReply is the outcome: the version of the last change, or why nothing was changed.
+// applyReply is the outcome of an applyRequest: the version of the last change, or an error.
 type applyReply struct {
 	Version configlog.Version
 	Error   string // empty when all changes are committed
 }
 
-// newTermRequest asks the leader of a term to have another one begin: a voter that lost its files waits for it.
+// newTermRequest asks the leader of a term to step down. A voter that lost its files can rejoin only in a later term.
 type newTermRequest struct{ Term uint64 }
 
-// frameFormats are the messages of streams. Their fields are those of docs/configuration.md, in its order.
+// frameFormats are the formats of stream messages. The fields follow docs/configuration.md, in its order.
 var frameFormats = []messageFormat{
 	formatOf(frameSubscribe, func(c fieldCodec, m *configlog.Subscribe) {
 		c.uint64(&m.Stream)
@@ -95,8 +95,8 @@
 	formatOf(frameNewTermRequest, func(c fieldCodec, m *newTermRequest) { c.number(&m.Term) }),
 }
 
-// encodeFrame returns the payload of a frame, or nil for a message that is not known.
+// encodeFrame returns the payload of a frame, or nil for an unknown type of message.
 func encodeFrame(message any) []byte { return encodeMessage(frameFormats, "", message) }
 
-// decodeFrame reads what encodeFrame wrote; anything else gives errMalformed.
+// decodeFrame decodes what encodeFrame wrote. It returns errMalformed for anything else.
 func decodeFrame(payload []byte) (any, error) { return decodeMessage(frameFormats, payload) }
--- a/fleet/distribution_packet.go
+++ b/fleet/distribution_packet.go
@@ -6,17 +6,18 @@
 	"valveglade/logic/configlog"
 )
 
-// replicationMagic begins each packet between the voters' copies of the log: "VC", format 1. The kind follows, then the term, then
-// the message's own fields in the order of replicationFormats. docs/configuration.md has the layout.
+// replicationMagic begins each packet between replicas of the log: "VC", format 1. The kind follows, then the term,
+// then the other fields in the order of replicationFormats. docs/configuration.md documents the layout.
 const replicationMagic = "VC\x01"
 
 // maxReplicationPacket is the largest message that a packet between members carries, in bytes.
 const maxReplicationPacket = 1250
 
-// maxReplicationEntries is what a packet leaves for entries, by configlog.Entry.Size: its head takes at most 46 bytes.
+// maxReplicationEntries is the size available for entries in a packet, as counted by configlog.Entry.Size. The other
+// fields take at most 46 bytes.
 const maxReplicationEntries = maxReplicationPacket - 46
 
-// The kinds of replication messages.
+// Kinds of replication messages.
 const (
 	recoverRequest byte = iota + 1
 	recoverResponse
@@ -27,10 +28,10 @@
 	behindNotice
 )
 
-// isReplication reports whether a packet is one of replication, sound or not.
+// isReplication reports whether a packet has the replication prefix; it may still be malformed.
 func isReplication(packet []byte) bool { return bytes.HasPrefix(packet, []byte(replicationMagic)) }
 
-// replicationFormats are the replication messages. Their fields are those of docs/configuration.md, in its order.
+// replicationFormats are the formats of replication messages. The fields follow docs/configuration.md, in its order.
 var replicationFormats = []messageFormat{
 	formatOf(recoverRequest, func(c fieldCodec, m *configlog.RecoverRequest) { c.number(&m.Term) }),
 	formatOf(recoverResponse, func(c fieldCodec, m *configlog.RecoverResponse) {
@@ -70,12 +71,12 @@
 	}),
 }
 
-// encodeReplication returns the packet of a message, or nil for a kind that is not known.
+// encodeReplication returns the packet of a message, or nil for an unknown type of message.
 func encodeReplication(message configlog.Message) []byte {
 	return encodeMessage(replicationFormats, replicationMagic, message)
 }
 
-// decodeReplication reads what encodeReplication wrote; anything else gives errMalformed.
+// decodeReplication decodes what encodeReplication wrote. It returns errMalformed for anything else.
 func decodeReplication(packet []byte) (configlog.Message, error) {
 	if !isReplication(packet) {
 		return nil, errMalformed
