--- a/fleet/distribution_feed.go
+++ b/fleet/distribution_feed.go
@@ -11,15 +11,15 @@
 	"valveglade/member"
 )
 
-// Bounds and times of a distributor.
+// Limits and timings of a distributor.
 const (
-	feedInboxSize           = 256     // events that may wait; whoever tells more waits itself
-	feedHistoryEntries      = 50_000  // entries kept for app servers that come back: thirteen hours of changes
-	feedBufferBytes         = 1 << 20 // bytes that wait for one subscriber
-	feedPartBytes           = 16 << 10
-	feedHeartbeatSeconds    = 2.0 // seconds
-	maxLookupsPerSubscriber = 16  // of one subscriber that wait
-	subscriberQueueFrames   = 128 // frames that wait for one subscriber's connection
+	feedInboxSize           = 256      // queued events; senders block while the queue is full
+	feedHistoryEntries      = 50_000   // entries kept for app servers that reconnect: thirteen hours of changes
+	feedBufferBytes         = 1 << 20  // bytes buffered for one subscriber
+	feedPartBytes           = 16 << 10 // bytes of one part of a snapshot
+	feedHeartbeatSeconds    = 2.0
+	maxLookupsPerSubscriber = 16  // pending lookups of one subscriber
+	subscriberQueueFrames   = 128 // frames queued for one subscriber's connection
 	frameWriteTimeout       = 5 * time.Second
 )
 
@@ -42,7 +42,7 @@
 type subscriberConn struct {
 	id         configlog.SubscriberID
 	stream     *member.Stream
-	queue      chan []byte // frames to be written
+	queue      chan []byte // frames to be written; closed when the feed removes the subscriber
 	writerDone chan struct{}
 }
 
@@ -51,11 +51,11 @@
 	d                 *Distribution
 	inbox             chan any
 	lastID            atomic.Uint64
-	subscriberCount   atomic.Int64 // subscribers now
-	subscriptionCount atomic.Int64 // subscriptions so far
-	snapshotCount     atomic.Int64 // snapshots begun
+	subscriberCount   atomic.Int64 // current subscribers
+	subscriptionCount atomic.Int64 // subscriptions since the start
+	snapshotCount     atomic.Int64 // snapshots begun since the start
 
-	machine     *configlog.Feed
+	machine     *configlog.Feed // state machine, used by the loop's goroutine only
 	subscribers map[configlog.SubscriberID]*subscriberConn
 }
 
@@ -63,7 +63,7 @@
 	return &feedLoop{d: d, inbox: make(chan any, feedInboxSize), subscribers: map[configlog.SubscriberID]*subscriberConn{}}
 }
 
-// enqueue has the loop take an event. It waits if many do already: the loop itself never waits for a subscriber.
+// enqueue passes an event to the loop. It blocks while the queue is full; the loop itself never waits for a subscriber.
 func (l *feedLoop) enqueue(ctx context.Context, event any) {
 	select {
 	case l.inbox <- event:
@@ -71,10 +71,11 @@
 	}
 }
 
-// run drives the machine until ctx ends.
+// run drives the feed's state machine until ctx ends.
 func (l *feedLoop) run(ctx context.Context) {
-	cfg := configlog.FeedConfig{HistoryEntries: feedHistoryEntries, BufferBytes: feedBufferBytes, PartBytes: feedPartBytes, BytesPerSecond: l.d.cfg.BytesPerSecond,
-		HeartbeatEvery: feedHeartbeatSeconds, LookupsInFlight: maxLookupsPerSubscriber}
+	cfg := configlog.FeedConfig{HistoryEntries: feedHistoryEntries, BufferBytes: feedBufferBytes,
+		PartBytes: feedPartBytes, BytesPerSecond: l.d.cfg.BytesPerSecond, HeartbeatEvery: feedHeartbeatSeconds,
+		LookupsInFlight: maxLookupsPerSubscriber}
 	l.machine = configlog.NewFeed(cfg, tableSnapshotter{l.d}, l.d.Table().Version, clock())
 	ticker := time.NewTicker(distributionTickInterval)
 	defer ticker.Stop()
@@ -91,7 +92,7 @@
 	}
 }
 
-// sourceAge is how old this process's own knowledge of the configuration is, in seconds.
+// sourceAge returns the age, in seconds, of this process's configuration: the time since it last matched the leader's.
 func (d *Distribution) sourceAge() float64 {
 	if d.replica != nil {
 		return d.replica.status.Load().Age
@@ -99,7 +100,7 @@
 	return d.follower.age()
 }
 
-// handle has the machine take one event.
+// handle passes one event to the state machine.
 func (l *feedLoop) handle(event any) {
 	switch e := event.(type) {
 	case entriesCommitted:
@@ -120,7 +121,7 @@
 	}
 }
 
-// append takes committed entries; those that the feed has already are skipped.
+// append adds committed entries to the feed and skips those that it already has.
 func (l *feedLoop) append(entries []configlog.Entry) {
 	for len(entries) > 0 && entries[0].Index <= l.machine.Version().Index {
 		entries = entries[1:]
@@ -129,7 +130,7 @@
 		return
 	}
 	if err := l.machine.Append(entries); err != nil {
-		l.d.log.Warn("configuration: the feed begins anew", zap.Error(err))
+		l.d.log.Warn("configuration: committed entries do not follow the feed; resetting the feed", zap.Error(err))
 		l.machine.Reset(entries[len(entries)-1].Version)
 	}
 }
@@ -146,7 +147,8 @@
 	}
 }
 
-// processReady passes on what the machine has to say. A connection whose queue is full is too slow, and closed.
+// processReady sends the state machine's outgoing messages and closes the connections that it gave up. A connection
+// whose queue is full is too slow and is closed.
 func (l *feedLoop) processReady() {
 	ready := l.machine.Ready()
 	for _, out := range ready.Messages {
@@ -175,7 +177,7 @@
 	}
 }
 
-// remove forgets a subscriber; its writer ends once it has written what waits.
+// remove removes a subscriber. Its writer ends after writing the queued frames.
 func (l *feedLoop) remove(s *subscriberConn) {
 	if l.subscribers[s.id] == nil {
 		return
@@ -185,16 +187,16 @@
 	close(s.queue)
 }
 
-// serve keeps one subscription until its connection ends.
+// serve handles one subscription until its connection ends.
 func (l *feedLoop) serve(ctx context.Context, stream *member.Stream, request configlog.Subscribe) {
-	s := &subscriberConn{id: configlog.SubscriberID(l.lastID.Add(1)), stream: stream, queue: make(chan []byte, subscriberQueueFrames),
-		writerDone: make(chan struct{})}
+	s := &subscriberConn{id: configlog.SubscriberID(l.lastID.Add(1)), stream: stream,
+		queue: make(chan []byte, subscriberQueueFrames), writerDone: make(chan struct{})}
 	l.subscriptionCount.Add(1)
 	go s.write(ctx)
 	l.enqueue(ctx, subscriberJoined{s, request})
 	defer func() {
 		l.enqueue(ctx, subscriberLeft{s})
-		select { // the queue may still hold frames of a connection that is closed with the reason in them
+		select { // the queue may still hold the final frames, which state why the connection is closed
 		case <-s.writerDone:
 		case <-ctx.Done():
 		}
@@ -219,10 +221,10 @@
 	}
 }
 
-// write writes what waits for a subscriber, until the feed drops it, the connection fails or ctx ends.
+// write sends the queued frames until the feed removes the subscriber, the connection fails or ctx ends.
 func (s *subscriberConn) write(ctx context.Context) {
 	defer close(s.writerDone)
-	defer s.stream.Close() // the reader ends with it, and has the feed drop it
+	defer s.stream.Close() // ends the reader, which unsubscribes from the feed
 	for {
 		select {
 		case <-ctx.Done():
--- a/fleet/distribution_fetch.go
+++ b/fleet/distribution_fetch.go
@@ -12,13 +12,13 @@
 	"valveglade/member"
 )
 
-// snapshotFrameTimeout is how long a part of a snapshot between voters may take: they come at the pace of the distributor's rate.
+// snapshotFrameTimeout bounds the wait for one part of a snapshot. The sender paces the parts by its rate limit.
 const snapshotFrameTimeout = 15 * time.Second
 
-// errNoSnapshot is returned when no other voter has a snapshot that is wanted.
-var errNoSnapshot = errors.New("no other voter has the snapshot that is wanted")
+// errNoSnapshot is returned when no other voter has an acceptable snapshot.
+var errNoSnapshot = errors.New("no other voter has a snapshot of the required version")
 
-// fetchSnapshot gets the whole table from another voter, of the first version that wanted accepts.
+// fetchSnapshot fetches the whole table from the first other voter whose version is accepted.
 func (d *Distribution) fetchSnapshot(ctx context.Context, accept func(configlog.Version) bool) (*TableState, error) {
 	err := errNoSnapshot
 	for _, name := range uniqueNames(d.cfg.Voters) {
@@ -34,7 +34,7 @@
 	return nil, err
 }
 
-// FetchTable reads the whole table from a distributor, and tells how many bytes that took both ways.
+// FetchTable fetches the whole table from a distributor. It also returns the bytes transferred in both directions.
 func FetchTable(ctx context.Context, opener StreamOpener, from string) (state *TableState, bytes int64, err error) {
 	counting := &countingOpener{StreamOpener: opener}
 	d := NewSubscriber(DistributionConfig{Name: "reader", Distributors: []string{from}}, counting, zap.NewNop())
@@ -42,13 +42,13 @@
 	return state, counting.bytes(), err
 }
 
-// countingOpener keeps the last stream that it opened, for its bytes.
+// countingOpener keeps the last stream that it opened, to report its byte counts.
 type countingOpener struct {
 	StreamOpener
 	lastStream *member.Stream
 }
 
-// OpenStream opens a stream.
+// OpenStream implements StreamOpener.
 func (o *countingOpener) OpenStream(ctx context.Context, to string) (*member.Stream, error) {
 	stream, err := o.StreamOpener.OpenStream(ctx, to)
 	o.lastStream = stream
@@ -63,7 +63,8 @@
 	return read + written
 }
 
-func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string, accept func(configlog.Version) bool) (*TableState, error) {
+func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string,
+	accept func(configlog.Version) bool) (*TableState, error) {
 	openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	stream, err := d.opener.OpenStream(openCtx, name)
 	cancel()
@@ -74,7 +75,8 @@
 	stop := context.AfterFunc(ctx, func() { stream.Close() })
 	defer stop()
 	const streamID = 1
-	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: streamID, All: true}), frameWriteTimeout); err != nil {
+	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: streamID, All: true}),
+		frameWriteTimeout); err != nil {
 		return nil, err
 	}
 	var stage stagedTable
--- a/fleet/distribution_snapshot.go
+++ b/fleet/distribution_snapshot.go
@@ -9,25 +9,26 @@
 	"valveglade/logic/configtable"
 )
 
-// Records of a snapshot, as payloads of changes: each service begins with one that has the index of its last entry (8 bytes), and
-// its entries follow.
+// Kinds of snapshot records, which are carried as payloads of changes. Each service begins with a recordService,
+// which has the index of its last entry (8 bytes), followed by a recordEntry for each entry.
 const (
 	recordService byte = iota
 	recordEntry
 )
 
-// tableSnapshotter is the table that the feed serves.
+// tableSnapshotter gives the feed access to the table in force.
 type tableSnapshotter struct{ d *Distribution }
 
-// Open holds the records of some services, or of all, as they are now.
+// Open returns a snapshot of the current records of the given services, or of all.
 func (t tableSnapshotter) Open(services []string, all bool) configlog.Snapshot {
 	state := t.d.Table()
 	next, stop := iter.Pull(snapshotRecords(state.Table, services, all))
 	return &tableSnapshot{version: state.Version, next: next, stop: stop}
 }
 
-// Lookup finds one entry.
-func (t tableSnapshotter) Lookup(kind configlog.LookupKind, name string) (value []byte, version configlog.Version, found bool) {
+// Lookup returns one encoded entry.
+func (t tableSnapshotter) Lookup(kind configlog.LookupKind, name string) (value []byte, version configlog.Version,
+	found bool) {
 	state := t.d.Table()
 	change, found := lookupTable(state.Table, configtable.Kind(kind), name)
 	if found {
@@ -36,7 +37,7 @@
 	return value, state.Version, found
 }
 
-// snapshotRecords gives the records in the order in which a configtable.Builder takes them.
+// snapshotRecords yields the records in the order that configtable.Builder requires.
 func snapshotRecords(table configtable.Table, services []string, all bool) iter.Seq[configlog.Change] {
 	return func(yield func(configlog.Change) bool) {
 		if !all {
@@ -73,16 +74,16 @@
 	version configlog.Version
 	next    func() (configlog.Change, bool)
 	stop    func()
-	peeked  *configlog.Change // taken from next, and not given yet
+	peeked  *configlog.Change // read from next and not yet returned
 	ended   bool
 }
 
 func (s *tableSnapshot) Version() configlog.Version { return s.version }
 
-// recordOverheadBytes is what a record takes in a message beside its service and payload: two lengths.
+// recordOverheadBytes is the size of a record in a message besides its service and payload: two lengths.
 const recordOverheadBytes = 4
 
-// Next gives the following records of at most maxBytes, or one that is larger.
+// Next returns the following records, up to maxBytes in total, or a single larger record.
 func (s *tableSnapshot) Next(maxBytes int) (records []configlog.Change, done bool) {
 	size := 0
 	for s.peek() {
@@ -97,7 +98,7 @@
 	return records, true
 }
 
-// peek has the next record ready, and reports whether there is one.
+// peek reads the next record ahead and reports whether there is one.
 func (s *tableSnapshot) peek() bool {
 	if s.peeked == nil && !s.ended {
 		record, ok := s.next()
@@ -114,13 +115,13 @@
 	s.stop()
 }
 
-// stagedTable builds a table from a snapshot's records beside the one in force.
+// stagedTable builds a table from a snapshot's records while another table is in force.
 type stagedTable struct {
 	builder configtable.Builder
-	err     error // of the first record that does not fit
+	err     error // of the first invalid record
 }
 
-// add takes some records. The first fault ends the stage.
+// add adds records. After the first invalid record, further ones are ignored.
 func (s *stagedTable) add(records []configlog.Change) {
 	for _, record := range records {
 		if s.err != nil {
@@ -151,7 +152,7 @@
 	return errMalformed
 }
 
-// table gives what was staged.
+// table returns the built table, or the error of the first invalid record.
 func (s *stagedTable) table() (configtable.Table, error) {
 	if s.err != nil {
 		return configtable.Table{}, s.err
