--- a/fleet/distribution_follower.go
+++ b/fleet/distribution_follower.go
@@ -13,12 +13,12 @@
 	"valveglade/member"
 )
 
-// Bounds and times of an app server's subscription.
+// Limits and timings of an app server's subscription.
 const (
-	followerInboxSize      = 64 // events that may wait; the connection's reader waits itself
-	followerQueueFrames    = 32 // frames that wait to be sent to the distributor
+	followerInboxSize      = 64 // queued events; the connection's reader blocks while the queue is full
+	followerQueueFrames    = 32 // frames queued for the distributor
 	followerTickInterval   = 250 * time.Millisecond
-	followerSilenceSeconds = 7.0 // seconds without a word from the distributor: three heartbeats
+	followerSilenceSeconds = 7.0 // time without a message from the distributor: about three heartbeats
 	followerMinBackoff     = 0.5 // seconds
 	followerMaxBackoff     = 8.0 // seconds
 	followerMaxLookups     = 16
@@ -26,14 +26,14 @@
 	badSnapshotDelay       = 10 * time.Second
 )
 
-// followerScope is what a subscription is for, and whom it may be had from.
+// followerScope is the services of a subscription and the distributors that may serve it.
 type followerScope struct {
 	all          bool
 	services     []string
 	distributors []string
 }
 
-// Events of the follower's loop. Connections are numbered; what comes of a former one is passed over.
+// Events of the follower's loop. Each connection has an ID, by which events of former connections are ignored.
 type (
 	connectionOpened struct {
 		connID uint64
@@ -47,7 +47,7 @@
 	lookupRequested struct {
 		kind  configlog.LookupKind
 		name  string
-		reply chan configlog.LookupDone // holds one
+		reply chan configlog.LookupDone // has a buffer of one
 	}
 )
 
@@ -56,23 +56,24 @@
 	d             *Distribution
 	scope         followerScope
 	inbox         chan any
-	file          *tableFile // nil where nothing lasts
+	file          *tableFile // nil if nothing is persisted
 	status        atomic.Pointer[configlog.Status]
-	confirmedAt   atomic.Uint64 // bits of the time when the table was last known to be as new as the leader's
-	closedBytes   atomic.Int64  // read and written by former connections
+	confirmedAt   atomic.Uint64 // float64 bits of the time when the table was last known to match the leader's
+	closedBytes   atomic.Int64  // bytes read and written by closed connections
 	currentStream atomic.Pointer[member.Stream]
 
-	machine *configlog.Follower
+	machine *configlog.Follower // state machine, used by the loop's goroutine only
 	stage   *stagedTable
-	connID  uint64 // of the connection
+	connID  uint64 // of the current connection; incremented when it ends
 	cancel  context.CancelFunc
-	queue   chan []byte // of the connection, nil without one
+	queue   chan []byte // frames for the current connection; nil without one
 	lastID  uint64
-	lookups map[uint64]chan configlog.LookupDone
+	lookups map[uint64]chan configlog.LookupDone // pending lookups by ID
 }
 
 func newFollowerLoop(d *Distribution, scope followerScope) *followerLoop {
-	l := &followerLoop{d: d, scope: scope, inbox: make(chan any, followerInboxSize), lookups: map[uint64]chan configlog.LookupDone{}}
+	l := &followerLoop{d: d, scope: scope, inbox: make(chan any, followerInboxSize),
+		lookups: map[uint64]chan configlog.LookupDone{}}
 	l.status.Store(&configlog.Status{Age: math.Inf(1), Stale: true})
 	l.confirmedAt.Store(math.Float64bits(math.Inf(-1)))
 	if d.cfg.Folder != "" {
@@ -81,12 +82,12 @@
 	return l
 }
 
-// age is how old the knowledge of the configuration is, in seconds; infinite before the first word of a distributor.
+// age returns the age of the configuration in seconds; it is infinite before the first message from a distributor.
 func (l *followerLoop) age() float64 {
 	return max(clock()-math.Float64frombits(l.confirmedAt.Load()), 0)
 }
 
-// streamBytes is how many bytes have been read and written, on all connections.
+// streamBytes returns the bytes read and written on all connections.
 func (l *followerLoop) streamBytes() int64 {
 	total := l.closedBytes.Load()
 	if stream := l.currentStream.Load(); stream != nil {
@@ -96,7 +97,7 @@
 	return total
 }
 
-// run drives the machine until ctx ends.
+// run drives the follower's state machine until ctx ends.
 func (l *followerLoop) run(ctx context.Context) {
 	if l.file != nil {
 		if state := l.file.load(); state != nil {
@@ -127,15 +128,16 @@
 	}
 }
 
-// resetMachine makes the machine, with a table of a version.
+// resetMachine creates the state machine for a table at a version.
 func (l *followerLoop) resetMachine(version configlog.Version) {
-	l.machine = configlog.NewFollower(configlog.FollowerConfig{Name: l.d.cfg.Name, Services: l.scope.services, All: l.scope.all,
-		Distributors: l.scope.distributors, BytesPerSecond: l.d.cfg.BytesPerSecond, StaleAfter: l.d.cfg.StaleAfter, SilentAfter: followerSilenceSeconds,
-		BackoffMin: followerMinBackoff, BackoffMax: followerMaxBackoff, Seed: rand.Uint64(), MaxLookups: followerMaxLookups}, version, clock())
+	l.machine = configlog.NewFollower(configlog.FollowerConfig{Name: l.d.cfg.Name, Services: l.scope.services,
+		All: l.scope.all, Distributors: l.scope.distributors, BytesPerSecond: l.d.cfg.BytesPerSecond,
+		StaleAfter: l.d.cfg.StaleAfter, SilentAfter: followerSilenceSeconds, BackoffMin: followerMinBackoff,
+		BackoffMax: followerMaxBackoff, Seed: rand.Uint64(), MaxLookups: followerMaxLookups}, version, clock())
 	l.machine.Tick(clock())
 }
 
-// handle has the machine take one event.
+// handle passes one event to the state machine.
 func (l *followerLoop) handle(event any) {
 	now := clock()
 	switch e := event.(type) {
@@ -162,7 +164,7 @@
 	}
 }
 
-// step has the machine take one frame. What it refuses is counted, and changes nothing.
+// step passes one frame to the state machine. A frame that it rejects is counted and changes nothing.
 func (l *followerLoop) step(payload []byte) {
 	decoded, err := decodeFrame(payload)
 	message, ok := decoded.(configlog.StreamMessage)
@@ -174,11 +176,12 @@
 	}
 	if err := l.machine.Step(message, clock()); err != nil {
 		l.d.counts.rejectedFrames.Add(1)
-		l.d.log.Warn("configuration: a message of a distributor was refused", zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
+		l.d.log.Warn("configuration: a message of a distributor was refused",
+			zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
 	}
 }
 
-// processReady does what the machine has to do, in the order that it asks for.
+// processReady executes the state machine's actions, in order.
 func (l *followerLoop) processReady(ctx context.Context) {
 	for _, action := range l.machine.Ready() {
 		switch a := action.(type) {
@@ -212,7 +215,7 @@
 	l.publishStatus()
 }
 
-// publishStatus makes the machine's status that of the process.
+// publishStatus makes the state machine's status visible to other goroutines.
 func (l *followerLoop) publishStatus() {
 	now := clock()
 	status := l.machine.Status(now)
@@ -220,7 +223,7 @@
 	l.confirmedAt.Store(math.Float64bits(now - status.Age))
 }
 
-// apply has entries take effect, and passes them on to the feed and to the file.
+// apply applies entries to the table and hands them to the feed and the file.
 func (l *followerLoop) apply(ctx context.Context, a configlog.Apply) {
 	state := l.d.applyEntries(l.d.Table(), a.Entries)
 	state.Version = a.Version
@@ -233,7 +236,8 @@
 	}
 }
 
-// replace has a snapshot take effect. One that can not be read changes nothing; the subscription begins anew after a while.
+// replace puts the staged snapshot in force. One that cannot be read changes nothing, and the subscription restarts
+// after badSnapshotDelay.
 func (l *followerLoop) replace(ctx context.Context, version configlog.Version) bool {
 	stage := l.stage
 	l.stage = nil
@@ -243,7 +247,8 @@
 	table, err := stage.table()
 	if err != nil {
 		l.d.counts.malformedFrames.Add(1)
-		l.d.log.Error("configuration: a snapshot can not be read", zap.String("distributor", l.status.Load().Distributor), zap.Error(err))
+		l.d.log.Error("configuration: a snapshot cannot be read", zap.String("distributor", l.status.Load().Distributor),
+			zap.Error(err))
 		l.disconnect()
 		sleepContext(ctx, badSnapshotDelay)
 		l.resetMachine(l.d.Table().Version)
@@ -251,14 +256,15 @@
 	}
 	state := &TableState{Table: table, Version: version}
 	l.d.replaceTable(ctx, state)
-	l.d.log.Info("configuration: snapshot taken", zap.Uint64("version", version.Index), zap.Int("entries", table.Len()))
+	l.d.log.Info("configuration: snapshot installed", zap.Uint64("version", version.Index),
+		zap.Int("entries", table.Len()))
 	if l.file != nil {
 		l.file.replace(state)
 	}
 	return true
 }
 
-// connect opens a connection; the outcome comes back as an event.
+// connect opens a connection. The outcome arrives as an event.
 func (l *followerLoop) connect(ctx context.Context, distributor string) {
 	l.disconnect()
 	ctx, l.cancel = context.WithCancel(ctx)
@@ -277,7 +283,7 @@
 	}
 }
 
-// sendFrame queues a frame for the distributor. A queue that is full ends the connection: the distributor does not read.
+// sendFrame queues a frame for the distributor. A full queue ends the connection, as the distributor is not reading.
 func (l *followerLoop) sendFrame(frame []byte) {
 	if l.queue == nil {
 		return
@@ -289,7 +295,7 @@
 	}
 }
 
-// serveConnection is one connection: it reads here, and writes in a goroutine of its own.
+// serveConnection opens a connection and reads from it; another goroutine writes to it.
 func (l *followerLoop) serveConnection(ctx context.Context, connID uint64, distributor string, queue <-chan []byte) {
 	defer l.d.recoverPanic("connection")
 	defer l.post(ctx, connectionEnded{connID})
@@ -297,7 +303,8 @@
 	stream, err := l.d.opener.OpenStream(openCtx, distributor)
 	cancel()
 	if err != nil {
-		l.d.log.Debug("configuration: no connection", zap.String("distributor", distributor), zap.Error(err))
+		l.d.log.Debug("configuration: no connection to the distributor", zap.String("distributor", distributor),
+			zap.Error(err))
 		return
 	}
 	l.currentStream.Store(stream)
@@ -320,7 +327,7 @@
 	}
 }
 
-// post has the loop take an event, unless the connection that it is of has been given up.
+// post passes an event to the loop, unless its connection has been cancelled.
 func (l *followerLoop) post(ctx context.Context, event any) {
 	select {
 	case l.inbox <- event:
@@ -328,7 +335,7 @@
 	}
 }
 
-// writeFrames writes what is queued until the connection ends.
+// writeFrames writes queued frames until the connection ends.
 func writeFrames(ctx context.Context, stream *member.Stream, queue <-chan []byte) {
 	defer stream.Close()
 	for {
@@ -343,7 +350,7 @@
 	}
 }
 
-// completeLookup gives the outcome of a lookup to whoever waits for it.
+// completeLookup passes the outcome of a lookup to the waiting caller.
 func (l *followerLoop) completeLookup(done configlog.LookupDone) {
 	if reply := l.lookups[done.ID]; reply != nil {
 		delete(l.lookups, done.ID)
--- a/fleet/distribution_lookup.go
+++ b/fleet/distribution_lookup.go
@@ -11,22 +11,23 @@
 	"valveglade/logic/configtable"
 )
 
-// Bounds of what is kept of lookups.
+// Limits of the cache of lookup results.
 const (
 	lookupCacheEntries = 4096
-	lookupCacheTTL     = 9.0 // seconds: half of the time in which a change is to be in force everywhere
+	lookupCacheTTL     = 9.0 // seconds: half of the time within which a change must be in force everywhere
 )
 
-// LookupResult is one entry as of a version.
+// LookupResult is the outcome of a lookup at a version.
 type LookupResult struct {
 	Found   bool
 	Value   configtable.Value // zero unless Found
 	Version configlog.Version
-	Cached  bool // it was looked up up to lookupCacheTime ago
+	Cached  bool // served from the cache, at most lookupCacheTTL old
 }
 
-// Lookup finds an entry: here, where its service is served, or at the distributor. What the distributor answers is kept for some
-// seconds. It waits for the network, so it is not for an RPC's way.
+// Lookup finds an entry, in the local table if this process serves the service, otherwise at the distributor. Replies
+// of the distributor are cached for lookupCacheTTL. Lookup waits for the network and must not be used on the path of
+// an RPC.
 func (d *Distribution) Lookup(ctx context.Context, kind configtable.Kind, service, name string) (LookupResult, error) {
 	key := lookupKey(service, name)
 	if d.serves(service) {
@@ -51,8 +52,9 @@
 	}
 }
 
-// finishLookup reads the outcome of a lookup and keeps it.
-func (d *Distribution) finishLookup(kind configtable.Kind, service, key string, done configlog.LookupDone) (LookupResult, error) {
+// finishLookup decodes the outcome of a lookup and caches it.
+func (d *Distribution) finishLookup(kind configtable.Kind, service, key string,
+	done configlog.LookupDone) (LookupResult, error) {
 	if done.Err != nil {
 		return LookupResult{}, done.Err
 	}
@@ -69,12 +71,12 @@
 	return result, nil
 }
 
-// serves reports whether the table here has all entries of a service.
+// serves reports whether the local table has all entries of a service.
 func (d *Distribution) serves(service string) bool {
 	return d.follower == nil || d.follower.scope.all || slices.Contains(d.follower.scope.services, service)
 }
 
-// lookupKey is how service and name are told in a lookup; neither contains the separator.
+// lookupKey encodes the service and name of a lookup. Neither contains the separator.
 func lookupKey(service, name string) string { return service + "\x00" + name }
 
 // lookupTable finds an entry by its key.
@@ -94,11 +96,11 @@
 	return change, found
 }
 
-// lookupCache keeps the last results, the least recently used making room.
+// lookupCache is an LRU cache of lookup results with a time limit.
 type lookupCache struct {
 	mu      sync.Mutex
 	entries map[cacheKey]*list.Element
-	order   *list.List // of cacheEntry, the most recent first
+	order   *list.List // of cacheEntry, the most recently used first
 }
 
 type cacheKey struct {
