--- a/fleet/distribution_persist.go
+++ b/fleet/distribution_persist.go
@@ -7,7 +7,7 @@
 	"valveglade/store/configstore"
 )
 
-// persist writes, durably, what messages of the same Ready rely on.
+// persist durably writes the state that the messages of the same Ready depend on.
 func (l *replicaLoop) persist(p configlog.Persist) error {
 	if p.Promised > 0 {
 		if err := l.store.SaveVote(configstore.Vote{Term: p.Promised}); err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// compact writes a snapshot of what is committed once the log's file has grown.
+// compact writes a snapshot of the committed table once the log file has reached compactLogBytes.
 func (l *replicaLoop) compact() error {
 	if l.store.LogBytes() < compactLogBytes {
 		return nil
@@ -50,7 +50,8 @@
 	return l.store.Compact(state.Table, storedVersion(state.Version))
 }
 
-// applyCommitted has committed entries take effect here, and passes them on to the feed. Those that the table has are skipped.
+// applyCommitted applies committed entries to the table and hands them to the feed. Entries that the table already has
+// are skipped.
 func (d *Distribution) applyCommitted(ctx context.Context, entries []configlog.Entry) {
 	state := d.Table()
 	for len(entries) > 0 && entries[0].Index <= state.Version.Index {
@@ -65,7 +66,7 @@
 	}
 }
 
-// replaceTable has a whole table take effect.
+// replaceTable puts a whole table in force and resets the feed to it.
 func (d *Distribution) replaceTable(ctx context.Context, state *TableState) {
 	d.table.Store(state)
 	if d.feed != nil {
--- a/fleet/distribution_propose.go
+++ b/fleet/distribution_propose.go
@@ -7,7 +7,8 @@
 	"valveglade/logic/configtable"
 )
 
-// propose checks changes against the table with all open proposals applied, and appends them to the log if none is at fault.
+// propose checks changes against the table with all open proposals applied, and appends them to the log if all are
+// valid.
 func (l *replicaLoop) propose(p changesProposed) {
 	status := l.machine.Status(clock())
 	if status.State != configlog.ReplicaLeader {
@@ -41,9 +42,10 @@
 	}
 }
 
-// checkChanges applies changes to a table, one after the other, as entries that follow an index. It gives the table after them and
-// their payloads, or the first fault.
-func checkChanges(table configtable.Table, last uint64, changes []configtable.Change) (configtable.Table, [][]byte, proposalOutcome) {
+// checkChanges applies changes to a table, one after the other, as the entries after index last. It returns the
+// resulting table and the changes' payloads, or an outcome with the first error.
+func checkChanges(table configtable.Table, last uint64,
+	changes []configtable.Change) (configtable.Table, [][]byte, proposalOutcome) {
 	var payloads [][]byte
 	for k, change := range changes {
 		if err := table.Check(change); err != nil {
@@ -62,7 +64,8 @@
 	return table, payloads, proposalOutcome{}
 }
 
-// abandon ends a proposal of which a change was not taken. If others were taken before it, their outcome is not known.
+// abandon fails a proposal of which one change was not accepted. If earlier changes were accepted, their outcome is
+// unknown.
 func (l *replicaLoop) abandon(pending *proposal, changeIndex int, err error) {
 	if pending.uncommitted > 0 {
 		err = configlog.ErrOutcomeUnknown
@@ -75,7 +78,7 @@
 	pending.reply <- proposalOutcome{FaultIndex: changeIndex, Err: err}
 }
 
-// resolve takes the outcome of one change; the last one of a proposal answers it.
+// resolve records the outcome of one change. The last change of a proposal completes it.
 func (l *replicaLoop) resolve(result configlog.Result) {
 	pending := l.proposals[result.ID]
 	if pending == nil {
@@ -94,7 +97,7 @@
 	}
 }
 
-// failProposals ends all proposals; whether they are in the log is not known.
+// failProposals fails all proposals. Whether their changes are in the log is unknown.
 func (l *replicaLoop) failProposals(err error) {
 	ended := map[*proposal]bool{}
 	for _, pending := range l.proposals {
--- a/fleet/distribution_recover.go
+++ b/fleet/distribution_recover.go
@@ -10,9 +10,9 @@
 	"valveglade/store/configstore"
 )
 
-// recoverFromPeers is for a voter that lost its files, and with them what it promised and acknowledged. It waits for a snapshot
-// of a term that began after that: the leader of such a term recovered the log without this voter. While the term stays the same its
-// leader is asked to end it.
+// recoverFromPeers recovers a voter that lost its files, and with them its promises and acknowledgements. It waits
+// for a snapshot of a term that began after the loss, because the leader of such a term recovered the log without
+// this voter. While the term stays the same, its leader is asked to step down.
 func (l *replicaLoop) recoverFromPeers(ctx context.Context) error {
 	observedTerm := uint64(0)
 	for {
@@ -34,7 +34,7 @@
 	}
 }
 
-// installRecovered makes a snapshot the voter's files.
+// installRecovered writes a snapshot as the voter's files.
 func (l *replicaLoop) installRecovered(state *TableState) error {
 	if err := l.store.SaveVote(configstore.Vote{Term: state.Version.Term}); err != nil {
 		return err
@@ -43,11 +43,12 @@
 		return err
 	}
 	l.promisedTerm, l.savedIndex = state.Version.Term, state.Version.Index
-	l.d.log.Info("configuration: this voter has files again", zap.Uint64("term", state.Version.Term), zap.Uint64("version", state.Version.Index))
+	l.d.log.Info("configuration: this voter recovered its files from another voter",
+		zap.Uint64("term", state.Version.Term), zap.Uint64("version", state.Version.Index))
 	return l.store.Close()
 }
 
-// requestNewTerm asks all other voters to end a term; the leader among them does.
+// requestNewTerm asks all other voters to end a term. Only its leader acts on the request.
 func (d *Distribution) requestNewTerm(ctx context.Context, term uint64) {
 	for _, name := range uniqueNames(d.cfg.Voters) {
 		if name == d.cfg.Name {
@@ -64,21 +65,23 @@
 	}
 }
 
-// minTermRequestInterval is how often a leader may be asked to end its term.
+// minTermRequestInterval is the shortest interval between requests that make a leader end its term.
 const minTermRequestInterval = 10 * time.Second
 
-// endTerm has this leader give up the role, if it leads under that term and has not been asked just now.
+// endTerm makes this process step down if it leads under term and minTermRequestInterval has passed since the last
+// request.
 func (d *Distribution) endTerm(term uint64) {
 	if d.replica == nil {
 		return
 	}
 	status := d.replica.status.Load()
 	last := d.replica.termRequestedAt.Load()
-	if status.State != configlog.ReplicaLeader || status.Term != term || time.Since(epoch) < time.Duration(last)+minTermRequestInterval {
+	if status.State != configlog.ReplicaLeader || status.Term != term ||
+		time.Since(epoch) < time.Duration(last)+minTermRequestInterval {
 		return
 	}
 	if d.replica.termRequestedAt.CompareAndSwap(last, int64(time.Since(epoch))) {
-		d.log.Info("configuration: the term ends for a voter that lost its files", zap.Uint64("term", term))
+		d.log.Info("configuration: stepping down so that a voter that lost its files can recover", zap.Uint64("term", term))
 		d.replica.loseLeadership(term + 1)
 	}
 }
--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -14,25 +14,25 @@
 	"valveglade/store/configstore"
 )
 
-// Bounds and times of a voter's copy of the log.
+// Limits and timings of a voter's replica of the log.
 const (
-	replicaInboxSize        = 1024 // events that may wait; packets past it are lost
-	replicaBatchEvents      = 64   // events that one write to the disk serves at the most
-	replicaKeepEntries      = 20_000
-	replicaMaxOpen          = 4096
+	replicaInboxSize        = 1024   // queued events; packets that find the queue full are dropped
+	replicaBatchEvents      = 64     // further events handled before one write to disk
+	replicaKeepEntries      = 20_000 // entries
+	replicaMaxOpen          = 4096   // changes that wait for their commit
 	replicaMaxInFlight      = 16
-	replicaResendSeconds    = 0.3  // seconds
-	replicaHeartbeatSeconds = 0.25 // seconds
+	replicaResendSeconds    = 0.3
+	replicaHeartbeatSeconds = 0.25
 	reopenDelay             = time.Second
 	snapshotRetryDelay      = 2 * time.Second
 )
 
-// Errors of a proposal beside those of configlog.
+// Errors of a proposal, in addition to those of configlog.
 var (
-	errStorage    = errors.New("the log can not be written here")
+	errStorage    = errors.New("the log cannot be written on this voter")
 	errNotReady   = errors.New("this voter lost its files and has not recovered them yet")
-	errShutdown   = errors.New("this app server stops")
-	errOverloaded = errors.New("too many changes wait already")
+	errShutdown   = errors.New("this app server is shutting down")
+	errOverloaded = errors.New("too many changes are waiting")
 	errNotLeader  = errors.New("no leader of the configuration is known")
 )
 
@@ -46,58 +46,60 @@
 	leadershipEnded struct{}
 	changesProposed struct {
 		changes []configtable.Change
-		reply   chan proposalOutcome // holds one
+		reply   chan proposalOutcome // has a buffer of one
 	}
 	snapshotFetched struct{ state *TableState }
 	snapshotFailed  struct{}
 )
 
-// proposalOutcome is what became of proposed changes. Of a refusal, At is the first change that is at fault and nothing was changed.
+// proposalOutcome is the outcome of proposed changes. If they were rejected, FaultIndex is the index of the first
+// invalid change, and nothing was changed.
 type proposalOutcome struct {
 	Version    configlog.Version
 	FaultIndex int
 	Err        error
 }
 
-// proposal is a set of changes that waits for the commit of all of them.
+// proposal is a set of changes that waits until all of them are committed.
 type proposal struct {
 	uncommitted int
 	outcome     proposalOutcome
 	reply       chan proposalOutcome
 }
 
-// replicaLoop drives a voter's configlog.Replica. Its goroutine does the disk's work too: a slow disk holds up the voter's part
-// in the log, and nothing else.
+// replicaLoop drives a voter's configlog.Replica. Its goroutine also writes to disk, so that a slow disk delays this
+// replica and nothing else.
 type replicaLoop struct {
 	d               *Distribution
 	inbox           chan any
-	leadershipLost  chan uint64 // holds the higher term when leadership is lost
+	leadershipLost  chan uint64 // receives the higher term when leadership is lost
 	status          atomic.Pointer[configlog.ReplicaStatus]
-	termRequestedAt atomic.Int64 // when a voter last asked for a new term, nanoseconds since epoch
-	ready           atomic.Bool  // the files are open, so that this voter may campaign
+	termRequestedAt atomic.Int64 // when a voter last requested a new term, in nanoseconds since epoch
+	ready           atomic.Bool  // the files are open, and this voter may campaign
 
-	machine      *configlog.Replica // nil while the files can not be opened
+	machine      *configlog.Replica // nil while the files cannot be opened
 	store        *configstore.Store
 	speculative  configtable.Table // the leader's table with all open proposals applied
 	lastID       uint64
-	proposals    map[uint64]*proposal // by the id of each change
+	proposals    map[uint64]*proposal // by the ID of each change
 	fetching     bool
-	promisedTerm uint64 // the highest term that this process has put on the disk
-	savedIndex   uint64 // the last entry likewise
+	promisedTerm uint64 // the highest promised term that this process has written to disk
+	savedIndex   uint64 // the index of the last entry that this process has written to disk
 	failing      bool
 }
 
 func newReplicaLoop(d *Distribution) *replicaLoop {
-	l := &replicaLoop{d: d, inbox: make(chan any, replicaInboxSize), leadershipLost: make(chan uint64, 1), proposals: map[uint64]*proposal{}}
+	l := &replicaLoop{d: d, inbox: make(chan any, replicaInboxSize),
+		leadershipLost: make(chan uint64, 1), proposals: map[uint64]*proposal{}}
 	l.status.Store(&configlog.ReplicaStatus{Age: maxSeconds})
 	return l
 }
 
-// lead is the work of the elected role.
+// lead runs while this process holds the elected role.
 func (d *Distribution) lead(ctx context.Context, term uint64) error {
 	l := d.replica
 	select {
-	case <-l.leadershipLost: // of an earlier term
+	case <-l.leadershipLost: // from an earlier term
 	default:
 	}
 	started := leadershipStarted{term, make(chan error, 1)}
@@ -108,8 +110,8 @@
 	select {
 	case err := <-started.reply:
 		if err != nil {
-			d.log.Warn("configuration: not led", zap.Uint64("term", term), zap.Error(err))
-			return &StaleTermError{Term: term, Known: term + 1} // another voter is to campaign
+			d.log.Warn("configuration: cannot lead the log", zap.Uint64("term", term), zap.Error(err))
+			return &StaleTermError{Term: term, Known: term + 1} // lets another voter campaign
 		}
 	case <-ctx.Done():
 		return ctx.Err()
@@ -122,7 +124,7 @@
 	}
 }
 
-// enqueue has the loop take an event; it waits while the disk is slow.
+// enqueue passes an event to the loop. It waits up to frameWriteTimeout while the queue is full, as with a slow disk.
 func (l *replicaLoop) enqueue(ctx context.Context, event any) error {
 	ctx, cancel := context.WithTimeout(ctx, frameWriteTimeout)
 	defer cancel()
@@ -134,7 +136,7 @@
 	}
 }
 
-// run drives the machine until ctx ends; a fault of the disk has the files be opened anew.
+// run drives the replica's state machine until ctx ends. After a disk error it reopens the files.
 func (l *replicaLoop) run(ctx context.Context) {
 	defer l.close()
 	ticker := time.NewTicker(distributionTickInterval)
@@ -158,7 +160,7 @@
 	}
 }
 
-// handleQueued takes what else has come meanwhile, so that one write to the disk serves all of it.
+// handleQueued handles further queued events, so that one write to disk serves all of them.
 func (l *replicaLoop) handleQueued(ctx context.Context) {
 	for range replicaBatchEvents {
 		select {
@@ -170,13 +172,14 @@
 	}
 }
 
-// open opens the files and makes the machine; it tries again until ctx ends.
+// open opens the files and creates the state machine. It retries until ctx ends.
 func (l *replicaLoop) open(ctx context.Context) bool {
 	for {
 		stored, err := l.recover(ctx)
 		if err == nil {
-			cfg := configlog.ReplicaConfig{Name: l.d.cfg.Name, Voters: l.d.cfg.Voters, KeepEntries: replicaKeepEntries, MaxOpen: replicaMaxOpen,
-				MessageBytes: maxReplicationEntries, MaxInFlight: replicaMaxInFlight, ResendAfter: replicaResendSeconds, HeartbeatEvery: replicaHeartbeatSeconds}
+			cfg := configlog.ReplicaConfig{Name: l.d.cfg.Name, Voters: l.d.cfg.Voters,
+				KeepEntries: replicaKeepEntries, MaxOpen: replicaMaxOpen, MessageBytes: maxReplicationEntries,
+				MaxInFlight: replicaMaxInFlight, ResendAfter: replicaResendSeconds, HeartbeatEvery: replicaHeartbeatSeconds}
 			l.machine = configlog.NewReplica(cfg, stored, clock())
 			l.failing = false
 			l.ready.Store(true)
@@ -189,20 +192,20 @@
 	}
 }
 
-// recover reads what the disk has, and has the table there take effect.
+// recover reads the stored log and puts the stored table in force.
 func (l *replicaLoop) recover(ctx context.Context) (configlog.Stored, error) {
 	if l.d.cfg.Folder == "" {
-		return configlog.Stored{}, errors.New("a voter of the configuration needs a folder that lasts")
+		return configlog.Stored{}, errors.New("a voter of the configuration needs a persistent folder")
 	}
 	if _, err := os.Stat(l.d.cfg.Folder); err != nil {
-		return configlog.Stored{}, err // not created: a folder that is away holds what was promised
+		return configlog.Stored{}, err // not created: the missing folder, as on an unmounted disk, has this voter's promises
 	}
 	store, found, err := configstore.Open(l.d.cfg.Folder, l.d.cfg.Name)
 	if err != nil {
 		return configlog.Stored{}, err
 	}
 	l.store = store
-	// A folder that has forgotten what this process has promised in it is another one.
+	// Files older than what this process has written are from another folder, such as an empty mount point.
 	if len(found.Refused) > 0 || found.Vote.Term < l.promisedTerm || found.Last.Index < l.savedIndex {
 		l.d.logRefusedFiles(found.Refused)
 		if err := l.recoverFromPeers(ctx); err != nil {
@@ -218,10 +221,11 @@
 	if base.Index > l.d.Table().Version.Index {
 		l.d.replaceTable(ctx, &TableState{Table: found.Table, Version: base})
 	}
-	return configlog.Stored{Promised: found.Vote.Term, Base: base, LastOfService: lastOfService(found.Table), Entries: entries, Commit: base.Index}, nil
+	return configlog.Stored{Promised: found.Vote.Term, Base: base,
+		LastOfService: lastOfService(found.Table), Entries: entries, Commit: base.Index}, nil
 }
 
-// rejectEventsFor refuses all that comes for some time; it reports false once ctx has ended.
+// rejectEventsFor rejects all events for the given time. It returns false once ctx has ended.
 func (l *replicaLoop) rejectEventsFor(ctx context.Context, wait time.Duration) bool {
 	expired := time.After(wait)
 	for {
@@ -236,7 +240,7 @@
 	}
 }
 
-// rejectEvent answers what waits for an answer.
+// rejectEvent replies with an error to an event that expects a reply.
 func rejectEvent(event any, err error) {
 	switch e := event.(type) {
 	case leadershipStarted:
@@ -246,7 +250,7 @@
 	}
 }
 
-// handleStorageFailure drops the machine after a fault of the disk.
+// handleStorageFailure drops the state machine and closes the files after a disk error.
 func (l *replicaLoop) handleStorageFailure(err error) {
 	l.d.counts.failedWrites.Add(1)
 	if !l.failing {
@@ -277,7 +281,7 @@
 	}
 }
 
-// handle has the machine take one event.
+// handle passes one event to the state machine.
 func (l *replicaLoop) handle(ctx context.Context, event any) {
 	switch e := event.(type) {
 	case envelopeReceived:
@@ -296,16 +300,17 @@
 	}
 }
 
-// install has the log go on from another voter's snapshot.
+// install continues the log from another voter's snapshot, if that is newer than the local table.
 func (l *replicaLoop) install(ctx context.Context, state *TableState) {
-	if state.Version.Index <= l.d.Table().Version.Index || !l.machine.InstallSnapshot(state.Version, lastOfService(state.Table), clock()) {
+	if state.Version.Index <= l.d.Table().Version.Index ||
+		!l.machine.InstallSnapshot(state.Version, lastOfService(state.Table), clock()) {
 		return
 	}
-	l.d.log.Info("configuration: snapshot taken from another voter", zap.Uint64("version", state.Version.Index))
+	l.d.log.Info("configuration: snapshot installed from another voter", zap.Uint64("version", state.Version.Index))
 	l.d.replaceTable(ctx, state)
 }
 
-// processReady does what the machine has to do, in the order that it asks for.
+// processReady executes the state machine's actions. Its state is persisted before messages that depend on it are sent.
 func (l *replicaLoop) processReady(ctx context.Context) error {
 	ready := l.machine.Ready()
 	if err := l.persist(ready.Persist); err != nil {
@@ -330,7 +335,7 @@
 	return l.compact()
 }
 
-// fetchSnapshot gets a snapshot for a voter that is too far behind.
+// fetchSnapshot fetches a snapshot for this voter when it is too far behind, and passes the outcome to the loop.
 func (l *replicaLoop) fetchSnapshot(ctx context.Context, minVersion configlog.Version) {
 	defer l.d.recoverPanic("snapshot")
 	state, err := l.d.fetchSnapshot(ctx, func(version configlog.Version) bool { return version.Index >= minVersion.Index })
