--- a/fleet/distribution_socket.go
+++ b/fleet/distribution_socket.go
@@ -18,13 +18,13 @@
 
 func sortedCauses(counts map[string]int64) []string { return slices.Sorted(maps.Keys(counts)) }
 
-// ConfigSocket is the local socket of the distribution beside that of the view.
+// ConfigSocket returns the path of the distribution's local socket, which derives from the path of the view's socket.
 func ConfigSocket(viewSocket string) string { return viewSocket + ".config" }
 
-// SocketDescriptors is how many descriptors the local socket takes at the most: itself and its clients.
+// SocketDescriptors is the largest number of file descriptors that the local socket uses: the listener and its clients.
 const SocketDescriptors = 1 + maxSocketClients
 
-// Bounds of the local socket.
+// Limits and timeouts of the local socket.
 const (
 	maxSocketClients     = 4
 	maxSocketRequest     = 128 << 10 // bytes of JSON
@@ -32,7 +32,7 @@
 	socketReplyTimeout   = 20 * time.Second
 )
 
-// socketRequest is what a client of the local socket asks: for changes to be applied, for one entry, or else for the status.
+// socketRequest is a request to the local socket: to apply changes, to look up one entry, or otherwise for the status.
 type socketRequest struct {
 	Apply  bool         `json:"apply,omitempty"`
 	Path   string       `json:"path,omitempty"`
@@ -47,39 +47,39 @@
 	Name    string           `json:"name"`
 }
 
-// EntryResult is one entry as an app server has it, or as its distributor does.
+// EntryResult is the outcome of an entry lookup at an app server or its distributor.
 type EntryResult struct {
 	Found   bool   `json:"found"`
-	Entry   string `json:"entry,omitempty"` // as in the text form of changes
+	Entry   string `json:"entry,omitempty"` // in the text syntax of changes
 	Version uint64 `json:"version"`
 	Cached  bool   `json:"cached,omitempty"`
 	Error   string `json:"error,omitempty"`
 }
 
-// ApplyResult is the outcome of changes that were to be applied.
+// ApplyResult is the outcome of a request to apply changes.
 type ApplyResult struct {
 	Version uint64 `json:"version,omitempty"`
 	Term    uint64 `json:"term,omitempty"`
 	Error   string `json:"error,omitempty"` // empty when all changes are committed
 }
 
-// serveSocket answers local clients until ctx ends.
+// serveSocket serves local clients until ctx ends.
 func (d *Distribution) serveSocket(ctx context.Context) {
 	path := d.cfg.Socket
 	if conn, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		conn.Close()
-		d.log.Error("configuration: the local socket belongs to a process that runs")
+		d.log.Error("configuration: another running process serves the local socket")
 		return
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		os.Remove(path) // of one that has ended
+		os.Remove(path) // left behind by a process that has ended
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err == nil {
 		err = os.Chmod(path, 0o600)
 	}
 	if err != nil {
-		d.log.Error("configuration: no local socket", zap.Error(err))
+		d.log.Error("configuration: cannot listen on the local socket", zap.Error(err))
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -131,25 +131,26 @@
 	}
 	result := EntryResult{Found: found.Found, Version: found.Version.Index, Cached: found.Cached}
 	if found.Found {
-		result.Entry = configtable.Change{Operation: configtable.Put, Kind: lookup.Kind, Service: lookup.Service, Name: lookup.Name,
-			Value: found.Value}.String()
+		result.Entry = configtable.Change{Operation: configtable.Put, Kind: lookup.Kind, Service: lookup.Service,
+			Name: lookup.Name, Value: found.Value}.String()
 	}
 	return result
 }
 
-// AskDistribution asks the app server behind a local socket for its status.
+// AskDistribution queries the app server behind a local socket for its status.
 func AskDistribution(socket string) (status DistributionStatus, err error) {
 	err = querySocket(socket, socketRequest{}, &status)
 	return status, err
 }
 
-// ApplyChanges has the app server behind a local socket bring the changes of a text to the leader. A refusal is in the result.
+// ApplyChanges submits the changes in a text to the leader through the app server behind a local socket. A rejection is
+// reported in the result, not as an error.
 func ApplyChanges(socket, path string, text []byte) (result ApplyResult, err error) {
 	err = querySocket(socket, socketRequest{Apply: true, Path: path, Text: text}, &result)
 	return result, err
 }
 
-// LookupEntry has the app server behind a local socket look up one entry.
+// LookupEntry looks up one entry through the app server behind a local socket.
 func LookupEntry(socket string, lookup EntryLookup) (result EntryResult, err error) {
 	err = querySocket(socket, socketRequest{Lookup: &lookup}, &result)
 	return result, err
--- a/fleet/distribution_storage.go
+++ b/fleet/distribution_storage.go
@@ -8,7 +8,8 @@
 	"valveglade/store/configstore"
 )
 
-// compactLogBytes is the size of a log file from which a snapshot is written and the log begun anew: some 40,000 changes.
+// compactLogBytes is the size of the log file, some 40,000 changes, from which a snapshot is written and a new log
+// begun.
 const compactLogBytes = 4 << 20
 
 func storedVersion(v configlog.Version) configstore.Version {
@@ -27,13 +28,13 @@
 	return all
 }
 
-// logEntry copies, as a stored entry's payload is valid for a moment only.
+// logEntry copies the payload, because a stored entry's payload is valid only during the callback that receives it.
 func logEntry(e configstore.Entry) configlog.Entry {
 	return configlog.Entry{Version: configlog.Version{Term: e.Term, Index: e.Index}, Previous: e.Previous,
 		Change: configlog.Change{Service: e.Service, Payload: append([]byte(nil), e.Payload...)}}
 }
 
-// readEntries gives all entries after the snapshot.
+// readEntries returns all stored entries after the snapshot.
 func readEntries(store *configstore.Store) ([]configlog.Entry, error) {
 	var all []configlog.Entry
 	err := store.ReadEntries(0, func(e configstore.Entry) error {
@@ -43,7 +44,7 @@
 	return all, err
 }
 
-// lastOfService tells the index of each service's last entry in a table.
+// lastOfService returns the index of each service's last entry in a table.
 func lastOfService(table configtable.Table) map[string]uint64 {
 	last := make(map[string]uint64, table.ServiceCount())
 	for service, index := range table.Services() {
@@ -52,8 +53,8 @@
 	return last
 }
 
-// applyEntries gives the table after some committed entries. An entry that can not be read or applied here changes nothing; it is
-// counted and logged, and the version goes on.
+// applyEntries returns the table with committed entries applied. An entry that cannot be decoded or applied changes
+// nothing; it is counted and logged, and the version advances past it.
 func (d *Distribution) applyEntries(state *TableState, entries []configlog.Entry) *TableState {
 	next := &TableState{Table: state.Table, Version: state.Version}
 	var changes []configtable.CommittedChange
@@ -74,7 +75,7 @@
 		next.Table = table
 		return next
 	}
-	for _, change := range changes { // one of them does not fit: the others do
+	for _, change := range changes { // at least one change does not apply; apply each on its own to skip only those
 		one := []configtable.CommittedChange{change}
 		if table, err := next.Table.Apply(one); err == nil {
 			next.Table = table
@@ -87,10 +88,11 @@
 
 func (d *Distribution) skipEntry(entry configlog.Entry, err error) {
 	d.counts.unreadableChanges.Add(1)
-	d.log.Error("a committed change of the configuration is not applied", zap.Uint64("version", entry.Index), zap.Error(err))
+	d.log.Error("a committed change of the configuration cannot be applied; skipping it",
+		zap.Uint64("version", entry.Index), zap.Error(err))
 }
 
-// logRefusedFiles tells of files that were moved aside at a start.
+// logRefusedFiles logs files that were moved aside at the start.
 func (d *Distribution) logRefusedFiles(refused []configstore.Refused) {
 	for _, one := range refused {
 		d.log.Error("a file of the configuration is not taken", zap.String("moved_to", one.MovedTo), zap.Error(one.Err))
