--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -17,34 +17,34 @@
 	"valveglade/rpc"
 )
 
-// Who is in the fleet of these tests: three voters, of which two distribute, and three app servers that serve one service.
+// The fleet of these tests: three voters, of which two are distributors, and three app servers that serve one service.
 var (
 	configVoters     = []string{"v1", "v2", "v3"}
 	configAppServers = []string{"a1", "a2", "a3"}
 )
 
 const (
-	servedService   = "billing"
-	unservedService = "search"
-	configStale     = 6 * time.Second
-	healPatience    = 60 * time.Second
+	servedService    = "billing"
+	unservedService  = "search"
+	configStaleAfter = 6 * time.Second
+	healTimeout      = 60 * time.Second
 )
 
-// configCluster is real processes that distribute configuration, somebody who changes it all the time, and somebody who watches
-// that versions mean the same everywhere.
+// configCluster runs real processes that distribute configuration. One goroutine changes the configuration continually,
+// another checks that equal versions have equal contents on all processes.
 type configCluster struct {
 	*rig.Cluster
-	t    *testing.T
-	stop chan struct{}
-	both sync.WaitGroup
+	t          *testing.T
+	done       chan struct{}
+	background sync.WaitGroup
 
 	mu           sync.Mutex
-	acknowledged map[int]uint64 // number of the change, and its version
+	acknowledged map[int]uint64 // version by number of the change
 	unknown      map[int]bool
-	refused      map[int]bool
-	next         int
-	digests      map[string]string // by part and version
-	versions     map[string]uint64 // the last one of each process, since its start
+	rejected     map[int]bool
+	nextChange   int
+	digests      map[string]string // by part, version and term
+	lastVersions map[string]uint64 // last version of each process since its start
 	violations   []string
 }
 
@@ -54,23 +54,25 @@
 	names := append(append([]string{}, configVoters...), configAppServers...)
 	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Folders: names,
 		Laws: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
-			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2", "fleet.config-age " + configStale.String()},
+			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2",
+			"fleet.config-age " + configStaleAfter.String()},
 		Site: rig.Site{Cores: 1, MemoryMB: 96, Sockets: 512, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
+			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5,
+				Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &configCluster{Cluster: s, t: t, stop: make(chan struct{}), acknowledged: map[int]uint64{}, unknown: map[int]bool{},
-		refused: map[int]bool{}, digests: map[string]string{}, versions: map[string]uint64{}}
+	c := &configCluster{Cluster: s, t: t, done: make(chan struct{}), acknowledged: map[int]uint64{},
+		unknown: map[int]bool{}, rejected: map[int]bool{}, digests: map[string]string{}, lastVersions: map[string]uint64{}}
 	t.Cleanup(c.close)
-	c.acknowledge(1)
-	c.both.Go(c.change)
-	c.both.Go(c.watch)
+	c.waitAcknowledged(1)
+	c.background.Go(c.applyChanges)
+	c.background.Go(c.pollStatus)
 	return c
 }
 
 func (c *configCluster) close() {
-	c.endWork()
+	c.stopBackground()
 	c.Check.Finish()
 	for _, violation := range c.Check.Violations() {
 		c.t.Error(violation)
@@ -84,34 +86,35 @@
 	c.Close()
 }
 
-// endWork ends who changes and who watches.
-func (c *configCluster) endWork() {
+// stopBackground stops the goroutines that change and check the configuration.
+func (c *configCluster) stopBackground() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.stop:
+	case <-c.done:
 		return
 	default:
-		close(c.stop)
+		close(c.done)
 	}
 	c.mu.Unlock()
-	c.both.Wait()
+	c.background.Wait()
 	c.mu.Lock()
 }
 
 func (c *configCluster) socket(name string) string { return fleet.ConfigSocket(c.Socket(name)) }
 
-// changeText is change number k: an entry of its own, one that every change replaces, and one of a service that nobody here serves.
+// changeText returns change number k: a new entry, an entry that every change replaces, and one of a service that no
+// app server of the cluster serves.
 func changeText(k int) string {
 	return fmt.Sprintf("put tenant t%d service=%s quota=%d\nput tenant last service=%s quota=%d\nput tenant t%d service=%s quota=%d\n",
 		k, servedService, k, servedService, k, k, unservedService, k)
 }
 
-// change applies one change after the other through any process that runs; every fifth has a fault.
-func (c *configCluster) change() {
+// applyChanges applies one change after the other, each through a running process. Every fifth has an invalid part.
+func (c *configCluster) applyChanges() {
 	for {
 		select {
-		case <-c.stop:
+		case <-c.done:
 			return
 		case <-time.After(30 * time.Millisecond):
 		}
@@ -120,40 +123,41 @@
 			continue
 		}
 		c.mu.Lock()
-		k := c.next
-		c.next++
+		changeNumber := c.nextChange
+		c.nextChange++
 		c.mu.Unlock()
-		text := changeText(k)
-		faulty := k%5 == 4
-		if faulty {
+		text := changeText(changeNumber)
+		invalid := changeNumber%5 == 4
+		if invalid {
 			text += "put tenant broken service=billing quota=-1\n"
 		}
-		result, err := fleet.ApplyChanges(c.socket(running[k%len(running)]), "changes", []byte(text))
-		c.note(k, faulty, result, err)
+		result, err := fleet.ApplyChanges(c.socket(running[changeNumber%len(running)]), "changes", []byte(text))
+		c.recordOutcome(changeNumber, invalid, result, err)
 	}
 }
 
-// note writes down what became of a change, as far as that was told.
-func (c *configCluster) note(k int, faulty bool, result fleet.ApplyResult, err error) {
+// recordOutcome records the outcome of a change, as far as it is known.
+func (c *configCluster) recordOutcome(changeNumber int, invalid bool, result fleet.ApplyResult, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case faulty && err == nil && result.Error == "":
-		c.violations = append(c.violations, fmt.Sprintf("the faulty change %d was acknowledged", k))
+	case invalid && err == nil && result.Error == "":
+		c.violations = append(c.violations, fmt.Sprintf("the invalid change %d was acknowledged", changeNumber))
 	case err == nil && result.Error == "":
-		c.acknowledged[k] = result.Version
-	case faulty || err == nil && strings.Contains(result.Error, "no leader"):
-		c.refused[k] = true
+		c.acknowledged[changeNumber] = result.Version
+	case invalid || err == nil && strings.Contains(result.Error, "no leader"):
+		c.rejected[changeNumber] = true
 	default:
-		c.unknown[k] = true
+		c.unknown[changeNumber] = true
 	}
 }
 
-// watch asks all processes where they are: one version is the same for all of one part, and nobody goes back.
-func (c *configCluster) watch() {
+// pollStatus polls the status of all processes. One version must have the same digest on all processes of one part, and
+// no process may go back to an older version.
+func (c *configCluster) pollStatus() {
 	for {
 		select {
-		case <-c.stop:
+		case <-c.done:
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
@@ -168,26 +172,29 @@
 func (c *configCluster) observe(name string, status fleet.DistributionStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := fmt.Sprintf("%s at version %d of term %d", status.Part, status.Version, status.Term)
-	if digest, ok := c.digests[at]; ok && digest != status.Digest {
-		c.violations = append(c.violations, fmt.Sprintf("%s: %s has digest %s, another %s", at, name, status.Digest, digest))
+	position := fmt.Sprintf("%s at version %d of term %d", status.Part, status.Version, status.Term)
+	if digest, ok := c.digests[position]; ok && digest != status.Digest {
+		c.violations = append(c.violations, fmt.Sprintf("%s: %s has digest %s, another %s",
+			position, name, status.Digest, digest))
 	}
-	c.digests[at] = status.Digest
-	if status.Version < c.versions[name] {
-		c.violations = append(c.violations, fmt.Sprintf("%s went back from %d to %d", name, c.versions[name], status.Version))
+	c.digests[position] = status.Digest
+	if status.Version < c.lastVersions[name] {
+		c.violations = append(c.violations, fmt.Sprintf("%s went back from %d to %d",
+			name, c.lastVersions[name], status.Version))
 	}
-	c.versions[name] = status.Version
+	c.lastVersions[name] = status.Version
 }
 
-// play does a script; a process that is started again may begin from an older version.
-func (c *configCluster) play(script string) {
+// runScript runs a script of faults. A restarted process may continue from an older version.
+func (c *configCluster) runScript(script string) {
 	c.t.Helper()
 	c.History.Add("", "note", script)
 	err := c.Run(script)
 	c.mu.Lock()
 	for _, line := range strings.Split(script, "\n") {
-		if words := strings.Fields(line); len(words) == 3 && (words[1] == "kill" || words[1] == "start" || words[1] == "restart") {
-			delete(c.versions, words[2])
+		if words := strings.Fields(line); len(words) == 3 &&
+			(words[1] == "kill" || words[1] == "start" || words[1] == "restart") {
+			delete(c.lastVersions, words[2])
 		}
 	}
 	c.mu.Unlock()
@@ -196,54 +203,54 @@
 	}
 }
 
-func (c *configCluster) count() int {
+func (c *configCluster) acknowledgedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.acknowledged)
 }
 
-// acknowledge waits until so many more changes were acknowledged; before the changer runs it applies one itself.
-func (c *configCluster) acknowledge(more int) {
+// waitAcknowledged waits until more further changes are acknowledged. Before the first one it applies a change itself.
+func (c *configCluster) waitAcknowledged(more int) {
 	c.t.Helper()
-	before := c.count()
-	if _, ok := c.Until(healPatience, func() bool {
+	before := c.acknowledgedCount()
+	if _, ok := c.Until(healTimeout, func() bool {
 		if before == 0 {
 			result, err := fleet.ApplyChanges(c.socket("a1"), "changes", []byte(changeText(0)))
-			c.note(0, false, result, err)
+			c.recordOutcome(0, false, result, err)
 			c.mu.Lock()
-			c.next = 1
-			delete(c.refused, 0)
+			c.nextChange = 1
+			delete(c.rejected, 0)
 			c.mu.Unlock()
 		}
-		return c.count() >= before+more
+		return c.acknowledgedCount() >= before+more
 	}); !ok {
-		c.t.Fatalf("no %d more changes are acknowledged", more)
+		c.t.Fatalf("timed out waiting for %d more acknowledged changes", more)
 	}
 }
 
-func (c *configCluster) leader(not string) string {
+func (c *configCluster) leader(except string) string {
 	c.t.Helper()
 	leader := ""
-	if _, ok := c.Until(healPatience, func() bool {
+	if _, ok := c.Until(healTimeout, func() bool {
 		for _, name := range configVoters {
-			if status, err := fleet.AskDistribution(c.socket(name)); err == nil && status.Leads && name != not {
+			if status, err := fleet.AskDistribution(c.socket(name)); err == nil && status.Leads && name != except {
 				leader = name
 			}
 		}
 		return leader != ""
 	}); !ok {
-		c.t.Fatalf("nobody but %q leads", not)
+		c.t.Fatalf("no voter other than %q leads", except)
 	}
 	return leader
 }
 
-// settle heals all, ends the changes, and checks what every process has.
-func (c *configCluster) settle() {
+// healAndCheck heals all faults, stops the changes and checks the table of every process.
+func (c *configCluster) healAndCheck() {
 	c.t.Helper()
-	c.play("0s heal")
-	c.acknowledge(3)
-	c.endWork()
-	c.wait("all are of the leader's version, and none is stale", func() bool {
+	c.runScript("0s heal")
+	c.waitAcknowledged(3)
+	c.stopBackground()
+	c.waitFor("all processes have the same version, and none is stale", func() bool {
 		versions, ages := map[uint64]bool{}, 0
 		for _, name := range c.Names() {
 			status, err := fleet.AskDistribution(c.socket(name))
@@ -255,18 +262,19 @@
 		}
 		return len(versions) == 1 && ages == len(c.Names())
 	})
-	for k := range c.next {
+	for k := range c.nextChange {
 		c.checkChange(k)
 	}
 	c.checkLast()
 	for _, violation := range c.violations {
 		c.t.Error(violation)
 	}
-	c.t.Logf("%d changes acknowledged, %d refused, %d of unknown outcome, %d versions compared", len(c.acknowledged), len(c.refused),
-		len(c.unknown), len(c.digests))
+	c.t.Logf("%d changes acknowledged, %d rejected, %d of unknown outcome, %d versions compared",
+		len(c.acknowledged), len(c.rejected), len(c.unknown), len(c.digests))
 }
 
-// checkChange checks that a change is everywhere if it was acknowledged, nowhere if it was refused, and one of both otherwise.
+// checkChange checks that a change is on all processes if it was acknowledged, on none if it was rejected, and
+// otherwise on all or none.
 func (c *configCluster) checkChange(k int) {
 	found := 0
 	for _, name := range c.Names() {
@@ -277,15 +285,15 @@
 	_, acknowledged := c.acknowledged[k]
 	switch {
 	case acknowledged && found != len(c.Names()):
-		c.t.Errorf("change %d was acknowledged, and %d of %d have it", k, found, len(c.Names()))
-	case c.refused[k] && found > 0:
-		c.t.Errorf("change %d was refused, and %d have it", k, found)
+		c.t.Errorf("change %d was acknowledged, but only %d of %d processes have it", k, found, len(c.Names()))
+	case c.rejected[k] && found > 0:
+		c.t.Errorf("change %d was rejected, but %d processes have it", k, found)
 	case found > 0 && found != len(c.Names()):
-		c.t.Errorf("change %d is at %d of %d", k, found, len(c.Names()))
+		c.t.Errorf("change %d is on %d of %d processes", k, found, len(c.Names()))
 	}
 }
 
-// checkLast checks the entry that every change replaces: the last one in the order of the log is in force.
+// checkLast checks the entry that every change replaces: the last change in log order is in force.
 func (c *configCluster) checkLast() {
 	newest := 0
 	for k := range c.acknowledged {
@@ -303,12 +311,13 @@
 	}
 }
 
-// lookup gives a tenant's quota as a process has it, -1 if it has none.
+// lookup returns a tenant's quota on a process, or -1 if it has none.
 func (c *configCluster) lookup(name, service, tenant string) float64 {
 	c.t.Helper()
-	result, err := fleet.LookupEntry(c.socket(name), fleet.EntryLookup{Kind: configtable.Tenant, Service: service, Name: tenant})
+	result, err := fleet.LookupEntry(c.socket(name),
+		fleet.EntryLookup{Kind: configtable.Tenant, Service: service, Name: tenant})
 	if err != nil || result.Error != "" {
-		c.t.Errorf("%s does not tell of %s: %v %s", name, tenant, err, result.Error)
+		c.t.Errorf("%s: lookup of %s: %v %s", name, tenant, err, result.Error)
 		return -1
 	}
 	if !result.Found {
@@ -316,130 +325,131 @@
 	}
 	changes, err := configtable.ParseChanges("", []byte(result.Entry))
 	if err != nil {
-		c.t.Errorf("%s told %q: %v", name, result.Entry, err)
+		c.t.Errorf("%s returned the invalid entry %q: %v", name, result.Entry, err)
 		return -1
 	}
 	return changes[0].Value.Tenant.QuotaPerSecond
 }
 
-func (c *configCluster) wait(what string, holds func() bool) {
+func (c *configCluster) waitFor(description string, condition func() bool) {
 	c.t.Helper()
-	if _, ok := c.Until(healPatience, holds); !ok {
+	if _, ok := c.Until(healTimeout, condition); !ok {
 		for _, name := range c.Names() {
 			status, err := fleet.AskDistribution(c.socket(name))
 			c.t.Logf("%s: %+v %v", name, status, err)
 		}
-		c.t.Fatalf("not within %v: %s", healPatience, what)
+		c.t.Fatalf("timed out after %v: %s", healTimeout, description)
 	}
 }
 
-// The leader is killed again and again; another goes on with all that was acknowledged.
+// The leader is killed repeatedly. Another voter takes over with all acknowledged changes.
 func TestConfigLeaderKilled(t *testing.T) {
 	c := newConfigCluster(t)
 	for range 2 {
 		first := c.leader("")
-		c.acknowledge(5)
-		c.play("0s kill " + first)
+		c.waitAcknowledged(5)
+		c.runScript("0s kill " + first)
 		c.leader(first)
-		c.acknowledge(3)
-		c.play("0s start " + first)
+		c.waitAcknowledged(3)
+		c.runScript("0s start " + first)
 	}
-	c.settle()
+	c.healAndCheck()
 }
 
-// The leader is stopped past its lease and continued: what it still has in its hands is never in force against the log.
-func TestConfigLeaderSlept(t *testing.T) {
+// The leader is paused past its lease and continued. Changes that it had in flight never override the log.
+func TestConfigLeaderPaused(t *testing.T) {
 	c := newConfigCluster(t)
 	for range 2 {
-		sleeper := c.leader("")
-		c.acknowledge(5)
-		c.play("0s stop " + sleeper)
-		c.leader(sleeper)
-		c.acknowledge(3)
-		c.play("0s cont " + sleeper)
-		c.wait("the sleeper knows that it no longer leads", func() bool {
-			status, err := fleet.AskDistribution(c.socket(sleeper))
+		paused := c.leader("")
+		c.waitAcknowledged(5)
+		c.runScript("0s stop " + paused)
+		c.leader(paused)
+		c.waitAcknowledged(3)
+		c.runScript("0s cont " + paused)
+		c.waitFor("the paused process knows that it no longer leads", func() bool {
+			status, err := fleet.AskDistribution(c.socket(paused))
 			return err == nil && !status.Leads
 		})
 	}
-	c.settle()
+	c.healAndCheck()
 }
 
-// The leader speaks and does not hear, then all of a voter's words are lost, one way.
+// One-way partitions: first the leader sends but receives nothing, then the next leader receives but sends nothing.
 func TestConfigCutOneWay(t *testing.T) {
 	c := newConfigCluster(t)
 	first := c.leader("")
-	c.acknowledge(5)
-	c.play("0s cut *>" + first)
+	c.waitAcknowledged(5)
+	c.runScript("0s cut *>" + first)
 	second := c.leader(first)
-	c.acknowledge(3)
-	c.play("0s heal")
-	c.acknowledge(3)
-	c.play("0s cut " + second + ">*")
+	c.waitAcknowledged(3)
+	c.runScript("0s heal")
+	c.waitAcknowledged(3)
+	c.runScript("0s cut " + second + ">*")
 	c.leader(second)
-	c.acknowledge(3)
-	c.settle()
+	c.waitAcknowledged(3)
+	c.healAndCheck()
 }
 
-// The leader is on the small side of a cut with an app server: that one says that it is stale, and has all afterwards.
+// The leader and an app server are partitioned from the majority. The app server reports a stale configuration, and
+// catches up after the partition.
 func TestConfigPartition(t *testing.T) {
 	c := newConfigCluster(t)
 	first := c.leader("")
-	c.acknowledge(5)
-	rest := []string{}
+	c.waitAcknowledged(5)
+	majority := []string{}
 	for _, name := range c.Names() {
 		if name != first && name != "a1" {
-			rest = append(rest, name)
+			majority = append(majority, name)
 		}
 	}
-	c.play("0s split " + first + ",a1|" + strings.Join(rest, ","))
+	c.runScript("0s split " + first + ",a1|" + strings.Join(majority, ","))
 	c.leader(first)
-	c.wait("the app server that was cut off is stale", func() bool {
+	c.waitFor("the partitioned app server is stale", func() bool {
 		status, err := fleet.AskDistribution(c.socket("a1"))
-		return err == nil && status.Stale && status.Age > configStale.Seconds()
+		return err == nil && status.Stale && status.Age > configStaleAfter.Seconds()
 	})
-	c.wait("it says so, once", func() bool {
+	c.waitFor("it logs once that its configuration is stale", func() bool {
 		n, _ := c.History.Lines("a1", "configuration is stale", 0)
 		return n == 1
 	})
-	c.settle()
-	c.wait("it says that it no longer is", func() bool {
+	c.healAndCheck()
+	c.waitFor("it logs once that its configuration is no longer stale", func() bool {
 		n, _ := c.History.Lines("a1", "configuration is no longer stale", 0)
 		return n == 1
 	})
 }
 
-// All processes are killed and started again with what is on their disks.
+// All processes are killed and restarted from their files. No acknowledged change is lost.
 func TestConfigAllRestarted(t *testing.T) {
 	c := newConfigCluster(t)
-	c.acknowledge(20)
+	c.waitAcknowledged(20)
 	for _, name := range c.Names() {
-		c.play("0s kill " + name)
+		c.runScript("0s kill " + name)
 	}
 	for _, name := range c.Names() {
-		c.play("0s start " + name)
+		c.runScript("0s start " + name)
 	}
-	c.settle()
+	c.healAndCheck()
 }
 
-// A tenth of all packets is lost, and some come twice and late.
+// A tenth of all packets is lost, some are duplicated, and all are delayed.
 func TestConfigLoss(t *testing.T) {
 	c := newConfigCluster(t)
-	c.play("0s loss *>* 10%\n0s double *>* 5%\n0s delay *>* 10ms 10ms")
-	c.acknowledge(40)
+	c.runScript("0s loss *>* 10%\n0s double *>* 5%\n0s delay *>* 10ms 10ms")
+	c.waitAcknowledged(40)
 	first := c.leader("")
-	c.play("0s kill " + first)
+	c.runScript("0s kill " + first)
 	c.leader(first)
-	c.acknowledge(20)
-	c.play("0s start " + first)
-	c.settle()
+	c.waitAcknowledged(20)
+	c.runScript("0s start " + first)
+	c.healAndCheck()
 }
 
-// A distributor is killed: its subscribers go to the other one, and take no snapshot for it.
+// A distributor is killed. Its subscribers move to the other one without taking a snapshot.
 func TestConfigDistributorKilled(t *testing.T) {
 	c := newConfigCluster(t)
-	c.acknowledge(5)
-	c.wait("all app servers follow", func() bool {
+	c.waitAcknowledged(5)
+	c.waitFor("all app servers follow", func() bool {
 		for _, name := range configAppServers {
 			if status, err := fleet.AskDistribution(c.socket(name)); err != nil || status.State != "following" {
 				return false
@@ -447,24 +457,25 @@
 		}
 		return true
 	})
-	taken := c.snapshotsTaken()
+	snapshotsBefore := c.snapshotsTaken()
 	for _, distributor := range []string{"v1", "v2"} {
-		c.play("0s kill " + distributor)
+		c.runScript("0s kill " + distributor)
 		other := map[string]string{"v1": "v2", "v2": "v1"}[distributor]
-		c.wait("all app servers are at the other one", func() bool {
+		c.waitFor("all app servers follow the other distributor", func() bool {
 			for _, name := range configAppServers {
-				if status, err := fleet.AskDistribution(c.socket(name)); err != nil || status.Distributor != other || status.State != "following" {
+				if status, err := fleet.AskDistribution(c.socket(name)); err != nil ||
+					status.Distributor != other || status.State != "following" {
 					return false
 				}
 			}
 			return true
 		})
-		c.play("0s start " + distributor)
-		c.acknowledge(3)
+		c.runScript("0s start " + distributor)
+		c.waitAcknowledged(3)
 	}
-	c.settle()
-	if now := c.snapshotsTaken(); now != taken {
-		t.Errorf("%d snapshots were taken after %d", now, taken)
+	c.healAndCheck()
+	if now := c.snapshotsTaken(); now != snapshotsBefore {
+		t.Errorf("%d snapshots were taken, %d before the distributors were killed", now, snapshotsBefore)
 	}
 }
 
@@ -480,60 +491,63 @@
 	return taken
 }
 
-// An app server goes on from its own file after a restart and after a kill: no snapshot is sent.
-func TestConfigRestartFromOwnFile(t *testing.T) {
+// An app server continues from its local file after a restart and after a kill, without taking a snapshot.
+func TestConfigRestartFromLocalFile(t *testing.T) {
 	c := newConfigCluster(t)
-	c.acknowledge(10)
-	c.wait("a1 has written its file", func() bool {
+	c.waitAcknowledged(10)
+	c.waitFor("a1 has written its file", func() bool {
 		_, err := os.Stat(filepath.Join(c.Folder("a1"), "config-scope"))
 		return err == nil
 	})
 	for _, end := range []string{"notice", "kill"} {
-		c.play("0s " + end + " a1")
-		c.wait("a1 has ended", func() bool { return !slices.Contains(c.Running(), "a1") })
+		c.runScript("0s " + end + " a1")
+		c.waitFor("a1 has ended", func() bool { return !slices.Contains(c.Running(), "a1") })
 		c.mu.Lock()
-		delete(c.versions, "a1")
+		delete(c.lastVersions, "a1")
 		c.mu.Unlock()
-		c.acknowledge(5)
-		c.play("0s start a1")
-		c.acknowledge(3)
+		c.waitAcknowledged(5)
+		c.runScript("0s start a1")
+		c.waitAcknowledged(3)
 	}
-	c.settle()
+	c.healAndCheck()
 	status, err := fleet.AskDistribution(c.socket("a1"))
 	if err != nil || status.SnapshotsTaken != 0 {
 		t.Errorf("a1 took %d snapshots after its restart, %v", status.SnapshotsTaken, err)
 	}
-	if n, _ := c.History.Lines("a1", "continues from its own file", 0); n != 2 {
-		t.Errorf("%d starts from its own file", n)
+	if n, _ := c.History.Lines("a1", "continuing from the local file", 0); n != 2 {
+		t.Errorf("%d starts continued from the local file", n)
 	}
 }
 
-// An empty folder comes in the place of the leader's, which is stopped past its lease then: what was acknowledged stays.
+// The leader's folder is replaced by an empty one, and the leader is paused past its lease. No acknowledged change is
+// lost.
 func TestConfigVoterWithoutFolder(t *testing.T) {
 	c := newConfigCluster(t)
 	first := c.leader("")
-	c.acknowledge(5)
+	c.waitAcknowledged(5)
 	folder := c.Folder(first)
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(folder, 0o700); err != nil { // as where a disk is no longer mounted
+	if err := os.Mkdir(folder, 0o700); err != nil { // like the mount point of an unmounted disk
 		t.Fatal(err)
 	}
-	c.play("0s stop " + first)
+	c.runScript("0s stop " + first)
 	c.leader(first)
-	c.acknowledge(3)
-	c.play("0s cont " + first)
-	c.acknowledge(3)
-	c.settle()
+	c.waitAcknowledged(3)
+	c.runScript("0s cont " + first)
+	c.waitAcknowledged(3)
+	c.healAndCheck()
 }
 
-// The commands of operators: a faulty file is told with file and line and changes nothing; versions are printed.
+// The operators' commands: the error of an invalid file names file and line, and the file changes nothing. Versions are
+// printed.
 func TestConfigCommands(t *testing.T) {
 	c := newConfigCluster(t)
-	c.endWork()
+	c.stopBackground()
 	run := func(args ...string) (string, error) {
-		out, err := exec.Command(program, append(append([]string{"fleet"}, args...), "--socket", c.Socket("a1"))...).CombinedOutput()
+		out, err := exec.Command(program, append(append([]string{"fleet"}, args...),
+			"--socket", c.Socket("a1"))...).CombinedOutput()
 		return string(out), err
 	}
 	file := filepath.Join(t.TempDir(), "changes")
@@ -554,11 +568,12 @@
 	if out, err := run("apply", file); err != nil || !strings.HasPrefix(out, "version ") {
 		t.Errorf("%v: %s", err, out)
 	}
-	c.wait("the change is at a1", func() bool { return c.lookup("a1", servedService, "other") == 6 })
+	c.waitFor("the change is on a1", func() bool { return c.lookup("a1", servedService, "other") == 6 })
 	if c.lookup("a1", servedService, "good") != -1 {
-		t.Error("a refused file had an effect")
+		t.Error("a rejected file had an effect")
 	}
-	if out, err := run("lookup", "route", "search", "r"); err != nil || !strings.Contains(out, "target=250ms") || !strings.Contains(out, "\nversion ") {
+	if out, err := run("lookup", "route", "search", "r"); err != nil ||
+		!strings.Contains(out, "target=250ms") || !strings.Contains(out, "\nversion ") {
 		t.Errorf("%v: %s", err, out)
 	}
 	if out, err := run("config"); err != nil || !strings.Contains(out, "app server") || strings.Contains(out, "STALE") {
--- a/fleet/distribution_file.go
+++ b/fleet/distribution_file.go
@@ -20,34 +20,34 @@
 	"valveglade/store/configstore"
 )
 
-// When an app server's own file is written.
+// Limits and timings of writes to the local file.
 const (
-	fileBatchEntries  = 256  // changes that wait
-	maxPendingEntries = 4096 // past it the whole table is written instead
-	fileIdleDelay     = 2 * time.Second
-	maxFileDelay      = 10 * time.Second // of the first change that waits
-	fileVersionDelay  = 30 * time.Second // of a version that has moved without a change here
+	fileBatchEntries  = 256              // pending changes that trigger a write
+	maxPendingEntries = 4096             // with more pending changes the whole table is written instead
+	fileIdleDelay     = 2 * time.Second  // since the last pending change
+	maxFileDelay      = 10 * time.Second // since the first pending change
+	fileVersionDelay  = 30 * time.Second // for a version that advanced without a change to this table
 	fileRetryDelay    = 5 * time.Second
 	fileTickInterval  = 500 * time.Millisecond
 )
 
-// scopeFile holds a digest of the services that the file is of. It is there while the file may be continued from, and gone while it
-// may not.
+// scopeFile holds a digest of the services that the local file covers. It is absent while the local file must not be
+// loaded.
 const scopeFile = "config-scope"
 
-// tableFile is an app server's own file of its configuration. Who has something to save never waits for the disk.
+// tableFile persists an app server's table in a local file. Callers that hand over changes never wait for the disk.
 type tableFile struct {
 	d      *Distribution
-	digest string // of the scope
+	digest string // of the subscribed services
 	store  *configstore.Store
 
 	mu             sync.Mutex
-	state          *TableState       // to be saved
-	pending        []configlog.Entry // of it, that are not saved
-	rewrite        bool              // all of it is to be written
-	invalidated    bool              // what is saved is not to be continued from
-	lastSaved      uint64            // index that the file reaches
-	firstPendingAt time.Time         // of what waits
+	state          *TableState       // latest table
+	pending        []configlog.Entry // changes in state that are not saved yet
+	rewrite        bool              // the whole table is to be written
+	invalidated    bool              // the saved file must not be loaded at the next start
+	lastSaved      uint64            // last index in the file
+	firstPendingAt time.Time         // time of the first unsaved change; zero if there is none
 	lastPendingAt  time.Time
 	failing        bool
 }
@@ -63,11 +63,11 @@
 
 func (f *tableFile) scopePath() string { return filepath.Join(f.d.cfg.Folder, scopeFile) }
 
-// load opens the file and gives what it has, nil if that is nothing that this app server may continue from.
+// load opens the file and returns its table, or nil if it has none that is valid for this app server's services.
 func (f *tableFile) load() *TableState {
 	store, found, err := configstore.Open(f.d.cfg.Folder, f.d.cfg.Name)
 	if err != nil {
-		f.d.log.Error("configuration: no file of its own", zap.Error(err))
+		f.d.log.Error("configuration: the local file cannot be opened", zap.Error(err))
 		return nil
 	}
 	f.store = store
@@ -78,7 +78,7 @@
 	}
 	entries, err := readEntries(store)
 	if err != nil {
-		f.d.log.Error("configuration: its own file can not be read", zap.Error(err))
+		f.d.log.Error("configuration: the local file cannot be read", zap.Error(err))
 		return nil
 	}
 	state := f.d.applyEntries(&TableState{Table: found.Table, Version: logVersion(found.Version)}, entries)
@@ -86,11 +86,12 @@
 		return nil
 	}
 	f.lastSaved = state.Version.Index
-	f.d.log.Info("configuration: continues from its own file", zap.Uint64("version", state.Version.Index), zap.Int("entries", state.Table.Len()))
+	f.d.log.Info("configuration: continuing from the local file", zap.Uint64("version", state.Version.Index),
+		zap.Int("entries", state.Table.Len()))
 	return state
 }
 
-// append takes changes to be saved, and the table with them.
+// append hands over changes to be saved, with the table that includes them.
 func (f *tableFile) append(entries []configlog.Entry, state *TableState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +111,7 @@
 	f.pending = append(f.pending, entries...)
 }
 
-// replace takes a whole table to be saved.
+// replace hands over a whole table to be saved.
 func (f *tableFile) replace(state *TableState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +119,7 @@
 	f.state, f.pending, f.rewrite = state, nil, true
 }
 
-// invalidate has what is saved not be continued from.
+// invalidate marks the saved file so that it is not loaded at the next start.
 func (f *tableFile) invalidate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +127,7 @@
 	f.invalidated = true
 }
 
-// markDirty takes the time of something to be saved.
+// markDirty records the time of an unsaved change.
 func (f *tableFile) markDirty() {
 	f.lastPendingAt = time.Now()
 	if f.firstPendingAt.IsZero() {
@@ -134,7 +135,7 @@
 	}
 }
 
-// run saves what waits, until ctx ends; then all that is left.
+// run saves pending changes until ctx ends, and then all that are left.
 func (f *tableFile) run(ctx context.Context) {
 	if f.store == nil {
 		return
@@ -160,18 +161,19 @@
 	}
 }
 
-// shouldSave reports whether something is to be saved now.
+// shouldSave reports whether pending changes are to be saved now.
 func (f *tableFile) shouldSave(lastSaveAt time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	if !f.firstPendingAt.IsZero() {
-		return f.invalidated || len(f.pending) >= fileBatchEntries || now.Sub(f.lastPendingAt) >= fileIdleDelay || now.Sub(f.firstPendingAt) >= maxFileDelay
+		return f.invalidated || len(f.pending) >= fileBatchEntries ||
+			now.Sub(f.lastPendingAt) >= fileIdleDelay || now.Sub(f.firstPendingAt) >= maxFileDelay
 	}
 	return f.state != nil && f.state.Version.Index > f.lastSaved && now.Sub(lastSaveAt) >= fileVersionDelay
 }
 
-// save writes what waits. It reports false after a fault of the disk; the whole table is written then the next time.
+// save writes pending changes. It returns false after a disk error; the next save then writes the whole table.
 func (f *tableFile) save() bool {
 	f.mu.Lock()
 	state, pending, rewrite, invalidated := f.state, f.pending, f.rewrite, f.invalidated
@@ -189,7 +191,8 @@
 	}
 	if f.failing != (err != nil) {
 		f.failing = err != nil
-		f.d.log.Warn("configuration: its own file", zap.Bool("kept", err == nil), zap.Error(err))
+		f.d.log.Warn("configuration: writing the local file started failing or recovered",
+			zap.Bool("kept", err == nil), zap.Error(err))
 	}
 	return err == nil
 }
@@ -201,7 +204,7 @@
 		}
 	}
 	if state == nil || invalidated && !rewrite {
-		return nil // a snapshot comes, and is saved whole
+		return nil // a snapshot follows, which is saved whole
 	}
 	if rewrite {
 		if err := f.store.Install(state.Table, storedVersion(state.Version)); err != nil {
@@ -212,7 +215,7 @@
 	return f.appendPending(state, pending)
 }
 
-// appendPending appends changes, and the version where it has gone on without one.
+// appendPending appends changes, and an empty entry if the version advanced past the last of them.
 func (f *tableFile) appendPending(state *TableState, pending []configlog.Entry) error {
 	entries := storedEntries(pending)
 	last := f.lastSaved
