--- a/fleet/distribution_codec_test.go
+++ b/fleet/distribution_codec_test.go
@@ -13,14 +13,15 @@
 	testVersion = configlog.Version{Term: 1 << 41, Index: 77}
 	testEntry   = configlog.Entry{Version: testVersion, Previous: 70,
 		Change: configlog.Change{Service: "billing", Payload: []byte{1, 2, 3}}}
-	firstOfTerm = configlog.Entry{Version: testVersion}
+	emptyEntry = configlog.Entry{Version: testVersion}
 )
 
 var replicationMessages = []configlog.Message{
 	configlog.RecoverRequest{Term: 9},
 	configlog.RecoverResponse{Term: 9, Refused: true, Known: 10, Last: testVersion, Commit: 76},
 	configlog.FetchRequest{Term: 9, From: 5},
-	configlog.FetchResponse{Term: 9, From: 5, Behind: true, Base: testVersion, Entries: []configlog.Entry{testEntry, firstOfTerm}},
+	configlog.FetchResponse{Term: 9, From: 5, Behind: true, Base: testVersion,
+		Entries: []configlog.Entry{testEntry, emptyEntry}},
 	configlog.AppendRequest{Term: 9, Previous: testVersion, Commit: 3, Entries: []configlog.Entry{testEntry}},
 	configlog.AppendRequest{Term: 9},
 	configlog.AppendResponse{Term: 9, Accepted: true, Known: 9, Rejected: 4, Match: 77},
@@ -44,37 +45,37 @@
 func TestReplicationPackets(t *testing.T) {
 	for _, message := range replicationMessages {
 		packet := encodeReplication(message)
-		if back, err := decodeReplication(packet); err != nil || !reflect.DeepEqual(back, message) {
-			t.Errorf("%#v came back as %#v, %v", message, back, err)
+		if decoded, err := decodeReplication(packet); err != nil || !reflect.DeepEqual(decoded, message) {
+			t.Errorf("%#v was decoded as %#v, %v", message, decoded, err)
 		}
-		refusesDamage(t, packet, func(b []byte) error { _, err := decodeReplication(b); return err })
+		checkRejectsDamage(t, packet, func(b []byte) error { _, err := decodeReplication(b); return err })
 	}
 }
 
 func TestFrames(t *testing.T) {
 	for _, message := range frameMessages {
 		frame := encodeFrame(message)
-		if back, err := decodeFrame(frame); err != nil || !reflect.DeepEqual(back, message) {
-			t.Errorf("%#v came back as %#v, %v", message, back, err)
+		if decoded, err := decodeFrame(frame); err != nil || !reflect.DeepEqual(decoded, message) {
+			t.Errorf("%#v was decoded as %#v, %v", message, decoded, err)
 		}
-		refusesDamage(t, frame, func(b []byte) error { _, err := decodeFrame(b); return err })
+		checkRejectsDamage(t, frame, func(b []byte) error { _, err := decodeFrame(b); return err })
 	}
 }
 
-// refusesDamage checks that a message cut short anywhere, or with something after it, is refused.
-func refusesDamage(t *testing.T, message []byte, decode func([]byte) error) {
+// checkRejectsDamage checks that a message that is truncated anywhere or has a trailing byte is rejected.
+func checkRejectsDamage(t *testing.T, message []byte, decode func([]byte) error) {
 	t.Helper()
 	for n := range message {
 		if err := decode(message[:n]); !errors.Is(err, errMalformed) {
-			t.Errorf("% x cut to %d bytes: %v", message, n, err)
+			t.Errorf("% x truncated to %d bytes: %v", message, n, err)
 		}
 	}
 	if err := decode(append(message[:len(message):len(message)], 0)); !errors.Is(err, errMalformed) {
-		t.Errorf("% x with a byte more: %v", message, err)
+		t.Errorf("% x with a trailing byte: %v", message, err)
 	}
 }
 
-// The largest message fits the packet that carries it.
+// The largest replication message fits a packet between members.
 func TestReplicationPacketBound(t *testing.T) {
 	largest := configlog.Entry{Version: testVersion, Change: configlog.Change{Service: "s", Payload: make([]byte, 0)}}
 	largest.Payload = make([]byte, maxReplicationEntries-largest.Size())
@@ -89,9 +90,9 @@
 }
 
 func TestUnknownAgeIsWritten(t *testing.T) {
-	back, err := decodeFrame(encodeFrame(configlog.Heartbeat{Age: math.Inf(1)}))
-	if err != nil || back.(configlog.Heartbeat).Age != maxSeconds {
-		t.Errorf("%#v, %v", back, err)
+	decoded, err := decodeFrame(encodeFrame(configlog.Heartbeat{Age: math.Inf(1)}))
+	if err != nil || decoded.(configlog.Heartbeat).Age != maxSeconds {
+		t.Errorf("%#v, %v", decoded, err)
 	}
 }
 
@@ -102,7 +103,7 @@
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		message, err := decodeReplication(packet)
 		if err == nil && string(encodeReplication(message)) != string(packet) {
-			t.Errorf("% x is read as %#v, which is written otherwise", packet, message)
+			t.Errorf("% x is decoded as %#v, which is encoded differently", packet, message)
 		}
 	})
 }
@@ -114,7 +115,7 @@
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		message, err := decodeFrame(frame)
 		if err == nil && string(encodeFrame(message)) != string(frame) {
-			t.Errorf("% x is read as %#v, which is written otherwise", frame, message)
+			t.Errorf("% x is decoded as %#v, which is encoded differently", frame, message)
 		}
 	})
 }
--- a/fleet/distribution_test.go
+++ b/fleet/distribution_test.go
@@ -21,9 +21,9 @@
 	"valveglade/member"
 )
 
-const distributionPatience = 30 * time.Second
+const distributionTimeout = 30 * time.Second
 
-// configNode is one app server of a test's fleet, in this process, over loopback sockets.
+// configNode is one app server of a test fleet, run in this process over loopback sockets.
 type configNode struct {
 	name    string
 	address netip.AddrPort
@@ -34,7 +34,7 @@
 	stop func()
 }
 
-// configFleet is three voters and some app servers.
+// configFleet is a fleet of three voters and some app servers.
 type configFleet struct {
 	t     *testing.T
 	nodes map[string]*configNode
@@ -70,18 +70,20 @@
 	f.start(name)
 }
 
-// start runs a node, at the address that it had before.
+// start runs a node, after a stop at its previous address.
 func (f *configFleet) start(name string) {
 	f.t.Helper()
 	n := f.nodes[name]
-	m, err := member.New(member.Config{Name: name, Listen: n.address, Join: f.seeds, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-		Probe: 200 * time.Millisecond, Streams: 64, View: view.Defaults()}, zap.NewNop())
+	m, err := member.New(member.Config{Name: name, Listen: n.address, Join: f.seeds,
+		Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Probe: 200 * time.Millisecond,
+		Streams: 64, View: view.Defaults()}, zap.NewNop())
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	n.member, n.address = m, m.Address()
 	f.seeds = append(f.seeds, n.address)
-	fleet, err := New(Config{Name: name, Voters: n.cfg.Voters, Folder: n.folder, Timing: owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}}, m, zap.NewNop())
+	fleet, err := New(Config{Name: name, Voters: n.cfg.Voters, Folder: n.folder,
+		Timing: owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}}, m, zap.NewNop())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -90,37 +92,37 @@
 	}
 	m.HandleStreams(n.ServeStream)
 	ctx, cancel := context.WithCancel(context.Background())
-	var over sync.WaitGroup
-	over.Go(func() { m.Run(ctx) })
-	over.Go(func() { fleet.Run(ctx) })
-	over.Go(func() { n.Distribution.Run(ctx) })
-	n.stop = sync.OnceFunc(func() { cancel(); over.Wait() })
+	var group sync.WaitGroup
+	group.Go(func() { m.Run(ctx) })
+	group.Go(func() { fleet.Run(ctx) })
+	group.Go(func() { n.Distribution.Run(ctx) })
+	n.stop = sync.OnceFunc(func() { cancel(); group.Wait() })
 }
 
-// apply has a text of changes committed through a node, trying again while there is no leader.
+// apply commits a text of changes through a node, and retries while there is no leader.
 func (f *configFleet) apply(through, text string) uint64 {
 	f.t.Helper()
-	var failed error
-	for end := time.Now().Add(distributionPatience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	var lastErr error
+	for deadline := time.Now().Add(distributionTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		version, err := f.nodes[through].apply(context.Background(), applyRequest{Path: "changes", Text: []byte(text)})
 		if err == nil {
 			return version.Index
 		}
-		failed = err
+		lastErr = err
 	}
-	f.t.Fatalf("not applied: %v", failed)
+	f.t.Fatalf("not applied: %v", lastErr)
 	return 0
 }
 
-// wait waits for a condition.
-func (f *configFleet) wait(what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func (f *configFleet) waitFor(description string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(distributionPatience); !holds(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(distributionTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			for name, n := range f.nodes {
 				f.t.Logf("%s: %+v", name, n.Status())
 			}
-			f.t.Fatalf("not within %v: %s", distributionPatience, what)
+			f.t.Fatalf("timed out after %v: %s", distributionTimeout, description)
 		}
 	}
 }
@@ -137,16 +139,16 @@
 	return fmt.Sprintf("put tenant %s service=%s quota=%d\n", tenant, service, quota)
 }
 
-func TestDistributionReachesWhoServes(t *testing.T) {
+func TestDistributionReachesServingServers(t *testing.T) {
 	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}, "a2": {"search"}})
 	version := f.apply("a1", putTenant("billing", "acme", 7)+putTenant("search", "acme", 9))
-	f.wait("both app servers have what they serve", func() bool {
+	f.waitFor("both app servers have the entries of their services", func() bool {
 		return f.quota("a1", "billing", "acme") == 7 && f.quota("a2", "search", "acme") == 9
 	})
 	if f.quota("a1", "search", "acme") != -1 {
-		t.Error("an app server has what it does not serve")
+		t.Error("an app server has an entry of a service that it does not serve")
 	}
-	f.wait("all are of one version", func() bool {
+	f.waitFor("all nodes have the version", func() bool {
 		for _, n := range f.nodes {
 			if s := n.Status(); s.Version < version || s.Stale {
 				return false
@@ -154,51 +156,51 @@
 		}
 		return true
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), distributionPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), distributionTimeout)
 	defer cancel()
 	for range 2 {
 		result, err := f.nodes["a1"].Lookup(ctx, configtable.Tenant, "search", "acme")
 		if err != nil || !result.Found || result.Value.Tenant.QuotaPerSecond != 9 || result.Version.Index < version {
-			t.Errorf("looked up: %+v, %v", result, err)
+			t.Errorf("lookup: %+v, %v", result, err)
 		}
 	}
 	if result, err := f.nodes["a1"].Lookup(ctx, configtable.Tenant, "search", "nobody"); err != nil || result.Found {
-		t.Errorf("looked up what is absent: %+v, %v", result, err)
+		t.Errorf("lookup of an absent entry: %+v, %v", result, err)
 	}
 }
 
-// A set of changes with a fault anywhere changes nothing, and the fault is told with file and line.
-func TestFaultyChangesChangeNothing(t *testing.T) {
+// A set of changes with an invalid one anywhere changes nothing, and the error names file and line.
+func TestInvalidChangesChangeNothing(t *testing.T) {
 	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
 	f.apply("a1", putTenant("billing", "acme", 7))
-	for _, one := range []struct{ text, fault string }{
+	for _, test := range []struct{ text, fault string }{
 		{putTenant("billing", "acme", 8) + "# a comment\n\nput tenant x service=billing quota=-1\n", "changes:4: x: "},
 		{putTenant("billing", "acme", 8) + "\ndelete tenant absent service=billing\n", "changes:3: absent: "},
 		{"nonsense\n", "changes:1: "},
 		{"# nothing\n", "no change"},
 		{strings.Repeat("#", MaxChangeText+1), "bytes are more than"},
 	} {
-		_, err := f.nodes["a1"].apply(context.Background(), applyRequest{Path: "changes", Text: []byte(one.text)})
-		if err == nil || !strings.Contains(err.Error(), one.fault) {
-			t.Errorf("%.60q: %v", one.text, err)
+		_, err := f.nodes["a1"].apply(context.Background(), applyRequest{Path: "changes", Text: []byte(test.text)})
+		if err == nil || !strings.Contains(err.Error(), test.fault) {
+			t.Errorf("%.60q: %v", test.text, err)
 		}
 	}
 	f.apply("a1", putTenant("billing", "other", 1))
-	f.wait("the next change is in force", func() bool { return f.quota("a1", "billing", "other") == 1 })
+	f.waitFor("the next change is in force", func() bool { return f.quota("a1", "billing", "other") == 1 })
 	if f.quota("a1", "billing", "acme") != 7 {
-		t.Error("a refused set of changes had an effect")
+		t.Error("a rejected set of changes had an effect")
 	}
 }
 
-// A restarted app server goes on from its own file; one that wants other services does not.
-func TestRestartFromOwnFile(t *testing.T) {
+// A restarted app server continues from its local file without a snapshot, but not if it now serves other services.
+func TestRestartFromLocalFile(t *testing.T) {
 	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
 	last := f.apply("a1", putTenant("billing", "acme", 7))
-	f.wait("in force", func() bool { return f.quota("a1", "billing", "acme") == 7 })
+	f.waitFor("the change is in force", func() bool { return f.quota("a1", "billing", "acme") == 7 })
 	f.nodes["a1"].stop()
 	missed := f.apply("v1", putTenant("billing", "acme", 8))
 	f.start("a1")
-	f.wait("what was missed is in force", func() bool {
+	f.waitFor("the change made during the restart is in force", func() bool {
 		return f.quota("a1", "billing", "acme") == 8 && f.nodes["a1"].Status().Version >= missed
 	})
 	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != 0 || s.Version < last {
@@ -208,29 +210,30 @@
 	f.nodes["a1"].cfg.Services = []string{"search"}
 	f.apply("v1", putTenant("search", "acme", 3))
 	f.start("a1")
-	f.wait("other services are in force", func() bool { return f.quota("a1", "search", "acme") == 3 })
+	f.waitFor("the other service is in force", func() bool { return f.quota("a1", "search", "acme") == 3 })
 	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != 1 || f.quota("a1", "billing", "acme") != -1 {
 		t.Errorf("restarted for another service: %+v", s)
 	}
 }
 
-// All voters end and start again, with what is on their disks.
-func TestAllVotersAgain(t *testing.T) {
+// All voters stop and restart from their files: no committed change is lost, and a running app server needs no
+// snapshot.
+func TestAllVotersRestarted(t *testing.T) {
 	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
 	for k := range 20 {
 		f.apply("a1", putTenant("billing", fmt.Sprint("t", k), k))
 	}
-	f.wait("the app server has all", func() bool { return f.quota("a1", "billing", "t19") == 19 })
-	taken := f.nodes["a1"].Status().SnapshotsTaken
+	f.waitFor("the app server has all changes", func() bool { return f.quota("a1", "billing", "t19") == 19 })
+	snapshotsBefore := f.nodes["a1"].Status().SnapshotsTaken
 	for _, name := range configVoters {
 		f.nodes[name].stop()
 	}
-	f.wait("the app server says that it is stale", func() bool { return f.nodes["a1"].Status().Stale })
+	f.waitFor("the app server reports a stale configuration", func() bool { return f.nodes["a1"].Status().Stale })
 	for _, name := range configVoters {
 		f.start(name)
 	}
 	f.apply("v1", putTenant("billing", "after", 1))
-	f.wait("everybody has all", func() bool {
+	f.waitFor("all nodes have all changes", func() bool {
 		for name := range f.nodes {
 			for k := range 20 {
 				if f.quota(name, "billing", fmt.Sprint("t", k)) != float64(k) {
@@ -243,32 +246,32 @@
 		}
 		return true
 	})
-	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != taken {
-		t.Errorf("an app server that kept running took %d snapshots after %d", s.SnapshotsTaken, taken)
+	if s := f.nodes["a1"].Status(); s.SnapshotsTaken != snapshotsBefore {
+		t.Errorf("an app server that kept running took %d snapshots after %d", s.SnapshotsTaken, snapshotsBefore)
 	}
 }
 
-// A voter whose file is spoilt is silent until it has a snapshot of a later term, and takes part again then.
-func TestVoterWithSpoiltFile(t *testing.T) {
+// A voter with a corrupt file stays out of the log until it has a snapshot of a later term, and then takes part again.
+func TestVoterWithCorruptFile(t *testing.T) {
 	f := newConfigFleet(t, nil)
 	f.apply("v1", putTenant("billing", "acme", 7))
-	f.wait("everywhere", func() bool { return f.quota("v3", "billing", "acme") == 7 })
+	f.waitFor("the change is on the last voter", func() bool { return f.quota("v3", "billing", "acme") == 7 })
 	f.nodes["v3"].stop()
-	spoil(t, f.nodes["v3"].folder)
+	corruptLogFiles(t, f.nodes["v3"].folder)
 	f.start("v3")
 	f.apply("v1", putTenant("billing", "acme", 8))
 	f.apply("v1", putTenant("billing", "acme", 9))
-	f.wait("the voter has all again", func() bool { return f.quota("v3", "billing", "acme") == 9 })
+	f.waitFor("the voter has all changes again", func() bool { return f.quota("v3", "billing", "acme") == 9 })
 }
 
-// spoil changes a byte in the middle of each file of the log.
-func spoil(t *testing.T, folder string) {
+// corruptLogFiles changes a byte in the middle of each file of the log.
+func corruptLogFiles(t *testing.T, folder string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoilt := 0
+	corrupted := 0
 	for _, path := range files {
 		text, err := os.ReadFile(path)
 		if err != nil || len(text) < 40 || filepath.Base(path) == voteFileName {
@@ -278,21 +281,21 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		spoilt++
+		corrupted++
 	}
-	if spoilt == 0 {
-		t.Fatal("no file to be spoilt")
+	if corrupted == 0 {
+		t.Fatal("no file to corrupt")
 	}
 }
 
-// Streams that bring what is no message end, are counted, and harm nobody else.
+// A stream with a malformed or unexpected message is closed and counted, and affects no other stream.
 func TestForeignStreams(t *testing.T) {
 	f := newConfigFleet(t, map[string][]string{"a1": {"billing"}})
 	f.apply("v1", putTenant("billing", "acme", 7))
 	before := f.nodes["v1"].counts.malformedFrames.Load()
-	hello := encodeFrame(configlog.Subscribe{Stream: 1, All: true})
-	for _, frames := range [][][]byte{{[]byte("nonsense")}, {{}}, {encodeFrame(configlog.Delta{})}, {hello, []byte("nonsense")},
-		{hello, encodeFrame(applyReply{})}} {
+	subscribe := encodeFrame(configlog.Subscribe{Stream: 1, All: true})
+	for _, frames := range [][][]byte{{[]byte("nonsense")}, {{}}, {encodeFrame(configlog.Delta{})},
+		{subscribe, []byte("nonsense")}, {subscribe, encodeFrame(applyReply{})}} {
 		stream, err := f.nodes["a1"].member.OpenStream(context.Background(), "v1")
 		if err != nil {
 			t.Fatal(err)
@@ -302,14 +305,16 @@
 				t.Fatal(err)
 			}
 		}
-		for err == nil { // what it had to say before
-			_, err = stream.ReadFrame(distributionPatience)
+		for err == nil { // read the frames sent before the stream is closed
+			_, err = stream.ReadFrame(distributionTimeout)
 		}
 		stream.Close()
 	}
-	f.wait("each is counted", func() bool { return f.nodes["v1"].counts.malformedFrames.Load() == before+5 })
+	f.waitFor("each malformed stream is counted", func() bool {
+		return f.nodes["v1"].counts.malformedFrames.Load() == before+5
+	})
 	f.apply("v1", putTenant("billing", "acme", 8))
-	f.wait("the next change is in force", func() bool { return f.quota("a1", "billing", "acme") == 8 })
+	f.waitFor("the next change is in force", func() bool { return f.quota("a1", "billing", "acme") == 8 })
 }
 
 func TestApplyWithoutLeader(t *testing.T) {
@@ -317,13 +322,15 @@
 	f.apply("v1", putTenant("billing", "acme", 7))
 	f.nodes["v2"].stop()
 	f.nodes["v3"].stop()
-	f.wait("nobody leads", func() bool { return !f.nodes["v1"].Status().Leads })
-	ctx, cancel := context.WithTimeout(context.Background(), distributionPatience)
+	f.waitFor("no voter leads", func() bool { return !f.nodes["v1"].Status().Leads })
+	ctx, cancel := context.WithTimeout(context.Background(), distributionTimeout)
 	defer cancel()
-	if _, err := f.nodes["v1"].apply(ctx, applyRequest{Path: "changes", Text: []byte(putTenant("billing", "acme", 8))}); err == nil {
+	if _, err := f.nodes["v1"].apply(ctx, applyRequest{
+		Path: "changes", Text: []byte(putTenant("billing", "acme", 8)),
+	}); err == nil {
 		t.Error("a change was committed without a majority")
 	} else if errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("no answer: %v", err)
+		t.Errorf("no reply: %v", err)
 	}
 }
 
