--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -18,9 +18,9 @@
 const (
 	replicaInboxSize        = 1024   // queued events; packets that find the queue full are dropped
 	replicaBatchEvents      = 64     // further events handled before one write to disk
-	replicaKeepEntries      = 20_000 // entries
-	replicaMaxOpen          = 4096   // changes that wait for their commit
-	replicaMaxInFlight      = 16
+	replicaKeepEntries      = 20_000 // committed entries kept in memory for replicas that lag
+	replicaMaxOpen          = 4096   // uncommitted changes
+	replicaMaxInFlight      = 16     // unacknowledged messages with entries to one voter
 	replicaResendSeconds    = 0.3
 	replicaHeartbeatSeconds = 0.25
 	reopenDelay             = time.Second
