--- a/fleet/distribution_fetch.go
+++ b/fleet/distribution_fetch.go
@@ -12,29 +12,29 @@
 	"valveglade/member"
 )
 
-// snapshotFrameTimeout is how long a part of a snapshot between voters may take: they come at the pace of the distributor's rate.
+// snapshotFrameTimeout bounds the wait for one part of a snapshot. The sender paces the parts by its rate limit.
 const snapshotFrameTimeout = 15 * time.Second
 
-// errNoSnapshot is returned when no other voter has a snapshot that is wanted.
-var errNoSnapshot = errors.New("no other voter has the snapshot that is wanted")
+// errNoSnapshot is returned when no other voter has an acceptable snapshot.
+var errNoSnapshot = errors.New("no other voter has a snapshot of the required version")
 
-// fetchSnapshot gets the whole table from another voter, of the first version that wanted accepts.
-func (d *Distribution) fetchSnapshot(ctx context.Context, wanted func(configlog.Version) bool) (*TableState, error) {
+// fetchSnapshot fetches the whole table from the first other voter whose version is accepted.
+func (d *Distribution) fetchSnapshot(ctx context.Context, accept func(configlog.Version) bool) (*TableState, error) {
 	err := errNoSnapshot
 	for _, name := range uniqueNames(d.cfg.Voters) {
 		if name == d.cfg.Name {
 			continue
 		}
-		state, failed := d.fetchSnapshotFrom(ctx, name, wanted)
-		if failed == nil {
+		state, fetchErr := d.fetchSnapshotFrom(ctx, name, accept)
+		if fetchErr == nil {
 			return state, nil
 		}
-		err = errors.Join(err, fmt.Errorf("%s: %w", name, failed))
+		err = errors.Join(err, fmt.Errorf("%s: %w", name, fetchErr))
 	}
 	return nil, err
 }
 
-// FetchTable reads the whole table from a distributor, and tells how many bytes that took both ways.
+// FetchTable fetches the whole table from a distributor. It also returns the bytes transferred in both directions.
 func FetchTable(ctx context.Context, opener StreamOpener, from string) (state *TableState, bytes int64, err error) {
 	counting := &countingOpener{StreamOpener: opener}
 	d := NewSubscriber(DistributionConfig{Name: "reader", Distributors: []string{from}}, counting, zap.NewNop())
@@ -42,30 +42,31 @@
 	return state, counting.bytes(), err
 }
 
-// countingOpener keeps the last stream that it opened, for its bytes.
+// countingOpener keeps the last stream that it opened, to report its byte counts.
 type countingOpener struct {
 	StreamOpener
-	last *member.Stream
+	lastStream *member.Stream
 }
 
-// OpenStream opens a stream.
+// OpenStream implements StreamOpener.
 func (o *countingOpener) OpenStream(ctx context.Context, to string) (*member.Stream, error) {
 	stream, err := o.StreamOpener.OpenStream(ctx, to)
-	o.last = stream
+	o.lastStream = stream
 	return stream, err
 }
 
 func (o *countingOpener) bytes() int64 {
-	if o.last == nil {
+	if o.lastStream == nil {
 		return 0
 	}
-	read, written := o.last.Bytes()
+	read, written := o.lastStream.Bytes()
 	return read + written
 }
 
-func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string, wanted func(configlog.Version) bool) (*TableState, error) {
-	opening, cancel := context.WithTimeout(ctx, connectTimeout)
-	stream, err := d.opener.OpenStream(opening, name)
+func (d *Distribution) fetchSnapshotFrom(ctx context.Context, name string,
+	accept func(configlog.Version) bool) (*TableState, error) {
+	openCtx, cancel := context.WithTimeout(ctx, connectTimeout)
+	stream, err := d.opener.OpenStream(openCtx, name)
 	cancel()
 	if err != nil {
 		return nil, err
@@ -73,11 +74,12 @@
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, func() { stream.Close() })
 	defer stop()
-	const number = 1
-	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: number, All: true}), frameWriteTimeout); err != nil {
+	const streamID = 1
+	if err := stream.WriteFrame(encodeFrame(configlog.Subscribe{Stream: streamID, All: true}),
+		frameWriteTimeout); err != nil {
 		return nil, err
 	}
-	var stage tableStage
+	var stage stagedTable
 	var version configlog.Version
 	for sequence := uint64(1); ; sequence++ {
 		payload, err := stream.ReadFrame(snapshotFrameTimeout)
@@ -90,7 +92,7 @@
 		}
 		switch m := message.(type) {
 		case configlog.Welcome:
-			if sequence != 1 || m.Mode != configlog.WelcomeSnapshot || !wanted(m.Version) {
+			if sequence != 1 || m.Mode != configlog.WelcomeSnapshot || !accept(m.Version) {
 				return nil, errNoSnapshot
 			}
 			version = m.Version
--- a/fleet/distribution_file.go
+++ b/fleet/distribution_file.go
@@ -20,36 +20,36 @@
 	"valveglade/store/configstore"
 )
 
-// When an app server's own file is written.
+// Limits and timings of writes to the local file.
 const (
-	fileBatch        = 256  // changes that wait
-	maxFileBatch     = 4096 // past it the whole table is written instead
-	filePause        = 2 * time.Second
-	fileDelay        = 10 * time.Second // of the first change that waits
-	fileVersionDelay = 30 * time.Second // of a version that has moved without a change here
-	fileRetry        = 5 * time.Second
-	fileTick         = 500 * time.Millisecond
+	fileBatchEntries  = 256              // pending changes that trigger a write
+	maxPendingEntries = 4096             // with more pending changes the whole table is written instead
+	fileIdleDelay     = 2 * time.Second  // since the last pending change
+	maxFileDelay      = 10 * time.Second // since the first pending change
+	fileVersionDelay  = 30 * time.Second // for a version that advanced without a change to this table
+	fileRetryDelay    = 5 * time.Second
+	fileTickInterval  = 500 * time.Millisecond
 )
 
-// scopeFile holds a digest of the services that the file is of. It is there while the file may be continued from, and gone while it
-// may not.
+// scopeFile holds a digest of the services that the local file covers. It is absent while the local file must not be
+// loaded.
 const scopeFile = "config-scope"
 
-// tableFile is an app server's own file of its configuration. Who has something to save never waits for the disk.
+// tableFile persists an app server's table in a local file. Callers that hand over changes never wait for the disk.
 type tableFile struct {
 	d      *Distribution
-	digest string // of the scope
+	digest string // of the subscribed services
 	store  *configstore.Store
 
-	mu        sync.Mutex
-	state     *TableState       // to be saved
-	pending   []configlog.Entry // of it, that are not saved
-	whole     bool              // all of it is to be written
-	invalid   bool              // what is saved is not to be continued from
-	lastSaved uint64            // index that the file reaches
-	first     time.Time         // of what waits
-	last      time.Time
-	failing   bool
+	mu             sync.Mutex
+	state          *TableState       // latest table
+	pending        []configlog.Entry // changes in state that are not saved yet
+	rewrite        bool              // the whole table is to be written
+	invalidated    bool              // the saved file must not be loaded at the next start
+	lastSaved      uint64            // last index in the file
+	firstPendingAt time.Time         // time of the first unsaved change; zero if there is none
+	lastPendingAt  time.Time
+	failing        bool
 }
 
 func newTableFile(d *Distribution, scope followerScope) *tableFile {
@@ -63,11 +63,11 @@
 
 func (f *tableFile) scopePath() string { return filepath.Join(f.d.cfg.Folder, scopeFile) }
 
-// load opens the file and gives what it has, nil if that is nothing that this app server may continue from.
+// load opens the file and returns its table, or nil if it has none that is valid for this app server's services.
 func (f *tableFile) load() *TableState {
 	store, found, err := configstore.Open(f.d.cfg.Folder, f.d.cfg.Name)
 	if err != nil {
-		f.d.log.Error("configuration: no file of its own", zap.Error(err))
+		f.d.log.Error("configuration: the local file cannot be opened", zap.Error(err))
 		return nil
 	}
 	f.store = store
@@ -78,7 +78,7 @@
 	}
 	entries, err := readEntries(store)
 	if err != nil {
-		f.d.log.Error("configuration: its own file can not be read", zap.Error(err))
+		f.d.log.Error("configuration: the local file cannot be read", zap.Error(err))
 		return nil
 	}
 	state := f.d.applyEntries(&TableState{Table: found.Table, Version: logVersion(found.Version)}, entries)
@@ -86,11 +86,12 @@
 		return nil
 	}
 	f.lastSaved = state.Version.Index
-	f.d.log.Info("configuration: continues from its own file", zap.Uint64("version", state.Version.Index), zap.Int("entries", state.Table.Len()))
+	f.d.log.Info("configuration: continuing from the local file", zap.Uint64("version", state.Version.Index),
+		zap.Int("entries", state.Table.Len()))
 	return state
 }
 
-// append takes changes to be saved, and the table with them.
+// append hands over changes to be saved, with the table that includes them.
 func (f *tableFile) append(entries []configlog.Entry, state *TableState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,122 +99,124 @@
 	if len(entries) == 0 {
 		return
 	}
-	f.note()
-	if f.whole {
+	f.markDirty()
+	if f.rewrite {
 		return
 	}
-	if len(f.pending)+len(entries) > maxFileBatch {
+	if len(f.pending)+len(entries) > maxPendingEntries {
 		f.d.counts.skippedWrites.Add(int64(len(f.pending) + len(entries)))
-		f.pending, f.whole = nil, true
+		f.pending, f.rewrite = nil, true
 		return
 	}
 	f.pending = append(f.pending, entries...)
 }
 
-// replace takes a whole table to be saved.
+// replace hands over a whole table to be saved.
 func (f *tableFile) replace(state *TableState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note()
-	f.state, f.pending, f.whole = state, nil, true
+	f.markDirty()
+	f.state, f.pending, f.rewrite = state, nil, true
 }
 
-// invalidate has what is saved not be continued from.
+// invalidate marks the saved file so that it is not loaded at the next start.
 func (f *tableFile) invalidate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note()
-	f.invalid = true
+	f.markDirty()
+	f.invalidated = true
 }
 
-// note takes the time of something to be saved.
-func (f *tableFile) note() {
-	f.last = time.Now()
-	if f.first.IsZero() {
-		f.first = f.last
+// markDirty records the time of an unsaved change.
+func (f *tableFile) markDirty() {
+	f.lastPendingAt = time.Now()
+	if f.firstPendingAt.IsZero() {
+		f.firstPendingAt = f.lastPendingAt
 	}
 }
 
-// run saves what waits, until ctx ends; then all that is left.
+// run saves pending changes until ctx ends, and then all that are left.
 func (f *tableFile) run(ctx context.Context) {
 	if f.store == nil {
 		return
 	}
 	defer func() { f.store.Close() }()
-	tick := time.NewTicker(fileTick)
-	defer tick.Stop()
-	saved, retryAt := time.Now(), time.Time{}
+	ticker := time.NewTicker(fileTickInterval)
+	defer ticker.Stop()
+	lastSaveAt, retryAt := time.Now(), time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			f.save()
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if time.Now().Before(retryAt) || !f.due(saved) {
+		if time.Now().Before(retryAt) || !f.shouldSave(lastSaveAt) {
 			continue
 		}
-		saved = time.Now()
+		lastSaveAt = time.Now()
 		if !f.save() {
-			retryAt = time.Now().Add(fileRetry)
+			retryAt = time.Now().Add(fileRetryDelay)
 		}
 	}
 }
 
-// due reports whether something is to be saved now.
-func (f *tableFile) due(saved time.Time) bool {
+// shouldSave reports whether pending changes are to be saved now.
+func (f *tableFile) shouldSave(lastSaveAt time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if !f.first.IsZero() {
-		return f.invalid || len(f.pending) >= fileBatch || now.Sub(f.last) >= filePause || now.Sub(f.first) >= fileDelay
+	if !f.firstPendingAt.IsZero() {
+		return f.invalidated || len(f.pending) >= fileBatchEntries ||
+			now.Sub(f.lastPendingAt) >= fileIdleDelay || now.Sub(f.firstPendingAt) >= maxFileDelay
 	}
-	return f.state != nil && f.state.Version.Index > f.lastSaved && now.Sub(saved) >= fileVersionDelay
+	return f.state != nil && f.state.Version.Index > f.lastSaved && now.Sub(lastSaveAt) >= fileVersionDelay
 }
 
-// save writes what waits. It reports false after a fault of the disk; the whole table is written then the next time.
+// save writes pending changes. It returns false after a disk error; the next save then writes the whole table.
 func (f *tableFile) save() bool {
 	f.mu.Lock()
-	state, pending, whole, invalid := f.state, f.pending, f.whole, f.invalid
-	f.pending, f.whole, f.invalid, f.first = nil, false, false, time.Time{}
+	state, pending, rewrite, invalidated := f.state, f.pending, f.rewrite, f.invalidated
+	f.pending, f.rewrite, f.invalidated, f.firstPendingAt = nil, false, false, time.Time{}
 	f.mu.Unlock()
-	err := f.write(state, pending, whole, invalid)
+	err := f.write(state, pending, rewrite, invalidated)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
 		f.d.counts.failedWrites.Add(1)
-		f.pending, f.whole, f.invalid = nil, true, invalid || f.invalid
-		f.note()
+		f.pending, f.rewrite, f.invalidated = nil, true, invalidated || f.invalidated
+		f.markDirty()
 	} else if state != nil {
 		f.lastSaved = state.Version.Index
 	}
 	if f.failing != (err != nil) {
 		f.failing = err != nil
-		f.d.log.Warn("configuration: its own file", zap.Bool("kept", err == nil), zap.Error(err))
+		f.d.log.Warn("configuration: writing the local file started failing or recovered",
+			zap.Bool("kept", err == nil), zap.Error(err))
 	}
 	return err == nil
 }
 
-func (f *tableFile) write(state *TableState, pending []configlog.Entry, whole, invalid bool) error {
-	if invalid || whole {
+func (f *tableFile) write(state *TableState, pending []configlog.Entry, rewrite, invalidated bool) error {
+	if invalidated || rewrite {
 		if err := os.Remove(f.scopePath()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
-	if state == nil || invalid && !whole {
-		return nil // a snapshot comes, and is saved whole
+	if state == nil || invalidated && !rewrite {
+		return nil // a snapshot follows, which is saved whole
 	}
-	if whole {
+	if rewrite {
 		if err := f.store.InstallSnapshot(state.Table, storedVersion(state.Version)); err != nil {
 			return err
 		}
 		return renameio.WriteFile(f.scopePath(), []byte(f.digest), 0o600, renameio.WithTempDir(f.d.cfg.Folder))
 	}
-	return f.extend(state, pending)
+	return f.appendPending(state, pending)
 }
 
-// extend appends changes, and the version where it has gone on without one.
-func (f *tableFile) extend(state *TableState, pending []configlog.Entry) error {
+// appendPending appends changes, and an empty entry if the version advanced past the last of them.
+func (f *tableFile) appendPending(state *TableState, pending []configlog.Entry) error {
 	entries := storedEntries(pending)
 	last := f.lastSaved
 	if len(pending) > 0 {
--- a/fleet/distribution_persist.go
+++ b/fleet/distribution_persist.go
@@ -7,26 +7,26 @@
 	"valveglade/store/configstore"
 )
 
-// persist writes, durably, what messages of the same Ready rely on.
+// persist durably writes the state that the messages of the same Ready depend on.
 func (l *replicaLoop) persist(p configlog.Persist) error {
 	if p.Promised > 0 {
 		if err := l.store.SaveVote(configstore.Vote{Term: p.Promised}); err != nil {
 			return err
 		}
-		l.promised = p.Promised
+		l.promisedTerm = p.Promised
 	}
 	if p.Reset {
 		state := l.d.Table()
 		if err := l.store.InstallSnapshot(state.Table, storedVersion(p.Base)); err != nil {
 			return err
 		}
-		l.saved = p.Base.Index
+		l.savedIndex = p.Base.Index
 	}
 	if p.TruncateFrom > 0 {
 		if err := l.store.Truncate(p.TruncateFrom); err != nil {
 			return err
 		}
-		l.saved = min(l.saved, p.TruncateFrom-1)
+		l.savedIndex = min(l.savedIndex, p.TruncateFrom-1)
 	}
 	if len(p.Entries) == 0 {
 		return nil
@@ -37,11 +37,11 @@
 	if err := l.store.Sync(); err != nil {
 		return err
 	}
-	l.saved = p.Entries[len(p.Entries)-1].Index
+	l.savedIndex = p.Entries[len(p.Entries)-1].Index
 	return nil
 }
 
-// compact writes a snapshot of what is committed once the log's file has grown.
+// compact writes a snapshot of the committed table once the log file has reached compactLogBytes.
 func (l *replicaLoop) compact() error {
 	if l.store.LogBytes() < compactLogBytes {
 		return nil
@@ -50,7 +50,8 @@
 	return l.store.Compact(state.Table, storedVersion(state.Version))
 }
 
-// applyCommitted has committed entries take effect here, and passes them on to the feed. Those that the table has are skipped.
+// applyCommitted applies committed entries to the table and hands them to the feed. Entries that the table already has
+// are skipped.
 func (d *Distribution) applyCommitted(ctx context.Context, entries []configlog.Entry) {
 	state := d.Table()
 	for len(entries) > 0 && entries[0].Index <= state.Version.Index {
@@ -61,14 +62,14 @@
 	}
 	d.table.Store(d.applyEntries(state, entries))
 	if d.feed != nil {
-		d.feed.tell(ctx, entriesCommitted{entries})
+		d.feed.enqueue(ctx, entriesCommitted{entries})
 	}
 }
 
-// replaceTable has a whole table take effect.
+// replaceTable puts a whole table in force and resets the feed to it.
 func (d *Distribution) replaceTable(ctx context.Context, state *TableState) {
 	d.table.Store(state)
 	if d.feed != nil {
-		d.feed.tell(ctx, tableReplaced{state.Version})
+		d.feed.enqueue(ctx, tableReplaced{state.Version})
 	}
 }
--- a/fleet/distribution_socket.go
+++ b/fleet/distribution_socket.go
@@ -18,21 +18,21 @@
 
 func sortedCauses(counts map[string]int64) []string { return slices.Sorted(maps.Keys(counts)) }
 
-// ConfigSocket is the local socket of the distribution beside that of the view.
+// ConfigSocket returns the path of the distribution's local socket, which derives from the path of the view's socket.
 func ConfigSocket(viewSocket string) string { return viewSocket + ".config" }
 
-// SocketDescriptors is how many descriptors the local socket takes at the most: itself and its clients.
-const SocketDescriptors = 1 + socketClients
+// SocketDescriptors is the largest number of file descriptors that the local socket uses: the listener and its clients.
+const SocketDescriptors = 1 + maxSocketClients
 
-// Bounds of the local socket.
+// Limits and timeouts of the local socket.
 const (
-	socketClients        = 4
+	maxSocketClients     = 4
 	maxSocketRequest     = 128 << 10 // bytes of JSON
 	socketRequestTimeout = 2 * time.Second
 	socketReplyTimeout   = 20 * time.Second
 )
 
-// socketRequest is what a client of the local socket asks: for changes to be applied, for one entry, or else for the status.
+// socketRequest is a request to the local socket: to apply changes, to look up one entry, or otherwise for the status.
 type socketRequest struct {
 	Apply  bool         `json:"apply,omitempty"`
 	Path   string       `json:"path,omitempty"`
@@ -47,44 +47,44 @@
 	Name    string           `json:"name"`
 }
 
-// EntryResult is one entry as an app server has it, or as its distributor does.
+// EntryResult is the outcome of an entry lookup at an app server or its distributor.
 type EntryResult struct {
 	Found   bool   `json:"found"`
-	Entry   string `json:"entry,omitempty"` // as in the text form of changes
+	Entry   string `json:"entry,omitempty"` // in the text syntax of changes
 	Version uint64 `json:"version"`
 	Cached  bool   `json:"cached,omitempty"`
 	Error   string `json:"error,omitempty"`
 }
 
-// ApplyResult is the outcome of changes that were to be applied.
+// ApplyResult is the outcome of a request to apply changes.
 type ApplyResult struct {
 	Version uint64 `json:"version,omitempty"`
 	Term    uint64 `json:"term,omitempty"`
 	Error   string `json:"error,omitempty"` // empty when all changes are committed
 }
 
-// serveSocket answers local clients until ctx ends.
+// serveSocket serves local clients until ctx ends.
 func (d *Distribution) serveSocket(ctx context.Context) {
 	path := d.cfg.Socket
 	if conn, err := net.DialTimeout("unix", path, 100*time.Millisecond); err == nil {
 		conn.Close()
-		d.log.Error("configuration: the local socket belongs to a process that runs")
+		d.log.Error("configuration: another running process serves the local socket")
 		return
 	}
-	if at, err := os.Lstat(path); err == nil && at.Mode()&os.ModeSocket != 0 {
-		os.Remove(path) // of one that has ended
+	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
+		os.Remove(path) // left behind by a process that has ended
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err == nil {
 		err = os.Chmod(path, 0o600)
 	}
 	if err != nil {
-		d.log.Error("configuration: no local socket", zap.Error(err))
+		d.log.Error("configuration: cannot listen on the local socket", zap.Error(err))
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	places := make(chan struct{}, socketClients)
+	slots := make(chan struct{}, maxSocketClients)
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -94,9 +94,9 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			defer d.recoverPanic("socket")
 			d.serveClient(ctx, conn)
 		}()
@@ -110,16 +110,16 @@
 	if json.NewDecoder(io.LimitReader(conn, maxSocketRequest)).Decode(&request) != nil {
 		return
 	}
-	var answer any = d.Status()
+	var response any = d.Status()
 	if request.Apply {
 		reply := d.applyText(ctx, applyRequest{Path: request.Path, Text: request.Text})
-		answer = ApplyResult{reply.Version.Index, reply.Version.Term, reply.Error}
+		response = ApplyResult{reply.Version.Index, reply.Version.Term, reply.Error}
 	}
 	if request.Lookup != nil {
-		answer = d.lookupEntry(ctx, *request.Lookup)
+		response = d.lookupEntry(ctx, *request.Lookup)
 	}
 	conn.SetWriteDeadline(time.Now().Add(socketRequestTimeout))
-	json.NewEncoder(conn).Encode(answer)
+	json.NewEncoder(conn).Encode(response)
 }
 
 func (d *Distribution) lookupEntry(ctx context.Context, lookup EntryLookup) EntryResult {
@@ -131,31 +131,32 @@
 	}
 	result := EntryResult{Found: found.Found, Version: found.Version.Index, Cached: found.Cached}
 	if found.Found {
-		result.Entry = configtable.Change{Operation: configtable.Put, Kind: lookup.Kind, Service: lookup.Service, Name: lookup.Name,
-			Value: found.Value}.String()
+		result.Entry = configtable.Change{Operation: configtable.Put, Kind: lookup.Kind, Service: lookup.Service,
+			Name: lookup.Name, Value: found.Value}.String()
 	}
 	return result
 }
 
-// AskDistribution asks the app server behind a local socket for its status.
+// AskDistribution queries the app server behind a local socket for its status.
 func AskDistribution(socket string) (status DistributionStatus, err error) {
-	err = askSocket(socket, socketRequest{}, &status)
+	err = querySocket(socket, socketRequest{}, &status)
 	return status, err
 }
 
-// ApplyChanges has the app server behind a local socket bring the changes of a text to the leader. A refusal is in the result.
+// ApplyChanges submits the changes in a text to the leader through the app server behind a local socket. A rejection is
+// reported in the result, not as an error.
 func ApplyChanges(socket, path string, text []byte) (result ApplyResult, err error) {
-	err = askSocket(socket, socketRequest{Apply: true, Path: path, Text: text}, &result)
+	err = querySocket(socket, socketRequest{Apply: true, Path: path, Text: text}, &result)
 	return result, err
 }
 
-// LookupEntry has the app server behind a local socket look up one entry.
+// LookupEntry looks up one entry through the app server behind a local socket.
 func LookupEntry(socket string, lookup EntryLookup) (result EntryResult, err error) {
-	err = askSocket(socket, socketRequest{Lookup: &lookup}, &result)
+	err = querySocket(socket, socketRequest{Lookup: &lookup}, &result)
 	return result, err
 }
 
-func askSocket(socket string, request socketRequest, answer any) error {
+func querySocket(socket string, request socketRequest, response any) error {
 	conn, err := net.DialTimeout("unix", socket, time.Second)
 	if err != nil {
 		return err
@@ -165,5 +166,5 @@
 	if err := json.NewEncoder(conn).Encode(request); err != nil {
 		return err
 	}
-	return json.NewDecoder(conn).Decode(answer)
+	return json.NewDecoder(conn).Decode(response)
 }
