--- a/fleet/clock.go
+++ b/fleet/clock.go
@@ -6,14 +6,16 @@
 	"golang.org/x/sys/unix"
 )
 
+// epoch is when this process started, and the origin of clock where the kernel lacks CLOCK_BOOTTIME.
 var epoch = time.Now()
 
-// clock is a monotonic clock in seconds that goes on while the machine is suspended: the usual one stands still then, and an
-// owner that slept through its lease would believe in it.
+// clock returns a monotonic clock in seconds that keeps running while the machine is suspended. Go's
+// monotonic clock stops during a suspend, so an owner that was suspended past the end of its lease would still
+// consider it valid.
 func clock() float64 {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return time.Since(epoch).Seconds()
 	}
-	return float64(at.Sec) + float64(at.Nsec)/1e9
+	return float64(ts.Sec) + float64(ts.Nsec)/1e9
 }
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -9,63 +9,63 @@
 	"time"
 )
 
-// SendCommands returns a RoleFunc that tells somebody outside, again and again, to do something. Each command is a
-// line, "ORDER ROLE TERM NUMBER OWNER"; it is answered "ok", or "late TERM" where a higher term is known: the owner steps
-// down then. Whoever carries out commands has to reject terms below the highest that it has seen; that alone keeps out one
-// that was stopped between its check and its send.
+// SendCommands returns a RoleFunc that periodically sends a command to the worker at an address. Each command is one
+// line, "ORDER ROLE TERM NUMBER OWNER". The worker replies "ok", or "late TERM" if it has seen a higher term; the
+// owner then steps down. The worker has to reject terms below the highest that it has seen: nothing else stops the
+// commands of an owner that was paused between checking its lease and sending.
 func SendCommands(role, owner, address string, every time.Duration) RoleFunc {
 	return func(ctx context.Context, term uint64) error {
-		tick := time.NewTicker(every)
-		defer tick.Stop()
-		var to net.Conn
+		ticker := time.NewTicker(every)
+		defer ticker.Stop()
+		var conn net.Conn
 		defer func() {
-			if to != nil {
-				to.Close()
+			if conn != nil {
+				conn.Close()
 			}
 		}()
-		for n := 1; ; n++ {
+		for number := 1; ; number++ {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-tick.C:
+			case <-ticker.C:
 			}
-			if to == nil {
-				nc, err := (&net.Dialer{Timeout: every + commandTimeout}).DialContext(ctx, "tcp", address)
+			if conn == nil {
+				dialed, err := (&net.Dialer{Timeout: every + commandTimeout}).DialContext(ctx, "tcp", address)
 				if err != nil {
-					continue // nobody there: the next command tries again
+					continue // the worker is unreachable: the next tick dials again
 				}
-				to = nc
+				conn = dialed
 			}
-			err := sendCommand(to, fmt.Sprintf("ORDER %s %d %d %s\n", role, term, n, owner), term)
+			err := sendCommand(conn, fmt.Sprintf("ORDER %s %d %d %s\n", role, term, number, owner), term)
 			if staleErr, ok := err.(*StaleTermError); ok {
 				return staleErr
 			}
 			if err != nil {
-				to.Close()
-				to = nil
+				conn.Close()
+				conn = nil
 			}
 		}
 	}
 }
 
-// commandTimeout is how long a command's answer is waited for.
+// commandTimeout limits the wait for the reply to a command.
 const commandTimeout = time.Second
 
-func sendCommand(to net.Conn, line string, term uint64) error {
-	to.SetDeadline(time.Now().Add(commandTimeout))
-	if _, err := to.Write([]byte(line)); err != nil {
+func sendCommand(conn net.Conn, line string, term uint64) error {
+	conn.SetDeadline(time.Now().Add(commandTimeout))
+	if _, err := conn.Write([]byte(line)); err != nil {
 		return err
 	}
-	answer, err := bufio.NewReaderSize(to, 64).ReadString('\n')
+	reply, err := bufio.NewReaderSize(conn, 64).ReadString('\n')
 	if err != nil {
 		return err
 	}
-	var known uint64
-	if _, err := fmt.Sscanf(answer, "late %d", &known); err == nil {
-		return &StaleTermError{term, known}
+	var knownTerm uint64
+	if _, err := fmt.Sscanf(reply, "late %d", &knownTerm); err == nil {
+		return &StaleTermError{term, knownTerm}
 	}
-	if strings.TrimSpace(answer) != "ok" {
-		return fmt.Errorf("a command was answered %q", answer)
+	if strings.TrimSpace(reply) != "ok" {
+		return fmt.Errorf("unexpected reply to a command: %q", reply)
 	}
 	return nil
 }
--- a/fleet/fence.go
+++ b/fleet/fence.go
@@ -7,26 +7,27 @@
 	"valveglade/logic/owner"
 )
 
-// StaleTermError is a command rejected since a higher term is known.
+// StaleTermError reports that a command was rejected because a higher term is known.
 type StaleTermError struct {
-	Term  uint64 // of the command
-	Known uint64
+	Term  uint64 // of the rejected command
+	Known uint64 // the highest term that the worker has seen
 }
 
-func (l *StaleTermError) Error() string {
-	return fmt.Sprintf("stale term %d, and %d is known", l.Term, l.Known)
+func (e *StaleTermError) Error() string {
+	return fmt.Sprintf("stale term %d, and %d is known", e.Term, e.Known)
 }
 
-// Fence is held by whoever carries out commands: it is owner.Fence for many goroutines, with errors that say why.
+// Fence rejects commands with stale terms on behalf of the worker that executes them. It is an owner.Fence that is
+// safe for concurrent use and returns typed errors.
 type Fence struct {
 	mu    sync.Mutex
 	fence *owner.Fence
 }
 
-// NewFence knows of no term.
+// NewFence returns a fence that has seen no term yet.
 func NewFence() *Fence { return &Fence{fence: owner.NewFence(owner.Timing{})} }
 
-// Pass returns nil if a command may be carried out, a *StaleTermError otherwise.
+// Pass returns nil if a command may be executed, otherwise a *StaleTermError.
 func (f *Fence) Pass(role string, term uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet runs what is decided for the whole fleet: elected roles, each with at most one owner. It drives the pure
-// machines of logic/owner over member's packets, persists a voter's votes, and runs the function of whoever owns a
-// role under a context that ends before the lease does. It decides nothing itself; the view only tells it where voters are
-// and when campaigning is worth it.
+// Package fleet runs the elected roles of the fleet, each with at most one owner at a time. It drives the pure state
+// machines of logic/owner over the packets of package member, persists the votes of a voter, and runs the function of a
+// role on its owner, under a context that ends before the lease does. Elections are decided in logic/owner alone; the
+// membership view only shows where the voters are and whether campaigning is worthwhile.
 package fleet
 
 import (
@@ -20,47 +20,47 @@
 	"valveglade/logic/owner"
 )
 
-// Transport is how this process reaches others: member.Member.
+// Transport exchanges messages with the other members; member.Member implements it.
 type Transport interface {
-	// Send puts a message on its way to a member, without a guarantee.
+	// Send sends a message to a member without a delivery guarantee.
 	Send(to string, payload []byte)
-	// Receive has f told of what comes; f must not wait.
+	// Receive registers f as the handler of incoming messages; f must not block.
 	Receive(f func(from string, payload []byte))
 }
 
-// Config is what this process is told of roles.
+// Config configures the part of this process in elections.
 type Config struct {
-	Name   string
-	Voters [][]string // the list of names, the same everywhere; former and next one while they are changed
+	Name   string     // the name of this process in the membership
+	Voters [][]string // the voters' names, equal on all members; the old and the new list while voters are replaced
 	Timing owner.Timing
-	Folder string       // for a voter's votes; empty where nothing is persisted
-	Fit    func() error // why this process should not campaign now, nil if it may
+	Folder string       // where a voter persists its votes; empty for no persistence
+	Fit    func() error // returns why this process must not campaign now, nil if it may
 	Now    func() time.Time
-	Clock  func() float64  // a monotonic clock, in seconds; the system's if nil
-	Others func() []string // who else there is, as far as the view shows
+	Clock  func() float64  // a monotonic clock in seconds; nil for the system's
+	Others func() []string // the other members in the current view
 }
 
-// RoleFunc is what the owner of a role runs. Its context ends before the lease does; it has to return then, and do
-// nothing of the role's after.
+// RoleFunc is the function that the owner of a role runs. Its context ends before the lease does; the function then has
+// to return and must not act for the role any more.
 type RoleFunc func(ctx context.Context, term uint64) error
 
-// Fleet is one process's part in all roles.
+// Fleet is the part of this process in all elections, as a candidate and as a voter.
 type Fleet struct {
-	config       Config
-	transport    Transport
-	log          *zap.Logger
-	incarnation  owner.Incarnation
-	answers      chan owner.Message // for candidates
-	voteRequests chan owner.Message // for the voter
-	wake         chan struct{}      // holds one when a role has something new
-	leaving      chan struct{}      // closed when it is to step down from all that it owns
-	leave        func()
+	config           Config
+	transport        Transport
+	log              *zap.Logger
+	incarnation      owner.Incarnation
+	candidateAnswers chan owner.Message // answers to the candidates of this process
+	voteRequests     chan owner.Message // requests to the voter of this process
+	wake             chan struct{}      // signaled when the state of a role has changed
+	leaving          chan struct{}      // closed when this process is to step down from all its roles
+	closeLeaving     func()
 
-	mu       sync.Mutex
-	roles    map[string]*role
-	rejected atomic.Int64 // commands of ours with a stale term
-	quota    atomic.Pointer[QuotaClient]
-	grants   chan grantMessage
+	mu          sync.Mutex
+	roles       map[string]*role
+	rejected    atomic.Int64 // commands of this process rejected for a stale term
+	quotaClient atomic.Pointer[QuotaClient]
+	grants      chan grantMessage
 
 	distribution atomic.Pointer[Distribution]
 }
@@ -70,18 +70,18 @@
 	name          string
 	run           RoleFunc
 	candidate     *owner.Candidate
-	term          uint64 // under which its function runs, 0 for none
-	since         time.Time
+	term          uint64    // the term under which run is running, 0 if it is not
+	since         time.Time // when run was started
 	cancel        context.CancelFunc
-	done          chan struct{} // closed when its function has returned
-	lastRejection string        // the last rejection for a stale term
-	ready         func() bool   // whether this process may campaign for it now; nil for always
+	done          chan struct{} // closed when run has returned
+	lastRejection string        // when and why a command was last rejected for a stale term
+	ready         func() bool   // reports whether this process may campaign for the role now; nil for always
 }
 
-// ErrLeaseLost ends the context of a RoleFunc whose role is no longer owned.
+// ErrLeaseLost is the cancellation cause of the context of a RoleFunc whose role is no longer owned.
 var ErrLeaseLost = errors.New("the lease of the role is lost")
 
-// New prepares it; nothing is sent before Run.
+// New returns a Fleet that sends nothing before Run.
 func New(config Config, transport Transport, log *zap.Logger) (*Fleet, error) {
 	if err := owner.CheckVoters(config.Voters); err != nil {
 		return nil, fmt.Errorf("voters: %w", err)
@@ -98,238 +98,247 @@
 	if config.Fit == nil {
 		config.Fit = func() error { return nil }
 	}
-	f := &Fleet{config: config, transport: transport, log: log, incarnation: owner.Incarnation{Name: config.Name, ID: rand.Uint64()},
-		answers: make(chan owner.Message, maxQueued), voteRequests: make(chan owner.Message, maxQueued), wake: make(chan struct{}, 1),
-		grants: make(chan grantMessage, maxQueued),
+	f := &Fleet{config: config, transport: transport, log: log,
+		incarnation:      owner.Incarnation{Name: config.Name, ID: rand.Uint64()},
+		candidateAnswers: make(chan owner.Message, maxQueuedMessages),
+		voteRequests:     make(chan owner.Message, maxQueuedMessages), wake: make(chan struct{}, 1),
+		grants: make(chan grantMessage, maxQueuedMessages),
 		roles:  map[string]*role{}, leaving: make(chan struct{})}
-	f.leave = sync.OnceFunc(func() { close(f.leaving) })
+	f.closeLeaving = sync.OnceFunc(func() { close(f.leaving) })
 	return f, nil
 }
 
-// maxQueued is how many messages may wait: all voters' answers for some dozens of roles. What does not fit is lost, as it
-// may be on its way.
-const maxQueued = 512
+// maxQueuedMessages is the capacity of each message queue: enough for all voters' answers for some dozens of roles.
+// Messages past it are dropped; the protocol tolerates message loss.
+const maxQueuedMessages = 512
 
-// tickEvery is how often time is looked at: a fiftieth of the shortest lease.
-const tickEvery = 20 * time.Millisecond
+// tickInterval is the period of updates to the roles: a fiftieth of the shortest lease.
+const tickInterval = 20 * time.Millisecond
 
-// Campaign has this process campaign for a role, from now on. It is called before Run, or while it runs.
+// Campaign starts campaigning for a role. It may be called before Run or while Run runs.
 func (f *Fleet) Campaign(name string, work RoleFunc) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(name) == 0 || len(name) > owner.MaxNameLength {
-		return fmt.Errorf("a role's name has 1 to %d bytes", owner.MaxNameLength)
+		return fmt.Errorf("the name of a role must have 1 to %d bytes", owner.MaxNameLength)
 	}
 	if f.roles[name] != nil {
-		return fmt.Errorf("it campaigns for %q already", name)
+		return fmt.Errorf("already campaigning for role %q", name)
 	}
 	f.roles[name] = &role{name: name, run: work,
 		candidate: owner.NewCandidate(f.incarnation, name, f.config.Voters, rand.Uint64(), f.config.Clock(), f.config.Timing)}
 	return nil
 }
 
-// Leave has it step down from all that it owns, and campaign no more; as a voter it goes on until Run ends, for others may need it.
-func (f *Fleet) Leave() { f.leave() }
+// Leave steps down from all roles and stops campaigning. A voter keeps voting until Run ends, as the other members may
+// need its vote for a majority.
+func (f *Fleet) Leave() { f.closeLeaving() }
 
-// Run takes part until ctx ends; then it steps down from all that it owns, and returns once that work has ended and the voters have
-// been told.
+// Run takes part in elections until ctx ends. It then steps down from all roles, and returns once their functions have
+// ended and the voters have been notified.
 func (f *Fleet) Run(ctx context.Context) error {
 	f.transport.Receive(f.receive)
-	live, end := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var group sync.WaitGroup
 	defer group.Wait()
-	defer end()
+	defer cancel()
 	if slices.ContainsFunc(f.config.Voters, func(list []string) bool { return slices.Contains(list, f.config.Name) }) {
-		group.Go(func() { f.serveVotes(live) })
+		group.Go(func() { f.serveVotes(runCtx) })
 	}
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
-	leaving, left := f.leaving, false
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	leaving, draining := f.leaving, false
 	for {
 		select {
 		case <-ctx.Done():
 			f.stepDown()
 			return nil
 		case <-leaving:
-			leaving, left = nil, true
+			leaving, draining = nil, true
 			f.stepDown()
-		case m := <-f.answers:
+		case m := <-f.candidateAnswers:
 			f.mu.Lock()
-			if o := f.roles[m.Role]; o != nil {
-				o.candidate.HandleAnswer(m, f.config.Clock())
+			if r := f.roles[m.Role]; r != nil {
+				r.candidate.HandleAnswer(m, f.config.Clock())
 			}
 			f.mu.Unlock()
 		case m := <-f.grants:
-			if l := f.quota.Load(); l != nil {
-				l.handle(m)
+			if quotaClient := f.quotaClient.Load(); quotaClient != nil {
+				quotaClient.handle(m)
 			}
 			continue
 		case <-f.wake:
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		f.tick(live, left)
-		if l := f.quota.Load(); l != nil {
-			l.tick()
+		f.updateRoles(runCtx, draining)
+		if quotaClient := f.quotaClient.Load(); quotaClient != nil {
+			quotaClient.sendRequests()
 		}
 	}
 }
 
-// receive sorts what comes.
+// receive queues an incoming message for its recipient. It drops the message if the queue is full.
 func (f *Fleet) receive(from string, payload []byte) {
-	if d := f.distribution.Load(); d != nil && isReplication(payload) {
-		d.receive(from, payload)
+	if distribution := f.distribution.Load(); distribution != nil && isReplication(payload) {
+		distribution.receive(from, payload)
 		return
 	}
-	if g, err := decodeGrant(payload, f.config.Name); err == nil {
+	if grant, err := decodeGrant(payload, f.config.Name); err == nil {
 		select {
-		case f.grants <- g:
+		case f.grants <- grant:
 		default:
 		}
 		return
 	}
-	m, err := decode(payload)
+	message, err := decodeVoteMessage(payload)
 	if err != nil {
-		return // member has checked that it came whole: it is of a version that is not ours
+		return // package member has checked the integrity of the packet: this is another protocol version
 	}
-	to := f.answers
-	if m.Kind <= owner.StepDown {
-		to = f.voteRequests
-	} else if m.To != f.config.Name {
+	queue := f.candidateAnswers
+	if message.Kind <= owner.StepDown {
+		queue = f.voteRequests
+	} else if message.To != f.config.Name {
 		return
 	}
 	select {
-	case to <- m:
+	case queue <- message:
 	default:
 	}
 }
 
-// tick lets time pass for all roles, has their messages sent, and starts or stops their functions.
-func (f *Fleet) tick(ctx context.Context, left bool) {
-	unfit := f.config.Fit()
+// updateRoles advances all candidates to the current time, sends their messages, and starts or stops the roles'
+// functions.
+func (f *Fleet) updateRoles(ctx context.Context, draining bool) {
+	ineligible := f.config.Fit()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.roles {
-		at := f.config.Clock()
-		_, _, owns := o.candidate.Owns(at)
-		// Who owns goes on, pressed or not, until its lease or its majority ends; it is new ones that are not to campaign.
-		ready := unfit == nil && (o.ready == nil || o.ready())
-		o.candidate.SetCampaigning(!left && (ready || owns), at)
-		o.candidate.Tick(at)
-		term, left, owns := o.candidate.Owns(at)
+	for _, r := range f.roles {
+		now := f.config.Clock()
+		_, _, owns := r.candidate.Owns(now)
+		// An owner under pressure keeps its role until it loses its lease or its majority; only new campaigns are
+		// held back.
+		ready := ineligible == nil && (r.ready == nil || r.ready())
+		r.candidate.SetCampaigning(!draining && (ready || owns), now)
+		r.candidate.Tick(now)
+		term, left, owns := r.candidate.Owns(now)
 		switch {
-		case o.term != 0 && (!owns || term != o.term):
-			f.stopRole(o, "its lease has ended")
-		case o.term == 0 && owns && o.finished():
-			f.startRole(ctx, o, term, left)
+		case r.term != 0 && (!owns || term != r.term):
+			f.stopRole(r, "its lease has ended")
+		case r.term == 0 && owns && r.hasFinished():
+			f.startRole(ctx, r, term, left)
 		}
-		f.send(o)
+		f.send(r)
 	}
 }
 
-// finished reports whether the function that ran last has returned.
-func (o *role) finished() bool {
-	if o.done == nil {
+// hasFinished reports whether the last run of the function has returned.
+func (r *role) hasFinished() bool {
+	if r.done == nil {
 		return true
 	}
 	select {
-	case <-o.done:
+	case <-r.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// startRole runs a role's function.
-func (f *Fleet) startRole(ctx context.Context, o *role, term uint64, left float64) {
-	o.term, o.since, o.done = term, time.Now(), make(chan struct{})
-	ctx, stop := context.WithCancelCause(ctx)
-	o.cancel = func() { stop(ErrLeaseLost) }
-	f.log.Info("role acquired", zap.String("role", o.name), zap.Uint64("term", term), zap.Float64("lease_left_s", math.Round(left*1e3)/1e3))
-	over := o.done
+// startRole starts the function of a role on its own goroutine. The caller holds f.mu.
+func (f *Fleet) startRole(ctx context.Context, r *role, term uint64, left float64) {
+	r.term, r.since, r.done = term, time.Now(), make(chan struct{})
+	ctx, cancel := context.WithCancelCause(ctx)
+	r.cancel = func() { cancel(ErrLeaseLost) }
+	f.log.Info("role acquired", zap.String("role", r.name), zap.Uint64("term", term),
+		zap.Float64("lease_left_s", math.Round(left*1e3)/1e3))
+	done := r.done
 	go func() {
-		defer close(over)
+		defer close(done)
 		defer func() {
-			if p := recover(); p != nil {
-				f.log.Error("panic", zap.String("role", o.name), zap.Any("panic", p), zap.Stack("stack"))
+			if panicValue := recover(); panicValue != nil {
+				f.log.Error("panic", zap.String("role", r.name), zap.Any("panic", panicValue), zap.Stack("stack"))
 			}
 		}()
-		err := o.run(ctx, term)
+		err := r.run(ctx, term)
 		staleErr := (*StaleTermError)(nil)
 		if errors.As(err, &staleErr) {
-			f.HandleStaleTerm(o.name, staleErr)
+			f.HandleStaleTerm(r.name, staleErr)
 		} else if err != nil && ctx.Err() == nil {
-			f.log.Warn("role ended with an error", zap.String("role", o.name), zap.Uint64("term", term), zap.Error(err))
+			f.log.Warn("role ended with an error", zap.String("role", r.name), zap.Uint64("term", term), zap.Error(err))
 		}
-		signal(f.wake)
+		notify(f.wake)
 	}()
 }
 
-// stopRole ends a role's function, under the lock.
-func (f *Fleet) stopRole(o *role, why string) {
-	f.log.Info("stepped down", zap.String("role", o.name), zap.Uint64("term", o.term), zap.String("reason", why))
-	o.cancel()
-	o.term = 0
+// stopRole cancels the function of a role. The caller holds f.mu.
+func (f *Fleet) stopRole(r *role, reason string) {
+	f.log.Info("stepped down", zap.String("role", r.name), zap.Uint64("term", r.term), zap.String("reason", reason))
+	r.cancel()
+	r.term = 0
 }
 
-// HandleStaleTerm takes in that a command of ours was rejected for a higher term: this process steps down at once.
-func (f *Fleet) HandleStaleTerm(name string, l *StaleTermError) {
+// HandleStaleTerm records that a command of this process was rejected because a higher term is known, and steps down
+// from the role at once.
+func (f *Fleet) HandleStaleTerm(roleName string, staleErr *StaleTermError) {
 	f.rejected.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	o := f.roles[name]
-	if o == nil {
+	r := f.roles[roleName]
+	if r == nil {
 		return
 	}
-	o.lastRejection = fmt.Sprintf("%s: %v", f.config.Now().UTC().Format(time.RFC3339), l)
-	f.log.Warn("command rejected: stale term", zap.String("role", name), zap.Uint64("term", l.Term), zap.Uint64("known", l.Known))
-	o.candidate.HandleStaleTerm(l.Known, f.config.Clock())
-	signal(f.wake)
+	r.lastRejection = fmt.Sprintf("%s: %v", f.config.Now().UTC().Format(time.RFC3339), staleErr)
+	f.log.Warn("command rejected: stale term", zap.String("role", roleName), zap.Uint64("term", staleErr.Term),
+		zap.Uint64("known", staleErr.Known))
+	r.candidate.HandleStaleTerm(staleErr.Known, f.config.Clock())
+	notify(f.wake)
 }
 
-// stepDown steps down from all roles: first the work ends, then the voters hear so.
+// stepDown steps down from all roles: it first waits for their functions to end, then notifies the voters.
 func (f *Fleet) stepDown() {
 	f.mu.Lock()
-	var overs []chan struct{}
-	longest := 0.0
-	for _, o := range f.roles {
-		if _, left, owns := o.candidate.Owns(f.config.Clock()); owns {
-			longest = max(longest, left)
+	var running []chan struct{}
+	longestLease := 0.0
+	for _, r := range f.roles {
+		if _, left, owns := r.candidate.Owns(f.config.Clock()); owns {
+			longestLease = max(longestLease, left)
 		}
-		if o.term != 0 {
-			f.stopRole(o, "this app server leaves")
-			overs = append(overs, o.done)
+		if r.term != 0 {
+			f.stopRole(r, "this app server leaves")
+			running = append(running, r.done)
 		}
 	}
 	f.mu.Unlock()
-	within := time.After(time.Duration(longest * float64(time.Second)))
-	ended := true
-	for _, over := range overs {
+	leaseEnd := time.After(time.Duration(longestLease * float64(time.Second)))
+	allEnded := true
+	for _, done := range running {
 		select {
-		case <-over:
-		case <-within: // the lease ends by itself then, and nobody is told that it may begin sooner
-			ended = false
+		case <-done:
+		case <-leaseEnd: // the lease expires anyway, and voters must not grant the role before that
+			allEnded = false
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.roles {
-		if ended {
-			o.candidate.SetCampaigning(false, f.config.Clock())
+	for _, r := range f.roles {
+		if allEnded {
+			r.candidate.SetCampaigning(false, f.config.Clock())
 		}
-		f.send(o)
+		f.send(r)
 	}
 }
 
-// send puts a role's messages on their way, under the lock.
-func (f *Fleet) send(o *role) {
-	for _, m := range o.candidate.Ready() {
-		f.transport.Send(m.To, encode(m))
+// send sends the pending messages of a role's candidate. The caller holds f.mu.
+func (f *Fleet) send(r *role) {
+	for _, m := range r.candidate.Ready() {
+		f.transport.Send(m.To, encodeVoteMessage(m))
 	}
 }
 
-func signal(c chan struct{}) {
+// notify signals a channel of capacity one without blocking.
+func notify(wake chan struct{}) {
 	select {
-	case c <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -20,36 +20,36 @@
 	"valveglade/logic/share"
 )
 
-// post carries messages among parts in this process, late, lost and doubled as it is told.
-type post struct {
-	mu            sync.Mutex
-	parts         map[string]func(string, []byte)
-	cut           map[[2]string]bool
-	loss          float64
-	lastRejection time.Duration
+// fakeNetwork carries messages among parts in this process, late, lost and doubled as it is told.
+type fakeNetwork struct {
+	mu        sync.Mutex
+	receivers map[string]func(string, []byte)
+	cutLinks  map[[2]string]bool
+	loss      float64
+	maxDelay  time.Duration
 }
 
-type line struct {
-	*post
+type fakeTransport struct {
+	*fakeNetwork
 	name string
 }
 
-func (l line) Receive(f func(string, []byte)) {
+func (l fakeTransport) Receive(f func(string, []byte)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.parts[l.name] = f
+	l.receivers[l.name] = f
 }
 
-func (l line) Send(to string, payload []byte) {
+func (l fakeTransport) Send(to string, payload []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut[[2]string{l.name, to}] || l.name != to && rand.Float64() < l.loss {
+	if l.cutLinks[[2]string{l.name, to}] || l.name != to && rand.Float64() < l.loss {
 		return
 	}
 	for n := 1 + rand.IntN(5)/4; n > 0; n-- {
-		time.AfterFunc(time.Duration(rand.Int64N(int64(l.lastRejection)+1)), func() {
+		time.AfterFunc(time.Duration(rand.Int64N(int64(l.maxDelay)+1)), func() {
 			l.mu.Lock()
-			f := l.parts[to]
+			f := l.receivers[to]
 			l.mu.Unlock()
 			if f != nil {
 				f(l.name, payload)
@@ -58,38 +58,38 @@
 	}
 }
 
-func (p *post) alone(name string, alone bool, others ...string) {
+func (p *fakeNetwork) alone(name string, alone bool, others ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, o := range others {
-		p.cut[[2]string{name, o}], p.cut[[2]string{o, name}] = alone, alone
+		p.cutLinks[[2]string{name, o}], p.cutLinks[[2]string{o, name}] = alone, alone
 	}
 }
 
-// worker writes down who ordered what: it knows what must hold of it.
-type worker struct {
-	fence    *Fence
-	mu       sync.Mutex
-	now      map[string]uint64 // who is at work, and under which term
-	most     int               // at once
-	terms    []uint64
-	fell     int
-	commands int
+// commandWorker writes down who ordered what: it knows what must hold of it.
+type commandWorker struct {
+	fence         *Fence
+	mu            sync.Mutex
+	active        map[string]uint64 // who is at work, and under which term
+	maxActive     int               // at once
+	terms         []uint64
+	termDecreases int
+	commands      int
 }
 
-func (w *worker) work(name string) RoleFunc {
+func (w *commandWorker) roleFunc(name string) RoleFunc {
 	return func(ctx context.Context, term uint64) error {
 		w.mu.Lock()
-		w.now[name] = term
-		w.most = max(w.most, len(w.now))
+		w.active[name] = term
+		w.maxActive = max(w.maxActive, len(w.active))
 		if n := len(w.terms); n > 0 && term <= w.terms[n-1] {
-			w.fell++
+			w.termDecreases++
 		}
 		w.terms = append(w.terms, term)
 		w.mu.Unlock()
 		defer func() {
 			w.mu.Lock()
-			delete(w.now, name)
+			delete(w.active, name)
 			w.mu.Unlock()
 		}()
 		for {
@@ -108,81 +108,81 @@
 	}
 }
 
-func (w *worker) owner() string {
+func (w *commandWorker) owner() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for name := range w.now {
+	for name := range w.active {
 		return name
 	}
 	return ""
 }
 
-func (w *worker) ordered() int {
+func (w *commandWorker) commandCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.commands
 }
 
-// court is three parts that vote and campaign.
-type court struct {
-	t       *testing.T
-	post    *post
-	worker  *worker
-	folders map[string]string
-	ends    map[string]func()
-	fit     map[string]*atomic.Bool
-	lease   time.Duration
-	back    atomic.Int64 // by how much the wall clock has gone back
+// testCluster is three parts that vote and campaign.
+type testCluster struct {
+	t            *testing.T
+	network      *fakeNetwork
+	worker       *commandWorker
+	folders      map[string]string
+	stops        map[string]func()
+	eligible     map[string]*atomic.Bool
+	lease        time.Duration
+	clockSetBack atomic.Int64 // by how much the wall clock has gone back
 }
 
-var names = []string{"a", "b", "c"}
+var voterNames = []string{"a", "b", "c"}
 
-func newCourt(t *testing.T, disks bool, lease time.Duration) *court {
+func newTestCluster(t *testing.T, disks bool, lease time.Duration) *testCluster {
 	t.Parallel()
-	c := &court{t: t, lease: lease, post: &post{parts: map[string]func(string, []byte){}, cut: map[[2]string]bool{}, lastRejection: 5 * time.Millisecond},
-		worker: &worker{fence: NewFence(), now: map[string]uint64{}}, folders: map[string]string{}, ends: map[string]func(){},
-		fit: map[string]*atomic.Bool{}}
-	for _, name := range names {
+	c := &testCluster{t: t, lease: lease, network: &fakeNetwork{receivers: map[string]func(string, []byte){}, cutLinks: map[[2]string]bool{}, maxDelay: 5 * time.Millisecond},
+		worker: &commandWorker{fence: NewFence(), active: map[string]uint64{}}, folders: map[string]string{}, stops: map[string]func(){},
+		eligible: map[string]*atomic.Bool{}}
+	for _, name := range voterNames {
 		if disks {
 			c.folders[name] = t.TempDir()
 		}
-		c.fit[name] = &atomic.Bool{}
-		c.fit[name].Store(true)
+		c.eligible[name] = &atomic.Bool{}
+		c.eligible[name].Store(true)
 		c.start(name)
 	}
 	t.Cleanup(func() {
-		for _, name := range names {
-			c.ends[name]()
+		for _, name := range voterNames {
+			c.stops[name]()
 		}
 		w := c.worker
-		if w.most > 1 || w.fell > 0 && c.back.Load() == 0 || w.commands == 0 {
-			t.Errorf("%d at once, %d terms fell, %d orders: %v", w.most, w.fell, w.commands, w.terms)
+		if w.maxActive > 1 || w.termDecreases > 0 && c.clockSetBack.Load() == 0 || w.commands == 0 {
+			t.Errorf("%d at once, %d terms fell, %d orders: %v", w.maxActive, w.termDecreases, w.commands, w.terms)
 		}
 	})
 	return c
 }
 
-func (c *court) start(name string) {
-	fit := c.fit[name]
-	f, err := New(Config{Name: name, Voters: [][]string{names}, Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
+func (c *testCluster) start(name string) {
+	fit := c.eligible[name]
+	f, err := New(Config{Name: name, Voters: [][]string{voterNames}, Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
 		Fit: func() error {
 			if !fit.Load() {
 				return errors.New("not fit")
 			}
 			return nil
-		}, Now: func() time.Time { return time.Now().Add(-time.Duration(c.back.Load())) }}, line{c.post, name}, zap.NewNop())
+		}, Now: func() time.Time { return time.Now().Add(-time.Duration(c.clockSetBack.Load())) }}, fakeTransport{c.network, name}, zap.NewNop())
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	f.Campaign("o", c.worker.work(name))
+	f.Campaign("o", c.worker.roleFunc(name))
 	ctx, end := context.WithCancel(context.Background())
 	var over sync.WaitGroup
 	over.Go(func() { f.Run(ctx) })
-	c.ends[name] = sync.OnceFunc(func() { end(); over.Wait() })
+	c.stops[name] = sync.OnceFunc(func() { end(); over.Wait() })
 }
 
-// owned waits for an owner that is none of some, and gives it.
-func (c *court) owned(not ...string) string {
+// waitForOwner waits for an owner that is none of some, and gives it.
+func (c *testCluster) waitForOwner(not ...string) string {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if who := c.worker.owner(); who != "" && (len(not) == 0 || who != not[0]) {
@@ -195,7 +195,7 @@
 
 func others(name string) []string {
 	var all []string
-	for _, n := range names {
+	for _, n := range voterNames {
 		if n != name {
 			all = append(all, n)
 		}
@@ -207,35 +207,35 @@
 func TestOneOwner(t *testing.T) {
 	// Long enough that a machine with much else to do ends none by its own lateness.
 	const lease = 1800 * time.Millisecond
-	c := newCourt(t, true, lease)
-	first := c.owned()
-	c.post.alone(first, true, others(first)...)
-	second := c.owned(first)
-	c.post.alone(first, false, others(first)...)
+	c := newTestCluster(t, true, lease)
+	first := c.waitForOwner()
+	c.network.alone(first, true, others(first)...)
+	second := c.waitForOwner(first)
+	c.network.alone(first, false, others(first)...)
 	began := time.Now()
-	c.ends[second]()
-	third := c.owned(second)
+	c.stops[second]()
+	third := c.waitForOwner(second)
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("transferred after %v", took)
 	}
 	c.start(second)
 	// No change for want of a reason, at a loss of a tenth.
-	c.post.mu.Lock()
-	c.post.loss = 0.1
-	c.post.mu.Unlock()
+	c.network.mu.Lock()
+	c.network.loss = 0.1
+	c.network.mu.Unlock()
 	time.Sleep(2 * lease)
 	if who := c.worker.owner(); who != third {
 		t.Errorf("%s gave way to %q for nothing", third, who)
 	}
 	// Who is not fit does not campaign, and who owns goes on.
-	for _, name := range names {
-		c.fit[name].Store(false)
+	for _, name := range voterNames {
+		c.eligible[name].Store(false)
 	}
 	time.Sleep(lease)
 	if who := c.worker.owner(); who != third {
 		t.Errorf("%s gave way to %q for being pressed", third, who)
 	}
-	c.ends[third]()
+	c.stops[third]()
 	time.Sleep(lease)
 	if who := c.worker.owner(); who != "" {
 		t.Errorf("%s campaigns though it is not fit", who)
@@ -246,18 +246,18 @@
 func TestAllAgain(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprint(disks), func(t *testing.T) {
-			c := newCourt(t, disks, 600*time.Millisecond)
+			c := newTestCluster(t, disks, 600*time.Millisecond)
 			for range 2 {
-				c.owned()
-				for _, name := range names {
-					c.ends[name]()
+				c.waitForOwner()
+				for _, name := range voterNames {
+					c.stops[name]()
 				}
-				for _, name := range names {
+				for _, name := range voterNames {
 					c.start(name)
 				}
 			}
-			c.owned()
-			for begin := c.worker.ordered(); c.worker.ordered() == begin; time.Sleep(time.Millisecond) {
+			c.waitForOwner()
+			for begin := c.worker.commandCount(); c.worker.commandCount() == begin; time.Sleep(time.Millisecond) {
 			}
 		})
 	}
@@ -266,37 +266,37 @@
 // All start again where nothing lasts, and the wall clock has gone back: terms begin below former ones, which whoever carries out
 // orders refuses; upon that they go on above.
 func TestClockWentBack(t *testing.T) {
-	c := newCourt(t, false, 600*time.Millisecond)
-	c.owned()
-	for c.worker.ordered() < 3 {
+	c := newTestCluster(t, false, 600*time.Millisecond)
+	c.waitForOwner()
+	for c.worker.commandCount() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	for _, name := range names {
-		c.ends[name]()
+	for _, name := range voterNames {
+		c.stops[name]()
 	}
-	before := c.worker.ordered()
-	c.back.Store(int64(time.Hour))
-	c.post = &post{parts: map[string]func(string, []byte){}} // nothing of before is on its way any more: it would tell the terms
-	for _, name := range names {
+	before := c.worker.commandCount()
+	c.clockSetBack.Store(int64(time.Hour))
+	c.network = &fakeNetwork{receivers: map[string]func(string, []byte){}} // nothing of before is on its way any more: it would tell the terms
+	for _, name := range voterNames {
 		c.start(name)
 	}
-	for end := time.Now().Add(20 * time.Second); c.worker.ordered() < before+3; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); c.worker.commandCount() < before+3; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no order is carried out any more")
 		}
 	}
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
-	if n := len(c.worker.terms); c.worker.fell == 0 || c.worker.terms[n-1] <= c.worker.terms[0] {
+	if n := len(c.worker.terms); c.worker.termDecreases == 0 || c.worker.terms[n-1] <= c.worker.terms[0] {
 		t.Errorf("%v", c.worker.terms)
 	}
 }
 
 // A voter whose disk fails is silent, the others carry on; no owner without a majority, and one again once it is back.
 func TestDiskFails(t *testing.T) {
-	c := newCourt(t, true, 600*time.Millisecond)
-	c.owned()
-	for _, name := range names[:2] { // a folder that is no folder any more
+	c := newTestCluster(t, true, 600*time.Millisecond)
+	c.waitForOwner()
+	for _, name := range voterNames[:2] { // a folder that is no folder any more
 		os.RemoveAll(c.folders[name])
 		os.WriteFile(c.folders[name], nil, 0o600)
 	}
@@ -307,7 +307,7 @@
 	}
 	os.Remove(c.folders["a"])
 	os.Mkdir(c.folders["a"], 0o700)
-	c.owned()
+	c.waitForOwner()
 }
 
 // What was voted is found again; what is spoilt, another's, or older than half a lease is not trusted.
@@ -366,15 +366,15 @@
 			From: owner.Incarnation{Name: rapid.StringN(0, 9, 64).Draw(t, "from"), ID: rapid.Uint64().Draw(t, "birth")},
 			To:   rapid.StringN(0, 9, 64).Draw(t, "to"), Term: rapid.Uint64Range(0, maxTerm).Draw(t, "term"), Round: rapid.Uint64().Draw(t, "round"),
 			Left: rapid.Float64Range(0, 9).Draw(t, "left"), Holder: rapid.StringN(0, 9, 64).Draw(t, "holder")}
-		b := encode(m)
-		if got, err := decode(b); err != nil || got != m {
+		b := encodeVoteMessage(m)
+		if got, err := decodeVoteMessage(b); err != nil || got != m {
 			t.Fatalf("%+v, %v", got, err)
 		}
-		if _, err := decode(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
+		if _, err := decodeVoteMessage(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
 			t.Fatal("read though cut short")
 		}
 	})
-	if _, err := decode(encode(owner.Message{Role: "o", Term: maxTerm + 1})); err == nil {
+	if _, err := decodeVoteMessage(encodeVoteMessage(owner.Message{Role: "o", Term: maxTerm + 1})); err == nil {
 		t.Error("an absurd term is read")
 	}
 }
@@ -421,12 +421,12 @@
 			t.Errorf("%d voters: %v", n, err)
 		}
 	}
-	for _, lists := range [][][]string{nil, {names, names, names}, {{"a", "b", "a"}}, {names, {"a", "b"}}, {{"a", "b", ""}}} {
+	for _, lists := range [][][]string{nil, {voterNames, voterNames, voterNames}, {{"a", "b", "a"}}, {voterNames, {"a", "b"}}, {{"a", "b", ""}}} {
 		if _, err := New(Config{Voters: lists}, nil, nil); err == nil {
 			t.Errorf("%v are taken for lists of voters", lists)
 		}
 	}
-	f, _ := New(Config{Voters: [][]string{names}}, nil, nil)
+	f, _ := New(Config{Voters: [][]string{voterNames}}, nil, nil)
 	if f.Campaign("", nil) == nil || f.Campaign("o", nil) != nil || f.Campaign("o", nil) == nil {
 		t.Error("a role without a name, or campaigned for twice")
 	}
--- a/fleet/packet.go
+++ b/fleet/packet.go
@@ -8,14 +8,14 @@
 	"valveglade/logic/owner"
 )
 
-// A message between candidate and voter: "VO", format 2, the kind, then role, from, the sender's incarnation (8), to, term (8),
-// round (8), seconds left (8, a float), holder. Text is a byte of length and then the bytes, numbers are big endian. docs/owner.md
-// has the words.
+// A message between candidate and voter: magic "VO", format version 2, kind (1 byte), role, sender name, sender
+// incarnation (8), receiver name, term (8), round (8), seconds left of the lease (8, a float), holder. A string is a
+// length byte followed by that many bytes; numbers are big endian. docs/owner.md describes the fields.
 const messageMagic = "VO\x02"
 
-var errUnknownMessage = errors.New("no message of a role")
+var errUnknownMessage = errors.New("unknown message format")
 
-func encode(m owner.Message) []byte {
+func encodeVoteMessage(m owner.Message) []byte {
 	out := append([]byte(messageMagic), byte(m.Kind))
 	out = appendText(out, m.Role)
 	out = appendText(out, m.From.Name)
@@ -29,23 +29,24 @@
 
 func appendText(out []byte, s string) []byte { return append(append(out, byte(len(s))), s...) }
 
-func decode(b []byte) (m owner.Message, err error) {
+func decodeVoteMessage(b []byte) (m owner.Message, err error) {
 	if len(b) < 4 || string(b[:3]) != messageMagic {
 		return m, errUnknownMessage
 	}
 	m.Kind = owner.MessageKind(b[3])
-	r := reader{b: b[4:]}
-	m.Role, m.From.Name, m.From.ID, m.To = r.text(), r.text(), r.number(), r.text()
-	m.Term, m.Round, m.Left = r.number(), r.number(), math.Float64frombits(r.number())
+	r := packetReader{b: b[4:]}
+	m.Role, m.From.Name, m.From.ID, m.To = r.text(), r.text(), r.uint64(), r.text()
+	m.Term, m.Round, m.Left = r.uint64(), r.uint64(), math.Float64frombits(r.uint64())
 	m.Holder = r.text()
 	switch {
 	case r.err != nil:
 		return owner.Message{}, r.err
-	case m.Kind > owner.Rejected || m.Role == "" || len(m.Role) > owner.MaxNameLength || m.Term > maxTerm || !(m.Left >= 0):
+	case m.Kind > owner.Rejected || m.Role == "" || len(m.Role) > owner.MaxNameLength ||
+		m.Term > maxTerm || !(m.Left >= 0):
 		return owner.Message{}, errUnknownMessage
 	}
 	return m, nil
 }
 
-// maxTerm is past what terms could come to: they begin at the wall clock in milliseconds, and rise by one with each owner.
+// maxTerm is higher than any term in use: terms start at the wall clock in milliseconds and rise by one per owner.
 const maxTerm = 1 << 53
--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -15,116 +15,125 @@
 	"valveglade/logic/share"
 )
 
-// QuotaClient is this process's part in the limits common to the whole fleet: for each a leaseholder, and an
-// allocator while it owns the share's role. The gate asks it before a run starts; nothing of it waits.
+// QuotaClient is the part of this process in the limits that are shared by the whole fleet: a leaseholder for each
+// share, and an allocator while this process owns the role of the share. The gate asks it before it starts a run, so
+// its methods do not block.
 type QuotaClient struct {
-	f      *Fleet
-	shares []*quota
-	method []int // of each method, its share's index plus one; 0 for none
+	fleet         *Fleet
+	shares        []*sharedLimit
+	shareOfMethod []int // by method: the index of its share plus one, 0 for none
 }
 
-// quota is one share. Its lock is taken under the gate's, so nothing that is called under it takes that.
-type quota struct {
-	f      *Fleet
+// sharedLimit is one share. Its mutex is taken while the gate's is held, so code that holds it must never lock the
+// gate.
+type sharedLimit struct {
+	fleet  *Fleet
 	config share.Config
 	role   string
 
-	mu            sync.Mutex
-	leaseholder   *share.Leaseholder
-	allocator     *share.Allocator // while the role is owned here
-	allocatorName string           // who allocates it, as far as is known
-	allowed       int
-	loggedAt      time.Time
+	mu              sync.Mutex
+	leaseholder     *share.Leaseholder
+	allocator       *share.Allocator // set while this process owns the role
+	allocatorName   string           // the last known allocator
+	loggedAllowance int              // the allowance in the last log line
+	loggedAt        time.Time        // when that line was logged
 }
 
-// sharePrefix begins the names of shares' roles.
+// sharePrefix is the prefix of the role names of shares.
 const sharePrefix = "share/"
 
-// AddQuota has this process take part in shares. It is called once, before Run. Methods is how many methods there are.
-func (f *Fleet) AddQuota(all []share.Config, methods int) (*QuotaClient, error) {
-	l := &QuotaClient{f: f, method: make([]int, methods)}
-	for k, t := range all {
-		if err := t.Check(); err != nil {
-			return nil, fmt.Errorf("share %s: %w", t.Name, err)
+// AddQuota adds the shares that this process takes part in. It is called once, before Run; methods is the number of
+// methods.
+func (f *Fleet) AddQuota(shares []share.Config, methods int) (*QuotaClient, error) {
+	client := &QuotaClient{fleet: f, shareOfMethod: make([]int, methods)}
+	for index, config := range shares {
+		if err := config.Check(); err != nil {
+			return nil, fmt.Errorf("share %s: %w", config.Name, err)
 		}
-		s := &quota{f: f, config: t, role: sharePrefix + t.Name}
-		s.leaseholder = share.NewLeaseholder(f.incarnation, s.role, t, f.config.Clock())
-		for _, m := range t.Methods {
-			if m < 0 || m >= methods || l.method[m] != 0 {
-				return nil, fmt.Errorf("share %s: method %d is none, or has a share", t.Name, m)
+		limit := &sharedLimit{fleet: f, config: config, role: sharePrefix + config.Name}
+		limit.leaseholder = share.NewLeaseholder(f.incarnation, limit.role, config, f.config.Clock())
+		for _, method := range config.Methods {
+			if method < 0 || method >= methods || client.shareOfMethod[method] != 0 {
+				return nil, fmt.Errorf("share %s: method %d does not exist or already has a share", config.Name, method)
 			}
-			l.method[m] = k + 1
+			client.shareOfMethod[method] = index + 1
 		}
-		l.shares = append(l.shares, s)
-		if err := f.Campaign(s.role, s.allocate); err != nil {
+		client.shares = append(client.shares, limit)
+		if err := f.Campaign(limit.role, limit.allocate); err != nil {
 			return nil, err
 		}
 	}
-	f.quota.Store(l)
-	return l, nil
+	f.quotaClient.Store(client)
+	return client, nil
 }
 
-// BlockingLimit tells which share has no permit left for a method, from one; 0 where it may start.
-func (l *QuotaClient) BlockingLimit(method int) int {
-	k := l.method[method]
-	if k == 0 {
+// BlockingLimit returns the number of the share, counted from one, that has no permit left for a method, or 0 if a
+// run of the method may start.
+func (c *QuotaClient) BlockingLimit(method int) int {
+	number := c.shareOfMethod[method]
+	if number == 0 {
 		return 0
 	}
-	s := l.shares[k-1]
+	s := c.shares[number-1]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaseholder.CanStart(s.f.config.Clock()) {
+	if s.leaseholder.CanStart(s.fleet.config.Clock()) {
 		return 0
 	}
-	return k
+	return number
 }
 
-// AddWaiting takes in that an RPC of a method and a criticality waits, or with -1 that it no longer does.
-func (l *QuotaClient) AddWaiting(method, n int, criticality float64) {
-	l.with(method, func(s *quota) { s.leaseholder.AddWaiting(n, criticality, s.f.config.Clock()) })
+// AddWaiting adds n to the number of RPCs of a method and a criticality that wait: 1 for one that begins to wait, -1
+// for one that no longer does.
+func (c *QuotaClient) AddWaiting(method, n int, criticality float64) {
+	c.withShare(method, func(s *sharedLimit) { s.leaseholder.AddWaiting(n, criticality, s.fleet.config.Clock()) })
 }
 
-// RunStarted takes in that one has started.
-func (l *QuotaClient) RunStarted(method int, criticality float64) {
-	l.with(method, func(s *quota) { s.leaseholder.Started(criticality, s.f.config.Clock()) })
+// RunStarted records that a run of a method has started.
+func (c *QuotaClient) RunStarted(method int, criticality float64) {
+	c.withShare(method, func(s *sharedLimit) { s.leaseholder.Started(criticality, s.fleet.config.Clock()) })
 }
 
-// RunEnded takes in that one is over, after so many seconds, 0 where it never ran.
-func (l *QuotaClient) RunEnded(method int, criticality, took float64) {
-	l.with(method, func(s *quota) { s.leaseholder.Finished(criticality, took, s.f.config.Clock()) })
+// RunEnded records that a run of a method has ended after some seconds, 0 if it never ran.
+func (c *QuotaClient) RunEnded(method int, criticality, seconds float64) {
+	c.withShare(method, func(s *sharedLimit) { s.leaseholder.Finished(criticality, seconds, s.fleet.config.Clock()) })
 }
 
-func (l *QuotaClient) with(method int, do func(*quota)) {
-	if k := l.method[method]; k > 0 {
-		s := l.shares[k-1]
+// withShare calls do with the share of a method, if it has one, under the share's lock.
+func (c *QuotaClient) withShare(method int, do func(*sharedLimit)) {
+	if number := c.shareOfMethod[method]; number > 0 {
+		s := c.shares[number-1]
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		do(s)
 	}
 }
 
-// UpdateLimits takes over other limits of the same shares, or refuses what is not the same.
-func (l *QuotaClient) UpdateLimits(all []share.Config) error {
-	if len(all) != len(l.shares) {
+// UpdateLimits applies changed limits. It returns an error if anything else about the shares has changed.
+func (c *QuotaClient) UpdateLimits(shares []share.Config) error {
+	if len(shares) != len(c.shares) {
 		return errors.New("other shares stay until the next start")
 	}
-	for k, t := range all {
-		was := l.shares[k].config
-		if t.Name != was.Name || !slices.Equal(t.Methods, was.Methods) || t.Reserved != was.Reserved || !slices.Equal(t.ReservedMembers, was.ReservedMembers) ||
-			(t.MinLimit > 0) != (was.MinLimit > 0) {
+	for index, config := range shares {
+		current := c.shares[index].config
+		if config.Name != current.Name || !slices.Equal(config.Methods, current.Methods) ||
+			config.Reserved != current.Reserved ||
+			!slices.Equal(config.ReservedMembers, current.ReservedMembers) ||
+			(config.MinLimit > 0) != (current.MinLimit > 0) {
 			return errors.New("other shares, methods or reserved permits stay until the next start")
 		}
-		if err := t.Check(); err != nil {
-			return fmt.Errorf("share %s: %w", t.Name, err)
+		if err := config.Check(); err != nil {
+			return fmt.Errorf("share %s: %w", config.Name, err)
 		}
 	}
-	for k, t := range all {
-		s := l.shares[k]
+	for index, config := range shares {
+		s := c.shares[index]
 		s.mu.Lock()
-		if s.config.Limit != t.Limit || s.config.MinLimit != t.MinLimit {
-			l.f.log.Info("limit of a share changed", zap.String("share", t.Name), zap.Int("from", s.config.Limit), zap.Int("to", t.Limit))
+		if s.config.Limit != config.Limit || s.config.MinLimit != config.MinLimit {
+			c.fleet.log.Info("limit of a share changed", zap.String("share", config.Name),
+				zap.Int("from", s.config.Limit), zap.Int("to", config.Limit))
 		}
-		s.config.Limit, s.config.MinLimit, s.config.Target = t.Limit, t.MinLimit, t.Target
+		s.config.Limit, s.config.MinLimit, s.config.Target = config.Limit, config.MinLimit, config.Target
 		if s.allocator != nil {
 			s.allocator.UpdateLimits(s.config)
 		}
@@ -133,79 +142,84 @@
 	return nil
 }
 
-// announceEvery is how often an allocator tells everybody that it is there; somebody who has missed it learns it then.
-const announceEvery = 250 * time.Millisecond
+// announceInterval is the period at which an allocator announces itself to all members, as single announcements may
+// be lost.
+const announceInterval = 250 * time.Millisecond
 
-// allocate is the RoleFunc of a share's role: to answer requests, which handle does, and to be known.
-func (s *quota) allocate(ctx context.Context, term uint64) error {
+// allocate is the RoleFunc of a share's role. It announces this process as the allocator; handle answers the requests.
+func (s *sharedLimit) allocate(ctx context.Context, term uint64) error {
 	s.mu.Lock()
-	s.allocator = share.NewAllocator(s.role, term, s.config, s.f.config.Clock())
+	s.allocator = share.NewAllocator(s.role, term, s.config, s.fleet.config.Clock())
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		s.allocator = nil
 		s.mu.Unlock()
 	}()
-	tick := time.NewTicker(announceEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(announceInterval)
+	defer ticker.Stop()
 	for {
-		m := encodeGrant(grantMessage{kind: announced, role: s.role, from: s.f.incarnation.Name, term: term})
-		for _, name := range s.f.config.Others() {
-			s.f.transport.Send(name, m)
+		announcement := encodeGrant(grantMessage{kind: announced, role: s.role, from: s.fleet.incarnation.Name,
+			term: term})
+		for _, name := range s.fleet.config.Others() {
+			s.fleet.transport.Send(name, announcement)
 		}
-		s.observeAllocator(s.f.incarnation.Name, term)
+		s.observeAllocator(s.fleet.incarnation.Name, term)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// observeAllocator takes in who allocates it.
-func (s *quota) observeAllocator(who string, term uint64) {
+// observeAllocator records the allocator of a term, unless a higher term is known.
+func (s *sharedLimit) observeAllocator(name string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaseholder.ObserveTerm(term, s.f.config.Clock()) {
-		s.allocatorName = who
+	if s.leaseholder.ObserveTerm(term, s.fleet.config.Clock()) {
+		s.allocatorName = name
 	}
 }
 
-// tick sends the requests that are due, for all shares.
-func (l *QuotaClient) tick() {
-	for _, s := range l.shares {
+// sendRequests sends the requests for permits that are due, for all shares, and logs changes of the allowance.
+func (c *QuotaClient) sendRequests() {
+	for _, s := range c.shares {
 		s.mu.Lock()
-		now := s.f.config.Clock()
-		q, ok := s.leaseholder.Tick(now)
+		now := s.fleet.config.Clock()
+		request, due := s.leaseholder.Tick(now)
 		to := s.allocatorName
-		was, changed := s.allowed, s.allowanceChanged(now)
-		is := s.allowed
+		previous, changed := s.loggedAllowance, s.allowanceChanged(now)
+		current := s.loggedAllowance
 		s.mu.Unlock()
 		if changed {
-			s.f.log.Info("share changed", zap.String("share", s.config.Name), zap.Int("from", was), zap.Int("to", is))
+			s.fleet.log.Info("share changed", zap.String("share", s.config.Name),
+				zap.Int("from", previous), zap.Int("to", current))
 		}
-		if ok {
-			s.f.transport.Send(to, encodeGrant(grantMessage{kind: requested, role: s.role, from: s.f.incarnation.Name, term: q.Term, request: q}))
+		if due {
+			s.fleet.transport.Send(to, encodeGrant(grantMessage{kind: requested, role: s.role, from: s.fleet.incarnation.Name,
+				term: request.Term, request: request}))
 		}
 	}
 }
 
-// logEvery is how often a change of what is held may be logged: one line for each change that lasts.
-const logEvery = time.Second
+// minLogInterval is the shortest time between two log lines about a share's allowance, so that only lasting changes
+// are logged.
+const minLogInterval = time.Second
 
-// allowanceChanged reports whether what is held is to be logged anew, under the lock.
-func (s *quota) allowanceChanged(now float64) bool {
-	n := s.leaseholder.Allowed(now)
-	if n == s.allowed || time.Since(s.loggedAt) < logEvery {
+// allowanceChanged reports whether a new allowance is to be logged, and records it as logged. The caller holds s.mu.
+func (s *sharedLimit) allowanceChanged(now float64) bool {
+	allowance := s.leaseholder.Allowed(now)
+	if allowance == s.loggedAllowance || time.Since(s.loggedAt) < minLogInterval {
 		return false
 	}
-	s.allowed, s.loggedAt = n, time.Now()
+	s.loggedAllowance, s.loggedAt = allowance, time.Now()
 	return true
 }
 
-// handle passes on messages about shares.
-func (l *QuotaClient) handle(m grantMessage) {
-	for _, s := range l.shares {
+// handle dispatches a message about a share.
+func (c *QuotaClient) handle(m grantMessage) {
+	for _, s := range c.shares {
 		if s.role != m.role {
 			continue
 		}
@@ -213,46 +227,48 @@
 		case announced:
 			s.observeAllocator(m.from, m.term)
 		case requested:
-			s.answer(m)
+			s.handleRequest(m)
 		case granted:
 			s.mu.Lock()
-			s.leaseholder.HandleAnswer(m.answer, s.f.config.Clock())
+			s.leaseholder.HandleAnswer(m.answer, s.fleet.config.Clock())
 			s.mu.Unlock()
 		}
 	}
 }
 
-// answer is the allocator's. Its lease is checked after the request came, and what is granted is counted from that very reading of
-// the clock: what comes of it may be sent however late.
-func (s *quota) answer(m grantMessage) {
-	now := s.f.config.Clock()
-	term, _, owns := s.f.owns(s.role, now)
+// handleRequest answers a request for permits if this process is the allocator. The lease is checked after the request
+// has arrived, and the grant is dated from that same clock reading, so the answer may be sent however late.
+func (s *sharedLimit) handleRequest(m grantMessage) {
+	now := s.fleet.config.Clock()
+	term, _, owns := s.fleet.owns(s.role, now)
 	s.mu.Lock()
-	var a owner.Answer
+	var answer owner.Answer
 	ok := false
 	if owns && s.allocator != nil && s.allocator.Term() == term {
-		a, ok = s.allocator.HandleRequest(m.request, now)
+		answer, ok = s.allocator.HandleRequest(m.request, now)
 	}
 	s.mu.Unlock()
 	switch {
 	case ok:
-		s.f.transport.Send(m.from, encodeGrant(grantMessage{kind: granted, role: s.role, from: s.f.incarnation.Name, term: a.Term, answer: a}))
+		s.fleet.transport.Send(m.from, encodeGrant(grantMessage{kind: granted, role: s.role, from: s.fleet.incarnation.Name,
+			term: answer.Term, answer: answer}))
 	case owns && m.request.Term < term:
-		s.f.transport.Send(m.from, encodeGrant(grantMessage{kind: announced, role: s.role, from: s.f.incarnation.Name, term: term}))
+		s.fleet.transport.Send(m.from, encodeGrant(grantMessage{kind: announced, role: s.role, from: s.fleet.incarnation.Name,
+			term: term}))
 	}
 }
 
-// owns reports whether a role is owned here at a time.
-func (f *Fleet) owns(role string, at float64) (term uint64, left float64, ok bool) {
+// owns reports whether this process owns a role at a time, under which term, and how long its lease still lasts.
+func (f *Fleet) owns(role string, now float64) (term uint64, left float64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if o := f.roles[role]; o != nil {
-		return o.candidate.Owns(at)
+	if r := f.roles[role]; r != nil {
+		return r.candidate.Owns(now)
 	}
 	return 0, 0, false
 }
 
-// Share is one share as seen from here.
+// Share is the state of one share as this process knows it.
 type Share struct {
 	Name      string        `json:"name"`
 	Allocator string        `json:"allocator,omitempty"`
@@ -262,41 +278,43 @@
 	Reserved  int           `json:"reserved"`
 	Granted   int           `json:"granted"`
 	Left      float64       `json:"left_s"`
-	Limit     int           `json:"limit,omitempty"` // as the allocator has it, the rest of the fields likewise
+	Limit     int           `json:"limit,omitempty"` // this and the fields below are set on the allocator only
 	Settled   bool          `json:"settled,omitempty"`
 	Holders   []ShareHolder `json:"holders,omitempty"`
 }
 
-// ShareHolder is one holder as its allocator sees it.
+// ShareHolder is one leaseholder as the allocator knows it.
 type ShareHolder struct {
 	Name  string  `json:"name"`
-	Had   int     `json:"had"` // at the most, now
+	Had   int     `json:"had"` // the most permits that it may hold now
 	Given int     `json:"given"`
 	Wants int     `json:"wants"`
 	Uses  int     `json:"uses"`
-	Left  float64 `json:"left_s"` // until nothing is left of it
+	Left  float64 `json:"left_s"` // until the last of its grants expires
 	Heard float64 `json:"heard_s"`
 }
 
-// Shares lists the shares that this process has a part in.
-func (l *QuotaClient) Shares() []Share {
-	var all []Share
-	for _, s := range l.shares {
+// Shares lists the state of the shares that this process takes part in.
+func (c *QuotaClient) Shares() []Share {
+	var shares []Share
+	for _, s := range c.shares {
 		s.mu.Lock()
-		now := s.f.config.Clock()
-		h := s.leaseholder.Status(now)
-		one := Share{Name: s.config.Name, Allocator: s.allocatorName, Term: h.Term, Running: h.Running, Waiting: h.Waiting, Reserved: h.Reserved,
-			Granted: h.Granted, Left: milli(h.Left)}
-		if k := s.allocator; k != nil {
-			one.Limit, one.Settled = k.Limit(), k.Settled(now)
-			for _, x := range k.Holders(now) {
-				one.Holders = append(one.Holders, ShareHolder{x.Name, x.MaxHeld, x.Granted, x.Wanted, x.InUse, milli(max(x.Left, 0)), milli(x.SinceRequest)})
+		now := s.fleet.config.Clock()
+		held := s.leaseholder.Status(now)
+		status := Share{Name: s.config.Name, Allocator: s.allocatorName, Term: held.Term, Running: held.Running,
+			Waiting: held.Waiting, Reserved: held.Reserved, Granted: held.Granted, Left: roundToMillis(held.Left)}
+		if allocator := s.allocator; allocator != nil {
+			status.Limit, status.Settled = allocator.Limit(), allocator.Settled(now)
+			for _, holder := range allocator.Holders(now) {
+				status.Holders = append(status.Holders, ShareHolder{holder.Name, holder.MaxHeld, holder.Granted,
+					holder.Wanted, holder.InUse, roundToMillis(max(holder.Left, 0)), roundToMillis(holder.SinceRequest)})
 			}
 		}
 		s.mu.Unlock()
-		all = append(all, one)
+		shares = append(shares, status)
 	}
-	return all
+	return shares
 }
 
-func milli(s float64) float64 { return math.Round(s*1e3) / 1e3 }
+// roundToMillis rounds seconds to whole milliseconds.
+func roundToMillis(seconds float64) float64 { return math.Round(seconds*1e3) / 1e3 }
--- a/fleet/quota_packet.go
+++ b/fleet/quota_packet.go
@@ -10,26 +10,27 @@
 
 // The messages between leaseholders and allocators.
 const (
-	announced byte = iota // the sender allocates it, under a term
+	announced byte = iota // the sender is the share's allocator, under a term
 	requested             // a leaseholder's request
 	granted               // an allocator's answer
 )
 
-// grantMessage is one message: "VG", format 1, the kind, then role, from and term (8). A request goes on with incarnation and
-// number (8 each), holds, uses and wants (4 each), left, criticality and run time (8 each, floats); an answer with the requester's incarnation and the
-// request's number (8 each), and grants (4). Text and numbers are as in other messages. docs/share.md has the words.
+// grantMessage is one message: magic "VG", format version 1, kind (1 byte), role, sender name and term (8). A request
+// continues with incarnation and number (8 each), holds, uses and wants (4 each), left, criticality and run time (8
+// each, floats); an answer continues with the requester's incarnation and the request's number (8 each), and grants
+// (4). Strings and numbers are encoded as in vote messages. docs/share.md describes the fields.
 type grantMessage struct {
 	kind    byte
 	role    string
 	from    string
 	term    uint64
 	request share.Request
-	answer  owner.Answer // its To has the requester's incarnation alone: that it is the receiver, the receiver knows
+	answer  owner.Answer // To carries only the requester's incarnation; the receiver fills in its own name
 }
 
 const grantMagic = "VG\x01"
 
-// maxPermits bounds what a message may speak of.
+// maxPermits limits every number of permits in a message.
 const maxPermits = 1 << 24
 
 func encodeGrant(m grantMessage) []byte {
@@ -37,18 +38,18 @@
 	out = appendText(out, m.role)
 	out = appendText(out, m.from)
 	out = binary.BigEndian.AppendUint64(out, m.term)
-	float := func(v float64) { out = binary.BigEndian.AppendUint64(out, math.Float64bits(v)) }
+	appendFloat := func(v float64) { out = binary.BigEndian.AppendUint64(out, math.Float64bits(v)) }
 	switch m.kind {
 	case requested:
-		q := m.request
-		out = binary.BigEndian.AppendUint64(out, q.From.ID)
-		out = binary.BigEndian.AppendUint64(out, q.Number)
-		for _, n := range []int{q.Holds, q.Uses, q.Wants} {
+		request := m.request
+		out = binary.BigEndian.AppendUint64(out, request.From.ID)
+		out = binary.BigEndian.AppendUint64(out, request.Number)
+		for _, n := range []int{request.Holds, request.Uses, request.Wants} {
 			out = binary.BigEndian.AppendUint32(out, uint32(min(n, maxPermits)))
 		}
-		float(q.Left)
-		float(q.Criticality)
-		float(q.RunTime)
+		appendFloat(request.Left)
+		appendFloat(request.Criticality)
+		appendFloat(request.RunTime)
 	case granted:
 		out = binary.BigEndian.AppendUint64(out, m.answer.To.ID)
 		out = binary.BigEndian.AppendUint64(out, m.answer.Number)
@@ -61,12 +62,12 @@
 	if len(b) < 4 || string(b[:3]) != grantMagic || b[3] > granted {
 		return m, errUnknownMessage
 	}
-	r := reader{b: b[4:]}
+	r := packetReader{b: b[4:]}
 	m.kind = b[3]
-	m.role, m.from, m.term = r.text(), r.text(), r.number()
-	parts := func() int { return int(r.short()) }
-	float := func() float64 {
-		v := math.Float64frombits(r.number())
+	m.role, m.from, m.term = r.text(), r.text(), r.uint64()
+	readPermits := func() int { return int(r.uint32()) }
+	readFloat := func() float64 {
+		v := math.Float64frombits(r.uint64())
 		if !(v >= 0 && v < 1e9) {
 			r.err = errUnknownMessage
 		}
@@ -74,15 +75,16 @@
 	}
 	switch m.kind {
 	case requested:
-		q := &m.request
-		q.Role, q.Term, q.From = m.role, m.term, owner.Incarnation{Name: m.from, ID: r.number()}
-		q.Number, q.Holds, q.Uses, q.Wants = r.number(), parts(), parts(), parts()
-		q.Left, q.Criticality, q.RunTime = float(), float(), float()
-		if max(q.Holds, q.Uses, q.Wants) > maxPermits {
+		request := &m.request
+		request.Role, request.Term, request.From = m.role, m.term, owner.Incarnation{Name: m.from, ID: r.uint64()}
+		request.Number, request.Holds, request.Uses, request.Wants = r.uint64(), readPermits(), readPermits(), readPermits()
+		request.Left, request.Criticality, request.RunTime = readFloat(), readFloat(), readFloat()
+		if max(request.Holds, request.Uses, request.Wants) > maxPermits {
 			r.err = errUnknownMessage
 		}
 	case granted:
-		m.answer = owner.Answer{Role: m.role, Term: m.term, To: owner.Incarnation{Name: self, ID: r.number()}, Number: r.number(), Grants: parts()}
+		m.answer = owner.Answer{Role: m.role, Term: m.term, To: owner.Incarnation{Name: self, ID: r.uint64()},
+			Number: r.uint64(), Grants: readPermits()}
 		if m.answer.Grants > maxPermits {
 			r.err = errUnknownMessage
 		}
@@ -93,13 +95,13 @@
 	return m, nil
 }
 
-// reader takes a message apart; what is missing makes it none of ours.
-type reader struct {
+// packetReader decodes the fields of a message. Reading past the end sets err.
+type packetReader struct {
 	b   []byte
 	err error
 }
 
-func (r *reader) take(n int) []byte {
+func (r *packetReader) next(n int) []byte {
 	if len(r.b) < n {
 		r.b, r.err = nil, errUnknownMessage
 		return make([]byte, n)
@@ -109,6 +111,6 @@
 	return b
 }
 
-func (r *reader) text() string   { return string(r.take(int(r.take(1)[0]))) }
-func (r *reader) number() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
-func (r *reader) short() uint32  { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *packetReader) text() string   { return string(r.next(int(r.next(1)[0]))) }
+func (r *packetReader) uint64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
+func (r *packetReader) uint32() uint32 { return binary.BigEndian.Uint32(r.next(4)) }
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -20,14 +20,16 @@
 	"valveglade/logic/owner"
 )
 
-// serveVotes answers candidates until ctx ends. It has a goroutine of its own: a slow disk keeps its answers, and nothing else.
+// serveVotes answers candidates until ctx ends. It runs on its own goroutine, so a slow disk delays nothing but the
+// voter's answers.
 func (f *Fleet) serveVotes(ctx context.Context) {
-	votes, whole, err := f.readVotes()
+	votes, complete, err := f.readVotes()
 	if err != nil {
 		f.log.Warn("votes not found whole: silent for the longest lease", zap.Error(err))
 	}
-	voter := owner.NewVoter(f.config.Name, votes, whole, uint64(max(f.config.Now().UnixMilli(), 1)), f.config.Clock(), f.config.Timing)
-	failing := false
+	voter := owner.NewVoter(f.config.Name, votes, complete, uint64(max(f.config.Now().UnixMilli(), 1)),
+		f.config.Clock(), f.config.Timing)
+	persistFailing := false
 	for {
 		var m owner.Message
 		select {
@@ -39,38 +41,38 @@
 			continue
 		}
 		answers := voter.HandleMessage(m, f.config.Clock())
-		if f.config.Folder != "" && slices.ContainsFunc(answers, func(a owner.Message) bool { return a.Sync }) {
+		if f.config.Folder != "" && slices.ContainsFunc(answers, func(answer owner.Message) bool { return answer.Sync }) {
 			err := f.writeVotes(voter.Votes())
-			if failing != (err != nil) {
-				failing = err != nil
-				if failing {
+			if persistFailing != (err != nil) {
+				persistFailing = err != nil
+				if persistFailing {
 					f.log.Error("votes cannot be persisted: this voter is silent until they can", zap.Error(err))
 				} else {
 					f.log.Info("votes are persisted again")
 				}
 			}
-			if failing {
+			if persistFailing {
 				continue
 			}
 		}
-		for _, a := range answers {
-			f.transport.Send(a.To, encode(a))
+		for _, answer := range answers {
+			f.transport.Send(answer.To, encodeVoteMessage(answer))
 		}
 	}
 }
 
-// A voter's votes are in one file: "VGP" 1, CRC-32C of the rest, and a JSON object. It is replaced whole, and synced
-// before an answer that depends on it leaves.
+// A voter's votes are stored in one file: the magic "VGP" and version 1, a CRC-32C of the JSON text, and the JSON
+// text of a voteFile. The file is replaced atomically and synced before any answer that depends on it is sent.
 const (
 	voteFileMagic = "VGP\x01"
 	voteFileName  = "promises"
 )
 
-// voteFile is that object.
+// voteFile is the JSON content of the vote file.
 type voteFile struct {
-	Name  string                `json:"name"`
-	Wrote int64                 `json:"wrote_ms"` // Unix time
-	Roles map[string]owner.Vote `json:"offices"`
+	Name          string                `json:"name"`
+	WrittenMillis int64                 `json:"wrote_ms"` // when the file was written, in Unix time
+	Roles         map[string]owner.Vote `json:"offices"`
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -80,15 +82,16 @@
 	if err != nil {
 		return err
 	}
-	out := binary.BigEndian.AppendUint32([]byte(voteFileMagic), crc32.Checksum(text, castagnoli))
-	return renameio.WriteFile(filepath.Join(f.config.Folder, voteFileName), append(out, text...), 0o600, renameio.WithTempDir(f.config.Folder))
+	header := binary.BigEndian.AppendUint32([]byte(voteFileMagic), crc32.Checksum(text, castagnoli))
+	return renameio.WriteFile(filepath.Join(f.config.Folder, voteFileName), append(header, text...), 0o600,
+		renameio.WithTempDir(f.config.Folder))
 }
 
-var errCorrupt = errors.New("the file is corrupt")
+var errCorruptVoteFile = errors.New("vote file is corrupt")
 
-// readVotes reads the votes from before. They are whole only if they were written less than a lease ago: what is older may be
-// a copy, or may have been written before votes that were lost since; these are over once the longest lease is.
-func (f *Fleet) readVotes() (votes map[string]owner.Vote, whole bool, err error) {
+// readVotes reads the persisted votes. They are complete only if the file was written less than half a lease ago: an
+// older file may be a copy, or may precede votes that were lost since. Lost votes expire with the longest lease.
+func (f *Fleet) readVotes() (votes map[string]owner.Vote, complete bool, err error) {
 	if f.config.Folder == "" {
 		return nil, false, nil
 	}
@@ -102,15 +105,15 @@
 	}
 	rest, ok := bytes.CutPrefix(text, []byte(voteFileMagic))
 	if !ok || len(rest) < 4 || binary.BigEndian.Uint32(rest) != crc32.Checksum(rest[4:], castagnoli) {
-		return nil, false, fmt.Errorf("%s: %w", path, errCorrupt)
+		return nil, false, fmt.Errorf("%s: %w", path, errCorruptVoteFile)
 	}
-	var p voteFile
-	if err := json.Unmarshal(rest[4:], &p); err != nil {
+	var file voteFile
+	if err := json.Unmarshal(rest[4:], &file); err != nil {
 		return nil, false, fmt.Errorf("%s: %w", path, err)
 	}
-	if p.Name != f.config.Name {
-		return nil, false, fmt.Errorf("%s: the votes are %s's", path, p.Name)
+	if file.Name != f.config.Name {
+		return nil, false, fmt.Errorf("%s: the votes belong to %s", path, file.Name)
 	}
-	age := f.config.Now().Sub(time.UnixMilli(p.Wrote)).Seconds()
-	return p.Roles, age >= 0 && age < f.config.Timing.Lease/2, nil
+	age := f.config.Now().Sub(time.UnixMilli(file.WrittenMillis)).Seconds()
+	return file.Roles, age >= 0 && age < f.config.Timing.Lease/2, nil
 }
--- a/fleet/ways_test.go
+++ b/fleet/ways_test.go
@@ -20,49 +20,49 @@
 	"valveglade/logic/owner"
 )
 
-// BenchmarkWays weighs what could decide who owns a role: five nodes in this process, a second until an owner that died is
+// BenchmarkElection weighs what could decide who owns a role: five nodes in this process, a second until an owner that died is
 // missed, a quarter of one between its signs of life, no disk. The first two are played in a time of their own, message by
 // message, the third on its own goroutines over its memory transport. docs/owner.md has the figures.
-func BenchmarkWays(b *testing.B) {
+func BenchmarkElection(b *testing.B) {
 	for _, one := range []struct {
 		name string
-		play func(b *testing.B) weighed
+		play func(b *testing.B) benchResult
 		uses string
 		main string
 	}{
-		{"own", weighOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
-		{"etcd", weighEtcd, "go.etcd.io/raft/v3", `n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
-		{"hashicorp", weighHashicorp, "github.com/hashicorp/raft", `t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
+		{"own", benchOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
+		{"etcd", benchEtcd, "go.etcd.io/raft/v3", `n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
+		{"hashicorp", benchHashicorp, "github.com/hashicorp/raft", `t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
 	} {
 		b.Run(one.name, func(b *testing.B) {
 			for range b.N {
 				w := one.play(b)
-				b.ReportMetric(w.messages, "messages/s")
-				b.ReportMetric(w.least, "least-s")
-				b.ReportMetric(w.most, "most-s")
+				b.ReportMetric(w.messageRate, "messages/s")
+				b.ReportMetric(w.minFailover, "least-s")
+				b.ReportMetric(w.maxFailover, "most-s")
 				b.ReportMetric(w.heap/1e3, "heap-kB/node")
-				b.ReportMetric(linked(b, one.uses, one.main)-linked(b, "math", "_ = math.Pi"), "binary-kB")
+				b.ReportMetric(binaryKB(b, one.uses, one.main)-binaryKB(b, "math", "_ = math.Pi"), "binary-kB")
 			}
 		})
 	}
 }
 
-// weighed is what a way costs at rest, and how long it takes to a new owner, over ten deaths.
-type weighed struct{ messages, least, most, heap float64 }
+// benchResult is what a way costs at rest, and how long it takes to a new owner, over ten deaths.
+type benchResult struct{ messageRate, minFailover, maxFailover, heap float64 }
 
-const weighedDeaths = 10
+const failoverCount = 10
 
-// times has a way's owner die again and again, and takes how long each took.
-func (w *weighed) times(die func(k int) float64) {
-	w.least = 1e9
-	for k := range weighedDeaths {
+// timeFailovers has a way's owner die again and again, and takes how long each took.
+func (w *benchResult) timeFailovers(die func(k int) float64) {
+	w.minFailover = 1e9
+	for k := range failoverCount {
 		took := die(k)
-		w.least, w.most = min(w.least, took), max(w.most, took)
+		w.minFailover, w.maxFailover = min(w.minFailover, took), max(w.maxFailover, took)
 	}
 }
 
-// weighHeap is what something leaves on the heap, in bytes.
-func weighHeap(f func()) float64 {
+// heapGrowth is what something leaves on the heap, in bytes.
+func heapGrowth(f func()) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -72,12 +72,12 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-func weighOwn(b *testing.B) (w weighed) {
+func benchOwn(b *testing.B) (w benchResult) {
 	names := []string{"a", "b", "c", "d", "e"}
 	span := owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}
 	voters := map[string]*owner.Voter{}
 	candidates := map[string]*owner.Candidate{}
-	w.heap = weighHeap(func() {
+	w.heap = heapGrowth(func() {
 		for k, name := range names {
 			voters[name] = owner.NewVoter(name, nil, true, 1, 0, span)
 			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names}, uint64(k), 0, span)
@@ -118,8 +118,8 @@
 	}
 	run(func() bool { return owns("") != "" })
 	sent = 0
-	w.messages = 1 / run(func() bool { return at > 62 }) * float64(sent)
-	w.times(func(k int) float64 {
+	w.messageRate = 1 / run(func() bool { return at > 62 }) * float64(sent)
+	w.timeFailovers(func(k int) float64 {
 		at += float64(k) * 0.037
 		dead = owns("")
 		took := run(func() bool { return owns(dead) != "" })
@@ -131,11 +131,11 @@
 	return w
 }
 
-func weighEtcd(b *testing.B) (w weighed) {
+func benchEtcd(b *testing.B) (w benchResult) {
 	quiet := &eraft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 	stores, nodes := map[uint64]*eraft.MemoryStorage{}, map[uint64]*eraft.RawNode{}
 	var dead uint64
-	w.heap = weighHeap(func() {
+	w.heap = heapGrowth(func() {
 		for id := uint64(1); id <= 5; id++ {
 			s := eraft.NewMemoryStorage()
 			s.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
@@ -190,8 +190,8 @@
 	run(func() bool { return leads(0) != 0 })
 	sent = 0
 	end := at + 60
-	w.messages = 1 / run(func() bool { return at > end }) * float64(sent)
-	w.times(func(int) float64 {
+	w.messageRate = 1 / run(func() bool { return at > end }) * float64(sent)
+	w.timeFailovers(func(int) float64 {
 		dead = leads(0)
 		took := run(func() bool { return leads(dead) != 0 })
 		dead = 0
@@ -202,25 +202,25 @@
 	return w
 }
 
-// counting counts what a node sends, question and answer.
-type counting struct {
+// countingTransport counts what a node sends, question and answer.
+type countingTransport struct {
 	*hraft.InmemTransport
 	sent *atomic.Int64
 }
 
-func (c counting) AppendEntries(id hraft.ServerID, to hraft.ServerAddress, q *hraft.AppendEntriesRequest, a *hraft.AppendEntriesResponse) error {
+func (c countingTransport) AppendEntries(id hraft.ServerID, to hraft.ServerAddress, q *hraft.AppendEntriesRequest, a *hraft.AppendEntriesResponse) error {
 	c.sent.Add(2)
 	return c.InmemTransport.AppendEntries(id, to, q, a)
 }
 
-// nothing is a state machine of no state.
-type nothing struct{}
+// emptyFSM is a state machine of no state.
+type emptyFSM struct{}
 
-func (nothing) Apply(*hraft.Log) any                 { return nil }
-func (nothing) Snapshot() (hraft.FSMSnapshot, error) { return nil, io.EOF }
-func (nothing) Restore(snapshot io.ReadCloser) error { return snapshot.Close() }
+func (emptyFSM) Apply(*hraft.Log) any                 { return nil }
+func (emptyFSM) Snapshot() (hraft.FSMSnapshot, error) { return nil, io.EOF }
+func (emptyFSM) Restore(snapshot io.ReadCloser) error { return snapshot.Close() }
 
-func weighHashicorp(b *testing.B) (w weighed) {
+func benchHashicorp(b *testing.B) (w benchResult) {
 	var sent atomic.Int64
 	var all []hraft.Server
 	var ways []*hraft.InmemTransport
@@ -239,13 +239,13 @@
 		connect(k)
 	}
 	nodes := make([]*hraft.Raft, 5)
-	w.heap = weighHeap(func() {
+	w.heap = heapGrowth(func() {
 		for k := range 5 {
 			c := hraft.DefaultConfig()
 			c.LocalID, c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = all[k].ID, time.Second, time.Second, time.Second
 			c.Logger = hclog.NewNullLogger()
 			store := hraft.NewInmemStore()
-			n, err := hraft.NewRaft(c, nothing{}, store, store, hraft.NewDiscardSnapshotStore(), counting{ways[k], &sent})
+			n, err := hraft.NewRaft(c, emptyFSM{}, store, store, hraft.NewDiscardSnapshotStore(), countingTransport{ways[k], &sent})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -267,8 +267,8 @@
 	leads(-1)
 	sent.Store(0)
 	time.Sleep(5 * time.Second)
-	w.messages = float64(sent.Load()) / 5
-	w.times(func(int) float64 {
+	w.messageRate = float64(sent.Load()) / 5
+	w.timeFailovers(func(int) float64 {
 		dead := leads(-1)
 		ways[dead].DisconnectAll()
 		for k := range 5 {
@@ -287,8 +287,8 @@
 	return w
 }
 
-// linked is the size of a program that has a member, a log and some code, in kilobytes, without symbols.
-func linked(b *testing.B, uses, code string) float64 {
+// binaryKB is the size of a program that has a member, a log and some code, in kilobytes, without symbols.
+func binaryKB(b *testing.B, uses, code string) float64 {
 	dir := b.TempDir()
 	file, out := filepath.Join(dir, "main.go"), filepath.Join(dir, "out")
 	text := `package main
