--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	"valveglade/logic/share"
 )
 
-// fakeNetwork carries messages among parts in this process, late, lost and doubled as it is told.
+// fakeNetwork carries messages between members in this process. It delays, drops and duplicates them.
 type fakeNetwork struct {
 	mu        sync.Mutex
 	receivers map[string]func(string, []byte)
@@ -29,6 +29,7 @@
 	maxDelay  time.Duration
 }
 
+// fakeTransport is the Transport of one member.
 type fakeTransport struct {
 	*fakeNetwork
 	name string
@@ -46,35 +47,36 @@
 	if l.cutLinks[[2]string{l.name, to}] || l.name != to && rand.Float64() < l.loss {
 		return
 	}
-	for n := 1 + rand.IntN(5)/4; n > 0; n-- {
+	for copies := 1 + rand.IntN(5)/4; copies > 0; copies-- {
 		time.AfterFunc(time.Duration(rand.Int64N(int64(l.maxDelay)+1)), func() {
 			l.mu.Lock()
-			f := l.receivers[to]
+			receive := l.receivers[to]
 			l.mu.Unlock()
-			if f != nil {
-				f(l.name, payload)
+			if receive != nil {
+				receive(l.name, payload)
 			}
 		})
 	}
 }
 
-func (p *fakeNetwork) alone(name string, alone bool, others ...string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, o := range others {
-		p.cutLinks[[2]string{name, o}], p.cutLinks[[2]string{o, name}] = alone, alone
+// setIsolated cuts the links between a member and others, or restores them.
+func (n *fakeNetwork) setIsolated(name string, isolated bool, others ...string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, other := range others {
+		n.cutLinks[[2]string{name, other}], n.cutLinks[[2]string{other, name}] = isolated, isolated
 	}
 }
 
-// commandWorker writes down who ordered what: it knows what must hold of it.
+// commandWorker executes the owners' commands and records what the tests check of them.
 type commandWorker struct {
 	fence         *Fence
 	mu            sync.Mutex
-	active        map[string]uint64 // who is at work, and under which term
-	maxActive     int               // at once
-	terms         []uint64
-	termDecreases int
-	commands      int
+	active        map[string]uint64 // the term of each member whose role function is running
+	maxActive     int               // the most members that were active at the same time
+	terms         []uint64          // of all owners, in order
+	termDecreases int               // owners whose term was not above the previous one
+	commands      int               // executed
 }
 
 func (w *commandWorker) roleFunc(name string) RoleFunc {
@@ -123,7 +125,7 @@
 	return w.commands
 }
 
-// testCluster is three parts that vote and campaign.
+// testCluster is a cluster of three members in this process; each votes and campaigns for one role.
 type testCluster struct {
 	t            *testing.T
 	network      *fakeNetwork
@@ -132,7 +134,7 @@
 	stops        map[string]func()
 	eligible     map[string]*atomic.Bool
 	lease        time.Duration
-	clockSetBack atomic.Int64 // by how much the wall clock has gone back
+	clockSetBack atomic.Int64 // how far the wall clock has been set back
 }
 
 var voterNames = []string{"a", "b", "c"}
@@ -156,7 +158,7 @@
 		}
 		w := c.worker
 		if w.maxActive > 1 || w.termDecreases > 0 && c.clockSetBack.Load() == 0 || w.commands == 0 {
-			t.Errorf("%d at once, %d terms fell, %d orders: %v", w.maxActive, w.termDecreases, w.commands, w.terms)
+			t.Errorf("%d owners at once, %d decreasing terms, %d commands: %v", w.maxActive, w.termDecreases, w.commands, w.terms)
 		}
 	})
 	return c
@@ -167,7 +169,7 @@
 	f, err := New(Config{Name: name, Voters: [][]string{voterNames}, Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
 		Fit: func() error {
 			if !fit.Load() {
-				return errors.New("not fit")
+				return errors.New("not eligible")
 			}
 			return nil
 		}, Now: func() time.Time { return time.Now().Add(-time.Duration(c.clockSetBack.Load())) }}, fakeTransport{c.network, name}, zap.NewNop())
@@ -175,24 +177,25 @@
 		c.t.Fatal(err)
 	}
 	f.Campaign("o", c.worker.roleFunc(name))
-	ctx, end := context.WithCancel(context.Background())
-	var over sync.WaitGroup
-	over.Go(func() { f.Run(ctx) })
-	c.stops[name] = sync.OnceFunc(func() { end(); over.Wait() })
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { f.Run(ctx) })
+	c.stops[name] = sync.OnceFunc(func() { cancel(); running.Wait() })
 }
 
-// waitForOwner waits for an owner that is none of some, and gives it.
-func (c *testCluster) waitForOwner(not ...string) string {
+// waitForOwner waits until the role has an owner other than the given one, and returns its name.
+func (c *testCluster) waitForOwner(except ...string) string {
 	c.t.Helper()
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if who := c.worker.owner(); who != "" && (len(not) == 0 || who != not[0]) {
-			return who
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if name := c.worker.owner(); name != "" && (len(except) == 0 || name != except[0]) {
+			return name
 		}
 	}
-	c.t.Fatalf("nobody owns it but %v", not)
+	c.t.Fatalf("no owner other than %v", except)
 	return ""
 }
 
+// others returns the names of all other members.
 func others(name string) []string {
 	var all []string
 	for _, n := range voterNames {
@@ -203,46 +206,48 @@
 	return all
 }
 
-// One owns at a time: cut off it steps down and another takes over, back it stays a follower; whoever leaves steps down first.
+// At most one member owns the role at a time: an isolated owner steps down and another takes over; once reconnected it
+// stays a follower; an owner that shuts down steps down first.
 func TestOneOwner(t *testing.T) {
-	// Long enough that a machine with much else to do ends none by its own lateness.
+	// Long enough that scheduling delays on a loaded machine end no lease.
 	const lease = 1800 * time.Millisecond
 	c := newTestCluster(t, true, lease)
 	first := c.waitForOwner()
-	c.network.alone(first, true, others(first)...)
+	c.network.setIsolated(first, true, others(first)...)
 	second := c.waitForOwner(first)
-	c.network.alone(first, false, others(first)...)
-	began := time.Now()
+	c.network.setIsolated(first, false, others(first)...)
+	stopped := time.Now()
 	c.stops[second]()
 	third := c.waitForOwner(second)
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("transferred after %v", took)
+	if took := time.Since(stopped); took > 5*time.Second {
+		t.Errorf("ownership was transferred after %v", took)
 	}
 	c.start(second)
-	// No change for want of a reason, at a loss of a tenth.
+	// A message loss of a tenth does not change the owner.
 	c.network.mu.Lock()
 	c.network.loss = 0.1
 	c.network.mu.Unlock()
 	time.Sleep(2 * lease)
-	if who := c.worker.owner(); who != third {
-		t.Errorf("%s gave way to %q for nothing", third, who)
+	if current := c.worker.owner(); current != third {
+		t.Errorf("%s lost the role to %q without a reason", third, current)
 	}
-	// Who is not fit does not campaign, and who owns goes on.
+	// A member that is not eligible does not campaign, but an owner keeps its role.
 	for _, name := range voterNames {
 		c.eligible[name].Store(false)
 	}
 	time.Sleep(lease)
-	if who := c.worker.owner(); who != third {
-		t.Errorf("%s gave way to %q for being pressed", third, who)
+	if current := c.worker.owner(); current != third {
+		t.Errorf("%s lost the role to %q for not being eligible", third, current)
 	}
 	c.stops[third]()
 	time.Sleep(lease)
-	if who := c.worker.owner(); who != "" {
-		t.Errorf("%s campaigns though it is not fit", who)
+	if current := c.worker.owner(); current != "" {
+		t.Errorf("%s campaigns though it is not eligible", current)
 	}
 }
 
-// All start again, with what they had voted and without: terms go on above all former ones, and there is one owner.
+// All members restart, with and without persisted votes: there is one owner again, and terms continue above all
+// previous ones.
 func TestAllAgain(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprint(disks), func(t *testing.T) {
@@ -257,14 +262,14 @@
 				}
 			}
 			c.waitForOwner()
-			for begin := c.worker.commandCount(); c.worker.commandCount() == begin; time.Sleep(time.Millisecond) {
+			for before := c.worker.commandCount(); c.worker.commandCount() == before; time.Sleep(time.Millisecond) {
 			}
 		})
 	}
 }
 
-// All start again where nothing lasts, and the wall clock has gone back: terms begin below former ones, which whoever carries out
-// orders refuses; upon that they go on above.
+// All members restart without persisted votes after the wall clock was set back: terms start below the previous ones
+// and the worker rejects the commands; the rejections then raise the terms above the previous ones.
 func TestClockWentBack(t *testing.T) {
 	c := newTestCluster(t, false, 600*time.Millisecond)
 	c.waitForOwner()
@@ -276,13 +281,13 @@
 	}
 	before := c.worker.commandCount()
 	c.clockSetBack.Store(int64(time.Hour))
-	c.network = &fakeNetwork{receivers: map[string]func(string, []byte){}} // nothing of before is on its way any more: it would tell the terms
+	c.network = &fakeNetwork{receivers: map[string]func(string, []byte){}} // drops the old messages: they reveal the old terms
 	for _, name := range voterNames {
 		c.start(name)
 	}
-	for end := time.Now().Add(20 * time.Second); c.worker.commandCount() < before+3; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("no order is carried out any more")
+	for deadline := time.Now().Add(20 * time.Second); c.worker.commandCount() < before+3; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("no command is executed any more")
 		}
 	}
 	c.worker.mu.Lock()
@@ -292,16 +297,17 @@
 	}
 }
 
-// A voter whose disk fails is silent, the others carry on; no owner without a majority, and one again once it is back.
+// A voter whose disk fails is silent. Without a majority of working voters there is no owner; with it there is one
+// again.
 func TestDiskFails(t *testing.T) {
 	c := newTestCluster(t, true, 600*time.Millisecond)
 	c.waitForOwner()
-	for _, name := range voterNames[:2] { // a folder that is no folder any more
+	for _, name := range voterNames[:2] { // replaces the folder with a file, so that writes fail
 		os.RemoveAll(c.folders[name])
 		os.WriteFile(c.folders[name], nil, 0o600)
 	}
-	for end := time.Now().Add(20 * time.Second); c.worker.owner() != ""; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); c.worker.owner() != ""; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("owned without a majority that can persist its votes")
 		}
 	}
@@ -310,18 +316,19 @@
 	c.waitForOwner()
 }
 
-// What was voted is found again; what is spoilt, another's, or older than half a lease is not trusted.
+// Persisted votes are read back; a file that is corrupt, another member's, or older than half a lease is not trusted.
 func TestVotes(t *testing.T) {
-	at := time.Now()
-	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(), Timing: owner.Timing{Lease: 1}, Now: func() time.Time { return at }}}
-	found := func() (int, bool, bool) {
-		kept, whole, err := f.readVotes()
-		return len(kept), whole, err != nil
-	}
-	check := func(what string, n int, whole, failed bool) {
+	now := time.Now()
+	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(), Timing: owner.Timing{Lease: 1},
+		Now: func() time.Time { return now }}}
+	read := func() (int, bool, bool) {
+		votes, complete, err := f.readVotes()
+		return len(votes), complete, err != nil
+	}
+	check := func(name string, n int, complete, failed bool) {
 		t.Helper()
-		if gotN, gotWhole, gotFailed := found(); gotN != n || gotWhole != whole || gotFailed != failed {
-			t.Errorf("%s: %d votes, whole %v, error %v", what, gotN, gotWhole, gotFailed)
+		if gotN, gotWhole, gotFailed := read(); gotN != n || gotWhole != complete || gotFailed != failed {
+			t.Errorf("%s: %d votes, complete %v, error %v", name, gotN, gotWhole, gotFailed)
 		}
 	}
 	check("nothing", 0, false, false)
@@ -329,11 +336,11 @@
 		t.Fatal(err)
 	}
 	check("fresh", 1, true, false)
-	at = at.Add(time.Second)
+	now = now.Add(time.Second)
 	check("older", 1, false, false)
-	at = at.Add(-time.Hour)
+	now = now.Add(-time.Hour)
 	check("from the future", 1, false, false)
-	at = at.Add(time.Hour - time.Second)
+	now = now.Add(time.Hour - time.Second)
 	f.config.Name = "b"
 	check("another's", 0, false, true)
 	f.config.Name = "a"
@@ -341,12 +348,12 @@
 	text, _ := os.ReadFile(path)
 	text[len(text)-3] ^= 1
 	os.WriteFile(path, text, 0o600)
-	check("spoilt", 0, false, true)
+	check("corrupt", 0, false, true)
 	os.WriteFile(path, text[:3], 0o600)
-	check("cut short", 0, false, true)
+	check("truncated", 0, false, true)
 }
 
-// The bytes of a vote file stay those of earlier versions: a voter that is upgraded has to find its votes.
+// The format of the vote file must not change: an upgraded voter has to find its votes.
 func TestVoteFileBytes(t *testing.T) {
 	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(), Now: func() time.Time { return time.UnixMilli(1796188800000) }}}
 	if err := f.writeVotes(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63}, Until: 1.5}}); err != nil {
@@ -359,7 +366,7 @@
 	}
 }
 
-// A message reads as it was written; nothing else is read.
+// Decoding an encoded message returns the message; truncated and invalid messages are rejected.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := owner.Message{Kind: owner.MessageKind(rapid.IntRange(0, 6).Draw(t, "kind")), Role: rapid.StringN(1, 9, 64).Draw(t, "role"),
@@ -371,45 +378,45 @@
 			t.Fatalf("%+v, %v", got, err)
 		}
 		if _, err := decodeVoteMessage(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
-			t.Fatal("read though cut short")
+			t.Fatal("a truncated message was decoded")
 		}
 	})
 	if _, err := decodeVoteMessage(encodeVoteMessage(owner.Message{Role: "o", Term: maxTerm + 1})); err == nil {
-		t.Error("an absurd term is read")
+		t.Error("a term above the maximum was decoded")
 	}
 }
 
-// What leaseholders and allocators send reads as it was written; nothing else is read.
+// The same for the messages between leaseholders and allocators.
 func TestGrantMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		number, parts := rapid.Uint64Range(0, maxTerm), rapid.IntRange(0, maxPermits)
+		number, permits := rapid.Uint64Range(0, maxTerm), rapid.IntRange(0, maxPermits)
 		m := grantMessage{kind: byte(rapid.IntRange(0, 2).Draw(t, "kind")), role: rapid.StringN(1, 9, 64).Draw(t, "role"),
 			from: rapid.StringN(1, 9, 64).Draw(t, "from"), term: number.Draw(t, "term")}
 		switch m.kind {
 		case requested:
 			m.request = share.Request{Request: owner.Request{Role: m.role, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
-				Number: number.Draw(t, "number"), Term: m.term, Holds: parts.Draw(t, "holds"), Uses: parts.Draw(t, "uses"), Wants: parts.Draw(t, "wants"),
+				Number: number.Draw(t, "number"), Term: m.term, Holds: permits.Draw(t, "holds"), Uses: permits.Draw(t, "uses"), Wants: permits.Draw(t, "wants"),
 				Left: rapid.Float64Range(0, 9).Draw(t, "left")}, Criticality: rapid.Float64Range(0, 9).Draw(t, "worth"), RunTime: rapid.Float64Range(0, 9).Draw(t, "took")}
 		case granted:
 			m.answer = owner.Answer{Role: m.role, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
-				Term: m.term, Grants: parts.Draw(t, "grants")}
+				Term: m.term, Grants: permits.Draw(t, "grants")}
 		}
 		b := encodeGrant(m)
 		if got, err := decodeGrant(b, "me"); err != nil || got != m {
 			t.Fatalf("%+v, %v", got, err)
 		}
 		if _, err := decodeGrant(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")], "me"); err == nil {
-			t.Fatal("read though cut short")
+			t.Fatal("a truncated message was decoded")
 		}
 	})
 	for _, q := range []share.Request{{Request: owner.Request{Left: -1}}, {Criticality: math.NaN()}, {RunTime: math.Inf(1)}} {
 		if _, err := decodeGrant(encodeGrant(grantMessage{kind: requested, role: "o", from: "a", request: q}), "me"); err == nil {
-			t.Errorf("%+v is read", q)
+			t.Errorf("%+v was decoded", q)
 		}
 	}
 }
 
-// Faulty configs and names are refused.
+// New and Campaign reject invalid lists of voters and names of roles.
 func TestConfigs(t *testing.T) {
 	for n := range 9 {
 		var list []string
@@ -423,11 +430,11 @@
 	}
 	for _, lists := range [][][]string{nil, {voterNames, voterNames, voterNames}, {{"a", "b", "a"}}, {voterNames, {"a", "b"}}, {{"a", "b", ""}}} {
 		if _, err := New(Config{Voters: lists}, nil, nil); err == nil {
-			t.Errorf("%v are taken for lists of voters", lists)
+			t.Errorf("%v were accepted as lists of voters", lists)
 		}
 	}
 	f, _ := New(Config{Voters: [][]string{voterNames}}, nil, nil)
 	if f.Campaign("", nil) == nil || f.Campaign("o", nil) != nil || f.Campaign("o", nil) == nil {
-		t.Error("a role without a name, or campaigned for twice")
+		t.Error("accepted a role without a name or the same role twice, or rejected a valid one")
 	}
 }
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -17,77 +17,81 @@
 
 func TestMain(m *testing.M) { rig.Main(m, &program) }
 
-const lease, wait = 1500 * time.Millisecond, 40 * time.Second
+const (
+	lease       = 1500 * time.Millisecond
+	waitTimeout = 40 * time.Second // of a wait for a condition
+)
 
-// court is four processes of the program, three of which vote, that all campaign for one role, and the worker that takes its
-// owner's orders.
-type court struct {
+// roleCluster is four processes of the program that campaign for one role, three of them voters, and the worker that
+// executes the owner's commands.
+type roleCluster struct {
 	*rig.Cluster
 	t      *testing.T
 	worker *rig.Worker
 }
 
-func startCluster(t *testing.T, folders bool) *court {
+func startCluster(t *testing.T, folders bool) *roleCluster {
 	t.Helper()
 	t.Parallel()
 	worker, err := rig.NewWorker(true, rig.NewHistory())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var keep []string
+	var persistent []string
 	if folders {
-		keep = []string{"n1", "n2", "n3"}
+		persistent = []string{"n1", "n2", "n3"}
 	}
-	s, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"}, Slack: time.Second, Seed: 1, Folders: keep,
+	cluster, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"}, Slack: time.Second, Seed: 1, Folders: persistent,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(), "fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &court{s, t, worker}
+	c := &roleCluster{cluster, t, worker}
 	t.Cleanup(func() {
-		j := rig.NewVerdict(worker.Orders(time.Time{}), lease)
-		if j.AtOnce > 1 || j.LateEffects+j.FallingTerms+j.SharedTerms > 0 {
-			t.Errorf("%v", j)
+		verdict := rig.NewVerdict(worker.Orders(time.Time{}), lease)
+		if verdict.AtOnce > 1 || verdict.LateEffects+verdict.FallingTerms+verdict.SharedTerms > 0 {
+			t.Errorf("%v", verdict)
 		}
-		if o := rig.Overlap(s.History.LeadershipIntervals()); o > 0 {
-			t.Errorf("two worked as owners at the same time for %g s", o)
+		if overlap := rig.Overlap(cluster.History.LeadershipIntervals()); overlap > 0 {
+			t.Errorf("two processes acted as owners at the same time for %g s", overlap)
 		}
-		s.Check.Finish()
-		for _, b := range s.Check.Violations() {
-			t.Error(b)
+		cluster.Check.Finish()
+		for _, violation := range cluster.Check.Violations() {
+			t.Error(violation)
 		}
 		if t.Failed() {
-			for _, name := range s.Names() {
-				lines := strings.Split(s.Node(name).Log(), "\n")
+			for _, name := range cluster.Names() {
+				lines := strings.Split(cluster.Node(name).Log(), "\n")
 				t.Logf("%s: %s", name, strings.Join(lines[max(0, len(lines)-12):], "\n"))
 			}
 		}
-		s.Close()
+		cluster.Close()
 		worker.Close()
 	})
 	return c
 }
 
-func (c *court) run(script string) {
+func (c *roleCluster) run(script string) {
 	c.t.Helper()
 	if err := c.Run(script); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// owner waits for one whose orders have their effects, and who is not a given one.
-func (c *court) owner(not string) string {
+// owner waits until the worker executes the commands of a process other than the given one, and returns its name.
+func (c *roleCluster) owner(except string) string {
 	c.t.Helper()
-	who := ""
-	if _, ok := c.Until(wait, func() bool { who = c.worker.Owner(200 * time.Millisecond); return who != "" && who != not }); !ok {
-		c.t.Fatalf("nobody but %q owns it", not)
+	name := ""
+	if _, ok := c.Until(waitTimeout, func() bool { name = c.worker.Owner(200 * time.Millisecond); return name != "" && name != except }); !ok {
+		c.t.Fatalf("no owner other than %q", except)
 	}
-	return who
+	return name
 }
 
-// The owner is killed, another takes over; all are started again, with what they voted and without, and terms go on.
+// The owner is killed and another takes over; then all processes restart, with and without persisted votes, and terms
+// continue above the previous ones.
 func TestKilledOwner(t *testing.T) {
 	for _, folders := range []bool{true, false} {
 		t.Run(fmt.Sprint("folders ", folders), func(t *testing.T) {
@@ -103,37 +107,38 @@
 			for _, name := range c.Names() {
 				c.run("0s start " + name)
 			}
-			if _, ok := c.Until(wait, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
-				t.Fatal("nobody owns it any more")
+			if _, ok := c.Until(waitTimeout, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
+				t.Fatal("no owner after the restart")
 			}
-			if all := c.worker.Orders(time.Time{}); all[len(all)-1].Term <= all[before-1].Term {
-				t.Errorf("term %d after %d", all[len(all)-1].Term, all[before-1].Term)
+			if commands := c.worker.Orders(time.Time{}); commands[len(commands)-1].Term <= commands[before-1].Term {
+				t.Errorf("term %d after %d", commands[len(commands)-1].Term, commands[before-1].Term)
 			}
 		})
 	}
 }
 
-// One that is stopped past its lease and continued has no effect any more: whatever it had in its hands is refused, or never
+// An owner that is paused past the end of its lease has no effect when it resumes: its commands are rejected or never
 // sent, and it steps down.
 func TestSleptOwner(t *testing.T) {
 	c := startCluster(t, true)
 	for range 2 {
-		sleeper := c.owner("")
+		paused := c.owner("")
 		from := c.History.Now()
-		c.run("0s stop " + sleeper)
-		c.owner(sleeper)
-		c.run("0s cont " + sleeper)
-		if _, ok := c.Until(wait, func() bool { n, _ := c.History.Lines(sleeper, "stepped down", from); return n > 0 }); !ok {
-			t.Errorf("%s does not step down", sleeper)
+		c.run("0s stop " + paused)
+		c.owner(paused)
+		c.run("0s cont " + paused)
+		if _, ok := c.Until(waitTimeout, func() bool { n, _ := c.History.Lines(paused, "stepped down", from); return n > 0 }); !ok {
+			t.Errorf("%s does not step down", paused)
 		}
 	}
 }
 
-// Cut off with no majority, or deaf, an owner steps down by itself; the others have one, and whoever is back does not disturb it.
+// An owner that is partitioned from the majority, or that receives no messages, steps down by itself and another takes
+// over; once it is reconnected, it does not disturb the new owner.
 func TestCutOwner(t *testing.T) {
 	c := startCluster(t, true)
 	first := c.owner("")
-	c.run("0s cut *>" + first) // it speaks, and does not hear
+	c.run("0s cut *>" + first) // it sends, but receives nothing
 	second := c.owner(first)
 	c.run("0s heal")
 	rest := []string{}
@@ -147,13 +152,13 @@
 	from := time.Now()
 	c.run("0s heal")
 	time.Sleep(2 * lease)
-	if j := rig.NewVerdict(c.worker.Orders(from), time.Minute); j.Changes > 0 || c.worker.Owner(lease) != third {
-		t.Errorf("%s gave way to one that came back: %v", third, j)
+	if verdict := rig.NewVerdict(c.worker.Orders(from), time.Minute); verdict.Changes > 0 || c.worker.Owner(lease) != third {
+		t.Errorf("%s lost the role to a process that was reconnected: %v", third, verdict)
 	}
 }
 
-// Messages are doubled, and those of one that does not vote come over several terms too late: none of that brings about two owners, or keeps the fleet
-// without one for long.
+// Messages are duplicated, and those of a process that does not vote arrive several terms too late: this neither
+// leads to two owners nor leaves the fleet without one for long.
 func TestLateMessages(t *testing.T) {
 	c := startCluster(t, true)
 	first := c.owner("")
@@ -166,55 +171,56 @@
 	}
 }
 
-// A voter whose disk fails is silent, and the others go on; without a majority that keeps its votes nobody owns anything.
+// A voter whose disk fails is silent and the others go on; without a majority that can persist votes there is no owner.
 func TestVoterWithoutDisk(t *testing.T) {
 	c := startCluster(t, true)
 	c.owner("")
-	away := func(name string) string { return c.Folder(name) + ".away" }
+	movedFolder := func(name string) string { return c.Folder(name) + ".away" }
 	for _, name := range []string{"n1", "n2"} {
-		if err := os.Rename(c.Folder(name), away(name)); err != nil {
+		if err := os.Rename(c.Folder(name), movedFolder(name)); err != nil {
 			t.Fatal(err)
 		}
 		if name == "n1" {
 			c.owner("")
 		}
 	}
-	if _, ok := c.Until(wait, func() bool { return c.worker.Owner(lease) == "" }); !ok {
+	if _, ok := c.Until(waitTimeout, func() bool { return c.worker.Owner(lease) == "" }); !ok {
 		t.Error("owned without a majority that can persist its votes")
 	}
-	if err := os.Rename(away("n1"), c.Folder("n1")); err != nil {
+	if err := os.Rename(movedFolder("n1"), c.Folder("n1")); err != nil {
 		t.Fatal(err)
 	}
 	c.owner("")
 }
 
-// The voters are changed one process after another: first all know both lists, then the next one alone.
+// The list of voters is changed by restarting one process after another, first with the old and the new list, then with
+// the new list alone.
 func TestVotersChanged(t *testing.T) {
 	c := startCluster(t, false)
 	c.owner("")
 	for _, next := range []string{"n1 n2 n3 / n4 n2 n3", "n4 n2 n3"} {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(laws string) string {
-				return regexp.MustCompile(`(?m)^fleet.voters .*$`).ReplaceAllString(laws, "fleet.voters "+next)
+			if err := c.Amend(name, func(settings string) string {
+				return regexp.MustCompile(`(?m)^fleet.voters .*$`).ReplaceAllString(settings, "fleet.voters "+next)
 			}); err != nil {
 				t.Fatal(err)
 			}
 			c.run("0s restart " + name)
-			// Each is let come to its senses before the next one: without a folder it is silent for a lease.
+			// Waits for each process before restarting the next one: a voter without a folder is silent for one lease.
 			from := time.Now().Add(lease)
-			if _, ok := c.Until(wait, func() bool {
+			if _, ok := c.Until(waitTimeout, func() bool {
 				commands := c.worker.Orders(from)
 				return len(commands) > 3 && c.worker.Owner(lease) != ""
 			}); !ok {
-				t.Fatalf("nobody owns it after %s was told of %s", name, next)
+				t.Fatalf("no owner after %s was restarted with voters %s", name, next)
 			}
 		}
 	}
-	c.run("0s kill n1") // it votes no more
+	c.run("0s kill n1") // no longer a voter
 	c.owner("n1")
 }
 
-// Whoever leaves steps down at once; operators are shown who owns what.
+// An owner that drains steps down at once, and the command line shows the owner of each role.
 func TestDrainedOwner(t *testing.T) {
 	c := startCluster(t, true)
 	first := c.owner("")
@@ -222,12 +228,12 @@
 	if err != nil || !strings.Contains(string(table), first+" (this one)") || !strings.Contains(string(table), "\no ") {
 		t.Errorf("%v: %s", err, table)
 	}
-	// The others learn whose it is as they are refused.
+	// The other processes learn the owner's name from rejected campaigns.
 	for _, name := range c.Names() {
 		if name == first {
 			continue
 		}
-		if _, ok := c.Until(wait, func() bool {
+		if _, ok := c.Until(waitTimeout, func() bool {
 			table, err = exec.Command(program, "fleet", "owners", "--socket", c.Socket(name)).CombinedOutput()
 			return err == nil && strings.Contains(string(table), first)
 		}); !ok {
--- a/fleet/ways_test.go
+++ b/fleet/ways_test.go
@@ -20,48 +20,51 @@
 	"valveglade/logic/owner"
 )
 
-// BenchmarkElection weighs what could decide who owns a role: five nodes in this process, a second until an owner that died is
-// missed, a quarter of one between its signs of life, no disk. The first two are played in a time of their own, message by
-// message, the third on its own goroutines over its memory transport. docs/owner.md has the figures.
+// BenchmarkElection compares implementations of leader election: the one of this package, etcd's raft and HashiCorp's
+// raft. Each has five nodes in this process without a disk, detects a dead owner after a second and sends heartbeats
+// every quarter of a second. The first two run message by message on a simulated clock, the third in real time on its
+// own goroutines over its in-memory transport. docs/owner.md has the results.
 func BenchmarkElection(b *testing.B) {
-	for _, one := range []struct {
-		name string
-		play func(b *testing.B) benchResult
-		uses string
-		main string
+	for _, implementation := range []struct {
+		name       string
+		run        func(b *testing.B) benchResult
+		importPath string
+		code       string // uses the package, so that it is linked
 	}{
 		{"own", benchOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
 		{"etcd", benchEtcd, "go.etcd.io/raft/v3", `n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
 		{"hashicorp", benchHashicorp, "github.com/hashicorp/raft", `t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
 	} {
-		b.Run(one.name, func(b *testing.B) {
+		b.Run(implementation.name, func(b *testing.B) {
 			for range b.N {
-				w := one.play(b)
-				b.ReportMetric(w.messageRate, "messages/s")
-				b.ReportMetric(w.minFailover, "least-s")
-				b.ReportMetric(w.maxFailover, "most-s")
-				b.ReportMetric(w.heap/1e3, "heap-kB/node")
-				b.ReportMetric(binaryKB(b, one.uses, one.main)-binaryKB(b, "math", "_ = math.Pi"), "binary-kB")
+				result := implementation.run(b)
+				b.ReportMetric(result.messageRate, "messages/s")
+				b.ReportMetric(result.minFailover, "least-s")
+				b.ReportMetric(result.maxFailover, "most-s")
+				b.ReportMetric(result.heap/1e3, "heap-kB/node")
+				b.ReportMetric(binaryKB(b, implementation.importPath, implementation.code)-binaryKB(b, "math", "_ = math.Pi"), "binary-kB")
 			}
 		})
 	}
 }
 
-// benchResult is what a way costs at rest, and how long it takes to a new owner, over ten deaths.
+// benchResult is the cost of an implementation while the owner stays, and its times to a new owner after the owner
+// failed.
 type benchResult struct{ messageRate, minFailover, maxFailover, heap float64 }
 
-const failoverCount = 10
+const failoverCount = 10 // measured per implementation
 
-// timeFailovers has a way's owner die again and again, and takes how long each took.
-func (w *benchResult) timeFailovers(die func(k int) float64) {
+// timeFailovers fails the owner repeatedly and records the shortest and the longest time to a new owner; failOwner
+// returns that time in seconds.
+func (w *benchResult) timeFailovers(failOwner func(k int) float64) {
 	w.minFailover = 1e9
 	for k := range failoverCount {
-		took := die(k)
-		w.minFailover, w.maxFailover = min(w.minFailover, took), max(w.maxFailover, took)
+		seconds := failOwner(k)
+		w.minFailover, w.maxFailover = min(w.minFailover, seconds), max(w.maxFailover, seconds)
 	}
 }
 
-// heapGrowth is what something leaves on the heap, in bytes.
+// heapGrowth returns by how many bytes f grows the live heap.
 func heapGrowth(f func()) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -72,97 +75,97 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-func benchOwn(b *testing.B) (w benchResult) {
+func benchOwn(b *testing.B) (result benchResult) {
 	names := []string{"a", "b", "c", "d", "e"}
-	span := owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}
+	timing := owner.Timing{Lease: 1, Drift: 0.01, Margin: 0.1}
 	voters := map[string]*owner.Voter{}
 	candidates := map[string]*owner.Candidate{}
-	w.heap = heapGrowth(func() {
+	result.heap = heapGrowth(func() {
 		for k, name := range names {
-			voters[name] = owner.NewVoter(name, nil, true, 1, 0, span)
-			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names}, uint64(k), 0, span)
+			voters[name] = owner.NewVoter(name, nil, true, 1, 0, timing)
+			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names}, uint64(k), 0, timing)
 			candidates[name].SetCampaigning(true, 0)
 		}
 	}) / 5
-	at, sent, dead := 0.0, 0, ""
-	run := func(until func() bool) float64 {
-		began := at
-		for ; !until(); at += 0.005 {
+	now, sent, dead := 0.0, 0, ""
+	runUntil := func(done func() bool) float64 {
+		start := now
+		for ; !done(); now += 0.005 {
 			for _, name := range names {
 				if name == dead {
 					continue
 				}
-				candidates[name].Tick(at)
+				candidates[name].Tick(now)
 				for _, m := range candidates[name].Ready() {
 					if m.To == dead {
 						continue
 					}
-					for _, a := range voters[m.To].HandleMessage(m, at) {
+					for _, answer := range voters[m.To].HandleMessage(m, now) {
 						sent += 2
-						if a.To != dead {
-							candidates[a.To].HandleAnswer(a, at)
+						if answer.To != dead {
+							candidates[answer.To].HandleAnswer(answer, now)
 						}
 					}
 				}
 			}
 		}
-		return at - began
+		return now - start
 	}
-	owns := func(not string) string {
+	ownerExcept := func(except string) string {
 		for _, name := range names {
-			if _, _, ok := candidates[name].Owns(at); ok && name != not {
+			if _, _, ok := candidates[name].Owns(now); ok && name != except {
 				return name
 			}
 		}
 		return ""
 	}
-	run(func() bool { return owns("") != "" })
+	runUntil(func() bool { return ownerExcept("") != "" })
 	sent = 0
-	w.messageRate = 1 / run(func() bool { return at > 62 }) * float64(sent)
-	w.timeFailovers(func(k int) float64 {
-		at += float64(k) * 0.037
-		dead = owns("")
-		took := run(func() bool { return owns(dead) != "" })
-		end := at + 2
+	result.messageRate = 1 / runUntil(func() bool { return now > 62 }) * float64(sent)
+	result.timeFailovers(func(k int) float64 {
+		now += float64(k) * 0.037
+		dead = ownerExcept("")
+		took := runUntil(func() bool { return ownerExcept(dead) != "" })
+		end := now + 2
 		dead = ""
-		run(func() bool { return at > end })
+		runUntil(func() bool { return now > end })
 		return took
 	})
-	return w
+	return result
 }
 
-func benchEtcd(b *testing.B) (w benchResult) {
+func benchEtcd(b *testing.B) (result benchResult) {
 	quiet := &eraft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 	stores, nodes := map[uint64]*eraft.MemoryStorage{}, map[uint64]*eraft.RawNode{}
 	var dead uint64
-	w.heap = heapGrowth(func() {
+	result.heap = heapGrowth(func() {
 		for id := uint64(1); id <= 5; id++ {
-			s := eraft.NewMemoryStorage()
-			s.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
+			storage := eraft.NewMemoryStorage()
+			storage.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
 				ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3, 4, 5}}}})
-			n, err := eraft.NewRawNode(&eraft.Config{ID: id, ElectionTick: 20, HeartbeatTick: 5, Storage: s, MaxSizePerMsg: 4096,
+			node, err := eraft.NewRawNode(&eraft.Config{ID: id, ElectionTick: 20, HeartbeatTick: 5, Storage: storage, MaxSizePerMsg: 4096,
 				MaxInflightMsgs: 16, PreVote: true, CheckQuorum: true, Logger: quiet})
 			if err != nil {
 				b.Fatal(err)
 			}
-			stores[id], nodes[id] = s, n
+			stores[id], nodes[id] = storage, node
 		}
 	}) / 5
-	at, sent := 0.0, 0
-	run := func(until func() bool) float64 {
-		began := at
-		for ; !until(); at += 0.05 { // a tick: twenty to an election
+	now, sent := 0.0, 0
+	runUntil := func(done func() bool) float64 {
+		start := now
+		for ; !done(); now += 0.05 { // one tick; an election timeout is 20 ticks
 			for id := uint64(1); id <= 5; id++ {
 				if id != dead {
 					nodes[id].Tick()
 				}
 			}
-			for moved := true; moved; {
-				moved = false
+			for progressed := true; progressed; {
+				progressed = false
 				for id := uint64(1); id <= 5; id++ {
-					if n := nodes[id]; id != dead && n.HasReady() {
-						moved = true
-						ready := n.Ready()
+					if node := nodes[id]; id != dead && node.HasReady() {
+						progressed = true
+						ready := node.Ready()
 						stores[id].Append(ready.Entries)
 						if ready.HardState != nil {
 							stores[id].SetHardState(ready.HardState)
@@ -172,37 +175,37 @@
 								nodes[m.GetTo()].Step(m)
 							}
 						}
-						n.Advance(ready)
+						node.Advance(ready)
 					}
 				}
 			}
 		}
-		return at - began
+		return now - start
 	}
-	leads := func(not uint64) uint64 {
+	leaderExcept := func(except uint64) uint64 {
 		for id := uint64(1); id <= 5; id++ {
-			if id != not && nodes[id].BasicStatus().RaftState == eraft.StateLeader {
+			if id != except && nodes[id].BasicStatus().RaftState == eraft.StateLeader {
 				return id
 			}
 		}
 		return 0
 	}
-	run(func() bool { return leads(0) != 0 })
+	runUntil(func() bool { return leaderExcept(0) != 0 })
 	sent = 0
-	end := at + 60
-	w.messageRate = 1 / run(func() bool { return at > end }) * float64(sent)
-	w.timeFailovers(func(int) float64 {
-		dead = leads(0)
-		took := run(func() bool { return leads(dead) != 0 })
+	end := now + 60
+	result.messageRate = 1 / runUntil(func() bool { return now > end }) * float64(sent)
+	result.timeFailovers(func(int) float64 {
+		dead = leaderExcept(0)
+		took := runUntil(func() bool { return leaderExcept(dead) != 0 })
 		dead = 0
-		end := at + 2
-		run(func() bool { return at > end })
+		end := now + 2
+		runUntil(func() bool { return now > end })
 		return took
 	})
-	return w
+	return result
 }
 
-// countingTransport counts what a node sends, question and answer.
+// countingTransport counts the messages of a node, requests and responses.
 type countingTransport struct {
 	*hraft.InmemTransport
 	sent *atomic.Int64
@@ -213,70 +216,70 @@
 	return c.InmemTransport.AppendEntries(id, to, q, a)
 }
 
-// emptyFSM is a state machine of no state.
+// emptyFSM is a state machine without state.
 type emptyFSM struct{}
 
 func (emptyFSM) Apply(*hraft.Log) any                 { return nil }
 func (emptyFSM) Snapshot() (hraft.FSMSnapshot, error) { return nil, io.EOF }
 func (emptyFSM) Restore(snapshot io.ReadCloser) error { return snapshot.Close() }
 
-func benchHashicorp(b *testing.B) (w benchResult) {
+func benchHashicorp(b *testing.B) (result benchResult) {
 	var sent atomic.Int64
-	var all []hraft.Server
-	var ways []*hraft.InmemTransport
+	var servers []hraft.Server
+	var transports []*hraft.InmemTransport
 	for k := range 5 {
 		address, t := hraft.NewInmemTransport(hraft.ServerAddress(fmt.Sprint("n", k)))
-		all = append(all, hraft.Server{ID: hraft.ServerID(address), Address: address})
-		ways = append(ways, t)
+		servers = append(servers, hraft.Server{ID: hraft.ServerID(address), Address: address})
+		transports = append(transports, t)
 	}
 	connect := func(k int) {
 		for n := range 5 {
-			ways[k].Connect(all[n].Address, ways[n])
-			ways[n].Connect(all[k].Address, ways[k])
+			transports[k].Connect(servers[n].Address, transports[n])
+			transports[n].Connect(servers[k].Address, transports[k])
 		}
 	}
 	for k := range 5 {
 		connect(k)
 	}
 	nodes := make([]*hraft.Raft, 5)
-	w.heap = heapGrowth(func() {
+	result.heap = heapGrowth(func() {
 		for k := range 5 {
 			c := hraft.DefaultConfig()
-			c.LocalID, c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = all[k].ID, time.Second, time.Second, time.Second
+			c.LocalID, c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = servers[k].ID, time.Second, time.Second, time.Second
 			c.Logger = hclog.NewNullLogger()
 			store := hraft.NewInmemStore()
-			n, err := hraft.NewRaft(c, emptyFSM{}, store, store, hraft.NewDiscardSnapshotStore(), countingTransport{ways[k], &sent})
+			n, err := hraft.NewRaft(c, emptyFSM{}, store, store, hraft.NewDiscardSnapshotStore(), countingTransport{transports[k], &sent})
 			if err != nil {
 				b.Fatal(err)
 			}
-			n.BootstrapCluster(hraft.Configuration{Servers: all})
+			n.BootstrapCluster(hraft.Configuration{Servers: servers})
 			nodes[k] = n
 		}
 	}) / 5
-	leads := func(not int) int {
+	leaderExcept := func(except int) int {
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			for k, n := range nodes {
-				if k != not && n.State() == hraft.Leader {
+				if k != except && n.State() == hraft.Leader {
 					return k
 				}
 			}
 		}
-		b.Fatal("nobody leads")
+		b.Fatal("no leader")
 		return 0
 	}
-	leads(-1)
+	leaderExcept(-1)
 	sent.Store(0)
 	time.Sleep(5 * time.Second)
-	w.messageRate = float64(sent.Load()) / 5
-	w.timeFailovers(func(int) float64 {
-		dead := leads(-1)
-		ways[dead].DisconnectAll()
+	result.messageRate = float64(sent.Load()) / 5
+	result.timeFailovers(func(int) float64 {
+		dead := leaderExcept(-1)
+		transports[dead].DisconnectAll()
 		for k := range 5 {
-			ways[k].Disconnect(all[dead].Address)
+			transports[k].Disconnect(servers[dead].Address)
 		}
-		began := time.Now()
-		leads(dead)
-		took := time.Since(began).Seconds()
+		start := time.Now()
+		leaderExcept(dead)
+		took := time.Since(start).Seconds()
 		connect(dead)
 		time.Sleep(2 * time.Second)
 		return took
@@ -284,14 +287,14 @@
 	for _, n := range nodes {
 		n.Shutdown().Error()
 	}
-	return w
+	return result
 }
 
-// binaryKB is the size of a program that has a member, a log and some code, in kilobytes, without symbols.
-func binaryKB(b *testing.B, uses, code string) float64 {
+// binaryKB returns the size in kilobytes of a stripped program that uses a member, a logger and the given code.
+func binaryKB(b *testing.B, importPath, code string) float64 {
 	dir := b.TempDir()
-	file, out := filepath.Join(dir, "main.go"), filepath.Join(dir, "out")
-	text := `package main
+	file, binary := filepath.Join(dir, "main.go"), filepath.Join(dir, "out")
+	source := `package main
 
 import (
 	"context"
@@ -300,7 +303,7 @@
 	"go.uber.org/zap"
 
 	"valveglade/member"
-	"` + uses + `"
+	"` + importPath + `"
 )
 
 var _ = os.Args
@@ -311,13 +314,13 @@
 	` + code + `
 }
 `
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(source), 0o600); err != nil {
 		b.Fatal(err)
 	}
-	if said, err := exec.Command("go", "build", "-ldflags=-s -w", "-o", out, file).CombinedOutput(); err != nil {
-		b.Fatalf("%v: %s", err, said)
+	if output, err := exec.Command("go", "build", "-ldflags=-s -w", "-o", binary, file).CombinedOutput(); err != nil {
+		b.Fatalf("%v: %s", err, output)
 	}
-	info, err := os.Stat(out)
+	info, err := os.Stat(binary)
 	if err != nil {
 		b.Fatal(err)
 	}
