--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -37,7 +37,7 @@
 	Fit    func() error // returns why this process must not campaign now, nil if it may
 	Now    func() time.Time
 	Clock  func() float64  // a monotonic clock in seconds; nil for the system's
-	Others func() []string // the other members in the current view
+	Peers  func() []string // the other members in the current view
 }
 
 // RoleFunc is the function that the owner of a role runs. Its context ends before the lease does; the function then has
@@ -92,8 +92,8 @@
 	if config.Now == nil {
 		config.Now = time.Now
 	}
-	if config.Others == nil {
-		config.Others = func() []string { return nil }
+	if config.Peers == nil {
+		config.Peers = func() []string { return nil }
 	}
 	if config.Fit == nil {
 		config.Fit = func() error { return nil }
--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -161,7 +161,7 @@
 	for {
 		announcement := encodeGrant(grantMessage{kind: announced, role: s.role, from: s.fleet.incarnation.Name,
 			term: term})
-		for _, name := range s.fleet.config.Others() {
+		for _, name := range s.fleet.config.Peers() {
 			s.fleet.transport.Send(name, announcement)
 		}
 		s.observeAllocator(s.fleet.incarnation.Name, term)
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -166,7 +166,7 @@
 	for k, name := range list {
 		p := &port{name: name, network: r.network}
 		f, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{list}, Timing: owner.Timing{Lease: quotaLease, Drift: 0.01, Margin: quotaLease / 10},
-			Others: func() []string { return others }}, p, zap.NewNop())
+			Peers: func() []string { return others }}, p, zap.NewNop())
 		if err != nil {
 			return err
 		}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -115,7 +115,7 @@
 	}
 	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.StateDir,
 		Fit: func() error { return s.checkFitness(fleetMember) },
-		Others: func() []string {
+		Peers: func() []string {
 			var names []string
 			for _, e := range fleetMember.View().Members {
 				if e.Name != c.Name {
