--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -30,14 +30,14 @@
 
 // Config configures the part of this process in elections.
 type Config struct {
-	Name   string     // the name of this process in the membership
-	Voters [][]string // the voters' names, equal on all members; the old and the new list while voters are replaced
-	Timing owner.Timing
-	Folder string       // where a voter persists its votes; empty for no persistence
-	Fit    func() error // returns why this process must not campaign now, nil if it may
-	Now    func() time.Time
-	Clock  func() float64  // a monotonic clock in seconds; nil for the system's
-	Peers  func() []string // the other members in the current view
+	Name          string     // the name of this process in the membership
+	Voters        [][]string // the voters' names, equal on all members; the old and the new list while voters are replaced
+	Timing        owner.Timing
+	Folder        string       // where a voter persists its votes; empty for no persistence
+	CheckEligible func() error // returns why this process must not campaign now, nil if it may
+	Now           func() time.Time
+	Clock         func() float64  // a monotonic clock in seconds; nil for the system's
+	Peers         func() []string // the other members in the current view
 }
 
 // RoleFunc is the function that the owner of a role runs. Its context ends before the lease does; the function then has
@@ -95,8 +95,8 @@
 	if config.Peers == nil {
 		config.Peers = func() []string { return nil }
 	}
-	if config.Fit == nil {
-		config.Fit = func() error { return nil }
+	if config.CheckEligible == nil {
+		config.CheckEligible = func() error { return nil }
 	}
 	f := &Fleet{config: config, transport: transport, log: log,
 		incarnation:      owner.Incarnation{Name: config.Name, ID: rand.Uint64()},
@@ -209,7 +209,7 @@
 // updateRoles advances all candidates to the current time, sends their messages, and starts or stops the roles'
 // functions.
 func (f *Fleet) updateRoles(ctx context.Context, draining bool) {
-	ineligible := f.config.Fit()
+	ineligible := f.config.CheckEligible()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.roles {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -167,7 +167,7 @@
 func (c *testCluster) start(name string) {
 	fit := c.eligible[name]
 	f, err := New(Config{Name: name, Voters: [][]string{voterNames}, Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
-		Fit: func() error {
+		CheckEligible: func() error {
 			if !fit.Load() {
 				return errors.New("not eligible")
 			}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -114,7 +114,7 @@
 		return nil, nil
 	}
 	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.StateDir,
-		Fit: func() error { return s.checkFitness(fleetMember) },
+		CheckEligible: func() error { return s.checkFitness(fleetMember) },
 		Peers: func() []string {
 			var names []string
 			for _, e := range fleetMember.View().Members {
