--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -285,13 +285,13 @@
 
 // ShareHolder is one leaseholder as the allocator knows it.
 type ShareHolder struct {
-	Name  string  `json:"name"`
-	Had   int     `json:"had"` // the most permits that it may hold now
-	Given int     `json:"given"`
-	Wants int     `json:"wants"`
-	Uses  int     `json:"uses"`
-	Left  float64 `json:"left_s"` // until the last of its grants expires
-	Heard float64 `json:"heard_s"`
+	Name         string  `json:"name"`
+	Had          int     `json:"had"` // the most permits that it may hold now
+	Given        int     `json:"given"`
+	Wants        int     `json:"wants"`
+	Uses         int     `json:"uses"`
+	Left         float64 `json:"left_s"` // until the last of its grants expires
+	SinceRequest float64 `json:"heard_s"`
 }
 
 // Shares lists the state of the shares that this process takes part in.
