--- a/cmd/valveglade/fleet.go
+++ b/cmd/valveglade/fleet.go
@@ -82,7 +82,7 @@
 				for _, holder := range share.Holders {
 					fmt.Fprintf(w, "%s\t%s\t\t\t%d\t%d\t%d\t%gs\thas at most %d, asked %gs ago\n",
 						share.Name, holder.Name, holder.Given, holder.Uses, max(holder.Wants-holder.Uses, 0),
-						holder.Left, holder.Had, holder.SinceRequest)
+						holder.Left, holder.MaxHeld, holder.SinceRequest)
 				}
 			}
 			return fleetStatus.Shares
--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -286,7 +286,7 @@
 // ShareHolder is one leaseholder as the allocator knows it.
 type ShareHolder struct {
 	Name         string  `json:"name"`
-	Had          int     `json:"had"` // the most permits that it may hold now
+	MaxHeld      int     `json:"had"` // the most permits that it may hold now
 	Given        int     `json:"given"`
 	Wants        int     `json:"wants"`
 	Uses         int     `json:"uses"`
