--- a/fleet/election_bench_test.go
+++ b/fleet/election_bench_test.go
@@ -25,24 +25,28 @@
 // every quarter of a second. The first two run message by message on a simulated clock, the third in real time on its
 // own goroutines over its in-memory transport. docs/owner.md has the results.
 func BenchmarkElection(b *testing.B) {
-	for _, implementation := range []struct {
+	for _, impl := range []struct {
 		name       string
 		run        func(b *testing.B) benchResult
 		importPath string
 		code       string // uses the package, so that it is linked
 	}{
-		{"own", benchOwn, "valveglade/fleet", `f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
-		{"etcd", benchEtcd, "go.etcd.io/raft/v3", `n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
-		{"hashicorp", benchHashicorp, "github.com/hashicorp/raft", `t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
+		{"own", benchOwn, "valveglade/fleet",
+			`f, _ := fleet.New(fleet.Config{}, m, zap.NewNop()); f.Campaign("o", nil); f.Run(context.Background())`},
+		{"etcd", benchEtcd, "go.etcd.io/raft/v3",
+			`n, _ := raft.NewRawNode(&raft.Config{Storage: raft.NewMemoryStorage()}); n.Tick(); n.Step(nil); n.Advance(n.Ready())`},
+		{"hashicorp", benchHashicorp, "github.com/hashicorp/raft",
+			`t, _ := raft.NewTCPTransport("", nil, 3, 0, os.Stderr); r, _ := raft.NewRaft(nil, nil, nil, nil, nil, t); r.Apply(nil, 0)`},
 	} {
-		b.Run(implementation.name, func(b *testing.B) {
+		b.Run(impl.name, func(b *testing.B) {
 			for range b.N {
-				result := implementation.run(b)
+				result := impl.run(b)
 				b.ReportMetric(result.messageRate, "messages/s")
 				b.ReportMetric(result.minFailover, "least-s")
 				b.ReportMetric(result.maxFailover, "most-s")
 				b.ReportMetric(result.heap/1e3, "heap-kB/node")
-				b.ReportMetric(binaryKB(b, implementation.importPath, implementation.code)-binaryKB(b, "math", "_ = math.Pi"), "binary-kB")
+				b.ReportMetric(binaryKB(b, impl.importPath, impl.code)-
+					binaryKB(b, "math", "_ = math.Pi"), "binary-kB")
 			}
 		})
 	}
@@ -50,7 +54,12 @@
 
 // benchResult is the cost of an implementation while the owner stays, and its times to a new owner after the owner
 // failed.
-type benchResult struct{ messageRate, minFailover, maxFailover, heap float64 }
+type benchResult struct {
+	messageRate float64 // messages per second of all nodes
+	minFailover float64 // seconds
+	maxFailover float64 // seconds
+	heap        float64 // bytes per node
+}
 
 const failoverCount = 10 // measured per implementation
 
@@ -83,7 +92,8 @@
 	result.heap = heapGrowth(func() {
 		for k, name := range names {
 			voters[name] = owner.NewVoter(name, nil, true, 1, 0, timing)
-			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names}, uint64(k), 0, timing)
+			candidates[name] = owner.NewCandidate(owner.Incarnation{Name: name, ID: 1}, "o", [][]string{names},
+				uint64(k), 0, timing)
 			candidates[name].SetCampaigning(true, 0)
 		}
 	}) / 5
@@ -141,9 +151,11 @@
 	result.heap = heapGrowth(func() {
 		for id := uint64(1); id <= 5; id++ {
 			storage := eraft.NewMemoryStorage()
-			storage.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
+			storage.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)),
+				Term:      new(uint64(1)),
 				ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3, 4, 5}}}})
-			node, err := eraft.NewRawNode(&eraft.Config{ID: id, ElectionTick: 20, HeartbeatTick: 5, Storage: storage, MaxSizePerMsg: 4096,
+			node, err := eraft.NewRawNode(&eraft.Config{ID: id, ElectionTick: 20, HeartbeatTick: 5,
+				Storage: storage, MaxSizePerMsg: 4096,
 				MaxInflightMsgs: 16, PreVote: true, CheckQuorum: true, Logger: quiet})
 			if err != nil {
 				b.Fatal(err)
@@ -211,7 +223,8 @@
 	sent *atomic.Int64
 }
 
-func (c countingTransport) AppendEntries(id hraft.ServerID, to hraft.ServerAddress, q *hraft.AppendEntriesRequest, a *hraft.AppendEntriesResponse) error {
+func (c countingTransport) AppendEntries(id hraft.ServerID, to hraft.ServerAddress,
+	q *hraft.AppendEntriesRequest, a *hraft.AppendEntriesResponse) error {
 	c.sent.Add(2)
 	return c.InmemTransport.AppendEntries(id, to, q, a)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -33,11 +33,11 @@
 	Name          string     // the name of this process in the membership
 	Voters        [][]string // the voters' names, equal on all members; the old and the new list while voters are replaced
 	Timing        owner.Timing
-	Folder        string       // where a voter persists its votes; empty for no persistence
-	CheckEligible func() error // returns why this process must not campaign now, nil if it may
-	Now           func() time.Time
-	Clock         func() float64  // a monotonic clock in seconds; nil for the system's
-	Peers         func() []string // the other members in the current view
+	Folder        string           // where a voter persists its votes; empty for no persistence
+	CheckEligible func() error     // returns why this process must not campaign now, nil if it may
+	Now           func() time.Time // the wall clock; nil for the system's
+	Clock         func() float64   // a monotonic clock in seconds; nil for the system's
+	Peers         func() []string  // the other members in the current view
 }
 
 // RoleFunc is the function that the owner of a role runs. Its context ends before the lease does; the function then has
@@ -49,7 +49,7 @@
 	config           Config
 	transport        Transport
 	log              *zap.Logger
-	incarnation      owner.Incarnation
+	incarnation      owner.Incarnation  // of this process, chosen at random
 	candidateAnswers chan owner.Message // answers to the candidates of this process
 	voteRequests     chan owner.Message // requests to the voter of this process
 	wake             chan struct{}      // signaled when the state of a role has changed
@@ -60,7 +60,7 @@
 	roles       map[string]*role
 	rejected    atomic.Int64 // commands of this process rejected for a stale term
 	quotaClient atomic.Pointer[QuotaClient]
-	grants      chan grantMessage
+	grants      chan grantMessage // messages about shares, received and not yet handled
 
 	distribution atomic.Pointer[Distribution]
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -35,25 +35,25 @@
 	name string
 }
 
-func (l fakeTransport) Receive(f func(string, []byte)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.receivers[l.name] = f
+func (t fakeTransport) Receive(f func(string, []byte)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.receivers[t.name] = f
 }
 
-func (l fakeTransport) Send(to string, payload []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.cutLinks[[2]string{l.name, to}] || l.name != to && rand.Float64() < l.loss {
+func (t fakeTransport) Send(to string, payload []byte) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.cutLinks[[2]string{t.name, to}] || t.name != to && rand.Float64() < t.loss {
 		return
 	}
 	for copies := 1 + rand.IntN(5)/4; copies > 0; copies-- {
-		time.AfterFunc(time.Duration(rand.Int64N(int64(l.maxDelay)+1)), func() {
-			l.mu.Lock()
-			receive := l.receivers[to]
-			l.mu.Unlock()
+		time.AfterFunc(time.Duration(rand.Int64N(int64(t.maxDelay)+1)), func() {
+			t.mu.Lock()
+			receive := t.receivers[to]
+			t.mu.Unlock()
 			if receive != nil {
-				receive(l.name, payload)
+				receive(t.name, payload)
 			}
 		})
 	}
@@ -141,9 +141,10 @@
 
 func newTestCluster(t *testing.T, disks bool, lease time.Duration) *testCluster {
 	t.Parallel()
-	c := &testCluster{t: t, lease: lease, network: &fakeNetwork{receivers: map[string]func(string, []byte){}, cutLinks: map[[2]string]bool{}, maxDelay: 5 * time.Millisecond},
-		worker: &commandWorker{fence: NewFence(), active: map[string]uint64{}}, folders: map[string]string{}, stops: map[string]func(){},
-		eligible: map[string]*atomic.Bool{}}
+	c := &testCluster{t: t, lease: lease, network: &fakeNetwork{receivers: map[string]func(string, []byte){},
+		cutLinks: map[[2]string]bool{}, maxDelay: 5 * time.Millisecond},
+		worker:  &commandWorker{fence: NewFence(), active: map[string]uint64{}},
+		folders: map[string]string{}, stops: map[string]func(){}, eligible: map[string]*atomic.Bool{}}
 	for _, name := range voterNames {
 		if disks {
 			c.folders[name] = t.TempDir()
@@ -158,21 +159,24 @@
 		}
 		w := c.worker
 		if w.maxActive > 1 || w.termDecreases > 0 && c.clockSetBack.Load() == 0 || w.commands == 0 {
-			t.Errorf("%d owners at once, %d decreasing terms, %d commands: %v", w.maxActive, w.termDecreases, w.commands, w.terms)
+			t.Errorf("%d owners at once, %d decreasing terms, %d commands: %v",
+				w.maxActive, w.termDecreases, w.commands, w.terms)
 		}
 	})
 	return c
 }
 
 func (c *testCluster) start(name string) {
-	fit := c.eligible[name]
-	f, err := New(Config{Name: name, Voters: [][]string{voterNames}, Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
+	eligible := c.eligible[name]
+	f, err := New(Config{Name: name, Voters: [][]string{voterNames},
+		Timing: owner.Timing{Lease: c.lease.Seconds(), Drift: 0.01, Margin: 0.05}, Folder: c.folders[name],
 		CheckEligible: func() error {
-			if !fit.Load() {
+			if !eligible.Load() {
 				return errors.New("not eligible")
 			}
 			return nil
-		}, Now: func() time.Time { return time.Now().Add(-time.Duration(c.clockSetBack.Load())) }}, fakeTransport{c.network, name}, zap.NewNop())
+		}, Now: func() time.Time { return time.Now().Add(-time.Duration(c.clockSetBack.Load())) }},
+		fakeTransport{c.network, name}, zap.NewNop())
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -248,7 +252,7 @@
 
 // All members restart, with and without persisted votes: there is one owner again, and terms continue above all
 // previous ones.
-func TestAllAgain(t *testing.T) {
+func TestAllRestarted(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprint(disks), func(t *testing.T) {
 			c := newTestCluster(t, disks, 600*time.Millisecond)
@@ -270,7 +274,7 @@
 
 // All members restart without persisted votes after the wall clock was set back: terms start below the previous ones
 // and the worker rejects the commands; the rejections then raise the terms above the previous ones.
-func TestClockWentBack(t *testing.T) {
+func TestClockSetBack(t *testing.T) {
 	c := newTestCluster(t, false, 600*time.Millisecond)
 	c.waitForOwner()
 	for c.worker.commandCount() < 3 {
@@ -281,7 +285,8 @@
 	}
 	before := c.worker.commandCount()
 	c.clockSetBack.Store(int64(time.Hour))
-	c.network = &fakeNetwork{receivers: map[string]func(string, []byte){}} // drops the old messages: they reveal the old terms
+	// Drops the messages in flight: they would reveal the previous terms.
+	c.network = &fakeNetwork{receivers: map[string]func(string, []byte){}}
 	for _, name := range voterNames {
 		c.start(name)
 	}
@@ -355,8 +360,10 @@
 
 // The format of the vote file must not change: an upgraded voter has to find its votes.
 func TestVoteFileBytes(t *testing.T) {
-	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(), Now: func() time.Time { return time.UnixMilli(1796188800000) }}}
-	if err := f.writeVotes(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63}, Until: 1.5}}); err != nil {
+	f := &Fleet{config: Config{Name: "a", Folder: t.TempDir(),
+		Now: func() time.Time { return time.UnixMilli(1796188800000) }}}
+	if err := f.writeVotes(map[string]owner.Vote{"o": {Term: 7, Holder: owner.Incarnation{Name: "b", ID: 1 << 63},
+		Until: 1.5}}); err != nil {
 		t.Fatal(err)
 	}
 	const want = `{"name":"a","wrote_ms":1796188800000,"offices":{"o":{"Term":7,"Holder":{"Name":"b","Birth":9223372036854775808},"Until":1.5}}}`
@@ -367,12 +374,14 @@
 }
 
 // Decoding an encoded message returns the message; truncated and invalid messages are rejected.
-func TestMessages(t *testing.T) {
+func TestVoteMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := owner.Message{Kind: owner.MessageKind(rapid.IntRange(0, 6).Draw(t, "kind")), Role: rapid.StringN(1, 9, 64).Draw(t, "role"),
+		m := owner.Message{Kind: owner.MessageKind(rapid.IntRange(0, 6).Draw(t, "kind")),
+			Role: rapid.StringN(1, 9, 64).Draw(t, "role"),
 			From: owner.Incarnation{Name: rapid.StringN(0, 9, 64).Draw(t, "from"), ID: rapid.Uint64().Draw(t, "birth")},
-			To:   rapid.StringN(0, 9, 64).Draw(t, "to"), Term: rapid.Uint64Range(0, maxTerm).Draw(t, "term"), Round: rapid.Uint64().Draw(t, "round"),
-			Left: rapid.Float64Range(0, 9).Draw(t, "left"), Holder: rapid.StringN(0, 9, 64).Draw(t, "holder")}
+			To:   rapid.StringN(0, 9, 64).Draw(t, "to"), Term: rapid.Uint64Range(0, maxTerm).Draw(t, "term"),
+			Round: rapid.Uint64().Draw(t, "round"),
+			Left:  rapid.Float64Range(0, 9).Draw(t, "left"), Holder: rapid.StringN(0, 9, 64).Draw(t, "holder")}
 		b := encodeVoteMessage(m)
 		if got, err := decodeVoteMessage(b); err != nil || got != m {
 			t.Fatalf("%+v, %v", got, err)
@@ -394,12 +403,16 @@
 			from: rapid.StringN(1, 9, 64).Draw(t, "from"), term: number.Draw(t, "term")}
 		switch m.kind {
 		case requested:
-			m.request = share.Request{Request: owner.Request{Role: m.role, From: owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
-				Number: number.Draw(t, "number"), Term: m.term, Holds: permits.Draw(t, "holds"), Uses: permits.Draw(t, "uses"), Wants: permits.Draw(t, "wants"),
-				Left: rapid.Float64Range(0, 9).Draw(t, "left")}, Criticality: rapid.Float64Range(0, 9).Draw(t, "worth"), RunTime: rapid.Float64Range(0, 9).Draw(t, "took")}
+			m.request = share.Request{Request: owner.Request{Role: m.role,
+				From:   owner.Incarnation{Name: m.from, ID: number.Draw(t, "birth")},
+				Number: number.Draw(t, "number"), Term: m.term, Holds: permits.Draw(t, "holds"),
+				Uses: permits.Draw(t, "uses"), Wants: permits.Draw(t, "wants"),
+				Left: rapid.Float64Range(0, 9).Draw(t, "left")},
+				Criticality: rapid.Float64Range(0, 9).Draw(t, "worth"), RunTime: rapid.Float64Range(0, 9).Draw(t, "took")}
 		case granted:
-			m.answer = owner.Answer{Role: m.role, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")}, Number: number.Draw(t, "number"),
-				Term: m.term, Grants: permits.Draw(t, "grants")}
+			m.answer = owner.Answer{Role: m.role, To: owner.Incarnation{Name: "me", ID: number.Draw(t, "birth")},
+				Number: number.Draw(t, "number"),
+				Term:   m.term, Grants: permits.Draw(t, "grants")}
 		}
 		b := encodeGrant(m)
 		if got, err := decodeGrant(b, "me"); err != nil || got != m {
@@ -428,7 +441,8 @@
 			t.Errorf("%d voters: %v", n, err)
 		}
 	}
-	for _, lists := range [][][]string{nil, {voterNames, voterNames, voterNames}, {{"a", "b", "a"}}, {voterNames, {"a", "b"}}, {{"a", "b", ""}}} {
+	for _, lists := range [][][]string{nil, {voterNames, voterNames, voterNames}, {{"a", "b", "a"}},
+		{voterNames, {"a", "b"}}, {{"a", "b", ""}}} {
 		if _, err := New(Config{Voters: lists}, nil, nil); err == nil {
 			t.Errorf("%v were accepted as lists of voters", lists)
 		}
--- a/fleet/quota.go
+++ b/fleet/quota.go
@@ -50,16 +50,16 @@
 		if err := config.Check(); err != nil {
 			return nil, fmt.Errorf("share %s: %w", config.Name, err)
 		}
-		limit := &sharedLimit{fleet: f, config: config, role: sharePrefix + config.Name}
-		limit.leaseholder = share.NewLeaseholder(f.incarnation, limit.role, config, f.config.Clock())
+		s := &sharedLimit{fleet: f, config: config, role: sharePrefix + config.Name}
+		s.leaseholder = share.NewLeaseholder(f.incarnation, s.role, config, f.config.Clock())
 		for _, method := range config.Methods {
 			if method < 0 || method >= methods || client.shareOfMethod[method] != 0 {
 				return nil, fmt.Errorf("share %s: method %d does not exist or already has a share", config.Name, method)
 			}
 			client.shareOfMethod[method] = index + 1
 		}
-		client.shares = append(client.shares, limit)
-		if err := f.Campaign(limit.role, limit.allocate); err != nil {
+		client.shares = append(client.shares, s)
+		if err := f.Campaign(s.role, s.allocate); err != nil {
 			return nil, err
 		}
 	}
@@ -112,7 +112,7 @@
 // UpdateLimits applies changed limits. It returns an error if anything else about the shares has changed.
 func (c *QuotaClient) UpdateLimits(shares []share.Config) error {
 	if len(shares) != len(c.shares) {
-		return errors.New("other shares stay until the next start")
+		return errors.New("shares were added or removed, which requires a restart")
 	}
 	for index, config := range shares {
 		current := c.shares[index].config
@@ -120,7 +120,7 @@
 			config.Reserved != current.Reserved ||
 			!slices.Equal(config.ReservedMembers, current.ReservedMembers) ||
 			(config.MinLimit > 0) != (current.MinLimit > 0) {
-			return errors.New("other shares, methods or reserved permits stay until the next start")
+			return errors.New("the name, methods or reserved permits of a share changed, which requires a restart")
 		}
 		if err := config.Check(); err != nil {
 			return fmt.Errorf("share %s: %w", config.Name, err)
@@ -277,7 +277,7 @@
 	Waiting   int           `json:"waiting"`
 	Reserved  int           `json:"reserved"`
 	Granted   int           `json:"granted"`
-	Left      float64       `json:"left_s"`
+	Left      float64       `json:"left_s"`          // until the granted permits expire
 	Limit     int           `json:"limit,omitempty"` // this and the fields below are set on the allocator only
 	Settled   bool          `json:"settled,omitempty"`
 	Holders   []ShareHolder `json:"holders,omitempty"`
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -41,8 +41,10 @@
 	if folders {
 		persistent = []string{"n1", "n2", "n3"}
 	}
-	cluster, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"}, Slack: time.Second, Seed: 1, Folders: persistent,
-		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(), "fleet.office o " + worker.Address() + " 10ms"},
+	cluster, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
+		Slack: time.Second, Seed: 1, Folders: persistent,
+		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
+			"fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
@@ -84,7 +86,10 @@
 func (c *roleCluster) owner(except string) string {
 	c.t.Helper()
 	name := ""
-	if _, ok := c.Until(waitTimeout, func() bool { name = c.worker.Owner(200 * time.Millisecond); return name != "" && name != except }); !ok {
+	if _, ok := c.Until(waitTimeout, func() bool {
+		name = c.worker.Owner(200 * time.Millisecond)
+		return name != "" && name != except
+	}); !ok {
 		c.t.Fatalf("no owner other than %q", except)
 	}
 	return name
@@ -119,7 +124,7 @@
 
 // An owner that is paused past the end of its lease has no effect when it resumes: its commands are rejected or never
 // sent, and it steps down.
-func TestSleptOwner(t *testing.T) {
+func TestPausedOwner(t *testing.T) {
 	c := startCluster(t, true)
 	for range 2 {
 		paused := c.owner("")
@@ -127,7 +132,10 @@
 		c.run("0s stop " + paused)
 		c.owner(paused)
 		c.run("0s cont " + paused)
-		if _, ok := c.Until(waitTimeout, func() bool { n, _ := c.History.Lines(paused, "stepped down", from); return n > 0 }); !ok {
+		if _, ok := c.Until(waitTimeout, func() bool {
+			n, _ := c.History.Lines(paused, "stepped down", from)
+			return n > 0
+		}); !ok {
 			t.Errorf("%s does not step down", paused)
 		}
 	}
@@ -135,7 +143,7 @@
 
 // An owner that is partitioned from the majority, or that receives no messages, steps down by itself and another takes
 // over; once it is reconnected, it does not disturb the new owner.
-func TestCutOwner(t *testing.T) {
+func TestPartitionedOwner(t *testing.T) {
 	c := startCluster(t, true)
 	first := c.owner("")
 	c.run("0s cut *>" + first) // it sends, but receives nothing
@@ -159,7 +167,7 @@
 
 // Messages are duplicated, and those of a process that does not vote arrive several terms too late: this neither
 // leads to two owners nor leaves the fleet without one for long.
-func TestLateMessages(t *testing.T) {
+func TestDelayedMessages(t *testing.T) {
 	c := startCluster(t, true)
 	first := c.owner("")
 	c.run("0s double *>* 50%\n0s delay *>* 40ms 40ms\n0s mute n4>* 4s")
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -32,7 +32,8 @@
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
 	c := &shareCluster{t: t, backend: rig.NewBackend(sharedLimit, "lookup")}
 	var err error
-	c.Cluster, err = rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Backend: c.backend,
+	c.Cluster, err = rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1,
+		Backend: c.backend,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
 			"fleet.floor 1 " + strings.Join(names, " ")},
@@ -122,7 +123,7 @@
 
 // The allocator and a leaseholder are paused past the end of their leases and resume: the allocator grants nothing
 // and the leaseholder starts nothing under an expired lease.
-func TestAllocatorSlept(t *testing.T) {
+func TestAllocatorPaused(t *testing.T) {
 	c := newShareCluster(t)
 	first := c.allocator("")
 	holder := "n5" // which does not vote
@@ -137,7 +138,7 @@
 
 // The allocator and one other process are partitioned from the rest: the allocator steps down, both are left with their
 // reserved permits, and the other permits go to the majority.
-func TestAllocatorCut(t *testing.T) {
+func TestAllocatorPartitioned(t *testing.T) {
 	c := newShareCluster(t)
 	first := c.allocator("")
 	var minority, majority []string
@@ -160,7 +161,9 @@
 	c := newShareCluster(t)
 	replaceSetting := func(old, replacement string) {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(settings string) string { return strings.Replace(settings, old, replacement, 1) }); err != nil {
+			if err := c.Amend(name, func(settings string) string {
+				return strings.Replace(settings, old, replacement, 1)
+			}); err != nil {
 				t.Fatal(err)
 			}
 			c.Node(name).Reload()
