--- a/fleet/fence.go
+++ b/fleet/fence.go
@@ -14,7 +14,7 @@
 }
 
 func (e *StaleTermError) Error() string {
-	return fmt.Sprintf("stale term %d, and %d is known", e.Term, e.Known)
+	return fmt.Sprintf("stale term %d: term %d is known", e.Term, e.Known)
 }
 
 // Fence rejects commands with stale terms on behalf of the worker that executes them. It is an owner.Fence that is
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -304,7 +304,7 @@
 			longestLease = max(longestLease, left)
 		}
 		if r.term != 0 {
-			f.stopRole(r, "this app server leaves")
+			f.stopRole(r, "this app server is shutting down")
 			running = append(running, r.done)
 		}
 	}
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -19,7 +19,7 @@
 
 const (
 	lease       = 1500 * time.Millisecond
-	waitTimeout = 40 * time.Second // of a wait for a condition
+	waitTimeout = 40 * time.Second // limits each wait for a condition
 )
 
 // roleCluster is four processes of the program that campaign for one role, three of them voters, and the worker that
