--- a/server/fleet.go
+++ b/server/fleet.go
@@ -114,8 +114,8 @@
 		return nil, nil
 	}
 	roles, err := fleet.New(fleet.Config{Name: c.Name, Voters: settings.Voters, Folder: settings.StateDir,
-		Fit: func() error { return s.checkFitness(fleetMember) },
-		Others: func() []string {
+		CheckEligible: func() error { return s.checkFitness(fleetMember) },
+		Peers: func() []string {
 			var names []string
 			for _, e := range fleetMember.View().Members {
 				if e.Name != c.Name {
