--- a/fleet/distribution.go
+++ b/fleet/distribution.go
@@ -77,8 +77,11 @@
 // distributionTickInterval is the interval between clock ticks of the feed's and the replica's state machines.
 const distributionTickInterval = 50 * time.Millisecond
 
-// Distribute prepares this process's part in the distribution of configuration. Nothing is sent before the returned
-// Distribution's Run. Distribute must be called at most once, before Fleet.Run.
+// Distribute sets up this process's parts of the distribution of configuration; Distribution lists them. If this
+// process is a voter, which keeps a replica of the log, Distribute also registers it as a candidate for the role of the
+// log's leader. Nothing is started before the returned Distribution's Run, and the candidate does not campaign before
+// the replica has opened its files. The opener opens streams to other app servers, to subscribe to the configuration,
+// to fetch snapshots and to pass on changes. Distribute must be called at most once, before Fleet.Run.
 func (f *Fleet) Distribute(cfg DistributionConfig, opener StreamOpener) (*Distribution, error) {
 	if len(cfg.Voters) == 0 {
 		return nil, errors.New("configuration is distributed only where there are voters")
--- a/fleet/distribution_replica.go
+++ b/fleet/distribution_replica.go
@@ -335,9 +335,13 @@
 	return l.compact()
 }
 
-// fetchSnapshot fetches a snapshot for this voter when it is too far behind, and passes the outcome to the loop.
+// fetchSnapshot fetches a snapshot at minVersion or later from another voter and passes the outcome to the loop.
+// processReady starts it in a goroutine when this replica's log lacks entries that the leader, or the voter that a new
+// leader fetches from, no longer keeps. The loop starts no other fetch until it has received the outcome, so the wait
+// before a failure is reported limits the rate of retries.
 func (l *replicaLoop) fetchSnapshot(ctx context.Context, minVersion configlog.Version) {
 	defer l.d.recoverPanic("snapshot")
+	// Both versions are of committed entries. Only one entry is ever committed at an index, so the term adds nothing.
 	state, err := l.d.fetchSnapshot(ctx, func(version configlog.Version) bool { return version.Index >= minVersion.Index })
 	var event any = snapshotFailed{}
 	if err == nil {
--- a/logic/configlog/follower_stream.go
+++ b/logic/configlog/follower_stream.go
@@ -119,6 +119,16 @@
 	return &StaleEntryError{Got: version, Applied: f.version}
 }
 
+// handleWelcome handles a welcome, the distributor's reply to a subscription. Its mode is how the
+// distributor continues:
+//   - WelcomeResume: it sends the entries after the version of the follower's table.
+//   - WelcomeSnapshot: it sends a snapshot in parts, then the entries after that. The snapshot must not be
+//     of a lower term than the highest known one, or of a lower index than the follower's table.
+//   - WelcomeBehind: it is behind the follower, as its own version is below the requested one, and sends
+//     nothing more.
+//
+// WelcomeBehind, which is no error, and a rejected welcome both close the connection. The follower then
+// keeps its table and tries the next distributor after a delay.
 func (f *Follower) handleWelcome(welcome Welcome) error {
 	if f.state != FollowerSubscribing {
 		return f.rejectMalformed("unexpected welcome")
@@ -140,7 +150,7 @@
 		if welcome.Version.Index < f.version.Index {
 			return f.rejectStaleEntry(welcome.Version)
 		}
-		f.stream.snapshot = welcome.Version
+		f.stream.snapshot = welcome.Version // the table's version once all parts have arrived
 		f.setState(FollowerSnapshot)
 		return nil
 	}
--- a/logic/configtable/builder.go
+++ b/logic/configtable/builder.go
@@ -21,7 +21,8 @@
 	table          Table
 }
 
-// OrderError reports an entry or service whose key is not above the previous key.
+// OrderError reports an entry or service whose key is not above the previous key, or an entry that does not
+// belong to the service that was added last.
 type OrderError struct {
 	Service string
 	Name    string // of the entry; empty for a service
@@ -31,8 +32,9 @@
 	return fmt.Sprintf("service %s name %q: out of order: want a key above the previous one", e.Service, e.Name)
 }
 
-// AddService starts a service. Services must be added in order of name. The error is a *ChangeError, an
-// *OrderError, or an *IndexError for a last index of 0.
+// AddService adds the record of a service, which the service's entries follow. Services must be added in
+// ascending order of name. The error is a *ChangeError, an *OrderError, or an *IndexError for a last index
+// of 0.
 func (b *Builder) AddService(service string, lastIndex uint64) error {
 	if err := ValidateService(service); err != nil {
 		return err
@@ -50,8 +52,10 @@
 	return nil
 }
 
-// Add adds an entry, a valid Put, of the service that AddService started last. Entries must be added in order
-// of kind and name. The error is a *ChangeError or an *OrderError.
+// Add adds an entry of the service that was added last. The entries of a service must be added in ascending
+// order of kind, and of name within a kind. The error is a *ChangeError if the entry is invalid or not a Put,
+// and an *OrderError if it belongs to another service or its key is not above the previous key. On an error
+// nothing is added.
 func (b *Builder) Add(entry Change) error {
 	if err := entry.Validate(); err != nil {
 		return err
--- a/member/stream.go
+++ b/member/stream.go
@@ -258,15 +258,19 @@
 	return s, nil
 }
 
-// DialStream opens a stream to the named member at an address, for a process that is no member itself. Local is the
-// local address, nil for any.
+// DialStream opens a stream to a member for a process that is no member itself. The parameter to is the member's name,
+// and address is where it listens. The parameter from is the name that this process gives; the member's end of the
+// stream returns it as Peer. The parameter local is the local address of the connection, nil for any. DialStream
+// returns a *StreamRefusedError if the member rejects the stream, for example because it has another name. The caller
+// closes the stream.
 func DialStream(ctx context.Context, local net.Addr, address netip.AddrPort, from, to string) (*Stream, error) {
 	conn, err := (&net.Dialer{LocalAddr: local}).DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return nil, err
 	}
-	s := &Stream{peer: to, conn: conn, done: func() { /* not counted */ }}
-	conn.SetDeadline(time.Now().Add(streamOpenTimeout))
+	s := &Stream{peer: to, conn: conn, done: func() { /* OutgoingStreams limits only the streams of members */ }}
+	conn.SetDeadline(time.Now().Add(streamOpenTimeout)) // exchangeHello sets its own deadlines, then clears them
+	// The kind tells the member that this connection carries frames, and not gossip or a probe.
 	if _, err := conn.Write(append([]byte(magic), kindStream)); err != nil {
 		conn.Close()
 		return nil, err
@@ -278,7 +282,8 @@
 	return s, nil
 }
 
-// exchangeHello sends the hello and reads its answer.
+// exchangeHello sends the hello and reads its answer. Once the answer has arrived, it clears the connection's
+// deadlines.
 func (s *Stream) exchangeHello(ctx context.Context, from, to string) error {
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
--- a/server/listen.go
+++ b/server/listen.go
@@ -206,8 +206,9 @@
 	return nil, 0, false
 }
 
-// evictExcess evicts idle connections until the descriptors suffice, as after a reload that lowers their
-// number.
+// evictExcess evicts idle connections while there are more connections than the file descriptors allow, for
+// example after a reload has lowered the limit on file descriptors. It stops early when no idle connection is
+// left to evict. Connections that are already being evicted count as closed.
 func (s *Server) evictExcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/monitor.go
+++ b/server/monitor.go
@@ -108,11 +108,16 @@
 	}
 }
 
-// monitorSelf samples the process's state and applies the resulting effects until ctx ends. It restarts when
-// the settings change.
+// monitorSelf samples the process's state until ctx ends, and applies what follows from the samples: the
+// admitted share of each method's RPCs, and the pressure.Effects, such as the factor on the credit and
+// the reported health. When the pressure settings change, it resets both and starts sampling again with the new
+// settings, or waits for the next change if monitoring is off in them. The error is always nil: the server's
+// group requires this result, and an error would end the app server.
 func (s *Server) monitorSelf(ctx context.Context) error {
 	m := s.monitor
 	for {
+		// The settings read below include all changes signalled so far. A later change signals again. The waits
+		// for a change send the signal again when they receive it, so that it is consumed only here.
 		select {
 		case <-m.settingsChanged:
 		default:
@@ -120,13 +125,15 @@
 		settings := m.currentSettings()
 		m.enabled.Store(settings.On)
 		if settings.On {
-			// A panic while sampling does not end the process; the app server goes on as if calm.
+			// A panic while sampling is logged. The effects are then reset, and sampling starts again.
 			s.recoverPanic(func() error {
 				s.sampleUntilChanged(ctx, settings)
 				return nil
 			})
 		}
 		m.reset()
+		// This sets the result limit. The two effects are equal, so it signals no change of health; watchHealth
+		// finds one at its next tick.
 		s.applyEffects(calmEffects, calmEffects)
 		if ctx.Err() != nil {
 			return nil
--- a/server/reject.go
+++ b/server/reject.go
@@ -13,23 +13,27 @@
 // seqTracker tracks the sequence numbers of the RPCs of one connection.
 type seqTracker struct {
 	lastSeq     int32
-	skippedSeqs []seqRange // unused ranges below lastSeq, at most maxSkippedRanges
+	skippedSeqs []seqRange // unused numbers below lastSeq, at most maxSkippedRanges ranges
 }
 
+// seqRange is a range of sequence numbers, both ends included. It is empty if first is above last.
 type seqRange struct{ first, last int32 }
 
 // maxSkippedRanges bounds seqTracker.skippedSeqs. A router's sequence numbers normally rise by one.
 const maxSkippedRanges = 8
 
-// advanceTo records a sequence number above all earlier ones.
-func (t *seqTracker) advanceTo(to int32) {
-	if to > t.lastSeq+1 && len(t.skippedSeqs) < maxSkippedRanges {
-		t.skippedSeqs = append(t.skippedSeqs, seqRange{t.lastSeq + 1, to - 1})
+// advanceTo marks a sequence number above lastSeq as used. The numbers that it skips stay unused, so that
+// they can still be claimed; if maxSkippedRanges are already kept, they count as used.
+func (t *seqTracker) advanceTo(seq int32) {
+	if seq > t.lastSeq+1 && len(t.skippedSeqs) < maxSkippedRanges {
+		t.skippedSeqs = append(t.skippedSeqs, seqRange{t.lastSeq + 1, seq - 1})
 	}
-	t.lastSeq = to
+	t.lastSeq = seq
 }
 
-// claim reports whether a sequence number was unused, and marks it as used.
+// claim reports whether a sequence number was unused, and marks it as used. Claiming a skipped number also
+// gives up the lower numbers of its range: from then on they count as used, too. They were skipped before, and
+// if they arrived now, they would be out of order a second time.
 func (t *seqTracker) claim(seq int32) bool {
 	if seq > t.lastSeq {
 		t.advanceTo(seq)
@@ -37,7 +41,7 @@
 	}
 	for k, skipped := range t.skippedSeqs {
 		if seq >= skipped.first && seq <= skipped.last {
-			t.skippedSeqs[k].first = seq + 1 // lower ones were sent out of order and are given up
+			t.skippedSeqs[k].first = seq + 1 // gives up the lower numbers of the range
 			return true
 		}
 	}
