--- a/logic/calls.go
+++ b/logic/calls.go
@@ -25,8 +25,8 @@
 
 // startCalls starts calls, longest waiting first, within this app server's share of the calls that the
 // dependency withstands; abandoned calls that are still open there count too. The fraction of the share
-// beyond a whole number holds as a mean over every interval of CallsSpan: now and then one more call is
-// started, with a timeout that keeps the mean even if the call is never answered.
+// beyond a whole number holds as a mean over every interval of rpc.Machine.DownstreamCallWindow: now and
+// then one extra call is started, with a timeout that keeps the mean even if the call is never answered.
 func (m *Module) startCalls() {
 	m.lingerEnds = slices.DeleteFunc(m.lingerEnds, func(end float64) bool { return end <= m.now })
 	wholeCalls, fraction := math.Modf(m.Machine.MaxDownstreamCalls)
@@ -109,9 +109,9 @@
 	m.move(i, running)
 }
 
-// extraCallTime is the time in the last CallsSpan during which a call beyond the whole part of the share
-// was open, +Inf while one is. Spacing calls by the mean alone would let an interval that begins with a
-// call exceed the share, and with a slow dependency the whole fleet would do so at once.
+// extraCallTime is the time in the last rpc.Machine.DownstreamCallWindow during which a call beyond the
+// whole part of the share was open, +Inf while one is. Spacing calls by the mean alone would let an interval
+// that begins with a call exceed the share, and with a slow dependency the whole fleet would do so at once.
 func (m *Module) extraCallTime() (sum float64) {
 	windowStart := m.now - m.Machine.DownstreamCallWindow
 	m.extraCalls = slices.DeleteFunc(m.extraCalls, func(call [2]float64) bool { return call[1] <= windowStart })
@@ -126,9 +126,9 @@
 
 // recordCall records the end of a call and adapts the number of calls at a time to the layer below: calls
 // that take three times the best median, or are abandoned, lower the limit, others raise it. The share
-// alone is no good limit: it is what the dependency withstands, but overloaded it slows down and all
-// callers wait. A cut of a twentieth and a growth of a tenth give about three calls at a time while one in
-// twenty takes that long; harder cuts starved the methods that call.
+// alone is not a good limit: the dependency withstands that many calls, but it slows down under them and all
+// callers wait. Lowering the limit by a twentieth and raising it by a tenth of a call gives about three calls
+// at a time while one call in twenty is that slow; larger cuts starved the methods that call.
 func (m *Module) recordCall(req *request, outcome rpc.Outcome) {
 	took, abandoned := m.now-req.callStarted, outcome == rpc.TimedOut
 	if abandoned { // it stays open at the dependency for the linger time
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -10,16 +10,16 @@
 )
 
 // A cold app server cannot know which of its 40 callers will send, and each may: the credit of all of them
-// together must stay within 2*sqrt(N)+2, N being the runs that end within Rules.CrowdSpan, whichever
+// together must stay within 2*sqrt(N)+2, N being the runs that end within Rules.OverloadWindow, whichever
 // callers have been active. Once warm, each caller has a credit of at least 1 again.
 func TestColdCreditSum(t *testing.T) {
-	const callers, span, took = 40, 1.5, 0.3
+	const callers, window, took = 40, 1.5, 0.3
 	h := newHarness(func(c *rpc.Settings) {
 		c.Machine.Cold, c.Machine.Callers, c.Machine.Cores = true, callers, 4
-		c.Rules.OverloadWindow, c.Rules.StartCapacity, c.Rules.RampTime = span, 0.2, 10
+		c.Rules.OverloadWindow, c.Rules.StartCapacity, c.Rules.RampTime = window, 0.2, 10
 	})
 	h.quiet = true
-	bound := 2*math.Sqrt(4*span/took) + 2
+	bound := 2*math.Sqrt(4*window/took) + 2
 	largest := 0.0
 	for i := range 60 {
 		h.arriveFrom(i%4, read, i%3, 0, rpc.RepeatsNone) // three of the forty callers are active
@@ -57,38 +57,38 @@
 
 // coldStart is one cold start under more demand than the server can serve.
 type coldStart struct {
-	callers    int // actual number of callers
-	configured int // number of callers in the settings
-	cores      int
-	first      float64 // requests of mean work that the server can serve in the first interval
-	interval   float64 // fallS
-	coldAt     float64 // startCapacity
-	warmIn     float64 // rampTimeS
-	target     float64
-	eager      bool // callers draw the fraction of their credit for each RPC, not once per run time
+	callers       int // actual number of callers
+	configured    int // number of callers in the settings
+	cores         int
+	first         float64 // requests of mean work that the server can serve in the first window
+	window        float64 // fallS of the config, Rules.OverloadWindow
+	startCapacity float64 // startCapacity of the config
+	rampTime      float64 // rampTimeS of the config
+	target        float64
+	eager         bool // callers draw the fraction of their credit for each RPC, not once per run time
 }
 
 // meanWork is the mean work of an RPC in core seconds.
 func (c coldStart) meanWork() float64 {
-	return float64(c.cores) * c.warmUpFactor(0) * c.interval / c.first
+	return float64(c.cores) * c.warmUpFactor(0) * c.window / c.first
 }
 
 // warmUpFactor is the fraction of the full speed at the given age.
 func (c coldStart) warmUpFactor(age float64) float64 {
-	if c.warmIn <= 0 {
+	if c.rampTime <= 0 {
 		return 1
 	}
-	return min(1, c.coldAt+(1-c.coldAt)*max(age, 0)/c.warmIn)
+	return min(1, c.startCapacity+(1-c.startCapacity)*max(age, 0)/c.rampTime)
 }
 
-// arrivalLimit is the most requests of mean work that the server withstands in the interval that ends at
+// arrivalLimit is the most requests of mean work that the server withstands in the window that ends at
 // the given age.
 func (c coldStart) arrivalLimit(age float64) float64 {
 	const steps, smallCount = 20, 30
 	n := 0.0
 	for k := range steps {
-		n += c.warmUpFactor(age-c.interval*(float64(k)+0.5)/steps) / steps *
-			float64(c.cores) * c.interval / c.meanWork()
+		n += c.warmUpFactor(age-c.window*(float64(k)+0.5)/steps) / steps *
+			float64(c.cores) * c.window / c.meanWork()
 	}
 	if n < smallCount {
 		return n + 3*math.Sqrt(n) + 3
@@ -114,7 +114,8 @@
 		Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: c.target, Deadline: 2 * c.target, Criticality: 1}},
 		Machine: rpc.Machine{Cores: c.cores, Callers: c.configured, Cold: true,
 			Signal: rpc.Allowance, RunFactor: 1, Preemption: rpc.FreezeOnStop},
-		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: c.coldAt, RampTime: c.warmIn, OverloadWindow: c.interval}}
+		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: c.startCapacity, RampTime: c.rampTime,
+			OverloadWindow: c.window}}
 	s := newFakeServer(settings, rng)
 	s.runTime = func(*request) float64 {
 		return work * (0.5 + rng.Float64()) / c.warmUpFactor(s.now-s.startTime)
@@ -147,7 +148,7 @@
 			s.arrive(0, k, 0, 0.0005, s.now+timeLeft, 1)
 		}
 	}
-	duration := max(c.warmIn, c.interval)
+	duration := max(c.rampTime, c.window)
 	var sendAtRandom func(k int)
 	sendAtRandom = func(k int) {
 		send(k)
@@ -166,7 +167,7 @@
 	}
 	windowStart := 0
 	for k, at := range arrivals {
-		for arrivals[windowStart] <= at-c.interval {
+		for arrivals[windowStart] <= at-c.window {
 			windowStart++
 		}
 		if at <= duration {
@@ -183,15 +184,16 @@
 	for _, callers := range []int{1, 3, 8, 24} {
 		for _, first := range []float64{1, 4, 15, 29, 60, 150, 400} {
 			for shape, c := range map[string]coldStart{
-				"plain": {}, "eager": {eager: true}, "short ramp": {warmIn: 0.3},
-				"no ramp": {warmIn: -1}, "long ramp": {warmIn: 20},
-				"full capacity": {coldAt: 1}, "tight target": {target: 0.3}, "one of many": {configured: 3 * callers},
+				"plain": {}, "eager": {eager: true}, "short ramp": {rampTime: 0.3},
+				"no ramp": {rampTime: -1}, "long ramp": {rampTime: 20},
+				"full capacity": {startCapacity: 1}, "tight target": {target: 0.3},
+				"one of many": {configured: 3 * callers},
 				"more than configured": {configured: (callers + 2) / 3},
 			} {
-				c.callers, c.first, c.interval, c.cores = callers, first, 1.5, 2
-				c.configured, c.coldAt = cmp.Or(c.configured, callers), cmp.Or(c.coldAt, 0.2)
-				c.warmIn = cmp.Or(c.warmIn, 8)
-				c.target = max(cmp.Or(c.target, 2), 4*c.meanWork()/c.coldAt)
+				c.callers, c.first, c.window, c.cores = callers, first, 1.5, 2
+				c.configured, c.startCapacity = cmp.Or(c.configured, callers), cmp.Or(c.startCapacity, 0.2)
+				c.rampTime = cmp.Or(c.rampTime, 8)
+				c.target = max(cmp.Or(c.target, 2), 4*c.meanWork()/c.startCapacity)
 				for seed := range uint64(1) {
 					ratio, done := c.run(seed)
 					if ratio > 1 {
--- a/logic/extremes_test.go
+++ b/logic/extremes_test.go
@@ -48,7 +48,8 @@
 		}
 	}
 	c.Rules = rpc.Rules{OverloadFactor: pick(rng, 0, 0.5, 1, 5, 1000), DrainGrace: pick(rng, 0, 0.5, 3600),
-		StartCapacity: pick(rng, 0, 0.2, 1), RampTime: pick(rng, 0, 0.1, 10, 1e6), OverloadWindow: pick(rng, 0, 0.05, 1.5, 1e6)}
+		StartCapacity: pick(rng, 0, 0.2, 1), RampTime: pick(rng, 0, 0.1, 10, 1e6),
+		OverloadWindow: pick(rng, 0, 0.05, 1.5, 1e6)}
 	c.Replicas = pick(rng, 0, 1, 300)
 	c.Ceilings.RetryAfter, c.Ceilings.MaxRetryAfter = rng.IntN(2) == 0, pick(rng, 0, 1, 3600.0)
 	return c
@@ -245,8 +246,8 @@
 	}
 }
 
-// The end of a call beyond the whole part of the share may be reported only after CallsSpan. Its interval
-// is no longer in the list then, and the module must not panic.
+// The end of a call beyond the whole part of the share may be reported only after DownstreamCallWindow. Its
+// interval is no longer in the list then, and the module must not panic.
 func TestCallEndReportedLate(t *testing.T) {
 	h := newHarness(func(c *rpc.Settings) {
 		c.Machine.MaxDownstreamCalls, c.Machine.DownstreamCallWindow, c.Machine.Linger = 0.5, 0.4, 0
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -116,7 +116,7 @@
 		method.Target = max(cmp.Or(max(method.Target, 0), method.Deadline), minTarget)
 		tightest = min(tightest, method.Target)
 	}
-	// As d_t, a quarter of the target is worse in incidents, an eighth in overload.
+	// A d_t of a quarter of the latency target is worse in incidents, one of an eighth is worse in overload.
 	m.targetDelay, m.delayThreshold = tightest/6, tightest/3
 	m.runLimit, m.publishedValue = m.cores(), math.NaN()
 	m.creditPool = m.runLimit * float64(max(settings.Machine.Callers, 1)) * m.warmUpFactor()
@@ -140,8 +140,8 @@
 
 // Arrive records that RPC i has been read. readDelay is the time between its arrival at the machine and the
 // read. isRetry is set for a retry, where callers mark retries; readOnly for an RPC that only reads a known
-// subject. deadline is 0 where callers do not send one. repeatOf is the RPC that this one repeats, rpc.None
-// or rpc.Gone.
+// subject. deadline is 0 where callers do not send one. repeatOf is the RPC that this one repeats,
+// rpc.RepeatsNone or rpc.RepeatsReleased.
 func (m *Module) Arrive(now float64, i, method, caller, tenant int, readDelay float64,
 	isRetry, readOnly bool, deadline, sizeKB float64, repeatOf int) {
 	m.now = now
@@ -179,7 +179,7 @@
 	m.arrivals, m.excessArrivals = m.arrivals+1, m.excessArrivals+1
 	m.move(i, queued)
 	m.creditExhausted = m.creditExhausted || float64(m.callers[caller].outstanding) >= m.credit
-	pastGrace := m.draining && req.arrival > m.shutdownNotice+m.Rules.DrainGrace // rule 3: must not be run
+	pastGrace := m.draining && req.arrival > m.shutdownNotice+m.Rules.DrainGrace // must not be run
 	switch {
 	case repeatOf != rpc.RepeatsNone && (pastGrace || now > req.deadline ||
 		!req.shareable && m.memoryUsed() > m.memoryLimit()):
@@ -251,8 +251,9 @@
 func (m *Module) CallerGone(now float64, i int) {
 	m.now = now
 	if req := &m.rpcs[i]; req.state.pending() && !req.deadlineSent {
-		// Ages within 20% of the estimate confirm it, another age starts a new one. A caller that sent a deadline
-		// teaches nothing: if it cancelled hundreds of RPCs at once, those of all others would be rejected.
+		// An age within 20% of the estimate confirms it, another age starts a new one. RPCs whose caller
+		// sent a deadline do not count: a caller that cancels hundreds of them at once would otherwise get the
+		// RPCs of all other callers rejected.
 		stats, age := &m.methodStats[req.method], now-req.arrival
 		if math.Abs(age-stats.giveUpAge) > 0.2*stats.giveUpAge {
 			stats.giveUpAge, stats.giveUps = age, 0
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -675,14 +675,14 @@
 }
 
 // With a share below one, demand for all of it and calls of all lengths, the use in any interval of
-// CallsSpan must stay within the share, wherever the interval begins, and most of the share must be used.
-// Spacing calls by their mean alone exceeds it.
+// DownstreamCallWindow must stay within the share, wherever the interval begins, and most of the share must
+// be used. Spacing calls by their mean alone exceeds it.
 func Example_shareOverIntervals() {
 	const share = 0.5
 	h := &meter{harness: &harness{now: 100, onlyIdleTimeouts: true}, open: map[int]int{}}
 	c := rpc.Settings{Methods: []rpc.Method{{Kind: rpc.Idempotent, Target: 60, Deadline: 90, Criticality: 1}},
-		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, MaxDownstreamCalls: share, DownstreamCallWindow: 5,
-			Linger: 0.2, Cores: 4, MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
+		Machine: rpc.Machine{Downstream: "one_for_all", CallsDownstream: []bool{true}, MaxDownstreamCalls: share,
+			DownstreamCallWindow: 5, Linger: 0.2, Cores: 4, MemoryKB: 1e6, RunFactor: 1, Signal: rpc.Allowance}}
 	h.m = logic.New(h.now, c, h)
 	next := 0
 	for k := range 6000 {
@@ -735,7 +735,9 @@
 		c.Tenants, c.Replicas, c.OverShareWorth = []rpc.Tenant{{Quota: 1}, {Quota: 1}}, 10, 0.1
 		c.Machine.Cores = 1
 	})
-	arrive := func(i, tenant int) { h.m.Arrive(h.now, i, read, 0, tenant, 0, false, false, 0, 20, rpc.RepeatsNone) }
+	arrive := func(i, tenant int) {
+		h.m.Arrive(h.now, i, read, 0, tenant, 0, false, false, 0, 20, rpc.RepeatsNone)
+	}
 	arrive(0, 1)
 	for i := range 6 {
 		arrive(1+i, 0)
@@ -752,7 +754,9 @@
 // is rejected or another one is rejected for it, and a retry of a tokened RPC is aborted, as the first try
 // may have run.
 func Example_followersFillMemory() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.ResultTTL, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200 })
+	h := newHarness(func(c *rpc.Settings) {
+		c.Machine.ResultTTL, c.Machine.Cores, c.Machine.MemoryKB = 1, 1, 200
+	})
 	h.arrive(0, read)
 	for i := range 6 {
 		h.arriveRepeat(1+i, read, 0)
@@ -788,7 +792,9 @@
 // A layer below that fails calls at once is not fast: only successful calls count as call times, so that a
 // call that would end too late is still skipped.
 func Example_fastFailingCalls() {
-	h := newHarness(func(c *rpc.Settings) { c.Machine.SkipWorth, c.Machine.MaxDownstreamCalls = []float64{0, 0, 0.5}, 9 })
+	h := newHarness(func(c *rpc.Settings) {
+		c.Machine.SkipWorth, c.Machine.MaxDownstreamCalls = []float64{0, 0, 0.5}, 9
+	})
 	for range 4 {
 		h.arrive(0, page)
 		h.m.NeedsCall(h.now, 0)
@@ -827,7 +833,8 @@
 // limit.
 func Example_growingColdFleet() {
 	h := newHarness(func(c *rpc.Settings) {
-		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.StartCapacity, c.Rules.RampTime = true, 4, 2, 0, 4
+		c.Machine.Cold, c.Machine.Cores, c.Rules.OverloadFactor, c.Rules.StartCapacity,
+			c.Rules.RampTime = true, 4, 2, 0, 4
 	})
 	h.printCredit = true
 	for i := range 5 {
--- a/logic/pool.go
+++ b/logic/pool.go
@@ -46,15 +46,16 @@
 	return float64(cmp.Or(active, max(m.Machine.Callers, 1)))
 }
 
-// warmingUp reports whether the app server is warming up, or was within the last Rules.CrowdSpan.
+// warmingUp reports whether the app server is still warming up, or came up less than Rules.OverloadWindow
+// ago.
 func (m *Module) warmingUp() bool {
 	return m.Machine.Cold && m.now-m.started < max(m.Rules.RampTime, m.Rules.OverloadWindow)
 }
 
 // warmUpPool bounds the total credit of all callers, including those that may yet connect, during warm-up.
-// Each RPC that ends lets in the next one, so an interval of Rules.CrowdSpan sees the credit in addition to
-// the N runs that end in it, and only some 2*sqrt(N)+2 arrivals past N are tolerated. A rejected RPC lets
-// in the next one too, at once, so the bound shrinks with the recent arrivals past N.
+// Each RPC that ends lets in the next one, so the arrivals within Rules.OverloadWindow may reach the credit
+// plus N, the runs that end in it, and only some 2*sqrt(N)+2 arrivals past N are tolerated. A rejected RPC
+// lets in the next one too, at once, so the bound shrinks with the recent arrivals past N.
 func (m *Module) warmUpPool() float64 {
 	const prior = 0.2 // weight of the initial sample: one run that takes all cores for the whole interval
 	coreSeconds := m.cores() * m.Rules.OverloadWindow * max(m.warmUpFactor(), 0.01)
