--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -187,7 +187,7 @@
 				"plain": {}, "eager": {eager: true}, "short ramp": {rampTime: 0.3},
 				"no ramp": {rampTime: -1}, "long ramp": {rampTime: 20},
 				"full capacity": {startCapacity: 1}, "tight target": {target: 0.3},
-				"one of many": {configured: 3 * callers},
+				"one of many":          {configured: 3 * callers},
 				"more than configured": {configured: (callers + 2) / 3},
 			} {
 				c.callers, c.first, c.window, c.cores = callers, first, 1.5, 2
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -40,7 +40,7 @@
 		},
 		Machine: rpc.Machine{Downstream: "one_for_all", Callers: 2, CallsDownstream: []bool{false, false, true},
 			MaxDownstreamCalls: 1, DownstreamCallWindow: 5, Linger: 0.2, Cores: 2,
-			Gauges: []string{"heap_share", "on_cores"},
+			Gauges:  []string{"heap_share", "on_cores"},
 			EntryKB: 10, KeepAlive: 30,
 			MemoryKB: 4000, RunFactor: 4, Preemption: rpc.FreezeOnStop, Signal: rpc.Allowance},
 		Rules: rpc.Rules{OverloadFactor: 5, DrainGrace: 1, StartCapacity: 0.2, RampTime: 10},
