--- a/gate/gate.go
+++ b/gate/gate.go
@@ -18,7 +18,7 @@
 	generation uint32
 }
 
-// state is the state of a slot towards the caller of its RPC. Only setState changes it.
+// state tells whether a slot is in use and whether the caller of its RPC still gets a reply. Only setState changes it.
 type state uint8
 
 const (
@@ -81,7 +81,8 @@
 		digestSeed: maphash.MakeSeed(), tokens: newTable(resultLimit), credit: -1,
 		idleTimeout: settings.Machine.KeepAlive, ready: make(chan struct{}, 1), changed: make(chan struct{}, 1)}
 	g.module = logic.New(now, settings, (*actions[T])(g))
-	// Callers that read the credit now may use it once the machine is up, and the machine may be cold then.
+	// Callers may use the credit published now only once the machine is up. As it may be cold then, the credit is
+	// that of a cold machine.
 	g.module.Boot(now, math.Inf(1), true)
 	return g
 }
@@ -120,8 +121,8 @@
 	return g.now
 }
 
-// maxClockSkew bounds by how many seconds an arrival time may lie ahead of the clock. A time further ahead was not
-// written by this machine's clock, and its token would be kept for as long.
+// maxClockSkew bounds, in seconds, how far an arrival time may lie ahead of the clock. A time further ahead does not
+// come from this machine's clock, and the RPC's token would be kept longer by that difference.
 const maxClockSkew = 60.0
 
 // Arrive adds an RPC that has been read. arrivedAt is when it came to the machine, deadline when its caller gives up;
--- a/gate/tokens.go
+++ b/gate/tokens.go
@@ -31,8 +31,8 @@
 const unknownMemoryKB = 1e12
 
 // limitTokens raises the memory that a token counts for, so that the tokens that the module allows, which fill half of
-// the machine's memory, fit into the given bytes of this process. Without it the process could run out of memory: at
-// some sites a token costs the machine nothing, and its window is days.
+// the machine's memory, fit into the given bytes of this process. Otherwise the process could run out of memory: in
+// some deployments a token counts for no memory of the machine, and is kept for days.
 func limitTokens(m *rpc.Machine, bytes int) {
 	if m.MemoryKB <= 0 {
 		m.MemoryKB = unknownMemoryKB
