--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -186,7 +186,8 @@
 // All processes restart at once, and find each other without stored state.
 func TestRestartAll(t *testing.T) {
 	s, names := startCluster(t)
-	run(t, s, "0s kill n1\n0s kill n2\n0s kill n3\n0s kill n4\n0s kill n5\n10ms start n1\n10ms start n2\n10ms start n3\n10ms start n4\n10ms start n5")
+	run(t, s, "0s kill n1\n0s kill n2\n0s kill n3\n0s kill n4\n0s kill n5\n"+
+		"10ms start n1\n10ms start n2\n10ms start n3\n10ms start n4\n10ms start n5")
 	waitConverged(t, s, 5, names)
 }
 
--- a/member/packet.go
+++ b/member/packet.go
@@ -142,7 +142,8 @@
 // never confuses the two.
 func nodeName(name string, nonce uint32) string { return fmt.Sprintf("%s~%08x", name, nonce) }
 
-// Payload of the answer to a gossip probe: "VE", format, version and digest of the view.
+// viewDigestMagic begins the payload of the answer to a gossip probe: "VE" and the format, then the version and the
+// digest of the view.
 const viewDigestMagic = "VE\x01"
 
 func appendViewDigest(out []byte, v *view.View) []byte {
@@ -172,7 +173,7 @@
 	return from, to, r.b, !r.truncated
 }
 
-// The notice to an older incarnation: the newer incarnation, and its name.
+// appendNewerIncarnation encodes the notice to an older incarnation: the newer incarnation, and its name.
 func appendNewerIncarnation(out []byte, e view.Entry) []byte {
 	return appendText(appendIncarnation(out, e.Incarnation), e.Name)
 }
--- a/member/wire.go
+++ b/member/wire.go
@@ -27,11 +27,12 @@
 	onMessage func(from, to string, message []byte)
 	onProbe   func(name string) (view.Entry, bool) // returns our entry, and whether name is ours
 
-	transport        atomic.Pointer[transport] // the current run's, nil for none
-	lastHeartbeat    atomic.Int64              // time of the last pass of the member's loop, in nanoseconds since epoch
-	maySuspect       atomic.Bool               // result of view.Machine.MaySuspect at that time
-	lagThreshold     time.Duration             // lateness from which suspicions are not sent
-	rebuildThreshold time.Duration             // lateness from which gossip is neither sent nor accepted, nor messages sent
+	transport     atomic.Pointer[transport] // the current run's, nil for none
+	lastHeartbeat atomic.Int64              // time of the last pass of the member's loop, in nanoseconds since epoch
+	maySuspect    atomic.Bool               // result of view.Machine.MaySuspect at that time
+	lagThreshold  time.Duration             // lateness from which suspicions are not sent
+	// rebuildThreshold is the lateness from which gossip is neither sent nor accepted, nor messages sent.
+	rebuildThreshold time.Duration
 
 	dropCounts      [causeCount]atomic.Int64
 	sent            traffic
