--- a/server/fleet.go
+++ b/server/fleet.go
@@ -45,8 +45,9 @@
 	viewConfig := view.Defaults()
 	viewConfig.HoldTime, viewConfig.ForgetTime = settings.HoldTime, settings.ForgetTime
 	fleetMember, err := member.New(member.Config{Name: c.Name, Zone: settings.Zone, Listen: settings.Listen,
-		Advertise: settings.Advertise, Join: settings.Join, Allow: settings.Allow, ProbeInterval: seconds(settings.ProbeInterval),
-		Socket: settings.Socket, MaxIncomingStreams: incomingStreams(settings, c), View: viewConfig}, s.log)
+		Advertise: settings.Advertise, Join: settings.Join, Allow: settings.Allow,
+		ProbeInterval: seconds(settings.ProbeInterval), Socket: settings.Socket,
+		MaxIncomingStreams: incomingStreams(settings, c), View: viewConfig}, s.log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -102,8 +103,8 @@
 	}
 }
 
-// leaseMarginShare is the share of a lease that an owner gives up at its end, on top of clock drift: its work
-// has to return in that time.
+// leaseMarginShare is the share of a lease, at its end, in which its owner no longer uses it, on top of the
+// allowance for clock drift: the owner's work has to return in that time.
 const leaseMarginShare = 0.1
 
 // campaignForRoles makes this app server vote and campaign for the roles in the settings. It returns nil if
@@ -204,8 +205,8 @@
 		Level: uint8(s.monitor.level.Load())}
 }
 
-// applyFleetSettings reports whether the fleet settings differ from those last read. Only limits of shares
-// take effect at once; the rest needs a restart.
+// applyFleetSettings applies changed limits of shares and reports whether the fleet settings differ from those
+// last read. Other changes need a restart.
 func (s *Server) applyFleetSettings(settings *config.Settings) (changed bool) {
 	if reflect.DeepEqual(settings.Fleet, s.fleetSettingsRead) {
 		return false
--- a/server/listen.go
+++ b/server/listen.go
@@ -26,8 +26,8 @@
 	// silent. Routers connect when they have something to send, but this process may be descheduled for a
 	// tenth of a second.
 	firstMessageTimeout = 250 * time.Millisecond
-	// closeWait bounds the wait for a descriptor to be closed: that takes microseconds, and accepting without
-	// it exceeds the limit.
+	// closeWait bounds the wait for a descriptor to be closed, which takes microseconds. Accepting without the
+	// wait would exceed the descriptor limit.
 	closeWait = 5 * time.Millisecond
 	// maxEvicting is how many of the reserved descriptors may belong to connections that are still being
 	// evicted.
@@ -58,7 +58,7 @@
 			s.acceptQueued(ctx, listener)
 			return nil
 		case errors.Is(err, net.ErrClosed):
-			// No connection could come in any more, so the app server must not go on and look healthy.
+			// No connection could be accepted any more, so the app server must not keep running and look healthy.
 			return fmt.Errorf("accept: %w", err)
 		default:
 			if short := s.handleAcceptError(err); short && emergency.held {
@@ -99,8 +99,8 @@
 	}
 }
 
-// admit serves a new connection or rejects it at once: behind it there may be hundreds of silent connections,
-// and then one of a working router.
+// admit serves a new connection or rejects it at once, without waiting: in the listener's queue there may be
+// hundreds of silent connections ahead of one from a working router.
 func (s *Server) admit(ctx context.Context, netConn net.Conn) {
 	rejection := ""
 	switch {
@@ -164,8 +164,8 @@
 }
 
 // freeCapacity reports whether there is capacity for another connection, after evicting one if there was
-// none. A connection with unread input stays until that is answered, and the new connection does not wait for
-// it: the reserved descriptors cover a few of those.
+// none. An evicted connection with unread input stays open until that is answered, and the new connection does
+// not wait for it: the reserved descriptors cover a few such connections.
 func (s *Server) freeCapacity() bool {
 	for range maxEvicting {
 		victim, evicting, ok := s.evictOne()
@@ -249,7 +249,7 @@
 	return cmp.Or(halfClosed.conn, silent.conn, longestIdle.conn, stalled.conn, young.conn), evicting
 }
 
-// earlier returns whichever of the two connections has been idle for longer; than may be empty.
+// earlier returns whichever of the two connections has been idle for longer; other may be empty.
 func (q idleConn) earlier(other idleConn) idleConn {
 	if other.conn == nil || q.since.Before(other.since) {
 		return q
--- a/server/loops.go
+++ b/server/loops.go
@@ -13,7 +13,7 @@
 	"valveglade/rpc"
 )
 
-// dispatch performs the jobs that the gate picks.
+// dispatch performs the gate's jobs in their order.
 func (s *Server) dispatch(ctx context.Context) error {
 	for {
 		job, err := s.gate.NextJob(ctx)
@@ -87,7 +87,7 @@
 	}
 }
 
-// watchHealth logs the gate's notes and changes of health, and closes idle connections.
+// watchHealth logs the gate's messages and changes of health, and closes idle connections.
 func (s *Server) watchHealth(ctx context.Context) error {
 	idleTicker := time.NewTicker(s.idleCheckInterval)
 	defer idleTicker.Stop()
@@ -105,8 +105,8 @@
 		case <-s.healthChanged:
 		}
 		s.recoverPanic(func() error {
-			for _, note := range s.gate.TakeMessages() {
-				s.log.Info(note)
+			for _, message := range s.gate.TakeMessages() {
+				s.log.Info(message)
 			}
 			if now := s.healthy(); now != healthy {
 				healthy = now
--- a/server/monitor.go
+++ b/server/monitor.go
@@ -44,7 +44,8 @@
 const fullShare = 1 << 16
 
 // calmEffects is in force while there is no pressure.
-var calmEffects = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1, Healthy: true}
+var calmEffects = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1,
+	Healthy: true}
 
 func newMonitor(c *config.Config, settings *config.Settings) *monitor {
 	methodCount := len(c.Methods)
@@ -63,7 +64,8 @@
 func (m *monitor) updateSettings(settings *config.Settings) bool {
 	m.settingsMu.Lock()
 	defer m.settingsMu.Unlock()
-	if settings.Pressure.On == m.settings.Pressure.On && settings.Pressure.ReadInterval == m.settings.Pressure.ReadInterval &&
+	if settings.Pressure.On == m.settings.Pressure.On &&
+		settings.Pressure.ReadInterval == m.settings.Pressure.ReadInterval &&
 		samePressureConfig(settings.Pressure.Config, m.settings.Pressure.Config) {
 		return false
 	}
@@ -219,7 +221,8 @@
 }
 
 // addOwnSignals adds the signals that are measured inside this process.
-func (s *Server) addOwnSignals(reading *pressure.Reading, readDelay *pressure.ReadDelayEstimator, now float64, stepped bool) {
+func (s *Server) addOwnSignals(reading *pressure.Reading, readDelay *pressure.ReadDelayEstimator, now float64,
+	stepped bool) {
 	m, c := s.monitor, s.config.Load()
 	reading[pressure.LoopDelay] = time.Duration(m.maxTimerDelay.Swap(0)).Seconds()
 	lockStart := time.Now()
@@ -256,8 +259,9 @@
 	if until := watch.TimeToMemoryLimit(); !math.IsInf(until, 1) {
 		fields = append(fields, zap.Float64("limit_in_s", math.Round(until)))
 	}
-	fields = append(fields, zap.Float64("credit", math.Round(effects.CreditFactor*1e3)/1e3), zap.Int("turn", effects.MaxTurn),
-		zap.Bool("accepts", effects.Accept), zap.Float64("results_kept", effects.ResultFactor),
+	fields = append(fields, zap.Float64("credit", math.Round(effects.CreditFactor*1e3)/1e3),
+		zap.Int("turn", effects.MaxTurn), zap.Bool("accepts", effects.Accept),
+		zap.Float64("results_kept", effects.ResultFactor),
 		zap.Bool("healthy", effects.Healthy), zap.Uint64("refused", s.monitor.rejected.Load()))
 	if watch.Level() > previous {
 		s.log.Warn("pressure", fields...)
--- a/server/monitor_test.go
+++ b/server/monitor_test.go
@@ -38,8 +38,8 @@
 	r.printReplies(1)
 	r.execute(2, "op", "record", "dedupe", "b")
 	h.printKernelCommand()
-	h.forceEffects(pressure.Effects{CreditFactor: 0.5, Accept: true, MaxFrameBytes: 1 << 20, ResultFactor: 1, Healthy: true, RetryAfter: 0.25},
-		0, 0)
+	h.forceEffects(pressure.Effects{CreditFactor: 0.5, Accept: true, MaxFrameBytes: 1 << 20, ResultFactor: 1,
+		Healthy: true, RetryAfter: 0.25}, 0, 0)
 	r.execute(3)
 	r.execute(4, "op", "record", "dedupe", "c")
 	r.execute(5, "op", "record", "dedupe", "a")
@@ -77,7 +77,8 @@
 	h.printKernelCommand()
 	h.endRun(1, "fine", "one")
 	r.printReplies(1)
-	h.forceEffects(pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: 1200, ResultFactor: 1, Healthy: true}, 1, 1)
+	h.forceEffects(pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: 1200, ResultFactor: 1,
+		Healthy: true}, 1, 1)
 	head, tail := r.splitExecute(2, strings.Repeat("b", 2000))
 	fmt.Fprint(r, head)
 	r.printReplies(1) // before its end has been sent
--- a/server/rpcs.go
+++ b/server/rpcs.go
@@ -84,11 +84,11 @@
 	c.pushBack(seq, false)
 }
 
-// pushBack rejects an RPC that never ran, with the longest retry-after delay that callers observe. last asks
-// that no other app server be tried.
-func (c *conn) pushBack(seq int32, last bool) {
+// pushBack rejects an RPC that never ran, with the longest retry-after delay that callers observe. noRetry asks
+// callers to try no other app server.
+func (c *conn) pushBack(seq int32, noRetry bool) {
 	after := c.config.Load().Rules.MaxRetryAfter()
-	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, last, after, load) })
+	c.send(func(out []byte, load float64) []byte { return thrift.PushedBack(out, seq, noRetry, after, load) })
 }
 
 // logUnserved logs each method whose RPCs are all rejected because it may call the layer below.
--- a/server/server.go
+++ b/server/server.go
@@ -134,8 +134,8 @@
 	}
 	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	// A drain starts when ctx ends, or when a goroutine fails without which nobody would be served. Either
-	// way all that has been read is answered first.
+	// A drain starts when ctx ends, or when a goroutine fails that serving RPCs depends on. In both cases
+	// everything that has been read is answered first.
 	ctx, startDrain := context.WithCancelCause(ctx)
 	defer startDrain(nil)
 	var runCtx context.Context
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -89,8 +89,8 @@
 // closed.
 func (c *conn) shutDown() { c.shutDownFrom(phaseClosing) }
 
-// shutDownNow is shutDown without the time to process what has arrived: it is rejected. The connection waits
-// at most finalReadTimeout for a reader that is not scheduled.
+// shutDownNow is like shutDown, but rejects the input that is buffered or unread instead of processing it. The
+// connection waits at most finalReadTimeout for a reader that is not scheduled.
 func (c *conn) shutDownNow() {
 	c.shutDownFrom(phaseEnding)
 	c.mu.Lock()
@@ -130,8 +130,8 @@
 var errConnShut = errors.New("shut")
 
 // fill reads more input. It shuts an idle closing connection here, after a non-blocking read has found
-// nothing unread. Otherwise the shutdown could pass over an RPC that has been unread for long, as when this
-// process is descheduled: a router resends only what crosses the shutdown within an instant.
+// nothing unread. Otherwise the shutdown could discard an RPC that arrived long before, as when this process
+// was descheduled: a router resends an RPC only if it crosses the shutdown within an instant.
 func (c *conn) fill(in *readbuffer.Buffer) error {
 	if !c.readyToShut() {
 		return in.Fill(c)
