--- a/server/clock_test.go
+++ b/server/clock_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math"
+	"runtime"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -283,6 +284,7 @@
 			t.Errorf("settings of %g: state is %v, want cold", value, state)
 		}
 		h.close()
+		runtime.KeepAlive(r) // an unreachable client connection is closed by the garbage collector
 	}
 }
 
