--- a/fleet/distribution_test.go
+++ b/fleet/distribution_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"math/rand/v2"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -65,11 +66,17 @@
 func (f *configFleet) add(name string, cfg DistributionConfig) {
 	cfg.Name, cfg.Voters, cfg.Folder = name, [][]string{configVoters}, f.t.TempDir()
 	cfg.BytesPerSecond, cfg.StaleAfter = 1<<20, 6
-	n := &configNode{name: name, cfg: cfg, folder: cfg.Folder, address: netip.MustParseAddrPort("127.0.0.1:0")}
+	n := &configNode{name: name, cfg: cfg, folder: cfg.Folder, address: netip.AddrPortFrom(loopbackHost(), 0)}
 	f.nodes[name] = n
 	f.start(name)
 }
 
+// loopbackHost returns a random loopback address other than 127.0.0.1, so that sockets opened elsewhere with port 0 cannot
+// take the port of a stopped node.
+func loopbackHost() netip.Addr {
+	return netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(254)), byte(rand.IntN(256)), byte(1 + rand.IntN(254))})
+}
+
 // start runs a node, after a stop at its previous address.
 func (f *configFleet) start(name string) {
 	f.t.Helper()
