--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -212,7 +212,7 @@
 		r.Node(name).Reload()
 	}
 	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
-	r.backend.Limit(to)
+	r.backend.SetLimit(to)
 	r.backend.Used()
 	time.Sleep(time.Second)
 	p.atLeast("used.lowered", r.backend.Used()/to, 0.8)
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -177,12 +177,12 @@
 	}); !ok {
 		t.Error("the lower limit was not applied")
 	}
-	c.backend.Limit(7)
+	c.backend.SetLimit(7)
 	c.waitForUse(0.85 * 7 / sharedLimit)
 	if n := c.backend.Over(); n > 0 {
 		t.Errorf("the lower limit was exceeded by %d", n)
 	}
-	c.backend.Limit(sharedLimit)
+	c.backend.SetLimit(sharedLimit)
 	replaceSetting("fleet.share s 7 ", "fleet.share s 12 ")
 	c.waitForUse(0.9)
 }
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -50,8 +50,8 @@
 	b.last = now
 }
 
-// Limit changes it, and begins to count anew what passes it.
-func (b *Backend) Limit(limit int) {
+// SetLimit changes it, and begins to count anew what passes it.
+func (b *Backend) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit, b.most = limit, b.now-limit
