--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -281,7 +281,7 @@
 		r.load(ctx, p, time.Minute, func(string) float64 { return 1.4 * sharedRate / sharedOn })
 	})
 	for k, bears := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
-		r.backend.Bears(bears)
+		r.backend.SetCapacity(bears)
 		time.Sleep(p.span([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
 		sum, n := 0.0, 0.0                                              // it goes up and down about what is right: the mean over some seconds
 		for end := time.Now().Add(p.span(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -57,8 +57,8 @@
 	b.limit, b.most = limit, b.now-limit
 }
 
-// Bears has everything take longer past so many runs at once, as many times as there are more.
-func (b *Backend) Bears(runs int) {
+// SetCapacity has everything take longer past so many runs at once, as many times as there are more.
+func (b *Backend) SetCapacity(runs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bears = runs
