--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -103,7 +103,7 @@
 	t.on.startPhase("faults")
 	endCompared()
 	t.failHolders(t.changeAllocators())
-	p.exactly("over.limit", float64(t.on.backend.Over()), 0)
+	p.exactly("over.limit", float64(t.on.backend.MaxExcess()), 0)
 	p.exactly("over.limit.lowered", float64(t.on.lower(p)), 0)
 	stop()
 	loads.Wait()
@@ -187,8 +187,8 @@
 
 // compare compares what was served under an allocator with the baselines.
 func (t *shareTrial) compare() {
-	t.atLeast("over.limit.off", float64(t.off.backend.Over()), 1)
-	t.exactly("over.limit.even", float64(t.even.backend.Over()), 0)
+	t.atLeast("over.limit.off", float64(t.off.backend.MaxExcess()), 1)
+	t.exactly("over.limit.even", float64(t.even.backend.MaxExcess()), 0)
 	for _, phase := range []string{"skewed", "full"} {
 		t.inform("best."+phase, t.on.bestShare(phase))
 		t.atLeast("criticality.ok."+phase, t.on.servedShare(phase)/t.on.bestShare(phase), 0.9)
@@ -216,7 +216,7 @@
 	r.backend.Used()
 	time.Sleep(time.Second)
 	p.atLeast("used.lowered", r.backend.Used()/to, 0.8)
-	return r.backend.Over()
+	return r.backend.MaxExcess()
 }
 
 // playShareForty is the experiment on few permits among many: each of forty processes has its turn.
@@ -247,7 +247,7 @@
 	time.Sleep(length / 2)
 	p.atLeast("used.steady", r.backend.Used()/few, 0.7)
 	load.Wait()
-	p.exactly("over.limit", float64(r.backend.Over()), 0)
+	p.exactly("over.limit", float64(r.backend.MaxExcess()), 0)
 	starved := 0
 	for _, name := range r.Names() {
 		served := 0.0
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -98,6 +98,6 @@
 	starts.Wait()
 	t.on.startPhase("again")
 	t.on.load(context.Background(), t.play, 4*time.Second, t.demand.of)
-	t.exactly("over.limit.restarted", float64(t.on.backend.Over()), 0)
+	t.exactly("over.limit.restarted", float64(t.on.backend.MaxExcess()), 0)
 	t.inform("served.restarted", t.on.servedShare("again"))
 }
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -58,7 +58,7 @@
 	t.Cleanup(func() {
 		stop()
 		loads.Wait()
-		if exceeded := c.backend.Over(); exceeded > 0 {
+		if exceeded := c.backend.MaxExcess(); exceeded > 0 {
 			t.Errorf("the limit was exceeded by %d", exceeded)
 		}
 		c.Check.Finish()
@@ -179,7 +179,7 @@
 	}
 	c.backend.SetLimit(7)
 	c.waitForUse(0.85 * 7 / sharedLimit)
-	if n := c.backend.Over(); n > 0 {
+	if n := c.backend.MaxExcess(); n > 0 {
 		t.Errorf("the lower limit was exceeded by %d", n)
 	}
 	c.backend.SetLimit(sharedLimit)
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -77,8 +77,8 @@
 	return max(1, float64(b.now)/float64(b.bears))
 }
 
-// Over is by how many runs the limit was passed at the most; 0 if never.
-func (b *Backend) Over() int {
+// MaxExcess is by how many runs the limit was passed at the most; 0 if never.
+func (b *Backend) MaxExcess() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.most, 0)
