--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -176,9 +176,9 @@
 	time.Sleep(time.Second)
 	t.on.backend.Used()
 	t.even.backend.Used()
-	packets, runs, began := t.on.packets(), t.on.backend.Runs(), time.Now()
+	packets, runs, began := t.on.packets(), t.on.backend.StartedRuns(), time.Now()
 	time.Sleep(3 * time.Second)
-	packets, runs = t.on.packets()-packets, t.on.backend.Runs()-runs
+	packets, runs = t.on.packets()-packets, t.on.backend.StartedRuns()-runs
 	t.inform("packets.s", packets/time.Since(began).Seconds()/sharedOn)
 	t.inform("packets.a.run", packets/float64(runs))
 	t.atLeast("used.steady", t.on.backend.Used()/sharedLimit, 0.9)
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -84,8 +84,8 @@
 	return max(b.most, 0)
 }
 
-// Runs is how many have begun.
-func (b *Backend) Runs() int {
+// StartedRuns is how many have begun.
+func (b *Backend) StartedRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs
