--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -159,7 +159,7 @@
 		began := time.Now()
 		took := math.Inf(1)
 		for time.Since(began) < 2*time.Second {
-			if _, n := t.on.backend.Now(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
+			if _, n := t.on.backend.RunningCount(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
 				took = time.Since(began).Seconds()
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -91,8 +91,8 @@
 	return b.runs
 }
 
-// Now is how many run, in all and of one app server.
-func (b *Backend) Now(server string) (all, one int) {
+// RunningCount is how many run, in all and of one app server.
+func (b *Backend) RunningCount(server string) (all, one int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.now, b.by[server]
