--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -174,15 +174,15 @@
 	t.enter("full")
 	t.demand.set("", 1.5*sharedRate)
 	time.Sleep(time.Second)
-	t.on.backend.Used()
-	t.even.backend.Used()
+	t.on.backend.MeanRunning()
+	t.even.backend.MeanRunning()
 	packets, runs, began := t.on.packets(), t.on.backend.StartedRuns(), time.Now()
 	time.Sleep(3 * time.Second)
 	packets, runs = t.on.packets()-packets, t.on.backend.StartedRuns()-runs
 	t.inform("packets.s", packets/time.Since(began).Seconds()/sharedOn)
 	t.inform("packets.a.run", packets/float64(runs))
-	t.atLeast("used.steady", t.on.backend.Used()/sharedLimit, 0.9)
-	t.inform("used.steady.even", t.even.backend.Used()/sharedLimit)
+	t.atLeast("used.steady", t.on.backend.MeanRunning()/sharedLimit, 0.9)
+	t.inform("used.steady.even", t.even.backend.MeanRunning()/sharedLimit)
 }
 
 // compare compares what was served under an allocator with the baselines.
@@ -213,9 +213,9 @@
 	}
 	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
 	r.backend.SetLimit(to)
-	r.backend.Used()
+	r.backend.MeanRunning()
 	time.Sleep(time.Second)
-	p.atLeast("used.lowered", r.backend.Used()/to, 0.8)
+	p.atLeast("used.lowered", r.backend.MeanRunning()/to, 0.8)
 	return r.backend.MaxExcess()
 }
 
@@ -243,9 +243,9 @@
 		r.load(context.Background(), p, length, func(string) float64 { return 4 * few / sharedWork / 0.85 / many })
 	})
 	time.Sleep(length / 4)
-	r.backend.Used()
+	r.backend.MeanRunning()
 	time.Sleep(length / 2)
-	p.atLeast("used.steady", r.backend.Used()/few, 0.7)
+	p.atLeast("used.steady", r.backend.MeanRunning()/few, 0.7)
 	load.Wait()
 	p.exactly("over.limit", float64(r.backend.MaxExcess()), 0)
 	starved := 0
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -24,10 +24,10 @@
 		}
 	}
 	// What the one that died had, and the reserved permits of its new incarnation, are back once its last grant is over.
-	t.on.backend.Used()
+	t.on.backend.MeanRunning()
 	t.on.Until(5*time.Second, func() bool {
 		time.Sleep(300 * time.Millisecond)
-		return t.on.backend.Used() >= 0.97*sharedLimit
+		return t.on.backend.MeanRunning() >= 0.97*sharedLimit
 	})
 	stopped, _ := t.on.allocator()
 	t.changeAllocator("stopped", "0s stop ALLOCATOR")
@@ -42,14 +42,14 @@
 // reserved permits meanwhile, and comes back.
 func (t *shareTrial) changeAllocator(fault, script string) {
 	former, _ := t.on.allocator()
-	t.on.backend.Used()
+	t.on.backend.MeanRunning()
 	began := time.Now()
 	t.run(strings.ReplaceAll(script, "ALLOCATOR", former))
 	allocator, back := "", math.Inf(1)
 	least := 1.0
 	for time.Since(began) < 4*experimentLease {
 		time.Sleep(250 * time.Millisecond)
-		used := t.on.backend.Used() / sharedLimit
+		used := t.on.backend.MeanRunning() / sharedLimit
 		least = min(least, used)
 		if allocator == "" {
 			if allocator, _ = t.on.allocator(); allocator == former {
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -81,10 +81,10 @@
 // waitForUse waits until a fraction of the limit is in use.
 func (c *shareCluster) waitForUse(fraction float64) {
 	c.t.Helper()
-	c.backend.Used()
+	c.backend.MeanRunning()
 	if _, ok := c.Until(waitTimeout, func() bool {
 		time.Sleep(200 * time.Millisecond)
-		return c.backend.Used() >= fraction*sharedLimit
+		return c.backend.MeanRunning() >= fraction*sharedLimit
 	}); !ok {
 		c.t.Fatalf("less than %g of the limit is in use", fraction)
 	}
@@ -171,9 +171,9 @@
 	}
 	replaceSetting("fleet.share s 12 ", "fleet.share s 7 ")
 	if _, ok := c.Until(waitTimeout, func() bool {
-		c.backend.Used()
+		c.backend.MeanRunning()
 		time.Sleep(300 * time.Millisecond)
-		return c.backend.Used() <= 7
+		return c.backend.MeanRunning() <= 7
 	}); !ok {
 		t.Error("the lower limit was not applied")
 	}
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -98,8 +98,8 @@
 	return b.now, b.by[server]
 }
 
-// Used is how many have run at once on the mean, since it was last asked.
-func (b *Backend) Used() float64 {
+// MeanRunning is how many have run at once on the mean, since it was last asked.
+func (b *Backend) MeanRunning() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pass()
