--- a/rig/coldstart.go
+++ b/rig/coldstart.go
@@ -17,8 +17,8 @@
 // SlowStart is how long a start counts as slow: the ramp, or one window if that is longer.
 func (c ColdStart) SlowStart() time.Duration { return max(c.Ramp, c.Window) }
 
-// Warmth is the share of its full speed that an app server has so long after its start.
-func (c ColdStart) Warmth(age time.Duration) float64 {
+// SpeedShare is the share of its full speed that an app server has so long after its start.
+func (c ColdStart) SpeedShare(age time.Duration) float64 {
 	if c.Ramp <= 0 {
 		return 1
 	}
@@ -31,7 +31,7 @@
 	const steps = 20
 	sum := 0.0
 	for k := range steps {
-		sum += c.Warmth(age - c.Window*time.Duration(2*k+1)/(2*steps))
+		sum += c.SpeedShare(age - c.Window*time.Duration(2*k+1)/(2*steps))
 	}
 	return sum / steps
 }
--- a/rig/coldstart_test.go
+++ b/rig/coldstart_test.go
@@ -24,7 +24,7 @@
 		}
 		for age := time.Duration(0); age < start.Ramp; {
 			a.Add(boot.Add(age), work)
-			age += time.Duration(work / cores / start.Warmth(age) / times * float64(time.Second))
+			age += time.Duration(work / cores / start.SpeedShare(age) / times * float64(time.Second))
 		}
 		if peak := a.Peak(start, boot, cores, work); peak.ByWork > 1 != over || peak.ByCount > 1 != over {
 			t.Errorf("%g times what is carried: a peak of %+v", times, peak)
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -135,7 +135,7 @@
 	if !k.warming() {
 		return 1
 	}
-	return k.config.Cold.Warmth(time.Since(k.began))
+	return k.config.Cold.SpeedShare(time.Since(k.began))
 }
 
 // Close ends it.
