--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -114,13 +114,13 @@
 }
 
 // fields are those of an RPC that could be run.
-func (b *BadClients) fields(chance *rand.Rand) []Pair {
-	return []Pair{{"op", b.method}, {"call", fmt.Sprintf("%016x", chance.Uint64())}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
+func (b *BadClients) fields(chance *rand.Rand) []Field {
+	return []Field{{"op", b.method}, {"call", fmt.Sprintf("%016x", chance.Uint64())}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
 		{"src", "99"}, {"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.5000"}}
 }
 
 // with is the same with one field changed.
-func (b *BadClients) with(chance *rand.Rand, key, value string) []Pair {
+func (b *BadClients) with(chance *rand.Rand, key, value string) []Field {
 	all := b.fields(chance)
 	for k := range all {
 		if all[k].Key == key {
--- a/rig/frame.go
+++ b/rig/frame.go
@@ -4,11 +4,11 @@
 
 // The rig writes messages by itself, too: what it sends has to be right, or odd in its own way, without the program's writer.
 
-// Pair is one field of an RPC.
-type Pair struct{ Key, Value string }
+// Field is one field of an RPC.
+type Field struct{ Key, Value string }
 
 // ExecuteFrame is the message of one RPC.
-func ExecuteFrame(seq int32, fields []Pair, body []byte) []byte {
+func ExecuteFrame(seq int32, fields []Field, body []byte) []byte {
 	b := frameHead(messageCall, "execute", seq)
 	b = append(b, valueMap, 0, 1, valueString, valueString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -125,25 +125,25 @@
 }
 
 // fields are those of the protocol, in any order, with a new call id.
-func (p *Peer) fields(t PeerTry) (fields []Pair, call string) {
+func (p *Peer) fields(t PeerTry) (fields []Field, call string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call = fmt.Sprintf("%016x", p.chance.Uint64())
-	fields = []Pair{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.Recv.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
+	fields = []Field{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.Recv.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
 		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.chance.Float64())}, {"crit", fmt.Sprintf("%.4f", min(t.Criticality, 0.9999))}}
 	if p.form.PassesDeadline {
-		fields = append(fields, Pair{"ttl", strconv.FormatInt(t.Waits.Milliseconds(), 10)})
+		fields = append(fields, Field{"ttl", strconv.FormatInt(t.Waits.Milliseconds(), 10)})
 	}
 	if t.Token != "" {
-		fields = append(fields, Pair{"dedupe", t.Token})
+		fields = append(fields, Field{"dedupe", t.Token})
 	} else if p.chance.IntN(2) == 0 {
-		fields = append(fields, Pair{"row", fmt.Sprintf("%016x", p.chance.IntN(8))})
+		fields = append(fields, Field{"row", fmt.Sprintf("%016x", p.chance.IntN(8))})
 	}
 	if p.form.Tenants > 0 {
-		fields = append(fields, Pair{"org", strconv.Itoa(p.chance.IntN(p.form.Tenants))})
+		fields = append(fields, Field{"org", strconv.Itoa(p.chance.IntN(p.form.Tenants))})
 	}
 	if t.Again && p.form.MarksRetry {
-		fields = append(fields, Pair{"rep", "1"})
+		fields = append(fields, Field{"rep", "1"})
 	}
 	p.chance.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
 	return fields, call
