--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -32,9 +32,9 @@
 // shop is the mix that experiments ask for: lookups, checks that are tokened, and what must not run twice at all.
 func shop(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
-		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Part: 0.6, Work: work, Deadline: deadline},
-		{Method: "record", Kind: rpc.Tokened, Criticality: 0.9, Part: 0.25, Work: work, Deadline: deadline},
-		{Method: "notify", Kind: rpc.NonIdempotent, Criticality: 0.5, Part: 0.15, Work: work, Deadline: deadline},
+		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Fraction: 0.6, Work: work, Deadline: deadline},
+		{Method: "record", Kind: rpc.Tokened, Criticality: 0.9, Fraction: 0.25, Work: work, Deadline: deadline},
+		{Method: "notify", Kind: rpc.NonIdempotent, Criticality: 0.5, Fraction: 0.15, Work: work, Deadline: deadline},
 	}
 }
 
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -234,7 +234,7 @@
 		}
 		defer s.close()
 		shares := till(0.001, time.Second)
-		shares[0].Part, shares[2].Part = 0.15, 0.7
+		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
 		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: "l", Pad: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
 		l.peak, l.killed = s.Peak(), s.Killed()
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -23,9 +23,9 @@
 // till is the mix of a busy shop: most are lookups, what counts are recordings.
 func till(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
-		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 0.65, Work: work, Deadline: deadline},
-		{Method: "check", Kind: rpc.Idempotent, Criticality: 5, Part: 0.15, Work: work, Deadline: deadline},
-		{Method: "record", Kind: rpc.Tokened, Criticality: 30, Part: 0.2, Work: work, Deadline: deadline},
+		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.65, Work: work, Deadline: deadline},
+		{Method: "check", Kind: rpc.Idempotent, Criticality: 5, Fraction: 0.15, Work: work, Deadline: deadline},
+		{Method: "record", Kind: rpc.Tokened, Criticality: 30, Fraction: 0.2, Work: work, Deadline: deadline},
 	}
 }
 
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -24,10 +24,10 @@
 // sharedLoad is the mix of RPCs: three methods that need the shared backend, and one that does not.
 func sharedLoad() []rig.Share {
 	return []rig.Share{
-		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 0.45, Work: sharedWork, Deadline: time.Second},
-		{Method: "check", Kind: rpc.Idempotent, Criticality: 2, Part: 0.25, Work: sharedWork, Deadline: time.Second},
-		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Part: 0.15, Work: sharedWork, Deadline: time.Second},
-		{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Part: 0.15, Work: 0.01, Deadline: time.Second},
+		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.45, Work: sharedWork, Deadline: time.Second},
+		{Method: "check", Kind: rpc.Idempotent, Criticality: 2, Fraction: 0.25, Work: sharedWork, Deadline: time.Second},
+		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Fraction: 0.15, Work: sharedWork, Deadline: time.Second},
+		{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.15, Work: 0.01, Deadline: time.Second},
 	}
 }
 
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -203,7 +203,7 @@
 	load.Go(func() {
 		generator := rig.Load{Seed: 1, Length: waitTimeout, Prefix: "x", Rate: func(float64) float64 { return 20 },
 			Shares: []rig.Share{{Method: "enter", Kind: rpc.NonIdempotent, Criticality: 1,
-				Part: 1, Work: 0.005, Deadline: time.Second}}}
+				Fraction: 1, Work: 0.005, Deadline: time.Second}}}
 		generator.Run(ctx, s.Check, router)
 	})
 	defer load.Wait()
--- a/rig/load.go
+++ b/rig/load.go
@@ -26,7 +26,7 @@
 	Method      string
 	Kind        rpc.Kind
 	Criticality float64 // as its callers rank it, and as it counts
-	Part        float64 // of all RPCs
+	Fraction        float64 // of all RPCs
 	Work        float64 // seconds on a core, on the mean; exponential
 	Deadline    time.Duration
 }
@@ -141,11 +141,11 @@
 func (l Load) pick(x float64) Share {
 	total := 0.0
 	for _, s := range l.Shares {
-		total += s.Part
+		total += s.Fraction
 	}
 	x *= total
 	for _, s := range l.Shares {
-		if x -= s.Part; x < 0 {
+		if x -= s.Fraction; x < 0 {
 			return s
 		}
 	}
