--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -235,7 +235,7 @@
 		defer s.close()
 		shares := till(0.001, time.Second)
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
-		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: "l", Pad: 110,
+		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: "l", TokenPadding: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
 		l.peak, l.killed = s.Peak(), s.Killed()
 		l.shifts = levelChanges(s.Programs[0].Log())
--- a/rig/load.go
+++ b/rig/load.go
@@ -38,7 +38,7 @@
 	Length time.Duration
 	Shares []Share
 	Prefix string // of the names of its RPCs
-	Pad    int    // bytes that tokens are longer by
+	TokenPadding    int    // bytes that tokens are longer by
 	// Open counts the RPCs that have no outcome yet, if set.
 	Open *atomic.Int64
 	// Before is told of each RPC as it is asked, if set, with the seconds of its work.
@@ -101,7 +101,7 @@
 			defer stop()
 			token := ""
 			if s.Kind == rpc.Tokened {
-				token = "token-" + id + strings.Repeat("x", l.Pad)
+				token = "token-" + id + strings.Repeat("x", l.TokenPadding)
 			}
 			began := time.Now()
 			body := Body(id, work)
