--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -100,7 +100,7 @@
 			}
 		}
 	})
-	rig.Load{Seed: p.Seed, Rate: rate, Length: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), Open: &open}.Run(ctx,
+	rig.Load{Seed: p.Seed, Rate: rate, Length: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), PendingCount: &open}.Run(ctx,
 		s.check, s.routers...)
 	end()
 	done.Wait()
--- a/rig/load.go
+++ b/rig/load.go
@@ -39,8 +39,8 @@
 	Shares []Share
 	Prefix string // of the names of its RPCs
 	TokenPadding    int    // bytes that tokens are longer by
-	// Open counts the RPCs that have no outcome yet, if set.
-	Open *atomic.Int64
+	// PendingCount counts the RPCs that have no outcome yet, if set.
+	PendingCount *atomic.Int64
 	// Before is told of each RPC as it is asked, if set, with the seconds of its work.
 	Before func(s Share, work float64)
 	// After is told of each RPC's end, if set, in the goroutine that asked for it.
@@ -105,9 +105,9 @@
 			}
 			began := time.Now()
 			body := Body(id, work)
-			if l.Open != nil {
-				l.Open.Add(1)
-				defer l.Open.Add(-1)
+			if l.PendingCount != nil {
+				l.PendingCount.Add(1)
+				defer l.PendingCount.Add(-1)
 			}
 			result, err := c.Call(ctx, s.Method, token, s.Criticality, body)
 			took := time.Since(began)
