--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -98,7 +98,7 @@
 			defer router.Close()
 			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: sharedLoad(),
 				Rate: func(float64) float64 { return rate(name) },
-				Before: func(s rig.Share, work float64) {
+				BeforeCall: func(s rig.Share, work float64) {
 					r.mu.Lock()
 					defer r.mu.Unlock()
 					if s.Method != "plain" {
--- a/rig/load.go
+++ b/rig/load.go
@@ -41,8 +41,8 @@
 	TokenPadding    int    // bytes that tokens are longer by
 	// PendingCount counts the RPCs that have no outcome yet, if set.
 	PendingCount *atomic.Int64
-	// Before is told of each RPC as it is asked, if set, with the seconds of its work.
-	Before func(s Share, work float64)
+	// BeforeCall is told of each RPC as it is asked, if set, with the seconds of its work.
+	BeforeCall func(s Share, work float64)
 	// After is told of each RPC's end, if set, in the goroutine that asked for it.
 	After func(s Share, id, token string, body []byte, err error)
 }
@@ -91,8 +91,8 @@
 		work := math.Min(s.Work*chance.ExpFloat64(), 5*s.Work)
 		c := callers[chance.IntN(len(callers))]
 		id := fmt.Sprintf("%s%d", l.Prefix, n)
-		if l.Before != nil {
-			l.Before(s, work)
+		if l.BeforeCall != nil {
+			l.BeforeCall(s, work)
 		}
 		all.Go(func() {
 			due := time.Now().Add(s.Deadline)
