--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -142,7 +142,7 @@
 		defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 		run := func(prefix string, rate float64, length time.Duration, after func(rig.Share, string, string, []byte, error)) rig.Outcome {
 			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
-				Shares: till(0.004, time.Second), After: after}.Run(context.Background(), s.check, s.routers...)
+				Shares: till(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
 		}
 		run("a", base, 1500*time.Millisecond, nil)
 		ctx, end := context.WithCancel(context.Background())
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -105,7 +105,7 @@
 						r.asked = append(r.asked, sharedRequest{time.Since(began).Seconds(), work, s.Criticality, r.phase})
 					}
 				},
-				After: func(s rig.Share, _, _ string, _ []byte, err error) {
+				AfterCall: func(s rig.Share, _, _ string, _ []byte, err error) {
 					r.mu.Lock()
 					defer r.mu.Unlock()
 					got := 0.0
--- a/rig/load.go
+++ b/rig/load.go
@@ -43,8 +43,8 @@
 	PendingCount *atomic.Int64
 	// BeforeCall is told of each RPC as it is asked, if set, with the seconds of its work.
 	BeforeCall func(s Share, work float64)
-	// After is told of each RPC's end, if set, in the goroutine that asked for it.
-	After func(s Share, id, token string, body []byte, err error)
+	// AfterCall is told of each RPC's end, if set, in the goroutine that asked for it.
+	AfterCall func(s Share, id, token string, body []byte, err error)
 }
 
 // Served is what came of one method's share, or of all.
@@ -114,8 +114,8 @@
 			if err == nil {
 				check.Result(id, result)
 			}
-			if l.After != nil {
-				l.After(s, id, token, body, err)
+			if l.AfterCall != nil {
+				l.AfterCall(s, id, token, body, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
