--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -85,7 +85,7 @@
 	var outage sync.WaitGroup
 	var errOutage error
 	outage.Go(func() { errOutage = killHalf(f, length) })
-	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutRate }, Length: length, Prefix: "b",
+	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutRate }, Duration: length, Prefix: "b",
 		Shares: shop(0.01, halfOutDeadline)}.Run(context.Background(), r.check, callers...)
 	outage.Wait()
 	return r, errOutage
@@ -130,7 +130,7 @@
 	}
 	defer c.Close()
 	load := func(prefix string, rate float64, length, deadline time.Duration) rig.Outcome {
-		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
+		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
 			Shares: shop(0.004, deadline)}.Run(context.Background(), check, careful{c, kindsOf(shop(0, 0))})
 	}
 	var trouble sync.WaitGroup
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -92,7 +92,7 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return float64(clients) / 5 }, Length: time.Minute,
+	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return float64(clients) / 5 }, Duration: time.Minute,
 		Shares: shop(0.0005, time.Second), Prefix: "a"}
 	var done sync.WaitGroup
 	var out rig.Outcome
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -222,7 +222,7 @@
 	var restartErr error
 	var restarts sync.WaitGroup
 	restarts.Go(func() { restartErr = restartCold(fleet, plan, boots) })
-	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return plan.rate }, Length: plan.length(), Prefix: kind[:1],
+	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return plan.rate }, Duration: plan.length(), Prefix: kind[:1],
 		Shares: shop(plan.work, plan.deadline)}
 	side.out = load.Run(context.Background(), side.check, callers...)
 	restarts.Wait()
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -100,7 +100,7 @@
 			}
 		}
 	})
-	rig.Load{Seed: p.Seed, Rate: rate, Length: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), PendingCount: &open}.Run(ctx,
+	rig.Load{Seed: p.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), PendingCount: &open}.Run(ctx,
 		s.check, s.routers...)
 	end()
 	done.Wait()
@@ -141,7 +141,7 @@
 		defer s.close()
 		defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 		run := func(prefix string, rate float64, length time.Duration, after func(rig.Share, string, string, []byte, error)) rig.Outcome {
-			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
+			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
 				Shares: till(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
 		}
 		run("a", base, 1500*time.Millisecond, nil)
@@ -235,7 +235,7 @@
 		defer s.close()
 		shares := till(0.001, time.Second)
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
-		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: "l", TokenPadding: 110,
+		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: "l", TokenPadding: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
 		l.peak, l.killed = s.Peak(), s.Killed()
 		l.shifts = levelChanges(s.Programs[0].Log())
@@ -275,7 +275,7 @@
 	}
 	defer s.close()
 	run := func(prefix string, rate float64, length time.Duration) rig.Outcome {
-		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
+		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
 			Shares: till(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	}
 	run("w", rate/3, p.span(time.Second))
@@ -331,7 +331,7 @@
 	}
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return bears }, Length: length, Prefix: "e",
+	rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return bears }, Duration: length, Prefix: "e",
 		Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	all := levelChanges(s.Programs[0].Log())
 	for _, m := range all {
@@ -383,7 +383,7 @@
 	for k := range rounds * 2 {
 		s := []*pressureServer{on, off}[k%2]
 		before := s.Programs[0].CPU()
-		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Length: time.Second,
+		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
 			Prefix: "c" + string(rune('a'+k)), Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
 		asked[k%2] += float64(out.Asked)
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -96,7 +96,7 @@
 		group.Go(func() {
 			router := rig.NewRouter(k+1, r.Addresses(name)[0])
 			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: sharedLoad(),
+			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: sharedLoad(),
 				Rate: func(float64) float64 { return rate(name) },
 				BeforeCall: func(s rig.Share, work float64) {
 					r.mu.Lock()
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -142,7 +142,7 @@
 }
 
 func (f *restartFleet) runLoad(ctx context.Context, server string, caller *retryingCaller, seed uint64) {
-	load := rig.Load{Seed: seed, Length: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
+	load := rig.Load{Seed: seed, Duration: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
 		Shares: till(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
 	load.Run(ctx, f.check, recordingCaller{caller, f.calls, server})
 }
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -113,7 +113,7 @@
 		group.Go(func() {
 			router := rig.NewRouter(k+1, s.Addresses(name)[0])
 			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: till(0.004, time.Second),
+			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: till(0.004, time.Second),
 				Rate: func(float64) float64 { return rate }}
 			o := l.Run(context.Background(), s.Check, router)
 			mu.Lock()
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -48,7 +48,7 @@
 		loads.Go(func() {
 			router := rig.NewRouter(index+1, c.Addresses(name)[0])
 			defer router.Close()
-			load := rig.Load{Seed: uint64(index), Length: 2 * time.Minute, Prefix: name + "-",
+			load := rig.Load{Seed: uint64(index), Duration: 2 * time.Minute, Prefix: name + "-",
 				Rate: func(float64) float64 { return 2 * sharedLimit / 0.1 / 5 },
 				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 1,
 					Work: 0.1, Deadline: time.Second}}}
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -201,7 +201,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	load.Go(func() {
-		generator := rig.Load{Seed: 1, Length: waitTimeout, Prefix: "x", Rate: func(float64) float64 { return 20 },
+		generator := rig.Load{Seed: 1, Duration: waitTimeout, Prefix: "x", Rate: func(float64) float64 { return 20 },
 			Shares: []rig.Share{{Method: "enter", Kind: rpc.NonIdempotent, Criticality: 1,
 				Fraction: 1, Work: 0.005, Deadline: time.Second}}}
 		generator.Run(ctx, s.Check, router)
--- a/rig/load.go
+++ b/rig/load.go
@@ -35,7 +35,7 @@
 type Load struct {
 	Seed   uint64
 	Rate   func(t float64) float64 // RPCs a second, t seconds after the start
-	Length time.Duration
+	Duration time.Duration
 	Shares []Share
 	Prefix string // of the names of its RPCs
 	TokenPadding    int    // bytes that tokens are longer by
@@ -80,7 +80,7 @@
 		} else {
 			at += chance.ExpFloat64() / rate
 		}
-		if at >= l.Length.Seconds() || ctx.Err() != nil {
+		if at >= l.Duration.Seconds() || ctx.Err() != nil {
 			break
 		}
 		if rate <= 0 {
