--- a/rig/load.go
+++ b/rig/load.go
@@ -47,15 +47,15 @@
 	AfterCall func(s Share, id, token string, body []byte, err error)
 }
 
-// Served is what came of one method's share, or of all.
-type Served struct {
+// MethodOutcome is what came of one method's share, or of all.
+type MethodOutcome struct {
 	Asked, OK int
 	Times     *hdrhistogram.Histogram // of what was ok, in microseconds
 }
 
 // Outcome is what came of a load.
 type Outcome struct {
-	ByMethod map[string]*Served
+	ByMethod map[string]*MethodOutcome
 	// Criticality is the share served of what was asked, each RPC counting by its criticality.
 	Criticality float64
 	Asked, OK   int
@@ -64,9 +64,9 @@
 // Run plays it through the callers in turn, each time by chance, and returns once all has an outcome.
 func (l Load) Run(ctx context.Context, check *Checker, callers ...Caller) Outcome {
 	chance := rand.New(rand.NewPCG(l.Seed, 1))
-	out := Outcome{ByMethod: map[string]*Served{}}
+	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
 	for _, s := range l.Shares {
-		out.ByMethod[s.Method] = &Served{Times: hdrhistogram.New(1, 60_000_000, 3)}
+		out.ByMethod[s.Method] = &MethodOutcome{Times: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	var mu sync.Mutex
 	var all sync.WaitGroup
