--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -75,8 +75,8 @@
 }
 
 // form is how routers write under the settings.
-func (t *trial) form() rig.PeerForm {
-	return rig.PeerForm{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
+func (t *trial) form() rig.PeerOptions {
+	return rig.PeerOptions{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
 		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), Pieces: t.drawn.Load.Pieces}
 }
 
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -13,8 +13,8 @@
 	"valveglade/internal/thrift"
 )
 
-// PeerForm is how the routers of a deployment write RPCs.
-type PeerForm struct {
+// PeerOptions is how the routers of a deployment write RPCs.
+type PeerOptions struct {
 	PassesDeadline bool // RPCs say how long their caller waits
 	HangupSeen     bool // interrupts are sent
 	MarksRetry     bool // further tries are marked
@@ -28,7 +28,7 @@
 type Peer struct {
 	address string
 	source  int
-	form    PeerForm
+	form    PeerOptions
 	catalog *Catalog
 
 	mu     sync.Mutex
@@ -101,7 +101,7 @@
 )
 
 // NewPeer makes one; it connects when it has something to send.
-func NewPeer(address string, source int, form PeerForm, catalog *Catalog, seed uint64) *Peer {
+func NewPeer(address string, source int, form PeerOptions, catalog *Catalog, seed uint64) *Peer {
 	return &Peer{address: address, source: source, form: form, catalog: catalog, chance: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
