--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -59,7 +59,7 @@
 	for k := range t.drawn.Load.Routers {
 		form := t.form()
 		if k > 0 {
-			form.Pieces = 0
+			form.WriteSize = 0
 		}
 		s.peers = append(s.peers, rig.NewPeer(s.net.Address(), 10*number+k, form, t.catalog, t.drawn.Seed+uint64(number)<<32))
 	}
@@ -77,7 +77,7 @@
 // form is how routers write under the settings.
 func (t *trial) form() rig.PeerOptions {
 	return rig.PeerOptions{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
-		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), Pieces: t.drawn.Load.Pieces}
+		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), WriteSize: t.drawn.Load.Pieces}
 }
 
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -19,7 +19,7 @@
 	HangupSeen     bool // interrupts are sent
 	MarksRetry     bool // further tries are marked
 	Tenants        int  // RPCs name one of so many
-	Pieces         int  // bytes written at a time; 0 for whole messages
+	WriteSize         int  // bytes written at a time; 0 for whole messages
 }
 
 // Peer is a router of one app server, as the protocol has them: up to 32 RPCs open on a connection, new connections as it
@@ -165,8 +165,8 @@
 func (c *peerConn) put(frame []byte) {
 	c.SetWriteDeadline(time.Now().Add(peerWrites))
 	step := len(frame)
-	if c.form.Pieces > 0 {
-		step = c.form.Pieces
+	if c.form.WriteSize > 0 {
+		step = c.form.WriteSize
 	}
 	for len(frame) > 0 {
 		n := min(step, len(frame))
@@ -174,7 +174,7 @@
 			c.retire() // answers that have come are still read; the reader finds the end
 			return
 		}
-		if frame = frame[n:]; len(frame) > 0 && c.form.Pieces < 8 {
+		if frame = frame[n:]; len(frame) > 0 && c.form.WriteSize < 8 {
 			time.Sleep(100 * time.Microsecond)
 		}
 	}
