--- a/rig/peer.go
+++ b/rig/peer.go
@@ -45,7 +45,7 @@
 	Method      string
 	Token       string
 	Body        []byte
-	Recv        time.Time     // when it came to the machine
+	ReceivedAt        time.Time     // when it came to the machine
 	Waits       time.Duration // from Recv on; the field ttl
 	Criticality float64
 	Again       bool
@@ -129,7 +129,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call = fmt.Sprintf("%016x", p.chance.Uint64())
-	fields = []Field{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.Recv.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
+	fields = []Field{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
 		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.chance.Float64())}, {"crit", fmt.Sprintf("%.4f", min(t.Criticality, 0.9999))}}
 	if p.form.PassesDeadline {
 		fields = append(fields, Field{"ttl", strconv.FormatInt(t.Waits.Milliseconds(), 10)})
