--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -167,7 +167,7 @@
 }
 
 func (c *trialCall) try(again bool) rig.PeerTry {
-	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.recv, Waits: c.waits(), Criticality: c.rank,
+	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.recv, Timeout: c.waits(), Criticality: c.rank,
 		Again: again, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -46,7 +46,7 @@
 	Token       string
 	Body        []byte
 	ReceivedAt        time.Time     // when it came to the machine
-	Waits       time.Duration // from Recv on; the field ttl
+	Timeout       time.Duration // from Recv on; the field ttl
 	Criticality float64
 	Again       bool
 	Work        float64 // seconds on a core
@@ -132,7 +132,7 @@
 	fields = []Field{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
 		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.chance.Float64())}, {"crit", fmt.Sprintf("%.4f", min(t.Criticality, 0.9999))}}
 	if p.form.PassesDeadline {
-		fields = append(fields, Field{"ttl", strconv.FormatInt(t.Waits.Milliseconds(), 10)})
+		fields = append(fields, Field{"ttl", strconv.FormatInt(t.Timeout.Milliseconds(), 10)})
 	}
 	if t.Token != "" {
 		fields = append(fields, Field{"dedupe", t.Token})
