--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -168,7 +168,7 @@
 
 func (c *trialCall) try(again bool) rig.PeerTry {
 	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.recv, Timeout: c.waits(), Criticality: c.rank,
-		Again: again, Work: c.work, Result: c.result, Fails: c.fails}
+		IsRetry: again, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
 // play sends the RPC, and a copy where one is drawn, until it has its outcome or the trial ends.
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -48,7 +48,7 @@
 	ReceivedAt        time.Time     // when it came to the machine
 	Timeout       time.Duration // from Recv on; the field ttl
 	Criticality float64
-	Again       bool
+	IsRetry       bool
 	Work        float64 // seconds on a core
 	Result      []byte  // of a run; nil for Answer(RPC)
 	Fails       bool    // a run ends with a fault
@@ -142,7 +142,7 @@
 	if p.form.Tenants > 0 {
 		fields = append(fields, Field{"org", strconv.Itoa(p.chance.IntN(p.form.Tenants))})
 	}
-	if t.Again && p.form.MarksRetry {
+	if t.IsRetry && p.form.MarksRetry {
 		fields = append(fields, Field{"rep", "1"})
 	}
 	p.chance.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
