--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -231,7 +231,7 @@
 func (c *trialCall) took(o rig.PeerOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = c.closed || o.NoRetry || o.After > 0 || o.Err == nil
+	c.closed = c.closed || o.NoRetry || o.RetryAfter > 0 || o.Err == nil
 }
 
 // add counts an RPC's outcome.
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -59,7 +59,7 @@
 	Result  []byte
 	Err     error
 	NoRetry    bool          // pushed back, and no other app server is to be tried
-	After   time.Duration // pushed back, and not before
+	RetryAfter   time.Duration // pushed back, and not before
 	Crossed bool          // the connection ended just when it was written
 }
 
@@ -306,7 +306,7 @@
 }
 func (c *peerConn) PushedBack(seq int32, last bool, after, _ float64) {
 	wait := time.Duration(after * float64(time.Second))
-	c.end(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, After: wait})
+	c.end(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, RetryAfter: wait})
 }
 func (c *peerConn) Aborted(seq int32, _ string, _ float64) {
 	c.end(seq, PeerOutcome{Err: ErrAborted})
