--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -183,7 +183,7 @@
 		})
 	}
 	outcome, sent := c.once(ctx, false)
-	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.Crossed && c.mayRepeat() {
+	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.ClosedInFlight && c.mayRepeat() {
 		outcome, _ = c.once(ctx, true)
 	}
 	both.Wait()
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -60,7 +60,7 @@
 	Err     error
 	NoRetry    bool          // pushed back, and no other app server is to be tried
 	RetryAfter   time.Duration // pushed back, and not before
-	Crossed bool          // the connection ended just when it was written
+	ClosedInFlight bool          // the connection ended just when it was written
 }
 
 // PeerCall is a try that has been written.
@@ -280,7 +280,7 @@
 	defer c.mu.Unlock()
 	c.ended = true
 	for seq, o := range c.open {
-		o.done <- PeerOutcome{Err: ErrLost, Crossed: !c.ours && time.Since(o.at) <= crossingWindow}
+		o.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.ours && time.Since(o.at) <= crossingWindow}
 		delete(c.open, seq)
 	}
 }
