--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -219,7 +219,7 @@
 			c.took(o)
 			return o, true
 		case <-gone:
-			call.GiveUp()
+			call.Cancel()
 			gone = nil
 		case <-ctx.Done(): // what is open is answered until the stop, and the checker sees it
 			return rig.PeerOutcome{Err: ctx.Err()}, true
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -149,8 +149,8 @@
 	return fields, call
 }
 
-// GiveUp says that nobody waits for a try any more, where app servers are told of it.
-func (k *PeerCall) GiveUp() {
+// Cancel says that nobody waits for a try any more, where app servers are told of it.
+func (k *PeerCall) Cancel() {
 	c := k.conn
 	if !c.form.HangupSeen {
 		return
