--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -236,7 +236,7 @@
 
 func (s *trialServer) deafen(deaf bool) {
 	for _, p := range s.peers {
-		p.Deaf(deaf)
+		p.SetReadPaused(deaf)
 	}
 }
 
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -314,8 +314,8 @@
 func (c *peerConn) Checked(int32, bool, float64) {}
 func (c *peerConn) Draining()                    { c.retire() }
 
-// Deaf stops the reading of answers, or lets it go on.
-func (p *Peer) Deaf(deaf bool) {
+// SetReadPaused stops the reading of answers, or lets it go on.
+func (p *Peer) SetReadPaused(deaf bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -348,7 +348,7 @@
 
 // Close ends it and waits until nothing of it is left.
 func (p *Peer) Close() {
-	p.Deaf(false)
+	p.SetReadPaused(false)
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
