--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -74,7 +74,7 @@
 		}
 	case drawn.RouterClose:
 		for _, p := range s.peers {
-			p.Leave()
+			p.CloseConnections()
 		}
 	case drawn.Burst:
 		s.burst(f.Size)
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -330,8 +330,8 @@
 // Reset resets all connections, Leave closes them; the tries open on them have no caller any more.
 func (p *Peer) Reset() { p.endAll(true) }
 
-// Leave closes all connections.
-func (p *Peer) Leave() { p.endAll(false) }
+// CloseConnections closes all connections.
+func (p *Peer) CloseConnections() { p.endAll(false) }
 
 func (p *Peer) endAll(reset bool) {
 	p.mu.Lock()
