--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -70,7 +70,7 @@
 		during(func() { s.deafen(true) }, func() { s.deafen(false) })
 	case drawn.RouterReset:
 		for _, p := range s.peers {
-			p.Reset()
+			p.ResetConnections()
 		}
 	case drawn.RouterClose:
 		for _, p := range s.peers {
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -327,8 +327,8 @@
 	}
 }
 
-// Reset resets all connections, Leave closes them; the tries open on them have no caller any more.
-func (p *Peer) Reset() { p.endAll(true) }
+// ResetConnections resets all connections, Leave closes them; the tries open on them have no caller any more.
+func (p *Peer) ResetConnections() { p.endAll(true) }
 
 // CloseConnections closes all connections.
 func (p *Peer) CloseConnections() { p.endAll(false) }
