--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -167,7 +167,7 @@
 	s.mu.Lock()
 	from := s.launched
 	s.mu.Unlock()
-	for s.probe.Answered().IsZero() && s.program.Log() == "" && time.Since(from) < startTime {
+	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(from) < startTime {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -42,8 +42,8 @@
 	p.from, p.last, p.good = time.Now(), time.Time{}, time.Time{}
 }
 
-// Answered returns when the last answer came; the zero time if none has since Begin.
-func (p *HealthProbe) Answered() time.Time {
+// LastAnswerAt returns when the last answer came; the zero time if none has since Begin.
+func (p *HealthProbe) LastAnswerAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.last
