--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -51,7 +51,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				wait(ctx, seconds64(chance.ExpFloat64()/rate))
 				// Requests come once the app server has answered a health check. Nothing is written to a machine that stands still.
-				if s.probe.Ready().IsZero() || s.isPaused() {
+				if s.probe.HealthyAt().IsZero() || s.isPaused() {
 					continue
 				}
 				call := s.newCall(peer, methods[chance.IntN(len(methods))], chance, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -179,7 +179,7 @@
 func (s *trialServer) again() {
 	s.begin()
 	began := time.Now()
-	at := untilSet(trialReady, s.probe.Ready)
+	at := untilSet(trialReady, s.probe.HealthyAt)
 	s.trial.mu.Lock()
 	defer s.trial.mu.Unlock()
 	s.result.restarts++
@@ -259,7 +259,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	for k := range size {
-		if s.probe.Ready().IsZero() || s.isPaused() {
+		if s.probe.HealthyAt().IsZero() || s.isPaused() {
 			break
 		}
 		call := s.newCall(s.peers[k%len(s.peers)], pick(chance, methods), chance, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -136,7 +136,7 @@
 	if s.launched.IsZero() || s.paused || s.leaving || !s.program.Running() {
 		return
 	}
-	if ready := s.probe.Ready(); !s.ready && !ready.IsZero() {
+	if ready := s.probe.HealthyAt(); !s.ready && !ready.IsZero() {
 		s.ready = true
 	}
 	last := latest(latest(s.launched, s.excused), s.probe.LastAnswerAt())
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -49,8 +49,8 @@
 	return p.last
 }
 
-// Ready returns when the first good answer came since Begin; the zero time if none has.
-func (p *HealthProbe) Ready() time.Time {
+// HealthyAt returns when the first good answer came since Begin; the zero time if none has.
+func (p *HealthProbe) HealthyAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.good
