--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -99,7 +99,7 @@
 		s.check.Failed("%s cannot be started: %v", s.program.Name, err)
 		return
 	}
-	s.probe.Begin()
+	s.probe.Restart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.launched, s.paused, s.leaving, s.excused, s.ready = time.Now(), false, false, time.Time{}, false
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -35,8 +35,8 @@
 	return p
 }
 
-// Begin forgets the answers so far, as a process is started anew.
-func (p *HealthProbe) Begin() {
+// Restart forgets the answers so far, as a process is started anew.
+func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.from, p.last, p.good = time.Now(), time.Time{}, time.Time{}
