--- a/rig/remote.go
+++ b/rig/remote.go
@@ -38,10 +38,10 @@
 	Error  string // empty where the call was ok
 }
 
-// ErrRemoteEnded is the outcome of calls whose process has ended, ErrRemoteLate of those that had no outcome in time.
+// ErrRemoteEnded is the outcome of calls whose process has ended, ErrRemoteTimeout of those that had no outcome in time.
 var (
 	ErrRemoteEnded = errors.New("the caller's process has ended")
-	ErrRemoteLate  = errors.New("the caller's process says nothing")
+	ErrRemoteTimeout  = errors.New("the caller's process says nothing")
 )
 
 // remotePatience is waited past a call's deadline for its outcome.
@@ -107,7 +107,7 @@
 		}
 		return reply.Result, nil
 	case <-late.C:
-		return nil, ErrRemoteLate
+		return nil, ErrRemoteTimeout
 	}
 }
 
