--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -227,7 +227,7 @@
 		return
 	}
 	defer s.rosterDown.Store(false)
-	s.roster.Down()
+	s.roster.Stop()
 	time.Sleep(last)
 	if err := s.roster.Return(); err != nil {
 		s.check.Failed("%v", err)
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -59,7 +59,7 @@
 	f.startLoad(p.Seed)
 	time.Sleep(p.span(time.Second))
 
-	f.Roster.Down()
+	f.Roster.Stop()
 	p.startIdle(f)
 	p.restartFill(f)
 	full := newTableWatch(f)
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -36,8 +36,8 @@
 // Address is where app servers report to; it stays the same over an outage.
 func (r *Roster) Address() string { return r.address }
 
-// Down closes the socket, so that reports are lost and what was heard is forgotten.
-func (r *Roster) Down() {
+// Stop closes the socket, so that reports are lost and what was heard is forgotten.
+func (r *Roster) Stop() {
 	r.mu.Lock()
 	conn := r.conn
 	r.conn = nil
@@ -60,7 +60,7 @@
 }
 
 // Close ends it.
-func (r *Roster) Close() { r.Down() }
+func (r *Roster) Close() { r.Stop() }
 
 // FirstHeard returns when the app server of that name first reported itself as on since the roster came up; ok is false
 // if it has not.
