--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -229,7 +229,7 @@
 	defer s.rosterDown.Store(false)
 	s.roster.Stop()
 	time.Sleep(last)
-	if err := s.roster.Return(); err != nil {
+	if err := s.roster.Restart(); err != nil {
 		s.check.Failed("%v", err)
 	}
 }
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -286,7 +286,7 @@
 	}
 	time.Sleep(time.Until(began.Add(p.span(4 * time.Second))))
 	returned := time.Now()
-	if err := f.Roster.Return(); err != nil {
+	if err := f.Roster.Restart(); err != nil {
 		return callWindow{}, err
 	}
 	returns.Wait()
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -49,8 +49,8 @@
 	r.group.Wait()
 }
 
-// Return opens the socket again at the same address.
-func (r *Roster) Return() error {
+// Restart opens the socket again at the same address.
+func (r *Roster) Restart() error {
 	conn, err := net.ListenPacket("udp", r.address)
 	if err != nil {
 		return err
