--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -109,7 +109,7 @@
 func (f *restartFleet) descriptors() []int {
 	for end := time.Now().Add(restartReady); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if !slices.ContainsFunc(f.Programs, func(s *rig.Program) bool {
-			_, heard := f.Roster.FirstHeard(s.Name)
+			_, heard := f.Roster.FirstReported(s.Name)
 			return !heard || s.Kernel.LinkedAt().IsZero()
 		}) {
 			break
@@ -301,7 +301,7 @@
 	var took []float64
 	for _, s := range f.Programs {
 		linked := untilSet(restartReady, s.Kernel.LinkedAt)
-		heard := untilSet(restartReady, func() time.Time { at, _ := f.Roster.FirstHeard(s.Name); return at })
+		heard := untilSet(restartReady, func() time.Time { at, _ := f.Roster.FirstReported(s.Name); return at })
 		served := untilSet(restartReady, func() time.Time { return f.calls.firstServed(s.Name, began) })
 		from := began
 		if at, ok := judgedFrom[s.Name]; ok {
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -62,9 +62,9 @@
 // Close ends it.
 func (r *Roster) Close() { r.Stop() }
 
-// FirstHeard returns when the app server of that name first reported itself as on since the roster came up; ok is false
+// FirstReported returns when the app server of that name first reported itself as on since the roster came up; ok is false
 // if it has not.
-func (r *Roster) FirstHeard(name string) (at time.Time, ok bool) {
+func (r *Roster) FirstReported(name string) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, ok = r.heard[name]
