--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -132,7 +132,7 @@
 	for k := range t.drawn.Servers {
 		names = append(names, serverName(k))
 	}
-	t.roster.Judge(t.check, names...)
+	t.roster.CheckReports(t.check, names...)
 	for k := range t.drawn.Servers {
 		s, err := t.newServer(k)
 		if err != nil {
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -48,7 +48,7 @@
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
 	}
-	p.roster.Judge(check, "n1")
+	p.roster.CheckReports(check, "n1")
 	kernel, err := NewConfiguredKernel("n1", config, check)
 	if err != nil {
 		t.Fatal(err)
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -71,9 +71,9 @@
 	return at, ok
 }
 
-// Judge has each report checked: its form, and that it comes from a process of one of these names that lives. A process has
+// CheckReports has each report checked: its form, and that it comes from a process of one of these names that lives. A process has
 // the name under which the checker is told of it.
-func (r *Roster) Judge(check *Checker, names ...string) {
+func (r *Roster) CheckReports(check *Checker, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.check, r.names = check, map[string]bool{}
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Judge(s.check, "n1", "n3")
+		r.CheckReports(s.check, "n1", "n3")
 		conn, err := net.Dial("udp", r.Address())
 		if err != nil {
 			t.Fatal(err)
