--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -222,7 +222,7 @@
 
 // read takes in answers until the connection ends.
 func (c *frameConn) read() {
-	rig.ReadAnswers(c, c)
+	rig.ReadReplies(c, c)
 	c.lost()
 }
 
--- a/rig/router.go
+++ b/rig/router.go
@@ -133,13 +133,13 @@
 }
 
 func (c *routerConn) read() {
-	ReadAnswers(c, c)
+	ReadReplies(c, c)
 	c.fail()
 }
 
-// ReadAnswers passes each answer that an app server sends on a connection to its asker. It returns once the connection has
+// ReadReplies passes each answer that an app server sends on a connection to its asker. It returns once the connection has
 // ended, or has carried what is no answer.
-func ReadAnswers(conn io.Reader, to thrift.ReplyHandler) {
+func ReadReplies(conn io.Reader, to thrift.ReplyHandler) {
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		frame, size, err := thrift.Frame(in.Bytes())
