--- a/rig/rude.go
+++ b/rig/rude.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// RudeRouter sends RPCs that could be run, under numbers, ids and tokens that it has used before, and takes them back. Behind a
+// MisbehavingRouter sends RPCs that could be run, under numbers, ids and tokens that it has used before, and takes them back. Behind a
 // Net the checker sees what it is owed all the same.
-type RudeRouter struct {
+type MisbehavingRouter struct {
 	address string
 	method  string
 	catalog *Catalog
@@ -25,9 +25,9 @@
 const rudePause = 20 * time.Millisecond
 
 // NewRudeRouter starts one.
-func NewRudeRouter(address, method string, catalog *Catalog, seed uint64) *RudeRouter {
+func NewRudeRouter(address, method string, catalog *Catalog, seed uint64) *MisbehavingRouter {
 	ctx, stop := context.WithCancel(context.Background())
-	r := &RudeRouter{address: address, method: method, catalog: catalog, stop: stop}
+	r := &MisbehavingRouter{address: address, method: method, catalog: catalog, stop: stop}
 	r.group.Go(func() {
 		chance := rand.New(rand.NewPCG(seed, 0x12de))
 		for ctx.Err() == nil {
@@ -39,13 +39,13 @@
 }
 
 // Close ends it.
-func (r *RudeRouter) Close() {
+func (r *MisbehavingRouter) Close() {
 	r.stop()
 	r.group.Wait()
 }
 
 // converse sends some messages on one connection, and reads whatever comes.
-func (r *RudeRouter) converse(ctx context.Context, chance *rand.Rand) {
+func (r *MisbehavingRouter) converse(ctx context.Context, chance *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", r.address)
 	if err != nil {
 		return
