--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -79,7 +79,7 @@
 	case drawn.Burst:
 		s.burst(f.Size)
 	case drawn.RudeRouter:
-		rude := rig.NewRudeRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
+		rude := rig.NewMisbehavingRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
 		time.Sleep(last)
 		rude.Close()
 	case drawn.Silent:
--- a/rig/rude.go
+++ b/rig/rude.go
@@ -24,8 +24,8 @@
 // rudePause is between two messages.
 const rudePause = 20 * time.Millisecond
 
-// NewRudeRouter starts one.
-func NewRudeRouter(address, method string, catalog *Catalog, seed uint64) *MisbehavingRouter {
+// NewMisbehavingRouter starts one.
+func NewMisbehavingRouter(address, method string, catalog *Catalog, seed uint64) *MisbehavingRouter {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &MisbehavingRouter{address: address, method: method, catalog: catalog, stop: stop}
 	r.group.Go(func() {
