--- a/client/client_test.go
+++ b/client/client_test.go
@@ -60,7 +60,7 @@
 	for _, failure := range []string{"pushed back", "aborted", "cut"} {
 		stub := must(rig.NewStub(nil))
 		failed := map[string]bool{}
-		stub.Behave(func(message rig.Heard, out []byte) []byte {
+		stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
 			switch {
 			case message.Interrupt:
 				return out
@@ -106,7 +106,7 @@
 	stub := must(rig.NewStub(nil))
 	defer stub.Close()
 	pushedBack := false
-	stub.Behave(func(message rig.Heard, out []byte) []byte {
+	stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
 		case message.CheckOnly:
 			return thrift.Checked(out, message.Seq, true, 100)
@@ -142,7 +142,7 @@
 
 // A canceled call is interrupted at the app server at once, and a call ends when its deadline passes.
 func TestCanceledAndLate(t *testing.T) {
-	stub := must(rig.NewStub(func(received rig.Heard, out []byte) []byte {
+	stub := must(rig.NewStub(func(received rig.ReceivedRequest, out []byte) []byte {
 		if received.CheckOnly {
 			return thrift.Checked(out, received.Seq, true, 100)
 		}
@@ -192,7 +192,7 @@
 
 // Close ends open calls and leaves no goroutine or connection. A call after Close ends at once.
 func TestClose(t *testing.T) {
-	stub := must(rig.NewStub(func(_ rig.Heard, out []byte) []byte { return out }))
+	stub := must(rig.NewStub(func(_ rig.ReceivedRequest, out []byte) []byte { return out }))
 	defer stub.Close()
 	c := must(client.Dial(stub.Address()))
 	ended := make(chan error, 1)
@@ -255,7 +255,7 @@
 func TestDraining(t *testing.T) {
 	stub := must(rig.NewStub(nil))
 	defer stub.Close()
-	stub.Behave(func(message rig.Heard, out []byte) []byte {
+	stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
 		case message.CheckOnly:
 			return thrift.Checked(out, message.Seq, true, 100)
--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -76,7 +76,7 @@
 
 // After two answers to one RPC, the caller gets the first, and the second closes the connection.
 func TestDuplicateAnswer(t *testing.T) {
-	stub := must(rig.NewStub(func(message rig.Heard, out []byte) []byte {
+	stub := must(rig.NewStub(func(message rig.ReceivedRequest, out []byte) []byte {
 		if message.CheckOnly {
 			return thrift.Checked(out, message.Seq, true, 100)
 		}
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -39,7 +39,7 @@
 }
 
 // answer answers one message of the client.
-func (s *refusalScript) answer(h rig.Heard, out []byte) []byte {
+func (s *refusalScript) answer(h rig.ReceivedRequest, out []byte) []byte {
 	switch {
 	case h.Interrupt:
 		return out
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -152,7 +152,7 @@
 // Through the network the checker sees the same: an app server that answers twice, then one that leaves without an
 // answer.
 func TestNetShows(t *testing.T) {
-	s, err := NewStub(func(h Heard, out []byte) []byte {
+	s, err := NewStub(func(h ReceivedRequest, out []byte) []byte {
 		out = thrift.Served(out, h.Seq, Answer(h.ID), 1)
 		return thrift.Served(out, h.Seq, Answer(h.ID), 1)
 	})
@@ -178,7 +178,7 @@
 	nc.Read(make([]byte, 4096))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	s.Behave(func(_ Heard, out []byte) []byte { s.Cut(); return out })
+	s.Behave(func(_ ReceivedRequest, out []byte) []byte { s.Cut(); return out })
 	nc.Write(thrift.Execute(nil, 2, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("b", 0)))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -25,7 +25,7 @@
 func newStubServer(t *testing.T, config KernelConfig) *stubServer {
 	t.Helper()
 	s := &stubServer{testTrial: newTestTrial(t, config), t: t}
-	stub, err := NewStub(func(h Heard, out []byte) []byte { return s.honest(h, out) })
+	stub, err := NewStub(func(h ReceivedRequest, out []byte) []byte { return s.honest(h, out) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 }
 
 // honest runs an RPC and serves it with the result.
-func (s *stubServer) honest(h Heard, out []byte) []byte {
+func (s *stubServer) honest(h ReceivedRequest, out []byte) []byte {
 	return thrift.Served(out, h.Seq, s.run(h.Call, h.Method, h.Body), 1)
 }
 
@@ -96,7 +96,7 @@
 func TestJudgeHonest(t *testing.T) {
 	s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
 	results := map[string][]byte{}
-	s.Behave(func(h Heard, out []byte) []byte {
+	s.Behave(func(h ReceivedRequest, out []byte) []byte {
 		switch {
 		case h.CheckOnly:
 			return thrift.Checked(out, h.Seq, true, 1)
@@ -125,70 +125,70 @@
 // Each fault that is planted in an app server is found, and nothing beside it.
 func TestJudgeFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]struct {
-		behave func(s *stubServer, h Heard, out []byte) []byte
+		behave func(s *stubServer, h ReceivedRequest, out []byte) []byte
 		rule   int
 		what   string
 	}{
-		"a body of another RPC": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a body of another RPC": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			s.run(h.Call, h.Method, []byte("another"))
 			return thrift.Aborted(out, h.Seq, 1)
 		}, 1, "with the body"},
-		"an altered method": {func(s *stubServer, h Heard, out []byte) []byte {
+		"an altered method": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			s.run(h.Call, "charge", h.Body)
 			return thrift.Aborted(out, h.Seq, 1)
 		}, 1, "in class"},
-		"an RPC that no client sent": {func(s *stubServer, h Heard, out []byte) []byte {
+		"an RPC that no client sent": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			s.run(tryB, h.Method, h.Body)
 			return thrift.Aborted(out, h.Seq, 1)
 		}, 1, "an id that none has"},
-		"a second run": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a second run": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			s.run(h.Call, h.Method, h.Body)
 			return s.honest(h, out)
 		}, 2, "a second time"},
-		"two answers": {func(s *stubServer, h Heard, out []byte) []byte {
+		"two answers": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			out = s.honest(h, out)
 			return thrift.Aborted(out, h.Seq, 1)
 		}, 2, "two answers"},
-		"an answer to nobody": {func(s *stubServer, h Heard, out []byte) []byte {
+		"an answer to nobody": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			return thrift.Aborted(s.honest(h, out), h.Seq+1, 1)
 		}, 1, "not asked"},
-		"a health check that nobody asked for": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a health check that nobody asked for": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			return thrift.Checked(s.honest(h, out), h.Seq+1, true, 1)
 		}, 1, "not asked"},
-		"a result of no run": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a result of no run": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			return thrift.Served(out, h.Seq, []byte("made by "+h.Call), 1)
 		}, 1, "no run of it made"},
-		"a result that is altered": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a result that is altered": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			return thrift.Served(out, h.Seq, s.run(h.Call, h.Method, h.Body)[1:], 1)
 		}, 1, "no run of it made"},
-		"pushed back once run": {func(s *stubServer, h Heard, out []byte) []byte {
+		"pushed back once run": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			s.run(h.Call, h.Method, h.Body)
 			return thrift.PushedBack(out, h.Seq, false, 0, 1)
 		}, 2, "had been run"},
-		"an answer that cannot be read": {func(s *stubServer, h Heard, out []byte) []byte {
+		"an answer that cannot be read": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			whole := s.honest(h, nil)
 			whole[len(whole)-1] = 8 // in place of the end
 			return append(out, whole...)
 		}, 1, "no router can read"},
-		"an answer of no length": {func(s *stubServer, h Heard, out []byte) []byte {
+		"an answer of no length": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			return append(s.honest(h, out), 0xff, 0xff, 0xff, 0xff)
 		}, 1, "no router can read"},
-		"a load that is no number": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a load that is no number": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			whole := s.honest(h, out)
 			return []byte(strings.Replace(string(whole), "load\x00\x00\x00\x011", "load\x00\x00\x00\x01x", 1))
 		}, 1, "load"},
-		"a run that may not be stopped": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a run that may not be stopped": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			out = s.honest(h, out)
 			s.link.say(`{"action":"PREEMPT","uid":"%s"}`, h.Call)
 			s.link.hear()
 			return out
 		}, 1, "do not allow"},
-		"what is no command": {func(s *stubServer, h Heard, out []byte) []byte {
+		"what is no command": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			out = s.honest(h, out)
 			s.link.say(`{"action":"SCHED"}`)
 			return out
 		}, 1, "wrote to its kernel"},
-		"a close over a read request on a new connection": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a close over a read request on a new connection": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
 			s.Cut()
 			return out
 		}, 1, "without an answer"},
@@ -196,7 +196,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
 			done := make(chan struct{})
-			s.Behave(func(h Heard, out []byte) []byte {
+			s.Behave(func(h ReceivedRequest, out []byte) []byte {
 				defer close(done)
 				return plant.behave(s, h, out)
 			})
@@ -210,7 +210,7 @@
 // An RPC that is never answered is found once its deadline is over.
 func TestJudgeFindsLost(t *testing.T) {
 	s := newStubServer(t, KernelConfig{})
-	s.Behave(func(h Heard, out []byte) []byte { return out })
+	s.Behave(func(h ReceivedRequest, out []byte) []byte { return out })
 	s.call(tryA, "read", "", nil, time.Millisecond)
 	waitFor(t, "the lost answer", func() bool { s.check.Finish(); return len(s.check.Violations()) > 0 })
 	s.one(t, 1, "never answered")
@@ -307,7 +307,7 @@
 func TestJudgeExcusesClients(t *testing.T) {
 	s := newStubServer(t, KernelConfig{})
 	release := make(chan struct{})
-	s.Behave(func(h Heard, out []byte) []byte {
+	s.Behave(func(h ReceivedRequest, out []byte) []byte {
 		if len(s.Heard()) == 1 {
 			<-release
 		}
@@ -320,7 +320,7 @@
 	s.answered()
 	waitFor(t, "both", func() bool { return len(s.Heard()) == 2 })
 	s.connect()
-	s.Behave(func(_ Heard, out []byte) []byte { return out })
+	s.Behave(func(_ ReceivedRequest, out []byte) []byte { return out })
 	s.call("00000000000000cc", "read", "", nil, time.Millisecond)
 	waitFor(t, "the third", func() bool { return len(s.Heard()) == 3 })
 	s.client.Close()
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -10,8 +10,8 @@
 	"valveglade/internal/thrift"
 )
 
-// Heard is one RPC as a Stub reads it.
-type Heard struct {
+// ReceivedRequest is one RPC as a Stub reads it.
+type ReceivedRequest struct {
 	Seq                  int32
 	Method, Token, ID    string
 	Call                 string
@@ -29,15 +29,15 @@
 	listener net.Listener
 
 	mu     sync.Mutex
-	behave func(h Heard, out []byte) []byte
-	heard  []Heard
+	behave func(h ReceivedRequest, out []byte) []byte
+	heard  []ReceivedRequest
 	conns  map[net.Conn]struct{}
 	count  int
 	group  sync.WaitGroup
 }
 
 // NewStub listens on a free port.
-func NewStub(behave func(h Heard, out []byte) []byte) (*Stub, error) {
+func NewStub(behave func(h ReceivedRequest, out []byte) []byte) (*Stub, error) {
 	s, err := newStub(behave)
 	if err == nil {
 		s.group.Go(s.accept)
@@ -55,7 +55,7 @@
 	return s, err
 }
 
-func newStub(behave func(h Heard, out []byte) []byte) (*Stub, error) {
+func newStub(behave func(h ReceivedRequest, out []byte) []byte) (*Stub, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -67,17 +67,17 @@
 func (s *Stub) Address() string { return s.listener.Addr().String() }
 
 // Behave changes what is written for each message that comes.
-func (s *Stub) Behave(behave func(h Heard, out []byte) []byte) {
+func (s *Stub) Behave(behave func(h ReceivedRequest, out []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave = behave
 }
 
 // Heard is all that has come, health checks aside.
-func (s *Stub) Heard() []Heard {
+func (s *Stub) Heard() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Heard(nil), s.heard...)
+	return append([]ReceivedRequest(nil), s.heard...)
 }
 
 // Conns is how many connections there are.
@@ -166,7 +166,7 @@
 	out    []byte
 }
 
-func (c *stubConn) hear(h Heard) {
+func (c *stubConn) hear(h ReceivedRequest) {
 	h.Conn = c.number
 	c.mu.Lock()
 	behave := c.behave
@@ -186,10 +186,10 @@
 
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
 	id, _, _ := ReadBody(body)
-	c.hear(Heard{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
+	c.hear(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
 		Recv: recv, TTL: ttl, Again: again})
 }
 func (c *stubConn) Unreadable(int32, string) {}
-func (c *stubConn) Interrupt(target int32)   { c.hear(Heard{Seq: target, Interrupt: true}) }
-func (c *stubConn) Check(seq int32)          { c.hear(Heard{Seq: seq, CheckOnly: true}) }
+func (c *stubConn) Interrupt(target int32)   { c.hear(ReceivedRequest{Seq: target, Interrupt: true}) }
+func (c *stubConn) Check(seq int32)          { c.hear(ReceivedRequest{Seq: seq, CheckOnly: true}) }
 func (c *stubConn) Unknown(int32, string)    {}
