--- a/client/client_test.go
+++ b/client/client_test.go
@@ -124,7 +124,7 @@
 		client.Token("t")); err != nil {
 		t.Fatal(err)
 	}
-	received := stub.Heard()
+	received := stub.Received()
 	if len(received) != 2 || received[0].Again || !received[1].Again || received[0].Token != "t" ||
 		received[1].Token != "t" {
 		t.Fatalf("the app server received %+v", received)
@@ -157,13 +157,13 @@
 		_, err := c.Call(ctx, "m", nil)
 		ended <- err
 	}()
-	eventually(t, "the RPC is in flight", func() bool { return len(stub.Heard()) == 1 })
+	eventually(t, "the RPC is in flight", func() bool { return len(stub.Received()) == 1 })
 	cancel()
 	if err := <-ended; !errors.Is(err, context.Canceled) {
 		t.Errorf("canceled call: %v", err)
 	}
 	eventually(t, "the app server receives the interrupt", func() bool {
-		received := stub.Heard()
+		received := stub.Received()
 		return len(received) == 2 && received[1].Interrupt && received[1].Seq == received[0].Seq
 	})
 	start := time.Now()
@@ -200,7 +200,7 @@
 		_, err := c.Call(withTimeout(testTimeout), "m", nil)
 		ended <- err
 	}()
-	eventually(t, "the RPC is in flight", func() bool { return len(stub.Heard()) == 1 })
+	eventually(t, "the RPC is in flight", func() bool { return len(stub.Received()) == 1 })
 	c.Close()
 	var e *client.Error
 	if err := <-ended; !errors.As(err, &e) || e.Cause != client.Closed || e.SafeToRetry {
@@ -272,7 +272,7 @@
 		}
 	}
 	rpcsByConn := map[int]int{}
-	for _, message := range stub.Heard() {
+	for _, message := range stub.Received() {
 		rpcsByConn[message.Conn]++
 	}
 	if rpcsByConn[1] != 1 || rpcsByConn[2] != 9 {
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -308,7 +308,7 @@
 	s := newStubServer(t, KernelConfig{})
 	release := make(chan struct{})
 	s.Behave(func(h ReceivedRequest, out []byte) []byte {
-		if len(s.Heard()) == 1 {
+		if len(s.Received()) == 1 {
 			<-release
 		}
 		return thrift.Aborted(out, h.Seq, 1)
@@ -318,11 +318,11 @@
 	s.call(tryB, "read", "", nil, long)
 	close(release)
 	s.answered()
-	waitFor(t, "both", func() bool { return len(s.Heard()) == 2 })
+	waitFor(t, "both", func() bool { return len(s.Received()) == 2 })
 	s.connect()
 	s.Behave(func(_ ReceivedRequest, out []byte) []byte { return out })
 	s.call("00000000000000cc", "read", "", nil, time.Millisecond)
-	waitFor(t, "the third", func() bool { return len(s.Heard()) == 3 })
+	waitFor(t, "the third", func() bool { return len(s.Received()) == 3 })
 	s.client.Close()
 	waitFor(t, "the end of the connection", func() bool {
 		s.check.mu.Lock()
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -73,8 +73,8 @@
 	s.behave = behave
 }
 
-// Heard is all that has come, health checks aside.
-func (s *Stub) Heard() []ReceivedRequest {
+// Received is all that has come, health checks aside.
+func (s *Stub) Received() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]ReceivedRequest(nil), s.heard...)
