--- a/client/client_test.go
+++ b/client/client_test.go
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	received := stub.Received()
-	if len(received) != 2 || received[0].Again || !received[1].Again || received[0].Token != "t" ||
+	if len(received) != 2 || received[0].IsRetry || !received[1].IsRetry || received[0].Token != "t" ||
 		received[1].Token != "t" {
 		t.Fatalf("the app server received %+v", received)
 	}
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -17,7 +17,7 @@
 	Call                 string
 	Body                 []byte
 	Recv, TTL            float64
-	Again                bool
+	IsRetry                bool
 	Conn                 int // number of the connection, from 1
 	Interrupt, CheckOnly bool
 }
@@ -187,7 +187,7 @@
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
 	id, _, _ := ReadBody(body)
 	c.hear(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
-		Recv: recv, TTL: ttl, Again: again})
+		Recv: recv, TTL: ttl, IsRetry: again})
 }
 func (c *stubConn) Unreadable(int32, string) {}
 func (c *stubConn) Interrupt(target int32)   { c.hear(ReceivedRequest{Seq: target, Interrupt: true}) }
