--- a/client/client_test.go
+++ b/client/client_test.go
@@ -64,7 +64,7 @@
 			switch {
 			case message.Interrupt:
 				return out
-			case message.CheckOnly:
+			case message.HealthCheck:
 				return thrift.Checked(out, message.Seq, true, 100)
 			case failed[message.ID] || message.ID == "warm":
 				return thrift.Served(out, message.Seq, rig.Answer(message.ID), 100)
@@ -108,7 +108,7 @@
 	pushedBack := false
 	stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
-		case message.CheckOnly:
+		case message.HealthCheck:
 			return thrift.Checked(out, message.Seq, true, 100)
 		case !pushedBack:
 			pushedBack = true
@@ -143,7 +143,7 @@
 // A canceled call is interrupted at the app server at once, and a call ends when its deadline passes.
 func TestCanceledAndLate(t *testing.T) {
 	stub := must(rig.NewStub(func(received rig.ReceivedRequest, out []byte) []byte {
-		if received.CheckOnly {
+		if received.HealthCheck {
 			return thrift.Checked(out, received.Seq, true, 100)
 		}
 		return out
@@ -257,7 +257,7 @@
 	defer stub.Close()
 	stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
-		case message.CheckOnly:
+		case message.HealthCheck:
 			return thrift.Checked(out, message.Seq, true, 100)
 		case message.Conn == 1:
 			return thrift.Served(thrift.Draining(out), message.Seq, rig.Answer(message.ID), 100)
--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -77,7 +77,7 @@
 // After two answers to one RPC, the caller gets the first, and the second closes the connection.
 func TestDuplicateAnswer(t *testing.T) {
 	stub := must(rig.NewStub(func(message rig.ReceivedRequest, out []byte) []byte {
-		if message.CheckOnly {
+		if message.HealthCheck {
 			return thrift.Checked(out, message.Seq, true, 100)
 		}
 		return thrift.Aborted(thrift.Served(out, message.Seq, rig.Answer(message.ID), 100), message.Seq, 100)
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -43,7 +43,7 @@
 	switch {
 	case h.Interrupt:
 		return out
-	case h.CheckOnly:
+	case h.HealthCheck:
 		return thrift.Checked(out, h.Seq, true, 10)
 	}
 	s.mu.Lock()
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -98,7 +98,7 @@
 	results := map[string][]byte{}
 	s.Behave(func(h ReceivedRequest, out []byte) []byte {
 		switch {
-		case h.CheckOnly:
+		case h.HealthCheck:
 			return thrift.Checked(out, h.Seq, true, 1)
 		case h.Interrupt:
 			return out
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -19,7 +19,7 @@
 	Recv, TTL            float64
 	IsRetry                bool
 	Conn                 int // number of the connection, from 1
-	Interrupt, CheckOnly bool
+	Interrupt, HealthCheck bool
 }
 
 // Stub stands in for an app server where a real one would behave too well. What it does with each message that
@@ -170,14 +170,14 @@
 	h.Conn = c.number
 	c.mu.Lock()
 	behave := c.behave
-	if !h.CheckOnly && len(c.Stub.heard) < 1<<16 {
+	if !h.HealthCheck && len(c.Stub.heard) < 1<<16 {
 		c.Stub.heard = append(c.Stub.heard, h)
 	}
 	c.mu.Unlock()
 	switch {
 	case behave != nil:
 		c.out = behave(h, c.out)
-	case h.CheckOnly:
+	case h.HealthCheck:
 		c.out = thrift.Checked(c.out, h.Seq, true, 100)
 	case !h.Interrupt:
 		c.out = thrift.Served(c.out, h.Seq, Answer(h.ID), 100)
@@ -191,5 +191,5 @@
 }
 func (c *stubConn) Unreadable(int32, string) {}
 func (c *stubConn) Interrupt(target int32)   { c.hear(ReceivedRequest{Seq: target, Interrupt: true}) }
-func (c *stubConn) Check(seq int32)          { c.hear(ReceivedRequest{Seq: seq, CheckOnly: true}) }
+func (c *stubConn) Check(seq int32)          { c.hear(ReceivedRequest{Seq: seq, HealthCheck: true}) }
 func (c *stubConn) Unknown(int32, string)    {}
