--- a/client/client_test.go
+++ b/client/client_test.go
@@ -60,7 +60,7 @@
 	for _, failure := range []string{"pushed back", "aborted", "cut"} {
 		stub := must(rig.NewStub(nil))
 		failed := map[string]bool{}
-		stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
+		stub.SetHandler(func(message rig.ReceivedRequest, out []byte) []byte {
 			switch {
 			case message.Interrupt:
 				return out
@@ -106,7 +106,7 @@
 	stub := must(rig.NewStub(nil))
 	defer stub.Close()
 	pushedBack := false
-	stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
+	stub.SetHandler(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
 		case message.HealthCheck:
 			return thrift.Checked(out, message.Seq, true, 100)
@@ -255,7 +255,7 @@
 func TestDraining(t *testing.T) {
 	stub := must(rig.NewStub(nil))
 	defer stub.Close()
-	stub.Behave(func(message rig.ReceivedRequest, out []byte) []byte {
+	stub.SetHandler(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
 		case message.HealthCheck:
 			return thrift.Checked(out, message.Seq, true, 100)
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -96,7 +96,7 @@
 func TestJudgeHonest(t *testing.T) {
 	s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
 	results := map[string][]byte{}
-	s.Behave(func(h ReceivedRequest, out []byte) []byte {
+	s.SetHandler(func(h ReceivedRequest, out []byte) []byte {
 		switch {
 		case h.HealthCheck:
 			return thrift.Checked(out, h.Seq, true, 1)
@@ -196,7 +196,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
 			done := make(chan struct{})
-			s.Behave(func(h ReceivedRequest, out []byte) []byte {
+			s.SetHandler(func(h ReceivedRequest, out []byte) []byte {
 				defer close(done)
 				return plant.behave(s, h, out)
 			})
@@ -210,7 +210,7 @@
 // An RPC that is never answered is found once its deadline is over.
 func TestJudgeFindsLost(t *testing.T) {
 	s := newStubServer(t, KernelConfig{})
-	s.Behave(func(h ReceivedRequest, out []byte) []byte { return out })
+	s.SetHandler(func(h ReceivedRequest, out []byte) []byte { return out })
 	s.call(tryA, "read", "", nil, time.Millisecond)
 	waitFor(t, "the lost answer", func() bool { s.check.Finish(); return len(s.check.Violations()) > 0 })
 	s.one(t, 1, "never answered")
@@ -307,7 +307,7 @@
 func TestJudgeExcusesClients(t *testing.T) {
 	s := newStubServer(t, KernelConfig{})
 	release := make(chan struct{})
-	s.Behave(func(h ReceivedRequest, out []byte) []byte {
+	s.SetHandler(func(h ReceivedRequest, out []byte) []byte {
 		if len(s.Received()) == 1 {
 			<-release
 		}
@@ -320,7 +320,7 @@
 	s.answered()
 	waitFor(t, "both", func() bool { return len(s.Received()) == 2 })
 	s.connect()
-	s.Behave(func(_ ReceivedRequest, out []byte) []byte { return out })
+	s.SetHandler(func(_ ReceivedRequest, out []byte) []byte { return out })
 	s.call("00000000000000cc", "read", "", nil, time.Millisecond)
 	waitFor(t, "the third", func() bool { return len(s.Received()) == 3 })
 	s.client.Close()
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -66,8 +66,8 @@
 // Address is where callers connect.
 func (s *Stub) Address() string { return s.listener.Addr().String() }
 
-// Behave changes what is written for each message that comes.
-func (s *Stub) Behave(behave func(h ReceivedRequest, out []byte) []byte) {
+// SetHandler changes what is written for each message that comes.
+func (s *Stub) SetHandler(behave func(h ReceivedRequest, out []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behave = behave
