--- a/client/client_test.go
+++ b/client/client_test.go
@@ -76,7 +76,7 @@
 			case "aborted":
 				return thrift.Aborted(out, message.Seq, 100)
 			}
-			stub.Cut()
+			stub.CloseConnections()
 			return out
 		})
 		c := must(client.New(client.Servers(stub.Address()), client.Seed(5), client.Budget(1)))
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -178,7 +178,7 @@
 	nc.Read(make([]byte, 4096))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	s.SetHandler(func(_ ReceivedRequest, out []byte) []byte { s.Cut(); return out })
+	s.SetHandler(func(_ ReceivedRequest, out []byte) []byte { s.CloseConnections(); return out })
 	nc.Write(thrift.Execute(nil, 2, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("b", 0)))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -189,7 +189,7 @@
 			return out
 		}, 1, "wrote to its kernel"},
 		"a close over a read request on a new connection": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			s.Cut()
+			s.CloseConnections()
 			return out
 		}, 1, "without an answer"},
 	} {
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -87,8 +87,8 @@
 	return len(s.conns)
 }
 
-// Cut ends all connections.
-func (s *Stub) Cut() {
+// CloseConnections ends all connections.
+func (s *Stub) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for nc := range s.conns {
@@ -99,7 +99,7 @@
 // Close ends it.
 func (s *Stub) Close() {
 	s.listener.Close()
-	s.Cut()
+	s.CloseConnections()
 	s.group.Wait()
 }
 
