--- a/client/client_test.go
+++ b/client/client_test.go
@@ -209,7 +209,7 @@
 	if _, err := c.Call(withTimeout(testTimeout), "m", nil); !errors.As(err, &e) || e.Cause != client.Closed {
 		t.Errorf("after Close: %v", err)
 	}
-	eventually(t, "no connection is left", func() bool { return stub.Conns() == 0 })
+	eventually(t, "no connection is left", func() bool { return stub.ConnectionCount() == 0 })
 }
 
 // An invalid or empty servers file changes nothing; after a valid one the client uses the new app servers.
@@ -245,7 +245,7 @@
 	}
 	write(second.Address() + "\n")
 	eventually(t, "the second app server is used", func() bool { return served(second) })
-	eventually(t, "the first app server is disconnected", func() bool { return first.Conns() == 0 })
+	eventually(t, "the first app server is disconnected", func() bool { return first.ConnectionCount() == 0 })
 	if _, err := client.New(client.ServersFile(path), client.Servers("x")); err == nil {
 		t.Error("New accepts an invalid address given beside a file")
 	}
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -80,8 +80,8 @@
 	return append([]ReceivedRequest(nil), s.heard...)
 }
 
-// Conns is how many connections there are.
-func (s *Stub) Conns() int {
+// ConnectionCount is how many connections there are.
+func (s *Stub) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
