--- a/rig/backend.go
+++ b/rig/backend.go
@@ -10,100 +10,100 @@
 type Backend struct {
 	methods map[string]bool
 
-	mu    sync.Mutex
-	limit int // of runs at once
-	now   int
-	by    map[string]int // of each app server
-	most  int            // above the limit, at any moment
-	runs  int            // that have begun
-	bears int            // above so many everything takes longer; 0 for none
-	area  float64        // runs at once over time, since it was last asked
-	from  time.Time
-	last  time.Time
+	mu              sync.Mutex
+	limit           int // of runs at once
+	running         int
+	runningByServer map[string]int // of each app server
+	maxExcess       int            // above the limit, at any moment
+	startedRuns     int            // that have begun
+	capacity        int            // above so many everything takes longer; 0 for none
+	runSeconds      float64        // runs at once over time, since it was last asked
+	measuredSince   time.Time
+	updatedAt       time.Time
 }
 
 // NewBackend counts runs of some methods against a limit.
 func NewBackend(limit int, methods ...string) *Backend {
-	b := &Backend{limit: limit, methods: map[string]bool{}, by: map[string]int{}, from: time.Now(), last: time.Now()}
+	b := &Backend{limit: limit, methods: map[string]bool{}, runningByServer: map[string]int{}, measuredSince: time.Now(), updatedAt: time.Now()}
 	for _, m := range methods {
 		b.methods[m] = true
 	}
 	return b
 }
 
-// counts tells whether runs of a method reach it.
-func (b *Backend) counts(method string) bool { return b != nil && b.methods[method] }
+// countsMethod tells whether runs of a method reach it.
+func (b *Backend) countsMethod(method string) bool { return b != nil && b.methods[method] }
 
 func (b *Backend) add(server string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pass()
-	b.now += n
-	b.by[server] += n
-	b.runs += max(n, 0)
-	b.most = max(b.most, b.now-b.limit)
+	b.accumulate()
+	b.running += n
+	b.runningByServer[server] += n
+	b.startedRuns += max(n, 0)
+	b.maxExcess = max(b.maxExcess, b.running-b.limit)
 }
 
-func (b *Backend) pass() {
+func (b *Backend) accumulate() {
 	now := time.Now()
-	b.area += float64(b.now) * now.Sub(b.last).Seconds()
-	b.last = now
+	b.runSeconds += float64(b.running) * now.Sub(b.updatedAt).Seconds()
+	b.updatedAt = now
 }
 
 // SetLimit changes it, and begins to count anew what passes it.
 func (b *Backend) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit, b.most = limit, b.now-limit
+	b.limit, b.maxExcess = limit, b.running-limit
 }
 
 // SetCapacity has everything take longer past so many runs at once, as many times as there are more.
 func (b *Backend) SetCapacity(runs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.bears = runs
+	b.capacity = runs
 }
 
-// slower is how many times as long everything takes now.
-func (b *Backend) slower() float64 {
+// slowdown is how many times as long everything takes now.
+func (b *Backend) slowdown() float64 {
 	if b == nil {
 		return 1
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bears == 0 {
+	if b.capacity == 0 {
 		return 1
 	}
-	return max(1, float64(b.now)/float64(b.bears))
+	return max(1, float64(b.running)/float64(b.capacity))
 }
 
 // MaxExcess is by how many runs the limit was passed at the most; 0 if never.
 func (b *Backend) MaxExcess() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return max(b.most, 0)
+	return max(b.maxExcess, 0)
 }
 
 // StartedRuns is how many have begun.
 func (b *Backend) StartedRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.runs
+	return b.startedRuns
 }
 
 // RunningCount is how many run, in all and of one app server.
 func (b *Backend) RunningCount(server string) (all, one int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now, b.by[server]
+	return b.running, b.runningByServer[server]
 }
 
 // MeanRunning is how many have run at once on the mean, since it was last asked.
 func (b *Backend) MeanRunning() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pass()
-	used := b.area / max(b.last.Sub(b.from).Seconds(), 1e-9)
-	b.area, b.from = 0, b.last
+	b.accumulate()
+	used := b.runSeconds / max(b.updatedAt.Sub(b.measuredSince).Seconds(), 1e-9)
+	b.runSeconds, b.measuredSince = 0, b.updatedAt
 	return used
 }
--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -25,17 +25,17 @@
 	stop    context.CancelFunc
 	group   sync.WaitGroup
 
-	mu      sync.Mutex
-	told    int
-	ignored []string // kinds that were told nothing in time
+	mu         sync.Mutex
+	answered   int
+	unanswered []string // kinds that were told nothing in time
 }
 
 // badKind is one way of being bad: what it sends, and whether it goes on sending.
 type badKind struct {
-	name    string
-	message func(b *BadClients, chance *rand.Rand) []byte
-	endless bool // the message goes on with zeros until the app server ends it
-	closes  bool // the client closes at once, and is owed nothing
+	name         string
+	message      func(b *BadClients, chance *rand.Rand) []byte
+	endless      bool // the message goes on with zeros until the app server ends it
+	closesAtOnce bool // the client closes at once, and is owed nothing
 }
 
 // badPatience is how long such a client waits for a word: the protocol's three seconds, and what a busy machine adds.
@@ -61,11 +61,11 @@
 		return frame
 	}},
 	{name: "no such method", message: func(b *BadClients, chance *rand.Rand) []byte {
-		return ExecuteFrame(1, b.with(chance, "op", "no-such-method"), []byte("x"))
+		return ExecuteFrame(1, b.fieldsWith(chance, "op", "no-such-method"), []byte("x"))
 	}},
 	{name: "figures", message: func(b *BadClients, chance *rand.Rand) []byte {
 		field := pick(chance, []string{"recv", "src", "heap", "crit", "call"})
-		return ExecuteFrame(1, b.with(chance, field, pick(chance, []string{"NaN", "-1", "1e400", "", "x", "-Inf"})), []byte("x"))
+		return ExecuteFrame(1, b.fieldsWith(chance, field, pick(chance, []string{"NaN", "-1", "1e400", "", "x", "-Inf"})), []byte("x"))
 	}},
 	{name: "no fields", message: func(*BadClients, *rand.Rand) []byte { return ExecuteFrame(1, nil, []byte("x")) }},
 	{name: "long body", message: func(b *BadClients, chance *rand.Rand) []byte {
@@ -74,12 +74,12 @@
 	{name: "hundreds at once", message: func(b *BadClients, chance *rand.Rand) []byte {
 		var all []byte
 		for k := range 300 {
-			all = append(all, ExecuteFrame(int32(k+1), b.with(chance, "op", "no-such-method"), []byte("x"))...)
+			all = append(all, ExecuteFrame(int32(k+1), b.fieldsWith(chance, "op", "no-such-method"), []byte("x"))...)
 		}
 		return all
 	}},
 	{name: "the same number", message: func(b *BadClients, chance *rand.Rand) []byte {
-		frame := ExecuteFrame(7, b.with(chance, "op", "no-such-method"), []byte("x"))
+		frame := ExecuteFrame(7, b.fieldsWith(chance, "op", "no-such-method"), []byte("x"))
 		return append(frame, frame...)
 	}},
 	{name: "no such call", message: func(*BadClients, *rand.Rand) []byte {
@@ -95,7 +95,7 @@
 	{name: "half a message", message: func(b *BadClients, chance *rand.Rand) []byte {
 		frame := ExecuteFrame(1, b.fields(chance), []byte("x"))
 		return frame[:1+chance.IntN(len(frame)-1)]
-	}, closes: true},
+	}, closesAtOnce: true},
 }
 
 // NewBadClients starts n clients whose kinds are drawn from the seed.
@@ -106,7 +106,7 @@
 		chance := rand.New(rand.NewPCG(seed, uint64(k)))
 		b.group.Go(func() {
 			for ctx.Err() == nil {
-				b.try(ctx, pick(chance, badKinds), chance)
+				b.sendOnce(ctx, pick(chance, badKinds), chance)
 			}
 		})
 	}
@@ -119,8 +119,8 @@
 		{"src", "99"}, {"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.5000"}}
 }
 
-// with is the same with one field changed.
-func (b *BadClients) with(chance *rand.Rand, key, value string) []Field {
+// fieldsWith is the same fieldsWith one field changed.
+func (b *BadClients) fieldsWith(chance *rand.Rand, key, value string) []Field {
 	all := b.fields(chance)
 	for k := range all {
 		if all[k].Key == key {
@@ -130,8 +130,8 @@
 	return all
 }
 
-// try connects once, sends one message and waits to be told something.
-func (b *BadClients) try(ctx context.Context, kind badKind, chance *rand.Rand) {
+// sendOnce connects once, sends one message and waits to be told something.
+func (b *BadClients) sendOnce(ctx context.Context, kind badKind, chance *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", b.address)
 	if err != nil {
 		sleepOr(ctx, 50*time.Millisecond)
@@ -147,25 +147,25 @@
 			_, err = conn.Write(zeros)
 		}
 	}
-	if kind.closes {
+	if kind.closesAtOnce {
 		sleepOr(ctx, time.Millisecond)
 		return
 	}
-	told := b.hear(conn, kind)
+	told := b.awaitReply(conn, kind)
 	if ctx.Err() != nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if told {
-		b.told++
+		b.answered++
 	} else {
-		b.ignored = append(b.ignored, kind.name)
+		b.unanswered = append(b.unanswered, kind.name)
 	}
 }
 
-// hear reports whether the client was told anything, or its connection was ended, in time.
-func (b *BadClients) hear(conn net.Conn, kind badKind) bool {
+// awaitReply reports whether the client was told anything, or its connection was ended, in time.
+func (b *BadClients) awaitReply(conn net.Conn, kind badKind) bool {
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		err := in.Fill(conn)
@@ -194,7 +194,7 @@
 func (b *BadClients) Close() (told int, ignored []string) {
 	b.stop()
 	b.group.Wait()
-	return b.told, b.ignored
+	return b.answered, b.unanswered
 }
 
 // badAnswer takes what a bad client is answered.
--- a/rig/check.go
+++ b/rig/check.go
@@ -29,7 +29,7 @@
 type Checker struct {
 	mu         sync.Mutex
 	rpcs       map[string]*askedRPC
-	tries      map[*flow]map[int32]*tried // by connection and number, until the connection has ended
+	tries      map[*proxiedConnection]map[int32]*tried // by connection and number, until the connection has ended
 	servers    map[string]*processState
 	violations []Violation
 	counts     map[string]int
@@ -85,7 +85,7 @@
 
 // NewChecker allows so much beside each time that a rule names, for what the machine itself takes.
 func NewChecker(slack time.Duration) *Checker {
-	return &Checker{rpcs: map[string]*askedRPC{}, tries: map[*flow]map[int32]*tried{}, servers: map[string]*processState{},
+	return &Checker{rpcs: map[string]*askedRPC{}, tries: map[*proxiedConnection]map[int32]*tried{}, servers: map[string]*processState{},
 		counts: map[string]int{}, slack: slack}
 }
 
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -10,7 +10,7 @@
 
 // asked tells of a message of a router, as its last byte is about to be written to an app server; err says that it cannot be
 // read. It returns whether an answer is owed.
-func (c *Checker) asked(conn *flow, q request, err error) (owed bool) {
+func (c *Checker) asked(conn *proxiedConnection, q request, err error) (owed bool) {
 	switch {
 	case err == nil && q.kind == messageOneway && q.name == "interrupt":
 		c.Interrupted(conn, q.target)
@@ -25,7 +25,7 @@
 }
 
 // execute tells of an RPC on its way to an app server.
-func (c *Checker) execute(conn *flow, q request) (owed bool) {
+func (c *Checker) execute(conn *proxiedConnection, q request) (owed bool) {
 	now := time.Now()
 	if c.judged() {
 		return c.executeJudged(conn, q, now)
@@ -38,7 +38,7 @@
 		conn.arrivals.Add(now, work)
 	}
 	ttl, _ := q.ttl()
-	c.Try(conn.Net.server, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
+	c.Try(conn.Net.server, conn, q.seq, id, q.receivedAt(now).Add(ttl), q.fields["again"] == "1")
 	return true
 }
 
@@ -50,11 +50,11 @@
 }
 
 // executeJudged enters an RPC into the ledger of its app server.
-func (c *Checker) executeJudged(conn *flow, q request, now time.Time) (owed bool) {
+func (c *Checker) executeJudged(conn *proxiedConnection, q request, now time.Time) (owed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &sentTry{call: q.fields["call"], method: q.fields["op"], token: q.fields["dedupe"], body: slices.Clone(q.body),
-		recv: q.recv(now), heapKB: q.heap()}
+		recv: q.receivedAt(now), heapKB: q.heapKB()}
 	s.entry = c.terms.Catalog.Lookup(s.call, s.body)
 	if conn.arrivals != nil {
 		conn.arrivals.Add(now, s.entry.Work)
@@ -72,7 +72,7 @@
 	c.server(conn.Net.server).ledger.add(s)
 	c.counts["tries"]++
 	delete(c.crossed, s.id)
-	if conn.ended.Load() { // nothing is read any more
+	if conn.endedByServer.Load() { // nothing is read any more
 		s.excused = true
 		return false
 	}
@@ -87,7 +87,7 @@
 }
 
 // replied tells of a message of an app server; err says that it cannot be read.
-func (c *Checker) replied(conn *flow, a reply, err error) {
+func (c *Checker) replied(conn *proxiedConnection, a reply, err error) {
 	if err != nil {
 		c.report(1, "%s says what no router can read: %v", conn.Net.server, err)
 		return
@@ -101,7 +101,7 @@
 		c.Answered(conn, a.seq, rpc.OK, false, 0)
 	case replyPushedBack:
 		c.judgePushback(conn, a)
-		c.Answered(conn, a.seq, rpc.PushedBack, a.last, a.after)
+		c.Answered(conn, a.seq, rpc.PushedBack, a.noRetry, a.retryAfter)
 	case replyAborted:
 		c.Answered(conn, a.seq, rpc.Error, false, 0)
 	case replyChecked:
@@ -111,21 +111,21 @@
 
 // allowed reports whether a message may be answered that owes no answer, or one more under a number that its client has used
 // twice.
-func (c *Checker) allowed(conn *flow, a reply) bool {
+func (c *Checker) allowed(conn *proxiedConnection, a reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[conn][a.seq]; t != nil && !t.answered {
 		return false
 	}
-	if conn.spare[a.seq] == 0 {
+	if conn.optionalReplies[a.seq] == 0 {
 		return false
 	}
-	conn.spare[a.seq]--
+	conn.optionalReplies[a.seq]--
 	return true
 }
 
 // judgeResult finds a result that no run at this app server made for the RPC, or for another try of it.
-func (c *Checker) judgeResult(conn *flow, a reply) {
+func (c *Checker) judgeResult(conn *proxiedConnection, a reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tries[conn][a.seq]
@@ -143,7 +143,7 @@
 
 // judgePushback finds a refusal of what has been run: it promises that nothing has come of the request. Another try of it has
 // to have been run for a moment already, as a refusal takes a moment to get here.
-func (c *Checker) judgePushback(conn *flow, a reply) {
+func (c *Checker) judgePushback(conn *proxiedConnection, a reply) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,9 +162,9 @@
 }
 
 // mayAnswer allows one more answer under a number. Called under the checker's lock.
-func (f *flow) mayAnswer(seq int32) {
-	if f.spare == nil {
-		f.spare = map[int32]int{}
+func (f *proxiedConnection) mayAnswer(seq int32) {
+	if f.optionalReplies == nil {
+		f.optionalReplies = map[int32]int{}
 	}
-	f.spare[seq]++
+	f.optionalReplies[seq]++
 }
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -151,9 +151,9 @@
 }
 
 // connected counts a connection to an app server, until it has ended.
-func (c *Checker) connected(f *flow) {
+func (c *Checker) connected(f *proxiedConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f.counted = c.server(f.Net.server).ledger
-	f.counted.connections++
+	f.countedIn = c.server(f.Net.server).ledger
+	f.countedIn.connections++
 }
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -17,84 +17,84 @@
 	for name, plant := range map[string]struct {
 		rule int
 		what string
-		do   func(c *Checker, f *flow)
+		do   func(c *Checker, f *proxiedConnection)
 	}{
-		"double run": {2, "run a second time", func(c *Checker, f *flow) {
+		"double run": {2, "run a second time", func(c *Checker, f *proxiedConnection) {
 			c.Started("n1", "a")
 			c.Started("n2", "a")
 		}},
-		"lost answer": {1, "without an answer", func(c *Checker, f *flow) {
+		"lost answer": {1, "without an answer", func(c *Checker, f *proxiedConnection) {
 			c.Ended(f, false)
 		}},
-		"lost run": {1, "without an answer", func(c *Checker, f *flow) {
+		"lost run": {1, "without an answer", func(c *Checker, f *proxiedConnection) {
 			c.Started("n1", "a")
 			c.Ended(f, false)
 		}},
-		"lost over a close": {1, "not sent again", func(c *Checker, f *flow) {
+		"lost over a close": {1, "not sent again", func(c *Checker, f *proxiedConnection) {
 			c.ResendCrossed()
 			c.Ended(f, false)
 			c.Finish()
 		}},
-		"lost before a close": {1, "without an answer", func(c *Checker, f *flow) {
+		"lost before a close": {1, "without an answer", func(c *Checker, f *proxiedConnection) {
 			c.ResendCrossed()
 			time.Sleep(closeCrossing + 20*time.Millisecond)
 			c.Ended(f, false)
 		}},
-		"run and lost over a close": {1, "without an answer", func(c *Checker, f *flow) {
+		"run and lost over a close": {1, "without an answer", func(c *Checker, f *proxiedConnection) {
 			c.ResendCrossed()
 			c.Started("n1", "a")
 			c.Ended(f, false)
 		}},
-		"no answer": {1, "never answered", func(c *Checker, f *flow) {
+		"no answer": {1, "never answered", func(c *Checker, f *proxiedConnection) {
 			c.Try("n1", f, 2, "a", time.Now().Add(-time.Second), false)
 			c.Finish()
 		}},
-		"two answers": {2, "two answers", func(c *Checker, f *flow) {
+		"two answers": {2, "two answers", func(c *Checker, f *proxiedConnection) {
 			c.Answered(f, 1, rpc.OK, false, 0)
 			c.Answered(f, 1, rpc.OK, false, 0)
 		}},
-		"answer to nothing": {1, "which was not asked", func(c *Checker, f *flow) { c.Answered(f, 9, rpc.OK, false, 0) }},
-		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.Result("a", Answer("a")) }},
-		"late run": {3, "after its notice", func(c *Checker, f *flow) {
+		"answer to nothing": {1, "which was not asked", func(c *Checker, f *proxiedConnection) { c.Answered(f, 9, rpc.OK, false, 0) }},
+		"made-up result":    {1, "no run of it made", func(c *Checker, f *proxiedConnection) { c.Result("a", Answer("a")) }},
+		"late run": {3, "after its notice", func(c *Checker, f *proxiedConnection) {
 			c.Notice("n1", -time.Second, time.Hour)
 			c.Try("n1", f, 2, "a", far, false)
 			c.Started("n1", "a")
 		}},
-		"late answer": {1, "after its deadline", func(c *Checker, f *flow) {
+		"late answer": {1, "after its deadline", func(c *Checker, f *proxiedConnection) {
 			c.Try("n1", f, 2, "a", time.Now().Add(-time.Second), false)
 			c.Answered(f, 2, rpc.OK, false, 0)
 		}},
-		"pushed back once run": {2, "where it had been run", func(c *Checker, f *flow) {
+		"pushed back once run": {2, "where it had been run", func(c *Checker, f *proxiedConnection) {
 			c.Started("n1", "a")
 			c.Answered(f, 1, rpc.PushedBack, false, 0)
 		}},
-		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.Exited("n1", 2, nil) }},
-		"memory":  {4, "takes", func(c *Checker, f *flow) { c.Memory("n1", 2<<20, 1<<20) }},
-		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.Notice("n1", 0, -time.Hour); c.Exited("n1", 0, nil) }},
-		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *flow) {
+		"crash":   {4, "ended by itself", func(c *Checker, f *proxiedConnection) { c.Exited("n1", 2, nil) }},
+		"memory":  {4, "takes", func(c *Checker, f *proxiedConnection) { c.Memory("n1", 2<<20, 1<<20) }},
+		"overran": {3, "after its stop", func(c *Checker, f *proxiedConnection) { c.Notice("n1", 0, -time.Hour); c.Exited("n1", 0, nil) }},
+		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *proxiedConnection) {
 			c.Answered(f, 1, rpc.PushedBack, true, 0)
 			c.Try("n1", f, 2, "a", far, true)
 		}},
-		"too early": {5, "before it was allowed", func(c *Checker, f *flow) {
+		"too early": {5, "before it was allowed", func(c *Checker, f *proxiedConnection) {
 			c.Answered(f, 1, rpc.PushedBack, false, time.Minute)
 			c.Try("n1", f, 2, "a", far, true)
 		}},
-		"sent late": {5, "after its deadline", func(c *Checker, f *flow) {
+		"sent late": {5, "after its deadline", func(c *Checker, f *proxiedConnection) {
 			due := time.Now().Add(-time.Second)
 			c.Asked("b", rpc.Idempotent, due)
 			c.Try("n1", f, 2, "b", due, false)
 		}},
-		"deadline stretched": {5, "later than its own", func(c *Checker, f *flow) {
+		"deadline stretched": {5, "later than its own", func(c *Checker, f *proxiedConnection) {
 			c.Asked("b", rpc.Idempotent, time.Now().Add(time.Second))
 			c.Try("n1", f, 2, "b", far, false)
 		}},
-		"non-idempotent twice": {5, "sent twice", func(c *Checker, f *flow) {
+		"non-idempotent twice": {5, "sent twice", func(c *Checker, f *proxiedConnection) {
 			c.Asked("b", rpc.NonIdempotent, far)
 			c.Try("n1", f, 2, "b", far, false)
 			c.Try("n1", f, 3, "b", far, true)
 		}},
 	} {
-		c, f := NewChecker(10*time.Millisecond), &flow{}
+		c, f := NewChecker(10*time.Millisecond), &proxiedConnection{}
 		c.Up("n1")
 		c.Asked("a", rpc.Tokened, far)
 		c.Try("n1", f, 1, "a", far, false)
@@ -111,15 +111,15 @@
 
 // What is excused is no violation: a caller that is gone, an app server that was killed.
 func TestCheckerExcuses(t *testing.T) {
-	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
+	c, f, g := NewChecker(10*time.Millisecond), &proxiedConnection{}, &proxiedConnection{}
 	c.Asked("never written", rpc.Tokened, time.Now())
-	h := &flow{}
+	h := &proxiedConnection{}
 	c.Try("n3", h, 9, "never written", time.Now(), false)
 	c.Unwritten(h, 9)
 	c.Ended(h, false)
 	for k, id := range []string{"gone", "closed", "killed"} {
 		c.Asked(id, rpc.Tokened, time.Now())
-		c.Try(fmt.Sprint("n", k), []*flow{f, f, g}[k], int32(k+1), id, time.Now(), false)
+		c.Try(fmt.Sprint("n", k), []*proxiedConnection{f, f, g}[k], int32(k+1), id, time.Now(), false)
 	}
 	c.Interrupted(f, 1)
 	c.Ended(f, true)
@@ -135,7 +135,7 @@
 
 // What crosses a close and is sent again is not lost, where callers do so.
 func TestCheckerCrossed(t *testing.T) {
-	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
+	c, f, g := NewChecker(10*time.Millisecond), &proxiedConnection{}, &proxiedConnection{}
 	c.ResendCrossed()
 	far := time.Now().Add(time.Hour)
 	c.Asked("a", rpc.Tokened, far)
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -7,7 +7,7 @@
 )
 
 // Try tells of an RPC whose last byte has been written to an app server.
-func (c *Checker) Try(server string, conn *flow, seq int32, id string, due time.Time, again bool) {
+func (c *Checker) Try(server string, conn *proxiedConnection, seq int32, id string, due time.Time, again bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // open has an answer to a number owed on a connection. Called under the lock.
-func (c *Checker) open(conn *flow, seq int32, t *tried) {
+func (c *Checker) open(conn *proxiedConnection, seq int32, t *tried) {
 	if c.tries[conn] == nil {
 		c.tries[conn] = map[int32]*tried{}
 	}
@@ -59,7 +59,7 @@
 }
 
 // Interrupted tells that the caller of a try waits no longer.
-func (c *Checker) Interrupted(conn *flow, seq int32) {
+func (c *Checker) Interrupted(conn *proxiedConnection, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[conn][seq]; t != nil {
@@ -68,7 +68,7 @@
 }
 
 // Answered tells of an answer to a try, as it came from the app server.
-func (c *Checker) Answered(conn *flow, seq int32, how rpc.Outcome, last bool, after time.Duration) {
+func (c *Checker) Answered(conn *proxiedConnection, seq int32, how rpc.Outcome, last bool, after time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // Unwritten tells that the last byte of a try could not be written, as its connection was reset before: it was never read.
-func (c *Checker) Unwritten(conn *flow, seq int32) {
+func (c *Checker) Unwritten(conn *proxiedConnection, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[conn][seq]; t != nil && !t.over() {
@@ -115,7 +115,7 @@
 
 // Ended tells that a connection is over: by the caller's doing, or ours, what was open on it is excused. What its app server
 // ends is lost, on a new connection too.
-func (c *Checker) Ended(conn *flow, ours bool) {
+func (c *Checker) Ended(conn *proxiedConnection, ours bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Only this connection's: looking through all tries held the rig up while many connections ended, and its own
@@ -136,9 +136,9 @@
 		}
 	}
 	delete(c.tries, conn)
-	if conn.counted != nil {
-		conn.counted.connections--
-		conn.counted = nil
+	if conn.countedIn != nil {
+		conn.countedIn.connections--
+		conn.countedIn = nil
 	}
 }
 
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -104,7 +104,7 @@
 type testTrial struct {
 	check  *Checker
 	kernel *Kernel
-	flow   *flow // of a client
+	flow   *proxiedConnection // of a client
 	seq    int32
 }
 
@@ -128,8 +128,8 @@
 }
 
 // newFlow is a connection with no network.
-func newFlow(server string, check *Checker) *flow {
-	f := &flow{Net: &Net{server: server, check: check}}
+func newFlow(server string, check *Checker) *proxiedConnection {
+	f := &proxiedConnection{Net: &Net{server: server, check: check}}
 	check.connected(f)
 	return f
 }
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -26,8 +26,8 @@
 		return
 	}
 	k.check.begun(k.server, order)
-	k.runs[uid] = &run{uid: uid, order: order, left: order.entry.Work, began: time.Now(), backend: k.config.Backend.counts(lane)}
-	if k.config.Backend.counts(lane) {
+	k.runs[uid] = &run{uid: uid, order: order, left: order.entry.Work, began: time.Now(), backend: k.config.Backend.countsMethod(lane)}
+	if k.config.Backend.countsMethod(lane) {
 		k.config.Backend.add(k.server, 1)
 	}
 	k.judgeMemory()
@@ -71,7 +71,7 @@
 	if k.hung {
 		return 0
 	}
-	return min(1, float64(k.config.Cores)/max(float64(k.onCores()), 1)) / k.slow / k.config.Backend.slower() * k.warmth()
+	return min(1, float64(k.config.Cores)/max(float64(k.onCores()), 1)) / k.slow / k.config.Backend.slowdown() * k.warmth()
 }
 
 // pass takes off the work done since the last look.
--- a/rig/load.go
+++ b/rig/load.go
@@ -26,19 +26,19 @@
 	Method      string
 	Kind        rpc.Kind
 	Criticality float64 // as its callers rank it, and as it counts
-	Fraction        float64 // of all RPCs
+	Fraction    float64 // of all RPCs
 	Work        float64 // seconds on a core, on the mean; exponential
 	Deadline    time.Duration
 }
 
 // Load asks, whatever becomes of what it has asked before.
 type Load struct {
-	Seed   uint64
-	Rate   func(t float64) float64 // RPCs a second, t seconds after the start
-	Duration time.Duration
-	Shares []Share
-	Prefix string // of the names of its RPCs
-	TokenPadding    int    // bytes that tokens are longer by
+	Seed         uint64
+	Rate         func(t float64) float64 // RPCs a second, t seconds after the start
+	Duration     time.Duration
+	Shares       []Share
+	Prefix       string // of the names of its RPCs
+	TokenPadding int    // bytes that tokens are longer by
 	// PendingCount counts the RPCs that have no outcome yet, if set.
 	PendingCount *atomic.Int64
 	// BeforeCall is told of each RPC as it is asked, if set, with the seconds of its work.
@@ -87,7 +87,7 @@
 			continue
 		}
 		time.Sleep(time.Until(begin.Add(time.Duration(at * float64(time.Second)))))
-		s := l.pick(chance.Float64())
+		s := l.pickShare(chance.Float64())
 		work := math.Min(s.Work*chance.ExpFloat64(), 5*s.Work)
 		c := callers[chance.IntN(len(callers))]
 		id := fmt.Sprintf("%s%d", l.Prefix, n)
@@ -138,7 +138,7 @@
 	return out
 }
 
-func (l Load) pick(x float64) Share {
+func (l Load) pickShare(x float64) Share {
 	total := 0.0
 	for _, s := range l.Shares {
 		total += s.Fraction
--- a/rig/message.go
+++ b/rig/message.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func (r *wireReader) take(n int) []byte {
+func (r *wireReader) readBytes(n int) []byte {
 	if r.err != nil {
 		return make([]byte, min(max(n, 0), 8))
 	}
@@ -55,24 +55,24 @@
 	return value
 }
 
-func (r *wireReader) byte() byte   { return r.take(1)[0] }
-func (r *wireReader) i16() int16   { return int16(binary.BigEndian.Uint16(r.take(2))) }
-func (r *wireReader) i32() int32   { return int32(binary.BigEndian.Uint32(r.take(4))) }
-func (r *wireReader) text() string { return string(r.take(int(r.i32()))) }
+func (r *wireReader) byte() byte   { return r.readBytes(1)[0] }
+func (r *wireReader) i16() int16   { return int16(binary.BigEndian.Uint16(r.readBytes(2))) }
+func (r *wireReader) i32() int32   { return int32(binary.BigEndian.Uint32(r.readBytes(4))) }
+func (r *wireReader) text() string { return string(r.readBytes(int(r.i32()))) }
 
 // fields goes through a struct; take reads the value of a field.
-func (r *wireReader) fields(take func(id int16, kind byte)) {
+func (r *wireReader) fields(readValue func(id int16, kind byte)) {
 	for r.err == nil {
 		kind := r.byte()
 		if kind == 0 || r.err != nil {
 			return
 		}
-		take(r.i16(), kind)
+		readValue(r.i16(), kind)
 	}
 }
 
-// texts reads a map of strings.
-func (r *wireReader) texts() map[string]string {
+// stringMap reads a map of strings.
+func (r *wireReader) stringMap() map[string]string {
 	keys, values, n := r.byte(), r.byte(), int(r.i32())
 	all := map[string]string{}
 	if n > 0 && (keys != valueString || values != valueString) {
@@ -116,7 +116,7 @@
 	r.fields(func(id int16, kind byte) {
 		switch {
 		case q.name == "execute" && id == 1 && kind == valueMap:
-			q.fields = r.texts()
+			q.fields = r.stringMap()
 		case q.name == "execute" && id == 2 && kind == valueString:
 			q.body = []byte(r.text())
 		case q.name == "interrupt" && id == 1 && kind == valueI32:
@@ -130,8 +130,8 @@
 	return q, r.err
 }
 
-// recv is when the request came to the machine, now if that cannot be read.
-func (q request) recv(now time.Time) time.Time {
+// receivedAt is when the request came to the machine, now if that cannot be read.
+func (q request) receivedAt(now time.Time) time.Time {
 	ms, err := strconv.ParseFloat(q.fields["recv"], 64)
 	if err != nil || !(ms >= 0 && ms < farMilliseconds) {
 		return now
@@ -151,8 +151,8 @@
 	return time.Duration(min(max(ms, 0), 1e11) * float64(time.Millisecond)), true
 }
 
-// heap is the memory that is booked for the request, in KB.
-func (q request) heap() float64 {
+// heapKB is the memory that is booked for the request, in KB.
+func (q request) heapKB() float64 {
 	kb, err := strconv.ParseFloat(q.fields["heap"], 64)
 	if err != nil || !(kb > 0 && kb < 2000) {
 		return 0
@@ -173,12 +173,12 @@
 
 // reply is a message of an app server.
 type reply struct {
-	kind     replyKind
-	seq      int32
-	body     []byte
-	last     bool          // no other app server is to be tried
-	after    time.Duration // for which the router should stay away
-	pushback bool          // it says for how long
+	kind        replyKind
+	seq         int32
+	body        []byte
+	noRetry     bool          // no other app server is to be tried
+	retryAfter  time.Duration // for which the router should stay away
+	hasPushback bool          // it says for how long
 }
 
 // Fields of the result of a call.
@@ -256,15 +256,15 @@
 // answer reads the struct Answer, of which a router needs all three fields but may be sent none of the map's keys.
 func (r *wireReader) answer(check bool) reply {
 	a := reply{kind: replyServed}
-	good := false
+	succeeded := false
 	r.fields(func(id int16, kind byte) {
 		switch {
 		case id == 1 && kind == valueString:
 			a.body = []byte(r.text())
 		case id == 2 && kind == valueMap:
-			r.judgeFields(r.texts(), &a)
+			r.judgeFields(r.stringMap(), &a)
 		case id == 3 && kind == valueBool:
-			good = r.byte() == 1
+			succeeded = r.byte() == 1
 		default:
 			r.fail("an Answer with a field %d of type %d", id, kind)
 		}
@@ -272,10 +272,10 @@
 	switch {
 	case check:
 		a.kind = replyChecked
-	case !good:
+	case !succeeded:
 		a.kind = replyAborted
 	}
-	if a.pushback || a.last {
+	if a.hasPushback || a.noRetry {
 		r.fail("an Answer with fields of a refusal")
 	}
 	return a
@@ -289,9 +289,9 @@
 			r.fail("an exception with a field %d of type %d", id, kind)
 			return
 		}
-		r.judgeFields(r.texts(), &a)
+		r.judgeFields(r.stringMap(), &a)
 	})
-	if kind != replyPushedBack && (a.pushback || a.last) {
+	if kind != replyPushedBack && (a.hasPushback || a.noRetry) {
 		r.fail("Aborted with fields of a refusal")
 	}
 	return a
@@ -310,13 +310,13 @@
 			if err != nil || !(ms >= 0) || math.IsInf(ms, 0) || ms != math.Trunc(ms) {
 				r.fail("pushback %q", value)
 			}
-			a.pushback = true
-			a.after = time.Duration(min(ms, 1e11) * float64(time.Millisecond))
+			a.hasPushback = true
+			a.retryAfter = time.Duration(min(ms, 1e11) * float64(time.Millisecond))
 		case "stop":
 			if value != "1" {
 				r.fail("stop %q", value)
 			}
-			a.last = true
+			a.noRetry = true
 		default:
 			r.fail("a field %q", key)
 		}
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -19,19 +19,19 @@
 	addresses []string
 	source    int
 
-	mu    sync.Mutex
-	spare map[string][]*naiveConn
+	mu   sync.Mutex
+	idle map[string][]*naiveConn
 }
 
 type naiveConn struct {
 	net.Conn
-	in  *readbuffer.Buffer
-	seq int32
+	input *readbuffer.Buffer
+	seq   int32
 }
 
 // NewNaiveClient makes one.
 func NewNaiveClient(source int, addresses ...string) *NaiveClient {
-	return &NaiveClient{addresses: addresses, source: source, spare: map[string][]*naiveConn{}}
+	return &NaiveClient{addresses: addresses, source: source, idle: map[string][]*naiveConn{}}
 }
 
 const naiveTries = 4
@@ -55,7 +55,7 @@
 
 func (n *NaiveClient) try(ctx context.Context, method, token string, body []byte) ([]byte, error) {
 	at := n.addresses[rand.IntN(len(n.addresses))]
-	c, err := n.get(ctx, at)
+	c, err := n.connection(ctx, at)
 	if err != nil {
 		return nil, err
 	}
@@ -70,9 +70,9 @@
 		return nil, err
 	}
 	for {
-		b, size, err := thrift.Frame(c.in.Bytes())
+		b, size, err := thrift.Frame(c.input.Bytes())
 		if err == nil && size == 0 {
-			err = c.in.Fill(c)
+			err = c.input.Fill(c)
 		}
 		if err != nil {
 			c.Close()
@@ -83,23 +83,23 @@
 		}
 		a := naiveAnswer{err: errNaive}
 		err = thrift.DecodeAnswer(b, &a)
-		c.in.Discard(size)
+		c.input.Discard(size)
 		if err != nil || a.draining {
 			c.Close()
 			return nil, errNaive
 		}
 		n.mu.Lock()
-		n.spare[at] = append(n.spare[at], c)
+		n.idle[at] = append(n.idle[at], c)
 		n.mu.Unlock()
 		return a.result, a.err
 	}
 }
 
-func (n *NaiveClient) get(ctx context.Context, at string) (*naiveConn, error) {
+func (n *NaiveClient) connection(ctx context.Context, at string) (*naiveConn, error) {
 	n.mu.Lock()
-	if spare := n.spare[at]; len(spare) > 0 {
+	if spare := n.idle[at]; len(spare) > 0 {
 		c := spare[len(spare)-1]
-		n.spare[at] = spare[:len(spare)-1]
+		n.idle[at] = spare[:len(spare)-1]
 		n.mu.Unlock()
 		return c, nil
 	}
@@ -108,14 +108,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return &naiveConn{Conn: nc, in: readbuffer.New(thrift.MaxFrame + 4)}, nil
+	return &naiveConn{Conn: nc, input: readbuffer.New(thrift.MaxFrame + 4)}, nil
 }
 
 // Close ends its connections.
 func (n *NaiveClient) Close() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, spare := range n.spare {
+	for _, spare := range n.idle {
 		for _, c := range spare {
 			c.Close()
 		}
--- a/rig/net.go
+++ b/rig/net.go
@@ -24,7 +24,7 @@
 	arrivals *Arrivals       // told of each RPC, if set
 
 	mu    sync.Mutex
-	flows map[*flow]struct{}
+	flows map[*proxiedConnection]struct{}
 	down  bool // nothing is accepted
 	deaf  bool // connections are taken, and nothing passes
 	group sync.WaitGroup
@@ -36,7 +36,7 @@
 
 // NewNet listens on a free port for callers of the app server at target.
 func NewNet(server, target string, check *Checker) (*Net, error) {
-	n := &Net{server: server, target: target, check: check, flows: map[*flow]struct{}{}}
+	n := &Net{server: server, target: target, check: check, flows: map[*proxiedConnection]struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 // Reset ends all connections.
 func (n *Net) Reset() {
 	n.mu.Lock()
-	flows := make([]*flow, 0, len(n.flows))
+	flows := make([]*proxiedConnection, 0, len(n.flows))
 	for f := range n.flows {
 		flows = append(flows, f)
 	}
@@ -113,8 +113,8 @@
 	n.group.Wait()
 }
 
-func (f *flow) reset() {
-	f.ours.Store(true)
+func (f *proxiedConnection) reset() {
+	f.endedLocally.Store(true)
 	if tcp, ok := f.caller.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
@@ -134,7 +134,7 @@
 		}
 		n.mu.Lock()
 		down, deaf := n.down, n.deaf
-		f := &flow{Net: n, caller: nc}
+		f := &proxiedConnection{Net: n, caller: nc}
 		n.flows[f] = struct{}{}
 		n.mu.Unlock()
 		switch {
@@ -152,15 +152,15 @@
 	}
 }
 
-func (f *flow) done() {
+func (f *proxiedConnection) done() {
 	f.mu.Lock()
 	delete(f.flows, f)
 	f.mu.Unlock()
-	f.check.Ended(f, f.ours.Load())
+	f.check.Ended(f, f.endedLocally.Load())
 }
 
 // swallow reads and says nothing.
-func (f *flow) swallow() {
+func (f *proxiedConnection) swallow() {
 	defer f.done()
 	defer f.caller.Close()
 	b := make([]byte, 4096)
@@ -172,7 +172,7 @@
 }
 
 // pass carries both directions until one ends.
-func (f *flow) pass() {
+func (f *proxiedConnection) pass() {
 	defer f.done()
 	server, err := net.DialTimeout("tcp", f.target, time.Second)
 	if err != nil {
@@ -182,7 +182,7 @@
 	f.mu.Lock()
 	f.server = server
 	f.mu.Unlock()
-	if f.ours.Load() { // reset meanwhile
+	if f.endedLocally.Load() { // reset meanwhile
 		server.Close()
 	}
 	f.check.connected(f)
@@ -194,7 +194,7 @@
 }
 
 // passRequests carries what the caller says.
-func (f *flow) passRequests(server net.Conn) {
+func (f *proxiedConnection) passRequests(server net.Conn) {
 	var owed []int32 // of the bytes that are being written
 	look := func(frame []byte) {
 		if seq, isOwed := f.watchRequest(frame); isOwed {
@@ -215,14 +215,14 @@
 		f.discard()
 		return
 	}
-	f.ours.Store(true) // the caller's side ended first, or the app server's had and says so itself
+	f.endedLocally.Store(true) // the caller's side ended first, or the app server's had and says so itself
 	server.Close()
 	f.discard()
 }
 
 // passReplies carries what the app server says. It is read as it comes, so that nobody takes the network for a late app
 // server, and written behind that.
-func (f *flow) passReplies(server net.Conn) {
+func (f *proxiedConnection) passReplies(server net.Conn) {
 	look := lookout{
 		message: f.watchReply,
 		garbage: func(err error) {
@@ -236,8 +236,8 @@
 		queue <- bytes.Clone(b)
 		return nil
 	})
-	f.ended.Store(true)
-	f.check.Ended(f, f.ours.Load())
+	f.endedByServer.Store(true)
+	f.check.Ended(f, f.endedLocally.Load())
 	close(queue)
 	writer.Wait()
 	if half, ok := f.caller.(*net.TCPConn); ok {
@@ -252,12 +252,12 @@
 const mostQueued = 16
 
 // writeReplies writes what comes in the queue until it is closed. Once the caller is gone, the connection is ended.
-func (f *flow) writeReplies(queue <-chan []byte, server net.Conn) {
+func (f *proxiedConnection) writeReplies(queue <-chan []byte, server net.Conn) {
 	gone := false
 	for b := range queue {
 		if !gone && f.writeTrickle(b) != nil {
 			gone = true
-			f.ours.Store(true)
+			f.endedLocally.Store(true)
 			server.Close()
 		}
 	}
@@ -268,7 +268,7 @@
 
 // discard reads what the caller still sends and throws it away: a close over it would reset the connection, and answers that
 // the caller has not read yet would go with it.
-func (f *flow) discard() {
+func (f *proxiedConnection) discard() {
 	f.caller.SetReadDeadline(time.Now().Add(discardTime))
 	io.Copy(io.Discard, f.caller)
 }
@@ -286,7 +286,7 @@
 )
 
 // carry moves bytes as they come until one side ends, and tells of each message before its last byte goes on.
-func (f *flow) carry(from net.Conn, look lookout, write func([]byte) error) error {
+func (f *proxiedConnection) carry(from net.Conn, look lookout, write func([]byte) error) error {
 	chunk := make([]byte, 16<<10)
 	var seen []byte // of a message that is not whole yet
 	garbled := false
@@ -334,7 +334,7 @@
 const trickleGap = 10 * time.Millisecond
 
 // writeTrickle writes to the caller, a few bytes at a time if Trickle says so.
-func (f *flow) writeTrickle(b []byte) error {
+func (f *proxiedConnection) writeTrickle(b []byte) error {
 	step := int(f.trickle.Load())
 	if step <= 0 {
 		return f.writePieces(f.caller, b)
@@ -355,12 +355,12 @@
 const mostPieces = 8
 
 // writePieces writes to one side, in pieces if Pieces says so.
-func (f *flow) writePieces(to net.Conn, b []byte) error {
+func (f *proxiedConnection) writePieces(to net.Conn, b []byte) error {
 	seed := f.pieces.Load()
 	if seed == 0 {
 		return f.write(to, b)
 	}
-	chance := rand.New(rand.NewPCG(seed, f.wrote.Add(1)))
+	chance := rand.New(rand.NewPCG(seed, f.chunkCount.Add(1)))
 	for left := mostPieces; len(b) > 0; left-- {
 		n := len(b)
 		if left > 1 {
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -114,7 +114,7 @@
 			}
 		}
 	}()
-	var blocked *flow
+	var blocked *proxiedConnection
 	var since time.Time // a slow machine takes its time for a write that does come back
 	waitFor(t, "a write that does not come back", func() bool {
 		n.mu.Lock()
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -19,7 +19,7 @@
 	HangupSeen     bool // interrupts are sent
 	MarksRetry     bool // further tries are marked
 	Tenants        int  // RPCs name one of so many
-	WriteSize         int  // bytes written at a time; 0 for whole messages
+	WriteSize      int  // bytes written at a time; 0 for whole messages
 }
 
 // Peer is a router of one app server, as the protocol has them: up to 32 RPCs open on a connection, new connections as it
@@ -28,15 +28,15 @@
 type Peer struct {
 	address string
 	source  int
-	form    PeerOptions
+	options PeerOptions
 	catalog *Catalog
 
-	mu     sync.Mutex
-	chance *rand.Rand
-	conns  []*peerConn
-	deaf   chan struct{} // closed when answers are read again; nil while they are
-	group  sync.WaitGroup
-	closed bool
+	mu          sync.Mutex
+	chance      *rand.Rand
+	connections []*peerConn
+	readPaused  chan struct{} // closed when answers are read again; nil while they are
+	group       sync.WaitGroup
+	closed      bool
 }
 
 // PeerTry is one try of an RPC.
@@ -45,10 +45,10 @@
 	Method      string
 	Token       string
 	Body        []byte
-	ReceivedAt        time.Time     // when it came to the machine
-	Timeout       time.Duration // from Recv on; the field ttl
+	ReceivedAt  time.Time     // when it came to the machine
+	Timeout     time.Duration // from Recv on; the field ttl
 	Criticality float64
-	IsRetry       bool
+	IsRetry     bool
 	Work        float64 // seconds on a core
 	Result      []byte  // of a run; nil for Answer(RPC)
 	Fails       bool    // a run ends with a fault
@@ -56,10 +56,10 @@
 
 // PeerOutcome is how a try ended: with a result, or with ErrPushedBack, ErrAborted, ErrLost.
 type PeerOutcome struct {
-	Result  []byte
-	Err     error
-	NoRetry    bool          // pushed back, and no other app server is to be tried
-	RetryAfter   time.Duration // pushed back, and not before
+	Result         []byte
+	Err            error
+	NoRetry        bool          // pushed back, and no other app server is to be tried
+	RetryAfter     time.Duration // pushed back, and not before
 	ClosedInFlight bool          // the connection ended just when it was written
 }
 
@@ -77,12 +77,12 @@
 	write sync.Mutex
 	seq   int32
 
-	mu     sync.Mutex
-	open   map[int32]*peerOpen
-	booked int
-	drains bool
-	ended  bool
-	ours   bool // it was ended from this side
+	mu            sync.Mutex
+	pending       map[int32]*peerOpen
+	reserved      int
+	draining      bool
+	ended         bool
+	closedLocally bool // it was ended from this side
 }
 
 // peerOpen is a try without an outcome.
@@ -102,12 +102,12 @@
 
 // NewPeer makes one; it connects when it has something to send.
 func NewPeer(address string, source int, form PeerOptions, catalog *Catalog, seed uint64) *Peer {
-	return &Peer{address: address, source: source, form: form, catalog: catalog, chance: rand.New(rand.NewPCG(seed, uint64(source)))}
+	return &Peer{address: address, source: source, options: form, catalog: catalog, chance: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
 // Send writes one try.
 func (p *Peer) Send(t PeerTry) (*PeerCall, error) {
-	c, err := p.connection()
+	c, err := p.reserveConnection()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
@@ -116,11 +116,11 @@
 	defer c.write.Unlock()
 	c.seq++
 	fields, call := p.fields(t)
-	if !c.book(c.seq, &peerOpen{time.Now(), done}) {
+	if !c.addPending(c.seq, &peerOpen{time.Now(), done}) {
 		return nil, ErrNotConnected
 	}
 	c.catalog.Add(call, Entry{RPC: t.RPC, Work: t.Work, Result: t.Result, Fails: t.Fails})
-	c.put(ExecuteFrame(c.seq, fields, t.Body))
+	c.writeFrame(ExecuteFrame(c.seq, fields, t.Body))
 	return &PeerCall{Done: done, conn: c, seq: c.seq}, nil
 }
 
@@ -131,7 +131,7 @@
 	call = fmt.Sprintf("%016x", p.chance.Uint64())
 	fields = []Field{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
 		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.chance.Float64())}, {"crit", fmt.Sprintf("%.4f", min(t.Criticality, 0.9999))}}
-	if p.form.PassesDeadline {
+	if p.options.PassesDeadline {
 		fields = append(fields, Field{"ttl", strconv.FormatInt(t.Timeout.Milliseconds(), 10)})
 	}
 	if t.Token != "" {
@@ -139,10 +139,10 @@
 	} else if p.chance.IntN(2) == 0 {
 		fields = append(fields, Field{"row", fmt.Sprintf("%016x", p.chance.IntN(8))})
 	}
-	if p.form.Tenants > 0 {
-		fields = append(fields, Field{"org", strconv.Itoa(p.chance.IntN(p.form.Tenants))})
+	if p.options.Tenants > 0 {
+		fields = append(fields, Field{"org", strconv.Itoa(p.chance.IntN(p.options.Tenants))})
 	}
-	if t.IsRetry && p.form.MarksRetry {
+	if t.IsRetry && p.options.MarksRetry {
 		fields = append(fields, Field{"rep", "1"})
 	}
 	p.chance.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
@@ -152,21 +152,21 @@
 // Cancel says that nobody waits for a try any more, where app servers are told of it.
 func (k *PeerCall) Cancel() {
 	c := k.conn
-	if !c.form.HangupSeen {
+	if !c.options.HangupSeen {
 		return
 	}
 	c.write.Lock()
 	defer c.write.Unlock()
 	c.seq++
-	c.put(InterruptFrame(c.seq, k.seq))
+	c.writeFrame(InterruptFrame(c.seq, k.seq))
 }
 
-// put writes a frame, whole or in pieces. Called under the lock of writing.
-func (c *peerConn) put(frame []byte) {
+// writeFrame writes a frame, whole or in pieces. Called under the lock of writing.
+func (c *peerConn) writeFrame(frame []byte) {
 	c.SetWriteDeadline(time.Now().Add(peerWrites))
 	step := len(frame)
-	if c.form.WriteSize > 0 {
-		step = c.form.WriteSize
+	if c.options.WriteSize > 0 {
+		step = c.options.WriteSize
 	}
 	for len(frame) > 0 {
 		n := min(step, len(frame))
@@ -174,61 +174,61 @@
 			c.retire() // answers that have come are still read; the reader finds the end
 			return
 		}
-		if frame = frame[n:]; len(frame) > 0 && c.form.WriteSize < 8 {
+		if frame = frame[n:]; len(frame) > 0 && c.options.WriteSize < 8 {
 			time.Sleep(100 * time.Microsecond)
 		}
 	}
 }
 
-// book enters a try; false if the connection has ended meanwhile.
-func (c *peerConn) book(seq int32, o *peerOpen) bool {
+// addPending enters a try; false if the connection has ended meanwhile.
+func (c *peerConn) addPending(seq int32, o *peerOpen) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.booked--
+	c.reserved--
 	if c.ended {
 		return false
 	}
-	c.open[seq] = o
+	c.pending[seq] = o
 	return true
 }
 
 // retire has no new RPC sent on the connection.
 func (c *peerConn) retire() {
 	c.mu.Lock()
-	c.drains = true
-	idle := len(c.open)+c.booked == 0
+	c.draining = true
+	idle := len(c.pending)+c.reserved == 0
 	c.mu.Unlock()
 	if idle {
-		c.leave()
+		c.closeLocally()
 	}
 }
 
-// leave ends the connection from this side.
-func (c *peerConn) leave() {
+// closeLocally ends the connection from this side.
+func (c *peerConn) closeLocally() {
 	c.mu.Lock()
-	c.ours = true
+	c.closedLocally = true
 	c.mu.Unlock()
 	c.Conn.Close()
 }
 
-// connection books a place on one.
-func (p *Peer) connection() (*peerConn, error) {
+// reserveConnection books a place on one.
+func (p *Peer) reserveConnection() (*peerConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, net.ErrClosed
 	}
-	for k := 0; k < len(p.conns); k++ {
-		c := p.conns[k]
+	for k := 0; k < len(p.connections); k++ {
+		c := p.connections[k]
 		c.mu.Lock()
-		gone, room := c.ended || c.drains, len(c.open)+c.booked < routerOpen
+		gone, room := c.ended || c.draining, len(c.pending)+c.reserved < routerOpen
 		if !gone && room {
-			c.booked++
+			c.reserved++
 		}
 		c.mu.Unlock()
 		switch {
 		case gone:
-			p.conns = append(p.conns[:k], p.conns[k+1:]...)
+			p.connections = append(p.connections[:k], p.connections[k+1:]...)
 			k--
 		case room:
 			return c, nil
@@ -238,14 +238,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &peerConn{Peer: p, Conn: nc, open: map[int32]*peerOpen{}, booked: 1}
-	p.conns = append(p.conns, c)
+	c := &peerConn{Peer: p, Conn: nc, pending: map[int32]*peerOpen{}, reserved: 1}
+	p.connections = append(p.connections, c)
 	p.group.Go(c.read)
 	return c, nil
 }
 
 func (c *peerConn) read() {
-	defer c.over()
+	defer c.failPending()
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		c.awaitHearing()
@@ -266,50 +266,50 @@
 // awaitHearing waits while the peer does not read.
 func (p *Peer) awaitHearing() {
 	p.mu.Lock()
-	deaf := p.deaf
+	deaf := p.readPaused
 	p.mu.Unlock()
 	if deaf != nil {
 		<-deaf
 	}
 }
 
-// over gives what is open its outcome.
-func (c *peerConn) over() {
+// failPending gives what is open its outcome.
+func (c *peerConn) failPending() {
 	c.Conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended = true
-	for seq, o := range c.open {
-		o.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.ours && time.Since(o.at) <= crossingWindow}
-		delete(c.open, seq)
+	for seq, o := range c.pending {
+		o.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(o.at) <= crossingWindow}
+		delete(c.pending, seq)
 	}
 }
 
-// end gives a try its outcome, and leaves a connection that is to have no more.
-func (c *peerConn) end(seq int32, o PeerOutcome) {
+// finish gives a try its outcome, and leaves a connection that is to have no more.
+func (c *peerConn) finish(seq int32, o PeerOutcome) {
 	c.mu.Lock()
-	open := c.open[seq]
-	delete(c.open, seq)
-	leave := c.drains && len(c.open)+c.booked == 0
+	open := c.pending[seq]
+	delete(c.pending, seq)
+	leave := c.draining && len(c.pending)+c.reserved == 0
 	c.mu.Unlock()
 	if open != nil {
 		open.done <- o
 	}
 	if leave {
-		c.leave()
+		c.closeLocally()
 	}
 }
 
 // Served, PushedBack, Aborted and the rest are what the app server says.
 func (c *peerConn) Served(seq int32, result []byte, _ float64) {
-	c.end(seq, PeerOutcome{Result: append([]byte{}, result...)})
+	c.finish(seq, PeerOutcome{Result: append([]byte{}, result...)})
 }
 func (c *peerConn) PushedBack(seq int32, last bool, after, _ float64) {
 	wait := time.Duration(after * float64(time.Second))
-	c.end(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, RetryAfter: wait})
+	c.finish(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, RetryAfter: wait})
 }
 func (c *peerConn) Aborted(seq int32, _ string, _ float64) {
-	c.end(seq, PeerOutcome{Err: ErrAborted})
+	c.finish(seq, PeerOutcome{Err: ErrAborted})
 }
 func (c *peerConn) Checked(int32, bool, float64) {}
 func (c *peerConn) Draining()                    { c.retire() }
@@ -319,30 +319,30 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case deaf && p.deaf == nil:
-		p.deaf = make(chan struct{})
-	case !deaf && p.deaf != nil:
-		close(p.deaf)
-		p.deaf = nil
+	case deaf && p.readPaused == nil:
+		p.readPaused = make(chan struct{})
+	case !deaf && p.readPaused != nil:
+		close(p.readPaused)
+		p.readPaused = nil
 	}
 }
 
 // ResetConnections resets all connections, Leave closes them; the tries open on them have no caller any more.
-func (p *Peer) ResetConnections() { p.endAll(true) }
+func (p *Peer) ResetConnections() { p.closeAll(true) }
 
 // CloseConnections closes all connections.
-func (p *Peer) CloseConnections() { p.endAll(false) }
+func (p *Peer) CloseConnections() { p.closeAll(false) }
 
-func (p *Peer) endAll(reset bool) {
+func (p *Peer) closeAll(reset bool) {
 	p.mu.Lock()
-	conns := p.conns
-	p.conns = nil
+	conns := p.connections
+	p.connections = nil
 	p.mu.Unlock()
 	for _, c := range conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok && reset {
 			tcp.SetLinger(0)
 		}
-		c.leave()
+		c.closeLocally()
 	}
 }
 
@@ -352,6 +352,6 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.endAll(false)
+	p.closeAll(false)
 	p.group.Wait()
 }
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -12,13 +12,13 @@
 // HealthProbe asks one app server for its health all the time, on a connection of its own that it opens anew now and then.
 type HealthProbe struct {
 	address string
-	end     chan struct{}
+	stop    chan struct{}
 	group   sync.WaitGroup
 
-	mu   sync.Mutex
-	last time.Time // of any answer
-	good time.Time // of the first good answer since Begin
-	from time.Time
+	mu           sync.Mutex
+	lastAnswerAt time.Time // of any answer
+	healthyAt    time.Time // of the first good answer since Begin
+	startedAt    time.Time
 }
 
 // Figures of the probes: between two of them, for each answer, and checks on one connection.
@@ -30,7 +30,7 @@
 
 // NewHealthProbe begins to ask.
 func NewHealthProbe(address string) *HealthProbe {
-	p := &HealthProbe{address: address, end: make(chan struct{}), from: time.Now()}
+	p := &HealthProbe{address: address, stop: make(chan struct{}), startedAt: time.Now()}
 	p.group.Go(p.run)
 	return p
 }
@@ -39,50 +39,50 @@
 func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.from, p.last, p.good = time.Now(), time.Time{}, time.Time{}
+	p.startedAt, p.lastAnswerAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
 }
 
 // LastAnswerAt returns when the last answer came; the zero time if none has since Begin.
 func (p *HealthProbe) LastAnswerAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.last
+	return p.lastAnswerAt
 }
 
 // HealthyAt returns when the first good answer came since Begin; the zero time if none has.
 func (p *HealthProbe) HealthyAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.good
+	return p.healthyAt
 }
 
 // Close ends it.
 func (p *HealthProbe) Close() {
-	close(p.end)
+	close(p.stop)
 	p.group.Wait()
 }
 
 func (p *HealthProbe) run() {
 	for {
-		p.converse()
-		if !p.pause() {
+		p.probeConnection()
+		if !p.wait() {
 			return
 		}
 	}
 }
 
-// pause reports whether the probe goes on.
-func (p *HealthProbe) pause() bool {
+// wait reports whether the probe goes on.
+func (p *HealthProbe) wait() bool {
 	select {
-	case <-p.end:
+	case <-p.stop:
 		return false
 	case <-time.After(probeEvery):
 		return true
 	}
 }
 
-// converse asks some times on one connection.
-func (p *HealthProbe) converse() {
+// probeConnection asks some times on one connection.
+func (p *HealthProbe) probeConnection() {
 	conn, err := net.DialTimeout("tcp", p.address, probeWaits)
 	if err != nil {
 		return
@@ -96,7 +96,7 @@
 			return
 		}
 		answer := probeAnswer{}
-		for !answer.came {
+		for !answer.received {
 			frame, size, err := thrift.Frame(in.Bytes())
 			switch {
 			case err == nil && size == 0:
@@ -109,31 +109,31 @@
 				return
 			}
 		}
-		p.take(asked, answer.good)
-		if !p.pause() {
+		p.record(asked, answer.healthy)
+		if !p.wait() {
 			return
 		}
 	}
 }
 
-// take notes an answer; one that was asked for before Begin is another process's.
-func (p *HealthProbe) take(asked time.Time, good bool) {
+// record notes an answer; one that was asked for before Begin is another process's.
+func (p *HealthProbe) record(asked time.Time, good bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if asked.Before(p.from) {
+	if asked.Before(p.startedAt) {
 		return
 	}
-	p.last = time.Now()
-	if good && p.good.IsZero() {
-		p.good = p.last
+	p.lastAnswerAt = time.Now()
+	if good && p.healthyAt.IsZero() {
+		p.healthyAt = p.lastAnswerAt
 	}
 }
 
 // probeAnswer takes the answer to a health check.
-type probeAnswer struct{ came, good bool }
+type probeAnswer struct{ received, healthy bool }
 
 func (a *probeAnswer) Served(int32, []byte, float64)            {}
 func (a *probeAnswer) PushedBack(int32, bool, float64, float64) {}
-func (a *probeAnswer) Aborted(int32, string, float64)           { a.came = true }
-func (a *probeAnswer) Checked(_ int32, good bool, _ float64)    { a.came, a.good = true, good }
+func (a *probeAnswer) Aborted(int32, string, float64)           { a.received = true }
+func (a *probeAnswer) Checked(_ int32, good bool, _ float64)    { a.received, a.healthy = true, good }
 func (a *probeAnswer) Draining()                                {}
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -16,9 +16,9 @@
 	process Process
 	in      io.WriteCloser
 
-	mu    sync.Mutex
-	last  uint64
-	waits map[uint64]chan remoteReply // nil once the process says nothing more
+	mu      sync.Mutex
+	lastID  uint64
+	pending map[uint64]chan remoteReply // nil once the process says nothing more
 }
 
 // remoteCall is one line to the process.
@@ -40,8 +40,8 @@
 
 // ErrRemoteEnded is the outcome of calls whose process has ended, ErrRemoteTimeout of those that had no outcome in time.
 var (
-	ErrRemoteEnded = errors.New("the caller's process has ended")
-	ErrRemoteTimeout  = errors.New("the caller's process says nothing")
+	ErrRemoteEnded   = errors.New("the caller's process has ended")
+	ErrRemoteTimeout = errors.New("the caller's process says nothing")
 )
 
 // remotePatience is waited past a call's deadline for its outcome.
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &RemoteCaller{in: in, waits: map[uint64]chan remoteReply{}}
+	r := &RemoteCaller{in: in, pending: map[uint64]chan remoteReply{}}
 	if _, err := r.process.run(cmd, func(error) {}); err != nil {
 		return nil, err
 	}
@@ -73,8 +73,8 @@
 			break
 		}
 		r.mu.Lock()
-		done := r.waits[reply.ID]
-		delete(r.waits, reply.ID)
+		done := r.pending[reply.ID]
+		delete(r.pending, reply.ID)
 		r.mu.Unlock()
 		if done != nil {
 			done <- reply
@@ -82,10 +82,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, done := range r.waits {
+	for _, done := range r.pending {
 		done <- remoteReply{Error: ErrRemoteEnded.Error()}
 	}
-	r.waits = nil
+	r.pending = nil
 }
 
 // Call has the process make one call. The context's deadline goes with it.
@@ -114,18 +114,18 @@
 func (r *RemoteCaller) send(call remoteCall, done chan remoteReply) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.waits == nil {
+	if r.pending == nil {
 		return ErrRemoteEnded
 	}
-	r.last++
-	call.ID = r.last
+	r.lastID++
+	call.ID = r.lastID
 	line, err := json.Marshal(call)
 	if err != nil {
 		return err
 	}
-	r.waits[call.ID] = done
+	r.pending[call.ID] = done
 	if _, err := r.in.Write(append(line, '\n')); err != nil {
-		delete(r.waits, call.ID)
+		delete(r.pending, call.ID)
 		return ErrRemoteEnded
 	}
 	return nil
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -14,12 +14,12 @@
 type Roster struct {
 	address string
 
-	mu    sync.Mutex
-	conn  net.PacketConn // nil while the roster is down
-	heard map[string]time.Time
-	check *Checker        // nil unless Judge
-	names map[string]bool // that processes have
-	group sync.WaitGroup
+	mu           sync.Mutex
+	conn         net.PacketConn // nil while the roster is down
+	firstReports map[string]time.Time
+	check        *Checker        // nil unless Judge
+	names        map[string]bool // that processes have
+	group        sync.WaitGroup
 }
 
 // NewRoster listens on a free port.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Roster{address: conn.LocalAddr().String(), heard: map[string]time.Time{}}
+	r := &Roster{address: conn.LocalAddr().String(), firstReports: map[string]time.Time{}}
 	r.listen(conn)
 	return r, nil
 }
@@ -41,7 +41,7 @@
 	r.mu.Lock()
 	conn := r.conn
 	r.conn = nil
-	clear(r.heard)
+	clear(r.firstReports)
 	r.mu.Unlock()
 	if conn != nil {
 		conn.Close()
@@ -67,7 +67,7 @@
 func (r *Roster) FirstReported(name string) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok = r.heard[name]
+	at, ok = r.firstReports[name]
 	return at, ok
 }
 
@@ -86,7 +86,7 @@
 func (r *Roster) Forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.heard, name)
+	delete(r.firstReports, name)
 }
 
 func (r *Roster) listen(conn net.PacketConn) {
@@ -100,24 +100,24 @@
 			if err != nil {
 				return
 			}
-			r.hear(string(buffer[:n]))
+			r.record(string(buffer[:n]))
 		}
 	})
 }
 
-// hear records one report, "HERE name on" or "HERE name off".
-func (r *Roster) hear(report string) {
+// record records one report, "HERE name on" or "HERE name off".
+func (r *Roster) record(report string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, on, err := parseReport(report)
 	if r.check != nil {
-		r.judge(report, name, err)
+		r.checkReport(report, name, err)
 	}
 	if err != nil {
 		return
 	}
-	if _, known := r.heard[name]; !known && on {
-		r.heard[name] = time.Now()
+	if _, known := r.firstReports[name]; !known && on {
+		r.firstReports[name] = time.Now()
 	}
 }
 
@@ -138,8 +138,8 @@
 	return words[1], words[2] == "on", nil
 }
 
-// judge is called under the lock.
-func (r *Roster) judge(report, name string, err error) {
+// checkReport is called under the lock.
+func (r *Roster) checkReport(report, name string, err error) {
 	switch {
 	case err != nil:
 		r.check.report(1, "a datagram to the roster %.80q: %v", report, err)
--- a/rig/router.go
+++ b/rig/router.go
@@ -27,12 +27,12 @@
 // routerConn is one of its connections.
 type routerConn struct {
 	net.Conn
-	write  sync.Mutex
-	seq    int32
-	mu     sync.Mutex
-	open   map[int32]chan routed
-	booked int // places given out, and not written yet
-	dead   bool
+	write    sync.Mutex
+	seq      int32
+	mu       sync.Mutex
+	pending  map[int32]chan routed
+	reserved int // places given out, and not written yet
+	retired  bool
 }
 
 // routed is how one RPC ended.
@@ -55,7 +55,7 @@
 
 // Call sends one RPC and waits for its end.
 func (r *Router) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	c, err := r.get(ctx)
+	c, err := r.reserveConnection(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -70,22 +70,22 @@
 	c.seq++ // numbers rise in the order of writing
 	seq := c.seq
 	c.mu.Lock()
-	c.booked--
-	c.open[seq] = done
+	c.reserved--
+	c.pending[seq] = done
 	c.mu.Unlock()
 	frame := thrift.Execute(nil, seq, method, fmt.Sprintf("%016x", rand.Uint64()), r.source,
 		float64(time.Now().UnixMilli())/1000, time.Until(due).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
 	_, err = c.Write(frame)
 	c.write.Unlock()
 	if err != nil {
-		c.refuse() // answers that have come are still read; the reader finds the end
+		c.retire() // answers that have come are still read; the reader finds the end
 	}
 	select {
 	case e := <-done:
 		return e.result, e.err
 	case <-ctx.Done():
 		c.mu.Lock()
-		delete(c.open, seq)
+		delete(c.pending, seq)
 		c.mu.Unlock()
 		c.write.Lock()
 		c.seq++
@@ -99,19 +99,19 @@
 func (c *routerConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.booked--
+	c.reserved--
 }
 
-// get books a place on a connection.
-func (r *Router) get(ctx context.Context) (*routerConn, error) {
+// reserveConnection books a place on a connection.
+func (r *Router) reserveConnection(ctx context.Context) (*routerConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k := 0; k < len(r.conns); k++ {
 		c := r.conns[k]
 		c.mu.Lock()
-		dead, room := c.dead, len(c.open)+c.booked < routerOpen
+		dead, room := c.retired, len(c.pending)+c.reserved < routerOpen
 		if !dead && room {
-			c.booked++
+			c.reserved++
 		}
 		c.mu.Unlock()
 		switch {
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &routerConn{Conn: nc, open: map[int32]chan routed{}, booked: 1}
+	c := &routerConn{Conn: nc, pending: map[int32]chan routed{}, reserved: 1}
 	r.conns = append(r.conns, c)
 	go c.read()
 	return c, nil
@@ -134,7 +134,7 @@
 
 func (c *routerConn) read() {
 	ReadReplies(c, c)
-	c.fail()
+	c.failPending()
 }
 
 // ReadReplies passes each answer that an app server sends on a connection to its asker. It returns once the connection has
@@ -156,29 +156,29 @@
 	}
 }
 
-// refuse has no new RPC sent on the connection.
-func (c *routerConn) refuse() {
+// retire has no new RPC sent on the connection.
+func (c *routerConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = true
+	c.retired = true
 }
 
-// fail ends the connection and all that is open on it.
-func (c *routerConn) fail() {
+// failPending ends the connection and all that is open on it.
+func (c *routerConn) failPending() {
 	c.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = true
-	for seq, done := range c.open {
+	c.retired = true
+	for seq, done := range c.pending {
 		done <- routed{err: ErrLost}
-		delete(c.open, seq)
+		delete(c.pending, seq)
 	}
 }
 
-func (c *routerConn) end(seq int32, e routed) {
+func (c *routerConn) finish(seq int32, e routed) {
 	c.mu.Lock()
-	done := c.open[seq]
-	delete(c.open, seq)
+	done := c.pending[seq]
+	delete(c.pending, seq)
 	c.mu.Unlock()
 	if done != nil {
 		done <- e
@@ -187,14 +187,14 @@
 
 // Served, PushedBack, Aborted and the rest are what the app server says.
 func (c *routerConn) Served(seq int32, result []byte, _ float64) {
-	c.end(seq, routed{result: append([]byte(nil), result...)})
+	c.finish(seq, routed{result: append([]byte(nil), result...)})
 }
 func (c *routerConn) PushedBack(seq int32, _ bool, _, _ float64) {
-	c.end(seq, routed{err: ErrPushedBack})
+	c.finish(seq, routed{err: ErrPushedBack})
 }
-func (c *routerConn) Aborted(seq int32, _ string, _ float64) { c.end(seq, routed{err: ErrAborted}) }
+func (c *routerConn) Aborted(seq int32, _ string, _ float64) { c.finish(seq, routed{err: ErrAborted}) }
 func (c *routerConn) Checked(int32, bool, float64)           {}
-func (c *routerConn) Draining()                              { c.refuse() }
+func (c *routerConn) Draining()                              { c.retire() }
 
 // Close ends its connections.
 func (r *Router) Close() error {
--- a/rig/rude.go
+++ b/rig/rude.go
@@ -31,7 +31,7 @@
 	r.group.Go(func() {
 		chance := rand.New(rand.NewPCG(seed, 0x12de))
 		for ctx.Err() == nil {
-			r.converse(ctx, chance)
+			r.sendMessages(ctx, chance)
 			sleepOr(ctx, rudePause)
 		}
 	})
@@ -44,8 +44,8 @@
 	r.group.Wait()
 }
 
-// converse sends some messages on one connection, and reads whatever comes.
-func (r *MisbehavingRouter) converse(ctx context.Context, chance *rand.Rand) {
+// sendMessages sends some messages on one connection, and reads whatever comes.
+func (r *MisbehavingRouter) sendMessages(ctx context.Context, chance *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", r.address)
 	if err != nil {
 		return
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -12,28 +12,28 @@
 
 // ReceivedRequest is one RPC as a Stub reads it.
 type ReceivedRequest struct {
-	Seq                  int32
-	Method, Token, ID    string
-	Call                 string
-	Body                 []byte
-	Recv, TTL            float64
+	Seq                    int32
+	Method, Token, ID      string
+	Call                   string
+	Body                   []byte
+	Recv, TTL              float64
 	IsRetry                bool
-	Conn                 int // number of the connection, from 1
+	Conn                   int // number of the connection, from 1
 	Interrupt, HealthCheck bool
 }
 
 // Stub stands in for an app server where a real one would behave too well. What it does with each message that
 // comes is given to it; nil serves everything.
 type Stub struct {
-	raw      func(nc net.Conn) // takes over a whole connection, if set
-	listener net.Listener
-
-	mu     sync.Mutex
-	behave func(h ReceivedRequest, out []byte) []byte
-	heard  []ReceivedRequest
-	conns  map[net.Conn]struct{}
-	count  int
-	group  sync.WaitGroup
+	connectionHandler func(nc net.Conn) // takes over a whole connection, if set
+	listener          net.Listener
+
+	mu            sync.Mutex
+	handler       func(h ReceivedRequest, out []byte) []byte
+	received      []ReceivedRequest
+	conns         map[net.Conn]struct{}
+	acceptedCount int
+	group         sync.WaitGroup
 }
 
 // NewStub listens on a free port.
@@ -49,7 +49,7 @@
 func NewRawStub(raw func(nc net.Conn)) (*Stub, error) {
 	s, err := newStub(nil)
 	if err == nil {
-		s.raw = raw
+		s.connectionHandler = raw
 		s.group.Go(s.accept)
 	}
 	return s, err
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Stub{behave: behave, listener: listener, conns: map[net.Conn]struct{}{}}, nil
+	return &Stub{handler: behave, listener: listener, conns: map[net.Conn]struct{}{}}, nil
 }
 
 // Address is where callers connect.
@@ -70,14 +70,14 @@
 func (s *Stub) SetHandler(behave func(h ReceivedRequest, out []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave = behave
+	s.handler = behave
 }
 
 // Received is all that has come, health checks aside.
 func (s *Stub) Received() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]ReceivedRequest(nil), s.heard...)
+	return append([]ReceivedRequest(nil), s.received...)
 }
 
 // ConnectionCount is how many connections there are.
@@ -111,8 +111,8 @@
 		}
 		s.mu.Lock()
 		s.conns[nc] = struct{}{}
-		s.count++
-		number := s.count
+		s.acceptedCount++
+		number := s.acceptedCount
 		s.mu.Unlock()
 		s.group.Go(func() {
 			defer func() {
@@ -121,8 +121,8 @@
 				delete(s.conns, nc)
 				s.mu.Unlock()
 			}()
-			if s.raw != nil {
-				s.raw(nc)
+			if s.connectionHandler != nil {
+				s.connectionHandler(nc)
 				return
 			}
 			s.serve(nc, number)
@@ -166,12 +166,12 @@
 	out    []byte
 }
 
-func (c *stubConn) hear(h ReceivedRequest) {
+func (c *stubConn) handle(h ReceivedRequest) {
 	h.Conn = c.number
 	c.mu.Lock()
-	behave := c.behave
-	if !h.HealthCheck && len(c.Stub.heard) < 1<<16 {
-		c.Stub.heard = append(c.Stub.heard, h)
+	behave := c.handler
+	if !h.HealthCheck && len(c.Stub.received) < 1<<16 {
+		c.Stub.received = append(c.Stub.received, h)
 	}
 	c.mu.Unlock()
 	switch {
@@ -186,10 +186,10 @@
 
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
 	id, _, _ := ReadBody(body)
-	c.hear(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
+	c.handle(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
 		Recv: recv, TTL: ttl, IsRetry: again})
 }
 func (c *stubConn) Unreadable(int32, string) {}
-func (c *stubConn) Interrupt(target int32)   { c.hear(ReceivedRequest{Seq: target, Interrupt: true}) }
-func (c *stubConn) Check(seq int32)          { c.hear(ReceivedRequest{Seq: seq, HealthCheck: true}) }
+func (c *stubConn) Interrupt(target int32)   { c.handle(ReceivedRequest{Seq: target, Interrupt: true}) }
+func (c *stubConn) Check(seq int32)          { c.handle(ReceivedRequest{Seq: seq, HealthCheck: true}) }
 func (c *stubConn) Unknown(int32, string)    {}
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -11,15 +11,15 @@
 // Worker stands in for somebody outside who carries out commands of a role. It refuses terms that are over, if it is told to,
 // and writes down who ordered what, when and under which term.
 type Worker struct {
-	listener net.Listener
-	fences   bool
-	history  *History
+	listener          net.Listener
+	rejectsStaleTerms bool
+	history           *History
 
-	mu      sync.Mutex
-	orders  []Order
-	highest uint64
-	refused int
-	conns   map[net.Conn]struct{}
+	mu          sync.Mutex
+	orders      []Order
+	highestTerm uint64
+	refused     int
+	conns       map[net.Conn]struct{}
 }
 
 // Order is one that had its effect.
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{listener: listener, fences: fences, history: history, conns: map[net.Conn]struct{}{}}
+	w := &Worker{listener: listener, rejectsStaleTerms: fences, history: history, conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			nc, err := listener.Accept()
@@ -74,7 +74,7 @@
 		if _, err := fmt.Sscanf(lines.Text(), "ORDER %s %d %d %s", &role, &term, &n, &owner); err != nil {
 			return
 		}
-		if known, ok := w.take(owner, term); !ok {
+		if known, ok := w.accept(owner, term); !ok {
 			w.history.Add(owner, "late", fmt.Sprintf("order under term %d refused, %d is known", term, known))
 			fmt.Fprintf(nc, "late %d\n", known)
 			continue
@@ -83,16 +83,16 @@
 	}
 }
 
-func (w *Worker) take(owner string, term uint64) (known uint64, ok bool) {
+func (w *Worker) accept(owner string, term uint64) (known uint64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if term < w.highest && w.fences {
+	if term < w.highestTerm && w.rejectsStaleTerms {
 		w.refused++
-		return w.highest, false
+		return w.highestTerm, false
 	}
-	w.highest = max(w.highest, term)
+	w.highestTerm = max(w.highestTerm, term)
 	w.orders = append(w.orders, Order{time.Now(), owner, term})
-	return w.highest, true
+	return w.highestTerm, true
 }
 
 // Refused is how many orders came too late.
