--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -38,8 +38,8 @@
 	closesAtOnce bool // the client closes at once, and is owed nothing
 }
 
-// badPatience is how long such a client waits for a word: the protocol's three seconds, and what a busy machine adds.
-const badPatience = 5 * time.Second
+// badClientTimeout is how long such a client waits for a word: the protocol's three seconds, and what a busy machine adds.
+const badClientTimeout = 5 * time.Second
 
 var badKinds = []badKind{
 	{name: "garbage", message: func(_ *BadClients, chance *rand.Rand) []byte {
@@ -83,7 +83,7 @@
 		return append(frame, frame...)
 	}},
 	{name: "no such call", message: func(*BadClients, *rand.Rand) []byte {
-		return frameEnd(frameHead(messageCall, "nonsense", 1))
+		return finishFrame(newFrame(messageCall, "nonsense", 1))
 	}},
 	{name: "interrupts", message: func(*BadClients, *rand.Rand) []byte {
 		var all []byte
@@ -139,7 +139,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(time.Now().Add(badPatience))
+	conn.SetDeadline(time.Now().Add(badClientTimeout))
 	message := kind.message(b, chance)
 	if _, err := conn.Write(message); err == nil && kind.endless {
 		zeros := make([]byte, 64<<10)
@@ -180,7 +180,7 @@
 			return true
 		}
 		if size > 0 {
-			a := badAnswer{}
+			a := badClientReply{}
 			thrift.DecodeAnswer(frame, &a)
 			if a.served {
 				b.check.report(1, "%s serves a client that sent %s", b.server, kind.name)
@@ -197,14 +197,14 @@
 	return b.answered, b.unanswered
 }
 
-// badAnswer takes what a bad client is answered.
-type badAnswer struct{ served bool }
+// badClientReply takes what a bad client is answered.
+type badClientReply struct{ served bool }
 
-func (a *badAnswer) Served(int32, []byte, float64)            { a.served = true }
-func (a *badAnswer) PushedBack(int32, bool, float64, float64) {}
-func (a *badAnswer) Aborted(int32, string, float64)           {}
-func (a *badAnswer) Checked(int32, bool, float64)             {}
-func (a *badAnswer) Draining()                                {}
+func (a *badClientReply) Served(int32, []byte, float64)            { a.served = true }
+func (a *badClientReply) PushedBack(int32, bool, float64, float64) {}
+func (a *badClientReply) Aborted(int32, string, float64)           {}
+func (a *badClientReply) Checked(int32, bool, float64)             {}
+func (a *badClientReply) Draining()                                {}
 
 func pick[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
 
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -85,7 +85,7 @@
 	if t.sent != nil {
 		c.server(t.server).ledger.answered(now, now.Sub(t.at), how == rpc.OK)
 	}
-	if now.After(c.owedUntil(t).Add(c.slack)) && !t.excused && !conn.callerUnread() {
+	if now.After(c.owedUntil(t).Add(c.slack)) && !t.excused && !conn.callerNotReading() {
 		c.counts["late.answers"]++
 		c.violate(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
@@ -126,7 +126,7 @@
 		}
 		t.excused = true
 		switch {
-		case ours || conn.callerUnread() || c.server(t.server).killed:
+		case ours || conn.callerNotReading() || c.server(t.server).killed:
 		case c.crossedClose(t):
 			c.counts["crossed"]++
 			c.crossed[t.id] = t
@@ -149,7 +149,7 @@
 	defer c.mu.Unlock()
 	for conn, tries := range c.tries {
 		for _, t := range tries {
-			if !t.over() && !conn.callerUnread() && now.After(c.owedUntil(t).Add(c.slack)) {
+			if !t.over() && !conn.callerNotReading() && now.After(c.owedUntil(t).Add(c.slack)) {
 				c.counts["unanswered"]++
 				c.violate(1, "%s never answered by %s", t.id, t.server)
 				t.excused = true
--- a/rig/coldstart.go
+++ b/rig/coldstart.go
@@ -25,9 +25,9 @@
 	return min(1, c.Capacity+(1-c.Capacity)*max(age, 0).Seconds()/c.Ramp.Seconds())
 }
 
-// meanWarmth is the mean of Warmth over the window that ends so long after the start. Before the start it counts as the
+// meanSpeedShare is the mean of Warmth over the window that ends so long after the start. Before the start it counts as the
 // first share.
-func (c ColdStart) meanWarmth(age time.Duration) float64 {
+func (c ColdStart) meanSpeedShare(age time.Duration) float64 {
 	const steps = 20
 	sum := 0.0
 	for k := range steps {
@@ -62,9 +62,9 @@
 	Age     time.Duration
 }
 
-// coldBudget is the most requests of mean work that an app server in slow start bears within a window in which its cores
+// coldStartBudget is the most requests of mean work that an app server in slow start bears within a window in which its cores
 // carry n of them.
-func coldBudget(n float64) float64 {
+func coldStartBudget(n float64) float64 {
 	const few = 30 // under which the budget is wider, as chance weighs more
 	if n < few {
 		return n + 3*math.Sqrt(n) + 3
@@ -89,8 +89,8 @@
 			first++
 		}
 		age := r.at.Sub(boot)
-		n := float64(cores) * c.meanWarmth(age) * c.Window.Seconds() / meanWork
-		budget := coldBudget(n)
+		n := float64(cores) * c.meanSpeedShare(age) * c.Window.Seconds() / meanWork
+		budget := coldStartBudget(n)
 		if ratio := work / meanWork / budget; ratio > peak.ByWork {
 			peak.ByWork, peak.Age = ratio, age
 		}
--- a/rig/flow.go
+++ b/rig/flow.go
@@ -32,8 +32,8 @@
 	f.check.replied(f, a, err)
 }
 
-// unreadAfter is when a write that does not come back shows that the caller does not read.
-const unreadAfter = 50 * time.Millisecond
+// stalledWriteTimeout is when a write that does not come back shows that the caller does not read.
+const stalledWriteTimeout = 50 * time.Millisecond
 
 // write writes to one side, and takes note of when one to the caller began.
 func (f *proxiedConnection) write(to net.Conn, b []byte) error {
@@ -45,15 +45,15 @@
 	f.writeStarted.Store(began.UnixNano())
 	_, err := to.Write(b)
 	f.writeStarted.Store(0)
-	if time.Since(began) > unreadAfter {
+	if time.Since(began) > stalledWriteTimeout {
 		f.callerStalled.Store(true)
 	}
 	return err
 }
 
-// callerUnread reports whether the caller has not read what was written to it: what its app server says behind that comes
+// callerNotReading reports whether the caller has not read what was written to it: what its app server says behind that comes
 // late, or not at all, through no fault of the app server.
-func (f *proxiedConnection) callerUnread() bool {
+func (f *proxiedConnection) callerNotReading() bool {
 	began := f.writeStarted.Load()
-	return f.callerStalled.Load() || began > 0 && time.Since(time.Unix(0, began)) > unreadAfter
+	return f.callerStalled.Load() || began > 0 && time.Since(time.Unix(0, began)) > stalledWriteTimeout
 }
--- a/rig/frame.go
+++ b/rig/frame.go
@@ -9,38 +9,38 @@
 
 // ExecuteFrame is the message of one RPC.
 func ExecuteFrame(seq int32, fields []Field, body []byte) []byte {
-	b := frameHead(messageCall, "execute", seq)
+	b := newFrame(messageCall, "execute", seq)
 	b = append(b, valueMap, 0, 1, valueString, valueString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
 	for _, f := range fields {
-		b = frameText(frameText(b, f.Key), f.Value)
+		b = appendText(appendText(b, f.Key), f.Value)
 	}
-	b = frameText(append(b, valueString, 0, 2), string(body))
-	return frameEnd(b)
+	b = appendText(append(b, valueString, 0, 2), string(body))
+	return finishFrame(b)
 }
 
 // InterruptFrame says that nobody waits for an RPC any more; seq is its own number.
 func InterruptFrame(seq, target int32) []byte {
-	b := append(frameHead(messageOneway, "interrupt", seq), valueI32, 0, 1)
-	return frameEnd(binary.BigEndian.AppendUint32(b, uint32(target)))
+	b := append(newFrame(messageOneway, "interrupt", seq), valueI32, 0, 1)
+	return finishFrame(binary.BigEndian.AppendUint32(b, uint32(target)))
 }
 
 // CheckFrame is a health check.
 func CheckFrame(seq int32) []byte {
-	return frameEnd(append(frameHead(messageCall, "check", seq), valueBool, 0, 1, 0))
+	return finishFrame(append(newFrame(messageCall, "check", seq), valueBool, 0, 1, 0))
 }
 
-func frameHead(kind uint32, name string, seq int32) []byte {
+func newFrame(kind uint32, name string, seq int32) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 0}, messageVersion<<16|kind)
-	return binary.BigEndian.AppendUint32(frameText(b, name), uint32(seq))
+	return binary.BigEndian.AppendUint32(appendText(b, name), uint32(seq))
 }
 
-func frameText(b []byte, s string) []byte {
+func appendText(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
 
-// frameEnd writes the end of the struct and the length.
-func frameEnd(b []byte) []byte {
+// finishFrame writes the end of the struct and the length.
+func finishFrame(b []byte) []byte {
 	b = append(b, 0)
 	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
 	return b
--- a/rig/idle.go
+++ b/rig/idle.go
@@ -15,11 +15,11 @@
 type IdleKind uint8
 
 const (
-	IdleSilent    IdleKind = iota // never sends a byte
-	IdleHalf                      // sends half a message
-	IdleUsed                      // sends one health check, and then nothing
-	IdleUsedHalf                  // sends one health check, and then half a message
-	idleKindCount int      = iota
+	IdleSilent            IdleKind = iota // never sends a byte
+	IdlePartial                           // sends half a message
+	IdleAfterCheck                        // sends one health check, and then nothing
+	IdlePartialAfterCheck                 // sends one health check, and then half a message
+	idleKindCount         int      = iota
 )
 
 // IdleClients hold connections to one app server without work, and connect again as soon as theirs ends.
@@ -60,8 +60,8 @@
 	}
 }
 
-// halfMessage announces more bytes than it has.
-var halfMessage = []byte("\x00\x00\x00\x40half")
+// partialMessage announces more bytes than it has.
+var partialMessage = []byte("\x00\x00\x00\x40half")
 
 // hold keeps one connection until the app server ends it.
 func (i *IdleClients) hold(ctx context.Context, kind IdleKind) {
@@ -71,11 +71,11 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if kind == IdleUsed || kind == IdleUsedHalf {
+	if kind == IdleAfterCheck || kind == IdlePartialAfterCheck {
 		conn.Write(thrift.Check(nil, 1))
 	}
-	if kind == IdleHalf || kind == IdleUsedHalf {
-		conn.Write(halfMessage)
+	if kind == IdlePartial || kind == IdlePartialAfterCheck {
+		conn.Write(partialMessage)
 	}
 	io.Copy(io.Discard, conn)
 }
--- a/rig/message.go
+++ b/rig/message.go
@@ -133,14 +133,14 @@
 // receivedAt is when the request came to the machine, now if that cannot be read.
 func (q request) receivedAt(now time.Time) time.Time {
 	ms, err := strconv.ParseFloat(q.fields["recv"], 64)
-	if err != nil || !(ms >= 0 && ms < farMilliseconds) {
+	if err != nil || !(ms >= 0 && ms < maxUnixMilliseconds) {
 		return now
 	}
 	return time.UnixMicro(int64(ms * 1000))
 }
 
-// farMilliseconds is past anything that a clock says, and can still be calculated with.
-const farMilliseconds = 1e14
+// maxUnixMilliseconds is past anything that a clock says, and can still be calculated with.
+const maxUnixMilliseconds = 1e14
 
 // ttl is how long the caller waits; ok is false where it does not say so.
 func (q request) ttl() (wait time.Duration, ok bool) {
@@ -262,7 +262,7 @@
 		case id == 1 && kind == valueString:
 			a.body = []byte(r.text())
 		case id == 2 && kind == valueMap:
-			r.judgeFields(r.stringMap(), &a)
+			r.readReplyFields(r.stringMap(), &a)
 		case id == 3 && kind == valueBool:
 			succeeded = r.byte() == 1
 		default:
@@ -289,7 +289,7 @@
 			r.fail("an exception with a field %d of type %d", id, kind)
 			return
 		}
-		r.judgeFields(r.stringMap(), &a)
+		r.readReplyFields(r.stringMap(), &a)
 	})
 	if kind != replyPushedBack && (a.hasPushback || a.noRetry) {
 		r.fail("Aborted with fields of a refusal")
@@ -297,8 +297,8 @@
 	return a
 }
 
-// judgeFields reads what an answer carries beside its result.
-func (r *wireReader) judgeFields(fields map[string]string, a *reply) {
+// readReplyFields reads what an answer carries beside its result.
+func (r *wireReader) readReplyFields(fields map[string]string, a *reply) {
 	for key, value := range fields {
 		switch key {
 		case "load":
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -81,7 +81,7 @@
 		if size == 0 {
 			continue
 		}
-		a := naiveAnswer{err: errNaive}
+		a := naiveReply{err: errNaive}
 		err = thrift.DecodeAnswer(b, &a)
 		c.input.Discard(size)
 		if err != nil || a.draining {
@@ -123,16 +123,16 @@
 	return nil
 }
 
-type naiveAnswer struct {
+type naiveReply struct {
 	result   []byte
 	err      error
 	draining bool
 }
 
-func (a *naiveAnswer) Served(_ int32, result []byte, _ float64) {
+func (a *naiveReply) Served(_ int32, result []byte, _ float64) {
 	a.result, a.err = append([]byte(nil), result...), nil
 }
-func (a *naiveAnswer) PushedBack(int32, bool, float64, float64) {}
-func (a *naiveAnswer) Aborted(int32, string, float64)           {}
-func (a *naiveAnswer) Checked(int32, bool, float64)             {}
-func (a *naiveAnswer) Draining()                                { a.draining = true }
+func (a *naiveReply) PushedBack(int32, bool, float64, float64) {}
+func (a *naiveReply) Aborted(int32, string, float64)           {}
+func (a *naiveReply) Checked(int32, bool, float64)             {}
+func (a *naiveReply) Draining()                                { a.draining = true }
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -121,7 +121,7 @@
 		defer n.mu.Unlock()
 		blocked = nil
 		for f := range n.flows {
-			if f.callerUnread() {
+			if f.callerNotReading() {
 				blocked = f
 			}
 		}
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -78,15 +78,15 @@
 	seq   int32
 
 	mu            sync.Mutex
-	pending       map[int32]*peerOpen
+	pending       map[int32]*pendingTry
 	reserved      int
 	draining      bool
 	ended         bool
 	closedLocally bool // it was ended from this side
 }
 
-// peerOpen is a try without an outcome.
-type peerOpen struct {
+// pendingTry is a try without an outcome.
+type pendingTry struct {
 	at   time.Time
 	done chan PeerOutcome
 }
@@ -94,10 +94,10 @@
 // ErrNotConnected is a try that was not written: no connection could be had.
 var ErrNotConnected = errors.New("no connection")
 
-// peerConnects bounds the wait for a connection, and peerWrites that for an app server that does not read.
+// peerConnectTimeout bounds the wait for a connection, and peerWriteTimeout that for an app server that does not read.
 const (
-	peerConnects = 2 * time.Second
-	peerWrites   = 5 * time.Second
+	peerConnectTimeout = 2 * time.Second
+	peerWriteTimeout   = 5 * time.Second
 )
 
 // NewPeer makes one; it connects when it has something to send.
@@ -116,7 +116,7 @@
 	defer c.write.Unlock()
 	c.seq++
 	fields, call := p.fields(t)
-	if !c.addPending(c.seq, &peerOpen{time.Now(), done}) {
+	if !c.addPending(c.seq, &pendingTry{time.Now(), done}) {
 		return nil, ErrNotConnected
 	}
 	c.catalog.Add(call, Entry{RPC: t.RPC, Work: t.Work, Result: t.Result, Fails: t.Fails})
@@ -163,7 +163,7 @@
 
 // writeFrame writes a frame, whole or in pieces. Called under the lock of writing.
 func (c *peerConn) writeFrame(frame []byte) {
-	c.SetWriteDeadline(time.Now().Add(peerWrites))
+	c.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	step := len(frame)
 	if c.options.WriteSize > 0 {
 		step = c.options.WriteSize
@@ -181,7 +181,7 @@
 }
 
 // addPending enters a try; false if the connection has ended meanwhile.
-func (c *peerConn) addPending(seq int32, o *peerOpen) bool {
+func (c *peerConn) addPending(seq int32, o *pendingTry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reserved--
@@ -221,7 +221,7 @@
 	for k := 0; k < len(p.connections); k++ {
 		c := p.connections[k]
 		c.mu.Lock()
-		gone, room := c.ended || c.draining, len(c.pending)+c.reserved < routerOpen
+		gone, room := c.ended || c.draining, len(c.pending)+c.reserved < maxPendingPerConnection
 		if !gone && room {
 			c.reserved++
 		}
@@ -234,11 +234,11 @@
 			return c, nil
 		}
 	}
-	nc, err := net.DialTimeout("tcp", p.address, peerConnects)
+	nc, err := net.DialTimeout("tcp", p.address, peerConnectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &peerConn{Peer: p, Conn: nc, pending: map[int32]*peerOpen{}, reserved: 1}
+	c := &peerConn{Peer: p, Conn: nc, pending: map[int32]*pendingTry{}, reserved: 1}
 	p.connections = append(p.connections, c)
 	p.group.Go(c.read)
 	return c, nil
@@ -248,7 +248,7 @@
 	defer c.failPending()
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
-		c.awaitHearing()
+		c.waitUntilReading()
 		frame, size, err := thrift.Frame(in.Bytes())
 		switch {
 		case err == nil && size == 0:
@@ -263,8 +263,8 @@
 	}
 }
 
-// awaitHearing waits while the peer does not read.
-func (p *Peer) awaitHearing() {
+// waitUntilReading waits while the peer does not read.
+func (p *Peer) waitUntilReading() {
 	p.mu.Lock()
 	deaf := p.readPaused
 	p.mu.Unlock()
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -23,9 +23,9 @@
 
 // Figures of the probes: between two of them, for each answer, and checks on one connection.
 const (
-	probeEvery   = 100 * time.Millisecond
-	probeWaits   = time.Second
-	probesOnConn = 5
+	probeInterval       = 100 * time.Millisecond
+	probeTimeout        = time.Second
+	probesPerConnection = 5
 )
 
 // NewHealthProbe begins to ask.
@@ -76,26 +76,26 @@
 	select {
 	case <-p.stop:
 		return false
-	case <-time.After(probeEvery):
+	case <-time.After(probeInterval):
 		return true
 	}
 }
 
 // probeConnection asks some times on one connection.
 func (p *HealthProbe) probeConnection() {
-	conn, err := net.DialTimeout("tcp", p.address, probeWaits)
+	conn, err := net.DialTimeout("tcp", p.address, probeTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	in := readbuffer.New(thrift.MaxFrame + 4)
-	for seq := range int32(probesOnConn) {
+	for seq := range int32(probesPerConnection) {
 		asked := time.Now()
-		conn.SetDeadline(asked.Add(probeWaits))
+		conn.SetDeadline(asked.Add(probeTimeout))
 		if _, err := conn.Write(CheckFrame(seq + 1)); err != nil {
 			return
 		}
-		answer := probeAnswer{}
+		answer := probeReply{}
 		for !answer.received {
 			frame, size, err := thrift.Frame(in.Bytes())
 			switch {
@@ -129,11 +129,11 @@
 	}
 }
 
-// probeAnswer takes the answer to a health check.
-type probeAnswer struct{ received, healthy bool }
+// probeReply takes the answer to a health check.
+type probeReply struct{ received, healthy bool }
 
-func (a *probeAnswer) Served(int32, []byte, float64)            {}
-func (a *probeAnswer) PushedBack(int32, bool, float64, float64) {}
-func (a *probeAnswer) Aborted(int32, string, float64)           { a.received = true }
-func (a *probeAnswer) Checked(_ int32, good bool, _ float64)    { a.received, a.healthy = true, good }
-func (a *probeAnswer) Draining()                                {}
+func (a *probeReply) Served(int32, []byte, float64)            {}
+func (a *probeReply) PushedBack(int32, bool, float64, float64) {}
+func (a *probeReply) Aborted(int32, string, float64)           { a.received = true }
+func (a *probeReply) Checked(_ int32, good bool, _ float64)    { a.received, a.healthy = true, good }
+func (a *probeReply) Draining()                                {}
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -44,8 +44,8 @@
 	ErrRemoteTimeout = errors.New("the caller's process says nothing")
 )
 
-// remotePatience is waited past a call's deadline for its outcome.
-const remotePatience = 3 * time.Second
+// remoteGracePeriod is waited past a call's deadline for its outcome.
+const remoteGracePeriod = 3 * time.Second
 
 // NewRemoteCaller starts a command that serves calls with ServeCalls on its standard input and output.
 func NewRemoteCaller(cmd *exec.Cmd) (*RemoteCaller, error) {
@@ -98,7 +98,7 @@
 	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: due, Body: body}, done); err != nil {
 		return nil, err
 	}
-	late := time.NewTimer(time.Until(due) + remotePatience)
+	late := time.NewTimer(time.Until(due) + remoteGracePeriod)
 	defer late.Stop()
 	select {
 	case reply := <-done:
@@ -139,7 +139,7 @@
 	r.in.Close()
 	select {
 	case <-r.process.ended():
-	case <-time.After(remotePatience):
+	case <-time.After(remoteGracePeriod):
 		r.process.kill()
 	}
 	return nil
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -121,19 +121,19 @@
 	}
 }
 
-// errNoReport is wrapped by the errors of datagrams that are no report.
-var errNoReport = errors.New("no report")
+// errMalformedReport is wrapped by the errors of datagrams that are no report.
+var errMalformedReport = errors.New("no report")
 
 // parseReport reads the three words of a report.
 func parseReport(report string) (name string, on bool, err error) {
 	words := strings.Split(report, " ")
 	switch {
 	case len(words) != 3:
-		return "", false, fmt.Errorf("%w: %d words", errNoReport, len(words))
+		return "", false, fmt.Errorf("%w: %d words", errMalformedReport, len(words))
 	case words[0] != "HERE":
-		return "", false, fmt.Errorf("%w: it begins with %q", errNoReport, words[0])
+		return "", false, fmt.Errorf("%w: it begins with %q", errMalformedReport, words[0])
 	case words[2] != "on" && words[2] != "off":
-		return "", false, fmt.Errorf("%w: it ends with %q", errNoReport, words[2])
+		return "", false, fmt.Errorf("%w: it ends with %q", errMalformedReport, words[2])
 	}
 	return words[1], words[2] == "on", nil
 }
--- a/rig/router.go
+++ b/rig/router.go
@@ -30,13 +30,13 @@
 	write    sync.Mutex
 	seq      int32
 	mu       sync.Mutex
-	pending  map[int32]chan routed
+	pending  map[int32]chan routerOutcome
 	reserved int // places given out, and not written yet
 	retired  bool
 }
 
-// routed is how one RPC ended.
-type routed struct {
+// routerOutcome is how one RPC ended.
+type routerOutcome struct {
 	result []byte
 	err    error
 }
@@ -48,7 +48,7 @@
 	ErrLost       = errors.New("connection lost")
 )
 
-const routerOpen = 32
+const maxPendingPerConnection = 32
 
 // NewRouter makes one for one app server.
 func NewRouter(source int, address string) *Router { return &Router{address: address, source: source} }
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	due, _ := ctx.Deadline()
-	done := make(chan routed, 1)
+	done := make(chan routerOutcome, 1)
 	c.write.Lock()
 	if ctx.Err() != nil { // the wait for the connection took until the deadline
 		c.write.Unlock()
@@ -109,7 +109,7 @@
 	for k := 0; k < len(r.conns); k++ {
 		c := r.conns[k]
 		c.mu.Lock()
-		dead, room := c.retired, len(c.pending)+c.reserved < routerOpen
+		dead, room := c.retired, len(c.pending)+c.reserved < maxPendingPerConnection
 		if !dead && room {
 			c.reserved++
 		}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &routerConn{Conn: nc, pending: map[int32]chan routed{}, reserved: 1}
+	c := &routerConn{Conn: nc, pending: map[int32]chan routerOutcome{}, reserved: 1}
 	r.conns = append(r.conns, c)
 	go c.read()
 	return c, nil
@@ -170,12 +170,12 @@
 	defer c.mu.Unlock()
 	c.retired = true
 	for seq, done := range c.pending {
-		done <- routed{err: ErrLost}
+		done <- routerOutcome{err: ErrLost}
 		delete(c.pending, seq)
 	}
 }
 
-func (c *routerConn) finish(seq int32, e routed) {
+func (c *routerConn) finish(seq int32, e routerOutcome) {
 	c.mu.Lock()
 	done := c.pending[seq]
 	delete(c.pending, seq)
@@ -187,14 +187,16 @@
 
 // Served, PushedBack, Aborted and the rest are what the app server says.
 func (c *routerConn) Served(seq int32, result []byte, _ float64) {
-	c.finish(seq, routed{result: append([]byte(nil), result...)})
+	c.finish(seq, routerOutcome{result: append([]byte(nil), result...)})
 }
 func (c *routerConn) PushedBack(seq int32, _ bool, _, _ float64) {
-	c.finish(seq, routed{err: ErrPushedBack})
+	c.finish(seq, routerOutcome{err: ErrPushedBack})
 }
-func (c *routerConn) Aborted(seq int32, _ string, _ float64) { c.finish(seq, routed{err: ErrAborted}) }
-func (c *routerConn) Checked(int32, bool, float64)           {}
-func (c *routerConn) Draining()                              { c.retire() }
+func (c *routerConn) Aborted(seq int32, _ string, _ float64) {
+	c.finish(seq, routerOutcome{err: ErrAborted})
+}
+func (c *routerConn) Checked(int32, bool, float64) {}
+func (c *routerConn) Draining()                    { c.retire() }
 
 // Close ends its connections.
 func (r *Router) Close() error {
--- a/rig/rude.go
+++ b/rig/rude.go
@@ -21,8 +21,8 @@
 	group   sync.WaitGroup
 }
 
-// rudePause is between two messages.
-const rudePause = 20 * time.Millisecond
+// misbehavingInterval is between two messages.
+const misbehavingInterval = 20 * time.Millisecond
 
 // NewMisbehavingRouter starts one.
 func NewMisbehavingRouter(address, method string, catalog *Catalog, seed uint64) *MisbehavingRouter {
@@ -32,7 +32,7 @@
 		chance := rand.New(rand.NewPCG(seed, 0x12de))
 		for ctx.Err() == nil {
 			r.sendMessages(ctx, chance)
-			sleepOr(ctx, rudePause)
+			sleepOr(ctx, misbehavingInterval)
 		}
 	})
 	return r
@@ -69,6 +69,6 @@
 		if chance.IntN(4) == 0 {
 			conn.Write(InterruptFrame(seq, number))
 		}
-		sleepOr(ctx, time.Duration(chance.Float64()*float64(rudePause)))
+		sleepOr(ctx, time.Duration(chance.Float64()*float64(misbehavingInterval)))
 	}
 }
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -115,18 +115,18 @@
 	return all
 }
 
-// steadily is how many orders in a row make an owner: one alone may be what somebody had in its hands.
-const steadily = 4
+// minConsecutiveOrders is how many orders in a row make an owner: one alone may be what somebody had in its hands.
+const minConsecutiveOrders = 4
 
 // Owner is whose orders had their effects last, within a span and several in a row; empty if there is none such.
 func (w *Worker) Owner(within time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := len(w.orders)
-	if n < steadily {
+	if n < minConsecutiveOrders {
 		return ""
 	}
-	for _, o := range w.orders[n-steadily:] {
+	for _, o := range w.orders[n-minConsecutiveOrders:] {
 		if time.Since(o.At) > within || o.Owner != w.orders[n-1].Owner {
 			return ""
 		}
