--- a/rig/backend.go
+++ b/rig/backend.go
@@ -34,13 +34,13 @@
 // countsMethod tells whether runs of a method reach it.
 func (b *Backend) countsMethod(method string) bool { return b != nil && b.methods[method] }
 
-func (b *Backend) add(server string, n int) {
+func (b *Backend) add(server string, change int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.accumulate()
-	b.running += n
-	b.runningByServer[server] += n
-	b.startedRuns += max(n, 0)
+	b.running += change
+	b.runningByServer[server] += change
+	b.startedRuns += max(change, 0)
 	b.maxExcess = max(b.maxExcess, b.running-b.limit)
 }
 
@@ -92,7 +92,7 @@
 }
 
 // RunningCount is how many run, in all and of one app server.
-func (b *Backend) RunningCount(server string) (all, one int) {
+func (b *Backend) RunningCount(server string) (total, ofServer int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.running, b.runningByServer[server]
--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -33,7 +33,7 @@
 // badKind is one way of being bad: what it sends, and whether it goes on sending.
 type badKind struct {
 	name         string
-	message      func(b *BadClients, chance *rand.Rand) []byte
+	message      func(b *BadClients, rng *rand.Rand) []byte
 	endless      bool // the message goes on with zeros until the app server ends it
 	closesAtOnce bool // the client closes at once, and is owed nothing
 }
@@ -42,10 +42,10 @@
 const badClientTimeout = 5 * time.Second
 
 var badKinds = []badKind{
-	{name: "garbage", message: func(_ *BadClients, chance *rand.Rand) []byte {
-		b := make([]byte, 64+chance.IntN(4000))
+	{name: "garbage", message: func(_ *BadClients, rng *rand.Rand) []byte {
+		b := make([]byte, 64+rng.IntN(4000))
 		for k := range b {
-			b[k] = byte(chance.Uint32())
+			b[k] = byte(rng.Uint32())
 		}
 		b[0] = 0xff // as a length it is negative
 		return b
@@ -55,31 +55,31 @@
 	{name: "huge", message: func(*BadClients, *rand.Rand) []byte { return []byte{0x03, 0x93, 0x87, 0, 0x80, 1, 0, 1} }, endless: true},
 	{name: "never ends", message: func(*BadClients, *rand.Rand) []byte { return []byte{0, 0, 0x40, 0, 0x80, 1, 0, 1} }},
 	{name: "zero length", message: func(*BadClients, *rand.Rand) []byte { return make([]byte, 4) }},
-	{name: "wrong inner length", message: func(b *BadClients, chance *rand.Rand) []byte {
-		frame := ExecuteFrame(1, b.fields(chance), []byte("x"))
-		binary.BigEndian.PutUint32(frame[8:], uint32(pick(chance, []int{-1, 1 << 30, 100})))
+	{name: "wrong inner length", message: func(b *BadClients, rng *rand.Rand) []byte {
+		frame := ExecuteFrame(1, b.fields(rng), []byte("x"))
+		binary.BigEndian.PutUint32(frame[8:], uint32(pick(rng, []int{-1, 1 << 30, 100})))
 		return frame
 	}},
-	{name: "no such method", message: func(b *BadClients, chance *rand.Rand) []byte {
-		return ExecuteFrame(1, b.fieldsWith(chance, "op", "no-such-method"), []byte("x"))
+	{name: "no such method", message: func(b *BadClients, rng *rand.Rand) []byte {
+		return ExecuteFrame(1, b.fieldsWith(rng, "op", "no-such-method"), []byte("x"))
 	}},
-	{name: "figures", message: func(b *BadClients, chance *rand.Rand) []byte {
-		field := pick(chance, []string{"recv", "src", "heap", "crit", "call"})
-		return ExecuteFrame(1, b.fieldsWith(chance, field, pick(chance, []string{"NaN", "-1", "1e400", "", "x", "-Inf"})), []byte("x"))
+	{name: "figures", message: func(b *BadClients, rng *rand.Rand) []byte {
+		field := pick(rng, []string{"recv", "src", "heap", "crit", "call"})
+		return ExecuteFrame(1, b.fieldsWith(rng, field, pick(rng, []string{"NaN", "-1", "1e400", "", "x", "-Inf"})), []byte("x"))
 	}},
 	{name: "no fields", message: func(*BadClients, *rand.Rand) []byte { return ExecuteFrame(1, nil, []byte("x")) }},
-	{name: "long body", message: func(b *BadClients, chance *rand.Rand) []byte {
-		return ExecuteFrame(1, b.fields(chance), bytes.Repeat([]byte("x"), 2049+chance.IntN(20000)))
+	{name: "long body", message: func(b *BadClients, rng *rand.Rand) []byte {
+		return ExecuteFrame(1, b.fields(rng), bytes.Repeat([]byte("x"), 2049+rng.IntN(20000)))
 	}},
-	{name: "hundreds at once", message: func(b *BadClients, chance *rand.Rand) []byte {
+	{name: "hundreds at once", message: func(b *BadClients, rng *rand.Rand) []byte {
 		var all []byte
 		for k := range 300 {
-			all = append(all, ExecuteFrame(int32(k+1), b.fieldsWith(chance, "op", "no-such-method"), []byte("x"))...)
+			all = append(all, ExecuteFrame(int32(k+1), b.fieldsWith(rng, "op", "no-such-method"), []byte("x"))...)
 		}
 		return all
 	}},
-	{name: "the same number", message: func(b *BadClients, chance *rand.Rand) []byte {
-		frame := ExecuteFrame(7, b.fieldsWith(chance, "op", "no-such-method"), []byte("x"))
+	{name: "the same number", message: func(b *BadClients, rng *rand.Rand) []byte {
+		frame := ExecuteFrame(7, b.fieldsWith(rng, "op", "no-such-method"), []byte("x"))
 		return append(frame, frame...)
 	}},
 	{name: "no such call", message: func(*BadClients, *rand.Rand) []byte {
@@ -92,9 +92,9 @@
 		}
 		return append(all, CheckFrame(501)...)
 	}},
-	{name: "half a message", message: func(b *BadClients, chance *rand.Rand) []byte {
-		frame := ExecuteFrame(1, b.fields(chance), []byte("x"))
-		return frame[:1+chance.IntN(len(frame)-1)]
+	{name: "half a message", message: func(b *BadClients, rng *rand.Rand) []byte {
+		frame := ExecuteFrame(1, b.fields(rng), []byte("x"))
+		return frame[:1+rng.IntN(len(frame)-1)]
 	}, closesAtOnce: true},
 }
 
@@ -103,10 +103,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	b := &BadClients{server: server, address: address, method: method, check: check, stop: stop}
 	for k := range n {
-		chance := rand.New(rand.NewPCG(seed, uint64(k)))
+		rng := rand.New(rand.NewPCG(seed, uint64(k)))
 		b.group.Go(func() {
 			for ctx.Err() == nil {
-				b.sendOnce(ctx, pick(chance, badKinds), chance)
+				b.sendOnce(ctx, pick(rng, badKinds), rng)
 			}
 		})
 	}
@@ -114,33 +114,33 @@
 }
 
 // fields are those of an RPC that could be run.
-func (b *BadClients) fields(chance *rand.Rand) []Field {
-	return []Field{{"op", b.method}, {"call", fmt.Sprintf("%016x", chance.Uint64())}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
+func (b *BadClients) fields(rng *rand.Rand) []Field {
+	return []Field{{"op", b.method}, {"call", fmt.Sprintf("%016x", rng.Uint64())}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
 		{"src", "99"}, {"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.5000"}}
 }
 
 // fieldsWith is the same fieldsWith one field changed.
-func (b *BadClients) fieldsWith(chance *rand.Rand, key, value string) []Field {
-	all := b.fields(chance)
-	for k := range all {
-		if all[k].Key == key {
-			all[k].Value = value
+func (b *BadClients) fieldsWith(rng *rand.Rand, key, value string) []Field {
+	fields := b.fields(rng)
+	for k := range fields {
+		if fields[k].Key == key {
+			fields[k].Value = value
 		}
 	}
-	return all
+	return fields
 }
 
 // sendOnce connects once, sends one message and waits to be told something.
-func (b *BadClients) sendOnce(ctx context.Context, kind badKind, chance *rand.Rand) {
+func (b *BadClients) sendOnce(ctx context.Context, kind badKind, rng *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", b.address)
 	if err != nil {
-		sleepOr(ctx, 50*time.Millisecond)
+		sleepContext(ctx, 50*time.Millisecond)
 		return
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	conn.SetDeadline(time.Now().Add(badClientTimeout))
-	message := kind.message(b, chance)
+	message := kind.message(b, rng)
 	if _, err := conn.Write(message); err == nil && kind.endless {
 		zeros := make([]byte, 64<<10)
 		for err == nil {
@@ -148,16 +148,16 @@
 		}
 	}
 	if kind.closesAtOnce {
-		sleepOr(ctx, time.Millisecond)
+		sleepContext(ctx, time.Millisecond)
 		return
 	}
-	told := b.awaitReply(conn, kind)
+	replied := b.awaitReply(conn, kind)
 	if ctx.Err() != nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if told {
+	if replied {
 		b.answered++
 	} else {
 		b.unanswered = append(b.unanswered, kind.name)
@@ -166,23 +166,23 @@
 
 // awaitReply reports whether the client was told anything, or its connection was ended, in time.
 func (b *BadClients) awaitReply(conn net.Conn, kind badKind) bool {
-	in := readbuffer.New(thrift.MaxFrame + 4)
+	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
-		err := in.Fill(conn)
-		if late, ok := err.(net.Error); ok && late.Timeout() {
+		err := input.Fill(conn)
+		if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 			return false
 		}
 		if err != nil {
 			return true
 		}
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(input.Bytes())
 		if err != nil {
 			return true
 		}
 		if size > 0 {
-			a := badClientReply{}
-			thrift.DecodeAnswer(frame, &a)
-			if a.served {
+			answer := badClientReply{}
+			thrift.DecodeAnswer(frame, &answer)
+			if answer.served {
 				b.check.report(1, "%s serves a client that sent %s", b.server, kind.name)
 			}
 			return true
@@ -191,7 +191,7 @@
 }
 
 // Close ends the clients and returns how many were told something, and the kinds of those that were not.
-func (b *BadClients) Close() (told int, ignored []string) {
+func (b *BadClients) Close() (answered int, unanswered []string) {
 	b.stop()
 	b.group.Wait()
 	return b.answered, b.unanswered
@@ -206,11 +206,11 @@
 func (a *badClientReply) Checked(int32, bool, float64)             {}
 func (a *badClientReply) Draining()                                {}
 
-func pick[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
+func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
-func sleepOr(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
--- a/rig/coldstart.go
+++ b/rig/coldstart.go
@@ -65,8 +65,8 @@
 // coldStartBudget is the most requests of mean work that an app server in slow start bears within a window in which its cores
 // carry n of them.
 func coldStartBudget(n float64) float64 {
-	const few = 30 // under which the budget is wider, as chance weighs more
-	if n < few {
+	const smallCount = 30 // under which the budget is wider, as chance weighs more
+	if n < smallCount {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
@@ -74,23 +74,25 @@
 
 // Peak looks at all windows that end between the boot and the end of the slow start, which is the ramp or one window if
 // that is longer, against the budget at the speed that the settings allow.
-func (a *Arrivals) Peak(c ColdStart, boot time.Time, cores int, meanWork float64) Peak {
+func (a *Arrivals) Peak(start ColdStart, boot time.Time, cores int, meanWork float64) Peak {
 	a.mu.Lock()
-	all := slices.Clone(a.all)
+	arrivals := slices.Clone(a.all)
 	a.mu.Unlock()
-	all = slices.DeleteFunc(all, func(r arrival) bool { return r.at.Before(boot) || r.at.After(boot.Add(c.SlowStart())) })
-	slices.SortFunc(all, func(x, y arrival) int { return x.at.Compare(y.at) })
+	arrivals = slices.DeleteFunc(arrivals, func(arrived arrival) bool {
+		return arrived.at.Before(boot) || arrived.at.After(boot.Add(start.SlowStart()))
+	})
+	slices.SortFunc(arrivals, func(x, y arrival) int { return x.at.Compare(y.at) })
 	var peak Peak
 	work, first := 0.0, 0
-	for k, r := range all {
-		work += r.work
-		for r.at.Sub(all[first].at) >= c.Window {
-			work -= all[first].work
+	for k, arrived := range arrivals {
+		work += arrived.work
+		for arrived.at.Sub(arrivals[first].at) >= start.Window {
+			work -= arrivals[first].work
 			first++
 		}
-		age := r.at.Sub(boot)
-		n := float64(cores) * c.meanSpeedShare(age) * c.Window.Seconds() / meanWork
-		budget := coldStartBudget(n)
+		age := arrived.at.Sub(boot)
+		processable := float64(cores) * start.meanSpeedShare(age) * start.Window.Seconds() / meanWork
+		budget := coldStartBudget(processable)
 		if ratio := work / meanWork / budget; ratio > peak.ByWork {
 			peak.ByWork, peak.Age = ratio, age
 		}
--- a/rig/flow.go
+++ b/rig/flow.go
@@ -41,11 +41,11 @@
 		_, err := to.Write(b)
 		return err
 	}
-	began := time.Now()
-	f.writeStarted.Store(began.UnixNano())
+	start := time.Now()
+	f.writeStarted.Store(start.UnixNano())
 	_, err := to.Write(b)
 	f.writeStarted.Store(0)
-	if time.Since(began) > stalledWriteTimeout {
+	if time.Since(start) > stalledWriteTimeout {
 		f.callerStalled.Store(true)
 	}
 	return err
@@ -54,6 +54,6 @@
 // callerNotReading reports whether the caller has not read what was written to it: what its app server says behind that comes
 // late, or not at all, through no fault of the app server.
 func (f *proxiedConnection) callerNotReading() bool {
-	began := f.writeStarted.Load()
-	return f.callerStalled.Load() || began > 0 && time.Since(time.Unix(0, began)) > stalledWriteTimeout
+	start := f.writeStarted.Load()
+	return f.callerStalled.Load() || start > 0 && time.Since(time.Unix(0, start)) > stalledWriteTimeout
 }
--- a/rig/idle.go
+++ b/rig/idle.go
@@ -36,9 +36,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	clients := &IdleClients{address: address, pause: pause, stop: stop}
 	for k := range n {
-		chance := rand.New(rand.NewPCG(seed, uint64(k)))
-		kind := IdleKind(chance.IntN(idleKindCount))
-		clients.group.Go(func() { clients.run(ctx, kind, chance) })
+		rng := rand.New(rand.NewPCG(seed, uint64(k)))
+		kind := IdleKind(rng.IntN(idleKindCount))
+		clients.group.Go(func() { clients.run(ctx, kind, rng) })
 	}
 	return clients
 }
@@ -49,10 +49,10 @@
 	i.group.Wait()
 }
 
-func (i *IdleClients) run(ctx context.Context, kind IdleKind, chance *rand.Rand) {
+func (i *IdleClients) run(ctx context.Context, kind IdleKind, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		i.hold(ctx, kind)
-		pause := time.Duration((0.5 + chance.Float64()) * float64(i.pause))
+		pause := time.Duration((0.5 + rng.Float64()) * float64(i.pause))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
--- a/rig/load.go
+++ b/rig/load.go
@@ -63,90 +63,90 @@
 
 // Run plays it through the callers in turn, each time by chance, and returns once all has an outcome.
 func (l Load) Run(ctx context.Context, check *Checker, callers ...Caller) Outcome {
-	chance := rand.New(rand.NewPCG(l.Seed, 1))
+	rng := rand.New(rand.NewPCG(l.Seed, 1))
 	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
-	for _, s := range l.Shares {
-		out.ByMethod[s.Method] = &MethodOutcome{Times: hdrhistogram.New(1, 60_000_000, 3)}
+	for _, share := range l.Shares {
+		out.ByMethod[share.Method] = &MethodOutcome{Times: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	asked, got := 0.0, 0.0
-	begin := time.Now()
-	at := 0.0
-	for n := 0; ; n++ {
-		rate := l.Rate(at)
+	var pending sync.WaitGroup
+	requestedWeight, servedWeight := 0.0, 0.0
+	start := time.Now()
+	elapsed := 0.0
+	for number := 0; ; number++ {
+		rate := l.Rate(elapsed)
 		if rate <= 0 {
-			at += 0.01
+			elapsed += 0.01
 		} else {
-			at += chance.ExpFloat64() / rate
+			elapsed += rng.ExpFloat64() / rate
 		}
-		if at >= l.Duration.Seconds() || ctx.Err() != nil {
+		if elapsed >= l.Duration.Seconds() || ctx.Err() != nil {
 			break
 		}
 		if rate <= 0 {
 			continue
 		}
-		time.Sleep(time.Until(begin.Add(time.Duration(at * float64(time.Second)))))
-		s := l.pickShare(chance.Float64())
-		work := math.Min(s.Work*chance.ExpFloat64(), 5*s.Work)
-		c := callers[chance.IntN(len(callers))]
-		id := fmt.Sprintf("%s%d", l.Prefix, n)
+		time.Sleep(time.Until(start.Add(time.Duration(elapsed * float64(time.Second)))))
+		share := l.pickShare(rng.Float64())
+		work := math.Min(share.Work*rng.ExpFloat64(), 5*share.Work)
+		caller := callers[rng.IntN(len(callers))]
+		id := fmt.Sprintf("%s%d", l.Prefix, number)
 		if l.BeforeCall != nil {
-			l.BeforeCall(s, work)
+			l.BeforeCall(share, work)
 		}
-		all.Go(func() {
-			due := time.Now().Add(s.Deadline)
-			check.Asked(id, s.Kind, due)
-			ctx, stop := context.WithDeadline(ctx, due)
+		pending.Go(func() {
+			deadline := time.Now().Add(share.Deadline)
+			check.Asked(id, share.Kind, deadline)
+			ctx, stop := context.WithDeadline(ctx, deadline)
 			defer stop()
 			token := ""
-			if s.Kind == rpc.Tokened {
+			if share.Kind == rpc.Tokened {
 				token = "token-" + id + strings.Repeat("x", l.TokenPadding)
 			}
-			began := time.Now()
+			callStart := time.Now()
 			body := Body(id, work)
 			if l.PendingCount != nil {
 				l.PendingCount.Add(1)
 				defer l.PendingCount.Add(-1)
 			}
-			result, err := c.Call(ctx, s.Method, token, s.Criticality, body)
-			took := time.Since(began)
+			result, err := caller.Call(ctx, share.Method, token, share.Criticality, body)
+			took := time.Since(callStart)
 			if err == nil {
 				check.Result(id, result)
 			}
 			if l.AfterCall != nil {
-				l.AfterCall(s, id, token, body, err)
+				l.AfterCall(share, id, token, body, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			m := out.ByMethod[s.Method]
-			m.Asked++
+			methodOutcome := out.ByMethod[share.Method]
+			methodOutcome.Asked++
 			out.Asked++
-			asked += s.Criticality
+			requestedWeight += share.Criticality
 			if err == nil {
-				m.OK++
+				methodOutcome.OK++
 				out.OK++
-				got += s.Criticality
-				m.Times.RecordValue(took.Microseconds())
+				servedWeight += share.Criticality
+				methodOutcome.Times.RecordValue(took.Microseconds())
 			}
 		})
 	}
-	all.Wait()
-	if asked > 0 {
-		out.Criticality = got / asked
+	pending.Wait()
+	if requestedWeight > 0 {
+		out.Criticality = servedWeight / requestedWeight
 	}
 	return out
 }
 
-func (l Load) pickShare(x float64) Share {
+func (l Load) pickShare(position float64) Share {
 	total := 0.0
-	for _, s := range l.Shares {
-		total += s.Fraction
+	for _, share := range l.Shares {
+		total += share.Fraction
 	}
-	x *= total
-	for _, s := range l.Shares {
-		if x -= s.Fraction; x < 0 {
-			return s
+	position *= total
+	for _, share := range l.Shares {
+		if position -= share.Fraction; position < 0 {
+			return share
 		}
 	}
 	return l.Shares[len(l.Shares)-1]
--- a/rig/misbehaving_router.go
+++ b/rig/misbehaving_router.go
@@ -29,10 +29,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &MisbehavingRouter{address: address, method: method, catalog: catalog, stop: stop}
 	r.group.Go(func() {
-		chance := rand.New(rand.NewPCG(seed, 0x12de))
+		rng := rand.New(rand.NewPCG(seed, 0x12de))
 		for ctx.Err() == nil {
-			r.sendMessages(ctx, chance)
-			sleepOr(ctx, misbehavingInterval)
+			r.sendMessages(ctx, rng)
+			sleepContext(ctx, misbehavingInterval)
 		}
 	})
 	return r
@@ -45,7 +45,7 @@
 }
 
 // sendMessages sends some messages on one connection, and reads whatever comes.
-func (r *MisbehavingRouter) sendMessages(ctx context.Context, chance *rand.Rand) {
+func (r *MisbehavingRouter) sendMessages(ctx context.Context, rng *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", r.address)
 	if err != nil {
 		return
@@ -53,22 +53,22 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	r.group.Go(func() { io.Copy(io.Discard, conn) })
-	call := fmt.Sprintf("%016x", chance.Uint64())
+	call := fmt.Sprintf("%016x", rng.Uint64())
 	for seq := int32(1); seq < 20 && ctx.Err() == nil; seq++ {
-		number := seq - int32(chance.IntN(2)) // that of the RPC before, now and then
-		if chance.IntN(2) == 0 {
-			call = fmt.Sprintf("%016x", chance.Uint64())
+		number := seq - int32(rng.IntN(2)) // that of the RPC before, now and then
+		if rng.IntN(2) == 0 {
+			call = fmt.Sprintf("%016x", rng.Uint64())
 		}
-		body := fmt.Appendf(nil, "rude %d", chance.IntN(3))
+		body := fmt.Appendf(nil, "rude %d", rng.IntN(3))
 		r.catalog.Add(call, Entry{RPC: "rude " + call, Work: 0.01})
 		fields := []Field{{"op", r.method}, {"call", call}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"src", "77"},
-			{"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.1000"}, {"dedupe", fmt.Sprintf("%032x", chance.IntN(3))}}
+			{"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.1000"}, {"dedupe", fmt.Sprintf("%032x", rng.IntN(3))}}
 		if _, err := conn.Write(ExecuteFrame(number, fields, body)); err != nil {
 			return
 		}
-		if chance.IntN(4) == 0 {
+		if rng.IntN(4) == 0 {
 			conn.Write(InterruptFrame(seq, number))
 		}
-		sleepOr(ctx, time.Duration(chance.Float64()*float64(misbehavingInterval)))
+		sleepContext(ctx, time.Duration(rng.Float64()*float64(misbehavingInterval)))
 	}
 }
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -54,23 +54,23 @@
 }
 
 func (n *NaiveClient) try(ctx context.Context, method, token string, body []byte) ([]byte, error) {
-	at := n.addresses[rand.IntN(len(n.addresses))]
-	c, err := n.connection(ctx, at)
+	address := n.addresses[rand.IntN(len(n.addresses))]
+	c, err := n.connection(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	due, _ := ctx.Deadline()
-	c.SetDeadline(due)
+	deadline, _ := ctx.Deadline()
+	c.SetDeadline(deadline)
 	c.seq++
 	now := float64(time.Now().UnixMilli()) / 1000
 	frame := thrift.Execute(nil, c.seq, method, fmt.Sprintf("%016x", rand.Uint64()), n.source, now,
-		time.Until(due).Seconds(), 2, 0, false, token, "", body)
+		time.Until(deadline).Seconds(), 2, 0, false, token, "", body)
 	if _, err := c.Write(frame); err != nil {
 		c.Close()
 		return nil, err
 	}
 	for {
-		b, size, err := thrift.Frame(c.input.Bytes())
+		replyFrame, size, err := thrift.Frame(c.input.Bytes())
 		if err == nil && size == 0 {
 			err = c.input.Fill(c)
 		}
@@ -81,42 +81,42 @@
 		if size == 0 {
 			continue
 		}
-		a := naiveReply{err: errNaive}
-		err = thrift.DecodeAnswer(b, &a)
+		answer := naiveReply{err: errNaive}
+		err = thrift.DecodeAnswer(replyFrame, &answer)
 		c.input.Discard(size)
-		if err != nil || a.draining {
+		if err != nil || answer.draining {
 			c.Close()
 			return nil, errNaive
 		}
 		n.mu.Lock()
-		n.idle[at] = append(n.idle[at], c)
+		n.idle[address] = append(n.idle[address], c)
 		n.mu.Unlock()
-		return a.result, a.err
+		return answer.result, answer.err
 	}
 }
 
-func (n *NaiveClient) connection(ctx context.Context, at string) (*naiveConn, error) {
+func (n *NaiveClient) connection(ctx context.Context, address string) (*naiveConn, error) {
 	n.mu.Lock()
-	if spare := n.idle[at]; len(spare) > 0 {
-		c := spare[len(spare)-1]
-		n.idle[at] = spare[:len(spare)-1]
+	if idle := n.idle[address]; len(idle) > 0 {
+		c := idle[len(idle)-1]
+		n.idle[address] = idle[:len(idle)-1]
 		n.mu.Unlock()
 		return c, nil
 	}
 	n.mu.Unlock()
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", at)
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &naiveConn{Conn: nc, input: readbuffer.New(thrift.MaxFrame + 4)}, nil
+	return &naiveConn{Conn: netConn, input: readbuffer.New(thrift.MaxFrame + 4)}, nil
 }
 
 // Close ends its connections.
 func (n *NaiveClient) Close() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, spare := range n.idle {
-		for _, c := range spare {
+	for _, idle := range n.idle {
+		for _, c := range idle {
 			c.Close()
 		}
 	}
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -32,7 +32,7 @@
 	catalog *Catalog
 
 	mu          sync.Mutex
-	chance      *rand.Rand
+	rng         *rand.Rand
 	connections []*peerConn
 	readPaused  chan struct{} // closed when answers are read again; nil while they are
 	group       sync.WaitGroup
@@ -101,12 +101,12 @@
 )
 
 // NewPeer makes one; it connects when it has something to send.
-func NewPeer(address string, source int, form PeerOptions, catalog *Catalog, seed uint64) *Peer {
-	return &Peer{address: address, source: source, options: form, catalog: catalog, chance: rand.New(rand.NewPCG(seed, uint64(source)))}
+func NewPeer(address string, source int, options PeerOptions, catalog *Catalog, seed uint64) *Peer {
+	return &Peer{address: address, source: source, options: options, catalog: catalog, rng: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
 // Send writes one try.
-func (p *Peer) Send(t PeerTry) (*PeerCall, error) {
+func (p *Peer) Send(try PeerTry) (*PeerCall, error) {
 	c, err := p.reserveConnection()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotConnected, err)
@@ -115,37 +115,37 @@
 	c.write.Lock()
 	defer c.write.Unlock()
 	c.seq++
-	fields, call := p.fields(t)
+	fields, call := p.fields(try)
 	if !c.addPending(c.seq, &pendingTry{time.Now(), done}) {
 		return nil, ErrNotConnected
 	}
-	c.catalog.Add(call, Entry{RPC: t.RPC, Work: t.Work, Result: t.Result, Fails: t.Fails})
-	c.writeFrame(ExecuteFrame(c.seq, fields, t.Body))
+	c.catalog.Add(call, Entry{RPC: try.RPC, Work: try.Work, Result: try.Result, Fails: try.Fails})
+	c.writeFrame(ExecuteFrame(c.seq, fields, try.Body))
 	return &PeerCall{Done: done, conn: c, seq: c.seq}, nil
 }
 
 // fields are those of the protocol, in any order, with a new call id.
-func (p *Peer) fields(t PeerTry) (fields []Field, call string) {
+func (p *Peer) fields(try PeerTry) (fields []Field, call string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	call = fmt.Sprintf("%016x", p.chance.Uint64())
-	fields = []Field{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
-		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.chance.Float64())}, {"crit", fmt.Sprintf("%.4f", min(t.Criticality, 0.9999))}}
+	call = fmt.Sprintf("%016x", p.rng.Uint64())
+	fields = []Field{{"op", try.Method}, {"call", call}, {"recv", strconv.FormatInt(try.ReceivedAt.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
+		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.rng.Float64())}, {"crit", fmt.Sprintf("%.4f", min(try.Criticality, 0.9999))}}
 	if p.options.PassesDeadline {
-		fields = append(fields, Field{"ttl", strconv.FormatInt(t.Timeout.Milliseconds(), 10)})
+		fields = append(fields, Field{"ttl", strconv.FormatInt(try.Timeout.Milliseconds(), 10)})
 	}
-	if t.Token != "" {
-		fields = append(fields, Field{"dedupe", t.Token})
-	} else if p.chance.IntN(2) == 0 {
-		fields = append(fields, Field{"row", fmt.Sprintf("%016x", p.chance.IntN(8))})
+	if try.Token != "" {
+		fields = append(fields, Field{"dedupe", try.Token})
+	} else if p.rng.IntN(2) == 0 {
+		fields = append(fields, Field{"row", fmt.Sprintf("%016x", p.rng.IntN(8))})
 	}
 	if p.options.Tenants > 0 {
-		fields = append(fields, Field{"org", strconv.Itoa(p.chance.IntN(p.options.Tenants))})
+		fields = append(fields, Field{"org", strconv.Itoa(p.rng.IntN(p.options.Tenants))})
 	}
-	if t.IsRetry && p.options.MarksRetry {
+	if try.IsRetry && p.options.MarksRetry {
 		fields = append(fields, Field{"rep", "1"})
 	}
-	p.chance.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
+	p.rng.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
 	return fields, call
 }
 
@@ -181,14 +181,14 @@
 }
 
 // addPending enters a try; false if the connection has ended meanwhile.
-func (c *peerConn) addPending(seq int32, o *pendingTry) bool {
+func (c *peerConn) addPending(seq int32, try *pendingTry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reserved--
 	if c.ended {
 		return false
 	}
-	c.pending[seq] = o
+	c.pending[seq] = try
 	return true
 }
 
@@ -221,24 +221,24 @@
 	for k := 0; k < len(p.connections); k++ {
 		c := p.connections[k]
 		c.mu.Lock()
-		gone, room := c.ended || c.draining, len(c.pending)+c.reserved < maxPendingPerConnection
-		if !gone && room {
+		unusable, hasRoom := c.ended || c.draining, len(c.pending)+c.reserved < maxPendingPerConnection
+		if !unusable && hasRoom {
 			c.reserved++
 		}
 		c.mu.Unlock()
 		switch {
-		case gone:
+		case unusable:
 			p.connections = append(p.connections[:k], p.connections[k+1:]...)
 			k--
-		case room:
+		case hasRoom:
 			return c, nil
 		}
 	}
-	nc, err := net.DialTimeout("tcp", p.address, peerConnectTimeout)
+	netConn, err := net.DialTimeout("tcp", p.address, peerConnectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &peerConn{Peer: p, Conn: nc, pending: map[int32]*pendingTry{}, reserved: 1}
+	c := &peerConn{Peer: p, Conn: netConn, pending: map[int32]*pendingTry{}, reserved: 1}
 	p.connections = append(p.connections, c)
 	p.group.Go(c.read)
 	return c, nil
@@ -246,16 +246,16 @@
 
 func (c *peerConn) read() {
 	defer c.failPending()
-	in := readbuffer.New(thrift.MaxFrame + 4)
+	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		c.waitUntilReading()
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(input.Bytes())
 		switch {
 		case err == nil && size == 0:
-			err = in.Fill(c)
+			err = input.Fill(c)
 		case err == nil:
 			err = thrift.DecodeAnswer(frame, c)
-			in.Discard(size)
+			input.Discard(size)
 		}
 		if err != nil { // what cannot be read is the checker's to tell
 			return
@@ -266,10 +266,10 @@
 // waitUntilReading waits while the peer does not read.
 func (p *Peer) waitUntilReading() {
 	p.mu.Lock()
-	deaf := p.readPaused
+	resumed := p.readPaused
 	p.mu.Unlock()
-	if deaf != nil {
-		<-deaf
+	if resumed != nil {
+		<-resumed
 	}
 }
 
@@ -279,23 +279,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended = true
-	for seq, o := range c.pending {
-		o.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(o.at) <= crossingWindow}
+	for seq, try := range c.pending {
+		try.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(try.at) <= crossingWindow}
 		delete(c.pending, seq)
 	}
 }
 
 // finish gives a try its outcome, and leaves a connection that is to have no more.
-func (c *peerConn) finish(seq int32, o PeerOutcome) {
+func (c *peerConn) finish(seq int32, outcome PeerOutcome) {
 	c.mu.Lock()
-	open := c.pending[seq]
+	try := c.pending[seq]
 	delete(c.pending, seq)
-	leave := c.draining && len(c.pending)+c.reserved == 0
+	drained := c.draining && len(c.pending)+c.reserved == 0
 	c.mu.Unlock()
-	if open != nil {
-		open.done <- o
+	if try != nil {
+		try.done <- outcome
 	}
-	if leave {
+	if drained {
 		c.closeLocally()
 	}
 }
@@ -315,13 +315,13 @@
 func (c *peerConn) Draining()                    { c.retire() }
 
 // SetReadPaused stops the reading of answers, or lets it go on.
-func (p *Peer) SetReadPaused(deaf bool) {
+func (p *Peer) SetReadPaused(paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case deaf && p.readPaused == nil:
+	case paused && p.readPaused == nil:
 		p.readPaused = make(chan struct{})
-	case !deaf && p.readPaused != nil:
+	case !paused && p.readPaused != nil:
 		close(p.readPaused)
 		p.readPaused = nil
 	}
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -88,28 +88,28 @@
 		return
 	}
 	defer conn.Close()
-	in := readbuffer.New(thrift.MaxFrame + 4)
+	input := readbuffer.New(thrift.MaxFrame + 4)
 	for seq := range int32(probesPerConnection) {
-		asked := time.Now()
-		conn.SetDeadline(asked.Add(probeTimeout))
+		sentAt := time.Now()
+		conn.SetDeadline(sentAt.Add(probeTimeout))
 		if _, err := conn.Write(CheckFrame(seq + 1)); err != nil {
 			return
 		}
 		answer := probeReply{}
 		for !answer.received {
-			frame, size, err := thrift.Frame(in.Bytes())
+			frame, size, err := thrift.Frame(input.Bytes())
 			switch {
 			case err == nil && size == 0:
-				err = in.Fill(conn)
+				err = input.Fill(conn)
 			case err == nil:
 				err = thrift.DecodeAnswer(frame, &answer)
-				in.Discard(size)
+				input.Discard(size)
 			}
 			if err != nil {
 				return
 			}
 		}
-		p.record(asked, answer.healthy)
+		p.record(sentAt, answer.healthy)
 		if !p.wait() {
 			return
 		}
@@ -117,14 +117,14 @@
 }
 
 // record notes an answer; one that was asked for before Begin is another process's.
-func (p *HealthProbe) record(asked time.Time, good bool) {
+func (p *HealthProbe) record(sentAt time.Time, healthy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if asked.Before(p.startedAt) {
+	if sentAt.Before(p.startedAt) {
 		return
 	}
 	p.lastAnswerAt = time.Now()
-	if good && p.healthyAt.IsZero() {
+	if healthy && p.healthyAt.IsZero() {
 		p.healthyAt = p.lastAnswerAt
 	}
 }
@@ -135,5 +135,5 @@
 func (a *probeReply) Served(int32, []byte, float64)            {}
 func (a *probeReply) PushedBack(int32, bool, float64, float64) {}
 func (a *probeReply) Aborted(int32, string, float64)           { a.received = true }
-func (a *probeReply) Checked(_ int32, good bool, _ float64)    { a.received, a.healthy = true, good }
+func (a *probeReply) Checked(_ int32, healthy bool, _ float64) { a.received, a.healthy = true, healthy }
 func (a *probeReply) Draining()                                {}
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -66,10 +66,10 @@
 }
 
 func (r *RemoteCaller) read(out io.Reader) {
-	lines := json.NewDecoder(bufio.NewReader(out))
+	decoder := json.NewDecoder(bufio.NewReader(out))
 	for {
 		var reply remoteReply
-		if lines.Decode(&reply) != nil {
+		if decoder.Decode(&reply) != nil {
 			break
 		}
 		r.mu.Lock()
@@ -90,23 +90,23 @@
 
 // Call has the process make one call. The context's deadline goes with it.
 func (r *RemoteCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	due, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return nil, errors.New("a remote call needs a deadline")
 	}
 	done := make(chan remoteReply, 1)
-	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: due, Body: body}, done); err != nil {
+	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: deadline, Body: body}, done); err != nil {
 		return nil, err
 	}
-	late := time.NewTimer(time.Until(due) + remoteGracePeriod)
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(deadline) + remoteGracePeriod)
+	defer timeout.Stop()
 	select {
 	case reply := <-done:
 		if reply.Error != "" {
 			return nil, errors.New(reply.Error)
 		}
 		return reply.Result, nil
-	case <-late.C:
+	case <-timeout.C:
 		return nil, ErrRemoteTimeout
 	}
 }
@@ -148,18 +148,18 @@
 // ServeCalls makes the calls that come in, each at once, and returns when no more come and all have an outcome.
 func ServeCalls(in io.Reader, out io.Writer, caller Caller) error {
 	var mu sync.Mutex
-	replies := json.NewEncoder(out)
-	var open sync.WaitGroup
-	defer open.Wait()
-	lines := json.NewDecoder(bufio.NewReader(in))
+	encoder := json.NewEncoder(out)
+	var calls sync.WaitGroup
+	defer calls.Wait()
+	decoder := json.NewDecoder(bufio.NewReader(in))
 	for {
 		var call remoteCall
-		if err := lines.Decode(&call); errors.Is(err, io.EOF) {
+		if err := decoder.Decode(&call); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		open.Go(func() {
+		calls.Go(func() {
 			ctx, stop := context.WithDeadline(context.Background(), call.Deadline)
 			defer stop()
 			reply := remoteReply{ID: call.ID}
@@ -169,7 +169,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			replies.Encode(reply)
+			encoder.Encode(reply)
 		})
 	}
 }
--- a/rig/router.go
+++ b/rig/router.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	due, _ := ctx.Deadline()
+	deadline, _ := ctx.Deadline()
 	done := make(chan routerOutcome, 1)
 	c.write.Lock()
 	if ctx.Err() != nil { // the wait for the connection took until the deadline
@@ -74,15 +74,15 @@
 	c.pending[seq] = done
 	c.mu.Unlock()
 	frame := thrift.Execute(nil, seq, method, fmt.Sprintf("%016x", rand.Uint64()), r.source,
-		float64(time.Now().UnixMilli())/1000, time.Until(due).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
+		float64(time.Now().UnixMilli())/1000, time.Until(deadline).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
 	_, err = c.Write(frame)
 	c.write.Unlock()
 	if err != nil {
 		c.retire() // answers that have come are still read; the reader finds the end
 	}
 	select {
-	case e := <-done:
-		return e.result, e.err
+	case outcome := <-done:
+		return outcome.result, outcome.err
 	case <-ctx.Done():
 		c.mu.Lock()
 		delete(c.pending, seq)
@@ -109,24 +109,24 @@
 	for k := 0; k < len(r.conns); k++ {
 		c := r.conns[k]
 		c.mu.Lock()
-		dead, room := c.retired, len(c.pending)+c.reserved < maxPendingPerConnection
-		if !dead && room {
+		unusable, hasRoom := c.retired, len(c.pending)+c.reserved < maxPendingPerConnection
+		if !unusable && hasRoom {
 			c.reserved++
 		}
 		c.mu.Unlock()
 		switch {
-		case dead:
+		case unusable:
 			r.conns = append(r.conns[:k], r.conns[k+1:]...)
 			k--
-		case room:
+		case hasRoom:
 			return c, nil
 		}
 	}
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.address)
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.address)
 	if err != nil {
 		return nil, err
 	}
-	c := &routerConn{Conn: nc, pending: map[int32]chan routerOutcome{}, reserved: 1}
+	c := &routerConn{Conn: netConn, pending: map[int32]chan routerOutcome{}, reserved: 1}
 	r.conns = append(r.conns, c)
 	go c.read()
 	return c, nil
@@ -139,16 +139,16 @@
 
 // ReadReplies passes each answer that an app server sends on a connection to its asker. It returns once the connection has
 // ended, or has carried what is no answer.
-func ReadReplies(conn io.Reader, to thrift.ReplyHandler) {
-	in := readbuffer.New(thrift.MaxFrame + 4)
+func ReadReplies(conn io.Reader, handler thrift.ReplyHandler) {
+	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(input.Bytes())
 		if err == nil && size == 0 {
-			err = in.Fill(conn)
+			err = input.Fill(conn)
 		}
 		if err == nil && size > 0 {
-			err = thrift.DecodeAnswer(frame, to)
-			in.Discard(size)
+			err = thrift.DecodeAnswer(frame, handler)
+			input.Discard(size)
 		}
 		if err != nil {
 			return
@@ -175,13 +175,13 @@
 	}
 }
 
-func (c *routerConn) finish(seq int32, e routerOutcome) {
+func (c *routerConn) finish(seq int32, outcome routerOutcome) {
 	c.mu.Lock()
 	done := c.pending[seq]
 	delete(c.pending, seq)
 	c.mu.Unlock()
 	if done != nil {
-		done <- e
+		done <- outcome
 	}
 }
 
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -25,11 +25,11 @@
 // Stub stands in for an app server where a real one would behave too well. What it does with each message that
 // comes is given to it; nil serves everything.
 type Stub struct {
-	connectionHandler func(nc net.Conn) // takes over a whole connection, if set
+	connectionHandler func(conn net.Conn) // takes over a whole connection, if set
 	listener          net.Listener
 
 	mu            sync.Mutex
-	handler       func(h ReceivedRequest, out []byte) []byte
+	handler       func(request ReceivedRequest, out []byte) []byte
 	received      []ReceivedRequest
 	conns         map[net.Conn]struct{}
 	acceptedCount int
@@ -37,8 +37,8 @@
 }
 
 // NewStub listens on a free port.
-func NewStub(behave func(h ReceivedRequest, out []byte) []byte) (*Stub, error) {
-	s, err := newStub(behave)
+func NewStub(handler func(request ReceivedRequest, out []byte) []byte) (*Stub, error) {
+	s, err := newStub(handler)
 	if err == nil {
 		s.group.Go(s.accept)
 	}
@@ -46,31 +46,31 @@
 }
 
 // NewRawStub hands each connection to raw.
-func NewRawStub(raw func(nc net.Conn)) (*Stub, error) {
+func NewRawStub(handler func(conn net.Conn)) (*Stub, error) {
 	s, err := newStub(nil)
 	if err == nil {
-		s.connectionHandler = raw
+		s.connectionHandler = handler
 		s.group.Go(s.accept)
 	}
 	return s, err
 }
 
-func newStub(behave func(h ReceivedRequest, out []byte) []byte) (*Stub, error) {
+func newStub(handler func(request ReceivedRequest, out []byte) []byte) (*Stub, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return &Stub{handler: behave, listener: listener, conns: map[net.Conn]struct{}{}}, nil
+	return &Stub{handler: handler, listener: listener, conns: map[net.Conn]struct{}{}}, nil
 }
 
 // Address is where callers connect.
 func (s *Stub) Address() string { return s.listener.Addr().String() }
 
 // SetHandler changes what is written for each message that comes.
-func (s *Stub) SetHandler(behave func(h ReceivedRequest, out []byte) []byte) {
+func (s *Stub) SetHandler(handler func(request ReceivedRequest, out []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handler = behave
+	s.handler = handler
 }
 
 // Received is all that has come, health checks aside.
@@ -91,8 +91,8 @@
 func (s *Stub) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for nc := range s.conns {
-		nc.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 }
 
@@ -105,82 +105,82 @@
 
 func (s *Stub) accept() {
 	for {
-		nc, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.conns[nc] = struct{}{}
+		s.conns[conn] = struct{}{}
 		s.acceptedCount++
 		number := s.acceptedCount
 		s.mu.Unlock()
 		s.group.Go(func() {
 			defer func() {
-				nc.Close()
+				conn.Close()
 				s.mu.Lock()
-				delete(s.conns, nc)
+				delete(s.conns, conn)
 				s.mu.Unlock()
 			}()
 			if s.connectionHandler != nil {
-				s.connectionHandler(nc)
+				s.connectionHandler(conn)
 				return
 			}
-			s.serve(nc, number)
+			s.serve(conn, number)
 		})
 	}
 }
 
-func (s *Stub) serve(nc net.Conn, number int) {
-	in := readbuffer.New(thrift.MaxFrame + 4)
-	in2 := &stubConn{Stub: s, nc: nc, number: number}
+func (s *Stub) serve(conn net.Conn, number int) {
+	input := readbuffer.New(thrift.MaxFrame + 4)
+	requests := &stubConn{Stub: s, conn: conn, number: number}
 	for {
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(input.Bytes())
 		if err != nil {
 			return
 		}
 		if size == 0 {
-			if len(in2.out) > 0 {
-				nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
-				if _, err := nc.Write(in2.out); err != nil {
+			if len(requests.out) > 0 {
+				conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
+				if _, err := conn.Write(requests.out); err != nil {
 					return
 				}
-				in2.out = in2.out[:0]
+				requests.out = requests.out[:0]
 			}
-			if in.Fill(nc) != nil {
+			if input.Fill(conn) != nil {
 				return
 			}
 			continue
 		}
-		if thrift.Decode(frame, in2) != nil {
+		if thrift.Decode(frame, requests) != nil {
 			return
 		}
-		in.Discard(size)
+		input.Discard(size)
 	}
 }
 
 // stubConn hears one connection.
 type stubConn struct {
 	*Stub
-	nc     net.Conn
+	conn   net.Conn
 	number int
 	out    []byte
 }
 
-func (c *stubConn) handle(h ReceivedRequest) {
-	h.Conn = c.number
+func (c *stubConn) handle(received ReceivedRequest) {
+	received.Conn = c.number
 	c.mu.Lock()
-	behave := c.handler
-	if !h.HealthCheck && len(c.Stub.received) < 1<<16 {
-		c.Stub.received = append(c.Stub.received, h)
+	handler := c.handler
+	if !received.HealthCheck && len(c.Stub.received) < 1<<16 {
+		c.Stub.received = append(c.Stub.received, received)
 	}
 	c.mu.Unlock()
 	switch {
-	case behave != nil:
-		c.out = behave(h, c.out)
-	case h.HealthCheck:
-		c.out = thrift.Checked(c.out, h.Seq, true, 100)
-	case !h.Interrupt:
-		c.out = thrift.Served(c.out, h.Seq, Answer(h.ID), 100)
+	case handler != nil:
+		c.out = handler(received, c.out)
+	case received.HealthCheck:
+		c.out = thrift.Checked(c.out, received.Seq, true, 100)
+	case !received.Interrupt:
+		c.out = thrift.Served(c.out, received.Seq, Answer(received.ID), 100)
 	}
 }
 
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -38,14 +38,14 @@
 	w := &Worker{listener: listener, rejectsStaleTerms: fences, history: history, conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
-			nc, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			w.mu.Lock()
-			w.conns[nc] = struct{}{}
+			w.conns[conn] = struct{}{}
 			w.mu.Unlock()
-			go w.serve(nc)
+			go w.serve(conn)
 		}
 	}()
 	return w, nil
@@ -59,31 +59,31 @@
 	w.listener.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for nc := range w.conns {
-		nc.Close()
+	for conn := range w.conns {
+		conn.Close()
 	}
 }
 
-func (w *Worker) serve(nc net.Conn) {
-	defer nc.Close()
-	lines := bufio.NewScanner(nc)
-	for lines.Scan() {
+func (w *Worker) serve(conn net.Conn) {
+	defer conn.Close()
+	scanner := bufio.NewScanner(conn)
+	for scanner.Scan() {
 		var role, owner string
 		var term uint64
-		var n int
-		if _, err := fmt.Sscanf(lines.Text(), "ORDER %s %d %d %s", &role, &term, &n, &owner); err != nil {
+		var number int
+		if _, err := fmt.Sscanf(scanner.Text(), "ORDER %s %d %d %s", &role, &term, &number, &owner); err != nil {
 			return
 		}
-		if known, ok := w.accept(owner, term); !ok {
-			w.history.Add(owner, "late", fmt.Sprintf("order under term %d refused, %d is known", term, known))
-			fmt.Fprintf(nc, "late %d\n", known)
+		if highestTerm, ok := w.accept(owner, term); !ok {
+			w.history.Add(owner, "late", fmt.Sprintf("order rejected: stale term %d, term %d is known", term, highestTerm))
+			fmt.Fprintf(conn, "late %d\n", highestTerm)
 			continue
 		}
-		fmt.Fprintln(nc, "ok")
+		fmt.Fprintln(conn, "ok")
 	}
 }
 
-func (w *Worker) accept(owner string, term uint64) (known uint64, ok bool) {
+func (w *Worker) accept(owner string, term uint64) (highestTerm uint64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if term < w.highestTerm && w.rejectsStaleTerms {
@@ -106,13 +106,13 @@
 func (w *Worker) Orders(since time.Time) []Order {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var all []Order
-	for _, o := range w.orders {
-		if !o.At.Before(since) {
-			all = append(all, o)
+	var orders []Order
+	for _, order := range w.orders {
+		if !order.At.Before(since) {
+			orders = append(orders, order)
 		}
 	}
-	return all
+	return orders
 }
 
 // minConsecutiveOrders is how many orders in a row make an owner: one alone may be what somebody had in its hands.
@@ -122,14 +122,14 @@
 func (w *Worker) Owner(within time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := len(w.orders)
-	if n < minConsecutiveOrders {
+	count := len(w.orders)
+	if count < minConsecutiveOrders {
 		return ""
 	}
-	for _, o := range w.orders[n-minConsecutiveOrders:] {
-		if time.Since(o.At) > within || o.Owner != w.orders[n-1].Owner {
+	for _, order := range w.orders[count-minConsecutiveOrders:] {
+		if time.Since(order.At) > within || order.Owner != w.orders[count-1].Owner {
 			return ""
 		}
 	}
-	return w.orders[n-1].Owner
+	return w.orders[count-1].Owner
 }
