--- a/rig/flow.go
+++ b/rig/flow.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// proxiedConnection is one connection of a client through the network, by which the checker knows it.
+// proxiedConnection is one connection of a client through the faulty network. It identifies the connection to the checker.
 type proxiedConnection struct {
 	*Net
 	caller, server net.Conn
 	endedLocally   atomic.Bool   // ended by the network or by the caller
-	endedByServer  atomic.Bool   // the app server has ended it
-	writeStarted   atomic.Int64  // since when a write to the caller has not come back, Unix nanoseconds; 0 for none
-	callerStalled  atomic.Bool   // the caller has not read what was written to it
-	chunkCount     atomic.Uint64 // chunks so far, from which the pieces of the next are drawn
+	endedByServer  atomic.Bool   // ended by the app server
+	writeStarted   atomic.Int64  // start of the pending write to the caller, in Unix nanoseconds; 0 for none
+	callerStalled  atomic.Bool   // a write to the caller blocked because the caller did not read
+	chunkCount     atomic.Uint64 // chunks written so far, which seed how the next one is split
 
-	optionalReplies map[int32]int // answers that are not owed and do no harm, by number; under the checker's lock
-	countedIn       *ledger       // where it counts as a connection; under the checker's lock
+	optionalReplies map[int32]int // count of allowed replies that are not due, by sequence number; guarded by the checker's lock
+	countedIn       *ledger       // the ledger that counts the connection; guarded by the checker's lock
 }
 
-// watchRequest tells the checker of a message that goes to the app server; owed says that it has to be answered under seq.
+// watchRequest reports a message to the app server to the checker. If replyDue, the app server must reply under seq.
 func (f *proxiedConnection) watchRequest(message []byte) (seq int32, replyDue bool) {
-	q, err := readRequest(message)
-	return q.seq, f.check.asked(f, q, err)
+	req, err := readRequest(message)
+	return req.seq, f.check.asked(f, req, err)
 }
 
-// watchReply tells the checker of a message that has come from the app server.
+// watchReply reports a message from the app server to the checker.
 func (f *proxiedConnection) watchReply(message []byte) {
-	a, err := readReply(message)
-	f.check.replied(f, a, err)
+	decoded, err := readReply(message)
+	f.check.replied(f, decoded, err)
 }
 
-// stalledWriteTimeout is when a write that does not come back shows that the caller does not read.
+// stalledWriteTimeout is the duration after which a blocked write shows that the caller does not read.
 const stalledWriteTimeout = 50 * time.Millisecond
 
-// write writes to one side, and takes note of when one to the caller began.
+// write writes to one side. It records the start of writes to the caller and whether one of them stalled.
 func (f *proxiedConnection) write(to net.Conn, b []byte) error {
 	if to != f.caller {
 		_, err := to.Write(b)
@@ -51,8 +51,8 @@
 	return err
 }
 
-// callerNotReading reports whether the caller has not read what was written to it: what its app server says behind that comes
-// late, or not at all, through no fault of the app server.
+// callerNotReading reports whether a write to the caller has stalled: later replies come late or not at all then, which is no
+// fault of the app server.
 func (f *proxiedConnection) callerNotReading() bool {
 	start := f.writeStarted.Load()
 	return f.callerStalled.Load() || start > 0 && time.Since(time.Unix(0, start)) > stalledWriteTimeout
--- a/rig/message.go
+++ b/rig/message.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The judge reads messages by itself: a mistake of the program's own reader must not hide itself here.
+// The checker has its own decoder, so that a fault of the program's decoder cannot hide itself.
 
-// Types of values and kinds of messages of the strict binary protocol that are of use here.
+// Value types and message kinds of Thrift's strict binary protocol, as far as the protocol uses them.
 const (
 	valueBool   = 2
 	valueI32    = 8
@@ -27,10 +27,10 @@
 	messageVersion = 0x8001
 )
 
-// errUnreadable is wrapped by the errors of messages that are not as the protocol has them.
+// errUnreadable is wrapped by the errors about messages that violate the protocol.
 var errUnreadable = errors.New("unreadable message")
 
-// wireReader takes values off a message; the first that is not there leaves an error.
+// wireReader decodes the values of a message. It keeps the first error; reads after it return zero values.
 type wireReader struct {
 	rest []byte
 	err  error
@@ -47,7 +47,7 @@
 		return make([]byte, min(max(n, 0), 8))
 	}
 	if n < 0 || n > len(r.rest) {
-		r.fail("it ends inside a value of %d bytes", n)
+		r.fail("message ends inside a value of %d bytes", n)
 		return make([]byte, min(max(n, 0), 8))
 	}
 	value := r.rest[:n]
@@ -60,7 +60,7 @@
 func (r *wireReader) i32() int32   { return int32(binary.BigEndian.Uint32(r.readBytes(4))) }
 func (r *wireReader) text() string { return string(r.readBytes(int(r.i32()))) }
 
-// fields goes through a struct; take reads the value of a field.
+// fields iterates over the fields of a struct; readValue must read the value of the given field.
 func (r *wireReader) fields(readValue func(id int16, kind byte)) {
 	for r.err == nil {
 		kind := r.byte()
@@ -71,12 +71,12 @@
 	}
 }
 
-// stringMap reads a map of strings.
+// stringMap reads a map with strings as keys and values.
 func (r *wireReader) stringMap() map[string]string {
 	keys, values, n := r.byte(), r.byte(), int(r.i32())
 	all := map[string]string{}
 	if n > 0 && (keys != valueString || values != valueString) {
-		r.fail("a map of types %d and %d", keys, values)
+		r.fail("map with key type %d and value type %d, want strings", keys, values)
 	}
 	for ; n > 0 && r.err == nil; n-- {
 		key := r.text()
@@ -85,7 +85,7 @@
 	return all
 }
 
-// header is what each message begins with.
+// header is the header of a message.
 type header struct {
 	kind byte
 	name string
@@ -94,14 +94,14 @@
 
 func (r *wireReader) header() header {
 	if version := uint16(r.i16()); version != messageVersion {
-		r.fail("version %#x", version)
+		r.fail("unsupported version %#x", version)
 	}
 	kind := byte(r.i16())
 	name := r.text()
 	return header{kind: kind, name: name, seq: r.i32()}
 }
 
-// request is a message of a router.
+// request is a message from a router.
 type request struct {
 	header
 	fields map[string]string
@@ -109,111 +109,111 @@
 	target int32 // of an interrupt
 }
 
-// readRequest reads a frame from a router. Fields of other types or numbers than the protocol's end it.
+// readRequest decodes a frame from a router. A field with an id or type outside the protocol is an error.
 func readRequest(frame []byte) (request, error) {
 	r := wireReader{rest: frame}
-	q := request{header: r.header(), fields: map[string]string{}}
+	req := request{header: r.header(), fields: map[string]string{}}
 	r.fields(func(id int16, kind byte) {
 		switch {
-		case q.name == "execute" && id == 1 && kind == valueMap:
-			q.fields = r.stringMap()
-		case q.name == "execute" && id == 2 && kind == valueString:
-			q.body = []byte(r.text())
-		case q.name == "interrupt" && id == 1 && kind == valueI32:
-			q.target = r.i32()
-		case q.name == "check" && id == 1 && kind == valueBool:
+		case req.name == "execute" && id == 1 && kind == valueMap:
+			req.fields = r.stringMap()
+		case req.name == "execute" && id == 2 && kind == valueString:
+			req.body = []byte(r.text())
+		case req.name == "interrupt" && id == 1 && kind == valueI32:
+			req.target = r.i32()
+		case req.name == "check" && id == 1 && kind == valueBool:
 			r.byte()
 		default:
-			r.fail("%s with a field %d of type %d", q.name, id, kind)
+			r.fail("%s with unexpected field %d of type %d", req.name, id, kind)
 		}
 	})
-	return q, r.err
+	return req, r.err
 }
 
-// receivedAt is when the request came to the machine, now if that cannot be read.
-func (q request) receivedAt(now time.Time) time.Time {
-	ms, err := strconv.ParseFloat(q.fields["recv"], 64)
+// receivedAt returns when the request arrived at the machine, or now if the field is missing or invalid.
+func (req request) receivedAt(now time.Time) time.Time {
+	ms, err := strconv.ParseFloat(req.fields["recv"], 64)
 	if err != nil || !(ms >= 0 && ms < maxUnixMilliseconds) {
 		return now
 	}
 	return time.UnixMicro(int64(ms * 1000))
 }
 
-// maxUnixMilliseconds is past anything that a clock says, and can still be calculated with.
+// maxUnixMilliseconds is later than any clock reading and small enough to calculate with.
 const maxUnixMilliseconds = 1e14
 
-// ttl is how long the caller waits; ok is false where it does not say so.
-func (q request) ttl() (wait time.Duration, ok bool) {
-	ms, err := strconv.ParseFloat(q.fields["ttl"], 64)
+// ttl returns how long the caller waits; ok is false if the field is missing or invalid.
+func (req request) ttl() (wait time.Duration, ok bool) {
+	ms, err := strconv.ParseFloat(req.fields["ttl"], 64)
 	if err != nil || math.IsNaN(ms) {
 		return 0, false
 	}
 	return time.Duration(min(max(ms, 0), 1e11) * float64(time.Millisecond)), true
 }
 
-// heapKB is the memory that is booked for the request, in KB.
-func (q request) heapKB() float64 {
-	kb, err := strconv.ParseFloat(q.fields["heap"], 64)
+// heapKB returns the memory to reserve for the request, in KB; 0 if the field is missing or invalid.
+func (req request) heapKB() float64 {
+	kb, err := strconv.ParseFloat(req.fields["heap"], 64)
 	if err != nil || !(kb > 0 && kb < 2000) {
 		return 0
 	}
 	return kb
 }
 
-// replyKind is what an app server's message says.
+// replyKind is the kind of a message from an app server.
 type replyKind uint8
 
 const (
 	replyServed replyKind = iota
 	replyPushedBack
-	replyAborted // Aborted, an application exception, or an Answer that is not good
+	replyAborted // Aborted, an application exception, or an Answer without success
 	replyChecked
 	replyDraining
 )
 
-// reply is a message of an app server.
+// reply is a message from an app server.
 type reply struct {
 	kind        replyKind
 	seq         int32
 	body        []byte
-	noRetry     bool          // no other app server is to be tried
-	retryAfter  time.Duration // for which the router should stay away
-	hasPushback bool          // it says for how long
+	noRetry     bool          // no other app server may be tried
+	retryAfter  time.Duration // delay until the router may send again
+	hasPushback bool          // the reply has the field for the delay
 }
 
-// Fields of the result of a call.
+// Field ids of the result of a call.
 const (
 	resultAnswer  = 0
 	resultRefused = 1
 	resultFailed  = 2
 )
 
-// readReply reads a frame from an app server by the protocol's word.
+// readReply decodes a frame from an app server, strictly by the protocol.
 func readReply(frame []byte) (reply, error) {
 	r := wireReader{rest: frame}
 	h := r.header()
-	var a reply
+	var decoded reply
 	switch {
 	case r.err != nil:
 		return reply{}, r.err
 	case h.kind == messageException:
-		a = r.applicationException()
+		decoded = r.applicationException()
 	case h.kind == messageOneway && h.name == "draining":
-		a.kind = replyDraining
-		r.fields(func(id int16, _ byte) { r.fail("draining with a field %d", id) })
+		decoded.kind = replyDraining
+		r.fields(func(id int16, _ byte) { r.fail("draining with unexpected field %d", id) })
 	case h.kind == messageReply && (h.name == "execute" || h.name == "check"):
-		a = r.result(h.name == "check")
+		decoded = r.result(h.name == "check")
 	default:
-		r.fail("kind %d, name %q", h.kind, h.name)
+		r.fail("unexpected message of kind %d, name %q", h.kind, h.name)
 	}
 	if len(r.rest) > 0 {
-		r.fail("%d bytes after its end", len(r.rest))
+		r.fail("%d bytes after the end of the message", len(r.rest))
 	}
-	a.seq = h.seq
-	return a, r.err
+	decoded.seq = h.seq
+	return decoded, r.err
 }
 
-// applicationException reads Thrift's own exception: a text and a number.
+// applicationException reads Thrift's application exception: a message and a type.
 func (r *wireReader) applicationException() reply {
 	r.fields(func(id int16, kind byte) {
 		switch {
@@ -222,103 +222,103 @@
 		case id == 2 && kind == valueI32:
 			r.i32()
 		default:
-			r.fail("an application exception with a field %d of type %d", id, kind)
+			r.fail("application exception with unexpected field %d of type %d", id, kind)
 		}
 	})
 	return reply{kind: replyAborted}
 }
 
-// result reads what a call has returned: exactly one of Answer, Trylater, Aborted.
+// result reads the result of a call: exactly one of Answer, Trylater, Aborted.
 func (r *wireReader) result(check bool) reply {
-	var a reply
+	var decoded reply
 	results := 0
 	r.fields(func(id int16, kind byte) {
 		results++
 		switch {
 		case kind != valueStruct:
-			r.fail("a result %d of type %d", id, kind)
+			r.fail("result field %d has type %d, want a struct", id, kind)
 		case id == resultAnswer:
-			a = r.answer(check)
+			decoded = r.answer(check)
 		case id == resultRefused && !check:
-			a = r.exception(replyPushedBack)
+			decoded = r.exception(replyPushedBack)
 		case id == resultFailed && !check:
-			a = r.exception(replyAborted)
+			decoded = r.exception(replyAborted)
 		default:
-			r.fail("a result %d", id)
+			r.fail("unexpected result field %d", id)
 		}
 	})
 	if results != 1 {
-		r.fail("%d results", results)
+		r.fail("%d results, want 1", results)
 	}
-	return a
+	return decoded
 }
 
-// answer reads the struct Answer, of which a router needs all three fields but may be sent none of the map's keys.
+// answer reads the struct Answer. Routers require its three fields, but no key of the map.
 func (r *wireReader) answer(check bool) reply {
-	a := reply{kind: replyServed}
+	decoded := reply{kind: replyServed}
 	succeeded := false
 	r.fields(func(id int16, kind byte) {
 		switch {
 		case id == 1 && kind == valueString:
-			a.body = []byte(r.text())
+			decoded.body = []byte(r.text())
 		case id == 2 && kind == valueMap:
-			r.readReplyFields(r.stringMap(), &a)
+			r.readReplyFields(r.stringMap(), &decoded)
 		case id == 3 && kind == valueBool:
 			succeeded = r.byte() == 1
 		default:
-			r.fail("an Answer with a field %d of type %d", id, kind)
+			r.fail("Answer with unexpected field %d of type %d", id, kind)
 		}
 	})
 	switch {
 	case check:
-		a.kind = replyChecked
+		decoded.kind = replyChecked
 	case !succeeded:
-		a.kind = replyAborted
+		decoded.kind = replyAborted
 	}
-	if a.hasPushback || a.noRetry {
-		r.fail("an Answer with fields of a refusal")
+	if decoded.hasPushback || decoded.noRetry {
+		r.fail("Answer with the fields of a pushback")
 	}
-	return a
+	return decoded
 }
 
-// exception reads Trylater or Aborted.
+// exception reads the struct Trylater or Aborted.
 func (r *wireReader) exception(kind replyKind) reply {
-	a := reply{kind: kind}
+	decoded := reply{kind: kind}
 	r.fields(func(id int16, kind byte) {
 		if id != 1 || kind != valueMap {
-			r.fail("an exception with a field %d of type %d", id, kind)
+			r.fail("exception with unexpected field %d of type %d", id, kind)
 			return
 		}
-		r.readReplyFields(r.stringMap(), &a)
+		r.readReplyFields(r.stringMap(), &decoded)
 	})
-	if kind != replyPushedBack && (a.hasPushback || a.noRetry) {
-		r.fail("Aborted with fields of a refusal")
+	if kind != replyPushedBack && (decoded.hasPushback || decoded.noRetry) {
+		r.fail("Aborted with the fields of a pushback")
 	}
-	return a
+	return decoded
 }
 
-// readReplyFields reads what an answer carries beside its result.
-func (r *wireReader) readReplyFields(fields map[string]string, a *reply) {
+// readReplyFields validates the field map of a reply and stores the pushback fields in decoded.
+func (r *wireReader) readReplyFields(fields map[string]string, decoded *reply) {
 	for key, value := range fields {
 		switch key {
 		case "load":
 			if v, err := strconv.ParseFloat(value, 64); err != nil || !(v >= 0) || math.IsInf(v, 0) {
-				r.fail("load %q", value)
+				r.fail("invalid load %q", value)
 			}
 		case "pushback":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0) || math.IsInf(ms, 0) || ms != math.Trunc(ms) {
-				r.fail("pushback %q", value)
+				r.fail("invalid pushback %q", value)
 			}
-			a.hasPushback = true
-			a.retryAfter = time.Duration(min(ms, 1e11) * float64(time.Millisecond))
+			decoded.hasPushback = true
+			decoded.retryAfter = time.Duration(min(ms, 1e11) * float64(time.Millisecond))
 		case "stop":
 			if value != "1" {
-				r.fail("stop %q", value)
+				r.fail("invalid stop %q", value)
 			}
-			a.noRetry = true
+			decoded.noRetry = true
 		default:
-			r.fail("a field %q", key)
+			r.fail("unexpected field %q", key)
 		}
 	}
 }
