--- a/rig/roster.go
+++ b/rig/roster.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Roster stands in for the list from which routers learn of app servers: it hears their reports over UDP. It is safe for
-// use by many goroutines.
+// Roster simulates the registry from which routers learn of app servers: it receives their reports over UDP. It is safe for
+// concurrent use.
 type Roster struct {
 	address string
 
 	mu           sync.Mutex
-	conn         net.PacketConn // nil while the roster is down
+	conn         net.PacketConn // nil while the roster is stopped
 	firstReports map[string]time.Time
-	check        *Checker        // nil unless Judge
-	names        map[string]bool // that processes have
+	check        *Checker        // nil unless CheckReports was called
+	names        map[string]bool // names of the known processes
 	group        sync.WaitGroup
 }
 
-// NewRoster listens on a free port.
+// NewRoster returns a roster that listens on a free port. The caller must Close it.
 func NewRoster() (*Roster, error) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -33,10 +33,10 @@
 	return r, nil
 }
 
-// Address is where app servers report to; it stays the same over an outage.
+// Address returns the address for reports; it stays the same across Stop and Restart.
 func (r *Roster) Address() string { return r.address }
 
-// Stop closes the socket, so that reports are lost and what was heard is forgotten.
+// Stop closes the socket, so that reports are lost, and discards the reports received so far.
 func (r *Roster) Stop() {
 	r.mu.Lock()
 	conn := r.conn
@@ -59,11 +59,11 @@
 	return nil
 }
 
-// Close ends it.
+// Close closes the socket and waits for its reader.
 func (r *Roster) Close() { r.Stop() }
 
-// FirstReported returns when the app server of that name first reported itself as on since the roster came up; ok is false
-// if it has not.
+// FirstReported returns when the app server of that name first reported itself as on since the roster was started or
+// restarted, or since Forget; ok is false if it has not.
 func (r *Roster) FirstReported(name string) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,8 +71,8 @@
 	return at, ok
 }
 
-// CheckReports has each report checked: its form, and that it comes from a process of one of these names that lives. A process has
-// the name under which the checker is told of it.
+// CheckReports has the checker verify each report from now on: its format, that its name is one of the given names, and that
+// the process of that name is alive. Names are those under which the checker knows the processes.
 func (r *Roster) CheckReports(check *Checker, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Forget drops what was heard from one app server, as when its process is killed.
+// Forget discards the reports of one app server, for use when its process is killed.
 func (r *Roster) Forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +105,7 @@
 	})
 }
 
-// record records one report, "HERE name on" or "HERE name off".
+// record processes one report, "HERE name on" or "HERE name off".
 func (r *Roster) record(report string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,30 +121,30 @@
 	}
 }
 
-// errMalformedReport is wrapped by the errors of datagrams that are no report.
-var errMalformedReport = errors.New("no report")
+// errMalformedReport is wrapped by the errors about datagrams that are no valid report.
+var errMalformedReport = errors.New("malformed report")
 
-// parseReport reads the three words of a report.
+// parseReport parses the three words of a report.
 func parseReport(report string) (name string, on bool, err error) {
 	words := strings.Split(report, " ")
 	switch {
 	case len(words) != 3:
-		return "", false, fmt.Errorf("%w: %d words", errMalformedReport, len(words))
+		return "", false, fmt.Errorf("%w: %d words, want 3", errMalformedReport, len(words))
 	case words[0] != "HERE":
-		return "", false, fmt.Errorf("%w: it begins with %q", errMalformedReport, words[0])
+		return "", false, fmt.Errorf("%w: begins with %q, want HERE", errMalformedReport, words[0])
 	case words[2] != "on" && words[2] != "off":
-		return "", false, fmt.Errorf("%w: it ends with %q", errMalformedReport, words[2])
+		return "", false, fmt.Errorf("%w: ends with %q, want on or off", errMalformedReport, words[2])
 	}
 	return words[1], words[2] == "on", nil
 }
 
-// checkReport is called under the lock.
+// checkReport reports a violation for an invalid report. The lock must be held.
 func (r *Roster) checkReport(report, name string, err error) {
 	switch {
 	case err != nil:
-		r.check.report(1, "a datagram to the roster %.80q: %v", report, err)
+		r.check.report(1, "invalid datagram to the roster, %.80q: %v", report, err)
 	case !r.names[name]:
-		r.check.report(1, "a report to the roster in the name of %q, which nobody has", name)
+		r.check.report(1, "a report to the roster names %q, which is no known process", name)
 	case !r.check.lives(name):
 		r.check.report(1, "a report to the roster from %s, which has ended", name)
 	}
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// Reports to the roster are three words of a process that lives.
-func TestRosterJudge(t *testing.T) {
+// Reports that are not three valid words, or name an unknown or ended process, must each be a violation, and valid ones none.
+func TestRosterChecksReports(t *testing.T) {
 	for report, what := range map[string]string{
 		"HERE n1 on":      "",
 		"HERE n1 off":     "",
-		"HERE n2 on":      "which nobody has",
+		"HERE n2 on":      "which is no known process",
 		"HERE n3 on":      "has ended",
 		"HERE n1":         "words",
 		"HERE n1 on ":     "words",
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprint(conn, report)
-		fmt.Fprint(conn, "HERE last") // after it nothing is on its way
+		fmt.Fprint(conn, "HERE last") // always invalid; once it is reported, the datagram before it has been processed
 		waitFor(t, "the reports", func() bool {
 			all := s.check.Violations()
 			return len(all) > 0 && strings.Contains(all[len(all)-1].What, "HERE last")
