--- a/rig/backend.go
+++ b/rig/backend.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// Backend stands in for a service that all app servers call and that bears only so much at once. Kernels tell it of the runs of some
-// methods. A killed app server's runs go on there until their work is done.
+// Backend simulates a service with limited concurrency that all app servers call. Kernels report the runs of some methods to it.
+// The runs of a killed app server continue there until their work is done. It is safe for concurrent use.
 type Backend struct {
 	methods map[string]bool
 
 	mu              sync.Mutex
-	limit           int // of runs at once
+	limit           int // maximum of concurrent runs
 	running         int
-	runningByServer map[string]int // of each app server
-	maxExcess       int            // above the limit, at any moment
-	startedRuns     int            // that have begun
-	capacity        int            // above so many everything takes longer; 0 for none
-	runSeconds      float64        // runs at once over time, since it was last asked
+	runningByServer map[string]int // by the name of the app server
+	maxExcess       int            // by how many runs the limit was exceeded
+	startedRuns     int            // runs started so far
+	capacity        int            // concurrent runs above which all runs slow down; 0 for unlimited
+	runSeconds      float64        // integral of the concurrent runs over time since measuredSince
 	measuredSince   time.Time
 	updatedAt       time.Time
 }
 
-// NewBackend counts runs of some methods against a limit.
+// NewBackend returns a backend that counts the runs of the given methods against a limit of concurrent runs.
 func NewBackend(limit int, methods ...string) *Backend {
-	b := &Backend{limit: limit, methods: map[string]bool{}, runningByServer: map[string]int{}, measuredSince: time.Now(), updatedAt: time.Now()}
+	b := &Backend{limit: limit, methods: map[string]bool{}, runningByServer: map[string]int{},
+		measuredSince: time.Now(), updatedAt: time.Now()}
 	for _, m := range methods {
 		b.methods[m] = true
 	}
 	return b
 }
 
-// countsMethod tells whether runs of a method reach it.
+// countsMethod reports whether runs of a method reach the backend.
 func (b *Backend) countsMethod(method string) bool { return b != nil && b.methods[method] }
 
+// add changes the count of concurrent runs of an app server; a positive change counts as started runs.
 func (b *Backend) add(server string, change int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,27 +46,28 @@
 	b.maxExcess = max(b.maxExcess, b.running-b.limit)
 }
 
+// accumulate brings runSeconds up to date. The lock must be held.
 func (b *Backend) accumulate() {
 	now := time.Now()
 	b.runSeconds += float64(b.running) * now.Sub(b.updatedAt).Seconds()
 	b.updatedAt = now
 }
 
-// SetLimit changes it, and begins to count anew what passes it.
+// SetLimit changes the limit of concurrent runs and restarts the measurement of the maximum excess.
 func (b *Backend) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit, b.maxExcess = limit, b.running-limit
 }
 
-// SetCapacity has everything take longer past so many runs at once, as many times as there are more.
+// SetCapacity sets the concurrent runs above which all runs slow down, by the ratio of the concurrent runs to this number.
 func (b *Backend) SetCapacity(runs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.capacity = runs
 }
 
-// slowdown is how many times as long everything takes now.
+// slowdown returns the factor by which runs take longer at present.
 func (b *Backend) slowdown() float64 {
 	if b == nil {
 		return 1
@@ -77,33 +80,33 @@
 	return max(1, float64(b.running)/float64(b.capacity))
 }
 
-// MaxExcess is by how many runs the limit was passed at the most; 0 if never.
+// MaxExcess returns the largest number of runs above the limit since the limit was set; 0 if it was never exceeded.
 func (b *Backend) MaxExcess() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.maxExcess, 0)
 }
 
-// StartedRuns is how many have begun.
+// StartedRuns returns the number of runs started so far.
 func (b *Backend) StartedRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.startedRuns
 }
 
-// RunningCount is how many run, in all and of one app server.
+// RunningCount returns the number of concurrent runs, of all app servers and of the given one.
 func (b *Backend) RunningCount(server string) (total, ofServer int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.running, b.runningByServer[server]
 }
 
-// MeanRunning is how many have run at once on the mean, since it was last asked.
+// MeanRunning returns the mean number of concurrent runs since the previous call, or since the backend was created.
 func (b *Backend) MeanRunning() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.accumulate()
-	used := b.runSeconds / max(b.updatedAt.Sub(b.measuredSince).Seconds(), 1e-9)
+	mean := b.runSeconds / max(b.updatedAt.Sub(b.measuredSince).Seconds(), 1e-9)
 	b.runSeconds, b.measuredSince = 0, b.updatedAt
-	return used
+	return mean
 }
--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -15,44 +15,47 @@
 	"valveglade/internal/thrift"
 )
 
-// BadClients send what no router sends, at full speed, and the same kind of thing again as soon as it is turned away. Nothing
-// of what they send may be run or served.
+// BadClients send messages that no router sends, at full speed, and connect again as soon as a message is rejected. None of
+// these messages may be run or served.
 type BadClients struct {
 	server  string
 	address string
-	method  string // one that there is
+	method  string // a method that the app server serves
 	check   *Checker
 	stop    context.CancelFunc
 	group   sync.WaitGroup
 
 	mu         sync.Mutex
 	answered   int
-	unanswered []string // kinds that were told nothing in time
+	unanswered []string // kinds of messages without a reply in time
 }
 
-// badKind is one way of being bad: what it sends, and whether it goes on sending.
+// badKind is one kind of malformed message and how the client goes on after it.
 type badKind struct {
 	name         string
 	message      func(b *BadClients, rng *rand.Rand) []byte
-	endless      bool // the message goes on with zeros until the app server ends it
-	closesAtOnce bool // the client closes at once, and is owed nothing
+	endless      bool // the client sends zeros after the message until the app server closes the connection
+	closesAtOnce bool // the client closes at once, and no reply is due
 }
 
-// badClientTimeout is how long such a client waits for a word: the protocol's three seconds, and what a busy machine adds.
+// badClientTimeout is how long a client waits for a reply: the protocol's 3 s and an allowance for a busy machine.
 const badClientTimeout = 5 * time.Second
 
+// badKinds are the kinds of malformed messages, from which each client draws.
 var badKinds = []badKind{
 	{name: "garbage", message: func(_ *BadClients, rng *rand.Rand) []byte {
 		b := make([]byte, 64+rng.IntN(4000))
 		for k := range b {
 			b[k] = byte(rng.Uint32())
 		}
-		b[0] = 0xff // as a length it is negative
+		b[0] = 0xff // makes the frame length negative
 		return b
 	}},
 	{name: "http", message: func(*BadClients, *rand.Rand) []byte { return []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n") }},
 	{name: "negative length", message: func(*BadClients, *rand.Rand) []byte { return []byte{0x80, 0, 0, 1, 0, 0} }},
-	{name: "huge", message: func(*BadClients, *rand.Rand) []byte { return []byte{0x03, 0x93, 0x87, 0, 0x80, 1, 0, 1} }, endless: true},
+	{name: "huge", message: func(*BadClients, *rand.Rand) []byte {
+		return []byte{0x03, 0x93, 0x87, 0, 0x80, 1, 0, 1}
+	}, endless: true},
 	{name: "never ends", message: func(*BadClients, *rand.Rand) []byte { return []byte{0, 0, 0x40, 0, 0x80, 1, 0, 1} }},
 	{name: "zero length", message: func(*BadClients, *rand.Rand) []byte { return make([]byte, 4) }},
 	{name: "wrong inner length", message: func(b *BadClients, rng *rand.Rand) []byte {
@@ -98,7 +101,7 @@
 	}, closesAtOnce: true},
 }
 
-// NewBadClients starts n clients whose kinds are drawn from the seed.
+// NewBadClients starts n clients, which draw the kinds of their messages from the seed. The caller must Close them.
 func NewBadClients(server, address, method string, n int, check *Checker, seed uint64) *BadClients {
 	ctx, stop := context.WithCancel(context.Background())
 	b := &BadClients{server: server, address: address, method: method, check: check, stop: stop}
@@ -113,13 +116,14 @@
 	return b
 }
 
-// fields are those of an RPC that could be run.
+// fields returns the fields of a valid RPC.
 func (b *BadClients) fields(rng *rand.Rand) []Field {
-	return []Field{{"op", b.method}, {"call", fmt.Sprintf("%016x", rng.Uint64())}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
+	return []Field{{"op", b.method}, {"call", fmt.Sprintf("%016x", rng.Uint64())},
+		{"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
 		{"src", "99"}, {"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.5000"}}
 }
 
-// fieldsWith is the same fieldsWith one field changed.
+// fieldsWith returns the fields of a valid RPC with one value replaced.
 func (b *BadClients) fieldsWith(rng *rand.Rand, key, value string) []Field {
 	fields := b.fields(rng)
 	for k := range fields {
@@ -130,7 +134,7 @@
 	return fields
 }
 
-// sendOnce connects once, sends one message and waits to be told something.
+// sendOnce opens a connection, sends one message and waits for a reply.
 func (b *BadClients) sendOnce(ctx context.Context, kind badKind, rng *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", b.address)
 	if err != nil {
@@ -164,7 +168,7 @@
 	}
 }
 
-// awaitReply reports whether the client was told anything, or its connection was ended, in time.
+// awaitReply reports whether a reply came, or the connection was closed, before the timeout.
 func (b *BadClients) awaitReply(conn net.Conn, kind badKind) bool {
 	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
@@ -190,14 +194,14 @@
 	}
 }
 
-// Close ends the clients and returns how many were told something, and the kinds of those that were not.
+// Close stops the clients. It returns the number of messages with a reply and the kinds of the messages without one.
 func (b *BadClients) Close() (answered int, unanswered []string) {
 	b.stop()
 	b.group.Wait()
 	return b.answered, b.unanswered
 }
 
-// badClientReply takes what a bad client is answered.
+// badClientReply implements thrift.ReplyHandler and records whether an RPC was served.
 type badClientReply struct{ served bool }
 
 func (a *badClientReply) Served(int32, []byte, float64)            { a.served = true }
--- a/rig/coldstart.go
+++ b/rig/coldstart.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// ColdStart is how app servers come up after a restart, as the settings name it. The zero value is no cold start at all.
+// ColdStart describes the slow start of app servers after a restart, as in the settings. The zero value means no slow start.
 type ColdStart struct {
-	Capacity float64       // share of its speed that an app server opens with: startCapacity
-	Ramp     time.Duration // until it has its full speed, in even steps: rampTimeS
-	Window   time.Duration // over which an overload counts: fallS
+	Capacity float64       // share of the full speed right after the start: startCapacity
+	Ramp     time.Duration // time until full speed, reached linearly: rampTimeS
+	Window   time.Duration // period over which an overload is measured: fallS
 }
 
-// SlowStart is how long a start counts as slow: the ramp, or one window if that is longer.
+// SlowStart returns how long the slow start lasts: the ramp, or one window if that is longer.
 func (c ColdStart) SlowStart() time.Duration { return max(c.Ramp, c.Window) }
 
-// SpeedShare is the share of its full speed that an app server has so long after its start.
+// SpeedShare returns the share of the full speed that an app server has at the given age.
 func (c ColdStart) SpeedShare(age time.Duration) float64 {
 	if c.Ramp <= 0 {
 		return 1
@@ -25,8 +25,8 @@
 	return min(1, c.Capacity+(1-c.Capacity)*max(age, 0).Seconds()/c.Ramp.Seconds())
 }
 
-// meanSpeedShare is the mean of Warmth over the window that ends so long after the start. Before the start it counts as the
-// first share.
+// meanSpeedShare returns the mean of SpeedShare over the window that ends at the given age. Times before the start count with
+// the initial share.
 func (c ColdStart) meanSpeedShare(age time.Duration) float64 {
 	const steps = 20
 	sum := 0.0
@@ -36,44 +36,44 @@
 	return sum / steps
 }
 
-// Arrivals are the RPCs that reached one app server, further tries included. It is safe for use by many goroutines.
+// Arrivals records the RPCs that reached one app server, including retries. It is safe for concurrent use.
 type Arrivals struct {
 	mu  sync.Mutex
 	all []arrival
 }
 
-// arrival is one RPC as it is passed on to the app server.
+// arrival is one RPC forwarded to the app server.
 type arrival struct {
 	at   time.Time
 	work float64 // seconds on a core
 }
 
-// Add takes note of an arrival, with the seconds of its work.
+// Add records an arrival with its work, in seconds on a core.
 func (a *Arrivals) Add(at time.Time, work float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.all = append(a.all, arrival{at, work})
 }
 
-// Peak is the most that arrived within one window of a cold start, over what the app server bears.
+// Peak is the largest load within one window of a slow start, as a ratio to the budget of the app server.
 type Peak struct {
-	ByWork  float64 // in requests of mean work
-	ByCount float64 // in requests
-	Age     time.Duration
+	ByWork  float64       // with requests weighted by their work
+	ByCount float64       // with all requests counted alike
+	Age     time.Duration // age of the app server at the peak by work
 }
 
-// coldStartBudget is the most requests of mean work that an app server in slow start bears within a window in which its cores
-// carry n of them.
+// coldStartBudget returns the maximum number of requests of mean work for a window of a slow start in which the cores can
+// process n of them.
 func coldStartBudget(n float64) float64 {
-	const smallCount = 30 // under which the budget is wider, as chance weighs more
+	const smallCount = 30 // below it the budget is wider, as random variation weighs more
 	if n < smallCount {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Peak looks at all windows that end between the boot and the end of the slow start, which is the ramp or one window if
-// that is longer, against the budget at the speed that the settings allow.
+// Peak returns the largest load of all windows that end between the boot and the end of the slow start, relative to the
+// budget at the speed that the settings allow at that time. meanWork is in seconds on a core.
 func (a *Arrivals) Peak(start ColdStart, boot time.Time, cores int, meanWork float64) Peak {
 	a.mu.Lock()
 	arrivals := slices.Clone(a.all)
--- a/rig/coldstart_test.go
+++ b/rig/coldstart_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// What the cores carry at the speed of a cold start stays within the budget; three times as much does not, and what came
-// before the boot or after the ramp counts for nothing.
+// Peak must stay within the budget for the load that the cores can process during a slow start, and exceed it for three
+// times that load. Arrivals before the boot or after the ramp must not count.
 func TestPeak(t *testing.T) {
 	start := ColdStart{Capacity: 0.2, Ramp: 10 * time.Second, Window: time.Second}
 	const cores, work = 2, 0.01
@@ -27,12 +27,12 @@
 			age += time.Duration(work / cores / start.SpeedShare(age) / times * float64(time.Second))
 		}
 		if peak := a.Peak(start, boot, cores, work); peak.ByWork > 1 != over || peak.ByCount > 1 != over {
-			t.Errorf("%g times what is carried: a peak of %+v", times, peak)
+			t.Errorf("load of %g times the capacity: unexpected peak %+v", times, peak)
 		}
 	}
 }
 
-// echoCaller gives back what it is called with; without a token it fails.
+// echoCaller is a fake Caller that returns the body of each call, and an error if the token is empty.
 type echoCaller struct{}
 
 func (echoCaller) Call(_ context.Context, _, token string, _ float64, body []byte) ([]byte, error) {
@@ -43,7 +43,7 @@
 }
 func (echoCaller) Close() error { return nil }
 
-// Each call has one reply, with the result or with what was wrong.
+// Each call must get exactly one reply, with its result or its error, and a truncated call must be an error.
 func TestServeCalls(t *testing.T) {
 	var in, out bytes.Buffer
 	calls := json.NewEncoder(&in)
@@ -65,6 +65,6 @@
 		t.Errorf("replies %+v", replies)
 	}
 	if err := ServeCalls(strings.NewReader("{"), &out, echoCaller{}); err == nil {
-		t.Error("half a call is taken for a whole one")
+		t.Error("ServeCalls accepts a truncated call")
 	}
 }
--- a/rig/frame.go
+++ b/rig/frame.go
@@ -2,12 +2,13 @@
 
 import "encoding/binary"
 
-// The rig writes messages by itself, too: what it sends has to be right, or odd in its own way, without the program's writer.
+// These frames are written without the program's own encoder, so that a fault of the encoder cannot hide itself, and so that
+// malformed frames can be written as well.
 
-// Field is one field of an RPC.
+// Field is one entry of the field map of an RPC.
 type Field struct{ Key, Value string }
 
-// ExecuteFrame is the message of one RPC.
+// ExecuteFrame returns the frame of one RPC.
 func ExecuteFrame(seq int32, fields []Field, body []byte) []byte {
 	b := newFrame(messageCall, "execute", seq)
 	b = append(b, valueMap, 0, 1, valueString, valueString)
@@ -19,13 +20,13 @@
 	return finishFrame(b)
 }
 
-// InterruptFrame says that nobody waits for an RPC any more; seq is its own number.
+// InterruptFrame returns the frame that cancels the RPC with sequence number target; seq is the sequence number of the frame.
 func InterruptFrame(seq, target int32) []byte {
 	b := append(newFrame(messageOneway, "interrupt", seq), valueI32, 0, 1)
 	return finishFrame(binary.BigEndian.AppendUint32(b, uint32(target)))
 }
 
-// CheckFrame is a health check.
+// CheckFrame returns the frame of a health check.
 func CheckFrame(seq int32) []byte {
 	return finishFrame(append(newFrame(messageCall, "check", seq), valueBool, 0, 1, 0))
 }
@@ -39,7 +40,7 @@
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
 
-// finishFrame writes the end of the struct and the length.
+// finishFrame appends the end of the struct and fills in the frame length.
 func finishFrame(b []byte) []byte {
 	b = append(b, 0)
 	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
--- a/rig/idle.go
+++ b/rig/idle.go
@@ -11,18 +11,18 @@
 	"valveglade/internal/thrift"
 )
 
-// IdleKind is how a client holds a connection without work.
+// IdleKind is what a client sends on a connection before it leaves it idle.
 type IdleKind uint8
 
 const (
 	IdleSilent            IdleKind = iota // never sends a byte
-	IdlePartial                           // sends half a message
-	IdleAfterCheck                        // sends one health check, and then nothing
-	IdlePartialAfterCheck                 // sends one health check, and then half a message
+	IdlePartial                           // sends a partial message
+	IdleAfterCheck                        // sends one health check
+	IdlePartialAfterCheck                 // sends one health check and a partial message
 	idleKindCount         int      = iota
 )
 
-// IdleClients hold connections to one app server without work, and connect again as soon as theirs ends.
+// IdleClients hold idle connections to one app server. Each reconnects after its connection has ended and a pause has passed.
 type IdleClients struct {
 	address string
 	pause   time.Duration
@@ -30,8 +30,8 @@
 	stop    context.CancelFunc
 }
 
-// NewIdleClients starts n clients whose kinds are drawn from the seed. Between the end of a connection and the next one a
-// client pauses for as long as pause on the mean.
+// NewIdleClients starts n clients whose kinds are drawn from the seed. pause is the mean pause of a client between two
+// connections. The caller must Close them.
 func NewIdleClients(address string, n int, pause time.Duration, seed uint64) *IdleClients {
 	ctx, stop := context.WithCancel(context.Background())
 	clients := &IdleClients{address: address, pause: pause, stop: stop}
@@ -43,7 +43,7 @@
 	return clients
 }
 
-// Close ends the clients with their connections.
+// Close stops the clients, closes their connections and waits for them.
 func (i *IdleClients) Close() {
 	i.stop()
 	i.group.Wait()
@@ -60,10 +60,10 @@
 	}
 }
 
-// partialMessage announces more bytes than it has.
+// partialMessage is a frame whose length prefix exceeds its content.
 var partialMessage = []byte("\x00\x00\x00\x40half")
 
-// hold keeps one connection until the app server ends it.
+// hold keeps one connection open until the app server closes it.
 func (i *IdleClients) hold(ctx context.Context, kind IdleKind) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", i.address)
 	if err != nil {
--- a/rig/load.go
+++ b/rig/load.go
@@ -15,53 +15,53 @@
 	"valveglade/rpc"
 )
 
-// Caller is what a load is sent through: token is empty but for tokened RPCs, criticality is from 0 to under 1.
+// Caller makes the RPCs of a load. token is empty except for tokened RPCs, criticality is in [0, 1).
 type Caller interface {
 	Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error)
 	Close() error
 }
 
-// Share is one method's part of a load.
+// Share is the part of a load that goes to one method.
 type Share struct {
 	Method      string
 	Kind        rpc.Kind
-	Criticality float64 // as its callers rank it, and as it counts
+	Criticality float64 // sent with its RPCs, and their weight in Outcome.Criticality
 	Fraction    float64 // of all RPCs
-	Work        float64 // seconds on a core, on the mean; exponential
+	Work        float64 // mean of the exponential distribution, in seconds on a core
 	Deadline    time.Duration
 }
 
-// Load asks, whatever becomes of what it has asked before.
+// Load is an open-loop workload: it sends RPCs at its rate regardless of the outcome of earlier ones.
 type Load struct {
 	Seed         uint64
-	Rate         func(t float64) float64 // RPCs a second, t seconds after the start
+	Rate         func(t float64) float64 // RPCs per second, t seconds after the start
 	Duration     time.Duration
 	Shares       []Share
-	Prefix       string // of the names of its RPCs
-	TokenPadding int    // bytes that tokens are longer by
-	// PendingCount counts the RPCs that have no outcome yet, if set.
+	Prefix       string // of the ids of its RPCs
+	TokenPadding int    // bytes of padding added to each token
+	// PendingCount, if set, counts the RPCs that have no outcome yet.
 	PendingCount *atomic.Int64
-	// BeforeCall is told of each RPC as it is asked, if set, with the seconds of its work.
+	// BeforeCall, if set, is called ahead of each RPC with its work, in seconds on a core.
 	BeforeCall func(s Share, work float64)
-	// AfterCall is told of each RPC's end, if set, in the goroutine that asked for it.
+	// AfterCall, if set, is called with the outcome of each RPC, in the goroutine that made it.
 	AfterCall func(s Share, id, token string, body []byte, err error)
 }
 
-// MethodOutcome is what came of one method's share, or of all.
+// MethodOutcome is the outcome of the RPCs of one method.
 type MethodOutcome struct {
 	Asked, OK int
-	Times     *hdrhistogram.Histogram // of what was ok, in microseconds
+	Times     *hdrhistogram.Histogram // of the successful RPCs, in microseconds
 }
 
-// Outcome is what came of a load.
+// Outcome is the outcome of a load.
 type Outcome struct {
 	ByMethod map[string]*MethodOutcome
-	// Criticality is the share served of what was asked, each RPC counting by its criticality.
+	// Criticality is the share of RPCs that succeeded, weighted by criticality.
 	Criticality float64
 	Asked, OK   int
 }
 
-// Run plays it through the callers in turn, each time by chance, and returns once all has an outcome.
+// Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
 func (l Load) Run(ctx context.Context, check *Checker, callers ...Caller) Outcome {
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
 	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
--- a/rig/misbehaving_router.go
+++ b/rig/misbehaving_router.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// MisbehavingRouter sends RPCs that could be run, under numbers, ids and tokens that it has used before, and takes them back. Behind a
-// Net the checker sees what it is owed all the same.
+// MisbehavingRouter sends valid RPCs under sequence numbers, call ids and tokens that it has used before, and interrupts some of
+// them. If it connects through a faulty network, the checker still knows which replies are due.
 type MisbehavingRouter struct {
 	address string
 	method  string
@@ -21,10 +21,10 @@
 	group   sync.WaitGroup
 }
 
-// misbehavingInterval is between two messages.
+// misbehavingInterval is the pause between connections, and the maximum pause between two messages.
 const misbehavingInterval = 20 * time.Millisecond
 
-// NewMisbehavingRouter starts one.
+// NewMisbehavingRouter starts a router that sends RPCs of one method. The caller must Close it.
 func NewMisbehavingRouter(address, method string, catalog *Catalog, seed uint64) *MisbehavingRouter {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &MisbehavingRouter{address: address, method: method, catalog: catalog, stop: stop}
@@ -38,13 +38,13 @@
 	return r
 }
 
-// Close ends it.
+// Close stops the router, closes its connections and waits for both.
 func (r *MisbehavingRouter) Close() {
 	r.stop()
 	r.group.Wait()
 }
 
-// sendMessages sends some messages on one connection, and reads whatever comes.
+// sendMessages sends some messages on one connection and discards the replies.
 func (r *MisbehavingRouter) sendMessages(ctx context.Context, rng *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", r.address)
 	if err != nil {
@@ -55,7 +55,7 @@
 	r.group.Go(func() { io.Copy(io.Discard, conn) })
 	call := fmt.Sprintf("%016x", rng.Uint64())
 	for seq := int32(1); seq < 20 && ctx.Err() == nil; seq++ {
-		number := seq - int32(rng.IntN(2)) // that of the RPC before, now and then
+		number := seq - int32(rng.IntN(2)) // half of the time the number of the previous RPC
 		if rng.IntN(2) == 0 {
 			call = fmt.Sprintf("%016x", rng.Uint64())
 		}
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -13,8 +13,8 @@
 	"valveglade/internal/thrift"
 )
 
-// NaiveClient is the baseline: a caller as many are. It takes any app server, keeps to no credit, tries again at once
-// whatever the answer was, up to three times more, and connects whenever it has no connection to spare.
+// NaiveClient is the baseline client. It picks app servers at random, ignores credit, retries any failure at once, up to three
+// times, and opens a new connection whenever none is idle.
 type NaiveClient struct {
 	addresses []string
 	source    int
@@ -29,16 +29,17 @@
 	seq   int32
 }
 
-// NewNaiveClient makes one.
+// NewNaiveClient returns a client of the app servers at the given addresses; source is its id in RPCs. The caller must Close it.
 func NewNaiveClient(source int, addresses ...string) *NaiveClient {
 	return &NaiveClient{addresses: addresses, source: source, idle: map[string][]*naiveConn{}}
 }
 
+// naiveTries is the maximum number of tries per RPC.
 const naiveTries = 4
 
-var errNaive = errors.New("not ok")
+var errNaive = errors.New("RPC was not served")
 
-// Call tries until it is ok, the tries are used up or the deadline has come.
+// Call makes one RPC. It tries until one is ok, the tries are used up or ctx is done.
 func (n *NaiveClient) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
 	err := errNaive
 	for range naiveTries {
@@ -111,7 +112,7 @@
 	return &naiveConn{Conn: netConn, input: readbuffer.New(thrift.MaxFrame + 4)}, nil
 }
 
-// Close ends its connections.
+// Close closes the idle connections.
 func (n *NaiveClient) Close() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -13,18 +13,18 @@
 	"valveglade/internal/thrift"
 )
 
-// PeerOptions is how the routers of a deployment write RPCs.
+// PeerOptions describes how the routers of a deployment write RPCs.
 type PeerOptions struct {
-	PassesDeadline bool // RPCs say how long their caller waits
+	PassesDeadline bool // RPCs carry the remaining time of their caller
 	HangupSeen     bool // interrupts are sent
-	MarksRetry     bool // further tries are marked
-	Tenants        int  // RPCs name one of so many
-	WriteSize      int  // bytes written at a time; 0 for whole messages
+	MarksRetry     bool // retries are marked
+	Tenants        int  // number of tenants named in RPCs; 0 for none
+	WriteSize      int  // bytes per write; 0 for whole messages
 }
 
-// Peer is a router of one app server, as the protocol has them: up to 32 RPCs open on a connection, new connections as it
-// needs them, and a connection that is asked to drain gets no new RPC. It can do what a bad router does. Behind a Net the
-// checker sees what it says and hears. It is safe for use by many goroutines.
+// Peer simulates a router of one app server that follows the protocol: up to 32 pending RPCs on a connection, new connections
+// on demand, no new RPC on a connection that is draining. It can also misbehave. If it connects through a faulty network, the
+// checker sees its messages and the replies. It is safe for concurrent use.
 type Peer struct {
 	address string
 	source  int
@@ -34,36 +34,36 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	connections []*peerConn
-	readPaused  chan struct{} // closed when answers are read again; nil while they are
+	readPaused  chan struct{} // closed when reading resumes; nil while replies are read
 	group       sync.WaitGroup
 	closed      bool
 }
 
 // PeerTry is one try of an RPC.
 type PeerTry struct {
-	RPC         string // the same for all tries
+	RPC         string // id of the RPC, the same for all tries
 	Method      string
 	Token       string
 	Body        []byte
-	ReceivedAt  time.Time     // when it came to the machine
-	Timeout     time.Duration // from Recv on; the field ttl
+	ReceivedAt  time.Time     // when the RPC arrived at the machine
+	Timeout     time.Duration // counted from ReceivedAt; the field ttl
 	Criticality float64
 	IsRetry     bool
 	Work        float64 // seconds on a core
-	Result      []byte  // of a run; nil for Answer(RPC)
-	Fails       bool    // a run ends with a fault
+	Result      []byte  // result of a run; nil for Answer(RPC)
+	Fails       bool    // a run ends with an error
 }
 
-// PeerOutcome is how a try ended: with a result, or with ErrPushedBack, ErrAborted, ErrLost.
+// PeerOutcome is the outcome of a try: a result, or ErrPushedBack, ErrAborted or ErrLost.
 type PeerOutcome struct {
 	Result         []byte
 	Err            error
-	NoRetry        bool          // pushed back, and no other app server is to be tried
-	RetryAfter     time.Duration // pushed back, and not before
-	ClosedInFlight bool          // the connection ended just when it was written
+	NoRetry        bool          // pushed back, and no other app server may be tried
+	RetryAfter     time.Duration // pushed back, minimum delay until the next try
+	ClosedInFlight bool          // the app server closed the connection just when the try was written
 }
 
-// PeerCall is a try that has been written.
+// PeerCall is a try that has been sent. Done delivers its outcome once.
 type PeerCall struct {
 	Done <-chan PeerOutcome
 	conn *peerConn
@@ -79,33 +79,34 @@
 
 	mu            sync.Mutex
 	pending       map[int32]*pendingTry
-	reserved      int
+	reserved      int // places reserved for tries that are not written yet
 	draining      bool
 	ended         bool
-	closedLocally bool // it was ended from this side
+	closedLocally bool // the peer closed it
 }
 
 // pendingTry is a try without an outcome.
 type pendingTry struct {
-	at   time.Time
-	done chan PeerOutcome
+	sentAt time.Time
+	done   chan PeerOutcome
 }
 
-// ErrNotConnected is a try that was not written: no connection could be had.
+// ErrNotConnected is returned if a try was not sent, as there was no connection.
 var ErrNotConnected = errors.New("no connection")
 
-// peerConnectTimeout bounds the wait for a connection, and peerWriteTimeout that for an app server that does not read.
+// Timeouts for opening a connection and for one write to an app server that does not read.
 const (
 	peerConnectTimeout = 2 * time.Second
 	peerWriteTimeout   = 5 * time.Second
 )
 
-// NewPeer makes one; it connects when it has something to send.
+// NewPeer returns a peer that connects on demand; source is its id in RPCs. The caller must Close it.
 func NewPeer(address string, source int, options PeerOptions, catalog *Catalog, seed uint64) *Peer {
-	return &Peer{address: address, source: source, options: options, catalog: catalog, rng: rand.New(rand.NewPCG(seed, uint64(source)))}
+	return &Peer{address: address, source: source, options: options, catalog: catalog,
+		rng: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
-// Send writes one try.
+// Send sends one try.
 func (p *Peer) Send(try PeerTry) (*PeerCall, error) {
 	c, err := p.reserveConnection()
 	if err != nil {
@@ -124,13 +125,14 @@
 	return &PeerCall{Done: done, conn: c, seq: c.seq}, nil
 }
 
-// fields are those of the protocol, in any order, with a new call id.
+// fields returns the fields of a try in random order, with a new call id.
 func (p *Peer) fields(try PeerTry) (fields []Field, call string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call = fmt.Sprintf("%016x", p.rng.Uint64())
-	fields = []Field{{"op", try.Method}, {"call", call}, {"recv", strconv.FormatInt(try.ReceivedAt.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
-		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.rng.Float64())}, {"crit", fmt.Sprintf("%.4f", min(try.Criticality, 0.9999))}}
+	fields = []Field{{"op", try.Method}, {"call", call}, {"recv", strconv.FormatInt(try.ReceivedAt.UnixMilli(), 10)},
+		{"src", strconv.Itoa(p.source)}, {"heap", fmt.Sprintf("%.1f", 0.5+20*p.rng.Float64())},
+		{"crit", fmt.Sprintf("%.4f", min(try.Criticality, 0.9999))}}
 	if p.options.PassesDeadline {
 		fields = append(fields, Field{"ttl", strconv.FormatInt(try.Timeout.Milliseconds(), 10)})
 	}
@@ -149,7 +151,7 @@
 	return fields, call
 }
 
-// Cancel says that nobody waits for a try any more, where app servers are told of it.
+// Cancel sends an interrupt for the try, if the deployment sends interrupts.
 func (k *PeerCall) Cancel() {
 	c := k.conn
 	if !c.options.HangupSeen {
@@ -161,7 +163,7 @@
 	c.writeFrame(InterruptFrame(c.seq, k.seq))
 }
 
-// writeFrame writes a frame, whole or in pieces. Called under the lock of writing.
+// writeFrame writes a frame, whole or in parts of WriteSize bytes. The write lock must be held.
 func (c *peerConn) writeFrame(frame []byte) {
 	c.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	step := len(frame)
@@ -171,7 +173,7 @@
 	for len(frame) > 0 {
 		n := min(step, len(frame))
 		if _, err := c.Write(frame[:n]); err != nil {
-			c.retire() // answers that have come are still read; the reader finds the end
+			c.retire() // replies already received are still read; the reader detects the end
 			return
 		}
 		if frame = frame[n:]; len(frame) > 0 && c.options.WriteSize < 8 {
@@ -180,7 +182,7 @@
 	}
 }
 
-// addPending enters a try; false if the connection has ended meanwhile.
+// addPending registers a try in its reserved place; false if the connection has ended meanwhile.
 func (c *peerConn) addPending(seq int32, try *pendingTry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +194,7 @@
 	return true
 }
 
-// retire has no new RPC sent on the connection.
+// retire stops new RPCs on the connection, and closes it if nothing is pending on it.
 func (c *peerConn) retire() {
 	c.mu.Lock()
 	c.draining = true
@@ -203,7 +205,7 @@
 	}
 }
 
-// closeLocally ends the connection from this side.
+// closeLocally closes the connection and marks it as closed by the peer.
 func (c *peerConn) closeLocally() {
 	c.mu.Lock()
 	c.closedLocally = true
@@ -211,7 +213,7 @@
 	c.Conn.Close()
 }
 
-// reserveConnection books a place on one.
+// reserveConnection reserves a place for one RPC on an existing or a new connection.
 func (p *Peer) reserveConnection() (*peerConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,13 +259,13 @@
 			err = thrift.DecodeAnswer(frame, c)
 			input.Discard(size)
 		}
-		if err != nil { // what cannot be read is the checker's to tell
+		if err != nil { // an unreadable reply is reported by the checker
 			return
 		}
 	}
 }
 
-// waitUntilReading waits while the peer does not read.
+// waitUntilReading blocks while reading is paused.
 func (p *Peer) waitUntilReading() {
 	p.mu.Lock()
 	resumed := p.readPaused
@@ -273,19 +275,19 @@
 	}
 }
 
-// failPending gives what is open its outcome.
+// failPending closes the connection and ends all pending tries with ErrLost.
 func (c *peerConn) failPending() {
 	c.Conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended = true
 	for seq, try := range c.pending {
-		try.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(try.at) <= crossingWindow}
+		try.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(try.sentAt) <= crossingWindow}
 		delete(c.pending, seq)
 	}
 }
 
-// finish gives a try its outcome, and leaves a connection that is to have no more.
+// finish delivers the outcome of a try, and closes a draining connection once nothing is pending on it.
 func (c *peerConn) finish(seq int32, outcome PeerOutcome) {
 	c.mu.Lock()
 	try := c.pending[seq]
@@ -300,7 +302,7 @@
 	}
 }
 
-// Served, PushedBack, Aborted and the rest are what the app server says.
+// Served and the methods below implement thrift.ReplyHandler.
 func (c *peerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, PeerOutcome{Result: append([]byte{}, result...)})
 }
@@ -314,7 +316,7 @@
 func (c *peerConn) Checked(int32, bool, float64) {}
 func (c *peerConn) Draining()                    { c.retire() }
 
-// SetReadPaused stops the reading of answers, or lets it go on.
+// SetReadPaused pauses or resumes the reading of replies.
 func (p *Peer) SetReadPaused(paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -327,10 +329,10 @@
 	}
 }
 
-// ResetConnections resets all connections, Leave closes them; the tries open on them have no caller any more.
+// ResetConnections resets all connections; the tries pending on them are lost.
 func (p *Peer) ResetConnections() { p.closeAll(true) }
 
-// CloseConnections closes all connections.
+// CloseConnections closes all connections; the tries pending on them are lost.
 func (p *Peer) CloseConnections() { p.closeAll(false) }
 
 func (p *Peer) closeAll(reset bool) {
@@ -346,7 +348,7 @@
 	}
 }
 
-// Close ends it and waits until nothing of it is left.
+// Close closes all connections and waits for the goroutines of the peer.
 func (p *Peer) Close() {
 	p.SetReadPaused(false)
 	p.mu.Lock()
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -9,54 +9,54 @@
 	"valveglade/internal/thrift"
 )
 
-// HealthProbe asks one app server for its health all the time, on a connection of its own that it opens anew now and then.
+// HealthProbe sends health checks to one app server continuously, on connections of its own that it renews regularly.
 type HealthProbe struct {
 	address string
 	stop    chan struct{}
 	group   sync.WaitGroup
 
 	mu           sync.Mutex
-	lastAnswerAt time.Time // of any answer
-	healthyAt    time.Time // of the first good answer since Begin
+	lastAnswerAt time.Time // of any reply
+	healthyAt    time.Time // of the first healthy reply since Restart
 	startedAt    time.Time
 }
 
-// Figures of the probes: between two of them, for each answer, and checks on one connection.
+// Interval between two checks, timeout of each reply, and checks per connection.
 const (
 	probeInterval       = 100 * time.Millisecond
 	probeTimeout        = time.Second
 	probesPerConnection = 5
 )
 
-// NewHealthProbe begins to ask.
+// NewHealthProbe starts a probe of the app server at address. The caller must Close it.
 func NewHealthProbe(address string) *HealthProbe {
 	p := &HealthProbe{address: address, stop: make(chan struct{}), startedAt: time.Now()}
 	p.group.Go(p.run)
 	return p
 }
 
-// Restart forgets the answers so far, as a process is started anew.
+// Restart discards the replies so far, because the process is restarted.
 func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.startedAt, p.lastAnswerAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
 }
 
-// LastAnswerAt returns when the last answer came; the zero time if none has since Begin.
+// LastAnswerAt returns when the last reply came; the zero time if none has come since Restart.
 func (p *HealthProbe) LastAnswerAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastAnswerAt
 }
 
-// HealthyAt returns when the first good answer came since Begin; the zero time if none has.
+// HealthyAt returns when the first healthy reply since Restart came; the zero time if none has.
 func (p *HealthProbe) HealthyAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.healthyAt
 }
 
-// Close ends it.
+// Close stops the probe and waits for it.
 func (p *HealthProbe) Close() {
 	close(p.stop)
 	p.group.Wait()
@@ -71,7 +71,7 @@
 	}
 }
 
-// wait reports whether the probe goes on.
+// wait sleeps for the probe interval and returns false if the probe is stopped.
 func (p *HealthProbe) wait() bool {
 	select {
 	case <-p.stop:
@@ -81,7 +81,7 @@
 	}
 }
 
-// probeConnection asks some times on one connection.
+// probeConnection sends a few health checks on one connection.
 func (p *HealthProbe) probeConnection() {
 	conn, err := net.DialTimeout("tcp", p.address, probeTimeout)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// record notes an answer; one that was asked for before Begin is another process's.
+// record records a reply. A reply to a check sent before Restart came from the previous process and is ignored.
 func (p *HealthProbe) record(sentAt time.Time, healthy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// probeReply takes the answer to a health check.
+// probeReply implements thrift.ReplyHandler and records the reply to a health check.
 type probeReply struct{ received, healthy bool }
 
 func (a *probeReply) Served(int32, []byte, float64)            {}
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// RemoteCaller is a Caller that lives in a process of its own, which knows nothing of the others.
+// RemoteCaller is a Caller that makes its calls in a separate process, which shares no state with other callers.
 type RemoteCaller struct {
 	process Process
 	in      io.WriteCloser
 
 	mu      sync.Mutex
 	lastID  uint64
-	pending map[uint64]chan remoteReply // nil once the process says nothing more
+	pending map[uint64]chan remoteReply // by id of the call; nil once the output of the process has ended
 }
 
-// remoteCall is one line to the process.
+// remoteCall is one call, sent to the process as a line of JSON.
 type remoteCall struct {
 	ID          uint64
 	Method      string
@@ -31,23 +31,23 @@
 	Body        []byte
 }
 
-// remoteReply is one line from it.
+// remoteReply is the reply to one call, sent by the process as a line of JSON.
 type remoteReply struct {
 	ID     uint64
 	Result []byte
 	Error  string // empty where the call was ok
 }
 
-// ErrRemoteEnded is the outcome of calls whose process has ended, ErrRemoteTimeout of those that had no outcome in time.
+// ErrRemoteEnded is the error of calls whose process has ended, ErrRemoteTimeout of those without an outcome in time.
 var (
 	ErrRemoteEnded   = errors.New("the caller's process has ended")
-	ErrRemoteTimeout = errors.New("the caller's process says nothing")
+	ErrRemoteTimeout = errors.New("the caller's process did not reply in time")
 )
 
-// remoteGracePeriod is waited past a call's deadline for its outcome.
+// remoteGracePeriod is the wait for an outcome past the deadline of a call, and for the process to exit on Close.
 const remoteGracePeriod = 3 * time.Second
 
-// NewRemoteCaller starts a command that serves calls with ServeCalls on its standard input and output.
+// NewRemoteCaller starts a command that runs ServeCalls on its standard input and output. The caller must Close it.
 func NewRemoteCaller(cmd *exec.Cmd) (*RemoteCaller, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -88,14 +88,15 @@
 	r.pending = nil
 }
 
-// Call has the process make one call. The context's deadline goes with it.
+// Call makes one call in the process. ctx must have a deadline, which is passed on.
 func (r *RemoteCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return nil, errors.New("a remote call needs a deadline")
+		return nil, errors.New("remote call: the context has no deadline")
 	}
 	done := make(chan remoteReply, 1)
-	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: deadline, Body: body}, done); err != nil {
+	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: deadline,
+		Body: body}, done); err != nil {
 		return nil, err
 	}
 	timeout := time.NewTimer(time.Until(deadline) + remoteGracePeriod)
@@ -131,10 +132,10 @@
 	return nil
 }
 
-// Log is the last of what the process said on its standard error.
+// Log returns the end of the standard error output of the process.
 func (r *RemoteCaller) Log() string { return r.process.Log() }
 
-// Close ends the process and waits for its end.
+// Close closes the input of the process, and kills it if it does not exit within the grace period.
 func (r *RemoteCaller) Close() error {
 	r.in.Close()
 	select {
@@ -145,7 +146,8 @@
 	return nil
 }
 
-// ServeCalls makes the calls that come in, each at once, and returns when no more come and all have an outcome.
+// ServeCalls reads calls from in, makes them concurrently through caller and writes the replies to out. It returns at the end
+// of the input, once all calls have an outcome, or at the first malformed call.
 func ServeCalls(in io.Reader, out io.Writer, caller Caller) error {
 	var mu sync.Mutex
 	encoder := json.NewEncoder(out)
--- a/rig/router.go
+++ b/rig/router.go
@@ -14,8 +14,8 @@
 	"valveglade/internal/thrift"
 )
 
-// Router is a caller as the platform's are: many RPCs on a connection, new connections as it needs them, no heed of
-// credit, no further tries. What it sends is what the load asks for, so that a limit can be seen at work.
+// Router simulates a router of the platform for one app server: many RPCs on a connection, new connections on demand. It
+// ignores credit and never retries, so that a load reaches the app server unchanged and the effect of its limits is visible.
 type Router struct {
 	address string
 	source  int
@@ -24,36 +24,37 @@
 	conns []*routerConn
 }
 
-// routerConn is one of its connections.
+// routerConn is one connection of a router.
 type routerConn struct {
 	net.Conn
 	write    sync.Mutex
 	seq      int32
 	mu       sync.Mutex
 	pending  map[int32]chan routerOutcome
-	reserved int // places given out, and not written yet
+	reserved int // places reserved for RPCs that are not written yet
 	retired  bool
 }
 
-// routerOutcome is how one RPC ended.
+// routerOutcome is the outcome of one RPC.
 type routerOutcome struct {
 	result []byte
 	err    error
 }
 
-// ErrPushedBack is a refusal, ErrAborted an answer without a promise, ErrLost the end of the connection.
+// ErrPushedBack means that the RPC was not run, ErrAborted that it may have been run, ErrLost that the connection ended.
 var (
 	ErrPushedBack = errors.New("pushed back")
 	ErrAborted    = errors.New("aborted")
 	ErrLost       = errors.New("connection lost")
 )
 
+// maxPendingPerConnection is the protocol's limit of pending RPCs on a connection.
 const maxPendingPerConnection = 32
 
-// NewRouter makes one for one app server.
+// NewRouter returns a router of the app server at address; source is its id in RPCs. The caller must Close it.
 func NewRouter(source int, address string) *Router { return &Router{address: address, source: source} }
 
-// Call sends one RPC and waits for its end.
+// Call sends one RPC and waits for its outcome. ctx must have a deadline.
 func (r *Router) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	c, err := r.reserveConnection(ctx)
 	if err != nil {
@@ -62,12 +63,12 @@
 	deadline, _ := ctx.Deadline()
 	done := make(chan routerOutcome, 1)
 	c.write.Lock()
-	if ctx.Err() != nil { // the wait for the connection took until the deadline
+	if ctx.Err() != nil { // waiting for the connection took until the deadline
 		c.write.Unlock()
 		c.release()
 		return nil, ctx.Err()
 	}
-	c.seq++ // numbers rise in the order of writing
+	c.seq++ // sequence numbers increase in the order of writing
 	seq := c.seq
 	c.mu.Lock()
 	c.reserved--
@@ -78,7 +79,7 @@
 	_, err = c.Write(frame)
 	c.write.Unlock()
 	if err != nil {
-		c.retire() // answers that have come are still read; the reader finds the end
+		c.retire() // replies already received are still read; the reader detects the end
 	}
 	select {
 	case outcome := <-done:
@@ -95,14 +96,14 @@
 	}
 }
 
-// release gives a booked place back.
+// release gives up a reserved place.
 func (c *routerConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reserved--
 }
 
-// reserveConnection books a place on a connection.
+// reserveConnection reserves a place for one RPC on an existing or a new connection.
 func (r *Router) reserveConnection(ctx context.Context) (*routerConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,8 +138,8 @@
 	c.failPending()
 }
 
-// ReadReplies passes each answer that an app server sends on a connection to its asker. It returns once the connection has
-// ended, or has carried what is no answer.
+// ReadReplies passes each reply on a connection to the handler. It returns once the connection has ended or has carried an
+// unreadable reply.
 func ReadReplies(conn io.Reader, handler thrift.ReplyHandler) {
 	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
@@ -156,14 +157,14 @@
 	}
 }
 
-// retire has no new RPC sent on the connection.
+// retire stops new RPCs on the connection.
 func (c *routerConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
 }
 
-// failPending ends the connection and all that is open on it.
+// failPending closes the connection and ends all pending RPCs with ErrLost.
 func (c *routerConn) failPending() {
 	c.Close()
 	c.mu.Lock()
@@ -185,7 +186,7 @@
 	}
 }
 
-// Served, PushedBack, Aborted and the rest are what the app server says.
+// Served and the methods below implement thrift.ReplyHandler.
 func (c *routerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, routerOutcome{result: append([]byte(nil), result...)})
 }
@@ -198,7 +199,7 @@
 func (c *routerConn) Checked(int32, bool, float64) {}
 func (c *routerConn) Draining()                    { c.retire() }
 
-// Close ends its connections.
+// Close closes all connections.
 func (r *Router) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -10,22 +10,22 @@
 	"valveglade/internal/thrift"
 )
 
-// ReceivedRequest is one RPC as a Stub reads it.
+// ReceivedRequest is one message as a Stub decoded it.
 type ReceivedRequest struct {
 	Seq                    int32
 	Method, Token, ID      string
 	Call                   string
 	Body                   []byte
-	Recv, TTL              float64
+	Recv, TTL              float64 // in seconds; Recv since the Unix epoch
 	IsRetry                bool
-	Conn                   int // number of the connection, from 1
+	Conn                   int // number of the connection, starting at 1
 	Interrupt, HealthCheck bool
 }
 
-// Stub stands in for an app server where a real one would behave too well. What it does with each message that
-// comes is given to it; nil serves everything.
+// Stub simulates an app server whose behavior a test controls, such as one that breaks the protocol. Its handler writes the
+// replies to each message; without one it serves every RPC.
 type Stub struct {
-	connectionHandler func(conn net.Conn) // takes over a whole connection, if set
+	connectionHandler func(conn net.Conn) // if set, handles whole connections
 	listener          net.Listener
 
 	mu            sync.Mutex
@@ -36,7 +36,8 @@
 	group         sync.WaitGroup
 }
 
-// NewStub listens on a free port.
+// NewStub returns a stub that listens on a free port. handler appends the replies to a message to out and returns the result;
+// nil serves everything. The caller must Close the stub.
 func NewStub(handler func(request ReceivedRequest, out []byte) []byte) (*Stub, error) {
 	s, err := newStub(handler)
 	if err == nil {
@@ -45,7 +46,8 @@
 	return s, err
 }
 
-// NewRawStub hands each connection to raw.
+// NewRawStub returns a stub that listens on a free port and passes each connection to a handler. It closes the connection
+// when the handler returns. The caller must Close the stub.
 func NewRawStub(handler func(conn net.Conn)) (*Stub, error) {
 	s, err := newStub(nil)
 	if err == nil {
@@ -63,31 +65,31 @@
 	return &Stub{handler: handler, listener: listener, conns: map[net.Conn]struct{}{}}, nil
 }
 
-// Address is where callers connect.
+// Address returns the address for callers.
 func (s *Stub) Address() string { return s.listener.Addr().String() }
 
-// SetHandler changes what is written for each message that comes.
+// SetHandler replaces the handler of messages; nil serves everything.
 func (s *Stub) SetHandler(handler func(request ReceivedRequest, out []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handler = handler
 }
 
-// Received is all that has come, health checks aside.
+// Received returns a copy of the messages received so far, without health checks.
 func (s *Stub) Received() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]ReceivedRequest(nil), s.received...)
 }
 
-// ConnectionCount is how many connections there are.
+// ConnectionCount returns the number of open connections.
 func (s *Stub) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// CloseConnections ends all connections.
+// CloseConnections closes all connections.
 func (s *Stub) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +98,7 @@
 	}
 }
 
-// Close ends it.
+// Close stops listening, closes all connections and waits for their handlers.
 func (s *Stub) Close() {
 	s.listener.Close()
 	s.CloseConnections()
@@ -158,7 +160,7 @@
 	}
 }
 
-// stubConn hears one connection.
+// stubConn implements thrift.RequestHandler for one connection of a Stub.
 type stubConn struct {
 	*Stub
 	conn   net.Conn
@@ -186,8 +188,8 @@
 
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
 	id, _, _ := ReadBody(body)
-	c.handle(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
-		Recv: recv, TTL: ttl, IsRetry: again})
+	c.handle(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call),
+		Body: slices.Clone(body), Recv: recv, TTL: ttl, IsRetry: again})
 }
 func (c *stubConn) Unreadable(int32, string) {}
 func (c *stubConn) Interrupt(target int32)   { c.handle(ReceivedRequest{Seq: target, Interrupt: true}) }
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Worker stands in for somebody outside who carries out commands of a role. It refuses terms that are over, if it is told to,
-// and writes down who ordered what, when and under which term.
+// Worker simulates an outside system that executes the orders of a role owner. It rejects orders of stale terms, if it is
+// configured to, and records the owner, time and term of each executed order. It is safe for concurrent use.
 type Worker struct {
 	listener          net.Listener
 	rejectsStaleTerms bool
@@ -22,20 +22,20 @@
 	conns       map[net.Conn]struct{}
 }
 
-// Order is one that had its effect.
+// Order is an order that was executed.
 type Order struct {
 	At    time.Time
 	Owner string
 	Term  uint64
 }
 
-// NewWorker listens on a free port.
-func NewWorker(fences bool, history *History) (*Worker, error) {
+// NewWorker returns a worker that listens on a free port. The caller must Close it.
+func NewWorker(rejectsStaleTerms bool, history *History) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{listener: listener, rejectsStaleTerms: fences, history: history, conns: map[net.Conn]struct{}{}}
+	w := &Worker{listener: listener, rejectsStaleTerms: rejectsStaleTerms, history: history, conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -51,10 +51,10 @@
 	return w, nil
 }
 
-// Address is where orders go.
+// Address returns the address for orders.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Close ends it.
+// Close stops listening and closes all connections.
 func (w *Worker) Close() {
 	w.listener.Close()
 	w.mu.Lock()
@@ -95,14 +95,14 @@
 	return w.highestTerm, true
 }
 
-// Refused is how many orders came too late.
+// Refused returns the number of orders rejected for a stale term.
 func (w *Worker) Refused() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refused
 }
 
-// Orders are those that had their effect since a time.
+// Orders returns the orders executed at or after a time.
 func (w *Worker) Orders(since time.Time) []Order {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -115,10 +115,12 @@
 	return orders
 }
 
-// minConsecutiveOrders is how many orders in a row make an owner: one alone may be what somebody had in its hands.
+// minConsecutiveOrders is the number of consecutive orders that identify the owner: a single one may have been in flight when
+// the role changed hands.
 const minConsecutiveOrders = 4
 
-// Owner is whose orders had their effects last, within a span and several in a row; empty if there is none such.
+// Owner returns the owner of the last minConsecutiveOrders orders if they all came from it within the given duration, and ""
+// otherwise.
 func (w *Worker) Owner(within time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
