--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -192,7 +192,7 @@
 			starved++
 		}
 		p.say("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Asked,
-			float64(m.Times.ValueAtQuantile(99))/1000, o.OK, o.Asked, float64(o.Times.ValueAtQuantile(99))/1000)
+			float64(m.Latencies.ValueAtQuantile(99))/1000, o.OK, o.Asked, float64(o.Latencies.ValueAtQuantile(99))/1000)
 	}
 	p.exactly("starved.methods", float64(starved), 0)
 	for _, s := range on.levels {
--- a/rig/load.go
+++ b/rig/load.go
@@ -50,7 +50,7 @@
 // MethodOutcome is the outcome of the RPCs of one method.
 type MethodOutcome struct {
 	Asked, OK int
-	Times     *hdrhistogram.Histogram // of the successful RPCs, in microseconds
+	Latencies     *hdrhistogram.Histogram // of the successful RPCs, in microseconds
 }
 
 // Outcome is the outcome of a load.
@@ -66,7 +66,7 @@
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
 	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
 	for _, share := range l.Shares {
-		out.ByMethod[share.Method] = &MethodOutcome{Times: hdrhistogram.New(1, 60_000_000, 3)}
+		out.ByMethod[share.Method] = &MethodOutcome{Latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -127,7 +127,7 @@
 				methodOutcome.OK++
 				out.OK++
 				servedWeight += share.Criticality
-				methodOutcome.Times.RecordValue(took.Microseconds())
+				methodOutcome.Latencies.RecordValue(took.Microseconds())
 			}
 		})
 	}
