--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -57,8 +57,8 @@
 	p.inform("naive.criticality.served", bad.out.Criticality)
 	p.inform("naive.double.runs", float64(bad.check.Count("double.runs")))
 	for name, m := range good.out.ByMethod {
-		p.say("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Asked, float64(m.Latencies.ValueAtQuantile(99))/1000,
-			bad.out.ByMethod[name].OK, bad.out.ByMethod[name].Asked)
+		p.say("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Requested, float64(m.Latencies.ValueAtQuantile(99))/1000,
+			bad.out.ByMethod[name].OK, bad.out.ByMethod[name].Requested)
 	}
 	note(good.check)
 	return nil
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -188,11 +188,11 @@
 	starved := 0
 	for _, s := range till(0, 0) {
 		m, o := on.out.ByMethod[s.Method], off.out.ByMethod[s.Method]
-		if m.OK*100 < m.Asked {
+		if m.OK*100 < m.Requested {
 			starved++
 		}
-		p.say("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Asked,
-			float64(m.Latencies.ValueAtQuantile(99))/1000, o.OK, o.Asked, float64(o.Latencies.ValueAtQuantile(99))/1000)
+		p.say("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Requested,
+			float64(m.Latencies.ValueAtQuantile(99))/1000, o.OK, o.Requested, float64(o.Latencies.ValueAtQuantile(99))/1000)
 	}
 	p.exactly("starved.methods", float64(starved), 0)
 	for _, s := range on.levels {
@@ -286,7 +286,7 @@
 	left, best, asked := float64(cores)*(length.Seconds()+1)/(work*0.96), 0.0, 0.0 // the mean of what is cut at five times
 	shares := till(work, 0)
 	for k := len(shares) - 1; k >= 0; k-- {
-		n := float64(out.ByMethod[shares[k].Method].Asked)
+		n := float64(out.ByMethod[shares[k].Method].Requested)
 		asked += n * shares[k].Criticality
 		got := min(n, max(left, 0))
 		left -= got
--- a/rig/load.go
+++ b/rig/load.go
@@ -49,7 +49,7 @@
 
 // MethodOutcome is the outcome of the RPCs of one method.
 type MethodOutcome struct {
-	Asked, OK int
+	Requested, OK int
 	Latencies     *hdrhistogram.Histogram // of the successful RPCs, in microseconds
 }
 
@@ -120,7 +120,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			methodOutcome := out.ByMethod[share.Method]
-			methodOutcome.Asked++
+			methodOutcome.Requested++
 			out.Asked++
 			requestedWeight += share.Criticality
 			if err == nil {
