--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -27,7 +27,7 @@
 
 // triesPerRPC returns the mean number of tries of an RPC.
 func (r halfOutResult) triesPerRPC() float64 {
-	return float64(r.check.Count("tries")) / float64(r.out.Asked)
+	return float64(r.check.Count("tries")) / float64(r.out.Requested)
 }
 
 // halfOut kills half the app servers for some seconds, with the careful client and with the naive one, each with a
@@ -146,11 +146,11 @@
 	})
 	out := load("c", 120, 4*time.Second, 500*time.Millisecond) // the trouble takes the first 2.5 s
 	trouble.Wait()
-	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Asked), 0.9)
+	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Requested), 0.9)
 	// Shorter than a round trip: nothing may be sent late, and all must end.
 	f.Nets[0].Delay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
-	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
+	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Requested))
 	f.Nets[0].Delay(0)
 	note(check)
 	return p.refusals()
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -108,7 +108,7 @@
 	if err := p.checkReconnects(log.seconds(), clients); err != nil {
 		return err
 	}
-	p.inform("reconnect.ok.share", float64(out.OK)/float64(max(out.Asked, 1)))
+	p.inform("reconnect.ok.share", float64(out.OK)/float64(max(out.Requested, 1)))
 	note(check)
 	return nil
 }
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -156,7 +156,7 @@
 		p.say("%-20s %d of %d restart at %.2f, warm after %.1f s, N %.1f in %.2f s, %.0f RPCs a second: ratio %.2f at %.1f s (%.2f by count), "+
 			"back after %.1f s, ok %.2f, at the end %.2f", kind.name, plan.cold, coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.first,
 			plan.start.Window.Seconds(), plan.rate, side.peak.ByWork, side.peak.Age.Seconds(), side.peak.ByCount, side.back,
-			float64(side.out.OK)/float64(side.out.Asked), side.end)
+			float64(side.out.OK)/float64(side.out.Requested), side.end)
 		ratio = max(ratio, side.peak.ByWork)
 		late = max(late, side.back-(plan.start.SlowStart()+coldRecovery).Seconds())
 		end = min(end, side.end)
@@ -184,7 +184,7 @@
 	}
 	p.atLeast("naive.cold.ratio", naive.peak.ByWork, aboveOne)
 	p.inform("naive.service.back.s", naive.back)
-	p.inform("naive.ok.share", float64(naive.out.OK)/float64(naive.out.Asked))
+	p.inform("naive.ok.share", float64(naive.out.OK)/float64(naive.out.Requested))
 	return nil
 }
 
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -386,7 +386,7 @@
 		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
 			Prefix: "c" + string(rune('a'+k)), Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
-		asked[k%2] += float64(out.Asked)
+		asked[k%2] += float64(out.Requested)
 	}
 	p.inform("calm.cpu.us", spent[0]/asked[0]*1e6)
 	p.inform("off.calm.cpu.us", spent[1]/asked[1]*1e6)
--- a/rig/load.go
+++ b/rig/load.go
@@ -58,7 +58,7 @@
 	ByMethod map[string]*MethodOutcome
 	// Criticality is the share of RPCs that succeeded, weighted by criticality.
 	Criticality float64
-	Asked, OK   int
+	Requested, OK   int
 }
 
 // Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
@@ -121,7 +121,7 @@
 			defer mu.Unlock()
 			methodOutcome := out.ByMethod[share.Method]
 			methodOutcome.Requested++
-			out.Asked++
+			out.Requested++
 			requestedWeight += share.Criticality
 			if err == nil {
 				methodOutcome.OK++
