--- a/rig/load.go
+++ b/rig/load.go
@@ -57,8 +57,8 @@
 type Outcome struct {
 	ByMethod map[string]*MethodOutcome
 	// Criticality is the share of RPCs that succeeded, weighted by criticality.
-	Criticality float64
-	Requested, OK   int
+	Criticality   float64
+	Requested, OK int
 }
 
 // Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
