--- a/rig/message.go
+++ b/rig/message.go
@@ -183,9 +183,9 @@
 
 // Field ids of the result of a call.
 const (
-	resultAnswer  = 0
-	resultRefused = 1
-	resultFailed  = 2
+	resultAnswer   = 0
+	resultTryLater = 1
+	resultAborted  = 2
 )
 
 // readReply decodes a frame from an app server, strictly by the protocol.
@@ -239,9 +239,9 @@
 			r.fail("result field %d has type %d, want a struct", id, kind)
 		case id == resultAnswer:
 			decoded = r.answer(check)
-		case id == resultRefused && !check:
+		case id == resultTryLater && !check:
 			decoded = r.exception(replyPushedBack)
-		case id == resultFailed && !check:
+		case id == resultAborted && !check:
 			decoded = r.exception(replyAborted)
 		default:
 			r.fail("unexpected result field %d", id)
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -37,11 +37,11 @@
 // naiveTries is the maximum number of tries per RPC.
 const naiveTries = 4
 
-var errNaive = errors.New("RPC was not served")
+var errNotServed = errors.New("RPC was not served")
 
 // Call makes one RPC. It tries until one is ok, the tries are used up or ctx is done.
 func (n *NaiveClient) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
-	err := errNaive
+	err := errNotServed
 	for range naiveTries {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -82,12 +82,12 @@
 		if size == 0 {
 			continue
 		}
-		answer := naiveReply{err: errNaive}
+		answer := naiveReply{err: errNotServed}
 		err = thrift.DecodeAnswer(replyFrame, &answer)
 		c.input.Discard(size)
 		if err != nil || answer.draining {
 			c.Close()
-			return nil, errNaive
+			return nil, errNotServed
 		}
 		n.mu.Lock()
 		n.idle[address] = append(n.idle[address], c)
