--- a/client/client_test.go
+++ b/client/client_test.go
@@ -60,11 +60,11 @@
 	for _, failure := range []string{"pushed back", "aborted", "cut"} {
 		stub := must(rig.NewStub(nil))
 		failed := map[string]bool{}
-		stub.Behave(func(message rig.Heard, out []byte) []byte {
+		stub.SetHandler(func(message rig.ReceivedRequest, out []byte) []byte {
 			switch {
 			case message.Interrupt:
 				return out
-			case message.CheckOnly:
+			case message.HealthCheck:
 				return thrift.Checked(out, message.Seq, true, 100)
 			case failed[message.ID] || message.ID == "warm":
 				return thrift.Served(out, message.Seq, rig.Answer(message.ID), 100)
@@ -76,7 +76,7 @@
 			case "aborted":
 				return thrift.Aborted(out, message.Seq, 100)
 			}
-			stub.Cut()
+			stub.CloseConnections()
 			return out
 		})
 		c := must(client.New(client.Servers(stub.Address()), client.Seed(5), client.Budget(1)))
@@ -106,9 +106,9 @@
 	stub := must(rig.NewStub(nil))
 	defer stub.Close()
 	pushedBack := false
-	stub.Behave(func(message rig.Heard, out []byte) []byte {
+	stub.SetHandler(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
-		case message.CheckOnly:
+		case message.HealthCheck:
 			return thrift.Checked(out, message.Seq, true, 100)
 		case !pushedBack:
 			pushedBack = true
@@ -124,8 +124,8 @@
 		client.Token("t")); err != nil {
 		t.Fatal(err)
 	}
-	received := stub.Heard()
-	if len(received) != 2 || received[0].Again || !received[1].Again || received[0].Token != "t" ||
+	received := stub.Received()
+	if len(received) != 2 || received[0].IsRetry || !received[1].IsRetry || received[0].Token != "t" ||
 		received[1].Token != "t" {
 		t.Fatalf("the app server received %+v", received)
 	}
@@ -142,8 +142,8 @@
 
 // A canceled call is interrupted at the app server at once, and a call ends when its deadline passes.
 func TestCanceledAndLate(t *testing.T) {
-	stub := must(rig.NewStub(func(received rig.Heard, out []byte) []byte {
-		if received.CheckOnly {
+	stub := must(rig.NewStub(func(received rig.ReceivedRequest, out []byte) []byte {
+		if received.HealthCheck {
 			return thrift.Checked(out, received.Seq, true, 100)
 		}
 		return out
@@ -157,13 +157,13 @@
 		_, err := c.Call(ctx, "m", nil)
 		ended <- err
 	}()
-	eventually(t, "the RPC is in flight", func() bool { return len(stub.Heard()) == 1 })
+	eventually(t, "the RPC is in flight", func() bool { return len(stub.Received()) == 1 })
 	cancel()
 	if err := <-ended; !errors.Is(err, context.Canceled) {
 		t.Errorf("canceled call: %v", err)
 	}
 	eventually(t, "the app server receives the interrupt", func() bool {
-		received := stub.Heard()
+		received := stub.Received()
 		return len(received) == 2 && received[1].Interrupt && received[1].Seq == received[0].Seq
 	})
 	start := time.Now()
@@ -192,7 +192,7 @@
 
 // Close ends open calls and leaves no goroutine or connection. A call after Close ends at once.
 func TestClose(t *testing.T) {
-	stub := must(rig.NewStub(func(_ rig.Heard, out []byte) []byte { return out }))
+	stub := must(rig.NewStub(func(_ rig.ReceivedRequest, out []byte) []byte { return out }))
 	defer stub.Close()
 	c := must(client.Dial(stub.Address()))
 	ended := make(chan error, 1)
@@ -200,7 +200,7 @@
 		_, err := c.Call(withTimeout(testTimeout), "m", nil)
 		ended <- err
 	}()
-	eventually(t, "the RPC is in flight", func() bool { return len(stub.Heard()) == 1 })
+	eventually(t, "the RPC is in flight", func() bool { return len(stub.Received()) == 1 })
 	c.Close()
 	var e *client.Error
 	if err := <-ended; !errors.As(err, &e) || e.Cause != client.Closed || e.SafeToRetry {
@@ -209,7 +209,7 @@
 	if _, err := c.Call(withTimeout(testTimeout), "m", nil); !errors.As(err, &e) || e.Cause != client.Closed {
 		t.Errorf("after Close: %v", err)
 	}
-	eventually(t, "no connection is left", func() bool { return stub.Conns() == 0 })
+	eventually(t, "no connection is left", func() bool { return stub.ConnectionCount() == 0 })
 }
 
 // An invalid or empty servers file changes nothing; after a valid one the client uses the new app servers.
@@ -245,7 +245,7 @@
 	}
 	write(second.Address() + "\n")
 	eventually(t, "the second app server is used", func() bool { return served(second) })
-	eventually(t, "the first app server is disconnected", func() bool { return first.Conns() == 0 })
+	eventually(t, "the first app server is disconnected", func() bool { return first.ConnectionCount() == 0 })
 	if _, err := client.New(client.ServersFile(path), client.Servers("x")); err == nil {
 		t.Error("New accepts an invalid address given beside a file")
 	}
@@ -255,9 +255,9 @@
 func TestDraining(t *testing.T) {
 	stub := must(rig.NewStub(nil))
 	defer stub.Close()
-	stub.Behave(func(message rig.Heard, out []byte) []byte {
+	stub.SetHandler(func(message rig.ReceivedRequest, out []byte) []byte {
 		switch {
-		case message.CheckOnly:
+		case message.HealthCheck:
 			return thrift.Checked(out, message.Seq, true, 100)
 		case message.Conn == 1:
 			return thrift.Served(thrift.Draining(out), message.Seq, rig.Answer(message.ID), 100)
@@ -272,7 +272,7 @@
 		}
 	}
 	rpcsByConn := map[int]int{}
-	for _, message := range stub.Heard() {
+	for _, message := range stub.Received() {
 		rpcsByConn[message.Conn]++
 	}
 	if rpcsByConn[1] != 1 || rpcsByConn[2] != 9 {
--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -27,7 +27,7 @@
 
 // triesPerRPC returns the mean number of tries of an RPC.
 func (r halfOutResult) triesPerRPC() float64 {
-	return float64(r.check.Count("tries")) / float64(r.out.Asked)
+	return float64(r.check.Count("tries")) / float64(r.out.Requested)
 }
 
 // halfOut kills half the app servers for some seconds, with the careful client and with the naive one, each with a
@@ -57,8 +57,8 @@
 	p.inform("naive.criticality.served", bad.out.Criticality)
 	p.inform("naive.double.runs", float64(bad.check.Count("double.runs")))
 	for name, m := range good.out.ByMethod {
-		p.say("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Asked, float64(m.Times.ValueAtQuantile(99))/1000,
-			bad.out.ByMethod[name].OK, bad.out.ByMethod[name].Asked)
+		p.say("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Requested, float64(m.Latencies.ValueAtQuantile(99))/1000,
+			bad.out.ByMethod[name].OK, bad.out.ByMethod[name].Requested)
 	}
 	note(good.check)
 	return nil
@@ -85,7 +85,7 @@
 	var outage sync.WaitGroup
 	var errOutage error
 	outage.Go(func() { errOutage = killHalf(f, length) })
-	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutRate }, Length: length, Prefix: "b",
+	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutRate }, Duration: length, Prefix: "b",
 		Shares: shop(0.01, halfOutDeadline)}.Run(context.Background(), r.check, callers...)
 	outage.Wait()
 	return r, errOutage
@@ -130,7 +130,7 @@
 	}
 	defer c.Close()
 	load := func(prefix string, rate float64, length, deadline time.Duration) rig.Outcome {
-		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
+		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
 			Shares: shop(0.004, deadline)}.Run(context.Background(), check, careful{c, kindsOf(shop(0, 0))})
 	}
 	var trouble sync.WaitGroup
@@ -146,11 +146,11 @@
 	})
 	out := load("c", 120, 4*time.Second, 500*time.Millisecond) // the trouble takes the first 2.5 s
 	trouble.Wait()
-	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Asked), 0.9)
+	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Requested), 0.9)
 	// Shorter than a round trip: nothing may be sent late, and all must end.
 	f.Nets[0].Delay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
-	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
+	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Requested))
 	f.Nets[0].Delay(0)
 	note(check)
 	return p.refusals()
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -39,11 +39,11 @@
 }
 
 // answer answers one message of the client.
-func (s *refusalScript) answer(h rig.Heard, out []byte) []byte {
+func (s *refusalScript) answer(h rig.ReceivedRequest, out []byte) []byte {
 	switch {
 	case h.Interrupt:
 		return out
-	case h.CheckOnly:
+	case h.HealthCheck:
 		return thrift.Checked(out, h.Seq, true, 10)
 	}
 	s.mu.Lock()
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -51,7 +51,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				wait(ctx, seconds64(chance.ExpFloat64()/rate))
 				// Requests come once the app server has answered a health check. Nothing is written to a machine that stands still.
-				if s.probe.Ready().IsZero() || s.isPaused() {
+				if s.probe.HealthyAt().IsZero() || s.isPaused() {
 					continue
 				}
 				call := s.newCall(peer, methods[chance.IntN(len(methods))], chance, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
@@ -167,8 +167,8 @@
 }
 
 func (c *trialCall) try(again bool) rig.PeerTry {
-	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, Recv: c.recv, Waits: c.waits(), Criticality: c.rank,
-		Again: again, Work: c.work, Result: c.result, Fails: c.fails}
+	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.recv, Timeout: c.waits(), Criticality: c.rank,
+		IsRetry: again, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
 // play sends the RPC, and a copy where one is drawn, until it has its outcome or the trial ends.
@@ -183,7 +183,7 @@
 		})
 	}
 	outcome, sent := c.once(ctx, false)
-	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.Crossed && c.mayRepeat() {
+	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.ClosedInFlight && c.mayRepeat() {
 		outcome, _ = c.once(ctx, true)
 	}
 	both.Wait()
@@ -219,7 +219,7 @@
 			c.took(o)
 			return o, true
 		case <-gone:
-			call.GiveUp()
+			call.Cancel()
 			gone = nil
 		case <-ctx.Done(): // what is open is answered until the stop, and the checker sees it
 			return rig.PeerOutcome{Err: ctx.Err()}, true
@@ -231,7 +231,7 @@
 func (c *trialCall) took(o rig.PeerOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = c.closed || o.Last || o.After > 0 || o.Err == nil
+	c.closed = c.closed || o.NoRetry || o.RetryAfter > 0 || o.Err == nil
 }
 
 // add counts an RPC's outcome.
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -70,16 +70,16 @@
 		during(func() { s.deafen(true) }, func() { s.deafen(false) })
 	case drawn.RouterReset:
 		for _, p := range s.peers {
-			p.Reset()
+			p.ResetConnections()
 		}
 	case drawn.RouterClose:
 		for _, p := range s.peers {
-			p.Leave()
+			p.CloseConnections()
 		}
 	case drawn.Burst:
 		s.burst(f.Size)
 	case drawn.RudeRouter:
-		rude := rig.NewRudeRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
+		rude := rig.NewMisbehavingRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
 		time.Sleep(last)
 		rude.Close()
 	case drawn.Silent:
@@ -167,7 +167,7 @@
 	s.mu.Lock()
 	from := s.launched
 	s.mu.Unlock()
-	for s.probe.Answered().IsZero() && s.program.Log() == "" && time.Since(from) < startTime {
+	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(from) < startTime {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -179,7 +179,7 @@
 func (s *trialServer) again() {
 	s.begin()
 	began := time.Now()
-	at := untilSet(trialReady, s.probe.Ready)
+	at := untilSet(trialReady, s.probe.HealthyAt)
 	s.trial.mu.Lock()
 	defer s.trial.mu.Unlock()
 	s.result.restarts++
@@ -227,16 +227,16 @@
 		return
 	}
 	defer s.rosterDown.Store(false)
-	s.roster.Down()
+	s.roster.Stop()
 	time.Sleep(last)
-	if err := s.roster.Return(); err != nil {
+	if err := s.roster.Restart(); err != nil {
 		s.check.Failed("%v", err)
 	}
 }
 
 func (s *trialServer) deafen(deaf bool) {
 	for _, p := range s.peers {
-		p.Deaf(deaf)
+		p.SetReadPaused(deaf)
 	}
 }
 
@@ -259,7 +259,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	for k := range size {
-		if s.probe.Ready().IsZero() || s.isPaused() {
+		if s.probe.HealthyAt().IsZero() || s.isPaused() {
 			break
 		}
 		call := s.newCall(s.peers[k%len(s.peers)], pick(chance, methods), chance, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -59,7 +59,7 @@
 	for k := range t.drawn.Load.Routers {
 		form := t.form()
 		if k > 0 {
-			form.Pieces = 0
+			form.WriteSize = 0
 		}
 		s.peers = append(s.peers, rig.NewPeer(s.net.Address(), 10*number+k, form, t.catalog, t.drawn.Seed+uint64(number)<<32))
 	}
@@ -75,9 +75,9 @@
 }
 
 // form is how routers write under the settings.
-func (t *trial) form() rig.PeerForm {
-	return rig.PeerForm{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
-		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), Pieces: t.drawn.Load.Pieces}
+func (t *trial) form() rig.PeerOptions {
+	return rig.PeerOptions{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
+		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), WriteSize: t.drawn.Load.Pieces}
 }
 
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
@@ -99,7 +99,7 @@
 		s.check.Failed("%s cannot be started: %v", s.program.Name, err)
 		return
 	}
-	s.probe.Begin()
+	s.probe.Restart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.launched, s.paused, s.leaving, s.excused, s.ready = time.Now(), false, false, time.Time{}, false
@@ -136,10 +136,10 @@
 	if s.launched.IsZero() || s.paused || s.leaving || !s.program.Running() {
 		return
 	}
-	if ready := s.probe.Ready(); !s.ready && !ready.IsZero() {
+	if ready := s.probe.HealthyAt(); !s.ready && !ready.IsZero() {
 		s.ready = true
 	}
-	last := latest(latest(s.launched, s.excused), s.probe.Answered())
+	last := latest(latest(s.launched, s.excused), s.probe.LastAnswerAt())
 	if silent := time.Since(last); silent > trialMute {
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
 		s.excused = time.Now().Add(time.Hour) // once is enough
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -100,7 +100,7 @@
 			}
 		}
 	})
-	rig.Load{Seed: p.Seed, Rate: rate, Length: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), Open: &open}.Run(ctx,
+	rig.Load{Seed: p.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), PendingCount: &open}.Run(ctx,
 		s.check, s.routers...)
 	end()
 	done.Wait()
@@ -141,8 +141,8 @@
 		defer s.close()
 		defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 		run := func(prefix string, rate float64, length time.Duration, after func(rig.Share, string, string, []byte, error)) rig.Outcome {
-			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
-				Shares: till(0.004, time.Second), After: after}.Run(context.Background(), s.check, s.routers...)
+			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
+				Shares: till(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
 		}
 		run("a", base, 1500*time.Millisecond, nil)
 		ctx, end := context.WithCancel(context.Background())
@@ -188,11 +188,11 @@
 	starved := 0
 	for _, s := range till(0, 0) {
 		m, o := on.out.ByMethod[s.Method], off.out.ByMethod[s.Method]
-		if m.OK*100 < m.Asked {
+		if m.OK*100 < m.Requested {
 			starved++
 		}
-		p.say("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Asked,
-			float64(m.Times.ValueAtQuantile(99))/1000, o.OK, o.Asked, float64(o.Times.ValueAtQuantile(99))/1000)
+		p.say("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Requested,
+			float64(m.Latencies.ValueAtQuantile(99))/1000, o.OK, o.Requested, float64(o.Latencies.ValueAtQuantile(99))/1000)
 	}
 	p.exactly("starved.methods", float64(starved), 0)
 	for _, s := range on.levels {
@@ -234,8 +234,8 @@
 		}
 		defer s.close()
 		shares := till(0.001, time.Second)
-		shares[0].Part, shares[2].Part = 0.15, 0.7
-		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: "l", Pad: 110,
+		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
+		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: "l", TokenPadding: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
 		l.peak, l.killed = s.Peak(), s.Killed()
 		l.shifts = levelChanges(s.Programs[0].Log())
@@ -275,7 +275,7 @@
 	}
 	defer s.close()
 	run := func(prefix string, rate float64, length time.Duration) rig.Outcome {
-		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
+		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
 			Shares: till(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	}
 	run("w", rate/3, p.span(time.Second))
@@ -286,7 +286,7 @@
 	left, best, asked := float64(cores)*(length.Seconds()+1)/(work*0.96), 0.0, 0.0 // the mean of what is cut at five times
 	shares := till(work, 0)
 	for k := len(shares) - 1; k >= 0; k-- {
-		n := float64(out.ByMethod[shares[k].Method].Asked)
+		n := float64(out.ByMethod[shares[k].Method].Requested)
 		asked += n * shares[k].Criticality
 		got := min(n, max(left, 0))
 		left -= got
@@ -331,7 +331,7 @@
 	}
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return bears }, Length: length, Prefix: "e",
+	rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return bears }, Duration: length, Prefix: "e",
 		Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	all := levelChanges(s.Programs[0].Log())
 	for _, m := range all {
@@ -383,10 +383,10 @@
 	for k := range rounds * 2 {
 		s := []*pressureServer{on, off}[k%2]
 		before := s.Programs[0].CPU()
-		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Length: time.Second,
+		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
 			Prefix: "c" + string(rune('a'+k)), Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
-		asked[k%2] += float64(out.Asked)
+		asked[k%2] += float64(out.Requested)
 	}
 	p.inform("calm.cpu.us", spent[0]/asked[0]*1e6)
 	p.inform("off.calm.cpu.us", spent[1]/asked[1]*1e6)
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -96,16 +96,16 @@
 		group.Go(func() {
 			router := rig.NewRouter(k+1, r.Addresses(name)[0])
 			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: sharedLoad(),
+			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: sharedLoad(),
 				Rate: func(float64) float64 { return rate(name) },
-				Before: func(s rig.Share, work float64) {
+				BeforeCall: func(s rig.Share, work float64) {
 					r.mu.Lock()
 					defer r.mu.Unlock()
 					if s.Method != "plain" {
 						r.asked = append(r.asked, sharedRequest{time.Since(began).Seconds(), work, s.Criticality, r.phase})
 					}
 				},
-				After: func(s rig.Share, _, _ string, _ []byte, err error) {
+				AfterCall: func(s rig.Share, _, _ string, _ []byte, err error) {
 					r.mu.Lock()
 					defer r.mu.Unlock()
 					got := 0.0
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -59,7 +59,7 @@
 	f.startLoad(p.Seed)
 	time.Sleep(p.span(time.Second))
 
-	f.Roster.Down()
+	f.Roster.Stop()
 	p.startIdle(f)
 	p.restartFill(f)
 	full := newTableWatch(f)
@@ -109,7 +109,7 @@
 func (f *restartFleet) descriptors() []int {
 	for end := time.Now().Add(restartReady); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if !slices.ContainsFunc(f.Programs, func(s *rig.Program) bool {
-			_, heard := f.Roster.FirstHeard(s.Name)
+			_, heard := f.Roster.FirstReported(s.Name)
 			return !heard || s.Kernel.LinkedAt().IsZero()
 		}) {
 			break
@@ -142,7 +142,7 @@
 }
 
 func (f *restartFleet) runLoad(ctx context.Context, server string, caller *retryingCaller, seed uint64) {
-	load := rig.Load{Seed: seed, Length: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
+	load := rig.Load{Seed: seed, Duration: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
 		Shares: till(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
 	load.Run(ctx, f.check, recordingCaller{caller, f.calls, server})
 }
@@ -286,7 +286,7 @@
 	}
 	time.Sleep(time.Until(began.Add(p.span(4 * time.Second))))
 	returned := time.Now()
-	if err := f.Roster.Return(); err != nil {
+	if err := f.Roster.Restart(); err != nil {
 		return callWindow{}, err
 	}
 	returns.Wait()
@@ -301,7 +301,7 @@
 	var took []float64
 	for _, s := range f.Programs {
 		linked := untilSet(restartReady, s.Kernel.LinkedAt)
-		heard := untilSet(restartReady, func() time.Time { at, _ := f.Roster.FirstHeard(s.Name); return at })
+		heard := untilSet(restartReady, func() time.Time { at, _ := f.Roster.FirstReported(s.Name); return at })
 		served := untilSet(restartReady, func() time.Time { return f.calls.firstServed(s.Name, began) })
 		from := began
 		if at, ok := judgedFrom[s.Name]; ok {
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -24,10 +24,10 @@
 // sharedLoad is the mix of RPCs: three methods that need the shared backend, and one that does not.
 func sharedLoad() []rig.Share {
 	return []rig.Share{
-		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 0.45, Work: sharedWork, Deadline: time.Second},
-		{Method: "check", Kind: rpc.Idempotent, Criticality: 2, Part: 0.25, Work: sharedWork, Deadline: time.Second},
-		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Part: 0.15, Work: sharedWork, Deadline: time.Second},
-		{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Part: 0.15, Work: 0.01, Deadline: time.Second},
+		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.45, Work: sharedWork, Deadline: time.Second},
+		{Method: "check", Kind: rpc.Idempotent, Criticality: 2, Fraction: 0.25, Work: sharedWork, Deadline: time.Second},
+		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Fraction: 0.15, Work: sharedWork, Deadline: time.Second},
+		{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.15, Work: 0.01, Deadline: time.Second},
 	}
 }
 
@@ -103,7 +103,7 @@
 	t.on.startPhase("faults")
 	endCompared()
 	t.failHolders(t.changeAllocators())
-	p.exactly("over.limit", float64(t.on.backend.Over()), 0)
+	p.exactly("over.limit", float64(t.on.backend.MaxExcess()), 0)
 	p.exactly("over.limit.lowered", float64(t.on.lower(p)), 0)
 	stop()
 	loads.Wait()
@@ -159,7 +159,7 @@
 		began := time.Now()
 		took := math.Inf(1)
 		for time.Since(began) < 2*time.Second {
-			if _, n := t.on.backend.Now(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
+			if _, n := t.on.backend.RunningCount(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
 				took = time.Since(began).Seconds()
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -174,21 +174,21 @@
 	t.enter("full")
 	t.demand.set("", 1.5*sharedRate)
 	time.Sleep(time.Second)
-	t.on.backend.Used()
-	t.even.backend.Used()
-	packets, runs, began := t.on.packets(), t.on.backend.Runs(), time.Now()
+	t.on.backend.MeanRunning()
+	t.even.backend.MeanRunning()
+	packets, runs, began := t.on.packets(), t.on.backend.StartedRuns(), time.Now()
 	time.Sleep(3 * time.Second)
-	packets, runs = t.on.packets()-packets, t.on.backend.Runs()-runs
+	packets, runs = t.on.packets()-packets, t.on.backend.StartedRuns()-runs
 	t.inform("packets.s", packets/time.Since(began).Seconds()/sharedOn)
 	t.inform("packets.a.run", packets/float64(runs))
-	t.atLeast("used.steady", t.on.backend.Used()/sharedLimit, 0.9)
-	t.inform("used.steady.even", t.even.backend.Used()/sharedLimit)
+	t.atLeast("used.steady", t.on.backend.MeanRunning()/sharedLimit, 0.9)
+	t.inform("used.steady.even", t.even.backend.MeanRunning()/sharedLimit)
 }
 
 // compare compares what was served under an allocator with the baselines.
 func (t *shareTrial) compare() {
-	t.atLeast("over.limit.off", float64(t.off.backend.Over()), 1)
-	t.exactly("over.limit.even", float64(t.even.backend.Over()), 0)
+	t.atLeast("over.limit.off", float64(t.off.backend.MaxExcess()), 1)
+	t.exactly("over.limit.even", float64(t.even.backend.MaxExcess()), 0)
 	for _, phase := range []string{"skewed", "full"} {
 		t.inform("best."+phase, t.on.bestShare(phase))
 		t.atLeast("criticality.ok."+phase, t.on.servedShare(phase)/t.on.bestShare(phase), 0.9)
@@ -212,11 +212,11 @@
 		r.Node(name).Reload()
 	}
 	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
-	r.backend.Limit(to)
-	r.backend.Used()
+	r.backend.SetLimit(to)
+	r.backend.MeanRunning()
 	time.Sleep(time.Second)
-	p.atLeast("used.lowered", r.backend.Used()/to, 0.8)
-	return r.backend.Over()
+	p.atLeast("used.lowered", r.backend.MeanRunning()/to, 0.8)
+	return r.backend.MaxExcess()
 }
 
 // playShareForty is the experiment on few permits among many: each of forty processes has its turn.
@@ -243,11 +243,11 @@
 		r.load(context.Background(), p, length, func(string) float64 { return 4 * few / sharedWork / 0.85 / many })
 	})
 	time.Sleep(length / 4)
-	r.backend.Used()
+	r.backend.MeanRunning()
 	time.Sleep(length / 2)
-	p.atLeast("used.steady", r.backend.Used()/few, 0.7)
+	p.atLeast("used.steady", r.backend.MeanRunning()/few, 0.7)
 	load.Wait()
-	p.exactly("over.limit", float64(r.backend.Over()), 0)
+	p.exactly("over.limit", float64(r.backend.MaxExcess()), 0)
 	starved := 0
 	for _, name := range r.Names() {
 		served := 0.0
@@ -281,7 +281,7 @@
 		r.load(ctx, p, time.Minute, func(string) float64 { return 1.4 * sharedRate / sharedOn })
 	})
 	for k, bears := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
-		r.backend.Bears(bears)
+		r.backend.SetCapacity(bears)
 		time.Sleep(p.span([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
 		sum, n := 0.0, 0.0                                              // it goes up and down about what is right: the mean over some seconds
 		for end := time.Now().Add(p.span(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -48,9 +48,9 @@
 		loads.Go(func() {
 			router := rig.NewRouter(index+1, c.Addresses(name)[0])
 			defer router.Close()
-			load := rig.Load{Seed: uint64(index), Length: 2 * time.Minute, Prefix: name + "-",
+			load := rig.Load{Seed: uint64(index), Duration: 2 * time.Minute, Prefix: name + "-",
 				Rate: func(float64) float64 { return 2 * sharedLimit / 0.1 / 5 },
-				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 1,
+				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 1,
 					Work: 0.1, Deadline: time.Second}}}
 			load.Run(ctx, c.Check, router)
 		})
@@ -58,7 +58,7 @@
 	t.Cleanup(func() {
 		stop()
 		loads.Wait()
-		if exceeded := c.backend.Over(); exceeded > 0 {
+		if exceeded := c.backend.MaxExcess(); exceeded > 0 {
 			t.Errorf("the limit was exceeded by %d", exceeded)
 		}
 		c.Check.Finish()
@@ -81,10 +81,10 @@
 // waitForUse waits until a fraction of the limit is in use.
 func (c *shareCluster) waitForUse(fraction float64) {
 	c.t.Helper()
-	c.backend.Used()
+	c.backend.MeanRunning()
 	if _, ok := c.Until(waitTimeout, func() bool {
 		time.Sleep(200 * time.Millisecond)
-		return c.backend.Used() >= fraction*sharedLimit
+		return c.backend.MeanRunning() >= fraction*sharedLimit
 	}); !ok {
 		c.t.Fatalf("less than %g of the limit is in use", fraction)
 	}
@@ -171,18 +171,18 @@
 	}
 	replaceSetting("fleet.share s 12 ", "fleet.share s 7 ")
 	if _, ok := c.Until(waitTimeout, func() bool {
-		c.backend.Used()
+		c.backend.MeanRunning()
 		time.Sleep(300 * time.Millisecond)
-		return c.backend.Used() <= 7
+		return c.backend.MeanRunning() <= 7
 	}); !ok {
 		t.Error("the lower limit was not applied")
 	}
-	c.backend.Limit(7)
+	c.backend.SetLimit(7)
 	c.waitForUse(0.85 * 7 / sharedLimit)
-	if n := c.backend.Over(); n > 0 {
+	if n := c.backend.MaxExcess(); n > 0 {
 		t.Errorf("the lower limit was exceeded by %d", n)
 	}
-	c.backend.Limit(sharedLimit)
+	c.backend.SetLimit(sharedLimit)
 	replaceSetting("fleet.share s 7 ", "fleet.share s 12 ")
 	c.waitForUse(0.9)
 }
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -5,105 +5,108 @@
 	"time"
 )
 
-// Backend stands in for a service that all app servers call and that bears only so much at once. Kernels tell it of the runs of some
-// methods. A killed app server's runs go on there until their work is done.
+// Backend simulates a service with limited concurrency that all app servers call. Kernels report the runs of some methods to it.
+// The runs of a killed app server continue there until their work is done. It is safe for concurrent use.
 type Backend struct {
 	methods map[string]bool
 
-	mu    sync.Mutex
-	limit int // of runs at once
-	now   int
-	by    map[string]int // of each app server
-	most  int            // above the limit, at any moment
-	runs  int            // that have begun
-	bears int            // above so many everything takes longer; 0 for none
-	area  float64        // runs at once over time, since it was last asked
-	from  time.Time
-	last  time.Time
+	mu              sync.Mutex
+	limit           int // maximum of concurrent runs
+	running         int
+	runningByServer map[string]int // by the name of the app server
+	maxExcess       int            // by how many runs the limit was exceeded
+	startedRuns     int            // runs started so far
+	capacity        int            // concurrent runs above which all runs slow down; 0 for unlimited
+	runSeconds      float64        // integral of the concurrent runs over time since measuredSince
+	measuredSince   time.Time
+	updatedAt       time.Time
 }
 
-// NewBackend counts runs of some methods against a limit.
+// NewBackend returns a backend that counts the runs of the given methods against a limit of concurrent runs.
 func NewBackend(limit int, methods ...string) *Backend {
-	b := &Backend{limit: limit, methods: map[string]bool{}, by: map[string]int{}, from: time.Now(), last: time.Now()}
+	b := &Backend{limit: limit, methods: map[string]bool{}, runningByServer: map[string]int{},
+		measuredSince: time.Now(), updatedAt: time.Now()}
 	for _, m := range methods {
 		b.methods[m] = true
 	}
 	return b
 }
 
-// counts tells whether runs of a method reach it.
-func (b *Backend) counts(method string) bool { return b != nil && b.methods[method] }
+// countsMethod reports whether runs of a method reach the backend.
+func (b *Backend) countsMethod(method string) bool { return b != nil && b.methods[method] }
 
-func (b *Backend) add(server string, n int) {
+// add changes the count of concurrent runs of an app server; a positive change counts as started runs.
+func (b *Backend) add(server string, change int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pass()
-	b.now += n
-	b.by[server] += n
-	b.runs += max(n, 0)
-	b.most = max(b.most, b.now-b.limit)
+	b.accumulate()
+	b.running += change
+	b.runningByServer[server] += change
+	b.startedRuns += max(change, 0)
+	b.maxExcess = max(b.maxExcess, b.running-b.limit)
 }
 
-func (b *Backend) pass() {
+// accumulate brings runSeconds up to date. The lock must be held.
+func (b *Backend) accumulate() {
 	now := time.Now()
-	b.area += float64(b.now) * now.Sub(b.last).Seconds()
-	b.last = now
+	b.runSeconds += float64(b.running) * now.Sub(b.updatedAt).Seconds()
+	b.updatedAt = now
 }
 
-// Limit changes it, and begins to count anew what passes it.
-func (b *Backend) Limit(limit int) {
+// SetLimit changes the limit of concurrent runs and restarts the measurement of the maximum excess.
+func (b *Backend) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit, b.most = limit, b.now-limit
+	b.limit, b.maxExcess = limit, b.running-limit
 }
 
-// Bears has everything take longer past so many runs at once, as many times as there are more.
-func (b *Backend) Bears(runs int) {
+// SetCapacity sets the concurrent runs above which all runs slow down, by the ratio of the concurrent runs to this number.
+func (b *Backend) SetCapacity(runs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.bears = runs
+	b.capacity = runs
 }
 
-// slower is how many times as long everything takes now.
-func (b *Backend) slower() float64 {
+// slowdown returns the factor by which runs take longer at present.
+func (b *Backend) slowdown() float64 {
 	if b == nil {
 		return 1
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bears == 0 {
+	if b.capacity == 0 {
 		return 1
 	}
-	return max(1, float64(b.now)/float64(b.bears))
+	return max(1, float64(b.running)/float64(b.capacity))
 }
 
-// Over is by how many runs the limit was passed at the most; 0 if never.
-func (b *Backend) Over() int {
+// MaxExcess returns the largest number of runs above the limit since the limit was set; 0 if it was never exceeded.
+func (b *Backend) MaxExcess() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return max(b.most, 0)
+	return max(b.maxExcess, 0)
 }
 
-// Runs is how many have begun.
-func (b *Backend) Runs() int {
+// StartedRuns returns the number of runs started so far.
+func (b *Backend) StartedRuns() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.runs
+	return b.startedRuns
 }
 
-// Now is how many run, in all and of one app server.
-func (b *Backend) Now(server string) (all, one int) {
+// RunningCount returns the number of concurrent runs, of all app servers and of the given one.
+func (b *Backend) RunningCount(server string) (total, ofServer int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now, b.by[server]
+	return b.running, b.runningByServer[server]
 }
 
-// Used is how many have run at once on the mean, since it was last asked.
-func (b *Backend) Used() float64 {
+// MeanRunning returns the mean number of concurrent runs since the previous call, or since the backend was created.
+func (b *Backend) MeanRunning() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.pass()
-	used := b.area / max(b.last.Sub(b.from).Seconds(), 1e-9)
-	b.area, b.from = 0, b.last
-	return used
+	b.accumulate()
+	mean := b.runSeconds / max(b.updatedAt.Sub(b.measuredSince).Seconds(), 1e-9)
+	b.runSeconds, b.measuredSince = 0, b.updatedAt
+	return mean
 }
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -13,34 +13,35 @@
 	"valveglade/internal/thrift"
 )
 
-// NaiveClient is the baseline: a caller as many are. It takes any app server, keeps to no credit, tries again at once
-// whatever the answer was, up to three times more, and connects whenever it has no connection to spare.
+// NaiveClient is the baseline client. It picks app servers at random, ignores credit, retries any failure at once, up to three
+// times, and opens a new connection whenever none is idle.
 type NaiveClient struct {
 	addresses []string
 	source    int
 
-	mu    sync.Mutex
-	spare map[string][]*naiveConn
+	mu   sync.Mutex
+	idle map[string][]*naiveConn
 }
 
 type naiveConn struct {
 	net.Conn
-	in  *readbuffer.Buffer
-	seq int32
+	input *readbuffer.Buffer
+	seq   int32
 }
 
-// NewNaiveClient makes one.
+// NewNaiveClient returns a client of the app servers at the given addresses; source is its id in RPCs. The caller must Close it.
 func NewNaiveClient(source int, addresses ...string) *NaiveClient {
-	return &NaiveClient{addresses: addresses, source: source, spare: map[string][]*naiveConn{}}
+	return &NaiveClient{addresses: addresses, source: source, idle: map[string][]*naiveConn{}}
 }
 
+// naiveTries is the maximum number of tries per RPC.
 const naiveTries = 4
 
-var errNaive = errors.New("not ok")
+var errNotServed = errors.New("RPC was not served")
 
-// Call tries until it is ok, the tries are used up or the deadline has come.
+// Call makes one RPC. It tries until one is ok, the tries are used up or ctx is done.
 func (n *NaiveClient) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
-	err := errNaive
+	err := errNotServed
 	for range naiveTries {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -54,25 +55,25 @@
 }
 
 func (n *NaiveClient) try(ctx context.Context, method, token string, body []byte) ([]byte, error) {
-	at := n.addresses[rand.IntN(len(n.addresses))]
-	c, err := n.get(ctx, at)
+	address := n.addresses[rand.IntN(len(n.addresses))]
+	c, err := n.connection(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	due, _ := ctx.Deadline()
-	c.SetDeadline(due)
+	deadline, _ := ctx.Deadline()
+	c.SetDeadline(deadline)
 	c.seq++
 	now := float64(time.Now().UnixMilli()) / 1000
 	frame := thrift.Execute(nil, c.seq, method, fmt.Sprintf("%016x", rand.Uint64()), n.source, now,
-		time.Until(due).Seconds(), 2, 0, false, token, "", body)
+		time.Until(deadline).Seconds(), 2, 0, false, token, "", body)
 	if _, err := c.Write(frame); err != nil {
 		c.Close()
 		return nil, err
 	}
 	for {
-		b, size, err := thrift.Frame(c.in.Bytes())
+		replyFrame, size, err := thrift.Frame(c.input.Bytes())
 		if err == nil && size == 0 {
-			err = c.in.Fill(c)
+			err = c.input.Fill(c)
 		}
 		if err != nil {
 			c.Close()
@@ -81,58 +82,58 @@
 		if size == 0 {
 			continue
 		}
-		a := naiveAnswer{err: errNaive}
-		err = thrift.DecodeAnswer(b, &a)
-		c.in.Discard(size)
-		if err != nil || a.draining {
+		answer := naiveReply{err: errNotServed}
+		err = thrift.DecodeAnswer(replyFrame, &answer)
+		c.input.Discard(size)
+		if err != nil || answer.draining {
 			c.Close()
-			return nil, errNaive
+			return nil, errNotServed
 		}
 		n.mu.Lock()
-		n.spare[at] = append(n.spare[at], c)
+		n.idle[address] = append(n.idle[address], c)
 		n.mu.Unlock()
-		return a.result, a.err
+		return answer.result, answer.err
 	}
 }
 
-func (n *NaiveClient) get(ctx context.Context, at string) (*naiveConn, error) {
+func (n *NaiveClient) connection(ctx context.Context, address string) (*naiveConn, error) {
 	n.mu.Lock()
-	if spare := n.spare[at]; len(spare) > 0 {
-		c := spare[len(spare)-1]
-		n.spare[at] = spare[:len(spare)-1]
+	if idle := n.idle[address]; len(idle) > 0 {
+		c := idle[len(idle)-1]
+		n.idle[address] = idle[:len(idle)-1]
 		n.mu.Unlock()
 		return c, nil
 	}
 	n.mu.Unlock()
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", at)
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &naiveConn{Conn: nc, in: readbuffer.New(thrift.MaxFrame + 4)}, nil
+	return &naiveConn{Conn: netConn, input: readbuffer.New(thrift.MaxFrame + 4)}, nil
 }
 
-// Close ends its connections.
+// Close closes the idle connections.
 func (n *NaiveClient) Close() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, spare := range n.spare {
-		for _, c := range spare {
+	for _, idle := range n.idle {
+		for _, c := range idle {
 			c.Close()
 		}
 	}
 	return nil
 }
 
-type naiveAnswer struct {
+type naiveReply struct {
 	result   []byte
 	err      error
 	draining bool
 }
 
-func (a *naiveAnswer) Served(_ int32, result []byte, _ float64) {
+func (a *naiveReply) Served(_ int32, result []byte, _ float64) {
 	a.result, a.err = append([]byte(nil), result...), nil
 }
-func (a *naiveAnswer) PushedBack(int32, bool, float64, float64) {}
-func (a *naiveAnswer) Aborted(int32, string, float64)           {}
-func (a *naiveAnswer) Checked(int32, bool, float64)             {}
-func (a *naiveAnswer) Draining()                                { a.draining = true }
+func (a *naiveReply) PushedBack(int32, bool, float64, float64) {}
+func (a *naiveReply) Aborted(int32, string, float64)           {}
+func (a *naiveReply) Checked(int32, bool, float64)             {}
+func (a *naiveReply) Draining()                                { a.draining = true }
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// RemoteCaller is a Caller that lives in a process of its own, which knows nothing of the others.
+// RemoteCaller is a Caller that makes its calls in a separate process, which shares no state with other callers.
 type RemoteCaller struct {
 	process Process
 	in      io.WriteCloser
 
-	mu    sync.Mutex
-	last  uint64
-	waits map[uint64]chan remoteReply // nil once the process says nothing more
+	mu      sync.Mutex
+	lastID  uint64
+	pending map[uint64]chan remoteReply // by id of the call; nil once the output of the process has ended
 }
 
-// remoteCall is one line to the process.
+// remoteCall is one call, sent to the process as a line of JSON.
 type remoteCall struct {
 	ID          uint64
 	Method      string
@@ -31,23 +31,23 @@
 	Body        []byte
 }
 
-// remoteReply is one line from it.
+// remoteReply is the reply to one call, sent by the process as a line of JSON.
 type remoteReply struct {
 	ID     uint64
 	Result []byte
 	Error  string // empty where the call was ok
 }
 
-// ErrRemoteEnded is the outcome of calls whose process has ended, ErrRemoteLate of those that had no outcome in time.
+// ErrRemoteEnded is the error of calls whose process has ended, ErrRemoteTimeout of those without an outcome in time.
 var (
-	ErrRemoteEnded = errors.New("the caller's process has ended")
-	ErrRemoteLate  = errors.New("the caller's process says nothing")
+	ErrRemoteEnded   = errors.New("the caller's process has ended")
+	ErrRemoteTimeout = errors.New("the caller's process did not reply in time")
 )
 
-// remotePatience is waited past a call's deadline for its outcome.
-const remotePatience = 3 * time.Second
+// remoteGracePeriod is the wait for an outcome past the deadline of a call, and for the process to exit on Close.
+const remoteGracePeriod = 3 * time.Second
 
-// NewRemoteCaller starts a command that serves calls with ServeCalls on its standard input and output.
+// NewRemoteCaller starts a command that runs ServeCalls on its standard input and output. The caller must Close it.
 func NewRemoteCaller(cmd *exec.Cmd) (*RemoteCaller, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &RemoteCaller{in: in, waits: map[uint64]chan remoteReply{}}
+	r := &RemoteCaller{in: in, pending: map[uint64]chan remoteReply{}}
 	if _, err := r.process.run(cmd, func(error) {}); err != nil {
 		return nil, err
 	}
@@ -66,15 +66,15 @@
 }
 
 func (r *RemoteCaller) read(out io.Reader) {
-	lines := json.NewDecoder(bufio.NewReader(out))
+	decoder := json.NewDecoder(bufio.NewReader(out))
 	for {
 		var reply remoteReply
-		if lines.Decode(&reply) != nil {
+		if decoder.Decode(&reply) != nil {
 			break
 		}
 		r.mu.Lock()
-		done := r.waits[reply.ID]
-		delete(r.waits, reply.ID)
+		done := r.pending[reply.ID]
+		delete(r.pending, reply.ID)
 		r.mu.Unlock()
 		if done != nil {
 			done <- reply
@@ -82,84 +82,86 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, done := range r.waits {
+	for _, done := range r.pending {
 		done <- remoteReply{Error: ErrRemoteEnded.Error()}
 	}
-	r.waits = nil
+	r.pending = nil
 }
 
-// Call has the process make one call. The context's deadline goes with it.
+// Call makes one call in the process. ctx must have a deadline, which is passed on.
 func (r *RemoteCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	due, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		return nil, errors.New("a remote call needs a deadline")
+		return nil, errors.New("remote call: the context has no deadline")
 	}
 	done := make(chan remoteReply, 1)
-	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: due, Body: body}, done); err != nil {
+	if err := r.send(remoteCall{Method: method, Token: token, Criticality: criticality, Deadline: deadline,
+		Body: body}, done); err != nil {
 		return nil, err
 	}
-	late := time.NewTimer(time.Until(due) + remotePatience)
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(deadline) + remoteGracePeriod)
+	defer timeout.Stop()
 	select {
 	case reply := <-done:
 		if reply.Error != "" {
 			return nil, errors.New(reply.Error)
 		}
 		return reply.Result, nil
-	case <-late.C:
-		return nil, ErrRemoteLate
+	case <-timeout.C:
+		return nil, ErrRemoteTimeout
 	}
 }
 
 func (r *RemoteCaller) send(call remoteCall, done chan remoteReply) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.waits == nil {
+	if r.pending == nil {
 		return ErrRemoteEnded
 	}
-	r.last++
-	call.ID = r.last
+	r.lastID++
+	call.ID = r.lastID
 	line, err := json.Marshal(call)
 	if err != nil {
 		return err
 	}
-	r.waits[call.ID] = done
+	r.pending[call.ID] = done
 	if _, err := r.in.Write(append(line, '\n')); err != nil {
-		delete(r.waits, call.ID)
+		delete(r.pending, call.ID)
 		return ErrRemoteEnded
 	}
 	return nil
 }
 
-// Log is the last of what the process said on its standard error.
+// Log returns the end of the standard error output of the process.
 func (r *RemoteCaller) Log() string { return r.process.Log() }
 
-// Close ends the process and waits for its end.
+// Close closes the input of the process, and kills it if it does not exit within the grace period.
 func (r *RemoteCaller) Close() error {
 	r.in.Close()
 	select {
 	case <-r.process.ended():
-	case <-time.After(remotePatience):
+	case <-time.After(remoteGracePeriod):
 		r.process.kill()
 	}
 	return nil
 }
 
-// ServeCalls makes the calls that come in, each at once, and returns when no more come and all have an outcome.
+// ServeCalls reads calls from in, makes them concurrently through caller and writes the replies to out. It returns at the end
+// of the input, once all calls have an outcome, or at the first malformed call.
 func ServeCalls(in io.Reader, out io.Writer, caller Caller) error {
 	var mu sync.Mutex
-	replies := json.NewEncoder(out)
-	var open sync.WaitGroup
-	defer open.Wait()
-	lines := json.NewDecoder(bufio.NewReader(in))
+	encoder := json.NewEncoder(out)
+	var calls sync.WaitGroup
+	defer calls.Wait()
+	decoder := json.NewDecoder(bufio.NewReader(in))
 	for {
 		var call remoteCall
-		if err := lines.Decode(&call); errors.Is(err, io.EOF) {
+		if err := decoder.Decode(&call); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		open.Go(func() {
+		calls.Go(func() {
 			ctx, stop := context.WithDeadline(context.Background(), call.Deadline)
 			defer stop()
 			reply := remoteReply{ID: call.ID}
@@ -169,7 +171,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			replies.Encode(reply)
+			encoder.Encode(reply)
 		})
 	}
 }
--- a/rig/router.go
+++ b/rig/router.go
@@ -14,8 +14,8 @@
 	"valveglade/internal/thrift"
 )
 
-// Router is a caller as the platform's are: many RPCs on a connection, new connections as it needs them, no heed of
-// credit, no further tries. What it sends is what the load asks for, so that a limit can be seen at work.
+// Router simulates a router of the platform for one app server: many RPCs on a connection, new connections on demand. It
+// ignores credit and never retries, so that a load reaches the app server unchanged and the effect of its limits is visible.
 type Router struct {
 	address string
 	source  int
@@ -24,68 +24,69 @@
 	conns []*routerConn
 }
 
-// routerConn is one of its connections.
+// routerConn is one connection of a router.
 type routerConn struct {
 	net.Conn
-	write  sync.Mutex
-	seq    int32
-	mu     sync.Mutex
-	open   map[int32]chan routed
-	booked int // places given out, and not written yet
-	dead   bool
+	write    sync.Mutex
+	seq      int32
+	mu       sync.Mutex
+	pending  map[int32]chan routerOutcome
+	reserved int // places reserved for RPCs that are not written yet
+	retired  bool
 }
 
-// routed is how one RPC ended.
-type routed struct {
+// routerOutcome is the outcome of one RPC.
+type routerOutcome struct {
 	result []byte
 	err    error
 }
 
-// ErrPushedBack is a refusal, ErrAborted an answer without a promise, ErrLost the end of the connection.
+// ErrPushedBack means that the RPC was not run, ErrAborted that it may have been run, ErrLost that the connection ended.
 var (
 	ErrPushedBack = errors.New("pushed back")
 	ErrAborted    = errors.New("aborted")
 	ErrLost       = errors.New("connection lost")
 )
 
-const routerOpen = 32
+// maxPendingPerConnection is the protocol's limit of pending RPCs on a connection.
+const maxPendingPerConnection = 32
 
-// NewRouter makes one for one app server.
+// NewRouter returns a router of the app server at address; source is its id in RPCs. The caller must Close it.
 func NewRouter(source int, address string) *Router { return &Router{address: address, source: source} }
 
-// Call sends one RPC and waits for its end.
+// Call sends one RPC and waits for its outcome. ctx must have a deadline.
 func (r *Router) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	c, err := r.get(ctx)
+	c, err := r.reserveConnection(ctx)
 	if err != nil {
 		return nil, err
 	}
-	due, _ := ctx.Deadline()
-	done := make(chan routed, 1)
+	deadline, _ := ctx.Deadline()
+	done := make(chan routerOutcome, 1)
 	c.write.Lock()
-	if ctx.Err() != nil { // the wait for the connection took until the deadline
+	if ctx.Err() != nil { // waiting for the connection took until the deadline
 		c.write.Unlock()
 		c.release()
 		return nil, ctx.Err()
 	}
-	c.seq++ // numbers rise in the order of writing
+	c.seq++ // sequence numbers increase in the order of writing
 	seq := c.seq
 	c.mu.Lock()
-	c.booked--
-	c.open[seq] = done
+	c.reserved--
+	c.pending[seq] = done
 	c.mu.Unlock()
 	frame := thrift.Execute(nil, seq, method, fmt.Sprintf("%016x", rand.Uint64()), r.source,
-		float64(time.Now().UnixMilli())/1000, time.Until(due).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
+		float64(time.Now().UnixMilli())/1000, time.Until(deadline).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
 	_, err = c.Write(frame)
 	c.write.Unlock()
 	if err != nil {
-		c.refuse() // answers that have come are still read; the reader finds the end
+		c.retire() // replies already received are still read; the reader detects the end
 	}
 	select {
-	case e := <-done:
-		return e.result, e.err
+	case outcome := <-done:
+		return outcome.result, outcome.err
 	case <-ctx.Done():
 		c.mu.Lock()
-		delete(c.open, seq)
+		delete(c.pending, seq)
 		c.mu.Unlock()
 		c.write.Lock()
 		c.seq++
@@ -95,60 +96,60 @@
 	}
 }
 
-// release gives a booked place back.
+// release gives up a reserved place.
 func (c *routerConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.booked--
+	c.reserved--
 }
 
-// get books a place on a connection.
-func (r *Router) get(ctx context.Context) (*routerConn, error) {
+// reserveConnection reserves a place for one RPC on an existing or a new connection.
+func (r *Router) reserveConnection(ctx context.Context) (*routerConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k := 0; k < len(r.conns); k++ {
 		c := r.conns[k]
 		c.mu.Lock()
-		dead, room := c.dead, len(c.open)+c.booked < routerOpen
-		if !dead && room {
-			c.booked++
+		unusable, hasRoom := c.retired, len(c.pending)+c.reserved < maxPendingPerConnection
+		if !unusable && hasRoom {
+			c.reserved++
 		}
 		c.mu.Unlock()
 		switch {
-		case dead:
+		case unusable:
 			r.conns = append(r.conns[:k], r.conns[k+1:]...)
 			k--
-		case room:
+		case hasRoom:
 			return c, nil
 		}
 	}
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.address)
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.address)
 	if err != nil {
 		return nil, err
 	}
-	c := &routerConn{Conn: nc, open: map[int32]chan routed{}, booked: 1}
+	c := &routerConn{Conn: netConn, pending: map[int32]chan routerOutcome{}, reserved: 1}
 	r.conns = append(r.conns, c)
 	go c.read()
 	return c, nil
 }
 
 func (c *routerConn) read() {
-	ReadAnswers(c, c)
-	c.fail()
+	ReadReplies(c, c)
+	c.failPending()
 }
 
-// ReadAnswers passes each answer that an app server sends on a connection to its asker. It returns once the connection has
-// ended, or has carried what is no answer.
-func ReadAnswers(conn io.Reader, to thrift.ReplyHandler) {
-	in := readbuffer.New(thrift.MaxFrame + 4)
+// ReadReplies passes each reply on a connection to the handler. It returns once the connection has ended or has carried an
+// unreadable reply.
+func ReadReplies(conn io.Reader, handler thrift.ReplyHandler) {
+	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(input.Bytes())
 		if err == nil && size == 0 {
-			err = in.Fill(conn)
+			err = input.Fill(conn)
 		}
 		if err == nil && size > 0 {
-			err = thrift.DecodeAnswer(frame, to)
-			in.Discard(size)
+			err = thrift.DecodeAnswer(frame, handler)
+			input.Discard(size)
 		}
 		if err != nil {
 			return
@@ -156,47 +157,49 @@
 	}
 }
 
-// refuse has no new RPC sent on the connection.
-func (c *routerConn) refuse() {
+// retire stops new RPCs on the connection.
+func (c *routerConn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = true
+	c.retired = true
 }
 
-// fail ends the connection and all that is open on it.
-func (c *routerConn) fail() {
+// failPending closes the connection and ends all pending RPCs with ErrLost.
+func (c *routerConn) failPending() {
 	c.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = true
-	for seq, done := range c.open {
-		done <- routed{err: ErrLost}
-		delete(c.open, seq)
+	c.retired = true
+	for seq, done := range c.pending {
+		done <- routerOutcome{err: ErrLost}
+		delete(c.pending, seq)
 	}
 }
 
-func (c *routerConn) end(seq int32, e routed) {
+func (c *routerConn) finish(seq int32, outcome routerOutcome) {
 	c.mu.Lock()
-	done := c.open[seq]
-	delete(c.open, seq)
+	done := c.pending[seq]
+	delete(c.pending, seq)
 	c.mu.Unlock()
 	if done != nil {
-		done <- e
+		done <- outcome
 	}
 }
 
-// Served, PushedBack, Aborted and the rest are what the app server says.
+// Served and the methods below implement thrift.ReplyHandler.
 func (c *routerConn) Served(seq int32, result []byte, _ float64) {
-	c.end(seq, routed{result: append([]byte(nil), result...)})
+	c.finish(seq, routerOutcome{result: append([]byte(nil), result...)})
 }
 func (c *routerConn) PushedBack(seq int32, _ bool, _, _ float64) {
-	c.end(seq, routed{err: ErrPushedBack})
+	c.finish(seq, routerOutcome{err: ErrPushedBack})
 }
-func (c *routerConn) Aborted(seq int32, _ string, _ float64) { c.end(seq, routed{err: ErrAborted}) }
-func (c *routerConn) Checked(int32, bool, float64)           {}
-func (c *routerConn) Draining()                              { c.refuse() }
+func (c *routerConn) Aborted(seq int32, _ string, _ float64) {
+	c.finish(seq, routerOutcome{err: ErrAborted})
+}
+func (c *routerConn) Checked(int32, bool, float64) {}
+func (c *routerConn) Draining()                    { c.retire() }
 
-// Close ends its connections.
+// Close closes all connections.
 func (r *Router) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
