--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -64,8 +64,8 @@
 	return len(all)
 }
 
-// playClient is the experiment on the client library.
-func playClient(p *play) error {
+// runClient is the experiment on the client library.
+func runClient(p *experimentRun) error {
 	rig.Prepare()
 	goroutines, open := runtime.NumGoroutine(), descriptors()
 	var violations violationLog
--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -32,7 +32,7 @@
 
 // halfOut kills half the app servers for some seconds, with the careful client and with the naive one, each with a
 // fleet of its own, at the same time.
-func (p *play) halfOut(note func(*rig.Checker)) error {
+func (p *experimentRun) halfOut(note func(*rig.Checker)) error {
 	var good, bad halfOutResult
 	var errGood, errBad error
 	var both sync.WaitGroup
@@ -52,12 +52,12 @@
 		return err
 	}
 	p.atMost("tries.per.rpc", good.triesPerRPC(), 1.10)
-	p.inform("naive.tries.per.rpc", bad.triesPerRPC())
+	p.report("naive.tries.per.rpc", bad.triesPerRPC())
 	p.atLeast("criticality.served", good.out.Criticality, math.Floor(bad.out.Criticality*1e4)/1e4)
-	p.inform("naive.criticality.served", bad.out.Criticality)
-	p.inform("naive.double.runs", float64(bad.check.Count("double.runs")))
+	p.report("naive.criticality.served", bad.out.Criticality)
+	p.report("naive.double.runs", float64(bad.check.Count("double.runs")))
 	for name, m := range good.out.ByMethod {
-		p.say("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Asked, float64(m.Times.ValueAtQuantile(99))/1000,
+		p.printNote("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Asked, float64(m.Times.ValueAtQuantile(99))/1000,
 			bad.out.ByMethod[name].OK, bad.out.ByMethod[name].Asked)
 	}
 	note(good.check)
@@ -65,8 +65,8 @@
 }
 
 // halfOutOf plays the outage with one kind of client.
-func (p *play) halfOutOf(newCaller func(k int, addresses []string) (rig.Caller, error)) (r halfOutResult, err error) {
-	length := p.span(8 * time.Second)
+func (p *experimentRun) halfOutOf(newCaller func(k int, addresses []string) (rig.Caller, error)) (r halfOutResult, err error) {
+	length := p.scaled(8 * time.Second)
 	r.check = rig.NewChecker(2 * slack)
 	f, err := rig.NewFleet(p.Program, halfOutServers, shopSite(halfOutDeadline), r.check)
 	if err != nil {
@@ -108,7 +108,7 @@
 
 // hardCases plays what a real app server does seldom: silence, trickles, ten seconds of refusals, a refusal that comes
 // as the deadline ends, deadlines shorter than a round trip, a list that goes empty.
-func (p *play) hardCases(note func(*rig.Checker)) error {
+func (p *experimentRun) hardCases(note func(*rig.Checker)) error {
 	check := rig.NewChecker(2 * slack)
 	f, err := rig.NewFleet(p.Program, 3, shopSite(500*time.Millisecond), check)
 	if err != nil {
@@ -150,7 +150,7 @@
 	// Shorter than a round trip: nothing may be sent late, and all must end.
 	f.Nets[0].Delay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
-	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
+	p.report("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
 	f.Nets[0].Delay(0)
 	note(check)
 	return p.refusals()
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -71,8 +71,8 @@
 }
 
 // reconnects has many clients lose the one app server, and come back.
-func (p *play) reconnects(note func(*rig.Checker)) error {
-	clients, outage := 1000, p.span(6*time.Second)
+func (p *experimentRun) reconnects(note func(*rig.Checker)) error {
+	clients, outage := 1000, p.scaled(6*time.Second)
 	if p.brief {
 		clients = 50
 	}
@@ -108,13 +108,13 @@
 	if err := p.checkReconnects(log.seconds(), clients); err != nil {
 		return err
 	}
-	p.inform("reconnect.ok.share", float64(out.OK)/float64(max(out.Asked, 1)))
+	p.report("reconnect.ok.share", float64(out.OK)/float64(max(out.Asked, 1)))
 	note(check)
 	return nil
 }
 
 // reconnectCallers makes clients of an app server whose connections are recorded. The caller closes them, also after an error.
-func (p *play) reconnectCallers(clients int, addresses []string, log *reconnectLog) ([]rig.Caller, error) {
+func (p *experimentRun) reconnectCallers(clients int, addresses []string, log *reconnectLog) ([]rig.Caller, error) {
 	kinds := kindsOf(shop(0, 0))
 	var callers []rig.Caller
 	for k := range clients {
@@ -129,7 +129,7 @@
 }
 
 // checkReconnects checks when clients were back after an outage, in seconds and in order.
-func (p *play) checkReconnects(back []float64, clients int) error {
+func (p *experimentRun) checkReconnects(back []float64, clients int) error {
 	if len(back) < clients/2 {
 		return fmt.Errorf("only %d of %d clients came back", len(back), clients)
 	}
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -70,7 +70,7 @@
 }
 
 // refusals has a client call app servers that push everything back.
-func (p *play) refusals() error {
+func (p *experimentRun) refusals() error {
 	script := &refusalScript{refusals: map[string]refusal{}}
 	var addresses []string
 	for range refusalServers {
@@ -86,14 +86,14 @@
 		return err
 	}
 	defer c.Close()
-	asked, kept := callRefused(c, p.span(4*time.Second))
+	asked, kept := callRefused(c, p.scaled(4*time.Second))
 	script.mu.Lock()
 	defer script.mu.Unlock()
 	p.exactly("pushback.early", float64(script.early), 0)
 	p.exactly("pushback.forbidden", float64(script.forbidden), 0)
 	p.exactly("pushback.late", float64(script.late), 0)
 	p.exactly("pushback.without.answer", float64(kept), 0)
-	p.inform("pushback.sent.share", float64(len(script.refusals))/float64(asked))
+	p.report("pushback.sent.share", float64(len(script.refusals))/float64(asked))
 	return nil
 }
 
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -136,8 +136,8 @@
 	check *rig.Checker
 }
 
-// playCold plays cold app servers under the sum of what all clients send, with one client process and with many.
-func playCold(p *play) error {
+// runCold plays cold app servers under the sum of what all clients send, with one client process and with many.
+func runCold(p *experimentRun) error {
 	cases := coldCases()
 	if p.brief {
 		cases = briefColdCases()
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		p.say("%-20s %d of %d restart at %.2f, warm after %.1f s, N %.1f in %.2f s, %.0f RPCs a second: ratio %.2f at %.1f s (%.2f by count), "+
+		p.printNote("%-20s %d of %d restart at %.2f, warm after %.1f s, N %.1f in %.2f s, %.0f RPCs a second: ratio %.2f at %.1f s (%.2f by count), "+
 			"back after %.1f s, ok %.2f, at the end %.2f", kind.name, plan.cold, coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.first,
 			plan.start.Window.Seconds(), plan.rate, side.peak.ByWork, side.peak.Age.Seconds(), side.peak.ByCount, side.back,
 			float64(side.out.OK)/float64(side.out.Asked), side.end)
@@ -166,7 +166,7 @@
 		violations := side.check.Violations()
 		counts["breaches"] += float64(len(violations))
 		for _, b := range violations[:min(len(violations), 10)] {
-			p.say("%s", b)
+			p.printNote("%s", b)
 		}
 	}
 	p.atMost("cold.ratio", ratio, 1)
@@ -183,8 +183,8 @@
 		return err
 	}
 	p.atLeast("naive.cold.ratio", naive.peak.ByWork, aboveOne)
-	p.inform("naive.service.back.s", naive.back)
-	p.inform("naive.ok.share", float64(naive.out.OK)/float64(naive.out.Asked))
+	p.report("naive.service.back.s", naive.back)
+	p.report("naive.ok.share", float64(naive.out.OK)/float64(naive.out.Asked))
 	return nil
 }
 
@@ -195,7 +195,7 @@
 const aboveOne = 1.01
 
 // coldSide plays the plan with processes of one kind of client.
-func (p *play) coldSide(plan coldPlan, kind string) (*coldSide, error) {
+func (p *experimentRun) coldSide(plan coldPlan, kind string) (*coldSide, error) {
 	side := &coldSide{check: rig.NewChecker(4 * slack)}
 	fleet, err := rig.NewFleet(p.Program, coldServers, plan.site(), side.check)
 	if err != nil {
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -43,8 +43,8 @@
 	cmd.Flags().BoolVar(&f.planted, "planted", false, "play faults that are planted in the program, and show how soon each is found")
 }
 
-// playFaults searches for faults: trials under settings and schedules that are drawn from the seed.
-func playFaults(p *play) error {
+// runFaults searches for faults: trials under settings and schedules that are drawn from the seed.
+func runFaults(p *experimentRun) error {
 	switch {
 	case p.faults.only != "":
 		return p.playOnly(p.faults.only)
@@ -69,7 +69,7 @@
 }
 
 // playOnly plays one case that is given.
-func (p *play) playOnly(text string) error {
+func (p *experimentRun) playOnly(text string) error {
 	if name, ok := strings.CutPrefix(text, "@"); ok {
 		read, err := os.ReadFile(name)
 		if err != nil {
@@ -103,7 +103,7 @@
 }
 
 // playTrials plays trials side by side and returns those with violations.
-func (p *play) playTrials(trials int) []*trialResult {
+func (p *experimentRun) playTrials(trials int) []*trialResult {
 	var tally faultTally
 	seeds := make(chan uint64)
 	var players sync.WaitGroup
@@ -123,13 +123,13 @@
 	return tally.failed
 }
 
-func (p *play) playSeed(seed uint64, tally *faultTally) {
+func (p *experimentRun) playSeed(seed uint64, tally *faultTally) {
 	r, err := p.steadyTrial(drawn.Draw(seed))
 	tally.mu.Lock()
 	defer tally.mu.Unlock()
 	if err != nil {
 		tally.broken = append(tally.broken, err)
-		p.say("trial %d could not be played: %v", seed, err)
+		p.printNote("trial %d could not be played: %v", seed, err)
 		return
 	}
 	tally.results = append(tally.results, r)
@@ -151,7 +151,7 @@
 
 // steadyTrial plays a case, and once more where its violations are about time alone and the machine kept an app server or this
 // process from its core.
-func (p *play) steadyTrial(c drawn.Case) (*trialResult, error) {
+func (p *experimentRun) steadyTrial(c drawn.Case) (*trialResult, error) {
 	for again := 0; ; again++ {
 		r, err := p.trial(c)
 		if err != nil {
@@ -161,12 +161,12 @@
 			return r, nil
 		}
 		first, _, _ := strings.Cut(r.violations[0], "\n")
-		p.say("seed %d is played again: the machine was late by %v; %.200s", c.Seed, r.waited.Round(time.Millisecond), first)
+		p.printNote("seed %d is played again: the machine was late by %v; %.200s", c.Seed, r.waited.Round(time.Millisecond), first)
 	}
 }
 
 // judgeTrials gives the figures of all trials.
-func (p *play) judgeTrials(t *faultTally) {
+func (p *experimentRun) judgeTrials(t *faultTally) {
 	restarts, ready, tries, runs, again, kinds := 0, 0, 0, 0, 0, map[drawn.FaultKind]int{}
 	for _, r := range t.results {
 		restarts, ready = restarts+r.restarts, ready+r.ready
@@ -175,14 +175,14 @@
 			kinds[f.Kind]++
 		}
 	}
-	p.inform("trials", float64(len(t.results)))
-	p.inform("trials.again", float64(again))
-	p.inform("tries", float64(tries))
-	p.inform("runs", float64(runs))
+	p.report("trials", float64(len(t.results)))
+	p.report("trials.again", float64(again))
+	p.report("tries", float64(tries))
+	p.report("runs", float64(runs))
 	for _, kind := range drawn.Kinds() {
-		p.inform("faults."+string(kind), float64(kinds[kind]))
+		p.report("faults."+string(kind), float64(kinds[kind]))
 	}
-	p.inform("restarts", float64(restarts))
+	p.report("restarts", float64(restarts))
 	if restarts > 0 {
 		p.atLeast("ready.within.10s", float64(ready)/float64(restarts), 0.9)
 	}
@@ -192,7 +192,7 @@
 }
 
 // reduceTrial cuts a failing trial down and prints what is left, so that it can be played again and become a test.
-func (p *play) reduceTrial(r *trialResult) {
+func (p *experimentRun) reduceTrial(r *trialResult) {
 	began := time.Now()
 	want := r.class()
 	last := r
@@ -204,30 +204,30 @@
 		last = again
 		return true
 	})
-	p.say("trial %d cut down in %.0f s: %s", r.drawn.Seed, time.Since(began).Seconds(), last.violations[0])
-	p.say("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
+	p.printNote("trial %d cut down in %.0f s: %s", r.drawn.Seed, time.Since(began).Seconds(), last.violations[0])
+	p.printNote("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
 }
 
 // errNoTrial is wrapped by what kept a trial from being played.
 var errNoTrial = errors.New("the trial could not be set up")
 
 // show prints a failing trial.
-func (r *trialResult) show(p *play) {
+func (r *trialResult) show(p *experimentRun) {
 	var faults []string
 	for _, f := range r.drawn.Faults {
 		faults = append(faults, fmt.Sprintf("%s n%d %.1f", f.Kind, f.Server+1, f.At))
 	}
-	p.say("seed %d: %d app servers, %d methods, %d keys; %s", r.drawn.Seed, r.drawn.Servers, len(r.drawn.Settings.Methods), len(r.drawn.Settings.Keys),
+	p.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.drawn.Seed, r.drawn.Servers, len(r.drawn.Settings.Methods), len(r.drawn.Settings.Keys),
 		strings.Join(faults, ", "))
 	shown := map[string]int{}
 	for _, v := range r.violations {
 		if shown[classOf(v)]++; shown[classOf(v)] <= 2 {
-			p.say("  %.400s", strings.ReplaceAll(v, "\n", "\n#     "))
+			p.printNote("  %.400s", strings.ReplaceAll(v, "\n", "\n#     "))
 		}
 	}
 	for class, n := range shown {
 		if n > 2 {
-			p.say("  %d times in all: %.60s", n, class)
+			p.printNote("  %d times in all: %.60s", n, class)
 		}
 	}
 }
--- a/cmd/rehearse/faults_planted.go
+++ b/cmd/rehearse/faults_planted.go
@@ -42,7 +42,7 @@
 }
 
 // playPlanted searches for faults in programs in which one is planted, and in one with none, started the same way.
-func (p *play) playPlanted() error {
+func (p *experimentRun) playPlanted() error {
 	control, err := p.playPlant(plantNothing, p.Seed)
 	if err != nil {
 		return err
@@ -71,8 +71,8 @@
 }
 
 // playPlant plays the plain case with a program in which something is planted.
-func (p *play) playPlant(name string, seed uint64) (*trialResult, error) {
-	planted := &play{Seed: seed, Program: p.self(), rehearse: p.rehearse, Logs: p.Logs, out: p.out, programArgs: []string{"planted", name}}
+func (p *experimentRun) playPlant(name string, seed uint64) (*trialResult, error) {
+	planted := &experimentRun{Seed: seed, Program: p.self(), rehearse: p.rehearse, Logs: p.Logs, out: p.out, programArgs: []string{"planted", name}}
 	if name == plantNothing {
 		return planted.steadyTrial(plantedCase(seed))
 	}
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -202,7 +202,7 @@
 	if s.p.Logs != "" {
 		name := filepath.Join(s.p.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
 		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
-			s.p.say("%v", err)
+			s.p.printNote("%v", err)
 		}
 	}
 	for _, word := range []string{"panic:", "fatal error:", "DATA RACE"} {
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -69,7 +69,7 @@
 
 // trial is one under way.
 type trial struct {
-	p          *play
+	p          *experimentRun
 	drawn      drawn.Case
 	told       drawn.Told
 	check      *rig.Checker
@@ -85,7 +85,7 @@
 }
 
 // trial plays one case.
-func (p *play) trial(c drawn.Case) (*trialResult, error) {
+func (p *experimentRun) trial(c drawn.Case) (*trialResult, error) {
 	t := &trial{p: p, drawn: c, result: trialResult{drawn: c}}
 	if err := t.prepare(); err != nil {
 		return nil, fmt.Errorf("%w: %w", errNoTrial, err)
@@ -205,7 +205,7 @@
 	}
 	time.Sleep(time.Until(t.began.Add(seconds64(t.drawn.Seconds))))
 	faults.Wait()
-	time.Sleep(t.p.span(trialLast)) // without a fault
+	time.Sleep(t.p.scaled(trialLast)) // without a fault
 	stop()
 	all.Wait()
 }
--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -63,7 +63,7 @@
 }
 
 // runHollow runs one measurement in a process of its own.
-func runHollow[C any](p *play, kind string, plan any) (cost C, err error) {
+func runHollow[C any](p *experimentRun, kind string, plan any) (cost C, err error) {
 	text, err := json.Marshal(plan)
 	if err != nil {
 		return cost, err
@@ -87,7 +87,7 @@
 const hollowAtOnce = 4
 
 // runHollows runs one measurement for each plan, some side by side, and gives the costs in the order of the plans.
-func runHollows[C, P any](p *play, kind string, plans []P) ([]C, error) {
+func runHollows[C, P any](p *experimentRun, kind string, plans []P) ([]C, error) {
 	costs := make([]C, len(plans))
 	var group errgroup.Group
 	if group.SetLimit(hollowAtOnce); p.brief {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -23,26 +23,26 @@
 
 // experiment is one measurement with a name.
 type experiment struct {
-	name, about string
-	play        func(p *play) error
+	name, about   string
+	runExperiment func(p *experimentRun) error
 }
 
 var experiments = []experiment{
-	{"client", "the careful client against a naive one: outages, refusals, reconnects, cost", playClient},
-	{"cold", "cold app servers under the sum of what 1 to 24 client processes send, naive ones beside", playCold},
-	{"pressure", "shedding before falling behind: a tripling, a leak, few cores, each with it off beside", playPressure},
-	{"view", "the fleet's view: deaths, flapping, two under one name, releases, with the fleet off beside", playView},
-	{"view-faults", "the fleet's view between cuts and loss, the gossip library alone beside", playViewFaults},
-	{"view-drawn", "the fleet's view under faults drawn from the seed, or read from --script", playViewDrawn},
-	{"owner", "one owner at a time, between deaths, sleeps and cuts, the lowest name of the view as the owner beside", playOwner},
-	{"share", "a limit common to the fleet, between deaths, sleeps, cuts and moving demand, an even split and none beside", playShare},
-	{"share-forty", "ten permits among forty processes", playShareForty},
-	{"share-auto", "a common limit that is found, as what stands behind bears less and more again", playShareAuto},
-	{"restart", "idle clients fill the descriptors, the roster is down, all are killed and started again, some kernels late", playRestart},
-	{"view-cost", "what the view costs: 20, 100 and 300 members in one process, at rest and after a fifth have died", playViewCost},
-	{"scale", "how costs grow with the size of the fleet, each with its fit and its error", playScale},
-	{"faults", "settings and faults drawn from the seed, real processes among stand-ins, judged by the rules", playFaults},
-	{"pressure-edge", "two minutes of steady load where the program just cannot bear it", playEdge},
+	{"client", "the careful client against a naive one: outages, refusals, reconnects, cost", runClient},
+	{"cold", "cold app servers under the sum of what 1 to 24 client processes send, naive ones beside", runCold},
+	{"pressure", "shedding before falling behind: a tripling, a leak, few cores, each with it off beside", runPressure},
+	{"view", "the fleet's view: deaths, flapping, two under one name, releases, with the fleet off beside", runView},
+	{"view-faults", "the fleet's view between cuts and loss, the gossip library alone beside", runViewFaults},
+	{"view-drawn", "the fleet's view under faults drawn from the seed, or read from --script", runViewDrawn},
+	{"owner", "one owner at a time, between deaths, sleeps and cuts, the lowest name of the view as the owner beside", runOwner},
+	{"share", "a limit common to the fleet, between deaths, sleeps, cuts and moving demand, an even split and none beside", runShare},
+	{"share-forty", "ten permits among forty processes", runShareForty},
+	{"share-auto", "a common limit that is found, as what stands behind bears less and more again", runShareAuto},
+	{"restart", "idle clients fill the descriptors, the roster is down, all are killed and started again, some kernels late", runRestart},
+	{"view-cost", "what the view costs: 20, 100 and 300 members in one process, at rest and after a fifth have died", runViewCost},
+	{"scale", "how costs grow with the size of the fleet, each with its fit and its error", runScale},
+	{"faults", "settings and faults drawn from the seed, real processes among stand-ins, judged by the rules", runFaults},
+	{"pressure-edge", "two minutes of steady load where the program just cannot bear it", runPressureEdge},
 }
 
 // figure is one line of a result.
@@ -53,8 +53,8 @@
 	Holds bool    `json:"holds"`
 }
 
-// play is one experiment under way.
-type play struct {
+// experimentRun is one experiment under way.
+type experimentRun struct {
 	Seed        uint64
 	Long        bool
 	Program     string // the program's binary
@@ -74,8 +74,8 @@
 	scale   *slope.Result // of the scale run
 }
 
-// span is how long a part of an experiment takes: a third of it in the shortest form.
-func (p *play) span(d time.Duration) time.Duration {
+// scaled is how long a part of an experiment takes: a third of it in the shortest form.
+func (p *experimentRun) scaled(d time.Duration) time.Duration {
 	if p.brief {
 		return d / 3
 	}
@@ -83,18 +83,20 @@
 }
 
 // at most, at least and exactly judge a figure; inform only shows it.
-func (p *play) atMost(name string, v, bound float64) {
+func (p *experimentRun) atMost(name string, v, bound float64) {
 	p.add(figure{name, v, fmt.Sprintf("<= %g", bound), v <= bound})
 }
-func (p *play) atLeast(name string, v, bound float64) {
+func (p *experimentRun) atLeast(name string, v, bound float64) {
 	p.add(figure{name, v, fmt.Sprintf(">= %g", bound), v >= bound})
 }
-func (p *play) exactly(name string, v, bound float64) {
+func (p *experimentRun) exactly(name string, v, bound float64) {
 	p.add(figure{name, v, fmt.Sprintf("== %g", bound), v == bound})
 }
-func (p *play) inform(name string, v float64) { p.add(figure{Name: name, Value: v, Holds: true}) }
+func (p *experimentRun) report(name string, v float64) {
+	p.add(figure{Name: name, Value: v, Holds: true})
+}
 
-func (p *play) add(f figure) {
+func (p *experimentRun) add(f figure) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if math.IsNaN(f.Value) || math.IsInf(f.Value, 0) {
@@ -112,17 +114,17 @@
 	fmt.Fprintf(p.out, "%-34s %12.4g  %-10s %s\n", f.Name, f.Value, f.Bound, word)
 }
 
-// say is for what is no figure.
-func (p *play) say(format string, args ...any) {
+// printNote is for what is no figure.
+func (p *experimentRun) printNote(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fmt.Fprintf(p.out, "# "+format+"\n", args...)
 }
 
-var errShort = errors.New("a figure falls short")
+var errFigureMissed = errors.New("a figure falls short")
 
 func main() {
-	if err := command().Execute(); errors.Is(err, errShort) {
+	if err := command().Execute(); errors.Is(err, errFigureMissed) {
 		os.Exit(1)
 	} else if err != nil {
 		fmt.Fprintln(os.Stderr, "rehearse:", err)
@@ -139,21 +141,21 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", r.name, r.about)
 			}
 		}})
-	var p play
+	var p experimentRun
 	var path string
 	run := &cobra.Command{Use: "run NAME", Short: "play one", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p.out = cmd.OutOrStdout()
 			for _, r := range experiments {
 				if r.name == args[0] {
-					return p.run(r, path)
+					return p.execute(r, path)
 				}
 			}
 			return fmt.Errorf("no experiment is named %q, see list", args[0])
 		}}
 	run.Flags().Uint64Var(&p.Seed, "seed", 1, "for all that is left to chance")
 	run.Flags().BoolVar(&p.Long, "long", false, "the long form")
-	run.Flags().StringVar(&p.Program, "program", beside("valveglade"), "the program's binary")
+	run.Flags().StringVar(&p.Program, "program", siblingBinary("valveglade"), "the program's binary")
 	run.Flags().StringVar(&p.History, "history", "", "write all that was said and done to this file, as JSON lines")
 	run.Flags().StringVar(&p.Logs, "logs", "", "write the logs of a trial's processes to this folder, where an experiment has trials")
 	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where an experiment draws")
@@ -164,8 +166,8 @@
 	return root
 }
 
-// beside is the path of another binary in this one's folder.
-func beside(name string) string {
+// siblingBinary is the path of another binary in this one's folder.
+func siblingBinary(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
@@ -173,13 +175,13 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-func (p *play) run(r experiment, path string) error {
+func (p *experimentRun) execute(r experiment, path string) error {
 	p.began = time.Now()
-	p.say("%s, seed %d, %d cores, %s", r.name, p.Seed, runtime.NumCPU(), runtime.Version())
-	if err := r.play(p); err != nil {
+	p.printNote("%s, seed %d, %d cores, %s", r.name, p.Seed, runtime.NumCPU(), runtime.Version())
+	if err := r.runExperiment(p); err != nil {
 		return err
 	}
-	p.say("took %.1f s", time.Since(p.began).Seconds())
+	p.printNote("took %.1f s", time.Since(p.began).Seconds())
 	if path != "" {
 		told := map[string]any{"rehearsal": r.name, "seed": p.Seed, "cores": runtime.NumCPU(), "figures": p.figures}
 		if p.scale != nil {
@@ -195,7 +197,7 @@
 	}
 	for _, f := range p.figures {
 		if !f.Holds {
-			return errShort
+			return errFigureMissed
 		}
 	}
 	return nil
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -38,12 +38,12 @@
 func rules(t *testing.T, name string, must ...string) {
 	t.Helper()
 	var out bytes.Buffer
-	p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
+	p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
 	for _, r := range experiments {
 		if r.name != name {
 			continue
 		}
-		if err := r.play(p); err != nil {
+		if err := r.runExperiment(p); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -117,8 +117,8 @@
 func TestScale(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scale.json")
 	var out bytes.Buffer
-	p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
-	if err := p.run(experiment{name: "scale", play: playScale}, path); err != nil {
+	p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
+	if err := p.execute(experiment{name: "scale", runExperiment: runScale}, path); err != nil {
 		t.Fatalf("%v:\n%s", err, &out)
 	}
 	result, err := slope.ReadResult(path)
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -44,7 +44,7 @@
 }
 
 // overhead compares an RPC through the client with writing and reading the same frames raw.
-func (p *play) overhead() error {
+func (p *experimentRun) overhead() error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -115,10 +115,10 @@
 		}
 	}
 	n := float64(workers * each * rounds)
-	p.inform("raw.cpu.us", spent[0]/n*1e6)
-	p.inform("client.cpu.us", spent[1]/n*1e6)
+	p.report("raw.cpu.us", spent[0]/n*1e6)
+	p.report("client.cpu.us", spent[1]/n*1e6)
 	p.atMost("overhead", spent[1]/spent[0], 2.0)
-	p.inform("client.allocations", mallocs[1]/n)
+	p.report("client.allocations", mallocs[1]/n)
 	return nil
 }
 
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -34,7 +34,7 @@
 
 // startRoleCluster starts a cluster of a kind: "on" is the program with two roles, "off" the same with the fleet off, "lowest" has
 // the lowest name of each view as the owner, and in "drifting" processes campaign by clocks that drift, at the bound.
-func (p *play) startRoleCluster(kind string, n int) (*roleCluster, error) {
+func (p *experimentRun) startRoleCluster(kind string, n int) (*roleCluster, error) {
 	c := &roleCluster{}
 	for range 2 {
 		w, err := rig.NewWorker(kind != "lowest", rig.NewHistory())
@@ -87,7 +87,7 @@
 
 // ownerTrial is the state of the experiment on roles.
 type ownerTrial struct {
-	*play
+	*experimentRun
 	names                     []string
 	on, off, lowest, drifting *roleCluster
 	owner                     string  // of the first role in on
@@ -97,11 +97,11 @@
 	served                    map[*roleCluster]map[string]rig.Outcome
 }
 
-// playOwner is the experiment on roles: the owner killed, stopped past its lease with a command in its hands, cut off, left
+// runOwner is the experiment on roles: the owner killed, stopped past its lease with a command in its hands, cut off, left
 // without a majority, drained, while voters are slow, late, dead or without a disk. The baselines are the same by clocks that drift,
 // processes where the lowest name of the view is the owner, and the same load with the fleet off.
-func playOwner(p *play) error {
-	t := &ownerTrial{play: p, names: names(5), served: map[*roleCluster]map[string]rig.Outcome{}}
+func runOwner(p *experimentRun) error {
+	t := &ownerTrial{experimentRun: p, names: names(5), served: map[*roleCluster]map[string]rig.Outcome{}}
 	err := t.start()
 	defer t.close()
 	if err != nil {
@@ -162,7 +162,7 @@
 
 // startLoads sends RPCs to the clusters whose service is compared.
 func (t *ownerTrial) startLoads(loads *sync.WaitGroup) {
-	length := t.span(33 * time.Second)
+	length := t.scaled(33 * time.Second)
 	var mu sync.Mutex
 	for _, c := range []*roleCluster{t.on, t.off} {
 		loads.Go(func() {
@@ -179,16 +179,16 @@
 	t.atLeast("late.refused", float64(t.on.workers[0].Refused()), 1)
 	for k, role := range []string{"", ".second"} {
 		j := rig.NewVerdict(t.on.workers[k].Orders(time.Time{}), experimentLease)
-		t.say("role %d: %v", k+1, j)
+		t.printNote("role %d: %v", k+1, j)
 		t.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
 		t.exactly("late.effects"+role, float64(j.LateEffects), 0)
 		t.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
 	}
 	t.exactly("work.overlap.s", rig.Overlap(t.on.History.LeadershipIntervals()), 0)
 	l := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
-	t.say("lowest name: %v", l)
+	t.printNote("lowest name: %v", l)
 	t.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
 	t.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
-	t.inform("service.on", service(t.served[t.on], t.names))
+	t.report("service.on", service(t.served[t.on], t.names))
 	t.atLeast("service.of.off", service(t.served[t.on], t.names)/service(t.served[t.off], t.names), 0.98)
 }
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -23,7 +23,7 @@
 // next waits for another owner, after a kind of fault.
 func (t *ownerTrial) next(fault string) {
 	who, took := t.on.awaitOwner(t.owner)
-	t.inform("new.owner.s."+fault, took)
+	t.report("new.owner.s."+fault, took)
 	t.worst = max(t.worst, took)
 	t.owner = who
 }
@@ -101,7 +101,7 @@
 
 // undisturbed leaves the owner alone: first nothing happens, and the cost is measured; then messages are lost, one voter is slow and
 // one answers later than a lease. The owner must not change.
-func (p *play) undisturbed(on, off *roleCluster, all []string, owner string) error {
+func (p *experimentRun) undisturbed(on, off *roleCluster, all []string, owner string) error {
 	span := 4 * time.Second
 	if p.Long {
 		span = time.Minute
@@ -126,14 +126,14 @@
 	if err != nil {
 		return err
 	}
-	p.inform("cpu.on.top.share", (cpu(on)-used[on]-cpu(off)+used[off]).Seconds()/span.Seconds()/float64(len(all)))
-	p.inform("bytes.s", float64(after.Bytes[0]+after.Bytes[1]-before.Bytes[0]-before.Bytes[1])/span.Seconds())
-	p.inform("packets.s", float64(after.Packets[0]-before.Packets[0])/span.Seconds())
+	p.report("cpu.on.top.share", (cpu(on)-used[on]-cpu(off)+used[off]).Seconds()/span.Seconds()/float64(len(all)))
+	p.report("bytes.s", float64(after.Bytes[0]+after.Bytes[1]-before.Bytes[0]-before.Bytes[1])/span.Seconds())
+	p.report("packets.s", float64(after.Packets[0]-before.Packets[0])/span.Seconds())
 	resident := 0.0
 	for _, name := range all {
 		resident += float64(on.Node(name).Resident()-off.Node(name).Resident()) / 1e6 / float64(len(all))
 	}
-	p.inform("resident.on.top.mb", resident)
+	p.report("resident.on.top.mb", resident)
 	rest := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == owner || s == on.workers[1].Owner(ownerWindow) })
 	if err := on.Run(fmt.Sprintf("0s loss *>* 10%%\n0s mute %s>* 500ms\n0s mute %s>* 1500ms\n4s heal", rest[0], rest[1])); err != nil {
 		return err
@@ -147,7 +147,7 @@
 }
 
 // drift stops owners past their leases whose clocks drift from the voters' by as much as they may.
-func (p *play) drift(c *roleCluster) error {
+func (p *experimentRun) drift(c *roleCluster) error {
 	owner, _ := c.awaitOwner("")
 	for range 4 {
 		if owner == "" {
@@ -171,7 +171,7 @@
 		}
 	}
 	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), experimentLease)
-	p.say("drifting: %v", j)
+	p.printNote("drifting: %v", j)
 	p.atMost("owners.at.once.drifting", float64(j.AtOnce), 1)
 	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
 	p.exactly("late.effects.drifting", float64(j.LateEffects+j.FallingTerms+j.SharedTerms), 0)
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -41,8 +41,8 @@
 // of returns the program's arguments with the shedding on or off.
 func (t *pressureTrial) of(on bool) []string { return t.arguments[on] }
 
-// playPressure is the experiment on shedding before falling behind.
-func playPressure(p *play) error {
+// runPressure is the experiment on shedding before falling behind.
+func runPressure(p *experimentRun) error {
 	t, err := newPressureTrial()
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 
 // capacity is the rate that the throttled program can just bear, reading in plain order: a load rises until its RPCs
 // take several times as long as the work and the quota's pauses do.
-func (p *play) capacity(args []string) (float64, error) {
+func (p *experimentRun) capacity(args []string) (float64, error) {
 	s, err := p.startPressureServer(tillSite(1000, 30), args, time.Second, 8)
 	if err != nil {
 		return 0, err
@@ -121,7 +121,7 @@
 
 // tripling has the load go from well within what the program can read to an eighth beyond it. The kernel could serve
 // it all.
-func (p *play) tripling(of func(bool) []string, note func(*rig.Checker)) error {
+func (p *experimentRun) tripling(of func(bool) []string, note func(*rig.Checker)) error {
 	// Measured twice at once, as the two fleets below share the machine too.
 	bears := 1000.0 // for tests: well within any machine
 	if !p.brief {
@@ -131,7 +131,7 @@
 		}
 		bears = min(one, two) // a rise that is met late shows too much
 	}
-	p.inform("bears.rpcs.per.s", bears)
+	p.report("bears.rpcs.per.s", bears)
 	base := bears * 1.12 / 3
 	triple := func(on bool) (t triplingResult, err error) {
 		s, err := p.startPressureServer(tillSite(1000, 30), of(on), time.Second, 8)
@@ -150,7 +150,7 @@
 		var probing sync.WaitGroup
 		probing.Go(func() { t.probes = probe(ctx, s.Addresses()[0], 10*time.Millisecond) })
 		var mu sync.Mutex
-		t.out = run("b", 3*base, p.span(6*time.Second), func(m rig.Share, id, token string, body []byte, err error) {
+		t.out = run("b", 3*base, p.scaled(6*time.Second), func(m rig.Share, id, token string, body []byte, err error) {
 			if err != nil || token == "" || len(id)%2 == 0 || !strings.HasSuffix(id, "7") {
 				return
 			}
@@ -182,29 +182,29 @@
 	p.atMost("loop.delay.p99.ms", quantile(on.probes, 0.99)*1000, 50)
 	p.atLeast("off.loop.delay.p99.ms", quantile(off.probes, 0.99)*1000, 50)
 	p.atLeast("criticality.ok", on.out.Criticality, 0.95)
-	p.inform("off.criticality.ok", off.out.Criticality)
+	p.report("off.criticality.ok", off.out.Criticality)
 	p.exactly("begun.turned.away", float64(on.pushedBack), 0)
-	p.inform("begun.repeated", float64(on.repeats))
+	p.report("begun.repeated", float64(on.repeats))
 	starved := 0
 	for _, s := range till(0, 0) {
 		m, o := on.out.ByMethod[s.Method], off.out.ByMethod[s.Method]
 		if m.OK*100 < m.Asked {
 			starved++
 		}
-		p.say("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Asked,
+		p.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Asked,
 			float64(m.Times.ValueAtQuantile(99))/1000, o.OK, o.Asked, float64(o.Times.ValueAtQuantile(99))/1000)
 	}
 	p.exactly("starved.methods", float64(starved), 0)
 	for _, s := range on.levels {
-		p.say("%s from %s by %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+		p.printNote("%s from %s by %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
 	}
 	return nil
 }
 
 // leak has tokens that are kept for long fill the memory: what grows with what is served, and comes back only after the
 // window.
-func (p *play) leak(dir string, note func(*rig.Checker)) error {
-	length := p.span(6500 * time.Millisecond)
+func (p *experimentRun) leak(dir string, note func(*rig.Checker)) error {
+	length := p.scaled(6500 * time.Millisecond)
 	rate := 7500.0
 	if p.brief {
 		rate = 500
@@ -253,21 +253,21 @@
 	if !p.brief { // which is too short to fill it
 		p.atLeast("off.killed", float64(off.killed), 1)
 	}
-	p.inform("off.memory.peak.mb", float64(off.peak)/(1<<20))
+	p.report("off.memory.peak.mb", float64(off.peak)/(1<<20))
 	foreseen := 0.0
 	for _, s := range on.shifts {
 		if strings.Contains(s.Causes, "leak") {
 			foreseen = 1
 		}
-		p.say("leak: %s from %s by %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+		p.printNote("leak: %s from %s by %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
 	}
-	p.inform("leak.foreseen", foreseen)
+	p.report("leak.foreseen", foreseen)
 	return nil
 }
 
 // fewCores has the kernel fall behind, not the program: Breakwater's own matter, and no pressure. Then the kernel stands
 // still.
-func (p *play) fewCores(of func(bool) []string, note func(*rig.Checker)) error {
+func (p *experimentRun) fewCores(of func(bool) []string, note func(*rig.Checker)) error {
 	const cores, work, rate = 4, 0.02, 330.0
 	s, err := p.startPressureServer(tillSite(cores, 30), of(true), 200*time.Millisecond, 8)
 	if err != nil {
@@ -278,8 +278,8 @@
 		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
 			Shares: till(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	}
-	run("w", rate/3, p.span(time.Second))
-	length := p.span(4 * time.Second)
+	run("w", rate/3, p.scaled(time.Second))
+	length := p.scaled(4 * time.Second)
 	out := run("f", rate, length)
 	// With full knowledge the most critical would be served first, as far as the cores reach; what is waiting at the end
 	// is served after it.
@@ -293,20 +293,20 @@
 		best += got * shares[k].Criticality
 	}
 	p.atLeast("few.cores.of.the.best", out.Criticality/(best/asked), 0.95)
-	p.inform("few.cores.criticality.ok", out.Criticality)
+	p.report("few.cores.criticality.ok", out.Criticality)
 	var hanging sync.WaitGroup
 	hanging.Go(func() {
-		time.Sleep(p.span(500 * time.Millisecond))
+		time.Sleep(p.scaled(500 * time.Millisecond))
 		s.Programs[0].Kernel.Hang(true)
-		time.Sleep(p.span(1500 * time.Millisecond))
+		time.Sleep(p.scaled(1500 * time.Millisecond))
 		s.Programs[0].Kernel.Hang(false)
 	})
-	run("h", rate/3, p.span(2500*time.Millisecond))
+	run("h", rate/3, p.scaled(2500*time.Millisecond))
 	hanging.Wait()
 	refused := 0.0
 	for _, m := range levelChanges(s.Programs[0].Log()) {
 		refused = max(refused, m.Refused)
-		p.say("few cores: %s from %s by %s", m.Level, m.From, m.Causes)
+		p.printNote("few cores: %s from %s by %s", m.Level, m.From, m.Causes)
 	}
 	p.exactly("not.our.own.refused", refused, 0)
 	note(s.check)
@@ -314,8 +314,8 @@
 }
 
 // edge holds the load where the program just cannot bear it.
-func (p *play) edge(of func(bool) []string, note func(*rig.Checker)) error {
-	length := p.span(5 * time.Second)
+func (p *experimentRun) edge(of func(bool) []string, note func(*rig.Checker)) error {
+	length := p.scaled(5 * time.Second)
 	if p.Long {
 		length = 2 * time.Minute
 	}
@@ -335,15 +335,15 @@
 		Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	all := levelChanges(s.Programs[0].Log())
 	for _, m := range all {
-		p.say("edge: %s from %s by %s, %.0f refused", m.Level, m.From, m.Causes, m.Refused)
+		p.printNote("edge: %s from %s by %s, %.0f refused", m.Level, m.From, m.Causes, m.Refused)
 	}
 	p.atMost("flaps", float64(countFlaps(all)), 2)
 	note(s.check)
 	return nil
 }
 
-// playEdge holds the load at the edge for two minutes.
-func playEdge(p *play) error {
+// runPressureEdge holds the load at the edge for two minutes.
+func runPressureEdge(p *experimentRun) error {
 	t, err := newPressureTrial()
 	if err != nil {
 		return err
@@ -353,7 +353,7 @@
 	if err != nil {
 		return err
 	}
-	p.inform("bears.rpcs.per.s", bears)
+	p.report("bears.rpcs.per.s", bears)
 	p.Long = true
 	if err := p.edge(t.of, t.violations.collect); err != nil {
 		return err
@@ -363,7 +363,7 @@
 }
 
 // calmCost compares the processor time of an RPC with watching and without, in turn.
-func (p *play) calmCost(of func(bool) []string, note func(*rig.Checker)) error {
+func (p *experimentRun) calmCost(of func(bool) []string, note func(*rig.Checker)) error {
 	const rate = 1500.0
 	one := func(on bool) (*pressureServer, error) {
 		return p.startPressureServer(tillSite(64, 30), of(on), time.Second, 4)
@@ -388,8 +388,8 @@
 		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
 		asked[k%2] += float64(out.Asked)
 	}
-	p.inform("calm.cpu.us", spent[0]/asked[0]*1e6)
-	p.inform("off.calm.cpu.us", spent[1]/asked[1]*1e6)
+	p.report("calm.cpu.us", spent[0]/asked[0]*1e6)
+	p.report("off.calm.cpu.us", spent[1]/asked[1]*1e6)
 	p.atMost("calm.cost", spent[0]/asked[0]/(spent[1]/asked[1]), 1.03)
 	note(on.check)
 	return nil
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -138,7 +138,7 @@
 	routers []rig.Caller
 }
 
-func (p *play) startPressureServer(site rig.Site, args []string, slack time.Duration, callers int) (*pressureServer, error) {
+func (p *experimentRun) startPressureServer(site rig.Site, args []string, slack time.Duration, callers int) (*pressureServer, error) {
 	site.Args = args
 	check := rig.NewChecker(slack)
 	f, err := rig.NewFleet(p.Program, 1, site, check)
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -47,7 +47,7 @@
 
 // startSharedCluster starts a cluster of a kind: "on" under an allocator, "even" with the limit split evenly, "off" without a common
 // limit and without a fleet.
-func (p *play) startSharedCluster(kind string, limit string) (*sharedCluster, error) {
+func (p *experimentRun) startSharedCluster(kind string, limit string) (*sharedCluster, error) {
 	all := names(sharedOn)
 	r := newSharedCluster(sharedLimit)
 	plan := p.sharedPlan(sharedOn, r.backend)
@@ -66,7 +66,7 @@
 }
 
 // sharedPlan is the plan of a cluster whose runs use the backend.
-func (p *play) sharedPlan(n int, backend *rig.Backend) rig.Plan {
+func (p *experimentRun) sharedPlan(n int, backend *rig.Backend) rig.Plan {
 	plan := p.plan(n)
 	plan.Backend = backend
 	plan.Site.Cores = 24
@@ -89,7 +89,7 @@
 }
 
 // load sends RPCs to all app servers, to each at a rate of its own that may change.
-func (r *sharedCluster) load(ctx context.Context, p *play, length time.Duration, rate func(name string) float64) {
+func (r *sharedCluster) load(ctx context.Context, p *experimentRun, length time.Duration, rate func(name string) float64) {
 	began := time.Now()
 	var group sync.WaitGroup
 	for k, name := range r.Names() {
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -43,9 +43,9 @@
 	kills atomic.Int64 // changes before and after each kill
 }
 
-// playRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
+// runRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
 // kills all of them and starts them again, some before their kernels are there.
-func playRestart(p *play) error {
+func runRestart(p *experimentRun) error {
 	count := 20
 	if p.brief {
 		count = 6
@@ -57,13 +57,13 @@
 	defer f.close()
 	before := f.descriptors()
 	f.startLoad(p.Seed)
-	time.Sleep(p.span(time.Second))
+	time.Sleep(p.scaled(time.Second))
 
 	f.Roster.Down()
 	p.startIdle(f)
 	p.restartFill(f)
 	full := newTableWatch(f)
-	steady := f.window("full", func() { time.Sleep(p.span(6 * time.Second)) })
+	steady := f.window("full", func() { time.Sleep(p.scaled(6 * time.Second)) })
 	p.restartKernelOutage(f)
 	outcomes := []callWindow{steady}
 	after, err := p.restartAll(f)
@@ -81,13 +81,13 @@
 	var violations violationLog
 	violations.collect(f.check)
 	for _, name := range []string{"turned.away", "crossed"} {
-		p.inform(name, float64(f.check.Count(name)))
+		p.report(name, float64(f.check.Count(name)))
 	}
 	violations.report(p)
 	return nil
 }
 
-func (p *play) newRestartFleet(count int) (*restartFleet, error) {
+func (p *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
 	site := tillSite(4, 30)
 	site.Sockets = restartSockets
 	check := rig.NewChecker(rigSlack)
@@ -156,9 +156,9 @@
 
 // startIdle has idle clients hold the tables of all app servers, and flood one that is drawn from the seed: there new ones
 // arrive faster than those before them count as silent.
-func (p *play) startIdle(f *restartFleet) {
+func (p *experimentRun) startIdle(f *restartFleet) {
 	flooded := rand.New(rand.NewPCG(p.Seed, 3)).IntN(len(f.Programs))
-	p.say("%s is flooded", f.Programs[flooded].Name)
+	p.printNote("%s is flooded", f.Programs[flooded].Name)
 	for k, s := range f.Programs {
 		clients, pause := restartClients, restartPause
 		if k == flooded {
@@ -176,7 +176,7 @@
 }
 
 // restartFill waits until each table of descriptors is full.
-func (p *play) restartFill(f *restartFleet) {
+func (p *experimentRun) restartFill(f *restartFleet) {
 	began := time.Now()
 	for time.Since(began) < 5*time.Second {
 		if slices.Min(f.count()) >= restartFull {
@@ -189,11 +189,11 @@
 
 // restartKernelOutage ends all kernel links, has reconnects refused for a while, and measures how long after the kernels'
 // return the links stand again.
-func (p *play) restartKernelOutage(f *restartFleet) {
+func (p *experimentRun) restartKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
 		s.Kernel.Down()
 	}
-	f.window("kernel.out", func() { time.Sleep(p.span(2 * time.Second)) }).inform(p)
+	f.window("kernel.out", func() { time.Sleep(p.scaled(2 * time.Second)) }).inform(p)
 	returned := time.Now()
 	for _, s := range f.Programs {
 		if err := s.Kernel.Return(); err != nil {
@@ -215,7 +215,7 @@
 }
 
 // drawLate chooses the late kernels; the last one is later than a process may take to be ready.
-func (p *play) drawLate(f *restartFleet) []lateKernel {
+func (p *experimentRun) drawLate(f *restartFleet) []lateKernel {
 	chance := rand.New(rand.NewPCG(p.Seed, 7))
 	count := max(2, int(restartLateShare*float64(len(f.Programs))))
 	var late []lateKernel
@@ -224,7 +224,7 @@
 		if k == count-1 {
 			by = restartReady + time.Second
 		}
-		late = append(late, lateKernel{f.Programs[at], p.span(by), k%2 == 0})
+		late = append(late, lateKernel{f.Programs[at], p.scaled(by), k%2 == 0})
 	}
 	return late
 }
@@ -247,7 +247,7 @@
 }
 
 // restartAll kills all processes at once, starts them again, and judges when each is ready.
-func (p *play) restartAll(f *restartFleet) (callWindow, error) {
+func (p *experimentRun) restartAll(f *restartFleet) (callWindow, error) {
 	late := p.drawLate(f)
 	for _, l := range late {
 		l.start()
@@ -270,10 +270,10 @@
 		if l.withheld {
 			word = "accepts and withholds BOOTED"
 		}
-		p.say("kernel of %s %s for %.1f s", l.server.Name, word, l.by.Seconds())
-		if l.by > p.span(restartReady) {
+		p.printNote("kernel of %s %s for %.1f s", l.server.Name, word, l.by.Seconds())
+		if l.by > p.scaled(restartReady) {
 			judgedFrom[l.server.Name] = began.Add(l.by)
-			p.say("%s is judged from its kernel's return", l.server.Name)
+			p.printNote("%s is judged from its kernel's return", l.server.Name)
 		}
 		returns.Go(func() {
 			time.Sleep(time.Until(began.Add(l.by)))
@@ -284,19 +284,19 @@
 	if err := errors.Join(errs...); err != nil {
 		return callWindow{}, err
 	}
-	time.Sleep(time.Until(began.Add(p.span(4 * time.Second))))
+	time.Sleep(time.Until(began.Add(p.scaled(4 * time.Second))))
 	returned := time.Now()
 	if err := f.Roster.Return(); err != nil {
 		return callWindow{}, err
 	}
 	returns.Wait()
 	p.restartReady(f, began, returned, judgedFrom, late)
-	return f.window("restarted", func() { time.Sleep(p.span(6 * time.Second)) }), nil
+	return f.window("restarted", func() { time.Sleep(p.scaled(6 * time.Second)) }), nil
 }
 
 // restartReady waits for each app server and judges the times. One is ready when its kernel link stands, the roster has
 // heard of it and it has served an RPC since its start.
-func (p *play) restartReady(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time, late []lateKernel) {
+func (p *experimentRun) restartReady(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time, late []lateKernel) {
 	inTime, rosterWorst, linkWorst, slowest := 0, 0.0, 0.0, ""
 	var took []float64
 	for _, s := range f.Programs {
@@ -311,7 +311,7 @@
 		if ready <= restartReady.Seconds() {
 			inTime++
 		} else {
-			p.say("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, seconds(linked, from), seconds(heard, from),
+			p.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, seconds(linked, from), seconds(heard, from),
 				seconds(served, from))
 		}
 		took = append(took, ready)
@@ -327,24 +327,24 @@
 		}
 	}
 	p.atLeast("ready.within.10s", float64(inTime)/float64(len(f.Programs)), 0.9)
-	p.inform("ready.median.s", quantile(took, 0.5))
-	p.inform("ready.max.s", slices.Max(took))
+	p.report("ready.median.s", quantile(took, 0.5))
+	p.report("ready.max.s", slices.Max(took))
 	p.atMost("kernel.late.back.max.s", linkWorst, restartBack.Seconds())
 	p.atMost("roster.back.max.s", rosterWorst, restartBack.Seconds())
-	p.say("last on the roster: %s", slowest)
+	p.printNote("last on the roster: %s", slowest)
 }
 
 // restartAnswered judges the RPCs of one window.
-func (p *play) restartAnswered(f *restartFleet, w callWindow) {
+func (p *experimentRun) restartAnswered(f *restartFleet, w callWindow) {
 	p.atLeast("answered."+w.name, w.answeredShare(), 0.99)
 	w.inform(p)
 	if len(w.failures) > 0 {
-		p.say("unanswered while %s: %s", w.name, strings.Join(w.failures[:min(len(w.failures), 5)], "; "))
+		p.printNote("unanswered while %s: %s", w.name, strings.Join(w.failures[:min(len(w.failures), 5)], "; "))
 	}
 }
 
 // restartLeftOver judges the descriptors once all clients have left.
-func (p *play) restartLeftOver(f *restartFleet, before []int) {
+func (p *experimentRun) restartLeftOver(f *restartFleet, before []int) {
 	over := math.MaxInt
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && over > 0; time.Sleep(50 * time.Millisecond) {
 		over = math.MinInt
@@ -352,7 +352,7 @@
 			over = max(over, n-before[k])
 		}
 	}
-	p.inform("descriptors.before", float64(slices.Max(before)))
+	p.report("descriptors.before", float64(slices.Max(before)))
 	p.atMost("descriptors.left.over", float64(over), 0)
 }
 
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -161,9 +161,9 @@
 func (w callWindow) answeredShare() float64 { return float64(w.answered) / float64(w.asked) }
 
 // inform shows what is not judged.
-func (w callWindow) inform(p *play) {
-	p.inform("asked."+w.name, float64(w.asked))
-	p.inform("served."+w.name, float64(w.served)/float64(w.asked))
+func (w callWindow) inform(p *experimentRun) {
+	p.report("asked."+w.name, float64(w.asked))
+	p.report("served."+w.name, float64(w.served)/float64(w.asked))
 }
 
 // tableWatch samples the descriptors of the processes.
@@ -204,7 +204,7 @@
 }
 
 // close ends the sampling and gives its figures.
-func (w *tableWatch) close(p *play) {
+func (w *tableWatch) close(p *experimentRun) {
 	close(w.end)
 	<-w.over
 	p.atMost("descriptors.most", float64(w.most), restartSockets)
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -22,7 +22,7 @@
 type forms[T any] struct{ brief, usual, long T }
 
 // of returns the value in the form that is run: the shortest takes precedence over the long one.
-func (f forms[T]) of(p *play) T {
+func (f forms[T]) of(p *experimentRun) T {
 	switch {
 	case p.brief:
 		return f.brief
@@ -35,12 +35,12 @@
 // scalePart measures some series of the scale run.
 type scalePart struct {
 	name    string
-	measure func(p *play, r *slope.Result) error
+	measure func(p *experimentRun, r *slope.Result) error
 }
 
 // scaleParts are the parts of a run, in the order in which they run: the one that is named, else all. Those of the
 // distribution need minutes, so that an unnamed default run leaves them out.
-func (p *play) scaleParts() []scalePart {
+func (p *experimentRun) scaleParts() []scalePart {
 	parts := slices.Concat(viewScaleParts, roleScaleParts, configScaleParts)
 	if p.Long || p.Part != "" {
 		parts = append(parts, distributionScaleParts...)
@@ -51,9 +51,9 @@
 	return slices.DeleteFunc(parts, func(part scalePart) bool { return part.name != p.Part })
 }
 
-// playScale measures how costs grow with the size of the fleet, and fits them. A part that fails does not keep the others
+// runScale measures how costs grow with the size of the fleet, and fits them. A part that fails does not keep the others
 // from running; the run falls short by it.
-func playScale(p *play) error {
+func runScale(p *experimentRun) error {
 	r := &slope.Result{Commit: commit(), Go: runtime.Version(), Seed: p.Seed, Cores: runtime.NumCPU(), Long: p.Long}
 	p.scale = r
 	failed := 0
@@ -65,9 +65,9 @@
 		began := time.Now()
 		if err := part.measure(p, r); err != nil {
 			failed++
-			p.say("part %s failed: %v", part.name, err)
+			p.printNote("part %s failed: %v", part.name, err)
 		}
-		p.say("part %s took %.1f s", part.name, time.Since(began).Seconds())
+		p.printNote("part %s took %.1f s", part.name, time.Since(began).Seconds())
 	}
 	r.TookSeconds = time.Since(p.began).Seconds()
 	p.exactly("parts.failed", float64(failed), 0)
@@ -76,7 +76,7 @@
 
 // series fits the points of s with the model in s.Fit.Model, linear if none is named, appends s to the result and prints
 // one line of it.
-func (p *play) series(r *slope.Result, s slope.Series) error {
+func (p *experimentRun) series(r *slope.Result, s slope.Series) error {
 	if s.Fit.Model == "" {
 		s.Fit.Model = slope.ModelLinear
 	}
@@ -92,7 +92,7 @@
 		s.ClockFactor = 1
 	}
 	r.Series = append(r.Series, s)
-	p.say("%s", seriesLine(s))
+	p.printNote("%s", seriesLine(s))
 	return nil
 }
 
--- a/cmd/rehearse/scale_budget.go
+++ b/cmd/rehearse/scale_budget.go
@@ -44,7 +44,7 @@
 }
 
 // measureConfigBudgets tells at which size each budget is used up, from the series that were measured before.
-func measureConfigBudgets(p *play, r *slope.Result) error {
+func measureConfigBudgets(p *experimentRun, r *slope.Result) error {
 	for _, b := range configBudgets {
 		s, ok := r.Find(b.series)
 		if !ok {
@@ -52,16 +52,16 @@
 		}
 		size, measured := sizeAt(s, b.limit)
 		if math.IsInf(size, 1) {
-			p.say("budget %s by %s: not used up at any size, run to %g %s", b.name, s.Name, s.Largest, s.Against)
+			p.printNote("budget %s by %s: not used up at any size, run to %g %s", b.name, s.Name, s.Largest, s.Against)
 			continue
 		}
 		how := "between sizes that were run"
 		if !measured {
 			how = "worked out, beyond the sizes that were run"
 		}
-		p.say("budget %s by %s: used up at %.4g %s, %.2g %% of the design size, %s", b.name, s.Name, size, s.Against,
+		p.printNote("budget %s by %s: used up at %.4g %s, %.2g %% of the design size, %s", b.name, s.Name, size, s.Against,
 			100*size/b.design, how)
-		p.inform(fmt.Sprintf("budget.%s.%s", b.name, s.Against), size)
+		p.report(fmt.Sprintf("budget.%s.%s", b.name, s.Against), size)
 	}
 	return nil
 }
--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -17,7 +17,7 @@
 const fewEntries = 100
 
 // changesAtEachSize are made; their median counts.
-func (p *play) changesAtEachSize() int {
+func (p *experimentRun) changesAtEachSize() int {
 	if p.brief {
 		return 1
 	}
@@ -25,7 +25,7 @@
 }
 
 // tenantSizes and routeSizes are what the configuration is measured at; the long form goes to the design size.
-func (p *play) tenantSizes() []int {
+func (p *experimentRun) tenantSizes() []int {
 	return forms[[]int]{
 		brief: []int{10, 40, 160, 640},
 		usual: []int{1_000, 10_000, 30_000, 100_000},
@@ -33,7 +33,7 @@
 	}.of(p)
 }
 
-func (p *play) routeSizes() []int {
+func (p *experimentRun) routeSizes() []int {
 	return forms[[]int]{
 		brief: []int{10, 40, 160, 640},
 		usual: []int{1_000, 5_000, 15_000, 40_000},
@@ -48,7 +48,7 @@
 }
 
 // measureConfigOnce starts a program with a configuration and changes that some times.
-func (p *play) measureConfigOnce(size tables) (cost configCost, err error) {
+func (p *experimentRun) measureConfigOnce(size tables) (cost configCost, err error) {
 	s, err := p.startScaled(size, roomyMemory, fewSockets)
 	if err != nil {
 		return cost, err
@@ -72,7 +72,7 @@
 
 // measureConfig measures what a configuration costs against routes and against tenants: a start with it, and a change
 // of one entry, which the program takes in by reading all of it again.
-func measureConfig(p *play, r *slope.Result) error {
+func measureConfig(p *experimentRun, r *slope.Result) error {
 	byTenants := func(n int) tables { return tables{routes: fewEntries, tenants: n} }
 	if err := p.configSeries(r, "tenants", p.tenantSizes(), byTenants); err != nil {
 		return err
@@ -82,7 +82,7 @@
 }
 
 // configSeries measures the costs against one kind of entry.
-func (p *play) configSeries(r *slope.Result, against string, sizes []int, of func(n int) tables) error {
+func (p *experimentRun) configSeries(r *slope.Result, against string, sizes []int, of func(n int) tables) error {
 	var file, start, resident, wall, cpu, peak []slope.Point
 	for _, n := range sizes {
 		cost, err := p.measureConfigOnce(of(n))
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -37,7 +37,7 @@
 )
 
 // distributionSizes are the numbers of app servers.
-func (p *play) distributionSizes() []int {
+func (p *experimentRun) distributionSizes() []int {
 	return forms[[]int]{
 		brief: []int{4, 8, 16, 32},
 		usual: []int{125, 250, 500, 1000},
@@ -46,7 +46,7 @@
 }
 
 // distributedServices is how many services there are: in the shortest form so few that a handful of app servers serves them all.
-func (p *play) distributedServices() int {
+func (p *experimentRun) distributedServices() int {
 	if p.brief {
 		return 2 * servicesEach
 	}
@@ -54,7 +54,7 @@
 }
 
 // distributionSeconds is how long changes are made at each size.
-func (p *play) distributionSeconds() float64 {
+func (p *experimentRun) distributionSeconds() float64 {
 	if p.brief {
 		return 4
 	}
@@ -69,7 +69,7 @@
 }
 
 // startDistribution starts one, with entries in its table.
-func (p *play) startDistribution(distributors, entriesEach int, rate string) (*distributionFleet, error) {
+func (p *experimentRun) startDistribution(distributors, entriesEach int, rate string) (*distributionFleet, error) {
 	f := &distributionFleet{}
 	names := []string{"v1", "v2", "v3"}
 	for k := range distributors {
@@ -154,7 +154,7 @@
 }
 
 // measureDistribution measures changes at the design's rate against the number of app servers.
-func measureDistribution(p *play, r *slope.Result) error {
+func measureDistribution(p *experimentRun, r *slope.Result) error {
 	found := points{}
 	for _, members := range p.distributionSizes() {
 		cost, err := p.distributeAmong(members)
@@ -162,7 +162,7 @@
 			return fmt.Errorf("%d app servers: %w", members, err)
 		}
 		slowest, median := quantile(cost.inForce, 1), quantile(cost.inForce, 0.5)
-		p.say("distribution, %d app servers: %d followed, %d changes in force everywhere after %.3g s at the median, %.3g s at the most; "+
+		p.printNote("distribution, %d app servers: %d followed, %d changes in force everywhere after %.3g s at the median, %.3g s at the most; "+
 			"%d not everywhere, %d stale, %d whole tables; an app server %.0f B/s, %.3g%% of a core; the busiest distributor %.3g%%", members,
 			cost.ready, len(cost.inForce), median, slowest, cost.missing, cost.stale, cost.laterWholes, cost.bytes, 100*cost.subscriberCore,
 			100*cost.distributorCore)
@@ -194,7 +194,7 @@
 const connectSeconds = 12.0
 
 // distributeAmong makes changes among hollow app servers.
-func (p *play) distributeAmong(members int) (cost distributionCost, err error) {
+func (p *experimentRun) distributeAmong(members int) (cost distributionCost, err error) {
 	settling, connecting, entries := 5.0, connectSeconds, tenantsEach
 	if p.brief {
 		settling, connecting, entries = 8, 4, 2
@@ -245,7 +245,7 @@
 }
 
 // makeChanges makes changes at the design's rate, and tells when each was asked for.
-func (p *play) makeChanges(f *distributionFleet) (map[changeKey]time.Time, error) {
+func (p *experimentRun) makeChanges(f *distributionFleet) (map[changeKey]time.Time, error) {
 	committed := map[changeKey]time.Time{}
 	random := rand.New(rand.NewPCG(p.Seed, 77))
 	every := secondsOf(1 / designChangesPerSecond)
--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -17,7 +17,7 @@
 )
 
 // distributionTables are the numbers of entries of each service that the table is measured at.
-func (p *play) distributionTables() []int {
+func (p *experimentRun) distributionTables() []int {
 	if p.brief {
 		return []int{2, 4, 8, 16}
 	}
@@ -25,7 +25,7 @@
 }
 
 // changesOfTable is how many changes are made at each size of the table.
-func (p *play) changesOfTable() int {
+func (p *experimentRun) changesOfTable() int {
 	if p.brief {
 		return 2
 	}
@@ -34,7 +34,7 @@
 
 // measureDistributionTable measures what a change costs one app server that has all services against the size of the table: taken as a
 // change, and by reading the whole table anew.
-func measureDistributionTable(p *play, r *slope.Result) error {
+func measureDistributionTable(p *experimentRun, r *slope.Result) error {
 	found := points{}
 	for _, each := range p.distributionTables() {
 		if err := p.changeTable(each, found); err != nil {
@@ -66,7 +66,7 @@
 	return member.DialStream(ctx, o.local, o.at[to], "hollow", to)
 }
 
-func (p *play) changeTable(each int, found points) error {
+func (p *experimentRun) changeTable(each int, found points) error {
 	f, err := p.startDistribution(1, each, "1000MB")
 	if err != nil {
 		return err
--- a/cmd/rehearse/scale_distribution_test.go
+++ b/cmd/rehearse/scale_distribution_test.go
@@ -12,8 +12,8 @@
 func TestScaleDistribution(t *testing.T) {
 	for _, part := range distributionScaleParts {
 		var out bytes.Buffer
-		p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, Part: part.name, out: &out}
-		if err := p.run(experiment{name: "scale", play: playScale}, ""); err != nil {
+		p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, Part: part.name, out: &out}
+		if err := p.execute(experiment{name: "scale", runExperiment: runScale}, ""); err != nil {
 			t.Errorf("%s: %v:\n%s", part.name, err, &out)
 		}
 		for _, s := range p.scale.Series {
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -39,7 +39,7 @@
 
 // crowdSizes are the sizes of fleets amid which members are measured, and for how many seconds. A member takes no exchange of more
 // than 4,096 names, so it cannot join a larger fleet: a trial amid 8,600 that was told by gossip alone never came to know all.
-func (p *play) crowdSizes() (sizes []int, seconds float64) {
+func (p *experimentRun) crowdSizes() (sizes []int, seconds float64) {
 	switch {
 	case p.brief:
 		return []int{30, 40, 60, 80}, 1
@@ -51,7 +51,7 @@
 
 // crowdRun is the measurement at one size.
 type crowdRun struct {
-	p       *play
+	p       *experimentRun
 	size    int
 	seconds float64
 	cluster *rig.Cluster
@@ -71,7 +71,7 @@
 }
 
 // measureAmid measures members and processes in a fleet of one size.
-func (p *play) measureAmid(size int, seconds float64) (crowdCost, error) {
+func (p *experimentRun) measureAmid(size int, seconds float64) (crowdCost, error) {
 	r := &crowdRun{p: p, size: size, seconds: seconds, cost: crowdCost{size: size}}
 	defer r.close()
 	for _, step := range []func() error{r.start, r.join, r.newcomer, r.drain, r.churn, r.exchange, r.zone} {
@@ -223,7 +223,7 @@
 
 // newcomer measures what a member sends right after it has joined: all that it has learnt.
 func (r *crowdRun) newcomer() error {
-	c, err := r.measureDuring(sleepFor(r.p.span(time.Second)))
+	c, err := r.measureDuring(sleepFor(r.p.scaled(time.Second)))
 	r.cost.newcomerSent = c.sentBytes
 	return err
 }
@@ -233,7 +233,7 @@
 
 func (r *crowdRun) drain() error {
 	r.cost.drained = r.crowd.Drain(drainWithin + time.Duration(r.size/400)*time.Second)
-	time.Sleep(r.p.span(time.Second))
+	time.Sleep(r.p.scaled(time.Second))
 	return nil
 }
 
@@ -284,7 +284,7 @@
 	const times = 3
 	refused := 0
 	bytes := int64(0)
-	rest, err := r.measureDuring(sleepFor(r.p.span(time.Second)))
+	rest, err := r.measureDuring(sleepFor(r.p.scaled(time.Second)))
 	if err != nil {
 		return err
 	}
@@ -304,7 +304,7 @@
 		return err
 	}
 	if refused > 0 {
-		r.p.say("amid %d: %d of %d exchanges are refused or cut", r.size, refused, times*crowdMembers)
+		r.p.printNote("amid %d: %d of %d exchanges are refused or cut", r.size, refused, times*crowdMembers)
 	}
 	r.cost.exchangeBytes = float64(bytes) / (times * crowdMembers)
 	r.cost.exchangeCPU = max(c.cpu-rest.cpu, 0) * time.Since(began).Seconds() / times
@@ -322,14 +322,14 @@
 	r.crowd.Return(0, count)
 	r.cost.back = r.members.UntilSettled(r.size, zoneWithin)
 	if math.IsInf(r.cost.lost+r.cost.back, 1) {
-		r.p.say("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneWithin, r.cost.lost,
+		r.p.printNote("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneWithin, r.cost.lost,
 			r.cost.back, r.members.Latest())
 	}
 	return nil
 }
 
 // measureAmidCrowds measures real members and real processes in fleets of several sizes, side by side.
-func measureAmidCrowds(p *play, r *slope.Result) error {
+func measureAmidCrowds(p *experimentRun, r *slope.Result) error {
 	sizes, seconds := p.crowdSizes()
 	costs, errs := make([]crowdCost, len(sizes)), make([]error, len(sizes))
 	var group sync.WaitGroup
@@ -341,7 +341,7 @@
 	for _, err := range errs {
 		if err != nil {
 			failed++
-			p.say("left out: %v", err)
+			p.printNote("left out: %v", err)
 		}
 	}
 	p.exactly("crowd.sizes.failed", float64(failed), 0)
@@ -353,7 +353,7 @@
 		exchanges := 2 / hollow.ExchangeSeconds(c.size) // a second: one begun here and one elsewhere in each interval
 		core := c.core + exchanges*c.exchangeCPU
 		bytes := c.bytes + exchanges*c.exchangeBytes
-		p.say("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
+		p.printNote("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
 			"settled %.0f%%; joined after %.1f s and then sends %.0f KB a second (drained %t); zone lost %.1f s, back %.1f s; a process %.3g%% "+
 			"of a core, %.0f MB", c.size, 100*core, 100*exchanges*c.exchangeCPU, c.resident/(1<<20), c.packets, bytes/1000,
 			exchanges*c.exchangeBytes/1000, 100*c.converged, c.joined, c.newcomerSent/1000, c.drained, c.lost, c.back, 100*c.processCore,
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -49,7 +49,7 @@
 var errTimeout = errors.New("not seen in time")
 
 // startScaled starts a program with so many entries; directives are lines of its operators' file.
-func (p *play) startScaled(size tables, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
+func (p *experimentRun) startScaled(size tables, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
 	s := &scaledProgram{check: rig.NewChecker(checkerSlack), lines: make(chan logLine, mostLogLines),
 		configuration: configuration{tables: size, memoryMB: memoryMB, sockets: sockets, seed: p.Seed}}
 	if err := s.open(); err != nil {
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -21,7 +21,7 @@
 const roleNote = "pure voters and candidates on simulated time, a lease of 2 s; bytes are those that the program would send"
 
 // measureRoles plays elections against candidates, and against roles.
-func measureRoles(p *play, r *slope.Result) error {
+func measureRoles(p *experimentRun, r *slope.Result) error {
 	candidates, roles, few := []int{100, 300, 1000, 3000, 8600}, []int{1, 2, 4, 8}, 300
 	if p.brief {
 		candidates, few = []int{10, 20, 40, 80}, 20
@@ -39,7 +39,7 @@
 	}
 	found := points{}
 	for k, cost := range costs {
-		p.say("%d candidates, %d roles: a voter receives %.0f messages a second, at most %d in 20 ms, passes %.1f KB a second; "+
+		p.printNote("%d candidates, %d roles: a voter receives %.0f messages a second, at most %d in 20 ms, passes %.1f KB a second; "+
 			"%v a message; taken over after %.1f s", plans[k].Candidates, plans[k].Roles, cost.MessagesPerSecond, cost.PeakPerTick,
 			cost.BytesPerSecond/1000, cost.CPUPerMessage, cost.TakenOverSeconds)
 		x, against := float64(plans[k].Candidates), "candidates"
@@ -75,7 +75,7 @@
 const thresholdNote = "there is a threshold in it: the fit holds for the sizes that were run and for no other"
 
 // measureVoterBurst has candidates ask a real voter all at one time.
-func measureVoterBurst(p *play, r *slope.Result) error {
+func measureVoterBurst(p *experimentRun, r *slope.Result) error {
 	sizes := []int{100, 300, 500, 1000, 3000, designMembers}
 	if p.brief {
 		sizes = []int{20, 40, 80, 160}
@@ -92,14 +92,14 @@
 	firstLost := 0
 	for k, cost := range costs {
 		n := sizes[k]
-		p.say("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerQuestion)
+		p.printNote("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerQuestion)
 		answered = append(answered, slope.Point{X: float64(n), Y: float64(cost.Answered)})
 		lost = append(lost, slope.Point{X: float64(n), Y: 100 * float64(n-cost.Answered) / float64(n)})
 		if firstLost == 0 && cost.Answered < n {
 			firstLost = n
 		}
 	}
-	p.inform("voter.burst.first.lost", float64(firstLost))
+	p.report("voter.burst.first.lost", float64(firstLost))
 	note := "a real voter of fleet, all candidates ask at one moment, over an in-memory transport with no packet lost on its way"
 	err = p.series(r, slope.Series{Name: "voter.burst.answered", Unit: "questions", Against: "questions at once", Points: answered, Note: note,
 		Fit: slope.Fit{Model: slope.ModelPower}})
@@ -116,7 +116,7 @@
 	seconds        float64
 }
 
-func (p *play) quotaSizes() quotaSizes {
+func (p *experimentRun) quotaSizes() quotaSizes {
 	sizes := quotaSizes{[]int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 200, 2}
 	switch {
 	case p.brief:
@@ -140,7 +140,7 @@
 }
 
 // measureQuota has hollow holders ask a real allocator.
-func measureQuota(p *play, r *slope.Result) error {
+func measureQuota(p *experimentRun, r *slope.Result) error {
 	sizes := p.quotaSizes()
 	plans := sizes.plans(p.Seed)
 	costs, err := runHollows[hollow.QuotaCost](p, "quota", plans)
@@ -154,7 +154,7 @@
 		if firstLost == 0 && plan.Kinds == 1 && cost.LostShare > anyLost {
 			firstLost = plan.Holders
 		}
-		p.say("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
+		p.printNote("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
 			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.QuestionsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
 			100*cost.CoreShare, cost.CPUPerQuestion, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
 		x, against := float64(plan.Holders), "holders"
@@ -163,7 +163,7 @@
 		}
 		found.addQuota(against, x, cost, p.brief)
 	}
-	p.inform("allocator.first.lost.holders", float64(firstLost))
+	p.report("allocator.first.lost.holders", float64(firstLost))
 	return p.quotaSeries(r, found, sizes.many)
 }
 
@@ -194,7 +194,7 @@
 const quotaNote = "a real allocator of fleet in real time over an in-memory transport, hollow holders that each ask ten times a second"
 
 // quotaSeries fits what was found. A series whose allocator answered at too few sizes is left out, and that is said.
-func (p *play) quotaSeries(r *slope.Result, found points, many int) error {
+func (p *experimentRun) quotaSeries(r *slope.Result, found points, many int) error {
 	for _, u := range quotaUnits {
 		for _, against := range []string{"holders", "kinds"} {
 			s := slope.Series{Name: u.name + "." + against, Unit: u.unit, Against: "members", Fit: slope.Fit{Model: u.model}, Note: quotaNote}
@@ -208,7 +208,7 @@
 				s.Note += fmt.Sprintf("; %d holders", many)
 			}
 			if err := p.series(r, s); errors.Is(err, slope.ErrTooFewSizes) {
-				p.say("%s: not fitted, as at only %d sizes less than %g%% of the questions were lost", s.Name, len(s.Points), 100*mostLost)
+				p.printNote("%s: not fitted, as at only %d sizes less than %g%% of the questions were lost", s.Name, len(s.Points), 100*mostLost)
 			} else if err != nil {
 				return err
 			}
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -28,7 +28,7 @@
 	input   io.Closer
 }
 
-func (p *play) startBareServer() (*bareServer, error) {
+func (p *experimentRun) startBareServer() (*bareServer, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 const pairedConnections = 18_000
 
 // connectionSizes are how many connections are open.
-func (p *play) connectionSizes() []int {
+func (p *experimentRun) connectionSizes() []int {
 	return forms[[]int]{
 		brief: []int{4, 8, 16, 32},
 		usual: []int{10, 100, 1_000, 4_000},
@@ -75,7 +75,7 @@
 }
 
 // rpcTables is the configuration under which RPCs are measured: the design size.
-func (p *play) rpcTables() tables {
+func (p *experimentRun) rpcTables() tables {
 	if p.brief {
 		return tables{routes: 100, tenants: 1000}
 	}
@@ -84,7 +84,7 @@
 
 // measureConnectionMemory measures the program's resident memory against open connections, each of which has carried one
 // RPC and is idle then.
-func measureConnectionMemory(p *play, r *slope.Result) error {
+func measureConnectionMemory(p *experimentRun, r *slope.Result) error {
 	s, err := p.startScaled(tables{routes: fewEntries}, roomyMemory, socketsLimit)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 	length    time.Duration
 }
 
-func (p *play) rpcRates() []rpcRate {
+func (p *experimentRun) rpcRates() []rpcRate {
 	return forms[[]rpcRate]{
 		brief: []rpcRate{{meanRate, 1, 200 * time.Millisecond}, {highRate, 1, 50 * time.Millisecond}},
 		usual: []rpcRate{{meanRate, 3, 500 * time.Millisecond}, {highRate, 3, 250 * time.Millisecond}},
@@ -177,15 +177,15 @@
 
 // measureRPC measures what the program adds to an RPC against open connections, with tables of the design size in memory,
 // and what one change costs in the same program.
-func measureRPC(p *play, r *slope.Result) error {
+func measureRPC(p *experimentRun, r *slope.Result) error {
 	size := p.rpcTables()
 	s, err := p.startScaled(size, roomyMemory, socketsLimit)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	p.inform("rpc.tables.start_seconds", s.startSeconds)
-	p.inform("rpc.tables.file_bytes", float64(s.fileBytes))
+	p.report("rpc.tables.start_seconds", s.startSeconds)
+	p.report("rpc.tables.file_bytes", float64(s.fileBytes))
 	bare, err := p.startBareServer()
 	if err != nil {
 		return err
@@ -194,20 +194,20 @@
 	if err := p.rpcSeries(r, s, bare, "tables of "+size.String()+"; program on one core"); err != nil {
 		return err
 	}
-	p.inform("rpc.tables.resident_bytes", float64(s.Resident()))
+	p.report("rpc.tables.resident_bytes", float64(s.Resident()))
 	cost, err := s.change()
 	if err != nil {
 		return err
 	}
-	p.inform("rpc.tables.change_seconds", cost.cpuSeconds)
-	p.inform("rpc.tables.change_wall_seconds", cost.wallSeconds)
-	p.inform("rpc.tables.change_peak_bytes", cost.peakBytes)
+	p.report("rpc.tables.change_seconds", cost.cpuSeconds)
+	p.report("rpc.tables.change_wall_seconds", cost.wallSeconds)
+	p.report("rpc.tables.change_peak_bytes", cost.peakBytes)
 	p.exactly("rpc.breaches", float64(s.violations()), 0)
 	return nil
 }
 
 // rpcSeries measures each rate at each number of connections.
-func (p *play) rpcSeries(r *slope.Result, s *scaledProgram, bare *bareServer, note string) error {
+func (p *experimentRun) rpcSeries(r *slope.Result, s *scaledProgram, bare *bareServer, note string) error {
 	through := newFrameLoad(s.configuration.listen, s.check, s.configuration.tables.routes, "rpc")
 	defer through.close()
 	bareLoad := newFrameLoad(bare.address, nil, s.configuration.tables.routes, "bare")
@@ -230,14 +230,14 @@
 			if err != nil {
 				return fmt.Errorf("%d connections, %g RPCs a second: %w", n, rate.perSecond, err)
 			}
-			p.say("%d connections, %g RPCs/s: p99 %.2f ms, bare %.2f ms, %d samples", n, rate.perSecond, added.programTail*1e3,
+			p.printNote("%d connections, %g RPCs/s: p99 %.2f ms, bare %.2f ms, %d samples", n, rate.perSecond, added.programTail*1e3,
 				added.bareTail*1e3, added.samples)
 			cpus[k] = append(cpus[k], slope.Point{X: float64(n), Y: (s.CPU() - cpu).Seconds() / float64(through.sent-sent)})
 			medians[k] = append(medians[k], slope.Point{X: float64(n), Y: added.median})
 			tails[k] = append(tails[k], slope.Point{X: float64(n), Y: added.tail})
 		}
 	}
-	p.inform("rpc.refused_share", float64(through.refused)/float64(max(through.sent, 1)))
+	p.report("rpc.refused_share", float64(through.refused)/float64(max(through.sent, 1)))
 	for k, rate := range rates {
 		for _, one := range []struct {
 			what   string
@@ -253,7 +253,7 @@
 }
 
 // changingTenants are how many tenants the configuration has that changes while RPCs are served.
-func (p *play) changingTenants() []int {
+func (p *experimentRun) changingTenants() []int {
 	return forms[[]int]{
 		brief: []int{10, 40, 160, 640},
 		usual: []int{1_000, 4_000, 12_000, 40_000},
@@ -262,7 +262,7 @@
 }
 
 // changingRate is at which RPCs are sent at each size; but for the shortest form a round has a change or more in it.
-func (p *play) changingRate() rpcRate {
+func (p *experimentRun) changingRate() rpcRate {
 	return forms[rpcRate]{
 		brief: rpcRate{meanRate, 1, 200 * time.Millisecond},
 		usual: rpcRate{meanRate, 3, changePeriod},
@@ -272,7 +272,7 @@
 
 // measureRPCUnderChanges measures what the program adds to an RPC while its configuration changes as often as at the design
 // size, against tenants, and which share of a core it spends.
-func measureRPCUnderChanges(p *play, r *slope.Result) error {
+func measureRPCUnderChanges(p *experimentRun, r *slope.Result) error {
 	bare, err := p.startBareServer()
 	if err != nil {
 		return err
@@ -298,7 +298,7 @@
 
 // rpcUnderChanges gives what the program adds to an RPC while its configuration changes, and the share of a core that it
 // spends above the same RPCs without changes.
-func (p *play) rpcUnderChanges(bare *bareServer, size tables) (added addedTime, core float64, err error) {
+func (p *experimentRun) rpcUnderChanges(bare *bareServer, size tables) (added addedTime, core float64, err error) {
 	const connections = 10
 	s, err := p.startScaled(size, roomyMemory, fewSockets)
 	if err != nil {
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -85,7 +85,7 @@
 }
 
 // memberSizes are how many members a start is measured among.
-func (p *play) memberSizes() []int {
+func (p *experimentRun) memberSizes() []int {
 	return forms[[]int]{
 		brief: []int{2, 3, 4, 5},
 		usual: []int{5, 10, 20, 40},
@@ -95,7 +95,7 @@
 
 // measureStartMembers measures a start against the members of the fleet: until the program serves, and until its view has
 // all members.
-func measureStartMembers(p *play, r *slope.Result) error {
+func measureStartMembers(p *experimentRun, r *slope.Result) error {
 	hollow := newHollowMembers()
 	defer hollow.close()
 	var ready, learned []slope.Point
@@ -124,7 +124,7 @@
 
 // startAmong starts the program in a fleet of n others, and gives the seconds until it served and until its view was
 // complete.
-func (p *play) startAmong(seeds []netip.AddrPort, n int) (served, complete float64, err error) {
+func (p *experimentRun) startAmong(seeds []netip.AddrPort, n int) (served, complete float64, err error) {
 	var join []string
 	for _, at := range seeds {
 		join = append(join, at.String())
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -22,7 +22,7 @@
 const designEntries = designRoutes + designTenants
 
 // entrySizes are how many entries the configuration table is measured with: it is a pure module, quick at the design size.
-func (p *play) entrySizes() []int {
+func (p *experimentRun) entrySizes() []int {
 	if p.brief {
 		return []int{500, 1_000, 2_000, 4_000}
 	}
@@ -211,7 +211,7 @@
 }
 
 // measureTable measures the configuration table: a change, memory, and a start from its snapshot, against entries.
-func measureTable(p *play, r *slope.Result) error {
+func measureTable(p *experimentRun, r *slope.Result) error {
 	columns := []struct {
 		name, unit, note string
 		of               func(t tableCost) float64
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -19,7 +19,7 @@
 const restartsPerMember = designRestartsPerDay / 86400.0 / designMembers
 
 // pureSizes are the sizes at which the view's machine runs alone.
-func (p *play) pureSizes() []int {
+func (p *experimentRun) pureSizes() []int {
 	return forms[[]int]{
 		brief: []int{20, 40, 80, 160},
 		usual: []int{300, 1000, 3000, 8600},
@@ -28,7 +28,7 @@
 }
 
 // pureSeconds is how many seconds are simulated at each size.
-func (p *play) pureSeconds(members int) float64 {
+func (p *experimentRun) pureSeconds(members int) float64 {
 	switch {
 	case p.brief:
 		return 10
@@ -57,7 +57,7 @@
 }{{"one-change", hollow.OneChange}, {"all-changes", hollow.AllChanges}}
 
 // measurePureView runs the view's machine alone against members, with restarts in proportion.
-func measurePureView(p *play, r *slope.Result) error {
+func measurePureView(p *experimentRun, r *slope.Result) error {
 	var plans []hollow.ViewPlan
 	for _, members := range p.pureSizes() {
 		for _, restart := range restartKinds {
@@ -72,7 +72,7 @@
 	found := points{}
 	for k, cost := range costs {
 		members, kind := plans[k].Members, restartKinds[k%len(restartKinds)].name
-		p.say("pure view, %s, %d members: %.3g%% of a core, settled %.1f%%, %.0f views an hour", kind, members,
+		p.printNote("pure view, %s, %d members: %.3g%% of a core, settled %.1f%%, %.0f views an hour", kind, members,
 			100*cost.CoreShare, 100*cost.ConvergedShare, cost.ViewsPerHour)
 		found.add("view.pure.cpu."+kind, float64(members), 100*cost.CoreShare)
 		found.add("view.pure.settled."+kind, float64(members), 100*cost.ConvergedShare)
@@ -95,7 +95,7 @@
 }
 
 // measureViewChurn runs the view's machine alone at one size against churn.
-func measureViewChurn(p *play, r *slope.Result) error {
+func measureViewChurn(p *experimentRun, r *slope.Result) error {
 	members, seconds := 300, 120.0
 	if p.brief {
 		members, seconds = 100, 20
@@ -131,7 +131,7 @@
 )
 
 // measureViewOutage has a rack, and a zone, lost and back at each size, at rest otherwise.
-func measureViewOutage(p *play, r *slope.Result) error {
+func measureViewOutage(p *experimentRun, r *slope.Result) error {
 	var plans []hollow.OutagePlan
 	kinds := []string{"rack", "zone"}
 	for _, members := range p.pureSizes() {
@@ -147,7 +147,7 @@
 	found := points{}
 	for k, out := range costs {
 		members, what := plans[k].View.Members, kinds[k%len(kinds)]
-		p.say("pure view, a %s of %d lost among %d: settled after %.1f s, back after %.1f s, %.3g%% of a core", what, plans[k].Lost,
+		p.printNote("pure view, a %s of %d lost among %d: settled after %.1f s, back after %.1f s, %.3g%% of a core", what, plans[k].Lost,
 			members, out.LostSeconds, out.BackSeconds, 100*out.CoreShare)
 		found.add(what+".lost", float64(members), out.LostSeconds)
 		found.add(what+".back", float64(members), out.BackSeconds)
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -63,16 +63,16 @@
 
 // shareTrial is the state of the experiment on a common limit.
 type shareTrial struct {
-	*play
+	*experimentRun
 	on, even, off *sharedCluster
 	demand        sharedDemand
 	err           error // of faults
 }
 
-// playShare is the experiment on a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
+// runShare is the experiment on a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
 // limit, all restarted. The baselines are an even split, and no common limit.
-func playShare(p *play) error {
-	t := &shareTrial{play: p}
+func runShare(p *experimentRun) error {
+	t := &shareTrial{experimentRun: p}
 	err := t.start()
 	defer t.close()
 	if err != nil {
@@ -179,10 +179,10 @@
 	packets, runs, began := t.on.packets(), t.on.backend.Runs(), time.Now()
 	time.Sleep(3 * time.Second)
 	packets, runs = t.on.packets()-packets, t.on.backend.Runs()-runs
-	t.inform("packets.s", packets/time.Since(began).Seconds()/sharedOn)
-	t.inform("packets.a.run", packets/float64(runs))
+	t.report("packets.s", packets/time.Since(began).Seconds()/sharedOn)
+	t.report("packets.a.run", packets/float64(runs))
 	t.atLeast("used.steady", t.on.backend.Used()/sharedLimit, 0.9)
-	t.inform("used.steady.even", t.even.backend.Used()/sharedLimit)
+	t.report("used.steady.even", t.even.backend.Used()/sharedLimit)
 }
 
 // compare compares what was served under an allocator with the baselines.
@@ -190,9 +190,9 @@
 	t.atLeast("over.limit.off", float64(t.off.backend.Over()), 1)
 	t.exactly("over.limit.even", float64(t.even.backend.Over()), 0)
 	for _, phase := range []string{"skewed", "full"} {
-		t.inform("best."+phase, t.on.bestShare(phase))
+		t.report("best."+phase, t.on.bestShare(phase))
 		t.atLeast("criticality.ok."+phase, t.on.servedShare(phase)/t.on.bestShare(phase), 0.9)
-		t.inform("criticality.even."+phase, t.even.servedShare(phase))
+		t.report("criticality.even."+phase, t.even.servedShare(phase))
 	}
 	t.atLeast("served.least.full", t.on.leastServedShare("full"), 0.1)
 	t.atLeast("criticality.of.even.skewed", t.on.servedShare("skewed")/t.even.servedShare("skewed"), 1.3)
@@ -203,7 +203,7 @@
 }
 
 // lower has a reload lower the limit by a third, and gives by how much that is passed once what was granted before is over.
-func (r *sharedCluster) lower(p *play) int {
+func (r *sharedCluster) lower(p *experimentRun) int {
 	const to = sharedLimit * 2 / 3
 	for _, name := range r.Names() {
 		r.Amend(name, func(settings string) string {
@@ -219,8 +219,8 @@
 	return r.backend.Over()
 }
 
-// playShareForty is the experiment on few permits among many: each of forty processes has its turn.
-func playShareForty(p *play) error {
+// runShareForty is the experiment on few permits among many: each of forty processes has its turn.
+func runShareForty(p *experimentRun) error {
 	const many, few = 40, 10
 	r := newSharedCluster(few)
 	plan := p.sharedPlan(many, r.backend)
@@ -238,7 +238,7 @@
 	time.Sleep(3500 * time.Millisecond) // until the reserved permits may be used
 	r.startPhase("many")
 	var load sync.WaitGroup
-	length := p.span(12 * time.Second)
+	length := p.scaled(12 * time.Second)
 	load.Go(func() { // four times what may run
 		r.load(context.Background(), p, length, func(string) float64 { return 4 * few / sharedWork / 0.85 / many })
 	})
@@ -263,8 +263,8 @@
 	return p.keep(r.Cluster)
 }
 
-// playShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
-func playShareAuto(p *play) error {
+// runShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
+func runShareAuto(p *experimentRun) error {
 	r, err := p.startSharedCluster("on", fmt.Sprintf("auto %d-%d %s", sharedOn, 3*sharedLimit, time.Duration(autoTarget*sharedWork*float64(time.Second))))
 	if err != nil {
 		return err
@@ -282,16 +282,16 @@
 	})
 	for k, bears := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
 		r.backend.Bears(bears)
-		time.Sleep(p.span([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
-		sum, n := 0.0, 0.0                                              // it goes up and down about what is right: the mean over some seconds
-		for end := time.Now().Add(p.span(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		time.Sleep(p.scaled([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
+		sum, n := 0.0, 0.0                                                // it goes up and down about what is right: the mean over some seconds
+		for end := time.Now().Add(p.scaled(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			if _, s := r.allocator(); s.Limit > 0 {
 				sum += float64(s.Limit)
 				n++
 			}
 		}
 		off := math.Abs(sum/n-float64(bears)) / float64(bears)
-		p.say("%d are borne, the limit is %.1f", bears, sum/n)
+		p.printNote("%d are borne, the limit is %.1f", bears, sum/n)
 		p.atMost(fmt.Sprintf("limit.off.share.%d", bears), off, 0.2)
 	}
 	stop()
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -62,7 +62,7 @@
 		}
 	}
 	if fault == "cut" { // what is on the other side comes back with the cut's end alone
-		t.inform("back.s."+fault, back)
+		t.report("back.s."+fault, back)
 	} else {
 		t.atMost("back.s."+fault, back, 3*experimentLease.Seconds())
 	}
@@ -97,7 +97,7 @@
 	}
 	starts.Wait()
 	t.on.startPhase("again")
-	t.on.load(context.Background(), t.play, 4*time.Second, t.demand.of)
+	t.on.load(context.Background(), t.experimentRun, 4*time.Second, t.demand.of)
 	t.exactly("over.limit.restarted", float64(t.on.backend.Over()), 0)
-	t.inform("served.restarted", t.on.servedShare("again"))
+	t.report("served.restarted", t.on.servedShare("again"))
 }
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -14,9 +14,9 @@
 	"valveglade/rig"
 )
 
-// playView is the experiment on the view: deaths, flapping, two under one name, a sleeper, a rolling release and a start of
+// runView is the experiment on the view: deaths, flapping, two under one name, a sleeper, a rolling release and a start of
 // all at once, compared with the same processes with the fleet off.
-func playView(p *play) error {
+func runView(p *experimentRun) error {
 	const n = 12
 	plan := p.plan(n)
 	plan.Off = true
@@ -88,11 +88,11 @@
 	}
 	anyOf := slices.Concat(still, []string{"n7", "n8", "n9"})
 	false1, lasting := falseDeaths(on, from, from+12, 3, anyOf, slept)
-	p.inform("false.deaths", float64(false1))
+	p.report("false.deaths", float64(false1))
 	p.exactly("false.deaths.lasting", float64(lasting), 0)
 	p.atMost("back.after.all", p.untilAlike(on, 10*time.Second, n, slices.Concat(still, []string{"n7", "n8", "n9", "n10-twin", "n11", "n12"})), 10)
 	a, b := service(served[on], still), service(served[off], still)
-	p.inform("service.on", a)
+	p.report("service.on", a)
 	p.atLeast("service.of.off", a/b, 0.98)
 
 	// All are replaced one after the other.
@@ -130,7 +130,7 @@
 
 // measureAtRest measures what the fleet costs an idle process: bytes and packets of the fleet, and processor time on
 // top of the same process with the fleet off.
-func (p *play) measureAtRest(on, off *rig.Cluster, all []string, span time.Duration) error {
+func (p *experimentRun) measureAtRest(on, off *rig.Cluster, all []string, span time.Duration) error {
 	look := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
 		for _, name := range all {
 			shown, err := member.ReadStatus(on.Socket(name))
@@ -155,14 +155,14 @@
 	}
 	per := span.Seconds() * float64(len(all))
 	p.atMost("rest.cpu.share", ((on1-on0)-(off1-off0)).Seconds()/per, 0.01)
-	p.inform("rest.cpu.share.off", (off1-off0).Seconds()/per)
-	p.inform("rest.bytes.s", float64(bytes1-bytes0)/per)
-	p.inform("rest.packets.s", float64(packets1-packets0)/per)
+	p.report("rest.cpu.share.off", (off1-off0).Seconds()/per)
+	p.report("rest.bytes.s", float64(bytes1-bytes0)/per)
+	p.report("rest.packets.s", float64(packets1-packets0)/per)
 	return nil
 }
 
-// playViewFaults is the experiment on the view between faults of the network, compared with the gossip library alone.
-func playViewFaults(p *play) error {
+// runViewFaults is the experiment on the view between faults of the network, compared with the gossip library alone.
+func runViewFaults(p *experimentRun) error {
 	const n = 12
 	f, err := startClusters(p.plan(n), p.bare(n))
 	if err != nil {
@@ -173,12 +173,12 @@
 	var group sync.WaitGroup
 	all := names(n)
 	p.atMost("joined.all", p.untilAlike(on, 15*time.Second, n, all), 10)
-	p.inform("joined.all.bare", p.untilAlike(bare, 15*time.Second, n, all))
+	p.report("joined.all.bare", p.untilAlike(bare, 15*time.Second, n, all))
 
 	// Loss and jitter, and one that is starved meanwhile.
 	loadOver := make(chan struct{})
 	var out map[string]rig.Outcome
-	length := p.span(30 * time.Second)
+	length := p.scaled(30 * time.Second)
 	go func() {
 		defer close(loadOver)
 		out = p.load(on, length, 15, all)
@@ -190,7 +190,7 @@
 		return err
 	}
 	false1, lasting := falseDeaths(on, from, from+6, 3, all, func(string, float64) bool { return true })
-	p.inform("false.deaths", float64(false1))
+	p.report("false.deaths", float64(false1))
 	p.exactly("false.deaths.lasting", float64(lasting), 0)
 	p.untilAlike(on, 4*time.Second, n, all)
 
@@ -222,7 +222,7 @@
 	bareCut, _ := bare.Until(10*time.Second, func() bool {
 		return bare.History.Alike(4, small...) && bare.History.Alike(8, large...)
 	})
-	p.inform("settled.after.cut.bare", bareCut)
+	p.report("settled.after.cut.bare", bareCut)
 	if err := f.all(func(s *rig.Cluster) error { return s.Run("0s heal") }); err != nil {
 		return err
 	}
@@ -244,17 +244,17 @@
 		p.atMost("rejoined.of.three", p.untilAlike(on, 12*time.Second, n, all), 10)
 	}
 	<-loadOver
-	p.inform("service", service(out, all))
+	p.report("service", service(out, all))
 	p.exactly("views.differ.at.end", differ(on), 0)
 	p.violations(on)
 	return p.keep(on)
 }
 
-// playViewDrawn plays faults drawn at random, and checks what must hold under any faults: in the end all processes have one view of
+// runViewDrawn plays faults drawn at random, and checks what must hold under any faults: in the end all processes have one view of
 // all that run, and no rule was broken.
-func playViewDrawn(p *play) error {
+func runViewDrawn(p *experimentRun) error {
 	const n = 8
-	length := p.span(20 * time.Second)
+	length := p.scaled(20 * time.Second)
 	script := rig.Draw(p.Seed, names(n), 10, length)
 	if p.Script != "" {
 		text, err := os.ReadFile(p.Script)
@@ -266,7 +266,7 @@
 		}
 	}
 	for line := range strings.Lines(script.String()) {
-		p.say("%s", strings.TrimSpace(line))
+		p.printNote("%s", strings.TrimSpace(line))
 	}
 	s, err := rig.NewCluster(p.plan(n))
 	if err != nil {
@@ -284,7 +284,7 @@
 	alive := s.Running()
 	p.atMost("settled.after.all", p.untilAlike(s, 20*time.Second, len(alive), alive), 15)
 	loading.Wait()
-	p.inform("service", service(out, all))
+	p.report("service", service(out, all))
 	p.exactly("views.differ.at.end", differ(s), 0)
 	p.violations(s)
 	return p.keep(s)
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -77,13 +77,13 @@
 }
 
 // plan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
-func (p *play) plan(n int) rig.Plan {
+func (p *experimentRun) plan(n int) rig.Plan {
 	return rig.Plan{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
 		Seed: p.Seed}
 }
 
 // bare is the same with the gossip library alone.
-func (p *play) bare(n int) rig.Plan {
+func (p *experimentRun) bare(n int) rig.Plan {
 	plan := p.plan(n)
 	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
 		return exec.Command(p.self(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
@@ -93,7 +93,7 @@
 }
 
 // self is this program's binary.
-func (p *play) self() string {
+func (p *experimentRun) self() string {
 	if p.rehearse != "" {
 		return p.rehearse
 	}
@@ -105,7 +105,7 @@
 }
 
 // load asks all of some processes for a length of time, each by a caller of its own.
-func (p *play) load(s *rig.Cluster, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
+func (p *experimentRun) load(s *rig.Cluster, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
 	out := map[string]rig.Outcome{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -176,14 +176,14 @@
 }
 
 // violations has the checkers' last word.
-func (p *play) violations(clusters ...*rig.Cluster) {
+func (p *experimentRun) violations(clusters ...*rig.Cluster) {
 	n := 0
 	for _, s := range clusters {
 		s.Check.Finish()
 		for k, b := range s.Check.Violations() {
 			n++
 			if k < 5 {
-				p.say("%s", b)
+				p.printNote("%s", b)
 			}
 		}
 	}
@@ -191,12 +191,12 @@
 }
 
 // untilAlike waits until all of these see one view of n members; the time counts in a figure.
-func (p *play) untilAlike(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
+func (p *experimentRun) untilAlike(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
 	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
 	if !ok {
 		for _, name := range who {
 			observation, _ := s.History.Latest(name)
-			p.say("%s: %d members, %s, %s", name, observation.Members, observation.Digest, observation.Certainty)
+			p.printNote("%s: %d members, %s, %s", name, observation.Members, observation.Digest, observation.Certainty)
 		}
 		return math.Inf(1)
 	}
@@ -204,7 +204,7 @@
 }
 
 // keep writes the history to a file, if one was asked for.
-func (p *play) keep(s *rig.Cluster) error {
+func (p *experimentRun) keep(s *rig.Cluster) error {
 	if p.History == "" {
 		return nil
 	}
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -16,9 +16,9 @@
 	"valveglade/member"
 )
 
-// playViewCost measures the fleet's view at sizes that processes do not reach: many members in this process, over loopback
+// runViewCost measures the fleet's view at sizes that processes do not reach: many members in this process, over loopback
 // sockets, at rest and after a fifth have died at one time.
-func playViewCost(p *play) error {
+func runViewCost(p *experimentRun) error {
 	sizes := []int{20, 100}
 	switch {
 	case p.brief:
@@ -35,7 +35,7 @@
 		converged = append(converged, took)
 	}
 	for k := 1; k < len(sizes); k++ {
-		p.inform(fmt.Sprintf("settled.growth.%d.to.%d", sizes[0], sizes[k]), converged[k]/converged[0])
+		p.report(fmt.Sprintf("settled.growth.%d.to.%d", sizes[0], sizes[k]), converged[k]/converged[0])
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 const atRest = 2000
 
 // measureView gives how long the rest of n took to settle after a fifth had died, in seconds.
-func (p *play) measureView(n int) (float64, error) {
+func (p *experimentRun) measureView(n int) (float64, error) {
 	name := func(what string) string { return fmt.Sprintf("%s.%d", what, n) }
 	runtime.GC()
 	var before, after runtime.MemStats
@@ -103,7 +103,7 @@
 			}
 			seen[fmt.Sprintf("%d members, %v, version %d, %x, %v", len(v.Members), v.Certainty, v.Version, v.Digest, states)]++
 		}
-		p.say("%v", seen)
+		p.printNote("%v", seen)
 	}
 	took := wait(30*time.Second, all)
 	p.atMost(name("joined.settled.s"), took, 30)
@@ -127,8 +127,8 @@
 			calm++
 		}
 	}
-	p.inform(name("at.rest.after.s"), time.Since(began).Seconds())
-	span := p.span(5 * time.Second)
+	p.report(name("at.rest.after.s"), time.Since(began).Seconds())
+	span := p.scaled(5 * time.Second)
 	cpu := spent()
 	bytes0, packets0 := passed()
 	time.Sleep(span)
@@ -138,7 +138,7 @@
 	per := float64(n) * span.Seconds()
 	p.atMost(name("cpu.member.share"), cpu.Seconds()/per, 0.01)
 	p.atMost(name("bytes.member.s"), float64(bytes)/per, atRest)
-	p.inform(name("packets.member.s"), float64(packets)/per)
+	p.report(name("packets.member.s"), float64(packets)/per)
 	// A fifth die at one time.
 	dead := all[n-n/5:]
 	for _, m := range dead {
--- a/cmd/rehearse/violations.go
+++ b/cmd/rehearse/violations.go
@@ -15,9 +15,9 @@
 }
 
 // report has the experiment fail if there is any violation, and prints the first of them.
-func (l *violationLog) report(p *play) {
+func (l *violationLog) report(p *experimentRun) {
 	p.exactly("breaches", float64(len(l.all)), 0)
 	for _, violation := range l.all[:min(len(l.all), shownViolations)] {
-		p.say("%s", violation)
+		p.printNote("%s", violation)
 	}
 }
