--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -11,13 +11,13 @@
 	"valveglade/rpc"
 )
 
-// careful is the client as a caller of the rig's loads.
-type careful struct {
+// clientCaller is the client as a caller of the rig's loads.
+type clientCaller struct {
 	*client.Client
 	kinds map[string]rpc.Kind
 }
 
-func (c careful) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
+func (c clientCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	opts := []client.CallOption{client.As(client.Method{Kind: c.kinds[method], Criticality: criticality})}
 	if token != "" {
 		opts = append(opts, client.Token(token))
@@ -29,8 +29,8 @@
 // slack is beside each time that the checker looks at: the platform's own 50 ms.
 const slack = 50 * time.Millisecond
 
-// shop is the mix that experiments ask for: lookups, checks that are tokened, and what must not run twice at all.
-func shop(work float64, deadline time.Duration) []rig.Share {
+// requestMix is the mix that experiments ask for: lookups, checks that are tokened, and what must not run twice at all.
+func requestMix(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Part: 0.6, Work: work, Deadline: deadline},
 		{Method: "record", Kind: rpc.Tokened, Criticality: 0.9, Part: 0.25, Work: work, Deadline: deadline},
@@ -38,7 +38,7 @@
 	}
 }
 
-func shopSite(deadline time.Duration) rig.Site {
+func requestMixSite(deadline time.Duration) rig.Site {
 	d := deadline.Seconds()
 	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 16, Marks: true,
 		MaxAfter: 5, Methods: []rig.SiteMethod{
@@ -55,8 +55,8 @@
 	return kinds
 }
 
-// descriptors is how many this process has open.
-func descriptors() int {
+// openDescriptors is how many this process has open.
+func openDescriptors() int {
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0
@@ -67,7 +67,7 @@
 // runClient is the experiment on the client library.
 func runClient(p *experimentRun) error {
 	rig.Prepare()
-	goroutines, open := runtime.NumGoroutine(), descriptors()
+	goroutines, open := runtime.NumGoroutine(), openDescriptors()
 	var violations violationLog
 	sums := map[string]float64{}
 	note := func(c *rig.Checker) {
@@ -76,13 +76,13 @@
 			sums[name] += float64(c.Count(name))
 		}
 	}
-	if err := p.reconnects(note); err != nil {
+	if err := p.runReconnects(note); err != nil {
 		return err
 	}
-	if err := p.halfOut(note); err != nil {
+	if err := p.runHalfOutage(note); err != nil {
 		return err
 	}
-	if err := p.hardCases(note); err != nil {
+	if err := p.runUncommonFaults(note); err != nil {
 		return err
 	}
 	for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
@@ -91,17 +91,17 @@
 	violations.report(p)
 	// What a closed socket's owner still has to do takes a moment.
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end) &&
-		(runtime.NumGoroutine() > goroutines || descriptors() > open); {
+		(runtime.NumGoroutine() > goroutines || openDescriptors() > open); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	p.exactly("leaked.goroutines", float64(max(runtime.NumGoroutine()-goroutines, 0)), 0)
 	// The first use of the network keeps descriptors of Go's own: the poller's.
-	p.exactly("leaked.descriptors", float64(max(descriptors()-open-ownDescriptors, 0)), 0)
-	if p.brief {
+	p.exactly("leaked.descriptors", float64(max(openDescriptors()-open-runtimeDescriptors, 0)), 0)
+	if p.shortForm {
 		return nil
 	}
-	return p.overhead()
+	return p.measureOverhead()
 }
 
-// ownDescriptors are Go's: its poller, the event that wakes it.
-const ownDescriptors = 4
+// runtimeDescriptors are Go's: its poller, the event that wakes it.
+const runtimeDescriptors = 4
--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -13,37 +13,37 @@
 
 // The fleet and load of halfOut: half of these app servers cannot quite carry the rate.
 const (
-	halfOutClients  = 16
-	halfOutServers  = 4
-	halfOutRate     = 440.0 // RPCs per second
-	halfOutDeadline = 800 * time.Millisecond
+	halfOutageClients  = 16
+	halfOutageServers  = 4
+	halfOutageRate     = 440.0 // RPCs per second
+	halfOutageDeadline = 800 * time.Millisecond
 )
 
-// halfOutResult is what one kind of client made of the outage.
-type halfOutResult struct {
+// halfOutageResult is what one kind of client made of the outage.
+type halfOutageResult struct {
 	out   rig.Outcome
 	check *rig.Checker
 }
 
 // triesPerRPC returns the mean number of tries of an RPC.
-func (r halfOutResult) triesPerRPC() float64 {
+func (r halfOutageResult) triesPerRPC() float64 {
 	return float64(r.check.Count("tries")) / float64(r.out.Asked)
 }
 
-// halfOut kills half the app servers for some seconds, with the careful client and with the naive one, each with a
+// runHalfOutage kills half the app servers for some seconds, with the careful client and with the naive one, each with a
 // fleet of its own, at the same time.
-func (p *experimentRun) halfOut(note func(*rig.Checker)) error {
-	var good, bad halfOutResult
+func (p *experimentRun) runHalfOutage(note func(*rig.Checker)) error {
+	var good, bad halfOutageResult
 	var errGood, errBad error
 	var both sync.WaitGroup
 	both.Go(func() {
-		good, errGood = p.halfOutOf(func(k int, addresses []string) (rig.Caller, error) {
+		good, errGood = p.measureHalfOutage(func(k int, addresses []string) (rig.Caller, error) {
 			c, err := client.New(client.Servers(addresses...), client.Seed(p.Seed*7919+uint64(k)+1))
-			return careful{c, kindsOf(shop(0, 0))}, err
+			return clientCaller{c, kindsOf(requestMix(0, 0))}, err
 		})
 	})
 	both.Go(func() {
-		bad, errBad = p.halfOutOf(func(k int, addresses []string) (rig.Caller, error) {
+		bad, errBad = p.measureHalfOutage(func(k int, addresses []string) (rig.Caller, error) {
 			return rig.NewNaiveClient(100+k, addresses...), nil
 		})
 	})
@@ -64,17 +64,17 @@
 	return nil
 }
 
-// halfOutOf plays the outage with one kind of client.
-func (p *experimentRun) halfOutOf(newCaller func(k int, addresses []string) (rig.Caller, error)) (r halfOutResult, err error) {
+// measureHalfOutage plays the outage with one kind of client.
+func (p *experimentRun) measureHalfOutage(newCaller func(k int, addresses []string) (rig.Caller, error)) (r halfOutageResult, err error) {
 	length := p.scaled(8 * time.Second)
 	r.check = rig.NewChecker(2 * slack)
-	f, err := rig.NewFleet(p.Program, halfOutServers, shopSite(halfOutDeadline), r.check)
+	f, err := rig.NewFleet(p.Program, halfOutageServers, requestMixSite(halfOutageDeadline), r.check)
 	if err != nil {
 		return r, err
 	}
 	defer f.Close()
 	var callers []rig.Caller
-	for k := range halfOutClients {
+	for k := range halfOutageClients {
 		c, err := newCaller(k, f.Addresses())
 		if err != nil {
 			return r, err
@@ -85,8 +85,8 @@
 	var outage sync.WaitGroup
 	var errOutage error
 	outage.Go(func() { errOutage = killHalf(f, length) })
-	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutRate }, Length: length, Prefix: "b",
-		Shares: shop(0.01, halfOutDeadline)}.Run(context.Background(), r.check, callers...)
+	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutageRate }, Length: length, Prefix: "b",
+		Shares: requestMix(0.01, halfOutageDeadline)}.Run(context.Background(), r.check, callers...)
 	outage.Wait()
 	return r, errOutage
 }
@@ -106,11 +106,11 @@
 	return errors.Join(errs...)
 }
 
-// hardCases plays what a real app server does seldom: silence, trickles, ten seconds of refusals, a refusal that comes
+// runUncommonFaults plays what a real app server does seldom: silence, trickles, ten seconds of refusals, a refusal that comes
 // as the deadline ends, deadlines shorter than a round trip, a list that goes empty.
-func (p *experimentRun) hardCases(note func(*rig.Checker)) error {
+func (p *experimentRun) runUncommonFaults(note func(*rig.Checker)) error {
 	check := rig.NewChecker(2 * slack)
-	f, err := rig.NewFleet(p.Program, 3, shopSite(500*time.Millisecond), check)
+	f, err := rig.NewFleet(p.Program, 3, requestMixSite(500*time.Millisecond), check)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 	defer c.Close()
 	load := func(prefix string, rate float64, length, deadline time.Duration) rig.Outcome {
 		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
-			Shares: shop(0.004, deadline)}.Run(context.Background(), check, careful{c, kindsOf(shop(0, 0))})
+			Shares: requestMix(0.004, deadline)}.Run(context.Background(), check, clientCaller{c, kindsOf(requestMix(0, 0))})
 	}
 	var trouble sync.WaitGroup
 	trouble.Go(func() {
@@ -153,5 +153,5 @@
 	p.report("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
 	f.Nets[0].Delay(0)
 	note(check)
-	return p.refusals()
+	return p.runRefusals()
 }
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	reconnectWithin = 15 * time.Second       // for all clients to be back
-	reconnectWindow = 100 * time.Millisecond // in which the most reconnects are counted
+	reconnectTimeout = 15 * time.Second       // for all clients to be back
+	reconnectWindow  = 100 * time.Millisecond // in which the most reconnects are counted
 )
 
 // reconnectLog records the first connection of each client after an outage.
 type reconnectLog struct {
-	mu   sync.Mutex
-	over time.Time // the end of the outage, zero before it
-	back []time.Time
+	mu          sync.Mutex
+	outageEnd   time.Time // the end of the outage, zero before it
+	reconnected []time.Time
 }
 
 // dialer returns the dialer of one client.
@@ -31,19 +31,19 @@
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if err == nil && !l.over.IsZero() && first {
+		if err == nil && !l.outageEnd.IsZero() && first {
 			first = false
-			l.back = append(l.back, time.Now())
+			l.reconnected = append(l.reconnected, time.Now())
 		}
 		return nc, err
 	}
 }
 
-// end records that the outage ends now.
-func (l *reconnectLog) end() {
+// endOutage records that the outage ends now.
+func (l *reconnectLog) endOutage() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = time.Now()
+	l.outageEnd = time.Now()
 }
 
 // waitFor waits until so many clients are back, reconnectWithin at the most.
@@ -51,33 +51,33 @@
 	count := func() int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return len(l.back)
+		return len(l.reconnected)
 	}
-	for time.Since(l.over) < reconnectWithin && count() < clients {
+	for time.Since(l.outageEnd) < reconnectTimeout && count() < clients {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// seconds returns, in order, how long after the outage's end each client was back.
-func (l *reconnectLog) seconds() []float64 {
+// delays returns, in order, how long after the outage's end each client was back.
+func (l *reconnectLog) delays() []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []float64
-	for _, t := range l.back {
-		all = append(all, t.Sub(l.over).Seconds())
+	for _, t := range l.reconnected {
+		all = append(all, t.Sub(l.outageEnd).Seconds())
 	}
 	slices.Sort(all)
 	return all
 }
 
-// reconnects has many clients lose the one app server, and come back.
-func (p *experimentRun) reconnects(note func(*rig.Checker)) error {
+// runReconnects has many clients lose the one app server, and come back.
+func (p *experimentRun) runReconnects(note func(*rig.Checker)) error {
 	clients, outage := 1000, p.scaled(6*time.Second)
-	if p.brief {
+	if p.shortForm {
 		clients = 50
 	}
 	check := rig.NewChecker(4 * slack) // a thousand clients in one process wait for each other
-	f, err := rig.NewFleet(p.Program, 1, shopSite(time.Second), check)
+	f, err := rig.NewFleet(p.Program, 1, requestMixSite(time.Second), check)
 	if err != nil {
 		return err
 	}
@@ -93,19 +93,19 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return float64(clients) / 5 }, Length: time.Minute,
-		Shares: shop(0.0005, time.Second), Prefix: "a"}
+		Shares: requestMix(0.0005, time.Second), Prefix: "a"}
 	var done sync.WaitGroup
 	var out rig.Outcome
 	done.Go(func() { out = load.Run(ctx, check, callers...) })
 	time.Sleep(2500 * time.Millisecond)
 	f.Nets[0].Down(true)
 	time.Sleep(outage)
-	log.end()
+	log.endOutage()
 	f.Nets[0].Down(false)
 	log.waitFor(clients)
 	end()
 	done.Wait()
-	if err := p.checkReconnects(log.seconds(), clients); err != nil {
+	if err := p.checkReconnects(log.delays(), clients); err != nil {
 		return err
 	}
 	p.report("reconnect.ok.share", float64(out.OK)/float64(max(out.Asked, 1)))
@@ -115,7 +115,7 @@
 
 // reconnectCallers makes clients of an app server whose connections are recorded. The caller closes them, also after an error.
 func (p *experimentRun) reconnectCallers(clients int, addresses []string, log *reconnectLog) ([]rig.Caller, error) {
-	kinds := kindsOf(shop(0, 0))
+	kinds := kindsOf(requestMix(0, 0))
 	var callers []rig.Caller
 	for k := range clients {
 		c, err := client.New(client.Servers(addresses...), client.Seed(p.Seed*1_000_003+uint64(k)+1),
@@ -123,7 +123,7 @@
 		if err != nil {
 			return callers, err
 		}
-		callers = append(callers, careful{c, kinds})
+		callers = append(callers, clientCaller{c, kinds})
 	}
 	return callers, nil
 }
@@ -133,17 +133,17 @@
 	if len(back) < clients/2 {
 		return fmt.Errorf("only %d of %d clients came back", len(back), clients)
 	}
-	if !p.brief { // a few clients after a short outage show no distribution
+	if !p.shortForm { // a few clients after a short outage show no distribution
 		p.atLeast("reconnect.spread.s", back[len(back)*95/100]-back[len(back)*5/100], 3)
-		p.atMost("reconnect.most.in.100ms", float64(mostWithin(back, reconnectWindow.Seconds()))/float64(clients), 0.05)
+		p.atMost("reconnect.most.in.100ms", float64(maxWithin(back, reconnectWindow.Seconds()))/float64(clients), 0.05)
 	}
 	p.exactly("reconnect.back", float64(len(back)), float64(clients))
-	p.atMost("reconnect.last.s", back[len(back)-1], reconnectWithin.Seconds())
+	p.atMost("reconnect.last.s", back[len(back)-1], reconnectTimeout.Seconds())
 	return nil
 }
 
-// mostWithin returns the most of some sorted times that lie within one span of time, less than its length apart.
-func mostWithin(times []float64, span float64) int {
+// maxWithin returns the most of some sorted times that lie within one span of time, less than its length apart.
+func maxWithin(times []float64, span float64) int {
 	most := 0
 	for first, last := 0, 0; last < len(times); last++ {
 		for times[last]-times[first] >= span {
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -17,8 +17,8 @@
 const (
 	refusalServers      = 2
 	refusalInterval     = 20 * time.Millisecond // between two RPCs
-	refusalAfter        = 300 * time.Millisecond
-	refusalWay          = 10 * time.Millisecond // allowed for an answer's way to the client
+	refusalRetryAfter   = 300 * time.Millisecond
+	refusalTransit      = 10 * time.Millisecond // allowed for an answer's way to the client
 	refusalDeadline     = 900 * time.Millisecond
 	refusalEdgeEvery    = 10 // one RPC in so many is of refusalEdgeMethod
 	refusalEdgeMethod   = "edge"
@@ -27,8 +27,8 @@
 
 // refusal is the last refusal of an RPC.
 type refusal struct {
-	until time.Time // it must not be sent again before
-	last  bool      // it must not be sent again at all
+	earliestRetry time.Time // it must not be sent again before
+	final         bool      // it must not be sent again at all
 }
 
 // refusalScript answers as app servers do that push everything back, and counts the tries that heed no refusal or deadline.
@@ -38,8 +38,8 @@
 	early, forbidden, late int
 }
 
-// answer answers one message of the client.
-func (s *refusalScript) answer(h rig.Heard, out []byte) []byte {
+// reply answers one message of the client.
+func (s *refusalScript) reply(h rig.Heard, out []byte) []byte {
 	switch {
 	case h.Interrupt:
 		return out
@@ -50,9 +50,9 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if r, ok := s.refusals[h.ID]; ok {
-		if r.last {
+		if r.final {
 			s.forbidden++
-		} else if now.Before(r.until) {
+		} else if now.Before(r.earliestRetry) {
 			s.early++
 		}
 	}
@@ -60,21 +60,21 @@
 	if left < -slack.Seconds() {
 		s.late++
 	}
-	after, last := refusalAfter, len(h.ID)%2 == 0
+	after, last := refusalRetryAfter, len(h.ID)%2 == 0
 	if h.Method == refusalEdgeMethod { // its refusal arrives just as the deadline ends
 		time.Sleep(time.Duration(left*float64(time.Second)) - time.Millisecond)
 		after = 0
 	}
-	s.refusals[h.ID] = refusal{now.Add(after - refusalWay), last}
+	s.refusals[h.ID] = refusal{now.Add(after - refusalTransit), last}
 	return thrift.PushedBack(out, h.Seq, last, after.Seconds(), 10)
 }
 
-// refusals has a client call app servers that push everything back.
-func (p *experimentRun) refusals() error {
+// runRefusals has a client call app servers that push everything back.
+func (p *experimentRun) runRefusals() error {
 	script := &refusalScript{refusals: map[string]refusal{}}
 	var addresses []string
 	for range refusalServers {
-		s, err := rig.NewStub(script.answer)
+		s, err := rig.NewStub(script.reply)
 		if err != nil {
 			return err
 		}
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -18,19 +18,19 @@
 	"valveglade/rig"
 )
 
-// coldServers is how many app servers there are; at least coldLeast of them restart cold.
-const coldServers, coldLeast = 4, 3
+// coldServers is how many app servers there are; at least minColdRestarts of them restart cold.
+const coldServers, minColdRestarts = 4, 3
 
 // coldRecovery is how long after the slow start service may take to be back.
 const coldRecovery = 3 * time.Second
 
 // coldCase is one kind of cold restart: who calls, and how much one app server does within a window while it is coldest.
 type coldCase struct {
-	name        string
-	clients     int     // processes, none of which knows of the others
-	callers     int     // how many the settings say there are
-	least, most float64 // requests of mean work within the first window
-	shape       coldShape
+	name                     string
+	clients                  int     // processes, none of which knows of the others
+	announcedCallers         int     // how many the settings say there are
+	minRequests, maxRequests float64 // requests of mean work within the first window
+	shape                    coldShape
 }
 
 // coldShape is what is out of the ordinary in the settings of a cold start.
@@ -73,24 +73,24 @@
 // coldPlan is one cold restart, drawn from the seed.
 type coldPlan struct {
 	coldCase
-	start    rig.ColdStart
-	cores    int
-	first    float64 // requests of mean work within the first window
-	work     float64 // seconds on a core, on the mean
-	deadline time.Duration
-	cold     int     // how many app servers restart
-	rate     float64 // RPCs a second, of all clients together
-	warm     time.Duration
-	outage   time.Duration
+	start               rig.ColdStart
+	cores               int
+	firstWindowRequests float64 // requests of mean work within the first window
+	work                float64 // seconds on a core, on the mean
+	deadline            time.Duration
+	restarts            int     // how many app servers restart
+	rate                float64 // RPCs a second, of all clients together
+	warmUp              time.Duration
+	outage              time.Duration
 }
 
-// length is the whole plan's.
-func (c coldPlan) length() time.Duration {
-	return c.warm + c.outage + c.start.SlowStart() + coldRecovery + c.judged()
+// duration is the whole plan's.
+func (c coldPlan) duration() time.Duration {
+	return c.warmUp + c.outage + c.start.SlowStart() + coldRecovery + c.evaluationSpan()
 }
 
-// judged is how long a span is taken to judge service by: at least some 30 RPCs, of which one may fail.
-func (c coldPlan) judged() time.Duration {
+// evaluationSpan is how long a span is taken to judge service by: at least some 30 RPCs, of which one may fail.
+func (c coldPlan) evaluationSpan() time.Duration {
 	const enough = 30
 	return max(time.Second, time.Duration(enough/c.rate*float64(time.Second)))
 }
@@ -102,8 +102,8 @@
 	seconds := func(from, to float64) time.Duration { return time.Duration(between(from, to) * float64(time.Second)) }
 	c := coldPlan{coldCase: kind,
 		start: rig.ColdStart{Capacity: between(0.15, 0.35), Ramp: seconds(3, 4.5), Window: seconds(1, 2)},
-		cores: 1 + draw.IntN(3), first: between(kind.least, kind.most), cold: coldLeast + draw.IntN(coldServers-coldLeast+1),
-		warm: time.Second, outage: seconds(0.3, 1)}
+		cores: 1 + draw.IntN(3), firstWindowRequests: between(kind.minRequests, kind.maxRequests), restarts: minColdRestarts + draw.IntN(coldServers-minColdRestarts+1),
+		warmUp: time.Second, outage: seconds(0.3, 1)}
 	switch kind.shape {
 	case shortRamp:
 		c.start.Ramp = c.start.Window / 3
@@ -112,7 +112,7 @@
 	case fullCapacity:
 		c.start.Capacity = 1
 	}
-	c.work = float64(c.cores) * c.start.Capacity * c.start.Window.Seconds() / c.first
+	c.work = float64(c.cores) * c.start.Capacity * c.start.Window.Seconds() / c.firstWindowRequests
 	const briefest, longest = 0.4, 8
 	c.deadline = time.Duration(min(max(between(40, 60)*c.work, briefest), longest) * float64(time.Second))
 	c.rate = between(0.5, 0.65) * coldServers * float64(c.cores) / c.work
@@ -122,24 +122,24 @@
 }
 
 func (c coldPlan) site() rig.Site {
-	site := shopSite(c.deadline)
-	site.Cores, site.Callers, site.Cold = c.cores, c.callers, c.start
+	site := requestMixSite(c.deadline)
+	site.Cores, site.Callers, site.Cold = c.cores, c.announcedCallers, c.start
 	return site
 }
 
-// coldSide is one kind of client against a fleet of its own.
-type coldSide struct {
-	peak  rig.Peak // the worst app server's
-	back  float64  // seconds from the boot until service was back
-	end   float64  // share of the RPCs after the slow start and the recovery that were ok
-	out   rig.Outcome
-	check *rig.Checker
+// coldResult is one kind of client against a fleet of its own.
+type coldResult struct {
+	peak            rig.Peak // the worst app server's
+	recoverySeconds float64  // seconds from the boot until service was back
+	finalShare      float64  // share of the RPCs after the slow start and the recovery that were ok
+	outcome         rig.Outcome
+	check           *rig.Checker
 }
 
 // runCold plays cold app servers under the sum of what all clients send, with one client process and with many.
 func runCold(p *experimentRun) error {
 	cases := coldCases()
-	if p.brief {
+	if p.shortForm {
 		cases = briefColdCases()
 	}
 	counts := map[string]float64{}
@@ -149,18 +149,18 @@
 			continue
 		}
 		plan := drawColdPlan(p.Seed*1000+uint64(k), kind)
-		side, err := p.coldSide(plan, "careful")
+		side, err := p.runColdSide(plan, "careful")
 		if err != nil {
 			return err
 		}
 		p.printNote("%-20s %d of %d restart at %.2f, warm after %.1f s, N %.1f in %.2f s, %.0f RPCs a second: ratio %.2f at %.1f s (%.2f by count), "+
-			"back after %.1f s, ok %.2f, at the end %.2f", kind.name, plan.cold, coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.first,
-			plan.start.Window.Seconds(), plan.rate, side.peak.ByWork, side.peak.Age.Seconds(), side.peak.ByCount, side.back,
-			float64(side.out.OK)/float64(side.out.Asked), side.end)
+			"back after %.1f s, ok %.2f, at the end %.2f", kind.name, plan.restarts, coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.firstWindowRequests,
+			plan.start.Window.Seconds(), plan.rate, side.peak.ByWork, side.peak.Age.Seconds(), side.peak.ByCount, side.recoverySeconds,
+			float64(side.outcome.OK)/float64(side.outcome.Asked), side.finalShare)
 		ratio = max(ratio, side.peak.ByWork)
-		late = max(late, side.back-(plan.start.SlowStart()+coldRecovery).Seconds())
-		end = min(end, side.end)
-		for _, name := range coldBreaches {
+		late = max(late, side.recoverySeconds-(plan.start.SlowStart()+coldRecovery).Seconds())
+		end = min(end, side.finalShare)
+		for _, name := range forbiddenCounts {
 			counts[name] += float64(side.check.Count(name))
 		}
 		violations := side.check.Violations()
@@ -171,32 +171,32 @@
 	}
 	p.atMost("cold.ratio", ratio, 1)
 	p.atMost("service.back.late.s", late, 0)
-	p.atLeast("service.after.recovery", end, backShare)
-	for _, name := range append(coldBreaches, "breaches") {
+	p.atLeast("service.after.recovery", end, recoveredShare)
+	for _, name := range append(forbiddenCounts, "breaches") {
 		p.exactly(name, counts[name], 0)
 	}
 	if p.Part != "" {
 		return nil
 	}
-	naive, err := p.coldSide(drawColdPlan(p.Seed, naiveColdCase), "naive")
+	naive, err := p.runColdSide(drawColdPlan(p.Seed, naiveColdCase), "naive")
 	if err != nil {
 		return err
 	}
-	p.atLeast("naive.cold.ratio", naive.peak.ByWork, aboveOne)
-	p.report("naive.service.back.s", naive.back)
-	p.report("naive.ok.share", float64(naive.out.OK)/float64(naive.out.Asked))
+	p.atLeast("naive.cold.ratio", naive.peak.ByWork, minOverloadRatio)
+	p.report("naive.service.back.s", naive.recoverySeconds)
+	p.report("naive.ok.share", float64(naive.outcome.OK)/float64(naive.outcome.Asked))
 	return nil
 }
 
-// coldBreaches are what the checker counts and must never be.
-var coldBreaches = []string{"refused.retried", "late.sent", "double.runs", "unanswered"}
+// forbiddenCounts are what the checker counts and must never be.
+var forbiddenCounts = []string{"refused.retried", "late.sent", "double.runs", "unanswered"}
 
-// aboveOne is the least that shows that a baseline overloads cold app servers.
-const aboveOne = 1.01
+// minOverloadRatio is the least that shows that a baseline overloads cold app servers.
+const minOverloadRatio = 1.01
 
-// coldSide plays the plan with processes of one kind of client.
-func (p *experimentRun) coldSide(plan coldPlan, kind string) (*coldSide, error) {
-	side := &coldSide{check: rig.NewChecker(4 * slack)}
+// runColdSide plays the plan with processes of one kind of client.
+func (p *experimentRun) runColdSide(plan coldPlan, kind string) (*coldResult, error) {
+	side := &coldResult{check: rig.NewChecker(4 * slack)}
 	fleet, err := rig.NewFleet(p.Program, coldServers, plan.site(), side.check)
 	if err != nil {
 		return nil, err
@@ -218,13 +218,13 @@
 		defer remote.Close()
 		callers[k] = loggedCaller{remote, service}
 	}
-	boots := make([]time.Time, plan.cold)
+	boots := make([]time.Time, plan.restarts)
 	var restartErr error
 	var restarts sync.WaitGroup
-	restarts.Go(func() { restartErr = restartCold(fleet, plan, boots) })
-	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return plan.rate }, Length: plan.length(), Prefix: kind[:1],
-		Shares: shop(plan.work, plan.deadline)}
-	side.out = load.Run(context.Background(), side.check, callers...)
+	restarts.Go(func() { restartErr = restartColdServers(fleet, plan, boots) })
+	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return plan.rate }, Length: plan.duration(), Prefix: kind[:1],
+		Shares: requestMix(plan.work, plan.deadline)}
+	side.outcome = load.Run(context.Background(), side.check, callers...)
 	restarts.Wait()
 	if restartErr != nil {
 		return nil, restartErr
@@ -241,14 +241,14 @@
 			last = boot
 		}
 	}
-	side.back = service.back(last, plan.judged()).Sub(last).Seconds()
-	side.end = service.share(last.Add(plan.start.SlowStart()+coldRecovery), plan.judged())
+	side.recoverySeconds = service.recoveredAt(last, plan.evaluationSpan()).Sub(last).Seconds()
+	side.finalShare = service.share(last.Add(plan.start.SlowStart()+coldRecovery), plan.evaluationSpan())
 	return side, nil
 }
 
-// restartCold kills some app servers at the same time and starts them again, cold, after the outage.
-func restartCold(fleet *rig.Fleet, plan coldPlan, boots []time.Time) error {
-	time.Sleep(plan.warm)
+// restartColdServers kills some app servers at the same time and starts them again, cold, after the outage.
+func restartColdServers(fleet *rig.Fleet, plan coldPlan, boots []time.Time) error {
+	time.Sleep(plan.warmUp)
 	for k := range boots {
 		fleet.Programs[k].Kill()
 	}
@@ -291,5 +291,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return careful{c, kindsOf(shop(0, 0))}, nil
+	return clientCaller{c, kindsOf(requestMix(0, 0))}, nil
 }
--- a/cmd/rehearse/cold_service.go
+++ b/cmd/rehearse/cold_service.go
@@ -11,21 +11,21 @@
 // serviceLog is when each RPC was asked for, and whether it was ok.
 type serviceLog struct {
 	mu  sync.Mutex
-	all []served
+	all []callOutcome
 }
 
-type served struct {
-	at time.Time
-	ok bool
+type callOutcome struct {
+	askedAt time.Time
+	ok      bool
 }
 
-// backShare is the share of RPCs that are ok once service is back.
-const backShare = 0.95
+// recoveredShare is the share of RPCs that are ok once service is back.
+const recoveredShare = 0.95
 
 func (s *serviceLog) add(at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, served{at, ok})
+	s.all = append(s.all, callOutcome{at, ok})
 }
 
 // share is the part of the RPCs asked for within a span that were ok.
@@ -34,7 +34,7 @@
 	defer s.mu.Unlock()
 	asked, ok := 0, 0
 	for _, r := range s.all {
-		if r.at.Before(from) || !r.at.Before(from.Add(span)) {
+		if r.askedAt.Before(from) || !r.askedAt.Before(from.Add(span)) {
 			continue
 		}
 		asked++
@@ -45,11 +45,11 @@
 	return float64(ok) / float64(max(asked, 1))
 }
 
-// back is the first time after a boot from which a span's RPCs were ok to backShare.
-func (s *serviceLog) back(boot time.Time, span time.Duration) time.Time {
+// recoveredAt is the first time after a boot from which a span's RPCs were ok to backShare.
+func (s *serviceLog) recoveredAt(boot time.Time, span time.Duration) time.Time {
 	const step, most = 100 * time.Millisecond, time.Minute
 	at := boot
-	for at.Before(boot.Add(most)) && s.share(at, span) < backShare {
+	for at.Before(boot.Add(most)) && s.share(at, span) < recoveredShare {
 		at = at.Add(step)
 	}
 	return at
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -54,7 +54,7 @@
 	trials := p.faults.trials
 	switch {
 	case trials > 0:
-	case p.brief:
+	case p.shortForm:
 		trials = faultTrialsBrief
 	case p.Long:
 		trials = faultTrialsLong
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -120,7 +120,7 @@
 	}
 	now := time.Now()
 	c.recv = now.Add(-seconds64(load.Stale * chance.Float64())).Truncate(time.Millisecond)
-	c.due = latest(c.recv.Add(c.waits()), now)
+	c.due = laterOf(c.recv.Add(c.waits()), now)
 	if chance.Float64() < load.Goes {
 		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
 	}
@@ -143,7 +143,7 @@
 		}
 	case 1:
 		c.patience = max(time.Duration(chance.Float64()*float64(min(c.waits(), time.Second))), time.Millisecond)
-		c.due = latest(c.recv.Add(c.waits()), time.Now())
+		c.due = laterOf(c.recv.Add(c.waits()), time.Now())
 	default:
 		c.token = fmt.Sprintf("%032x", chance.IntN(sharedTokens))
 		c.copyAfter = 0
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -179,7 +179,7 @@
 func (s *trialServer) again() {
 	s.begin()
 	began := time.Now()
-	at := untilSet(trialReady, s.probe.Ready)
+	at := awaitTime(trialReady, s.probe.Ready)
 	s.trial.mu.Lock()
 	defer s.trial.mu.Unlock()
 	s.result.restarts++
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -139,7 +139,7 @@
 	if ready := s.probe.Ready(); !s.ready && !ready.IsZero() {
 		s.ready = true
 	}
-	last := latest(latest(s.launched, s.excused), s.probe.Answered())
+	last := laterOf(laterOf(s.launched, s.excused), s.probe.Answered())
 	if silent := time.Since(last); silent > trialMute {
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
 		s.excused = time.Now().Add(time.Hour) // once is enough
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -22,7 +22,7 @@
 	atOnce <- struct{}{}
 	defer func() { <-atOnce }()
 	var out bytes.Buffer
-	p := &experimentRun{Seed: c.Seed, Program: program, rehearse: rehearse, brief: true, out: &out}
+	p := &experimentRun{Seed: c.Seed, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
 	r, err := p.steadyTrial(c)
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 			t.Parallel()
 			atOnce <- struct{}{}
 			defer func() { <-atOnce }()
-			p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &bytes.Buffer{}}
+			p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &bytes.Buffer{}}
 			r, err := p.playPlant(plant.name, p.Seed)
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -90,7 +90,7 @@
 func runHollows[C, P any](p *experimentRun, kind string, plans []P) ([]C, error) {
 	costs := make([]C, len(plans))
 	var group errgroup.Group
-	if group.SetLimit(hollowAtOnce); p.brief {
+	if group.SetLimit(hollowAtOnce); p.shortForm {
 		group.SetLimit(len(plans)) // tiny ones
 	}
 	for k, plan := range plans {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -23,8 +23,8 @@
 
 // experiment is one measurement with a name.
 type experiment struct {
-	name, about   string
-	runExperiment func(p *experimentRun) error
+	name, description string
+	runExperiment     func(p *experimentRun) error
 }
 
 var experiments = []experiment{
@@ -55,19 +55,19 @@
 
 // experimentRun is one experiment under way.
 type experimentRun struct {
-	Seed        uint64
-	Long        bool
-	Program     string // the program's binary
-	History     string // a file for what was said and done, if any
-	Logs        string // a folder for the logs of processes, if any
-	Script      string // a file of faults, if any
-	Part        string // the one part to run, if any, where an experiment has parts
-	rehearse    string // this program's binary, where it is not the one that runs
-	brief       bool   // the shortest form, for tests
-	faults      faultFlags
-	programArgs []string // of the program, where the search for faults starts it
-	out         io.Writer
-	began       time.Time
+	Seed           uint64
+	Long           bool
+	Program        string // the program's binary
+	History        string // a file for what was said and done, if any
+	Logs           string // a folder for the logs of processes, if any
+	Script         string // a file of faults, if any
+	Part           string // the one part to run, if any, where an experiment has parts
+	rehearseBinary string // this program's binary, where it is not the one that runs
+	shortForm      bool   // the shortest form, for tests
+	faults         faultFlags
+	programArgs    []string // of the program, where the search for faults starts it
+	output         io.Writer
+	began          time.Time
 
 	mu      sync.Mutex // parts of an experiment may be judged side by side
 	figures []figure
@@ -76,7 +76,7 @@
 
 // scaled is how long a part of an experiment takes: a third of it in the shortest form.
 func (p *experimentRun) scaled(d time.Duration) time.Duration {
-	if p.brief {
+	if p.shortForm {
 		return d / 3
 	}
 	return d
@@ -111,20 +111,20 @@
 	case !f.Holds:
 		word = "short"
 	}
-	fmt.Fprintf(p.out, "%-34s %12.4g  %-10s %s\n", f.Name, f.Value, f.Bound, word)
+	fmt.Fprintf(p.output, "%-34s %12.4g  %-10s %s\n", f.Name, f.Value, f.Bound, word)
 }
 
 // printNote is for what is no figure.
 func (p *experimentRun) printNote(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	fmt.Fprintf(p.out, "# "+format+"\n", args...)
+	fmt.Fprintf(p.output, "# "+format+"\n", args...)
 }
 
 var errFigureMissed = errors.New("a figure falls short")
 
 func main() {
-	if err := command().Execute(); errors.Is(err, errFigureMissed) {
+	if err := rootCommand().Execute(); errors.Is(err, errFigureMissed) {
 		os.Exit(1)
 	} else if err != nil {
 		fmt.Fprintln(os.Stderr, "rehearse:", err)
@@ -132,20 +132,20 @@
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "rehearse", Short: "play the project's own measurements", SilenceUsage: true,
 		SilenceErrors: true}
 	root.AddCommand(&cobra.Command{Use: "list", Short: "name the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			for _, r := range experiments {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", r.name, r.about)
+				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", r.name, r.description)
 			}
 		}})
 	var p experimentRun
 	var path string
 	run := &cobra.Command{Use: "run NAME", Short: "play one", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p.out = cmd.OutOrStdout()
+			p.output = cmd.OutOrStdout()
 			for _, r := range experiments {
 				if r.name == args[0] {
 					return p.execute(r, path)
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -13,16 +13,16 @@
 	"valveglade/rig/slope"
 )
 
-var program, rehearse string
+var programBinary, rehearseBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rehearse")
 	if err == nil {
-		program, err = rig.Build(dir)
+		programBinary, err = rig.Build(dir)
 	}
 	if err == nil { // for the baselines, which are hidden commands of this program
-		rehearse = filepath.Join(dir, "rehearse")
-		err = exec.Command("go", "build", "-o", rehearse, "valveglade/cmd/rehearse").Run()
+		rehearseBinary = filepath.Join(dir, "rehearse")
+		err = exec.Command("go", "build", "-o", rehearseBinary, "valveglade/cmd/rehearse").Run()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -33,12 +33,12 @@
 	os.Exit(code)
 }
 
-// rules plays the shortest form of an experiment. Figures that hang on the machine are for the long forms; what must
-// hold on any machine are the rules.
-func rules(t *testing.T, name string, must ...string) {
+// checkFigures plays the shortest form of an experiment. Figures that hang on the machine are for the long forms; what must
+// hold on any machine are the checkFigures.
+func checkFigures(t *testing.T, name string, must ...string) {
 	t.Helper()
 	var out bytes.Buffer
-	p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
+	p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
 	for _, r := range experiments {
 		if r.name != name {
 			continue
@@ -63,23 +63,23 @@
 }
 
 func TestClient(t *testing.T) {
-	rules(t, "client", "refused.retried", "late.sent", "double.runs", "unanswered", "breaches", "pushback.early",
+	checkFigures(t, "client", "refused.retried", "late.sent", "double.runs", "unanswered", "breaches", "pushback.early",
 		"pushback.forbidden", "pushback.late", "pushback.without.answer", "reconnect.back", "leaked.goroutines")
 }
 
 func TestCold(t *testing.T) {
-	rules(t, "cold", "cold.ratio", "naive.cold.ratio", "refused.retried", "late.sent", "double.runs", "unanswered", "breaches")
+	checkFigures(t, "cold", "cold.ratio", "naive.cold.ratio", "refused.retried", "late.sent", "double.runs", "unanswered", "breaches")
 }
 
 func TestPressure(t *testing.T) {
-	rules(t, "pressure", "breaches", "begun.turned.away", "killed", "not.our.own.refused")
+	checkFigures(t, "pressure", "breaches", "begun.turned.away", "killed", "not.our.own.refused")
 }
 
 // A faulty call says what is wrong; the list names what there is.
 func TestCommand(t *testing.T) {
 	for args, want := range map[string]string{"run nothing": "no experiment is named", "run": "accepts 1 arg",
 		"run client --seed x": "invalid argument"} {
-		c := command()
+		c := rootCommand()
 		c.SetArgs(strings.Fields(args))
 		c.SetOut(&bytes.Buffer{})
 		if err := c.Execute(); err == nil || !strings.Contains(err.Error(), want) {
@@ -87,7 +87,7 @@
 		}
 	}
 	var out bytes.Buffer
-	c := command()
+	c := rootCommand()
 	c.SetArgs([]string{"list"})
 	c.SetOut(&out)
 	if err := c.Execute(); err != nil || !strings.Contains(out.String(), "client") {
@@ -96,28 +96,28 @@
 }
 
 func TestView(t *testing.T) {
-	rules(t, "view", "joined.all", "named.twice.resolved", "false.deaths.lasting", "views.differ.at.end", "breaches")
+	checkFigures(t, "view", "joined.all", "named.twice.resolved", "false.deaths.lasting", "views.differ.at.end", "breaches")
 }
 
 func TestViewFaults(t *testing.T) {
-	rules(t, "view-faults", "joined.all", "narrow.said", "rejoined.max", "one.way.deaths.lasting", "views.differ.at.end", "breaches")
+	checkFigures(t, "view-faults", "joined.all", "narrow.said", "rejoined.max", "one.way.deaths.lasting", "views.differ.at.end", "breaches")
 }
 
 func TestOwner(t *testing.T) {
-	rules(t, "owner", "owners.at.once", "late.effects", "terms.falling", "owners.at.once.second", "late.effects.second", "work.overlap.s",
+	checkFigures(t, "owner", "owners.at.once", "late.effects", "terms.falling", "owners.at.once.second", "late.effects.second", "work.overlap.s",
 		"owners.at.once.drifting", "late.effects.drifting", "work.overlap.drifting.s", "orders.without.majority", "owners.at.once.lowest",
 		"late.effects.lowest", "breaches")
 }
 
 func TestShare(t *testing.T) {
-	rules(t, "share", "over.limit", "over.limit.restarted", "over.limit.off", "over.limit.even", "breaches")
+	checkFigures(t, "share", "over.limit", "over.limit.restarted", "over.limit.off", "over.limit.even", "breaches")
 }
 
 // The scale run fits each of its series, from at least four sizes, and writes them beside the figures.
 func TestScale(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scale.json")
 	var out bytes.Buffer
-	p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &out}
+	p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
 	if err := p.execute(experiment{name: "scale", runExperiment: runScale}, path); err != nil {
 		t.Fatalf("%v:\n%s", err, &out)
 	}
@@ -142,6 +142,6 @@
 
 // Without work clients may hold every descriptor while processes are killed and kernels are late.
 func TestRestart(t *testing.T) {
-	rules(t, "restart", "full.after.s", "kernel.back.max.s", "ready.within.10s", "roster.back.max.s", "descriptors.most",
+	checkFigures(t, "restart", "full.after.s", "kernel.back.max.s", "ready.within.10s", "roster.back.max.s", "descriptors.most",
 		"descriptors.left.over", "breaches")
 }
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -36,15 +36,15 @@
 	}}
 }
 
-// cpu is the processor time that this process has taken.
-func cpu() time.Duration {
+// processCPUTime is the processor time that this process has taken.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// overhead compares an RPC through the client with writing and reading the same frames raw.
-func (p *experimentRun) overhead() error {
+// measureOverhead compares an RPC through the client with writing and reading the same frames raw.
+func (p *experimentRun) measureOverhead() error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 	defer c.Close()
 	body := rig.Body("x", 0)
 	through := func() error {
-		return together(workers, func() error {
+		return runConcurrently(workers, func() error {
 			for range each {
 				ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 				_, err := c.Call(ctx, "look", body)
@@ -95,7 +95,7 @@
 		})
 	}
 	raw := func() error {
-		return together(workers, func() error { return rawCalls(address, each, body) })
+		return runConcurrently(workers, func() error { return rawCalls(address, each, body) })
 	}
 	if err := through(); err != nil { // connections and caches come first
 		return err
@@ -105,11 +105,11 @@
 		for k, f := range []func() error{raw, through} {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			began := cpu()
+			began := processCPUTime()
 			if err := f(); err != nil {
 				return err
 			}
-			spent[k] += (cpu() - began).Seconds()
+			spent[k] += (processCPUTime() - began).Seconds()
 			runtime.ReadMemStats(&after)
 			mallocs[k] += float64(after.Mallocs - before.Mallocs)
 		}
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// together runs f so many times at once.
-func together(n int, f func() error) error {
+// runConcurrently runs f so many times at once.
+func runConcurrently(n int, f func() error) error {
 	var all sync.WaitGroup
 	errs := make(chan error, n)
 	for range n {
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -61,7 +61,7 @@
 	if err := p.edge(t.of, note); err != nil {
 		return err
 	}
-	if !p.brief {
+	if !p.shortForm {
 		if err := p.calmCost(t.of, note); err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 func (p *experimentRun) tripling(of func(bool) []string, note func(*rig.Checker)) error {
 	// Measured twice at once, as the two fleets below share the machine too.
 	bears := 1000.0 // for tests: well within any machine
-	if !p.brief {
+	if !p.shortForm {
 		one, two, err := both(func(bool) (float64, error) { return p.capacity(of(false)) })
 		if err != nil {
 			return err
@@ -206,7 +206,7 @@
 func (p *experimentRun) leak(dir string, note func(*rig.Checker)) error {
 	length := p.scaled(6500 * time.Millisecond)
 	rate := 7500.0
-	if p.brief {
+	if p.shortForm {
 		rate = 500
 	}
 	if p.Long { // twenty minutes, in which as many tokens come
@@ -250,7 +250,7 @@
 	}
 	p.atMost("memory.peak.mb", float64(on.peak)/(1<<20), limit)
 	p.exactly("killed", float64(on.killed), 0)
-	if !p.brief { // which is too short to fill it
+	if !p.shortForm { // which is too short to fill it
 		p.atLeast("off.killed", float64(off.killed), 1)
 	}
 	p.report("off.memory.peak.mb", float64(off.peak)/(1<<20))
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -15,10 +15,10 @@
 // retryingCaller calls one app server as a router does: what has no answer because the connection was refused or ended is
 // sent again until its deadline. A tokened RPC is not sent again after a kill: its app server's tokens are gone with the process.
 type retryingCaller struct {
-	source  int
-	address string
-	fresh   bool // a connection for each RPC
-	kills   *atomic.Int64
+	source         int
+	address        string
+	connectPerCall bool // a connection for each RPC
+	killCount      *atomic.Int64
 
 	mu     sync.Mutex
 	router *rig.Router
@@ -26,26 +26,26 @@
 
 // Call implements rig.Caller.
 func (c *retryingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	kills := c.kills.Load()
+	kills := c.killCount.Load()
 	for {
 		router, done := c.connection()
 		result, err := router.Call(ctx, method, token, criticality, body)
 		done()
 		if err == nil || errors.Is(err, rig.ErrPushedBack) || errors.Is(err, rig.ErrAborted) || ctx.Err() != nil ||
-			token != "" && c.kills.Load() != kills {
+			token != "" && c.killCount.Load() != kills {
 			return result, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(restartRetry):
+		case <-time.After(restartRetryDelay):
 		}
 	}
 }
 
 // connection gives the router to call through, and what to do after the call.
 func (c *retryingCaller) connection() (router *rig.Router, done func()) {
-	if c.fresh {
+	if c.connectPerCall {
 		router = rig.NewRouter(c.source, c.address)
 		return router, func() { router.Close() }
 	}
@@ -69,10 +69,10 @@
 
 // callRecord is one RPC from its first try to its end.
 type callRecord struct {
-	server       string
-	fresh        bool
-	asked, ended time.Time
-	err          error
+	server        string
+	newConnection bool
+	asked, ended  time.Time
+	err           error
 }
 
 // answered tells whether the RPC had a final answer of the app server by its deadline.
@@ -125,7 +125,7 @@
 func (c recordingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	asked := time.Now()
 	result, err := c.retryingCaller.Call(ctx, method, token, criticality, body)
-	c.log.add(callRecord{c.server, c.fresh, asked, time.Now(), err})
+	c.log.add(callRecord{c.server, c.connectPerCall, asked, time.Now(), err})
 	return result, err
 }
 
@@ -136,8 +136,8 @@
 	failures                []string
 }
 
-// window runs a part of the experiment, and waits until what was asked for in it has ended.
-func (f *restartFleet) window(name string, part func()) callWindow {
+// measureWindow runs a part of the experiment, and waits until what was asked for in it has ended.
+func (f *restartFleet) measureWindow(name string, part func()) callWindow {
 	from := time.Now()
 	part()
 	to := time.Now()
@@ -151,7 +151,7 @@
 		if r.answered() {
 			w.answered++
 		} else {
-			w.failures = append(w.failures, fmt.Sprintf("%s new connection %v after %.2f s: %v", r.server, r.fresh,
+			w.failures = append(w.failures, fmt.Sprintf("%s new connection %v after %.2f s: %v", r.server, r.newConnection,
 				r.ended.Sub(r.asked).Seconds(), r.err))
 		}
 	}
@@ -160,53 +160,53 @@
 
 func (w callWindow) answeredShare() float64 { return float64(w.answered) / float64(w.asked) }
 
-// inform shows what is not judged.
-func (w callWindow) inform(p *experimentRun) {
+// report shows what is not judged.
+func (w callWindow) report(p *experimentRun) {
 	p.report("asked."+w.name, float64(w.asked))
 	p.report("served."+w.name, float64(w.served)/float64(w.asked))
 }
 
-// tableWatch samples the descriptors of the processes.
-type tableWatch struct {
-	fleet *restartFleet
-	end   chan struct{}
-	over  chan struct{}
-	most  int
-	seen  int // samples
-	full  int // of them with a full table
+// descriptorSampler samples the descriptors of the processes.
+type descriptorSampler struct {
+	fleet          *restartFleet
+	stop           chan struct{}
+	done           chan struct{}
+	maxDescriptors int
+	samples        int // samples
+	fullSamples    int // of them with a full table
 }
 
-func newTableWatch(f *restartFleet) *tableWatch {
-	w := &tableWatch{fleet: f, end: make(chan struct{}), over: make(chan struct{})}
+func startDescriptorSampler(f *restartFleet) *descriptorSampler {
+	w := &descriptorSampler{fleet: f, stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-func (w *tableWatch) run() {
-	defer close(w.over)
+func (w *descriptorSampler) run() {
+	defer close(w.done)
 	for {
 		select {
-		case <-w.end:
+		case <-w.stop:
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
-		for _, n := range w.fleet.count() {
+		for _, n := range w.fleet.countDescriptors() {
 			if n == 0 {
 				continue // between two processes
 			}
-			w.most = max(w.most, n)
-			w.seen++
-			if n >= restartFull {
-				w.full++
+			w.maxDescriptors = max(w.maxDescriptors, n)
+			w.samples++
+			if n >= restartFullTable {
+				w.fullSamples++
 			}
 		}
 	}
 }
 
 // close ends the sampling and gives its figures.
-func (w *tableWatch) close(p *experimentRun) {
-	close(w.end)
-	<-w.over
-	p.atMost("descriptors.most", float64(w.most), restartSockets)
-	p.atLeast("descriptors.full.share", float64(w.full)/float64(max(w.seen, 1)), 0.8)
+func (w *descriptorSampler) close(p *experimentRun) {
+	close(w.stop)
+	<-w.done
+	p.atMost("descriptors.most", float64(w.maxDescriptors), restartSockets)
+	p.atLeast("descriptors.full.share", float64(w.fullSamples)/float64(max(w.samples, 1)), 0.8)
 }
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -24,7 +24,7 @@
 // of returns the value in the form that is run: the shortest takes precedence over the long one.
 func (f forms[T]) of(p *experimentRun) T {
 	switch {
-	case p.brief:
+	case p.shortForm:
 		return f.brief
 	case p.Long:
 		return f.long
--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -18,7 +18,7 @@
 
 // changesAtEachSize are made; their median counts.
 func (p *experimentRun) changesAtEachSize() int {
-	if p.brief {
+	if p.shortForm {
 		return 1
 	}
 	return 3
--- a/cmd/rehearse/scale_config_test.go
+++ b/cmd/rehearse/scale_config_test.go
@@ -63,7 +63,7 @@
 
 // TestScaleConfig plays the shortest form of the parts, each of which has to give its series.
 func TestScaleConfig(t *testing.T) {
-	p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: t.Output()}
+	p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: t.Output()}
 	r := &slope.Result{}
 	for _, part := range configScaleParts {
 		if err := part.measure(p, r); err != nil {
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -47,7 +47,7 @@
 
 // distributedServices is how many services there are: in the shortest form so few that a handful of app servers serves them all.
 func (p *experimentRun) distributedServices() int {
-	if p.brief {
+	if p.shortForm {
 		return 2 * servicesEach
 	}
 	return distributionServices
@@ -55,7 +55,7 @@
 
 // distributionSeconds is how long changes are made at each size.
 func (p *experimentRun) distributionSeconds() float64 {
-	if p.brief {
+	if p.shortForm {
 		return 4
 	}
 	return 30
@@ -196,7 +196,7 @@
 // distributeAmong makes changes among hollow app servers.
 func (p *experimentRun) distributeAmong(members int) (cost distributionCost, err error) {
 	settling, connecting, entries := 5.0, connectSeconds, tenantsEach
-	if p.brief {
+	if p.shortForm {
 		settling, connecting, entries = 8, 4, 2
 	}
 	f, err := p.startDistribution(2+(members-1)/perDistributor, entries, "20KB")
--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -18,7 +18,7 @@
 
 // distributionTables are the numbers of entries of each service that the table is measured at.
 func (p *experimentRun) distributionTables() []int {
-	if p.brief {
+	if p.shortForm {
 		return []int{2, 4, 8, 16}
 	}
 	return []int{5, 15, 50, 150}
@@ -26,7 +26,7 @@
 
 // changesOfTable is how many changes are made at each size of the table.
 func (p *experimentRun) changesOfTable() int {
-	if p.brief {
+	if p.shortForm {
 		return 2
 	}
 	return 10
--- a/cmd/rehearse/scale_distribution_test.go
+++ b/cmd/rehearse/scale_distribution_test.go
@@ -12,7 +12,7 @@
 func TestScaleDistribution(t *testing.T) {
 	for _, part := range distributionScaleParts {
 		var out bytes.Buffer
-		p := &experimentRun{Seed: 1, Program: program, rehearse: rehearse, brief: true, Part: part.name, out: &out}
+		p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, Part: part.name, output: &out}
 		if err := p.execute(experiment{name: "scale", runExperiment: runScale}, ""); err != nil {
 			t.Errorf("%s: %v:\n%s", part.name, err, &out)
 		}
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -41,7 +41,7 @@
 // than 4,096 names, so it cannot join a larger fleet: a trial amid 8,600 that was told by gossip alone never came to know all.
 func (p *experimentRun) crowdSizes() (sizes []int, seconds float64) {
 	switch {
-	case p.brief:
+	case p.shortForm:
 		return []int{30, 40, 60, 80}, 1
 	case p.Long:
 		return []int{100, 300, 1000, 2000, 4000}, 15
--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -71,7 +71,7 @@
 		slots <- k
 	}
 	close(slots)
-	return together(connectAtOnce, func() error {
+	return runConcurrently(connectAtOnce, func() error {
 		for k := range slots {
 			if err := l.open(k); err != nil {
 				return err
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -23,7 +23,7 @@
 // measureRoles plays elections against candidates, and against roles.
 func measureRoles(p *experimentRun, r *slope.Result) error {
 	candidates, roles, few := []int{100, 300, 1000, 3000, 8600}, []int{1, 2, 4, 8}, 300
-	if p.brief {
+	if p.shortForm {
 		candidates, few = []int{10, 20, 40, 80}, 20
 	}
 	var plans []hollow.RolePlan
@@ -77,7 +77,7 @@
 // measureVoterBurst has candidates ask a real voter all at one time.
 func measureVoterBurst(p *experimentRun, r *slope.Result) error {
 	sizes := []int{100, 300, 500, 1000, 3000, designMembers}
-	if p.brief {
+	if p.shortForm {
 		sizes = []int{20, 40, 80, 160}
 	}
 	var plans []hollow.BurstPlan
@@ -119,7 +119,7 @@
 func (p *experimentRun) quotaSizes() quotaSizes {
 	sizes := quotaSizes{[]int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 200, 2}
 	switch {
-	case p.brief:
+	case p.shortForm:
 		sizes.holders, sizes.seconds, sizes.many = []int{5, 10, 20, 40}, 0.3, 10
 	case p.Long:
 		sizes.holders, sizes.seconds = append(sizes.holders, 1500, 3000, designMembers), 5
@@ -161,7 +161,7 @@
 		if k >= len(sizes.holders) {
 			x, against = float64(plan.Kinds), "kinds"
 		}
-		found.addQuota(against, x, cost, p.brief)
+		found.addQuota(against, x, cost, p.shortForm)
 	}
 	p.report("allocator.first.lost.holders", float64(firstLost))
 	return p.quotaSeries(r, found, sizes.many)
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bareServer{command: exec.Command(cmp.Or(p.rehearse, self), "echo")}
+	b := &bareServer{command: exec.Command(cmp.Or(p.rehearseBinary, self), "echo")}
 	b.command.Env = append(os.Environ(), "GOMAXPROCS=1")
 	b.command.Stderr = os.Stderr
 	if b.input, err = b.command.StdinPipe(); err != nil {
@@ -76,7 +76,7 @@
 
 // rpcTables is the configuration under which RPCs are measured: the design size.
 func (p *experimentRun) rpcTables() tables {
-	if p.brief {
+	if p.shortForm {
 		return tables{routes: 100, tenants: 1000}
 	}
 	return tables{routes: designRoutes, tenants: designTenants}
@@ -157,7 +157,7 @@
 		round.bare, err = bare.run(rate.perSecond, rate.length, 2*seed+1)
 		return err
 	}
-	return round, together(2, func() error { return (<-sides)() })
+	return round, runConcurrently(2, func() error { return (<-sides)() })
 }
 
 // rpcRate is one rate at which RPCs are measured, in rounds of some length.
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -23,7 +23,7 @@
 
 // entrySizes are how many entries the configuration table is measured with: it is a pure module, quick at the design size.
 func (p *experimentRun) entrySizes() []int {
-	if p.brief {
+	if p.shortForm {
 		return []int{500, 1_000, 2_000, 4_000}
 	}
 	return []int{10_000, 100_000, 400_000, designEntries}
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -30,7 +30,7 @@
 // pureSeconds is how many seconds are simulated at each size.
 func (p *experimentRun) pureSeconds(members int) float64 {
 	switch {
-	case p.brief:
+	case p.shortForm:
 		return 10
 	case p.Long && members <= designMembers:
 		return 90
@@ -97,7 +97,7 @@
 // measureViewChurn runs the view's machine alone at one size against churn.
 func measureViewChurn(p *experimentRun, r *slope.Result) error {
 	members, seconds := 300, 120.0
-	if p.brief {
+	if p.shortForm {
 		members, seconds = 100, 20
 	}
 	var plans []hollow.ViewPlan
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -32,7 +32,7 @@
 	p.atMost("joined.all", time.Since(began).Seconds(), 10)
 
 	// At rest, once what the joining has set off has been passed around.
-	if !p.brief {
+	if !p.shortForm {
 		time.Sleep(3 * time.Second)
 		if err := p.measureAtRest(on, off, all, 3*time.Second); err != nil {
 			return err
@@ -100,7 +100,7 @@
 	for k := range 9 {
 		release = append(release, fmt.Sprintf("%dms notice n%d", 900*k, k+1), fmt.Sprintf("%dms replace n%d r%d", 900*k+700, k+1, k+1))
 	}
-	if !p.brief {
+	if !p.shortForm {
 		if err := on.Run(strings.Join(release, "\n")); err != nil {
 			return err
 		}
@@ -237,7 +237,7 @@
 	}
 	_, lasting = falseDeaths(on, from, from+4, 3, all, func(string, float64) bool { return true })
 	p.exactly("one.way.deaths.lasting", float64(lasting), 0)
-	if !p.brief {
+	if !p.shortForm {
 		if err := on.Run("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
 			return err
 		}
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -94,8 +94,8 @@
 
 // self is this program's binary.
 func (p *experimentRun) self() string {
-	if p.rehearse != "" {
-		return p.rehearse
+	if p.rehearseBinary != "" {
+		return p.rehearseBinary
 	}
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -21,7 +21,7 @@
 func runViewCost(p *experimentRun) error {
 	sizes := []int{20, 100}
 	switch {
-	case p.brief:
+	case p.shortForm:
 		sizes = sizes[:1]
 	case p.Long:
 		sizes = append(sizes, 300)
