--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -11,25 +11,27 @@
 	"valveglade/rpc"
 )
 
-// clientCaller is the client as a caller of the rig's loads.
+// clientCaller adapts the client library to rig.Caller, through which the rig's loads call.
 type clientCaller struct {
 	*client.Client
 	kinds map[string]rpc.Kind
 }
 
+// Call implements rig.Caller.
 func (c clientCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	opts := []client.CallOption{client.As(client.Method{Kind: c.kinds[method], Criticality: criticality})}
+	options := []client.CallOption{client.As(client.Method{Kind: c.kinds[method], Criticality: criticality})}
 	if token != "" {
-		opts = append(opts, client.Token(token))
+		options = append(options, client.Token(token))
 	}
-	r, err := c.Client.Call(ctx, method, body, opts...)
-	return r.Body, err
+	reply, err := c.Client.Call(ctx, method, body, options...)
+	return reply.Body, err
 }
 
-// slack is beside each time that the checker looks at: the platform's own 50 ms.
+// slack is the tolerance of each time that the checker compares: the 50 ms of the platform itself.
 const slack = 50 * time.Millisecond
 
-// requestMix is the mix that experiments ask for: lookups, checks that are tokened, and what must not run twice at all.
+// requestMix returns the load of the experiments: idempotent lookups, tokened records, and notifications that must not run
+// twice at all. work is the mean in seconds on a core.
 func requestMix(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Part: 0.6, Work: work, Deadline: deadline},
@@ -38,10 +40,11 @@
 	}
 }
 
+// requestMixSite returns the settings of an app server that serves requestMix.
 func requestMixSite(deadline time.Duration) rig.Site {
 	d := deadline.Seconds()
-	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 16, Marks: true,
-		MaxAfter: 5, Methods: []rig.SiteMethod{
+	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 16,
+		Marks: true, MaxAfter: 5, Methods: []rig.SiteMethod{
 			{Name: "lookup", Kind: string(rpc.Idempotent), Target: d / 2, Deadline: d, Criticality: 1},
 			{Name: "record", Kind: string(rpc.Tokened), Target: d / 2, Deadline: d, Window: 60, Criticality: 5},
 			{Name: "notify", Kind: string(rpc.NonIdempotent), Target: d / 2, Deadline: d, Criticality: 2}}}
@@ -55,53 +58,53 @@
 	return kinds
 }
 
-// openDescriptors is how many this process has open.
+// openDescriptors returns how many descriptors this process has open, or 0 if they cannot be listed.
 func openDescriptors() int {
-	all, err := os.ReadDir("/proc/self/fd")
+	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0
 	}
-	return len(all)
+	return len(entries)
 }
 
-// runClient is the experiment on the client library.
-func runClient(p *experimentRun) error {
+// runClient runs the experiment on the client library.
+func runClient(run *experimentRun) error {
 	rig.Prepare()
-	goroutines, open := runtime.NumGoroutine(), openDescriptors()
+	goroutinesBefore, descriptorsBefore := runtime.NumGoroutine(), openDescriptors()
 	var violations violationLog
-	sums := map[string]float64{}
+	counts := map[string]float64{}
 	note := func(c *rig.Checker) {
 		violations.collect(c)
 		for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
-			sums[name] += float64(c.Count(name))
+			counts[name] += float64(c.Count(name))
 		}
 	}
-	if err := p.runReconnects(note); err != nil {
+	if err := run.runReconnects(note); err != nil {
 		return err
 	}
-	if err := p.runHalfOutage(note); err != nil {
+	if err := run.runHalfOutage(note); err != nil {
 		return err
 	}
-	if err := p.runUncommonFaults(note); err != nil {
+	if err := run.runUncommonFaults(note); err != nil {
 		return err
 	}
 	for _, name := range []string{"refused.retried", "late.sent", "double.runs", "unanswered"} {
-		p.exactly(name, sums[name], 0)
+		run.exactly(name, counts[name], 0)
 	}
-	violations.report(p)
-	// What a closed socket's owner still has to do takes a moment.
+	violations.report(run)
+	// The goroutines of closed sockets take a moment to end.
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end) &&
-		(runtime.NumGoroutine() > goroutines || openDescriptors() > open); {
+		(runtime.NumGoroutine() > goroutinesBefore || openDescriptors() > descriptorsBefore); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	p.exactly("leaked.goroutines", float64(max(runtime.NumGoroutine()-goroutines, 0)), 0)
-	// The first use of the network keeps descriptors of Go's own: the poller's.
-	p.exactly("leaked.descriptors", float64(max(openDescriptors()-open-runtimeDescriptors, 0)), 0)
-	if p.shortForm {
+	run.exactly("leaked.goroutines", float64(max(runtime.NumGoroutine()-goroutinesBefore, 0)), 0)
+	// The Go runtime opens descriptors for its network poller at the first use and keeps them.
+	run.exactly("leaked.descriptors", float64(max(openDescriptors()-descriptorsBefore-runtimeDescriptors, 0)), 0)
+	if run.shortForm {
 		return nil
 	}
-	return p.measureOverhead()
+	return run.measureOverhead()
 }
 
-// runtimeDescriptors are Go's: its poller, the event that wakes it.
+// runtimeDescriptors is the allowance for descriptors of the Go runtime: its poller and the event that wakes it.
 const runtimeDescriptors = 4
--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -11,7 +11,7 @@
 	"valveglade/rig"
 )
 
-// The fleet and load of halfOut: half of these app servers cannot quite carry the rate.
+// The fleet and load of runHalfOutage: half of these app servers cannot quite carry the rate.
 const (
 	halfOutageClients  = 16
 	halfOutageServers  = 4
@@ -19,56 +19,58 @@
 	halfOutageDeadline = 800 * time.Millisecond
 )
 
-// halfOutageResult is what one kind of client made of the outage.
+// halfOutageResult is the result of the outage with one kind of client.
 type halfOutageResult struct {
-	out   rig.Outcome
-	check *rig.Checker
+	outcome rig.Outcome
+	check   *rig.Checker
 }
 
 // triesPerRPC returns the mean number of tries of an RPC.
 func (r halfOutageResult) triesPerRPC() float64 {
-	return float64(r.check.Count("tries")) / float64(r.out.Asked)
+	return float64(r.check.Count("tries")) / float64(r.outcome.Asked)
 }
 
-// runHalfOutage kills half the app servers for some seconds, with the careful client and with the naive one, each with a
-// fleet of its own, at the same time.
-func (p *experimentRun) runHalfOutage(note func(*rig.Checker)) error {
-	var good, bad halfOutageResult
-	var errGood, errBad error
-	var both sync.WaitGroup
-	both.Go(func() {
-		good, errGood = p.measureHalfOutage(func(k int, addresses []string) (rig.Caller, error) {
-			c, err := client.New(client.Servers(addresses...), client.Seed(p.Seed*7919+uint64(k)+1))
+// runHalfOutage kills half of the app servers for some seconds, under the client library and under the naive client. Each
+// kind has a fleet of its own, and both run at the same time.
+func (run *experimentRun) runHalfOutage(note func(*rig.Checker)) error {
+	var library, naive halfOutageResult
+	var errLibrary, errNaive error
+	var measurements sync.WaitGroup
+	measurements.Go(func() {
+		library, errLibrary = run.measureHalfOutage(func(k int, addresses []string) (rig.Caller, error) {
+			c, err := client.New(client.Servers(addresses...), client.Seed(run.Seed*7919+uint64(k)+1))
 			return clientCaller{c, kindsOf(requestMix(0, 0))}, err
 		})
 	})
-	both.Go(func() {
-		bad, errBad = p.measureHalfOutage(func(k int, addresses []string) (rig.Caller, error) {
+	measurements.Go(func() {
+		naive, errNaive = run.measureHalfOutage(func(k int, addresses []string) (rig.Caller, error) {
 			return rig.NewNaiveClient(100+k, addresses...), nil
 		})
 	})
-	both.Wait()
-	if err := errors.Join(errGood, errBad); err != nil {
+	measurements.Wait()
+	if err := errors.Join(errLibrary, errNaive); err != nil {
 		return err
 	}
-	p.atMost("tries.per.rpc", good.triesPerRPC(), 1.10)
-	p.report("naive.tries.per.rpc", bad.triesPerRPC())
-	p.atLeast("criticality.served", good.out.Criticality, math.Floor(bad.out.Criticality*1e4)/1e4)
-	p.report("naive.criticality.served", bad.out.Criticality)
-	p.report("naive.double.runs", float64(bad.check.Count("double.runs")))
-	for name, m := range good.out.ByMethod {
-		p.printNote("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Asked, float64(m.Times.ValueAtQuantile(99))/1000,
-			bad.out.ByMethod[name].OK, bad.out.ByMethod[name].Asked)
+	run.atMost("tries.per.rpc", library.triesPerRPC(), 1.10)
+	run.report("naive.tries.per.rpc", naive.triesPerRPC())
+	run.atLeast("criticality.served", library.outcome.Criticality, math.Floor(naive.outcome.Criticality*1e4)/1e4)
+	run.report("naive.criticality.served", naive.outcome.Criticality)
+	run.report("naive.double.runs", float64(naive.check.Count("double.runs")))
+	for name, m := range library.outcome.ByMethod {
+		run.printNote("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Asked, float64(m.Times.ValueAtQuantile(99))/1000,
+			naive.outcome.ByMethod[name].OK, naive.outcome.ByMethod[name].Asked)
 	}
-	note(good.check)
+	note(library.check)
 	return nil
 }
 
-// measureHalfOutage plays the outage with one kind of client.
-func (p *experimentRun) measureHalfOutage(newCaller func(k int, addresses []string) (rig.Caller, error)) (r halfOutageResult, err error) {
-	length := p.scaled(8 * time.Second)
+// measureHalfOutage runs the outage with one kind of client.
+func (run *experimentRun) measureHalfOutage(
+	newCaller func(k int, addresses []string) (rig.Caller, error),
+) (r halfOutageResult, err error) {
+	length := run.scaled(8 * time.Second)
 	r.check = rig.NewChecker(2 * slack)
-	f, err := rig.NewFleet(p.Program, halfOutageServers, requestMixSite(halfOutageDeadline), r.check)
+	f, err := rig.NewFleet(run.Program, halfOutageServers, requestMixSite(halfOutageDeadline), r.check)
 	if err != nil {
 		return r, err
 	}
@@ -85,13 +87,13 @@
 	var outage sync.WaitGroup
 	var errOutage error
 	outage.Go(func() { errOutage = killHalf(f, length) })
-	r.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return halfOutageRate }, Length: length, Prefix: "b",
+	r.outcome = rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return halfOutageRate }, Length: length, Prefix: "b",
 		Shares: requestMix(0.01, halfOutageDeadline)}.Run(context.Background(), r.check, callers...)
 	outage.Wait()
 	return r, errOutage
 }
 
-// killHalf kills half of a fleet's programs after a quarter of a time, and starts them again after three quarters.
+// killHalf kills half of a fleet's programs after a quarter of length, and starts them again after three quarters.
 func killHalf(f *rig.Fleet, length time.Duration) error {
 	half := f.Programs[:len(f.Programs)/2]
 	time.Sleep(length / 4)
@@ -106,52 +108,53 @@
 	return errors.Join(errs...)
 }
 
-// runUncommonFaults plays what a real app server does seldom: silence, trickles, ten seconds of refusals, a refusal that comes
-// as the deadline ends, deadlines shorter than a round trip, a list that goes empty.
-func (p *experimentRun) runUncommonFaults(note func(*rig.Checker)) error {
+// runUncommonFaults runs the cases that are rare with real app servers: silence, replies of a few bytes at a time, an empty
+// list of app servers, deadlines shorter than a round trip, several seconds in which every RPC is refused, a refusal that
+// arrives as the deadline ends.
+func (run *experimentRun) runUncommonFaults(note func(*rig.Checker)) error {
 	check := rig.NewChecker(2 * slack)
-	f, err := rig.NewFleet(p.Program, 3, requestMixSite(500*time.Millisecond), check)
+	f, err := rig.NewFleet(run.Program, 3, requestMixSite(500*time.Millisecond), check)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	list := make(chan []string, 1)
+	listUpdates := make(chan []string, 1)
 	current := f.Addresses()
 	resolve := func(context.Context) ([]string, error) {
 		select {
-		case current = <-list:
+		case current = <-listUpdates:
 		default:
 		}
 		return current, nil
 	}
-	c, err := client.New(client.Resolver(100*time.Millisecond, resolve), client.Seed(p.Seed))
+	c, err := client.New(client.Resolver(100*time.Millisecond, resolve), client.Seed(run.Seed))
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	load := func(prefix string, rate float64, length, deadline time.Duration) rig.Outcome {
-		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
+		return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: prefix,
 			Shares: requestMix(0.004, deadline)}.Run(context.Background(), check, clientCaller{c, kindsOf(requestMix(0, 0))})
 	}
-	var trouble sync.WaitGroup
-	trouble.Go(func() {
+	var faults sync.WaitGroup
+	faults.Go(func() {
 		time.Sleep(500 * time.Millisecond)
-		f.Nets[0].Deaf(true) // accepts and never answers
+		f.Nets[0].Deaf(true) // accepts connections and never replies
 		f.Nets[1].Trickle(7)
-		list <- nil // the list is empty for a while
+		listUpdates <- nil // the list of app servers is empty for a while
 		time.Sleep(2 * time.Second)
-		list <- f.Addresses()
+		listUpdates <- f.Addresses()
 		f.Nets[0].Deaf(false)
 		f.Nets[1].Trickle(0)
 	})
-	out := load("c", 120, 4*time.Second, 500*time.Millisecond) // the trouble takes the first 2.5 s
-	trouble.Wait()
-	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Asked), 0.9)
-	// Shorter than a round trip: nothing may be sent late, and all must end.
+	outcome := load("c", 120, 4*time.Second, 500*time.Millisecond) // the faults last for the first 2.5 s
+	faults.Wait()
+	run.atLeast("silent.and.trickling.ok", float64(outcome.OK)/float64(outcome.Asked), 0.9)
+	// With deadlines shorter than a round trip nothing may be sent late, and every RPC must end.
 	f.Nets[0].Delay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
-	p.report("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
+	run.report("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
 	f.Nets[0].Delay(0)
 	note(check)
-	return p.runRefusals()
+	return run.runRefusals()
 }
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	reconnectTimeout = 15 * time.Second       // for all clients to be back
-	reconnectWindow  = 100 * time.Millisecond // in which the most reconnects are counted
+	reconnectTimeout = 15 * time.Second       // for all clients to reconnect
+	reconnectWindow  = 100 * time.Millisecond // in which the maximum number of reconnects is counted
 )
 
 // reconnectLog records the first connection of each client after an outage.
@@ -28,25 +28,25 @@
 func (l *reconnectLog) dialer() func(ctx context.Context, address string) (net.Conn, error) {
 	first := true
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if err == nil && !l.outageEnd.IsZero() && first {
 			first = false
 			l.reconnected = append(l.reconnected, time.Now())
 		}
-		return nc, err
+		return connection, err
 	}
 }
 
-// endOutage records that the outage ends now.
+// endOutage records the current time as the end of the outage.
 func (l *reconnectLog) endOutage() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outageEnd = time.Now()
 }
 
-// waitFor waits until so many clients are back, reconnectWithin at the most.
+// waitFor waits until the given number of clients have reconnected, for reconnectTimeout at most.
 func (l *reconnectLog) waitFor(clients int) {
 	count := func() int {
 		l.mu.Lock()
@@ -58,67 +58,68 @@
 	}
 }
 
-// delays returns, in order, how long after the outage's end each client was back.
+// delays returns the sorted delays from the end of the outage to the reconnect of each client, in seconds.
 func (l *reconnectLog) delays() []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []float64
-	for _, t := range l.reconnected {
-		all = append(all, t.Sub(l.outageEnd).Seconds())
+	var delays []float64
+	for _, at := range l.reconnected {
+		delays = append(delays, at.Sub(l.outageEnd).Seconds())
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(delays)
+	return delays
 }
 
-// runReconnects has many clients lose the one app server, and come back.
-func (p *experimentRun) runReconnects(note func(*rig.Checker)) error {
-	clients, outage := 1000, p.scaled(6*time.Second)
-	if p.shortForm {
+// runReconnects disconnects many clients from the only app server and measures how they reconnect.
+func (run *experimentRun) runReconnects(note func(*rig.Checker)) error {
+	clients, outage := 1000, run.scaled(6*time.Second)
+	if run.shortForm {
 		clients = 50
 	}
-	check := rig.NewChecker(4 * slack) // a thousand clients in one process wait for each other
-	f, err := rig.NewFleet(p.Program, 1, requestMixSite(time.Second), check)
+	check := rig.NewChecker(4 * slack) // a thousand clients in one process delay each other
+	f, err := rig.NewFleet(run.Program, 1, requestMixSite(time.Second), check)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	log := &reconnectLog{}
-	callers, err := p.reconnectCallers(clients, f.Addresses(), log)
+	callers, err := run.reconnectCallers(clients, f.Addresses(), log)
 	for _, c := range callers {
 		defer c.Close()
 	}
 	if err != nil {
 		return err
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return float64(clients) / 5 }, Length: time.Minute,
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	load := rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return float64(clients) / 5 }, Length: time.Minute,
 		Shares: requestMix(0.0005, time.Second), Prefix: "a"}
-	var done sync.WaitGroup
-	var out rig.Outcome
-	done.Go(func() { out = load.Run(ctx, check, callers...) })
+	var loadDone sync.WaitGroup
+	var outcome rig.Outcome
+	loadDone.Go(func() { outcome = load.Run(ctx, check, callers...) })
 	time.Sleep(2500 * time.Millisecond)
 	f.Nets[0].Down(true)
 	time.Sleep(outage)
 	log.endOutage()
 	f.Nets[0].Down(false)
 	log.waitFor(clients)
-	end()
-	done.Wait()
-	if err := p.checkReconnects(log.delays(), clients); err != nil {
+	cancel()
+	loadDone.Wait()
+	if err := run.checkReconnects(log.delays(), clients); err != nil {
 		return err
 	}
-	p.report("reconnect.ok.share", float64(out.OK)/float64(max(out.Asked, 1)))
+	run.report("reconnect.ok.share", float64(outcome.OK)/float64(max(outcome.Asked, 1)))
 	note(check)
 	return nil
 }
 
-// reconnectCallers makes clients of an app server whose connections are recorded. The caller closes them, also after an error.
-func (p *experimentRun) reconnectCallers(clients int, addresses []string, log *reconnectLog) ([]rig.Caller, error) {
+// reconnectCallers creates clients of an app server and records their connections in log. The caller closes them, also
+// after an error.
+func (run *experimentRun) reconnectCallers(clients int, addresses []string, log *reconnectLog) ([]rig.Caller, error) {
 	kinds := kindsOf(requestMix(0, 0))
 	var callers []rig.Caller
 	for k := range clients {
-		c, err := client.New(client.Servers(addresses...), client.Seed(p.Seed*1_000_003+uint64(k)+1),
+		c, err := client.New(client.Servers(addresses...), client.Seed(run.Seed*1_000_003+uint64(k)+1),
 			client.StartSpread(2*time.Second), client.Dialer(log.dialer()))
 		if err != nil {
 			return callers, err
@@ -128,28 +129,29 @@
 	return callers, nil
 }
 
-// checkReconnects checks when clients were back after an outage, in seconds and in order.
-func (p *experimentRun) checkReconnects(back []float64, clients int) error {
-	if len(back) < clients/2 {
-		return fmt.Errorf("only %d of %d clients came back", len(back), clients)
+// checkReconnects checks the sorted delays, in seconds, after which clients reconnected.
+func (run *experimentRun) checkReconnects(delays []float64, clients int) error {
+	if len(delays) < clients/2 {
+		return fmt.Errorf("only %d of %d clients reconnected after the outage", len(delays), clients)
 	}
-	if !p.shortForm { // a few clients after a short outage show no distribution
-		p.atLeast("reconnect.spread.s", back[len(back)*95/100]-back[len(back)*5/100], 3)
-		p.atMost("reconnect.most.in.100ms", float64(maxWithin(back, reconnectWindow.Seconds()))/float64(clients), 0.05)
+	if !run.shortForm { // a few clients after a short outage show no distribution
+		run.atLeast("reconnect.spread.s", delays[len(delays)*95/100]-delays[len(delays)*5/100], 3)
+		run.atMost("reconnect.most.in.100ms", float64(maxWithin(delays, reconnectWindow.Seconds()))/float64(clients), 0.05)
 	}
-	p.exactly("reconnect.back", float64(len(back)), float64(clients))
-	p.atMost("reconnect.last.s", back[len(back)-1], reconnectTimeout.Seconds())
+	run.exactly("reconnect.back", float64(len(delays)), float64(clients))
+	run.atMost("reconnect.last.s", delays[len(delays)-1], reconnectTimeout.Seconds())
 	return nil
 }
 
-// maxWithin returns the most of some sorted times that lie within one span of time, less than its length apart.
+// maxWithin returns the maximum number of the sorted times that lie within one interval, less than span apart. All are in
+// seconds.
 func maxWithin(times []float64, span float64) int {
-	most := 0
+	highest := 0
 	for first, last := 0, 0; last < len(times); last++ {
 		for times[last]-times[first] >= span {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -13,93 +13,95 @@
 	"valveglade/rig"
 )
 
-// The RPCs of the experiment on refusals.
+// The RPCs and replies of the experiment on refusals.
 const (
 	refusalServers      = 2
 	refusalInterval     = 20 * time.Millisecond // between two RPCs
 	refusalRetryAfter   = 300 * time.Millisecond
-	refusalTransit      = 10 * time.Millisecond // allowed for an answer's way to the client
+	refusalTransit      = 10 * time.Millisecond // allowance for the transit of a reply to the client
 	refusalDeadline     = 900 * time.Millisecond
-	refusalEdgeEvery    = 10 // one RPC in so many is of refusalEdgeMethod
+	refusalEdgeEvery    = 10 // one RPC in this many calls refusalEdgeMethod
 	refusalEdgeMethod   = "edge"
 	refusalEdgeDeadline = 150 * time.Millisecond
 )
 
 // refusal is the last refusal of an RPC.
 type refusal struct {
-	earliestRetry time.Time // it must not be sent again before
-	final         bool      // it must not be sent again at all
+	earliestRetry time.Time // the RPC must not be sent again before this time
+	final         bool      // the RPC must not be sent again at all
 }
 
-// refusalScript answers as app servers do that push everything back, and counts the tries that heed no refusal or deadline.
+// refusalScript replies as app servers that push every RPC back, and counts the tries that violate an earlier refusal or
+// the deadline.
 type refusalScript struct {
 	mu                     sync.Mutex
 	refusals               map[string]refusal // by RPC
 	early, forbidden, late int
 }
 
-// reply answers one message of the client.
-func (s *refusalScript) reply(h rig.Heard, out []byte) []byte {
+// reply appends the reply to one message of the client to out.
+func (s *refusalScript) reply(received rig.Heard, out []byte) []byte {
 	switch {
-	case h.Interrupt:
+	case received.Interrupt:
 		return out
-	case h.CheckOnly:
-		return thrift.Checked(out, h.Seq, true, 10)
+	case received.CheckOnly:
+		return thrift.Checked(out, received.Seq, true, 10)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if r, ok := s.refusals[h.ID]; ok {
+	if r, ok := s.refusals[received.ID]; ok {
 		if r.final {
 			s.forbidden++
 		} else if now.Before(r.earliestRetry) {
 			s.early++
 		}
 	}
-	left := h.Recv + h.TTL - float64(now.UnixNano())/1e9
-	if left < -slack.Seconds() {
+	remaining := received.Recv + received.TTL - float64(now.UnixNano())/1e9
+	if remaining < -slack.Seconds() {
 		s.late++
 	}
-	after, last := refusalRetryAfter, len(h.ID)%2 == 0
-	if h.Method == refusalEdgeMethod { // its refusal arrives just as the deadline ends
-		time.Sleep(time.Duration(left*float64(time.Second)) - time.Millisecond)
-		after = 0
+	retryAfter, final := refusalRetryAfter, len(received.ID)%2 == 0
+	if received.Method == refusalEdgeMethod { // its refusal arrives just as the deadline ends
+		time.Sleep(time.Duration(remaining*float64(time.Second)) - time.Millisecond)
+		retryAfter = 0
 	}
-	s.refusals[h.ID] = refusal{now.Add(after - refusalTransit), last}
-	return thrift.PushedBack(out, h.Seq, last, after.Seconds(), 10)
+	s.refusals[received.ID] = refusal{now.Add(retryAfter - refusalTransit), final}
+	return thrift.PushedBack(out, received.Seq, final, retryAfter.Seconds(), 10)
 }
 
-// runRefusals has a client call app servers that push everything back.
-func (p *experimentRun) runRefusals() error {
+// runRefusals measures a client whose app servers push every RPC back.
+func (run *experimentRun) runRefusals() error {
 	script := &refusalScript{refusals: map[string]refusal{}}
 	var addresses []string
 	for range refusalServers {
-		s, err := rig.NewStub(script.reply)
+		stub, err := rig.NewStub(script.reply)
 		if err != nil {
 			return err
 		}
-		defer s.Close()
-		addresses = append(addresses, s.Address())
+		defer stub.Close()
+		addresses = append(addresses, stub.Address())
 	}
-	c, err := client.New(client.Servers(addresses...), client.Seed(p.Seed), client.Budget(1))
+	caller, err := client.New(client.Servers(addresses...), client.Seed(run.Seed), client.Budget(1))
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	asked, kept := callRefused(c, p.scaled(4*time.Second))
+	defer caller.Close()
+	asked, withoutError := callRefused(caller, run.scaled(4*time.Second))
 	script.mu.Lock()
 	defer script.mu.Unlock()
-	p.exactly("pushback.early", float64(script.early), 0)
-	p.exactly("pushback.forbidden", float64(script.forbidden), 0)
-	p.exactly("pushback.late", float64(script.late), 0)
-	p.exactly("pushback.without.answer", float64(kept), 0)
-	p.report("pushback.sent.share", float64(len(script.refusals))/float64(asked))
+	run.exactly("pushback.early", float64(script.early), 0)
+	run.exactly("pushback.forbidden", float64(script.forbidden), 0)
+	run.exactly("pushback.late", float64(script.late), 0)
+	run.exactly("pushback.without.answer", float64(withoutError), 0)
+	run.report("pushback.sent.share", float64(len(script.refusals))/float64(asked))
 	return nil
 }
 
-// callRefused sends RPCs for a time. It returns how many were sent, and how many of them had no proper error by their deadline.
-func callRefused(c *client.Client, length time.Duration) (asked int, kept int64) {
-	var without atomic.Int64
+// callRefused sends RPCs for length. It returns how many were sent, and how many of them did not end with a *client.Error
+// by their deadline.
+func callRefused(c *client.Client, length time.Duration) (asked int, withoutError int64) {
+	var withoutErrorCount atomic.Int64
 	var all sync.WaitGroup
 	for begin := time.Now(); time.Since(begin) < length; asked++ {
 		time.Sleep(refusalInterval)
@@ -113,12 +115,12 @@
 			defer stop()
 			began := time.Now()
 			_, err := c.Call(ctx, method, rig.Body(id, 0), client.As(client.Method{Kind: client.Idempotent}))
-			var e *client.Error
-			if !errors.As(err, &e) || time.Since(began) > deadline+slack {
-				without.Add(1)
+			var callError *client.Error
+			if !errors.As(err, &callError) || time.Since(began) > deadline+slack {
+				withoutErrorCount.Add(1)
 			}
 		})
 	}
 	all.Wait()
-	return asked, without.Load()
+	return asked, withoutErrorCount.Load()
 }
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -18,22 +18,23 @@
 	"valveglade/rig"
 )
 
-// coldServers is how many app servers there are; at least minColdRestarts of them restart cold.
+// coldServers is the number of app servers; at least minColdRestarts of them restart cold.
 const coldServers, minColdRestarts = 4, 3
 
-// coldRecovery is how long after the slow start service may take to be back.
+// coldRecovery is how long service may take to recover after the slow start.
 const coldRecovery = 3 * time.Second
 
-// coldCase is one kind of cold restart: who calls, and how much one app server does within a window while it is coldest.
+// coldCase is one kind of cold restart: the clients, and the range of what one app server can serve within a window while
+// it is coldest.
 type coldCase struct {
 	name                     string
-	clients                  int     // processes, none of which knows of the others
-	announcedCallers         int     // how many the settings say there are
+	clients                  int     // client processes, each unaware of the others
+	announcedCallers         int     // number of callers in the settings
 	minRequests, maxRequests float64 // requests of mean work within the first window
 	shape                    coldShape
 }
 
-// coldShape is what is out of the ordinary in the settings of a cold start.
+// coldShape is the way in which the settings of a cold start differ from ordinary ones.
 type coldShape uint8
 
 const (
@@ -43,15 +44,16 @@
 	fullCapacity           // startCapacity is 1
 )
 
-// coldCases are all that a run covers.
+// coldCases returns all cases that a run covers.
 func coldCases() []coldCase {
 	var cases []coldCase
 	for _, clients := range []int{1, 3, 8, 24} {
-		for _, n := range []struct {
-			name        string
-			least, most float64
+		for _, size := range []struct {
+			name                     string
+			minRequests, maxRequests float64
 		}{{"few", 1, 3}, {"tens", 4, 29}, {"more", 30, 80}, {"hundreds", 100, 250}} {
-			cases = append(cases, coldCase{fmt.Sprintf("%d.%s", clients, n.name), clients, clients, n.least, n.most, ordinaryRamp})
+			cases = append(cases, coldCase{fmt.Sprintf("%d.%s", clients, size.name), clients, clients, size.minRequests,
+				size.maxRequests, ordinaryRamp})
 		}
 	}
 	return append(cases,
@@ -62,12 +64,12 @@
 		coldCase{"callers.unannounced", 24, 8, 3, 20, ordinaryRamp})
 }
 
-// briefColdCases are those of the shortest form.
-func briefColdCases() []coldCase {
+// shortFormColdCases returns the cases of the shortest form.
+func shortFormColdCases() []coldCase {
 	return []coldCase{{"1.few", 1, 1, 1, 3, ordinaryRamp}, {"24.tens", 24, 24, 4, 29, ordinaryRamp}}
 }
 
-// naiveColdCase is the one that naive clients are put to.
+// naiveColdCase is the case that naive clients are measured with.
 var naiveColdCase = coldCase{"naive", 24, 24, 20, 60, ordinaryRamp}
 
 // coldPlan is one cold restart, drawn from the seed.
@@ -76,49 +78,49 @@
 	start               rig.ColdStart
 	cores               int
 	firstWindowRequests float64 // requests of mean work within the first window
-	work                float64 // seconds on a core, on the mean
+	work                float64 // mean seconds on a core
 	deadline            time.Duration
-	restarts            int     // how many app servers restart
+	restarts            int     // number of app servers that restart
 	rate                float64 // RPCs a second, of all clients together
 	warmUp              time.Duration
 	outage              time.Duration
 }
 
-// duration is the whole plan's.
+// duration returns the duration of the whole plan.
 func (c coldPlan) duration() time.Duration {
 	return c.warmUp + c.outage + c.start.SlowStart() + coldRecovery + c.evaluationSpan()
 }
 
-// evaluationSpan is how long a span is taken to judge service by: at least some 30 RPCs, of which one may fail.
+// evaluationSpan returns the length of the spans by which service is judged: at least some 30 RPCs, of which one may fail.
 func (c coldPlan) evaluationSpan() time.Duration {
-	const enough = 30
-	return max(time.Second, time.Duration(enough/c.rate*float64(time.Second)))
+	const minRPCs = 30
+	return max(time.Second, time.Duration(minRPCs/c.rate*float64(time.Second)))
 }
 
-// drawColdPlan draws all that the settings may vary in.
+// drawColdPlan draws a plan with settings that vary in all that they may.
 func drawColdPlan(seed uint64, kind coldCase) coldPlan {
-	draw := rand.New(rand.NewPCG(seed, 23))
-	between := func(from, to float64) float64 { return from + (to-from)*draw.Float64() }
+	random := rand.New(rand.NewPCG(seed, 23))
+	between := func(from, to float64) float64 { return from + (to-from)*random.Float64() }
 	seconds := func(from, to float64) time.Duration { return time.Duration(between(from, to) * float64(time.Second)) }
-	c := coldPlan{coldCase: kind,
+	plan := coldPlan{coldCase: kind,
 		start: rig.ColdStart{Capacity: between(0.15, 0.35), Ramp: seconds(3, 4.5), Window: seconds(1, 2)},
-		cores: 1 + draw.IntN(3), firstWindowRequests: between(kind.minRequests, kind.maxRequests), restarts: minColdRestarts + draw.IntN(coldServers-minColdRestarts+1),
-		warmUp: time.Second, outage: seconds(0.3, 1)}
+		cores: 1 + random.IntN(3), firstWindowRequests: between(kind.minRequests, kind.maxRequests),
+		restarts: minColdRestarts + random.IntN(coldServers-minColdRestarts+1), warmUp: time.Second, outage: seconds(0.3, 1)}
 	switch kind.shape {
 	case shortRamp:
-		c.start.Ramp = c.start.Window / 3
+		plan.start.Ramp = plan.start.Window / 3
 	case noRamp:
-		c.start.Ramp = 0
+		plan.start.Ramp = 0
 	case fullCapacity:
-		c.start.Capacity = 1
+		plan.start.Capacity = 1
 	}
-	c.work = float64(c.cores) * c.start.Capacity * c.start.Window.Seconds() / c.firstWindowRequests
-	const briefest, longest = 0.4, 8
-	c.deadline = time.Duration(min(max(between(40, 60)*c.work, briefest), longest) * float64(time.Second))
-	c.rate = between(0.5, 0.65) * coldServers * float64(c.cores) / c.work
-	const bearable = 600 // RPCs a second through the stand-ins of this process
-	c.rate = min(c.rate, bearable)
-	return c
+	plan.work = float64(plan.cores) * plan.start.Capacity * plan.start.Window.Seconds() / plan.firstWindowRequests
+	const shortest, longest = 0.4, 8
+	plan.deadline = time.Duration(min(max(between(40, 60)*plan.work, shortest), longest) * float64(time.Second))
+	plan.rate = between(0.5, 0.65) * coldServers * float64(plan.cores) / plan.work
+	const maxRate = 600 // RPCs a second that the stand-ins of this process can carry
+	plan.rate = min(plan.rate, maxRate)
+	return plan
 }
 
 func (c coldPlan) site() rig.Site {
@@ -127,77 +129,78 @@
 	return site
 }
 
-// coldResult is one kind of client against a fleet of its own.
+// coldResult is the result of one kind of client against a fleet of its own.
 type coldResult struct {
-	peak            rig.Peak // the worst app server's
-	recoverySeconds float64  // seconds from the boot until service was back
+	peak            rig.Peak // of the app server with the highest ratio
+	recoverySeconds float64  // from the last boot until service had recovered
 	finalShare      float64  // share of the RPCs after the slow start and the recovery that were ok
 	outcome         rig.Outcome
 	check           *rig.Checker
 }
 
-// runCold plays cold app servers under the sum of what all clients send, with one client process and with many.
-func runCold(p *experimentRun) error {
+// runCold measures cold app servers under the combined load of all clients, with one client process and with many.
+func runCold(run *experimentRun) error {
 	cases := coldCases()
-	if p.shortForm {
-		cases = briefColdCases()
+	if run.shortForm {
+		cases = shortFormColdCases()
 	}
 	counts := map[string]float64{}
-	ratio, late, end := 0.0, math.Inf(-1), 1.0
+	maxRatio, maxDelay, finalShare := 0.0, math.Inf(-1), 1.0
 	for k, kind := range cases {
-		if p.Part != "" && p.Part != kind.name {
+		if run.Part != "" && run.Part != kind.name {
 			continue
 		}
-		plan := drawColdPlan(p.Seed*1000+uint64(k), kind)
-		side, err := p.runColdSide(plan, "careful")
+		plan := drawColdPlan(run.Seed*1000+uint64(k), kind)
+		result, err := run.measureColdPlan(plan, "careful")
 		if err != nil {
 			return err
 		}
-		p.printNote("%-20s %d of %d restart at %.2f, warm after %.1f s, N %.1f in %.2f s, %.0f RPCs a second: ratio %.2f at %.1f s (%.2f by count), "+
-			"back after %.1f s, ok %.2f, at the end %.2f", kind.name, plan.restarts, coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.firstWindowRequests,
-			plan.start.Window.Seconds(), plan.rate, side.peak.ByWork, side.peak.Age.Seconds(), side.peak.ByCount, side.recoverySeconds,
-			float64(side.outcome.OK)/float64(side.outcome.Asked), side.finalShare)
-		ratio = max(ratio, side.peak.ByWork)
-		late = max(late, side.recoverySeconds-(plan.start.SlowStart()+coldRecovery).Seconds())
-		end = min(end, side.finalShare)
+		run.printNote("%-20s %d of %d restart at capacity %.2f, warm after %.1f s, %.1f requests in %.2f s, %.0f RPCs a second: "+
+			"ratio %.2f at %.1f s (%.2f by count), recovered after %.1f s, ok share %.2f, at the end %.2f", kind.name, plan.restarts,
+			coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.firstWindowRequests, plan.start.Window.Seconds(),
+			plan.rate, result.peak.ByWork, result.peak.Age.Seconds(), result.peak.ByCount, result.recoverySeconds,
+			float64(result.outcome.OK)/float64(result.outcome.Asked), result.finalShare)
+		maxRatio = max(maxRatio, result.peak.ByWork)
+		maxDelay = max(maxDelay, result.recoverySeconds-(plan.start.SlowStart()+coldRecovery).Seconds())
+		finalShare = min(finalShare, result.finalShare)
 		for _, name := range forbiddenCounts {
-			counts[name] += float64(side.check.Count(name))
+			counts[name] += float64(result.check.Count(name))
 		}
-		violations := side.check.Violations()
+		violations := result.check.Violations()
 		counts["breaches"] += float64(len(violations))
-		for _, b := range violations[:min(len(violations), 10)] {
-			p.printNote("%s", b)
+		for _, violation := range violations[:min(len(violations), 10)] {
+			run.printNote("%s", violation)
 		}
 	}
-	p.atMost("cold.ratio", ratio, 1)
-	p.atMost("service.back.late.s", late, 0)
-	p.atLeast("service.after.recovery", end, recoveredShare)
+	run.atMost("cold.ratio", maxRatio, 1)
+	run.atMost("service.back.late.s", maxDelay, 0)
+	run.atLeast("service.after.recovery", finalShare, recoveredShare)
 	for _, name := range append(forbiddenCounts, "breaches") {
-		p.exactly(name, counts[name], 0)
+		run.exactly(name, counts[name], 0)
 	}
-	if p.Part != "" {
+	if run.Part != "" {
 		return nil
 	}
-	naive, err := p.runColdSide(drawColdPlan(p.Seed, naiveColdCase), "naive")
+	naive, err := run.measureColdPlan(drawColdPlan(run.Seed, naiveColdCase), "naive")
 	if err != nil {
 		return err
 	}
-	p.atLeast("naive.cold.ratio", naive.peak.ByWork, minOverloadRatio)
-	p.report("naive.service.back.s", naive.recoverySeconds)
-	p.report("naive.ok.share", float64(naive.outcome.OK)/float64(naive.outcome.Asked))
+	run.atLeast("naive.cold.ratio", naive.peak.ByWork, minOverloadRatio)
+	run.report("naive.service.back.s", naive.recoverySeconds)
+	run.report("naive.ok.share", float64(naive.outcome.OK)/float64(naive.outcome.Asked))
 	return nil
 }
 
-// forbiddenCounts are what the checker counts and must never be.
+// forbiddenCounts are the counts of the checker that must be zero.
 var forbiddenCounts = []string{"refused.retried", "late.sent", "double.runs", "unanswered"}
 
-// minOverloadRatio is the least that shows that a baseline overloads cold app servers.
+// minOverloadRatio is the minimum ratio that shows that a baseline overloads cold app servers.
 const minOverloadRatio = 1.01
 
-// runColdSide plays the plan with processes of one kind of client.
-func (p *experimentRun) runColdSide(plan coldPlan, kind string) (*coldResult, error) {
-	side := &coldResult{check: rig.NewChecker(4 * slack)}
-	fleet, err := rig.NewFleet(p.Program, coldServers, plan.site(), side.check)
+// measureColdPlan runs the plan with processes of one kind of client.
+func (run *experimentRun) measureColdPlan(plan coldPlan, kind string) (*coldResult, error) {
+	result := &coldResult{check: rig.NewChecker(4 * slack)}
+	fleet, err := rig.NewFleet(run.Program, coldServers, plan.site(), result.check)
 	if err != nil {
 		return nil, err
 	}
@@ -207,46 +210,47 @@
 		arrivals[k] = &rig.Arrivals{}
 		net.Count(arrivals[k])
 	}
-	service := &serviceLog{}
+	log := &serviceLog{}
 	callers := make([]rig.Caller, plan.clients)
 	for k := range callers {
-		remote, err := rig.NewRemoteCaller(exec.Command(p.self(), "caller", "--kind", kind, "--seed", fmt.Sprint(p.Seed*1_000_003+uint64(k)+1),
-			"--servers", strings.Join(fleet.Addresses(), ",")))
+		remote, err := rig.NewRemoteCaller(exec.Command(run.self(), "caller", "--kind", kind, "--seed",
+			fmt.Sprint(run.Seed*1_000_003+uint64(k)+1), "--servers", strings.Join(fleet.Addresses(), ",")))
 		if err != nil {
 			return nil, err
 		}
 		defer remote.Close()
-		callers[k] = loggedCaller{remote, service}
+		callers[k] = loggedCaller{remote, log}
 	}
 	boots := make([]time.Time, plan.restarts)
 	var restartErr error
 	var restarts sync.WaitGroup
 	restarts.Go(func() { restartErr = restartColdServers(fleet, plan, boots) })
-	load := rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return plan.rate }, Length: plan.duration(), Prefix: kind[:1],
+	load := rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return plan.rate }, Length: plan.duration(), Prefix: kind[:1],
 		Shares: requestMix(plan.work, plan.deadline)}
-	side.outcome = load.Run(context.Background(), side.check, callers...)
+	result.outcome = load.Run(context.Background(), result.check, callers...)
 	restarts.Wait()
 	if restartErr != nil {
 		return nil, restartErr
 	}
-	side.check.Finish()
-	last := boots[0]
+	result.check.Finish()
+	lastBoot := boots[0]
 	for k, boot := range boots {
 		peak := arrivals[k].Peak(plan.start, boot, plan.cores, plan.work)
-		if peak.ByWork > side.peak.ByWork {
-			side.peak.ByWork, side.peak.Age = peak.ByWork, peak.Age
+		if peak.ByWork > result.peak.ByWork {
+			result.peak.ByWork, result.peak.Age = peak.ByWork, peak.Age
 		}
-		side.peak.ByCount = max(side.peak.ByCount, peak.ByCount)
-		if boot.After(last) {
-			last = boot
+		result.peak.ByCount = max(result.peak.ByCount, peak.ByCount)
+		if boot.After(lastBoot) {
+			lastBoot = boot
 		}
 	}
-	side.recoverySeconds = service.recoveredAt(last, plan.evaluationSpan()).Sub(last).Seconds()
-	side.finalShare = service.share(last.Add(plan.start.SlowStart()+coldRecovery), plan.evaluationSpan())
-	return side, nil
+	result.recoverySeconds = log.recoveredAt(lastBoot, plan.evaluationSpan()).Sub(lastBoot).Seconds()
+	result.finalShare = log.share(lastBoot.Add(plan.start.SlowStart()+coldRecovery), plan.evaluationSpan())
+	return result, nil
 }
 
-// restartColdServers kills some app servers at the same time and starts them again, cold, after the outage.
+// restartColdServers kills some app servers at the same time and starts them again, cold, after the outage. It stores the
+// boot time of each in boots, whose length is their number.
 func restartColdServers(fleet *rig.Fleet, plan coldPlan, boots []time.Time) error {
 	time.Sleep(plan.warmUp)
 	for k := range boots {
@@ -254,18 +258,18 @@
 	}
 	time.Sleep(plan.outage)
 	errs := make([]error, len(boots))
-	var all sync.WaitGroup
+	var starts sync.WaitGroup
 	for k := range boots {
-		all.Go(func() {
+		starts.Go(func() {
 			errs[k] = fleet.Programs[k].Start()
 			boots[k] = fleet.Programs[k].Kernel.Began()
 		})
 	}
-	all.Wait()
+	starts.Wait()
 	return errors.Join(errs...)
 }
 
-// callerCommand is one client process: it makes the calls that it is told of on its standard input.
+// callerCommand runs one client process, which makes the calls that it reads from its standard input.
 func callerCommand() *cobra.Command {
 	var kind, servers string
 	var seed uint64
@@ -283,6 +287,7 @@
 	return c
 }
 
+// newCaller creates a naive client if kind is "naive", and else one of the client library.
 func newCaller(kind string, seed uint64, servers []string) (rig.Caller, error) {
 	if kind == "naive" {
 		return rig.NewNaiveClient(int(seed%1000), servers...), nil
--- a/cmd/rehearse/cold_service.go
+++ b/cmd/rehearse/cold_service.go
@@ -8,7 +8,7 @@
 	"valveglade/rig"
 )
 
-// serviceLog is when each RPC was asked for, and whether it was ok.
+// serviceLog records when each RPC was asked for, and whether it was ok. It is safe for concurrent use.
 type serviceLog struct {
 	mu  sync.Mutex
 	all []callOutcome
@@ -19,7 +19,7 @@
 	ok      bool
 }
 
-// recoveredShare is the share of RPCs that are ok once service is back.
+// recoveredShare is the share of RPCs that are ok once service has recovered.
 const recoveredShare = 0.95
 
 func (s *serviceLog) add(at time.Time, ok bool) {
@@ -28,7 +28,7 @@
 	s.all = append(s.all, callOutcome{at, ok})
 }
 
-// share is the part of the RPCs asked for within a span that were ok.
+// share returns the share of the RPCs asked for within span after from that were ok.
 func (s *serviceLog) share(from time.Time, span time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,23 +45,24 @@
 	return float64(ok) / float64(max(asked, 1))
 }
 
-// recoveredAt is the first time after a boot from which a span's RPCs were ok to backShare.
+// recoveredAt returns the first time after a boot from which at least recoveredShare of a span's RPCs were ok. It searches
+// a minute at most.
 func (s *serviceLog) recoveredAt(boot time.Time, span time.Duration) time.Time {
-	const step, most = 100 * time.Millisecond, time.Minute
+	const step, limit = 100 * time.Millisecond, time.Minute
 	at := boot
-	for at.Before(boot.Add(most)) && s.share(at, span) < recoveredShare {
+	for at.Before(boot.Add(limit)) && s.share(at, span) < recoveredShare {
 		at = at.Add(step)
 	}
 	return at
 }
 
-// loggedCaller tells the log of each call.
+// loggedCaller records the outcome of each call in a log.
 type loggedCaller struct {
 	rig.Caller
 	log *serviceLog
 }
 
-// Call makes it.
+// Call implements rig.Caller.
 func (l loggedCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	began := time.Now()
 	result, err := l.Caller.Call(ctx, method, token, criticality, body)
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,7 +1,7 @@
-// Command rehearse plays the project's own measurements: the real program on loopback between stand-ins, or a model
-// of it, with the failures in it that a subsystem is for, and a baseline in the same run.
+// Command rehearse runs the project's measurements: the real program on loopback between stand-ins, or a model of it,
+// under the failures that a subsystem is built for, with a baseline in the same run.
 //
-// The exit code is 0 if every figure holds, 1 if one falls short, 2 for a faulty call.
+// The exit code is 0 if every figure meets its bound, 1 if one misses it, 2 for invalid arguments or any other error.
 package main
 
 import (
@@ -21,107 +21,107 @@
 	"valveglade/rig/slope"
 )
 
-// experiment is one measurement with a name.
+// experiment is a named measurement.
 type experiment struct {
 	name, description string
-	runExperiment     func(p *experimentRun) error
+	runExperiment     func(run *experimentRun) error
 }
 
 var experiments = []experiment{
-	{"client", "the careful client against a naive one: outages, refusals, reconnects, cost", runClient},
-	{"cold", "cold app servers under the sum of what 1 to 24 client processes send, naive ones beside", runCold},
-	{"pressure", "shedding before falling behind: a tripling, a leak, few cores, each with it off beside", runPressure},
-	{"view", "the fleet's view: deaths, flapping, two under one name, releases, with the fleet off beside", runView},
-	{"view-faults", "the fleet's view between cuts and loss, the gossip library alone beside", runViewFaults},
+	{"client", "the client library compared with a naive client: outages, refusals, reconnects, overhead", runClient},
+	{"cold", "cold app servers under the combined load of 1 to 24 client processes, compared with naive clients", runCold},
+	{"pressure", "load shedding: a tripled load, a leak, few cores, each compared with shedding off", runPressure},
+	{"view", "the fleet's view: deaths, flapping, two processes under one name, releases, compared with the fleet off", runView},
+	{"view-faults", "the fleet's view under partitions and packet loss, compared with the gossip library alone", runViewFaults},
 	{"view-drawn", "the fleet's view under faults drawn from the seed, or read from --script", runViewDrawn},
-	{"owner", "one owner at a time, between deaths, sleeps and cuts, the lowest name of the view as the owner beside", runOwner},
-	{"share", "a limit common to the fleet, between deaths, sleeps, cuts and moving demand, an even split and none beside", runShare},
-	{"share-forty", "ten permits among forty processes", runShareForty},
-	{"share-auto", "a common limit that is found, as what stands behind bears less and more again", runShareAuto},
-	{"restart", "idle clients fill the descriptors, the roster is down, all are killed and started again, some kernels late", runRestart},
-	{"view-cost", "what the view costs: 20, 100 and 300 members in one process, at rest and after a fifth have died", runViewCost},
-	{"scale", "how costs grow with the size of the fleet, each with its fit and its error", runScale},
-	{"faults", "settings and faults drawn from the seed, real processes among stand-ins, judged by the rules", runFaults},
-	{"pressure-edge", "two minutes of steady load where the program just cannot bear it", runPressureEdge},
+	{"owner", "at most one owner under deaths, pauses and partitions, compared with the lowest name as owner", runOwner},
+	{"share", "a fleet-wide limit under deaths, pauses, partitions and moving demand, against an even split and no fleet", runShare},
+	{"share-forty", "ten permits shared by forty processes", runShareForty},
+	{"share-auto", "an automatic fleet-wide limit while the backend's capacity falls and recovers", runShareAuto},
+	{"restart", "idle clients fill the descriptors, the roster is down, all app servers restart, some kernels are late", runRestart},
+	{"view-cost", "the cost of the view: 20, 100 and 300 members in one process, at rest and after a fifth have died", runViewCost},
+	{"scale", "growth of costs with the size of the fleet, each with its fit and the fit's error", runScale},
+	{"faults", "settings and faults drawn from the seed, real processes among stand-ins, checked against the rules", runFaults},
+	{"pressure-edge", "two minutes of steady load just beyond the program's capacity", runPressureEdge},
 }
 
-// figure is one line of a result.
+// figure is one measured value of a result, with its bound.
 type figure struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
-	Bound string  `json:"bound"` // empty where the figure only informs
+	Bound string  `json:"bound"` // empty if the figure has no bound
 	Holds bool    `json:"holds"`
 }
 
-// experimentRun is one experiment under way.
+// experimentRun is one run of an experiment.
 type experimentRun struct {
 	Seed           uint64
 	Long           bool
-	Program        string // the program's binary
-	History        string // a file for what was said and done, if any
-	Logs           string // a folder for the logs of processes, if any
-	Script         string // a file of faults, if any
-	Part           string // the one part to run, if any, where an experiment has parts
-	rehearseBinary string // this program's binary, where it is not the one that runs
-	shortForm      bool   // the shortest form, for tests
+	Program        string // path of the program's binary
+	History        string // file to write all events to, if any
+	Logs           string // directory for the logs of processes, if any
+	Script         string // file of faults to apply, if any
+	Part           string // the only part to run, if any, in an experiment with parts
+	rehearseBinary string // path of this program's binary, if not the running executable
+	shortForm      bool   // selects the shortest form, for tests
 	faults         faultFlags
-	programArgs    []string // of the program, where the search for faults starts it
+	programArgs    []string // extra arguments of the program in the search for faults
 	output         io.Writer
 	began          time.Time
 
-	mu      sync.Mutex // parts of an experiment may be judged side by side
+	mu      sync.Mutex // guards figures and output: parts of an experiment may run concurrently
 	figures []figure
-	scale   *slope.Result // of the scale run
+	scale   *slope.Result // result of the scale experiment
 }
 
-// scaled is how long a part of an experiment takes: a third of it in the shortest form.
-func (p *experimentRun) scaled(d time.Duration) time.Duration {
-	if p.shortForm {
+// scaled returns the duration of a part of an experiment: d, or a third of it in the shortest form.
+func (run *experimentRun) scaled(d time.Duration) time.Duration {
+	if run.shortForm {
 		return d / 3
 	}
 	return d
 }
 
-// at most, at least and exactly judge a figure; inform only shows it.
-func (p *experimentRun) atMost(name string, v, bound float64) {
-	p.add(figure{name, v, fmt.Sprintf("<= %g", bound), v <= bound})
+// atMost, atLeast and exactly check a figure against its bound; report records a figure without a bound.
+func (run *experimentRun) atMost(name string, v, bound float64) {
+	run.add(figure{name, v, fmt.Sprintf("<= %g", bound), v <= bound})
 }
-func (p *experimentRun) atLeast(name string, v, bound float64) {
-	p.add(figure{name, v, fmt.Sprintf(">= %g", bound), v >= bound})
+func (run *experimentRun) atLeast(name string, v, bound float64) {
+	run.add(figure{name, v, fmt.Sprintf(">= %g", bound), v >= bound})
 }
-func (p *experimentRun) exactly(name string, v, bound float64) {
-	p.add(figure{name, v, fmt.Sprintf("== %g", bound), v == bound})
+func (run *experimentRun) exactly(name string, v, bound float64) {
+	run.add(figure{name, v, fmt.Sprintf("== %g", bound), v == bound})
 }
-func (p *experimentRun) report(name string, v float64) {
-	p.add(figure{Name: name, Value: v, Holds: true})
+func (run *experimentRun) report(name string, v float64) {
+	run.add(figure{Name: name, Value: v, Holds: true})
 }
 
-func (p *experimentRun) add(f figure) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (run *experimentRun) add(f figure) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	if math.IsNaN(f.Value) || math.IsInf(f.Value, 0) {
 		f.Holds = f.Holds && f.Bound == ""
 		f.Value = -1
 	}
-	p.figures = append(p.figures, f)
-	word := "holds"
+	run.figures = append(run.figures, f)
+	verdict := "holds"
 	switch {
 	case f.Bound == "":
-		word = ""
+		verdict = ""
 	case !f.Holds:
-		word = "short"
+		verdict = "short"
 	}
-	fmt.Fprintf(p.output, "%-34s %12.4g  %-10s %s\n", f.Name, f.Value, f.Bound, word)
+	fmt.Fprintf(run.output, "%-34s %12.4g  %-10s %s\n", f.Name, f.Value, f.Bound, verdict)
 }
 
-// printNote is for what is no figure.
-func (p *experimentRun) printNote(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	fmt.Fprintf(p.output, "# "+format+"\n", args...)
+// printNote prints a formatted line that is not a figure.
+func (run *experimentRun) printNote(format string, args ...any) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	fmt.Fprintf(run.output, "# "+format+"\n", args...)
 }
 
-var errFigureMissed = errors.New("a figure falls short")
+var errFigureMissed = errors.New("a figure missed its bound")
 
 func main() {
 	if err := rootCommand().Execute(); errors.Is(err, errFigureMissed) {
@@ -133,40 +133,43 @@
 }
 
 func rootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "rehearse", Short: "play the project's own measurements", SilenceUsage: true,
+	root := &cobra.Command{Use: "rehearse", Short: "run the project's measurements", SilenceUsage: true,
 		SilenceErrors: true}
-	root.AddCommand(&cobra.Command{Use: "list", Short: "name the experiments", Args: cobra.NoArgs,
+	root.AddCommand(&cobra.Command{Use: "list", Short: "list the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, r := range experiments {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", r.name, r.description)
+			for _, e := range experiments {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", e.name, e.description)
 			}
 		}})
-	var p experimentRun
-	var path string
-	run := &cobra.Command{Use: "run NAME", Short: "play one", Args: cobra.ExactArgs(1),
+	var run experimentRun
+	var jsonPath string
+	runCommand := &cobra.Command{Use: "run NAME", Short: "run one experiment", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p.output = cmd.OutOrStdout()
-			for _, r := range experiments {
-				if r.name == args[0] {
-					return p.execute(r, path)
+			run.output = cmd.OutOrStdout()
+			for _, e := range experiments {
+				if e.name == args[0] {
+					return run.execute(e, jsonPath)
 				}
 			}
-			return fmt.Errorf("no experiment is named %q, see list", args[0])
+			return fmt.Errorf("no experiment is named %q, the list command shows all", args[0])
 		}}
-	run.Flags().Uint64Var(&p.Seed, "seed", 1, "for all that is left to chance")
-	run.Flags().BoolVar(&p.Long, "long", false, "the long form")
-	run.Flags().StringVar(&p.Program, "program", siblingBinary("valveglade"), "the program's binary")
-	run.Flags().StringVar(&p.History, "history", "", "write all that was said and done to this file, as JSON lines")
-	run.Flags().StringVar(&p.Logs, "logs", "", "write the logs of a trial's processes to this folder, where an experiment has trials")
-	run.Flags().StringVar(&p.Script, "script", "", "play the faults of this file instead of drawing them, where an experiment draws")
-	run.Flags().StringVar(&p.Part, "part", "", "run this part alone, where an experiment has parts")
-	run.Flags().StringVar(&path, "json", "", "write the figures to this file too")
-	p.faults.register(run)
-	root.AddCommand(run, echoCommand(), bareCommand(), lowestCommand(), capacityCommand(), hollowCommand(), callerCommand(), plantedCommand())
+	runCommand.Flags().Uint64Var(&run.Seed, "seed", 1, "seed of all random draws")
+	runCommand.Flags().BoolVar(&run.Long, "long", false, "run the long form")
+	runCommand.Flags().StringVar(&run.Program, "program", siblingBinary("valveglade"), "path of the program's binary")
+	runCommand.Flags().StringVar(&run.History, "history", "", "write all events to this file, as JSON lines")
+	runCommand.Flags().StringVar(&run.Logs, "logs", "",
+		"write the logs of each trial's processes to this directory, in experiments with trials")
+	runCommand.Flags().StringVar(&run.Script, "script", "",
+		"apply the faults of this file instead of drawing them, in experiments that draw")
+	runCommand.Flags().StringVar(&run.Part, "part", "", "run only this part, in experiments with parts")
+	runCommand.Flags().StringVar(&jsonPath, "json", "", "also write the figures to this file")
+	run.faults.register(runCommand)
+	root.AddCommand(runCommand, echoCommand(), bareCommand(), lowestCommand(), capacityCommand(),
+		hollowCommand(), callerCommand(), plantedCommand())
 	return root
 }
 
-// siblingBinary is the path of another binary in this one's folder.
+// siblingBinary returns the path of another binary in the directory of this one, or name if that directory is unknown.
 func siblingBinary(name string) string {
 	self, err := os.Executable()
 	if err != nil {
@@ -175,27 +178,29 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-func (p *experimentRun) execute(r experiment, path string) error {
-	p.began = time.Now()
-	p.printNote("%s, seed %d, %d cores, %s", r.name, p.Seed, runtime.NumCPU(), runtime.Version())
-	if err := r.runExperiment(p); err != nil {
+// execute runs an experiment and writes its figures to the file at jsonPath, if any. It returns errFigureMissed if a
+// figure misses its bound.
+func (run *experimentRun) execute(e experiment, jsonPath string) error {
+	run.began = time.Now()
+	run.printNote("%s, seed %d, %d cores, %s", e.name, run.Seed, runtime.NumCPU(), runtime.Version())
+	if err := e.runExperiment(run); err != nil {
 		return err
 	}
-	p.printNote("took %.1f s", time.Since(p.began).Seconds())
-	if path != "" {
-		told := map[string]any{"rehearsal": r.name, "seed": p.Seed, "cores": runtime.NumCPU(), "figures": p.figures}
-		if p.scale != nil {
-			told["scale"] = p.scale
+	run.printNote("took %.1f s", time.Since(run.began).Seconds())
+	if jsonPath != "" {
+		result := map[string]any{"rehearsal": e.name, "seed": run.Seed, "cores": runtime.NumCPU(), "figures": run.figures}
+		if run.scale != nil {
+			result["scale"] = run.scale
 		}
-		text, err := json.MarshalIndent(told, "", " ")
+		text, err := json.MarshalIndent(result, "", " ")
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+		if err := os.WriteFile(jsonPath, append(text, '\n'), 0o644); err != nil {
 			return err
 		}
 	}
-	for _, f := range p.figures {
+	for _, f := range run.figures {
 		if !f.Holds {
 			return errFigureMissed
 		}
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -20,7 +20,7 @@
 	if err == nil {
 		programBinary, err = rig.Build(dir)
 	}
-	if err == nil { // for the baselines, which are hidden commands of this program
+	if err == nil { // the baselines are hidden commands of this program
 		rehearseBinary = filepath.Join(dir, "rehearse")
 		err = exec.Command("go", "build", "-o", rehearseBinary, "valveglade/cmd/rehearse").Run()
 	}
@@ -33,32 +33,32 @@
 	os.Exit(code)
 }
 
-// checkFigures plays the shortest form of an experiment. Figures that hang on the machine are for the long forms; what must
-// hold on any machine are the checkFigures.
-func checkFigures(t *testing.T, name string, must ...string) {
+// checkFigures runs the shortest form of an experiment and checks the required figures, which must hold on any machine.
+// Figures that depend on the machine are left to the long forms.
+func checkFigures(t *testing.T, name string, required ...string) {
 	t.Helper()
 	var out bytes.Buffer
-	p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
-	for _, r := range experiments {
-		if r.name != name {
+	run := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
+	for _, e := range experiments {
+		if e.name != name {
 			continue
 		}
-		if err := r.runExperiment(p); err != nil {
+		if err := e.runExperiment(run); err != nil {
 			t.Fatal(err)
 		}
 	}
-	seen := 0
-	for _, f := range p.figures {
-		for _, m := range must {
-			if f.Name == m {
-				if seen++; !f.Holds {
-					t.Errorf("%s is %g, %s", f.Name, f.Value, f.Bound)
+	found := 0
+	for _, f := range run.figures {
+		for _, wanted := range required {
+			if f.Name == wanted {
+				if found++; !f.Holds {
+					t.Errorf("%s is %g, want %s", f.Name, f.Value, f.Bound)
 				}
 			}
 		}
 	}
-	if seen != len(must) || t.Failed() {
-		t.Errorf("%d of %d figures seen:\n%s", seen, len(must), &out)
+	if found != len(required) || t.Failed() {
+		t.Errorf("%d of %d required figures found:\n%s", found, len(required), &out)
 	}
 }
 
@@ -68,14 +68,15 @@
 }
 
 func TestCold(t *testing.T) {
-	checkFigures(t, "cold", "cold.ratio", "naive.cold.ratio", "refused.retried", "late.sent", "double.runs", "unanswered", "breaches")
+	checkFigures(t, "cold", "cold.ratio", "naive.cold.ratio", "refused.retried", "late.sent", "double.runs", "unanswered",
+		"breaches")
 }
 
 func TestPressure(t *testing.T) {
 	checkFigures(t, "pressure", "breaches", "begun.turned.away", "killed", "not.our.own.refused")
 }
 
-// A faulty call says what is wrong; the list names what there is.
+// TestCommand checks that invalid arguments give an error that names the cause, and that list names the experiments.
 func TestCommand(t *testing.T) {
 	for args, want := range map[string]string{"run nothing": "no experiment is named", "run": "accepts 1 arg",
 		"run client --seed x": "invalid argument"} {
@@ -83,7 +84,7 @@
 		c.SetArgs(strings.Fields(args))
 		c.SetOut(&bytes.Buffer{})
 		if err := c.Execute(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", args, err)
+			t.Errorf("arguments %s: unexpected error %v", args, err)
 		}
 	}
 	var out bytes.Buffer
@@ -91,7 +92,7 @@
 	c.SetArgs([]string{"list"})
 	c.SetOut(&out)
 	if err := c.Execute(); err != nil || !strings.Contains(out.String(), "client") {
-		t.Errorf("%v: %s", err, &out)
+		t.Errorf("list: error %v, output %s", err, &out)
 	}
 }
 
@@ -100,25 +101,27 @@
 }
 
 func TestViewFaults(t *testing.T) {
-	checkFigures(t, "view-faults", "joined.all", "narrow.said", "rejoined.max", "one.way.deaths.lasting", "views.differ.at.end", "breaches")
+	checkFigures(t, "view-faults", "joined.all", "narrow.said", "rejoined.max", "one.way.deaths.lasting", "views.differ.at.end",
+		"breaches")
 }
 
 func TestOwner(t *testing.T) {
-	checkFigures(t, "owner", "owners.at.once", "late.effects", "terms.falling", "owners.at.once.second", "late.effects.second", "work.overlap.s",
-		"owners.at.once.drifting", "late.effects.drifting", "work.overlap.drifting.s", "orders.without.majority", "owners.at.once.lowest",
-		"late.effects.lowest", "breaches")
+	checkFigures(t, "owner", "owners.at.once", "late.effects", "terms.falling", "owners.at.once.second", "late.effects.second",
+		"work.overlap.s", "owners.at.once.drifting", "late.effects.drifting", "work.overlap.drifting.s",
+		"orders.without.majority", "owners.at.once.lowest", "late.effects.lowest", "breaches")
 }
 
 func TestShare(t *testing.T) {
 	checkFigures(t, "share", "over.limit", "over.limit.restarted", "over.limit.off", "over.limit.even", "breaches")
 }
 
-// The scale run fits each of its series, from at least four sizes, and writes them beside the figures.
+// TestScale checks that the scale run fits each of its series, from at least four sizes, and writes them next to the
+// figures.
 func TestScale(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scale.json")
 	var out bytes.Buffer
-	p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
-	if err := p.execute(experiment{name: "scale", runExperiment: runScale}, path); err != nil {
+	run := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
+	if err := run.execute(experiment{name: "scale", runExperiment: runScale}, path); err != nil {
 		t.Fatalf("%v:\n%s", err, &out)
 	}
 	result, err := slope.ReadResult(path)
@@ -129,18 +132,19 @@
 		"view.member.bytes", "view.process.memory", "voter.messages.candidates", "voter.burst.lost", "allocator.cpu.holders"} {
 		s, found := result.Find(name)
 		if !found || len(s.Points) < slope.MinimumSizes || s.Largest == 0 || s.ClockFactor != 1 || s.Fit.Model == "" {
-			t.Errorf("%s: %+v", name, s)
+			t.Errorf("series %s is missing or incomplete: %+v", name, s)
 		}
 	}
 	if result.Seed != 1 || result.Commit == "" || result.Cores < 1 || result.TookSeconds <= 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("result is incomplete: %+v", result)
 	}
 	if !strings.Contains(out.String(), "worked out") {
-		t.Errorf("nothing is said to be worked out:\n%s", &out)
+		t.Errorf("no value in the output is marked as worked out:\n%s", &out)
 	}
 }
 
-// Without work clients may hold every descriptor while processes are killed and kernels are late.
+// TestRestart guards against app servers that do not get ready again after a kill while idle clients hold every
+// descriptor and some kernels are late.
 func TestRestart(t *testing.T) {
 	checkFigures(t, "restart", "full.after.s", "kernel.back.max.s", "ready.within.10s", "roster.back.max.s", "descriptors.most",
 		"descriptors.left.over", "breaches")
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -21,8 +21,8 @@
 	"valveglade/rig"
 )
 
-// echoCommand is the other side of the overhead's measurement, in a process of its own so that its processor time
-// does not count. It ends with its standard input.
+// echoCommand runs the server of the overhead measurement, in a process of its own so that its processor time is not
+// counted. It ends at the end of the first line on its standard input, or when that is closed.
 func echoCommand() *cobra.Command {
 	return &cobra.Command{Use: "echo", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		s, err := rig.NewStub(nil)
@@ -36,15 +36,16 @@
 	}}
 }
 
-// processCPUTime is the processor time that this process has taken.
+// processCPUTime returns the processor time that this process has used.
 func processCPUTime() time.Duration {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measureOverhead compares an RPC through the client with writing and reading the same frames raw.
-func (p *experimentRun) measureOverhead() error {
+// measureOverhead compares the processor time of an RPC through the client with that of writing and reading the same
+// frames directly.
+func (run *experimentRun) measureOverhead() error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -54,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	out, err := echo.StdoutPipe()
+	output, err := echo.StdoutPipe()
 	if err != nil {
 		return err
 	}
@@ -64,28 +65,28 @@
 	}
 	defer echo.Wait()
 	defer in.Close()
-	address, err := bufio.NewReader(out).ReadString('\n')
+	address, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil {
 		return err
 	}
 	address = strings.TrimSpace(address)
-	const workers, each = 8, 3000
+	const workers, callsPerWorker = 8, 3000
 	rounds := 3
-	if p.Long {
+	if run.Long {
 		rounds = 12
 	}
-	c, err := client.New(client.Servers(address), client.Seed(p.Seed),
+	caller, err := client.New(client.Servers(address), client.Seed(run.Seed),
 		client.Methods(map[string]client.Method{"look": {Kind: client.Idempotent}}))
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer caller.Close()
 	body := rig.Body("x", 0)
-	through := func() error {
+	clientCalls := func() error {
 		return runConcurrently(workers, func() error {
-			for range each {
+			for range callsPerWorker {
 				ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-				_, err := c.Call(ctx, "look", body)
+				_, err := caller.Call(ctx, "look", body)
 				stop()
 				if err != nil {
 					return err
@@ -94,42 +95,42 @@
 			return nil
 		})
 	}
-	raw := func() error {
-		return runConcurrently(workers, func() error { return rawCalls(address, each, body) })
+	rawFrameCalls := func() error {
+		return runConcurrently(workers, func() error { return rawCalls(address, callsPerWorker, body) })
 	}
-	if err := through(); err != nil { // connections and caches come first
+	if err := clientCalls(); err != nil { // opens the connections and fills the caches first
 		return err
 	}
-	var spent, mallocs [2]float64
-	for range rounds { // in turn, as the machine's speed drifts
-		for k, f := range []func() error{raw, through} {
+	var cpuSeconds, mallocs [2]float64
+	for range rounds { // alternates, since the machine's speed drifts
+		for k, measured := range []func() error{rawFrameCalls, clientCalls} {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			began := processCPUTime()
-			if err := f(); err != nil {
+			if err := measured(); err != nil {
 				return err
 			}
-			spent[k] += (processCPUTime() - began).Seconds()
+			cpuSeconds[k] += (processCPUTime() - began).Seconds()
 			runtime.ReadMemStats(&after)
 			mallocs[k] += float64(after.Mallocs - before.Mallocs)
 		}
 	}
-	n := float64(workers * each * rounds)
-	p.report("raw.cpu.us", spent[0]/n*1e6)
-	p.report("client.cpu.us", spent[1]/n*1e6)
-	p.atMost("overhead", spent[1]/spent[0], 2.0)
-	p.report("client.allocations", mallocs[1]/n)
+	calls := float64(workers * callsPerWorker * rounds)
+	run.report("raw.cpu.us", cpuSeconds[0]/calls*1e6)
+	run.report("client.cpu.us", cpuSeconds[1]/calls*1e6)
+	run.atMost("overhead", cpuSeconds[1]/cpuSeconds[0], 2.0)
+	run.report("client.allocations", mallocs[1]/calls)
 	return nil
 }
 
-// runConcurrently runs f so many times at once.
+// runConcurrently runs f n times at once and returns the first error.
 func runConcurrently(n int, f func() error) error {
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	errs := make(chan error, n)
 	for range n {
-		all.Go(func() { errs <- f() })
+		calls.Go(func() { errs <- f() })
 	}
-	all.Wait()
+	calls.Wait()
 	for range n {
 		if err := <-errs; err != nil {
 			return err
@@ -138,25 +139,25 @@
 	return nil
 }
 
-// rawCalls writes and reads the frames that a client would, and nothing more.
+// rawCalls writes and reads the frames of n RPCs and does no other work of a client.
 func rawCalls(address string, n int, body []byte) error {
-	nc, err := net.Dial("tcp", address)
+	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
+	defer connection.Close()
 	buffer := readbuffer.New(thrift.MaxFrame + 4)
 	var out []byte
 	for k := range n {
 		now := float64(time.Now().UnixMilli()) / 1000
 		out = thrift.Execute(out[:0], int32(k+1), "look", "0123456789abcdef", 1, now, 5, 1, 0, false, "", "", body)
-		if _, err := nc.Write(out); err != nil {
+		if _, err := connection.Write(out); err != nil {
 			return err
 		}
 		for {
 			frame, size, err := thrift.Frame(buffer.Bytes())
 			if err == nil && size == 0 {
-				err = buffer.Fill(nc)
+				err = buffer.Fill(connection)
 			}
 			if err != nil {
 				return err
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -20,16 +20,16 @@
 	restartSockets          = 128                     // limits.sockets of each app server
 	restartExcess           = 16                      // idle clients over limits.sockets
 	restartReadyTimeout     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
-	restartReconnectTimeout = 3 * time.Second         // for a link or report after the other side's return
+	restartReconnectTimeout = 3 * time.Second         // for a kernel link or a report to the roster after the other side's return
 	restartIdleClients      = restartSockets * 5 / 4  // idle clients of each app server: some are between two connections
-	restartFloodFactor      = 2                       // times as many idle clients at the app server that is flooded
+	restartFloodFactor      = 2                       // times as many idle clients at the flooded app server
 	restartIdlePause        = 500 * time.Millisecond  // between an idle client's connections
-	restartFloodPause       = 200 * time.Millisecond  // between those of a flood
+	restartFloodPause       = 200 * time.Millisecond  // between an idle client's connections in a flood
 	restartRate             = 15.0                    // RPCs per second of each caller
 	restartDeadline         = time.Second             // of an RPC
 	restartRetryDelay       = 10 * time.Millisecond   // between a caller's tries
-	restartLateKernelShare  = 0.3                     // of kernels that are late
-	restartFullTable        = restartSockets * 9 / 10 // descriptors from which a table counts as full
+	restartLateKernelShare  = 0.3                     // share of kernels that are late
+	restartFullTable        = restartSockets * 9 / 10 // descriptors from which a descriptor table counts as full
 )
 
 // restartFleet is the fleet under test with its callers and idle clients.
@@ -40,59 +40,59 @@
 	load      sync.WaitGroup
 	stop      context.CancelFunc
 	idle      []*rig.IdleClients
-	killCount atomic.Int64 // changes before and after each kill
+	killCount atomic.Int64 // incremented before and after each kill
 }
 
 // runRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
-// kills all of them and starts them again, some before their kernels are there.
-func runRestart(p *experimentRun) error {
+// kills all of them and starts them again, some before their kernels are available.
+func runRestart(run *experimentRun) error {
 	count := 20
-	if p.shortForm {
+	if run.shortForm {
 		count = 6
 	}
-	f, err := p.newRestartFleet(count)
+	f, err := run.newRestartFleet(count)
 	if err != nil {
 		return err
 	}
 	defer f.close()
 	before := f.awaitDescriptors()
-	f.startLoad(p.Seed)
-	time.Sleep(p.scaled(time.Second))
+	f.startLoad(run.Seed)
+	time.Sleep(run.scaled(time.Second))
 
 	f.Roster.Down()
-	p.startIdle(f)
-	p.awaitFullTables(f)
-	full := startDescriptorSampler(f)
-	steady := f.measureWindow("full", func() { time.Sleep(p.scaled(6 * time.Second)) })
-	p.runKernelOutage(f)
-	outcomes := []callWindow{steady}
-	after, err := p.restartAllServers(f)
+	run.startIdle(f)
+	run.awaitFullTables(f)
+	sampler := startDescriptorSampler(f)
+	fullWindow := f.measureWindow("full", func() { time.Sleep(run.scaled(6 * time.Second)) })
+	run.runKernelOutage(f)
+	windows := []callWindow{fullWindow}
+	restartedWindow, err := run.restartAllServers(f)
 	if err != nil {
 		return err
 	}
-	outcomes = append(outcomes, after)
-	full.close(p)
-	for _, o := range outcomes {
-		p.judgeAnswered(f, o)
+	windows = append(windows, restartedWindow)
+	sampler.close(run)
+	for _, w := range windows {
+		run.judgeAnswered(f, w)
 	}
 	f.stopIdle()
 	f.stopLoad()
-	p.judgeDescriptorsLeftOver(f, before)
+	run.judgeDescriptorsLeftOver(f, before)
 	var violations violationLog
 	violations.collect(f.check)
 	for _, name := range []string{"turned.away", "crossed"} {
-		p.report(name, float64(f.check.Count(name)))
+		run.report(name, float64(f.check.Count(name)))
 	}
-	violations.report(p)
+	violations.report(run)
 	return nil
 }
 
-func (p *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
+func (run *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
 	site := tillSite(4, 30)
 	site.Sockets = restartSockets
 	check := rig.NewChecker(rigSlack)
 	check.ResendCrossed()
-	fleet, err := rig.NewFleet(p.Program, count, site, check)
+	fleet, err := rig.NewFleet(run.Program, count, site, check)
 	if err != nil {
 		return nil, err
 	}
@@ -105,12 +105,13 @@
 	f.Fleet.Close()
 }
 
-// awaitDescriptors counts those of each process once its kernel link and its reports are there.
+// awaitDescriptors returns the descriptor count of each process once the kernel link of each is up and the roster has its
+// report, or after restartReadyTimeout.
 func (f *restartFleet) awaitDescriptors() []int {
 	for end := time.Now().Add(restartReadyTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if !slices.ContainsFunc(f.Programs, func(s *rig.Program) bool {
-			_, heard := f.Roster.FirstHeard(s.Name)
-			return !heard || s.Kernel.LinkedAt().IsZero()
+			_, reported := f.Roster.FirstHeard(s.Name)
+			return !reported || s.Kernel.LinkedAt().IsZero()
 		}) {
 			break
 		}
@@ -119,14 +120,14 @@
 }
 
 func (f *restartFleet) countDescriptors() []int {
-	var all []int
+	var counts []int
 	for _, s := range f.Programs {
-		all = append(all, s.Process.Descriptors())
+		counts = append(counts, s.Process.Descriptors())
 	}
-	return all
+	return counts
 }
 
-// startLoad gives each app server two callers: one keeps its connection, one connects for each RPC.
+// startLoad starts two callers for each app server: one keeps its connection, one connects for each RPC.
 func (f *restartFleet) startLoad(seed uint64) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
@@ -154,17 +155,17 @@
 	f.load.Wait()
 }
 
-// startIdle has idle clients hold the tables of all app servers, and flood one that is drawn from the seed: there new ones
-// arrive faster than those before them count as silent.
-func (p *experimentRun) startIdle(f *restartFleet) {
-	flooded := rand.New(rand.NewPCG(p.Seed, 3)).IntN(len(f.Programs))
-	p.printNote("%s is flooded", f.Programs[flooded].Name)
+// startIdle has idle clients fill the descriptors of all app servers, and flood one that is drawn from the seed: there new
+// connections arrive faster than earlier ones count as silent.
+func (run *experimentRun) startIdle(f *restartFleet) {
+	flooded := rand.New(rand.NewPCG(run.Seed, 3)).IntN(len(f.Programs))
+	run.printNote("%s is flooded", f.Programs[flooded].Name)
 	for k, s := range f.Programs {
 		clients, pause := restartIdleClients, restartIdlePause
 		if k == flooded {
 			clients, pause = restartFloodFactor*restartIdleClients, restartFloodPause
 		}
-		f.idle = append(f.idle, rig.NewIdleClients(s.Address, clients, pause, p.Seed+uint64(k)<<32))
+		f.idle = append(f.idle, rig.NewIdleClients(s.Address, clients, pause, run.Seed+uint64(k)<<32))
 	}
 }
 
@@ -175,8 +176,8 @@
 	f.idle = nil
 }
 
-// awaitFullTables waits until each table of descriptors is full.
-func (p *experimentRun) awaitFullTables(f *restartFleet) {
+// awaitFullTables waits until the descriptor table of each app server is full, and judges how long that took.
+func (run *experimentRun) awaitFullTables(f *restartFleet) {
 	began := time.Now()
 	for time.Since(began) < 5*time.Second {
 		if slices.Min(f.countDescriptors()) >= restartFullTable {
@@ -184,52 +185,52 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.atMost("full.after.s", time.Since(began).Seconds(), 4.9)
+	run.atMost("full.after.s", time.Since(began).Seconds(), 4.9)
 }
 
 // runKernelOutage ends all kernel links, has reconnects refused for a while, and measures how long after the kernels'
-// return the links stand again.
-func (p *experimentRun) runKernelOutage(f *restartFleet) {
+// return the links are up again.
+func (run *experimentRun) runKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
 		s.Kernel.Down()
 	}
-	f.measureWindow("kernel.out", func() { time.Sleep(p.scaled(2 * time.Second)) }).report(p)
+	f.measureWindow("kernel.out", func() { time.Sleep(run.scaled(2 * time.Second)) }).report(run)
 	returned := time.Now()
 	for _, s := range f.Programs {
 		if err := s.Kernel.Return(); err != nil {
 			f.check.Failed("%v", err)
 		}
 	}
-	worst := 0.0
+	maxDelay := 0.0
 	for _, s := range f.Programs {
-		worst = max(worst, secondsAfter(awaitTime(2*restartReconnectTimeout, s.Kernel.LinkedAt), returned))
+		maxDelay = max(maxDelay, secondsAfter(awaitTime(2*restartReconnectTimeout, s.Kernel.LinkedAt), returned))
 	}
-	p.atMost("kernel.back.max.s", worst, restartReconnectTimeout.Seconds())
+	run.atMost("kernel.back.max.s", maxDelay, restartReconnectTimeout.Seconds())
 }
 
-// lateKernel is how one kernel is late for the restart of its app server.
+// lateKernel is a kernel that becomes available only some time after the restart of its app server.
 type lateKernel struct {
 	server          *rig.Program
 	delay           time.Duration
-	withholdsBooted bool // its link is accepted and BOOTED held back; else connections are refused
+	withholdsBooted bool // the link is accepted and BOOTED withheld; else connections are refused
 }
 
-// drawLateKernels chooses the late kernels; the last one is later than a process may take to be ready.
-func (p *experimentRun) drawLateKernels(f *restartFleet) []lateKernel {
-	chance := rand.New(rand.NewPCG(p.Seed, 7))
+// drawLateKernels draws the late kernels; the last one is later than a process may take to be ready.
+func (run *experimentRun) drawLateKernels(f *restartFleet) []lateKernel {
+	random := rand.New(rand.NewPCG(run.Seed, 7))
 	count := max(2, int(restartLateKernelShare*float64(len(f.Programs))))
 	var late []lateKernel
-	for k, at := range chance.Perm(len(f.Programs))[:count] {
-		by := time.Duration((0.5 + 5.5*chance.Float64()) * float64(time.Second))
+	for k, index := range random.Perm(len(f.Programs))[:count] {
+		delay := time.Duration((0.5 + 5.5*random.Float64()) * float64(time.Second))
 		if k == count-1 {
-			by = restartReadyTimeout + time.Second
+			delay = restartReadyTimeout + time.Second
 		}
-		late = append(late, lateKernel{f.Programs[at], p.scaled(by), k%2 == 0})
+		late = append(late, lateKernel{f.Programs[index], run.scaled(delay), k%2 == 0})
 	}
 	return late
 }
 
-// start makes the kernel late, before its app server is killed.
+// start makes the kernel unavailable, before its app server is killed.
 func (l lateKernel) start() {
 	if l.withholdsBooted {
 		l.server.Kernel.Withhold()
@@ -238,6 +239,7 @@
 	}
 }
 
+// end makes the kernel available again.
 func (l lateKernel) end(check *rig.Checker) {
 	if l.withholdsBooted {
 		l.server.Kernel.Release()
@@ -247,8 +249,8 @@
 }
 
 // restartAllServers kills all processes at once, starts them again, and judges when each is ready.
-func (p *experimentRun) restartAllServers(f *restartFleet) (callWindow, error) {
-	late := p.drawLateKernels(f)
+func (run *experimentRun) restartAllServers(f *restartFleet) (callWindow, error) {
+	late := run.drawLateKernels(f)
 	for _, l := range late {
 		l.start()
 	}
@@ -259,21 +261,21 @@
 	for k, s := range f.Programs {
 		restarts.Go(func() {
 			s.Kill()
-			f.killCount.Add(1) // for what was asked for after the first count and before the kill
+			f.killCount.Add(1) // for the RPCs asked for after the first increment and before the kill
 			errs[k] = s.Start()
 		})
 	}
 	var returns sync.WaitGroup
 	judgedFrom := map[string]time.Time{}
 	for _, l := range late {
-		word := "refuses"
+		mode := "refuses"
 		if l.withholdsBooted {
-			word = "accepts and withholds BOOTED"
+			mode = "accepts and withholds BOOTED"
 		}
-		p.printNote("kernel of %s %s for %.1f s", l.server.Name, word, l.delay.Seconds())
-		if l.delay > p.scaled(restartReadyTimeout) {
+		run.printNote("kernel of %s %s for %.1f s", l.server.Name, mode, l.delay.Seconds())
+		if l.delay > run.scaled(restartReadyTimeout) {
 			judgedFrom[l.server.Name] = began.Add(l.delay)
-			p.printNote("%s is judged from its kernel's return", l.server.Name)
+			run.printNote("%s is judged from its kernel's return", l.server.Name)
 		}
 		returns.Go(func() {
 			time.Sleep(time.Until(began.Add(l.delay)))
@@ -284,76 +286,77 @@
 	if err := errors.Join(errs...); err != nil {
 		return callWindow{}, err
 	}
-	time.Sleep(time.Until(began.Add(p.scaled(4 * time.Second))))
+	time.Sleep(time.Until(began.Add(run.scaled(4 * time.Second))))
 	returned := time.Now()
 	if err := f.Roster.Return(); err != nil {
 		return callWindow{}, err
 	}
 	returns.Wait()
-	p.judgeReadiness(f, began, returned, judgedFrom, late)
-	return f.measureWindow("restarted", func() { time.Sleep(p.scaled(6 * time.Second)) }), nil
+	run.judgeReadiness(f, began, returned, judgedFrom, late)
+	return f.measureWindow("restarted", func() { time.Sleep(run.scaled(6 * time.Second)) }), nil
 }
 
-// judgeReadiness waits for each app server and judges the times. One is ready when its kernel link stands, the roster has
-// heard of it and it has served an RPC since its start.
-func (p *experimentRun) judgeReadiness(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time, late []lateKernel) {
-	inTime, rosterWorst, linkWorst, slowest := 0, 0.0, 0.0, ""
-	var took []float64
+// judgeReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
+// received its report and it has served an RPC since its start.
+func (run *experimentRun) judgeReadiness(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time,
+	late []lateKernel) {
+	readyInTime, maxRosterDelay, maxLinkDelay, lastReported := 0, 0.0, 0.0, ""
+	var readyTimes []float64
 	for _, s := range f.Programs {
 		linked := awaitTime(restartReadyTimeout, s.Kernel.LinkedAt)
-		heard := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstHeard(s.Name); return at })
+		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstHeard(s.Name); return at })
 		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(s.Name, began) })
 		from := began
 		if at, ok := judgedFrom[s.Name]; ok {
 			from = at
 		}
-		ready := max(secondsAfter(linked, from), secondsAfter(heard, from), secondsAfter(served, from))
+		ready := max(secondsAfter(linked, from), secondsAfter(reported, from), secondsAfter(served, from))
 		if ready <= restartReadyTimeout.Seconds() {
-			inTime++
+			readyInTime++
 		} else {
-			p.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, secondsAfter(linked, from), secondsAfter(heard, from),
-				secondsAfter(served, from))
+			run.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, secondsAfter(linked, from),
+				secondsAfter(reported, from), secondsAfter(served, from))
 		}
-		took = append(took, ready)
-		reportable := rosterBack
+		readyTimes = append(readyTimes, ready)
+		reportableFrom := rosterBack
 		for _, l := range late {
 			if l.server == s {
-				linkWorst = max(linkWorst, secondsAfter(linked, began.Add(l.delay)))
-				reportable = laterOf(reportable, began.Add(l.delay))
+				maxLinkDelay = max(maxLinkDelay, secondsAfter(linked, began.Add(l.delay)))
+				reportableFrom = laterOf(reportableFrom, began.Add(l.delay))
 			}
 		}
-		if back := secondsAfter(heard, reportable); back > rosterWorst {
-			rosterWorst, slowest = back, s.Name
+		if delay := secondsAfter(reported, reportableFrom); delay > maxRosterDelay {
+			maxRosterDelay, lastReported = delay, s.Name
 		}
 	}
-	p.atLeast("ready.within.10s", float64(inTime)/float64(len(f.Programs)), 0.9)
-	p.report("ready.median.s", quantile(took, 0.5))
-	p.report("ready.max.s", slices.Max(took))
-	p.atMost("kernel.late.back.max.s", linkWorst, restartReconnectTimeout.Seconds())
-	p.atMost("roster.back.max.s", rosterWorst, restartReconnectTimeout.Seconds())
-	p.printNote("last on the roster: %s", slowest)
+	run.atLeast("ready.within.10s", float64(readyInTime)/float64(len(f.Programs)), 0.9)
+	run.report("ready.median.s", quantile(readyTimes, 0.5))
+	run.report("ready.max.s", slices.Max(readyTimes))
+	run.atMost("kernel.late.back.max.s", maxLinkDelay, restartReconnectTimeout.Seconds())
+	run.atMost("roster.back.max.s", maxRosterDelay, restartReconnectTimeout.Seconds())
+	run.printNote("last on the roster: %s", lastReported)
 }
 
 // judgeAnswered judges the RPCs of one window.
-func (p *experimentRun) judgeAnswered(f *restartFleet, w callWindow) {
-	p.atLeast("answered."+w.name, w.answeredShare(), 0.99)
-	w.report(p)
+func (run *experimentRun) judgeAnswered(f *restartFleet, w callWindow) {
+	run.atLeast("answered."+w.name, w.answeredShare(), 0.99)
+	w.report(run)
 	if len(w.failures) > 0 {
-		p.printNote("unanswered while %s: %s", w.name, strings.Join(w.failures[:min(len(w.failures), 5)], "; "))
+		run.printNote("unanswered while %s: %s", w.name, strings.Join(w.failures[:min(len(w.failures), 5)], "; "))
 	}
 }
 
-// judgeDescriptorsLeftOver judges the descriptors once all clients have left.
-func (p *experimentRun) judgeDescriptorsLeftOver(f *restartFleet, before []int) {
-	over := math.MaxInt
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && over > 0; time.Sleep(50 * time.Millisecond) {
-		over = math.MinInt
+// judgeDescriptorsLeftOver compares the descriptor counts with those before, once all clients have left.
+func (run *experimentRun) judgeDescriptorsLeftOver(f *restartFleet, before []int) {
+	maxExcess := math.MaxInt
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && maxExcess > 0; time.Sleep(50 * time.Millisecond) {
+		maxExcess = math.MinInt
 		for k, n := range f.countDescriptors() {
-			over = max(over, n-before[k])
+			maxExcess = max(maxExcess, n-before[k])
 		}
 	}
-	p.report("descriptors.before", float64(slices.Max(before)))
-	p.atMost("descriptors.left.over", float64(over), 0)
+	run.report("descriptors.before", float64(slices.Max(before)))
+	run.atMost("descriptors.left.over", float64(maxExcess), 0)
 }
 
 func laterOf(a, b time.Time) time.Time {
@@ -363,7 +366,7 @@
 	return b
 }
 
-// secondsAfter is how long after from something happened; +Inf if it never did.
+// secondsAfter returns the seconds between from and at, or +Inf if at is zero.
 func secondsAfter(at, from time.Time) float64 {
 	if at.IsZero() {
 		return math.Inf(1)
@@ -371,7 +374,8 @@
 	return at.Sub(from).Seconds()
 }
 
-// awaitTime polls a time until it is set; zero if it is not within the span.
+// awaitTime polls read until it returns a time other than zero, and returns the zero time if that takes longer
+// than within.
 func awaitTime(within time.Duration, read func() time.Time) time.Time {
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		if at := read(); !at.IsZero() || time.Now().After(end) {
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -12,12 +12,12 @@
 	"valveglade/rig"
 )
 
-// retryingCaller calls one app server as a router does: what has no answer because the connection was refused or ended is
-// sent again until its deadline. A tokened RPC is not sent again after a kill: its app server's tokens are gone with the process.
+// retryingCaller calls one app server as a router does: an RPC that got no reply because the connection was refused or ended
+// is retried until its deadline. A tokened RPC is not retried after a kill: the app server's tokens are lost with the process.
 type retryingCaller struct {
 	source         int
 	address        string
-	connectPerCall bool // a connection for each RPC
+	connectPerCall bool // opens a connection for each RPC
 	killCount      *atomic.Int64
 
 	mu     sync.Mutex
@@ -43,7 +43,7 @@
 	}
 }
 
-// connection gives the router to call through, and what to do after the call.
+// connection returns the router to call through, and the function to run after the call.
 func (c *retryingCaller) connection() (router *rig.Router, done func()) {
 	if c.connectPerCall {
 		router = rig.NewRouter(c.source, c.address)
@@ -75,12 +75,12 @@
 	err           error
 }
 
-// answered tells whether the RPC had a final answer of the app server by its deadline.
+// answered reports whether the RPC had a reply of the app server by its deadline.
 func (r callRecord) answered() bool {
 	return r.err == nil || errors.Is(r.err, rig.ErrPushedBack) || errors.Is(r.err, rig.ErrAborted)
 }
 
-// callLog keeps the records of all callers. It is safe for use by many goroutines.
+// callLog holds the records of all callers. It is safe for concurrent use.
 type callLog struct {
 	mu      sync.Mutex
 	records []callRecord
@@ -94,7 +94,7 @@
 	l.records = append(l.records, r)
 }
 
-// firstServed returns when an app server first served an RPC that was asked for since a time; the zero time if never.
+// firstServed returns when an app server first served an RPC that was asked for after since, or the zero time if never.
 func (l *callLog) firstServed(server string, since time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,14 +107,14 @@
 	return first
 }
 
-// between returns what was asked for from one time to another.
+// between returns the records of the RPCs that were asked for between two times.
 func (l *callLog) between(from, to time.Time) []callRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(l.records), func(r callRecord) bool { return r.asked.Before(from) || r.asked.After(to) })
 }
 
-// recordingCaller adds what becomes of each RPC to a log.
+// recordingCaller adds the result of each RPC to a log.
 type recordingCaller struct {
 	*retryingCaller
 	log    *callLog
@@ -129,14 +129,14 @@
 	return result, err
 }
 
-// callWindow is what became of the RPCs that were asked for during one part of the experiment.
+// callWindow holds the results of the RPCs that were asked for during one part of the experiment.
 type callWindow struct {
 	name                    string
 	asked, answered, served int
 	failures                []string
 }
 
-// measureWindow runs a part of the experiment, and waits until what was asked for in it has ended.
+// measureWindow runs a part of the experiment, and waits until the RPCs that were asked for in it have ended.
 func (f *restartFleet) measureWindow(name string, part func()) callWindow {
 	from := time.Now()
 	part()
@@ -160,53 +160,54 @@
 
 func (w callWindow) answeredShare() float64 { return float64(w.answered) / float64(w.asked) }
 
-// report shows what is not judged.
-func (w callWindow) report(p *experimentRun) {
-	p.report("asked."+w.name, float64(w.asked))
-	p.report("served."+w.name, float64(w.served)/float64(w.asked))
+// report reports the counts that have no bound.
+func (w callWindow) report(run *experimentRun) {
+	run.report("asked."+w.name, float64(w.asked))
+	run.report("served."+w.name, float64(w.served)/float64(w.asked))
 }
 
-// descriptorSampler samples the descriptors of the processes.
+// descriptorSampler samples the descriptor counts of the processes.
 type descriptorSampler struct {
 	fleet          *restartFleet
 	stop           chan struct{}
 	done           chan struct{}
 	maxDescriptors int
-	samples        int // samples
-	fullSamples    int // of them with a full table
+	samples        int // of all processes
+	fullSamples    int // of samples, those with a full descriptor table
 }
 
+// startDescriptorSampler starts the sampling of a fleet; close ends it.
 func startDescriptorSampler(f *restartFleet) *descriptorSampler {
-	w := &descriptorSampler{fleet: f, stop: make(chan struct{}), done: make(chan struct{})}
-	go w.run()
-	return w
+	s := &descriptorSampler{fleet: f, stop: make(chan struct{}), done: make(chan struct{})}
+	go s.run()
+	return s
 }
 
-func (w *descriptorSampler) run() {
-	defer close(w.done)
+func (s *descriptorSampler) run() {
+	defer close(s.done)
 	for {
 		select {
-		case <-w.stop:
+		case <-s.stop:
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
-		for _, n := range w.fleet.countDescriptors() {
+		for _, n := range s.fleet.countDescriptors() {
 			if n == 0 {
-				continue // between two processes
+				continue // the process is killed and not yet started again
 			}
-			w.maxDescriptors = max(w.maxDescriptors, n)
-			w.samples++
+			s.maxDescriptors = max(s.maxDescriptors, n)
+			s.samples++
 			if n >= restartFullTable {
-				w.fullSamples++
+				s.fullSamples++
 			}
 		}
 	}
 }
 
-// close ends the sampling and gives its figures.
-func (w *descriptorSampler) close(p *experimentRun) {
-	close(w.stop)
-	<-w.done
-	p.atMost("descriptors.most", float64(w.maxDescriptors), restartSockets)
-	p.atLeast("descriptors.full.share", float64(w.fullSamples)/float64(max(w.samples, 1)), 0.8)
+// close ends the sampling and judges its counts.
+func (s *descriptorSampler) close(run *experimentRun) {
+	close(s.stop)
+	<-s.done
+	run.atMost("descriptors.most", float64(s.maxDescriptors), restartSockets)
+	run.atLeast("descriptors.full.share", float64(s.fullSamples)/float64(max(s.samples, 1)), 0.8)
 }
--- a/cmd/rehearse/violations.go
+++ b/cmd/rehearse/violations.go
@@ -2,22 +2,22 @@
 
 import "valveglade/rig"
 
-// shownViolations is how many violations an experiment prints.
+// shownViolations is the maximum number of violations that an experiment prints.
 const shownViolations = 10
 
-// violationLog collects what the checkers of an experiment found. It is not safe for concurrent use.
+// violationLog collects the violations that the checkers of an experiment found. It is not safe for concurrent use.
 type violationLog struct{ all []rig.Violation }
 
-// collect ends a checker and takes its violations in.
+// collect finishes a checker and adds its violations.
 func (l *violationLog) collect(c *rig.Checker) {
 	c.Finish()
 	l.all = append(l.all, c.Violations()...)
 }
 
-// report has the experiment fail if there is any violation, and prints the first of them.
-func (l *violationLog) report(p *experimentRun) {
-	p.exactly("breaches", float64(len(l.all)), 0)
+// report fails the experiment if there is any violation, and prints the first shownViolations of them.
+func (l *violationLog) report(run *experimentRun) {
+	run.exactly("breaches", float64(len(l.all)), 0)
 	for _, violation := range l.all[:min(len(l.all), shownViolations)] {
-		p.printNote("%s", violation)
+		run.printNote("%s", violation)
 	}
 }
