--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -35,7 +35,7 @@
 	{"view-faults", "the fleet's view under partitions and packet loss, compared with the gossip library alone", runViewFaults},
 	{"view-drawn", "the fleet's view under faults drawn from the seed, or read from --script", runViewDrawn},
 	{"owner", "at most one owner under deaths, pauses and partitions, compared with the lowest name as owner", runOwner},
-	{"share", "a fleet-wide limit under deaths, pauses, partitions and moving demand, against an even split and no fleet", runShare},
+	{"share", "a fleet-wide limit under deaths, pauses, partitions and moving demand; baselines: even split, fleet off", runShare},
 	{"share-forty", "ten permits shared by forty processes", runShareForty},
 	{"share-auto", "an automatic fleet-wide limit while the backend's capacity falls and recovers", runShareAuto},
 	{"restart", "idle clients fill the descriptors, the roster is down, all app servers restart, some kernels are late", runRestart},
