--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -139,7 +139,7 @@
 	if ready := s.probe.HealthyAt(); !s.ready && !ready.IsZero() {
 		s.ready = true
 	}
-	last := latest(latest(s.launched, s.excused), s.probe.LastAnswerAt())
+	last := laterOf(laterOf(s.launched, s.excused), s.probe.LastAnswerAt())
 	if silent := time.Since(last); silent > trialMute {
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
 		s.excused = time.Now().Add(time.Hour) // once is enough
@@ -202,7 +202,7 @@
 	if s.p.Logs != "" {
 		name := filepath.Join(s.p.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
 		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
-			s.p.say("%v", err)
+			s.p.printNote("%v", err)
 		}
 	}
 	for _, word := range []string{"panic:", "fatal error:", "DATA RACE"} {
