--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -17,7 +17,7 @@
 type Cluster struct {
 	Check   *Checker
 	History *History
-	Paths   *Paths
+	Paths   *FaultyNetwork
 	plan    Plan
 	dir     string
 	roster  *Roster
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -37,7 +37,7 @@
 }
 
 // talk is two sockets with paths between them.
-func talk(t *testing.T) (p *Paths, one, two *net.UDPConn) {
+func talk(t *testing.T) (p *FaultyNetwork, one, two *net.UDPConn) {
 	t.Helper()
 	p, err := NewPaths(1)
 	if err != nil {
@@ -61,7 +61,7 @@
 }
 
 // arrives counts what comes of n packets sent from one to the other, and gives when the last came.
-func arrives(p *Paths, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
+func arrives(p *FaultyNetwork, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
 	begin := time.Now()
 	for k := range n {
 		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.Via(slot))
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Paths is a faulty network among processes: one path between each ordered pair, for packets and streams alike. Each
+// FaultyNetwork is a faulty network among processes: one path between each ordered pair, for packets and streams alike. Each
 // process has a loopback address of its own, from which it speaks, and one that it tells others, behind which the paths to
 // it begin: so a path knows who speaks to whom.
-type Paths struct {
+type FaultyNetwork struct {
 	block int // the third of a loopback network that this one has for itself
 	lock  net.PacketConn
 
@@ -53,36 +53,36 @@
 const mostSlots = 250
 
 // NewPaths takes a part of the loopback network that no other has.
-func NewPaths(seed uint64) (*Paths, error) {
+func NewPaths(seed uint64) (*FaultyNetwork, error) {
 	first := os.Getpid()
 	for k := range 200 {
 		block := 16 + (first+k)%200
 		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", block, fleetPort))
 		if err == nil {
-			return &Paths{block: block, lock: lock, ends: map[int]*pathEnd{}, paths: map[[2]int]*Path{},
+			return &FaultyNetwork{block: block, lock: lock, ends: map[int]*pathEnd{}, paths: map[[2]int]*Path{},
 				rand: rand.New(rand.NewPCG(seed, 7)), over: make(chan struct{})}, nil
 		}
 	}
 	return nil, errors.New("no part of the loopback network is free")
 }
 
-func (p *Paths) at(part, slot int) netip.AddrPort {
+func (p *FaultyNetwork) at(part, slot int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(p.block), byte(part), byte(slot)}), fleetPort)
 }
 
 // Own is where the process of a slot, from 1, listens; Via is what it tells others.
-func (p *Paths) Own(slot int) netip.AddrPort { return p.at(1, slot) }
+func (p *FaultyNetwork) Own(slot int) netip.AddrPort { return p.at(1, slot) }
 
 // Via is the address that others are told.
-func (p *Paths) Via(slot int) netip.AddrPort { return p.at(2, slot) }
+func (p *FaultyNetwork) Via(slot int) netip.AddrPort { return p.at(2, slot) }
 
 // Network is where all of them are.
-func (p *Paths) Network() netip.Prefix {
+func (p *FaultyNetwork) Network() netip.Prefix {
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(p.block), 0, 0}), 16)
 }
 
 // Add opens the paths to one more address.
-func (p *Paths) Add(slot int) error {
+func (p *FaultyNetwork) Add(slot int) error {
 	if slot < 1 || slot > mostSlots {
 		return fmt.Errorf("slot %d", slot)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Close ends it and waits until nothing of it is left.
-func (p *Paths) Close() {
+func (p *FaultyNetwork) Close() {
 	close(p.over)
 	p.mu.Lock()
 	for _, e := range p.ends {
@@ -123,21 +123,21 @@
 }
 
 // Change has f change what is wrong on the path from one slot to another.
-func (p *Paths) Change(from, to int, f func(*Path)) {
+func (p *FaultyNetwork) Change(from, to int, f func(*Path)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.path(from, to))
 }
 
 // Heal makes all paths good.
-func (p *Paths) Heal() {
+func (p *FaultyNetwork) Heal() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.paths)
 }
 
 // path is called under the lock.
-func (p *Paths) path(from, to int) *Path {
+func (p *FaultyNetwork) path(from, to int) *Path {
 	k := [2]int{from, to}
 	if p.paths[k] == nil {
 		p.paths[k] = &Path{}
@@ -147,7 +147,7 @@
 
 // slot is whose address that is, 0 for nobody's. Processes speak from their own address; what the rig itself sends on
 // comes from those that are told.
-func (p *Paths) slot(at netip.Addr) int {
+func (p *FaultyNetwork) slot(at netip.Addr) int {
 	b := at.Unmap().As4()
 	if int(b[1]) != p.block || b[2] != 1 {
 		return 0
@@ -156,7 +156,7 @@
 }
 
 // later is how much later something of that size arrives, under the lock.
-func (p *Paths) later(l *Path, size int) time.Duration {
+func (p *FaultyNetwork) later(l *Path, size int) time.Duration {
 	d := l.Delay
 	if l.Jitter > 0 {
 		d += time.Duration((2*p.rand.Float64() - 1) * float64(l.Jitter))
@@ -176,7 +176,7 @@
 const mostWaits = 2 * time.Second
 
 // carryPackets passes on what comes for one process.
-func (p *Paths) carryPackets(to *pathEnd) {
+func (p *FaultyNetwork) carryPackets(to *pathEnd) {
 	b := make([]byte, 64<<10)
 	for {
 		n, src, err := to.packets.ReadFromUDPAddrPort(b)
@@ -218,7 +218,7 @@
 }
 
 // carryStreams takes connections to one process, and passes them on from the address that their other end tells others.
-func (p *Paths) carryStreams(to *pathEnd) {
+func (p *FaultyNetwork) carryStreams(to *pathEnd) {
 	for {
 		nc, err := to.streams.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -244,7 +244,7 @@
 const patience = 20 * time.Second
 
 // open waits until the path lets through; it gives how long what is sent now takes, and false if that never comes.
-func (p *Paths) open(from, to *pathEnd, size int) (time.Duration, bool) {
+func (p *FaultyNetwork) open(from, to *pathEnd, size int) (time.Duration, bool) {
 	for end := time.Now().Add(patience); time.Now().Before(end); {
 		p.mu.Lock()
 		l := p.path(from.slot, to.slot)
@@ -266,7 +266,7 @@
 	return 0, false
 }
 
-func (p *Paths) carryStream(nc net.Conn, from, to *pathEnd) {
+func (p *FaultyNetwork) carryStream(nc net.Conn, from, to *pathEnd) {
 	defer nc.Close()
 	stop := make(chan struct{})
 	defer close(stop)
@@ -301,7 +301,7 @@
 }
 
 // copy carries one direction of a connection until it ends.
-func (p *Paths) copy(in, out net.Conn, from, to *pathEnd) {
+func (p *FaultyNetwork) copy(in, out net.Conn, from, to *pathEnd) {
 	defer out.Close()
 	b := make([]byte, 16<<10)
 	for {
