--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	s := &Cluster{Check: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
-	if s.Paths, err = NewPaths(plan.Seed); err != nil {
+	if s.Paths, err = NewFaultyNetwork(plan.Seed); err != nil {
 		return nil, err
 	}
 	if s.roster, err = NewRoster(); err != nil {
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -39,7 +39,7 @@
 // talk is two sockets with paths between them.
 func talk(t *testing.T) (p *FaultyNetwork, one, two *net.UDPConn) {
 	t.Helper()
-	p, err := NewPaths(1)
+	p, err := NewFaultyNetwork(1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -52,8 +52,8 @@
 // mostSlots is how many processes one such network has addresses for.
 const mostSlots = 250
 
-// NewPaths takes a part of the loopback network that no other has.
-func NewPaths(seed uint64) (*FaultyNetwork, error) {
+// NewFaultyNetwork takes a part of the loopback network that no other has.
+func NewFaultyNetwork(seed uint64) (*FaultyNetwork, error) {
 	first := os.Getpid()
 	for k := range 200 {
 		block := 16 + (first+k)%200
