--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	open := func(slot int) *net.UDPConn {
-		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.Own(slot)))
+		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.ListenAddress(slot)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 // A stream waits behind a cut, goes on after it, and tells who speaks; to an end where nobody listens it is closed.
 func TestStreams(t *testing.T) {
 	p, _, _ := talk(t)
-	listener, err := net.Listen("tcp", p.Own(2).String())
+	listener, err := net.Listen("tcp", p.ListenAddress(2).String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 		}
 	}()
 	dial := func() net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.Own(1).Addr().AsSlice()}}
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.ListenAddress(1).Addr().AsSlice()}}
 		nc, err := d.Dial("tcp", p.Via(2).String())
 		if err != nil {
 			t.Fatal(err)
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -70,8 +70,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(p.block), byte(part), byte(slot)}), fleetPort)
 }
 
-// Own is where the process of a slot, from 1, listens; Via is what it tells others.
-func (p *FaultyNetwork) Own(slot int) netip.AddrPort { return p.at(1, slot) }
+// ListenAddress is where the process of a slot, from 1, listens; Via is what it tells others.
+func (p *FaultyNetwork) ListenAddress(slot int) netip.AddrPort { return p.at(1, slot) }
 
 // Via is the address that others are told.
 func (p *FaultyNetwork) Via(slot int) netip.AddrPort { return p.at(2, slot) }
@@ -92,7 +92,7 @@
 	if there {
 		return nil // a new process takes over the address of one that has ended
 	}
-	e := &pathEnd{slot: slot, own: p.Own(slot), via: p.Via(slot)}
+	e := &pathEnd{slot: slot, own: p.ListenAddress(slot), via: p.Via(slot)}
 	var err error
 	if e.packets, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.via)); err != nil {
 		return err
