--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -136,7 +136,7 @@
 // reachDirectly starts the processes again with addresses that members outside the process cluster reach too.
 func (r *crowdRun) reachDirectly() error {
 	for k, name := range processNames() {
-		own, via := r.cluster.Paths.ListenAddress(k+1).String(), r.cluster.Paths.Via(k+1).String()
+		own, via := r.cluster.Paths.ListenAddress(k+1).String(), r.cluster.Paths.AdvertisedAddress(k+1).String()
 		err := r.cluster.Amend(name, func(settings string) string {
 			return strings.Replace(settings, "fleet.advertise "+via, "fleet.advertise "+own, 1)
 		})
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -137,7 +137,7 @@
 	}
 	var all []string
 	for k := range n + s.plan.DeadEnd {
-		all = append(all, s.Paths.Via(k+1).String())
+		all = append(all, s.Paths.AdvertisedAddress(k+1).String())
 	}
 	return all
 }
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	n := &Node{slot: slot}
-	own, via := s.Paths.ListenAddress(slot), s.Paths.Via(slot)
+	own, via := s.Paths.ListenAddress(slot), s.Paths.AdvertisedAddress(slot)
 	if s.plan.Bare != nil {
 		n.Program = &Program{Name: name, called: called, check: s.Check}
 		n.bare = &Process{tap: func(line []byte) { s.History.Said(name, line) }}
@@ -222,7 +222,7 @@
 	if n.bare == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.Bare(n.called, s.Paths.ListenAddress(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
+	cmd := s.plan.Bare(n.called, s.Paths.ListenAddress(n.slot).String(), s.Paths.AdvertisedAddress(n.slot).String(), s.seeds())
 	_, err := n.bare.run(cmd, func(error) {})
 	return err
 }
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -64,14 +64,14 @@
 func arrives(p *FaultyNetwork, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
 	begin := time.Now()
 	for k := range n {
-		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.Via(slot))
+		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.AdvertisedAddress(slot))
 	}
 	b := make([]byte, 100)
 	for {
 		to.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if _, src, err := to.ReadFromUDPAddrPort(b); err != nil {
 			return got, last
-		} else if src.Addr() != p.Via(3-slot).Addr() {
+		} else if src.Addr() != p.AdvertisedAddress(3-slot).Addr() {
 			return -1, 0 // it does not say who speaks
 		}
 		got, last = got+1, time.Since(begin)
@@ -133,7 +133,7 @@
 	}()
 	dial := func() net.Conn {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.ListenAddress(1).Addr().AsSlice()}}
-		nc, err := d.Dial("tcp", p.Via(2).String())
+		nc, err := d.Dial("tcp", p.AdvertisedAddress(2).String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 	}
 	p.Heal()
 	nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if n, err := nc.Read(b); err != nil || string(b[:n]) != "hello from "+p.Via(1).Addr().String() {
+	if n, err := nc.Read(b); err != nil || string(b[:n]) != "hello from "+p.AdvertisedAddress(1).Addr().String() {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	listener.Close()
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -73,8 +73,8 @@
 // ListenAddress is where the process of a slot, from 1, listens; Via is what it tells others.
 func (p *FaultyNetwork) ListenAddress(slot int) netip.AddrPort { return p.at(1, slot) }
 
-// Via is the address that others are told.
-func (p *FaultyNetwork) Via(slot int) netip.AddrPort { return p.at(2, slot) }
+// AdvertisedAddress is the address that others are told.
+func (p *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort { return p.at(2, slot) }
 
 // Network is where all of them are.
 func (p *FaultyNetwork) Network() netip.Prefix {
@@ -92,7 +92,7 @@
 	if there {
 		return nil // a new process takes over the address of one that has ended
 	}
-	e := &pathEnd{slot: slot, own: p.ListenAddress(slot), via: p.Via(slot)}
+	e := &pathEnd{slot: slot, own: p.ListenAddress(slot), via: p.AdvertisedAddress(slot)}
 	var err error
 	if e.packets, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.via)); err != nil {
 		return err
