--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -101,7 +101,7 @@
 	if r.cluster, err = rig.NewCluster(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
 		return err
 	}
-	network := r.cluster.Paths.Network().Addr().As4()
+	network := r.cluster.Paths.Subnet().Addr().As4()
 	if err := r.reachDirectly(); err != nil {
 		return err
 	}
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -177,7 +177,7 @@
 		var laws []string
 		if !s.plan.Off {
 			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
-				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Network().String(), "fleet.socket "+s.Socket(name))
+				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Subnet().String(), "fleet.socket "+s.Socket(name))
 			if s.plan.Zones > 0 {
 				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
 			}
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -76,8 +76,8 @@
 // AdvertisedAddress is the address that others are told.
 func (p *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort { return p.at(2, slot) }
 
-// Network is where all of them are.
-func (p *FaultyNetwork) Network() netip.Prefix {
+// Subnet is where all of them are.
+func (p *FaultyNetwork) Subnet() netip.Prefix {
 	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(p.block), 0, 0}), 16)
 }
 
