--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("%d of 200 at a loss of a half", n)
 	}
 	p.Heal()
-	p.Change(1, 2, func(l *Path) { l.Double, l.Delay = 1, 100*time.Millisecond })
+	p.Change(1, 2, func(l *Path) { l.Duplication, l.Delay = 1, 100*time.Millisecond })
 	if n, last := arrives(p, one, two, 2, 50); n != 100 || last < 100*time.Millisecond {
 		t.Errorf("%d of 50 doubled, the last after %v", n, last)
 	}
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -144,7 +144,7 @@
 	case "loss":
 		p.Loss = f.Share
 	case "double":
-		p.Double = f.Share
+		p.Duplication = f.Share
 	case "delay":
 		p.Delay, p.Jitter = f.Mean, f.Most
 	case "mute":
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -37,14 +37,14 @@
 
 // Path is what is wrong between one process and another, one way.
 type Path struct {
-	Cut    bool
-	Loss   float64       // of packets; a stream waits a fifth of a second for what is lost
-	Double float64       // of packets
-	Delay  time.Duration // the mean
-	Jitter time.Duration // the most by which a delay differs from the mean: packets overtake each other
-	Rate   float64       // bytes a second, 0 for any number
-	Mute   time.Duration // packets alone are so much later: gossip is late, and work is not
-	free   time.Time     // when the line is free again, under Rate
+	Cut         bool
+	Loss        float64       // of packets; a stream waits a fifth of a second for what is lost
+	Duplication float64       // of packets
+	Delay       time.Duration // the mean
+	Jitter      time.Duration // the most by which a delay differs from the mean: packets overtake each other
+	Rate        float64       // bytes a second, 0 for any number
+	Mute        time.Duration // packets alone are so much later: gossip is late, and work is not
+	free        time.Time     // when the line is free again, under Rate
 }
 
 const fleetPort = 7946
@@ -194,7 +194,7 @@
 		}
 		l := p.path(from.slot, to.slot)
 		copies := 1
-		if l.Double > 0 && p.rand.Float64() < l.Double {
+		if l.Duplication > 0 && p.rand.Float64() < l.Duplication {
 			copies = 2
 		}
 		if l.Cut || l.Loss > 0 && p.rand.Float64() < l.Loss {
