--- a/rig/faults.go
+++ b/rig/faults.go
@@ -148,7 +148,7 @@
 	case "delay":
 		p.Delay, p.Jitter = f.Mean, f.Most
 	case "mute":
-		p.Mute = f.Mean
+		p.PacketDelay = f.Mean
 	case "rate":
 		p.Rate = f.Rate
 	}
--- a/rig/paths.go
+++ b/rig/paths.go
@@ -43,7 +43,7 @@
 	Delay       time.Duration // the mean
 	Jitter      time.Duration // the most by which a delay differs from the mean: packets overtake each other
 	Rate        float64       // bytes a second, 0 for any number
-	Mute        time.Duration // packets alone are so much later: gossip is late, and work is not
+	PacketDelay time.Duration // packets alone are so much later: gossip is late, and work is not
 	free        time.Time     // when the line is free again, under Rate
 }
 
@@ -202,14 +202,14 @@
 		}
 		var waits [2]time.Duration
 		for k := range copies {
-			waits[k] = p.later(l, n) + l.Mute
+			waits[k] = p.later(l, n) + l.PacketDelay
 		}
 		p.mu.Unlock()
 		for _, d := range waits[:copies] {
 			switch {
 			case d == 0:
 				from.packets.WriteToUDPAddrPort(b[:n], to.own)
-			case d <= mostWaits || l.Mute > 0:
+			case d <= mostWaits || l.PacketDelay > 0:
 				packet := append([]byte(nil), b[:n]...)
 				time.AfterFunc(d, func() { from.packets.WriteToUDPAddrPort(packet, to.own) })
 			}
