--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -19,7 +19,7 @@
 	*trial
 	number  int
 	program *rig.Program
-	net     *rig.Net // between the routers and it
+	net     *rig.FaultProxy // between the routers and it
 	probe   *rig.HealthProbe
 	peers   []*rig.Peer
 	calls   trialCalls
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -50,7 +50,7 @@
 // Node is one process of a process cluster.
 type Node struct {
 	*Program
-	Net  *Net // for callers
+	Net  *FaultProxy // for callers
 	slot int
 	bare *Process
 	feed func() // ends a starving
--- a/rig/flow.go
+++ b/rig/flow.go
@@ -8,7 +8,7 @@
 
 // flow is one connection of a client through the network, by which the checker knows it.
 type flow struct {
-	*Net
+	*FaultProxy
 	caller, server net.Conn
 	ours           atomic.Bool   // ended by the network or by the caller
 	ended          atomic.Bool   // the app server has ended it
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -19,7 +19,7 @@
 type judgedProgram struct {
 	*Program
 	check  *Checker
-	net    *Net
+	net    *FaultProxy
 	roster *Roster
 }
 
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -17,7 +17,7 @@
 	*Stub
 	t      *testing.T
 	link   *testLink
-	net    *Net
+	net    *FaultProxy
 	client net.Conn
 	number int32
 }
--- a/rig/net.go
+++ b/rig/net.go
@@ -13,9 +13,9 @@
 	"valveglade/internal/thrift"
 )
 
-// Net is a faulty network in front of one app server: callers connect to its address. It passes all bytes on as they are and
+// FaultProxy is a faulty network in front of one app server: callers connect to its address. It passes all bytes on as they are and
 // tells the checker of each message before its last byte.
-type Net struct {
+type FaultProxy struct {
 	server   string
 	target   string
 	check    *Checker
@@ -35,8 +35,8 @@
 }
 
 // NewNet listens on a free port for callers of the app server at target.
-func NewNet(server, target string, check *Checker) (*Net, error) {
-	n := &Net{server: server, target: target, check: check, flows: map[*flow]struct{}{}}
+func NewNet(server, target string, check *Checker) (*FaultProxy, error) {
+	n := &FaultProxy{server: server, target: target, check: check, flows: map[*flow]struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -47,16 +47,16 @@
 }
 
 // Address is where callers connect.
-func (n *Net) Address() string { return n.listener.Addr().String() }
+func (n *FaultProxy) Address() string { return n.listener.Addr().String() }
 
 // Watch has f told of each connection that is taken and passed on; set before there are any.
-func (n *Net) Watch(f func(time.Time)) { n.accepted = f }
+func (n *FaultProxy) Watch(f func(time.Time)) { n.accepted = f }
 
 // Count has each RPC that is passed on counted; set before there are any.
-func (n *Net) Count(a *Arrivals) { n.arrivals = a }
+func (n *FaultProxy) Count(a *Arrivals) { n.arrivals = a }
 
 // Down ends all connections and refuses new ones, or takes them again.
-func (n *Net) Down(down bool) {
+func (n *FaultProxy) Down(down bool) {
 	n.mu.Lock()
 	was := n.down
 	n.down = down
@@ -77,7 +77,7 @@
 }
 
 // Deaf has connections taken, and passes nothing on, or does again on new ones.
-func (n *Net) Deaf(deaf bool) {
+func (n *FaultProxy) Deaf(deaf bool) {
 	n.mu.Lock()
 	n.deaf = deaf
 	n.mu.Unlock()
@@ -85,16 +85,16 @@
 }
 
 // Trickle has answers come a few bytes at a time; 0 ends it.
-func (n *Net) Trickle(bytes int) { n.trickle.Store(int64(bytes)) }
+func (n *FaultProxy) Trickle(bytes int) { n.trickle.Store(int64(bytes)) }
 
 // Pieces has both directions come in pieces of any length, drawn from the seed; 0 ends it.
-func (n *Net) Pieces(seed uint64) { n.pieces.Store(seed) }
+func (n *FaultProxy) Pieces(seed uint64) { n.pieces.Store(seed) }
 
 // Delay holds what passes back, in each direction.
-func (n *Net) Delay(d time.Duration) { n.delay.Store(int64(d)) }
+func (n *FaultProxy) Delay(d time.Duration) { n.delay.Store(int64(d)) }
 
 // Reset ends all connections.
-func (n *Net) Reset() {
+func (n *FaultProxy) Reset() {
 	n.mu.Lock()
 	flows := make([]*flow, 0, len(n.flows))
 	for f := range n.flows {
@@ -107,7 +107,7 @@
 }
 
 // Close ends it and waits until nothing of it is left.
-func (n *Net) Close() {
+func (n *FaultProxy) Close() {
 	n.listener.Close()
 	n.Reset()
 	n.group.Wait()
@@ -126,7 +126,7 @@
 	}
 }
 
-func (n *Net) accept() {
+func (n *FaultProxy) accept() {
 	for listener := n.listener; ; {
 		nc, err := listener.Accept()
 		if err != nil {
@@ -134,7 +134,7 @@
 		}
 		n.mu.Lock()
 		down, deaf := n.down, n.deaf
-		f := &flow{Net: n, caller: nc}
+		f := &flow{FaultProxy: n, caller: nc}
 		n.flows[f] = struct{}{}
 		n.mu.Unlock()
 		switch {
@@ -226,7 +226,7 @@
 	look := lookout{
 		message: f.watchReply,
 		garbage: func(err error) {
-			f.check.report(1, "%s says what no router can read: %v", f.Net.server, err)
+			f.check.report(1, "%s says what no router can read: %v", f.FaultProxy.server, err)
 		},
 	}
 	queue := make(chan []byte, mostQueued)
--- a/rig/program.go
+++ b/rig/program.go
@@ -252,7 +252,7 @@
 type Fleet struct {
 	Check    *Checker
 	Programs []*Program
-	Nets     []*Net
+	Nets     []*FaultProxy
 	Roster   *Roster
 	dir      string
 	end      chan struct{}
