--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -50,7 +50,7 @@
 	}
 	s.program = program
 	s.probe = rig.NewHealthProbe(program.Address)
-	if s.net, err = rig.NewNet(name, program.Address, t.check); err != nil {
+	if s.net, err = rig.NewFaultProxy(name, program.Address, t.check); err != nil {
 		return nil, err
 	}
 	if t.drawn.Load.Pieces > 0 {
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -161,7 +161,7 @@
 	}
 	defer s.Close()
 	c := NewChecker(50 * time.Millisecond)
-	n, err := NewNet("n1", s.Address(), c)
+	n, err := NewFaultProxy("n1", s.Address(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -171,7 +171,7 @@
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
 			roster: s.roster.Address(), check: s.Check, called: called}
 		n.Program.tap = func(line []byte) { s.History.Said(name, line) }
-		if n.Net, err = NewNet(name, address, s.Check); err != nil {
+		if n.Net, err = NewFaultProxy(name, address, s.Check); err != nil {
 			return nil, err
 		}
 		var laws []string
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -61,7 +61,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if p.net, err = NewNet("n1", address, check); err != nil {
+	if p.net, err = NewFaultProxy("n1", address, check); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -31,7 +31,7 @@
 	}
 	t.Cleanup(stub.Close)
 	s.Stub = stub
-	if s.net, err = NewNet("n1", stub.Address(), s.check); err != nil {
+	if s.net, err = NewFaultProxy("n1", stub.Address(), s.check); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.net.Close)
--- a/rig/net.go
+++ b/rig/net.go
@@ -34,8 +34,8 @@
 	pieces  atomic.Uint64 // seed by which both directions come in pieces; 0 for as they are
 }
 
-// NewNet listens on a free port for callers of the app server at target.
-func NewNet(server, target string, check *Checker) (*FaultProxy, error) {
+// NewFaultProxy listens on a free port for callers of the app server at target.
+func NewFaultProxy(server, target string, check *Checker) (*FaultProxy, error) {
 	n := &FaultProxy{server: server, target: target, check: check, flows: map[*flow]struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := NewNet("n1", echo.Address(), NewChecker(time.Second))
+		n, err := NewFaultProxy("n1", echo.Address(), NewChecker(time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		c := NewChecker(time.Second)
-		n, err := NewNet("n1", stub.Address(), c)
+		n, err := NewFaultProxy("n1", stub.Address(), c)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 	}
 	defer s.Close()
 	c := NewChecker(0)
-	n, err := NewNet("n1", s.Address(), c)
+	n, err := NewFaultProxy("n1", s.Address(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rig/program.go
+++ b/rig/program.go
@@ -294,7 +294,7 @@
 			return nil, err
 		}
 		f.Programs = append(f.Programs, p)
-		wire, err := NewNet(name, address, check)
+		wire, err := NewFaultProxy(name, address, check)
 		if err != nil {
 			f.Close()
 			return nil, err
