--- a/rig/net.go
+++ b/rig/net.go
@@ -49,8 +49,8 @@
 // Address is where callers connect.
 func (n *FaultProxy) Address() string { return n.listener.Addr().String() }
 
-// Watch has f told of each connection that is taken and passed on; set before there are any.
-func (n *FaultProxy) Watch(f func(time.Time)) { n.accepted = f }
+// OnConnection has f told of each connection that is taken and passed on; set before there are any.
+func (n *FaultProxy) OnConnection(f func(time.Time)) { n.accepted = f }
 
 // Count has each RPC that is passed on counted; set before there are any.
 func (n *FaultProxy) Count(a *Arrivals) { n.arrivals = a }
