--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -205,7 +205,7 @@
 	arrivals := make([]*rig.Arrivals, coldServers)
 	for k, net := range fleet.Nets {
 		arrivals[k] = &rig.Arrivals{}
-		net.Count(arrivals[k])
+		net.CountArrivals(arrivals[k])
 	}
 	service := &serviceLog{}
 	callers := make([]rig.Caller, plan.clients)
--- a/rig/net.go
+++ b/rig/net.go
@@ -52,8 +52,8 @@
 // OnConnection has f told of each connection that is taken and passed on; set before there are any.
 func (n *FaultProxy) OnConnection(f func(time.Time)) { n.accepted = f }
 
-// Count has each RPC that is passed on counted; set before there are any.
-func (n *FaultProxy) Count(a *Arrivals) { n.arrivals = a }
+// CountArrivals has each RPC that is passed on counted; set before there are any.
+func (n *FaultProxy) CountArrivals(a *Arrivals) { n.arrivals = a }
 
 // Down ends all connections and refuses new ones, or takes them again.
 func (n *FaultProxy) Down(down bool) {
