--- a/rig/net.go
+++ b/rig/net.go
@@ -55,8 +55,8 @@
 // CountArrivals has each RPC that is passed on counted; set before there are any.
 func (n *FaultProxy) CountArrivals(a *Arrivals) { n.arrivals = a }
 
-// Down ends all connections and refuses new ones, or takes them again.
-func (n *FaultProxy) Down(down bool) {
+// SetDown ends all connections and refuses new ones, or takes them again.
+func (n *FaultProxy) SetDown(down bool) {
 	n.mu.Lock()
 	was := n.down
 	n.down = down
