--- a/rig/net.go
+++ b/rig/net.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Deaf has connections taken, and passes nothing on, or does again on new ones.
-func (n *FaultProxy) Deaf(deaf bool) {
+// SetBlackhole has connections taken, and passes nothing on, or does again on new ones.
+func (n *FaultProxy) SetBlackhole(deaf bool) {
 	n.mu.Lock()
 	n.deaf = deaf
 	n.mu.Unlock()
