--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -137,12 +137,12 @@
 	trouble.Go(func() {
 		time.Sleep(500 * time.Millisecond)
 		f.Nets[0].SetBlackhole(true) // accepts and never answers
-		f.Nets[1].Trickle(7)
+		f.Nets[1].TrickleReplies(7)
 		list <- nil // the list is empty for a while
 		time.Sleep(2 * time.Second)
 		list <- f.Addresses()
 		f.Nets[0].SetBlackhole(false)
-		f.Nets[1].Trickle(0)
+		f.Nets[1].TrickleReplies(0)
 	})
 	out := load("c", 120, 4*time.Second, 500*time.Millisecond) // the trouble takes the first 2.5 s
 	trouble.Wait()
--- a/rig/net.go
+++ b/rig/net.go
@@ -84,8 +84,8 @@
 	n.Reset()
 }
 
-// Trickle has answers come a few bytes at a time; 0 ends it.
-func (n *FaultProxy) Trickle(bytes int) { n.trickle.Store(int64(bytes)) }
+// TrickleReplies has answers come a few bytes at a time; 0 ends it.
+func (n *FaultProxy) TrickleReplies(bytes int) { n.trickle.Store(int64(bytes)) }
 
 // Pieces has both directions come in pieces of any length, drawn from the seed; 0 ends it.
 func (n *FaultProxy) Pieces(seed uint64) { n.pieces.Store(seed) }
