--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if t.drawn.Load.Pieces > 0 {
-		s.net.Pieces(t.drawn.Seed)
+		s.net.FragmentWrites(t.drawn.Seed)
 	}
 	for k := range t.drawn.Load.Routers {
 		form := t.form()
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -160,7 +160,7 @@
 // breakLink puts one fault after the other on the kernel's link.
 func (p *judgedProgram) breakLink(over chan struct{}, seed uint64) {
 	chance := rand.New(rand.NewPCG(seed, 6))
-	p.net.Pieces(seed)
+	p.net.FragmentWrites(seed)
 	for {
 		select {
 		case <-over:
--- a/rig/net.go
+++ b/rig/net.go
@@ -87,8 +87,8 @@
 // TrickleReplies has answers come a few bytes at a time; 0 ends it.
 func (n *FaultProxy) TrickleReplies(bytes int) { n.trickle.Store(int64(bytes)) }
 
-// Pieces has both directions come in pieces of any length, drawn from the seed; 0 ends it.
-func (n *FaultProxy) Pieces(seed uint64) { n.pieces.Store(seed) }
+// FragmentWrites has both directions come in pieces of any length, drawn from the seed; 0 ends it.
+func (n *FaultProxy) FragmentWrites(seed uint64) { n.pieces.Store(seed) }
 
 // Delay holds what passes back, in each direction.
 func (n *FaultProxy) Delay(d time.Duration) { n.delay.Store(int64(d)) }
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Pieces(seed)
+		n.FragmentWrites(seed)
 		nc, err := net.Dial("tcp", n.Address())
 		if err != nil {
 			t.Fatal(err)
