--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -148,10 +148,10 @@
 	trouble.Wait()
 	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Asked), 0.9)
 	// Shorter than a round trip: nothing may be sent late, and all must end.
-	f.Nets[0].Delay(5 * time.Millisecond)
+	f.Nets[0].SetDelay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
 	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
-	f.Nets[0].Delay(0)
+	f.Nets[0].SetDelay(0)
 	note(check)
 	return p.refusals()
 }
--- a/rig/net.go
+++ b/rig/net.go
@@ -90,8 +90,8 @@
 // FragmentWrites has both directions come in pieces of any length, drawn from the seed; 0 ends it.
 func (n *FaultProxy) FragmentWrites(seed uint64) { n.pieces.Store(seed) }
 
-// Delay holds what passes back, in each direction.
-func (n *FaultProxy) Delay(d time.Duration) { n.delay.Store(int64(d)) }
+// SetDelay holds what passes back, in each direction.
+func (n *FaultProxy) SetDelay(d time.Duration) { n.delay.Store(int64(d)) }
 
 // Reset ends all connections.
 func (n *FaultProxy) Reset() {
