--- a/rig/net.go
+++ b/rig/net.go
@@ -64,7 +64,7 @@
 	switch {
 	case down && !was:
 		n.listener.Close()
-		n.Reset()
+		n.ResetConnections()
 	case !down && was:
 		listener, err := net.Listen("tcp", n.listener.Addr().String())
 		if err != nil {
@@ -81,7 +81,7 @@
 	n.mu.Lock()
 	n.deaf = deaf
 	n.mu.Unlock()
-	n.Reset()
+	n.ResetConnections()
 }
 
 // TrickleReplies has answers come a few bytes at a time; 0 ends it.
@@ -93,8 +93,8 @@
 // SetDelay holds what passes back, in each direction.
 func (n *FaultProxy) SetDelay(d time.Duration) { n.delay.Store(int64(d)) }
 
-// Reset ends all connections.
-func (n *FaultProxy) Reset() {
+// ResetConnections ends all connections.
+func (n *FaultProxy) ResetConnections() {
 	n.mu.Lock()
 	flows := make([]*flow, 0, len(n.flows))
 	for f := range n.flows {
@@ -109,7 +109,7 @@
 // Close ends it and waits until nothing of it is left.
 func (n *FaultProxy) Close() {
 	n.listener.Close()
-	n.Reset()
+	n.ResetConnections()
 	n.group.Wait()
 }
 
