--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -373,7 +373,7 @@
 }
 
 func (b logBounds) explore(maxStates int) explore.Result {
-	return explore.World[*logState]{
+	return explore.Model[*logState]{
 		Begin: b.initialState(),
 		Acts:  func(s *logState, into []uint16) []uint16 { return s.actions(into) },
 		After: func(s *logState, act uint16) *logState { return s.apply(act) },
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -259,7 +259,7 @@
 }
 
 func (b streamBounds) explore(maxStates int) explore.Result {
-	return explore.World[streamState]{
+	return explore.Model[streamState]{
 		Begin: streamState{world: b.initialWorld()},
 		Acts:  func(s streamState, into []uint16) []uint16 { return s.world.actions(into) },
 		After: func(s streamState, act uint16) streamState {
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 )
 
-// World is what is walked: states of a type, and what can happen to them.
-type World[S any] struct {
+// Model is what is walked: states of a type, and what can happen to them.
+type Model[S any] struct {
 	Begin S
 	Acts  func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
 	After func(s S, act uint16) S           // what comes of it; s stays as it was
@@ -58,7 +58,7 @@
 }
 
 // Walk goes on until there is nothing new, a rule is broken, or there are more states than most.
-func (w World[S]) Walk(most int) (r Result) {
+func (w Model[S]) Walk(most int) (r Result) {
 	type reached struct {
 		state S
 		key   uint64
@@ -124,7 +124,7 @@
 }
 
 // replay tells what happened, from the beginning.
-func (w World[S]) replay(all *seen, last step, first uint64) string {
+func (w Model[S]) replay(all *seen, last step, first uint64) string {
 	acts := []uint16{last.act}
 	for key := last.from; key != first; {
 		s := all[key%shards].from[key]
