--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -334,7 +334,7 @@
 
 func exploreModel(timing Timing, assignmentCount, unitsLeft int, requestsLeft [2]int8, deathsLeft int8,
 	maxStates int) explore.Result {
-	return explore.Model[*model]{Begin: newModel(timing, assignmentCount, unitsLeft, requestsLeft,
+	return explore.Model[*model]{Initial: newModel(timing, assignmentCount, unitsLeft, requestsLeft,
 		deathsLeft),
 		Acts: (*model).actions, After: (*model).apply, Key: (*model).key, Wrong: (*model).violation,
 		Tell: (*model).describe}.Walk(maxStates)
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -14,12 +14,12 @@
 
 // Model is what is walked: states of a type, and what can happen to them.
 type Model[S any] struct {
-	Begin S
-	Acts  func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
-	After func(s S, act uint16) S           // what comes of it; s stays as it was
-	Key   func(s S) uint64                  // states that can be told apart by nothing have one key
-	Wrong func(s S) string                  // the rule that is broken, if any
-	Tell  func(s S, act uint16) string      // for people
+	Initial S
+	Acts    func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
+	After   func(s S, act uint16) S           // what comes of it; s stays as it was
+	Key     func(s S) uint64                  // states that can be told apart by nothing have one key
+	Wrong   func(s S) string                  // the rule that is broken, if any
+	Tell    func(s S, act uint16) string      // for people
 }
 
 // Result is what a walk has found.
@@ -67,9 +67,9 @@
 	for k := range all {
 		all[k].from = map[uint64]step{}
 	}
-	first := w.Key(w.Begin)
+	first := w.Key(w.Initial)
 	all.fresh(first, step{})
-	level := []reached{{w.Begin, first}}
+	level := []reached{{w.Initial, first}}
 	var wrong atomic.Pointer[step]
 	var why string
 	for r.States = 1; len(level) > 0 && r.States < most; r.Depth++ {
@@ -133,7 +133,7 @@
 	}
 	slices.Reverse(acts)
 	var out strings.Builder
-	s := w.Begin
+	s := w.Initial
 	for k, act := range acts {
 		fmt.Fprintf(&out, "%2d  %s\n", k+1, w.Tell(s, act))
 		s = w.After(s, act)
