--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -375,7 +375,7 @@
 func (b logBounds) explore(maxStates int) explore.Result {
 	return explore.Model[*logState]{
 		Initial: b.initialState(),
-		Acts:    func(s *logState, into []uint16) []uint16 { return s.actions(into) },
+		Actions: func(s *logState, into []uint16) []uint16 { return s.actions(into) },
 		After:   func(s *logState, act uint16) *logState { return s.apply(act) },
 		Key:     func(s *logState) uint64 { return s.key() },
 		Wrong:   func(s *logState) string { return s.violation },
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -15,7 +15,7 @@
 // Model is what is walked: states of a type, and what can happen to them.
 type Model[S any] struct {
 	Initial S
-	Acts    func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
+	Actions func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
 	After   func(s S, act uint16) S           // what comes of it; s stays as it was
 	Key     func(s S) uint64                  // states that can be told apart by nothing have one key
 	Wrong   func(s S) string                  // the rule that is broken, if any
@@ -87,7 +87,7 @@
 						break
 					}
 					s := level[k]
-					acts = w.Acts(s.state, acts[:0])
+					acts = w.Actions(s.state, acts[:0])
 					for _, act := range acts {
 						n := w.After(s.state, act)
 						if broken := w.Wrong(n); broken != "" {
