--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -376,7 +376,7 @@
 	return explore.Model[*logState]{
 		Initial: b.initialState(),
 		Actions: func(s *logState, into []uint16) []uint16 { return s.actions(into) },
-		After:   func(s *logState, act uint16) *logState { return s.apply(act) },
+		Apply:   func(s *logState, act uint16) *logState { return s.apply(act) },
 		Key:     func(s *logState) uint64 { return s.key() },
 		Wrong:   func(s *logState) string { return s.violation },
 		Tell:    func(s *logState, act uint16) string { return s.describe(act) },
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -262,7 +262,7 @@
 	return explore.Model[streamState]{
 		Initial: streamState{world: b.initialWorld()},
 		Actions: func(s streamState, into []uint16) []uint16 { return s.world.actions(into) },
-		After: func(s streamState, act uint16) streamState {
+		Apply: func(s streamState, act uint16) streamState {
 			next := streamState{world: b.initialWorld(), actions: append(slices.Clip(s.actions), act)}
 			for _, act := range next.actions {
 				next.world.perform(act)
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -266,7 +266,7 @@
 		s.requesters[k] = *NewRequester(Incarnation{fmt.Sprintf("a%d", k), 1}, "o", lease)
 		s.requesters[k].ObserveTerm(1)
 	}
-	return explore.Model[*grantModel]{Initial: s, Actions: (*grantModel).actions, After: (*grantModel).apply,
+	return explore.Model[*grantModel]{Initial: s, Actions: (*grantModel).actions, Apply: (*grantModel).apply,
 		Key: (*grantModel).key, Wrong: (*grantModel).violation, Tell: (*grantModel).describe}.Walk(maxStates)
 }
 
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -418,7 +418,7 @@
 	for k := range s.holders {
 		s.startHolder(k, 1)
 	}
-	return explore.Model[*model]{Initial: s, Actions: (*model).actions, After: (*model).apply, Key: (*model).key,
+	return explore.Model[*model]{Initial: s, Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key,
 		Wrong: (*model).violation, Tell: (*model).describe}.Walk(maxStates)
 }
 
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -16,7 +16,7 @@
 type Model[S any] struct {
 	Initial S
 	Actions func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
-	After   func(s S, act uint16) S           // what comes of it; s stays as it was
+	Apply   func(s S, act uint16) S           // what comes of it; s stays as it was
 	Key     func(s S) uint64                  // states that can be told apart by nothing have one key
 	Wrong   func(s S) string                  // the rule that is broken, if any
 	Tell    func(s S, act uint16) string      // for people
@@ -89,7 +89,7 @@
 					s := level[k]
 					acts = w.Actions(s.state, acts[:0])
 					for _, act := range acts {
-						n := w.After(s.state, act)
+						n := w.Apply(s.state, act)
 						if broken := w.Wrong(n); broken != "" {
 							mu.Lock()
 							if wrong.Load() == nil {
@@ -136,7 +136,7 @@
 	s := w.Initial
 	for k, act := range acts {
 		fmt.Fprintf(&out, "%2d  %s\n", k+1, w.Tell(s, act))
-		s = w.After(s, act)
+		s = w.Apply(s, act)
 	}
 	return out.String()
 }
