--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -336,7 +336,7 @@
 	maxStates int) explore.Result {
 	return explore.Model[*model]{Initial: newModel(timing, assignmentCount, unitsLeft, requestsLeft,
 		deathsLeft),
-		Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key, Wrong: (*model).violation,
+		Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key, Violation: (*model).violation,
 		Tell: (*model).describe}.Walk(maxStates)
 }
 
--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -374,12 +374,12 @@
 
 func (b logBounds) explore(maxStates int) explore.Result {
 	return explore.Model[*logState]{
-		Initial: b.initialState(),
-		Actions: func(s *logState, into []uint16) []uint16 { return s.actions(into) },
-		Apply:   func(s *logState, act uint16) *logState { return s.apply(act) },
-		Key:     func(s *logState) uint64 { return s.key() },
-		Wrong:   func(s *logState) string { return s.violation },
-		Tell:    func(s *logState, act uint16) string { return s.describe(act) },
+		Initial:   b.initialState(),
+		Actions:   func(s *logState, into []uint16) []uint16 { return s.actions(into) },
+		Apply:     func(s *logState, act uint16) *logState { return s.apply(act) },
+		Key:       func(s *logState) uint64 { return s.key() },
+		Violation: func(s *logState) string { return s.violation },
+		Tell:      func(s *logState, act uint16) string { return s.describe(act) },
 	}.Walk(maxStates)
 }
 
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -269,9 +269,9 @@
 			}
 			return next
 		},
-		Key:   func(s streamState) uint64 { return s.world.key() },
-		Wrong: func(s streamState) string { return s.world.violation },
-		Tell:  func(s streamState, act uint16) string { return s.world.describe(act) },
+		Key:       func(s streamState) uint64 { return s.world.key() },
+		Violation: func(s streamState) string { return s.world.violation },
+		Tell:      func(s streamState, act uint16) string { return s.world.describe(act) },
 	}.Walk(maxStates)
 }
 
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -14,12 +14,12 @@
 
 // Model is what is walked: states of a type, and what can happen to them.
 type Model[S any] struct {
-	Initial S
-	Actions func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
-	Apply   func(s S, act uint16) S           // what comes of it; s stays as it was
-	Key     func(s S) uint64                  // states that can be told apart by nothing have one key
-	Wrong   func(s S) string                  // the rule that is broken, if any
-	Tell    func(s S, act uint16) string      // for people
+	Initial   S
+	Actions   func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
+	Apply     func(s S, act uint16) S           // what comes of it; s stays as it was
+	Key       func(s S) uint64                  // states that can be told apart by nothing have one key
+	Violation func(s S) string                  // the rule that is broken, if any
+	Tell      func(s S, act uint16) string      // for people
 }
 
 // Result is what a walk has found.
@@ -90,7 +90,7 @@
 					acts = w.Actions(s.state, acts[:0])
 					for _, act := range acts {
 						n := w.Apply(s.state, act)
-						if broken := w.Wrong(n); broken != "" {
+						if broken := w.Violation(n); broken != "" {
 							mu.Lock()
 							if wrong.Load() == nil {
 								wrong.Store(&step{s.key, act})
