--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -337,7 +337,7 @@
 	return explore.Model[*model]{Initial: newModel(timing, assignmentCount, unitsLeft, requestsLeft,
 		deathsLeft),
 		Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key, Violation: (*model).violation,
-		Tell: (*model).describe}.Walk(maxStates)
+		Describe: (*model).describe}.Walk(maxStates)
 }
 
 var defaultTiming = Timing{Window: window, Lag: 1}
--- a/logic/configlog/replica_explore_test.go
+++ b/logic/configlog/replica_explore_test.go
@@ -379,7 +379,7 @@
 		Apply:     func(s *logState, act uint16) *logState { return s.apply(act) },
 		Key:       func(s *logState) uint64 { return s.key() },
 		Violation: func(s *logState) string { return s.violation },
-		Tell:      func(s *logState, act uint16) string { return s.describe(act) },
+		Describe:  func(s *logState, act uint16) string { return s.describe(act) },
 	}.Walk(maxStates)
 }
 
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -271,7 +271,7 @@
 		},
 		Key:       func(s streamState) uint64 { return s.world.key() },
 		Violation: func(s streamState) string { return s.world.violation },
-		Tell:      func(s streamState, act uint16) string { return s.world.describe(act) },
+		Describe:  func(s streamState, act uint16) string { return s.world.describe(act) },
 	}.Walk(maxStates)
 }
 
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -409,7 +409,7 @@
 func (b bounds) walk(timing Timing) explore.Result {
 	return explore.Model[*state]{Initial: b.initialState(timing), Actions: (*state).events,
 		Apply: (*state).apply, Key: (*state).key,
-		Violation: func(s *state) string { return s.violation }, Tell: (*state).describe}.Walk(8e6)
+		Violation: func(s *state) string { return s.violation }, Describe: (*state).describe}.Walk(8e6)
 }
 
 // wideDriftTiming has so much drift that its effects show within quarters of a lease.
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -419,7 +419,7 @@
 		s.startHolder(k, 1)
 	}
 	return explore.Model[*model]{Initial: s, Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key,
-		Violation: (*model).violation, Tell: (*model).describe}.Walk(maxStates)
+		Violation: (*model).violation, Describe: (*model).describe}.Walk(maxStates)
 }
 
 var modelLease = owner.Lease{Length: 1, Grace: 0.9, Drift: 0.3}
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -19,7 +19,7 @@
 	Apply     func(s S, act uint16) S           // what comes of it; s stays as it was
 	Key       func(s S) uint64                  // states that can be told apart by nothing have one key
 	Violation func(s S) string                  // the rule that is broken, if any
-	Tell      func(s S, act uint16) string      // for people
+	Describe  func(s S, act uint16) string      // for people
 }
 
 // Result is what a walk has found.
@@ -135,7 +135,7 @@
 	var out strings.Builder
 	s := w.Initial
 	for k, act := range acts {
-		fmt.Fprintf(&out, "%2d  %s\n", k+1, w.Tell(s, act))
+		fmt.Fprintf(&out, "%2d  %s\n", k+1, w.Describe(s, act))
 		s = w.Apply(s, act)
 	}
 	return out.String()
