--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -358,8 +358,8 @@
 		r := exploreModel(defaultTiming, one.assignmentCount, one.unitsLeft, one.requestsLeft,
 			one.deathsLeft, 6e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
-		if r.Wrong != "" || !r.Complete {
-			t.Errorf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+		if r.Violation != "" || !r.Complete {
+			t.Errorf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 		}
 	}
 }
@@ -381,8 +381,8 @@
 		timing := defaultTiming
 		timing.Disabled = one.rules
 		r := exploreModel(timing, one.assignmentCount, one.unitsLeft, [2]int8{1, 1}, one.deathsLeft, 2e6)
-		t.Logf("%s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("%s: %s after %d states\n%s", one.what, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("%s: no violation found", one.what)
 		}
 	}
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -173,8 +173,8 @@
 		result := tested.bounds.explore(800_000)
 		t.Logf("%s: %d states, depth %d, complete %v, in %v", tested.name, result.States, result.Depth,
 			result.Complete, time.Since(start))
-		if result.Wrong != "" || !result.Complete {
-			t.Errorf("%s: %s\n%s", tested.name, result.Wrong, result.Trace)
+		if result.Violation != "" || !result.Complete {
+			t.Errorf("%s: %s\n%s", tested.name, result.Violation, result.Trace)
 		}
 	}
 }
@@ -184,11 +184,11 @@
 func requireViolations[B explorer](t *testing.T, allBounds []namedBounds[B]) {
 	for _, tested := range allBounds {
 		result := tested.bounds.explore(800_000)
-		if result.Wrong == "" {
+		if result.Violation == "" {
 			t.Errorf("%s: not found in %d states", tested.name, result.States)
 			continue
 		}
 		t.Logf("%s: found in %d steps: %s\n%s", tested.name, strings.Count(result.Trace, "\n"),
-			result.Wrong, result.Trace)
+			result.Violation, result.Trace)
 	}
 }
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -471,8 +471,8 @@
 			began := time.Now()
 			r := b.walk(wideDriftTiming)
 			t.Logf("%+v: %d states, depth %d, %.1f s", b, r.States, r.Depth, time.Since(began).Seconds())
-			if r.Wrong != "" || !r.Complete {
-				t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+			if r.Violation != "" || !r.Complete {
+				t.Fatalf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 			}
 		})
 	}
@@ -504,8 +504,8 @@
 		timing := wideDriftTiming
 		timing.Disabled = test.rule
 		r := test.walk(timing)
-		t.Logf("without %s: %s, after %d states\n%s", test.description, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("without %s: %s, after %d states\n%s", test.description, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("without %s no violation is found", test.description)
 		}
 	}
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -290,8 +290,8 @@
 		r := exploreGrants(grantLease, one.requestsLeft, one.unitsLeft, one.duplicatesLeft,
 			one.restartsLeft, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
-		if r.Wrong != "" || !r.Complete {
-			t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+		if r.Violation != "" || !r.Complete {
+			t.Fatalf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 		}
 	}
 }
@@ -306,8 +306,8 @@
 		lease := grantLease
 		lease.Disabled = rule
 		r := exploreGrants(lease, [2]int8{2, 1}, 4, 0, 0, 4e6)
-		t.Logf("rule %b disabled: %s after %d states\n%s", rule, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("rule %b disabled: %s after %d states\n%s", rule, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("rule %b is disabled, and no violation is found", rule)
 		}
 	}
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -444,8 +444,8 @@
 	for _, one := range all {
 		r := exploreModel(modelLease, one.requestsLeft, one.startsLeft, one.deathsLeft, false, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
-		if r.Wrong != "" || !r.Complete {
-			t.Errorf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+		if r.Violation != "" || !r.Complete {
+			t.Errorf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 		}
 	}
 }
@@ -471,8 +471,8 @@
 		lease := modelLease
 		lease.Disabled = one.rule
 		r := exploreModel(lease, one.requestsLeft, one.startsLeft, one.deathsLeft, one.rule == 0, 3e6)
-		t.Logf("without %s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("without %s: %s after %d states\n%s", one.what, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("without %s no violation is found", one.what)
 		}
 	}
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -24,11 +24,11 @@
 
 // Result is what a walk has found.
 type Result struct {
-	States   int
-	Depth    int    // of the longest way to a new state
-	Complete bool   // there was nothing else
-	Wrong    string // the rule that was broken
-	Trace    string // what happened until then, a line each
+	States    int
+	Depth     int    // of the longest way to a new state
+	Complete  bool   // there was nothing else
+	Violation string // the rule that was broken
+	Trace     string // what happened until then, a line each
 }
 
 // step is how a state was reached first.
@@ -113,7 +113,7 @@
 		}
 		group.Wait()
 		if at := wrong.Load(); at != nil {
-			r.Wrong, r.Trace = why, w.replay(&all, *at, first)
+			r.Violation, r.Trace = why, w.replay(&all, *at, first)
 			return r
 		}
 		level = slices.Concat(next...)
