--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -350,7 +350,7 @@
 		deathsLeft                 int8
 	}
 	all := []bounds{{2, 0, [2]int8{1, 1}, 1}, {2, 1, [2]int8{1, 1}, 0}}
-	if explore.Race {
+	if explore.RaceEnabled {
 		all = all[:1]
 	}
 	for _, one := range all {
--- a/logic/configlog/cluster_random_test.go
+++ b/logic/configlog/cluster_random_test.go
@@ -383,7 +383,7 @@
 // faults are injected.
 func TestRandomCluster(t *testing.T) {
 	seeds, steps := 40, 3000
-	if explore.Race {
+	if explore.RaceEnabled {
 		seeds = 4
 	}
 	committed, snapshots, gaps := 0, uint64(0), uint64(0)
--- a/logic/configlog/fixture_test.go
+++ b/logic/configlog/fixture_test.go
@@ -165,7 +165,7 @@
 // exploreAll explores all states within each bounds; under the race detector only within the first, the
 // smallest.
 func exploreAll[B explorer](t *testing.T, allBounds []namedBounds[B]) {
-	if explore.Race {
+	if explore.RaceEnabled {
 		allBounds = allBounds[:1]
 	}
 	for _, tested := range allBounds {
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -431,7 +431,7 @@
 // selectBounds returns the first two bounds under the race detector, which is slow, and adds the largest
 // with -long.
 func selectBounds(all []bounds) []bounds {
-	if explore.Race {
+	if explore.RaceEnabled {
 		return all[:2]
 	}
 	if *long {
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -282,7 +282,7 @@
 	}
 	all := []bounds{{[2]int8{1, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 0}, {[2]int8{2, 1}, 5, 0, 0},
 		{[2]int8{2, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 1}}
-	if explore.Race {
+	if explore.RaceEnabled {
 		all = all[:1]
 	}
 	for _, one := range all {
@@ -300,7 +300,7 @@
 func TestDisabledGrantRules(t *testing.T) {
 	for _, rule := range []Rule{FromRequest, WaitForFormerGrants, LatestRequestOnly, GracePeriods,
 		TermMatch} {
-		if rule == TermMatch && explore.Race {
+		if rule == TermMatch && explore.RaceEnabled {
 			break // its violation takes long to find
 		}
 		lease := grantLease
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -435,7 +435,7 @@
 		startsLeft, deathsLeft int8
 	}
 	all := []bounds{{[2]int8{1, 1}, 2, 0}, {[2]int8{1, 1}, 3, 0}, {[2]int8{1, 1}, 2, 1}}
-	if explore.Race {
+	if explore.RaceEnabled {
 		all = []bounds{{[2]int8{1, 0}, 2, 0}}
 	}
 	if *long {
@@ -465,7 +465,7 @@
 		{"counting from the request", owner.FromRequest, [2]int8{1, 1}, 3, 0},
 		{"the wait of a restarted holder for its reserved permits", 0, [2]int8{0, 1}, 3, 1},
 	} {
-		if explore.Race && one.rule != 0 {
+		if explore.RaceEnabled && one.rule != 0 {
 			continue // these take long to find
 		}
 		lease := modelLease
--- a/rig/explore/race_off.go
+++ b/rig/explore/race_off.go
@@ -2,5 +2,5 @@
 
 package explore
 
-// Race tells whether the race detector is on, under which there is time for the smallest walks alone.
-const Race = false
+// RaceEnabled tells whether the race detector is on, under which there is time for the smallest walks alone.
+const RaceEnabled = false
