--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -80,7 +80,7 @@
 	if s.Fit.Model == "" {
 		s.Fit.Model = slope.ModelLinear
 	}
-	fit, err := slope.Of(s.Fit.Model, s.Points)
+	fit, err := slope.FitModel(s.Fit.Model, s.Points)
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Name, err)
 	}
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -87,8 +87,8 @@
 // Power fits a power law: a straight line between the logarithms of size and value. Slope is the exponent.
 func Power(points []Point) (Fit, error) { return fit(ModelPower, points) }
 
-// Of fits the model of that name.
-func Of(model string, points []Point) (Fit, error) {
+// FitModel fits the model of that name.
+func FitModel(model string, points []Point) (Fit, error) {
 	if model == ModelConstant {
 		return Constant(points)
 	}
--- a/rig/slope/slope_test.go
+++ b/rig/slope/slope_test.go
@@ -43,7 +43,7 @@
 			s.Points = append(s.Points, Point{x, value(x)})
 		}
 		var err error
-		if s.Fit, err = Of(model, s.Points); err != nil {
+		if s.Fit, err = FitModel(model, s.Points); err != nil {
 			t.Fatal(err)
 		}
 		if s.Fit.SlopeError > 1e-9 || s.Fit.Model != model {
@@ -88,7 +88,7 @@
 	if _, err := Power(four); !errors.Is(err, ErrNotPositive) {
 		t.Errorf("power law through 0: %v", err)
 	}
-	if _, err := Of("cubic", four); err == nil {
+	if _, err := FitModel("cubic", four); err == nil {
 		t.Error("an unknown model is fitted")
 	}
 }
