--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -77,7 +77,7 @@
 		}
 		text = string(read)
 	}
-	c, err := drawn.Read(text)
+	c, err := drawn.ParseCase(text)
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c, err := drawn.Read(string(text))
+			c, err := drawn.ParseCase(string(text))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -92,8 +92,8 @@
 	return string(bytes.TrimSpace(out.Bytes()))
 }
 
-// Read is the case that a text of String's form says.
-func Read(text string) (Case, error) {
+// ParseCase is the case that a text of String's form says.
+func ParseCase(text string) (Case, error) {
 	var c Case
 	decoder := json.NewDecoder(bytes.NewReader([]byte(text)))
 	decoder.DisallowUnknownFields()
--- a/rig/drawn/drawn_test.go
+++ b/rig/drawn/drawn_test.go
@@ -17,7 +17,7 @@
 		if !reflect.DeepEqual(c, Draw(seed)) {
 			t.Fatalf("seed %d gives two cases", seed)
 		}
-		again, err := Read(c.String())
+		again, err := ParseCase(c.String())
 		if err != nil || !reflect.DeepEqual(again, c) {
 			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, c, again)
 		}
@@ -121,7 +121,7 @@
 		"unknown key":    strings.Replace(whole, `"seed"`, `"sed"`, 1),
 		"a server of 99": strings.Replace(Case{Seed: 1, Servers: 3, Seconds: 1, Load: Load{Routers: 1}, Settings: Settings{Methods: []Method{PlainMethod()}}, Faults: []Fault{{Kind: Kill, Server: 1}}}.String(), `"server":1`, `"server":99`, 1),
 	} {
-		if _, err := Read(text); err == nil {
+		if _, err := ParseCase(text); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
