--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -71,7 +71,7 @@
 type trial struct {
 	p          *play
 	drawn      drawn.Case
-	told       drawn.Told
+	told       drawn.ParsedConfig
 	check      *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
--- a/rig/drawn/settings.go
+++ b/rig/drawn/settings.go
@@ -184,9 +184,9 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
-// Told is what the configuration says, with what an absent key means, for whoever plays the app server's surroundings.
+// ParsedConfig is what the configuration says, with what an absent key means, for whoever plays the app server's surroundings.
 // Times are seconds.
-type Told struct {
+type ParsedConfig struct {
 	StopMS   float64 `json:"stop_ms"`
 	Limits   struct{ Cores, MemoryMB, Sockets float64 }
 	Settings struct {
@@ -204,8 +204,8 @@
 }
 
 // Told reads the configuration as a careful reader of the pages would: numbers of any form, null as a key that is left out.
-func (s Settings) Told() (Told, error) {
-	var t Told
+func (s Settings) Told() (ParsedConfig, error) {
+	var t ParsedConfig
 	t.StopMS = 3000
 	text := strings.Replace(s.Config(Addresses{}), `"memory_mb"`, `"memoryMb"`, 1)
 	err := json.Unmarshal([]byte(text), &t)
@@ -213,12 +213,12 @@
 }
 
 // PassesDeadline tells whether RPCs say how long their caller waits; false where the key is absent.
-func (t Told) PassesDeadline() bool {
+func (t ParsedConfig) PassesDeadline() bool {
 	return t.Settings.Domain.PassesDeadline != nil && *t.Settings.Domain.PassesDeadline
 }
 
 // HangupSeen tells whether app servers are told of callers that wait no longer.
-func (t Told) HangupSeen() bool {
+func (t ParsedConfig) HangupSeen() bool {
 	return t.Settings.Domain.HangupSeen != nil && *t.Settings.Domain.HangupSeen
 }
 
