--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -115,7 +115,7 @@
 }
 
 func (t *trial) prepare() (err error) {
-	if t.told, err = t.drawn.Settings.Told(); err != nil {
+	if t.told, err = t.drawn.Settings.ParsedConfig(); err != nil {
 		return err
 	}
 	if t.folder, err = os.MkdirTemp("", "faults"); err != nil {
--- a/rig/drawn/drawn_test.go
+++ b/rig/drawn/drawn_test.go
@@ -25,7 +25,7 @@
 		if !json.Valid([]byte(text)) {
 			t.Fatalf("seed %d: %s", seed, text)
 		}
-		told, err := c.Settings.Told()
+		told, err := c.Settings.ParsedConfig()
 		if err != nil || len(told.Settings.Profiles) != len(c.Settings.Methods) || told.Limits.MemoryMB < 32 || told.StopMS < 1000 {
 			t.Fatalf("seed %d: %v, %+v", seed, err, told)
 		}
--- a/rig/drawn/settings.go
+++ b/rig/drawn/settings.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// Told reads the configuration as a careful reader of the pages would: numbers of any form, null as a key that is left out.
-func (s Settings) Told() (ParsedConfig, error) {
+// ParsedConfig reads the configuration as a careful reader of the pages would: numbers of any form, null as a key that is left out.
+func (s Settings) ParsedConfig() (ParsedConfig, error) {
 	var t ParsedConfig
 	t.StopMS = 3000
 	text := strings.Replace(s.Config(Addresses{}), `"memory_mb"`, `"memoryMb"`, 1)
