--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -121,7 +121,7 @@
 	now := time.Now()
 	c.recv = now.Add(-seconds64(load.Stale * chance.Float64())).Truncate(time.Millisecond)
 	c.due = latest(c.recv.Add(c.waits()), now)
-	if chance.Float64() < load.Goes {
+	if chance.Float64() < load.AbandonShare {
 		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
 	}
 	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -22,16 +22,16 @@
 
 // Load is what each app server is asked.
 type Load struct {
-	Rate    float64 `json:"rate"`              // RPCs a second at each app server
-	Routers int     `json:"routers"`           // at each app server
-	Repeats float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
-	Goes    float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
-	Pieces  int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
-	Stale   float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
-	Fill    int     `json:"fill,omitempty"`    // bytes by which bodies are longer
-	Results int     `json:"results,omitempty"` // bytes of each result; 0 for few
-	Odd     float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
-	Fails   float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
+	Rate         float64 `json:"rate"`              // RPCs a second at each app server
+	Routers      int     `json:"routers"`           // at each app server
+	Repeats      float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
+	AbandonShare float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
+	Pieces       int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
+	Stale        float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
+	Fill         int     `json:"fill,omitempty"`    // bytes by which bodies are longer
+	Results      int     `json:"results,omitempty"` // bytes of each result; 0 for few
+	Odd          float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
+	Fails        float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
 }
 
 // Bounds of a case.
@@ -61,7 +61,7 @@
 
 func drawLoad(chance *rand.Rand, s Settings) Load {
 	l := Load{Rate: pick(chance, loadRates), Routers: 1 + chance.IntN(4), Repeats: pick(chance, []float64{0, 0.1, 0.4}),
-		Goes: pick(chance, []float64{0, 0, 0.1, 0.3})}
+		AbandonShare: pick(chance, []float64{0, 0, 0.1, 0.3})}
 	if chance.IntN(4) == 0 {
 		l.Pieces = 1 + chance.IntN(40)
 	}
