--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -124,7 +124,7 @@
 	if chance.Float64() < load.AbandonShare {
 		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
 	}
-	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
+	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.RepeatShare {
 		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(trialSpread))
 	}
 	return c
--- a/cmd/rehearse/faults_planted.go
+++ b/cmd/rehearse/faults_planted.go
@@ -32,7 +32,7 @@
 
 // plantedCase is a case without anything uncommon: whatever is found in it was planted.
 func plantedCase(seed uint64) drawn.Case {
-	c := drawn.Case{Seed: seed, Servers: 3, Seconds: 3, Load: drawn.Load{Rate: 40, Routers: 2, Repeats: 0.2}}
+	c := drawn.Case{Seed: seed, Servers: 3, Seconds: 3, Load: drawn.Load{Rate: 40, Routers: 2, RepeatShare: 0.2}}
 	for _, effect := range []string{"retryable", "dedup", "fragile"} {
 		m := drawn.PlainMethod()
 		m.Name, m.Effect = "look "+effect, effect
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -24,7 +24,7 @@
 type Load struct {
 	Rate         float64 `json:"rate"`              // RPCs a second at each app server
 	Routers      int     `json:"routers"`           // at each app server
-	Repeats      float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
+	RepeatShare  float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
 	AbandonShare float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
 	Pieces       int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
 	Stale        float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
@@ -60,7 +60,7 @@
 var loadRates = []float64{5, 20, 40, 60}
 
 func drawLoad(chance *rand.Rand, s Settings) Load {
-	l := Load{Rate: pick(chance, loadRates), Routers: 1 + chance.IntN(4), Repeats: pick(chance, []float64{0, 0.1, 0.4}),
+	l := Load{Rate: pick(chance, loadRates), Routers: 1 + chance.IntN(4), RepeatShare: pick(chance, []float64{0, 0.1, 0.4}),
 		AbandonShare: pick(chance, []float64{0, 0, 0.1, 0.3})}
 	if chance.IntN(4) == 0 {
 		l.Pieces = 1 + chance.IntN(40)
