--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -115,7 +115,7 @@
 	if m.Effect == string(rpc.Tokened) {
 		c.token = fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())
 	}
-	if chance.Float64() < load.Odd {
+	if chance.Float64() < load.OddShare {
 		c.makeOdd(chance)
 	}
 	now := time.Now()
