--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -111,7 +111,7 @@
 		c.result = bytes.Repeat([]byte(id[:1]), load.Results)
 		copy(c.result, id)
 	}
-	c.fails = chance.Float64() < load.Fails
+	c.fails = chance.Float64() < load.FailShare
 	if m.Effect == string(rpc.Tokened) {
 		c.token = fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())
 	}
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -31,7 +31,7 @@
 	Fill         int     `json:"fill,omitempty"`    // bytes by which bodies are longer
 	Results      int     `json:"results,omitempty"` // bytes of each result; 0 for few
 	OddShare     float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
-	Fails        float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
+	FailShare    float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
 }
 
 // Bounds of a case.
@@ -74,7 +74,7 @@
 	if chance.IntN(4) == 0 {
 		l.Results = 4096
 	}
-	l.OddShare, l.Fails = pick(chance, []float64{0, 0, 0.3}), pick(chance, []float64{0, 0, 0.1})
+	l.OddShare, l.FailShare = pick(chance, []float64{0, 0, 0.3}), pick(chance, []float64{0, 0, 0.1})
 	return l
 }
 
