--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -53,7 +53,7 @@
 	if s.net, err = rig.NewFaultProxy(name, program.Address, t.check); err != nil {
 		return nil, err
 	}
-	if t.drawn.Load.Pieces > 0 {
+	if t.drawn.Load.FragmentBytes > 0 {
 		s.net.FragmentWrites(t.drawn.Seed)
 	}
 	for k := range t.drawn.Load.Routers {
@@ -77,7 +77,7 @@
 // form is how routers write under the settings.
 func (t *trial) form() rig.PeerForm {
 	return rig.PeerForm{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
-		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), Pieces: t.drawn.Load.Pieces}
+		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), Pieces: t.drawn.Load.FragmentBytes}
 }
 
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -22,16 +22,16 @@
 
 // Load is what each app server is asked.
 type Load struct {
-	Rate         float64 `json:"rate"`              // RPCs a second at each app server
-	Routers      int     `json:"routers"`           // at each app server
-	RepeatShare  float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
-	AbandonShare float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
-	Pieces       int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
-	Stale        float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
-	Fill         int     `json:"fill,omitempty"`    // bytes by which bodies are longer
-	Results      int     `json:"results,omitempty"` // bytes of each result; 0 for few
-	OddShare     float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
-	FailShare    float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
+	Rate          float64 `json:"rate"`              // RPCs a second at each app server
+	Routers       int     `json:"routers"`           // at each app server
+	RepeatShare   float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
+	AbandonShare  float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
+	FragmentBytes int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
+	Stale         float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
+	Fill          int     `json:"fill,omitempty"`    // bytes by which bodies are longer
+	Results       int     `json:"results,omitempty"` // bytes of each result; 0 for few
+	OddShare      float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
+	FailShare     float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
 }
 
 // Bounds of a case.
@@ -63,7 +63,7 @@
 	l := Load{Rate: pick(chance, loadRates), Routers: 1 + chance.IntN(4), RepeatShare: pick(chance, []float64{0, 0.1, 0.4}),
 		AbandonShare: pick(chance, []float64{0, 0, 0.1, 0.3})}
 	if chance.IntN(4) == 0 {
-		l.Pieces = 1 + chance.IntN(40)
+		l.FragmentBytes = 1 + chance.IntN(40)
 	}
 	if chance.IntN(4) == 0 {
 		l.Stale = 0.2 * chance.Float64()
