--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -119,7 +119,7 @@
 		c.makeOdd(chance)
 	}
 	now := time.Now()
-	c.recv = now.Add(-seconds64(load.Stale * chance.Float64())).Truncate(time.Millisecond)
+	c.recv = now.Add(-seconds64(load.StaleSeconds * chance.Float64())).Truncate(time.Millisecond)
 	c.due = latest(c.recv.Add(c.waits()), now)
 	if chance.Float64() < load.AbandonShare {
 		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
