--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -101,8 +101,8 @@
 
 func (s *trialServer) newCall(peer *rig.Peer, m trialMethod, chance *rand.Rand, id string) *trialCall {
 	load := s.drawn.Load
-	if load.Fill > 0 {
-		id += "-" + strings.Repeat("x", load.Fill)
+	if load.PaddingBytes > 0 {
+		id += "-" + strings.Repeat("x", load.PaddingBytes)
 	}
 	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, rank: chance.Float64(), life: s.kills.Load()}
 	c.body = rig.Body(id, 0)
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -28,7 +28,7 @@
 	AbandonShare  float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
 	FragmentBytes int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
 	StaleSeconds  float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
-	Fill          int     `json:"fill,omitempty"`    // bytes by which bodies are longer
+	PaddingBytes  int     `json:"fill,omitempty"`    // bytes by which bodies are longer
 	Results       int     `json:"results,omitempty"` // bytes of each result; 0 for few
 	OddShare      float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
 	FailShare     float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
@@ -69,7 +69,7 @@
 		l.StaleSeconds = 0.2 * chance.Float64()
 	}
 	if chance.IntN(5) == 0 {
-		l.Fill = pick(chance, []int{1, 100, maxFill})
+		l.PaddingBytes = pick(chance, []int{1, 100, maxFill})
 	}
 	if chance.IntN(4) == 0 {
 		l.Results = 4096
