--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -107,8 +107,8 @@
 	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, rank: chance.Float64(), life: s.kills.Load()}
 	c.body = rig.Body(id, 0)
 	c.work = min(m.Work*chance.ExpFloat64(), 5*m.Work)
-	if load.Results > 0 {
-		c.result = bytes.Repeat([]byte(id[:1]), load.Results)
+	if load.ResultBytes > 0 {
+		c.result = bytes.Repeat([]byte(id[:1]), load.ResultBytes)
 		copy(c.result, id)
 	}
 	c.fails = chance.Float64() < load.FailShare
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -29,7 +29,7 @@
 	FragmentBytes int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
 	StaleSeconds  float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
 	PaddingBytes  int     `json:"fill,omitempty"`    // bytes by which bodies are longer
-	Results       int     `json:"results,omitempty"` // bytes of each result; 0 for few
+	ResultBytes   int     `json:"results,omitempty"` // bytes of each result; 0 for few
 	OddShare      float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
 	FailShare     float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
 }
@@ -72,7 +72,7 @@
 		l.PaddingBytes = pick(chance, []int{1, 100, maxFill})
 	}
 	if chance.IntN(4) == 0 {
-		l.Results = 4096
+		l.ResultBytes = 4096
 	}
 	l.OddShare, l.FailShare = pick(chance, []float64{0, 0, 0.3}), pick(chance, []float64{0, 0, 0.1})
 	return l
