--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -78,7 +78,7 @@
 		}
 	case drawn.Burst:
 		s.burst(f.Size)
-	case drawn.RudeRouter:
+	case drawn.MisbehavingRouter:
 		rude := rig.NewRudeRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
 		time.Sleep(last)
 		rude.Close()
