--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -82,7 +82,7 @@
 		rude := rig.NewRudeRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
 		time.Sleep(last)
 		rude.Close()
-	case drawn.Silent:
+	case drawn.SilentClients:
 		idle := rig.NewIdleClients(s.program.Address, min(int(s.told.Limits.Sockets)*f.Size/100, maxSilent), 50*time.Millisecond, s.drawn.Seed)
 		time.Sleep(last)
 		idle.Close()
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -32,7 +32,7 @@
 	RouterClose       FaultKind = "router-close"   // routers close their connections
 	Burst             FaultKind = "burst"          // Size RPCs at once
 	MisbehavingRouter FaultKind = "rude-router"    // a router that uses numbers, ids and tokens twice
-	Silent            FaultKind = "silent-clients" // connections without work, Size parts in a hundred of the limit
+	SilentClients     FaultKind = "silent-clients" // connections without work, Size parts in a hundred of the limit
 	BadClients        FaultKind = "bad-clients"    // Size of them at once
 	LogFull           FaultKind = "log-full"       // nobody reads the log any more, and its pipe is full; for good where For is 0
 )
@@ -72,7 +72,7 @@
 	{LinkCut, nil, 0, false}, {LinkCut, nil, 0, false}, {LinkLossy, nil, 0, false}, {LinkLossy, nil, 0, false}, {LinkReset, nil, 0, false},
 	{LinkLate, []int{5, 50, 300}, 2, false}, {LinkPieces, nil, 2, false}, {LinkDoubled, nil, 3, false},
 	{RouterDeaf, nil, 2, false}, {RouterReset, nil, 0, false}, {RouterClose, nil, 0, false}, {Burst, []int{40, 200}, 0, false}, {MisbehavingRouter, nil, 2, false},
-	{Silent, []int{50, 100, 130}, 3, false}, {BadClients, []int{1, 4, 20}, 3, false}, {LogFull, nil, 0, false}, {LogFull, nil, 5, false},
+	{SilentClients, []int{50, 100, 130}, 3, false}, {BadClients, []int{1, 4, 20}, 3, false}, {LogFull, nil, 0, false}, {LogFull, nil, 5, false},
 }
 
 func drawFault(chance *rand.Rand, c Case) Fault {
