--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -66,7 +66,7 @@
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
 	case drawn.LinkDoubled:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
-	case drawn.RouterDeaf:
+	case drawn.RouterNotReading:
 		during(func() { s.deafen(true) }, func() { s.deafen(false) })
 	case drawn.RouterReset:
 		for _, p := range s.peers {
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -27,7 +27,7 @@
 	LinkLate          FaultKind = "link-late"      // everything on the link comes Size ms late
 	LinkPieces        FaultKind = "link-pieces"    // notices come in pieces
 	LinkDoubled       FaultKind = "link-doubled"   // notices come twice, with remarks between them
-	RouterDeaf        FaultKind = "router-deaf"    // routers do not read
+	RouterNotReading  FaultKind = "router-deaf"    // routers do not read
 	RouterReset       FaultKind = "router-reset"   // routers reset their connections
 	RouterClose       FaultKind = "router-close"   // routers close their connections
 	Burst             FaultKind = "burst"          // Size RPCs at once
@@ -71,7 +71,7 @@
 	{KernelLate, nil, 3, true}, {KernelDown, nil, 1, false}, {KernelHung, nil, 1, false}, {KernelSlow, []int{3, 20}, 2, false},
 	{LinkCut, nil, 0, false}, {LinkCut, nil, 0, false}, {LinkLossy, nil, 0, false}, {LinkLossy, nil, 0, false}, {LinkReset, nil, 0, false},
 	{LinkLate, []int{5, 50, 300}, 2, false}, {LinkPieces, nil, 2, false}, {LinkDoubled, nil, 3, false},
-	{RouterDeaf, nil, 2, false}, {RouterReset, nil, 0, false}, {RouterClose, nil, 0, false}, {Burst, []int{40, 200}, 0, false}, {MisbehavingRouter, nil, 2, false},
+	{RouterNotReading, nil, 2, false}, {RouterReset, nil, 0, false}, {RouterClose, nil, 0, false}, {Burst, []int{40, 200}, 0, false}, {MisbehavingRouter, nil, 2, false},
 	{SilentClients, []int{50, 100, 130}, 3, false}, {BadClients, []int{1, 4, 20}, 3, false}, {LogFull, nil, 0, false}, {LogFull, nil, 5, false},
 }
 
