--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -62,7 +62,7 @@
 		kernel.BreakLosing(lossyLast)
 	case drawn.LinkLate:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
-	case drawn.LinkPieces:
+	case drawn.LinkFragmented:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
 	case drawn.LinkDoubled:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
