--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -58,7 +58,7 @@
 		kernel.BreakInNotice()
 	case drawn.LinkReset:
 		kernel.ResetLink()
-	case drawn.LinkLossy:
+	case drawn.LinkCutLosingCommands:
 		kernel.BreakLosing(lossyLast)
 	case drawn.LinkLate:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
