--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -60,7 +60,7 @@
 		kernel.ResetLink()
 	case drawn.LinkCutLosingCommands:
 		kernel.BreakLosing(lossyLast)
-	case drawn.LinkLate:
+	case drawn.LinkDelayed:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkFragmented:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -24,7 +24,7 @@
 	LinkCut               FaultKind = "link-cut"      // broken in the middle of a line
 	LinkReset             FaultKind = "link-reset"
 	LinkCutLosingCommands FaultKind = "link-lossy"     // cut together with the commands of the last 50 ms
-	LinkLate              FaultKind = "link-late"      // everything on the link comes Size ms late
+	LinkDelayed           FaultKind = "link-late"      // everything on the link comes Size ms late
 	LinkFragmented        FaultKind = "link-pieces"    // notices come in pieces
 	LinkDuplicated        FaultKind = "link-doubled"   // notices come twice, with remarks between them
 	RouterNotReading      FaultKind = "router-deaf"    // routers do not read
@@ -70,7 +70,7 @@
 	{Reload, nil, 0, false}, {ReloadMoved, nil, 0, false}, {ReloadFaulty, []int{0, 1, 2, 3}, 0, false}, {RosterSilent, nil, 3, false},
 	{KernelLate, nil, 3, true}, {KernelDown, nil, 1, false}, {KernelHung, nil, 1, false}, {KernelSlow, []int{3, 20}, 2, false},
 	{LinkCut, nil, 0, false}, {LinkCut, nil, 0, false}, {LinkCutLosingCommands, nil, 0, false}, {LinkCutLosingCommands, nil, 0, false}, {LinkReset, nil, 0, false},
-	{LinkLate, []int{5, 50, 300}, 2, false}, {LinkFragmented, nil, 2, false}, {LinkDuplicated, nil, 3, false},
+	{LinkDelayed, []int{5, 50, 300}, 2, false}, {LinkFragmented, nil, 2, false}, {LinkDuplicated, nil, 3, false},
 	{RouterNotReading, nil, 2, false}, {RouterReset, nil, 0, false}, {RouterClose, nil, 0, false}, {Burst, []int{40, 200}, 0, false}, {MisbehavingRouter, nil, 2, false},
 	{SilentClients, []int{50, 100, 130}, 3, false}, {BadClients, []int{1, 4, 20}, 3, false}, {LogFull, nil, 0, false}, {LogFull, nil, 5, false},
 }
