--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -38,7 +38,7 @@
 		conn.arrivals.Add(now, work)
 	}
 	ttl, _ := q.ttl()
-	c.Try(conn.FaultProxy.server, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
+	c.Try(conn.FaultProxy.serverName, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
 	return true
 }
 
@@ -67,9 +67,9 @@
 	if due.Before(now) { // in no case earlier than the reading of the request
 		due = now
 	}
-	s.tried = c.newTried(conn.FaultProxy.server, s.entry.RPC, now, due)
+	s.tried = c.newTried(conn.FaultProxy.serverName, s.entry.RPC, now, due)
 	s.tried.sent = s
-	c.server(conn.FaultProxy.server).ledger.add(s)
+	c.server(conn.FaultProxy.serverName).ledger.add(s)
 	c.counts["tries"]++
 	delete(c.crossed, s.id)
 	if conn.ended.Load() { // nothing is read any more
@@ -89,7 +89,7 @@
 // replied tells of a message of an app server; err says that it cannot be read.
 func (c *Checker) replied(conn *flow, a reply, err error) {
 	if err != nil {
-		c.report(1, "%s says what no router can read: %v", conn.FaultProxy.server, err)
+		c.report(1, "%s says what no router can read: %v", conn.FaultProxy.serverName, err)
 		return
 	}
 	if a.kind == replyDraining || c.allowed(conn, a) {
@@ -105,7 +105,7 @@
 	case replyAborted:
 		c.Answered(conn, a.seq, rpc.Error, false, 0)
 	case replyChecked:
-		c.report(1, "%s answers a health check under number %d, which was not asked", conn.FaultProxy.server, a.seq)
+		c.report(1, "%s answers a health check under number %d, which was not asked", conn.FaultProxy.serverName, a.seq)
 	}
 }
 
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -154,6 +154,6 @@
 func (c *Checker) connected(f *flow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f.counted = c.server(f.FaultProxy.server).ledger
+	f.counted = c.server(f.FaultProxy.serverName).ledger
 	f.counted.connections++
 }
--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -16,27 +16,27 @@
 // FaultProxy is a faulty network in front of one app server: callers connect to its address. It passes all bytes on as they are and
 // tells the checker of each message before its last byte.
 type FaultProxy struct {
-	server   string
+	serverName   string
 	target   string
 	check    *Checker
 	listener net.Listener
-	accepted func(time.Time) // told of each connection, if set
+	onConnection func(time.Time) // told of each connection, if set
 	arrivals *Arrivals       // told of each RPC, if set
 
 	mu    sync.Mutex
-	flows map[*flow]struct{}
-	down  bool // nothing is accepted
-	deaf  bool // connections are taken, and nothing passes
+	connections map[*flow]struct{}
+	refusing  bool // nothing is accepted
+	blackholed  bool // connections are taken, and nothing passes
 	group sync.WaitGroup
 
-	trickle atomic.Int64  // bytes that answers come in at a time, every 10 ms; 0 for as they are
+	trickleBytes atomic.Int64  // bytes that answers come in at a time, every 10 ms; 0 for as they are
 	delay   atomic.Int64  // of each direction, in nanoseconds
-	pieces  atomic.Uint64 // seed by which both directions come in pieces; 0 for as they are
+	fragmentSeed  atomic.Uint64 // seed by which both directions come in pieces; 0 for as they are
 }
 
 // NewFaultProxy listens on a free port for callers of the app server at target.
 func NewFaultProxy(server, target string, check *Checker) (*FaultProxy, error) {
-	n := &FaultProxy{server: server, target: target, check: check, flows: map[*flow]struct{}{}}
+	n := &FaultProxy{serverName: server, target: target, check: check, connections: map[*flow]struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 func (n *FaultProxy) Address() string { return n.listener.Addr().String() }
 
 // OnConnection has f told of each connection that is taken and passed on; set before there are any.
-func (n *FaultProxy) OnConnection(f func(time.Time)) { n.accepted = f }
+func (n *FaultProxy) OnConnection(f func(time.Time)) { n.onConnection = f }
 
 // CountArrivals has each RPC that is passed on counted; set before there are any.
 func (n *FaultProxy) CountArrivals(a *Arrivals) { n.arrivals = a }
@@ -58,8 +58,8 @@
 // SetDown ends all connections and refuses new ones, or takes them again.
 func (n *FaultProxy) SetDown(down bool) {
 	n.mu.Lock()
-	was := n.down
-	n.down = down
+	was := n.refusing
+	n.refusing = down
 	n.mu.Unlock()
 	switch {
 	case down && !was:
@@ -79,16 +79,16 @@
 // SetBlackhole has connections taken, and passes nothing on, or does again on new ones.
 func (n *FaultProxy) SetBlackhole(deaf bool) {
 	n.mu.Lock()
-	n.deaf = deaf
+	n.blackholed = deaf
 	n.mu.Unlock()
 	n.ResetConnections()
 }
 
 // TrickleReplies has answers come a few bytes at a time; 0 ends it.
-func (n *FaultProxy) TrickleReplies(bytes int) { n.trickle.Store(int64(bytes)) }
+func (n *FaultProxy) TrickleReplies(bytes int) { n.trickleBytes.Store(int64(bytes)) }
 
 // FragmentWrites has both directions come in pieces of any length, drawn from the seed; 0 ends it.
-func (n *FaultProxy) FragmentWrites(seed uint64) { n.pieces.Store(seed) }
+func (n *FaultProxy) FragmentWrites(seed uint64) { n.fragmentSeed.Store(seed) }
 
 // SetDelay holds what passes back, in each direction.
 func (n *FaultProxy) SetDelay(d time.Duration) { n.delay.Store(int64(d)) }
@@ -96,8 +96,8 @@
 // ResetConnections ends all connections.
 func (n *FaultProxy) ResetConnections() {
 	n.mu.Lock()
-	flows := make([]*flow, 0, len(n.flows))
-	for f := range n.flows {
+	flows := make([]*flow, 0, len(n.connections))
+	for f := range n.connections {
 		flows = append(flows, f)
 	}
 	n.mu.Unlock()
@@ -133,35 +133,35 @@
 			return
 		}
 		n.mu.Lock()
-		down, deaf := n.down, n.deaf
+		down, deaf := n.refusing, n.blackholed
 		f := &flow{FaultProxy: n, caller: nc}
-		n.flows[f] = struct{}{}
+		n.connections[f] = struct{}{}
 		n.mu.Unlock()
 		switch {
 		case down:
 			f.reset()
-			f.done()
+			f.finish()
 		case deaf:
-			n.group.Go(f.swallow)
+			n.group.Go(f.discardAll)
 		default:
-			if n.accepted != nil {
-				n.accepted(time.Now())
+			if n.onConnection != nil {
+				n.onConnection(time.Now())
 			}
-			n.group.Go(f.pass)
+			n.group.Go(f.forward)
 		}
 	}
 }
 
-func (f *flow) done() {
+func (f *flow) finish() {
 	f.mu.Lock()
-	delete(f.flows, f)
+	delete(f.connections, f)
 	f.mu.Unlock()
 	f.check.Ended(f, f.ours.Load())
 }
 
-// swallow reads and says nothing.
-func (f *flow) swallow() {
-	defer f.done()
+// discardAll reads and says nothing.
+func (f *flow) discardAll() {
+	defer f.finish()
 	defer f.caller.Close()
 	b := make([]byte, 4096)
 	for {
@@ -171,9 +171,9 @@
 	}
 }
 
-// pass carries both directions until one ends.
-func (f *flow) pass() {
-	defer f.done()
+// forward carries both directions until one ends.
+func (f *flow) forward() {
+	defer f.finish()
 	server, err := net.DialTimeout("tcp", f.target, time.Second)
 	if err != nil {
 		f.reset()
@@ -187,22 +187,22 @@
 	}
 	f.check.connected(f)
 	var both sync.WaitGroup
-	both.Go(func() { f.passRequests(server) })
-	both.Go(func() { f.passReplies(server) })
+	both.Go(func() { f.forwardRequests(server) })
+	both.Go(func() { f.forwardReplies(server) })
 	both.Wait()
 	f.caller.Close()
 }
 
-// passRequests carries what the caller says.
-func (f *flow) passRequests(server net.Conn) {
+// forwardRequests carries what the caller says.
+func (f *flow) forwardRequests(server net.Conn) {
 	var owed []int32 // of the bytes that are being written
 	look := func(frame []byte) {
 		if seq, isOwed := f.watchRequest(frame); isOwed {
 			owed = append(owed, seq)
 		}
 	}
-	err := f.carry(f.caller, lookout{message: look}, func(b []byte) error {
-		err := f.writePieces(server, b)
+	err := f.transfer(f.caller, frameObserver{onFrame: look}, func(b []byte) error {
+		err := f.writeFragments(server, b)
 		for _, seq := range owed {
 			if err != nil {
 				f.check.Unwritten(f, seq)
@@ -211,28 +211,28 @@
 		owed = owed[:0]
 		return err
 	})
-	if err == errWrite { // the app server has ended the connection; what it said before is still passed on
-		f.discard()
+	if err == errReceiverClosed { // the app server has ended the connection; what it said before is still passed on
+		f.drainCaller()
 		return
 	}
 	f.ours.Store(true) // the caller's side ended first, or the app server's had and says so itself
 	server.Close()
-	f.discard()
+	f.drainCaller()
 }
 
-// passReplies carries what the app server says. It is read as it comes, so that nobody takes the network for a late app
+// forwardReplies carries what the app server says. It is read as it comes, so that nobody takes the network for a late app
 // server, and written behind that.
-func (f *flow) passReplies(server net.Conn) {
-	look := lookout{
-		message: f.watchReply,
-		garbage: func(err error) {
-			f.check.report(1, "%s says what no router can read: %v", f.FaultProxy.server, err)
+func (f *flow) forwardReplies(server net.Conn) {
+	look := frameObserver{
+		onFrame: f.watchReply,
+		onInvalid: func(err error) {
+			f.check.report(1, "%s says what no router can read: %v", f.FaultProxy.serverName, err)
 		},
 	}
-	queue := make(chan []byte, mostQueued)
+	queue := make(chan []byte, maxQueuedChunks)
 	var writer sync.WaitGroup
 	writer.Go(func() { f.writeReplies(queue, server) })
-	f.carry(server, look, func(b []byte) error {
+	f.transfer(server, look, func(b []byte) error {
 		queue <- bytes.Clone(b)
 		return nil
 	})
@@ -243,19 +243,19 @@
 	if half, ok := f.caller.(*net.TCPConn); ok {
 		half.CloseWrite()
 	}
-	f.caller.SetReadDeadline(time.Now().Add(discardTime))
+	f.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
 	server.Close()
 }
 
-// mostQueued bounds what is read of an app server and not written yet, in chunks: an app server is to feel a caller that does
+// maxQueuedChunks bounds what is read of an app server and not written yet, in chunks: an app server is to feel a caller that does
 // not read.
-const mostQueued = 16
+const maxQueuedChunks = 16
 
 // writeReplies writes what comes in the queue until it is closed. Once the caller is gone, the connection is ended.
 func (f *flow) writeReplies(queue <-chan []byte, server net.Conn) {
 	gone := false
 	for b := range queue {
-		if !gone && f.writeTrickle(b) != nil {
+		if !gone && f.writeReply(b) != nil {
 			gone = true
 			f.ours.Store(true)
 			server.Close()
@@ -263,30 +263,30 @@
 	}
 }
 
-// discardTime is how long a caller is read on after its app server has ended the connection.
-const discardTime = 200 * time.Millisecond
+// callerDrainTime is how long a caller is read on after its app server has ended the connection.
+const callerDrainTime = 200 * time.Millisecond
 
-// discard reads what the caller still sends and throws it away: a close over it would reset the connection, and answers that
+// drainCaller reads what the caller still sends and throws it away: a close over it would reset the connection, and answers that
 // the caller has not read yet would go with it.
-func (f *flow) discard() {
-	f.caller.SetReadDeadline(time.Now().Add(discardTime))
+func (f *flow) drainCaller() {
+	f.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
 	io.Copy(io.Discard, f.caller)
 }
 
-// lookout is told of what passes in one direction.
-type lookout struct {
-	message func(frame []byte)
-	garbage func(err error) // once, of what is no frame; nil for nobody
+// frameObserver is told of what passes in one direction.
+type frameObserver struct {
+	onFrame func(frame []byte)
+	onInvalid func(err error) // once, of what is no frame; nil for nobody
 }
 
-// errWrite and errRead are why carry ended: by whose side.
+// errReceiverClosed and errSenderClosed are why carry ended: by whose side.
 var (
-	errWrite = errors.New("the receiver has ended the connection")
-	errRead  = errors.New("the sender has ended the connection")
+	errReceiverClosed = errors.New("the receiver has ended the connection")
+	errSenderClosed  = errors.New("the sender has ended the connection")
 )
 
-// carry moves bytes as they come until one side ends, and tells of each message before its last byte goes on.
-func (f *flow) carry(from net.Conn, look lookout, write func([]byte) error) error {
+// transfer moves bytes as they come until one side ends, and tells of each message before its last byte goes on.
+func (f *flow) transfer(from net.Conn, look frameObserver, write func([]byte) error) error {
 	chunk := make([]byte, 16<<10)
 	var seen []byte // of a message that is not whole yet
 	garbled := false
@@ -297,47 +297,47 @@
 				time.Sleep(time.Duration(d))
 			}
 			if !garbled {
-				if seen, err = lookThrough(append(seen, chunk[:n]...), look); err != nil {
+				if seen, err = observeFrames(append(seen, chunk[:n]...), look); err != nil {
 					garbled, seen = true, nil
 				}
 			}
 			if write(chunk[:n]) != nil {
-				return errWrite
+				return errReceiverClosed
 			}
 			continue
 		}
 		if err != nil {
-			return errRead
+			return errSenderClosed
 		}
 	}
 }
 
-// lookThrough tells of all whole messages and returns what is left.
-func lookThrough(seen []byte, look lookout) (rest []byte, err error) {
+// observeFrames tells of all whole messages and returns what is left.
+func observeFrames(seen []byte, look frameObserver) (rest []byte, err error) {
 	for {
 		frame, size, err := thrift.Frame(seen)
 		if err != nil {
-			if look.garbage != nil {
-				look.garbage(err)
+			if look.onInvalid != nil {
+				look.onInvalid(err)
 			}
 			return nil, err
 		}
 		if size == 0 {
 			return seen, nil
 		}
-		look.message(frame)
+		look.onFrame(frame)
 		seen = seen[size:]
 	}
 }
 
-// trickleGap lies between two pieces under Trickle.
-const trickleGap = 10 * time.Millisecond
+// trickleInterval lies between two pieces under Trickle.
+const trickleInterval = 10 * time.Millisecond
 
-// writeTrickle writes to the caller, a few bytes at a time if Trickle says so.
-func (f *flow) writeTrickle(b []byte) error {
-	step := int(f.trickle.Load())
+// writeReply writes to the caller, a few bytes at a time if Trickle says so.
+func (f *flow) writeReply(b []byte) error {
+	step := int(f.trickleBytes.Load())
 	if step <= 0 {
-		return f.writePieces(f.caller, b)
+		return f.writeFragments(f.caller, b)
 	}
 	for len(b) > 0 {
 		n := min(step, len(b))
@@ -345,23 +345,23 @@
 			return err
 		}
 		if b = b[n:]; len(b) > 0 {
-			time.Sleep(trickleGap)
+			time.Sleep(trickleInterval)
 		}
 	}
 	return nil
 }
 
-// mostPieces bounds into how many pieces one chunk is split, so that the gaps do not add up.
-const mostPieces = 8
+// maxFragments bounds into how many pieces one chunk is split, so that the gaps do not add up.
+const maxFragments = 8
 
-// writePieces writes to one side, in pieces if Pieces says so.
-func (f *flow) writePieces(to net.Conn, b []byte) error {
-	seed := f.pieces.Load()
+// writeFragments writes to one side, in pieces if Pieces says so.
+func (f *flow) writeFragments(to net.Conn, b []byte) error {
+	seed := f.fragmentSeed.Load()
 	if seed == 0 {
 		return f.write(to, b)
 	}
 	chance := rand.New(rand.NewPCG(seed, f.wrote.Add(1)))
-	for left := mostPieces; len(b) > 0; left-- {
+	for left := maxFragments; len(b) > 0; left-- {
 		n := len(b)
 		if left > 1 {
 			n = 1 + chance.IntN(len(b))
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -120,7 +120,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		blocked = nil
-		for f := range n.flows {
+		for f := range n.connections {
 			if f.callerUnread() {
 				blocked = f
 			}
--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -15,24 +15,24 @@
 // process has a loopback address of its own, from which it speaks, and one that it tells others, behind which the paths to
 // it begin: so a path knows who speaks to whom.
 type FaultyNetwork struct {
-	block int // the third of a loopback network that this one has for itself
-	lock  net.PacketConn
+	subnetOctet int // the third of a loopback network that this one has for itself
+	reservation  net.PacketConn
 
 	mu    sync.Mutex
-	ends  map[int]*pathEnd
+	endpoints  map[int]*endpoint
 	paths map[[2]int]*Path
 	rand  *rand.Rand
 	group sync.WaitGroup
-	over  chan struct{}
+	closed  chan struct{}
 }
 
-// pathEnd is one process's end.
-type pathEnd struct {
+// endpoint is one process's end.
+type endpoint struct {
 	slot    int
-	own     netip.AddrPort // where the process listens
-	via     netip.AddrPort // what it tells others
-	packets *net.UDPConn
-	streams *net.TCPListener
+	listenAddress     netip.AddrPort // where the process listens
+	advertisedAddress     netip.AddrPort // what it tells others
+	packetConn *net.UDPConn
+	streamListener *net.TCPListener
 }
 
 // Path is what is wrong between one process and another, one way.
@@ -44,13 +44,13 @@
 	Jitter      time.Duration // the most by which a delay differs from the mean: packets overtake each other
 	Rate        float64       // bytes a second, 0 for any number
 	PacketDelay time.Duration // packets alone are so much later: gossip is late, and work is not
-	free        time.Time     // when the line is free again, under Rate
+	freeAt        time.Time     // when the line is free again, under Rate
 }
 
 const fleetPort = 7946
 
-// mostSlots is how many processes one such network has addresses for.
-const mostSlots = 250
+// maxSlots is how many processes one such network has addresses for.
+const maxSlots = 250
 
 // NewFaultyNetwork takes a part of the loopback network that no other has.
 func NewFaultyNetwork(seed uint64) (*FaultyNetwork, error) {
@@ -59,66 +59,66 @@
 		block := 16 + (first+k)%200
 		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", block, fleetPort))
 		if err == nil {
-			return &FaultyNetwork{block: block, lock: lock, ends: map[int]*pathEnd{}, paths: map[[2]int]*Path{},
-				rand: rand.New(rand.NewPCG(seed, 7)), over: make(chan struct{})}, nil
+			return &FaultyNetwork{subnetOctet: block, reservation: lock, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
+				rand: rand.New(rand.NewPCG(seed, 7)), closed: make(chan struct{})}, nil
 		}
 	}
 	return nil, errors.New("no part of the loopback network is free")
 }
 
-func (p *FaultyNetwork) at(part, slot int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(p.block), byte(part), byte(slot)}), fleetPort)
+func (p *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(p.subnetOctet), byte(part), byte(slot)}), fleetPort)
 }
 
 // ListenAddress is where the process of a slot, from 1, listens; Via is what it tells others.
-func (p *FaultyNetwork) ListenAddress(slot int) netip.AddrPort { return p.at(1, slot) }
+func (p *FaultyNetwork) ListenAddress(slot int) netip.AddrPort { return p.addressOf(1, slot) }
 
 // AdvertisedAddress is the address that others are told.
-func (p *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort { return p.at(2, slot) }
+func (p *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort { return p.addressOf(2, slot) }
 
 // Subnet is where all of them are.
 func (p *FaultyNetwork) Subnet() netip.Prefix {
-	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(p.block), 0, 0}), 16)
+	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(p.subnetOctet), 0, 0}), 16)
 }
 
 // Add opens the paths to one more address.
 func (p *FaultyNetwork) Add(slot int) error {
-	if slot < 1 || slot > mostSlots {
+	if slot < 1 || slot > maxSlots {
 		return fmt.Errorf("slot %d", slot)
 	}
 	p.mu.Lock()
-	there := p.ends[slot] != nil
+	there := p.endpoints[slot] != nil
 	p.mu.Unlock()
 	if there {
 		return nil // a new process takes over the address of one that has ended
 	}
-	e := &pathEnd{slot: slot, own: p.ListenAddress(slot), via: p.AdvertisedAddress(slot)}
+	e := &endpoint{slot: slot, listenAddress: p.ListenAddress(slot), advertisedAddress: p.AdvertisedAddress(slot)}
 	var err error
-	if e.packets, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.via)); err != nil {
+	if e.packetConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.advertisedAddress)); err != nil {
 		return err
 	}
-	if e.streams, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(e.via)); err != nil {
-		e.packets.Close()
+	if e.streamListener, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(e.advertisedAddress)); err != nil {
+		e.packetConn.Close()
 		return err
 	}
 	p.mu.Lock()
-	p.ends[slot] = e
+	p.endpoints[slot] = e
 	p.mu.Unlock()
-	p.group.Go(func() { p.carryPackets(e) })
-	p.group.Go(func() { p.carryStreams(e) })
+	p.group.Go(func() { p.forwardPackets(e) })
+	p.group.Go(func() { p.acceptStreams(e) })
 	return nil
 }
 
 // Close ends it and waits until nothing of it is left.
 func (p *FaultyNetwork) Close() {
-	close(p.over)
+	close(p.closed)
 	p.mu.Lock()
-	for _, e := range p.ends {
-		e.packets.Close()
-		e.streams.Close()
+	for _, e := range p.endpoints {
+		e.packetConn.Close()
+		e.streamListener.Close()
 	}
 	p.mu.Unlock()
-	p.lock.Close()
+	p.reservation.Close()
 	p.group.Wait()
 }
 
@@ -145,41 +145,41 @@
 	return p.paths[k]
 }
 
-// slot is whose address that is, 0 for nobody's. Processes speak from their own address; what the rig itself sends on
+// slotOf is whose address that is, 0 for nobody's. Processes speak from their own address; what the rig itself sends on
 // comes from those that are told.
-func (p *FaultyNetwork) slot(at netip.Addr) int {
+func (p *FaultyNetwork) slotOf(at netip.Addr) int {
 	b := at.Unmap().As4()
-	if int(b[1]) != p.block || b[2] != 1 {
+	if int(b[1]) != p.subnetOctet || b[2] != 1 {
 		return 0
 	}
 	return int(b[3])
 }
 
-// later is how much later something of that size arrives, under the lock.
-func (p *FaultyNetwork) later(l *Path, size int) time.Duration {
+// transitDelay is how much transitDelay something of that size arrives, under the lock.
+func (p *FaultyNetwork) transitDelay(l *Path, size int) time.Duration {
 	d := l.Delay
 	if l.Jitter > 0 {
 		d += time.Duration((2*p.rand.Float64() - 1) * float64(l.Jitter))
 	}
 	if l.Rate > 0 {
 		now := time.Now()
-		if l.free.Before(now) {
-			l.free = now
+		if l.freeAt.Before(now) {
+			l.freeAt = now
 		}
-		l.free = l.free.Add(time.Duration(float64(size) / l.Rate * float64(time.Second)))
-		d += l.free.Sub(now)
+		l.freeAt = l.freeAt.Add(time.Duration(float64(size) / l.Rate * float64(time.Second)))
+		d += l.freeAt.Sub(now)
 	}
 	return max(d, 0)
 }
 
-// mostWaits is how long a line of limited rate is at the most: what is later is lost, as in a queue that is full.
-const mostWaits = 2 * time.Second
+// maxPacketDelay is how long a line of limited rate is at the most: what is later is lost, as in a queue that is full.
+const maxPacketDelay = 2 * time.Second
 
-// carryPackets passes on what comes for one process.
-func (p *FaultyNetwork) carryPackets(to *pathEnd) {
+// forwardPackets passes on what comes for one process.
+func (p *FaultyNetwork) forwardPackets(to *endpoint) {
 	b := make([]byte, 64<<10)
 	for {
-		n, src, err := to.packets.ReadFromUDPAddrPort(b)
+		n, src, err := to.packetConn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -187,7 +187,7 @@
 			continue
 		}
 		p.mu.Lock()
-		from := p.ends[p.slot(src.Addr())]
+		from := p.endpoints[p.slotOf(src.Addr())]
 		if from == nil {
 			p.mu.Unlock()
 			continue
@@ -202,25 +202,25 @@
 		}
 		var waits [2]time.Duration
 		for k := range copies {
-			waits[k] = p.later(l, n) + l.PacketDelay
+			waits[k] = p.transitDelay(l, n) + l.PacketDelay
 		}
 		p.mu.Unlock()
 		for _, d := range waits[:copies] {
 			switch {
 			case d == 0:
-				from.packets.WriteToUDPAddrPort(b[:n], to.own)
-			case d <= mostWaits || l.PacketDelay > 0:
+				from.packetConn.WriteToUDPAddrPort(b[:n], to.listenAddress)
+			case d <= maxPacketDelay || l.PacketDelay > 0:
 				packet := append([]byte(nil), b[:n]...)
-				time.AfterFunc(d, func() { from.packets.WriteToUDPAddrPort(packet, to.own) })
+				time.AfterFunc(d, func() { from.packetConn.WriteToUDPAddrPort(packet, to.listenAddress) })
 			}
 		}
 	}
 }
 
-// carryStreams takes connections to one process, and passes them on from the address that their other end tells others.
-func (p *FaultyNetwork) carryStreams(to *pathEnd) {
+// acceptStreams takes connections to one process, and passes them on from the address that their other end tells others.
+func (p *FaultyNetwork) acceptStreams(to *endpoint) {
 	for {
-		nc, err := to.streams.Accept()
+		nc, err := to.streamListener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -230,26 +230,26 @@
 		}
 		src, _ := netip.ParseAddrPort(nc.RemoteAddr().String())
 		p.mu.Lock()
-		from := p.ends[p.slot(src.Addr())]
+		from := p.endpoints[p.slotOf(src.Addr())]
 		p.mu.Unlock()
 		if from == nil {
 			nc.Close()
 			continue
 		}
-		p.group.Go(func() { p.carryStream(nc, from, to) })
+		p.group.Go(func() { p.forwardStream(nc, from, to) })
 	}
 }
 
-// patience is how long a connection waits behind a cut before the system of a real host would give it up.
-const patience = 20 * time.Second
+// streamTimeout is how long a connection waits behind a cut before the system of a real host would give it up.
+const streamTimeout = 20 * time.Second
 
-// open waits until the path lets through; it gives how long what is sent now takes, and false if that never comes.
-func (p *FaultyNetwork) open(from, to *pathEnd, size int) (time.Duration, bool) {
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+// awaitPath waits until the path lets through; it gives how long what is sent now takes, and false if that never comes.
+func (p *FaultyNetwork) awaitPath(from, to *endpoint, size int) (time.Duration, bool) {
+	for end := time.Now().Add(streamTimeout); time.Now().Before(end); {
 		p.mu.Lock()
 		l := p.path(from.slot, to.slot)
 		cut := l.Cut
-		d := p.later(l, size)
+		d := p.transitDelay(l, size)
 		if l.Loss > 0 && p.rand.Float64() < l.Loss {
 			d += 200 * time.Millisecond // the least that TCP waits before it sends again
 		}
@@ -258,7 +258,7 @@
 			return d, true
 		}
 		select {
-		case <-p.over:
+		case <-p.closed:
 			return 0, false
 		case <-time.After(20 * time.Millisecond):
 		}
@@ -266,27 +266,27 @@
 	return 0, false
 }
 
-func (p *FaultyNetwork) carryStream(nc net.Conn, from, to *pathEnd) {
+func (p *FaultyNetwork) forwardStream(nc net.Conn, from, to *endpoint) {
 	defer nc.Close()
 	stop := make(chan struct{})
 	defer close(stop)
 	p.group.Go(func() {
 		select {
-		case <-p.over:
+		case <-p.closed:
 			nc.Close()
 		case <-stop:
 		}
 	})
 	// A connection is there once a packet has come through each way.
-	for _, way := range [][2]*pathEnd{{from, to}, {to, from}} {
-		d, ok := p.open(way[0], way[1], 60)
+	for _, way := range [][2]*endpoint{{from, to}, {to, from}} {
+		d, ok := p.awaitPath(way[0], way[1], 60)
 		if !ok {
 			return
 		}
 		time.Sleep(d)
 	}
-	dial := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: from.via.Addr().AsSlice()}}
-	server, err := dial.Dial("tcp", to.own.String())
+	dial := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: from.advertisedAddress.Addr().AsSlice()}}
+	server, err := dial.Dial("tcp", to.listenAddress.String())
 	if err != nil {
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			tcp.SetLinger(0) // refused
@@ -295,19 +295,19 @@
 	}
 	defer server.Close()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(nc, server, from, to) })
-	both.Go(func() { p.copy(server, nc, to, from) })
+	both.Go(func() { p.copyDirection(nc, server, from, to) })
+	both.Go(func() { p.copyDirection(server, nc, to, from) })
 	both.Wait()
 }
 
-// copy carries one direction of a connection until it ends.
-func (p *FaultyNetwork) copy(in, out net.Conn, from, to *pathEnd) {
+// copyDirection carries one direction of a connection until it ends.
+func (p *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
 	defer out.Close()
 	b := make([]byte, 16<<10)
 	for {
 		n, err := in.Read(b)
 		if n > 0 {
-			d, ok := p.open(from, to, n)
+			d, ok := p.awaitPath(from, to, n)
 			if !ok {
 				return
 			}
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -129,7 +129,7 @@
 
 // newFlow is a connection with no network.
 func newFlow(server string, check *Checker) *flow {
-	f := &flow{FaultProxy: &FaultProxy{server: server, check: check}}
+	f := &flow{FaultProxy: &FaultProxy{serverName: server, check: check}}
 	check.connected(f)
 	return f
 }
