--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -13,106 +13,109 @@
 	"valveglade/internal/thrift"
 )
 
-// FaultProxy is a faulty network in front of one app server: callers connect to its address. It passes all bytes on as they are and
-// tells the checker of each message before its last byte.
+// FaultProxy is a TCP proxy in front of one app server that injects faults; callers connect to its address. It forwards all
+// bytes unchanged and reports each message to the checker before it forwards the message's last byte.
 type FaultProxy struct {
 	serverName   string
-	target   string
-	check    *Checker
-	listener net.Listener
-	onConnection func(time.Time) // told of each connection, if set
-	arrivals *Arrivals       // told of each RPC, if set
+	target       string
+	check        *Checker
+	listener     net.Listener
+	onConnection func(time.Time) // called with the time of each forwarded connection, if set
+	arrivals     *Arrivals       // counts each forwarded RPC, if set
 
-	mu    sync.Mutex
+	mu          sync.Mutex
 	connections map[*flow]struct{}
-	refusing  bool // nothing is accepted
-	blackholed  bool // connections are taken, and nothing passes
-	group sync.WaitGroup
+	refusing    bool // connections are refused
+	blackholed  bool // connections are accepted and nothing is forwarded
+	group       sync.WaitGroup
 
-	trickleBytes atomic.Int64  // bytes that answers come in at a time, every 10 ms; 0 for as they are
-	delay   atomic.Int64  // of each direction, in nanoseconds
-	fragmentSeed  atomic.Uint64 // seed by which both directions come in pieces; 0 for as they are
+	trickleBytes atomic.Int64  // bytes of a reply that are written per trickleInterval; 0 for no limit
+	delay        atomic.Int64  // of each direction, in nanoseconds
+	fragmentSeed atomic.Uint64 // seed of the fragment lengths of both directions; 0 for no fragmentation
 }
 
-// NewFaultProxy listens on a free port for callers of the app server at target.
+// NewFaultProxy listens on a free loopback port for callers of the app server at target, which the checker knows as server.
+// The caller closes the proxy.
 func NewFaultProxy(server, target string, check *Checker) (*FaultProxy, error) {
-	n := &FaultProxy{serverName: server, target: target, check: check, connections: map[*flow]struct{}{}}
+	p := &FaultProxy{serverName: server, target: target, check: check, connections: map[*flow]struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n.listener = listener
-	n.group.Go(n.accept)
-	return n, nil
+	p.listener = listener
+	p.group.Go(p.accept)
+	return p, nil
 }
 
-// Address is where callers connect.
-func (n *FaultProxy) Address() string { return n.listener.Addr().String() }
+// Address returns the address where callers connect.
+func (p *FaultProxy) Address() string { return p.listener.Addr().String() }
 
-// OnConnection has f told of each connection that is taken and passed on; set before there are any.
-func (n *FaultProxy) OnConnection(f func(time.Time)) { n.onConnection = f }
+// OnConnection sets a function that is called with the time of each connection that is accepted and forwarded. It must be
+// called before the first connection.
+func (p *FaultProxy) OnConnection(f func(time.Time)) { p.onConnection = f }
 
-// CountArrivals has each RPC that is passed on counted; set before there are any.
-func (n *FaultProxy) CountArrivals(a *Arrivals) { n.arrivals = a }
+// CountArrivals sets the counter of forwarded RPCs. It must be called before the first connection.
+func (p *FaultProxy) CountArrivals(a *Arrivals) { p.arrivals = a }
 
-// SetDown ends all connections and refuses new ones, or takes them again.
-func (n *FaultProxy) SetDown(down bool) {
-	n.mu.Lock()
-	was := n.refusing
-	n.refusing = down
-	n.mu.Unlock()
+// SetDown resets all connections and refuses new ones, or accepts them again.
+func (p *FaultProxy) SetDown(refusing bool) {
+	p.mu.Lock()
+	wasRefusing := p.refusing
+	p.refusing = refusing
+	p.mu.Unlock()
 	switch {
-	case down && !was:
-		n.listener.Close()
-		n.ResetConnections()
-	case !down && was:
-		listener, err := net.Listen("tcp", n.listener.Addr().String())
+	case refusing && !wasRefusing:
+		p.listener.Close()
+		p.ResetConnections()
+	case !refusing && wasRefusing:
+		listener, err := net.Listen("tcp", p.listener.Addr().String())
 		if err != nil {
-			n.check.Failed("the network cannot take connections again: %v", err)
+			p.check.Failed("the proxy cannot listen again: %v", err)
 			return
 		}
-		n.listener = listener
-		n.group.Go(n.accept)
+		p.listener = listener
+		p.group.Go(p.accept)
 	}
 }
 
-// SetBlackhole has connections taken, and passes nothing on, or does again on new ones.
-func (n *FaultProxy) SetBlackhole(deaf bool) {
-	n.mu.Lock()
-	n.blackholed = deaf
-	n.mu.Unlock()
-	n.ResetConnections()
+// SetBlackhole resets all connections; new ones are accepted and what they send is discarded, or they are forwarded again.
+func (p *FaultProxy) SetBlackhole(blackholed bool) {
+	p.mu.Lock()
+	p.blackholed = blackholed
+	p.mu.Unlock()
+	p.ResetConnections()
 }
 
-// TrickleReplies has answers come a few bytes at a time; 0 ends it.
-func (n *FaultProxy) TrickleReplies(bytes int) { n.trickleBytes.Store(int64(bytes)) }
+// TrickleReplies writes replies the given number of bytes at a time, one write per trickleInterval; 0 removes the limit.
+func (p *FaultProxy) TrickleReplies(bytes int) { p.trickleBytes.Store(int64(bytes)) }
 
-// FragmentWrites has both directions come in pieces of any length, drawn from the seed; 0 ends it.
-func (n *FaultProxy) FragmentWrites(seed uint64) { n.fragmentSeed.Store(seed) }
+// FragmentWrites splits the writes of both directions into fragments of random length drawn from the seed; 0 ends it.
+func (p *FaultProxy) FragmentWrites(seed uint64) { p.fragmentSeed.Store(seed) }
 
-// SetDelay holds what passes back, in each direction.
-func (n *FaultProxy) SetDelay(d time.Duration) { n.delay.Store(int64(d)) }
+// SetDelay delays each chunk of bytes, in each direction.
+func (p *FaultProxy) SetDelay(d time.Duration) { p.delay.Store(int64(d)) }
 
-// ResetConnections ends all connections.
-func (n *FaultProxy) ResetConnections() {
-	n.mu.Lock()
-	flows := make([]*flow, 0, len(n.connections))
-	for f := range n.connections {
-		flows = append(flows, f)
+// ResetConnections resets all connections.
+func (p *FaultProxy) ResetConnections() {
+	p.mu.Lock()
+	connections := make([]*flow, 0, len(p.connections))
+	for f := range p.connections {
+		connections = append(connections, f)
 	}
-	n.mu.Unlock()
-	for _, f := range flows {
+	p.mu.Unlock()
+	for _, f := range connections {
 		f.reset()
 	}
 }
 
-// Close ends it and waits until nothing of it is left.
-func (n *FaultProxy) Close() {
-	n.listener.Close()
-	n.ResetConnections()
-	n.group.Wait()
+// Close stops listening, resets all connections and waits for all goroutines of the proxy.
+func (p *FaultProxy) Close() {
+	p.listener.Close()
+	p.ResetConnections()
+	p.group.Wait()
 }
 
+// reset closes both sides of a connection, the one to the caller with a TCP reset.
 func (f *flow) reset() {
 	f.ours.Store(true)
 	if tcp, ok := f.caller.(*net.TCPConn); ok {
@@ -126,32 +129,34 @@
 	}
 }
 
-func (n *FaultProxy) accept() {
-	for listener := n.listener; ; {
+// accept accepts connections until the listener is closed.
+func (p *FaultProxy) accept() {
+	for listener := p.listener; ; {
 		nc, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		n.mu.Lock()
-		down, deaf := n.refusing, n.blackholed
-		f := &flow{FaultProxy: n, caller: nc}
-		n.connections[f] = struct{}{}
-		n.mu.Unlock()
+		p.mu.Lock()
+		refusing, blackholed := p.refusing, p.blackholed
+		f := &flow{FaultProxy: p, caller: nc}
+		p.connections[f] = struct{}{}
+		p.mu.Unlock()
 		switch {
-		case down:
+		case refusing:
 			f.reset()
 			f.finish()
-		case deaf:
-			n.group.Go(f.discardAll)
+		case blackholed:
+			p.group.Go(f.discardAll)
 		default:
-			if n.onConnection != nil {
-				n.onConnection(time.Now())
+			if p.onConnection != nil {
+				p.onConnection(time.Now())
 			}
-			n.group.Go(f.forward)
+			p.group.Go(f.forward)
 		}
 	}
 }
 
+// finish removes a connection from the proxy and reports its end to the checker.
 func (f *flow) finish() {
 	f.mu.Lock()
 	delete(f.connections, f)
@@ -159,7 +164,7 @@
 	f.check.Ended(f, f.ours.Load())
 }
 
-// discardAll reads and says nothing.
+// discardAll reads what the caller sends until it closes the connection, and never replies.
 func (f *flow) discardAll() {
 	defer f.finish()
 	defer f.caller.Close()
@@ -171,7 +176,7 @@
 	}
 }
 
-// forward carries both directions until one ends.
+// forward connects to the app server and forwards both directions until they end.
 func (f *flow) forward() {
 	defer f.finish()
 	server, err := net.DialTimeout("tcp", f.target, time.Second)
@@ -182,48 +187,48 @@
 	f.mu.Lock()
 	f.server = server
 	f.mu.Unlock()
-	if f.ours.Load() { // reset meanwhile
+	if f.ours.Load() { // reset while connecting
 		server.Close()
 	}
 	f.check.connected(f)
-	var both sync.WaitGroup
-	both.Go(func() { f.forwardRequests(server) })
-	both.Go(func() { f.forwardReplies(server) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { f.forwardRequests(server) })
+	directions.Go(func() { f.forwardReplies(server) })
+	directions.Wait()
 	f.caller.Close()
 }
 
-// forwardRequests carries what the caller says.
+// forwardRequests forwards the caller's requests to the app server.
 func (f *flow) forwardRequests(server net.Conn) {
-	var owed []int32 // of the bytes that are being written
-	look := func(frame []byte) {
-		if seq, isOwed := f.watchRequest(frame); isOwed {
-			owed = append(owed, seq)
+	var pendingSeqs []int32 // sequence numbers of the requests in the bytes being written whose replies are due
+	onFrame := func(frame []byte) {
+		if seq, isPending := f.watchRequest(frame); isPending {
+			pendingSeqs = append(pendingSeqs, seq)
 		}
 	}
-	err := f.transfer(f.caller, frameObserver{onFrame: look}, func(b []byte) error {
+	err := f.transfer(f.caller, frameObserver{onFrame: onFrame}, func(b []byte) error {
 		err := f.writeFragments(server, b)
-		for _, seq := range owed {
+		for _, seq := range pendingSeqs {
 			if err != nil {
 				f.check.Unwritten(f, seq)
 			}
 		}
-		owed = owed[:0]
+		pendingSeqs = pendingSeqs[:0]
 		return err
 	})
-	if err == errReceiverClosed { // the app server has ended the connection; what it said before is still passed on
+	if err == errReceiverClosed { // the app server closed the connection; what it sent before is still forwarded
 		f.drainCaller()
 		return
 	}
-	f.ours.Store(true) // the caller's side ended first, or the app server's had and says so itself
+	f.ours.Store(true) // the caller closed first, or the app server did, which forwardReplies reports
 	server.Close()
 	f.drainCaller()
 }
 
-// forwardReplies carries what the app server says. It is read as it comes, so that nobody takes the network for a late app
-// server, and written behind that.
+// forwardReplies forwards the app server's replies to the caller. Replies are read as they arrive and written by a goroutine of
+// their own, so that a slow caller does not make the app server's replies look late.
 func (f *flow) forwardReplies(server net.Conn) {
-	look := frameObserver{
+	observer := frameObserver{
 		onFrame: f.watchReply,
 		onInvalid: func(err error) {
 			f.check.report(1, "%s says what no router can read: %v", f.FaultProxy.serverName, err)
@@ -232,7 +237,7 @@
 	queue := make(chan []byte, maxQueuedChunks)
 	var writer sync.WaitGroup
 	writer.Go(func() { f.writeReplies(queue, server) })
-	f.transfer(server, look, func(b []byte) error {
+	f.transfer(server, observer, func(b []byte) error {
 		queue <- bytes.Clone(b)
 		return nil
 	})
@@ -240,65 +245,67 @@
 	f.check.Ended(f, f.ours.Load())
 	close(queue)
 	writer.Wait()
-	if half, ok := f.caller.(*net.TCPConn); ok {
-		half.CloseWrite()
+	if tcp, ok := f.caller.(*net.TCPConn); ok {
+		tcp.CloseWrite()
 	}
 	f.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
 	server.Close()
 }
 
-// maxQueuedChunks bounds what is read of an app server and not written yet, in chunks: an app server is to feel a caller that does
-// not read.
+// maxQueuedChunks bounds how many chunks read from an app server wait to be written to the caller. The bound lets the app
+// server notice a caller that does not read.
 const maxQueuedChunks = 16
 
-// writeReplies writes what comes in the queue until it is closed. Once the caller is gone, the connection is ended.
+// writeReplies writes the chunks of the queue to the caller until the queue is closed. If a write fails, it closes the
+// connection to the app server and discards the remaining chunks.
 func (f *flow) writeReplies(queue <-chan []byte, server net.Conn) {
-	gone := false
+	callerGone := false
 	for b := range queue {
-		if !gone && f.writeReply(b) != nil {
-			gone = true
+		if !callerGone && f.writeReply(b) != nil {
+			callerGone = true
 			f.ours.Store(true)
 			server.Close()
 		}
 	}
 }
 
-// callerDrainTime is how long a caller is read on after its app server has ended the connection.
+// callerDrainTime is how long a caller is still read after its app server closed the connection.
 const callerDrainTime = 200 * time.Millisecond
 
-// drainCaller reads what the caller still sends and throws it away: a close over it would reset the connection, and answers that
-// the caller has not read yet would go with it.
+// drainCaller reads and discards what the caller still sends: closing the connection with unread bytes would reset it and
+// lose replies that the caller has not read yet.
 func (f *flow) drainCaller() {
 	f.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
 	io.Copy(io.Discard, f.caller)
 }
 
-// frameObserver is told of what passes in one direction.
+// frameObserver holds the callbacks for what is sent in one direction of a connection.
 type frameObserver struct {
-	onFrame func(frame []byte)
-	onInvalid func(err error) // once, of what is no frame; nil for nobody
+	onFrame   func(frame []byte)
+	onInvalid func(err error) // called once, for bytes that are not a frame; may be nil
 }
 
-// errReceiverClosed and errSenderClosed are why carry ended: by whose side.
+// The reasons why transfer ended.
 var (
-	errReceiverClosed = errors.New("the receiver has ended the connection")
-	errSenderClosed  = errors.New("the sender has ended the connection")
+	errReceiverClosed = errors.New("the receiver closed the connection")
+	errSenderClosed   = errors.New("the sender closed the connection")
 )
 
-// transfer moves bytes as they come until one side ends, and tells of each message before its last byte goes on.
-func (f *flow) transfer(from net.Conn, look frameObserver, write func([]byte) error) error {
+// transfer reads from one side and passes the bytes to write until one side closes the connection, and reports each frame to
+// the observer before its last byte is written. It returns errReceiverClosed or errSenderClosed.
+func (f *flow) transfer(from net.Conn, observer frameObserver, write func([]byte) error) error {
 	chunk := make([]byte, 16<<10)
-	var seen []byte // of a message that is not whole yet
-	garbled := false
+	var pending []byte // bytes of an incomplete frame
+	invalid := false
 	for {
 		n, err := from.Read(chunk)
 		if n > 0 {
 			if d := f.delay.Load(); d > 0 {
 				time.Sleep(time.Duration(d))
 			}
-			if !garbled {
-				if seen, err = observeFrames(append(seen, chunk[:n]...), look); err != nil {
-					garbled, seen = true, nil
+			if !invalid {
+				if pending, err = observeFrames(append(pending, chunk[:n]...), observer); err != nil {
+					invalid, pending = true, nil
 				}
 			}
 			if write(chunk[:n]) != nil {
@@ -312,35 +319,35 @@
 	}
 }
 
-// observeFrames tells of all whole messages and returns what is left.
-func observeFrames(seen []byte, look frameObserver) (rest []byte, err error) {
+// observeFrames reports all complete frames to the observer and returns the bytes after them.
+func observeFrames(pending []byte, observer frameObserver) (rest []byte, err error) {
 	for {
-		frame, size, err := thrift.Frame(seen)
+		frame, size, err := thrift.Frame(pending)
 		if err != nil {
-			if look.onInvalid != nil {
-				look.onInvalid(err)
+			if observer.onInvalid != nil {
+				observer.onInvalid(err)
 			}
 			return nil, err
 		}
 		if size == 0 {
-			return seen, nil
+			return pending, nil
 		}
-		look.onFrame(frame)
-		seen = seen[size:]
+		observer.onFrame(frame)
+		pending = pending[size:]
 	}
 }
 
-// trickleInterval lies between two pieces under Trickle.
+// trickleInterval is the time between two writes under TrickleReplies.
 const trickleInterval = 10 * time.Millisecond
 
-// writeReply writes to the caller, a few bytes at a time if Trickle says so.
+// writeReply writes to the caller, in small writes if TrickleReplies is set.
 func (f *flow) writeReply(b []byte) error {
-	step := int(f.trickleBytes.Load())
-	if step <= 0 {
+	size := int(f.trickleBytes.Load())
+	if size <= 0 {
 		return f.writeFragments(f.caller, b)
 	}
 	for len(b) > 0 {
-		n := min(step, len(b))
+		n := min(size, len(b))
 		if err := f.write(f.caller, b[:n]); err != nil {
 			return err
 		}
@@ -351,20 +358,20 @@
 	return nil
 }
 
-// maxFragments bounds into how many pieces one chunk is split, so that the gaps do not add up.
+// maxFragments bounds the number of fragments of one chunk, which bounds the sum of the pauses between them.
 const maxFragments = 8
 
-// writeFragments writes to one side, in pieces if Pieces says so.
+// writeFragments writes to one side, in fragments of random length if FragmentWrites is set.
 func (f *flow) writeFragments(to net.Conn, b []byte) error {
 	seed := f.fragmentSeed.Load()
 	if seed == 0 {
 		return f.write(to, b)
 	}
-	chance := rand.New(rand.NewPCG(seed, f.wrote.Add(1)))
-	for left := maxFragments; len(b) > 0; left-- {
+	rng := rand.New(rand.NewPCG(seed, f.wrote.Add(1)))
+	for remaining := maxFragments; len(b) > 0; remaining-- {
 		n := len(b)
-		if left > 1 {
-			n = 1 + chance.IntN(len(b))
+		if remaining > 1 {
+			n = 1 + rng.IntN(len(b))
 		}
 		if err := f.write(to, b[:n]); err != nil {
 			return err
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -13,13 +13,13 @@
 	"valveglade/rpc"
 )
 
-// Any bytes pass as they are, whole or in pieces.
-func TestNetPassesBytes(t *testing.T) {
+// The proxy forwards arbitrary bytes unchanged, with and without fragmentation.
+func TestFaultProxyForwardsBytes(t *testing.T) {
 	for _, seed := range []uint64{0, 1, 2} {
 		sent := make([]byte, 100_000)
-		chance := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		for k := range sent {
-			sent[k] = byte(chance.Uint32())
+			sent[k] = byte(rng.Uint32())
 		}
 		echo, err := NewRawStub(func(nc net.Conn) { io.Copy(nc, nc); nc.(*net.TCPConn).CloseWrite(); io.Copy(io.Discard, nc) })
 		if err != nil {
@@ -46,9 +46,9 @@
 	}
 }
 
-// A request that was read is lost where its app server resets the connection, also while the client writes on: a write that
-// fails is not the client's own end.
-func TestNetLostWhileWriting(t *testing.T) {
+// An app server that resets a connection after reading a request loses that request, also while the client is still writing.
+// The proxy must not take its own failed write for a connection closed by the client.
+func TestFaultProxyResetWhileWriting(t *testing.T) {
 	for range 20 {
 		stub, err := NewRawStub(func(nc net.Conn) {
 			nc.Read(make([]byte, 4096))
@@ -86,8 +86,8 @@
 	}
 }
 
-// A caller that does not read has its answers late, or not at all, by its own doing.
-func TestNetCallerUnread(t *testing.T) {
+// Replies that are late or missing because the caller does not read are no violation by the app server.
+func TestFaultProxyCallerNotReading(t *testing.T) {
 	s, err := NewStub(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -115,8 +115,8 @@
 		}
 	}()
 	var blocked *flow
-	var since time.Time // a slow machine takes its time for a write that does come back
-	waitFor(t, "a write that does not come back", func() bool {
+	var since time.Time // on a slow machine a write may block for a while and still return
+	waitFor(t, "a write that stays blocked", func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		blocked = nil
--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -11,48 +11,50 @@
 	"time"
 )
 
-// FaultyNetwork is a faulty network among processes: one path between each ordered pair, for packets and streams alike. Each
-// process has a loopback address of its own, from which it speaks, and one that it tells others, behind which the paths to
-// it begin: so a path knows who speaks to whom.
+// FaultyNetwork forwards UDP packets and TCP streams between processes and injects faults on the way, with separate settings
+// for each ordered pair of processes. Each process listens on and sends from a loopback address of its own and advertises
+// another one, on which FaultyNetwork listens: the two addresses identify sender and receiver.
 type FaultyNetwork struct {
-	subnetOctet int // the third of a loopback network that this one has for itself
-	reservation  net.PacketConn
+	subnetOctet int // second octet of the loopback addresses, reserved for this network
+	reservation net.PacketConn
 
-	mu    sync.Mutex
-	endpoints  map[int]*endpoint
-	paths map[[2]int]*Path
-	rand  *rand.Rand
-	group sync.WaitGroup
-	closed  chan struct{}
+	mu        sync.Mutex
+	endpoints map[int]*endpoint
+	paths     map[[2]int]*Path
+	rand      *rand.Rand
+	group     sync.WaitGroup
+	closed    chan struct{}
 }
 
-// endpoint is one process's end.
+// endpoint holds the addresses and the sockets of one process.
 type endpoint struct {
-	slot    int
-	listenAddress     netip.AddrPort // where the process listens
-	advertisedAddress     netip.AddrPort // what it tells others
-	packetConn *net.UDPConn
-	streamListener *net.TCPListener
+	slot              int
+	listenAddress     netip.AddrPort // where the process listens and from where it sends
+	advertisedAddress netip.AddrPort // what the process advertises to others
+	packetConn        *net.UDPConn
+	streamListener    *net.TCPListener
 }
 
-// Path is what is wrong between one process and another, one way.
+// Path holds the faults of one direction between two processes. Its zero value is a path without faults.
 type Path struct {
 	Cut         bool
-	Loss        float64       // of packets; a stream waits a fifth of a second for what is lost
-	Duplication float64       // of packets
-	Delay       time.Duration // the mean
-	Jitter      time.Duration // the most by which a delay differs from the mean: packets overtake each other
-	Rate        float64       // bytes a second, 0 for any number
-	PacketDelay time.Duration // packets alone are so much later: gossip is late, and work is not
-	freeAt        time.Time     // when the line is free again, under Rate
+	Loss        float64       // share of packets lost; a stream is delayed by 200 ms instead
+	Duplication float64       // share of packets sent twice
+	Delay       time.Duration // the mean, one way
+	Jitter      time.Duration // the largest deviation of a delay from the mean, which may reorder packets
+	Rate        float64       // bytes a second, 0 for unlimited
+	PacketDelay time.Duration // further delay of packets alone: delays gossip but no RPCs
+	freeAt      time.Time     // when the path has sent all bytes so far, under Rate
 }
 
+// fleetPort is the port of all addresses of a network.
 const fleetPort = 7946
 
-// maxSlots is how many processes one such network has addresses for.
+// maxSlots is the number of processes that one network has addresses for.
 const maxSlots = 250
 
-// NewFaultyNetwork takes a part of the loopback network that no other has.
+// NewFaultyNetwork reserves a part of the loopback network that no other process uses. The seed determines which packets are
+// lost or duplicated and how delays vary. The caller closes the network.
 func NewFaultyNetwork(seed uint64) (*FaultyNetwork, error) {
 	first := os.Getpid()
 	for k := range 200 {
@@ -66,33 +68,38 @@
 	return nil, errors.New("no part of the loopback network is free")
 }
 
-func (p *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(p.subnetOctet), byte(part), byte(slot)}), fleetPort)
+// addressOf returns an address of a slot: part 1 for the listen address, part 2 for the advertised one.
+func (network *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), byte(part), byte(slot)}), fleetPort)
 }
 
-// ListenAddress is where the process of a slot, from 1, listens; Via is what it tells others.
-func (p *FaultyNetwork) ListenAddress(slot int) netip.AddrPort { return p.addressOf(1, slot) }
+// ListenAddress returns the address where the process of a slot, from 1, listens.
+func (network *FaultyNetwork) ListenAddress(slot int) netip.AddrPort {
+	return network.addressOf(1, slot)
+}
 
-// AdvertisedAddress is the address that others are told.
-func (p *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort { return p.addressOf(2, slot) }
+// AdvertisedAddress returns the address that the process of a slot advertises to others.
+func (network *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort {
+	return network.addressOf(2, slot)
+}
 
-// Subnet is where all of them are.
-func (p *FaultyNetwork) Subnet() netip.Prefix {
-	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(p.subnetOctet), 0, 0}), 16)
+// Subnet returns the loopback subnet of all addresses of this network.
+func (network *FaultyNetwork) Subnet() netip.Prefix {
+	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), 0, 0}), 16)
 }
 
-// Add opens the paths to one more address.
-func (p *FaultyNetwork) Add(slot int) error {
+// Add listens on the advertised address of a slot and forwards what arrives there. A slot that was added before is kept.
+func (network *FaultyNetwork) Add(slot int) error {
 	if slot < 1 || slot > maxSlots {
-		return fmt.Errorf("slot %d", slot)
+		return fmt.Errorf("slot %d is out of range", slot)
 	}
-	p.mu.Lock()
-	there := p.endpoints[slot] != nil
-	p.mu.Unlock()
-	if there {
-		return nil // a new process takes over the address of one that has ended
+	network.mu.Lock()
+	exists := network.endpoints[slot] != nil
+	network.mu.Unlock()
+	if exists {
+		return nil // a new process takes over the address of one that has exited
 	}
-	e := &endpoint{slot: slot, listenAddress: p.ListenAddress(slot), advertisedAddress: p.AdvertisedAddress(slot)}
+	e := &endpoint{slot: slot, listenAddress: network.ListenAddress(slot), advertisedAddress: network.AdvertisedAddress(slot)}
 	var err error
 	if e.packetConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.advertisedAddress)); err != nil {
 		return err
@@ -101,126 +108,126 @@
 		e.packetConn.Close()
 		return err
 	}
-	p.mu.Lock()
-	p.endpoints[slot] = e
-	p.mu.Unlock()
-	p.group.Go(func() { p.forwardPackets(e) })
-	p.group.Go(func() { p.acceptStreams(e) })
+	network.mu.Lock()
+	network.endpoints[slot] = e
+	network.mu.Unlock()
+	network.group.Go(func() { network.forwardPackets(e) })
+	network.group.Go(func() { network.acceptStreams(e) })
 	return nil
 }
 
-// Close ends it and waits until nothing of it is left.
-func (p *FaultyNetwork) Close() {
-	close(p.closed)
-	p.mu.Lock()
-	for _, e := range p.endpoints {
+// Close closes all sockets and waits for all goroutines of the network.
+func (network *FaultyNetwork) Close() {
+	close(network.closed)
+	network.mu.Lock()
+	for _, e := range network.endpoints {
 		e.packetConn.Close()
 		e.streamListener.Close()
 	}
-	p.mu.Unlock()
-	p.reservation.Close()
-	p.group.Wait()
+	network.mu.Unlock()
+	network.reservation.Close()
+	network.group.Wait()
 }
 
-// Change has f change what is wrong on the path from one slot to another.
-func (p *FaultyNetwork) Change(from, to int, f func(*Path)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	f(p.path(from, to))
+// Change calls f, under the lock, with the faults of the path from one slot to another.
+func (network *FaultyNetwork) Change(from, to int, f func(*Path)) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	f(network.path(from, to))
 }
 
-// Heal makes all paths good.
-func (p *FaultyNetwork) Heal() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	clear(p.paths)
+// Heal removes the faults of all paths.
+func (network *FaultyNetwork) Heal() {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	clear(network.paths)
 }
 
-// path is called under the lock.
-func (p *FaultyNetwork) path(from, to int) *Path {
-	k := [2]int{from, to}
-	if p.paths[k] == nil {
-		p.paths[k] = &Path{}
+// path returns the path from one slot to another. The caller holds the lock.
+func (network *FaultyNetwork) path(from, to int) *Path {
+	key := [2]int{from, to}
+	if network.paths[key] == nil {
+		network.paths[key] = &Path{}
 	}
-	return p.paths[k]
+	return network.paths[key]
 }
 
-// slotOf is whose address that is, 0 for nobody's. Processes speak from their own address; what the rig itself sends on
-// comes from those that are told.
-func (p *FaultyNetwork) slotOf(at netip.Addr) int {
-	b := at.Unmap().As4()
-	if int(b[1]) != p.subnetOctet || b[2] != 1 {
+// slotOf returns the slot whose process listens on an address, or 0 for none. Processes send from their listen address; what
+// FaultyNetwork forwards comes from an advertised one.
+func (network *FaultyNetwork) slotOf(at netip.Addr) int {
+	buffer := at.Unmap().As4()
+	if int(buffer[1]) != network.subnetOctet || buffer[2] != 1 {
 		return 0
 	}
-	return int(b[3])
+	return int(buffer[3])
 }
 
-// transitDelay is how much transitDelay something of that size arrives, under the lock.
-func (p *FaultyNetwork) transitDelay(l *Path, size int) time.Duration {
-	d := l.Delay
-	if l.Jitter > 0 {
-		d += time.Duration((2*p.rand.Float64() - 1) * float64(l.Jitter))
+// transitDelay returns how long a message of size bytes is delayed on a path. The caller holds the lock.
+func (network *FaultyNetwork) transitDelay(path *Path, size int) time.Duration {
+	delay := path.Delay
+	if path.Jitter > 0 {
+		delay += time.Duration((2*network.rand.Float64() - 1) * float64(path.Jitter))
 	}
-	if l.Rate > 0 {
+	if path.Rate > 0 {
 		now := time.Now()
-		if l.freeAt.Before(now) {
-			l.freeAt = now
+		if path.freeAt.Before(now) {
+			path.freeAt = now
 		}
-		l.freeAt = l.freeAt.Add(time.Duration(float64(size) / l.Rate * float64(time.Second)))
-		d += l.freeAt.Sub(now)
+		path.freeAt = path.freeAt.Add(time.Duration(float64(size) / path.Rate * float64(time.Second)))
+		delay += path.freeAt.Sub(now)
 	}
-	return max(d, 0)
+	return max(delay, 0)
 }
 
-// maxPacketDelay is how long a line of limited rate is at the most: what is later is lost, as in a queue that is full.
+// maxPacketDelay bounds the queue of a path of limited rate: packets delayed longer are lost, as in a full queue.
 const maxPacketDelay = 2 * time.Second
 
-// forwardPackets passes on what comes for one process.
-func (p *FaultyNetwork) forwardPackets(to *endpoint) {
-	b := make([]byte, 64<<10)
+// forwardPackets forwards the packets to one process until its socket is closed.
+func (network *FaultyNetwork) forwardPackets(to *endpoint) {
+	buffer := make([]byte, 64<<10)
 	for {
-		n, src, err := to.packetConn.ReadFromUDPAddrPort(b)
+		n, src, err := to.packetConn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		p.mu.Lock()
-		from := p.endpoints[p.slotOf(src.Addr())]
+		network.mu.Lock()
+		from := network.endpoints[network.slotOf(src.Addr())]
 		if from == nil {
-			p.mu.Unlock()
+			network.mu.Unlock()
 			continue
 		}
-		l := p.path(from.slot, to.slot)
+		path := network.path(from.slot, to.slot)
 		copies := 1
-		if l.Duplication > 0 && p.rand.Float64() < l.Duplication {
+		if path.Duplication > 0 && network.rand.Float64() < path.Duplication {
 			copies = 2
 		}
-		if l.Cut || l.Loss > 0 && p.rand.Float64() < l.Loss {
+		if path.Cut || path.Loss > 0 && network.rand.Float64() < path.Loss {
 			copies = 0
 		}
-		var waits [2]time.Duration
+		var delays [2]time.Duration
 		for k := range copies {
-			waits[k] = p.transitDelay(l, n) + l.PacketDelay
+			delays[k] = network.transitDelay(path, n) + path.PacketDelay
 		}
-		p.mu.Unlock()
-		for _, d := range waits[:copies] {
+		network.mu.Unlock()
+		for _, delay := range delays[:copies] {
 			switch {
-			case d == 0:
-				from.packetConn.WriteToUDPAddrPort(b[:n], to.listenAddress)
-			case d <= maxPacketDelay || l.PacketDelay > 0:
-				packet := append([]byte(nil), b[:n]...)
-				time.AfterFunc(d, func() { from.packetConn.WriteToUDPAddrPort(packet, to.listenAddress) })
+			case delay == 0:
+				from.packetConn.WriteToUDPAddrPort(buffer[:n], to.listenAddress)
+			case delay <= maxPacketDelay || path.PacketDelay > 0:
+				packet := append([]byte(nil), buffer[:n]...)
+				time.AfterFunc(delay, func() { from.packetConn.WriteToUDPAddrPort(packet, to.listenAddress) })
 			}
 		}
 	}
 }
 
-// acceptStreams takes connections to one process, and passes them on from the address that their other end tells others.
-func (p *FaultyNetwork) acceptStreams(to *endpoint) {
+// acceptStreams accepts connections to one process and forwards each from the advertised address of the process that opened it.
+func (network *FaultyNetwork) acceptStreams(to *endpoint) {
 	for {
-		nc, err := to.streamListener.Accept()
+		client, err := to.streamListener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -228,37 +235,38 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		src, _ := netip.ParseAddrPort(nc.RemoteAddr().String())
-		p.mu.Lock()
-		from := p.endpoints[p.slotOf(src.Addr())]
-		p.mu.Unlock()
+		src, _ := netip.ParseAddrPort(client.RemoteAddr().String())
+		network.mu.Lock()
+		from := network.endpoints[network.slotOf(src.Addr())]
+		network.mu.Unlock()
 		if from == nil {
-			nc.Close()
+			client.Close()
 			continue
 		}
-		p.group.Go(func() { p.forwardStream(nc, from, to) })
+		network.group.Go(func() { network.forwardStream(client, from, to) })
 	}
 }
 
-// streamTimeout is how long a connection waits behind a cut before the system of a real host would give it up.
+// streamTimeout is how long a stream waits for a cut path, after which the kernel of a real host would give up the connection.
 const streamTimeout = 20 * time.Second
 
-// awaitPath waits until the path lets through; it gives how long what is sent now takes, and false if that never comes.
-func (p *FaultyNetwork) awaitPath(from, to *endpoint, size int) (time.Duration, bool) {
+// awaitPath waits until a path is not cut and returns the delay of size bytes that are sent now. It returns false after
+// streamTimeout, or once the network is closed.
+func (network *FaultyNetwork) awaitPath(from, to *endpoint, size int) (time.Duration, bool) {
 	for end := time.Now().Add(streamTimeout); time.Now().Before(end); {
-		p.mu.Lock()
-		l := p.path(from.slot, to.slot)
-		cut := l.Cut
-		d := p.transitDelay(l, size)
-		if l.Loss > 0 && p.rand.Float64() < l.Loss {
-			d += 200 * time.Millisecond // the least that TCP waits before it sends again
+		network.mu.Lock()
+		path := network.path(from.slot, to.slot)
+		cut := path.Cut
+		delay := network.transitDelay(path, size)
+		if path.Loss > 0 && network.rand.Float64() < path.Loss {
+			delay += 200 * time.Millisecond // TCP's minimum retransmission timeout
 		}
-		p.mu.Unlock()
+		network.mu.Unlock()
 		if !cut {
-			return d, true
+			return delay, true
 		}
 		select {
-		case <-p.closed:
+		case <-network.closed:
 			return 0, false
 		case <-time.After(20 * time.Millisecond):
 		}
@@ -266,55 +274,56 @@
 	return 0, false
 }
 
-func (p *FaultyNetwork) forwardStream(nc net.Conn, from, to *endpoint) {
-	defer nc.Close()
+// forwardStream forwards one connection in both directions until either ends or the network is closed.
+func (network *FaultyNetwork) forwardStream(client net.Conn, from, to *endpoint) {
+	defer client.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	p.group.Go(func() {
+	network.group.Go(func() {
 		select {
-		case <-p.closed:
-			nc.Close()
+		case <-network.closed:
+			client.Close()
 		case <-stop:
 		}
 	})
-	// A connection is there once a packet has come through each way.
-	for _, way := range [][2]*endpoint{{from, to}, {to, from}} {
-		d, ok := p.awaitPath(way[0], way[1], 60)
+	// A connection is established once a packet has arrived in each direction.
+	for _, direction := range [][2]*endpoint{{from, to}, {to, from}} {
+		delay, ok := network.awaitPath(direction[0], direction[1], 60)
 		if !ok {
 			return
 		}
-		time.Sleep(d)
+		time.Sleep(delay)
 	}
 	dial := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: from.advertisedAddress.Addr().AsSlice()}}
 	server, err := dial.Dial("tcp", to.listenAddress.String())
 	if err != nil {
-		if tcp, ok := nc.(*net.TCPConn); ok {
-			tcp.SetLinger(0) // refused
+		if tcp, ok := client.(*net.TCPConn); ok {
+			tcp.SetLinger(0) // reset, as a refused connection
 		}
 		return
 	}
 	defer server.Close()
-	var both sync.WaitGroup
-	both.Go(func() { p.copyDirection(nc, server, from, to) })
-	both.Go(func() { p.copyDirection(server, nc, to, from) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { network.copyDirection(client, server, from, to) })
+	directions.Go(func() { network.copyDirection(server, client, to, from) })
+	directions.Wait()
 }
 
-// copyDirection carries one direction of a connection until it ends.
-func (p *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
+// copyDirection forwards one direction of a connection until it ends.
+func (network *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
 	defer out.Close()
-	b := make([]byte, 16<<10)
+	buffer := make([]byte, 16<<10)
 	for {
-		n, err := in.Read(b)
+		n, err := in.Read(buffer)
 		if n > 0 {
-			d, ok := p.awaitPath(from, to, n)
+			delay, ok := network.awaitPath(from, to, n)
 			if !ok {
 				return
 			}
-			if d > 0 {
-				time.Sleep(d)
+			if delay > 0 {
+				time.Sleep(delay)
 			}
-			if _, err := out.Write(b[:n]); err != nil {
+			if _, err := out.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
