--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -1,6 +1,6 @@
-// Package explore walks a pure machine through everything that can happen to it within some bounds, in breadth: the first
-// trace that breaks a rule is a shortest one. Tests under logic/ say what can happen and what must hold; nothing here knows
-// of any of them.
+// Package explore is a model checker for deterministic state machines. It searches all reachable states within a bound, breadth
+// first, so that the first trace that violates a rule is a shortest one. Tests under logic/ define the actions and the rules;
+// this package depends on none of them.
 package explore
 
 import (
@@ -12,108 +12,109 @@
 	"sync/atomic"
 )
 
-// Model is what is walked: states of a type, and what can happen to them.
+// Model describes the state machine to explore: its states, the actions possible in each, and the rules that must hold.
 type Model[S any] struct {
 	Initial   S
-	Actions   func(s S, into []uint16) []uint16 // what can happen, as numbers; into is appended to
-	Apply     func(s S, act uint16) S           // what comes of it; s stays as it was
-	Key       func(s S) uint64                  // states that can be told apart by nothing have one key
-	Violation func(s S) string                  // the rule that is broken, if any
-	Describe  func(s S, act uint16) string      // for people
+	Actions   func(s S, into []uint16) []uint16 // appends the numbers of the possible actions to into
+	Apply     func(s S, action uint16) S        // returns the next state and leaves s unchanged
+	Key       func(s S) uint64                  // equivalent states have the same key
+	Violation func(s S) string                  // returns the rule that s violates, or ""
+	Describe  func(s S, action uint16) string   // describes an action in a trace
 }
 
-// Result is what a walk has found.
+// Result is the outcome of a search.
 type Result struct {
 	States    int
-	Depth     int    // of the longest way to a new state
-	Complete  bool   // there was nothing else
-	Violation string // the rule that was broken
-	Trace     string // what happened until then, a line each
+	Depth     int    // number of steps to the states furthest from the initial one
+	Complete  bool   // all reachable states were visited
+	Violation string // the rule that was violated, or ""
+	Trace     string // the actions up to the violation, one a line
 }
 
-// step is how a state was reached first.
+// step is the action by which a state was first reached, and the key of the state before it.
 type step struct {
-	from uint64
-	act  uint16
+	from   uint64
+	action uint16
 }
 
-// shards of what has been seen, so that many can look at once.
-const shards = 64
+// shardCount is the number of shards of the visited states, which reduce lock contention between workers.
+const shardCount = 64
 
-type seen [shards]struct {
+// visitedStates maps the key of each visited state to the step that reached it, in shards with a lock each.
+type visitedStates [shardCount]struct {
 	sync.Mutex
 	from map[uint64]step
 }
 
-// fresh takes a state in, and tells whether it had not been seen.
-func (v *seen) fresh(key uint64, by step) bool {
-	shard := &v[key%shards]
+// add records a state and reports whether it is new.
+func (v *visitedStates) add(key uint64, via step) bool {
+	shard := &v[key%shardCount]
 	shard.Lock()
 	defer shard.Unlock()
-	if _, there := shard.from[key]; there {
+	if _, exists := shard.from[key]; exists {
 		return false
 	}
-	shard.from[key] = by
+	shard.from[key] = via
 	return true
 }
 
-// Walk goes on until there is nothing new, a rule is broken, or there are more states than most.
-func (w Model[S]) Walk(most int) (r Result) {
-	type reached struct {
+// Walk searches breadth first until there are no new states, a rule is violated, or maxStates states were visited.
+func (m Model[S]) Walk(maxStates int) (r Result) {
+	type reachedState struct {
 		state S
 		key   uint64
 	}
-	var all seen
-	for k := range all {
-		all[k].from = map[uint64]step{}
+	var visited visitedStates
+	for k := range visited {
+		visited[k].from = map[uint64]step{}
 	}
-	first := w.Key(w.Initial)
-	all.fresh(first, step{})
-	level := []reached{{w.Initial, first}}
-	var wrong atomic.Pointer[step]
-	var why string
-	for r.States = 1; len(level) > 0 && r.States < most; r.Depth++ {
-		var next [][]reached
+	first := m.Key(m.Initial)
+	visited.add(first, step{})
+	level := []reachedState{{m.Initial, first}}
+	var violating atomic.Pointer[step]
+	var violated string
+	for r.States = 1; len(level) > 0 && r.States < maxStates; r.Depth++ {
+		var next [][]reachedState
 		var mu sync.Mutex
-		var group sync.WaitGroup
-		var taken atomic.Int64
+		var workers sync.WaitGroup
+		var claimed atomic.Int64
 		for range runtime.GOMAXPROCS(0) {
-			group.Go(func() {
-				var mine []reached
-				var acts []uint16
+			workers.Go(func() {
+				var found []reachedState
+				var actions []uint16
 				for {
-					k := int(taken.Add(1)) - 1
+					k := int(claimed.Add(1)) - 1
 					if k >= len(level) {
 						break
 					}
 					s := level[k]
-					acts = w.Actions(s.state, acts[:0])
-					for _, act := range acts {
-						n := w.Apply(s.state, act)
-						if broken := w.Violation(n); broken != "" {
+					actions = m.Actions(s.state, actions[:0])
+					for _, action := range actions {
+						n := m.Apply(s.state, action)
+						if violation := m.Violation(n); violation != "" {
 							mu.Lock()
-							if wrong.Load() == nil {
-								wrong.Store(&step{s.key, act})
-								why = broken
+							if violating.Load() == nil {
+								violating.Store(&step{s.key, action})
+								violated = violation
 							}
 							mu.Unlock()
 							return
 						}
-						key := w.Key(n)
-						if all.fresh(key, step{s.key, act}) {
-							mine = append(mine, reached{n, key})
+						key := m.Key(n)
+						if visited.add(key, step{s.key, action}) {
+							found = append(found, reachedState{n, key})
 						}
 					}
-					level[k] = reached{}
+					level[k] = reachedState{}
 				}
 				mu.Lock()
-				next = append(next, mine)
+				next = append(next, found)
 				mu.Unlock()
 			})
 		}
-		group.Wait()
-		if at := wrong.Load(); at != nil {
-			r.Violation, r.Trace = why, w.replay(&all, *at, first)
+		workers.Wait()
+		if at := violating.Load(); at != nil {
+			r.Violation, r.Trace = violated, m.replay(&visited, *at, first)
 			return r
 		}
 		level = slices.Concat(next...)
@@ -123,31 +124,31 @@
 	return r
 }
 
-// replay tells what happened, from the beginning.
-func (w Model[S]) replay(all *seen, last step, first uint64) string {
-	acts := []uint16{last.act}
+// replay describes the actions from the initial state up to the step last.
+func (m Model[S]) replay(visited *visitedStates, last step, first uint64) string {
+	actions := []uint16{last.action}
 	for key := last.from; key != first; {
-		s := all[key%shards].from[key]
-		acts = append(acts, s.act)
+		s := visited[key%shardCount].from[key]
+		actions = append(actions, s.action)
 		key = s.from
 	}
-	slices.Reverse(acts)
+	slices.Reverse(actions)
 	var out strings.Builder
-	s := w.Initial
-	for k, act := range acts {
-		fmt.Fprintf(&out, "%2d  %s\n", k+1, w.Describe(s, act))
-		s = w.Apply(s, act)
+	s := m.Initial
+	for k, action := range actions {
+		fmt.Fprintf(&out, "%2d  %s\n", k+1, m.Describe(s, action))
+		s = m.Apply(s, action)
 	}
 	return out.String()
 }
 
-// Hash is for keys: numbers are put in one after another.
+// Hash is a 64-bit hash of a sequence of numbers, for state keys.
 type Hash uint64
 
-// NewHash begins one.
+// NewHash returns the hash of an empty sequence.
 func NewHash() Hash { return 14695981039346656037 }
 
-// Add puts a number in.
+// Add adds a number to the hash.
 func (h *Hash) Add(v uint64) {
 	x := (uint64(*h) ^ v) * 0x9E3779B97F4A7C15
 	*h = Hash(x ^ x>>29)
--- a/rig/explore/race_off.go
+++ b/rig/explore/race_off.go
@@ -2,5 +2,5 @@
 
 package explore
 
-// RaceEnabled tells whether the race detector is on, under which there is time for the smallest walks alone.
+// RaceEnabled reports whether the race detector is on, with which only the smallest searches finish in reasonable time.
 const RaceEnabled = false
