--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -52,7 +52,7 @@
 	for range chance.IntN(maxFaults + 1) {
 		c.Faults = append(c.Faults, drawFault(chance, c))
 	}
-	c.Faults = orderFaults(c.Faults)
+	c.Faults = sortFaults(c.Faults)
 	return c
 }
 
@@ -69,7 +69,7 @@
 		l.StaleSeconds = 0.2 * chance.Float64()
 	}
 	if chance.IntN(5) == 0 {
-		l.PaddingBytes = pick(chance, []int{1, 100, maxFill})
+		l.PaddingBytes = pick(chance, []int{1, 100, maxPaddingBytes})
 	}
 	if chance.IntN(4) == 0 {
 		l.ResultBytes = 4096
@@ -78,8 +78,8 @@
 	return l
 }
 
-// maxFill leaves room for what a body says besides, under the protocol's 2 KiB.
-const maxFill = 1900
+// maxPaddingBytes leaves room for what a body says besides, under the protocol's 2 KiB.
+const maxPaddingBytes = 1900
 
 // String is the case as one line of JSON.
 func (c Case) String() string {
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -49,7 +49,7 @@
 // Kinds are all kinds of faults, in a fixed order.
 func Kinds() []FaultKind {
 	var all []FaultKind
-	for _, form := range faultForms {
+	for _, form := range faultVariants {
 		if !slices.Contains(all, form.kind) {
 			all = append(all, form.kind)
 		}
@@ -57,15 +57,15 @@
 	return all
 }
 
-// faultForm says which sizes a fault may have, and for how long it may last.
-type faultForm struct {
+// faultVariant says which sizes a fault may have, and for how long it may last.
+type faultVariant struct {
 	kind        FaultKind
 	sizes       []int
-	longest     float64
+	maxDuration float64
 	atStartOnly bool
 }
 
-var faultForms = []faultForm{
+var faultVariants = []faultVariant{
 	{Kill, nil, 0.5, false}, {Kill, nil, 0.05, false}, {Pause, nil, 1.5, false}, {Terminate, nil, 0, false}, {Terminate, []int{0, 1, 2}, 0, false},
 	{Reload, nil, 0, false}, {ReloadMoved, nil, 0, false}, {ReloadFaulty, []int{0, 1, 2, 3}, 0, false}, {RosterSilent, nil, 3, false},
 	{KernelLate, nil, 3, true}, {KernelDown, nil, 1, false}, {KernelHung, nil, 1, false}, {KernelSlow, []int{3, 20}, 2, false},
@@ -76,13 +76,13 @@
 }
 
 func drawFault(chance *rand.Rand, c Case) Fault {
-	form := pick(chance, faultForms)
+	form := pick(chance, faultVariants)
 	f := Fault{Kind: form.kind, Server: chance.IntN(c.Servers), At: c.Seconds * 0.9 * chance.Float64()}
 	if form.atStartOnly || chance.IntN(6) == 0 {
 		f.At = 0
 	}
-	if form.longest > 0 {
-		f.For = form.longest * (0.1 + 0.9*chance.Float64())
+	if form.maxDuration > 0 {
+		f.For = form.maxDuration * (0.1 + 0.9*chance.Float64())
 	}
 	if form.sizes != nil {
 		f.Size = pick(chance, form.sizes)
@@ -91,9 +91,9 @@
 	return f
 }
 
-// orderFaults sorts a schedule and leaves out what a fault before it rules out: only one fault at a time that starts or ends
+// sortFaults sorts a schedule and leaves out what a fault before it rules out: only one fault at a time that starts or ends
 // the process of an app server, and a late kernel once.
-func orderFaults(all []Fault) []Fault {
+func sortFaults(all []Fault) []Fault {
 	slices.SortStableFunc(all, func(a, b Fault) int {
 		switch {
 		case a.At < b.At:
--- a/rig/drawn/reduce.go
+++ b/rig/drawn/reduce.go
@@ -37,14 +37,14 @@
 		change(&d)
 		all = append(all, d)
 	}
-	halves(len(c.Faults), func(from, to int) {
+	forEachChunk(len(c.Faults), func(from, to int) {
 		add(func(d *Case) { d.Faults = slices.Delete(d.Faults, from, to) })
 	})
-	halves(len(c.Settings.Keys), func(from, to int) {
+	forEachChunk(len(c.Settings.Keys), func(from, to int) {
 		add(func(d *Case) { d.Settings.Keys = slices.Delete(d.Settings.Keys, from, to) })
 	})
 	if len(c.Settings.Methods) > 1 {
-		halves(len(c.Settings.Methods), func(from, to int) {
+		forEachChunk(len(c.Settings.Methods), func(from, to int) {
 			if to-from < len(c.Settings.Methods) {
 				add(func(d *Case) { d.Settings.Methods = slices.Delete(d.Settings.Methods, from, to) })
 			}
@@ -70,8 +70,8 @@
 	return all
 }
 
-// halves goes through all, both halves, the quarters and so on down to one at a time.
-func halves(n int, do func(from, to int)) {
+// forEachChunk goes through all, both forEachChunk, the quarters and so on down to one at a time.
+func forEachChunk(n int, do func(from, to int)) {
 	for step := n; step >= 1; step /= 2 {
 		for from := 0; from < n; from += step {
 			do(from, min(from+step, n))
--- a/rig/drawn/settings.go
+++ b/rig/drawn/settings.go
@@ -78,10 +78,10 @@
 // Config is the whole configuration of one app server, as JSON text.
 func (s Settings) Config(at Addresses) string {
 	root := &object{}
-	root.set([]string{"name"}, quote(at.Name, true))
-	root.set([]string{"listen"}, quote(at.Listen, true))
-	root.set([]string{"kernel"}, quote(at.Kernel, true))
-	root.set([]string{"roster"}, quote(at.Roster, true))
+	root.set([]string{"name"}, quoteJSON(at.Name, true))
+	root.set([]string{"listen"}, quoteJSON(at.Listen, true))
+	root.set([]string{"kernel"}, quoteJSON(at.Kernel, true))
+	root.set([]string{"roster"}, quoteJSON(at.Roster, true))
 	for _, k := range plainKeys {
 		root.set(strings.Split(k.Path, "."), k.Text)
 	}
@@ -99,8 +99,8 @@
 	var all []string
 	for k, m := range s.Methods {
 		one := &object{}
-		for _, field := range []Key{{"deadlineS", m.Deadline}, {"idempotency", quote(m.Effect, true)}, {"lateWorth", m.Late},
-			{"name", quote(m.Name, k%2 == 0)}, {"onTimeS", m.Target}, {"windowS", m.Window}, {"worth", m.Worth}, {"aimStretch", m.Stretch}} {
+		for _, field := range []Key{{"deadlineS", m.Deadline}, {"idempotency", quoteJSON(m.Effect, true)}, {"lateWorth", m.Late},
+			{"name", quoteJSON(m.Name, k%2 == 0)}, {"onTimeS", m.Target}, {"windowS", m.Window}, {"worth", m.Worth}, {"aimStretch", m.Stretch}} {
 			one.set([]string{field.Path}, field.Text)
 		}
 		all = append(all, one.text())
@@ -117,8 +117,8 @@
 	return "[" + strings.Join(all, ",") + "]", any
 }
 
-// quote is a JSON string; <, > and & are escaped or stand as they are.
-func quote(s string, escape bool) string {
+// quoteJSON is a JSON string; <, > and & are escaped or stand as they are.
+func quoteJSON(s string, escape bool) string {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(escape)
@@ -128,41 +128,41 @@
 
 // object is a JSON object whose keys keep their order.
 type object struct {
-	keys   []string
-	leaves map[string]string
-	inner  map[string]*object
+	keys    []string
+	values  map[string]string
+	objects map[string]*object
 }
 
 // set writes a key, or leaves it out for an empty text.
 func (o *object) set(path []string, text string) {
-	if o.leaves == nil {
-		o.leaves, o.inner = map[string]string{}, map[string]*object{}
+	if o.values == nil {
+		o.values, o.objects = map[string]string{}, map[string]*object{}
 	}
 	key := path[0]
-	if o.inner[key] == nil && o.leaves[key] == "" && text != "" {
+	if o.objects[key] == nil && o.values[key] == "" && text != "" {
 		o.keys = append(o.keys, key)
 	}
 	if len(path) == 1 {
-		delete(o.inner, key)
-		if o.leaves[key] = text; text == "" {
+		delete(o.objects, key)
+		if o.values[key] = text; text == "" {
 			o.remove(key)
 		}
 		return
 	}
-	if o.leaves[key] != "" { // the whole object stands as one text
+	if o.values[key] != "" { // the whole object stands as one text
 		return
 	}
-	if o.inner[key] == nil {
+	if o.objects[key] == nil {
 		if text == "" {
 			return
 		}
-		o.inner[key] = &object{}
+		o.objects[key] = &object{}
 	}
-	o.inner[key].set(path[1:], text)
+	o.objects[key].set(path[1:], text)
 }
 
 func (o *object) remove(key string) {
-	delete(o.leaves, key)
+	delete(o.values, key)
 	var kept []string
 	for _, k := range o.keys {
 		if k != key {
@@ -175,11 +175,11 @@
 func (o *object) text() string {
 	var all []string
 	for _, k := range o.keys {
-		value := o.leaves[k]
-		if inner := o.inner[k]; inner != nil {
+		value := o.values[k]
+		if inner := o.objects[k]; inner != nil {
 			value = inner.text()
 		}
-		all = append(all, quote(k, true)+":"+value)
+		all = append(all, quoteJSON(k, true)+":"+value)
 	}
 	return "{" + strings.Join(all, ",") + "}"
 }
@@ -240,7 +240,7 @@
 	}
 	seen := map[string]bool{}
 	for _, option := range keyOptions {
-		if chance.Float64() >= option.part {
+		if chance.Float64() >= option.probability {
 			continue
 		}
 		for _, k := range option.draw(chance) {
@@ -249,7 +249,7 @@
 				s.Keys = append(s.Keys, k)
 			}
 		}
-		if option.calls {
+		if option.callsBelow {
 			for k := range s.Methods {
 				s.Methods[k].Calls = chance.IntN(2) == 0
 			}
@@ -263,18 +263,18 @@
 		{"retryable", "dedup"}, {"dedup", "fragile"}})
 }
 
-// oddNames are names that a careless writer or reader of JSON, Thrift or a log would spoil.
-var oddNames = []string{"x", "plan lookup", `say "when"`, "a<b&c>d", "größe-ändern", "読む", `back\slash`, "tab\tbed", "it's", "op", "{}", "null", "0",
+// awkwardNames are names that a careless writer or reader of JSON, Thrift or a log would spoil.
+var awkwardNames = []string{"x", "plan lookup", `say "when"`, "a<b&c>d", "größe-ändern", "読む", `back\slash`, "tab\tbed", "it's", "op", "{}", "null", "0",
 	"\u2028", strings.Repeat("long-name-", 30), "100%", "a/b?c=d", "é"}
 
 func drawMethod(chance *rand.Rand, effects []string) Method {
-	m := Method{Effect: pick(chance, effects), Worth: number(chance, pick(chance, []float64{0, 0.001, 1, 2, 1000})), Late: number(chance, pick(chance, []float64{0, 0.2, 1}))}
+	m := Method{Effect: pick(chance, effects), Worth: formatNumber(chance, pick(chance, []float64{0, 0.001, 1, 2, 1000})), Late: formatNumber(chance, pick(chance, []float64{0, 0.2, 1}))}
 	if m.Name = fmt.Sprintf("m%d", chance.IntN(1000)); chance.IntN(3) == 0 {
-		m.Name = pick(chance, oddNames)
+		m.Name = pick(chance, awkwardNames)
 	}
 	deadline := pick(chance, []float64{0.02, 0.1, 0.5, 0.5, 1, 1, 2, 2, 5, 30, 600, 7200, 86400})
 	target := deadline * pick(chance, []float64{0.1, 0.5, 0.5, 1})
-	m.Deadline, m.Target = number(chance, deadline), number(chance, target)
+	m.Deadline, m.Target = formatNumber(chance, deadline), formatNumber(chance, target)
 	switch chance.IntN(20) {
 	case 0:
 		m.Deadline = ""
@@ -289,7 +289,7 @@
 	}
 	switch {
 	case m.Effect == "dedup":
-		m.Window = number(chance, pick(chance, []float64{0.05, 0.5, 2, 35.121, 3600, 864000}))
+		m.Window = formatNumber(chance, pick(chance, []float64{0.05, 0.5, 2, 35.121, 3600, 864000}))
 	case chance.IntN(3) == 0:
 		m.Window = pick(chance, []string{"", "null", "0"})
 	default:
@@ -305,8 +305,8 @@
 	return m
 }
 
-// number writes a number in one of the forms that JSON allows.
-func number(chance *rand.Rand, v float64) string {
+// formatNumber writes a formatNumber in one of the forms that JSON allows.
+func formatNumber(chance *rand.Rand, v float64) string {
 	plain := strings.TrimSuffix(fmt.Sprintf("%.6f", v), "0")
 	switch chance.IntN(4) {
 	case 0:
@@ -319,61 +319,61 @@
 
 // keyOption is something that a deployment may say besides its methods, and in which part of the cases it does.
 type keyOption struct {
-	part  float64
-	draw  func(chance *rand.Rand) []Key
-	calls bool // some methods call the layer below
+	probability float64
+	draw        func(chance *rand.Rand) []Key
+	callsBelow  bool // some methods call the layer below
 }
 
-// texts is an option of one key with some texts.
-func texts(part float64, path string, texts ...string) keyOption {
-	return keyOption{part: part, draw: func(chance *rand.Rand) []Key { return []Key{{path, pick(chance, texts)}} }}
+// choice is an option of one key with some choice.
+func choice(part float64, path string, texts ...string) keyOption {
+	return keyOption{probability: part, draw: func(chance *rand.Rand) []Key { return []Key{{path, pick(chance, texts)}} }}
 }
 
 var keyOptions = []keyOption{
-	texts(0.3, "settings.domain.preemption", `"none"`, `"freeze"`, `"freeze"`, ""),
-	texts(0.4, "settings.domain.signal", `"none"`, `"floor"`, `"weight"`),
-	texts(0.2, "settings.domain.passesDeadline", "false", "", "null"),
-	texts(0.2, "settings.domain.hangupSeen", "false", "", "null"),
-	texts(0.2, "settings.domain.readiness", "false", "", "null"),
+	choice(0.3, "settings.domain.preemption", `"none"`, `"freeze"`, `"freeze"`, ""),
+	choice(0.4, "settings.domain.signal", `"none"`, `"floor"`, `"weight"`),
+	choice(0.2, "settings.domain.passesDeadline", "false", "", "null"),
+	choice(0.2, "settings.domain.hangupSeen", "false", "", "null"),
+	choice(0.2, "settings.domain.readiness", "false", "", "null"),
 	{0.15, func(chance *rand.Rand) []Key {
 		return []Key{{"settings.domain.below", pick(chance, []string{`"one_for_all"`, `"tier"`})}, {"settings.domain.callsOut", pick(chance, []string{"0.5", "12.0"})}}
 	}, true},
-	texts(0.4, "settings.domain.nCores", "1", "1", "2", "6.0", "6e0", "64", "1000"),
-	texts(0.15, "settings.domain.memoryKb", "500", "2e3", "13164.0", "1e9"),
-	texts(0.2, "settings.domain.runFactor", "1", "1.0", "40", "0.5"),
-	texts(0.2, "settings.domain.entryKb", "0", "0.001", "27.8", "300"),
-	texts(0.15, "settings.domain.freshS", "0.5", "60"),
-	texts(0.1, "settings.domain.deepChecks", "true"),
-	texts(0.2, "settings.domain.justStarted", "true", "null"),
-	texts(0.3, "settings.domain.ownStats", `[]`, `["links","heap_share","on_cores","core_use"]`, `["on_cores"]`, `["throughput","on_cores"]`, "null", ""),
-	texts(0.15, "settings.domain.callers", "1", "4.0", "150", "0", "null", ""),
-	texts(0.1, "settings.domain.heededS", "0", "0.05", "3600"),
-	texts(0.1, "settings.domain.keepaliveMaxS", "0.5", "3600", "", "null"),
-	texts(0.1, "settings.domain.lingerS", "0", "100"),
-	texts(0.15, "settings.replicasOfMe", "1", "3.0", "3e0", "300"),
-	texts(0.2, "settings.clients.marksRetry", "true"),
-	{part: 0.2, draw: func(*rand.Rand) []Key {
+	choice(0.4, "settings.domain.nCores", "1", "1", "2", "6.0", "6e0", "64", "1000"),
+	choice(0.15, "settings.domain.memoryKb", "500", "2e3", "13164.0", "1e9"),
+	choice(0.2, "settings.domain.runFactor", "1", "1.0", "40", "0.5"),
+	choice(0.2, "settings.domain.entryKb", "0", "0.001", "27.8", "300"),
+	choice(0.15, "settings.domain.freshS", "0.5", "60"),
+	choice(0.1, "settings.domain.deepChecks", "true"),
+	choice(0.2, "settings.domain.justStarted", "true", "null"),
+	choice(0.3, "settings.domain.ownStats", `[]`, `["links","heap_share","on_cores","core_use"]`, `["on_cores"]`, `["throughput","on_cores"]`, "null", ""),
+	choice(0.15, "settings.domain.callers", "1", "4.0", "150", "0", "null", ""),
+	choice(0.1, "settings.domain.heededS", "0", "0.05", "3600"),
+	choice(0.1, "settings.domain.keepaliveMaxS", "0.5", "3600", "", "null"),
+	choice(0.1, "settings.domain.lingerS", "0", "100"),
+	choice(0.15, "settings.replicasOfMe", "1", "3.0", "3e0", "300"),
+	choice(0.2, "settings.clients.marksRetry", "true"),
+	{probability: 0.2, draw: func(*rand.Rand) []Key {
 		return []Key{{"settings.accounts", `[{"name":"big","quotaRps":40.0,"fraction":0.8},{"name":"small one","quotaRps":0.5,"fraction":0.2}]`}}
 	}},
-	texts(0.1, "settings.overShareWorth", "0", "1"),
-	texts(0.2, "settings.ceilings.retryAfter", "false"),
-	texts(0.2, "settings.ceilings.maxRetryAfterS", "0", "0.01", "60", "1e9"),
-	texts(0.1, "settings.rules.rampTimeS", "0.1", "3", "600", "0", ""),
-	texts(0.1, "settings.rules.startCapacity", "0.01", "1", ""),
-	texts(0.15, "settings.rules.overloadFactor", "1", "1.01", "100"),
-	texts(0.1, "settings.rules.fallS", "0.05", "60"),
-	texts(0.15, "settings.rules.stopSendingWithinS", "0", "0.05", "0.5", "30"),
-	texts(0.2, "limits.memory_mb", "32", "64.0", "4096"),
-	texts(0.2, "limits.sockets", "384", "512.0", "1e6"),
-	texts(0.2, "limits.cores", "0.25", "4", "", "null"),
-	texts(0.25, "stop_ms", "1100", "3.2e3", "3900.0", "60000", ""),
-	texts(0.1, "settings.of_later", `{"a":[1,null,"x"]}`, "null", "7"),
-	texts(0.1, "of_later", `"x"`, "[[]]"),
-	texts(0.1, "settings.domain.of_later", `{"deep":{"deeper":[]}}`, "-1e300"),
-	texts(0.1, "settings.report", "null", ""),
-	texts(0.1, "settings.tiers", `["front","back"]`, "null"),
-	texts(0.05, "settings.goal", "null", ""),
-	texts(0.05, "settings.penalties", "null"),
-	texts(0.05, "settings.me", "null", "17.0"),
-	texts(0.05, "settings.accounts", "null", ""),
+	choice(0.1, "settings.overShareWorth", "0", "1"),
+	choice(0.2, "settings.ceilings.retryAfter", "false"),
+	choice(0.2, "settings.ceilings.maxRetryAfterS", "0", "0.01", "60", "1e9"),
+	choice(0.1, "settings.rules.rampTimeS", "0.1", "3", "600", "0", ""),
+	choice(0.1, "settings.rules.startCapacity", "0.01", "1", ""),
+	choice(0.15, "settings.rules.overloadFactor", "1", "1.01", "100"),
+	choice(0.1, "settings.rules.fallS", "0.05", "60"),
+	choice(0.15, "settings.rules.stopSendingWithinS", "0", "0.05", "0.5", "30"),
+	choice(0.2, "limits.memory_mb", "32", "64.0", "4096"),
+	choice(0.2, "limits.sockets", "384", "512.0", "1e6"),
+	choice(0.2, "limits.cores", "0.25", "4", "", "null"),
+	choice(0.25, "stop_ms", "1100", "3.2e3", "3900.0", "60000", ""),
+	choice(0.1, "settings.of_later", `{"a":[1,null,"x"]}`, "null", "7"),
+	choice(0.1, "of_later", `"x"`, "[[]]"),
+	choice(0.1, "settings.domain.of_later", `{"deep":{"deeper":[]}}`, "-1e300"),
+	choice(0.1, "settings.report", "null", ""),
+	choice(0.1, "settings.tiers", `["front","back"]`, "null"),
+	choice(0.05, "settings.goal", "null", ""),
+	choice(0.05, "settings.penalties", "null"),
+	choice(0.05, "settings.me", "null", "17.0"),
+	choice(0.05, "settings.accounts", "null", ""),
 }
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -70,10 +70,10 @@
 
 // Constant fits a mean.
 func Constant(points []Point) (Fit, error) {
-	if err := check(points); err != nil {
+	if err := checkPoints(points); err != nil {
 		return Fit{}, err
 	}
-	_, y := columns(points)
+	_, y := coordinates(points)
 	mean, deviation := stat.MeanStdDev(y, nil)
 	return Fit{Model: ModelConstant, Intercept: mean, SlopeError: deviation / math.Sqrt(float64(len(y)))}, nil
 }
@@ -96,30 +96,30 @@
 }
 
 func fit(model string, points []Point) (Fit, error) {
-	if err := check(points); err != nil {
+	if err := checkPoints(points); err != nil {
 		return Fit{}, err
 	}
 	transformed, err := transform(model, points)
 	if err != nil {
 		return Fit{}, err
 	}
-	x, y := columns(transformed)
+	x, y := coordinates(transformed)
 	intercept, slope := stat.LinearRegression(x, y, nil, false)
 	f := Fit{Model: model, Intercept: intercept, Slope: slope}
-	f.SlopeError = residualDeviation(x, y, f) / math.Sqrt(squaredDistance(x))
+	f.SlopeError = residualDeviation(x, y, f) / math.Sqrt(sumOfSquares(x))
 	f.R2 = determination(x, y, f)
 	return f, nil
 }
 
 // determination is the coefficient of determination: 1 for values that do not vary, which the fit explains fully.
 func determination(x, y []float64, f Fit) float64 {
-	if squaredDistance(y) == 0 {
+	if sumOfSquares(y) == 0 {
 		return 1
 	}
 	return stat.RSquared(x, y, nil, f.Intercept, f.Slope)
 }
 
-func check(points []Point) error {
+func checkPoints(points []Point) error {
 	sizes := map[float64]bool{}
 	for _, p := range points {
 		if !finite(p.X) || !finite(p.Y) {
@@ -158,7 +158,7 @@
 	return out, nil
 }
 
-func columns(points []Point) (x, y []float64) {
+func coordinates(points []Point) (x, y []float64) {
 	for _, p := range points {
 		x, y = append(x, p.X), append(y, p.Y)
 	}
@@ -175,8 +175,8 @@
 	return math.Sqrt(sum / float64(len(x)-2))
 }
 
-// squaredDistance is the sum of squared distances from the mean.
-func squaredDistance(values []float64) float64 {
+// sumOfSquares is the sum of squared distances from the mean.
+func sumOfSquares(values []float64) float64 {
 	mean, sum := stat.Mean(values, nil), 0.0
 	for _, v := range values {
 		sum += (v - mean) * (v - mean)
@@ -199,9 +199,9 @@
 	if s.Fit.Model != ModelLinear {
 		position = math.Log(x)
 	}
-	xs, ys := columns(points)
+	xs, ys := coordinates(points)
 	distance := position - stat.Mean(xs, nil)
-	spread := 1 + 1/float64(len(xs)) + distance*distance/squaredDistance(xs)
+	spread := 1 + 1/float64(len(xs)) + distance*distance/sumOfSquares(xs)
 	errorOfValue = residualDeviation(xs, ys, s.Fit) * math.Sqrt(spread)
 	value = s.Fit.Intercept + s.Fit.Slope*position
 	if s.Fit.Model == ModelPower {
@@ -212,7 +212,7 @@
 }
 
 func (s Series) constantError() float64 {
-	_, y := columns(s.Points)
+	_, y := coordinates(s.Points)
 	if len(y) < 2 {
 		return math.NaN()
 	}
