--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -267,7 +267,8 @@
 		s.requesters[k].ObserveTerm(1)
 	}
 	return explore.Model[*grantModel]{Initial: s, Actions: (*grantModel).actions, Apply: (*grantModel).apply,
-		Key: (*grantModel).key, Violation: (*grantModel).violation, Describe: (*grantModel).describe}.Walk(maxStates)
+		Key: (*grantModel).key, Violation: (*grantModel).violation,
+		Describe: (*grantModel).describe}.Walk(maxStates)
 }
 
 var grantLease = Lease{Length: 1, Grace: 0.4, Drift: 0.3}
