--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -1,5 +1,5 @@
-// Package drawn makes the cases of a search for faults: settings of a deployment and a schedule of faults, both drawn from
-// a seed, and smaller cases for one that failed. It starts nothing and has no clock.
+// Package drawn generates random test cases for fault injection: the settings of a deployment and a schedule of faults, both
+// drawn from a seed. It also reduces a failing case to a smaller one. It starts no processes and reads no clock.
 package drawn
 
 import (
@@ -9,32 +9,32 @@
 	"math/rand/v2"
 )
 
-// Case is one trial: what the app servers are told, what they are asked and what is done to them. As JSON text it can be
-// played again.
+// Case is the input of one trial: the configuration of the app servers, their load and the faults. Its JSON text reproduces
+// the trial.
 type Case struct {
-	Seed     uint64   `json:"seed"` // of all that the trial itself leaves to chance
+	Seed     uint64   `json:"seed"` // of all random choices of the trial itself
 	Servers  int      `json:"servers"`
-	Seconds  float64  `json:"seconds"` // of load, from the start of the processes
+	Seconds  float64  `json:"seconds"` // duration of the load, from the start of the processes
 	Load     Load     `json:"load"`
 	Settings Settings `json:"settings"`
 	Faults   []Fault  `json:"faults,omitempty"`
 }
 
-// Load is what each app server is asked.
+// Load describes the requests to each app server.
 type Load struct {
-	Rate          float64 `json:"rate"`              // RPCs a second at each app server
-	Routers       int     `json:"routers"`           // at each app server
-	RepeatShare   float64 `json:"repeats"`           // the share of RPCs that get a further try or a second copy
-	AbandonShare  float64 `json:"goes"`              // the share of RPCs whose caller stops waiting early
-	FragmentBytes int     `json:"pieces,omitempty"`  // bytes that some routers write at a time; 0 for whole messages
-	StaleSeconds  float64 `json:"stale,omitempty"`   // seconds for which RPCs have waited at the machine before they are written
-	PaddingBytes  int     `json:"fill,omitempty"`    // bytes by which bodies are longer
-	ResultBytes   int     `json:"results,omitempty"` // bytes of each result; 0 for few
-	OddShare      float64 `json:"odd,omitempty"`     // the share of RPCs with any bytes as their body, a short wait, or another's token
-	FailShare     float64 `json:"fails,omitempty"`   // the share of runs that end with a fault
+	Rate          float64 `json:"rate"`              // RPCs per second at each app server
+	Routers       int     `json:"routers"`           // connected to each app server
+	RepeatShare   float64 `json:"repeats"`           // share of RPCs with a further attempt or a duplicate
+	AbandonShare  float64 `json:"goes"`              // share of RPCs whose caller stops waiting early
+	FragmentBytes int     `json:"pieces,omitempty"`  // bytes per write of some routers; 0 for whole messages
+	StaleSeconds  float64 `json:"stale,omitempty"`   // RPCs are written up to this many seconds after their arrival
+	PaddingBytes  int     `json:"fill,omitempty"`    // padding of request bodies
+	ResultBytes   int     `json:"results,omitempty"` // size of each result; 0 for a short one
+	OddShare      float64 `json:"odd,omitempty"`     // share of RPCs with a random body, a short wait, or the token of another RPC
+	FailShare     float64 `json:"fails,omitempty"`   // share of runs that end with a fault
 }
 
-// Bounds of a case.
+// Limits of a generated case; times are in seconds.
 const (
 	minServers, maxServers = 3, 8
 	minSeconds, maxSeconds = 3.0, 5.0
@@ -42,46 +42,47 @@
 	maxFaults              = 7
 )
 
-// Draw makes the case of a seed.
+// Draw returns the case of a seed. The same seed always gives the same case.
 func Draw(seed uint64) Case {
-	chance := rand.New(rand.NewPCG(seed, 0xfa0175))
-	c := Case{Seed: seed, Servers: minServers + chance.IntN(maxServers-minServers+1),
-		Seconds: minSeconds + (maxSeconds-minSeconds)*chance.Float64()}
-	c.Settings = drawSettings(chance)
-	c.Load = drawLoad(chance, c.Settings)
-	for range chance.IntN(maxFaults + 1) {
-		c.Faults = append(c.Faults, drawFault(chance, c))
+	rng := rand.New(rand.NewPCG(seed, 0xfa0175))
+	c := Case{Seed: seed, Servers: minServers + rng.IntN(maxServers-minServers+1),
+		Seconds: minSeconds + (maxSeconds-minSeconds)*rng.Float64()}
+	c.Settings = drawSettings(rng)
+	c.Load = drawLoad(rng, c.Settings)
+	for range rng.IntN(maxFaults + 1) {
+		c.Faults = append(c.Faults, drawFault(rng, c))
 	}
 	c.Faults = sortFaults(c.Faults)
 	return c
 }
 
-// loadRates are drawn from, in RPCs a second at each app server: low enough for the machine to play two trials at once.
+// loadRates are the possible loads, in RPCs per second at each app server: low enough for one machine to run two trials at once.
 var loadRates = []float64{5, 20, 40, 60}
 
-func drawLoad(chance *rand.Rand, s Settings) Load {
-	l := Load{Rate: pick(chance, loadRates), Routers: 1 + chance.IntN(4), RepeatShare: pick(chance, []float64{0, 0.1, 0.4}),
-		AbandonShare: pick(chance, []float64{0, 0, 0.1, 0.3})}
-	if chance.IntN(4) == 0 {
-		l.FragmentBytes = 1 + chance.IntN(40)
+// drawLoad draws the load of a case.
+func drawLoad(rng *rand.Rand, s Settings) Load {
+	l := Load{Rate: pick(rng, loadRates), Routers: 1 + rng.IntN(4), RepeatShare: pick(rng, []float64{0, 0.1, 0.4}),
+		AbandonShare: pick(rng, []float64{0, 0, 0.1, 0.3})}
+	if rng.IntN(4) == 0 {
+		l.FragmentBytes = 1 + rng.IntN(40)
 	}
-	if chance.IntN(4) == 0 {
-		l.StaleSeconds = 0.2 * chance.Float64()
+	if rng.IntN(4) == 0 {
+		l.StaleSeconds = 0.2 * rng.Float64()
 	}
-	if chance.IntN(5) == 0 {
-		l.PaddingBytes = pick(chance, []int{1, 100, maxPaddingBytes})
+	if rng.IntN(5) == 0 {
+		l.PaddingBytes = pick(rng, []int{1, 100, maxPaddingBytes})
 	}
-	if chance.IntN(4) == 0 {
+	if rng.IntN(4) == 0 {
 		l.ResultBytes = 4096
 	}
-	l.OddShare, l.FailShare = pick(chance, []float64{0, 0, 0.3}), pick(chance, []float64{0, 0, 0.1})
+	l.OddShare, l.FailShare = pick(rng, []float64{0, 0, 0.3}), pick(rng, []float64{0, 0, 0.1})
 	return l
 }
 
-// maxPaddingBytes leaves room for what a body says besides, under the protocol's 2 KiB.
+// maxPaddingBytes leaves room for the other fields of a body within the protocol's limit of 2 KiB.
 const maxPaddingBytes = 1900
 
-// String is the case as one line of JSON.
+// String returns the case as one line of JSON, which ParseCase reads.
 func (c Case) String() string {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
@@ -92,23 +93,25 @@
 	return string(bytes.TrimSpace(out.Bytes()))
 }
 
-// ParseCase is the case that a text of String's form says.
+// ParseCase parses and checks the JSON text of a case, as String writes it.
 func ParseCase(text string) (Case, error) {
 	var c Case
 	decoder := json.NewDecoder(bytes.NewReader([]byte(text)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c); err != nil {
-		return c, fmt.Errorf("a case: %w", err)
+		return c, fmt.Errorf("parse case: %w", err)
 	}
 	if c.Servers < 1 || c.Servers > maxServers || len(c.Settings.Methods) == 0 || c.Seconds <= 0 || c.Load.Routers < 1 {
-		return c, fmt.Errorf("a case with %d app servers, %d methods, %d routers and %g s", c.Servers, len(c.Settings.Methods), c.Load.Routers, c.Seconds)
+		return c, fmt.Errorf("invalid case: %d app servers, %d methods, %d routers and %g s", c.Servers,
+			len(c.Settings.Methods), c.Load.Routers, c.Seconds)
 	}
 	for _, f := range c.Faults {
 		if f.Server < 0 || f.Server >= c.Servers {
-			return c, fmt.Errorf("a case with a fault of app server %d of %d", f.Server, c.Servers)
+			return c, fmt.Errorf("invalid case: fault of app server %d of %d", f.Server, c.Servers)
 		}
 	}
 	return c, nil
 }
 
-func pick[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
+// pick returns a random element of from.
+func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
--- a/rig/drawn/drawn_test.go
+++ b/rig/drawn/drawn_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-const tested = 1000 // seeds
+const testedSeeds = 1000
 
-// A seed gives the same case each time, whose text can be played again and whose configuration is JSON.
+// A seed always gives the same case. The text of the case parses to the same case, and its configuration is valid JSON.
 func TestDraw(t *testing.T) {
-	for seed := range uint64(tested) {
+	for seed := range uint64(testedSeeds) {
 		c := Draw(seed)
 		if !reflect.DeepEqual(c, Draw(seed)) {
-			t.Fatalf("seed %d gives two cases", seed)
+			t.Fatalf("seed %d gives two different cases", seed)
 		}
 		again, err := ParseCase(c.String())
 		if err != nil || !reflect.DeepEqual(again, c) {
@@ -25,23 +25,24 @@
 		if !json.Valid([]byte(text)) {
 			t.Fatalf("seed %d: %s", seed, text)
 		}
-		told, err := c.Settings.ParsedConfig()
-		if err != nil || len(told.Settings.Profiles) != len(c.Settings.Methods) || told.Limits.MemoryMB < 32 || told.StopMS < 1000 {
-			t.Fatalf("seed %d: %v, %+v", seed, err, told)
+		parsed, err := c.Settings.ParsedConfig()
+		if err != nil || len(parsed.Settings.Profiles) != len(c.Settings.Methods) || parsed.Limits.MemoryMB < 32 ||
+			parsed.StopMS < 1000 {
+			t.Fatalf("seed %d: %v, %+v", seed, err, parsed)
 		}
 	}
 }
 
-// Over many seeds everything is drawn that can be.
-func TestDrawsAll(t *testing.T) {
-	paths, kinds, effects := map[string]bool{}, map[FaultKind]bool{}, map[string]bool{}
-	allOf := map[string]bool{} // effects that all methods of a case have
+// Over many seeds every kind of fault, method effect, number of app servers and a sample of configuration keys is drawn.
+func TestDrawCoversAllOptions(t *testing.T) {
+	keys, kinds, effects := map[string]bool{}, map[FaultKind]bool{}, map[string]bool{}
+	uniformEffects := map[string]bool{} // effects that are shared by all methods of some case
 	servers := map[int]bool{}
-	for seed := range uint64(tested) {
+	for seed := range uint64(testedSeeds) {
 		c := Draw(seed)
 		servers[c.Servers] = true
 		for _, k := range c.Settings.Keys {
-			paths[k.Path+" "+k.Text] = true
+			keys[k.Path+" "+k.Text] = true
 		}
 		for _, f := range c.Faults {
 			kinds[f.Kind] = true
@@ -55,23 +56,26 @@
 			mixed = mixed || m.Effect != c.Settings.Methods[0].Effect
 		}
 		if !mixed && len(c.Settings.Methods) > 1 {
-			allOf[c.Settings.Methods[0].Effect] = true
+			uniformEffects[c.Settings.Methods[0].Effect] = true
 		}
 	}
-	if len(kinds) != len(Kinds()) || len(effects) != 3 || len(allOf) != 3 || len(servers) != maxServers-minServers+1 {
-		t.Errorf("%d of %d kinds of faults, %v, all of one %v, servers %v", len(kinds), len(Kinds()), effects, allOf, servers)
+	if len(kinds) != len(Kinds()) || len(effects) != 3 || len(uniformEffects) != 3 || len(servers) != maxServers-minServers+1 {
+		t.Errorf("%d of %d kinds of faults, effects %v, effects shared by all methods %v, numbers of app servers %v",
+			len(kinds), len(Kinds()), effects, uniformEffects, servers)
 	}
-	for _, want := range []string{"settings.domain.below \"tier\"", "settings.domain.passesDeadline false", "settings.domain.nCores 6e0",
+	for _, want := range []string{"settings.domain.below \"tier\"", "settings.domain.passesDeadline false",
+		"settings.domain.nCores 6e0",
 		"settings.domain.ownStats []", "stop_ms 60000", "of_later [[]]"} {
-		if !paths[want] {
+		if !keys[want] {
 			t.Errorf("never drawn: %s", want)
 		}
 	}
 }
 
-// Keys overwrite plain ones, are left out for an empty text, and may stand under an object that is given as a whole.
+// Keys replace plain ones, are left out for an empty text, and are ignored below an object that is set as a whole.
 func TestConfig(t *testing.T) {
-	s := Settings{Methods: []Method{PlainMethod()}, Keys: []Key{{"stop_ms", ""}, {"limits.cores", "6e0"}, {"settings.domain.nCores", ""},
+	s := Settings{Methods: []Method{PlainMethod()}, Keys: []Key{{"stop_ms", ""}, {"limits.cores", "6e0"},
+		{"settings.domain.nCores", ""},
 		{"settings.of_later", "{}"}, {"settings.of_later.x", "1"}, {"of_later", "[1]"}, {"limits.memory_mb", "null"}}}
 	var read map[string]any
 	if err := json.Unmarshal([]byte(s.Config(Addresses{Name: "n1"})), &read); err != nil {
@@ -87,39 +91,41 @@
 	}
 }
 
-// A failing case is cut down to what makes it fail, within the number of plays.
+// A failing case is reduced to the parts that make it fail, within the maximum number of trials.
 func TestReduce(t *testing.T) {
 	c := Draw(7)
 	c.Servers = 5
 	c.Faults = []Fault{{Kind: Reload}, {At: 1, Kind: LinkCut, Server: 1}, {At: 2, Kind: Pause, Server: 4}}
 	c.Settings.Keys = []Key{{"a", "1"}, {"b", "2"}, {"c", "3"}, {"d", "4"}, {"e", "5"}}
 	c.Settings.Methods = []Method{PlainMethod(), {Name: "odd", Effect: "fragile", Deadline: "0"}, {Name: "other", Effect: "dedup"}}
-	plays := 0
+	trials := 0
 	fails := func(c Case) bool {
-		plays++
+		trials++
 		return slices.Contains(c.Settings.Keys, Key{"d", "4"}) &&
 			slices.ContainsFunc(c.Faults, func(f Fault) bool { return f.Kind == LinkCut }) &&
 			slices.ContainsFunc(c.Settings.Methods, func(m Method) bool { return m.Deadline == "0" })
 	}
-	least := Reduce(c, 100, fails)
-	if len(least.Faults) != 1 || len(least.Settings.Keys) != 1 || len(least.Settings.Methods) != 1 || least.Servers != 2 || !fails(least) {
-		t.Errorf("%s", least)
+	smallest := Reduce(c, 100, fails)
+	if len(smallest.Faults) != 1 || len(smallest.Settings.Keys) != 1 || len(smallest.Settings.Methods) != 1 ||
+		smallest.Servers != 2 || !fails(smallest) {
+		t.Errorf("%s", smallest)
 	}
-	plays = 0
+	trials = 0
 	Reduce(c, 5, fails)
-	if plays != 5 {
-		t.Errorf("%d plays", plays)
+	if trials != 5 {
+		t.Errorf("%d trials in place of 5", trials)
 	}
 }
 
-// A text that is no case is refused.
-func TestRead(t *testing.T) {
+// ParseCase rejects texts that are not a valid case.
+func TestParseCase(t *testing.T) {
 	whole := Draw(1).String()
 	for name, text := range map[string]string{
-		"empty":          "",
-		"not a case":     "{}",
-		"unknown key":    strings.Replace(whole, `"seed"`, `"sed"`, 1),
-		"a server of 99": strings.Replace(Case{Seed: 1, Servers: 3, Seconds: 1, Load: Load{Routers: 1}, Settings: Settings{Methods: []Method{PlainMethod()}}, Faults: []Fault{{Kind: Kill, Server: 1}}}.String(), `"server":1`, `"server":99`, 1),
+		"empty":       "",
+		"not a case":  "{}",
+		"unknown key": strings.Replace(whole, `"seed"`, `"sed"`, 1),
+		"a server of 99": strings.Replace(Case{Seed: 1, Servers: 3, Seconds: 1, Load: Load{Routers: 1},
+			Settings: Settings{Methods: []Method{PlainMethod()}}, Faults: []Fault{{Kind: Kill, Server: 1}}}.String(), `"server":1`, `"server":99`, 1),
 	} {
 		if _, err := ParseCase(text); err == nil {
 			t.Errorf("%s: no error", name)
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -5,59 +5,59 @@
 	"slices"
 )
 
-// FaultKind names what is done to an app server or its surroundings.
+// FaultKind is the kind of a fault that is injected into an app server or its environment.
 type FaultKind string
 
-// The faults. Those with a length are undone after Fault.For seconds.
+// The kinds of faults. Those with a duration end after Fault.For seconds.
 const (
-	Kill                  FaultKind = "kill"          // outright, and started again under its name after For
+	Kill                  FaultKind = "kill"          // SIGKILL, and a restart under the same name after For
 	Pause                 FaultKind = "pause"         // SIGSTOP, and SIGCONT after For
-	Terminate             FaultKind = "terminate"     // SIGTERM, and started again under its name once it has ended; with Size 1 SIGHUP on the way, with 2 SIGTERM again
+	Terminate             FaultKind = "terminate"     // SIGTERM, then a restart; Size 1 adds SIGHUP, 2 SIGTERM
 	Reload                FaultKind = "reload"        // SIGHUP with the same file
 	ReloadMoved           FaultKind = "reload-moved"  // SIGHUP with a file that names another kernel address
-	ReloadFaulty          FaultKind = "reload-faulty" // SIGHUP with a file that no page allows, one of four by Size
-	RosterSilent          FaultKind = "roster-silent" // of all app servers
-	KernelLate            FaultKind = "kernel-late"   // from the start of the process on: links are taken, and BOOTED is held back
-	KernelDown            FaultKind = "kernel-down"   // the link is closed, and connects are refused
-	KernelHung            FaultKind = "kernel-hung"   // all work stands still
+	ReloadFaulty          FaultKind = "reload-faulty" // SIGHUP with one of four invalid files, by Size
+	RosterSilent          FaultKind = "roster-silent" // the roster that all app servers use is down
+	KernelLate            FaultKind = "kernel-late"   // from the start of the process: links are accepted, and BOOTED is withheld
+	KernelDown            FaultKind = "kernel-down"   // the link is closed, and new connections are refused
+	KernelHung            FaultKind = "kernel-hung"   // no work makes progress
 	KernelSlow            FaultKind = "kernel-slow"   // work takes Size times as long
-	LinkCut               FaultKind = "link-cut"      // broken in the middle of a line
+	LinkCut               FaultKind = "link-cut"      // closed in the middle of a line
 	LinkReset             FaultKind = "link-reset"
-	LinkCutLosingCommands FaultKind = "link-lossy"     // cut together with the commands of the last 50 ms
-	LinkDelayed           FaultKind = "link-late"      // everything on the link comes Size ms late
-	LinkFragmented        FaultKind = "link-pieces"    // notices come in pieces
-	LinkDuplicated        FaultKind = "link-doubled"   // notices come twice, with remarks between them
+	LinkCutLosingCommands FaultKind = "link-lossy"     // closed, losing the commands of the last 50 ms
+	LinkDelayed           FaultKind = "link-late"      // everything on the link is delayed by Size ms
+	LinkFragmented        FaultKind = "link-pieces"    // notices arrive in fragments
+	LinkDuplicated        FaultKind = "link-doubled"   // notices arrive twice, with remarks between them
 	RouterNotReading      FaultKind = "router-deaf"    // routers do not read
 	RouterReset           FaultKind = "router-reset"   // routers reset their connections
 	RouterClose           FaultKind = "router-close"   // routers close their connections
 	Burst                 FaultKind = "burst"          // Size RPCs at once
-	MisbehavingRouter     FaultKind = "rude-router"    // a router that uses numbers, ids and tokens twice
-	SilentClients         FaultKind = "silent-clients" // connections without work, Size parts in a hundred of the limit
-	BadClients            FaultKind = "bad-clients"    // Size of them at once
-	LogFull               FaultKind = "log-full"       // nobody reads the log any more, and its pipe is full; for good where For is 0
+	MisbehavingRouter     FaultKind = "rude-router"    // a router that reuses sequence numbers, ids and tokens
+	SilentClients         FaultKind = "silent-clients" // idle connections, as many as Size percent of the limit
+	BadClients            FaultKind = "bad-clients"    // Size misbehaving clients at once
+	LogFull               FaultKind = "log-full"       // the log pipe is full and not read; permanently where For is 0
 )
 
-// Fault is one of the schedule.
+// Fault is one fault of a schedule.
 type Fault struct {
 	At     float64   `json:"at"` // seconds from the start of the processes
 	Kind   FaultKind `json:"kind"`
 	Server int       `json:"server"`
-	For    float64   `json:"for,omitempty"` // seconds
+	For    float64   `json:"for,omitempty"` // duration in seconds
 	Size   int       `json:"size,omitempty"`
 }
 
-// Kinds are all kinds of faults, in a fixed order.
+// Kinds returns all kinds of faults in a fixed order.
 func Kinds() []FaultKind {
 	var all []FaultKind
-	for _, form := range faultVariants {
-		if !slices.Contains(all, form.kind) {
-			all = append(all, form.kind)
+	for _, variant := range faultVariants {
+		if !slices.Contains(all, variant.kind) {
+			all = append(all, variant.kind)
 		}
 	}
 	return all
 }
 
-// faultVariant says which sizes a fault may have, and for how long it may last.
+// faultVariant defines the sizes and the duration, in seconds, from which a fault of one kind is drawn.
 type faultVariant struct {
 	kind        FaultKind
 	sizes       []int
@@ -65,34 +65,41 @@
 	atStartOnly bool
 }
 
+// faultVariants are drawn with equal probability, so that a repeated entry doubles the weight of its fault.
 var faultVariants = []faultVariant{
-	{Kill, nil, 0.5, false}, {Kill, nil, 0.05, false}, {Pause, nil, 1.5, false}, {Terminate, nil, 0, false}, {Terminate, []int{0, 1, 2}, 0, false},
-	{Reload, nil, 0, false}, {ReloadMoved, nil, 0, false}, {ReloadFaulty, []int{0, 1, 2, 3}, 0, false}, {RosterSilent, nil, 3, false},
+	{Kill, nil, 0.5, false}, {Kill, nil, 0.05, false}, {Pause, nil, 1.5, false}, {Terminate, nil, 0, false},
+	{Terminate, []int{0, 1, 2}, 0, false},
+	{Reload, nil, 0, false}, {ReloadMoved, nil, 0, false}, {ReloadFaulty, []int{0, 1, 2, 3}, 0, false},
+	{RosterSilent, nil, 3, false},
 	{KernelLate, nil, 3, true}, {KernelDown, nil, 1, false}, {KernelHung, nil, 1, false}, {KernelSlow, []int{3, 20}, 2, false},
-	{LinkCut, nil, 0, false}, {LinkCut, nil, 0, false}, {LinkCutLosingCommands, nil, 0, false}, {LinkCutLosingCommands, nil, 0, false}, {LinkReset, nil, 0, false},
+	{LinkCut, nil, 0, false}, {LinkCut, nil, 0, false}, {LinkCutLosingCommands, nil, 0, false},
+	{LinkCutLosingCommands, nil, 0, false},
+	{LinkReset, nil, 0, false},
 	{LinkDelayed, []int{5, 50, 300}, 2, false}, {LinkFragmented, nil, 2, false}, {LinkDuplicated, nil, 3, false},
-	{RouterNotReading, nil, 2, false}, {RouterReset, nil, 0, false}, {RouterClose, nil, 0, false}, {Burst, []int{40, 200}, 0, false}, {MisbehavingRouter, nil, 2, false},
-	{SilentClients, []int{50, 100, 130}, 3, false}, {BadClients, []int{1, 4, 20}, 3, false}, {LogFull, nil, 0, false}, {LogFull, nil, 5, false},
+	{RouterNotReading, nil, 2, false}, {RouterReset, nil, 0, false}, {RouterClose, nil, 0, false},
+	{Burst, []int{40, 200}, 0, false}, {MisbehavingRouter, nil, 2, false},
+	{SilentClients, []int{50, 100, 130}, 3, false}, {BadClients, []int{1, 4, 20}, 3, false},
+	{LogFull, nil, 0, false}, {LogFull, nil, 5, false},
 }
 
-func drawFault(chance *rand.Rand, c Case) Fault {
-	form := pick(chance, faultVariants)
-	f := Fault{Kind: form.kind, Server: chance.IntN(c.Servers), At: c.Seconds * 0.9 * chance.Float64()}
-	if form.atStartOnly || chance.IntN(6) == 0 {
+// drawFault draws one fault of a case, with times in whole milliseconds.
+func drawFault(rng *rand.Rand, c Case) Fault {
+	variant := pick(rng, faultVariants)
+	f := Fault{Kind: variant.kind, Server: rng.IntN(c.Servers), At: c.Seconds * 0.9 * rng.Float64()}
+	if variant.atStartOnly || rng.IntN(6) == 0 {
 		f.At = 0
 	}
-	if form.maxDuration > 0 {
-		f.For = form.maxDuration * (0.1 + 0.9*chance.Float64())
+	if variant.maxDuration > 0 {
+		f.For = variant.maxDuration * (0.1 + 0.9*rng.Float64())
 	}
-	if form.sizes != nil {
-		f.Size = pick(chance, form.sizes)
+	if variant.sizes != nil {
+		f.Size = pick(rng, variant.sizes)
 	}
 	f.At, f.For = float64(int(f.At*1000))/1000, float64(int(f.For*1000))/1000
 	return f
 }
 
-// sortFaults sorts a schedule and leaves out what a fault before it rules out: only one fault at a time that starts or ends
-// the process of an app server, and a late kernel once.
+// sortFaults sorts a schedule by time and drops each fault that begins while one of the same kind at the same app server lasts.
 func sortFaults(all []Fault) []Fault {
 	slices.SortStableFunc(all, func(a, b Fault) int {
 		switch {
@@ -105,8 +112,8 @@
 	})
 	var kept []Fault
 	for _, f := range all {
-		if !slices.ContainsFunc(kept, func(g Fault) bool {
-			return g.Server == f.Server && g.Kind == f.Kind && f.At < g.At+g.For
+		if !slices.ContainsFunc(kept, func(earlier Fault) bool {
+			return earlier.Server == f.Server && earlier.Kind == f.Kind && f.At < earlier.At+earlier.For
 		}) {
 			kept = append(kept, f)
 		}
--- a/rig/drawn/reduce.go
+++ b/rig/drawn/reduce.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Reduce cuts a failing case down: it leaves out faults, methods, keys and app servers, as long as fails tells that what is
-// left still fails, and plays at most so many cases.
-func Reduce(c Case, plays int, fails func(Case) bool) Case {
-	for plays > 0 {
+// Reduce returns a smaller case that still fails: it removes faults, methods, keys and app servers as long as fails reports
+// that the rest still fails. It calls fails at most maxTrials times.
+func Reduce(c Case, maxTrials int, fails func(Case) bool) Case {
+	for maxTrials > 0 {
 		smaller := c
-		progress := false
+		found := false
 		for _, candidate := range c.smaller() {
-			if plays == 0 {
+			if maxTrials == 0 {
 				break
 			}
-			plays--
+			maxTrials--
 			if fails(candidate) {
-				smaller, progress = candidate, true
+				smaller, found = candidate, true
 				break
 			}
 		}
-		if !progress {
+		if !found {
 			break
 		}
 		c = smaller
@@ -26,27 +26,27 @@
 	return c
 }
 
-// smaller are cases with less in them, those first that leave out most.
+// smaller returns reduced copies of the case, those with the most removed first.
 func (c Case) smaller() []Case {
 	var all []Case
 	add := func(change func(*Case)) {
-		d := c
-		d.Faults = slices.Clone(c.Faults)
-		d.Settings.Keys = slices.Clone(c.Settings.Keys)
-		d.Settings.Methods = slices.Clone(c.Settings.Methods)
-		change(&d)
-		all = append(all, d)
+		reduced := c
+		reduced.Faults = slices.Clone(c.Faults)
+		reduced.Settings.Keys = slices.Clone(c.Settings.Keys)
+		reduced.Settings.Methods = slices.Clone(c.Settings.Methods)
+		change(&reduced)
+		all = append(all, reduced)
 	}
 	forEachChunk(len(c.Faults), func(from, to int) {
-		add(func(d *Case) { d.Faults = slices.Delete(d.Faults, from, to) })
+		add(func(reduced *Case) { reduced.Faults = slices.Delete(reduced.Faults, from, to) })
 	})
 	forEachChunk(len(c.Settings.Keys), func(from, to int) {
-		add(func(d *Case) { d.Settings.Keys = slices.Delete(d.Settings.Keys, from, to) })
+		add(func(reduced *Case) { reduced.Settings.Keys = slices.Delete(reduced.Settings.Keys, from, to) })
 	})
 	if len(c.Settings.Methods) > 1 {
 		forEachChunk(len(c.Settings.Methods), func(from, to int) {
 			if to-from < len(c.Settings.Methods) {
-				add(func(d *Case) { d.Settings.Methods = slices.Delete(d.Settings.Methods, from, to) })
+				add(func(reduced *Case) { reduced.Settings.Methods = slices.Delete(reduced.Settings.Methods, from, to) })
 			}
 		})
 	}
@@ -54,23 +54,23 @@
 		plain := PlainMethod()
 		plain.Name, plain.Effect, plain.Calls = m.Name, m.Effect, m.Calls
 		if m != plain {
-			add(func(d *Case) { d.Settings.Methods[k] = plain })
+			add(func(reduced *Case) { reduced.Settings.Methods[k] = plain })
 		}
 	}
-	if quiet := (Load{Rate: c.Load.Rate, Routers: 1}); c.Load != quiet {
-		add(func(d *Case) { d.Load = quiet })
+	if plainLoad := (Load{Rate: c.Load.Rate, Routers: 1}); c.Load != plainLoad {
+		add(func(reduced *Case) { reduced.Load = plainLoad })
 	}
 	used := 1
 	for _, f := range c.Faults {
 		used = max(used, f.Server+1)
 	}
 	if used < c.Servers {
-		add(func(d *Case) { d.Servers = used })
+		add(func(reduced *Case) { reduced.Servers = used })
 	}
 	return all
 }
 
-// forEachChunk goes through all, both forEachChunk, the quarters and so on down to one at a time.
+// forEachChunk calls do for the range of all n elements, then for its halves, quarters and so on down to single elements.
 func forEachChunk(n int, do func(from, to int)) {
 	for step := n; step >= 1; step /= 2 {
 		for from := 0; from < n; from += step {
--- a/rig/drawn/settings.go
+++ b/rig/drawn/settings.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Settings are what differs from a plain deployment, as the platform would write it.
+// Settings holds the methods of a deployment and the configuration keys that differ from a plain one.
 type Settings struct {
 	Methods []Method `json:"methods"`
 	Keys    []Key    `json:"keys,omitempty"`
 }
 
-// Method is one method, its figures as the JSON text of the configuration: empty where the key is left out.
+// Method is one RPC method. Its numbers are JSON texts of the configuration, empty where the key is left out.
 type Method struct {
 	Name     string  `json:"name"`
 	Effect   string  `json:"effect"` // retryable, dedup or fragile
@@ -25,21 +25,21 @@
 	Late     string  `json:"late,omitempty"`
 	Stretch  string  `json:"stretch,omitempty"`
 	Calls    bool    `json:"calls,omitempty"` // its RPCs may call the layer below
-	Work     float64 `json:"work"`            // seconds on a core, on the mean
+	Work     float64 `json:"work"`            // mean CPU seconds of a run
 }
 
-// Key is one key of the configuration, by its path, and its JSON text: empty where the key is left out.
+// Key is one key of the configuration: its dotted path and the JSON text of its value, empty to leave the key out.
 type Key struct {
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
-// Addresses are what each app server is told of its own.
+// Addresses holds the name of one app server and the addresses in its configuration.
 type Addresses struct {
 	Name, Listen, Kernel, Roster string
 }
 
-// plainKeys are the keys of a deployment without anything uncommon, in the order in which they are written.
+// plainKeys are the keys of a plain deployment, in the order in which they are written.
 var plainKeys = []Key{
 	{"seed", `"8c1f30d27a5be964"`},
 	{"stop_ms", "2500"},
@@ -70,18 +70,19 @@
 	{"settings.zone", "0"}, {"settings.zones", `["zone"]`},
 }
 
-// PlainMethod is a method without anything uncommon.
+// PlainMethod returns a method with common settings.
 func PlainMethod() Method {
-	return Method{Name: "look", Effect: "retryable", Target: "0.5", Deadline: "1.0", Window: "5.0", Worth: "1.0", Late: "0.0", Work: 0.005}
+	return Method{Name: "look", Effect: "retryable", Target: "0.5", Deadline: "1.0", Window: "5.0",
+		Worth: "1.0", Late: "0.0", Work: 0.005}
 }
 
-// Config is the whole configuration of one app server, as JSON text.
-func (s Settings) Config(at Addresses) string {
+// Config returns the whole configuration of one app server as JSON text.
+func (s Settings) Config(addresses Addresses) string {
 	root := &object{}
-	root.set([]string{"name"}, quoteJSON(at.Name, true))
-	root.set([]string{"listen"}, quoteJSON(at.Listen, true))
-	root.set([]string{"kernel"}, quoteJSON(at.Kernel, true))
-	root.set([]string{"roster"}, quoteJSON(at.Roster, true))
+	root.set([]string{"name"}, quoteJSON(addresses.Name, true))
+	root.set([]string{"listen"}, quoteJSON(addresses.Listen, true))
+	root.set([]string{"kernel"}, quoteJSON(addresses.Kernel, true))
+	root.set([]string{"roster"}, quoteJSON(addresses.Roster, true))
 	for _, k := range plainKeys {
 		root.set(strings.Split(k.Path, "."), k.Text)
 	}
@@ -95,19 +96,22 @@
 	return root.text()
 }
 
+// profiles returns the JSON array of the methods, for settings.profiles.
 func (s Settings) profiles() string {
 	var all []string
 	for k, m := range s.Methods {
-		one := &object{}
+		profile := &object{}
 		for _, field := range []Key{{"deadlineS", m.Deadline}, {"idempotency", quoteJSON(m.Effect, true)}, {"lateWorth", m.Late},
-			{"name", quoteJSON(m.Name, k%2 == 0)}, {"onTimeS", m.Target}, {"windowS", m.Window}, {"worth", m.Worth}, {"aimStretch", m.Stretch}} {
-			one.set([]string{field.Path}, field.Text)
+			{"name", quoteJSON(m.Name, k%2 == 0)}, {"onTimeS", m.Target}, {"windowS", m.Window}, {"worth", m.Worth},
+			{"aimStretch", m.Stretch}} {
+			profile.set([]string{field.Path}, field.Text)
 		}
-		all = append(all, one.text())
+		all = append(all, profile.text())
 	}
 	return "[" + strings.Join(all, ",") + "]"
 }
 
+// calls returns the JSON array that tells for each method whether its RPCs may call the layer below, and whether any may.
 func (s Settings) calls() (text string, any bool) {
 	var all []string
 	for _, m := range s.Methods {
@@ -117,7 +121,7 @@
 	return "[" + strings.Join(all, ",") + "]", any
 }
 
-// quoteJSON is a JSON string; <, > and & are escaped or stand as they are.
+// quoteJSON returns s as a JSON string. It escapes <, > and & if escape is set.
 func quoteJSON(s string, escape bool) string {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
@@ -126,14 +130,14 @@
 	return strings.TrimSpace(out.String())
 }
 
-// object is a JSON object whose keys keep their order.
+// object is a JSON object that keeps the order of its keys.
 type object struct {
 	keys    []string
 	values  map[string]string
 	objects map[string]*object
 }
 
-// set writes a key, or leaves it out for an empty text.
+// set sets the key at path to a JSON text, or removes it for an empty text.
 func (o *object) set(path []string, text string) {
 	if o.values == nil {
 		o.values, o.objects = map[string]string{}, map[string]*object{}
@@ -149,7 +153,7 @@
 		}
 		return
 	}
-	if o.values[key] != "" { // the whole object stands as one text
+	if o.values[key] != "" { // the object was set as a whole
 		return
 	}
 	if o.objects[key] == nil {
@@ -161,17 +165,19 @@
 	o.objects[key].set(path[1:], text)
 }
 
+// remove deletes a key that is set as a text.
 func (o *object) remove(key string) {
 	delete(o.values, key)
-	var kept []string
+	var remaining []string
 	for _, k := range o.keys {
 		if k != key {
-			kept = append(kept, k)
+			remaining = append(remaining, k)
 		}
 	}
-	o.keys = kept
+	o.keys = remaining
 }
 
+// text returns the object as JSON text.
 func (o *object) text() string {
 	var all []string
 	for _, k := range o.keys {
@@ -184,8 +190,8 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
-// ParsedConfig is what the configuration says, with what an absent key means, for whoever plays the app server's surroundings.
-// Times are seconds.
+// ParsedConfig is the part of a configuration that the simulated environment of an app server needs, with the defaults of absent
+// keys. Times are in seconds.
 type ParsedConfig struct {
 	StopMS   float64 `json:"stop_ms"`
 	Limits   struct{ Cores, MemoryMB, Sockets float64 }
@@ -203,79 +209,83 @@
 	}
 }
 
-// ParsedConfig reads the configuration as a careful reader of the pages would: numbers of any form, null as a key that is left out.
+// ParsedConfig parses the configuration as the specification says: it accepts numbers of any JSON form and takes null for an
+// absent key.
 func (s Settings) ParsedConfig() (ParsedConfig, error) {
-	var t ParsedConfig
-	t.StopMS = 3000
+	var c ParsedConfig
+	c.StopMS = 3000
 	text := strings.Replace(s.Config(Addresses{}), `"memory_mb"`, `"memoryMb"`, 1)
-	err := json.Unmarshal([]byte(text), &t)
-	return t, err
+	err := json.Unmarshal([]byte(text), &c)
+	return c, err
 }
 
-// PassesDeadline tells whether RPCs say how long their caller waits; false where the key is absent.
-func (t ParsedConfig) PassesDeadline() bool {
-	return t.Settings.Domain.PassesDeadline != nil && *t.Settings.Domain.PassesDeadline
+// PassesDeadline reports whether RPCs carry the time that their caller waits; false where the key is absent.
+func (c ParsedConfig) PassesDeadline() bool {
+	return c.Settings.Domain.PassesDeadline != nil && *c.Settings.Domain.PassesDeadline
 }
 
-// HangupSeen tells whether app servers are told of callers that wait no longer.
-func (t ParsedConfig) HangupSeen() bool {
-	return t.Settings.Domain.HangupSeen != nil && *t.Settings.Domain.HangupSeen
+// HangupSeen reports whether app servers are notified of callers that no longer wait; false where the key is absent.
+func (c ParsedConfig) HangupSeen() bool {
+	return c.Settings.Domain.HangupSeen != nil && *c.Settings.Domain.HangupSeen
 }
 
-func drawSettings(chance *rand.Rand) Settings {
+func drawSettings(rng *rand.Rand) Settings {
 	var s Settings
-	effects := drawEffects(chance)
-	count := 1 + chance.IntN(5)
-	if chance.IntN(4) == 0 {
-		count = 1 + chance.IntN(maxMethods)
+	effects := drawEffects(rng)
+	count := 1 + rng.IntN(5)
+	if rng.IntN(4) == 0 {
+		count = 1 + rng.IntN(maxMethods)
 	}
 	names := map[string]bool{}
 	for range count {
-		m := drawMethod(chance, effects)
+		m := drawMethod(rng, effects)
 		for names[m.Name] {
-			m.Name += string(rune('a' + chance.IntN(26)))
+			m.Name += string(rune('a' + rng.IntN(26)))
 		}
 		names[m.Name] = true
 		s.Methods = append(s.Methods, m)
 	}
-	seen := map[string]bool{}
+	usedPaths := map[string]bool{}
 	for _, option := range keyOptions {
-		if chance.Float64() >= option.probability {
+		if rng.Float64() >= option.probability {
 			continue
 		}
-		for _, k := range option.draw(chance) {
-			if !seen[k.Path] {
-				seen[k.Path] = true
+		for _, k := range option.draw(rng) {
+			if !usedPaths[k.Path] {
+				usedPaths[k.Path] = true
 				s.Keys = append(s.Keys, k)
 			}
 		}
 		if option.callsBelow {
 			for k := range s.Methods {
-				s.Methods[k].Calls = chance.IntN(2) == 0
+				s.Methods[k].Calls = rng.IntN(2) == 0
 			}
 		}
 	}
 	return s
 }
 
-func drawEffects(chance *rand.Rand) []string {
-	return pick(chance, [][]string{{"retryable"}, {"dedup"}, {"fragile"}, {"retryable", "dedup", "fragile"}, {"retryable", "dedup", "fragile"},
+func drawEffects(rng *rand.Rand) []string {
+	return pick(rng, [][]string{{"retryable"}, {"dedup"}, {"fragile"}, {"retryable", "dedup", "fragile"},
+		{"retryable", "dedup", "fragile"},
 		{"retryable", "dedup"}, {"dedup", "fragile"}})
 }
 
-// awkwardNames are names that a careless writer or reader of JSON, Thrift or a log would spoil.
-var awkwardNames = []string{"x", "plan lookup", `say "when"`, "a<b&c>d", "größe-ändern", "読む", `back\slash`, "tab\tbed", "it's", "op", "{}", "null", "0",
+// awkwardNames are method names that faulty escaping in JSON, Thrift or log lines would corrupt.
+var awkwardNames = []string{"x", "plan lookup", `say "when"`, "a<b&c>d", "größe-ändern", "読む", `back\slash`, "tab\tbed",
+	"it's", "op", "{}", "null", "0",
 	"\u2028", strings.Repeat("long-name-", 30), "100%", "a/b?c=d", "é"}
 
-func drawMethod(chance *rand.Rand, effects []string) Method {
-	m := Method{Effect: pick(chance, effects), Worth: formatNumber(chance, pick(chance, []float64{0, 0.001, 1, 2, 1000})), Late: formatNumber(chance, pick(chance, []float64{0, 0.2, 1}))}
-	if m.Name = fmt.Sprintf("m%d", chance.IntN(1000)); chance.IntN(3) == 0 {
-		m.Name = pick(chance, awkwardNames)
+func drawMethod(rng *rand.Rand, effects []string) Method {
+	m := Method{Effect: pick(rng, effects),
+		Worth: formatNumber(rng, pick(rng, []float64{0, 0.001, 1, 2, 1000})), Late: formatNumber(rng, pick(rng, []float64{0, 0.2, 1}))}
+	if m.Name = fmt.Sprintf("m%d", rng.IntN(1000)); rng.IntN(3) == 0 {
+		m.Name = pick(rng, awkwardNames)
 	}
-	deadline := pick(chance, []float64{0.02, 0.1, 0.5, 0.5, 1, 1, 2, 2, 5, 30, 600, 7200, 86400})
-	target := deadline * pick(chance, []float64{0.1, 0.5, 0.5, 1})
-	m.Deadline, m.Target = formatNumber(chance, deadline), formatNumber(chance, target)
-	switch chance.IntN(20) {
+	deadline := pick(rng, []float64{0.02, 0.1, 0.5, 0.5, 1, 1, 2, 2, 5, 30, 600, 7200, 86400})
+	target := deadline * pick(rng, []float64{0.1, 0.5, 0.5, 1})
+	m.Deadline, m.Target = formatNumber(rng, deadline), formatNumber(rng, target)
+	switch rng.IntN(20) {
 	case 0:
 		m.Deadline = ""
 	case 1:
@@ -289,26 +299,26 @@
 	}
 	switch {
 	case m.Effect == "dedup":
-		m.Window = formatNumber(chance, pick(chance, []float64{0.05, 0.5, 2, 35.121, 3600, 864000}))
-	case chance.IntN(3) == 0:
-		m.Window = pick(chance, []string{"", "null", "0"})
+		m.Window = formatNumber(rng, pick(rng, []float64{0.05, 0.5, 2, 35.121, 3600, 864000}))
+	case rng.IntN(3) == 0:
+		m.Window = pick(rng, []string{"", "null", "0"})
 	default:
 		m.Window = "5.0"
 	}
-	if chance.IntN(5) == 0 {
-		m.Stretch = pick(chance, []string{"0", "1.5", "20", "null"})
+	if rng.IntN(5) == 0 {
+		m.Stretch = pick(rng, []string{"0", "1.5", "20", "null"})
 	}
-	m.Work = min(pick(chance, []float64{0.0005, 0.005, 0.005, 0.02, 0.1}), max(deadline, 0.02)/8)
-	if deadline >= 5 && chance.IntN(4) == 0 {
+	m.Work = min(pick(rng, []float64{0.0005, 0.005, 0.005, 0.02, 0.1}), max(deadline, 0.02)/8)
+	if deadline >= 5 && rng.IntN(4) == 0 {
 		m.Work = 0.7
 	}
 	return m
 }
 
-// formatNumber writes a formatNumber in one of the forms that JSON allows.
-func formatNumber(chance *rand.Rand, v float64) string {
+// formatNumber formats a number in a randomly chosen form that JSON allows.
+func formatNumber(rng *rand.Rand, v float64) string {
 	plain := strings.TrimSuffix(fmt.Sprintf("%.6f", v), "0")
-	switch chance.IntN(4) {
+	switch rng.IntN(4) {
 	case 0:
 		return plain
 	case 1:
@@ -317,16 +327,16 @@
 	return fmt.Sprintf("%g", v)
 }
 
-// keyOption is something that a deployment may say besides its methods, and in which part of the cases it does.
+// keyOption draws configuration keys besides the methods, with the given probability.
 type keyOption struct {
 	probability float64
-	draw        func(chance *rand.Rand) []Key
+	draw        func(rng *rand.Rand) []Key
 	callsBelow  bool // some methods call the layer below
 }
 
-// choice is an option of one key with some choice.
-func choice(part float64, path string, texts ...string) keyOption {
-	return keyOption{probability: part, draw: func(chance *rand.Rand) []Key { return []Key{{path, pick(chance, texts)}} }}
+// choice returns an option that sets one key to one of the texts.
+func choice(probability float64, path string, texts ...string) keyOption {
+	return keyOption{probability: probability, draw: func(rng *rand.Rand) []Key { return []Key{{path, pick(rng, texts)}} }}
 }
 
 var keyOptions = []keyOption{
@@ -335,8 +345,9 @@
 	choice(0.2, "settings.domain.passesDeadline", "false", "", "null"),
 	choice(0.2, "settings.domain.hangupSeen", "false", "", "null"),
 	choice(0.2, "settings.domain.readiness", "false", "", "null"),
-	{0.15, func(chance *rand.Rand) []Key {
-		return []Key{{"settings.domain.below", pick(chance, []string{`"one_for_all"`, `"tier"`})}, {"settings.domain.callsOut", pick(chance, []string{"0.5", "12.0"})}}
+	{0.15, func(rng *rand.Rand) []Key {
+		return []Key{{"settings.domain.below", pick(rng, []string{`"one_for_all"`, `"tier"`})},
+			{"settings.domain.callsOut", pick(rng, []string{"0.5", "12.0"})}}
 	}, true},
 	choice(0.4, "settings.domain.nCores", "1", "1", "2", "6.0", "6e0", "64", "1000"),
 	choice(0.15, "settings.domain.memoryKb", "500", "2e3", "13164.0", "1e9"),
@@ -345,7 +356,8 @@
 	choice(0.15, "settings.domain.freshS", "0.5", "60"),
 	choice(0.1, "settings.domain.deepChecks", "true"),
 	choice(0.2, "settings.domain.justStarted", "true", "null"),
-	choice(0.3, "settings.domain.ownStats", `[]`, `["links","heap_share","on_cores","core_use"]`, `["on_cores"]`, `["throughput","on_cores"]`, "null", ""),
+	choice(0.3, "settings.domain.ownStats", `[]`, `["links","heap_share","on_cores","core_use"]`, `["on_cores"]`,
+		`["throughput","on_cores"]`, "null", ""),
 	choice(0.15, "settings.domain.callers", "1", "4.0", "150", "0", "null", ""),
 	choice(0.1, "settings.domain.heededS", "0", "0.05", "3600"),
 	choice(0.1, "settings.domain.keepaliveMaxS", "0.5", "3600", "", "null"),
@@ -353,7 +365,8 @@
 	choice(0.15, "settings.replicasOfMe", "1", "3.0", "3e0", "300"),
 	choice(0.2, "settings.clients.marksRetry", "true"),
 	{probability: 0.2, draw: func(*rand.Rand) []Key {
-		return []Key{{"settings.accounts", `[{"name":"big","quotaRps":40.0,"fraction":0.8},{"name":"small one","quotaRps":0.5,"fraction":0.2}]`}}
+		return []Key{{"settings.accounts",
+			`[{"name":"big","quotaRps":40.0,"fraction":0.8},{"name":"small one","quotaRps":0.5,"fraction":0.2}]`}}
 	}},
 	choice(0.1, "settings.overShareWorth", "0", "1"),
 	choice(0.2, "settings.ceilings.retryAfter", "false"),
--- a/rig/slope/result.go
+++ b/rig/slope/result.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// ErrNoResult is returned for a file that has no result of a scale run.
+// ErrNoResult is returned for a file without the result of a scale run.
 var ErrNoResult = errors.New("no scale result")
 
 // ReadResult reads the result that a scale run wrote, under the key "scale".
@@ -28,7 +28,7 @@
 	return *file.Scale, nil
 }
 
-// Find gives the series of that name.
+// Find returns the series of a name and whether there is one.
 func (r Result) Find(name string) (Series, bool) {
 	for _, s := range r.Series {
 		if s.Name == name {
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -1,4 +1,5 @@
-// Package slope fits measured series against the size of the system, and says what a fit means at sizes that were not run.
+// Package slope fits measured series against the size of the system by least squares, and predicts values at sizes that were
+// not run.
 package slope
 
 import (
@@ -15,7 +16,7 @@
 	Y float64 `json:"y"`
 }
 
-// The models that a series can be fitted with.
+// The models that can be fitted to a series.
 const (
 	ModelConstant = "constant" // y = intercept
 	ModelLinear   = "linear"   // y = intercept + slope * x
@@ -33,7 +34,7 @@
 	R2         float64 `json:"r2"`
 }
 
-// Series is a value measured at several sizes, with its fit.
+// Series is one quantity measured at several sizes, with its fit. Against names what the sizes count.
 type Series struct {
 	Name        string  `json:"name"`
 	Unit        string  `json:"unit"`
@@ -45,7 +46,7 @@
 	Note        string  `json:"note,omitempty"`
 }
 
-// Result is what one run measured.
+// Result holds the measurements of one scale run.
 type Result struct {
 	Commit      string   `json:"commit"`
 	Go          string   `json:"go"`
@@ -56,19 +57,20 @@
 	Series      []Series `json:"series"`
 }
 
-// MinimumSizes is how many different sizes a fit needs: two parameters, and at least two degrees of freedom for the error.
+// MinimumSizes is the number of different sizes that a fit needs: two parameters, and at least two degrees of freedom for the
+// error.
 const MinimumSizes = 4
 
 var (
 	// ErrTooFewSizes is returned for a fit of fewer than MinimumSizes different sizes.
 	ErrTooFewSizes = errors.New("too few different sizes for a fit")
-	// ErrNotPositive is returned where a logarithm is needed of a value that has none.
+	// ErrNotPositive is returned by a logarithmic fit for a value that is not positive.
 	ErrNotPositive = errors.New("a logarithmic fit needs positive values")
-	// ErrNotFinite is returned for a point that is not a number.
+	// ErrNotFinite is returned for a point that is infinite or not a number.
 	ErrNotFinite = errors.New("a point is not finite")
 )
 
-// Constant fits a mean.
+// Constant fits the mean.
 func Constant(points []Point) (Fit, error) {
 	if err := checkPoints(points); err != nil {
 		return Fit{}, err
@@ -87,7 +89,7 @@
 // Power fits a power law: a straight line between the logarithms of size and value. Slope is the exponent.
 func Power(points []Point) (Fit, error) { return fit(ModelPower, points) }
 
-// FitModel fits the model of that name.
+// FitModel fits the model of a given name, one of the Model constants.
 func FitModel(model string, points []Point) (Fit, error) {
 	if model == ModelConstant {
 		return Constant(points)
@@ -95,6 +97,7 @@
 	return fit(model, points)
 }
 
+// fit fits a model that is linear in the size or in logarithms.
 func fit(model string, points []Point) (Fit, error) {
 	if err := checkPoints(points); err != nil {
 		return Fit{}, err
@@ -111,7 +114,7 @@
 	return f, nil
 }
 
-// determination is the coefficient of determination: 1 for values that do not vary, which the fit explains fully.
+// determination returns the coefficient of determination R². It is 1 for values that do not vary, which the fit explains fully.
 func determination(x, y []float64, f Fit) float64 {
 	if sumOfSquares(y) == 0 {
 		return 1
@@ -119,6 +122,7 @@
 	return stat.RSquared(x, y, nil, f.Intercept, f.Slope)
 }
 
+// checkPoints returns an error unless all points are finite and enough sizes differ.
 func checkPoints(points []Point) error {
 	sizes := map[float64]bool{}
 	for _, p := range points {
@@ -128,19 +132,19 @@
 		sizes[p.X] = true
 	}
 	if len(sizes) < MinimumSizes {
-		return fmt.Errorf("%w: %d, %d are needed", ErrTooFewSizes, len(sizes), MinimumSizes)
+		return fmt.Errorf("%w: found %d, need at least %d", ErrTooFewSizes, len(sizes), MinimumSizes)
 	}
 	return nil
 }
 
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
-// transform takes the logarithms that a model is linear in.
+// transform returns the points in the coordinates in which the model is a straight line.
 func transform(model string, points []Point) ([]Point, error) {
 	logX := model == ModelLog || model == ModelPower
 	logY := model == ModelPower
 	if !logX && model != ModelLinear {
-		return nil, fmt.Errorf("model %q is not known", model)
+		return nil, fmt.Errorf("unknown model %q", model)
 	}
 	out := make([]Point, len(points))
 	for i, p := range points {
@@ -158,6 +162,7 @@
 	return out, nil
 }
 
+// coordinates returns the sizes and the values of points.
 func coordinates(points []Point) (x, y []float64) {
 	for _, p := range points {
 		x, y = append(x, p.X), append(y, p.Y)
@@ -165,7 +170,7 @@
 	return x, y
 }
 
-// residualDeviation is the standard deviation of the residuals, with two degrees of freedom taken by the fit.
+// residualDeviation returns the standard deviation of the residuals; the fit takes two degrees of freedom.
 func residualDeviation(x, y []float64, f Fit) float64 {
 	sum := 0.0
 	for i := range x {
@@ -175,7 +180,7 @@
 	return math.Sqrt(sum / float64(len(x)-2))
 }
 
-// sumOfSquares is the sum of squared distances from the mean.
+// sumOfSquares returns the sum of squared distances from the mean.
 func sumOfSquares(values []float64) float64 {
 	mean, sum := stat.Mean(values, nil), 0.0
 	for _, v := range values {
@@ -184,8 +189,8 @@
 	return sum
 }
 
-// At gives the value of the fit at x and its standard error, as for one more measurement at x. The value is measured if
-// x lies within the sizes that were run; past Largest it is extrapolated.
+// At returns the value of the fit at x and its standard error, as for one more measurement at x. measured is true if x is at
+// most Largest; past it the value is extrapolated. Value and error are NaN where the fit cannot be computed.
 func (s Series) At(x float64) (value, errorOfValue float64, measured bool) {
 	measured = x <= s.Largest
 	if s.Fit.Model == ModelConstant {
@@ -200,17 +205,18 @@
 		position = math.Log(x)
 	}
 	xs, ys := coordinates(points)
-	distance := position - stat.Mean(xs, nil)
-	spread := 1 + 1/float64(len(xs)) + distance*distance/sumOfSquares(xs)
+	offset := position - stat.Mean(xs, nil)
+	spread := 1 + 1/float64(len(xs)) + offset*offset/sumOfSquares(xs)
 	errorOfValue = residualDeviation(xs, ys, s.Fit) * math.Sqrt(spread)
 	value = s.Fit.Intercept + s.Fit.Slope*position
 	if s.Fit.Model == ModelPower {
 		value = math.Exp(value)
-		errorOfValue *= value // first order: the error of a logarithm is relative
+		errorOfValue *= value // first-order approximation: the error of a logarithm is a relative error
 	}
 	return value, errorOfValue, measured
 }
 
+// constantError returns the standard error of one more measurement under ModelConstant.
 func (s Series) constantError() float64 {
 	_, y := coordinates(s.Points)
 	if len(y) < 2 {
--- a/rig/slope/slope_test.go
+++ b/rig/slope/slope_test.go
@@ -11,7 +11,8 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
 
-// TestLinearKnown fits Anscombe's first quartet set, whose fit is published: y = 3.00 + 0.500 x, R2 0.667, slope error 0.118.
+// TestLinearKnown fits the first data set of Anscombe's quartet, whose published fit is y = 3.00 + 0.500 x with R2 0.667 and a
+// slope error of 0.118.
 func TestLinearKnown(t *testing.T) {
 	x := []float64{10, 8, 13, 9, 11, 14, 6, 4, 12, 7, 5}
 	y := []float64{8.04, 6.95, 7.58, 8.81, 8.33, 9.96, 7.24, 4.26, 10.84, 4.82, 5.68}
@@ -58,7 +59,7 @@
 	}
 }
 
-// TestErrorGrows has the error of a value grow with the distance from what was run.
+// TestErrorGrows checks that the error of a predicted value grows with the distance from the measured sizes.
 func TestErrorGrows(t *testing.T) {
 	s := Series{Largest: 4, Points: []Point{{1, 1.1}, {2, 1.9}, {3, 3.2}, {4, 3.9}}}
 	s.Fit, _ = Linear(s.Points)
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestRefusals refuses what cannot be fitted.
-func TestRefusals(t *testing.T) {
+// TestFitErrors checks that points which cannot be fitted return the matching error.
+func TestFitErrors(t *testing.T) {
 	three := []Point{{1, 1}, {2, 2}, {3, 3}, {3, 4}, {1, 2}}
 	four := []Point{{1, 1}, {2, 2}, {3, 0}, {4, 4}}
 	broken := []Point{{1, 1}, {2, 2}, {3, 3}, {4, math.NaN()}}
@@ -89,11 +90,11 @@
 		t.Errorf("power law through 0: %v", err)
 	}
 	if _, err := FitModel("cubic", four); err == nil {
-		t.Error("an unknown model is fitted")
+		t.Error("no error for an unknown model")
 	}
 }
 
-// TestReadResult reads back what is written under its key, and refuses a file without it.
+// TestReadResult reads back a result written under its key, and checks the error for a file without one.
 func TestReadResult(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "scale.json")
 	want := Result{Commit: "abc", Seed: 3, Series: []Series{{Name: "cpu", Points: []Point{{1, 2}}}}}
@@ -112,7 +113,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, ok := got.Find("memory"); ok {
-		t.Error("found what is not there")
+		t.Error("found a series that does not exist")
 	}
 	write(map[string]any{"figures": nil})
 	if _, err := ReadResult(path); !errors.Is(err, ErrNoResult) {
