--- a/rig/drawn/drawn_test.go
+++ b/rig/drawn/drawn_test.go
@@ -125,7 +125,8 @@
 		"not a case":  "{}",
 		"unknown key": strings.Replace(whole, `"seed"`, `"sed"`, 1),
 		"a server of 99": strings.Replace(Case{Seed: 1, Servers: 3, Seconds: 1, Load: Load{Routers: 1},
-			Settings: Settings{Methods: []Method{PlainMethod()}}, Faults: []Fault{{Kind: Kill, Server: 1}}}.String(), `"server":1`, `"server":99`, 1),
+			Settings: Settings{Methods: []Method{PlainMethod()}},
+			Faults:   []Fault{{Kind: Kill, Server: 1}}}.String(), `"server":1`, `"server":99`, 1),
 	} {
 		if _, err := ParseCase(text); err == nil {
 			t.Errorf("%s: no error", name)
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -109,7 +109,8 @@
 	c.Asked(id, rpc.Idempotent, time.Now().Add(time.Hour))
 	go func() {
 		for k := range int32(20_000) {
-			if _, err := nc.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "", Body(id, 0))); err != nil {
+			if _, err := nc.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "",
+				Body(id, 0))); err != nil {
 				return
 			}
 		}
--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -56,12 +56,12 @@
 // NewFaultyNetwork reserves a part of the loopback network that no other process uses. The seed determines which packets are
 // lost or duplicated and how delays vary. The caller closes the network.
 func NewFaultyNetwork(seed uint64) (*FaultyNetwork, error) {
-	first := os.Getpid()
+	start := os.Getpid()
 	for k := range 200 {
-		block := 16 + (first+k)%200
-		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", block, fleetPort))
+		octet := 16 + (start+k)%200
+		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", octet, fleetPort))
 		if err == nil {
-			return &FaultyNetwork{subnetOctet: block, reservation: lock, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
+			return &FaultyNetwork{subnetOctet: octet, reservation: lock, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
 				rand: rand.New(rand.NewPCG(seed, 7)), closed: make(chan struct{})}, nil
 		}
 	}
