--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -98,10 +98,10 @@
 	var outcome rig.Outcome
 	loadDone.Go(func() { outcome = load.Run(ctx, check, callers...) })
 	time.Sleep(2500 * time.Millisecond)
-	f.Nets[0].Down(true)
+	f.Nets[0].SetDown(true)
 	time.Sleep(outage)
 	log.endOutage()
-	f.Nets[0].Down(false)
+	f.Nets[0].SetDown(false)
 	log.waitFor(clients)
 	cancel()
 	loadDone.Wait()
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -208,7 +208,7 @@
 	arrivals := make([]*rig.Arrivals, coldServers)
 	for k, net := range fleet.Nets {
 		arrivals[k] = &rig.Arrivals{}
-		net.Count(arrivals[k])
+		net.CountArrivals(arrivals[k])
 	}
 	log := &serviceLog{}
 	callers := make([]rig.Caller, plan.clients)
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -101,30 +101,30 @@
 
 func (s *trialServer) newCall(peer *rig.Peer, m trialMethod, chance *rand.Rand, id string) *trialCall {
 	load := s.drawn.Load
-	if load.Fill > 0 {
-		id += "-" + strings.Repeat("x", load.Fill)
+	if load.PaddingBytes > 0 {
+		id += "-" + strings.Repeat("x", load.PaddingBytes)
 	}
 	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, rank: chance.Float64(), life: s.kills.Load()}
 	c.body = rig.Body(id, 0)
 	c.work = min(m.Work*chance.ExpFloat64(), 5*m.Work)
-	if load.Results > 0 {
-		c.result = bytes.Repeat([]byte(id[:1]), load.Results)
+	if load.ResultBytes > 0 {
+		c.result = bytes.Repeat([]byte(id[:1]), load.ResultBytes)
 		copy(c.result, id)
 	}
-	c.fails = chance.Float64() < load.Fails
+	c.fails = chance.Float64() < load.FailShare
 	if m.Effect == string(rpc.Tokened) {
 		c.token = fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())
 	}
-	if chance.Float64() < load.Odd {
+	if chance.Float64() < load.OddShare {
 		c.makeOdd(chance)
 	}
 	now := time.Now()
-	c.recv = now.Add(-seconds64(load.Stale * chance.Float64())).Truncate(time.Millisecond)
+	c.recv = now.Add(-seconds64(load.StaleSeconds * chance.Float64())).Truncate(time.Millisecond)
 	c.due = laterOf(c.recv.Add(c.waits()), now)
-	if chance.Float64() < load.Goes {
+	if chance.Float64() < load.AbandonShare {
 		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
 	}
-	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
+	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.RepeatShare {
 		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(trialSpread))
 	}
 	return c
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -58,15 +58,15 @@
 		kernel.BreakInNotice()
 	case drawn.LinkReset:
 		kernel.ResetLink()
-	case drawn.LinkLossy:
+	case drawn.LinkCutLosingCommands:
 		kernel.BreakLosing(lossyLast)
-	case drawn.LinkLate:
+	case drawn.LinkDelayed:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
-	case drawn.LinkPieces:
+	case drawn.LinkFragmented:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
-	case drawn.LinkDoubled:
+	case drawn.LinkDuplicated:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
-	case drawn.RouterDeaf:
+	case drawn.RouterNotReading:
 		during(func() { s.deafen(true) }, func() { s.deafen(false) })
 	case drawn.RouterReset:
 		for _, p := range s.peers {
@@ -78,11 +78,11 @@
 		}
 	case drawn.Burst:
 		s.burst(f.Size)
-	case drawn.RudeRouter:
+	case drawn.MisbehavingRouter:
 		rude := rig.NewMisbehavingRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
 		time.Sleep(last)
 		rude.Close()
-	case drawn.Silent:
+	case drawn.SilentClients:
 		idle := rig.NewIdleClients(s.program.Address, min(int(s.told.Limits.Sockets)*f.Size/100, maxSilent), 50*time.Millisecond, s.drawn.Seed)
 		time.Sleep(last)
 		idle.Close()
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -19,7 +19,7 @@
 	*trial
 	number  int
 	program *rig.Program
-	net     *rig.Net // between the routers and it
+	net     *rig.FaultProxy // between the routers and it
 	probe   *rig.HealthProbe
 	peers   []*rig.Peer
 	calls   trialCalls
@@ -50,11 +50,11 @@
 	}
 	s.program = program
 	s.probe = rig.NewHealthProbe(program.Address)
-	if s.net, err = rig.NewNet(name, program.Address, t.check); err != nil {
+	if s.net, err = rig.NewFaultProxy(name, program.Address, t.check); err != nil {
 		return nil, err
 	}
-	if t.drawn.Load.Pieces > 0 {
-		s.net.Pieces(t.drawn.Seed)
+	if t.drawn.Load.FragmentBytes > 0 {
+		s.net.FragmentWrites(t.drawn.Seed)
 	}
 	for k := range t.drawn.Load.Routers {
 		form := t.form()
@@ -77,7 +77,7 @@
 // form is how routers write under the settings.
 func (t *trial) form() rig.PeerOptions {
 	return rig.PeerOptions{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
-		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), WriteSize: t.drawn.Load.Pieces}
+		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), WriteSize: t.drawn.Load.FragmentBytes}
 }
 
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -71,7 +71,7 @@
 type trial struct {
 	p          *experimentRun
 	drawn      drawn.Case
-	told       drawn.Told
+	told       drawn.ParsedConfig
 	check      *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
@@ -115,7 +115,7 @@
 }
 
 func (t *trial) prepare() (err error) {
-	if t.told, err = t.drawn.Settings.Told(); err != nil {
+	if t.told, err = t.drawn.Settings.ParsedConfig(); err != nil {
 		return err
 	}
 	if t.folder, err = os.MkdirTemp("", "faults"); err != nil {
--- a/logic/claim/claim_test.go
+++ b/logic/claim/claim_test.go
@@ -334,10 +334,10 @@
 
 func exploreModel(timing Timing, assignmentCount, unitsLeft int, requestsLeft [2]int8, deathsLeft int8,
 	maxStates int) explore.Result {
-	return explore.World[*model]{Begin: newModel(timing, assignmentCount, unitsLeft, requestsLeft,
+	return explore.Model[*model]{Initial: newModel(timing, assignmentCount, unitsLeft, requestsLeft,
 		deathsLeft),
-		Acts: (*model).actions, After: (*model).apply, Key: (*model).key, Wrong: (*model).violation,
-		Tell: (*model).describe}.Walk(maxStates)
+		Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key, Violation: (*model).violation,
+		Describe: (*model).describe}.Walk(maxStates)
 }
 
 var defaultTiming = Timing{Window: window, Lag: 1}
@@ -350,7 +350,7 @@
 		deathsLeft                 int8
 	}
 	all := []bounds{{2, 0, [2]int8{1, 1}, 1}, {2, 1, [2]int8{1, 1}, 0}}
-	if explore.Race {
+	if explore.RaceEnabled {
 		all = all[:1]
 	}
 	for _, one := range all {
@@ -358,8 +358,8 @@
 		r := exploreModel(defaultTiming, one.assignmentCount, one.unitsLeft, one.requestsLeft,
 			one.deathsLeft, 6e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
-		if r.Wrong != "" || !r.Complete {
-			t.Errorf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+		if r.Violation != "" || !r.Complete {
+			t.Errorf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 		}
 	}
 }
@@ -381,8 +381,8 @@
 		timing := defaultTiming
 		timing.Disabled = one.rules
 		r := exploreModel(timing, one.assignmentCount, one.unitsLeft, [2]int8{1, 1}, one.deathsLeft, 2e6)
-		t.Logf("%s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("%s: %s after %d states\n%s", one.what, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("%s: no violation found", one.what)
 		}
 	}
--- a/logic/configlog/stream_explore_test.go
+++ b/logic/configlog/stream_explore_test.go
@@ -259,19 +259,19 @@
 }
 
 func (b streamBounds) explore(maxStates int) explore.Result {
-	return explore.World[streamState]{
-		Begin: streamState{world: b.initialWorld()},
-		Acts:  func(s streamState, into []uint16) []uint16 { return s.world.actions(into) },
-		After: func(s streamState, act uint16) streamState {
+	return explore.Model[streamState]{
+		Initial: streamState{world: b.initialWorld()},
+		Actions: func(s streamState, into []uint16) []uint16 { return s.world.actions(into) },
+		Apply: func(s streamState, act uint16) streamState {
 			next := streamState{world: b.initialWorld(), actions: append(slices.Clip(s.actions), act)}
 			for _, act := range next.actions {
 				next.world.perform(act)
 			}
 			return next
 		},
-		Key:   func(s streamState) uint64 { return s.world.key() },
-		Wrong: func(s streamState) string { return s.world.violation },
-		Tell:  func(s streamState, act uint16) string { return s.world.describe(act) },
+		Key:       func(s streamState) uint64 { return s.world.key() },
+		Violation: func(s streamState) string { return s.world.violation },
+		Describe:  func(s streamState, act uint16) string { return s.world.describe(act) },
 	}.Walk(maxStates)
 }
 
--- a/logic/owner/explore_test.go
+++ b/logic/owner/explore_test.go
@@ -407,9 +407,9 @@
 }
 
 func (b bounds) walk(timing Timing) explore.Result {
-	return explore.World[*state]{Begin: b.initialState(timing), Acts: (*state).events,
-		After: (*state).apply, Key: (*state).key,
-		Wrong: func(s *state) string { return s.violation }, Tell: (*state).describe}.Walk(8e6)
+	return explore.Model[*state]{Initial: b.initialState(timing), Actions: (*state).events,
+		Apply: (*state).apply, Key: (*state).key,
+		Violation: func(s *state) string { return s.violation }, Describe: (*state).describe}.Walk(8e6)
 }
 
 // wideDriftTiming has so much drift that its effects show within quarters of a lease.
@@ -431,7 +431,7 @@
 // selectBounds returns the first two bounds under the race detector, which is slow, and adds the largest
 // with -long.
 func selectBounds(all []bounds) []bounds {
-	if explore.Race {
+	if explore.RaceEnabled {
 		return all[:2]
 	}
 	if *long {
@@ -471,8 +471,8 @@
 			began := time.Now()
 			r := b.walk(wideDriftTiming)
 			t.Logf("%+v: %d states, depth %d, %.1f s", b, r.States, r.Depth, time.Since(began).Seconds())
-			if r.Wrong != "" || !r.Complete {
-				t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+			if r.Violation != "" || !r.Complete {
+				t.Fatalf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 			}
 		})
 	}
@@ -504,8 +504,8 @@
 		timing := wideDriftTiming
 		timing.Disabled = test.rule
 		r := test.walk(timing)
-		t.Logf("without %s: %s, after %d states\n%s", test.description, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("without %s: %s, after %d states\n%s", test.description, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("without %s no violation is found", test.description)
 		}
 	}
--- a/logic/share/share_test.go
+++ b/logic/share/share_test.go
@@ -418,8 +418,8 @@
 	for k := range s.holders {
 		s.startHolder(k, 1)
 	}
-	return explore.World[*model]{Begin: s, Acts: (*model).actions, After: (*model).apply, Key: (*model).key,
-		Wrong: (*model).violation, Tell: (*model).describe}.Walk(maxStates)
+	return explore.Model[*model]{Initial: s, Actions: (*model).actions, Apply: (*model).apply, Key: (*model).key,
+		Violation: (*model).violation, Describe: (*model).describe}.Walk(maxStates)
 }
 
 var modelLease = owner.Lease{Length: 1, Grace: 0.9, Drift: 0.3}
@@ -435,7 +435,7 @@
 		startsLeft, deathsLeft int8
 	}
 	all := []bounds{{[2]int8{1, 1}, 2, 0}, {[2]int8{1, 1}, 3, 0}, {[2]int8{1, 1}, 2, 1}}
-	if explore.Race {
+	if explore.RaceEnabled {
 		all = []bounds{{[2]int8{1, 0}, 2, 0}}
 	}
 	if *long {
@@ -444,8 +444,8 @@
 	for _, one := range all {
 		r := exploreModel(modelLease, one.requestsLeft, one.startsLeft, one.deathsLeft, false, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
-		if r.Wrong != "" || !r.Complete {
-			t.Errorf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+		if r.Violation != "" || !r.Complete {
+			t.Errorf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 		}
 	}
 }
@@ -465,14 +465,14 @@
 		{"counting from the request", owner.FromRequest, [2]int8{1, 1}, 3, 0},
 		{"the wait of a restarted holder for its reserved permits", 0, [2]int8{0, 1}, 3, 1},
 	} {
-		if explore.Race && one.rule != 0 {
+		if explore.RaceEnabled && one.rule != 0 {
 			continue // these take long to find
 		}
 		lease := modelLease
 		lease.Disabled = one.rule
 		r := exploreModel(lease, one.requestsLeft, one.startsLeft, one.deathsLeft, one.rule == 0, 3e6)
-		t.Logf("without %s: %s after %d states\n%s", one.what, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("without %s: %s after %d states\n%s", one.what, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("without %s no violation is found", one.what)
 		}
 	}
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -154,6 +154,6 @@
 func (c *Checker) connected(f *proxiedConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f.countedIn = c.server(f.Net.server).ledger
+	f.countedIn = c.server(f.FaultProxy.serverName).ledger
 	f.countedIn.connections++
 }
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -17,7 +17,7 @@
 type Cluster struct {
 	Check   *Checker
 	History *History
-	Paths   *Paths
+	Paths   *FaultyNetwork
 	plan    Plan
 	dir     string
 	roster  *Roster
@@ -50,7 +50,7 @@
 // Node is one process of a process cluster.
 type Node struct {
 	*Program
-	Net  *Net // for callers
+	Net  *FaultProxy // for callers
 	slot int
 	bare *Process
 	feed func() // ends a starving
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	s := &Cluster{Check: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
-	if s.Paths, err = NewPaths(plan.Seed); err != nil {
+	if s.Paths, err = NewFaultyNetwork(plan.Seed); err != nil {
 		return nil, err
 	}
 	if s.roster, err = NewRoster(); err != nil {
@@ -137,7 +137,7 @@
 	}
 	var all []string
 	for k := range n + s.plan.DeadEnd {
-		all = append(all, s.Paths.Via(k+1).String())
+		all = append(all, s.Paths.AdvertisedAddress(k+1).String())
 	}
 	return all
 }
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	n := &Node{slot: slot}
-	own, via := s.Paths.Own(slot), s.Paths.Via(slot)
+	own, via := s.Paths.ListenAddress(slot), s.Paths.AdvertisedAddress(slot)
 	if s.plan.Bare != nil {
 		n.Program = &Program{Name: name, called: called, check: s.Check}
 		n.bare = &Process{tap: func(line []byte) { s.History.Said(name, line) }}
@@ -171,13 +171,13 @@
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
 			roster: s.roster.Address(), check: s.Check, called: called}
 		n.Program.tap = func(line []byte) { s.History.Said(name, line) }
-		if n.Net, err = NewNet(name, address, s.Check); err != nil {
+		if n.Net, err = NewFaultProxy(name, address, s.Check); err != nil {
 			return nil, err
 		}
 		var laws []string
 		if !s.plan.Off {
 			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
-				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Network().String(), "fleet.socket "+s.Socket(name))
+				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Subnet().String(), "fleet.socket "+s.Socket(name))
 			if s.plan.Zones > 0 {
 				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
 			}
@@ -222,7 +222,7 @@
 	if n.bare == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.Bare(n.called, s.Paths.Own(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
+	cmd := s.plan.Bare(n.called, s.Paths.ListenAddress(n.slot).String(), s.Paths.AdvertisedAddress(n.slot).String(), s.seeds())
 	_, err := n.bare.run(cmd, func(error) {})
 	return err
 }
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -37,9 +37,9 @@
 }
 
 // talk is two sockets with paths between them.
-func talk(t *testing.T) (p *Paths, one, two *net.UDPConn) {
+func talk(t *testing.T) (p *FaultyNetwork, one, two *net.UDPConn) {
 	t.Helper()
-	p, err := NewPaths(1)
+	p, err := NewFaultyNetwork(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		}
 	}
 	open := func(slot int) *net.UDPConn {
-		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.Own(slot)))
+		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.ListenAddress(slot)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,17 +61,17 @@
 }
 
 // arrives counts what comes of n packets sent from one to the other, and gives when the last came.
-func arrives(p *Paths, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
+func arrives(p *FaultyNetwork, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
 	begin := time.Now()
 	for k := range n {
-		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.Via(slot))
+		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.AdvertisedAddress(slot))
 	}
 	b := make([]byte, 100)
 	for {
 		to.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		if _, src, err := to.ReadFromUDPAddrPort(b); err != nil {
 			return got, last
-		} else if src.Addr() != p.Via(3-slot).Addr() {
+		} else if src.Addr() != p.AdvertisedAddress(3-slot).Addr() {
 			return -1, 0 // it does not say who speaks
 		}
 		got, last = got+1, time.Since(begin)
@@ -97,7 +97,7 @@
 		t.Errorf("%d of 200 at a loss of a half", n)
 	}
 	p.Heal()
-	p.Change(1, 2, func(l *Path) { l.Double, l.Delay = 1, 100*time.Millisecond })
+	p.Change(1, 2, func(l *Path) { l.Duplication, l.Delay = 1, 100*time.Millisecond })
 	if n, last := arrives(p, one, two, 2, 50); n != 100 || last < 100*time.Millisecond {
 		t.Errorf("%d of 50 doubled, the last after %v", n, last)
 	}
@@ -111,7 +111,7 @@
 // A stream waits behind a cut, goes on after it, and tells who speaks; to an end where nobody listens it is closed.
 func TestStreams(t *testing.T) {
 	p, _, _ := talk(t)
-	listener, err := net.Listen("tcp", p.Own(2).String())
+	listener, err := net.Listen("tcp", p.ListenAddress(2).String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,8 +132,8 @@
 		}
 	}()
 	dial := func() net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.Own(1).Addr().AsSlice()}}
-		nc, err := d.Dial("tcp", p.Via(2).String())
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.ListenAddress(1).Addr().AsSlice()}}
+		nc, err := d.Dial("tcp", p.AdvertisedAddress(2).String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 	}
 	p.Heal()
 	nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if n, err := nc.Read(b); err != nil || string(b[:n]) != "hello from "+p.Via(1).Addr().String() {
+	if n, err := nc.Read(b); err != nil || string(b[:n]) != "hello from "+p.AdvertisedAddress(1).Addr().String() {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	listener.Close()
--- /dev/null
+++ b/rig/faulty_network.go
@@ -0,0 +1,338 @@
+package rig
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"os"
+	"sync"
+	"time"
+)
+
+// FaultyNetwork forwards UDP packets and TCP streams between processes and injects faults on the way, with separate settings
+// for each ordered pair of processes. Each process listens on and sends from a loopback address of its own and advertises
+// another one, on which FaultyNetwork listens: the two addresses identify sender and receiver.
+type FaultyNetwork struct {
+	subnetOctet int // second octet of the loopback addresses, reserved for this network
+	reservation net.PacketConn
+
+	mu        sync.Mutex
+	endpoints map[int]*endpoint
+	paths     map[[2]int]*Path
+	rand      *rand.Rand
+	group     sync.WaitGroup
+	closed    chan struct{}
+}
+
+// endpoint holds the addresses and the sockets of one process.
+type endpoint struct {
+	slot              int
+	listenAddress     netip.AddrPort // where the process listens and from where it sends
+	advertisedAddress netip.AddrPort // what the process advertises to others
+	packetConn        *net.UDPConn
+	streamListener    *net.TCPListener
+}
+
+// Path holds the faults of one direction between two processes. Its zero value is a path without faults.
+type Path struct {
+	Cut         bool
+	Loss        float64       // share of packets lost; a stream is delayed by 200 ms instead
+	Duplication float64       // share of packets sent twice
+	Delay       time.Duration // the mean, one way
+	Jitter      time.Duration // the largest deviation of a delay from the mean, which may reorder packets
+	Rate        float64       // bytes a second, 0 for unlimited
+	PacketDelay time.Duration // further delay of packets alone: delays gossip but no RPCs
+	freeAt      time.Time     // when the path has sent all bytes so far, under Rate
+}
+
+// fleetPort is the port of all addresses of a network.
+const fleetPort = 7946
+
+// maxSlots is the number of processes that one network has addresses for.
+const maxSlots = 250
+
+// NewFaultyNetwork reserves a part of the loopback network that no other process uses. The seed determines which packets are
+// lost or duplicated and how delays vary. The caller closes the network.
+func NewFaultyNetwork(seed uint64) (*FaultyNetwork, error) {
+	start := os.Getpid()
+	for k := range 200 {
+		octet := 16 + (start+k)%200
+		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", octet, fleetPort))
+		if err == nil {
+			return &FaultyNetwork{subnetOctet: octet, reservation: lock, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
+				rand: rand.New(rand.NewPCG(seed, 7)), closed: make(chan struct{})}, nil
+		}
+	}
+	return nil, errors.New("no part of the loopback network is free")
+}
+
+// addressOf returns an address of a slot: part 1 for the listen address, part 2 for the advertised one.
+func (network *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), byte(part), byte(slot)}), fleetPort)
+}
+
+// ListenAddress returns the address where the process of a slot, from 1, listens.
+func (network *FaultyNetwork) ListenAddress(slot int) netip.AddrPort {
+	return network.addressOf(1, slot)
+}
+
+// AdvertisedAddress returns the address that the process of a slot advertises to others.
+func (network *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort {
+	return network.addressOf(2, slot)
+}
+
+// Subnet returns the loopback subnet of all addresses of this network.
+func (network *FaultyNetwork) Subnet() netip.Prefix {
+	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), 0, 0}), 16)
+}
+
+// Add listens on the advertised address of a slot and forwards what arrives there. A slot that was added before is kept.
+func (network *FaultyNetwork) Add(slot int) error {
+	if slot < 1 || slot > maxSlots {
+		return fmt.Errorf("slot %d is out of range", slot)
+	}
+	network.mu.Lock()
+	exists := network.endpoints[slot] != nil
+	network.mu.Unlock()
+	if exists {
+		return nil // a new process takes over the address of one that has exited
+	}
+	e := &endpoint{slot: slot, listenAddress: network.ListenAddress(slot), advertisedAddress: network.AdvertisedAddress(slot)}
+	var err error
+	if e.packetConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.advertisedAddress)); err != nil {
+		return err
+	}
+	if e.streamListener, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(e.advertisedAddress)); err != nil {
+		e.packetConn.Close()
+		return err
+	}
+	network.mu.Lock()
+	network.endpoints[slot] = e
+	network.mu.Unlock()
+	network.group.Go(func() { network.forwardPackets(e) })
+	network.group.Go(func() { network.acceptStreams(e) })
+	return nil
+}
+
+// Close closes all sockets and waits for all goroutines of the network.
+func (network *FaultyNetwork) Close() {
+	close(network.closed)
+	network.mu.Lock()
+	for _, e := range network.endpoints {
+		e.packetConn.Close()
+		e.streamListener.Close()
+	}
+	network.mu.Unlock()
+	network.reservation.Close()
+	network.group.Wait()
+}
+
+// Change calls f, under the lock, with the faults of the path from one slot to another.
+func (network *FaultyNetwork) Change(from, to int, f func(*Path)) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	f(network.path(from, to))
+}
+
+// Heal removes the faults of all paths.
+func (network *FaultyNetwork) Heal() {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	clear(network.paths)
+}
+
+// path returns the path from one slot to another. The caller holds the lock.
+func (network *FaultyNetwork) path(from, to int) *Path {
+	key := [2]int{from, to}
+	if network.paths[key] == nil {
+		network.paths[key] = &Path{}
+	}
+	return network.paths[key]
+}
+
+// slotOf returns the slot whose process listens on an address, or 0 for none. Processes send from their listen address; what
+// FaultyNetwork forwards comes from an advertised one.
+func (network *FaultyNetwork) slotOf(at netip.Addr) int {
+	buffer := at.Unmap().As4()
+	if int(buffer[1]) != network.subnetOctet || buffer[2] != 1 {
+		return 0
+	}
+	return int(buffer[3])
+}
+
+// transitDelay returns how long a message of size bytes is delayed on a path. The caller holds the lock.
+func (network *FaultyNetwork) transitDelay(path *Path, size int) time.Duration {
+	delay := path.Delay
+	if path.Jitter > 0 {
+		delay += time.Duration((2*network.rand.Float64() - 1) * float64(path.Jitter))
+	}
+	if path.Rate > 0 {
+		now := time.Now()
+		if path.freeAt.Before(now) {
+			path.freeAt = now
+		}
+		path.freeAt = path.freeAt.Add(time.Duration(float64(size) / path.Rate * float64(time.Second)))
+		delay += path.freeAt.Sub(now)
+	}
+	return max(delay, 0)
+}
+
+// maxPacketDelay bounds the queue of a path of limited rate: packets delayed longer are lost, as in a full queue.
+const maxPacketDelay = 2 * time.Second
+
+// forwardPackets forwards the packets to one process until its socket is closed.
+func (network *FaultyNetwork) forwardPackets(to *endpoint) {
+	buffer := make([]byte, 64<<10)
+	for {
+		n, src, err := to.packetConn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue
+		}
+		network.mu.Lock()
+		from := network.endpoints[network.slotOf(src.Addr())]
+		if from == nil {
+			network.mu.Unlock()
+			continue
+		}
+		path := network.path(from.slot, to.slot)
+		copies := 1
+		if path.Duplication > 0 && network.rand.Float64() < path.Duplication {
+			copies = 2
+		}
+		if path.Cut || path.Loss > 0 && network.rand.Float64() < path.Loss {
+			copies = 0
+		}
+		var delays [2]time.Duration
+		for k := range copies {
+			delays[k] = network.transitDelay(path, n) + path.PacketDelay
+		}
+		network.mu.Unlock()
+		for _, delay := range delays[:copies] {
+			switch {
+			case delay == 0:
+				from.packetConn.WriteToUDPAddrPort(buffer[:n], to.listenAddress)
+			case delay <= maxPacketDelay || path.PacketDelay > 0:
+				packet := append([]byte(nil), buffer[:n]...)
+				time.AfterFunc(delay, func() { from.packetConn.WriteToUDPAddrPort(packet, to.listenAddress) })
+			}
+		}
+	}
+}
+
+// acceptStreams accepts connections to one process and forwards each from the advertised address of the process that opened it.
+func (network *FaultyNetwork) acceptStreams(to *endpoint) {
+	for {
+		client, err := to.streamListener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(10 * time.Millisecond)
+			continue
+		}
+		src, _ := netip.ParseAddrPort(client.RemoteAddr().String())
+		network.mu.Lock()
+		from := network.endpoints[network.slotOf(src.Addr())]
+		network.mu.Unlock()
+		if from == nil {
+			client.Close()
+			continue
+		}
+		network.group.Go(func() { network.forwardStream(client, from, to) })
+	}
+}
+
+// streamTimeout is how long a stream waits for a cut path, after which the kernel of a real host would give up the connection.
+const streamTimeout = 20 * time.Second
+
+// awaitPath waits until a path is not cut and returns the delay of size bytes that are sent now. It returns false after
+// streamTimeout, or once the network is closed.
+func (network *FaultyNetwork) awaitPath(from, to *endpoint, size int) (time.Duration, bool) {
+	for end := time.Now().Add(streamTimeout); time.Now().Before(end); {
+		network.mu.Lock()
+		path := network.path(from.slot, to.slot)
+		cut := path.Cut
+		delay := network.transitDelay(path, size)
+		if path.Loss > 0 && network.rand.Float64() < path.Loss {
+			delay += 200 * time.Millisecond // TCP's minimum retransmission timeout
+		}
+		network.mu.Unlock()
+		if !cut {
+			return delay, true
+		}
+		select {
+		case <-network.closed:
+			return 0, false
+		case <-time.After(20 * time.Millisecond):
+		}
+	}
+	return 0, false
+}
+
+// forwardStream forwards one connection in both directions until either ends or the network is closed.
+func (network *FaultyNetwork) forwardStream(client net.Conn, from, to *endpoint) {
+	defer client.Close()
+	stop := make(chan struct{})
+	defer close(stop)
+	network.group.Go(func() {
+		select {
+		case <-network.closed:
+			client.Close()
+		case <-stop:
+		}
+	})
+	// A connection is established once a packet has arrived in each direction.
+	for _, direction := range [][2]*endpoint{{from, to}, {to, from}} {
+		delay, ok := network.awaitPath(direction[0], direction[1], 60)
+		if !ok {
+			return
+		}
+		time.Sleep(delay)
+	}
+	dial := net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: from.advertisedAddress.Addr().AsSlice()}}
+	server, err := dial.Dial("tcp", to.listenAddress.String())
+	if err != nil {
+		if tcp, ok := client.(*net.TCPConn); ok {
+			tcp.SetLinger(0) // reset, as a refused connection
+		}
+		return
+	}
+	defer server.Close()
+	var directions sync.WaitGroup
+	directions.Go(func() { network.copyDirection(client, server, from, to) })
+	directions.Go(func() { network.copyDirection(server, client, to, from) })
+	directions.Wait()
+}
+
+// copyDirection forwards one direction of a connection until it ends.
+func (network *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
+	defer out.Close()
+	buffer := make([]byte, 16<<10)
+	for {
+		n, err := in.Read(buffer)
+		if n > 0 {
+			delay, ok := network.awaitPath(from, to, n)
+			if !ok {
+				return
+			}
+			if delay > 0 {
+				time.Sleep(delay)
+			}
+			if _, err := out.Write(buffer[:n]); err != nil {
+				return
+			}
+		}
+		if err != nil {
+			if tcp, ok := out.(*net.TCPConn); ok && n == 0 {
+				tcp.CloseWrite()
+				time.Sleep(time.Millisecond)
+			}
+			return
+		}
+	}
+}
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -19,7 +19,7 @@
 type judgedProgram struct {
 	*Program
 	check  *Checker
-	net    *Net
+	net    *FaultProxy
 	roster *Roster
 }
 
@@ -61,7 +61,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if p.net, err = NewNet("n1", address, check); err != nil {
+	if p.net, err = NewFaultProxy("n1", address, check); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -160,7 +160,7 @@
 // breakLink puts one fault after the other on the kernel's link.
 func (p *judgedProgram) breakLink(over chan struct{}, seed uint64) {
 	chance := rand.New(rand.NewPCG(seed, 6))
-	p.net.Pieces(seed)
+	p.net.FragmentWrites(seed)
 	for {
 		select {
 		case <-over:
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -129,7 +129,7 @@
 
 // newFlow is a connection with no network.
 func newFlow(server string, check *Checker) *proxiedConnection {
-	f := &proxiedConnection{Net: &Net{server: server, check: check}}
+	f := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: check}}
 	check.connected(f)
 	return f
 }
--- a/rig/program.go
+++ b/rig/program.go
@@ -252,7 +252,7 @@
 type Fleet struct {
 	Check    *Checker
 	Programs []*Program
-	Nets     []*Net
+	Nets     []*FaultProxy
 	Roster   *Roster
 	dir      string
 	end      chan struct{}
@@ -294,7 +294,7 @@
 			return nil, err
 		}
 		f.Programs = append(f.Programs, p)
-		wire, err := NewNet(name, address, check)
+		wire, err := NewFaultProxy(name, address, check)
 		if err != nil {
 			f.Close()
 			return nil, err
--- a/rig/proxied_connection.go
+++ b/rig/proxied_connection.go
@@ -8,7 +8,7 @@
 
 // proxiedConnection is one connection of a client through the faulty network. It identifies the connection to the checker.
 type proxiedConnection struct {
-	*Net
+	*FaultProxy
 	caller, server net.Conn
 	endedLocally   atomic.Bool   // ended by the network or by the caller
 	endedByServer  atomic.Bool   // ended by the app server
