--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -192,7 +192,7 @@
 	if _, err := s.configuration.write(s.path()); err != nil {
 		return cost, err
 	}
-	if err := s.ResetPeak(); err != nil {
+	if err := s.ResetPeakResident(); err != nil {
 		return cost, err
 	}
 	cpu, began := s.CPU(), time.Now()
@@ -203,7 +203,7 @@
 	cost.wallSeconds = time.Since(began).Seconds()
 	time.Sleep(tail)
 	cost.cpuSeconds = (s.CPU() - cpu).Seconds()
-	cost.peakBytes = float64(s.Peak())
+	cost.peakBytes = float64(s.PeakResidentBytes())
 	return cost, nil
 }
 
--- a/rig/launch.go
+++ b/rig/launch.go
@@ -47,14 +47,14 @@
 // clearPeak is what resets the peak of resident memory when it is written to /proc/PID/clear_refs, see proc(5).
 const clearPeak = "5"
 
-// ResetPeak has Peak count from now.
-func (p *Process) ResetPeak() error {
+// ResetPeakResident has Peak count from now.
+func (p *Process) ResetPeakResident() error {
 	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.Pid()), []byte(clearPeak), 0)
 }
 
-// Peak is the most resident memory that the process has taken since its start or the last ResetPeak, in bytes, 0 if that
+// PeakResidentBytes is the most resident memory that the process has taken since its start or the last ResetPeak, in bytes, 0 if that
 // cannot be read.
-func (p *Process) Peak() int64 { return p.statusBytes("VmHWM:") }
+func (p *Process) PeakResidentBytes() int64 { return p.statusBytes("VmHWM:") }
 
 // statusBytes reads a size from the process's status.
 func (p *Process) statusBytes(field string) int64 {
