--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -144,7 +144,7 @@
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
 		s.excused = time.Now().Add(time.Hour) // once is enough
 	}
-	if takes, limit := s.program.Resident(), int64(s.told.Limits.MemoryMB)<<20; takes > limit && !s.over {
+	if takes, limit := s.program.ResidentBytes(), int64(s.told.Limits.MemoryMB)<<20; takes > limit && !s.over {
 		s.over = true
 		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, takes>>20, limit>>20)
 	}
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -131,7 +131,7 @@
 	p.inform("packets.s", float64(after.Packets[0]-before.Packets[0])/span.Seconds())
 	resident := 0.0
 	for _, name := range all {
-		resident += float64(on.Node(name).Resident()-off.Node(name).Resident()) / 1e6 / float64(len(all))
+		resident += float64(on.Node(name).ResidentBytes()-off.Node(name).ResidentBytes()) / 1e6 / float64(len(all))
 	}
 	p.inform("resident.on.top.mb", resident)
 	rest := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == owner || s == on.workers[1].Owner(ownerWindow) })
--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -54,7 +54,7 @@
 		return cost, err
 	}
 	defer s.close()
-	cost.fileBytes, cost.startSeconds, cost.residentBytes = float64(s.fileBytes), s.startSeconds, float64(s.Resident())
+	cost.fileBytes, cost.startSeconds, cost.residentBytes = float64(s.fileBytes), s.startSeconds, float64(s.ResidentBytes())
 	var wall, cpu, peak []float64
 	for range p.changesAtEachSize() {
 		c, err := s.change()
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -253,7 +253,7 @@
 	r.cost.converged = r.members.ConvergedShare(began, time.Now())
 	r.cost.processCore = (r.processCPU() - cpu).Seconds() / took.Seconds() / crowdProcesses
 	for _, name := range processNames() {
-		r.cost.processResident += float64(r.cluster.Node(name).Resident()) / crowdProcesses
+		r.cost.processResident += float64(r.cluster.Node(name).ResidentBytes()) / crowdProcesses
 	}
 	sample, err := r.members.Sample()
 	r.cost.resident = sample.HeapBytes / crowdMembers
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -97,11 +97,11 @@
 		if err := load.connect(n); err != nil {
 			return fmt.Errorf("%d connections: %w", n, err)
 		}
-		silent = append(silent, slope.Point{X: float64(n), Y: float64(s.Resident())})
+		silent = append(silent, slope.Point{X: float64(n), Y: float64(s.ResidentBytes())})
 		if err := load.onEach(); err != nil {
 			return fmt.Errorf("%d connections: %w: %.2000s", n, err, s.Log())
 		}
-		used = append(used, slope.Point{X: float64(n), Y: float64(s.Resident())})
+		used = append(used, slope.Point{X: float64(n), Y: float64(s.ResidentBytes())})
 	}
 	if err := p.series(r, slope.Series{Name: "rpc.connection_bytes.idle", Unit: "B", Against: "connections", Points: silent,
 		Note: "resident memory of the program; the new connections have carried a health check"}); err != nil {
@@ -194,7 +194,7 @@
 	if err := p.rpcSeries(r, s, bare, "tables of "+size.String()+"; program on one core"); err != nil {
 		return err
 	}
-	p.inform("rpc.tables.resident_bytes", float64(s.Resident()))
+	p.inform("rpc.tables.resident_bytes", float64(s.ResidentBytes()))
 	cost, err := s.change()
 	if err != nil {
 		return err
--- a/rig/process.go
+++ b/rig/process.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// Resident is the memory that the process takes, in bytes, 0 if that cannot be read.
-func (p *Process) Resident() int64 { return p.statusBytes("VmRSS:") }
+// ResidentBytes is the memory that the process takes, in bytes, 0 if that cannot be read.
+func (p *Process) ResidentBytes() int64 { return p.statusBytes("VmRSS:") }
 
 // Descriptors is how many file descriptors the process holds, 0 if that cannot be read.
 func (p *Process) Descriptors() int {
--- a/rig/program.go
+++ b/rig/program.go
@@ -313,7 +313,7 @@
 			return
 		case <-time.After(50 * time.Millisecond):
 			for _, p := range f.Programs {
-				takes, limit := p.Resident(), int64(p.site.MemoryMB)<<20
+				takes, limit := p.ResidentBytes(), int64(p.site.MemoryMB)<<20
 				f.mu.Lock()
 				f.peak = max(f.peak, takes)
 				f.mu.Unlock()
