--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -120,7 +120,7 @@
 	for ctx.Err() == nil {
 		s.look()
 		time.Sleep(lookEvery)
-		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/lookEvery) {
+		if waits = append(waits, s.program.RunnableWait()); len(waits) > int(time.Second/lookEvery) {
 			waits = waits[1:]
 		}
 		s.noteWait(waits[len(waits)-1] - waits[0]) // below 0 over a restart
--- a/rig/process.go
+++ b/rig/process.go
@@ -151,8 +151,8 @@
 // CPU is the processor time that the process has taken, finer than the system's clock ticks.
 func (p *Process) CPU() time.Duration { return p.schedule(0) }
 
-// Waited is how long its threads have been ready and had no processor.
-func (p *Process) Waited() time.Duration { return p.schedule(1) }
+// RunnableWait is how long its threads have been ready and had no processor.
+func (p *Process) RunnableWait() time.Duration { return p.schedule(1) }
 
 // schedule sums one word of its threads' schedstat, in nanoseconds.
 func (p *Process) schedule(word int) time.Duration {
