--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -382,10 +382,10 @@
 	}
 	for k := range rounds * 2 {
 		s := []*pressureServer{on, off}[k%2]
-		before := s.Programs[0].CPU()
+		before := s.Programs[0].CPUTime()
 		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Length: time.Second,
 			Prefix: "c" + string(rune('a'+k)), Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
-		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
+		spent[k%2] += (s.Programs[0].CPUTime() - before).Seconds()
 		asked[k%2] += float64(out.Asked)
 	}
 	p.inform("calm.cpu.us", spent[0]/asked[0]*1e6)
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -195,14 +195,14 @@
 	if err := s.ResetPeakResident(); err != nil {
 		return cost, err
 	}
-	cpu, began := s.CPU(), time.Now()
+	cpu, began := s.CPUTime(), time.Now()
 	s.Reload()
 	if err := s.await(reloadWithin, reloaded); err != nil {
 		return cost, err
 	}
 	cost.wallSeconds = time.Since(began).Seconds()
 	time.Sleep(tail)
-	cost.cpuSeconds = (s.CPU() - cpu).Seconds()
+	cost.cpuSeconds = (s.CPUTime() - cpu).Seconds()
 	cost.peakBytes = float64(s.PeakResidentBytes())
 	return cost, nil
 }
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -225,14 +225,14 @@
 			}
 		}
 		for k, rate := range rates {
-			cpu, sent := s.CPU(), through.sent
+			cpu, sent := s.CPUTime(), through.sent
 			added, err := compareLoads(through, bareLoad, rate, p.Seed+uint64(n))
 			if err != nil {
 				return fmt.Errorf("%d connections, %g RPCs a second: %w", n, rate.perSecond, err)
 			}
 			p.say("%d connections, %g RPCs/s: p99 %.2f ms, bare %.2f ms, %d samples", n, rate.perSecond, added.programTail*1e3,
 				added.bareTail*1e3, added.samples)
-			cpus[k] = append(cpus[k], slope.Point{X: float64(n), Y: (s.CPU() - cpu).Seconds() / float64(through.sent-sent)})
+			cpus[k] = append(cpus[k], slope.Point{X: float64(n), Y: (s.CPUTime() - cpu).Seconds() / float64(through.sent-sent)})
 			medians[k] = append(medians[k], slope.Point{X: float64(n), Y: added.median})
 			tails[k] = append(tails[k], slope.Point{X: float64(n), Y: added.tail})
 		}
@@ -318,16 +318,16 @@
 		}
 	}
 	rate := p.changingRate()
-	cpu, began := s.CPU(), time.Now()
+	cpu, began := s.CPUTime(), time.Now()
 	if _, err := playRound(through, bareLoad, rpcRate{meanRate, 1, rate.length / 2}, p.Seed); err != nil {
 		return added, 0, err
 	}
-	quietCore := (s.CPU() - cpu).Seconds() / time.Since(began).Seconds()
+	quietCore := (s.CPUTime() - cpu).Seconds() / time.Since(began).Seconds()
 	end, over := make(chan struct{}), make(chan error, 1)
 	go func() { over <- s.changeUntil(end) }()
-	cpu, began = s.CPU(), time.Now()
+	cpu, began = s.CPUTime(), time.Now()
 	added, err = compareLoads(through, bareLoad, rate, p.Seed+1)
-	core = (s.CPU()-cpu).Seconds()/time.Since(began).Seconds() - quietCore
+	core = (s.CPUTime()-cpu).Seconds()/time.Since(began).Seconds() - quietCore
 	close(end)
 	if changed := <-over; err == nil {
 		err = changed
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -263,7 +263,7 @@
 }
 
 // CPU is the processor time of one process so far.
-func (s *Cluster) CPU(name string) time.Duration { return s.Node(name).process().CPU() }
+func (s *Cluster) CPU(name string) time.Duration { return s.Node(name).process().CPUTime() }
 
 // Close ends all of it.
 func (s *Cluster) Close() {
--- a/rig/logpipe_test.go
+++ b/rig/logpipe_test.go
@@ -18,9 +18,9 @@
 	if err := p.FillLog(); err != nil {
 		t.Fatal(err)
 	}
-	before := p.CPU()
+	before := p.CPUTime()
 	time.Sleep(100 * time.Millisecond)
-	if took := p.CPU() - before; took > 20*time.Millisecond {
+	if took := p.CPUTime() - before; took > 20*time.Millisecond {
 		t.Errorf("it went on for %v", took)
 	}
 	length := len(p.Log())
--- a/rig/process.go
+++ b/rig/process.go
@@ -148,8 +148,8 @@
 	return sync.OnceFunc(func() { close(end); <-over })
 }
 
-// CPU is the processor time that the process has taken, finer than the system's clock ticks.
-func (p *Process) CPU() time.Duration { return p.schedule(0) }
+// CPUTime is the processor time that the process has taken, finer than the system's clock ticks.
+func (p *Process) CPUTime() time.Duration { return p.schedule(0) }
 
 // RunnableWait is how long its threads have been ready and had no processor.
 func (p *Process) RunnableWait() time.Duration { return p.schedule(1) }
--- a/rig/process_health.go
+++ b/rig/process_health.go
@@ -16,12 +16,12 @@
 // Resting returns an error if the process takes more than a share of one core over a quiet second in which nobody asks it for
 // anything. A process that has ended rests.
 func (p *Process) Resting(over time.Duration, most float64) error {
-	before, began := p.CPU(), time.Now()
+	before, began := p.CPUTime(), time.Now()
 	time.Sleep(over)
 	if !p.Running() {
 		return nil
 	}
-	if used := (p.CPU() - before).Seconds() / time.Since(began).Seconds(); used > most {
+	if used := (p.CPUTime() - before).Seconds() / time.Since(began).Seconds(); used > most {
 		return fmt.Errorf("%w: %.2f of a core over %v", ErrSpins, used, over)
 	}
 	return nil
