--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -161,7 +161,7 @@
 	}
 	var err error
 	for range 3 { // work that is left over may take one of them
-		if err = s.program.Resting(trialRest, trialIdle); err == nil {
+		if err = s.program.CheckIdle(trialRest, trialIdle); err == nil {
 			return
 		}
 	}
--- a/rig/process_health.go
+++ b/rig/process_health.go
@@ -13,9 +13,9 @@
 // ErrStopIgnored is wrapped by the errors of processes that do not end on SIGTERM.
 var ErrStopIgnored = errors.New("the process ignores its stop")
 
-// Resting returns an error if the process takes more than a share of one core over a quiet second in which nobody asks it for
+// CheckIdle returns an error if the process takes more than a share of one core over a quiet second in which nobody asks it for
 // anything. A process that has ended rests.
-func (p *Process) Resting(over time.Duration, most float64) error {
+func (p *Process) CheckIdle(over time.Duration, most float64) error {
 	before, began := p.CPUTime(), time.Now()
 	time.Sleep(over)
 	if !p.Running() {
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -18,10 +18,10 @@
 		return p
 	}
 	quiet, spins := start("exec sleep 60"), start("while :; do :; done")
-	if err := quiet.Resting(time.Second, 0.2); err != nil {
+	if err := quiet.CheckIdle(time.Second, 0.2); err != nil {
 		t.Error(err)
 	}
-	if err := spins.Resting(time.Second, 0.2); !errors.Is(err, ErrSpins) {
+	if err := spins.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrSpins) {
 		t.Errorf("%v of a process that spins", err)
 	}
 	ready := make(chan struct{}, 1)
