--- a/rig/process_health.go
+++ b/rig/process_health.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrSpins is wrapped by the errors of processes that use the processor although there is nothing to do.
-var ErrSpins = errors.New("the process uses the processor at rest")
+// ErrBusyAtRest is wrapped by the errors of processes that use the processor although there is nothing to do.
+var ErrBusyAtRest = errors.New("the process uses the processor at rest")
 
 // ErrStopIgnored is wrapped by the errors of processes that do not end on SIGTERM.
 var ErrStopIgnored = errors.New("the process ignores its stop")
@@ -22,7 +22,7 @@
 		return nil
 	}
 	if used := (p.CPUTime() - before).Seconds() / time.Since(began).Seconds(); used > most {
-		return fmt.Errorf("%w: %.2f of a core over %v", ErrSpins, used, over)
+		return fmt.Errorf("%w: %.2f of a core over %v", ErrBusyAtRest, used, over)
 	}
 	return nil
 }
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -21,7 +21,7 @@
 	if err := quiet.CheckIdle(time.Second, 0.2); err != nil {
 		t.Error(err)
 	}
-	if err := spins.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrSpins) {
+	if err := spins.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
 		t.Errorf("%v of a process that spins", err)
 	}
 	ready := make(chan struct{}, 1)
