--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -66,7 +66,7 @@
 
 // playClient is the experiment on the client library.
 func playClient(p *play) error {
-	rig.Prepare()
+	rig.StartSpawner()
 	goroutines, open := runtime.NumGoroutine(), descriptors()
 	var violations violationLog
 	sums := map[string]float64{}
--- a/rig/process.go
+++ b/rig/process.go
@@ -39,8 +39,8 @@
 	return c
 })
 
-// Prepare starts what the rig keeps for as long as this process lives, for those who count what is left of a run.
-func Prepare() { spawns() }
+// StartSpawner starts what the rig keeps for as long as this process lives, for those who count what is left of a run.
+func StartSpawner() { spawns() }
 
 // run starts a command; over is told of its end, in a goroutine of its own.
 func (p *Process) run(cmd *exec.Cmd, over func(error)) (done chan struct{}, err error) {
