--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -15,7 +15,7 @@
 
 var program string
 
-func TestMain(m *testing.M) { rig.Main(m, &program) }
+func TestMain(m *testing.M) { rig.RunTests(m, &program) }
 
 const (
 	lease       = 1500 * time.Millisecond
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -16,7 +16,7 @@
 
 var program string
 
-func TestMain(m *testing.M) { rig.Main(m, &program) }
+func TestMain(m *testing.M) { rig.RunTests(m, &program) }
 
 // startCluster starts five processes of the program and waits until they have found each other. The first two seed
 // addresses of each are dead.
--- a/rig/program.go
+++ b/rig/program.go
@@ -109,8 +109,8 @@
 	return bin, nil
 }
 
-// Main runs a package's tests with the program built for them at the path that is left in program, and ends the process.
-func Main(m interface{ Run() int }, program *string) {
+// RunTests runs a package's tests with the program built for them at the path that is left in program, and ends the process.
+func RunTests(m interface{ Run() int }, program *string) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err == nil {
 		*program, err = Build(dir)
