--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -200,7 +200,7 @@
 		s.paused, s.excused = paused, time.Now()
 		s.mu.Unlock()
 		s.check.Paused(s.program.Name, paused)
-		s.program.Pause(paused)
+		s.program.SetPaused(paused)
 	}
 	set(true)
 	time.Sleep(last)
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -279,7 +279,7 @@
 				return
 			}
 			if n.Program.started() {
-				n.Pause(false)
+				n.SetPaused(false)
 				n.Stop()
 			}
 			n.Kernel.Close()
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -57,9 +57,9 @@
 		return s.start(n)
 	case "stop":
 		s.Check.Paused(n.Name, true)
-		p.Pause(true)
+		p.SetPaused(true)
 	case "cont":
-		p.Pause(false)
+		p.SetPaused(false)
 		s.Check.Paused(n.Name, false)
 	case "starve":
 		period := 100 * time.Millisecond
--- a/rig/process.go
+++ b/rig/process.go
@@ -76,8 +76,8 @@
 	return p.log.String()
 }
 
-// Pause has the system stop the process, or let it go on.
-func (p *Process) Pause(paused bool) {
+// SetPaused has the system stop the process, or let it go on.
+func (p *Process) SetPaused(paused bool) {
 	if paused {
 		p.signal(syscall.SIGSTOP)
 	} else {
@@ -120,7 +120,7 @@
 		defer close(over)
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		defer p.Pause(false)
+		defer p.SetPaused(false)
 		until := func(t time.Time) {
 			// Stopping a child sends signals to its parent, which end the sleep early.
 			for d := time.Until(t); d > 0; d = time.Until(t) {
@@ -135,9 +135,9 @@
 				return
 			default:
 			}
-			p.Pause(false)
+			p.SetPaused(false)
 			until(time.Now().Add(run)) // the part counts from when it began, however late that was
-			p.Pause(true)
+			p.SetPaused(true)
 			next = next.Add(period)
 			if time.Until(next) < 0 {
 				next = time.Now().Add(period - run)
