--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -53,7 +53,7 @@
 	case drawn.KernelHung:
 		during(func() { kernel.Hang(true) }, func() { kernel.Hang(false) })
 	case drawn.KernelSlow:
-		during(func() { kernel.Slow(float64(f.Size)) }, func() { kernel.Slow(1) })
+		during(func() { kernel.SetSlowdown(float64(f.Size)) }, func() { kernel.SetSlowdown(1) })
 	case drawn.LinkCut:
 		kernel.BreakInNotice()
 	case drawn.LinkReset:
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -76,7 +76,7 @@
 		for _, times := range []float64{10, 1} {
 			time.Sleep(1500 * time.Millisecond)
 			for _, name := range t.on.Names() {
-				t.on.Node(name).Kernel.Slow(times)
+				t.on.Node(name).Kernel.SetSlowdown(times)
 			}
 		}
 	})
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -70,8 +70,8 @@
 	return k.address
 }
 
-// Slow makes all work take so many times as long.
-func (k *Kernel) Slow(times float64) {
+// SetSlowdown makes all work take so many times as long.
+func (k *Kernel) SetSlowdown(times float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.pass()
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -162,11 +162,11 @@
 		s := newTestTrial(t, KernelConfig{Preemption: PreemptFreeze, Gauges: gauges})
 		s.sent(tryA, "read", "", nil, 0.05)
 		l := dialKernel(t, s.kernel, 0)
-		s.kernel.Slow(1e6) // it does not end before it is paused
+		s.kernel.SetSlowdown(1e6) // it does not end before it is paused
 		l.sched(tryA, "read", nil)
 		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.hear()
-		s.kernel.Slow(1)
+		s.kernel.SetSlowdown(1)
 		l.say(`{"action":"RESCHED","uid":"%s"}`, tryA)
 		if n := l.hear(); n.Code != "fine" || n.Pos != 2 {
 			t.Errorf("%+v", n)
