--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -51,7 +51,7 @@
 			}
 		})
 	case drawn.KernelHung:
-		during(func() { kernel.Hang(true) }, func() { kernel.Hang(false) })
+		during(func() { kernel.SetHung(true) }, func() { kernel.SetHung(false) })
 	case drawn.KernelSlow:
 		during(func() { kernel.SetSlowdown(float64(f.Size)) }, func() { kernel.SetSlowdown(1) })
 	case drawn.LinkCut:
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -297,9 +297,9 @@
 	var hanging sync.WaitGroup
 	hanging.Go(func() {
 		time.Sleep(p.span(500 * time.Millisecond))
-		s.Programs[0].Kernel.Hang(true)
+		s.Programs[0].Kernel.SetHung(true)
 		time.Sleep(p.span(1500 * time.Millisecond))
-		s.Programs[0].Kernel.Hang(false)
+		s.Programs[0].Kernel.SetHung(false)
 	})
 	run("h", rate/3, p.span(2500*time.Millisecond))
 	hanging.Wait()
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -73,7 +73,7 @@
 		s.Check.Paused(n.Name, false)
 	case "hang", "unhang":
 		if n.bare == nil {
-			n.Kernel.Hang(f.Verb == "hang")
+			n.Kernel.SetHung(f.Verb == "hang")
 		}
 	case "notice":
 		if n.bare == nil {
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -79,8 +79,8 @@
 	k.set()
 }
 
-// Hang stops all work, or lets it go on.
-func (k *Kernel) Hang(hung bool) {
+// SetHung stops all work, or lets it go on.
+func (k *Kernel) SetHung(hung bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.pass()
