--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -111,8 +111,8 @@
 	k.dropLink()
 }
 
-// Boot has the cold start begin now, if there is one.
-func (k *Kernel) Boot() {
+// BeginColdStart has the cold start begin now, if there is one.
+func (k *Kernel) BeginColdStart() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.cold {
--- a/rig/program.go
+++ b/rig/program.go
@@ -165,7 +165,7 @@
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
 	p.check.Up(p.Name)
-	p.Kernel.Boot()
+	p.Kernel.BeginColdStart()
 	_, err := p.run(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
