--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -258,7 +258,7 @@
 	for k := range boots {
 		all.Go(func() {
 			errs[k] = fleet.Programs[k].Start()
-			boots[k] = fleet.Programs[k].Kernel.Began()
+			boots[k] = fleet.Programs[k].Kernel.StartedAt()
 		})
 	}
 	all.Wait()
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Began is when it started.
-func (k *Kernel) Began() time.Time {
+// StartedAt is when it started.
+func (k *Kernel) StartedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.began
