--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -178,7 +178,7 @@
 		case 3:
 			p.Kernel.BreakLosing(50 * time.Millisecond)
 		case 4:
-			p.Kernel.Remark("\"<&>\n")
+			p.Kernel.SendRemark("\"<&>\n")
 		default:
 			p.Kernel.SetLinkFaults(LinkFaults{Pieces: chance.IntN(2) == 0, Doubled: chance.Float64(), Remarks: chance.Float64(),
 				Late: time.Duration(chance.IntN(20)) * time.Millisecond})
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -52,8 +52,8 @@
 // SetLinkFaults changes what is wrong with the link while it goes on, also with the links that follow.
 func (k *Kernel) SetLinkFaults(faults LinkFaults) { k.faults.Store(&faults) }
 
-// Remark gives a DMESG.
-func (k *Kernel) Remark(text string) {
+// SendRemark gives a DMESG.
+func (k *Kernel) SendRemark(text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.number(remark(text))
