--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -55,7 +55,7 @@
 	case drawn.KernelSlow:
 		during(func() { kernel.SetSlowdown(float64(f.Size)) }, func() { kernel.SetSlowdown(1) })
 	case drawn.LinkCut:
-		kernel.BreakInNotice()
+		kernel.BreakLinkInNotice()
 	case drawn.LinkReset:
 		kernel.ResetLink()
 	case drawn.LinkLossy:
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -174,7 +174,7 @@
 		case 1:
 			p.Kernel.ResetLink()
 		case 2:
-			p.Kernel.BreakInNotice()
+			p.Kernel.BreakLinkInNotice()
 		case 3:
 			p.Kernel.BreakLosing(50 * time.Millisecond)
 		case 4:
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -16,7 +16,7 @@
 	s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard, Seed: 3})
 	s.sent(tryA, "read", "", nil, 0)
 	l := dialKernel(t, s.kernel, 0)
-	s.kernel.BreakInNotice()
+	s.kernel.BreakLinkInNotice()
 	l.sched(tryA, "read", nil)
 	part, err := l.line()
 	if err == nil || part == "" || !strings.HasPrefix(`{"action":"REAP","pos":1,"uid":"`+tryA+`","code":"fine"`, part[:min(len(part), 30)]) {
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// BreakInNotice ends the link in the middle of the next notice.
-func (k *Kernel) BreakInNotice() {
+// BreakLinkInNotice ends the link in the middle of the next notice.
+func (k *Kernel) BreakLinkInNotice() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cutNext = true
