--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -59,7 +59,7 @@
 	case drawn.LinkReset:
 		kernel.ResetLink()
 	case drawn.LinkLossy:
-		kernel.BreakLosing(lossyLast)
+		kernel.BreakLinkLosingCommands(lossyLast)
 	case drawn.LinkLate:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkPieces:
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -176,7 +176,7 @@
 		case 2:
 			p.Kernel.BreakLinkInNotice()
 		case 3:
-			p.Kernel.BreakLosing(50 * time.Millisecond)
+			p.Kernel.BreakLinkLosingCommands(50 * time.Millisecond)
 		case 4:
 			p.Kernel.SendRemark("\"<&>\n")
 		default:
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -34,7 +34,7 @@
 	s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard, Gauges: []string{"on_cores"}})
 	s.sent(tryA, "read", "", nil, 3600)
 	l := dialKernel(t, s.kernel, 0)
-	s.kernel.BreakLosing(50 * time.Millisecond)
+	s.kernel.BreakLinkLosingCommands(50 * time.Millisecond)
 	l.sched(tryA, "read", nil)
 	l.closed()
 	again := dialKernel(t, s.kernel, 0)
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -83,8 +83,8 @@
 	k.cutNext = true
 }
 
-// BreakLosing breaks the link after a time, and none of the commands that come on it until then is carried out.
-func (k *Kernel) BreakLosing(last time.Duration) {
+// BreakLinkLosingCommands breaks the link after a time, and none of the commands that come on it until then is carried out.
+func (k *Kernel) BreakLinkLosingCommands(last time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	link := k.link
