--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -63,7 +63,7 @@
 	case drawn.LinkLate:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkPieces:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
+		during(s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = true }), s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = false }))
 	case drawn.LinkDoubled:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
 	case drawn.RouterDeaf:
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -10,10 +10,10 @@
 
 // LinkFaults is what is wrong with a kernel's link while it goes on. The zero value is a good link.
 type LinkFaults struct {
-	Pieces  bool          // lines come in pieces of any length
-	Doubled float64       // share of notices that come twice under the same number
-	Remarks float64       // share of notices before which a DMESG is given
-	Late    time.Duration // lines come so much later, in their order
+	FragmentLines bool          // lines come in pieces of any length
+	Doubled       float64       // share of notices that come twice under the same number
+	Remarks       float64       // share of notices before which a DMESG is given
+	Late          time.Duration // lines come so much later, in their order
 }
 
 // pieceGap lies between two pieces of a line, so that they are read apart.
@@ -111,7 +111,7 @@
 func (l *kernelLink) writeLine(text []byte) bool {
 	for len(text) > 0 {
 		size := len(text)
-		if l.faults.Load().Pieces {
+		if l.faults.Load().FragmentLines {
 			size = 1 + l.chance.IntN(len(text))
 		}
 		if _, err := l.nc.Write(text[:size]); err != nil {
