--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -10,10 +10,10 @@
 
 // LinkFaults is what is wrong with a kernel's link while it goes on. The zero value is a good link.
 type LinkFaults struct {
-	FragmentLines bool          // lines come in pieces of any length
-	Doubled       float64       // share of notices that come twice under the same number
-	Remarks       float64       // share of notices before which a DMESG is given
-	Late          time.Duration // lines come so much later, in their order
+	FragmentLines  bool          // lines come in pieces of any length
+	DuplicateShare float64       // share of notices that come twice under the same number
+	Remarks        float64       // share of notices before which a DMESG is given
+	Late           time.Duration // lines come so much later, in their order
 }
 
 // pieceGap lies between two pieces of a line, so that they are read apart.
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -37,7 +37,7 @@
 		return
 	}
 	k.say(line)
-	if k.chance.Float64() < k.faults.Load().Doubled {
+	if k.chance.Float64() < k.faults.Load().DuplicateShare {
 		k.say(line)
 	}
 }
