--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -65,7 +65,7 @@
 	case drawn.LinkPieces:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = true }), s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = false }))
 	case drawn.LinkDoubled:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.DuplicateShare, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.DuplicateShare, l.Remarks = 0, 0 }))
+		during(s.linkFault(func(l *rig.LinkFaults) { l.DuplicateShare, l.RemarkShare = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.DuplicateShare, l.RemarkShare = 0, 0 }))
 	case drawn.RouterDeaf:
 		during(func() { s.deafen(true) }, func() { s.deafen(false) })
 	case drawn.RouterReset:
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -180,7 +180,7 @@
 		case 4:
 			p.Kernel.SendRemark("\"<&>\n")
 		default:
-			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: chance.IntN(2) == 0, DuplicateShare: chance.Float64(), Remarks: chance.Float64(),
+			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: chance.IntN(2) == 0, DuplicateShare: chance.Float64(), RemarkShare: chance.Float64(),
 				Late: time.Duration(chance.IntN(20)) * time.Millisecond})
 		}
 	}
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -12,7 +12,7 @@
 type LinkFaults struct {
 	FragmentLines  bool          // lines come in pieces of any length
 	DuplicateShare float64       // share of notices that come twice under the same number
-	Remarks        float64       // share of notices before which a DMESG is given
+	RemarkShare    float64       // share of notices before which a DMESG is given
 	Late           time.Duration // lines come so much later, in their order
 }
 
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -11,7 +11,7 @@
 
 // notify gives the next notice, with what is wrong with the link.
 func (k *Kernel) notify(notice func(pos int) string) {
-	if k.chance.Float64() < k.faults.Load().Remarks {
+	if k.chance.Float64() < k.faults.Load().RemarkShare {
 		k.number(remark("nothing to be said"))
 	}
 	k.number(notice)
