--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -61,7 +61,7 @@
 	case drawn.LinkLossy:
 		kernel.BreakLinkLosingCommands(lossyLast)
 	case drawn.LinkLate:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
+		during(s.linkFault(func(l *rig.LinkFaults) { l.Delay = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Delay = 0 }))
 	case drawn.LinkPieces:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = true }), s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = false }))
 	case drawn.LinkDoubled:
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -181,7 +181,7 @@
 			p.Kernel.SendRemark("\"<&>\n")
 		default:
 			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: chance.IntN(2) == 0, DuplicateShare: chance.Float64(), RemarkShare: chance.Float64(),
-				Late: time.Duration(chance.IntN(20)) * time.Millisecond})
+				Delay: time.Duration(chance.IntN(20)) * time.Millisecond})
 		}
 	}
 }
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -101,7 +101,7 @@
 
 // Notices in pieces, doubled and with remarks between come in their order and whole, the same again from the same seed.
 func TestKernelLinkFaults(t *testing.T) {
-	faults := LinkFaults{FragmentLines: true, DuplicateShare: 0.4, RemarkShare: 0.4, Late: 5 * time.Millisecond}
+	faults := LinkFaults{FragmentLines: true, DuplicateShare: 0.4, RemarkShare: 0.4, Delay: 5 * time.Millisecond}
 	lines := playFaults(t, 9, faults)
 	pos, reaped, doubled, remarks := 0, 0, 0, 0
 	for _, line := range lines {
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -13,7 +13,7 @@
 	FragmentLines  bool          // lines come in pieces of any length
 	DuplicateShare float64       // share of notices that come twice under the same number
 	RemarkShare    float64       // share of notices before which a DMESG is given
-	Late           time.Duration // lines come so much later, in their order
+	Delay          time.Duration // lines come so much later, in their order
 }
 
 // pieceGap lies between two pieces of a line, so that they are read apart.
@@ -48,7 +48,7 @@
 
 // send puts a line in the queue.
 func (l *kernelLink) send(text []byte, last bool) {
-	line := linkLine{text: text, from: time.Now().Add(l.faults.Load().Late), last: last}
+	line := linkLine{text: text, from: time.Now().Add(l.faults.Load().Delay), last: last}
 	l.mu.Lock()
 	l.lines = append(l.lines, line)
 	l.mu.Unlock()
