--- a/rig/kernel_config.go
+++ b/rig/kernel_config.go
@@ -21,7 +21,7 @@
 	// Memory is what may be booked, nothing for no limit.
 	Memory BookedMemory
 	// Crowding is how many runs the cores bear, nothing for any number.
-	Crowding Crowding
+	Crowding OverloadLimit
 	Cold     ColdStart
 	Seed     uint64   // of everything that is left to chance
 	Backend  *Backend // what runs reach, nil for nothing
@@ -34,9 +34,9 @@
 	RunFactor float64
 }
 
-// Crowding is how many runs may be on the cores at once: so many times the cores at full speed, one each at no speed at all,
+// OverloadLimit is how many runs may be on the cores at once: so many times the cores at full speed, one each at no speed at all,
 // in the mean over a window. The zero value is no limit.
-type Crowding struct {
+type OverloadLimit struct {
 	Factor float64       // overloadFactor
 	Window time.Duration // fallS
 }
