--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -157,7 +157,7 @@
 	domain, rules := t.told.Settings.Domain, t.told.Settings.Rules
 	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1), Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
 		Gauges: domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
-		Crowding: rig.OverloadLimit{Factor: rules.OverloadFactor, Window: seconds64(rules.FallS)}, Seed: t.drawn.Seed + uint64(number)<<32,
+		Overload: rig.OverloadLimit{Factor: rules.OverloadFactor, Window: seconds64(rules.FallS)}, Seed: t.drawn.Seed + uint64(number)<<32,
 		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: seconds64(rules.RampTimeS), Window: seconds64(rules.FallS)}}
 	for _, m := range t.drawn.Settings.Methods {
 		config.Methods = append(config.Methods, m.Name)
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -38,7 +38,7 @@
 	check := NewChecker(programSlack)
 	terms := Terms{Methods: map[string]MethodTerms{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
-		Crowding: OverloadLimit{5, 1500 * time.Millisecond}, Seed: seed}
+		Overload: OverloadLimit{5, 1500 * time.Millisecond}, Seed: seed}
 	for _, m := range site.Methods {
 		config.Methods = append(config.Methods, m.Name)
 		terms.Methods[m.Name] = MethodTerms{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
--- a/rig/kernel_config.go
+++ b/rig/kernel_config.go
@@ -20,8 +20,8 @@
 	Gauges []string
 	// Memory is what may be booked, nothing for no limit.
 	Memory BookedMemory
-	// Crowding is how many runs the cores bear, nothing for any number.
-	Crowding OverloadLimit
+	// Overload is how many runs the cores bear, nothing for any number.
+	Overload OverloadLimit
 	Cold     ColdStart
 	Seed     uint64   // of everything that is left to chance
 	Backend  *Backend // what runs reach, nil for nothing
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -76,7 +76,7 @@
 	} else {
 		u.steps = append(u.steps, usageStep{now.Add(-span), now, runs})
 	}
-	oldest := now.Add(-max(useWindow, config.Crowding.Window))
+	oldest := now.Add(-max(useWindow, config.Overload.Window))
 	u.steps = slices.DeleteFunc(u.steps, func(s usageStep) bool { return s.to.Before(oldest) })
 }
 
@@ -99,7 +99,7 @@
 
 // judgeCrowding finds more runs on the cores than they bear, in the mean over the window of the settings.
 func (k *Kernel) judgeCrowding(now time.Time) {
-	c := k.config.Crowding
+	c := k.config.Overload
 	if c.Factor <= 0 || c.Window <= 0 || k.crowded {
 		return
 	}
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -228,7 +228,7 @@
 		what   string
 	}{
 		"memory": {KernelConfig{Memory: BookedMemory{KB: 70, RunFactor: 4}}, "KB"},
-		"cores":  {KernelConfig{Cores: 2, Crowding: OverloadLimit{Factor: 0.4, Window: 50 * time.Millisecond}}, "on the cores"},
+		"cores":  {KernelConfig{Cores: 2, Overload: OverloadLimit{Factor: 0.4, Window: 50 * time.Millisecond}}, "on the cores"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			one.config.Gauges = []string{}
