--- a/rig/program.go
+++ b/rig/program.go
@@ -18,21 +18,21 @@
 
 // Site is what a fleet's app servers are told.
 type Site struct {
-	Cores    int
-	MemoryMB int // the process's limit
-	Sockets  int
-	Stop     time.Duration
-	Grace    time.Duration
-	Callers  int
-	Methods  []SiteMethod
-	Marks    bool // callers mark further tries
-	MaxAfter float64
-	Extra    map[string]any // over settings.domain, as it is
-	Args     []string       // of the program
-	Limit    float64        // cores that it is told it may use, 1 if it is 0
-	OneCore  bool           // the program uses one core, as on the platform
-	Cold     ColdStart      // of app servers that are restarted
-	Kill     bool           // a program over its memory is killed, as the platform does, and that is no violation
+	Cores       int
+	MemoryMB    int // the process's limit
+	Sockets     int
+	StopTimeout time.Duration
+	Grace       time.Duration
+	Callers     int
+	Methods     []SiteMethod
+	Marks       bool // callers mark further tries
+	MaxAfter    float64
+	Extra       map[string]any // over settings.domain, as it is
+	Args        []string       // of the program
+	Limit       float64        // cores that it is told it may use, 1 if it is 0
+	OneCore     bool           // the program uses one core, as on the platform
+	Cold        ColdStart      // of app servers that are restarted
+	Kill        bool           // a program over its memory is killed, as the platform does, and that is no violation
 }
 
 // rules are the settings' figures of the rules.
@@ -214,7 +214,7 @@
 		domain[k] = v
 	}
 	return json.Marshal(map[string]any{"name": cmp.Or(p.called, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
-		"stop_ms": site.Stop.Milliseconds(),
+		"stop_ms": site.StopTimeout.Milliseconds(),
 		"limits":  map[string]any{"cores": cmp.Or(site.Limit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
 			"rules":    site.rules(),
@@ -232,7 +232,7 @@
 
 // Notice tells it to leave; Wait is for its end.
 func (p *Program) Notice() {
-	p.check.Notice(p.Name, p.site.Grace, p.site.Stop)
+	p.check.Notice(p.Name, p.site.Grace, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
@@ -242,7 +242,7 @@
 	select {
 	case <-p.ended():
 		return nil
-	case <-time.After(p.site.Stop + 5*time.Second):
+	case <-time.After(p.site.StopTimeout + 5*time.Second):
 		p.Kill()
 		return errors.New(p.Name + " did not end by itself")
 	}
