--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -71,7 +71,7 @@
 // site is what the rig itself goes by.
 func (t *trial) site() rig.Site {
 	return rig.Site{MemoryMB: int(t.told.Limits.MemoryMB), Sockets: int(t.told.Limits.Sockets),
-		StopTimeout: seconds64(t.told.StopMS / 1000), Grace: seconds64(t.told.Settings.Rules.StopSendingWithinS), OneCore: true}
+		StopTimeout: seconds64(t.told.StopMS / 1000), GracePeriod: seconds64(t.told.Settings.Rules.StopSendingWithinS), OneCore: true}
 }
 
 // form is how routers write under the settings.
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -27,7 +27,7 @@
 // fleetSite is a site whose processes are given little to do, so that what is seen is what the faults did.
 func fleetSite() rig.Site {
 	site := tillSite(4, 30)
-	site.StopTimeout, site.Grace = 1800*time.Millisecond, time.Second
+	site.StopTimeout, site.GracePeriod = 1800*time.Millisecond, time.Second
 	return site
 }
 
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -37,7 +37,7 @@
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
 			"fleet.floor 1 " + strings.Join(names, " ")},
-		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, Grace: time.Second, Callers: 1,
+		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.8, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site := Site{Cores: 2, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, Grace: time.Second, Callers: 4,
+	site := Site{Cores: 2, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 4,
 		Methods: []SiteMethod{{Name: "read <&> \"x\"", Kind: "retryable", Target: 0.5, Deadline: 1, Criticality: 1},
 			{Name: "write", Kind: "dedup", Target: 0.5, Deadline: 1, Window: 5, Criticality: 2},
 			{Name: "ü", Kind: "fragile", Target: 0.5, Deadline: 1, Criticality: 3}},
--- a/rig/program.go
+++ b/rig/program.go
@@ -22,7 +22,7 @@
 	MemoryMB    int // the process's limit
 	Sockets     int
 	StopTimeout time.Duration
-	Grace       time.Duration
+	GracePeriod time.Duration
 	Callers     int
 	Methods     []SiteMethod
 	Marks       bool // callers mark further tries
@@ -37,7 +37,7 @@
 
 // rules are the settings' figures of the rules.
 func (s Site) rules() map[string]any {
-	rules := map[string]any{"overloadFactor": 5, "stopSendingWithinS": s.Grace.Seconds()}
+	rules := map[string]any{"overloadFactor": 5, "stopSendingWithinS": s.GracePeriod.Seconds()}
 	if s.Cold.Window > 0 {
 		rules["startCapacity"], rules["rampTimeS"] = s.Cold.Capacity, s.Cold.Ramp.Seconds()
 		rules["fallS"] = s.Cold.Window.Seconds()
@@ -232,7 +232,7 @@
 
 // Notice tells it to leave; Wait is for its end.
 func (p *Program) Notice() {
-	p.check.Notice(p.Name, p.site.Grace, p.site.StopTimeout)
+	p.check.Notice(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
