--- a/rig/program.go
+++ b/rig/program.go
@@ -25,7 +25,7 @@
 	GracePeriod time.Duration
 	Callers     int
 	Methods     []SiteMethod
-	Marks       bool // callers mark further tries
+	MarksRetry  bool // callers mark further tries
 	MaxAfter    float64
 	Extra       map[string]any // over settings.domain, as it is
 	Args        []string       // of the program
@@ -218,7 +218,7 @@
 		"limits":  map[string]any{"cores": cmp.Or(site.Limit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
 			"rules":    site.rules(),
-			"clients":  map[string]any{"marksRetry": site.Marks},
+			"clients":  map[string]any{"marksRetry": site.MarksRetry},
 			"ceilings": map[string]any{"retryAfter": site.MaxAfter > 0, "maxRetryAfterS": site.MaxAfter}}})
 }
 
