--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -41,7 +41,7 @@
 func shopSite(deadline time.Duration) rig.Site {
 	d := deadline.Seconds()
 	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 16, MarksRetry: true,
-		MaxAfter: 5, Methods: []rig.SiteMethod{
+		MaxRetryAfterSeconds: 5, Methods: []rig.SiteMethod{
 			{Name: "lookup", Kind: string(rpc.Idempotent), Target: d / 2, Deadline: d, Criticality: 1},
 			{Name: "record", Kind: string(rpc.Tokened), Target: d / 2, Deadline: d, Window: 60, Criticality: 5},
 			{Name: "notify", Kind: string(rpc.NonIdempotent), Target: d / 2, Deadline: d, Criticality: 2}}}
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -39,7 +39,7 @@
 		methods = append(methods, m)
 	}
 	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 8, OneCore: true,
-		MaxAfter: 2, Methods: methods}
+		MaxRetryAfterSeconds: 2, Methods: methods}
 }
 
 // writeSettings writes a settings file and returns the arguments that name it.
--- a/rig/program.go
+++ b/rig/program.go
@@ -18,21 +18,21 @@
 
 // Site is what a fleet's app servers are told.
 type Site struct {
-	Cores       int
-	MemoryMB    int // the process's limit
-	Sockets     int
-	StopTimeout time.Duration
-	GracePeriod time.Duration
-	Callers     int
-	Methods     []SiteMethod
-	MarksRetry  bool // callers mark further tries
-	MaxAfter    float64
-	Extra       map[string]any // over settings.domain, as it is
-	Args        []string       // of the program
-	Limit       float64        // cores that it is told it may use, 1 if it is 0
-	OneCore     bool           // the program uses one core, as on the platform
-	Cold        ColdStart      // of app servers that are restarted
-	Kill        bool           // a program over its memory is killed, as the platform does, and that is no violation
+	Cores                int
+	MemoryMB             int // the process's limit
+	Sockets              int
+	StopTimeout          time.Duration
+	GracePeriod          time.Duration
+	Callers              int
+	Methods              []SiteMethod
+	MarksRetry           bool // callers mark further tries
+	MaxRetryAfterSeconds float64
+	Extra                map[string]any // over settings.domain, as it is
+	Args                 []string       // of the program
+	Limit                float64        // cores that it is told it may use, 1 if it is 0
+	OneCore              bool           // the program uses one core, as on the platform
+	Cold                 ColdStart      // of app servers that are restarted
+	Kill                 bool           // a program over its memory is killed, as the platform does, and that is no violation
 }
 
 // rules are the settings' figures of the rules.
@@ -219,7 +219,7 @@
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
 			"rules":    site.rules(),
 			"clients":  map[string]any{"marksRetry": site.MarksRetry},
-			"ceilings": map[string]any{"retryAfter": site.MaxAfter > 0, "maxRetryAfterS": site.MaxAfter}}})
+			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0, "maxRetryAfterS": site.MaxRetryAfterSeconds}}})
 }
 
 // Kill ends it outright, with its kernel's runs, and waits for its end.
