--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -34,7 +34,7 @@
 		Methods: []SiteMethod{{Name: "read <&> \"x\"", Kind: "retryable", Target: 0.5, Deadline: 1, Criticality: 1},
 			{Name: "write", Kind: "dedup", Target: 0.5, Deadline: 1, Window: 5, Criticality: 2},
 			{Name: "ü", Kind: "fragile", Target: 0.5, Deadline: 1, Criticality: 3}},
-		Extra: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
+		DomainOverrides: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
 	terms := Terms{Methods: map[string]MethodTerms{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
--- a/rig/program.go
+++ b/rig/program.go
@@ -27,7 +27,7 @@
 	Methods              []SiteMethod
 	MarksRetry           bool // callers mark further tries
 	MaxRetryAfterSeconds float64
-	Extra                map[string]any // over settings.domain, as it is
+	DomainOverrides      map[string]any // over settings.domain, as it is
 	Args                 []string       // of the program
 	Limit                float64        // cores that it is told it may use, 1 if it is 0
 	OneCore              bool           // the program uses one core, as on the platform
@@ -210,7 +210,7 @@
 	site := p.site
 	domain := map[string]any{"below": "none", "nCores": site.Cores, "memoryKb": 64000, "runFactor": 4, "entryKb": 1,
 		"keepaliveMaxS": 30, "callers": site.Callers, "preemption": "discard", "signal": "allowance", "ownStats": []string{}}
-	for k, v := range site.Extra {
+	for k, v := range site.DomainOverrides {
 		domain[k] = v
 	}
 	return json.Marshal(map[string]any{"name": cmp.Or(p.called, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
