--- a/rig/program.go
+++ b/rig/program.go
@@ -29,7 +29,7 @@
 	MaxRetryAfterSeconds float64
 	DomainOverrides      map[string]any // over settings.domain, as it is
 	Args                 []string       // of the program
-	Limit                float64        // cores that it is told it may use, 1 if it is 0
+	CoreLimit            float64        // cores that it is told it may use, 1 if it is 0
 	OneCore              bool           // the program uses one core, as on the platform
 	Cold                 ColdStart      // of app servers that are restarted
 	Kill                 bool           // a program over its memory is killed, as the platform does, and that is no violation
@@ -215,7 +215,7 @@
 	}
 	return json.Marshal(map[string]any{"name": cmp.Or(p.called, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
 		"stop_ms": site.StopTimeout.Milliseconds(),
-		"limits":  map[string]any{"cores": cmp.Or(site.Limit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
+		"limits":  map[string]any{"cores": cmp.Or(site.CoreLimit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
 			"rules":    site.rules(),
 			"clients":  map[string]any{"marksRetry": site.MarksRetry},
