--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -227,7 +227,7 @@
 			return l, err
 		}
 		site := tillSite(64, 2*1200)
-		site.MemoryMB, site.Kill = limit, true
+		site.MemoryMB, site.KillOverMemory = limit, true
 		s, err := p.startPressureServer(site, args, time.Second, 4)
 		if err != nil {
 			return l, err
--- a/rig/program.go
+++ b/rig/program.go
@@ -32,7 +32,7 @@
 	CoreLimit            float64        // cores that it is told it may use, 1 if it is 0
 	OneCore              bool           // the program uses one core, as on the platform
 	Cold                 ColdStart      // of app servers that are restarted
-	Kill                 bool           // a program over its memory is killed, as the platform does, and that is no violation
+	KillOverMemory       bool           // a program over its memory is killed, as the platform does, and that is no violation
 }
 
 // rules are the settings' figures of the rules.
@@ -319,7 +319,7 @@
 				f.mu.Unlock()
 				switch {
 				case takes <= limit:
-				case p.site.Kill && p.Running():
+				case p.site.KillOverMemory && p.Running():
 					f.mu.Lock()
 					f.killed++
 					f.mu.Unlock()
