--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -42,9 +42,9 @@
 	d := deadline.Seconds()
 	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 16, MarksRetry: true,
 		MaxRetryAfterSeconds: 5, Methods: []rig.SiteMethod{
-			{Name: "lookup", Kind: string(rpc.Idempotent), Target: d / 2, Deadline: d, Criticality: 1},
-			{Name: "record", Kind: string(rpc.Tokened), Target: d / 2, Deadline: d, Window: 60, Criticality: 5},
-			{Name: "notify", Kind: string(rpc.NonIdempotent), Target: d / 2, Deadline: d, Criticality: 2}}}
+			{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: d / 2, Deadline: d, Criticality: 1},
+			{Name: "record", Kind: string(rpc.Tokened), LatencyTarget: d / 2, Deadline: d, Window: 60, Criticality: 5},
+			{Name: "notify", Kind: string(rpc.NonIdempotent), LatencyTarget: d / 2, Deadline: d, Criticality: 2}}}
 }
 
 func kindsOf(shares []rig.Share) map[string]rpc.Kind {
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -32,7 +32,7 @@
 func tillSite(cores int, window float64) rig.Site {
 	methods := []rig.SiteMethod{}
 	for _, s := range till(0, time.Second) {
-		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
+		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), LatencyTarget: 0.8, Deadline: 1, Criticality: s.Criticality}
 		if s.Kind == rpc.Tokened {
 			m.Window = window
 		}
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -72,7 +72,7 @@
 	plan.Site.Cores = 24
 	plan.Site.Methods = nil
 	for _, s := range sharedLoad() {
-		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
+		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), LatencyTarget: 0.8, Deadline: 1, Criticality: s.Criticality}
 		if s.Kind == rpc.Tokened {
 			m.Window = 30
 		}
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -83,7 +83,7 @@
 	settings = append(settings, "fleet.config-distributors "+strings.Join(f.distributors, " "))
 	s, err := rig.NewCluster(rig.Plan{Program: p.Program, Names: names, Slack: time.Second, Seed: p.Seed, Folders: names, Laws: settings,
 		Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSockets, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
+			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		return nil, err
 	}
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -57,7 +57,7 @@
 			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2",
 			"fleet.config-age " + configStaleAfter.String()},
 		Site: rig.Site{Cores: 1, MemoryMB: 96, Sockets: 512, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5,
+			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.5,
 				Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -46,7 +46,7 @@
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
 			"fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
+			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -38,7 +38,7 @@
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
 			"fleet.floor 1 " + strings.Join(names, " ")},
 		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.8, Deadline: 1, Criticality: 1}}}})
+			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.8, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -27,7 +27,7 @@
 	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Seeds: 2, DeadEnd: 2, Slack: time.Second, Seed: 1,
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, StopTimeout: 1500 * time.Millisecond, GracePeriod: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "enter", Kind: string(rpc.NonIdempotent),
-				Target: 0.5, Deadline: 1, Criticality: 1}}}})
+				LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -31,9 +31,9 @@
 		t.Fatal(err)
 	}
 	site := Site{Cores: 2, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 4,
-		Methods: []SiteMethod{{Name: "read <&> \"x\"", Kind: "retryable", Target: 0.5, Deadline: 1, Criticality: 1},
-			{Name: "write", Kind: "dedup", Target: 0.5, Deadline: 1, Window: 5, Criticality: 2},
-			{Name: "ü", Kind: "fragile", Target: 0.5, Deadline: 1, Criticality: 3}},
+		Methods: []SiteMethod{{Name: "read <&> \"x\"", Kind: "retryable", LatencyTarget: 0.5, Deadline: 1, Criticality: 1},
+			{Name: "write", Kind: "dedup", LatencyTarget: 0.5, Deadline: 1, Window: 5, Criticality: 2},
+			{Name: "ü", Kind: "fragile", LatencyTarget: 0.5, Deadline: 1, Criticality: 3}},
 		DomainOverrides: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
 	terms := Terms{Methods: map[string]MethodTerms{}}
--- a/rig/program.go
+++ b/rig/program.go
@@ -47,12 +47,12 @@
 
 // SiteMethod is one method, in the platform's words.
 type SiteMethod struct {
-	Name        string  `json:"name"`
-	Kind        string  `json:"idempotency"`
-	Target      float64 `json:"onTimeS"`
-	Deadline    float64 `json:"deadlineS"`
-	Window      float64 `json:"windowS,omitempty"`
-	Criticality float64 `json:"worth"`
+	Name          string  `json:"name"`
+	Kind          string  `json:"idempotency"`
+	LatencyTarget float64 `json:"onTimeS"`
+	Deadline      float64 `json:"deadlineS"`
+	Window        float64 `json:"windowS,omitempty"`
+	Criticality   float64 `json:"worth"`
 }
 
 // Program is one app server: the real program as a process, its kernel a stand-in.
