--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -185,7 +185,7 @@
 	s.leaving = true
 	s.mu.Unlock()
 	if s.told.StopMS > longestStop.Seconds()*1000 {
-		s.program.Notice()
+		s.program.RequestShutdown()
 		time.Sleep(longestStop / 4)
 		s.program.Kill()
 	} else if err := s.program.Stop(); err != nil {
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -77,7 +77,7 @@
 		}
 	case "notice":
 		if n.bare == nil {
-			n.Notice()
+			n.RequestShutdown()
 		}
 	case "replace":
 		s.kill(n)
--- a/rig/program.go
+++ b/rig/program.go
@@ -230,15 +230,15 @@
 	p.wait()
 }
 
-// Notice tells it to leave; Wait is for its end.
-func (p *Program) Notice() {
+// RequestShutdown tells it to leave; Wait is for its end.
+func (p *Program) RequestShutdown() {
 	p.check.Notice(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
 // Stop tells it to leave and waits for its end, at most a little past its stop.
 func (p *Program) Stop() error {
-	p.Notice()
+	p.RequestShutdown()
 	select {
 	case <-p.ended():
 		return nil
