--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -237,7 +237,7 @@
 		shares[0].Part, shares[2].Part = 0.15, 0.7
 		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Length: length, Prefix: "l", Pad: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
-		l.peak, l.killed = s.Peak(), s.Killed()
+		l.peak, l.killed = s.PeakResidentBytes(), s.Killed()
 		l.shifts = levelChanges(s.Programs[0].Log())
 		if on {
 			note(s.check)
--- a/rig/program.go
+++ b/rig/program.go
@@ -332,8 +332,8 @@
 	}
 }
 
-// Peak is the most memory that any of the programs has taken, Killed how many were killed for it.
-func (f *Fleet) Peak() int64 {
+// PeakResidentBytes is the most memory that any of the programs has taken, Killed how many were killed for it.
+func (f *Fleet) PeakResidentBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.peak
