--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -136,22 +136,22 @@
 	var trouble sync.WaitGroup
 	trouble.Go(func() {
 		time.Sleep(500 * time.Millisecond)
-		f.Nets[0].Deaf(true) // accepts and never answers
-		f.Nets[1].Trickle(7)
+		f.Proxies[0].Deaf(true) // accepts and never answers
+		f.Proxies[1].Trickle(7)
 		list <- nil // the list is empty for a while
 		time.Sleep(2 * time.Second)
 		list <- f.Addresses()
-		f.Nets[0].Deaf(false)
-		f.Nets[1].Trickle(0)
+		f.Proxies[0].Deaf(false)
+		f.Proxies[1].Trickle(0)
 	})
 	out := load("c", 120, 4*time.Second, 500*time.Millisecond) // the trouble takes the first 2.5 s
 	trouble.Wait()
 	p.atLeast("silent.and.trickling.ok", float64(out.OK)/float64(out.Asked), 0.9)
 	// Shorter than a round trip: nothing may be sent late, and all must end.
-	f.Nets[0].Delay(5 * time.Millisecond)
+	f.Proxies[0].Delay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
 	p.inform("short.deadlines.ok", float64(short.OK)/float64(short.Asked))
-	f.Nets[0].Delay(0)
+	f.Proxies[0].Delay(0)
 	note(check)
 	return p.refusals()
 }
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -98,10 +98,10 @@
 	var out rig.Outcome
 	done.Go(func() { out = load.Run(ctx, check, callers...) })
 	time.Sleep(2500 * time.Millisecond)
-	f.Nets[0].Down(true)
+	f.Proxies[0].Down(true)
 	time.Sleep(outage)
 	log.end()
-	f.Nets[0].Down(false)
+	f.Proxies[0].Down(false)
 	log.waitFor(clients)
 	end()
 	done.Wait()
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -203,7 +203,7 @@
 	}
 	defer fleet.Close()
 	arrivals := make([]*rig.Arrivals, coldServers)
-	for k, net := range fleet.Nets {
+	for k, net := range fleet.Proxies {
 		arrivals[k] = &rig.Arrivals{}
 		net.Count(arrivals[k])
 	}
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -132,7 +132,7 @@
 	f.stop = stop
 	for k, s := range f.Programs {
 		for j := range 2 {
-			caller := &retryingCaller{source: 2*k + j + 1, address: f.Nets[k].Address(), fresh: j == 1, kills: &f.kills}
+			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), fresh: j == 1, kills: &f.kills}
 			f.load.Go(func() {
 				defer caller.Close()
 				f.runLoad(ctx, s.Name, caller, seed+uint64(2*k+j)<<32)
--- a/rig/program.go
+++ b/rig/program.go
@@ -252,7 +252,7 @@
 type Fleet struct {
 	Check    *Checker
 	Programs []*Program
-	Nets     []*Net
+	Proxies  []*Net
 	Roster   *Roster
 	dir      string
 	end      chan struct{}
@@ -299,7 +299,7 @@
 			f.Close()
 			return nil, err
 		}
-		f.Nets = append(f.Nets, wire)
+		f.Proxies = append(f.Proxies, wire)
 	}
 	f.group.Go(f.weigh)
 	return f, nil
@@ -349,7 +349,7 @@
 // Addresses is where callers connect.
 func (f *Fleet) Addresses() []string {
 	var all []string
-	for _, n := range f.Nets {
+	for _, n := range f.Proxies {
 		all = append(all, n.Address())
 	}
 	return all
@@ -366,7 +366,7 @@
 		})
 	}
 	all.Wait()
-	for _, n := range f.Nets {
+	for _, n := range f.Proxies {
 		n.Close()
 	}
 	f.Roster.Close()
