--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -42,20 +42,20 @@
 }
 
 // order is what a kernel is to run on a command; ok is false where no client has sent that to this process.
-func (c *Checker) order(server, call, method string, body []byte) (o workOrder, ok bool) {
+func (c *Checker) order(server, call, method string, body []byte) (o runRequest, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.terms == nil {
 		id, work, ok := ReadBody(body)
-		return workOrder{entry: Entry{RPC: id, Work: work}}, ok
+		return runRequest{entry: Entry{RPC: id, Work: work}}, ok
 	}
 	l := c.server(server).ledger
 	s := l.find(call, method, body)
 	if s == nil {
 		c.violate(1, "%s asks its kernel to run what no client has sent it: %s", server, l.altered(call, method, body))
-		return workOrder{}, false
+		return runRequest{}, false
 	}
-	return workOrder{entry: s.entry, sent: s, over: s.over()}, true
+	return runRequest{entry: s.entry, sent: s, requestOver: s.over()}, true
 }
 
 // known reports whether a client has sent an RPC of this id to this process. Without Judge nobody knows, and all are.
@@ -66,14 +66,14 @@
 }
 
 // requestOver reports whether the request of a run has been answered or given up.
-func (c *Checker) requestOver(o workOrder) bool {
+func (c *Checker) requestOver(o runRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return o.sent != nil && o.sent.over()
 }
 
 // begun tells that a run has begun.
-func (c *Checker) begun(server string, o workOrder) {
+func (c *Checker) begun(server string, o runRequest) {
 	if o.sent == nil {
 		c.Started(server, o.entry.RPC)
 		return
@@ -119,7 +119,7 @@
 }
 
 // made tells of the result of a run.
-func (c *Checker) made(o workOrder, result []byte) {
+func (c *Checker) made(o runRequest, result []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o.sent != nil {
@@ -128,7 +128,7 @@
 }
 
 // finished tells that a run is over.
-func (c *Checker) finished(o workOrder) {
+func (c *Checker) finished(o runRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o.sent != nil {
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -158,8 +158,8 @@
 	n := &Node{slot: slot}
 	own, via := s.Paths.Own(slot), s.Paths.Via(slot)
 	if s.plan.Bare != nil {
-		n.Program = &Program{Name: name, called: called, check: s.Check}
-		n.bare = &Process{tap: func(line []byte) { s.History.Said(name, line) }}
+		n.Program = &Program{Name: name, configName: called, check: s.Check}
+		n.bare = &Process{onLogLine: func(line []byte) { s.History.Said(name, line) }}
 	} else {
 		kernel, err := NewKernel(name, s.plan.Site.Cores, s.Check)
 		if err != nil {
@@ -168,9 +168,9 @@
 		kernel.config.Backend = s.plan.Backend
 		// At its own address no other process can have taken the port meanwhile.
 		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
-		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
-			roster: s.roster.Address(), check: s.Check, called: called}
-		n.Program.tap = func(line []byte) { s.History.Said(name, line) }
+		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, binary: s.plan.Program, directory: s.dir,
+			roster: s.roster.Address(), check: s.Check, configName: called}
+		n.Program.onLogLine = func(line []byte) { s.History.Said(name, line) }
 		if n.Net, err = NewNet(name, address, s.Check); err != nil {
 			return nil, err
 		}
@@ -222,8 +222,8 @@
 	if n.bare == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.Bare(n.called, s.Paths.Own(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
-	_, err := n.bare.run(cmd, func(error) {})
+	cmd := s.plan.Bare(n.configName, s.Paths.Own(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
+	_, err := n.bare.spawn(cmd, func(error) {})
 	return err
 }
 
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -164,7 +164,7 @@
 func TestEndsWithTheRig(t *testing.T) {
 	if path := os.Getenv("RIG_CHILD"); path != "" {
 		p := &Process{}
-		if _, err := p.run(exec.Command("sleep", "60"), func(error) {}); err != nil {
+		if _, err := p.spawn(exec.Command("sleep", "60"), func(error) {}); err != nil {
 			os.Exit(1)
 		}
 		os.WriteFile(path+".part", []byte(strconv.Itoa(p.Pid())), 0o600)
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -15,15 +15,15 @@
 // ended 0.36 s later than its stop, alone 0.4 s before it.
 const programSlack = 500 * time.Millisecond
 
-// judgedProgram is the real program behind the network, with a kernel of the settings and a judge.
-type judgedProgram struct {
+// checkedProgram is the real program behind the network, with a kernel of the settings and a judge.
+type checkedProgram struct {
 	*Program
 	check  *Checker
-	net    *Net
+	proxy  *Net
 	roster *Roster
 }
 
-func startJudged(t *testing.T, preemption Preemption, gauges []string, seed uint64) *judgedProgram {
+func startCheckedProgram(t *testing.T, preemption Preemption, gauges []string, seed uint64) *checkedProgram {
 	t.Helper()
 	dir := t.TempDir()
 	bin, err := Build(dir)
@@ -44,7 +44,7 @@
 		terms.Methods[m.Name] = MethodTerms{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
 	}
 	check.Judge(terms)
-	p := &judgedProgram{check: check}
+	p := &checkedProgram{check: check}
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
 	}
@@ -53,78 +53,78 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, err := freePort()
+	address, err := freeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, bin: bin, dir: dir, roster: p.roster.Address(), check: check}
+	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: bin, directory: dir, roster: p.roster.Address(), check: check}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if p.net, err = NewNet("n1", address, check); err != nil {
+	if p.proxy, err = NewNet("n1", address, check); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		p.Kill()
-		p.net.Close()
+		p.proxy.Close()
 		kernel.Close()
 		p.roster.Close()
 	})
 	return p
 }
 
-// load has some routers call for a while, what they send drawn from the seed.
-func (p *judgedProgram) load(seed uint64, length time.Duration) (served, other int) {
+// runLoad has some routers call for a while, what they send drawn from the seed.
+func (p *checkedProgram) runLoad(seed uint64, duration time.Duration) (served, failed int) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	routers := []*Router{}
 	for k := range 4 {
-		routers = append(routers, NewRouter(k+1, p.net.Address()))
+		routers = append(routers, NewRouter(k+1, p.proxy.Address()))
 	}
-	chance := rand.New(rand.NewPCG(seed, 5))
-	for begin := time.Now(); time.Since(begin) < length; time.Sleep(time.Duration(chance.ExpFloat64() * 4e6)) {
-		m := p.site.Methods[chance.IntN(3)]
-		body := make([]byte, chance.IntN(200))
+	random := rand.New(rand.NewPCG(seed, 5))
+	for begin := time.Now(); time.Since(begin) < duration; time.Sleep(time.Duration(random.ExpFloat64() * 4e6)) {
+		m := p.site.Methods[random.IntN(3)]
+		body := make([]byte, random.IntN(200))
 		for k := range body {
-			body[k] = byte(chance.Uint32())
+			body[k] = byte(random.Uint32())
 		}
-		if chance.IntN(2) == 0 {
-			body = Body(fmt.Sprint(chance.Uint64()), chance.ExpFloat64()*0.02)
+		if random.IntN(2) == 0 {
+			body = Body(fmt.Sprint(random.Uint64()), random.ExpFloat64()*0.02)
 		}
 		token := ""
 		if m.Kind == "dedup" {
-			token = fmt.Sprintf("%032x", chance.Uint64())
+			token = fmt.Sprintf("%032x", random.Uint64())
 		}
 		tries := 1
 		if m.Kind != "fragile" {
-			tries += chance.IntN(2)
+			tries += random.IntN(2)
 		}
 		for range tries {
-			r := routers[chance.IntN(len(routers))]
-			all.Go(func() {
-				ctx, stop := context.WithTimeout(context.Background(), time.Duration(m.Deadline*1e9))
-				defer stop()
+			r := routers[random.IntN(len(routers))]
+			calls.Go(func() {
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(m.Deadline*1e9))
+				defer cancel()
 				_, err := r.Call(ctx, m.Name, token, 0.5, body)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
 					served++
 				} else {
-					other++
+					failed++
 				}
 			})
 		}
 	}
-	all.Wait()
+	calls.Wait()
 	for _, r := range routers {
 		r.Close()
 	}
-	return served, other
+	return served, failed
 }
 
 // The program keeps the rules under each preemption, with all gauges and none, while its kernel's link breaks in every way.
 func TestJudgeProgram(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		preemption Preemption
 		gauges     []string
 	}{
@@ -134,13 +134,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startJudged(t, one.preemption, one.gauges, 1)
+			p := startCheckedProgram(t, test.preemption, test.gauges, 1)
 			waitFor(t, "the link", func() bool { return !p.Kernel.LinkedAt().IsZero() })
-			over := make(chan struct{})
+			stop := make(chan struct{})
 			var faults sync.WaitGroup
-			faults.Go(func() { p.breakLink(over, 1) })
-			served, other := p.load(1, 3*time.Second)
-			close(over)
+			faults.Go(func() { p.injectLinkFaults(stop, 1) })
+			served, failed := p.runLoad(1, 3*time.Second)
+			close(stop)
 			faults.Wait()
 			if err := p.Stop(); err != nil {
 				t.Error(err)
@@ -149,26 +149,26 @@
 			for _, v := range p.check.Violations() {
 				t.Error(v)
 			}
-			t.Logf("%d served, %d not, %d tries, %d runs", served, other, p.check.Count("tries"), p.check.Count("runs"))
+			t.Logf("%d served, %d not, %d tries, %d runs", served, failed, p.check.Count("tries"), p.check.Count("runs"))
 			if served < 100 {
-				t.Errorf("%d served, %d not: %s", served, other, p.Log())
+				t.Errorf("%d served, %d not: %s", served, failed, p.Log())
 			}
 		})
 	}
 }
 
-// breakLink puts one fault after the other on the kernel's link.
-func (p *judgedProgram) breakLink(over chan struct{}, seed uint64) {
-	chance := rand.New(rand.NewPCG(seed, 6))
-	p.net.Pieces(seed)
+// injectLinkFaults puts one fault after the other on the kernel's link.
+func (p *checkedProgram) injectLinkFaults(stop chan struct{}, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, 6))
+	p.proxy.Pieces(seed)
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			p.Kernel.SetLinkFaults(LinkFaults{})
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
-		switch chance.IntN(6) {
+		switch random.IntN(6) {
 		case 0:
 			p.Kernel.BreakLink()
 		case 1:
@@ -180,8 +180,8 @@
 		case 4:
 			p.Kernel.SendRemark("\"<&>\n")
 		default:
-			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: chance.IntN(2) == 0, DuplicateShare: chance.Float64(), RemarkShare: chance.Float64(),
-				Delay: time.Duration(chance.IntN(20)) * time.Millisecond})
+			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: random.IntN(2) == 0, DuplicateShare: random.Float64(), RemarkShare: random.Float64(),
+				Delay: time.Duration(random.IntN(20)) * time.Millisecond})
 		}
 	}
 }
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -13,7 +13,7 @@
 // stubServer is an app server that does what a test has it do, over the wire: behind the network for its clients, with a link
 // to its kernel.
 type stubServer struct {
-	*testTrial
+	*testSetup
 	*Stub
 	t      *testing.T
 	link   *testLink
@@ -24,7 +24,7 @@
 
 func newStubServer(t *testing.T, config KernelConfig) *stubServer {
 	t.Helper()
-	s := &stubServer{testTrial: newTestTrial(t, config), t: t}
+	s := &stubServer{testSetup: newTestSetup(t, config), t: t}
 	stub, err := NewStub(func(h Heard, out []byte) []byte { return s.honest(h, out) })
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 
 // run has the kernel run something and returns the result, nil if it did not run.
 func (s *stubServer) run(call, method string, body []byte) []byte {
-	s.link.sched(call, method, body)
-	return s.link.hear().Content
+	s.link.sendSched(call, method, body)
+	return s.link.readNotice().Content
 }
 
 // call has the client send one try, due in so long.
@@ -77,7 +77,7 @@
 // answered reads whatever comes next.
 func (s *stubServer) answered() {
 	s.t.Helper()
-	s.client.SetReadDeadline(time.Now().Add(patienceOfTests))
+	s.client.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := s.client.Read(make([]byte, 4096)); err != nil {
 		s.t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 func (s *stubServer) found(rule int, what string) {
 	s.t.Helper()
 	waitFor(s.t, "a violation: "+what, func() bool { return len(s.check.Violations()) > 0 })
-	s.one(s.t, rule, what)
+	s.expectViolation(s.t, rule, what)
 }
 
 const long = 10 * time.Second
@@ -119,7 +119,7 @@
 	s.client.Write(thrift.Check(nil, s.number))
 	s.answered()
 	s.check.Finish()
-	s.none(t)
+	s.expectNoViolations(t)
 }
 
 // Each fault that is planted in an app server is found, and nothing beside it.
@@ -179,13 +179,13 @@
 		}, 1, "load"},
 		"a run that may not be stopped": {func(s *stubServer, h Heard, out []byte) []byte {
 			out = s.honest(h, out)
-			s.link.say(`{"action":"PREEMPT","uid":"%s"}`, h.Call)
-			s.link.hear()
+			s.link.sendLine(`{"action":"PREEMPT","uid":"%s"}`, h.Call)
+			s.link.readNotice()
 			return out
 		}, 1, "do not allow"},
 		"what is no command": {func(s *stubServer, h Heard, out []byte) []byte {
 			out = s.honest(h, out)
-			s.link.say(`{"action":"SCHED"}`)
+			s.link.sendLine(`{"action":"SCHED"}`)
 			return out
 		}, 1, "wrote to its kernel"},
 		"a close over a read request on a new connection": {func(s *stubServer, h Heard, out []byte) []byte {
@@ -213,25 +213,25 @@
 	s.Behave(func(h Heard, out []byte) []byte { return out })
 	s.call(tryA, "read", "", nil, time.Millisecond)
 	waitFor(t, "the lost answer", func() bool { s.check.Finish(); return len(s.check.Violations()) > 0 })
-	s.one(t, 1, "never answered")
+	s.expectViolation(t, 1, "never answered")
 }
 
 // A process that was stopped owes its answers once it goes on.
 func TestJudgeFindsLostAfterPause(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{})
+	s := newTestSetup(t, KernelConfig{})
 	s.check.Try("n1", s.flow, 1, "a", time.Now(), false) // not asked for, and so not judged
-	s.sent(tryA, "read", "", nil, 0)
+	s.recordSent(tryA, "read", "", nil, 0)
 	tries := s.check.tries[s.flow]
 	tries[1].due = time.Now().Add(-time.Hour)
 	s.check.Paused("n1", true)
 	s.check.Finish()
-	s.none(t)
+	s.expectNoViolations(t)
 	s.check.Paused("n1", false)
 	s.check.Finish()
-	s.none(t) // a moment to catch up
+	s.expectNoViolations(t) // a moment to catch up
 	s.check.servers["n1"].resumed = time.Now().Add(-2 * resumeTime)
 	s.check.Finish()
-	s.one(t, 1, "never answered")
+	s.expectViolation(t, 1, "never answered")
 }
 
 // A tokened RPC may run again once its window is over, and not before; the window counts from the arrival of the try that ran.
@@ -246,9 +246,9 @@
 		"another token": {time.Second, "other", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestTrial(t, KernelConfig{})
+			s := newTestSetup(t, KernelConfig{})
 			run := func(call, token string) {
-				s.sent(call, "write", token, []byte("body"), 3600)
+				s.recordSent(call, "write", token, []byte("body"), 3600)
 				o, ok := s.check.order("n1", call, "write", []byte("body"))
 				if !ok {
 					t.Fatal("not known")
@@ -260,10 +260,10 @@
 			first.recv, first.at = first.recv.Add(-one.later), first.at.Add(-one.later)
 			run(tryB, one.token)
 			if one.what == "" {
-				s.none(t)
+				s.expectNoViolations(t)
 				return
 			}
-			s.one(t, 2, one.what)
+			s.expectViolation(t, 2, one.what)
 		})
 	}
 }
@@ -275,17 +275,17 @@
 		what string
 	}{"within its window": {time.Second, "had been run"}, "past it": {time.Minute, ""}} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestTrial(t, KernelConfig{})
-			s.sent(tryA, "write", "token", nil, 0)
-			s.sent(tryB, "write", "token", nil, 0)
+			s := newTestSetup(t, KernelConfig{})
+			s.recordSent(tryA, "write", "token", nil, 0)
+			s.recordSent(tryB, "write", "token", nil, 0)
 			first := s.check.servers["n1"].ledger.byCall[tryA][0]
 			first.ran, first.recv = first.at.Add(-one.ago), first.recv.Add(-one.ago)
 			s.check.replied(s.flow, reply{kind: replyPushedBack, seq: 2}, nil)
 			if one.what == "" {
-				s.none(t)
+				s.expectNoViolations(t)
 				return
 			}
-			s.one(t, 2, one.what)
+			s.expectViolation(t, 2, one.what)
 		})
 	}
 }
@@ -297,7 +297,7 @@
 	s.answered()
 	s.check.Notice("n1", -time.Hour, time.Hour)
 	s.run(tryA, "read", nil) // it is over, and so not begun
-	s.none(t)
+	s.expectNoViolations(t)
 	s.call(tryB, "read", "", nil, long)
 	s.found(3, "after its notice and was run")
 	s.answered()
@@ -330,16 +330,16 @@
 		return len(s.check.tries) < 2
 	})
 	s.check.Finish()
-	s.none(t)
+	s.expectNoViolations(t)
 }
 
 // What cannot be written to an app server any more was never read, and is not lost.
 func TestJudgeUnwritten(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{})
-	s.sent(tryA, "read", "", nil, 0)
+	s := newTestSetup(t, KernelConfig{})
+	s.recordSent(tryA, "read", "", nil, 0)
 	s.check.Unwritten(s.flow, 1)
 	s.check.Ended(s.flow, false)
-	s.none(t)
+	s.expectNoViolations(t)
 	if n := s.check.Count("turned.away"); n != 1 {
 		t.Errorf("%d turned away", n)
 	}
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -19,29 +19,29 @@
 
 	faults atomic.Pointer[LinkFaults]
 
-	mu       sync.Mutex
-	listener net.Listener
-	link     *kernelLink   // nil while there is none
-	accepted uint64        // connections so far
-	linkedAt time.Time     // when BOOTED was last said
-	withheld chan struct{} // closed when links may be answered again; nil while they are
-	cutNext  bool          // the next notice breaks the link in its middle
-	notices  []string      // numbered from 1
-	chance   *rand.Rand    // of notices
-
-	runs    map[string]*run
-	slow    float64 // how much longer everything takes
-	hung    bool
-	looked  time.Time
-	timer   *time.Timer
-	closed  bool
-	began   time.Time
-	cold    bool // it has been restarted, and there is a cold start
-	usage   coreUsage
-	crowded bool // so many runs that it broke the rule, which is said once
-
-	fullSince time.Time // when more memory began to be booked than there is, the zero time if there is enough
-	overran   bool      // that broke the rule, which is said once
+	mu                sync.Mutex
+	listener          net.Listener
+	link              *kernelLink   // nil while there is none
+	acceptedCount     uint64        // connections so far
+	linkedAt          time.Time     // when BOOTED was last said
+	withheld          chan struct{} // closed when links may be answered again; nil while they are
+	breakInNextNotice bool          // the next notice breaks the link in its middle
+	notices           []string      // numbered from 1
+	random            *rand.Rand    // of notices
+
+	runs             map[string]*run
+	slowdown         float64 // how much longer everything takes
+	hung             bool
+	accountedAt      time.Time
+	timer            *time.Timer
+	closed           bool
+	startedAt        time.Time
+	cold             bool // it has been restarted, and there is a cold start
+	usage            coreUsage
+	overloadReported bool // so many runs that it broke the rule, which is said once
+
+	overbookedSince     time.Time // when more memory began to be booked than there is, the zero time if there is enough
+	overbookingReported bool      // that broke the rule, which is said once
 }
 
 // NewKernel listens on a free port. It stops runs on PREEMPT and has no gauges.
@@ -51,14 +51,14 @@
 
 // NewConfiguredKernel listens on a free port, for a deployment's settings.
 func NewConfiguredKernel(server string, config KernelConfig, check *Checker) (*Kernel, error) {
-	listener, err := listenApart()
+	listener, err := listenOnRandomLoopback()
 	if err != nil {
 		return nil, err
 	}
 	k := &Kernel{config: config, address: listener.Addr().String(), listener: listener, server: server, check: check,
-		runs: map[string]*run{}, slow: 1, looked: time.Now(), began: time.Now(), chance: rand.New(rand.NewPCG(config.Seed, 0))}
+		runs: map[string]*run{}, slowdown: 1, accountedAt: time.Now(), startedAt: time.Now(), random: rand.New(rand.NewPCG(config.Seed, 0))}
 	k.faults.Store(&LinkFaults{})
-	k.timer = time.AfterFunc(time.Hour, k.turn)
+	k.timer = time.AfterFunc(time.Hour, k.handleTimer)
 	go k.serve(listener)
 	return k, nil
 }
@@ -71,42 +71,42 @@
 }
 
 // SetSlowdown makes all work take so many times as long.
-func (k *Kernel) SetSlowdown(times float64) {
+func (k *Kernel) SetSlowdown(factor float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.pass()
-	k.slow = times
-	k.set()
+	k.accountWork()
+	k.slowdown = factor
+	k.scheduleTimer()
 }
 
 // SetHung stops all work, or lets it go on.
 func (k *Kernel) SetHung(hung bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.pass()
+	k.accountWork()
 	k.hung = hung
 	for _, r := range k.runs {
-		if r.stopped && !hung {
+		if r.preemptRequested && !hung {
 			k.preempt(r)
 		}
 	}
-	k.set()
+	k.scheduleTimer()
 }
 
 // Restart forgets all runs and notices, as with the app server's own restart.
 func (k *Kernel) Restart() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.pass()
+	k.accountWork()
 	for _, r := range k.runs {
-		if r.backend { // nobody takes it back there
-			time.AfterFunc(time.Duration(max(r.left, 0)/max(k.rate(), 0.01)*float64(time.Second)), func() { k.config.Backend.add(k.server, -1) })
+		if r.onBackend { // nobody takes it back there
+			time.AfterFunc(time.Duration(max(r.workLeft, 0)/max(k.runRate(), 0.01)*float64(time.Second)), func() { k.config.Backend.add(k.server, -1) })
 		}
 	}
 	k.runs, k.notices = map[string]*run{}, nil
-	k.looked, k.began = time.Now(), time.Now()
-	k.usage, k.crowded = coreUsage{}, false
-	k.fullSince, k.overran = time.Time{}, false
+	k.accountedAt, k.startedAt = time.Now(), time.Now()
+	k.usage, k.overloadReported = coreUsage{}, false
+	k.overbookedSince, k.overbookingReported = time.Time{}, false
 	k.cold = k.config.Cold.Ramp > 0
 	k.dropLink()
 }
@@ -116,7 +116,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.cold {
-		k.looked, k.began = time.Now(), time.Now()
+		k.accountedAt, k.startedAt = time.Now(), time.Now()
 	}
 }
 
@@ -124,18 +124,18 @@
 func (k *Kernel) StartedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.began
+	return k.startedAt
 }
 
 // warming tells whether it is cold and has not yet its full speed.
-func (k *Kernel) warming() bool { return k.cold && time.Since(k.began) < k.config.Cold.Ramp }
+func (k *Kernel) warming() bool { return k.cold && time.Since(k.startedAt) < k.config.Cold.Ramp }
 
 // warmth is the share of its full speed that it has now.
 func (k *Kernel) warmth() float64 {
 	if !k.warming() {
 		return 1
 	}
-	return k.config.Cold.Warmth(time.Since(k.began))
+	return k.config.Cold.Warmth(time.Since(k.startedAt))
 }
 
 // Close ends it.
@@ -152,7 +152,7 @@
 	k.dropLink()
 }
 
-// violate tells the checker of what the app server did.
-func (k *Kernel) violate(rule int, format string, args ...any) {
+// reportViolation tells the checker of what the app server did.
+func (k *Kernel) reportViolation(rule int, format string, args ...any) {
 	k.check.report(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
 }
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// workOrder is what is known of a run that is asked for.
-type workOrder struct {
-	entry Entry
-	sent  *sentTry // nil where commands are not checked against what clients sent
-	over  bool     // its request has been answered, or given up
+// runRequest is what is known of a run that is asked for.
+type runRequest struct {
+	entry       Entry
+	sent        *sentTry // nil where commands are not checked against what clients sent
+	requestOver bool     // its request has been answered, or given up
 }
 
-// longestCommand bounds a line: a body of 2 KiB and a name of some hundred bytes, however they are written.
-const longestCommand = 64 << 10
+// maxCommandBytes bounds a line: a body of 2 KiB and a name of some hundred bytes, however they are written.
+const maxCommandBytes = 64 << 10
 
 func (k *Kernel) serve(listener net.Listener) {
 	for {
@@ -26,59 +26,59 @@
 			return
 		}
 		k.mu.Lock()
-		k.accepted++
-		number := k.accepted
+		k.acceptedCount++
+		number := k.acceptedCount
 		k.mu.Unlock()
-		go k.talk(nc, number)
+		go k.serveConnection(nc, number)
 	}
 }
 
-// talk carries out what comes on one connection, until it ends or something comes that is no command.
-func (k *Kernel) talk(nc net.Conn, number uint64) {
+// serveConnection carries out what comes on one connection, until it ends or something comes that is no command.
+func (k *Kernel) serveConnection(nc net.Conn, number uint64) {
 	defer nc.Close()
-	lines := bufio.NewReaderSize(nc, longestCommand)
+	reader := bufio.NewReaderSize(nc, maxCommandBytes)
 	var link *kernelLink
 	for {
-		line, err := lines.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil { // what has no end of line has not come whole
 			return
 		}
-		c, err := parseCommand(line)
+		command, err := parseCommand(line)
 		switch {
 		case err != nil:
-		case link == nil && c.Action != "OPEN":
-			err = fmt.Errorf("%w: %s before OPEN", errNoCommand, c.Action)
-		case link != nil && c.Action == "OPEN":
-			err = fmt.Errorf("%w: OPEN a second time", errNoCommand)
+		case link == nil && command.Action != "OPEN":
+			err = fmt.Errorf("%w: %s before OPEN", errInvalidCommand, command.Action)
+		case link != nil && command.Action == "OPEN":
+			err = fmt.Errorf("%w: OPEN a second time", errInvalidCommand)
 		}
 		if err != nil {
-			k.notACommand(link, line, err)
+			k.rejectLine(link, line, err)
 			return
 		}
 		if link == nil {
 			k.awaitRelease()
-			if link = k.open(nc, number, c.Pos); link == nil {
+			if link = k.openLink(nc, number, command.Pos); link == nil {
 				return
 			}
-			defer k.unlink(link)
+			defer k.closeLink(link)
 			continue
 		}
-		k.obey(link, c)
+		k.execute(link, command)
 	}
 }
 
-// notACommand tells of a line for which the link is closed.
-func (k *Kernel) notACommand(link *kernelLink, line []byte, err error) {
+// rejectLine tells of a line for which the link is closed.
+func (k *Kernel) rejectLine(link *kernelLink, line []byte, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.violate(1, "wrote to its kernel %.200q: %v", line, err)
+	k.reportViolation(1, "wrote to its kernel %.200q: %v", line, err)
 	if link != nil && k.link == link {
 		k.dropLink()
 	}
 }
 
-// open takes a connection for the link, in place of the one before; nil if a later one has come meanwhile.
-func (k *Kernel) open(nc net.Conn, number uint64, pos int) *kernelLink {
+// openLink takes a connection for the link, in place of the one before; nil if a later one has come meanwhile.
+func (k *Kernel) openLink(nc net.Conn, number uint64, pos int) *kernelLink {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed || k.link != nil && k.link.number > number {
@@ -86,101 +86,101 @@
 	}
 	k.dropLink()
 	link := newKernelLink(nc, number, k.config.Seed, &k.faults)
-	go link.write()
+	go link.writeLines()
 	k.link, k.linkedAt = link, time.Now()
 	code := "running"
 	if k.cold && k.config.Cold.Window > 0 {
 		code = "starting"
 	}
-	k.say(fmt.Sprintf(`{"action":"BOOTED","code":"%s","wall_ms":%d}`, code, time.Since(k.began).Milliseconds()+1))
+	k.sendLine(fmt.Sprintf(`{"action":"BOOTED","code":"%s","wall_ms":%d}`, code, time.Since(k.startedAt).Milliseconds()+1))
 	if pos > len(k.notices) {
-		k.violate(1, "says that it has read notice %d of %d", pos, len(k.notices))
+		k.reportViolation(1, "says that it has read notice %d of %d", pos, len(k.notices))
 	}
 	for _, line := range k.notices[min(pos, len(k.notices)):] {
 		if line != "" {
-			k.say(line)
+			k.sendLine(line)
 		}
 	}
 	return link
 }
 
-// obey carries out a command. What comes on a link that another has replaced, or while commands are lost, is lost.
-func (k *Kernel) obey(link *kernelLink, c kernelCommand) {
+// execute carries out a command. What comes on a link that another has replaced, or while commands are lost, is lost.
+func (k *Kernel) execute(link *kernelLink, command kernelCommand) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.link != link || link.deaf {
+	if k.link != link || link.dropsCommands {
 		return
 	}
-	switch c.Action {
+	switch command.Action {
 	case "SYSINFO":
-		k.sysinfo(c)
+		k.handleSysinfo(command)
 	case "SCHED":
-		k.schedule(c)
+		k.handleSched(command)
 	case "PREEMPT":
-		k.stop(c)
+		k.handlePreempt(command)
 	case "RESCHED":
-		k.resume(c)
+		k.handleResched(command)
 	}
 }
 
-// refuse answers a command that is not carried out.
-func (k *Kernel) refuse(c kernelCommand) {
-	uid, _ := json.Marshal(c.UID)
-	k.say(fmt.Sprintf(`{"action":"EINVAL","code":"%s","uid":%s}`, c.Action, uid))
+// rejectCommand answers a command that is not carried out.
+func (k *Kernel) rejectCommand(command kernelCommand) {
+	encodedUID, _ := json.Marshal(command.UID)
+	k.sendLine(fmt.Sprintf(`{"action":"EINVAL","code":"%s","uid":%s}`, command.Action, encodedUID))
 }
 
-func (k *Kernel) schedule(c kernelCommand) {
-	if k.config.Methods != nil && !slices.Contains(k.config.Methods, c.Lane) {
-		k.violate(1, "asks for a run of %s in class %q, of which there is none", c.UID, c.Lane)
-		k.refuse(c)
+func (k *Kernel) handleSched(command kernelCommand) {
+	if k.config.Methods != nil && !slices.Contains(k.config.Methods, command.Lane) {
+		k.reportViolation(1, "asks for a run of %s in class %q, of which there is none", command.UID, command.Lane)
+		k.rejectCommand(command)
 		return
 	}
-	order, ok := k.check.order(k.server, c.UID, c.Lane, c.Content)
+	request, ok := k.check.order(k.server, command.UID, command.Lane, command.Content)
 	if !ok {
-		k.refuse(c)
+		k.rejectCommand(command)
 		return
 	}
-	if k.runs[c.UID] != nil {
+	if k.runs[command.UID] != nil {
 		return
 	}
-	k.start(c.UID, c.Lane, order)
+	k.startRun(command.UID, command.Lane, request)
 }
 
-func (k *Kernel) stop(c kernelCommand) {
+func (k *Kernel) handlePreempt(command kernelCommand) {
 	if k.config.Preemption == PreemptNone {
-		k.violate(1, "sends PREEMPT %s, which its settings do not allow", c.UID)
-		k.refuse(c)
+		k.reportViolation(1, "sends PREEMPT %s, which its settings do not allow", command.UID)
+		k.rejectCommand(command)
 		return
 	}
-	if !k.check.known(k.server, c.UID) {
-		k.violate(1, "sends PREEMPT %q, which no client has sent it", c.UID)
-		k.refuse(c)
+	if !k.check.known(k.server, command.UID) {
+		k.reportViolation(1, "sends PREEMPT %q, which no client has sent it", command.UID)
+		k.rejectCommand(command)
 		return
 	}
-	k.pass()
-	if r := k.runs[c.UID]; r != nil {
-		if r.stopped = true; !k.hung { // what hangs cannot be stopped either
+	k.accountWork()
+	if r := k.runs[command.UID]; r != nil {
+		if r.preemptRequested = true; !k.hung { // what hangs cannot be stopped either
 			k.preempt(r)
 		}
 	}
-	k.set()
+	k.scheduleTimer()
 }
 
-func (k *Kernel) resume(c kernelCommand) {
+func (k *Kernel) handleResched(command kernelCommand) {
 	if k.config.Preemption != PreemptFreeze {
-		k.violate(1, "sends RESCHED %s, which its settings do not allow", c.UID)
-		k.refuse(c)
+		k.reportViolation(1, "sends RESCHED %s, which its settings do not allow", command.UID)
+		k.rejectCommand(command)
 		return
 	}
-	if !k.check.known(k.server, c.UID) {
-		k.violate(1, "sends RESCHED %q, which no client has sent it", c.UID)
-		k.refuse(c)
+	if !k.check.known(k.server, command.UID) {
+		k.reportViolation(1, "sends RESCHED %q, which no client has sent it", command.UID)
+		k.rejectCommand(command)
 		return
 	}
-	k.pass()
-	k.dropPaused()
-	if r := k.runs[c.UID]; r != nil && r.paused {
-		r.paused, r.began = false, time.Now()
+	k.accountWork()
+	k.removeObsoletePausedRuns()
+	if r := k.runs[command.UID]; r != nil && r.paused {
+		r.paused, r.startedAt = false, time.Now()
 	}
-	k.set()
+	k.scheduleTimer()
 }
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -12,97 +12,97 @@
 )
 
 // A link that breaks in the middle of a notice says the whole of it on the next link.
-func TestKernelBreaksInNotice(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard, Seed: 3})
-	s.sent(tryA, "read", "", nil, 0)
+func TestKernelResendsNoticeAfterBreak(t *testing.T) {
+	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard, Seed: 3})
+	s.recordSent(tryA, "read", "", nil, 0)
 	l := dialKernel(t, s.kernel, 0)
 	s.kernel.BreakLinkInNotice()
-	l.sched(tryA, "read", nil)
-	part, err := l.line()
-	if err == nil || part == "" || !strings.HasPrefix(`{"action":"REAP","pos":1,"uid":"`+tryA+`","code":"fine"`, part[:min(len(part), 30)]) {
-		t.Errorf("%q, %v", part, err)
+	l.sendSched(tryA, "read", nil)
+	partial, err := l.readLine()
+	if err == nil || partial == "" || !strings.HasPrefix(`{"action":"REAP","pos":1,"uid":"`+tryA+`","code":"fine"`, partial[:min(len(partial), 30)]) {
+		t.Errorf("%q, %v", partial, err)
 	}
 	again := dialKernel(t, s.kernel, 0)
-	if n := again.hear(); n.Action != "REAP" || n.Pos != 1 || n.UID != tryA {
+	if n := again.readNotice(); n.Action != "REAP" || n.Pos != 1 || n.UID != tryA {
 		t.Errorf("%+v", n)
 	}
-	s.none(t)
+	s.expectNoViolations(t)
 }
 
 // Commands of the time before a break are lost with it, and only on that link.
-func TestKernelLosesCommands(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard, Gauges: []string{"on_cores"}})
-	s.sent(tryA, "read", "", nil, 3600)
+func TestKernelDropsCommandsBeforeBreak(t *testing.T) {
+	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard, Gauges: []string{"on_cores"}})
+	s.recordSent(tryA, "read", "", nil, 3600)
 	l := dialKernel(t, s.kernel, 0)
 	s.kernel.BreakLinkLosingCommands(50 * time.Millisecond)
-	l.sched(tryA, "read", nil)
-	l.closed()
+	l.sendSched(tryA, "read", nil)
+	l.expectClosed()
 	again := dialKernel(t, s.kernel, 0)
-	if m := again.sync("1"); m[0] != 0 {
+	if m := again.syncGauges("1"); m[0] != 0 {
 		t.Errorf("%v on the cores after the command was lost", m)
 	}
-	again.sched(tryA, "read", nil)
-	if m := again.sync("2"); m[0] != 1 {
+	again.sendSched(tryA, "read", nil)
+	if m := again.syncGauges("2"); m[0] != 1 {
 		t.Errorf("%v on the cores after the command came again", m)
 	}
-	s.none(t)
+	s.expectNoViolations(t)
 }
 
 // A link that is broken or reset ends, and what is run goes on.
-func TestKernelBreaks(t *testing.T) {
+func TestKernelRunsSurviveLinkLoss(t *testing.T) {
 	for name, end := range map[string]func(*Kernel){"break": (*Kernel).BreakLink, "reset": (*Kernel).ResetLink} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestTrial(t, KernelConfig{Gauges: []string{"on_cores"}})
-			s.sent(tryA, "read", "", nil, 3600)
+			s := newTestSetup(t, KernelConfig{Gauges: []string{"on_cores"}})
+			s.recordSent(tryA, "read", "", nil, 3600)
 			l := dialKernel(t, s.kernel, 0)
-			l.sched(tryA, "read", nil)
-			l.sync("1")
+			l.sendSched(tryA, "read", nil)
+			l.syncGauges("1")
 			end(s.kernel)
-			l.closed()
-			if m := dialKernel(t, s.kernel, 0).sync("2"); m[0] != 1 {
+			l.expectClosed()
+			if m := dialKernel(t, s.kernel, 0).syncGauges("2"); m[0] != 1 {
 				t.Errorf("%v on the cores", m)
 			}
-			s.none(t)
+			s.expectNoViolations(t)
 		})
 	}
 }
 
-// playFaults says some lines through a faulty link and returns what has come of them, without times.
-func playFaults(t *testing.T, seed uint64, faults LinkFaults) []string {
-	s := newTestTrial(t, KernelConfig{Gauges: []string{}, Seed: seed})
+// linesUnderFaults says some lines through a faulty link and returns what has come of them, without times.
+func linesUnderFaults(t *testing.T, seed uint64, faults LinkFaults) []string {
+	s := newTestSetup(t, KernelConfig{Gauges: []string{}, Seed: seed})
 	s.kernel.SetLinkFaults(faults)
 	l := dialKernel(t, s.kernel, 0)
 	for k := range 20 {
-		call := fmt.Sprintf("%016x", k)
-		s.sent(call, "read", "", nil, 0)
-		l.sched(call, "read", nil)
+		callID := fmt.Sprintf("%016x", k)
+		s.recordSent(callID, "read", "", nil, 0)
+		l.sendSched(callID, "read", nil)
 		// One after the other, so that their order does not hang on the machine.
 		waitFor(t, "the end of a run", func() bool {
 			s.kernel.mu.Lock()
 			defer s.kernel.mu.Unlock()
 			n := len(s.kernel.notices)
-			return n > 0 && strings.Contains(s.kernel.notices[n-1], call)
+			return n > 0 && strings.Contains(s.kernel.notices[n-1], callID)
 		})
 	}
-	l.say(`{"action":"SYSINFO","echo":"end"}`)
-	var all []string
+	l.sendLine(`{"action":"SYSINFO","echo":"end"}`)
+	var lines []string
 	for {
-		line, err := l.line()
+		line, err := l.readLine()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if strings.Contains(line, "INFO") && strings.Contains(line, "end") {
-			s.none(t)
-			return all
+			s.expectNoViolations(t)
+			return lines
 		}
-		all = append(all, regexp.MustCompile(`"wall_ms":[0-9.]+`).ReplaceAllString(line, ""))
+		lines = append(lines, regexp.MustCompile(`"wall_ms":[0-9.]+`).ReplaceAllString(line, ""))
 	}
 }
 
 // Notices in pieces, doubled and with remarks between come in their order and whole, the same again from the same seed.
 func TestKernelLinkFaults(t *testing.T) {
 	faults := LinkFaults{FragmentLines: true, DuplicateShare: 0.4, RemarkShare: 0.4, Delay: 5 * time.Millisecond}
-	lines := playFaults(t, 9, faults)
+	lines := linesUnderFaults(t, 9, faults)
 	pos, reaped, doubled, remarks := 0, 0, 0, 0
 	for _, line := range lines {
 		var n testNotice
@@ -125,18 +125,18 @@
 	if reaped != 20 || doubled == 0 || remarks == 0 {
 		t.Errorf("%d ends, %d doubled, %d remarks", reaped, doubled, remarks)
 	}
-	if again := playFaults(t, 9, faults); strings.Join(again, "") != strings.Join(lines, "") {
+	if again := linesUnderFaults(t, 9, faults); strings.Join(again, "") != strings.Join(lines, "") {
 		t.Errorf("the same seed gives\n%s\n%s", strings.Join(lines, ""), strings.Join(again, ""))
 	}
-	if other := playFaults(t, 10, faults); strings.Join(other, "") == strings.Join(lines, "") {
+	if other := linesUnderFaults(t, 10, faults); strings.Join(other, "") == strings.Join(lines, "") {
 		t.Error("another seed gives the same")
 	}
 }
 
 // A kernel that is late says nothing on a link until it is up. Of the connections that have come meanwhile only the last is
 // the link.
-func TestKernelWithheld(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{Gauges: []string{}})
+func TestKernelWithholdsBooted(t *testing.T) {
+	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
 	s.kernel.Withhold()
 	var links []*testLink
 	for range 3 {
@@ -145,24 +145,24 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		l := &testLink{t: t, nc: nc, in: bufio.NewReader(nc)}
-		l.say(`{"action":"OPEN","pos":0}`)
+		l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+		l.sendLine(`{"action":"OPEN","pos":0}`)
 		links = append(links, l)
 	}
 	waitFor(t, "three connections", func() bool {
 		s.kernel.mu.Lock()
 		defer s.kernel.mu.Unlock()
-		return s.kernel.accepted == 3
+		return s.kernel.acceptedCount == 3
 	})
 	if !s.kernel.LinkedAt().IsZero() {
 		t.Error("there is a link before the kernel is up")
 	}
 	s.kernel.Release()
-	if n := links[2].hear(); n.Action != "BOOTED" {
+	if n := links[2].readNotice(); n.Action != "BOOTED" {
 		t.Errorf("%+v", n)
 	}
-	links[2].sync("1")
-	links[0].closed()
-	links[1].closed()
-	s.none(t)
+	links[2].syncGauges("1")
+	links[0].expectClosed()
+	links[1].expectClosed()
+	s.expectNoViolations(t)
 }
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// useWindow is what core_use looks back on, by the page of the settings.
-const useWindow = 500 * time.Millisecond
+// coreUseWindow is what core_use looks back on, by the page of the settings.
+const coreUseWindow = 500 * time.Millisecond
 
-// sysinfo answers with the gauges.
-func (k *Kernel) sysinfo(c kernelCommand) {
+// handleSysinfo answers with the gauges.
+func (k *Kernel) handleSysinfo(command kernelCommand) {
 	if k.config.Gauges == nil {
-		k.refuse(c)
+		k.rejectCommand(command)
 		return
 	}
-	k.pass()
-	k.dropPaused()
-	k.judgeMemory()
-	meters := []float64{}
+	k.accountWork()
+	k.removeObsoletePausedRuns()
+	k.checkMemory()
+	values := []float64{}
 	for _, name := range k.config.Gauges {
-		meters = append(meters, k.gauge(name))
+		values = append(values, k.gaugeValue(name))
 	}
-	echo, _ := json.Marshal(c.Echo)
-	figures, _ := json.Marshal(meters)
-	k.say(fmt.Sprintf(`{"action":"INFO","echo":%s,"meters":%s}`, echo, figures))
+	echo, _ := json.Marshal(command.Echo)
+	encodedValues, _ := json.Marshal(values)
+	k.sendLine(fmt.Sprintf(`{"action":"INFO","echo":%s,"meters":%s}`, echo, encodedValues))
 }
 
-// gauge is what a gauge of the settings says now; 0 for one that is not known here.
-func (k *Kernel) gauge(name string) float64 {
+// gaugeValue is what a gaugeValue of the settings says now; 0 for one that is not known here.
+func (k *Kernel) gaugeValue(name string) float64 {
 	load := k.check.load(k.server)
 	switch name {
 	case "core_use", "utilization":
-		return k.usage.mean(useWindow, k.looked, k.config.Cores)
+		return k.usage.mean(coreUseWindow, k.accountedAt, k.config.Cores)
 	case "on_cores":
-		return float64(k.onCores())
+		return float64(k.runsOnCores())
 	case "heap_share":
 		if k.config.Memory.KB <= 0 {
 			return 0
@@ -76,7 +76,7 @@
 	} else {
 		u.steps = append(u.steps, usageStep{now.Add(-span), now, runs})
 	}
-	oldest := now.Add(-max(useWindow, config.Overload.Window))
+	oldest := now.Add(-max(coreUseWindow, config.Overload.Window))
 	u.steps = slices.DeleteFunc(u.steps, func(s usageStep) bool { return s.to.Before(oldest) })
 }
 
@@ -97,49 +97,49 @@
 	return sum / window.Seconds() / float64(max(cores, 1))
 }
 
-// judgeCrowding finds more runs on the cores than they bear, in the mean over the window of the settings.
-func (k *Kernel) judgeCrowding(now time.Time) {
-	c := k.config.Overload
-	if c.Factor <= 0 || c.Window <= 0 || k.crowded {
+// checkOverload finds more runs on the cores than they bear, in the mean over the window of the settings.
+func (k *Kernel) checkOverload(now time.Time) {
+	limit := k.config.Overload
+	if limit.Factor <= 0 || limit.Window <= 0 || k.overloadReported {
 		return
 	}
-	most := float64(k.config.Cores) * (1 + (c.Factor-1)*k.warmth())
-	if mean := k.usage.mean(c.Window, now, 0); mean > most {
-		k.crowded = true
-		k.violate(4, "%.1f runs on the cores in the mean over %v, which bear %.1f", mean, c.Window, most)
+	maxRuns := float64(k.config.Cores) * (1 + (limit.Factor-1)*k.warmth())
+	if mean := k.usage.mean(limit.Window, now, 0); mean > maxRuns {
+		k.overloadReported = true
+		k.reportViolation(4, "%.1f runs on the cores in the mean over %v, which bear %.1f", mean, limit.Window, maxRuns)
 	}
 }
 
-// bookedTooLong is how long more memory may be booked than there is before that is a violation: an answer is seen by the
+// maxOverbookedTime is how long more memory may be booked than there is before that is a violation: an answer is seen by the
 // network a little after the app server has given it.
-const bookedTooLong = 50 * time.Millisecond
+const maxOverbookedTime = 50 * time.Millisecond
 
-// judgeMemory finds that more memory is booked than there is.
-func (k *Kernel) judgeMemory() {
-	if k.overbooked() == 0 {
-		k.fullSince = time.Time{}
+// checkMemory finds that more memory is booked than there is.
+func (k *Kernel) checkMemory() {
+	if k.overbookedKB() == 0 {
+		k.overbookedSince = time.Time{}
 		return
 	}
-	if k.fullSince.IsZero() {
-		k.fullSince = time.Now()
-		time.AfterFunc(bookedTooLong, func() {
+	if k.overbookedSince.IsZero() {
+		k.overbookedSince = time.Now()
+		time.AfterFunc(maxOverbookedTime, func() {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			k.judgeMemory()
+			k.checkMemory()
 		})
 		return
 	}
-	if over := k.overbooked(); !k.overran && time.Since(k.fullSince) >= bookedTooLong {
-		k.overran = true
-		k.violate(4, "books %.0f KB more than the %.0f KB that there are", over, k.config.Memory.KB)
+	if excessKB := k.overbookedKB(); !k.overbookingReported && time.Since(k.overbookedSince) >= maxOverbookedTime {
+		k.overbookingReported = true
+		k.reportViolation(4, "books %.0f KB more than the %.0f KB that there are", excessKB, k.config.Memory.KB)
 	}
 }
 
-// overbooked is how many KB more are booked than there are.
-func (k *Kernel) overbooked() float64 {
-	m := k.config.Memory
-	if m.KB <= 0 {
+// overbookedKB is how many KB more are booked than there are.
+func (k *Kernel) overbookedKB() float64 {
+	memory := k.config.Memory
+	if memory.KB <= 0 {
 		return 0
 	}
-	return max(k.check.bookedKB(k.server, m.RunFactor)-m.KB, 0)
+	return max(k.check.bookedKB(k.server, memory.RunFactor)-memory.KB, 0)
 }
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -16,41 +16,41 @@
 	Delay          time.Duration // lines come so much later, in their order
 }
 
-// pieceGap lies between two pieces of a line, so that they are read apart.
-const pieceGap = time.Millisecond
+// fragmentInterval lies between two pieces of a line, so that they are read apart.
+const fragmentInterval = time.Millisecond
 
 // kernelLink is one connection of an app server to its kernel. Lines are written by a goroutine of its own: an app server
 // that does not read holds up nothing else.
 type kernelLink struct {
-	nc     net.Conn
-	number uint64     // among the connections to its kernel
-	deaf   bool       // commands that come on it are lost; guarded by the kernel's lock
-	chance *rand.Rand // of pieces; only the writer uses it
-	faults *atomic.Pointer[LinkFaults]
+	nc            net.Conn
+	number        uint64     // among the connections to its kernel
+	dropsCommands bool       // commands that come on it are lost; guarded by the kernel's lock
+	random        *rand.Rand // of pieces; only the writer uses it
+	faults        *atomic.Pointer[LinkFaults]
 
-	mu    sync.Mutex
-	lines []linkLine
-	wake  chan struct{} // holds one after a change of lines
-	over  chan struct{} // closed with the link
-	once  sync.Once
+	mu        sync.Mutex
+	queue     []linkLine
+	wake      chan struct{} // holds one after a change of lines
+	closed    chan struct{} // closed with the link
+	closeOnce sync.Once
 }
 
 // linkLine is one line on its way.
 type linkLine struct {
-	text []byte
-	from time.Time // not before
-	last bool      // the link breaks after it
+	text       []byte
+	sendAt     time.Time // not before
+	closeAfter bool      // the link breaks after it
 }
 
 func newKernelLink(nc net.Conn, number, seed uint64, faults *atomic.Pointer[LinkFaults]) *kernelLink {
-	return &kernelLink{nc: nc, number: number, chance: rand.New(rand.NewPCG(seed, number)), faults: faults, wake: make(chan struct{}, 1), over: make(chan struct{})}
+	return &kernelLink{nc: nc, number: number, random: rand.New(rand.NewPCG(seed, number)), faults: faults, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
 // send puts a line in the queue.
-func (l *kernelLink) send(text []byte, last bool) {
-	line := linkLine{text: text, from: time.Now().Add(l.faults.Load().Delay), last: last}
+func (l *kernelLink) send(text []byte, closeAfter bool) {
+	line := linkLine{text: text, sendAt: time.Now().Add(l.faults.Load().Delay), closeAfter: closeAfter}
 	l.mu.Lock()
-	l.lines = append(l.lines, line)
+	l.queue = append(l.queue, line)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -58,19 +58,19 @@
 	}
 }
 
-// next takes the first line off the queue and waits until it may go; ok is false once the link is over.
-func (l *kernelLink) next() (line linkLine, ok bool) {
+// nextLine takes the first line off the queue and waits until it may go; ok is false once the link is over.
+func (l *kernelLink) nextLine() (line linkLine, ok bool) {
 	for {
 		l.mu.Lock()
-		if len(l.lines) > 0 {
-			line, l.lines = l.lines[0], l.lines[1:]
+		if len(l.queue) > 0 {
+			line, l.queue = l.queue[0], l.queue[1:]
 			l.mu.Unlock()
-			return line, l.sleep(time.Until(line.from))
+			return line, l.sleep(time.Until(line.sendAt))
 		}
 		l.mu.Unlock()
 		select {
 		case <-l.wake:
-		case <-l.over:
+		case <-l.closed:
 			return line, false
 		}
 	}
@@ -80,7 +80,7 @@
 func (l *kernelLink) sleep(d time.Duration) bool {
 	if d <= 0 {
 		select {
-		case <-l.over:
+		case <-l.closed:
 			return false
 		default:
 			return true
@@ -91,17 +91,17 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-l.over:
+	case <-l.closed:
 		return false
 	}
 }
 
-// write sends lines until the link is over.
-func (l *kernelLink) write() {
+// writeLines sends lines until the link is over.
+func (l *kernelLink) writeLines() {
 	defer l.close()
 	for {
-		line, ok := l.next()
-		if !ok || !l.writeLine(line.text) || line.last {
+		line, ok := l.nextLine()
+		if !ok || !l.writeLine(line.text) || line.closeAfter {
 			return
 		}
 	}
@@ -112,12 +112,12 @@
 	for len(text) > 0 {
 		size := len(text)
 		if l.faults.Load().FragmentLines {
-			size = 1 + l.chance.IntN(len(text))
+			size = 1 + l.random.IntN(len(text))
 		}
 		if _, err := l.nc.Write(text[:size]); err != nil {
 			return false
 		}
-		if text = text[size:]; len(text) > 0 && !l.sleep(pieceGap) {
+		if text = text[size:]; len(text) > 0 && !l.sleep(fragmentInterval) {
 			return false
 		}
 	}
@@ -126,8 +126,8 @@
 
 // close ends the connection; what is queued is lost.
 func (l *kernelLink) close() {
-	l.once.Do(func() {
-		close(l.over)
+	l.closeOnce.Do(func() {
+		close(l.closed)
 		l.nc.Close()
 	})
 }
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -18,9 +18,9 @@
 
 // testLink is an app server's end of a kernel link.
 type testLink struct {
-	t  *testing.T
-	nc net.Conn
-	in *bufio.Reader
+	t      *testing.T
+	nc     net.Conn
+	reader *bufio.Reader
 }
 
 // testNotice is one line of the kernel.
@@ -31,8 +31,8 @@
 	Meters                  []float64
 }
 
-// patienceOfTests bounds each wait of these tests.
-const patienceOfTests = 10 * time.Second
+// testTimeout bounds each wait of these tests.
+const testTimeout = 10 * time.Second
 
 // dialKernel connects and reads BOOTED.
 func dialKernel(t *testing.T, k *Kernel, pos int) *testLink {
@@ -42,35 +42,35 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	l := &testLink{t: t, nc: nc, in: bufio.NewReader(nc)}
-	l.say(`{"action":"OPEN","pos":%d}`, pos)
-	if n := l.hear(); n.Action != "BOOTED" {
+	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+	l.sendLine(`{"action":"OPEN","pos":%d}`, pos)
+	if n := l.readNotice(); n.Action != "BOOTED" {
 		t.Fatalf("%+v in place of BOOTED", n)
 	}
 	return l
 }
 
-func (l *testLink) say(format string, args ...any) {
+func (l *testLink) sendLine(format string, args ...any) {
 	l.t.Helper()
 	if _, err := fmt.Fprintf(l.nc, format+"\n", args...); err != nil {
 		l.t.Fatal(err)
 	}
 }
 
-func (l *testLink) sched(call, method string, body []byte) {
+func (l *testLink) sendSched(call, method string, body []byte) {
 	l.t.Helper()
-	l.say(`{"action":"SCHED","uid":"%s","lane":"%s","content":"%s"}`, call, method, base64.StdEncoding.EncodeToString(body))
+	l.sendLine(`{"action":"SCHED","uid":"%s","lane":"%s","content":"%s"}`, call, method, base64.StdEncoding.EncodeToString(body))
 }
 
-// line reads one line as it is.
-func (l *testLink) line() (string, error) {
-	l.nc.SetReadDeadline(time.Now().Add(patienceOfTests))
-	return l.in.ReadString('\n')
+// readLine reads one readLine as it is.
+func (l *testLink) readLine() (string, error) {
+	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
+	return l.reader.ReadString('\n')
 }
 
-func (l *testLink) hear() (n testNotice) {
+func (l *testLink) readNotice() (n testNotice) {
 	l.t.Helper()
-	line, err := l.line()
+	line, err := l.readLine()
 	if err != nil {
 		l.t.Fatal(err)
 	}
@@ -80,35 +80,35 @@
 	return n
 }
 
-// sync waits until all that was said before has been read, and returns the gauges.
-func (l *testLink) sync(echo string) []float64 {
+// syncGauges waits until all that was said before has been read, and returns the gauges.
+func (l *testLink) syncGauges(echo string) []float64 {
 	l.t.Helper()
-	l.say(`{"action":"SYSINFO","echo":"%s"}`, echo)
+	l.sendLine(`{"action":"SYSINFO","echo":"%s"}`, echo)
 	for {
-		if n := l.hear(); n.Action == "INFO" && n.Echo == echo {
+		if n := l.readNotice(); n.Action == "INFO" && n.Echo == echo {
 			return n.Meters
 		}
 	}
 }
 
-// closed waits for the end of the link.
-func (l *testLink) closed() {
+// expectClosed waits for the end of the link.
+func (l *testLink) expectClosed() {
 	l.t.Helper()
-	l.nc.SetReadDeadline(time.Now().Add(patienceOfTests))
-	if _, err := io.Copy(io.Discard, l.in); errors.Is(err, os.ErrDeadlineExceeded) {
+	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := io.Copy(io.Discard, l.reader); errors.Is(err, os.ErrDeadlineExceeded) {
 		l.t.Error("the link goes on")
 	}
 }
 
-// testTrial is a checker that judges, and a kernel for one app server.
-type testTrial struct {
+// testSetup is a checker that judges, and a kernel for one app server.
+type testSetup struct {
 	check  *Checker
 	kernel *Kernel
 	flow   *flow // of a client
 	seq    int32
 }
 
-func newTestTrial(t *testing.T, config KernelConfig) *testTrial {
+func newTestSetup(t *testing.T, config KernelConfig) *testSetup {
 	t.Helper()
 	c := NewChecker(50 * time.Millisecond)
 	c.Judge(Terms{Methods: map[string]MethodTerms{
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	return &testTrial{check: c, kernel: k, flow: newFlow("n1", c)}
+	return &testSetup{check: c, kernel: k, flow: newFlow("n1", c)}
 }
 
 // newFlow is a connection with no network.
@@ -134,35 +134,35 @@
 	return f
 }
 
-// sent has a client send an RPC, in the ledger only.
-func (s *testTrial) sent(call, method, token string, body []byte, work float64) {
-	s.check.terms.Catalog.Add(call, Entry{RPC: "rpc " + call, Work: work})
+// recordSent has a client send an RPC, in the ledger only.
+func (s *testSetup) recordSent(callID, method, token string, body []byte, work float64) {
+	s.check.terms.Catalog.Add(callID, Entry{RPC: "rpc " + callID, Work: work})
 	s.seq++
 	s.check.asked(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
-		fields: map[string]string{"op": method, "call": call, "dedupe": token, "heap": "10",
+		fields: map[string]string{"op": method, "call": callID, "dedupe": token, "heap": "10",
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
 
-// one is the only violation so far, which has to say something.
-func (s *testTrial) one(t *testing.T, rule int, what string) {
+// expectViolation is the only violation so far, which has to say something.
+func (s *testSetup) expectViolation(t *testing.T, rule int, text string) {
 	t.Helper()
-	all := s.check.Violations()
-	if len(all) != 1 || all[0].Rule != rule || !strings.Contains(all[0].What, what) {
-		t.Errorf("%v, and not one violation of rule %d with %q", all, rule, what)
+	violations := s.check.Violations()
+	if len(violations) != 1 || violations[0].Rule != rule || !strings.Contains(violations[0].What, text) {
+		t.Errorf("%v, and not one violation of rule %d with %q", violations, rule, text)
 	}
 }
 
-func (s *testTrial) none(t *testing.T) {
+func (s *testSetup) expectNoViolations(t *testing.T) {
 	t.Helper()
-	if all := s.check.Violations(); len(all) > 0 {
-		t.Errorf("%v", all)
+	if violations := s.check.Violations(); len(violations) > 0 {
+		t.Errorf("%v", violations)
 	}
 }
 
 // waitFor waits until something holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patienceOfTests); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// mostNotices are kept: the protocol's figure.
-const mostNotices = 4000
+// maxNotices are kept: the protocol's figure.
+const maxNotices = 4000
 
-// notify gives the next notice, with what is wrong with the link.
-func (k *Kernel) notify(notice func(pos int) string) {
-	if k.chance.Float64() < k.faults.Load().RemarkShare {
-		k.number(remark("nothing to be said"))
+// sendNotice gives the next notice, with what is wrong with the link.
+func (k *Kernel) sendNotice(notice func(pos int) string) {
+	if k.random.Float64() < k.faults.Load().RemarkShare {
+		k.sendNumbered(dmesgNotice("nothing to be said"))
 	}
-	k.number(notice)
+	k.sendNumbered(notice)
 }
 
-// remark writes a DMESG, with room for its number.
-func remark(text string) func(pos int) string {
-	code, _ := json.Marshal(text)
-	return func(pos int) string { return fmt.Sprintf(`{"action":"DMESG","pos":%d,"code":%s}`, pos, code) }
+// dmesgNotice writes a DMESG, with room for its number.
+func dmesgNotice(text string) func(pos int) string {
+	encodedText, _ := json.Marshal(text)
+	return func(pos int) string { return fmt.Sprintf(`{"action":"DMESG","pos":%d,"code":%s}`, pos, encodedText) }
 }
 
-// number keeps a notice under the next number and says it.
-func (k *Kernel) number(notice func(pos int) string) {
+// sendNumbered keeps a notice under the next sendNumbered and says it.
+func (k *Kernel) sendNumbered(notice func(pos int) string) {
 	line := notice(len(k.notices) + 1)
 	k.notices = append(k.notices, line)
-	if old := len(k.notices) - mostNotices; old > 0 {
-		k.notices[old-1] = ""
+	if expired := len(k.notices) - maxNotices; expired > 0 {
+		k.notices[expired-1] = ""
 	}
-	if k.cutNext && k.link != nil {
-		k.cutNext = false
-		k.link.send([]byte(line)[:1+k.chance.IntN(len(line)-1)], true)
+	if k.breakInNextNotice && k.link != nil {
+		k.breakInNextNotice = false
+		k.link.send([]byte(line)[:1+k.random.IntN(len(line)-1)], true)
 		k.link = nil // what comes meanwhile is for the next link
 		return
 	}
-	k.say(line)
-	if k.chance.Float64() < k.faults.Load().DuplicateShare {
-		k.say(line)
+	k.sendLine(line)
+	if k.random.Float64() < k.faults.Load().DuplicateShare {
+		k.sendLine(line)
 	}
 }
 
-// say writes a line on the link, if there is one.
-func (k *Kernel) say(line string) {
+// sendLine writes a line on the link, if there is one.
+func (k *Kernel) sendLine(line string) {
 	if k.link != nil {
 		k.link.send([]byte(line+"\n"), false)
 	}
@@ -56,7 +56,7 @@
 func (k *Kernel) SendRemark(text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.number(remark(text))
+	k.sendNumbered(dmesgNotice(text))
 }
 
 // BreakLink ends the link now. What is on its way to the app server may be lost, and is said again on the next link.
@@ -80,23 +80,23 @@
 func (k *Kernel) BreakLinkInNotice() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cutNext = true
+	k.breakInNextNotice = true
 }
 
 // BreakLinkLosingCommands breaks the link after a time, and none of the commands that come on it until then is carried out.
-func (k *Kernel) BreakLinkLosingCommands(last time.Duration) {
+func (k *Kernel) BreakLinkLosingCommands(delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	link := k.link
 	if link == nil {
 		return
 	}
-	link.deaf = true
-	time.AfterFunc(last, func() { k.unlink(link) })
+	link.dropsCommands = true
+	time.AfterFunc(delay, func() { k.closeLink(link) })
 }
 
-// unlink ends a link, if it is not over yet.
-func (k *Kernel) unlink(link *kernelLink) {
+// closeLink ends a link, if it is not over yet.
+func (k *Kernel) closeLink(link *kernelLink) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	link.close()
--- a/rig/kernel_parse.go
+++ b/rig/kernel_parse.go
@@ -27,46 +27,46 @@
 	"SYSINFO": {"echo"},
 }
 
-// errNoCommand is wrapped by the errors of lines that are no command.
-var errNoCommand = errors.New("no command")
+// errInvalidCommand is wrapped by the errors of lines that are no command.
+var errInvalidCommand = errors.New("no command")
 
 // parseCommand reads one line by the protocol's word: all of a command's fields, no others, each of its own type.
 func parseCommand(line []byte) (kernelCommand, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(line, &fields); err != nil {
-		return kernelCommand{}, fmt.Errorf("%w: %w", errNoCommand, err)
+		return kernelCommand{}, fmt.Errorf("%w: %w", errInvalidCommand, err)
 	}
-	var c kernelCommand
-	if err := commandField(fields, "action", &c.Action); err != nil {
-		return c, err
+	var command kernelCommand
+	if err := readCommandField(fields, "action", &command.Action); err != nil {
+		return command, err
 	}
-	names, known := commandFields[c.Action]
+	names, known := commandFields[command.Action]
 	if !known {
-		return c, fmt.Errorf("%w: action %q", errNoCommand, c.Action)
+		return command, fmt.Errorf("%w: action %q", errInvalidCommand, command.Action)
 	}
-	into := map[string]any{"uid": &c.UID, "lane": &c.Lane, "echo": &c.Echo, "pos": &c.Pos, "content": &c.Content}
+	targets := map[string]any{"uid": &command.UID, "lane": &command.Lane, "echo": &command.Echo, "pos": &command.Pos, "content": &command.Content}
 	for _, name := range names {
-		if err := commandField(fields, name, into[name]); err != nil {
-			return c, err
+		if err := readCommandField(fields, name, targets[name]); err != nil {
+			return command, err
 		}
 	}
 	if len(fields) != len(names)+1 {
-		return c, fmt.Errorf("%w: %s with the fields %q", errNoCommand, c.Action, slices.Sorted(maps.Keys(fields)))
+		return command, fmt.Errorf("%w: %s with the fields %q", errInvalidCommand, command.Action, slices.Sorted(maps.Keys(fields)))
 	}
-	if c.Pos < 0 {
-		return c, fmt.Errorf("%w: OPEN at %d", errNoCommand, c.Pos)
+	if command.Pos < 0 {
+		return command, fmt.Errorf("%w: OPEN at %d", errInvalidCommand, command.Pos)
 	}
-	return c, nil
+	return command, nil
 }
 
-// commandField reads one field, which has to be there and not null.
-func commandField(fields map[string]json.RawMessage, name string, into any) error {
+// readCommandField reads one field, which has to be there and not null.
+func readCommandField(fields map[string]json.RawMessage, name string, target any) error {
 	raw, found := fields[name]
 	if !found || string(raw) == "null" {
-		return fmt.Errorf("%w: without %s", errNoCommand, name)
+		return fmt.Errorf("%w: without %s", errInvalidCommand, name)
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
-		return fmt.Errorf("%w: %s: %w", errNoCommand, name, err)
+	if err := json.Unmarshal(raw, target); err != nil {
+		return fmt.Errorf("%w: %s: %w", errInvalidCommand, name, err)
 	}
 	return nil
 }
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -9,54 +9,54 @@
 
 // run is one that has been started and is not over.
 type run struct {
-	uid     string
-	order   workOrder
-	left    float64 // seconds of work
-	began   time.Time
-	stopped bool // it was asked to stop
-	paused  bool // off the cores under freeze
-	backend bool // it counts there
+	uid              string
+	request          runRequest
+	workLeft         float64 // seconds of work
+	startedAt        time.Time
+	preemptRequested bool // it was asked to stop
+	paused           bool // off the cores under freeze
+	onBackend        bool // it counts there
 }
 
-// start begins a run, unless its request is over.
-func (k *Kernel) start(uid, lane string, order workOrder) {
-	k.pass()
-	if order.over {
-		k.notify(reaped(uid, "late", 0, nil))
+// startRun begins a run, unless its request is over.
+func (k *Kernel) startRun(uid, lane string, request runRequest) {
+	k.accountWork()
+	if request.requestOver {
+		k.sendNotice(reapNotice(uid, "late", 0, nil))
 		return
 	}
-	k.check.begun(k.server, order)
-	k.runs[uid] = &run{uid: uid, order: order, left: order.entry.Work, began: time.Now(), backend: k.config.Backend.counts(lane)}
+	k.check.begun(k.server, request)
+	k.runs[uid] = &run{uid: uid, request: request, workLeft: request.entry.Work, startedAt: time.Now(), onBackend: k.config.Backend.counts(lane)}
 	if k.config.Backend.counts(lane) {
 		k.config.Backend.add(k.server, 1)
 	}
-	k.judgeMemory()
-	k.set()
+	k.checkMemory()
+	k.scheduleTimer()
 }
 
 // preempt takes a run off the cores, in the way of the settings.
 func (k *Kernel) preempt(r *run) {
-	if k.config.Preemption == PreemptFreeze && !k.check.requestOver(r.order) {
+	if k.config.Preemption == PreemptFreeze && !k.check.requestOver(r.request) {
 		if !r.paused {
-			r.paused, r.stopped = true, false
-			k.notify(reaped(r.uid, "broken_off", time.Since(r.began), nil))
+			r.paused, r.preemptRequested = true, false
+			k.sendNotice(reapNotice(r.uid, "broken_off", time.Since(r.startedAt), nil))
 		}
 		return
 	}
-	k.end(r, "broken_off", nil)
+	k.endRun(r, "broken_off", nil)
 }
 
-// dropPaused forgets paused runs whose request is over: their end has been told when they were paused.
-func (k *Kernel) dropPaused() {
+// removeObsoletePausedRuns forgets paused runs whose request is over: their end has been told when they were paused.
+func (k *Kernel) removeObsoletePausedRuns() {
 	for _, r := range k.runs {
-		if r.paused && k.check.requestOver(r.order) {
-			k.forget(r)
+		if r.paused && k.check.requestOver(r.request) {
+			k.removeRun(r)
 		}
 	}
 }
 
-// onCores is how many runs want a core.
-func (k *Kernel) onCores() int {
+// runsOnCores is how many runs want a core.
+func (k *Kernel) runsOnCores() int {
 	n := 0
 	for _, r := range k.runs {
 		if !r.paused {
@@ -66,101 +66,101 @@
 	return n
 }
 
-// rate is how fast each run goes on.
-func (k *Kernel) rate() float64 {
+// runRate is how fast each run goes on.
+func (k *Kernel) runRate() float64 {
 	if k.hung {
 		return 0
 	}
-	return min(1, float64(k.config.Cores)/max(float64(k.onCores()), 1)) / k.slow / k.config.Backend.slower() * k.warmth()
+	return min(1, float64(k.config.Cores)/max(float64(k.runsOnCores()), 1)) / k.slowdown / k.config.Backend.slower() * k.warmth()
 }
 
-// pass takes off the work done since the last look.
-func (k *Kernel) pass() {
+// accountWork takes off the work done since the last look.
+func (k *Kernel) accountWork() {
 	now := time.Now()
-	k.usage.add(now.Sub(k.looked), now, k.onCores(), k.config)
-	k.judgeCrowding(now)
-	done := now.Sub(k.looked).Seconds() * k.rate()
-	k.looked = now
+	k.usage.add(now.Sub(k.accountedAt), now, k.runsOnCores(), k.config)
+	k.checkOverload(now)
+	done := now.Sub(k.accountedAt).Seconds() * k.runRate()
+	k.accountedAt = now
 	for _, r := range k.runs {
 		if !r.paused {
-			r.left -= done
+			r.workLeft -= done
 		}
 	}
 }
 
-// set has the timer come when the next run is over.
-func (k *Kernel) set() {
-	rate, first := k.rate(), 3600.0
+// scheduleTimer has the timer come when the next run is over.
+func (k *Kernel) scheduleTimer() {
+	rate, nextEnd := k.runRate(), 3600.0
 	for _, r := range k.runs {
 		if rate > 0 && !r.paused {
-			first = min(first, r.left/rate)
+			nextEnd = min(nextEnd, r.workLeft/rate)
 		}
 	}
 	if k.warming() {
-		first = min(first, warmingStep.Seconds()) // its speed changes meanwhile
+		nextEnd = min(nextEnd, warmingStep.Seconds()) // its speed changes meanwhile
 	}
 	if !k.closed {
-		k.timer.Reset(time.Duration(max(first, 0) * float64(time.Second)))
+		k.timer.Reset(time.Duration(max(nextEnd, 0) * float64(time.Second)))
 	}
 }
 
-func (k *Kernel) turn() {
+func (k *Kernel) handleTimer() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.pass()
-	k.dropPaused()
-	for _, r := range k.done() {
-		if r.order.entry.Fails {
-			k.end(r, "fault", nil)
+	k.accountWork()
+	k.removeObsoletePausedRuns()
+	for _, r := range k.finishedRuns() {
+		if r.request.entry.Fails {
+			k.endRun(r, "fault", nil)
 			continue
 		}
-		k.end(r, "fine", r.order.entry.result())
+		k.endRun(r, "fine", r.request.entry.result())
 	}
-	k.set()
+	k.scheduleTimer()
 }
 
-// done are the runs whose work is done, in the order in which they began.
-func (k *Kernel) done() []*run {
-	var all []*run
+// finishedRuns are the runs whose work is finishedRuns, in the order in which they began.
+func (k *Kernel) finishedRuns() []*run {
+	var finished []*run
 	for _, r := range k.runs {
-		if !r.paused && r.left <= 0 {
-			all = append(all, r)
+		if !r.paused && r.workLeft <= 0 {
+			finished = append(finished, r)
 		}
 	}
-	slices.SortFunc(all, func(a, b *run) int { return a.began.Compare(b.began) })
-	return all
+	slices.SortFunc(finished, func(a, b *run) int { return a.startedAt.Compare(b.startedAt) })
+	return finished
 }
 
 // warmingStep is between looks while the speed rises.
 const warmingStep = 10 * time.Millisecond
 
-// end gives notice of a run's end.
-func (k *Kernel) end(r *run, code string, result []byte) {
-	k.forget(r)
+// endRun gives notice of a run's endRun.
+func (k *Kernel) endRun(r *run, code string, result []byte) {
+	k.removeRun(r)
 	if code == "fine" {
-		k.check.made(r.order, result)
+		k.check.made(r.request, result)
 	}
-	k.notify(reaped(r.uid, code, time.Since(r.began), result))
+	k.sendNotice(reapNotice(r.uid, code, time.Since(r.startedAt), result))
 }
 
-// forget takes a run out of the books.
-func (k *Kernel) forget(r *run) {
+// removeRun takes a run out of the books.
+func (k *Kernel) removeRun(r *run) {
 	delete(k.runs, r.uid)
-	k.check.finished(r.order)
-	if r.backend {
+	k.check.finished(r.request)
+	if r.onBackend {
 		k.config.Backend.add(k.server, -1)
 	}
 }
 
-// reaped writes a REAP, with room for its number.
-func reaped(uid, code string, took time.Duration, result []byte) func(pos int) string {
-	name, _ := json.Marshal(uid)
-	content, _ := json.Marshal(result)
+// reapNotice writes a REAP, with room for its number.
+func reapNotice(uid, code string, duration time.Duration, result []byte) func(pos int) string {
+	encodedUID, _ := json.Marshal(uid)
+	encodedResult, _ := json.Marshal(result)
 	if result == nil {
-		content = []byte(`""`)
+		encodedResult = []byte(`""`)
 	}
 	return func(pos int) string {
-		return fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":%s,"code":"%s","wall_ms":%.3f,"content":%s}`, pos, name, code,
-			max(took.Seconds()*1000, 0.001), content)
+		return fmt.Sprintf(`{"action":"REAP","pos":%d,"uid":%s,"code":"%s","wall_ms":%.3f,"content":%s}`, pos, encodedUID, code,
+			max(duration.Seconds()*1000, 0.001), encodedResult)
 	}
 }
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -14,185 +14,185 @@
 // What no client has sent is not run, and found; what one has sent is, whatever bytes it consists of.
 func TestKernelChecksCommands(t *testing.T) {
 	body := []byte("\x00\xffany \n bytes")
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		say  func(l *testLink)
 		what string // of the violation; empty for none
 	}{
-		"as sent":       {func(l *testLink) { l.sched(tryA, "read", body) }, ""},
-		"another id":    {func(l *testLink) { l.sched(tryB, "read", body) }, "an id that none has"},
-		"another body":  {func(l *testLink) { l.sched(tryA, "read", body[1:]) }, "with the body"},
-		"another class": {func(l *testLink) { l.sched(tryA, "write", body) }, "in class"},
-		"no class":      {func(l *testLink) { l.sched(tryA, "red", body) }, "of which there is none"},
+		"as sent":       {func(l *testLink) { l.sendSched(tryA, "read", body) }, ""},
+		"another id":    {func(l *testLink) { l.sendSched(tryB, "read", body) }, "an id that none has"},
+		"another body":  {func(l *testLink) { l.sendSched(tryA, "read", body[1:]) }, "with the body"},
+		"another class": {func(l *testLink) { l.sendSched(tryA, "write", body) }, "in class"},
+		"no class":      {func(l *testLink) { l.sendSched(tryA, "red", body) }, "of which there is none"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard})
-			s.sent(tryA, "read", "", body, 0)
+			s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
+			s.recordSent(tryA, "read", "", body, 0)
 			l := dialKernel(t, s.kernel, 0)
-			one.say(l)
-			n := l.hear()
-			if one.what != "" {
+			test.say(l)
+			n := l.readNotice()
+			if test.what != "" {
 				if n.Action != "EINVAL" || n.Code != "SCHED" {
 					t.Errorf("%+v", n)
 				}
-				s.one(t, 1, one.what)
+				s.expectViolation(t, 1, test.what)
 				return
 			}
 			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(Answer("rpc "+tryA)) {
 				t.Errorf("%+v", n)
 			}
-			s.none(t)
+			s.expectNoViolations(t)
 		})
 	}
 }
 
 // A process is not told again what its predecessor was sent.
-func TestKernelLedgerOfEachProcess(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard})
-	s.sent(tryA, "read", "", nil, 0)
+func TestKernelLedgerPerProcess(t *testing.T) {
+	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
+	s.recordSent(tryA, "read", "", nil, 0)
 	s.check.Killed("n1")
 	s.kernel.Restart()
 	s.check.Up("n1")
 	l := dialKernel(t, s.kernel, 0)
-	l.sched(tryA, "read", nil)
-	if n := l.hear(); n.Action != "EINVAL" {
+	l.sendSched(tryA, "read", nil)
+	if n := l.readNotice(); n.Action != "EINVAL" {
 		t.Errorf("%+v", n)
 	}
-	s.one(t, 1, "no client has sent")
+	s.expectViolation(t, 1, "no client has sent")
 }
 
 // Anything that is no command closes the link, and is found.
-func TestKernelClosesOnWhatIsNoCommand(t *testing.T) {
+func TestKernelClosesLinkOnInvalidCommand(t *testing.T) {
 	for _, line := range []string{"", "{", "null", `[]`, `{"action":"RUN"}`, `{"action":"SCHED","uid":"a","lane":"read"}`,
 		`{"action":"SCHED","uid":"a","lane":"read","content":null}`, `{"action":"SCHED","uid":"a","lane":"read","content":"?"}`,
 		`{"action":"SCHED","uid":1,"lane":"read","content":""}`, `{"action":"PREEMPT"}`, `{"action":"PREEMPT","uid":"a","more":1}`,
 		`{"Action":"PREEMPT","uid":"a"}`, `{"action":"SYSINFO","echo":7}`, `{"action":"OPEN","pos":0}`} {
-		s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard})
+		s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 		l := dialKernel(t, s.kernel, 0)
-		l.say("%s", line)
-		l.closed()
-		s.one(t, 1, "wrote to its kernel")
+		l.sendLine("%s", line)
+		l.expectClosed()
+		s.expectViolation(t, 1, "wrote to its kernel")
 	}
-	s := newTestTrial(t, KernelConfig{})
+	s := newTestSetup(t, KernelConfig{})
 	nc, err := net.Dial("tcp", s.kernel.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	l := &testLink{t: t, nc: nc, in: bufio.NewReader(nc)}
-	l.say(`{"action":"SYSINFO","echo":"1"}`)
-	l.closed()
-	s.one(t, 1, "before OPEN")
+	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+	l.sendLine(`{"action":"SYSINFO","echo":"1"}`)
+	l.expectClosed()
+	s.expectViolation(t, 1, "before OPEN")
 }
 
 // Half a command at the end of a link has not been read, and is nobody's fault.
-func TestKernelHalfCommand(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{Gauges: []string{}})
+func TestKernelIgnoresIncompleteCommand(t *testing.T) {
+	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
 	l := dialKernel(t, s.kernel, 0)
 	fmt.Fprint(l.nc, `{"action":"PREE`)
 	l.nc.Close()
-	dialKernel(t, s.kernel, 0).sync("1")
-	s.none(t)
+	dialKernel(t, s.kernel, 0).syncGauges("1")
+	s.expectNoViolations(t)
 }
 
 // PREEMPT and RESCHED do what the settings name.
 func TestKernelPreemption(t *testing.T) {
 	gauges := []string{"on_cores", "heap_share"}
 	memory := BookedMemory{KB: 100, RunFactor: 4}
-	start := func(t *testing.T, preemption Preemption) (*testTrial, *testLink) {
-		s := newTestTrial(t, KernelConfig{Preemption: preemption, Gauges: gauges, Memory: memory})
-		s.sent(tryA, "read", "", nil, 3600)
+	start := func(t *testing.T, preemption Preemption) (*testSetup, *testLink) {
+		s := newTestSetup(t, KernelConfig{Preemption: preemption, Gauges: gauges, Memory: memory})
+		s.recordSent(tryA, "read", "", nil, 3600)
 		l := dialKernel(t, s.kernel, 0)
-		l.sched(tryA, "read", nil)
-		l.sched(tryA, "read", nil) // nothing happens
-		if m := l.sync("1"); !slices.Equal(m, []float64{1, 0.4}) {
+		l.sendSched(tryA, "read", nil)
+		l.sendSched(tryA, "read", nil) // nothing happens
+		if m := l.syncGauges("1"); !slices.Equal(m, []float64{1, 0.4}) {
 			t.Errorf("gauges %v while it runs", m)
 		}
 		return s, l
 	}
 	t.Run("none", func(t *testing.T) {
 		s, l := start(t, PreemptNone)
-		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
-		if n := l.hear(); n.Action != "EINVAL" || n.Code != "PREEMPT" || n.UID != tryA {
+		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
+		if n := l.readNotice(); n.Action != "EINVAL" || n.Code != "PREEMPT" || n.UID != tryA {
 			t.Errorf("%+v", n)
 		}
-		s.one(t, 1, "do not allow")
+		s.expectViolation(t, 1, "do not allow")
 	})
 	t.Run("discard", func(t *testing.T) {
 		s, l := start(t, PreemptDiscard)
-		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
-		if n := l.hear(); n.Action != "REAP" || n.Code != "broken_off" {
+		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
+		if n := l.readNotice(); n.Action != "REAP" || n.Code != "broken_off" {
 			t.Errorf("%+v", n)
 		}
-		if m := l.sync("2"); m[0] != 0 || m[1] > 0.1 {
+		if m := l.syncGauges("2"); m[0] != 0 || m[1] > 0.1 {
 			t.Errorf("gauges %v after it", m)
 		}
-		s.none(t)
-		l.say(`{"action":"RESCHED","uid":"%s"}`, tryA)
-		if n := l.hear(); n.Action != "EINVAL" || n.Code != "RESCHED" {
+		s.expectNoViolations(t)
+		l.sendLine(`{"action":"RESCHED","uid":"%s"}`, tryA)
+		if n := l.readNotice(); n.Action != "EINVAL" || n.Code != "RESCHED" {
 			t.Errorf("%+v", n)
 		}
-		s.one(t, 1, "do not allow")
+		s.expectViolation(t, 1, "do not allow")
 	})
 	t.Run("freeze", func(t *testing.T) {
 		s, l := start(t, PreemptFreeze)
-		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
-		if n := l.hear(); n.Action != "REAP" || n.Code != "broken_off" {
+		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
+		if n := l.readNotice(); n.Action != "REAP" || n.Code != "broken_off" {
 			t.Errorf("%+v", n)
 		}
-		if m := l.sync("2"); !slices.Equal(m, []float64{0, 0.4}) {
+		if m := l.syncGauges("2"); !slices.Equal(m, []float64{0, 0.4}) {
 			t.Errorf("gauges %v while it is paused", m)
 		}
-		l.say(`{"action":"RESCHED","uid":"%s"}`, tryA)
-		if m := l.sync("3"); !slices.Equal(m, []float64{1, 0.4}) {
+		l.sendLine(`{"action":"RESCHED","uid":"%s"}`, tryA)
+		if m := l.syncGauges("3"); !slices.Equal(m, []float64{1, 0.4}) {
 			t.Errorf("gauges %v while it goes on", m)
 		}
-		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
-		l.hear()
+		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
+		l.readNotice()
 		s.check.Answered(s.flow, 1, rpc.Error, false, 0)
-		if m := l.sync("4"); !slices.Equal(m, []float64{0, 0}) {
+		if m := l.syncGauges("4"); !slices.Equal(m, []float64{0, 0}) {
 			t.Errorf("gauges %v once its request is over", m)
 		}
-		l.sched(tryA, "read", nil)
-		if n := l.hear(); n.Action != "REAP" || n.Code != "late" {
+		l.sendSched(tryA, "read", nil)
+		if n := l.readNotice(); n.Action != "REAP" || n.Code != "late" {
 			t.Errorf("%+v", n)
 		}
-		s.none(t)
+		s.expectNoViolations(t)
 	})
 	t.Run("freeze, resumed to its end", func(t *testing.T) {
-		s := newTestTrial(t, KernelConfig{Preemption: PreemptFreeze, Gauges: gauges})
-		s.sent(tryA, "read", "", nil, 0.05)
+		s := newTestSetup(t, KernelConfig{Preemption: PreemptFreeze, Gauges: gauges})
+		s.recordSent(tryA, "read", "", nil, 0.05)
 		l := dialKernel(t, s.kernel, 0)
 		s.kernel.SetSlowdown(1e6) // it does not end before it is paused
-		l.sched(tryA, "read", nil)
-		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
-		l.hear()
+		l.sendSched(tryA, "read", nil)
+		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
+		l.readNotice()
 		s.kernel.SetSlowdown(1)
-		l.say(`{"action":"RESCHED","uid":"%s"}`, tryA)
-		if n := l.hear(); n.Code != "fine" || n.Pos != 2 {
+		l.sendLine(`{"action":"RESCHED","uid":"%s"}`, tryA)
+		if n := l.readNotice(); n.Code != "fine" || n.Pos != 2 {
 			t.Errorf("%+v", n)
 		}
-		s.none(t)
+		s.expectNoViolations(t)
 	})
 	t.Run("of what nobody sent", func(t *testing.T) {
-		s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard})
+		s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 		l := dialKernel(t, s.kernel, 0)
-		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryB)
-		if n := l.hear(); n.Action != "EINVAL" {
+		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryB)
+		if n := l.readNotice(); n.Action != "EINVAL" {
 			t.Errorf("%+v", n)
 		}
-		s.one(t, 1, "no client has sent")
+		s.expectViolation(t, 1, "no client has sent")
 	})
 }
 
 // The gauges come in the order of the settings and say how things are.
 func TestKernelGauges(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{Gauges: []string{"links", "outstanding", "on_cores", "heap_share", "backlog", "nothing known"},
+	s := newTestSetup(t, KernelConfig{Gauges: []string{"links", "outstanding", "on_cores", "heap_share", "backlog", "nothing known"},
 		Memory: BookedMemory{KB: 1000, RunFactor: 3}})
 	l := dialKernel(t, s.kernel, 0)
-	s.sent(tryA, "read", "", nil, 3600)
-	s.sent(tryB, "read", "", nil, 3600)
-	l.sched(tryA, "read", nil)
-	if m := l.sync("1"); !slices.Equal(m, []float64{1, 2, 1, 0.03, 1, 0}) {
+	s.recordSent(tryA, "read", "", nil, 3600)
+	s.recordSent(tryB, "read", "", nil, 3600)
+	l.sendSched(tryA, "read", nil)
+	if m := l.syncGauges("1"); !slices.Equal(m, []float64{1, 2, 1, 0.03, 1, 0}) {
 		t.Errorf("%v", m)
 	}
 	s.check.mu.Lock()
@@ -200,30 +200,30 @@
 		held.at = held.at.Add(-heldAfter)
 	}
 	s.check.mu.Unlock()
-	if m := l.sync("2"); m[3] != 0.04 {
+	if m := l.syncGauges("2"); m[3] != 0.04 {
 		t.Errorf("heap_share %g with one that is held", m[3])
 	}
 	s.check.Ended(s.flow, true)
-	if m := l.sync("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
+	if m := l.syncGauges("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
 		t.Errorf("%v once its clients are gone", m)
 	}
-	s.none(t)
+	s.expectNoViolations(t)
 }
 
 // Without gauges SYSINFO is not carried out, which is nobody's fault.
 func TestKernelWithoutGauges(t *testing.T) {
-	s := newTestTrial(t, KernelConfig{})
+	s := newTestSetup(t, KernelConfig{})
 	l := dialKernel(t, s.kernel, 0)
-	l.say(`{"action":"SYSINFO","echo":"1"}`)
-	if n := l.hear(); n.Action != "EINVAL" || n.Code != "SYSINFO" {
+	l.sendLine(`{"action":"SYSINFO","echo":"1"}`)
+	if n := l.readNotice(); n.Action != "EINVAL" || n.Code != "SYSINFO" {
 		t.Errorf("%+v", n)
 	}
-	s.none(t)
+	s.expectNoViolations(t)
 }
 
 // More memory than there is, and more runs than the cores bear, are found.
 func TestKernelLimits(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		config KernelConfig
 		what   string
 	}{
@@ -231,17 +231,17 @@
 		"cores":  {KernelConfig{Cores: 2, Overload: OverloadLimit{Factor: 0.4, Window: 50 * time.Millisecond}}, "on the cores"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			one.config.Gauges = []string{}
-			s := newTestTrial(t, one.config)
+			test.config.Gauges = []string{}
+			s := newTestSetup(t, test.config)
 			l := dialKernel(t, s.kernel, 0)
 			for _, call := range []string{tryA, tryB} {
-				s.sent(call, "read", "", nil, 3600)
-				l.sched(call, "read", nil)
+				s.recordSent(call, "read", "", nil, 3600)
+				l.sendSched(call, "read", nil)
 			}
-			for end := time.Now().Add(patienceOfTests); len(s.check.Violations()) == 0 && time.Now().Before(end); {
-				l.sync("1")
+			for end := time.Now().Add(testTimeout); len(s.check.Violations()) == 0 && time.Now().Before(end); {
+				l.syncGauges("1")
 			}
-			s.one(t, 4, one.what)
+			s.expectViolation(t, 4, test.what)
 		})
 	}
 }
--- a/rig/launch.go
+++ b/rig/launch.go
@@ -12,9 +12,9 @@
 )
 
 // Launch starts a command as a process of the rig. said, if it is not nil, is told each line of its standard error.
-func Launch(cmd *exec.Cmd, said func(line []byte)) (*Process, error) {
-	p := &Process{tap: said}
-	if _, err := p.run(cmd, func(error) {}); err != nil {
+func Launch(cmd *exec.Cmd, onLine func(line []byte)) (*Process, error) {
+	p := &Process{onLogLine: onLine}
+	if _, err := p.spawn(cmd, func(error) {}); err != nil {
 		return nil, err
 	}
 	return p, nil
@@ -33,23 +33,23 @@
 func (p *Process) Kill() { p.kill() }
 
 // Terminate sends SIGTERM, waits for the end, and kills the process where that takes too long.
-func (p *Process) Terminate(within time.Duration) error {
+func (p *Process) Terminate(timeout time.Duration) error {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.ended():
 		return nil
-	case <-time.After(within):
+	case <-time.After(timeout):
 		p.kill()
 		return ErrNotEnded
 	}
 }
 
-// clearPeak is what resets the peak of resident memory when it is written to /proc/PID/clear_refs, see proc(5).
-const clearPeak = "5"
+// clearRefsResetPeak is what resets the peak of resident memory when it is written to /proc/PID/clear_refs, see proc(5).
+const clearRefsResetPeak = "5"
 
 // ResetPeakResident has Peak count from now.
 func (p *Process) ResetPeakResident() error {
-	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.Pid()), []byte(clearPeak), 0)
+	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.Pid()), []byte(clearRefsResetPeak), 0)
 }
 
 // PeakResidentBytes is the most resident memory that the process has taken since its start or the last ResetPeak, in bytes, 0 if that
--- a/rig/logpipe.go
+++ b/rig/logpipe.go
@@ -15,10 +15,10 @@
 	process *Process
 	read    *os.File
 	write   *os.File
-	over    chan struct{} // closed when all has been read
+	drained chan struct{} // closed when all has been read
 
-	mu   sync.Mutex
-	held chan struct{} // closed when reading may go on; nil while it does
+	mu      sync.Mutex
+	resumed chan struct{} // closed when reading may go on; nil while it does
 }
 
 // logTo gives a command a pipe for its standard error and reads it.
@@ -27,83 +27,83 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &logPipe{process: p, read: read, write: write, over: make(chan struct{})}
+	l := &logPipe{process: p, read: read, write: write, drained: make(chan struct{})}
 	cmd.Stderr = write
 	p.mu.Lock()
-	p.pipe = l
+	p.logPipe = l
 	p.mu.Unlock()
-	go l.carry()
+	go l.copyToLog()
 	return l, nil
 }
 
-// started drops the rig's own end, so that the pipe ends with the process.
-func (l *logPipe) started() {
+// closeWriteEnd drops the rig's own end, so that the pipe ends with the process.
+func (l *logPipe) closeWriteEnd() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.write.Close()
 	l.write = nil
 }
 
-// drainTime bounds the wait for the rest of a log: somebody else may hold the pipe open.
-const drainTime = time.Second
+// drainTimeout bounds the wait for the rest of a log: somebody else may hold the pipe open.
+const drainTimeout = time.Second
 
 // drain reads the rest once the process has ended.
 func (l *logPipe) drain() {
-	l.hold(false)
+	l.setPaused(false)
 	select {
-	case <-l.over:
-	case <-time.After(drainTime):
+	case <-l.drained:
+	case <-time.After(drainTimeout):
 	}
 }
 
-func (l *logPipe) carry() {
-	defer close(l.over)
+func (l *logPipe) copyToLog() {
+	defer close(l.drained)
 	defer l.read.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := l.read.Read(buffer)
 		l.mu.Lock()
-		held := l.held
+		resumed := l.resumed
 		l.mu.Unlock()
-		if held != nil {
-			<-held
+		if resumed != nil {
+			<-resumed
 		}
-		l.process.logged(bytes.ReplaceAll(buffer[:n], []byte{0}, nil))
+		l.process.appendLog(bytes.ReplaceAll(buffer[:n], []byte{0}, nil))
 		if err != nil {
 			return
 		}
 	}
 }
 
-// hold stops the reading, or lets it go on.
-func (l *logPipe) hold(held bool) {
+// setPaused stops the reading, or lets it go on.
+func (l *logPipe) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case held && l.held == nil:
-		l.held = make(chan struct{})
-	case !held && l.held != nil:
-		close(l.held)
-		l.held = nil
+	case paused && l.resumed == nil:
+		l.resumed = make(chan struct{})
+	case !paused && l.resumed != nil:
+		close(l.resumed)
+		l.resumed = nil
 	}
 }
 
 // fill writes zeros, which are not kept, until nothing more goes into the pipe.
 func (l *logPipe) fill() error {
 	// Its own description of the pipe may be told not to wait without the process's being so too.
-	end, err := l.another()
+	writer, err := l.openWriter()
 	if err != nil {
 		return err
 	}
-	defer syscall.Close(end)
+	defer syscall.Close(writer)
 	zeros := make([]byte, 4096)
-	for size, refused := len(zeros), 0; refused < 3; {
-		_, err := syscall.Write(end, zeros[:size])
+	for size, refusals := len(zeros), 0; refusals < 3; {
+		_, err := syscall.Write(writer, zeros[:size])
 		switch {
 		case err == syscall.EAGAIN && size > 1:
 			size = 1
 		case err == syscall.EAGAIN:
-			refused++ // the reader may have been between two reads
+			refusals++ // the reader may have been between two reads
 			time.Sleep(10 * time.Millisecond)
 		case err != nil && err != syscall.EINTR:
 			return err
@@ -112,55 +112,55 @@
 	return nil
 }
 
-// another opens the pipe for writing once more, without waiting.
-func (l *logPipe) another() (end int, err error) {
+// openWriter opens the pipe for writing once more, without waiting.
+func (l *logPipe) openWriter() (writer int, err error) {
 	conn, err := l.read.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	if other := conn.Control(func(fd uintptr) {
-		end, err = syscall.Open(fmt.Sprintf("/proc/self/fd/%d", fd), syscall.O_WRONLY|syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
-	}); other != nil {
-		return 0, other
+	if controlErr := conn.Control(func(fd uintptr) {
+		writer, err = syscall.Open(fmt.Sprintf("/proc/self/fd/%d", fd), syscall.O_WRONLY|syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
+	}); controlErr != nil {
+		return 0, controlErr
 	}
-	return end, err
+	return writer, err
 }
 
-// logged keeps the last of what the process says.
-func (p *Process) logged(b []byte) {
+// appendLog keeps the last of what the process says.
+func (p *Process) appendLog(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.log.Len() > 1<<20 {
 		p.log.Reset()
 	}
 	p.log.Write(b)
-	if p.tap == nil {
+	if p.onLogLine == nil {
 		return
 	}
-	p.part = append(p.part, b...)
+	p.partialLine = append(p.partialLine, b...)
 	for {
-		k := bytes.IndexByte(p.part, '\n')
+		k := bytes.IndexByte(p.partialLine, '\n')
 		if k < 0 {
 			break
 		}
-		p.tap(p.part[:k])
-		p.part = p.part[k+1:]
+		p.onLogLine(p.partialLine[:k])
+		p.partialLine = p.partialLine[k+1:]
 	}
 }
 
 // FillLog has nobody read the process's log, and its pipe full, until ReadLog.
 func (p *Process) FillLog() error {
 	p.mu.Lock()
-	l := p.pipe
+	l := p.logPipe
 	p.mu.Unlock()
-	l.hold(true)
+	l.setPaused(true)
 	return l.fill()
 }
 
 // ReadLog has the log read on.
 func (p *Process) ReadLog() {
 	p.mu.Lock()
-	l := p.pipe
+	l := p.logPipe
 	p.mu.Unlock()
-	l.hold(false)
+	l.setPaused(false)
 }
--- a/rig/logpipe_test.go
+++ b/rig/logpipe_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-func await(t *testing.T, what string, is func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no %s", what)
 		}
--- a/rig/net.go
+++ b/rig/net.go
@@ -370,7 +370,7 @@
 			return err
 		}
 		if b = b[n:]; len(b) > 0 {
-			time.Sleep(pieceGap)
+			time.Sleep(fragmentInterval)
 		}
 	}
 	return nil
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -36,7 +36,7 @@
 		}
 		go nc.Write(sent)
 		got := make([]byte, len(sent))
-		nc.SetReadDeadline(time.Now().Add(patienceOfTests))
+		nc.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := io.ReadFull(nc, got); err != nil || !bytes.Equal(got, sent) {
 			t.Errorf("seed %d: %v", seed, err)
 		}
--- a/rig/process.go
+++ b/rig/process.go
@@ -17,18 +17,18 @@
 // Process is one process that the rig has started, and what can be done to it. It ends with the rig, also when the rig is
 // killed.
 type Process struct {
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	log  bytes.Buffer
-	part []byte       // of a line that is not whole yet
-	tap  func([]byte) // told of each line that it says, if set before the start
-	pipe *logPipe
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	done        chan struct{}
+	log         bytes.Buffer
+	partialLine []byte       // of a line that is not whole yet
+	onLogLine   func([]byte) // told of each line that it says, if set before the start
+	logPipe     *logPipe
 }
 
-// spawns are carried out by one thread that never ends: the system kills a child when the thread that started it ends, which
+// spawner are carried out by one thread that never ends: the system kills a child when the thread that started it ends, which
 // is how children end with a rig that was killed.
-var spawns = sync.OnceValue(func() chan func() {
+var spawner = sync.OnceValue(func() chan func() {
 	c := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -40,19 +40,19 @@
 })
 
 // StartSpawner starts what the rig keeps for as long as this process lives, for those who count what is left of a run.
-func StartSpawner() { spawns() }
+func StartSpawner() { spawner() }
 
-// run starts a command; over is told of its end, in a goroutine of its own.
-func (p *Process) run(cmd *exec.Cmd, over func(error)) (done chan struct{}, err error) {
-	logged, err := p.logTo(cmd)
+// spawn starts a command; over is told of its end, in a goroutine of its own.
+func (p *Process) spawn(cmd *exec.Cmd, onExit func(error)) (done chan struct{}, err error) {
+	pipe, err := p.logTo(cmd)
 	if err != nil {
 		return nil, err
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	started := make(chan error)
-	spawns() <- func() { started <- cmd.Start() }
-	err = <-started
-	logged.started()
+	startResult := make(chan error)
+	spawner() <- func() { startResult <- cmd.Start() }
+	err = <-startResult
+	pipe.closeWriteEnd()
 	if err != nil {
 		return nil, err
 	}
@@ -62,8 +62,8 @@
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
-		logged.drain()
-		over(err)
+		pipe.drain()
+		onExit(err)
 		close(done)
 	}()
 	return done, nil
@@ -115,13 +115,13 @@
 // called. It keeps time on a thread of its own with the system's sleep: this process's own collector and timers would
 // stretch the parts.
 func (p *Process) Throttle(run, period time.Duration) (stop func()) {
-	end, over := make(chan struct{}), make(chan struct{})
+	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		defer p.SetPaused(false)
-		until := func(t time.Time) {
+		sleepUntil := func(t time.Time) {
 			// Stopping a child sends signals to its parent, which end the sleep early.
 			for d := time.Until(t); d > 0; d = time.Until(t) {
 				ts := syscall.NsecToTimespec(int64(d))
@@ -131,42 +131,42 @@
 		next := time.Now()
 		for {
 			select {
-			case <-end:
+			case <-stopping:
 				return
 			default:
 			}
 			p.SetPaused(false)
-			until(time.Now().Add(run)) // the part counts from when it began, however late that was
+			sleepUntil(time.Now().Add(run)) // the part counts from when it began, however late that was
 			p.SetPaused(true)
 			next = next.Add(period)
 			if time.Until(next) < 0 {
 				next = time.Now().Add(period - run)
 			}
-			until(next)
+			sleepUntil(next)
 		}
 	}()
-	return sync.OnceFunc(func() { close(end); <-over })
+	return sync.OnceFunc(func() { close(stopping); <-stopped })
 }
 
 // CPUTime is the processor time that the process has taken, finer than the system's clock ticks.
-func (p *Process) CPUTime() time.Duration { return p.schedule(0) }
+func (p *Process) CPUTime() time.Duration { return p.schedstat(0) }
 
 // RunnableWait is how long its threads have been ready and had no processor.
-func (p *Process) RunnableWait() time.Duration { return p.schedule(1) }
+func (p *Process) RunnableWait() time.Duration { return p.schedstat(1) }
 
-// schedule sums one word of its threads' schedstat, in nanoseconds.
-func (p *Process) schedule(word int) time.Duration {
+// schedstat sums one word of its threads' schedstat, in nanoseconds.
+func (p *Process) schedstat(field int) time.Duration {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.Pid()))
-	all := time.Duration(0)
-	for _, f := range files {
-		if text, err := os.ReadFile(f); err == nil {
-			if words := strings.Fields(string(text)); len(words) > word {
-				ns, _ := strconv.ParseInt(words[word], 10, 64)
-				all += time.Duration(ns)
+	total := time.Duration(0)
+	for _, file := range files {
+		if text, err := os.ReadFile(file); err == nil {
+			if fields := strings.Fields(string(text)); len(fields) > field {
+				ns, _ := strconv.ParseInt(fields[field], 10, 64)
+				total += time.Duration(ns)
 			}
 		}
 	}
-	return all
+	return total
 }
 
 // Running tells whether the process has not ended.
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -17,31 +17,31 @@
 		t.Cleanup(p.kill)
 		return p
 	}
-	quiet, spins := start("exec sleep 60"), start("while :; do :; done")
+	quiet, spinning := start("exec sleep 60"), start("while :; do :; done")
 	if err := quiet.CheckIdle(time.Second, 0.2); err != nil {
 		t.Error(err)
 	}
-	if err := spins.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
+	if err := spinning.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
 		t.Errorf("%v of a process that spins", err)
 	}
 	ready := make(chan struct{}, 1)
-	deaf, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"), func([]byte) { ready <- struct{}{} })
+	stubborn, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"), func([]byte) { ready <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-ready
-	if err := deaf.StopWithin(100 * time.Millisecond); !errors.Is(err, ErrStopIgnored) || deaf.Running() {
+	if err := stubborn.StopWithin(100 * time.Millisecond); !errors.Is(err, ErrStopIgnored) || stubborn.Running() {
 		t.Errorf("%v of a process that ignores its stop", err)
 	}
 	if err := quiet.StopWithin(10 * time.Second); err == nil {
 		t.Error("a process that SIGTERM has killed has ended as it should")
 	}
-	obeys, err := Launch(exec.Command("/bin/sh", "-c", "trap 'exit 0' TERM; echo ready >&2; while :; do sleep 0.01; done"), func([]byte) { ready <- struct{}{} })
+	obedient, err := Launch(exec.Command("/bin/sh", "-c", "trap 'exit 0' TERM; echo ready >&2; while :; do sleep 0.01; done"), func([]byte) { ready <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-ready
-	if err := obeys.StopWithin(10 * time.Second); err != nil {
+	if err := obedient.StopWithin(10 * time.Second); err != nil {
 		t.Error(err)
 	}
 }
--- a/rig/program.go
+++ b/rig/program.go
@@ -57,17 +57,17 @@
 
 // Program is one app server: the real program as a process, its kernel a stand-in.
 type Program struct {
-	Name    string
-	Address string
-	Kernel  *Kernel
-	site    Site
-	bin     string
-	dir     string
-	roster  string
-	check   *Checker
-	called  string                  // its own name for itself, if it is not Name
-	args    []string                // over the site's
-	text    func(p *Program) string // the configuration, where it is not the site's
+	Name       string
+	Address    string
+	Kernel     *Kernel
+	site       Site
+	binary     string
+	directory  string
+	roster     string
+	check      *Checker
+	configName string                  // its own name for itself, if it is not Name
+	args       []string                // over the site's
+	configText func(p *Program) string // the configuration, where it is not the site's
 	Process
 }
 
@@ -90,23 +90,23 @@
 	if err != nil {
 		return nil, err
 	}
-	address, err := ownAddress()
+	address, err := freeLoopbackAddress()
 	if err != nil {
 		kernel.Close()
 		return nil, err
 	}
-	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, bin: plan.Binary, dir: plan.Folder,
-		roster: plan.Roster, check: plan.Check, args: plan.Args, text: plan.Config}, nil
+	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary, directory: plan.Folder,
+		roster: plan.Roster, check: plan.Check, args: plan.Args, configText: plan.Config}, nil
 }
 
 // Build makes the program in a folder, for tests; rehearse finds its own beside itself.
 func Build(dir string) (string, error) {
-	bin := filepath.Join(dir, "valveglade")
-	out, err := exec.Command("go", "build", "-o", bin, "valveglade/cmd/valveglade").CombinedOutput()
+	binary := filepath.Join(dir, "valveglade")
+	out, err := exec.Command("go", "build", "-o", binary, "valveglade/cmd/valveglade").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("building the program: %w: %s", err, out)
 	}
-	return bin, nil
+	return binary, nil
 }
 
 // RunTests runs a package's tests with the program built for them at the path that is left in program, and ends the process.
@@ -124,8 +124,8 @@
 	os.Exit(code)
 }
 
-// freePort gives a port that was free a moment ago.
-func freePort() (string, error) {
+// freeAddress gives a port that was free a moment ago.
+func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -159,34 +159,34 @@
 	if err := p.WriteConfig(); err != nil {
 		return err
 	}
-	cmd := p.command()
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.called, p.Name), "GW_LISTEN="+p.Address)
+	cmd := p.buildCommand()
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.configName, p.Name), "GW_LISTEN="+p.Address)
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
 	p.check.Up(p.Name)
 	p.Kernel.BeginColdStart()
-	_, err := p.run(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
+	_, err := p.spawn(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
 
-// command starts the program as the platform does. Where the configuration is a text, the system holds it to its descriptors, too.
-func (p *Program) command() *exec.Cmd {
+// buildCommand starts the program as the platform does. Where the configuration is a text, the system holds it to its descriptors, too.
+func (p *Program) buildCommand() *exec.Cmd {
 	args := slices.Concat(p.site.Args, p.args)
-	if p.text == nil || p.site.Sockets > systemDescriptors {
-		return exec.Command(p.bin, args...)
+	if p.configText == nil || p.site.Sockets > maxUlimitDescriptors {
+		return exec.Command(p.binary, args...)
 	}
-	limited := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(p.site.Sockets), p.bin}
-	return exec.Command("/bin/sh", slices.Concat(limited, args)...)
+	shellArgs := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(p.site.Sockets), p.binary}
+	return exec.Command("/bin/sh", slices.Concat(shellArgs, args)...)
 }
 
-// systemDescriptors is up to which a limit of descriptors is set in the system.
-const systemDescriptors = 1024
+// maxUlimitDescriptors is up to which a limit of descriptors is set in the system.
+const maxUlimitDescriptors = 1024
 
 // WriteConfig puts the configuration where the program reads it, at its start and when it reloads.
 func (p *Program) WriteConfig() error {
-	if p.text != nil {
-		return p.WriteConfigText(p.text(p))
+	if p.configText != nil {
+		return p.WriteConfigText(p.configText(p))
 	}
 	text, err := p.siteConfig()
 	if err != nil {
@@ -200,7 +200,7 @@
 	return os.WriteFile(p.configPath(), []byte(text), 0o600)
 }
 
-func (p *Program) configPath() string { return filepath.Join(p.dir, p.Name+".json") }
+func (p *Program) configPath() string { return filepath.Join(p.directory, p.Name+".json") }
 
 // Roster is where it reports to.
 func (p *Program) Roster() string { return p.roster }
@@ -213,7 +213,7 @@
 	for k, v := range site.DomainOverrides {
 		domain[k] = v
 	}
-	return json.Marshal(map[string]any{"name": cmp.Or(p.called, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
+	return json.Marshal(map[string]any{"name": cmp.Or(p.configName, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
 		"stop_ms": site.StopTimeout.Milliseconds(),
 		"limits":  map[string]any{"cores": cmp.Or(site.CoreLimit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
@@ -250,26 +250,26 @@
 
 // Fleet is some app servers, each behind a faulty network of its own, and a sink for their reports.
 type Fleet struct {
-	Check    *Checker
-	Programs []*Program
-	Proxies  []*Net
-	Roster   *Roster
-	dir      string
-	end      chan struct{}
-	group    sync.WaitGroup
+	Check     *Checker
+	Programs  []*Program
+	Proxies   []*Net
+	Roster    *Roster
+	directory string
+	stop      chan struct{}
+	group     sync.WaitGroup
 
-	mu     sync.Mutex
-	peak   int64
-	killed int
+	mu           sync.Mutex
+	peakResident int64
+	killed       int
 }
 
 // NewFleet starts n app servers of the program bin.
-func NewFleet(bin string, n int, site Site, check *Checker) (*Fleet, error) {
+func NewFleet(binary string, n int, site Site, check *Checker) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Check: check, dir: dir, end: make(chan struct{})}
+	f := &Fleet{Check: check, directory: dir, stop: make(chan struct{})}
 	if f.Roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
@@ -281,12 +281,12 @@
 			return nil, err
 		}
 		kernel.config.Cold = site.Cold
-		address, err := freePort()
+		address, err := freeAddress()
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, bin: bin, dir: dir,
+		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, binary: binary, directory: dir,
 			roster: f.Roster.Address(), check: check}
 		if err := p.Start(); err != nil {
 			kernel.Close()
@@ -294,38 +294,38 @@
 			return nil, err
 		}
 		f.Programs = append(f.Programs, p)
-		wire, err := NewNet(name, address, check)
+		proxy, err := NewNet(name, address, check)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.Proxies = append(f.Proxies, wire)
+		f.Proxies = append(f.Proxies, proxy)
 	}
-	f.group.Go(f.weigh)
+	f.group.Go(f.watchMemory)
 	return f, nil
 }
 
-// weigh looks at the programs' memory.
-func (f *Fleet) weigh() {
+// watchMemory looks at the programs' memory.
+func (f *Fleet) watchMemory() {
 	for {
 		select {
-		case <-f.end:
+		case <-f.stop:
 			return
 		case <-time.After(50 * time.Millisecond):
 			for _, p := range f.Programs {
-				takes, limit := p.ResidentBytes(), int64(p.site.MemoryMB)<<20
+				resident, limit := p.ResidentBytes(), int64(p.site.MemoryMB)<<20
 				f.mu.Lock()
-				f.peak = max(f.peak, takes)
+				f.peakResident = max(f.peakResident, resident)
 				f.mu.Unlock()
 				switch {
-				case takes <= limit:
+				case resident <= limit:
 				case p.site.KillOverMemory && p.Running():
 					f.mu.Lock()
 					f.killed++
 					f.mu.Unlock()
 					p.Kill()
 				default:
-					f.Check.Memory(p.Name, takes, limit)
+					f.Check.Memory(p.Name, resident, limit)
 				}
 			}
 		}
@@ -336,7 +336,7 @@
 func (f *Fleet) PeakResidentBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.peak
+	return f.peakResident
 }
 
 // Killed is how many programs were killed for their memory.
@@ -348,16 +348,16 @@
 
 // Addresses is where callers connect.
 func (f *Fleet) Addresses() []string {
-	var all []string
+	var addresses []string
 	for _, n := range f.Proxies {
-		all = append(all, n.Address())
+		addresses = append(addresses, n.Address())
 	}
-	return all
+	return addresses
 }
 
 // Close stops all of it.
 func (f *Fleet) Close() {
-	close(f.end)
+	close(f.stop)
 	var all sync.WaitGroup
 	for _, p := range f.Programs {
 		all.Go(func() {
@@ -371,5 +371,5 @@
 	}
 	f.Roster.Close()
 	f.group.Wait()
-	os.RemoveAll(f.dir)
+	os.RemoveAll(f.directory)
 }
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	r := &RemoteCaller{in: in, waits: map[uint64]chan remoteReply{}}
-	if _, err := r.process.run(cmd, func(error) {}); err != nil {
+	if _, err := r.process.spawn(cmd, func(error) {}); err != nil {
 		return nil, err
 	}
 	go r.read(out)
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -20,7 +20,7 @@
 		"THERE n1 on":     "begins with",
 		"HERE n1 on\nn2 ": "words",
 	} {
-		s := newTestTrial(t, KernelConfig{})
+		s := newTestSetup(t, KernelConfig{})
 		r, err := NewRoster()
 		if err != nil {
 			t.Fatal(err)
