--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -9,68 +9,69 @@
 	"time"
 )
 
-// Kernel stands in for the process that owns the cores: it takes commands on its link and carries out runs, each of
-// which lasts as long as its work says, longer while more run than there are cores.
+// Kernel is a stand-in for the process that owns the cores. It accepts commands on its link and executes runs. A run
+// takes as long as its work, and longer while there are more runs than cores.
 type Kernel struct {
 	config  KernelConfig
 	address string
-	server  string // whose kernel it is, for the checker
+	server  string // name of the app server, for the checker
 	check   *Checker
 
 	faults atomic.Pointer[LinkFaults]
 
 	mu                sync.Mutex
 	listener          net.Listener
-	link              *kernelLink   // nil while there is none
-	acceptedCount     uint64        // connections so far
-	linkedAt          time.Time     // when BOOTED was last said
-	withheld          chan struct{} // closed when links may be answered again; nil while they are
-	breakInNextNotice bool          // the next notice breaks the link in its middle
-	notices           []string      // numbered from 1
-	random            *rand.Rand    // of notices
+	link              *kernelLink   // nil without a link
+	acceptedCount     uint64        // number of connections accepted so far
+	linkedAt          time.Time     // when BOOTED was last sent
+	withheld          chan struct{} // closed when links may be answered again; nil if they are answered
+	breakInNextNotice bool          // break the link in the middle of the next notice
+	notices           []string      // sent so far, numbered from 1; expired ones are empty
+	random            *rand.Rand    // for faults of notices
 
 	runs             map[string]*run
-	slowdown         float64 // how much longer everything takes
+	slowdown         float64 // factor by which runs take longer
 	hung             bool
 	accountedAt      time.Time
 	timer            *time.Timer
 	closed           bool
 	startedAt        time.Time
-	cold             bool // it has been restarted, and there is a cold start
+	cold             bool // restarted, with a cold start in the settings
 	usage            coreUsage
-	overloadReported bool // so many runs that it broke the rule, which is said once
+	overloadReported bool // the overload violation has been reported, which is done once
 
-	overbookedSince     time.Time // when more memory began to be booked than there is, the zero time if there is enough
-	overbookingReported bool      // that broke the rule, which is said once
+	overbookedSince     time.Time // since when more memory is booked than there is; zero if there is enough
+	overbookingReported bool      // the memory violation has been reported, which is done once
 }
 
-// NewKernel listens on a free port. It stops runs on PREEMPT and has no gauges.
+// NewKernel returns a kernel that listens on a free port. It discards runs on PREEMPT and has no gauges.
 func NewKernel(server string, cores int, check *Checker) (*Kernel, error) {
 	return NewConfiguredKernel(server, plainKernel(cores), check)
 }
 
-// NewConfiguredKernel listens on a free port, for a deployment's settings.
+// NewConfiguredKernel returns a kernel with a deployment's settings that listens on a free port.
 func NewConfiguredKernel(server string, config KernelConfig, check *Checker) (*Kernel, error) {
 	listener, err := listenOnRandomLoopback()
 	if err != nil {
 		return nil, err
 	}
 	k := &Kernel{config: config, address: listener.Addr().String(), listener: listener, server: server, check: check,
-		runs: map[string]*run{}, slowdown: 1, accountedAt: time.Now(), startedAt: time.Now(), random: rand.New(rand.NewPCG(config.Seed, 0))}
+		runs: map[string]*run{}, slowdown: 1, accountedAt: time.Now(), startedAt: time.Now(),
+		random: rand.New(rand.NewPCG(config.Seed, 0))}
 	k.faults.Store(&LinkFaults{})
 	k.timer = time.AfterFunc(time.Hour, k.handleTimer)
 	go k.serve(listener)
 	return k, nil
 }
 
-// Address is where app servers find it.
+// Address returns the address at which app servers reach the kernel.
 func (k *Kernel) Address() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.address
 }
 
-// SetSlowdown makes all work take so many times as long.
+// SetSlowdown makes all runs take factor times as long.
 func (k *Kernel) SetSlowdown(factor float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -79,7 +80,7 @@
 	k.scheduleTimer()
 }
 
-// SetHung stops all work, or lets it go on.
+// SetHung stops all runs, or resumes them. Preemptions requested meanwhile take effect on resumption.
 func (k *Kernel) SetHung(hung bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,14 +94,15 @@
 	k.scheduleTimer()
 }
 
-// Restart forgets all runs and notices, as with the app server's own restart.
+// Restart discards all runs and notices and closes the link, as a restart of the app server does.
 func (k *Kernel) Restart() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.accountWork()
 	for _, r := range k.runs {
-		if r.onBackend { // nobody takes it back there
-			time.AfterFunc(time.Duration(max(r.workLeft, 0)/max(k.runRate(), 0.01)*float64(time.Second)), func() { k.config.Backend.add(k.server, -1) })
+		if r.onBackend { // the killed run goes on at the backend until its work is done
+			time.AfterFunc(time.Duration(max(r.workLeft, 0)/max(k.runRate(), 0.01)*float64(time.Second)),
+				func() { k.config.Backend.add(k.server, -1) })
 		}
 	}
 	k.runs, k.notices = map[string]*run{}, nil
@@ -111,7 +113,7 @@
 	k.dropLink()
 }
 
-// BeginColdStart has the cold start begin now, if there is one.
+// BeginColdStart begins the cold start now, if the kernel has been restarted and the settings have one.
 func (k *Kernel) BeginColdStart() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -120,17 +122,17 @@
 	}
 }
 
-// StartedAt is when it started.
+// StartedAt returns when the kernel started or last restarted, or when its cold start began if that is later.
 func (k *Kernel) StartedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.startedAt
 }
 
-// warming tells whether it is cold and has not yet its full speed.
+// warming reports whether a cold start is in progress, before the kernel has its full speed.
 func (k *Kernel) warming() bool { return k.cold && time.Since(k.startedAt) < k.config.Cold.Ramp }
 
-// warmth is the share of its full speed that it has now.
+// warmth returns the kernel's current share of its full speed.
 func (k *Kernel) warmth() float64 {
 	if !k.warming() {
 		return 1
@@ -138,7 +140,7 @@
 	return k.config.Cold.Warmth(time.Since(k.startedAt))
 }
 
-// Close ends it.
+// Close stops the kernel: its listener, its link and its timer.
 func (k *Kernel) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -152,7 +154,7 @@
 	k.dropLink()
 }
 
-// reportViolation tells the checker of what the app server did.
+// reportViolation reports a violation by the app server to the checker.
 func (k *Kernel) reportViolation(rule int, format string, args ...any) {
 	k.check.report(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
 }
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// runRequest is what is known of a run that is asked for.
+// runRequest is what is known of a run that the app server asks for.
 type runRequest struct {
 	entry       Entry
-	sent        *sentTry // nil where commands are not checked against what clients sent
-	requestOver bool     // its request has been answered, or given up
+	sent        *sentTry // nil if commands are not checked against what clients sent
+	requestOver bool     // the request has been answered or given up
 }
 
-// maxCommandBytes bounds a line: a body of 2 KiB and a name of some hundred bytes, however they are written.
+// maxCommandBytes limits a line: it holds a body of 2 KiB and a name of some hundred bytes in any JSON encoding.
 const maxCommandBytes = 64 << 10
 
+// serve accepts connections until the listener is closed.
 func (k *Kernel) serve(listener net.Listener) {
 	for {
 		nc, err := listener.Accept()
@@ -33,14 +34,14 @@
 	}
 }
 
-// serveConnection carries out what comes on one connection, until it ends or something comes that is no command.
+// serveConnection executes the commands of one connection until it ends or an invalid command arrives.
 func (k *Kernel) serveConnection(nc net.Conn, number uint64) {
 	defer nc.Close()
 	reader := bufio.NewReaderSize(nc, maxCommandBytes)
 	var link *kernelLink
 	for {
 		line, err := reader.ReadSlice('\n')
-		if err != nil { // what has no end of line has not come whole
+		if err != nil { // a line without its end is incomplete
 			return
 		}
 		command, err := parseCommand(line)
@@ -49,7 +50,7 @@
 		case link == nil && command.Action != "OPEN":
 			err = fmt.Errorf("%w: %s before OPEN", errInvalidCommand, command.Action)
 		case link != nil && command.Action == "OPEN":
-			err = fmt.Errorf("%w: OPEN a second time", errInvalidCommand)
+			err = fmt.Errorf("%w: second OPEN on one link", errInvalidCommand)
 		}
 		if err != nil {
 			k.rejectLine(link, line, err)
@@ -67,7 +68,7 @@
 	}
 }
 
-// rejectLine tells of a line for which the link is closed.
+// rejectLine reports an invalid line and closes its link.
 func (k *Kernel) rejectLine(link *kernelLink, line []byte, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -77,7 +78,8 @@
 	}
 }
 
-// openLink takes a connection for the link, in place of the one before; nil if a later one has come meanwhile.
+// openLink makes a connection the link, in place of the previous one. It returns nil if a later connection already is
+// the link, or if the kernel is closed.
 func (k *Kernel) openLink(nc net.Conn, number uint64, pos int) *kernelLink {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -94,7 +96,7 @@
 	}
 	k.sendLine(fmt.Sprintf(`{"action":"BOOTED","code":"%s","wall_ms":%d}`, code, time.Since(k.startedAt).Milliseconds()+1))
 	if pos > len(k.notices) {
-		k.reportViolation(1, "says that it has read notice %d of %d", pos, len(k.notices))
+		k.reportViolation(1, "claims to have read notice %d of %d", pos, len(k.notices))
 	}
 	for _, line := range k.notices[min(pos, len(k.notices)):] {
 		if line != "" {
@@ -104,7 +106,7 @@
 	return link
 }
 
-// execute carries out a command. What comes on a link that another has replaced, or while commands are lost, is lost.
+// execute carries out a command. Commands on a link that has been replaced, or that drops commands, are lost.
 func (k *Kernel) execute(link *kernelLink, command kernelCommand) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -123,15 +125,16 @@
 	}
 }
 
-// rejectCommand answers a command that is not carried out.
+// rejectCommand answers a command that is not carried out with EINVAL.
 func (k *Kernel) rejectCommand(command kernelCommand) {
 	encodedUID, _ := json.Marshal(command.UID)
 	k.sendLine(fmt.Sprintf(`{"action":"EINVAL","code":"%s","uid":%s}`, command.Action, encodedUID))
 }
 
+// handleSched starts a run, unless the checker knows no such request or the run exists already.
 func (k *Kernel) handleSched(command kernelCommand) {
 	if k.config.Methods != nil && !slices.Contains(k.config.Methods, command.Lane) {
-		k.reportViolation(1, "asks for a run of %s in class %q, of which there is none", command.UID, command.Lane)
+		k.reportViolation(1, "sends SCHED %s for method %q, which the settings do not list", command.UID, command.Lane)
 		k.rejectCommand(command)
 		return
 	}
@@ -146,6 +149,7 @@
 	k.startRun(command.UID, command.Lane, request)
 }
 
+// handlePreempt preempts a run; a run that hangs is preempted when it resumes.
 func (k *Kernel) handlePreempt(command kernelCommand) {
 	if k.config.Preemption == PreemptNone {
 		k.reportViolation(1, "sends PREEMPT %s, which its settings do not allow", command.UID)
@@ -159,13 +163,14 @@
 	}
 	k.accountWork()
 	if r := k.runs[command.UID]; r != nil {
-		if r.preemptRequested = true; !k.hung { // what hangs cannot be stopped either
+		if r.preemptRequested = true; !k.hung { // a hung run cannot be preempted either
 			k.preempt(r)
 		}
 	}
 	k.scheduleTimer()
 }
 
+// handleResched resumes a paused run.
 func (k *Kernel) handleResched(command kernelCommand) {
 	if k.config.Preemption != PreemptFreeze {
 		k.reportViolation(1, "sends RESCHED %s, which its settings do not allow", command.UID)
--- a/rig/kernel_config.go
+++ b/rig/kernel_config.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Preemption is what a kernel does on PREEMPT, in the words of the settings.
+// Preemption is how a kernel handles PREEMPT, as the settings name it.
 type Preemption string
 
 const (
 	PreemptNone    Preemption = "none"    // PREEMPT is not allowed
 	PreemptDiscard Preemption = "discard" // the run ends, and its work is lost
-	PreemptFreeze  Preemption = "freeze"  // the run is paused until RESCHED, or until its request is over
+	PreemptFreeze  Preemption = "freeze"  // the run is paused until RESCHED or until its request is over
 )
 
-// KernelConfig is what the settings of a deployment say of its kernel.
+// KernelConfig holds the settings of a deployment that concern its kernel.
 type KernelConfig struct {
 	Cores      int
-	Methods    []string // nil allows any
+	Methods    []string // methods that may be run; nil allows any
 	Preemption Preemption
-	// Gauges are the names of ownStats in their order. Nil refuses SYSINFO; empty but not nil answers it without figures.
+	// Gauges are the names in ownStats, in their order. Nil rejects SYSINFO; empty but not nil answers it without values.
 	Gauges []string
-	// Memory is what may be booked, nothing for no limit.
+	// Memory is the memory that may be booked; the zero value is no limit.
 	Memory BookedMemory
-	// Overload is how many runs the cores bear, nothing for any number.
+	// Overload limits how many runs may be on the cores; the zero value is no limit.
 	Overload OverloadLimit
 	Cold     ColdStart
-	Seed     uint64   // of everything that is left to chance
-	Backend  *Backend // what runs reach, nil for nothing
+	Seed     uint64   // for all random draws of the kernel
+	Backend  *Backend // called by runs; nil for none
 }
 
-// BookedMemory is the memory of the settings: each request books its own figure while it is held, and so many times that
-// while it runs or is paused. The zero value is no limit.
+// BookedMemory is the memory limit of the settings. Each request books its own amount while it is held, and RunFactor
+// times that amount while it runs or is paused. The zero value is no limit.
 type BookedMemory struct {
 	KB        float64
 	RunFactor float64
 }
 
-// OverloadLimit is how many runs may be on the cores at once: so many times the cores at full speed, one each at no speed at all,
-// in the mean over a window. The zero value is no limit.
+// OverloadLimit limits the number of runs on the cores, as the mean over Window: Factor times the number of cores at
+// full speed, falling to one run for each core at speed zero. The zero value is no limit.
 type OverloadLimit struct {
-	Factor float64       // overloadFactor
-	Window time.Duration // fallS
+	Factor float64       // overloadFactor in the settings
+	Window time.Duration // fallS in the settings
 }
 
-// plainKernel is what most experiments have: PREEMPT discards, SYSINFO is answered without figures.
+// plainKernel returns the settings of most experiments: PREEMPT discards, SYSINFO is answered without values.
 func plainKernel(cores int) KernelConfig {
 	return KernelConfig{Cores: cores, Preemption: PreemptDiscard, Gauges: []string{}}
 }
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// A link that breaks in the middle of a notice says the whole of it on the next link.
+// A notice that is cut off by the break of its link is sent in full on the next link.
 func TestKernelResendsNoticeAfterBreak(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard, Seed: 3})
 	s.recordSent(tryA, "read", "", nil, 0)
@@ -19,17 +19,18 @@
 	s.kernel.BreakLinkInNotice()
 	l.sendSched(tryA, "read", nil)
 	partial, err := l.readLine()
-	if err == nil || partial == "" || !strings.HasPrefix(`{"action":"REAP","pos":1,"uid":"`+tryA+`","code":"fine"`, partial[:min(len(partial), 30)]) {
-		t.Errorf("%q, %v", partial, err)
+	if err == nil || partial == "" || !strings.HasPrefix(`{"action":"REAP","pos":1,"uid":"`+tryA+`","code":"fine"`,
+		partial[:min(len(partial), 30)]) {
+		t.Errorf("cut notice: %q, %v; want an incomplete REAP", partial, err)
 	}
 	again := dialKernel(t, s.kernel, 0)
 	if n := again.readNotice(); n.Action != "REAP" || n.Pos != 1 || n.UID != tryA {
-		t.Errorf("%+v", n)
+		t.Errorf("resent notice: %+v, want REAP 1", n)
 	}
 	s.expectNoViolations(t)
 }
 
-// Commands of the time before a break are lost with it, and only on that link.
+// Commands that arrive shortly before the break of a link are lost, on that link only.
 func TestKernelDropsCommandsBeforeBreak(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard, Gauges: []string{"on_cores"}})
 	s.recordSent(tryA, "read", "", nil, 3600)
@@ -39,16 +40,16 @@
 	l.expectClosed()
 	again := dialKernel(t, s.kernel, 0)
 	if m := again.syncGauges("1"); m[0] != 0 {
-		t.Errorf("%v on the cores after the command was lost", m)
+		t.Errorf("%v on the cores after the command was dropped, want 0", m)
 	}
 	again.sendSched(tryA, "read", nil)
 	if m := again.syncGauges("2"); m[0] != 1 {
-		t.Errorf("%v on the cores after the command came again", m)
+		t.Errorf("%v on the cores after the command was sent again, want 1", m)
 	}
 	s.expectNoViolations(t)
 }
 
-// A link that is broken or reset ends, and what is run goes on.
+// A broken or reset link ends, and its runs continue.
 func TestKernelRunsSurviveLinkLoss(t *testing.T) {
 	for name, end := range map[string]func(*Kernel){"break": (*Kernel).BreakLink, "reset": (*Kernel).ResetLink} {
 		t.Run(name, func(t *testing.T) {
@@ -60,14 +61,14 @@
 			end(s.kernel)
 			l.expectClosed()
 			if m := dialKernel(t, s.kernel, 0).syncGauges("2"); m[0] != 1 {
-				t.Errorf("%v on the cores", m)
+				t.Errorf("%v on the cores after the link was lost, want 1", m)
 			}
 			s.expectNoViolations(t)
 		})
 	}
 }
 
-// linesUnderFaults says some lines through a faulty link and returns what has come of them, without times.
+// linesUnderFaults runs some RPCs over a faulty link and returns the lines received, without their times.
 func linesUnderFaults(t *testing.T, seed uint64, faults LinkFaults) []string {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{}, Seed: seed})
 	s.kernel.SetLinkFaults(faults)
@@ -76,7 +77,7 @@
 		callID := fmt.Sprintf("%016x", k)
 		s.recordSent(callID, "read", "", nil, 0)
 		l.sendSched(callID, "read", nil)
-		// One after the other, so that their order does not hang on the machine.
+		// One RPC at a time, so that the order of the notices does not depend on the machine's timing.
 		waitFor(t, "the end of a run", func() bool {
 			s.kernel.mu.Lock()
 			defer s.kernel.mu.Unlock()
@@ -99,7 +100,8 @@
 	}
 }
 
-// Notices in pieces, doubled and with remarks between come in their order and whole, the same again from the same seed.
+// Fragmented and duplicated notices with remarks between them arrive in order and complete. The same seed gives the
+// same lines, another seed does not.
 func TestKernelLinkFaults(t *testing.T) {
 	faults := LinkFaults{FragmentLines: true, DuplicateShare: 0.4, RemarkShare: 0.4, Delay: 5 * time.Millisecond}
 	lines := linesUnderFaults(t, 9, faults)
@@ -114,7 +116,7 @@
 		case n.Pos == pos:
 			doubled++
 		case n.Pos != pos+1:
-			t.Errorf("number %d after %d", n.Pos, pos)
+			t.Errorf("notice %d received after %d", n.Pos, pos)
 		case n.Action == "DMESG":
 			remarks++
 		case n.Action == "REAP":
@@ -123,18 +125,18 @@
 		pos = n.Pos
 	}
 	if reaped != 20 || doubled == 0 || remarks == 0 {
-		t.Errorf("%d ends, %d doubled, %d remarks", reaped, doubled, remarks)
+		t.Errorf("%d end notices, %d duplicates, %d remarks; want 20 end notices and some of the others", reaped, doubled, remarks)
 	}
 	if again := linesUnderFaults(t, 9, faults); strings.Join(again, "") != strings.Join(lines, "") {
-		t.Errorf("the same seed gives\n%s\n%s", strings.Join(lines, ""), strings.Join(again, ""))
+		t.Errorf("the same seed gives different lines:\n%s\n%s", strings.Join(lines, ""), strings.Join(again, ""))
 	}
 	if other := linesUnderFaults(t, 10, faults); strings.Join(other, "") == strings.Join(lines, "") {
-		t.Error("another seed gives the same")
+		t.Error("another seed gives the same lines")
 	}
 }
 
-// A kernel that is late says nothing on a link until it is up. Of the connections that have come meanwhile only the last is
-// the link.
+// A kernel that withholds its links sends nothing until Release. Of the connections made meanwhile only the last
+// becomes the link.
 func TestKernelWithholdsBooted(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
 	s.kernel.Withhold()
@@ -155,11 +157,11 @@
 		return s.kernel.acceptedCount == 3
 	})
 	if !s.kernel.LinkedAt().IsZero() {
-		t.Error("there is a link before the kernel is up")
+		t.Error("there is a link before Release")
 	}
 	s.kernel.Release()
 	if n := links[2].readNotice(); n.Action != "BOOTED" {
-		t.Errorf("%+v", n)
+		t.Errorf("first line after Release: %+v, want BOOTED", n)
 	}
 	links[2].syncGauges("1")
 	links[0].expectClosed()
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// coreUseWindow is what core_use looks back on, by the page of the settings.
+// coreUseWindow is the window over which core_use is averaged, as the settings define it.
 const coreUseWindow = 500 * time.Millisecond
 
-// handleSysinfo answers with the gauges.
+// handleSysinfo answers SYSINFO with the gauges.
 func (k *Kernel) handleSysinfo(command kernelCommand) {
 	if k.config.Gauges == nil {
 		k.rejectCommand(command)
@@ -28,7 +28,7 @@
 	k.sendLine(fmt.Sprintf(`{"action":"INFO","echo":%s,"meters":%s}`, echo, encodedValues))
 }
 
-// gaugeValue is what a gaugeValue of the settings says now; 0 for one that is not known here.
+// gaugeValue returns the current value of a gauge of the settings, 0 for an unknown one.
 func (k *Kernel) gaugeValue(name string) float64 {
 	load := k.check.load(k.server)
 	switch name {
@@ -57,16 +57,16 @@
 	return 0
 }
 
-// coreUsage is how many runs there have been on the cores, as steps over time.
+// coreUsage is the number of runs on the cores over time, as steps.
 type coreUsage struct{ steps []usageStep }
 
-// usageStep is a span with the same number of runs.
+// usageStep is a period with a constant number of runs.
 type usageStep struct {
 	from, to time.Time
 	runs     int
 }
 
-// add takes a span that ends now; spans of no more use are dropped.
+// add records a period that ends now and drops steps older than every window.
 func (u *coreUsage) add(span time.Duration, now time.Time, runs int, config KernelConfig) {
 	if span <= 0 {
 		return
@@ -80,7 +80,8 @@
 	u.steps = slices.DeleteFunc(u.steps, func(s usageStep) bool { return s.to.Before(oldest) })
 }
 
-// mean is the part of the cores in use over a window that ends now, or with cores 0 the number of runs.
+// mean returns the mean share of the cores in use over a window that ends now, or the mean number of runs if cores is
+// 0.
 func (u *coreUsage) mean(window time.Duration, now time.Time, cores int) float64 {
 	sum, from := 0.0, now.Add(-window)
 	for _, s := range u.steps {
@@ -97,7 +98,7 @@
 	return sum / window.Seconds() / float64(max(cores, 1))
 }
 
-// checkOverload finds more runs on the cores than they bear, in the mean over the window of the settings.
+// checkOverload reports a violation if the mean number of runs on the cores exceeds the overload limit.
 func (k *Kernel) checkOverload(now time.Time) {
 	limit := k.config.Overload
 	if limit.Factor <= 0 || limit.Window <= 0 || k.overloadReported {
@@ -106,15 +107,15 @@
 	maxRuns := float64(k.config.Cores) * (1 + (limit.Factor-1)*k.warmth())
 	if mean := k.usage.mean(limit.Window, now, 0); mean > maxRuns {
 		k.overloadReported = true
-		k.reportViolation(4, "%.1f runs on the cores in the mean over %v, which bear %.1f", mean, limit.Window, maxRuns)
+		k.reportViolation(4, "%.1f runs on the cores on average over %v; the limit is %.1f", mean, limit.Window, maxRuns)
 	}
 }
 
-// maxOverbookedTime is how long more memory may be booked than there is before that is a violation: an answer is seen by the
-// network a little after the app server has given it.
+// maxOverbookedTime is how long more memory may be booked than there is before that is a violation: the network sees a
+// reply a little after the app server has sent it.
 const maxOverbookedTime = 50 * time.Millisecond
 
-// checkMemory finds that more memory is booked than there is.
+// checkMemory reports a violation if more memory than there is has been booked for maxOverbookedTime.
 func (k *Kernel) checkMemory() {
 	if k.overbookedKB() == 0 {
 		k.overbookedSince = time.Time{}
@@ -131,11 +132,11 @@
 	}
 	if excessKB := k.overbookedKB(); !k.overbookingReported && time.Since(k.overbookedSince) >= maxOverbookedTime {
 		k.overbookingReported = true
-		k.reportViolation(4, "books %.0f KB more than the %.0f KB that there are", excessKB, k.config.Memory.KB)
+		k.reportViolation(4, "books %.0f KB more than the memory limit of %.0f KB", excessKB, k.config.Memory.KB)
 	}
 }
 
-// overbookedKB is how many KB more are booked than there are.
+// overbookedKB returns how many KB are booked beyond the memory limit.
 func (k *Kernel) overbookedKB() float64 {
 	memory := k.config.Memory
 	if memory.KB <= 0 {
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -8,45 +8,46 @@
 	"time"
 )
 
-// LinkFaults is what is wrong with a kernel's link while it goes on. The zero value is a good link.
+// LinkFaults are the faults of a kernel's link while it is up. The zero value is a link without faults.
 type LinkFaults struct {
-	FragmentLines  bool          // lines come in pieces of any length
-	DuplicateShare float64       // share of notices that come twice under the same number
-	RemarkShare    float64       // share of notices before which a DMESG is given
-	Delay          time.Duration // lines come so much later, in their order
+	FragmentLines  bool          // write lines in fragments of random length
+	DuplicateShare float64       // share of notices sent twice with the same number
+	RemarkShare    float64       // share of notices preceded by a DMESG
+	Delay          time.Duration // delay of each line; the order is kept
 }
 
-// fragmentInterval lies between two pieces of a line, so that they are read apart.
+// fragmentInterval is the pause between two fragments of a line, so that they are read separately.
 const fragmentInterval = time.Millisecond
 
-// kernelLink is one connection of an app server to its kernel. Lines are written by a goroutine of its own: an app server
-// that does not read holds up nothing else.
+// kernelLink is one connection of an app server to its kernel. A goroutine of its own writes the lines, so that an app
+// server that does not read blocks nothing else.
 type kernelLink struct {
 	nc            net.Conn
-	number        uint64     // among the connections to its kernel
-	dropsCommands bool       // commands that come on it are lost; guarded by the kernel's lock
-	random        *rand.Rand // of pieces; only the writer uses it
+	number        uint64     // ordinal of the connection at its kernel
+	dropsCommands bool       // commands received on the link are dropped; guarded by Kernel.mu
+	random        *rand.Rand // for fragment lengths; used by the writer only
 	faults        *atomic.Pointer[LinkFaults]
 
 	mu        sync.Mutex
 	queue     []linkLine
-	wake      chan struct{} // holds one after a change of lines
-	closed    chan struct{} // closed with the link
+	wake      chan struct{} // holds one element after a change of queue
+	closed    chan struct{} // closed when the link is
 	closeOnce sync.Once
 }
 
-// linkLine is one line on its way.
+// linkLine is a queued line.
 type linkLine struct {
 	text       []byte
-	sendAt     time.Time // not before
-	closeAfter bool      // the link breaks after it
+	sendAt     time.Time // earliest time to send it
+	closeAfter bool      // close the link after the line
 }
 
 func newKernelLink(nc net.Conn, number, seed uint64, faults *atomic.Pointer[LinkFaults]) *kernelLink {
-	return &kernelLink{nc: nc, number: number, random: rand.New(rand.NewPCG(seed, number)), faults: faults, wake: make(chan struct{}, 1), closed: make(chan struct{})}
+	return &kernelLink{nc: nc, number: number, random: rand.New(rand.NewPCG(seed, number)), faults: faults,
+		wake: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// send puts a line in the queue.
+// send queues a line.
 func (l *kernelLink) send(text []byte, closeAfter bool) {
 	line := linkLine{text: text, sendAt: time.Now().Add(l.faults.Load().Delay), closeAfter: closeAfter}
 	l.mu.Lock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// nextLine takes the first line off the queue and waits until it may go; ok is false once the link is over.
+// nextLine dequeues the first line and waits until it may be sent; ok is false once the link is closed.
 func (l *kernelLink) nextLine() (line linkLine, ok bool) {
 	for {
 		l.mu.Lock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// sleep reports whether the link has outlived it.
+// sleep waits for d and reports whether the link is still open.
 func (l *kernelLink) sleep(d time.Duration) bool {
 	if d <= 0 {
 		select {
@@ -96,7 +97,7 @@
 	}
 }
 
-// writeLines sends lines until the link is over.
+// writeLines sends queued lines until the link is closed.
 func (l *kernelLink) writeLines() {
 	defer l.close()
 	for {
@@ -107,7 +108,7 @@
 	}
 }
 
-// writeLine reports whether all of it could be written.
+// writeLine reports whether the whole line could be written.
 func (l *kernelLink) writeLine(text []byte) bool {
 	for len(text) > 0 {
 		size := len(text)
@@ -124,7 +125,7 @@
 	return true
 }
 
-// close ends the connection; what is queued is lost.
+// close closes the connection; queued lines are lost.
 func (l *kernelLink) close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -132,7 +133,7 @@
 	})
 }
 
-// reset ends the connection, and what the app server has not read of it is lost too.
+// reset resets the connection; data that the app server has not read is lost too.
 func (l *kernelLink) reset() {
 	if tcp, ok := l.nc.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -23,7 +23,7 @@
 	reader *bufio.Reader
 }
 
-// testNotice is one line of the kernel.
+// testNotice is a line from the kernel, with the fields of all actions.
 type testNotice struct {
 	Action, UID, Code, Echo string
 	Pos                     int
@@ -31,10 +31,10 @@
 	Meters                  []float64
 }
 
-// testTimeout bounds each wait of these tests.
+// testTimeout limits each wait of these tests.
 const testTimeout = 10 * time.Second
 
-// dialKernel connects and reads BOOTED.
+// dialKernel opens a link that has read notices up to pos, and reads BOOTED.
 func dialKernel(t *testing.T, k *Kernel, pos int) *testLink {
 	t.Helper()
 	nc, err := net.Dial("tcp", k.Address())
@@ -45,11 +45,12 @@
 	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
 	l.sendLine(`{"action":"OPEN","pos":%d}`, pos)
 	if n := l.readNotice(); n.Action != "BOOTED" {
-		t.Fatalf("%+v in place of BOOTED", n)
+		t.Fatalf("first line of the link: %+v, want BOOTED", n)
 	}
 	return l
 }
 
+// sendLine writes one line to the kernel.
 func (l *testLink) sendLine(format string, args ...any) {
 	l.t.Helper()
 	if _, err := fmt.Fprintf(l.nc, format+"\n", args...); err != nil {
@@ -57,17 +58,19 @@
 	}
 }
 
+// sendSched sends a SCHED command.
 func (l *testLink) sendSched(call, method string, body []byte) {
 	l.t.Helper()
 	l.sendLine(`{"action":"SCHED","uid":"%s","lane":"%s","content":"%s"}`, call, method, base64.StdEncoding.EncodeToString(body))
 }
 
-// readLine reads one readLine as it is.
+// readLine reads one line without decoding it.
 func (l *testLink) readLine() (string, error) {
 	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
 	return l.reader.ReadString('\n')
 }
 
+// readNotice reads and decodes one line.
 func (l *testLink) readNotice() (n testNotice) {
 	l.t.Helper()
 	line, err := l.readLine()
@@ -80,7 +83,7 @@
 	return n
 }
 
-// syncGauges waits until all that was said before has been read, and returns the gauges.
+// syncGauges waits until the kernel has read all earlier lines, and returns the gauges.
 func (l *testLink) syncGauges(echo string) []float64 {
 	l.t.Helper()
 	l.sendLine(`{"action":"SYSINFO","echo":"%s"}`, echo)
@@ -91,20 +94,20 @@
 	}
 }
 
-// expectClosed waits for the end of the link.
+// expectClosed waits until the kernel closes the link.
 func (l *testLink) expectClosed() {
 	l.t.Helper()
 	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.Copy(io.Discard, l.reader); errors.Is(err, os.ErrDeadlineExceeded) {
-		l.t.Error("the link goes on")
+		l.t.Error("the link is not closed")
 	}
 }
 
-// testSetup is a checker that judges, and a kernel for one app server.
+// testSetup holds a checker with terms to judge by, and a kernel for one app server.
 type testSetup struct {
 	check  *Checker
 	kernel *Kernel
-	flow   *flow // of a client
+	flow   *flow // a client's connection
 	seq    int32
 }
 
@@ -127,14 +130,14 @@
 	return &testSetup{check: c, kernel: k, flow: newFlow("n1", c)}
 }
 
-// newFlow is a connection with no network.
+// newFlow returns a connection without a network.
 func newFlow(server string, check *Checker) *flow {
 	f := &flow{Net: &Net{server: server, check: check}}
 	check.connected(f)
 	return f
 }
 
-// recordSent has a client send an RPC, in the ledger only.
+// recordSent records in the ledger an RPC that a client sends; nothing is sent.
 func (s *testSetup) recordSent(callID, method, token string, body []byte, work float64) {
 	s.check.terms.Catalog.Add(callID, Entry{RPC: "rpc " + callID, Work: work})
 	s.seq++
@@ -143,30 +146,32 @@
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
 
-// expectViolation is the only violation so far, which has to say something.
+// expectViolation checks that there is exactly one violation, of a rule and with a text.
 func (s *testSetup) expectViolation(t *testing.T, rule int, text string) {
 	t.Helper()
 	violations := s.check.Violations()
 	if len(violations) != 1 || violations[0].Rule != rule || !strings.Contains(violations[0].What, text) {
-		t.Errorf("%v, and not one violation of rule %d with %q", violations, rule, text)
+		t.Errorf("violations: %v, want exactly one of rule %d with %q", violations, rule, text)
 	}
 }
 
+// expectNoViolations checks that the checker has found nothing.
 func (s *testSetup) expectNoViolations(t *testing.T) {
 	t.Helper()
 	if violations := s.check.Violations(); len(violations) > 0 {
-		t.Errorf("%v", violations)
+		t.Errorf("unexpected violations: %v", violations)
 	}
 }
 
-// waitFor waits until something holds.
+// waitFor waits until a condition holds.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
+// tryA and tryB are the call IDs of two tries.
 const tryA, tryB = "00000000000000aa", "00000000000000bb"
--- a/rig/kernel_move.go
+++ b/rig/kernel_move.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// oldLinkLifetime is how long links to the old address stay after a move: the protocol's figure.
+// oldLinkLifetime is how long a link to the old address stays open after a move, as the protocol defines it.
 const oldLinkLifetime = 1500 * time.Millisecond
 
-// Move takes the kernel to a new address: the old one accepts nothing new, and the link to it is closed after a while. Runs and
-// notices carry on.
+// Move moves the kernel to a new address. The old address accepts no new connections, and the link to it is closed
+// after oldLinkLifetime. Runs and notices are kept.
 func (k *Kernel) Move() error {
 	listener, err := listenOnRandomLoopback()
 	if err != nil {
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxNotices are kept: the protocol's figure.
+// maxNotices is how many notices are kept, as the protocol defines it.
 const maxNotices = 4000
 
-// sendNotice gives the next notice, with what is wrong with the link.
+// sendNotice sends the next notice, at random preceded by a DMESG as the link faults demand.
 func (k *Kernel) sendNotice(notice func(pos int) string) {
 	if k.random.Float64() < k.faults.Load().RemarkShare {
 		k.sendNumbered(dmesgNotice("nothing to be said"))
@@ -17,13 +17,13 @@
 	k.sendNumbered(notice)
 }
 
-// dmesgNotice writes a DMESG, with room for its number.
+// dmesgNotice returns a function that formats a DMESG with its number.
 func dmesgNotice(text string) func(pos int) string {
 	encodedText, _ := json.Marshal(text)
 	return func(pos int) string { return fmt.Sprintf(`{"action":"DMESG","pos":%d,"code":%s}`, pos, encodedText) }
 }
 
-// sendNumbered keeps a notice under the next sendNumbered and says it.
+// sendNumbered stores a notice under the next number and sends it, with the faults of the link.
 func (k *Kernel) sendNumbered(notice func(pos int) string) {
 	line := notice(len(k.notices) + 1)
 	k.notices = append(k.notices, line)
@@ -33,7 +33,7 @@
 	if k.breakInNextNotice && k.link != nil {
 		k.breakInNextNotice = false
 		k.link.send([]byte(line)[:1+k.random.IntN(len(line)-1)], true)
-		k.link = nil // what comes meanwhile is for the next link
+		k.link = nil // later notices are sent on the next link
 		return
 	}
 	k.sendLine(line)
@@ -42,31 +42,31 @@
 	}
 }
 
-// sendLine writes a line on the link, if there is one.
+// sendLine queues a line on the link, if there is one.
 func (k *Kernel) sendLine(line string) {
 	if k.link != nil {
 		k.link.send([]byte(line+"\n"), false)
 	}
 }
 
-// SetLinkFaults changes what is wrong with the link while it goes on, also with the links that follow.
+// SetLinkFaults sets the faults of the present link and of those that follow.
 func (k *Kernel) SetLinkFaults(faults LinkFaults) { k.faults.Store(&faults) }
 
-// SendRemark gives a DMESG.
+// SendRemark sends a DMESG with a text.
 func (k *Kernel) SendRemark(text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.sendNumbered(dmesgNotice(text))
 }
 
-// BreakLink ends the link now. What is on its way to the app server may be lost, and is said again on the next link.
+// BreakLink closes the link. Notices in transit may be lost and are sent again on the next link.
 func (k *Kernel) BreakLink() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.dropLink()
 }
 
-// ResetLink resets the link now.
+// ResetLink resets the link.
 func (k *Kernel) ResetLink() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,14 +76,14 @@
 	}
 }
 
-// BreakLinkInNotice ends the link in the middle of the next notice.
+// BreakLinkInNotice breaks the link in the middle of the next notice.
 func (k *Kernel) BreakLinkInNotice() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.breakInNextNotice = true
 }
 
-// BreakLinkLosingCommands breaks the link after a time, and none of the commands that come on it until then is carried out.
+// BreakLinkLosingCommands breaks the link after a delay and drops all commands that arrive on it until then.
 func (k *Kernel) BreakLinkLosingCommands(delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -95,7 +95,7 @@
 	time.AfterFunc(delay, func() { k.closeLink(link) })
 }
 
-// closeLink ends a link, if it is not over yet.
+// closeLink closes a link; it has no effect on a later one.
 func (k *Kernel) closeLink(link *kernelLink) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/rig/kernel_parse.go
+++ b/rig/kernel_parse.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// kernelCommand is one line that an app server writes to its kernel.
+// kernelCommand is one line from an app server to its kernel.
 type kernelCommand struct {
 	Action  string
 	UID     string
@@ -18,7 +18,7 @@
 	Content []byte
 }
 
-// commandFields are what each command consists of beside its action.
+// commandFields lists the fields of each command besides its action.
 var commandFields = map[string][]string{
 	"OPEN":    {"pos"},
 	"SCHED":   {"uid", "lane", "content"},
@@ -27,10 +27,10 @@
 	"SYSINFO": {"echo"},
 }
 
-// errInvalidCommand is wrapped by the errors of lines that are no command.
-var errInvalidCommand = errors.New("no command")
+// errInvalidCommand is wrapped by the errors of lines that are not a valid command.
+var errInvalidCommand = errors.New("invalid command")
 
-// parseCommand reads one line by the protocol's word: all of a command's fields, no others, each of its own type.
+// parseCommand parses one line as the protocol demands: exactly the fields of the command, each of its own type.
 func parseCommand(line []byte) (kernelCommand, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(line, &fields); err != nil {
@@ -42,31 +42,33 @@
 	}
 	names, known := commandFields[command.Action]
 	if !known {
-		return command, fmt.Errorf("%w: action %q", errInvalidCommand, command.Action)
+		return command, fmt.Errorf("%w: unknown action %q", errInvalidCommand, command.Action)
 	}
-	targets := map[string]any{"uid": &command.UID, "lane": &command.Lane, "echo": &command.Echo, "pos": &command.Pos, "content": &command.Content}
+	targets := map[string]any{"uid": &command.UID, "lane": &command.Lane, "echo": &command.Echo,
+		"pos": &command.Pos, "content": &command.Content}
 	for _, name := range names {
 		if err := readCommandField(fields, name, targets[name]); err != nil {
 			return command, err
 		}
 	}
 	if len(fields) != len(names)+1 {
-		return command, fmt.Errorf("%w: %s with the fields %q", errInvalidCommand, command.Action, slices.Sorted(maps.Keys(fields)))
+		return command, fmt.Errorf("%w: %s has unexpected fields: %q", errInvalidCommand, command.Action,
+			slices.Sorted(maps.Keys(fields)))
 	}
 	if command.Pos < 0 {
-		return command, fmt.Errorf("%w: OPEN at %d", errInvalidCommand, command.Pos)
+		return command, fmt.Errorf("%w: OPEN with negative pos %d", errInvalidCommand, command.Pos)
 	}
 	return command, nil
 }
 
-// readCommandField reads one field, which has to be there and not null.
+// readCommandField decodes one field, which must be present and not null.
 func readCommandField(fields map[string]json.RawMessage, name string, target any) error {
 	raw, found := fields[name]
 	if !found || string(raw) == "null" {
-		return fmt.Errorf("%w: without %s", errInvalidCommand, name)
+		return fmt.Errorf("%w: field %s is missing or null", errInvalidCommand, name)
 	}
 	if err := json.Unmarshal(raw, target); err != nil {
-		return fmt.Errorf("%w: %s: %w", errInvalidCommand, name, err)
+		return fmt.Errorf("%w: field %s: %w", errInvalidCommand, name, err)
 	}
 	return nil
 }
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// run is one that has been started and is not over.
+// run is a run that has been started and has not ended.
 type run struct {
 	uid              string
 	request          runRequest
-	workLeft         float64 // seconds of work
+	workLeft         float64 // remaining work in seconds
 	startedAt        time.Time
-	preemptRequested bool // it was asked to stop
-	paused           bool // off the cores under freeze
-	onBackend        bool // it counts there
+	preemptRequested bool // PREEMPT has been received
+	paused           bool // preempted under PreemptFreeze
+	onBackend        bool // counted by the backend
 }
 
-// startRun begins a run, unless its request is over.
+// startRun starts a run, or answers with a late end notice if its request is over.
 func (k *Kernel) startRun(uid, lane string, request runRequest) {
 	k.accountWork()
 	if request.requestOver {
@@ -26,7 +26,8 @@
 		return
 	}
 	k.check.begun(k.server, request)
-	k.runs[uid] = &run{uid: uid, request: request, workLeft: request.entry.Work, startedAt: time.Now(), onBackend: k.config.Backend.counts(lane)}
+	k.runs[uid] = &run{uid: uid, request: request, workLeft: request.entry.Work, startedAt: time.Now(),
+		onBackend: k.config.Backend.counts(lane)}
 	if k.config.Backend.counts(lane) {
 		k.config.Backend.add(k.server, 1)
 	}
@@ -34,7 +35,7 @@
 	k.scheduleTimer()
 }
 
-// preempt takes a run off the cores, in the way of the settings.
+// preempt takes a run off the cores: it pauses or ends it as the settings demand.
 func (k *Kernel) preempt(r *run) {
 	if k.config.Preemption == PreemptFreeze && !k.check.requestOver(r.request) {
 		if !r.paused {
@@ -46,7 +47,7 @@
 	k.endRun(r, "broken_off", nil)
 }
 
-// removeObsoletePausedRuns forgets paused runs whose request is over: their end has been told when they were paused.
+// removeObsoletePausedRuns removes paused runs whose request is over; their end notice was sent when they were paused.
 func (k *Kernel) removeObsoletePausedRuns() {
 	for _, r := range k.runs {
 		if r.paused && k.check.requestOver(r.request) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// runsOnCores is how many runs want a core.
+// runsOnCores returns how many runs are not paused.
 func (k *Kernel) runsOnCores() int {
 	n := 0
 	for _, r := range k.runs {
@@ -66,7 +67,7 @@
 	return n
 }
 
-// runRate is how fast each run goes on.
+// runRate returns the speed of each run: seconds of work per second.
 func (k *Kernel) runRate() float64 {
 	if k.hung {
 		return 0
@@ -74,7 +75,7 @@
 	return min(1, float64(k.config.Cores)/max(float64(k.runsOnCores()), 1)) / k.slowdown / k.config.Backend.slower() * k.warmth()
 }
 
-// accountWork takes off the work done since the last look.
+// accountWork subtracts the work done since the last call from all runs.
 func (k *Kernel) accountWork() {
 	now := time.Now()
 	k.usage.add(now.Sub(k.accountedAt), now, k.runsOnCores(), k.config)
@@ -88,7 +89,7 @@
 	}
 }
 
-// scheduleTimer has the timer come when the next run is over.
+// scheduleTimer sets the timer to the end of the next run.
 func (k *Kernel) scheduleTimer() {
 	rate, nextEnd := k.runRate(), 3600.0
 	for _, r := range k.runs {
@@ -97,13 +98,14 @@
 		}
 	}
 	if k.warming() {
-		nextEnd = min(nextEnd, warmingStep.Seconds()) // its speed changes meanwhile
+		nextEnd = min(nextEnd, warmingStep.Seconds()) // the speed rises during the cold start
 	}
 	if !k.closed {
 		k.timer.Reset(time.Duration(max(nextEnd, 0) * float64(time.Second)))
 	}
 }
 
+// handleTimer ends the runs whose work is done.
 func (k *Kernel) handleTimer() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -119,7 +121,7 @@
 	k.scheduleTimer()
 }
 
-// finishedRuns are the runs whose work is finishedRuns, in the order in which they began.
+// finishedRuns returns the runs whose work is done, in the order in which they started.
 func (k *Kernel) finishedRuns() []*run {
 	var finished []*run
 	for _, r := range k.runs {
@@ -131,10 +133,10 @@
 	return finished
 }
 
-// warmingStep is between looks while the speed rises.
+// warmingStep is the longest interval between updates during a cold start, while the speed rises.
 const warmingStep = 10 * time.Millisecond
 
-// endRun gives notice of a run's endRun.
+// endRun removes a run and sends its end notice.
 func (k *Kernel) endRun(r *run, code string, result []byte) {
 	k.removeRun(r)
 	if code == "fine" {
@@ -143,7 +145,7 @@
 	k.sendNotice(reapNotice(r.uid, code, time.Since(r.startedAt), result))
 }
 
-// removeRun takes a run out of the books.
+// removeRun removes a run from the kernel, the checker and the backend.
 func (k *Kernel) removeRun(r *run) {
 	delete(k.runs, r.uid)
 	k.check.finished(r.request)
@@ -152,7 +154,7 @@
 	}
 }
 
-// reapNotice writes a REAP, with room for its number.
+// reapNotice returns a function that formats a REAP with its number.
 func reapNotice(uid, code string, duration time.Duration, result []byte) func(pos int) string {
 	encodedUID, _ := json.Marshal(uid)
 	encodedResult, _ := json.Marshal(result)
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -11,18 +11,19 @@
 	"valveglade/rpc"
 )
 
-// What no client has sent is not run, and found; what one has sent is, whatever bytes it consists of.
+// A run that no client has sent is rejected and reported. One that a client has sent is run, whatever bytes its body
+// has.
 func TestKernelChecksCommands(t *testing.T) {
 	body := []byte("\x00\xffany \n bytes")
 	for name, test := range map[string]struct {
 		say  func(l *testLink)
-		what string // of the violation; empty for none
+		what string // part of the violation; empty for none
 	}{
 		"as sent":       {func(l *testLink) { l.sendSched(tryA, "read", body) }, ""},
 		"another id":    {func(l *testLink) { l.sendSched(tryB, "read", body) }, "an id that none has"},
 		"another body":  {func(l *testLink) { l.sendSched(tryA, "read", body[1:]) }, "with the body"},
 		"another class": {func(l *testLink) { l.sendSched(tryA, "write", body) }, "in class"},
-		"no class":      {func(l *testLink) { l.sendSched(tryA, "red", body) }, "of which there is none"},
+		"no class":      {func(l *testLink) { l.sendSched(tryA, "red", body) }, "which the settings do not list"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
@@ -32,20 +33,20 @@
 			n := l.readNotice()
 			if test.what != "" {
 				if n.Action != "EINVAL" || n.Code != "SCHED" {
-					t.Errorf("%+v", n)
+					t.Errorf("unexpected notice: %+v", n)
 				}
 				s.expectViolation(t, 1, test.what)
 				return
 			}
 			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(Answer("rpc "+tryA)) {
-				t.Errorf("%+v", n)
+				t.Errorf("unexpected notice: %+v", n)
 			}
 			s.expectNoViolations(t)
 		})
 	}
 }
 
-// A process is not told again what its predecessor was sent.
+// What was sent to a previous process of the app server does not count as sent to the present one.
 func TestKernelLedgerPerProcess(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 	s.recordSent(tryA, "read", "", nil, 0)
@@ -55,12 +56,12 @@
 	l := dialKernel(t, s.kernel, 0)
 	l.sendSched(tryA, "read", nil)
 	if n := l.readNotice(); n.Action != "EINVAL" {
-		t.Errorf("%+v", n)
+		t.Errorf("unexpected notice: %+v", n)
 	}
 	s.expectViolation(t, 1, "no client has sent")
 }
 
-// Anything that is no command closes the link, and is found.
+// Any line that is not a valid command closes the link and is reported.
 func TestKernelClosesLinkOnInvalidCommand(t *testing.T) {
 	for _, line := range []string{"", "{", "null", `[]`, `{"action":"RUN"}`, `{"action":"SCHED","uid":"a","lane":"read"}`,
 		`{"action":"SCHED","uid":"a","lane":"read","content":null}`, `{"action":"SCHED","uid":"a","lane":"read","content":"?"}`,
@@ -84,7 +85,7 @@
 	s.expectViolation(t, 1, "before OPEN")
 }
 
-// Half a command at the end of a link has not been read, and is nobody's fault.
+// An incomplete command at the end of a link is not a violation: the app server may have been cut off.
 func TestKernelIgnoresIncompleteCommand(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
 	l := dialKernel(t, s.kernel, 0)
@@ -94,7 +95,7 @@
 	s.expectNoViolations(t)
 }
 
-// PREEMPT and RESCHED do what the settings name.
+// PREEMPT and RESCHED act as the preemption setting demands.
 func TestKernelPreemption(t *testing.T) {
 	gauges := []string{"on_cores", "heap_share"}
 	memory := BookedMemory{KB: 100, RunFactor: 4}
@@ -103,9 +104,9 @@
 		s.recordSent(tryA, "read", "", nil, 3600)
 		l := dialKernel(t, s.kernel, 0)
 		l.sendSched(tryA, "read", nil)
-		l.sendSched(tryA, "read", nil) // nothing happens
+		l.sendSched(tryA, "read", nil) // a repeated command has no effect
 		if m := l.syncGauges("1"); !slices.Equal(m, []float64{1, 0.4}) {
-			t.Errorf("gauges %v while it runs", m)
+			t.Errorf("gauges %v during the run, want 1 and 0.4", m)
 		}
 		return s, l
 	}
@@ -113,7 +114,7 @@
 		s, l := start(t, PreemptNone)
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		if n := l.readNotice(); n.Action != "EINVAL" || n.Code != "PREEMPT" || n.UID != tryA {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		s.expectViolation(t, 1, "do not allow")
 	})
@@ -121,15 +122,15 @@
 		s, l := start(t, PreemptDiscard)
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		if n := l.readNotice(); n.Action != "REAP" || n.Code != "broken_off" {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		if m := l.syncGauges("2"); m[0] != 0 || m[1] > 0.1 {
-			t.Errorf("gauges %v after it", m)
+			t.Errorf("gauges %v after the preemption, want 0 and at most 0.1", m)
 		}
 		s.expectNoViolations(t)
 		l.sendLine(`{"action":"RESCHED","uid":"%s"}`, tryA)
 		if n := l.readNotice(); n.Action != "EINVAL" || n.Code != "RESCHED" {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		s.expectViolation(t, 1, "do not allow")
 	})
@@ -137,24 +138,24 @@
 		s, l := start(t, PreemptFreeze)
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		if n := l.readNotice(); n.Action != "REAP" || n.Code != "broken_off" {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		if m := l.syncGauges("2"); !slices.Equal(m, []float64{0, 0.4}) {
-			t.Errorf("gauges %v while it is paused", m)
+			t.Errorf("gauges %v while the run is paused, want 0 and 0.4", m)
 		}
 		l.sendLine(`{"action":"RESCHED","uid":"%s"}`, tryA)
 		if m := l.syncGauges("3"); !slices.Equal(m, []float64{1, 0.4}) {
-			t.Errorf("gauges %v while it goes on", m)
+			t.Errorf("gauges %v after RESCHED, want 1 and 0.4", m)
 		}
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.readNotice()
 		s.check.Answered(s.flow, 1, rpc.Error, false, 0)
 		if m := l.syncGauges("4"); !slices.Equal(m, []float64{0, 0}) {
-			t.Errorf("gauges %v once its request is over", m)
+			t.Errorf("gauges %v once the request is over, want zeros", m)
 		}
 		l.sendSched(tryA, "read", nil)
 		if n := l.readNotice(); n.Action != "REAP" || n.Code != "late" {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		s.expectNoViolations(t)
 	})
@@ -162,14 +163,14 @@
 		s := newTestSetup(t, KernelConfig{Preemption: PreemptFreeze, Gauges: gauges})
 		s.recordSent(tryA, "read", "", nil, 0.05)
 		l := dialKernel(t, s.kernel, 0)
-		s.kernel.SetSlowdown(1e6) // it does not end before it is paused
+		s.kernel.SetSlowdown(1e6) // the run must not end before it is paused
 		l.sendSched(tryA, "read", nil)
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.readNotice()
 		s.kernel.SetSlowdown(1)
 		l.sendLine(`{"action":"RESCHED","uid":"%s"}`, tryA)
 		if n := l.readNotice(); n.Code != "fine" || n.Pos != 2 {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		s.expectNoViolations(t)
 	})
@@ -178,13 +179,13 @@
 		l := dialKernel(t, s.kernel, 0)
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryB)
 		if n := l.readNotice(); n.Action != "EINVAL" {
-			t.Errorf("%+v", n)
+			t.Errorf("unexpected notice: %+v", n)
 		}
 		s.expectViolation(t, 1, "no client has sent")
 	})
 }
 
-// The gauges come in the order of the settings and say how things are.
+// The gauges come in the order of the settings and show the current state; an unknown gauge is 0.
 func TestKernelGauges(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{"links", "outstanding", "on_cores", "heap_share", "backlog", "nothing known"},
 		Memory: BookedMemory{KB: 1000, RunFactor: 3}})
@@ -193,7 +194,7 @@
 	s.recordSent(tryB, "read", "", nil, 3600)
 	l.sendSched(tryA, "read", nil)
 	if m := l.syncGauges("1"); !slices.Equal(m, []float64{1, 2, 1, 0.03, 1, 0}) {
-		t.Errorf("%v", m)
+		t.Errorf("gauges %v, want 1, 2, 1, 0.03, 1, 0", m)
 	}
 	s.check.mu.Lock()
 	for held := range s.check.server("n1").ledger.live {
@@ -201,27 +202,27 @@
 	}
 	s.check.mu.Unlock()
 	if m := l.syncGauges("2"); m[3] != 0.04 {
-		t.Errorf("heap_share %g with one that is held", m[3])
+		t.Errorf("heap_share %g with one request held, want 0.04", m[3])
 	}
 	s.check.Ended(s.flow, true)
 	if m := l.syncGauges("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
-		t.Errorf("%v once its clients are gone", m)
+		t.Errorf("gauges %v after the clients disconnected", m)
 	}
 	s.expectNoViolations(t)
 }
 
-// Without gauges SYSINFO is not carried out, which is nobody's fault.
+// Without gauges SYSINFO is rejected, which is not a violation.
 func TestKernelWithoutGauges(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{})
 	l := dialKernel(t, s.kernel, 0)
 	l.sendLine(`{"action":"SYSINFO","echo":"1"}`)
 	if n := l.readNotice(); n.Action != "EINVAL" || n.Code != "SYSINFO" {
-		t.Errorf("%+v", n)
+		t.Errorf("unexpected notice: %+v", n)
 	}
 	s.expectNoViolations(t)
 }
 
-// More memory than there is, and more runs than the cores bear, are found.
+// Booking more memory than there is, and more runs on the cores than allowed, are reported.
 func TestKernelLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		config KernelConfig
