--- a/rig/address.go
+++ b/rig/address.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// listenOnRandomLoopback listens at a loopback address of its own: connections that others make come from 127.0.0.1, so none of them takes the
-// port while a listener is closed for a while.
+// listenOnRandomLoopback listens on a random loopback address. Connections of other processes come from 127.0.0.1, so
+// none of them can take the port while a listener is closed for a while.
 func listenOnRandomLoopback() (listener net.Listener, err error) {
 	for range maxAddressAttempts {
 		host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
@@ -18,10 +18,10 @@
 	return nil, err
 }
 
-// maxAddressAttempts bounds the search for such an address.
+// maxAddressAttempts limits the search for a free address.
 const maxAddressAttempts = 10
 
-// freeLoopbackAddress is an address and port at which a process may listen, again and again.
+// freeLoopbackAddress returns a random loopback address and port on which a process can listen repeatedly.
 func freeLoopbackAddress() (string, error) {
 	listener, err := listenOnRandomLoopback()
 	if err != nil {
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -11,11 +11,11 @@
 	"valveglade/rpc"
 )
 
-// programSlack is what other work on the machine may add to the times that the rules name: at a load of 59 on 8 cores a process
-// ended 0.36 s later than its stop, alone 0.4 s before it.
+// programSlack is added to the times in the rules for other load on the machine: at a load of 59 on 8 cores a process
+// ended 0.36 s after its stop timeout, on an idle machine 0.4 s before it.
 const programSlack = 500 * time.Millisecond
 
-// checkedProgram is the real program behind the network, with a kernel of the settings and a judge.
+// checkedProgram is the real program behind a recording proxy, with a kernel that has the same settings and a checker.
 type checkedProgram struct {
 	*Program
 	check  *Checker
@@ -57,7 +57,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: bin, directory: dir, roster: p.roster.Address(), check: check}
+	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: bin, directory: dir,
+		roster: p.roster.Address(), check: check}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +74,8 @@
 	return p
 }
 
-// runLoad has some routers call for a while, what they send drawn from the seed.
+// runLoad lets some routers call the program for a while, with requests drawn from the seed, and returns how many
+// calls succeeded and failed.
 func (p *checkedProgram) runLoad(seed uint64, duration time.Duration) (served, failed int) {
 	var mu sync.Mutex
 	var calls sync.WaitGroup
@@ -122,7 +124,8 @@
 	return served, failed
 }
 
-// The program keeps the rules under each preemption, with all gauges and none, while its kernel's link breaks in every way.
+// The program breaks no rule under each preemption setting, with and without gauges, while the link to its kernel
+// fails in every way.
 func TestJudgeProgram(t *testing.T) {
 	for name, test := range map[string]struct {
 		preemption Preemption
@@ -135,7 +138,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startCheckedProgram(t, test.preemption, test.gauges, 1)
-			waitFor(t, "the link", func() bool { return !p.Kernel.LinkedAt().IsZero() })
+			waitFor(t, "the kernel link", func() bool { return !p.Kernel.LinkedAt().IsZero() })
 			stop := make(chan struct{})
 			var faults sync.WaitGroup
 			faults.Go(func() { p.injectLinkFaults(stop, 1) })
@@ -149,15 +152,15 @@
 			for _, v := range p.check.Violations() {
 				t.Error(v)
 			}
-			t.Logf("%d served, %d not, %d tries, %d runs", served, failed, p.check.Count("tries"), p.check.Count("runs"))
+			t.Logf("%d calls succeeded, %d failed; %d tries, %d runs", served, failed, p.check.Count("tries"), p.check.Count("runs"))
 			if served < 100 {
-				t.Errorf("%d served, %d not: %s", served, failed, p.Log())
+				t.Errorf("%d calls succeeded, want at least 100; %d failed: %s", served, failed, p.Log())
 			}
 		})
 	}
 }
 
-// injectLinkFaults puts one fault after the other on the kernel's link.
+// injectLinkFaults injects random faults into the kernel's link, one at a time, until stop is closed.
 func (p *checkedProgram) injectLinkFaults(stop chan struct{}, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 6))
 	p.proxy.Pieces(seed)
@@ -180,8 +183,9 @@
 		case 4:
 			p.Kernel.SendRemark("\"<&>\n")
 		default:
-			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: random.IntN(2) == 0, DuplicateShare: random.Float64(), RemarkShare: random.Float64(),
-				Delay: time.Duration(random.IntN(20)) * time.Millisecond})
+			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: random.IntN(2) == 0, DuplicateShare: random.Float64(),
+				RemarkShare: random.Float64(),
+				Delay:       time.Duration(random.IntN(20)) * time.Millisecond})
 		}
 	}
 }
--- a/rig/launch.go
+++ b/rig/launch.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Launch starts a command as a process of the rig. said, if it is not nil, is told each line of its standard error.
+// Launch starts a command as a Process. onLine, if not nil, is called with each line of its standard error.
 func Launch(cmd *exec.Cmd, onLine func(line []byte)) (*Process, error) {
 	p := &Process{onLogLine: onLine}
 	if _, err := p.spawn(cmd, func(error) {}); err != nil {
@@ -29,10 +29,10 @@
 // ErrNotEnded is returned for a process that had to be killed.
 var ErrNotEnded = errors.New("the process did not end by itself")
 
-// Kill ends it outright and waits for its end.
+// Kill kills the process with SIGKILL and waits for its end.
 func (p *Process) Kill() { p.kill() }
 
-// Terminate sends SIGTERM, waits for the end, and kills the process where that takes too long.
+// Terminate sends SIGTERM and waits for the end. It kills the process and returns ErrNotEnded after the timeout.
 func (p *Process) Terminate(timeout time.Duration) error {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -44,19 +44,19 @@
 	}
 }
 
-// clearRefsResetPeak is what resets the peak of resident memory when it is written to /proc/PID/clear_refs, see proc(5).
+// clearRefsResetPeak resets the peak of resident memory when written to /proc/PID/clear_refs, see proc(5).
 const clearRefsResetPeak = "5"
 
-// ResetPeakResident has Peak count from now.
+// ResetPeakResident restarts the measurement of PeakResidentBytes.
 func (p *Process) ResetPeakResident() error {
 	return os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.Pid()), []byte(clearRefsResetPeak), 0)
 }
 
-// PeakResidentBytes is the most resident memory that the process has taken since its start or the last ResetPeak, in bytes, 0 if that
-// cannot be read.
+// PeakResidentBytes returns the peak of resident memory since the start or the last ResetPeakResident, in bytes, or 0
+// if it cannot be read.
 func (p *Process) PeakResidentBytes() int64 { return p.statusBytes("VmHWM:") }
 
-// statusBytes reads a size from the process's status.
+// statusBytes returns a size from /proc/PID/status in bytes, or 0 if it cannot be read.
 func (p *Process) statusBytes(field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
 	if err != nil {
--- a/rig/logpipe.go
+++ b/rig/logpipe.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// logPipe carries what a process says on its standard error to the rig, which may stop reading it for a while.
+// logPipe carries the standard error of a process to the rig. Reading can be paused.
 type logPipe struct {
 	process *Process
 	read    *os.File
 	write   *os.File
-	drained chan struct{} // closed when all has been read
+	drained chan struct{} // closed when the pipe has been read to its end
 
 	mu      sync.Mutex
-	resumed chan struct{} // closed when reading may go on; nil while it does
+	resumed chan struct{} // closed when reading resumes; nil unless paused
 }
 
-// logTo gives a command a pipe for its standard error and reads it.
+// logTo creates a pipe for the standard error of a command and starts to read it.
 func (p *Process) logTo(cmd *exec.Cmd) (*logPipe, error) {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -36,7 +36,7 @@
 	return l, nil
 }
 
-// closeWriteEnd drops the rig's own end, so that the pipe ends with the process.
+// closeWriteEnd closes the rig's copy of the write end, so that the pipe ends with the process.
 func (l *logPipe) closeWriteEnd() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,10 +44,10 @@
 	l.write = nil
 }
 
-// drainTimeout bounds the wait for the rest of a log: somebody else may hold the pipe open.
+// drainTimeout limits the wait for the rest of a log: another process may hold the pipe open.
 const drainTimeout = time.Second
 
-// drain reads the rest once the process has ended.
+// drain reads the rest of the pipe after the process has ended.
 func (l *logPipe) drain() {
 	l.setPaused(false)
 	select {
@@ -56,6 +56,7 @@
 	}
 }
 
+// copyToLog reads the pipe to its end.
 func (l *logPipe) copyToLog() {
 	defer close(l.drained)
 	defer l.read.Close()
@@ -75,7 +76,7 @@
 	}
 }
 
-// setPaused stops the reading, or lets it go on.
+// setPaused pauses or resumes reading.
 func (l *logPipe) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,9 +89,9 @@
 	}
 }
 
-// fill writes zeros, which are not kept, until nothing more goes into the pipe.
+// fill writes zero bytes, which the log leaves out, until the pipe is full.
 func (l *logPipe) fill() error {
-	// Its own description of the pipe may be told not to wait without the process's being so too.
+	// A separate file description can be non-blocking without affecting that of the process.
 	writer, err := l.openWriter()
 	if err != nil {
 		return err
@@ -103,7 +104,7 @@
 		case err == syscall.EAGAIN && size > 1:
 			size = 1
 		case err == syscall.EAGAIN:
-			refusals++ // the reader may have been between two reads
+			refusals++ // the reader may have made room between two reads
 			time.Sleep(10 * time.Millisecond)
 		case err != nil && err != syscall.EINTR:
 			return err
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// openWriter opens the pipe for writing once more, without waiting.
+// openWriter opens the pipe for non-blocking writes, with a file description of its own. The caller closes it.
 func (l *logPipe) openWriter() (writer int, err error) {
 	conn, err := l.read.SyscallConn()
 	if err != nil {
@@ -126,7 +127,7 @@
 	return writer, err
 }
 
-// appendLog keeps the last of what the process says.
+// appendLog appends output to the log, which is truncated when it grows large, and passes whole lines to onLogLine.
 func (p *Process) appendLog(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +149,7 @@
 	}
 }
 
-// FillLog has nobody read the process's log, and its pipe full, until ReadLog.
+// FillLog stops reading the process's log and fills its pipe, until ReadLog.
 func (p *Process) FillLog() error {
 	p.mu.Lock()
 	l := p.logPipe
@@ -157,7 +158,7 @@
 	return l.fill()
 }
 
-// ReadLog has the log read on.
+// ReadLog resumes reading the log.
 func (p *Process) ReadLog() {
 	p.mu.Lock()
 	l := p.logPipe
--- a/rig/process.go
+++ b/rig/process.go
@@ -14,20 +14,19 @@
 	"time"
 )
 
-// Process is one process that the rig has started, and what can be done to it. It ends with the rig, also when the rig is
-// killed.
+// Process is a process started by the rig. It ends with the rig, even if the rig is killed.
 type Process struct {
 	mu          sync.Mutex
 	cmd         *exec.Cmd
 	done        chan struct{}
 	log         bytes.Buffer
-	partialLine []byte       // of a line that is not whole yet
-	onLogLine   func([]byte) // told of each line that it says, if set before the start
+	partialLine []byte       // of the log, up to the end of its line
+	onLogLine   func([]byte) // called with each line of the log; set before the start, may be nil
 	logPipe     *logPipe
 }
 
-// spawner are carried out by one thread that never ends: the system kills a child when the thread that started it ends, which
-// is how children end with a rig that was killed.
+// spawner starts processes on one thread that never ends: with Pdeathsig the system kills a child when the thread that
+// started it ends, which is how children end with a killed rig.
 var spawner = sync.OnceValue(func() chan func() {
 	c := make(chan func())
 	go func() {
@@ -39,10 +38,11 @@
 	return c
 })
 
-// StartSpawner starts what the rig keeps for as long as this process lives, for those who count what is left of a run.
+// StartSpawner starts the goroutine that lives as long as this process, so that callers that count leaked goroutines
+// can exclude it.
 func StartSpawner() { spawner() }
 
-// spawn starts a command; over is told of its end, in a goroutine of its own.
+// spawn starts a command. onExit is called with its result in a goroutine of its own; done is closed afterwards.
 func (p *Process) spawn(cmd *exec.Cmd, onExit func(error)) (done chan struct{}, err error) {
 	pipe, err := p.logTo(cmd)
 	if err != nil {
@@ -69,14 +69,14 @@
 	return done, nil
 }
 
-// Log is the last of what it said.
+// Log returns the end of the standard error output.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// SetPaused has the system stop the process, or let it go on.
+// SetPaused stops the process with SIGSTOP or resumes it with SIGCONT.
 func (p *Process) SetPaused(paused bool) {
 	if paused {
 		p.signal(syscall.SIGSTOP)
@@ -85,6 +85,7 @@
 	}
 }
 
+// ended returns a channel that is closed when the process has ended.
 func (p *Process) ended() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,14 +94,14 @@
 
 func (p *Process) wait() { <-p.ended() }
 
-// Pid is the process's id.
+// Pid returns the process ID.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// signal goes only to the process started here, as long as it has not ended.
+// signal sends a signal to the process started here, unless it has ended.
 func (p *Process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,9 +112,9 @@
 	}
 }
 
-// Throttle has the process run for a part of each period only, as a quota on its processor time does, until stop is
-// called. It keeps time on a thread of its own with the system's sleep: this process's own collector and timers would
-// stretch the parts.
+// Throttle lets the process run for only a part of each period, like a CPU quota, until stop is called. It keeps time
+// on a locked thread with the system's sleep, because garbage collection and timers of this process would stretch the
+// intervals.
 func (p *Process) Throttle(run, period time.Duration) (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -122,7 +123,7 @@
 		defer runtime.UnlockOSThread()
 		defer p.SetPaused(false)
 		sleepUntil := func(t time.Time) {
-			// Stopping a child sends signals to its parent, which end the sleep early.
+			// Stopping a child sends signals to the parent, which interrupt the sleep.
 			for d := time.Until(t); d > 0; d = time.Until(t) {
 				ts := syscall.NsecToTimespec(int64(d))
 				syscall.Nanosleep(&ts, nil)
@@ -136,7 +137,7 @@
 			default:
 			}
 			p.SetPaused(false)
-			sleepUntil(time.Now().Add(run)) // the part counts from when it began, however late that was
+			sleepUntil(time.Now().Add(run)) // measured from the actual start, even if it is late
 			p.SetPaused(true)
 			next = next.Add(period)
 			if time.Until(next) < 0 {
@@ -148,13 +149,13 @@
 	return sync.OnceFunc(func() { close(stopping); <-stopped })
 }
 
-// CPUTime is the processor time that the process has taken, finer than the system's clock ticks.
+// CPUTime returns the CPU time used by the process, with finer resolution than the system's clock ticks.
 func (p *Process) CPUTime() time.Duration { return p.schedstat(0) }
 
-// RunnableWait is how long its threads have been ready and had no processor.
+// RunnableWait returns how long the threads have been runnable without a processor.
 func (p *Process) RunnableWait() time.Duration { return p.schedstat(1) }
 
-// schedstat sums one word of its threads' schedstat, in nanoseconds.
+// schedstat returns the sum of one field of the threads' schedstat files, in nanoseconds.
 func (p *Process) schedstat(field int) time.Duration {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.Pid()))
 	total := time.Duration(0)
@@ -169,7 +170,7 @@
 	return total
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not ended.
 func (p *Process) Running() bool {
 	select {
 	case <-p.ended():
@@ -179,10 +180,10 @@
 	}
 }
 
-// ResidentBytes is the memory that the process takes, in bytes, 0 if that cannot be read.
+// ResidentBytes returns the resident memory in bytes, or 0 if it cannot be read.
 func (p *Process) ResidentBytes() int64 { return p.statusBytes("VmRSS:") }
 
-// Descriptors is how many file descriptors the process holds, 0 if that cannot be read.
+// Descriptors returns the number of open file descriptors, or 0 if it cannot be read.
 func (p *Process) Descriptors() int {
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
 	if err != nil {
@@ -191,14 +192,14 @@
 	return len(names)
 }
 
-// started tells whether there ever was a process.
+// started reports whether the process was ever started.
 func (p *Process) started() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// kill ends it outright and waits for its end.
+// kill kills the process with SIGKILL and waits for its end; it has no effect if none was started.
 func (p *Process) kill() {
 	if p.started() {
 		p.signal(syscall.SIGKILL)
--- a/rig/process_health.go
+++ b/rig/process_health.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// ErrBusyAtRest is wrapped by the errors of processes that use the processor although there is nothing to do.
+// ErrBusyAtRest is wrapped by the errors of processes that use CPU while they have nothing to do.
 var ErrBusyAtRest = errors.New("the process uses the processor at rest")
 
 // ErrStopIgnored is wrapped by the errors of processes that do not end on SIGTERM.
-var ErrStopIgnored = errors.New("the process ignores its stop")
+var ErrStopIgnored = errors.New("the process does not end on SIGTERM")
 
-// CheckIdle returns an error if the process takes more than a share of one core over a quiet second in which nobody asks it for
-// anything. A process that has ended rests.
+// CheckIdle returns an error if the process uses more than a share of one core over a duration in which it is sent
+// nothing. A process that has ended counts as idle.
 func (p *Process) CheckIdle(duration time.Duration, maxCoreShare float64) error {
 	before, began := p.CPUTime(), time.Now()
 	time.Sleep(duration)
@@ -22,13 +22,13 @@
 		return nil
 	}
 	if used := (p.CPUTime() - before).Seconds() / time.Since(began).Seconds(); used > maxCoreShare {
-		return fmt.Errorf("%w: %.2f of a core over %v", ErrBusyAtRest, used, duration)
+		return fmt.Errorf("%w: used %.2f of a core over %v", ErrBusyAtRest, used, duration)
 	}
 	return nil
 }
 
-// StopWithin sends SIGTERM and returns an error if the process has not ended by itself in that time, or has ended with
-// another code than 0. It is killed then.
+// StopWithin sends SIGTERM and returns an error if the process does not end within the timeout, in which case it is
+// killed, or ends with an exit code other than 0.
 func (p *Process) StopWithin(timeout time.Duration) error {
 	began := time.Now()
 	p.signal(syscall.SIGTERM)
@@ -36,7 +36,7 @@
 	case <-p.ended():
 	case <-time.After(timeout):
 		p.kill()
-		return fmt.Errorf("%w: it ran on %v after SIGTERM", ErrStopIgnored, timeout)
+		return fmt.Errorf("%w: still running %v after SIGTERM", ErrStopIgnored, timeout)
 	}
 	if code := p.ExitCode(); code != 0 {
 		return fmt.Errorf("the process ended with code %d %v after SIGTERM", code, time.Since(began).Round(time.Millisecond))
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// ExitCode is that of a process that has ended: -1 where a signal ended it, or while it has not.
+// ExitCode returns the exit code, or -1 if the process was ended by a signal or is still running.
 func (p *Process) ExitCode() int {
 	if p.Running() {
 		return -1
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A process that spins, one that ignores its stop and one that says nothing are found; those that do not are not.
+// TestProcessHealth checks that a process that uses CPU at rest, one that ignores SIGTERM and one that a signal ends
+// are reported, and that idle processes and those that exit cleanly are not.
 func TestProcessHealth(t *testing.T) {
 	start := func(script string) *Process {
 		p, err := Launch(exec.Command("/bin/sh", "-c", script), nil)
@@ -22,21 +23,23 @@
 		t.Error(err)
 	}
 	if err := spinning.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
-		t.Errorf("%v of a process that spins", err)
+		t.Errorf("CheckIdle of a spinning process: %v, want ErrBusyAtRest", err)
 	}
 	ready := make(chan struct{}, 1)
-	stubborn, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"), func([]byte) { ready <- struct{}{} })
+	stubborn, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"),
+		func([]byte) { ready <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-ready
 	if err := stubborn.StopWithin(100 * time.Millisecond); !errors.Is(err, ErrStopIgnored) || stubborn.Running() {
-		t.Errorf("%v of a process that ignores its stop", err)
+		t.Errorf("StopWithin of a process that ignores SIGTERM: %v, want ErrStopIgnored", err)
 	}
 	if err := quiet.StopWithin(10 * time.Second); err == nil {
-		t.Error("a process that SIGTERM has killed has ended as it should")
+		t.Error("StopWithin returned no error for a process that SIGTERM killed")
 	}
-	obedient, err := Launch(exec.Command("/bin/sh", "-c", "trap 'exit 0' TERM; echo ready >&2; while :; do sleep 0.01; done"), func([]byte) { ready <- struct{}{} })
+	obedient, err := Launch(exec.Command("/bin/sh", "-c", "trap 'exit 0' TERM; echo ready >&2; while :; do sleep 0.01; done"),
+		func([]byte) { ready <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rig/program.go
+++ b/rig/program.go
@@ -16,26 +16,26 @@
 	"time"
 )
 
-// Site is what a fleet's app servers are told.
+// Site holds the settings and limits of a fleet's app servers.
 type Site struct {
 	Cores                int
-	MemoryMB             int // the process's limit
+	MemoryMB             int // limit of the process
 	Sockets              int
 	StopTimeout          time.Duration
 	GracePeriod          time.Duration
 	Callers              int
 	Methods              []SiteMethod
-	MarksRetry           bool // callers mark further tries
+	MarksRetry           bool // clients mark retries
 	MaxRetryAfterSeconds float64
-	DomainOverrides      map[string]any // over settings.domain, as it is
-	Args                 []string       // of the program
-	CoreLimit            float64        // cores that it is told it may use, 1 if it is 0
-	OneCore              bool           // the program uses one core, as on the platform
-	Cold                 ColdStart      // of app servers that are restarted
-	KillOverMemory       bool           // a program over its memory is killed, as the platform does, and that is no violation
+	DomainOverrides      map[string]any // override entries of settings.domain
+	Args                 []string       // arguments of the program
+	CoreLimit            float64        // limits.cores; 0 stands for 1
+	OneCore              bool           // run the program on one core, as the platform does
+	Cold                 ColdStart      // of restarted app servers
+	KillOverMemory       bool           // kill programs over MemoryMB, as the platform does, and report no violation
 }
 
-// rules are the settings' figures of the rules.
+// rules returns settings.rules.
 func (s Site) rules() map[string]any {
 	rules := map[string]any{"overloadFactor": 5, "stopSendingWithinS": s.GracePeriod.Seconds()}
 	if s.Cold.Window > 0 {
@@ -45,7 +45,7 @@
 	return rules
 }
 
-// SiteMethod is one method, in the platform's words.
+// SiteMethod is one method, in the platform's terms.
 type SiteMethod struct {
 	Name          string  `json:"name"`
 	Kind          string  `json:"idempotency"`
@@ -55,7 +55,7 @@
 	Criticality   float64 `json:"worth"`
 }
 
-// Program is one app server: the real program as a process, its kernel a stand-in.
+// Program is one app server: the real program as a process, with a stand-in kernel.
 type Program struct {
 	Name       string
 	Address    string
@@ -65,26 +65,26 @@
 	directory  string
 	roster     string
 	check      *Checker
-	configName string                  // its own name for itself, if it is not Name
-	args       []string                // over the site's
-	configText func(p *Program) string // the configuration, where it is not the site's
+	configName string                  // name in its configuration, if not Name
+	args       []string                // appended to those of the site
+	configText func(p *Program) string // returns the configuration; nil to derive it from the site
 	Process
 }
 
-// ProgramPlan is one app server under a configuration that is given as text.
+// ProgramPlan describes one app server whose configuration is given as text.
 type ProgramPlan struct {
 	Name   string
 	Binary string
-	Args   []string // of the program
-	Site   Site     // what the rig itself goes by: limits, the times of a notice
+	Args   []string // arguments of the program
+	Site   Site     // limits and shutdown times, as used by the rig itself
 	Kernel KernelConfig
-	Folder string // for its files
+	Folder string // for the files of the app server
 	Roster string
 	Check  *Checker
-	Config func(p *Program) string // asked at each start and reload
+	Config func(p *Program) string // called at each start and reload
 }
 
-// NewProgram prepares one, with a kernel of its own; nothing is started before Launch.
+// NewProgram prepares an app server with a kernel of its own; the process is not started before Launch.
 func NewProgram(plan ProgramPlan) (*Program, error) {
 	kernel, err := NewConfiguredKernel(plan.Name, plan.Kernel, plan.Check)
 	if err != nil {
@@ -99,7 +99,7 @@
 		roster: plan.Roster, check: plan.Check, args: plan.Args, configText: plan.Config}, nil
 }
 
-// Build makes the program in a folder, for tests; rehearse finds its own beside itself.
+// Build builds the program in a folder, for tests, and returns its path.
 func Build(dir string) (string, error) {
 	binary := filepath.Join(dir, "valveglade")
 	out, err := exec.Command("go", "build", "-o", binary, "valveglade/cmd/valveglade").CombinedOutput()
@@ -109,7 +109,7 @@
 	return binary, nil
 }
 
-// RunTests runs a package's tests with the program built for them at the path that is left in program, and ends the process.
+// RunTests builds the program, stores its path in program, runs a package's tests and exits the process.
 func RunTests(m interface{ Run() int }, program *string) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err == nil {
@@ -124,7 +124,7 @@
 	os.Exit(code)
 }
 
-// freeAddress gives a port that was free a moment ago.
+// freeAddress returns a loopback address with a port that was free when it was checked.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +134,7 @@
 	return l.Addr().String(), nil
 }
 
-// Start runs the program and returns once it takes connections.
+// Start starts the program and returns once it accepts connections.
 func (p *Program) Start() error {
 	if err := p.Launch(); err != nil {
 		return err
@@ -147,14 +147,14 @@
 		}
 		select {
 		case <-done:
-			return fmt.Errorf("%s ended at its start: %s", p.Name, p.Log())
+			return fmt.Errorf("%s exited during startup: %s", p.Name, p.Log())
 		default:
 		}
 	}
-	return fmt.Errorf("%s takes no connection", p.Name)
+	return fmt.Errorf("%s accepts no connection", p.Name)
 }
 
-// Launch runs the program and does not wait for it.
+// Launch starts the program without waiting until it is ready.
 func (p *Program) Launch() error {
 	if err := p.WriteConfig(); err != nil {
 		return err
@@ -170,7 +170,8 @@
 	return err
 }
 
-// buildCommand starts the program as the platform does. Where the configuration is a text, the system holds it to its descriptors, too.
+// buildCommand returns the command that starts the program as the platform does. If the configuration is given as
+// text, the shell also sets the descriptor limit.
 func (p *Program) buildCommand() *exec.Cmd {
 	args := slices.Concat(p.site.Args, p.args)
 	if p.configText == nil || p.site.Sockets > maxUlimitDescriptors {
@@ -180,10 +181,10 @@
 	return exec.Command("/bin/sh", slices.Concat(shellArgs, args)...)
 }
 
-// maxUlimitDescriptors is up to which a limit of descriptors is set in the system.
+// maxUlimitDescriptors is the largest descriptor limit that is enforced with ulimit.
 const maxUlimitDescriptors = 1024
 
-// WriteConfig puts the configuration where the program reads it, at its start and when it reloads.
+// WriteConfig writes the configuration file that the program reads at its start and on a reload.
 func (p *Program) WriteConfig() error {
 	if p.configText != nil {
 		return p.WriteConfigText(p.configText(p))
@@ -195,17 +196,17 @@
 	return p.WriteConfigText(string(text))
 }
 
-// WriteConfigText puts any text there.
+// WriteConfigText writes any text to the configuration file.
 func (p *Program) WriteConfigText(text string) error {
 	return os.WriteFile(p.configPath(), []byte(text), 0o600)
 }
 
 func (p *Program) configPath() string { return filepath.Join(p.directory, p.Name+".json") }
 
-// Roster is where it reports to.
+// Roster returns the address to which the program reports.
 func (p *Program) Roster() string { return p.roster }
 
-// siteConfig is the configuration that the site makes.
+// siteConfig returns the configuration derived from the site.
 func (p *Program) siteConfig() ([]byte, error) {
 	site := p.site
 	domain := map[string]any{"below": "none", "nCores": site.Cores, "memoryKb": 64000, "runFactor": 4, "entryKb": 1,
@@ -213,7 +214,8 @@
 	for k, v := range site.DomainOverrides {
 		domain[k] = v
 	}
-	return json.Marshal(map[string]any{"name": cmp.Or(p.configName, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
+	return json.Marshal(map[string]any{"name": cmp.Or(p.configName, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(),
+		"roster":  p.roster,
 		"stop_ms": site.StopTimeout.Milliseconds(),
 		"limits":  map[string]any{"cores": cmp.Or(site.CoreLimit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
@@ -222,7 +224,7 @@
 			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0, "maxRetryAfterS": site.MaxRetryAfterSeconds}}})
 }
 
-// Kill ends it outright, with its kernel's runs, and waits for its end.
+// Kill kills the program and its kernel's runs, and waits for its end.
 func (p *Program) Kill() {
 	p.check.Killed(p.Name)
 	p.signal(syscall.SIGKILL)
@@ -230,13 +232,14 @@
 	p.wait()
 }
 
-// RequestShutdown tells it to leave; Wait is for its end.
+// RequestShutdown sends SIGTERM and tells the checker; it does not wait for the end.
 func (p *Program) RequestShutdown() {
 	p.check.Notice(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
-// Stop tells it to leave and waits for its end, at most a little past its stop.
+// Stop shuts the program down and waits for its end. It kills the program 5 seconds after its StopTimeout and returns
+// an error.
 func (p *Program) Stop() error {
 	p.RequestShutdown()
 	select {
@@ -248,7 +251,7 @@
 	}
 }
 
-// Fleet is some app servers, each behind a faulty network of its own, and a sink for their reports.
+// Fleet is a group of app servers, each behind a recording proxy, and a roster that collects their reports.
 type Fleet struct {
 	Check     *Checker
 	Programs  []*Program
@@ -263,7 +266,7 @@
 	killed       int
 }
 
-// NewFleet starts n app servers of the program bin.
+// NewFleet starts n app servers of the program at path binary. The caller closes the fleet.
 func NewFleet(binary string, n int, site Site, check *Checker) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
@@ -305,7 +308,7 @@
 	return f, nil
 }
 
-// watchMemory looks at the programs' memory.
+// watchMemory samples the memory of the programs and enforces their limit.
 func (f *Fleet) watchMemory() {
 	for {
 		select {
@@ -332,21 +335,21 @@
 	}
 }
 
-// PeakResidentBytes is the most memory that any of the programs has taken, Killed how many were killed for it.
+// PeakResidentBytes returns the largest resident memory of any of the programs, in bytes.
 func (f *Fleet) PeakResidentBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.peakResident
 }
 
-// Killed is how many programs were killed for their memory.
+// Killed returns how many programs were killed for exceeding their memory limit.
 func (f *Fleet) Killed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.killed
 }
 
-// Addresses is where callers connect.
+// Addresses returns the addresses to which clients connect.
 func (f *Fleet) Addresses() []string {
 	var addresses []string
 	for _, n := range f.Proxies {
@@ -355,7 +358,7 @@
 	return addresses
 }
 
-// Close stops all of it.
+// Close stops the programs, kernels, proxies and the roster, and removes the files.
 func (f *Fleet) Close() {
 	close(f.stop)
 	var all sync.WaitGroup
