--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -139,22 +139,22 @@
 	var faults sync.WaitGroup
 	faults.Go(func() {
 		time.Sleep(500 * time.Millisecond)
-		f.Nets[0].SetBlackhole(true) // accepts connections and never replies
-		f.Nets[1].TrickleReplies(7)
+		f.Proxies[0].SetBlackhole(true) // accepts connections and never replies
+		f.Proxies[1].TrickleReplies(7)
 		listUpdates <- nil // the list of app servers is empty for a while
 		time.Sleep(2 * time.Second)
 		listUpdates <- f.Addresses()
-		f.Nets[0].SetBlackhole(false)
-		f.Nets[1].TrickleReplies(0)
+		f.Proxies[0].SetBlackhole(false)
+		f.Proxies[1].TrickleReplies(0)
 	})
 	outcome := load("c", 120, 4*time.Second, 500*time.Millisecond) // the faults last for the first 2.5 s
 	faults.Wait()
 	run.atLeast("silent.and.trickling.ok", float64(outcome.OK)/float64(outcome.Requested), 0.9)
 	// With deadlines shorter than a round trip nothing may be sent late, and every RPC must end.
-	f.Nets[0].SetDelay(5 * time.Millisecond)
+	f.Proxies[0].SetDelay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
 	run.report("short.deadlines.ok", float64(short.OK)/float64(short.Requested))
-	f.Nets[0].SetDelay(0)
+	f.Proxies[0].SetDelay(0)
 	note(check)
 	return run.runRefusals()
 }
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -98,10 +98,10 @@
 	var outcome rig.Outcome
 	loadDone.Go(func() { outcome = load.Run(ctx, check, callers...) })
 	time.Sleep(2500 * time.Millisecond)
-	f.Nets[0].SetDown(true)
+	f.Proxies[0].SetDown(true)
 	time.Sleep(outage)
 	log.endOutage()
-	f.Nets[0].SetDown(false)
+	f.Proxies[0].SetDown(false)
 	log.waitFor(clients)
 	cancel()
 	loadDone.Wait()
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -206,7 +206,7 @@
 	}
 	defer fleet.Close()
 	arrivals := make([]*rig.Arrivals, coldServers)
-	for k, net := range fleet.Nets {
+	for k, net := range fleet.Proxies {
 		arrivals[k] = &rig.Arrivals{}
 		net.CountArrivals(arrivals[k])
 	}
@@ -262,7 +262,7 @@
 	for k := range boots {
 		starts.Go(func() {
 			errs[k] = fleet.Programs[k].Start()
-			boots[k] = fleet.Programs[k].Kernel.Began()
+			boots[k] = fleet.Programs[k].Kernel.StartedAt()
 		})
 	}
 	starts.Wait()
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -51,21 +51,21 @@
 			}
 		})
 	case drawn.KernelHung:
-		during(func() { kernel.Hang(true) }, func() { kernel.Hang(false) })
+		during(func() { kernel.SetHung(true) }, func() { kernel.SetHung(false) })
 	case drawn.KernelSlow:
-		during(func() { kernel.Slow(float64(f.Size)) }, func() { kernel.Slow(1) })
+		during(func() { kernel.SetSlowdown(float64(f.Size)) }, func() { kernel.SetSlowdown(1) })
 	case drawn.LinkCut:
-		kernel.BreakInNotice()
+		kernel.BreakLinkInNotice()
 	case drawn.LinkReset:
 		kernel.ResetLink()
 	case drawn.LinkCutLosingCommands:
-		kernel.BreakLosing(lossyLast)
+		kernel.BreakLinkLosingCommands(lossyLast)
 	case drawn.LinkDelayed:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
+		during(s.linkFault(func(l *rig.LinkFaults) { l.Delay = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Delay = 0 }))
 	case drawn.LinkFragmented:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
+		during(s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = true }), s.linkFault(func(l *rig.LinkFaults) { l.FragmentLines = false }))
 	case drawn.LinkDuplicated:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
+		during(s.linkFault(func(l *rig.LinkFaults) { l.DuplicateShare, l.RemarkShare = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.DuplicateShare, l.RemarkShare = 0, 0 }))
 	case drawn.RouterNotReading:
 		during(func() { s.deafen(true) }, func() { s.deafen(false) })
 	case drawn.RouterReset:
@@ -200,7 +200,7 @@
 		s.paused, s.excused = paused, time.Now()
 		s.mu.Unlock()
 		s.check.Paused(s.program.Name, paused)
-		s.program.Pause(paused)
+		s.program.SetPaused(paused)
 	}
 	set(true)
 	time.Sleep(last)
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -71,7 +71,7 @@
 // site is what the rig itself goes by.
 func (t *trial) site() rig.Site {
 	return rig.Site{MemoryMB: int(t.told.Limits.MemoryMB), Sockets: int(t.told.Limits.Sockets),
-		Stop: seconds64(t.told.StopMS / 1000), Grace: seconds64(t.told.Settings.Rules.StopSendingWithinS), OneCore: true}
+		StopTimeout: seconds64(t.told.StopMS / 1000), GracePeriod: seconds64(t.told.Settings.Rules.StopSendingWithinS), OneCore: true}
 }
 
 // form is how routers write under the settings.
@@ -120,7 +120,7 @@
 	for ctx.Err() == nil {
 		s.look()
 		time.Sleep(lookEvery)
-		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/lookEvery) {
+		if waits = append(waits, s.program.RunnableWait()); len(waits) > int(time.Second/lookEvery) {
 			waits = waits[1:]
 		}
 		s.noteWait(waits[len(waits)-1] - waits[0]) // below 0 over a restart
@@ -144,7 +144,7 @@
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
 		s.excused = time.Now().Add(time.Hour) // once is enough
 	}
-	if takes, limit := s.program.Resident(), int64(s.told.Limits.MemoryMB)<<20; takes > limit && !s.over {
+	if takes, limit := s.program.ResidentBytes(), int64(s.told.Limits.MemoryMB)<<20; takes > limit && !s.over {
 		s.over = true
 		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, takes>>20, limit>>20)
 	}
@@ -161,7 +161,7 @@
 	}
 	var err error
 	for range 3 { // work that is left over may take one of them
-		if err = s.program.Resting(trialRest, trialIdle); err == nil {
+		if err = s.program.CheckIdle(trialRest, trialIdle); err == nil {
 			return
 		}
 	}
@@ -185,7 +185,7 @@
 	s.leaving = true
 	s.mu.Unlock()
 	if s.told.StopMS > longestStop.Seconds()*1000 {
-		s.program.Notice()
+		s.program.RequestShutdown()
 		time.Sleep(longestStop / 4)
 		s.program.Kill()
 	} else if err := s.program.Stop(); err != nil {
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -227,7 +227,7 @@
 			return l, err
 		}
 		site := tillSite(64, 2*1200)
-		site.MemoryMB, site.Kill = limit, true
+		site.MemoryMB, site.KillOverMemory = limit, true
 		s, err := p.startPressureServer(site, args, time.Second, 4)
 		if err != nil {
 			return l, err
@@ -237,7 +237,7 @@
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
 		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: "l", TokenPadding: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
-		l.peak, l.killed = s.Peak(), s.Killed()
+		l.peak, l.killed = s.PeakResidentBytes(), s.Killed()
 		l.shifts = levelChanges(s.Programs[0].Log())
 		if on {
 			note(s.check)
@@ -297,9 +297,9 @@
 	var hanging sync.WaitGroup
 	hanging.Go(func() {
 		time.Sleep(p.scaled(500 * time.Millisecond))
-		s.Programs[0].Kernel.Hang(true)
+		s.Programs[0].Kernel.SetHung(true)
 		time.Sleep(p.scaled(1500 * time.Millisecond))
-		s.Programs[0].Kernel.Hang(false)
+		s.Programs[0].Kernel.SetHung(false)
 	})
 	run("h", rate/3, p.scaled(2500*time.Millisecond))
 	hanging.Wait()
@@ -382,10 +382,10 @@
 	}
 	for k := range rounds * 2 {
 		s := []*pressureServer{on, off}[k%2]
-		before := s.Programs[0].CPU()
+		before := s.Programs[0].CPUTime()
 		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
 			Prefix: "c" + string(rune('a'+k)), Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
-		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
+		spent[k%2] += (s.Programs[0].CPUTime() - before).Seconds()
 		asked[k%2] += float64(out.Requested)
 	}
 	p.report("calm.cpu.us", spent[0]/asked[0]*1e6)
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -32,14 +32,14 @@
 func tillSite(cores int, window float64) rig.Site {
 	methods := []rig.SiteMethod{}
 	for _, s := range till(0, time.Second) {
-		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
+		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), LatencyTarget: 0.8, Deadline: 1, Criticality: s.Criticality}
 		if s.Kind == rpc.Tokened {
 			m.Window = window
 		}
 		methods = append(methods, m)
 	}
-	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 8, OneCore: true,
-		MaxAfter: 2, Methods: methods}
+	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 8, OneCore: true,
+		MaxRetryAfterSeconds: 2, Methods: methods}
 }
 
 // writeSettings writes a settings file and returns the arguments that name it.
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -133,7 +133,7 @@
 	f.stop = stop
 	for k, s := range f.Programs {
 		for j := range 2 {
-			caller := &retryingCaller{source: 2*k + j + 1, address: f.Nets[k].Address(), connectPerCall: j == 1, killCount: &f.killCount}
+			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), connectPerCall: j == 1, killCount: &f.killCount}
 			f.load.Go(func() {
 				defer caller.Close()
 				f.runLoad(ctx, s.Name, caller, seed+uint64(2*k+j)<<32)
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -192,18 +192,18 @@
 	if _, err := s.configuration.write(s.path()); err != nil {
 		return cost, err
 	}
-	if err := s.ResetPeak(); err != nil {
+	if err := s.ResetPeakResident(); err != nil {
 		return cost, err
 	}
-	cpu, began := s.CPU(), time.Now()
+	cpu, began := s.CPUTime(), time.Now()
 	s.Reload()
 	if err := s.await(reloadWithin, reloaded); err != nil {
 		return cost, err
 	}
 	cost.wallSeconds = time.Since(began).Seconds()
 	time.Sleep(tail)
-	cost.cpuSeconds = (s.CPU() - cpu).Seconds()
-	cost.peakBytes = float64(s.Peak())
+	cost.cpuSeconds = (s.CPUTime() - cpu).Seconds()
+	cost.peakBytes = float64(s.PeakResidentBytes())
 	return cost, nil
 }
 
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -97,11 +97,11 @@
 		if err := load.connect(n); err != nil {
 			return fmt.Errorf("%d connections: %w", n, err)
 		}
-		silent = append(silent, slope.Point{X: float64(n), Y: float64(s.Resident())})
+		silent = append(silent, slope.Point{X: float64(n), Y: float64(s.ResidentBytes())})
 		if err := load.onEach(); err != nil {
 			return fmt.Errorf("%d connections: %w: %.2000s", n, err, s.Log())
 		}
-		used = append(used, slope.Point{X: float64(n), Y: float64(s.Resident())})
+		used = append(used, slope.Point{X: float64(n), Y: float64(s.ResidentBytes())})
 	}
 	if err := p.series(r, slope.Series{Name: "rpc.connection_bytes.idle", Unit: "B", Against: "connections", Points: silent,
 		Note: "resident memory of the program; the new connections have carried a health check"}); err != nil {
@@ -194,7 +194,7 @@
 	if err := p.rpcSeries(r, s, bare, "tables of "+size.String()+"; program on one core"); err != nil {
 		return err
 	}
-	p.report("rpc.tables.resident_bytes", float64(s.Resident()))
+	p.report("rpc.tables.resident_bytes", float64(s.ResidentBytes()))
 	cost, err := s.change()
 	if err != nil {
 		return err
@@ -225,14 +225,14 @@
 			}
 		}
 		for k, rate := range rates {
-			cpu, sent := s.CPU(), through.sent
+			cpu, sent := s.CPUTime(), through.sent
 			added, err := compareLoads(through, bareLoad, rate, p.Seed+uint64(n))
 			if err != nil {
 				return fmt.Errorf("%d connections, %g RPCs a second: %w", n, rate.perSecond, err)
 			}
 			p.printNote("%d connections, %g RPCs/s: p99 %.2f ms, bare %.2f ms, %d samples", n, rate.perSecond, added.programTail*1e3,
 				added.bareTail*1e3, added.samples)
-			cpus[k] = append(cpus[k], slope.Point{X: float64(n), Y: (s.CPU() - cpu).Seconds() / float64(through.sent-sent)})
+			cpus[k] = append(cpus[k], slope.Point{X: float64(n), Y: (s.CPUTime() - cpu).Seconds() / float64(through.sent-sent)})
 			medians[k] = append(medians[k], slope.Point{X: float64(n), Y: added.median})
 			tails[k] = append(tails[k], slope.Point{X: float64(n), Y: added.tail})
 		}
@@ -318,16 +318,16 @@
 		}
 	}
 	rate := p.changingRate()
-	cpu, began := s.CPU(), time.Now()
+	cpu, began := s.CPUTime(), time.Now()
 	if _, err := playRound(through, bareLoad, rpcRate{meanRate, 1, rate.length / 2}, p.Seed); err != nil {
 		return added, 0, err
 	}
-	quietCore := (s.CPU() - cpu).Seconds() / time.Since(began).Seconds()
+	quietCore := (s.CPUTime() - cpu).Seconds() / time.Since(began).Seconds()
 	end, over := make(chan struct{}), make(chan error, 1)
 	go func() { over <- s.changeUntil(end) }()
-	cpu, began = s.CPU(), time.Now()
+	cpu, began = s.CPUTime(), time.Now()
 	added, err = compareLoads(through, bareLoad, rate, p.Seed+1)
-	core = (s.CPU()-cpu).Seconds()/time.Since(began).Seconds() - quietCore
+	core = (s.CPUTime()-cpu).Seconds()/time.Since(began).Seconds() - quietCore
 	close(end)
 	if changed := <-over; err == nil {
 		err = changed
--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -377,7 +377,7 @@
 			return err
 		}
 		if b = b[n:]; len(b) > 0 {
-			time.Sleep(pieceGap)
+			time.Sleep(fragmentInterval)
 		}
 	}
 	return nil
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -11,40 +11,40 @@
 	"valveglade/rpc"
 )
 
-// programSlack is what other work on the machine may add to the times that the rules name: at a load of 59 on 8 cores a process
-// ended 0.36 s later than its stop, alone 0.4 s before it.
+// programSlack is added to the times in the rules for other load on the machine: at a load of 59 on 8 cores a process
+// ended 0.36 s after its stop timeout, on an idle machine 0.4 s before it.
 const programSlack = 500 * time.Millisecond
 
-// judgedProgram is the real program behind the network, with a kernel of the settings and a judge.
-type judgedProgram struct {
+// checkedProgram is the real program behind a recording proxy, with a kernel that has the same settings and a checker.
+type checkedProgram struct {
 	*Program
 	check  *Checker
-	net    *FaultProxy
+	proxy  *FaultProxy
 	roster *Roster
 }
 
-func startJudged(t *testing.T, preemption Preemption, gauges []string, seed uint64) *judgedProgram {
+func startCheckedProgram(t *testing.T, preemption Preemption, gauges []string, seed uint64) *checkedProgram {
 	t.Helper()
 	dir := t.TempDir()
 	bin, err := Build(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	site := Site{Cores: 2, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 4,
-		Methods: []SiteMethod{{Name: "read <&> \"x\"", Kind: "retryable", Target: 0.5, Deadline: 1, Criticality: 1},
-			{Name: "write", Kind: "dedup", Target: 0.5, Deadline: 1, Window: 5, Criticality: 2},
-			{Name: "ü", Kind: "fragile", Target: 0.5, Deadline: 1, Criticality: 3}},
-		Extra: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
+	site := Site{Cores: 2, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 4,
+		Methods: []SiteMethod{{Name: "read <&> \"x\"", Kind: "retryable", LatencyTarget: 0.5, Deadline: 1, Criticality: 1},
+			{Name: "write", Kind: "dedup", LatencyTarget: 0.5, Deadline: 1, Window: 5, Criticality: 2},
+			{Name: "ü", Kind: "fragile", LatencyTarget: 0.5, Deadline: 1, Criticality: 3}},
+		DomainOverrides: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
 	terms := Terms{Methods: map[string]MethodTerms{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
-		Crowding: Crowding{5, 1500 * time.Millisecond}, Seed: seed}
+		Overload: OverloadLimit{5, 1500 * time.Millisecond}, Seed: seed}
 	for _, m := range site.Methods {
 		config.Methods = append(config.Methods, m.Name)
 		terms.Methods[m.Name] = MethodTerms{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
 	}
 	check.Judge(terms)
-	p := &judgedProgram{check: check}
+	p := &checkedProgram{check: check}
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
 	}
@@ -53,78 +53,81 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, err := freePort()
+	address, err := freeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, bin: bin, dir: dir, roster: p.roster.Address(), check: check}
+	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: bin, directory: dir,
+		roster: p.roster.Address(), check: check}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if p.net, err = NewFaultProxy("n1", address, check); err != nil {
+	if p.proxy, err = NewFaultProxy("n1", address, check); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		p.Kill()
-		p.net.Close()
+		p.proxy.Close()
 		kernel.Close()
 		p.roster.Close()
 	})
 	return p
 }
 
-// load has some routers call for a while, what they send drawn from the seed.
-func (p *judgedProgram) load(seed uint64, length time.Duration) (served, other int) {
+// runLoad lets some routers call the program for a while, with requests drawn from the seed, and returns how many
+// calls succeeded and failed.
+func (p *checkedProgram) runLoad(seed uint64, duration time.Duration) (served, failed int) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	routers := []*Router{}
 	for k := range 4 {
-		routers = append(routers, NewRouter(k+1, p.net.Address()))
+		routers = append(routers, NewRouter(k+1, p.proxy.Address()))
 	}
-	chance := rand.New(rand.NewPCG(seed, 5))
-	for begin := time.Now(); time.Since(begin) < length; time.Sleep(time.Duration(chance.ExpFloat64() * 4e6)) {
-		m := p.site.Methods[chance.IntN(3)]
-		body := make([]byte, chance.IntN(200))
+	random := rand.New(rand.NewPCG(seed, 5))
+	for begin := time.Now(); time.Since(begin) < duration; time.Sleep(time.Duration(random.ExpFloat64() * 4e6)) {
+		m := p.site.Methods[random.IntN(3)]
+		body := make([]byte, random.IntN(200))
 		for k := range body {
-			body[k] = byte(chance.Uint32())
+			body[k] = byte(random.Uint32())
 		}
-		if chance.IntN(2) == 0 {
-			body = Body(fmt.Sprint(chance.Uint64()), chance.ExpFloat64()*0.02)
+		if random.IntN(2) == 0 {
+			body = Body(fmt.Sprint(random.Uint64()), random.ExpFloat64()*0.02)
 		}
 		token := ""
 		if m.Kind == "dedup" {
-			token = fmt.Sprintf("%032x", chance.Uint64())
+			token = fmt.Sprintf("%032x", random.Uint64())
 		}
 		tries := 1
 		if m.Kind != "fragile" {
-			tries += chance.IntN(2)
+			tries += random.IntN(2)
 		}
 		for range tries {
-			r := routers[chance.IntN(len(routers))]
-			all.Go(func() {
-				ctx, stop := context.WithTimeout(context.Background(), time.Duration(m.Deadline*1e9))
-				defer stop()
+			r := routers[random.IntN(len(routers))]
+			calls.Go(func() {
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(m.Deadline*1e9))
+				defer cancel()
 				_, err := r.Call(ctx, m.Name, token, 0.5, body)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
 					served++
 				} else {
-					other++
+					failed++
 				}
 			})
 		}
 	}
-	all.Wait()
+	calls.Wait()
 	for _, r := range routers {
 		r.Close()
 	}
-	return served, other
+	return served, failed
 }
 
-// The program keeps the rules under each preemption, with all gauges and none, while its kernel's link breaks in every way.
+// The program breaks no rule under each preemption setting, with and without gauges, while the link to its kernel
+// fails in every way.
 func TestJudgeProgram(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		preemption Preemption
 		gauges     []string
 	}{
@@ -134,13 +137,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startJudged(t, one.preemption, one.gauges, 1)
-			waitFor(t, "the link", func() bool { return !p.Kernel.LinkedAt().IsZero() })
-			over := make(chan struct{})
+			p := startCheckedProgram(t, test.preemption, test.gauges, 1)
+			waitFor(t, "the kernel link", func() bool { return !p.Kernel.LinkedAt().IsZero() })
+			stop := make(chan struct{})
 			var faults sync.WaitGroup
-			faults.Go(func() { p.breakLink(over, 1) })
-			served, other := p.load(1, 3*time.Second)
-			close(over)
+			faults.Go(func() { p.injectLinkFaults(stop, 1) })
+			served, failed := p.runLoad(1, 3*time.Second)
+			close(stop)
 			faults.Wait()
 			if err := p.Stop(); err != nil {
 				t.Error(err)
@@ -149,39 +152,40 @@
 			for _, v := range p.check.Violations() {
 				t.Error(v)
 			}
-			t.Logf("%d served, %d not, %d tries, %d runs", served, other, p.check.Count("tries"), p.check.Count("runs"))
+			t.Logf("%d calls succeeded, %d failed; %d tries, %d runs", served, failed, p.check.Count("tries"), p.check.Count("runs"))
 			if served < 100 {
-				t.Errorf("%d served, %d not: %s", served, other, p.Log())
+				t.Errorf("%d calls succeeded, want at least 100; %d failed: %s", served, failed, p.Log())
 			}
 		})
 	}
 }
 
-// breakLink puts one fault after the other on the kernel's link.
-func (p *judgedProgram) breakLink(over chan struct{}, seed uint64) {
-	chance := rand.New(rand.NewPCG(seed, 6))
-	p.net.FragmentWrites(seed)
+// injectLinkFaults injects random faults into the kernel's link, one at a time, until stop is closed.
+func (p *checkedProgram) injectLinkFaults(stop chan struct{}, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, 6))
+	p.proxy.FragmentWrites(seed)
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			p.Kernel.SetLinkFaults(LinkFaults{})
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
-		switch chance.IntN(6) {
+		switch random.IntN(6) {
 		case 0:
 			p.Kernel.BreakLink()
 		case 1:
 			p.Kernel.ResetLink()
 		case 2:
-			p.Kernel.BreakInNotice()
+			p.Kernel.BreakLinkInNotice()
 		case 3:
-			p.Kernel.BreakLosing(50 * time.Millisecond)
+			p.Kernel.BreakLinkLosingCommands(50 * time.Millisecond)
 		case 4:
-			p.Kernel.Remark("\"<&>\n")
+			p.Kernel.SendRemark("\"<&>\n")
 		default:
-			p.Kernel.SetLinkFaults(LinkFaults{Pieces: chance.IntN(2) == 0, Doubled: chance.Float64(), Remarks: chance.Float64(),
-				Late: time.Duration(chance.IntN(20)) * time.Millisecond})
+			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: random.IntN(2) == 0, DuplicateShare: random.Float64(),
+				RemarkShare: random.Float64(),
+				Delay:       time.Duration(random.IntN(20)) * time.Millisecond})
 		}
 	}
 }
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -6,67 +6,67 @@
 	"time"
 )
 
-// mostNotices are kept: the protocol's figure.
-const mostNotices = 4000
+// maxNotices is how many notices are kept, as the protocol defines it.
+const maxNotices = 4000
 
-// notify gives the next notice, with what is wrong with the link.
-func (k *Kernel) notify(notice func(pos int) string) {
-	if k.chance.Float64() < k.faults.Load().Remarks {
-		k.number(remark("nothing to be said"))
+// sendNotice sends the next notice, at random preceded by a DMESG as the link faults demand.
+func (k *Kernel) sendNotice(notice func(pos int) string) {
+	if k.random.Float64() < k.faults.Load().RemarkShare {
+		k.sendNumbered(dmesgNotice("nothing to be said"))
 	}
-	k.number(notice)
+	k.sendNumbered(notice)
 }
 
-// remark writes a DMESG, with room for its number.
-func remark(text string) func(pos int) string {
-	code, _ := json.Marshal(text)
-	return func(pos int) string { return fmt.Sprintf(`{"action":"DMESG","pos":%d,"code":%s}`, pos, code) }
+// dmesgNotice returns a function that formats a DMESG with its number.
+func dmesgNotice(text string) func(pos int) string {
+	encodedText, _ := json.Marshal(text)
+	return func(pos int) string { return fmt.Sprintf(`{"action":"DMESG","pos":%d,"code":%s}`, pos, encodedText) }
 }
 
-// number keeps a notice under the next number and says it.
-func (k *Kernel) number(notice func(pos int) string) {
+// sendNumbered stores a notice under the next number and sends it, with the faults of the link.
+func (k *Kernel) sendNumbered(notice func(pos int) string) {
 	line := notice(len(k.notices) + 1)
 	k.notices = append(k.notices, line)
-	if old := len(k.notices) - mostNotices; old > 0 {
-		k.notices[old-1] = ""
+	if expired := len(k.notices) - maxNotices; expired > 0 {
+		k.notices[expired-1] = ""
 	}
-	if k.cutNext && k.link != nil {
-		k.cutNext = false
-		k.link.send([]byte(line)[:1+k.chance.IntN(len(line)-1)], true)
-		k.link = nil // what comes meanwhile is for the next link
+	if k.breakInNextNotice && k.link != nil {
+		k.breakInNextNotice = false
+		k.link.send([]byte(line)[:1+k.random.IntN(len(line)-1)], true)
+		k.link = nil // later notices are sent on the next link
 		return
 	}
-	k.say(line)
-	if k.chance.Float64() < k.faults.Load().Doubled {
-		k.say(line)
+	k.sendLine(line)
+	if k.random.Float64() < k.faults.Load().DuplicateShare {
+		k.sendLine(line)
 	}
 }
 
-// say writes a line on the link, if there is one.
-func (k *Kernel) say(line string) {
+// sendLine queues a line on the link, if there is one.
+func (k *Kernel) sendLine(line string) {
 	if k.link != nil {
 		k.link.send([]byte(line+"\n"), false)
 	}
 }
 
-// SetLinkFaults changes what is wrong with the link while it goes on, also with the links that follow.
+// SetLinkFaults sets the faults of the present link and of those that follow.
 func (k *Kernel) SetLinkFaults(faults LinkFaults) { k.faults.Store(&faults) }
 
-// Remark gives a DMESG.
-func (k *Kernel) Remark(text string) {
+// SendRemark sends a DMESG with a text.
+func (k *Kernel) SendRemark(text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.number(remark(text))
+	k.sendNumbered(dmesgNotice(text))
 }
 
-// BreakLink ends the link now. What is on its way to the app server may be lost, and is said again on the next link.
+// BreakLink closes the link. Notices in transit may be lost and are sent again on the next link.
 func (k *Kernel) BreakLink() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.dropLink()
 }
 
-// ResetLink resets the link now.
+// ResetLink resets the link.
 func (k *Kernel) ResetLink() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,27 +76,27 @@
 	}
 }
 
-// BreakInNotice ends the link in the middle of the next notice.
-func (k *Kernel) BreakInNotice() {
+// BreakLinkInNotice breaks the link in the middle of the next notice.
+func (k *Kernel) BreakLinkInNotice() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cutNext = true
+	k.breakInNextNotice = true
 }
 
-// BreakLosing breaks the link after a time, and none of the commands that come on it until then is carried out.
-func (k *Kernel) BreakLosing(last time.Duration) {
+// BreakLinkLosingCommands breaks the link after a delay and drops all commands that arrive on it until then.
+func (k *Kernel) BreakLinkLosingCommands(delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	link := k.link
 	if link == nil {
 		return
 	}
-	link.deaf = true
-	time.AfterFunc(last, func() { k.unlink(link) })
+	link.dropsCommands = true
+	time.AfterFunc(delay, func() { k.closeLink(link) })
 }
 
-// unlink ends a link, if it is not over yet.
-func (k *Kernel) unlink(link *kernelLink) {
+// closeLink closes a link; it has no effect on a later one.
+func (k *Kernel) closeLink(link *kernelLink) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	link.close()
