--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -255,7 +255,7 @@
 	t.check.Finish()
 	for _, v := range t.check.Violations() {
 		if v.Rule != callersRule {
-			t.violate("%s%s", v, t.endWords(v.What))
+			t.violate("%s%s", v, t.endWords(v.Description))
 		}
 	}
 	t.result.tries, t.result.runs = t.check.Count("tries"), t.check.Count("runs")
--- a/rig/check.go
+++ b/rig/check.go
@@ -12,10 +12,10 @@
 // Violation is one rule broken: 1 to 4 are the app server's, 5 is the caller's, 0 the rig's own fault.
 type Violation struct {
 	Rule int
-	What string
+	Description string
 }
 
-func (b Violation) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.Description) }
 
 // Checker watches everything that an experiment does and knows the rules. It is told by callers (Asked), by the
 // network (Try, Interrupted, Answered, Ended), by the kernels (Started) and by whoever starts and stops programs
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -103,7 +103,7 @@
 		}
 		plant.do(c, f)
 		b := c.Violations()
-		if len(b) != 1 || b[0].Rule != plant.rule || !strings.Contains(b[0].What, plant.what) {
+		if len(b) != 1 || b[0].Rule != plant.rule || !strings.Contains(b[0].Description, plant.what) {
 			t.Errorf("%s: %v", name, b)
 		}
 	}
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -147,7 +147,7 @@
 func (s *testTrial) one(t *testing.T, rule int, what string) {
 	t.Helper()
 	all := s.check.Violations()
-	if len(all) != 1 || all[0].Rule != rule || !strings.Contains(all[0].What, what) {
+	if len(all) != 1 || all[0].Rule != rule || !strings.Contains(all[0].Description, what) {
 		t.Errorf("%v, and not one violation of rule %d with %q", all, rule, what)
 	}
 }
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -77,7 +77,7 @@
 			time.Sleep(10 * time.Microsecond)
 		}
 		waitFor(t, "the lost request", func() bool { return len(c.Violations()) > 0 })
-		if v := c.Violations(); v[0].Rule != 1 || !strings.Contains(v[0].What, "without an answer") {
+		if v := c.Violations(); v[0].Rule != 1 || !strings.Contains(v[0].Description, "without an answer") {
 			t.Errorf("%v", v)
 		}
 		nc.Close()
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -34,10 +34,10 @@
 		fmt.Fprint(conn, "HERE last") // after it nothing is on its way
 		waitFor(t, "the reports", func() bool {
 			all := s.check.Violations()
-			return len(all) > 0 && strings.Contains(all[len(all)-1].What, "HERE last")
+			return len(all) > 0 && strings.Contains(all[len(all)-1].Description, "HERE last")
 		})
 		all := s.check.Violations()
-		if len(all) > 2 || (len(all) == 2) != (what != "") || !strings.Contains(all[0].What, what) {
+		if len(all) > 2 || (len(all) == 2) != (what != "") || !strings.Contains(all[0].Description, what) {
 			t.Errorf("%q: %v", report, all)
 		}
 		conn.Close()
