--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -200,7 +200,7 @@
 func (c *frameConn) send(route int) {
 	id := c.load.name()
 	if c.load.check != nil {
-		c.load.check.Asked(id, rpc.Idempotent, time.Now().Add(rpcDeadline))
+		c.load.check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(rpcDeadline))
 	}
 	c.load.pending.Add(1)
 	c.mu.Lock()
--- a/rig/check.go
+++ b/rig/check.go
@@ -125,8 +125,8 @@
 	return append([]Violation(nil), c.violations...)
 }
 
-// Asked tells of an RPC that a caller is about to ask for.
-func (c *Checker) Asked(id string, kind rpc.Kind, deadline time.Time) {
+// RegisterRPC tells of an RPC that a caller is about to ask for.
+func (c *Checker) RegisterRPC(id string, kind rpc.Kind, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rpcs[id] = &askedRPC{kind: kind, deadline: deadline}
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -81,22 +81,22 @@
 		}},
 		"sent late": {5, "after its deadline", func(c *Checker, f *flow) {
 			due := time.Now().Add(-time.Second)
-			c.Asked("b", rpc.Idempotent, due)
+			c.RegisterRPC("b", rpc.Idempotent, due)
 			c.Try("n1", f, 2, "b", due, false)
 		}},
 		"deadline stretched": {5, "later than its own", func(c *Checker, f *flow) {
-			c.Asked("b", rpc.Idempotent, time.Now().Add(time.Second))
+			c.RegisterRPC("b", rpc.Idempotent, time.Now().Add(time.Second))
 			c.Try("n1", f, 2, "b", far, false)
 		}},
 		"non-idempotent twice": {5, "sent twice", func(c *Checker, f *flow) {
-			c.Asked("b", rpc.NonIdempotent, far)
+			c.RegisterRPC("b", rpc.NonIdempotent, far)
 			c.Try("n1", f, 2, "b", far, false)
 			c.Try("n1", f, 3, "b", far, true)
 		}},
 	} {
 		c, f := NewChecker(10*time.Millisecond), &flow{}
 		c.Up("n1")
-		c.Asked("a", rpc.Tokened, far)
+		c.RegisterRPC("a", rpc.Tokened, far)
 		c.Try("n1", f, 1, "a", far, false)
 		if b := c.Violations(); len(b) > 0 {
 			t.Fatalf("a violation where there is none: %v", b)
@@ -112,13 +112,13 @@
 // What is excused is no violation: a caller that is gone, an app server that was killed.
 func TestCheckerExcuses(t *testing.T) {
 	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
-	c.Asked("never written", rpc.Tokened, time.Now())
+	c.RegisterRPC("never written", rpc.Tokened, time.Now())
 	h := &flow{}
 	c.Try("n3", h, 9, "never written", time.Now(), false)
 	c.Unwritten(h, 9)
 	c.Ended(h, false)
 	for k, id := range []string{"gone", "closed", "killed"} {
-		c.Asked(id, rpc.Tokened, time.Now())
+		c.RegisterRPC(id, rpc.Tokened, time.Now())
 		c.Try(fmt.Sprint("n", k), []*flow{f, f, g}[k], int32(k+1), id, time.Now(), false)
 	}
 	c.Interrupted(f, 1)
@@ -138,7 +138,7 @@
 	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
 	c.ResendCrossed()
 	far := time.Now().Add(time.Hour)
-	c.Asked("a", rpc.Tokened, far)
+	c.RegisterRPC("a", rpc.Tokened, far)
 	c.Try("n1", f, 1, "a", far, false)
 	c.Ended(f, false)
 	c.Try("n1", g, 1, "a", far, true)
@@ -172,8 +172,8 @@
 	}
 	defer nc.Close()
 	now := float64(time.Now().UnixMilli()) / 1000
-	c.Asked("a", rpc.Idempotent, time.Now().Add(10*time.Second))
-	c.Asked("b", rpc.Idempotent, time.Now().Add(10*time.Second))
+	c.RegisterRPC("a", rpc.Idempotent, time.Now().Add(10*time.Second))
+	c.RegisterRPC("b", rpc.Idempotent, time.Now().Add(10*time.Second))
 	nc.Write(thrift.Execute(nil, 1, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("a", 0)))
 	nc.Read(make([]byte, 4096))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
--- a/rig/load.go
+++ b/rig/load.go
@@ -96,7 +96,7 @@
 		}
 		all.Go(func() {
 			due := time.Now().Add(s.Deadline)
-			check.Asked(id, s.Kind, due)
+			check.RegisterRPC(id, s.Kind, due)
 			ctx, stop := context.WithDeadline(ctx, due)
 			defer stop()
 			token := ""
