--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -156,7 +156,7 @@
 			}
 			time.Sleep(300 * time.Millisecond) // a repeat of what has been served
 			due := time.Now().Add(time.Second)
-			s.check.Repeated(id, due)
+			s.check.RepeatRPC(id, due)
 			ctx, stop := context.WithDeadline(context.Background(), due)
 			defer stop()
 			_, err = s.routers[0].Call(ctx, m.Method, token, m.Criticality, body)
--- a/rig/check.go
+++ b/rig/check.go
@@ -133,9 +133,9 @@
 	c.counts["asked"]++
 }
 
-// Repeated tells that a caller asks once more for an RPC that had its outcome: until a new deadline, and whatever was
+// RepeatRPC tells that a caller asks once more for an RPC that had its outcome: until a new deadline, and whatever was
 // said of the earlier tries.
-func (c *Checker) Repeated(id string, deadline time.Time) {
+func (c *Checker) RepeatRPC(id string, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil {
