--- a/rig/check.go
+++ b/rig/check.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// Result tells what a caller got for an RPC: only what a run of it made is a result.
-func (c *Checker) Result(id string, body []byte) {
+// VerifyResult tells what a caller got for an RPC: only what a run of it made is a result.
+func (c *Checker) VerifyResult(id string, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(Answer(id))) {
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -54,7 +54,7 @@
 			c.Answered(f, 1, rpc.OK, false, 0)
 		}},
 		"answer to nothing": {1, "which was not asked", func(c *Checker, f *flow) { c.Answered(f, 9, rpc.OK, false, 0) }},
-		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.Result("a", Answer("a")) }},
+		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.VerifyResult("a", Answer("a")) }},
 		"late run": {3, "after its notice", func(c *Checker, f *flow) {
 			c.Notice("n1", -time.Second, time.Hour)
 			c.Try("n1", f, 2, "a", far, false)
--- a/rig/load.go
+++ b/rig/load.go
@@ -112,7 +112,7 @@
 			result, err := c.Call(ctx, s.Method, token, s.Criticality, body)
 			took := time.Since(began)
 			if err == nil {
-				check.Result(id, result)
+				check.VerifyResult(id, result)
 			}
 			if l.After != nil {
 				l.After(s, id, token, body, err)
