--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -105,7 +105,7 @@
 	}
 	command := exec.Command(program, arguments...)
 	command.Env = append(os.Environ(), "GW_CONFIG="+s.path(), "GOMAXPROCS=1")
-	s.check.Up("scaled")
+	s.check.ProcessStarted("scaled")
 	began := time.Now()
 	process, err := rig.Launch(command, s.heard)
 	if err != nil {
--- a/rig/check.go
+++ b/rig/check.go
@@ -160,8 +160,8 @@
 	return c.servers[name]
 }
 
-// Up tells that an app server's program has been started.
-func (c *Checker) Up(server string) {
+// ProcessStarted tells that an app server's program has been started.
+func (c *Checker) ProcessStarted(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.servers[server] = newProcessState()
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -95,7 +95,7 @@
 		}},
 	} {
 		c, f := NewChecker(10*time.Millisecond), &flow{}
-		c.Up("n1")
+		c.ProcessStarted("n1")
 		c.RegisterRPC("a", rpc.Tokened, far)
 		c.Try("n1", f, 1, "a", far, false)
 		if b := c.Violations(); len(b) > 0 {
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -116,7 +116,7 @@
 		"write":  {Kind: rpc.Tokened, Deadline: 10 * time.Second, Window: 20 * time.Second},
 		"charge": {Kind: rpc.NonIdempotent, Deadline: 10 * time.Second},
 	}})
-	c.Up("n1")
+	c.ProcessStarted("n1")
 	config.Methods = []string{"read", "write", "charge"}
 	config.Cores = max(config.Cores, 2)
 	k, err := NewConfiguredKernel("n1", config, c)
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -51,7 +51,7 @@
 	s.sent(tryA, "read", "", nil, 0)
 	s.check.Killed("n1")
 	s.kernel.Restart()
-	s.check.Up("n1")
+	s.check.ProcessStarted("n1")
 	l := dialKernel(t, s.kernel, 0)
 	l.sched(tryA, "read", nil)
 	if n := l.hear(); n.Action != "EINVAL" {
--- a/rig/program.go
+++ b/rig/program.go
@@ -164,7 +164,7 @@
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
-	p.check.Up(p.Name)
+	p.check.ProcessStarted(p.Name)
 	p.Kernel.Boot()
 	_, err := p.run(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
