--- a/rig/check.go
+++ b/rig/check.go
@@ -168,8 +168,8 @@
 	c.servers[server].up = true
 }
 
-// Notice tells that it has been told to leave.
-func (c *Checker) Notice(server string, grace, stop time.Duration) {
+// ShutdownRequested tells that it has been told to leave.
+func (c *Checker) ShutdownRequested(server string, grace, stop time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -56,7 +56,7 @@
 		"answer to nothing": {1, "which was not asked", func(c *Checker, f *flow) { c.Answered(f, 9, rpc.OK, false, 0) }},
 		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.VerifyResult("a", Answer("a")) }},
 		"late run": {3, "after its notice", func(c *Checker, f *flow) {
-			c.Notice("n1", -time.Second, time.Hour)
+			c.ShutdownRequested("n1", -time.Second, time.Hour)
 			c.Try("n1", f, 2, "a", far, false)
 			c.Started("n1", "a")
 		}},
@@ -70,7 +70,7 @@
 		}},
 		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.Exited("n1", 2, nil) }},
 		"memory":  {4, "takes", func(c *Checker, f *flow) { c.Memory("n1", 2<<20, 1<<20) }},
-		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.Notice("n1", 0, -time.Hour); c.Exited("n1", 0, nil) }},
+		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.ShutdownRequested("n1", 0, -time.Hour); c.Exited("n1", 0, nil) }},
 		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *flow) {
 			c.Answered(f, 1, rpc.PushedBack, true, 0)
 			c.Try("n1", f, 2, "a", far, true)
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -295,7 +295,7 @@
 	s := newStubServer(t, KernelConfig{})
 	s.call(tryA, "read", "", nil, long)
 	s.answered()
-	s.check.Notice("n1", -time.Hour, time.Hour)
+	s.check.ShutdownRequested("n1", -time.Hour, time.Hour)
 	s.run(tryA, "read", nil) // it is over, and so not begun
 	s.none(t)
 	s.call(tryB, "read", "", nil, long)
--- a/rig/program.go
+++ b/rig/program.go
@@ -232,7 +232,7 @@
 
 // Notice tells it to leave; Wait is for its end.
 func (p *Program) Notice() {
-	p.check.Notice(p.Name, p.site.Grace, p.site.Stop)
+	p.check.ShutdownRequested(p.Name, p.site.Grace, p.site.Stop)
 	p.signal(syscall.SIGTERM)
 }
 
