--- a/rig/check.go
+++ b/rig/check.go
@@ -177,8 +177,8 @@
 	s.stop = s.notice.Add(stop)
 }
 
-// Killed tells that it is about to be ended outright: what it holds is excused.
-func (c *Checker) Killed(server string) {
+// ProcessKilled tells that it is about to be ended outright: what it holds is excused.
+func (c *Checker) ProcessKilled(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -123,7 +123,7 @@
 	}
 	c.Interrupted(f, 1)
 	c.Ended(f, true)
-	c.Killed("n2")
+	c.ProcessKilled("n2")
 	c.Ended(g, false)
 	c.Exited("n2", -1, nil)
 	time.Sleep(20 * time.Millisecond)
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -49,7 +49,7 @@
 func TestKernelLedgerOfEachProcess(t *testing.T) {
 	s := newTestTrial(t, KernelConfig{Preemption: PreemptDiscard})
 	s.sent(tryA, "read", "", nil, 0)
-	s.check.Killed("n1")
+	s.check.ProcessKilled("n1")
 	s.kernel.Restart()
 	s.check.ProcessStarted("n1")
 	l := dialKernel(t, s.kernel, 0)
--- a/rig/program.go
+++ b/rig/program.go
@@ -224,7 +224,7 @@
 
 // Kill ends it outright, with its kernel's runs, and waits for its end.
 func (p *Program) Kill() {
-	p.check.Killed(p.Name)
+	p.check.ProcessKilled(p.Name)
 	p.signal(syscall.SIGKILL)
 	p.Kernel.Restart()
 	p.wait()
