--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -199,7 +199,7 @@
 		s.mu.Lock()
 		s.paused, s.excused = paused, time.Now()
 		s.mu.Unlock()
-		s.check.Paused(s.program.Name, paused)
+		s.check.SetPaused(s.program.Name, paused)
 		s.program.Pause(paused)
 	}
 	set(true)
--- a/rig/check.go
+++ b/rig/check.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// Paused tells that the rig has stopped its process, or starves it, or lets it go on: what it answers late meanwhile is
+// SetPaused tells that the rig has stopped its process, or starves it, or lets it go on: what it answers late meanwhile is
 // excused, and all else is not. It still owes each answer once it goes on.
-func (c *Checker) Paused(server string, paused bool) {
+func (c *Checker) SetPaused(server string, paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -223,10 +223,10 @@
 	s.sent(tryA, "read", "", nil, 0)
 	tries := s.check.tries[s.flow]
 	tries[1].due = time.Now().Add(-time.Hour)
-	s.check.Paused("n1", true)
+	s.check.SetPaused("n1", true)
 	s.check.Finish()
 	s.none(t)
-	s.check.Paused("n1", false)
+	s.check.SetPaused("n1", false)
 	s.check.Finish()
 	s.none(t) // a moment to catch up
 	s.check.servers["n1"].resumed = time.Now().Add(-2 * resumeTime)
