--- a/rig/check.go
+++ b/rig/check.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// Exited tells how its process ended.
-func (c *Checker) Exited(server string, code int, err error) {
+// ProcessExited tells how its process ended.
+func (c *Checker) ProcessExited(server string, code int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -68,9 +68,9 @@
 			c.Started("n1", "a")
 			c.Answered(f, 1, rpc.PushedBack, false, 0)
 		}},
-		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.Exited("n1", 2, nil) }},
+		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.ProcessExited("n1", 2, nil) }},
 		"memory":  {4, "takes", func(c *Checker, f *flow) { c.Memory("n1", 2<<20, 1<<20) }},
-		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.ShutdownRequested("n1", 0, -time.Hour); c.Exited("n1", 0, nil) }},
+		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.ShutdownRequested("n1", 0, -time.Hour); c.ProcessExited("n1", 0, nil) }},
 		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *flow) {
 			c.Answered(f, 1, rpc.PushedBack, true, 0)
 			c.Try("n1", f, 2, "a", far, true)
@@ -125,7 +125,7 @@
 	c.Ended(f, true)
 	c.ProcessKilled("n2")
 	c.Ended(g, false)
-	c.Exited("n2", -1, nil)
+	c.ProcessExited("n2", -1, nil)
 	time.Sleep(20 * time.Millisecond)
 	c.Finish()
 	if b := c.Violations(); len(b) > 0 {
--- a/rig/program.go
+++ b/rig/program.go
@@ -166,7 +166,7 @@
 	}
 	p.check.ProcessStarted(p.Name)
 	p.Kernel.Boot()
-	_, err := p.run(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
+	_, err := p.run(cmd, func(err error) { p.check.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
 
