--- a/rig/check.go
+++ b/rig/check.go
@@ -237,8 +237,8 @@
 	return s != nil && (s.up || time.Since(s.ended) <= c.slack)
 }
 
-// Memory tells what it takes, against its limit.
-func (c *Checker) Memory(server string, bytes, limit int64) {
+// VerifyMemory tells what it takes, against its limit.
+func (c *Checker) VerifyMemory(server string, bytes, limit int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes > limit {
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -69,7 +69,7 @@
 			c.Answered(f, 1, rpc.PushedBack, false, 0)
 		}},
 		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.ProcessExited("n1", 2, nil) }},
-		"memory":  {4, "takes", func(c *Checker, f *flow) { c.Memory("n1", 2<<20, 1<<20) }},
+		"memory":  {4, "takes", func(c *Checker, f *flow) { c.VerifyMemory("n1", 2<<20, 1<<20) }},
 		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.ShutdownRequested("n1", 0, -time.Hour); c.ProcessExited("n1", 0, nil) }},
 		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *flow) {
 			c.Answered(f, 1, rpc.PushedBack, true, 0)
--- a/rig/program.go
+++ b/rig/program.go
@@ -325,7 +325,7 @@
 					f.mu.Unlock()
 					p.Kill()
 				default:
-					f.Check.Memory(p.Name, takes, limit)
+					f.Check.VerifyMemory(p.Name, takes, limit)
 				}
 			}
 		}
