--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -36,7 +36,7 @@
 		s.reload(s.config(s.program))
 	case drawn.ReloadMoved:
 		if err := kernel.Move(); err != nil {
-			s.check.Failed("%v", err)
+			s.check.RigFailed("%v", err)
 		}
 		s.reload(s.config(s.program))
 	case drawn.ReloadFaulty:
@@ -47,7 +47,7 @@
 	case drawn.KernelDown:
 		during(kernel.Down, func() {
 			if err := kernel.Return(); err != nil {
-				s.check.Failed("%v", err)
+				s.check.RigFailed("%v", err)
 			}
 		})
 	case drawn.KernelHung:
@@ -216,7 +216,7 @@
 	}
 	s.awaitHandlers()
 	if err := s.program.WriteConfigText(text); err != nil {
-		s.check.Failed("%v", err)
+		s.check.RigFailed("%v", err)
 		return
 	}
 	s.program.Signal(syscall.SIGHUP)
@@ -230,7 +230,7 @@
 	s.roster.Down()
 	time.Sleep(last)
 	if err := s.roster.Return(); err != nil {
-		s.check.Failed("%v", err)
+		s.check.RigFailed("%v", err)
 	}
 }
 
@@ -277,7 +277,7 @@
 		return
 	}
 	if err := s.program.FillLog(); err != nil {
-		s.check.Failed("the log's pipe cannot be filled: %v", err)
+		s.check.RigFailed("the log's pipe cannot be filled: %v", err)
 	}
 	if last > 0 {
 		time.Sleep(last)
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -96,7 +96,7 @@
 // begin is launch under the lock of its life.
 func (s *trialServer) begin() {
 	if err := s.program.Launch(); err != nil {
-		s.check.Failed("%s cannot be started: %v", s.program.Name, err)
+		s.check.RigFailed("%s cannot be started: %v", s.program.Name, err)
 		return
 	}
 	s.probe.Begin()
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -197,7 +197,7 @@
 	returned := time.Now()
 	for _, s := range f.Programs {
 		if err := s.Kernel.Return(); err != nil {
-			f.check.Failed("%v", err)
+			f.check.RigFailed("%v", err)
 		}
 	}
 	worst := 0.0
@@ -242,7 +242,7 @@
 	if l.withheld {
 		l.server.Kernel.Release()
 	} else if err := l.server.Kernel.Return(); err != nil {
-		check.Failed("%v", err)
+		check.RigFailed("%v", err)
 	}
 }
 
--- a/rig/check.go
+++ b/rig/check.go
@@ -103,8 +103,8 @@
 	c.violate(rule, format, args...)
 }
 
-// Failed takes note that the rig itself did not work: such a run shows nothing.
-func (c *Checker) Failed(format string, args ...any) {
+// RigFailed takes note that the rig itself did not work: such a run shows nothing.
+func (c *Checker) RigFailed(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violate(0, format, args...)
--- a/rig/net.go
+++ b/rig/net.go
@@ -68,7 +68,7 @@
 	case !down && was:
 		listener, err := net.Listen("tcp", n.listener.Addr().String())
 		if err != nil {
-			n.check.Failed("the network cannot take connections again: %v", err)
+			n.check.RigFailed("the network cannot take connections again: %v", err)
 			return
 		}
 		n.listener = listener
