--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -6,8 +6,8 @@
 	"valveglade/rpc"
 )
 
-// Started tells that a kernel has begun to run an RPC.
-func (c *Checker) Started(server, id string) {
+// RunStarted tells that a kernel has begun to run an RPC.
+func (c *Checker) RunStarted(server, id string) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,7 @@
 // begun tells that a run has begun.
 func (c *Checker) begun(server string, o workOrder) {
 	if o.sent == nil {
-		c.Started(server, o.entry.RPC)
+		c.RunStarted(server, o.entry.RPC)
 		return
 	}
 	c.mu.Lock()
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -20,14 +20,14 @@
 		do   func(c *Checker, f *flow)
 	}{
 		"double run": {2, "run a second time", func(c *Checker, f *flow) {
-			c.Started("n1", "a")
-			c.Started("n2", "a")
+			c.RunStarted("n1", "a")
+			c.RunStarted("n2", "a")
 		}},
 		"lost answer": {1, "without an answer", func(c *Checker, f *flow) {
 			c.Ended(f, false)
 		}},
 		"lost run": {1, "without an answer", func(c *Checker, f *flow) {
-			c.Started("n1", "a")
+			c.RunStarted("n1", "a")
 			c.Ended(f, false)
 		}},
 		"lost over a close": {1, "not sent again", func(c *Checker, f *flow) {
@@ -42,7 +42,7 @@
 		}},
 		"run and lost over a close": {1, "without an answer", func(c *Checker, f *flow) {
 			c.ResendCrossed()
-			c.Started("n1", "a")
+			c.RunStarted("n1", "a")
 			c.Ended(f, false)
 		}},
 		"no answer": {1, "never answered", func(c *Checker, f *flow) {
@@ -58,14 +58,14 @@
 		"late run": {3, "after its notice", func(c *Checker, f *flow) {
 			c.ShutdownRequested("n1", -time.Second, time.Hour)
 			c.Try("n1", f, 2, "a", far, false)
-			c.Started("n1", "a")
+			c.RunStarted("n1", "a")
 		}},
 		"late answer": {1, "after its deadline", func(c *Checker, f *flow) {
 			c.Try("n1", f, 2, "a", time.Now().Add(-time.Second), false)
 			c.Answered(f, 2, rpc.OK, false, 0)
 		}},
 		"pushed back once run": {2, "where it had been run", func(c *Checker, f *flow) {
-			c.Started("n1", "a")
+			c.RunStarted("n1", "a")
 			c.Answered(f, 1, rpc.PushedBack, false, 0)
 		}},
 		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.ProcessExited("n1", 2, nil) }},
