--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -38,7 +38,7 @@
 		conn.arrivals.Add(now, work)
 	}
 	ttl, _ := q.ttl()
-	c.Try(conn.Net.server, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
+	c.TrySent(conn.Net.server, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
 	return true
 }
 
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -46,7 +46,7 @@
 			c.Ended(f, false)
 		}},
 		"no answer": {1, "never answered", func(c *Checker, f *flow) {
-			c.Try("n1", f, 2, "a", time.Now().Add(-time.Second), false)
+			c.TrySent("n1", f, 2, "a", time.Now().Add(-time.Second), false)
 			c.Finish()
 		}},
 		"two answers": {2, "two answers", func(c *Checker, f *flow) {
@@ -57,11 +57,11 @@
 		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.VerifyResult("a", Answer("a")) }},
 		"late run": {3, "after its notice", func(c *Checker, f *flow) {
 			c.ShutdownRequested("n1", -time.Second, time.Hour)
-			c.Try("n1", f, 2, "a", far, false)
+			c.TrySent("n1", f, 2, "a", far, false)
 			c.RunStarted("n1", "a")
 		}},
 		"late answer": {1, "after its deadline", func(c *Checker, f *flow) {
-			c.Try("n1", f, 2, "a", time.Now().Add(-time.Second), false)
+			c.TrySent("n1", f, 2, "a", time.Now().Add(-time.Second), false)
 			c.Answered(f, 2, rpc.OK, false, 0)
 		}},
 		"pushed back once run": {2, "where it had been run", func(c *Checker, f *flow) {
@@ -73,31 +73,31 @@
 		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.ShutdownRequested("n1", 0, -time.Hour); c.ProcessExited("n1", 0, nil) }},
 		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *flow) {
 			c.Answered(f, 1, rpc.PushedBack, true, 0)
-			c.Try("n1", f, 2, "a", far, true)
+			c.TrySent("n1", f, 2, "a", far, true)
 		}},
 		"too early": {5, "before it was allowed", func(c *Checker, f *flow) {
 			c.Answered(f, 1, rpc.PushedBack, false, time.Minute)
-			c.Try("n1", f, 2, "a", far, true)
+			c.TrySent("n1", f, 2, "a", far, true)
 		}},
 		"sent late": {5, "after its deadline", func(c *Checker, f *flow) {
 			due := time.Now().Add(-time.Second)
 			c.RegisterRPC("b", rpc.Idempotent, due)
-			c.Try("n1", f, 2, "b", due, false)
+			c.TrySent("n1", f, 2, "b", due, false)
 		}},
 		"deadline stretched": {5, "later than its own", func(c *Checker, f *flow) {
 			c.RegisterRPC("b", rpc.Idempotent, time.Now().Add(time.Second))
-			c.Try("n1", f, 2, "b", far, false)
+			c.TrySent("n1", f, 2, "b", far, false)
 		}},
 		"non-idempotent twice": {5, "sent twice", func(c *Checker, f *flow) {
 			c.RegisterRPC("b", rpc.NonIdempotent, far)
-			c.Try("n1", f, 2, "b", far, false)
-			c.Try("n1", f, 3, "b", far, true)
+			c.TrySent("n1", f, 2, "b", far, false)
+			c.TrySent("n1", f, 3, "b", far, true)
 		}},
 	} {
 		c, f := NewChecker(10*time.Millisecond), &flow{}
 		c.ProcessStarted("n1")
 		c.RegisterRPC("a", rpc.Tokened, far)
-		c.Try("n1", f, 1, "a", far, false)
+		c.TrySent("n1", f, 1, "a", far, false)
 		if b := c.Violations(); len(b) > 0 {
 			t.Fatalf("a violation where there is none: %v", b)
 		}
@@ -114,12 +114,12 @@
 	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
 	c.RegisterRPC("never written", rpc.Tokened, time.Now())
 	h := &flow{}
-	c.Try("n3", h, 9, "never written", time.Now(), false)
+	c.TrySent("n3", h, 9, "never written", time.Now(), false)
 	c.Unwritten(h, 9)
 	c.Ended(h, false)
 	for k, id := range []string{"gone", "closed", "killed"} {
 		c.RegisterRPC(id, rpc.Tokened, time.Now())
-		c.Try(fmt.Sprint("n", k), []*flow{f, f, g}[k], int32(k+1), id, time.Now(), false)
+		c.TrySent(fmt.Sprint("n", k), []*flow{f, f, g}[k], int32(k+1), id, time.Now(), false)
 	}
 	c.Interrupted(f, 1)
 	c.Ended(f, true)
@@ -139,9 +139,9 @@
 	c.ResendCrossed()
 	far := time.Now().Add(time.Hour)
 	c.RegisterRPC("a", rpc.Tokened, far)
-	c.Try("n1", f, 1, "a", far, false)
+	c.TrySent("n1", f, 1, "a", far, false)
 	c.Ended(f, false)
-	c.Try("n1", g, 1, "a", far, true)
+	c.TrySent("n1", g, 1, "a", far, true)
 	c.Answered(g, 1, rpc.OK, false, 0)
 	c.Finish()
 	if b := c.Violations(); len(b) > 0 || c.Count("crossed") != 1 {
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -6,8 +6,8 @@
 	"valveglade/rpc"
 )
 
-// Try tells of an RPC whose last byte has been written to an app server.
-func (c *Checker) Try(server string, conn *flow, seq int32, id string, due time.Time, again bool) {
+// TrySent tells of an RPC whose last byte has been written to an app server.
+func (c *Checker) TrySent(server string, conn *flow, seq int32, id string, due time.Time, again bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -219,7 +219,7 @@
 // A process that was stopped owes its answers once it goes on.
 func TestJudgeFindsLostAfterPause(t *testing.T) {
 	s := newTestTrial(t, KernelConfig{})
-	s.check.Try("n1", s.flow, 1, "a", time.Now(), false) // not asked for, and so not judged
+	s.check.TrySent("n1", s.flow, 1, "a", time.Now(), false) // not asked for, and so not judged
 	s.sent(tryA, "read", "", nil, 0)
 	tries := s.check.tries[s.flow]
 	tries[1].due = time.Now().Add(-time.Hour)
