--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -98,12 +98,12 @@
 	switch a.kind {
 	case replyServed:
 		c.judgeResult(conn, a)
-		c.Answered(conn, a.seq, rpc.OK, false, 0)
+		c.ReplyReceived(conn, a.seq, rpc.OK, false, 0)
 	case replyPushedBack:
 		c.judgePushback(conn, a)
-		c.Answered(conn, a.seq, rpc.PushedBack, a.last, a.after)
+		c.ReplyReceived(conn, a.seq, rpc.PushedBack, a.last, a.after)
 	case replyAborted:
-		c.Answered(conn, a.seq, rpc.Error, false, 0)
+		c.ReplyReceived(conn, a.seq, rpc.Error, false, 0)
 	case replyChecked:
 		c.report(1, "%s answers a health check under number %d, which was not asked", conn.Net.server, a.seq)
 	}
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -50,10 +50,10 @@
 			c.Finish()
 		}},
 		"two answers": {2, "two answers", func(c *Checker, f *flow) {
-			c.Answered(f, 1, rpc.OK, false, 0)
-			c.Answered(f, 1, rpc.OK, false, 0)
+			c.ReplyReceived(f, 1, rpc.OK, false, 0)
+			c.ReplyReceived(f, 1, rpc.OK, false, 0)
 		}},
-		"answer to nothing": {1, "which was not asked", func(c *Checker, f *flow) { c.Answered(f, 9, rpc.OK, false, 0) }},
+		"answer to nothing": {1, "which was not asked", func(c *Checker, f *flow) { c.ReplyReceived(f, 9, rpc.OK, false, 0) }},
 		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.VerifyResult("a", Answer("a")) }},
 		"late run": {3, "after its notice", func(c *Checker, f *flow) {
 			c.ShutdownRequested("n1", -time.Second, time.Hour)
@@ -62,21 +62,21 @@
 		}},
 		"late answer": {1, "after its deadline", func(c *Checker, f *flow) {
 			c.TrySent("n1", f, 2, "a", time.Now().Add(-time.Second), false)
-			c.Answered(f, 2, rpc.OK, false, 0)
+			c.ReplyReceived(f, 2, rpc.OK, false, 0)
 		}},
 		"pushed back once run": {2, "where it had been run", func(c *Checker, f *flow) {
 			c.RunStarted("n1", "a")
-			c.Answered(f, 1, rpc.PushedBack, false, 0)
+			c.ReplyReceived(f, 1, rpc.PushedBack, false, 0)
 		}},
 		"crash":   {4, "ended by itself", func(c *Checker, f *flow) { c.ProcessExited("n1", 2, nil) }},
 		"memory":  {4, "takes", func(c *Checker, f *flow) { c.VerifyMemory("n1", 2<<20, 1<<20) }},
 		"overran": {3, "after its stop", func(c *Checker, f *flow) { c.ShutdownRequested("n1", 0, -time.Hour); c.ProcessExited("n1", 0, nil) }},
 		"refused and tried again": {5, "before it was allowed", func(c *Checker, f *flow) {
-			c.Answered(f, 1, rpc.PushedBack, true, 0)
+			c.ReplyReceived(f, 1, rpc.PushedBack, true, 0)
 			c.TrySent("n1", f, 2, "a", far, true)
 		}},
 		"too early": {5, "before it was allowed", func(c *Checker, f *flow) {
-			c.Answered(f, 1, rpc.PushedBack, false, time.Minute)
+			c.ReplyReceived(f, 1, rpc.PushedBack, false, time.Minute)
 			c.TrySent("n1", f, 2, "a", far, true)
 		}},
 		"sent late": {5, "after its deadline", func(c *Checker, f *flow) {
@@ -142,7 +142,7 @@
 	c.TrySent("n1", f, 1, "a", far, false)
 	c.Ended(f, false)
 	c.TrySent("n1", g, 1, "a", far, true)
-	c.Answered(g, 1, rpc.OK, false, 0)
+	c.ReplyReceived(g, 1, rpc.OK, false, 0)
 	c.Finish()
 	if b := c.Violations(); len(b) > 0 || c.Count("crossed") != 1 {
 		t.Errorf("%d crossed, %v", c.Count("crossed"), b)
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Answered tells of an answer to a try, as it came from the app server.
-func (c *Checker) Answered(conn *flow, seq int32, how rpc.Outcome, last bool, after time.Duration) {
+// ReplyReceived tells of an answer to a try, as it came from the app server.
+func (c *Checker) ReplyReceived(conn *flow, seq int32, how rpc.Outcome, last bool, after time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -148,7 +148,7 @@
 		}
 		l.say(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.hear()
-		s.check.Answered(s.flow, 1, rpc.Error, false, 0)
+		s.check.ReplyReceived(s.flow, 1, rpc.Error, false, 0)
 		if m := l.sync("4"); !slices.Equal(m, []float64{0, 0}) {
 			t.Errorf("gauges %v once its request is over", m)
 		}
