--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -13,7 +13,7 @@
 func (c *Checker) asked(conn *flow, q request, err error) (owed bool) {
 	switch {
 	case err == nil && q.kind == messageOneway && q.name == "interrupt":
-		c.Interrupted(conn, q.target)
+		c.TryInterrupted(conn, q.target)
 	case err == nil && q.kind == messageCall && q.name == "execute":
 		return c.execute(conn, q)
 	case q.kind == messageCall: // a health check, or what no router sends: an answer does no harm, and is not judged
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -121,7 +121,7 @@
 		c.RegisterRPC(id, rpc.Tokened, time.Now())
 		c.TrySent(fmt.Sprint("n", k), []*flow{f, f, g}[k], int32(k+1), id, time.Now(), false)
 	}
-	c.Interrupted(f, 1)
+	c.TryInterrupted(f, 1)
 	c.Ended(f, true)
 	c.ProcessKilled("n2")
 	c.Ended(g, false)
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -58,8 +58,8 @@
 	return &tried{id: id, server: server, at: now, due: due, excused: s.killed, late: s.paused}
 }
 
-// Interrupted tells that the caller of a try waits no longer.
-func (c *Checker) Interrupted(conn *flow, seq int32) {
+// TryInterrupted tells that the caller of a try waits no longer.
+func (c *Checker) TryInterrupted(conn *flow, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[conn][seq]; t != nil {
