--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -115,7 +115,7 @@
 	c.RegisterRPC("never written", rpc.Tokened, time.Now())
 	h := &flow{}
 	c.TrySent("n3", h, 9, "never written", time.Now(), false)
-	c.Unwritten(h, 9)
+	c.TryNotWritten(h, 9)
 	c.Ended(h, false)
 	for k, id := range []string{"gone", "closed", "killed"} {
 		c.RegisterRPC(id, rpc.Tokened, time.Now())
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Unwritten tells that the last byte of a try could not be written, as its connection was reset before: it was never read.
-func (c *Checker) Unwritten(conn *flow, seq int32) {
+// TryNotWritten tells that the last byte of a try could not be written, as its connection was reset before: it was never read.
+func (c *Checker) TryNotWritten(conn *flow, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[conn][seq]; t != nil && !t.over() {
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -337,7 +337,7 @@
 func TestJudgeUnwritten(t *testing.T) {
 	s := newTestTrial(t, KernelConfig{})
 	s.sent(tryA, "read", "", nil, 0)
-	s.check.Unwritten(s.flow, 1)
+	s.check.TryNotWritten(s.flow, 1)
 	s.check.Ended(s.flow, false)
 	s.none(t)
 	if n := s.check.Count("turned.away"); n != 1 {
--- a/rig/net.go
+++ b/rig/net.go
@@ -205,7 +205,7 @@
 		err := f.writePieces(server, b)
 		for _, seq := range owed {
 			if err != nil {
-				f.check.Unwritten(f, seq)
+				f.check.TryNotWritten(f, seq)
 			}
 		}
 		owed = owed[:0]
