--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -24,26 +24,26 @@
 			c.RunStarted("n2", "a")
 		}},
 		"lost answer": {1, "without an answer", func(c *Checker, f *flow) {
-			c.Ended(f, false)
+			c.ConnectionEnded(f, false)
 		}},
 		"lost run": {1, "without an answer", func(c *Checker, f *flow) {
 			c.RunStarted("n1", "a")
-			c.Ended(f, false)
+			c.ConnectionEnded(f, false)
 		}},
 		"lost over a close": {1, "not sent again", func(c *Checker, f *flow) {
 			c.ResendCrossed()
-			c.Ended(f, false)
+			c.ConnectionEnded(f, false)
 			c.Finish()
 		}},
 		"lost before a close": {1, "without an answer", func(c *Checker, f *flow) {
 			c.ResendCrossed()
 			time.Sleep(closeCrossing + 20*time.Millisecond)
-			c.Ended(f, false)
+			c.ConnectionEnded(f, false)
 		}},
 		"run and lost over a close": {1, "without an answer", func(c *Checker, f *flow) {
 			c.ResendCrossed()
 			c.RunStarted("n1", "a")
-			c.Ended(f, false)
+			c.ConnectionEnded(f, false)
 		}},
 		"no answer": {1, "never answered", func(c *Checker, f *flow) {
 			c.TrySent("n1", f, 2, "a", time.Now().Add(-time.Second), false)
@@ -116,15 +116,15 @@
 	h := &flow{}
 	c.TrySent("n3", h, 9, "never written", time.Now(), false)
 	c.TryNotWritten(h, 9)
-	c.Ended(h, false)
+	c.ConnectionEnded(h, false)
 	for k, id := range []string{"gone", "closed", "killed"} {
 		c.RegisterRPC(id, rpc.Tokened, time.Now())
 		c.TrySent(fmt.Sprint("n", k), []*flow{f, f, g}[k], int32(k+1), id, time.Now(), false)
 	}
 	c.TryInterrupted(f, 1)
-	c.Ended(f, true)
+	c.ConnectionEnded(f, true)
 	c.ProcessKilled("n2")
-	c.Ended(g, false)
+	c.ConnectionEnded(g, false)
 	c.ProcessExited("n2", -1, nil)
 	time.Sleep(20 * time.Millisecond)
 	c.Finish()
@@ -140,7 +140,7 @@
 	far := time.Now().Add(time.Hour)
 	c.RegisterRPC("a", rpc.Tokened, far)
 	c.TrySent("n1", f, 1, "a", far, false)
-	c.Ended(f, false)
+	c.ConnectionEnded(f, false)
 	c.TrySent("n1", g, 1, "a", far, true)
 	c.ReplyReceived(g, 1, rpc.OK, false, 0)
 	c.Finish()
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Ended tells that a connection is over: by the caller's doing, or ours, what was open on it is excused. What its app server
+// ConnectionEnded tells that a connection is over: by the caller's doing, or ours, what was open on it is excused. What its app server
 // ends is lost, on a new connection too.
-func (c *Checker) Ended(conn *flow, ours bool) {
+func (c *Checker) ConnectionEnded(conn *flow, ours bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Only this connection's: looking through all tries held the rig up while many connections ended, and its own
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -338,7 +338,7 @@
 	s := newTestTrial(t, KernelConfig{})
 	s.sent(tryA, "read", "", nil, 0)
 	s.check.TryNotWritten(s.flow, 1)
-	s.check.Ended(s.flow, false)
+	s.check.ConnectionEnded(s.flow, false)
 	s.none(t)
 	if n := s.check.Count("turned.away"); n != 1 {
 		t.Errorf("%d turned away", n)
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -203,7 +203,7 @@
 	if m := l.sync("2"); m[3] != 0.04 {
 		t.Errorf("heap_share %g with one that is held", m[3])
 	}
-	s.check.Ended(s.flow, true)
+	s.check.ConnectionEnded(s.flow, true)
 	if m := l.sync("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
 		t.Errorf("%v once its clients are gone", m)
 	}
--- a/rig/net.go
+++ b/rig/net.go
@@ -156,7 +156,7 @@
 	f.mu.Lock()
 	delete(f.flows, f)
 	f.mu.Unlock()
-	f.check.Ended(f, f.ours.Load())
+	f.check.ConnectionEnded(f, f.ours.Load())
 }
 
 // swallow reads and says nothing.
@@ -237,7 +237,7 @@
 		return nil
 	})
 	f.ended.Store(true)
-	f.check.Ended(f, f.ours.Load())
+	f.check.ConnectionEnded(f, f.ours.Load())
 	close(queue)
 	writer.Wait()
 	if half, ok := f.caller.(*net.TCPConn); ok {
