--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -122,7 +122,7 @@
 		return err
 	}
 	t.check = rig.NewChecker(trialSlack)
-	t.check.ResendCrossed()
+	t.check.ExpectResendAfterClose()
 	t.catalog = rig.NewCatalog()
 	t.check.Judge(t.terms())
 	if t.roster, err = rig.NewRoster(); err != nil {
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -91,7 +91,7 @@
 	site := tillSite(4, 30)
 	site.Sockets = restartSockets
 	check := rig.NewChecker(rigSlack)
-	check.ResendCrossed()
+	check.ExpectResendAfterClose()
 	fleet, err := rig.NewFleet(p.Program, count, site, check)
 	if err != nil {
 		return nil, err
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -31,17 +31,17 @@
 			c.ConnectionEnded(f, false)
 		}},
 		"lost over a close": {1, "not sent again", func(c *Checker, f *flow) {
-			c.ResendCrossed()
+			c.ExpectResendAfterClose()
 			c.ConnectionEnded(f, false)
 			c.Finish()
 		}},
 		"lost before a close": {1, "without an answer", func(c *Checker, f *flow) {
-			c.ResendCrossed()
+			c.ExpectResendAfterClose()
 			time.Sleep(closeCrossing + 20*time.Millisecond)
 			c.ConnectionEnded(f, false)
 		}},
 		"run and lost over a close": {1, "without an answer", func(c *Checker, f *flow) {
-			c.ResendCrossed()
+			c.ExpectResendAfterClose()
 			c.RunStarted("n1", "a")
 			c.ConnectionEnded(f, false)
 		}},
@@ -136,7 +136,7 @@
 // What crosses a close and is sent again is not lost, where callers do so.
 func TestCheckerCrossed(t *testing.T) {
 	c, f, g := NewChecker(10*time.Millisecond), &flow{}, &flow{}
-	c.ResendCrossed()
+	c.ExpectResendAfterClose()
 	far := time.Now().Add(time.Hour)
 	c.RegisterRPC("a", rpc.Tokened, far)
 	c.TrySent("n1", f, 1, "a", far, false)
--- a/rig/crossing.go
+++ b/rig/crossing.go
@@ -9,9 +9,9 @@
 // crossingWindow is that on a busy machine. It does not grow with what else is allowed for lateness: what has been read is lost.
 const crossingWindow = closeCrossing + 150*time.Millisecond
 
-// ResendCrossed tells the checker that the callers keep to that: an RPC that crossed a close is lost only if it is not sent
+// ExpectResendAfterClose tells the checker that the callers keep to that: an RPC that crossed a close is lost only if it is not sent
 // again. Without it each RPC on a connection that its app server ends is lost.
-func (c *Checker) ResendCrossed() {
+func (c *Checker) ExpectResendAfterClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crossed = map[string]*tried{}
