--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -124,7 +124,7 @@
 	t.check = rig.NewChecker(trialSlack)
 	t.check.ExpectResendAfterClose()
 	t.catalog = rig.NewCatalog()
-	t.check.Judge(t.terms())
+	t.check.CheckServers(t.terms())
 	if t.roster, err = rig.NewRoster(); err != nil {
 		return err
 	}
--- a/rig/check_terms.go
+++ b/rig/check_terms.go
@@ -23,10 +23,10 @@
 // unknownDeadline is when an RPC of no known method is to be answered that carries no deadline.
 const unknownDeadline = 5 * time.Second
 
-// Judge has each app server judged alone and by itself, and all that it says checked against what clients have sent to its
+// CheckServers has each app server judged alone and by itself, and all that it says checked against what clients have sent to its
 // process: commands to its kernel, results to its callers, reports to the roster. Callers may do as they like, and need not
 // tell of what they ask. It comes before anything is sent.
-func (c *Checker) Judge(terms Terms) {
+func (c *Checker) CheckServers(terms Terms) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if terms.Catalog == nil {
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -43,7 +43,7 @@
 		config.Methods = append(config.Methods, m.Name)
 		terms.Methods[m.Name] = MethodTerms{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
 	}
-	check.Judge(terms)
+	check.CheckServers(terms)
 	p := &judgedProgram{check: check}
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
