--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -144,8 +144,8 @@
 }
 
 // terms are what app servers are judged by.
-func (t *trial) terms() rig.Terms {
-	terms := rig.Terms{Methods: map[string]rig.MethodTerms{}, Catalog: t.catalog}
+func (t *trial) terms() rig.ServerSettings {
+	terms := rig.ServerSettings{Methods: map[string]rig.MethodTerms{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
 		terms.Methods[m.Name] = rig.MethodTerms{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
 	}
--- a/rig/check.go
+++ b/rig/check.go
@@ -35,7 +35,7 @@
 	counts     map[string]int
 	slack      time.Duration
 	crossed    map[string]*tried // by RPC; nil unless ResendCrossed, see there
-	terms      *Terms            // nil unless Judge, see there
+	terms      *ServerSettings            // nil unless Judge, see there
 }
 
 // askedRPC is one RPC, over all its tries.
--- a/rig/check_terms.go
+++ b/rig/check_terms.go
@@ -6,9 +6,9 @@
 	"valveglade/rpc"
 )
 
-// Terms are those by which app servers are judged each alone, whatever their callers do: what the settings of a trial say of
+// ServerSettings are those by which app servers are judged each alone, whatever their callers do: what the settings of a trial say of
 // its methods, and what its clients send.
-type Terms struct {
+type ServerSettings struct {
 	Methods map[string]MethodTerms
 	Catalog *Catalog
 }
@@ -26,7 +26,7 @@
 // CheckServers has each app server judged alone and by itself, and all that it says checked against what clients have sent to its
 // process: commands to its kernel, results to its callers, reports to the roster. Callers may do as they like, and need not
 // tell of what they ask. It comes before anything is sent.
-func (c *Checker) CheckServers(terms Terms) {
+func (c *Checker) CheckServers(terms ServerSettings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if terms.Catalog == nil {
@@ -36,7 +36,7 @@
 }
 
 // deadline is how long an RPC of a method that carries no deadline has.
-func (t *Terms) deadline(method string) time.Duration {
+func (t *ServerSettings) deadline(method string) time.Duration {
 	if m, known := t.Methods[method]; known && m.Deadline > 0 {
 		return m.Deadline
 	}
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -36,7 +36,7 @@
 			{Name: "ü", Kind: "fragile", Target: 0.5, Deadline: 1, Criticality: 3}},
 		Extra: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
-	terms := Terms{Methods: map[string]MethodTerms{}}
+	terms := ServerSettings{Methods: map[string]MethodTerms{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
 		Crowding: Crowding{5, 1500 * time.Millisecond}, Seed: seed}
 	for _, m := range site.Methods {
