--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -145,9 +145,9 @@
 
 // terms are what app servers are judged by.
 func (t *trial) terms() rig.ServerSettings {
-	terms := rig.ServerSettings{Methods: map[string]rig.MethodTerms{}, Catalog: t.catalog}
+	terms := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
-		terms.Methods[m.Name] = rig.MethodTerms{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
+		terms.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
 	}
 	return terms
 }
--- a/rig/check_terms.go
+++ b/rig/check_terms.go
@@ -9,12 +9,12 @@
 // ServerSettings are those by which app servers are judged each alone, whatever their callers do: what the settings of a trial say of
 // its methods, and what its clients send.
 type ServerSettings struct {
-	Methods map[string]MethodTerms
+	Methods map[string]MethodSettings
 	Catalog *Catalog
 }
 
-// MethodTerms is what the settings say of one method.
-type MethodTerms struct {
+// MethodSettings is what the settings say of one method.
+type MethodSettings struct {
 	Kind     rpc.Kind
 	Deadline time.Duration // of an RPC that carries none
 	Window   time.Duration // of tokens
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -36,12 +36,12 @@
 			{Name: "ü", Kind: "fragile", Target: 0.5, Deadline: 1, Criticality: 3}},
 		Extra: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
-	terms := ServerSettings{Methods: map[string]MethodTerms{}}
+	terms := ServerSettings{Methods: map[string]MethodSettings{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
 		Crowding: Crowding{5, 1500 * time.Millisecond}, Seed: seed}
 	for _, m := range site.Methods {
 		config.Methods = append(config.Methods, m.Name)
-		terms.Methods[m.Name] = MethodTerms{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
+		terms.Methods[m.Name] = MethodSettings{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
 	}
 	check.CheckServers(terms)
 	p := &judgedProgram{check: check}
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -111,7 +111,7 @@
 func newTestTrial(t *testing.T, config KernelConfig) *testTrial {
 	t.Helper()
 	c := NewChecker(50 * time.Millisecond)
-	c.CheckServers(ServerSettings{Methods: map[string]MethodTerms{
+	c.CheckServers(ServerSettings{Methods: map[string]MethodSettings{
 		"read":   {Kind: rpc.Idempotent, Deadline: 10 * time.Second},
 		"write":  {Kind: rpc.Tokened, Deadline: 10 * time.Second, Window: 20 * time.Second},
 		"charge": {Kind: rpc.NonIdempotent, Deadline: 10 * time.Second},
