--- a/rig/catalog.go
+++ b/rig/catalog.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Entry is what a trial has drawn for one try of an RPC: which RPC it is a try of, and what a run of it does.
-type Entry struct {
+// CatalogEntry is what a trial has drawn for one try of an RPC: which RPC it is a try of, and what a run of it does.
+type CatalogEntry struct {
 	RPC    string  // the same for all tries of one RPC
 	Work   float64 // seconds on a core
 	Result []byte  // what the run makes; nil for Answer(RPC)
@@ -11,7 +11,7 @@
 }
 
 // result is what a run makes.
-func (e Entry) result() []byte {
+func (e CatalogEntry) result() []byte {
 	if e.Result != nil {
 		return e.Result
 	}
@@ -21,14 +21,14 @@
 // Catalog holds the entries of a trial by call id, so that bodies may be any bytes. It is safe for use by many goroutines.
 type Catalog struct {
 	mu      sync.Mutex
-	entries map[string]Entry
+	entries map[string]CatalogEntry
 }
 
 // NewCatalog returns an empty one.
-func NewCatalog() *Catalog { return &Catalog{entries: map[string]Entry{}} }
+func NewCatalog() *Catalog { return &Catalog{entries: map[string]CatalogEntry{}} }
 
 // Add enters a try; it comes before the try is written to an app server.
-func (c *Catalog) Add(call string, entry Entry) {
+func (c *Catalog) Add(call string, entry CatalogEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.entries[call] = entry
@@ -36,7 +36,7 @@
 
 // Lookup returns the entry of a try. A try that was not entered is read from its body as Body writes it; where that cannot
 // be done, it is an RPC of its own that takes no work.
-func (c *Catalog) Lookup(call string, body []byte) Entry {
+func (c *Catalog) Lookup(call string, body []byte) CatalogEntry {
 	c.mu.Lock()
 	entry, found := c.entries[call]
 	c.mu.Unlock()
@@ -44,7 +44,7 @@
 		return entry
 	}
 	if id, work, ok := ReadBody(body); ok {
-		return Entry{RPC: id, Work: work}
+		return CatalogEntry{RPC: id, Work: work}
 	}
-	return Entry{RPC: call}
+	return CatalogEntry{RPC: call}
 }
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -47,7 +47,7 @@
 	defer c.mu.Unlock()
 	if c.terms == nil {
 		id, work, ok := ReadBody(body)
-		return workOrder{entry: Entry{RPC: id, Work: work}}, ok
+		return workOrder{entry: CatalogEntry{RPC: id, Work: work}}, ok
 	}
 	l := c.server(server).ledger
 	s := l.find(call, method, body)
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -65,7 +65,7 @@
 // call has the client send one try, due in so long.
 func (s *stubServer) call(call, method, token string, body []byte, ttl time.Duration) {
 	s.t.Helper()
-	s.check.terms.Catalog.Add(call, Entry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
+	s.check.terms.Catalog.Add(call, CatalogEntry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
 	s.number++
 	now := float64(time.Now().UnixMilli()) / 1000
 	frame := thrift.Execute(nil, s.number, method, call, 1, now, ttl.Seconds(), 10, 0.5, false, token, "", body)
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -11,7 +11,7 @@
 
 // workOrder is what is known of a run that is asked for.
 type workOrder struct {
-	entry Entry
+	entry CatalogEntry
 	sent  *sentTry // nil where commands are not checked against what clients sent
 	over  bool     // its request has been answered, or given up
 }
--- a/rig/ledger.go
+++ b/rig/ledger.go
@@ -15,7 +15,7 @@
 	body   []byte
 	recv   time.Time
 	heapKB float64
-	entry  Entry
+	entry  CatalogEntry
 
 	ran     time.Time // when its last run began, the zero time for never
 	running bool      // paused counts too
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -119,7 +119,7 @@
 	if !c.book(c.seq, &peerOpen{time.Now(), done}) {
 		return nil, ErrNotConnected
 	}
-	c.catalog.Add(call, Entry{RPC: t.RPC, Work: t.Work, Result: t.Result, Fails: t.Fails})
+	c.catalog.Add(call, CatalogEntry{RPC: t.RPC, Work: t.Work, Result: t.Result, Fails: t.Fails})
 	c.put(ExecuteFrame(c.seq, fields, t.Body))
 	return &PeerCall{Done: done, conn: c, seq: c.seq}, nil
 }
--- a/rig/rude.go
+++ b/rig/rude.go
@@ -60,7 +60,7 @@
 			call = fmt.Sprintf("%016x", chance.Uint64())
 		}
 		body := fmt.Appendf(nil, "rude %d", chance.IntN(3))
-		r.catalog.Add(call, Entry{RPC: "rude " + call, Work: 0.01})
+		r.catalog.Add(call, CatalogEntry{RPC: "rude " + call, Work: 0.01})
 		fields := []Pair{{"op", r.method}, {"call", call}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"src", "77"},
 			{"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.1000"}, {"dedupe", fmt.Sprintf("%032x", chance.IntN(3))}}
 		if _, err := conn.Write(ExecuteFrame(number, fields, body)); err != nil {
