--- a/client/client_test.go
+++ b/client/client_test.go
@@ -81,8 +81,8 @@
 		})
 		c := must(client.New(client.Servers(stub.Address()), client.Seed(5), client.Budget(1)))
 		for _, kind := range []client.Kind{client.Idempotent, client.Tokened, client.NonIdempotent} {
-			c.Call(withTimeout(testTimeout), "warm", rig.Body("warm", 0), idempotent)
-			r, err := c.Call(withTimeout(testTimeout), "m", rig.Body(string(kind), 0),
+			c.Call(withTimeout(testTimeout), "warm", rig.EncodeBody("warm", 0), idempotent)
+			r, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody(string(kind), 0),
 				client.As(client.Method{Kind: kind}))
 			fmt.Printf("%s, %s: %s\n", failure, kind, outcome(r, err))
 		}
@@ -120,7 +120,7 @@
 	defer c.Close()
 	ctx := withTimeout(2 * time.Second)
 	deadline, _ := ctx.Deadline()
-	if _, err := c.Call(ctx, "m", rig.Body("x", 0), client.As(client.Method{Kind: client.Tokened}),
+	if _, err := c.Call(ctx, "m", rig.EncodeBody("x", 0), client.As(client.Method{Kind: client.Tokened}),
 		client.Token("t")); err != nil {
 		t.Fatal(err)
 	}
@@ -233,7 +233,7 @@
 	c := must(client.New(client.ServersFile(path)))
 	defer c.Close()
 	served := func(stub *rig.Stub) bool {
-		r, err := c.Call(withTimeout(testTimeout), "m", rig.Body("x", 0), idempotent)
+		r, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody("x", 0), idempotent)
 		return err == nil && r.Server == stub.Address()
 	}
 	for _, text := range []string{"nonsense\n", ""} {
@@ -267,7 +267,7 @@
 	c := must(client.New(client.Servers(stub.Address()), client.HealthEvery(0)))
 	defer c.Close()
 	for index := range 10 {
-		if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body(fmt.Sprint(index), 0)); err != nil {
+		if _, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody(fmt.Sprint(index), 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -60,7 +60,7 @@
 				for worker := range 8 {
 					group.Go(func() {
 						for index := range 20 {
-							if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body(fmt.Sprint(worker, index), 0),
+							if _, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody(fmt.Sprint(worker, index), 0),
 								idempotent); err != nil {
 								t.Errorf("RPC %d %d: %v", worker, index, err)
 							}
@@ -85,7 +85,7 @@
 	defer stub.Close()
 	c := must(client.Dial(stub.Address()))
 	defer c.Close()
-	if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body("x", 0)); err != nil {
+	if _, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody("x", 0)); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the connection is closed", func() bool { return c.Counts().Lost == 1 })
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -112,7 +112,7 @@
 			ctx, stop := context.WithTimeout(context.Background(), deadline)
 			defer stop()
 			began := time.Now()
-			_, err := c.Call(ctx, method, rig.Body(id, 0), client.As(client.Method{Kind: client.Idempotent}))
+			_, err := c.Call(ctx, method, rig.EncodeBody(id, 0), client.As(client.Method{Kind: client.Idempotent}))
 			var e *client.Error
 			if !errors.As(err, &e) || time.Since(began) > deadline+slack {
 				without.Add(1)
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -105,7 +105,7 @@
 		id += "-" + strings.Repeat("x", load.Fill)
 	}
 	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, rank: chance.Float64(), life: s.kills.Load()}
-	c.body = rig.Body(id, 0)
+	c.body = rig.EncodeBody(id, 0)
 	c.work = min(m.Work*chance.ExpFloat64(), 5*m.Work)
 	if load.Results > 0 {
 		c.result = bytes.Repeat([]byte(id[:1]), load.Results)
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer c.Close()
-	body := rig.Body("x", 0)
+	body := rig.EncodeBody("x", 0)
 	through := func() error {
 		return together(workers, func() error {
 			for range each {
--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -212,7 +212,7 @@
 	c.seq++
 	now := time.Now()
 	frame := thrift.Execute(nil, c.seq, routeName(route), fmt.Sprintf("%016x", rand.Uint64()), c.source, float64(now.UnixMilli())/1000, rpcDeadline.Seconds(),
-		1, 0.5, false, "", "", rig.Body(id, 0))
+		1, 0.5, false, "", "", rig.EncodeBody(id, 0))
 	c.began[c.seq] = time.Now()
 	if _, err := c.Write(frame); err != nil {
 		delete(c.began, c.seq)
--- a/rig/body.go
+++ b/rig/body.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Body is what an RPC of the rig carries: its name, by which the checker knows all its tries again, and the seconds
+// EncodeBody is what an RPC of the rig carries: its name, by which the checker knows all its tries again, and the seconds
 // of work that the kernel's stand-in makes of it.
-func Body(id string, work float64) []byte { return fmt.Appendf(nil, "%s %.6f", id, work) }
+func EncodeBody(id string, work float64) []byte { return fmt.Appendf(nil, "%s %.6f", id, work) }
 
 // ReadBody reads it.
 func ReadBody(body []byte) (id string, work float64, ok bool) {
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -174,12 +174,12 @@
 	now := float64(time.Now().UnixMilli()) / 1000
 	c.RegisterRPC("a", rpc.Idempotent, time.Now().Add(10*time.Second))
 	c.RegisterRPC("b", rpc.Idempotent, time.Now().Add(10*time.Second))
-	nc.Write(thrift.Execute(nil, 1, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("a", 0)))
+	nc.Write(thrift.Execute(nil, 1, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody("a", 0)))
 	nc.Read(make([]byte, 4096))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	s.Behave(func(_ Heard, out []byte) []byte { s.Cut(); return out })
-	nc.Write(thrift.Execute(nil, 2, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body("b", 0)))
+	nc.Write(thrift.Execute(nil, 2, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody("b", 0)))
 	for end := time.Now().Add(10 * time.Second); len(c.Violations()) < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	b := c.Violations()
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -89,7 +89,7 @@
 			body[k] = byte(chance.Uint32())
 		}
 		if chance.IntN(2) == 0 {
-			body = Body(fmt.Sprint(chance.Uint64()), chance.ExpFloat64()*0.02)
+			body = EncodeBody(fmt.Sprint(chance.Uint64()), chance.ExpFloat64()*0.02)
 		}
 		token := ""
 		if m.Kind == "dedup" {
--- a/rig/load.go
+++ b/rig/load.go
@@ -104,7 +104,7 @@
 				token = "token-" + id + strings.Repeat("x", l.Pad)
 			}
 			began := time.Now()
-			body := Body(id, work)
+			body := EncodeBody(id, work)
 			if l.Open != nil {
 				l.Open.Add(1)
 				defer l.Open.Add(-1)
--- a/rig/net_test.go
+++ b/rig/net_test.go
@@ -70,7 +70,7 @@
 		for k := range 100 {
 			id := string(rune('a'+k%26)) + strings.Repeat("x", k/26)
 			c.RegisterRPC(id, rpc.Idempotent, time.Now().Add(10*time.Second))
-			frame := thrift.Execute(nil, int32(k+1), "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body(id, 0))
+			frame := thrift.Execute(nil, int32(k+1), "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody(id, 0))
 			if _, err := nc.Write(frame); err != nil {
 				break
 			}
@@ -109,7 +109,7 @@
 	c.RegisterRPC(id, rpc.Idempotent, time.Now().Add(time.Hour))
 	go func() {
 		for k := range int32(20_000) {
-			if _, err := nc.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "", Body(id, 0))); err != nil {
+			if _, err := nc.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "", EncodeBody(id, 0))); err != nil {
 				return
 			}
 		}
