--- a/rig/body.go
+++ b/rig/body.go
@@ -10,8 +10,8 @@
 // of work that the kernel's stand-in makes of it.
 func EncodeBody(id string, work float64) []byte { return fmt.Appendf(nil, "%s %.6f", id, work) }
 
-// ReadBody reads it.
-func ReadBody(body []byte) (id string, work float64, ok bool) {
+// DecodeBody reads it.
+func DecodeBody(body []byte) (id string, work float64, ok bool) {
 	id, rest, found := strings.Cut(string(body), " ")
 	work, err := strconv.ParseFloat(rest, 64)
 	return id, work, found && err == nil && id != "" && work >= 0
--- a/rig/catalog.go
+++ b/rig/catalog.go
@@ -43,7 +43,7 @@
 	if found {
 		return entry
 	}
-	if id, work, ok := ReadBody(body); ok {
+	if id, work, ok := DecodeBody(body); ok {
 		return CatalogEntry{RPC: id, Work: work}
 	}
 	return CatalogEntry{RPC: call}
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -30,7 +30,7 @@
 	if c.judged() {
 		return c.executeJudged(conn, q, now)
 	}
-	id, work, ok := ReadBody(q.body)
+	id, work, ok := DecodeBody(q.body)
 	if !ok {
 		return false
 	}
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -46,7 +46,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.terms == nil {
-		id, work, ok := ReadBody(body)
+		id, work, ok := DecodeBody(body)
 		return workOrder{entry: CatalogEntry{RPC: id, Work: work}}, ok
 	}
 	l := c.server(server).ledger
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -185,7 +185,7 @@
 }
 
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
-	id, _, _ := ReadBody(body)
+	id, _, _ := DecodeBody(body)
 	c.hear(Heard{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
 		Recv: recv, TTL: ttl, Again: again})
 }
