--- a/client/client_test.go
+++ b/client/client_test.go
@@ -67,7 +67,7 @@
 			case message.CheckOnly:
 				return thrift.Checked(out, message.Seq, true, 100)
 			case failed[message.ID] || message.ID == "warm":
-				return thrift.Served(out, message.Seq, rig.Answer(message.ID), 100)
+				return thrift.Served(out, message.Seq, rig.RunResult(message.ID), 100)
 			}
 			failed[message.ID] = true
 			switch failure {
@@ -114,7 +114,7 @@
 			pushedBack = true
 			return thrift.PushedBack(out, message.Seq, false, 0.2, 100)
 		}
-		return thrift.Served(out, message.Seq, rig.Answer(message.ID), 100)
+		return thrift.Served(out, message.Seq, rig.RunResult(message.ID), 100)
 	})
 	c := must(client.Dial(stub.Address()))
 	defer c.Close()
@@ -260,9 +260,9 @@
 		case message.CheckOnly:
 			return thrift.Checked(out, message.Seq, true, 100)
 		case message.Conn == 1:
-			return thrift.Served(thrift.Draining(out), message.Seq, rig.Answer(message.ID), 100)
+			return thrift.Served(thrift.Draining(out), message.Seq, rig.RunResult(message.ID), 100)
 		}
-		return thrift.Served(out, message.Seq, rig.Answer(message.ID), 100)
+		return thrift.Served(out, message.Seq, rig.RunResult(message.ID), 100)
 	})
 	c := must(client.New(client.Servers(stub.Address()), client.HealthEvery(0)))
 	defer c.Close()
--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -80,7 +80,7 @@
 		if message.CheckOnly {
 			return thrift.Checked(out, message.Seq, true, 100)
 		}
-		return thrift.Aborted(thrift.Served(out, message.Seq, rig.Answer(message.ID), 100), message.Seq, 100)
+		return thrift.Aborted(thrift.Served(out, message.Seq, rig.RunResult(message.ID), 100), message.Seq, 100)
 	}))
 	defer stub.Close()
 	c := must(client.Dial(stub.Address()))
--- a/rig/body.go
+++ b/rig/body.go
@@ -17,5 +17,5 @@
 	return id, work, found && err == nil && id != "" && work >= 0
 }
 
-// Answer is the result of a run.
-func Answer(id string) []byte { return []byte("done " + id) }
+// RunResult is the result of a run.
+func RunResult(id string) []byte { return []byte("done " + id) }
--- a/rig/catalog.go
+++ b/rig/catalog.go
@@ -15,7 +15,7 @@
 	if e.Result != nil {
 		return e.Result
 	}
-	return Answer(e.RPC)
+	return RunResult(e.RPC)
 }
 
 // Catalog holds the entries of a trial by call id, so that bodies may be any bytes. It is safe for use by many goroutines.
--- a/rig/check.go
+++ b/rig/check.go
@@ -147,7 +147,7 @@
 func (c *Checker) VerifyResult(id string, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(Answer(id))) {
+	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(RunResult(id))) {
 		c.violate(1, "%s was served with what no run of it made: %.40q", id, body)
 	}
 }
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -54,7 +54,7 @@
 			c.ReplyReceived(f, 1, rpc.OK, false, 0)
 		}},
 		"answer to nothing": {1, "which was not asked", func(c *Checker, f *flow) { c.ReplyReceived(f, 9, rpc.OK, false, 0) }},
-		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.VerifyResult("a", Answer("a")) }},
+		"made-up result":    {1, "no run of it made", func(c *Checker, f *flow) { c.VerifyResult("a", RunResult("a")) }},
 		"late run": {3, "after its notice", func(c *Checker, f *flow) {
 			c.ShutdownRequested("n1", -time.Second, time.Hour)
 			c.TrySent("n1", f, 2, "a", far, false)
@@ -153,8 +153,8 @@
 // answer.
 func TestNetShows(t *testing.T) {
 	s, err := NewStub(func(h Heard, out []byte) []byte {
-		out = thrift.Served(out, h.Seq, Answer(h.ID), 1)
-		return thrift.Served(out, h.Seq, Answer(h.ID), 1)
+		out = thrift.Served(out, h.Seq, RunResult(h.ID), 1)
+		return thrift.Served(out, h.Seq, RunResult(h.ID), 1)
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -37,7 +37,7 @@
 				s.one(t, 1, one.what)
 				return
 			}
-			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(Answer("rpc "+tryA)) {
+			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(RunResult("rpc "+tryA)) {
 				t.Errorf("%+v", n)
 			}
 			s.none(t)
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -180,7 +180,7 @@
 	case h.CheckOnly:
 		c.out = thrift.Checked(c.out, h.Seq, true, 100)
 	case !h.Interrupt:
-		c.out = thrift.Served(c.out, h.Seq, Answer(h.ID), 100)
+		c.out = thrift.Served(c.out, h.Seq, RunResult(h.ID), 100)
 	}
 }
 
