--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -159,7 +159,7 @@
 	own, via := s.Paths.Own(slot), s.Paths.Via(slot)
 	if s.plan.Bare != nil {
 		n.Program = &Program{Name: name, called: called, check: s.Check}
-		n.bare = &Process{tap: func(line []byte) { s.History.Said(name, line) }}
+		n.bare = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
 	} else {
 		kernel, err := NewKernel(name, s.plan.Site.Cores, s.Check)
 		if err != nil {
@@ -170,7 +170,7 @@
 		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
 			roster: s.roster.Address(), check: s.Check, called: called}
-		n.Program.tap = func(line []byte) { s.History.Said(name, line) }
+		n.Program.tap = func(line []byte) { s.History.AddLogLine(name, line) }
 		if n.Net, err = NewNet(name, address, s.Check); err != nil {
 			return nil, err
 		}
--- a/rig/history.go
+++ b/rig/history.go
@@ -51,8 +51,8 @@
 	h.add(Event{T: h.Now(), Who: who, Kind: kind, Text: text})
 }
 
-// Said takes a line of a process.
-func (h *History) Said(who string, line []byte) {
+// AddLogLine takes a line of a process.
+func (h *History) AddLogLine(who string, line []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := Event{T: h.Now(), Who: who, Kind: "log"}
