--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -188,7 +188,7 @@
 // runScript runs a script of faults. A restarted process may continue from an older version.
 func (c *configCluster) runScript(script string) {
 	c.t.Helper()
-	c.History.Add("", "note", script)
+	c.History.AddEvent("", "note", script)
 	err := c.Run(script)
 	c.mu.Lock()
 	for _, line := range strings.Split(script, "\n") {
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -219,7 +219,7 @@
 		t.Errorf("%g s of those who followed each other", o)
 	}
 	say("c", "role acquired", 3)
-	h.Add("", "fault", "kill c")
+	h.AddEvent("", "fault", "kill c")
 	say("b", "stepped down", 3.25)
 	if o := Overlap(h.LeadershipIntervals()); o > 0.3 || len(h.LeadershipIntervals()) != 3 {
 		t.Errorf("%g s, %v", o, h.LeadershipIntervals())
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -34,7 +34,7 @@
 
 // Do does one thing now.
 func (s *Cluster) Do(f Fault) error {
-	s.History.Add("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
+	s.History.AddEvent("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
 	if f.Paths != nil {
 		return s.change(f)
 	}
--- a/rig/history.go
+++ b/rig/history.go
@@ -44,8 +44,8 @@
 // Now is the time since the start, in seconds.
 func (h *History) Now() float64 { return time.Since(h.began).Seconds() }
 
-// Add takes a word of whoever plays.
-func (h *History) Add(who, kind, text string) {
+// AddEvent takes a word of whoever plays.
+func (h *History) AddEvent(who, kind, text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.add(Event{T: h.Now(), Who: who, Kind: kind, Text: text})
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -75,7 +75,7 @@
 			return
 		}
 		if known, ok := w.take(owner, term); !ok {
-			w.history.Add(owner, "late", fmt.Sprintf("order under term %d refused, %d is known", term, known))
+			w.history.AddEvent(owner, "late", fmt.Sprintf("order under term %d refused, %d is known", term, known))
 			fmt.Fprintf(nc, "late %d\n", known)
 			continue
 		}
