--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -53,7 +53,7 @@
 			mu.Unlock()
 		})
 	}
-	from := on.History.Now()
+	from := on.History.Elapsed()
 	const script = `
 		0s    kill n12
 		0s    stop n9
@@ -183,7 +183,7 @@
 		defer close(loadOver)
 		out = p.load(on, length, 15, all)
 	}()
-	from := on.History.Now()
+	from := on.History.Elapsed()
 	if err := f.all(func(s *rig.Cluster) error {
 		return s.Run("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
 	}); err != nil {
@@ -197,7 +197,7 @@
 	// Cut in two, and back. Four see eight die.
 	small, large := all[:4], all[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
-	from = on.History.Now()
+	from = on.History.Elapsed()
 	if err := f.all(func(s *rig.Cluster) error { return s.Run(cut) }); err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 	p.exactly("rejoined.bare", float64(count(back)), 0)
 
 	// One way only, then in three.
-	from = on.History.Now()
+	from = on.History.Elapsed()
 	if err := on.Run("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
 	}
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -128,7 +128,7 @@
 	c := startCluster(t, true)
 	for range 2 {
 		paused := c.owner("")
-		from := c.History.Now()
+		from := c.History.Elapsed()
 		c.run("0s stop " + paused)
 		c.owner(paused)
 		c.run("0s cont " + paused)
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s kill n5")
 	waitConverged(t, s, 4, names[:4])
 	if n, _ := s.History.Lines("n1", "n5 went: died", from); n != 1 {
@@ -115,7 +115,7 @@
 	s, names := startCluster(t)
 	run(t, s, "0s stop n5")
 	waitConverged(t, s, 4, names[:4])
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s cont n5")
 	waitConverged(t, s, 5, names)
 	if n, _ := s.History.Lines("n5", "begins gossip anew", from); n != 1 {
@@ -130,7 +130,7 @@
 // healed.
 func TestPartition(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s split n1,n2|n3,n4,n5")
 	waitConverged(t, s, 2, names[:2])
 	waitConverged(t, s, 3, names[2:])
@@ -152,7 +152,7 @@
 // A cut in one direction between two members removes nobody: other members relay the messages.
 func TestOneWayPartition(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s cut n1>n2\n5s heal")
 	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed", n)
@@ -163,7 +163,7 @@
 // Of two processes with one name the newer stays a member; the older is superseded, logs it once and keeps serving.
 func TestSameName(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s twin n5")
 	if _, ok := s.Until(waitTimeout, func() bool {
 		n, _ := s.History.Lines("n5", "newer incarnation of this name", from)
@@ -195,7 +195,7 @@
 // declared dead.
 func TestStuckWorkAndLateGossip(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	router := rig.NewRouter(1, s.Addresses("n5")[0])
 	defer router.Close()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/rig/history.go
+++ b/rig/history.go
@@ -41,21 +41,21 @@
 // NewHistory begins one.
 func NewHistory() *History { return &History{began: time.Now(), latest: map[string]Observation{}} }
 
-// Now is the time since the start, in seconds.
-func (h *History) Now() float64 { return time.Since(h.began).Seconds() }
+// Elapsed is the time since the start, in seconds.
+func (h *History) Elapsed() float64 { return time.Since(h.began).Seconds() }
 
 // AddEvent takes a word of whoever plays.
 func (h *History) AddEvent(who, kind, text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.add(Event{T: h.Now(), Who: who, Kind: kind, Text: text})
+	h.add(Event{T: h.Elapsed(), Who: who, Kind: kind, Text: text})
 }
 
 // AddLogLine takes a line of a process.
 func (h *History) AddLogLine(who string, line []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e := Event{T: h.Now(), Who: who, Kind: "log"}
+	e := Event{T: h.Elapsed(), Who: who, Kind: "log"}
 	if json.Valid(line) {
 		e.Line = append(json.RawMessage(nil), line...)
 	} else {
