--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -220,14 +220,14 @@
 	}
 	p.atMost("narrow.said", partitioned, 6)
 	bareCut, _ := bare.Until(10*time.Second, func() bool {
-		return bare.History.Alike(4, small...) && bare.History.Alike(8, large...)
+		return bare.History.AgreeOnMembers(4, small...) && bare.History.AgreeOnMembers(8, large...)
 	})
 	p.inform("settled.after.cut.bare", bareCut)
 	if err := f.all(func(s *rig.Cluster) error { return s.Run("0s heal") }); err != nil {
 		return err
 	}
 	p.atMost("rejoined.max", p.untilAlike(on, 12*time.Second, n, all), 10)
-	_, back := bare.Until(3*time.Second, func() bool { return bare.History.Alike(n, all...) })
+	_, back := bare.Until(3*time.Second, func() bool { return bare.History.AgreeOnMembers(n, all...) })
 	p.exactly("rejoined.bare", float64(count(back)), 0)
 
 	// One way only, then in three.
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -57,7 +57,7 @@
 
 func waitConverged(t *testing.T, s *rig.Cluster, n int, names []string) {
 	t.Helper()
-	if _, ok := s.Until(waitTimeout, func() bool { return s.History.Alike(n, names...) }); !ok {
+	if _, ok := s.Until(waitTimeout, func() bool { return s.History.AgreeOnMembers(n, names...) }); !ok {
 		t.Fatalf("%v have not converged on a view of %d members", names, n)
 	}
 }
--- a/rig/history.go
+++ b/rig/history.go
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// Alike tells whether all of these see the same n members; of how sure they are, none is asked.
-func (h *History) Alike(n int, who ...string) bool {
+// AgreeOnMembers tells whether all of these see the same n members; of how sure they are, none is asked.
+func (h *History) AgreeOnMembers(n int, who ...string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, name := range who {
