--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -80,7 +80,7 @@
 		worst = max(worst, flapped(on, name, "n11", from+1, from+11))
 	}
 	p.atMost("versions.by.flapping", float64(worst), 4)
-	_, told := on.History.Lines("n10", "newer incarnation of this name", from)
+	_, told := on.History.CountLines("n10", "newer incarnation of this name", from)
 	p.atMost("named.twice.told", told-from-0.5, 5)
 	p.atMost("named.twice.resolved", known(on, "n10", "restarted", from, still)-0.5, 5)
 	slept := func(name string, t float64) bool {
--- a/rig/history.go
+++ b/rig/history.go
@@ -116,8 +116,8 @@
 	return all
 }
 
-// Lines counts the lines of a process from a time on that have a text in them.
-func (h *History) Lines(who, text string, from float64) (n int, first float64) {
+// CountLines counts the lines of a process from a time on that have a text in them.
+func (h *History) CountLines(who, text string, from float64) (n int, first float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
