--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -100,9 +100,9 @@
 		}
 		switch line.Msg {
 		case "role acquired":
-			all = append(all, LeadershipInterval{line.Role, e.Who, line.Term, line.Ts - began, math.Inf(1)})
+			all = append(all, LeadershipInterval{line.Role, e.Process, line.Term, line.Ts - began, math.Inf(1)})
 		case "stepped down":
-			end(e.Who, line.Role, line.Ts-began)
+			end(e.Process, line.Role, line.Ts-began)
 		}
 	}
 	return all
