--- a/rig/history.go
+++ b/rig/history.go
@@ -19,7 +19,7 @@
 
 // Event is one line of it.
 type Event struct {
-	T    float64         `json:"t"` // seconds since the start
+	Time    float64         `json:"t"` // seconds since the start
 	Process  string          `json:"who"`
 	Kind string          `json:"kind"` // log, fault, or a word of whoever plays
 	Text string          `json:"text,omitempty"`
@@ -48,14 +48,14 @@
 func (h *History) AddEvent(who, kind, text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.add(Event{T: h.Elapsed(), Process: who, Kind: kind, Text: text})
+	h.add(Event{Time: h.Elapsed(), Process: who, Kind: kind, Text: text})
 }
 
 // AddLogLine takes a line of a process.
 func (h *History) AddLogLine(who string, line []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e := Event{T: h.Elapsed(), Process: who, Kind: "log"}
+	e := Event{Time: h.Elapsed(), Process: who, Kind: "log"}
 	if json.Valid(line) {
 		e.Line = append(json.RawMessage(nil), line...)
 	} else {
@@ -78,7 +78,7 @@
 
 // Observation reads a view out of a line, if it tells one.
 func (e Event) Observation() (Observation, bool) {
-	s := Observation{T: e.T, Who: e.Process}
+	s := Observation{T: e.Time, Who: e.Process}
 	if e.Line == nil || json.Unmarshal(e.Line, &s) != nil || s.Msg != "view" {
 		return s, false
 	}
@@ -106,7 +106,7 @@
 	defer h.mu.Unlock()
 	var all []Observation
 	for _, e := range h.events {
-		if e.T < from || who != "" && e.Process != who {
+		if e.Time < from || who != "" && e.Process != who {
 			continue
 		}
 		if s, ok := e.Observation(); ok {
@@ -121,9 +121,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
-		if e.T >= from && (who == "" || e.Process == who) && (strings.Contains(string(e.Line), text) || strings.Contains(e.Text, text)) {
+		if e.Time >= from && (who == "" || e.Process == who) && (strings.Contains(string(e.Line), text) || strings.Contains(e.Text, text)) {
 			if n++; n == 1 {
-				first = e.T
+				first = e.Time
 			}
 		}
 	}
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -87,7 +87,7 @@
 		if words := strings.Fields(e.Text); e.Kind == "fault" && len(words) > 1 {
 			switch words[0] {
 			case "stop", "kill", "restart", "replace", "starve":
-				end(words[1], "", e.T)
+				end(words[1], "", e.Time)
 			}
 		}
 		var line struct {
