--- a/rig/history.go
+++ b/rig/history.go
@@ -29,7 +29,7 @@
 // Observation is a view as a process's log tells it.
 type Observation struct {
 	T         float64 `json:"-"`
-	Who       string  `json:"-"`
+	Process       string  `json:"-"`
 	Msg       string
 	Version   uint64
 	Digest    string
@@ -78,7 +78,7 @@
 
 // Observation reads a view out of a line, if it tells one.
 func (e Event) Observation() (Observation, bool) {
-	s := Observation{T: e.Time, Who: e.Process}
+	s := Observation{T: e.Time, Process: e.Process}
 	if e.Line == nil || json.Unmarshal(e.Line, &s) != nil || s.Msg != "view" {
 		return s, false
 	}
