--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -212,7 +212,7 @@
 		at := math.Inf(1)
 		for _, observation := range on.History.Observations(name, from) {
 			if observation.Certainty == "partitioned" {
-				at = observation.T - from
+				at = observation.Time - from
 				break
 			}
 		}
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -142,7 +142,7 @@
 		at := math.Inf(1)
 		for _, observation := range s.History.Observations(viewer, from) {
 			if slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" "+what) }) {
-				at = observation.T - from
+				at = observation.Time - from
 				break
 			}
 		}
@@ -159,12 +159,12 @@
 		for k, observation := range observations {
 			for _, c := range observation.Changes {
 				name, rest, _ := strings.Cut(c, " ")
-				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.T > to || !alive(name, observation.T) {
+				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.Time > to || !alive(name, observation.Time) {
 					continue
 				}
 				all++
 				back := slices.ContainsFunc(observations[k:], func(l rig.Observation) bool {
-					return l.T < observation.T+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
+					return l.Time < observation.Time+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
 				})
 				if !back {
 					lasting++
@@ -220,7 +220,7 @@
 func flapped(s *rig.Cluster, viewer, name string, from, to float64) int {
 	n := 0
 	for _, observation := range s.History.Observations(viewer, from) {
-		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
+		if observation.Time < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
 			n++
 		}
 	}
--- a/rig/history.go
+++ b/rig/history.go
@@ -28,7 +28,7 @@
 
 // Observation is a view as a process's log tells it.
 type Observation struct {
-	T         float64 `json:"-"`
+	Time         float64 `json:"-"`
 	Process       string  `json:"-"`
 	Msg       string
 	Version   uint64
@@ -78,7 +78,7 @@
 
 // Observation reads a view out of a line, if it tells one.
 func (e Event) Observation() (Observation, bool) {
-	s := Observation{T: e.Time, Process: e.Process}
+	s := Observation{Time: e.Time, Process: e.Process}
 	if e.Line == nil || json.Unmarshal(e.Line, &s) != nil || s.Msg != "view" {
 		return s, false
 	}
