--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -180,14 +180,14 @@
 	for k, role := range []string{"", ".second"} {
 		j := rig.NewVerdict(t.on.workers[k].Orders(time.Time{}), experimentLease)
 		t.say("role %d: %v", k+1, j)
-		t.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
+		t.atMost("owners.at.once"+role, float64(j.MaxConcurrentOwners), 1)
 		t.exactly("late.effects"+role, float64(j.LateEffects), 0)
 		t.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
 	}
 	t.exactly("work.overlap.s", rig.Overlap(t.on.History.LeadershipIntervals()), 0)
 	l := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
 	t.say("lowest name: %v", l)
-	t.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
+	t.atLeast("owners.at.once.lowest", float64(l.MaxConcurrentOwners), 2)
 	t.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
 	t.inform("service.on", service(t.served[t.on], t.names))
 	t.atLeast("service.of.off", service(t.served[t.on], t.names)/service(t.served[t.off], t.names), 0.98)
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -172,7 +172,7 @@
 	}
 	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), experimentLease)
 	p.say("drifting: %v", j)
-	p.atMost("owners.at.once.drifting", float64(j.AtOnce), 1)
+	p.atMost("owners.at.once.drifting", float64(j.MaxConcurrentOwners), 1)
 	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
 	p.exactly("late.effects.drifting", float64(j.LateEffects+j.FallingTerms+j.SharedTerms), 0)
 	p.atLeast("changes.drifting", float64(j.Changes), 4)
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -204,7 +204,7 @@
 		"without terms":       {[]Order{order(0, "a", 0), order(10, "b", 0), order(20, "a", 0)}, 1, 2},
 		"long ago":            {[]Order{order(0, "a", 0), order(10, "b", 0), order(2000, "a", 0)}, 0, 1},
 	} {
-		if j := NewVerdict(one.orders, time.Second); j.LateEffects != one.late || j.AtOnce != one.atOnce {
+		if j := NewVerdict(one.orders, time.Second); j.LateEffects != one.late || j.MaxConcurrentOwners != one.atOnce {
 			t.Errorf("%s: %v", name, j)
 		}
 	}
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -10,7 +10,7 @@
 
 // Verdict is what a worker's record says.
 type Verdict struct {
-	AtOnce       int // the most owners whose orders had their effects among each other's
+	MaxConcurrentOwners       int // the most owners whose orders had their effects among each other's
 	LateEffects  int // effects of one who ordered before, after another had begun, who went on afterwards
 	FallingTerms int // terms below one before
 	SharedTerms  int // terms with more than one owner
@@ -19,7 +19,7 @@
 
 // NewVerdict reads the record: an owner whose orders lie between two of another's, within a span, was one at the same time.
 func NewVerdict(orders []Order, span time.Duration) Verdict {
-	j := Verdict{AtOnce: min(len(orders), 1)}
+	j := Verdict{MaxConcurrentOwners: min(len(orders), 1)}
 	byTerm := map[uint64]string{}
 	for k, o := range orders {
 		if k > 0 && o.Term < orders[k-1].Term {
@@ -51,7 +51,7 @@
 		if len(others) == 0 {
 			continue
 		}
-		j.AtOnce = max(j.AtOnce, 1+len(others))
+		j.MaxConcurrentOwners = max(j.MaxConcurrentOwners, 1+len(others))
 		j.LateEffects++
 	}
 	return j
@@ -59,7 +59,7 @@
 
 // Line tells some of a record, for people.
 func (j Verdict) String() string {
-	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.AtOnce, j.LateEffects, j.FallingTerms, j.SharedTerms, j.Changes))
+	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.MaxConcurrentOwners, j.LateEffects, j.FallingTerms, j.SharedTerms, j.Changes))
 }
 
 // LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
