--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -182,7 +182,7 @@
 		t.say("role %d: %v", k+1, j)
 		t.atMost("owners.at.once"+role, float64(j.MaxConcurrentOwners), 1)
 		t.exactly("late.effects"+role, float64(j.LateEffects), 0)
-		t.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
+		t.exactly("terms.falling"+role, float64(j.DecreasingTerms+j.SharedTerms), 0)
 	}
 	t.exactly("work.overlap.s", rig.Overlap(t.on.History.LeadershipIntervals()), 0)
 	l := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -174,7 +174,7 @@
 	p.say("drifting: %v", j)
 	p.atMost("owners.at.once.drifting", float64(j.MaxConcurrentOwners), 1)
 	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
-	p.exactly("late.effects.drifting", float64(j.LateEffects+j.FallingTerms+j.SharedTerms), 0)
+	p.exactly("late.effects.drifting", float64(j.LateEffects+j.DecreasingTerms+j.SharedTerms), 0)
 	p.atLeast("changes.drifting", float64(j.Changes), 4)
 	return nil
 }
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -53,7 +53,7 @@
 	c := &roleCluster{cluster, t, worker}
 	t.Cleanup(func() {
 		verdict := rig.NewVerdict(worker.Orders(time.Time{}), lease)
-		if verdict.MaxConcurrentOwners > 1 || verdict.LateEffects+verdict.FallingTerms+verdict.SharedTerms > 0 {
+		if verdict.MaxConcurrentOwners > 1 || verdict.LateEffects+verdict.DecreasingTerms+verdict.SharedTerms > 0 {
 			t.Errorf("%v", verdict)
 		}
 		if overlap := rig.Overlap(cluster.History.LeadershipIntervals()); overlap > 0 {
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -12,7 +12,7 @@
 type Verdict struct {
 	MaxConcurrentOwners       int // the most owners whose orders had their effects among each other's
 	LateEffects  int // effects of one who ordered before, after another had begun, who went on afterwards
-	FallingTerms int // terms below one before
+	DecreasingTerms int // terms below one before
 	SharedTerms  int // terms with more than one owner
 	Changes      int // of owner
 }
@@ -23,7 +23,7 @@
 	byTerm := map[uint64]string{}
 	for k, o := range orders {
 		if k > 0 && o.Term < orders[k-1].Term {
-			j.FallingTerms++
+			j.DecreasingTerms++
 		}
 		if by, seen := byTerm[o.Term]; seen && by != o.Owner && o.Term > 0 {
 			j.SharedTerms++
@@ -59,7 +59,7 @@
 
 // Line tells some of a record, for people.
 func (j Verdict) String() string {
-	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.MaxConcurrentOwners, j.LateEffects, j.FallingTerms, j.SharedTerms, j.Changes))
+	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.MaxConcurrentOwners, j.LateEffects, j.DecreasingTerms, j.SharedTerms, j.Changes))
 }
 
 // LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
