--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -140,7 +140,7 @@
 	}
 	changes := 0
 	for _, w := range on.workers {
-		changes += rig.NewVerdict(w.Orders(began), time.Minute).Changes
+		changes += rig.NewVerdict(w.Orders(began), time.Minute).OwnerChanges
 	}
 	p.exactly("needless.changes", float64(changes), 0)
 	return nil
@@ -175,6 +175,6 @@
 	p.atMost("owners.at.once.drifting", float64(j.MaxConcurrentOwners), 1)
 	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
 	p.exactly("late.effects.drifting", float64(j.LateEffects+j.DecreasingTerms+j.SharedTerms), 0)
-	p.atLeast("changes.drifting", float64(j.Changes), 4)
+	p.atLeast("changes.drifting", float64(j.OwnerChanges), 4)
 	return nil
 }
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -160,7 +160,7 @@
 	from := time.Now()
 	c.run("0s heal")
 	time.Sleep(2 * lease)
-	if verdict := rig.NewVerdict(c.worker.Orders(from), time.Minute); verdict.Changes > 0 || c.worker.Owner(lease) != third {
+	if verdict := rig.NewVerdict(c.worker.Orders(from), time.Minute); verdict.OwnerChanges > 0 || c.worker.Owner(lease) != third {
 		t.Errorf("%s lost the role to a process that was reconnected: %v", third, verdict)
 	}
 }
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -14,7 +14,7 @@
 	LateEffects  int // effects of one who ordered before, after another had begun, who went on afterwards
 	DecreasingTerms int // terms below one before
 	SharedTerms  int // terms with more than one owner
-	Changes      int // of owner
+	OwnerChanges      int // of owner
 }
 
 // NewVerdict reads the record: an owner whose orders lie between two of another's, within a span, was one at the same time.
@@ -32,7 +32,7 @@
 		if k == 0 || orders[k-1].Owner == o.Owner {
 			continue
 		}
-		j.Changes++
+		j.OwnerChanges++
 		// Between its own last order and this one another's lie: late, if that other goes on.
 		before := k - 1
 		for before >= 0 && orders[before].Owner != o.Owner {
@@ -59,7 +59,7 @@
 
 // Line tells some of a record, for people.
 func (j Verdict) String() string {
-	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.MaxConcurrentOwners, j.LateEffects, j.DecreasingTerms, j.SharedTerms, j.Changes))
+	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.MaxConcurrentOwners, j.LateEffects, j.DecreasingTerms, j.SharedTerms, j.OwnerChanges))
 }
 
 // LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
