--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -65,7 +65,7 @@
 // LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
 // where the process was stopped or killed: what it does after that is late, and judged by its orders.
 type LeadershipInterval struct {
-	Role, Who string
+	Role, Process string
 	Term      uint64
 	From, To  float64
 }
@@ -78,7 +78,7 @@
 	began := float64(h.began.UnixNano()) / 1e9
 	end := func(who, role string, at float64) {
 		for k := range all {
-			if t := &all[k]; t.Who == who && (role == "" || t.Role == role) && math.IsInf(t.To, 1) {
+			if t := &all[k]; t.Process == who && (role == "" || t.Role == role) && math.IsInf(t.To, 1) {
 				t.To = at
 			}
 		}
@@ -113,7 +113,7 @@
 	most := 0.0
 	for k, a := range all {
 		for _, b := range all[:k] {
-			if a.Role == b.Role && a.Who != b.Who {
+			if a.Role == b.Role && a.Process != b.Process {
 				most = max(most, min(a.To, b.To)-max(a.From, b.From))
 			}
 		}
