--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -184,7 +184,7 @@
 		t.exactly("late.effects"+role, float64(j.LateEffects), 0)
 		t.exactly("terms.falling"+role, float64(j.DecreasingTerms+j.SharedTerms), 0)
 	}
-	t.exactly("work.overlap.s", rig.Overlap(t.on.History.LeadershipIntervals()), 0)
+	t.exactly("work.overlap.s", rig.MaxOverlap(t.on.History.LeadershipIntervals()), 0)
 	l := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
 	t.say("lowest name: %v", l)
 	t.atLeast("owners.at.once.lowest", float64(l.MaxConcurrentOwners), 2)
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -173,7 +173,7 @@
 	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), experimentLease)
 	p.say("drifting: %v", j)
 	p.atMost("owners.at.once.drifting", float64(j.MaxConcurrentOwners), 1)
-	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
+	p.exactly("work.overlap.drifting.s", rig.MaxOverlap(c.History.LeadershipIntervals()), 0)
 	p.exactly("late.effects.drifting", float64(j.LateEffects+j.DecreasingTerms+j.SharedTerms), 0)
 	p.atLeast("changes.drifting", float64(j.OwnerChanges), 4)
 	return nil
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -56,7 +56,7 @@
 		if verdict.MaxConcurrentOwners > 1 || verdict.LateEffects+verdict.DecreasingTerms+verdict.SharedTerms > 0 {
 			t.Errorf("%v", verdict)
 		}
-		if overlap := rig.Overlap(cluster.History.LeadershipIntervals()); overlap > 0 {
+		if overlap := rig.MaxOverlap(cluster.History.LeadershipIntervals()); overlap > 0 {
 			t.Errorf("two processes acted as owners at the same time for %g s", overlap)
 		}
 		cluster.Check.Finish()
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -215,17 +215,17 @@
 	say("a", "role acquired", 1)
 	say("a", "stepped down", 2)
 	say("b", "role acquired", 2.5)
-	if o := Overlap(h.LeadershipIntervals()); o != 0 {
+	if o := MaxOverlap(h.LeadershipIntervals()); o != 0 {
 		t.Errorf("%g s of those who followed each other", o)
 	}
 	say("c", "role acquired", 3)
 	h.AddEvent("", "fault", "kill c")
 	say("b", "stepped down", 3.25)
-	if o := Overlap(h.LeadershipIntervals()); o > 0.3 || len(h.LeadershipIntervals()) != 3 {
+	if o := MaxOverlap(h.LeadershipIntervals()); o > 0.3 || len(h.LeadershipIntervals()) != 3 {
 		t.Errorf("%g s, %v", o, h.LeadershipIntervals())
 	}
 	say("a", "role acquired", 3.1)
-	if o := Overlap(h.LeadershipIntervals()); o < 0.14 || o > 0.16 {
+	if o := MaxOverlap(h.LeadershipIntervals()); o < 0.14 || o > 0.16 {
 		t.Errorf("%g s of two at the same time", o)
 	}
 }
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -108,8 +108,8 @@
 	return all
 }
 
-// Overlap is for how long two processes worked as owners of one role at the same time, at the most, in seconds.
-func Overlap(all []LeadershipInterval) float64 {
+// MaxOverlap is for how long two processes worked as owners of one role at the same time, at the most, in seconds.
+func MaxOverlap(all []LeadershipInterval) float64 {
 	most := 0.0
 	for k, a := range all {
 		for _, b := range all[:k] {
