--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -66,7 +66,7 @@
 }
 
 // sharedPlan is the plan of a cluster whose runs use the backend.
-func (p *play) sharedPlan(n int, backend *rig.Backend) rig.Plan {
+func (p *play) sharedPlan(n int, backend *rig.Backend) rig.ClusterConfig {
 	plan := p.plan(n)
 	plan.Backend = backend
 	plan.Site.Cores = 24
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -98,7 +98,7 @@
 func (r *crowdRun) start() (err error) {
 	site := fleetSite()
 	site.MemoryMB = 128
-	if r.cluster, err = rig.NewCluster(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
+	if r.cluster, err = rig.NewCluster(rig.ClusterConfig{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
 		return err
 	}
 	network := r.cluster.Paths.Network().Addr().As4()
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -40,7 +40,7 @@
 }
 
 // startClusters starts a process cluster for each plan, at the same time. The caller closes the group; after an error there is none.
-func startClusters(plans ...rig.Plan) (*clusterGroup, error) {
+func startClusters(plans ...rig.ClusterConfig) (*clusterGroup, error) {
 	clusters := make([]*rig.Cluster, len(plans))
 	errs := make([]error, len(plans))
 	var group sync.WaitGroup
@@ -77,13 +77,13 @@
 }
 
 // plan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
-func (p *play) plan(n int) rig.Plan {
-	return rig.Plan{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
+func (p *play) plan(n int) rig.ClusterConfig {
+	return rig.ClusterConfig{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
 		Seed: p.Seed}
 }
 
 // bare is the same with the gossip library alone.
-func (p *play) bare(n int) rig.Plan {
+func (p *play) bare(n int) rig.ClusterConfig {
 	plan := p.plan(n)
 	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
 		return exec.Command(p.self(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -41,7 +41,7 @@
 	if folders {
 		persistent = []string{"n1", "n2", "n3"}
 	}
-	cluster, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
+	cluster, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
 		Slack: time.Second, Seed: 1, Folders: persistent,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
 			"fleet.office o " + worker.Address() + " 10ms"},
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -32,7 +32,7 @@
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
 	c := &shareCluster{t: t, backend: rig.NewBackend(sharedLimit, "lookup")}
 	var err error
-	c.Cluster, err = rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1,
+	c.Cluster, err = rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1,
 		Backend: c.backend,
 		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -18,7 +18,7 @@
 	Check   *Checker
 	History *History
 	Paths   *Paths
-	plan    Plan
+	plan    ClusterConfig
 	dir     string
 	roster  *Roster
 
@@ -28,8 +28,8 @@
 	slots int
 }
 
-// Plan is what a process cluster is to be.
-type Plan struct {
+// ClusterConfig is what a process cluster is to be.
+type ClusterConfig struct {
 	Program string   // the program's binary
 	Names   []string // of the first processes
 	Site    Site
@@ -68,7 +68,7 @@
 }
 
 // NewCluster starts one; all processes are started together.
-func NewCluster(plan Plan) (*Cluster, error) {
+func NewCluster(plan ClusterConfig) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return nil, err
