--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -48,7 +48,7 @@
 	switch kind {
 	case "on":
 		plan.Folders = voters
-		plan.Laws = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
+		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
 			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
 	case "off":
 		plan.Off = true
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -58,7 +58,7 @@
 	case "even":
 		reserved = sharedLimit / sharedOn // nothing is left to grant
 	}
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
+	plan.Settings = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
 		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
 	var err error
 	r.Cluster, err = rig.NewCluster(plan)
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -224,7 +224,7 @@
 	const many, few = 40, 10
 	r := newSharedCluster(few)
 	plan := p.sharedPlan(many, r.backend)
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
+	plan.Settings = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
 	if r.Cluster, err = rig.NewCluster(plan); err != nil {
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -53,7 +53,7 @@
 	t.Parallel()
 	names := append(append([]string{}, configVoters...), configAppServers...)
 	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1, Folders: names,
-		Laws: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
+		Settings: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
 			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2",
 			"fleet.config-age " + configStaleAfter.String()},
 		Site: rig.Site{Cores: 1, MemoryMB: 96, Sockets: 512, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -43,7 +43,7 @@
 	}
 	cluster, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
 		Slack: time.Second, Seed: 1, Folders: persistent,
-		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
+		Settings: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
 			"fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -34,7 +34,7 @@
 	var err error
 	c.Cluster, err = rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1,
 		Backend: c.backend,
-		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
+		Settings: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
 			"fleet.floor 1 " + strings.Join(names, " ")},
 		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -33,7 +33,7 @@
 	Program string   // the program's binary
 	Names   []string // of the first processes
 	Site    Site
-	Laws    []string // further lines of each one's operators' file
+	Settings    []string // further lines of each one's operators' file
 	Folders []string // who has a folder that lasts
 	Off     bool     // no fleet: the same processes, which do not talk
 	Zones   int      // how many zones they are spread over, 0 for none
@@ -187,7 +187,7 @@
 				}
 				laws = append(laws, "fleet.state "+s.Folder(name))
 			}
-			laws = append(laws, s.plan.Laws...)
+			laws = append(laws, s.plan.Settings...)
 		}
 		path := filepath.Join(s.dir, name+".conf")
 		if err := os.WriteFile(path, []byte(strings.Join(laws, "\n")+"\n"), 0o600); err != nil {
