--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -47,7 +47,7 @@
 	voters := names(5)
 	switch kind {
 	case "on":
-		plan.Folders = voters
+		plan.WithStateDir = voters
 		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
 			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
 	case "off":
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -81,7 +81,7 @@
 	names = append(names, f.distributors...)
 	settings := []string{"fleet.voters v1 v2 v3", "fleet.config on", "fleet.config-rate " + rate}
 	settings = append(settings, "fleet.config-distributors "+strings.Join(f.distributors, " "))
-	s, err := rig.NewCluster(rig.ClusterConfig{Program: p.Program, Names: names, Slack: time.Second, Seed: p.Seed, Folders: names, Settings: settings,
+	s, err := rig.NewCluster(rig.ClusterConfig{Program: p.Program, Names: names, Slack: time.Second, Seed: p.Seed, WithStateDir: names, Settings: settings,
 		Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSockets, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	t.Parallel()
 	names := append(append([]string{}, configVoters...), configAppServers...)
-	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1, Folders: names,
+	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1, WithStateDir: names,
 		Settings: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
 			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2",
 			"fleet.config-age " + configStaleAfter.String()},
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -42,7 +42,7 @@
 		persistent = []string{"n1", "n2", "n3"}
 	}
 	cluster, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
-		Slack: time.Second, Seed: 1, Folders: persistent,
+		Slack: time.Second, Seed: 1, WithStateDir: persistent,
 		Settings: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
 			"fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -34,7 +34,7 @@
 	Names   []string // of the first processes
 	Site    Site
 	Settings    []string // further lines of each one's operators' file
-	Folders []string // who has a folder that lasts
+	WithStateDir []string // who has a folder that lasts
 	Off     bool     // no fleet: the same processes, which do not talk
 	Zones   int      // how many zones they are spread over, 0 for none
 	Seeds   int      // how many addresses each is given to join; 3 if 0
@@ -181,7 +181,7 @@
 			if s.plan.Zones > 0 {
 				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
 			}
-			if slices.Contains(s.plan.Folders, called) {
+			if slices.Contains(s.plan.WithStateDir, called) {
 				if err := os.MkdirAll(s.Folder(name), 0o700); err != nil {
 					return nil, err
 				}
