--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -51,7 +51,7 @@
 		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
 			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
 	case "off":
-		plan.Off = true
+		plan.NoFleet = true
 	default:
 		plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
 			args := []string{"lowest", "--name", name, "--listen", listen, "--advertise", advertise, "--join", strings.Join(join, ","),
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -54,7 +54,7 @@
 	reserved := 1
 	switch kind {
 	case "off":
-		plan.Off = true
+		plan.NoFleet = true
 	case "even":
 		reserved = sharedLimit / sharedOn // nothing is left to grant
 	}
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -19,7 +19,7 @@
 func playView(p *play) error {
 	const n = 12
 	plan := p.plan(n)
-	plan.Off = true
+	plan.NoFleet = true
 	began := time.Now()
 	f, err := startClusters(p.plan(n), plan)
 	if err != nil {
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -35,7 +35,7 @@
 	Site    Site
 	Settings    []string // further lines of each one's operators' file
 	WithStateDir []string // who has a folder that lasts
-	Off     bool     // no fleet: the same processes, which do not talk
+	NoFleet     bool     // no fleet: the same processes, which do not talk
 	Zones   int      // how many zones they are spread over, 0 for none
 	Seeds   int      // how many addresses each is given to join; 3 if 0
 	DeadEnd int      // how many of the addresses given first belong to nobody
@@ -175,7 +175,7 @@
 			return nil, err
 		}
 		var laws []string
-		if !s.plan.Off {
+		if !s.plan.NoFleet {
 			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
 				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Network().String(), "fleet.socket "+s.Socket(name))
 			if s.plan.Zones > 0 {
