--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -78,7 +78,7 @@
 
 // plan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
 func (p *play) plan(n int) rig.ClusterConfig {
-	return rig.ClusterConfig{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
+	return rig.ClusterConfig{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, UnusedSeeds: 2, Slack: rigSlack,
 		Seed: p.Seed}
 }
 
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	t.Parallel()
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
-	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Seeds: 2, DeadEnd: 2, Slack: time.Second, Seed: 1,
+	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Seeds: 2, UnusedSeeds: 2, Slack: time.Second, Seed: 1,
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 1500 * time.Millisecond, Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "enter", Kind: string(rpc.NonIdempotent),
 				Target: 0.5, Deadline: 1, Criticality: 1}}}})
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -38,7 +38,7 @@
 	NoFleet     bool     // no fleet: the same processes, which do not talk
 	Zones   int      // how many zones they are spread over, 0 for none
 	Seeds   int      // how many addresses each is given to join; 3 if 0
-	DeadEnd int      // how many of the addresses given first belong to nobody
+	UnusedSeeds int      // how many of the addresses given first belong to nobody
 	Slack   time.Duration
 	Seed    uint64
 	Backend *Backend // what all kernels' runs reach, nil for nothing
@@ -80,7 +80,7 @@
 	if s.roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
-	s.slots = plan.DeadEnd
+	s.slots = plan.UnusedSeeds
 	for _, name := range plan.Names {
 		if _, err := s.add(name, name, s.slot()); err != nil {
 			s.Close()
@@ -136,7 +136,7 @@
 		n = 3
 	}
 	var all []string
-	for k := range n + s.plan.DeadEnd {
+	for k := range n + s.plan.UnusedSeeds {
 		all = append(all, s.Paths.Via(k+1).String())
 	}
 	return all
