--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -53,7 +53,7 @@
 	case "off":
 		plan.NoFleet = true
 	default:
-		plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
+		plan.BareCommand = func(name, listen, advertise string, join []string) *exec.Cmd {
 			args := []string{"lowest", "--name", name, "--listen", listen, "--advertise", advertise, "--join", strings.Join(join, ","),
 				"--order", c.workers[0].Address()}
 			if kind == "drifting" { // any two drift apart by at most the bound
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -85,7 +85,7 @@
 // bare is the same with the gossip library alone.
 func (p *play) bare(n int) rig.ClusterConfig {
 	plan := p.plan(n)
-	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
+	plan.BareCommand = func(name, listen, advertise string, join []string) *exec.Cmd {
 		return exec.Command(p.self(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
 			strings.Join(join, ","))
 	}
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -42,9 +42,9 @@
 	Slack   time.Duration
 	Seed    uint64
 	Backend *Backend // what all kernels' runs reach, nil for nothing
-	// Bare starts another program instead, with no kernel and no callers, and is given where it listens, what it tells
+	// BareCommand starts another program instead, with no kernel and no callers, and is given where it listens, what it tells
 	// others and whom to join.
-	Bare func(name, listen, advertise string, join []string) *exec.Cmd
+	BareCommand func(name, listen, advertise string, join []string) *exec.Cmd
 }
 
 // Node is one process of a process cluster.
@@ -157,7 +157,7 @@
 	}
 	n := &Node{slot: slot}
 	own, via := s.Paths.Own(slot), s.Paths.Via(slot)
-	if s.plan.Bare != nil {
+	if s.plan.BareCommand != nil {
 		n.Program = &Program{Name: name, called: called, check: s.Check}
 		n.bare = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
 	} else {
@@ -222,7 +222,7 @@
 	if n.bare == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.Bare(n.called, s.Paths.Own(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
+	cmd := s.plan.BareCommand(n.called, s.Paths.Own(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
 	_, err := n.bare.run(cmd, func(error) {})
 	return err
 }
