--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -123,7 +123,7 @@
 					count(into, r.phase)
 					count(r.each, r.phase+" "+name+" "+s.Method)
 				}}
-			l.Run(ctx, r.Check, router)
+			l.Run(ctx, r.Checker, router)
 		})
 	}
 	group.Wait()
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -115,7 +115,7 @@
 			defer router.Close()
 			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Length: length, Prefix: name + "-", Shares: till(0.004, time.Second),
 				Rate: func(float64) float64 { return rate }}
-			o := l.Run(context.Background(), s.Check, router)
+			o := l.Run(context.Background(), s.Checker, router)
 			mu.Lock()
 			out[name] = o
 			mu.Unlock()
@@ -179,8 +179,8 @@
 func (p *play) violations(clusters ...*rig.Cluster) {
 	n := 0
 	for _, s := range clusters {
-		s.Check.Finish()
-		for k, b := range s.Check.Violations() {
+		s.Checker.Finish()
+		for k, b := range s.Checker.Violations() {
 			n++
 			if k < 5 {
 				p.say("%s", b)
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -73,8 +73,8 @@
 
 func (c *configCluster) close() {
 	c.stopBackground()
-	c.Check.Finish()
-	for _, violation := range c.Check.Violations() {
+	c.Checker.Finish()
+	for _, violation := range c.Checker.Violations() {
 		c.t.Error(violation)
 	}
 	if c.t.Failed() {
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -59,8 +59,8 @@
 		if overlap := rig.MaxOverlap(cluster.History.LeadershipIntervals()); overlap > 0 {
 			t.Errorf("two processes acted as owners at the same time for %g s", overlap)
 		}
-		cluster.Check.Finish()
-		for _, violation := range cluster.Check.Violations() {
+		cluster.Checker.Finish()
+		for _, violation := range cluster.Checker.Violations() {
 			t.Error(violation)
 		}
 		if t.Failed() {
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -52,7 +52,7 @@
 				Rate: func(float64) float64 { return 2 * sharedLimit / 0.1 / 5 },
 				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 1,
 					Work: 0.1, Deadline: time.Second}}}
-			load.Run(ctx, c.Check, router)
+			load.Run(ctx, c.Checker, router)
 		})
 	}
 	t.Cleanup(func() {
@@ -61,8 +61,8 @@
 		if exceeded := c.backend.Over(); exceeded > 0 {
 			t.Errorf("the limit was exceeded by %d", exceeded)
 		}
-		c.Check.Finish()
-		for _, violation := range c.Check.Violations() {
+		c.Checker.Finish()
+		for _, violation := range c.Checker.Violations() {
 			t.Error(violation)
 		}
 		c.Close()
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -32,8 +32,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		s.Check.Finish()
-		for _, b := range s.Check.Violations() {
+		s.Checker.Finish()
+		for _, b := range s.Checker.Violations() {
 			t.Error(b)
 		}
 		if t.Failed() {
@@ -204,7 +204,7 @@
 		generator := rig.Load{Seed: 1, Length: waitTimeout, Prefix: "x", Rate: func(float64) float64 { return 20 },
 			Shares: []rig.Share{{Method: "enter", Kind: rpc.NonIdempotent, Criticality: 1,
 				Part: 1, Work: 0.005, Deadline: time.Second}}}
-		generator.Run(ctx, s.Check, router)
+		generator.Run(ctx, s.Checker, router)
 	})
 	defer load.Wait()
 	defer cancel()
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -15,7 +15,7 @@
 // Cluster is many processes of the real program that may talk to each other, with a path between each two, and what is done
 // to them by a script.
 type Cluster struct {
-	Check   *Checker
+	Checker   *Checker
 	History *History
 	Paths   *Paths
 	plan    ClusterConfig
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Cluster{Check: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
+	s := &Cluster{Checker: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
 	if s.Paths, err = NewPaths(plan.Seed); err != nil {
 		return nil, err
 	}
@@ -158,10 +158,10 @@
 	n := &Node{slot: slot}
 	own, via := s.Paths.Own(slot), s.Paths.Via(slot)
 	if s.plan.BareCommand != nil {
-		n.Program = &Program{Name: name, called: called, check: s.Check}
+		n.Program = &Program{Name: name, called: called, check: s.Checker}
 		n.bare = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
 	} else {
-		kernel, err := NewKernel(name, s.plan.Site.Cores, s.Check)
+		kernel, err := NewKernel(name, s.plan.Site.Cores, s.Checker)
 		if err != nil {
 			return nil, err
 		}
@@ -169,9 +169,9 @@
 		// At its own address no other process can have taken the port meanwhile.
 		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
-			roster: s.roster.Address(), check: s.Check, called: called}
+			roster: s.roster.Address(), check: s.Checker, called: called}
 		n.Program.tap = func(line []byte) { s.History.AddLogLine(name, line) }
-		if n.Net, err = NewNet(name, address, s.Check); err != nil {
+		if n.Net, err = NewNet(name, address, s.Checker); err != nil {
 			return nil, err
 		}
 		var laws []string
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -56,21 +56,21 @@
 		s.kill(n)
 		return s.start(n)
 	case "stop":
-		s.Check.SetPaused(n.Name, true)
+		s.Checker.SetPaused(n.Name, true)
 		p.Pause(true)
 	case "cont":
 		p.Pause(false)
-		s.Check.SetPaused(n.Name, false)
+		s.Checker.SetPaused(n.Name, false)
 	case "starve":
 		period := 100 * time.Millisecond
 		n.feed = p.Throttle(time.Duration(f.Share*float64(period)), period)
-		s.Check.SetPaused(n.Name, true)
+		s.Checker.SetPaused(n.Name, true)
 	case "feed":
 		if n.feed != nil {
 			n.feed()
 			n.feed = nil
 		}
-		s.Check.SetPaused(n.Name, false)
+		s.Checker.SetPaused(n.Name, false)
 	case "hang", "unhang":
 		if n.bare == nil {
 			n.Kernel.Hang(f.Verb == "hang")
