--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -135,10 +135,10 @@
 	at = map[string]netip.AddrPort{}
 	for slot, name := range f.Names() {
 		if slices.Contains(f.distributors, name) {
-			at[name] = f.Paths.Own(slot + 1)
+			at[name] = f.Network.Own(slot + 1)
 		}
 	}
-	bytes := f.Paths.Own(1).Addr().As4()
+	bytes := f.Network.Own(1).Addr().As4()
 	bytes[2], bytes[3] = 9, 1
 	return at, netip.AddrFrom4(bytes)
 }
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -101,7 +101,7 @@
 	if r.cluster, err = rig.NewCluster(rig.ClusterConfig{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
 		return err
 	}
-	network := r.cluster.Paths.Network().Addr().As4()
+	network := r.cluster.Network.Network().Addr().As4()
 	if err := r.reachDirectly(); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, Pinged: node.Node})
 	}
 	for k, name := range processNames() {
-		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Paths.Own(k + 1)})
+		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Network.Own(k + 1)})
 	}
 	for _, t := range r.targets {
 		r.crowd.Add(t)
@@ -136,7 +136,7 @@
 // reachDirectly starts the processes again with addresses that members outside the process cluster reach too.
 func (r *crowdRun) reachDirectly() error {
 	for k, name := range processNames() {
-		own, via := r.cluster.Paths.Own(k+1).String(), r.cluster.Paths.Via(k+1).String()
+		own, via := r.cluster.Network.Own(k+1).String(), r.cluster.Network.Via(k+1).String()
 		err := r.cluster.Amend(name, func(settings string) string {
 			return strings.Replace(settings, "fleet.advertise "+via, "fleet.advertise "+own, 1)
 		})
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -17,7 +17,7 @@
 type Cluster struct {
 	Checker   *Checker
 	History *History
-	Paths   *Paths
+	Network   *Paths
 	plan    ClusterConfig
 	dir     string
 	roster  *Roster
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	s := &Cluster{Checker: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
-	if s.Paths, err = NewPaths(plan.Seed); err != nil {
+	if s.Network, err = NewPaths(plan.Seed); err != nil {
 		return nil, err
 	}
 	if s.roster, err = NewRoster(); err != nil {
@@ -137,7 +137,7 @@
 	}
 	var all []string
 	for k := range n + s.plan.UnusedSeeds {
-		all = append(all, s.Paths.Via(k+1).String())
+		all = append(all, s.Network.Via(k+1).String())
 	}
 	return all
 }
@@ -152,11 +152,11 @@
 
 // add makes a process that calls itself called, at an address, and does not start it.
 func (s *Cluster) add(name, called string, slot int) (*Node, error) {
-	if err := s.Paths.Add(slot); err != nil {
+	if err := s.Network.Add(slot); err != nil {
 		return nil, err
 	}
 	n := &Node{slot: slot}
-	own, via := s.Paths.Own(slot), s.Paths.Via(slot)
+	own, via := s.Network.Own(slot), s.Network.Via(slot)
 	if s.plan.BareCommand != nil {
 		n.Program = &Program{Name: name, called: called, check: s.Checker}
 		n.bare = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
@@ -177,7 +177,7 @@
 		var laws []string
 		if !s.plan.NoFleet {
 			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
-				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Network().String(), "fleet.socket "+s.Socket(name))
+				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Network.Network().String(), "fleet.socket "+s.Socket(name))
 			if s.plan.Zones > 0 {
 				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
 			}
@@ -222,7 +222,7 @@
 	if n.bare == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.BareCommand(n.called, s.Paths.Own(n.slot).String(), s.Paths.Via(n.slot).String(), s.seeds())
+	cmd := s.plan.BareCommand(n.called, s.Network.Own(n.slot).String(), s.Network.Via(n.slot).String(), s.seeds())
 	_, err := n.bare.run(cmd, func(error) {})
 	return err
 }
@@ -287,7 +287,7 @@
 		})
 	}
 	all.Wait()
-	s.Paths.Close()
+	s.Network.Close()
 	s.roster.Close()
 	os.RemoveAll(s.dir)
 }
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -39,7 +39,7 @@
 		return s.change(f)
 	}
 	if f.Verb == "heal" {
-		s.Paths.Heal()
+		s.Network.Heal()
 		return nil
 	}
 	n := s.Node(f.Who[0])
@@ -117,7 +117,7 @@
 		for _, a := range from {
 			for _, b := range to {
 				if a != b {
-					s.Paths.Change(a, b, f.worsen)
+					s.Network.Change(a, b, f.worsen)
 				}
 			}
 		}
