--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -75,7 +75,7 @@
 // +Inf if there is none in time.
 func (c *roleCluster) awaitOwner(not string) (string, float64) {
 	who := ""
-	took, ok := c.Until(15*time.Second, func() bool {
+	took, ok := c.WaitUntil(15*time.Second, func() bool {
 		who = c.workers[0].Owner(ownerWindow)
 		return who != "" && who != not
 	})
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 	}
-	if _, ok := s.Until(time.Minute, f.even); !ok {
+	if _, ok := s.WaitUntil(time.Minute, f.even); !ok {
 		s.Close()
 		return nil, errors.New("the distributors do not come to one version")
 	}
@@ -103,7 +103,7 @@
 
 // apply has changes committed, and tries again while nobody leads.
 func (f *distributionFleet) apply(text string) (version uint64, err error) {
-	_, ok := f.Until(time.Minute, func() bool {
+	_, ok := f.WaitUntil(time.Minute, func() bool {
 		result, failed := fleet.ApplyChanges(fleet.ConfigSocket(f.Socket("v1")), "changes", []byte(text))
 		if err = failed; err == nil && result.Error != "" {
 			err = errors.New(result.Error)
--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -81,7 +81,7 @@
 	d := fleet.NewSubscriber(fleet.DistributionConfig{Name: "hollow", Distributors: f.distributors, AllServices: true, BytesPerSecond: 1e9,
 		StaleAfter: designInForceSeconds}, opener, zap.NewNop())
 	running.Go(func() { d.Run(ctx) })
-	if _, ok := f.Until(time.Minute, func() bool { return d.Status().Age >= 0 }); !ok {
+	if _, ok := f.WaitUntil(time.Minute, func() bool { return d.Status().Age >= 0 }); !ok {
 		return errors.New("the subscriber does not come to follow")
 	}
 	entries, bytes := float64(len(f.services)*each), d.Status().Bytes
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		if _, ok := f.Until(time.Minute, func() bool { return d.Table().Version.Index >= index }); !ok {
+		if _, ok := f.WaitUntil(time.Minute, func() bool { return d.Table().Version.Index >= index }); !ok {
 			return errors.New("a change does not come into force")
 		}
 		on = append(on, time.Since(began).Seconds())
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	took, _ := t.on.Until(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
+	took, _ := t.on.WaitUntil(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
 	p.atMost("first.keeper.s", took, 10)
 	p.untilAlike(t.on.Cluster, 10*time.Second, sharedOn, t.on.Names())
 	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
@@ -231,7 +231,7 @@
 		return err
 	}
 	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
+	if _, ok := r.WaitUntil(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
 	p.untilAlike(r.Cluster, 15*time.Second, many, r.Names())
@@ -270,7 +270,7 @@
 		return err
 	}
 	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
+	if _, ok := r.WaitUntil(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -25,7 +25,7 @@
 	}
 	// What the one that died had, and the reserved permits of its new incarnation, are back once its last grant is over.
 	t.on.backend.Used()
-	t.on.Until(5*time.Second, func() bool {
+	t.on.WaitUntil(5*time.Second, func() bool {
 		time.Sleep(300 * time.Millisecond)
 		return t.on.backend.Used() >= 0.97*sharedLimit
 	})
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -219,7 +219,7 @@
 		partitioned = max(partitioned, at)
 	}
 	p.atMost("narrow.said", partitioned, 6)
-	bareCut, _ := bare.Until(10*time.Second, func() bool {
+	bareCut, _ := bare.WaitUntil(10*time.Second, func() bool {
 		return bare.History.AgreeOnMembers(4, small...) && bare.History.AgreeOnMembers(8, large...)
 	})
 	p.inform("settled.after.cut.bare", bareCut)
@@ -227,7 +227,7 @@
 		return err
 	}
 	p.atMost("rejoined.max", p.untilAlike(on, 12*time.Second, n, all), 10)
-	_, back := bare.Until(3*time.Second, func() bool { return bare.History.AgreeOnMembers(n, all...) })
+	_, back := bare.WaitUntil(3*time.Second, func() bool { return bare.History.AgreeOnMembers(n, all...) })
 	p.exactly("rejoined.bare", float64(count(back)), 0)
 
 	// One way only, then in three.
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -192,7 +192,7 @@
 
 // untilAlike waits until all of these see one view of n members; the time counts in a figure.
 func (p *play) untilAlike(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
-	took, ok := s.Until(within, func() bool { return s.History.AgreeOnMembers(n, who...) })
+	took, ok := s.WaitUntil(within, func() bool { return s.History.AgreeOnMembers(n, who...) })
 	if !ok {
 		for _, name := range who {
 			observation, _ := s.History.Latest(name)
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -213,7 +213,7 @@
 func (c *configCluster) waitAcknowledged(more int) {
 	c.t.Helper()
 	before := c.acknowledgedCount()
-	if _, ok := c.Until(healTimeout, func() bool {
+	if _, ok := c.WaitUntil(healTimeout, func() bool {
 		if before == 0 {
 			result, err := fleet.ApplyChanges(c.socket("a1"), "changes", []byte(changeText(0)))
 			c.recordOutcome(0, false, result, err)
@@ -231,7 +231,7 @@
 func (c *configCluster) leader(except string) string {
 	c.t.Helper()
 	leader := ""
-	if _, ok := c.Until(healTimeout, func() bool {
+	if _, ok := c.WaitUntil(healTimeout, func() bool {
 		for _, name := range configVoters {
 			if status, err := fleet.AskDistribution(c.socket(name)); err == nil && status.Leads && name != except {
 				leader = name
@@ -333,7 +333,7 @@
 
 func (c *configCluster) waitFor(description string, condition func() bool) {
 	c.t.Helper()
-	if _, ok := c.Until(healTimeout, condition); !ok {
+	if _, ok := c.WaitUntil(healTimeout, condition); !ok {
 		for _, name := range c.Names() {
 			status, err := fleet.AskDistribution(c.socket(name))
 			c.t.Logf("%s: %+v %v", name, status, err)
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -86,7 +86,7 @@
 func (c *roleCluster) owner(except string) string {
 	c.t.Helper()
 	name := ""
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		name = c.worker.Owner(200 * time.Millisecond)
 		return name != "" && name != except
 	}); !ok {
@@ -112,7 +112,7 @@
 			for _, name := range c.Names() {
 				c.run("0s start " + name)
 			}
-			if _, ok := c.Until(waitTimeout, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
+			if _, ok := c.WaitUntil(waitTimeout, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
 				t.Fatal("no owner after the restart")
 			}
 			if commands := c.worker.Orders(time.Time{}); commands[len(commands)-1].Term <= commands[before-1].Term {
@@ -132,7 +132,7 @@
 		c.run("0s stop " + paused)
 		c.owner(paused)
 		c.run("0s cont " + paused)
-		if _, ok := c.Until(waitTimeout, func() bool {
+		if _, ok := c.WaitUntil(waitTimeout, func() bool {
 			n, _ := c.History.CountLines(paused, "stepped down", from)
 			return n > 0
 		}); !ok {
@@ -192,7 +192,7 @@
 			c.owner("")
 		}
 	}
-	if _, ok := c.Until(waitTimeout, func() bool { return c.worker.Owner(lease) == "" }); !ok {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool { return c.worker.Owner(lease) == "" }); !ok {
 		t.Error("owned without a majority that can persist its votes")
 	}
 	if err := os.Rename(movedFolder("n1"), c.Folder("n1")); err != nil {
@@ -216,7 +216,7 @@
 			c.run("0s restart " + name)
 			// Waits for each process before restarting the next one: a voter without a folder is silent for one lease.
 			from := time.Now().Add(lease)
-			if _, ok := c.Until(waitTimeout, func() bool {
+			if _, ok := c.WaitUntil(waitTimeout, func() bool {
 				commands := c.worker.Orders(from)
 				return len(commands) > 3 && c.worker.Owner(lease) != ""
 			}); !ok {
@@ -241,7 +241,7 @@
 		if name == first {
 			continue
 		}
-		if _, ok := c.Until(waitTimeout, func() bool {
+		if _, ok := c.WaitUntil(waitTimeout, func() bool {
 			table, err = exec.Command(program, "fleet", "owners", "--socket", c.Socket(name)).CombinedOutput()
 			return err == nil && strings.Contains(string(table), first)
 		}); !ok {
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -82,7 +82,7 @@
 func (c *shareCluster) waitForUse(fraction float64) {
 	c.t.Helper()
 	c.backend.Used()
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		time.Sleep(200 * time.Millisecond)
 		return c.backend.Used() >= fraction*sharedLimit
 	}); !ok {
@@ -93,7 +93,7 @@
 // allocator waits until a process other than the given one reports that it is the allocator, and returns its name.
 func (c *shareCluster) allocator(except string) (found string) {
 	c.t.Helper()
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		for _, name := range c.Names() {
 			table, err := exec.Command(program, "fleet", "shares", "--json", "--socket", c.Socket(name)).CombinedOutput()
 			if err == nil && name != except && strings.Contains(string(table), `"limit":`) {
@@ -170,7 +170,7 @@
 		}
 	}
 	replaceSetting("fleet.share s 12 ", "fleet.share s 7 ")
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		c.backend.Used()
 		time.Sleep(300 * time.Millisecond)
 		return c.backend.Used() <= 7
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -57,7 +57,7 @@
 
 func waitConverged(t *testing.T, s *rig.Cluster, n int, names []string) {
 	t.Helper()
-	if _, ok := s.Until(waitTimeout, func() bool { return s.History.AgreeOnMembers(n, names...) }); !ok {
+	if _, ok := s.WaitUntil(waitTimeout, func() bool { return s.History.AgreeOnMembers(n, names...) }); !ok {
 		t.Fatalf("%v have not converged on a view of %d members", names, n)
 	}
 }
@@ -135,7 +135,7 @@
 	waitConverged(t, s, 2, names[:2])
 	waitConverged(t, s, 3, names[2:])
 	for _, name := range names[:2] {
-		if _, ok := s.Until(waitTimeout, func() bool {
+		if _, ok := s.WaitUntil(waitTimeout, func() bool {
 			v, _ := s.History.Latest(name)
 			return v.Certainty == "partitioned"
 		}); !ok {
@@ -165,7 +165,7 @@
 	s, names := startCluster(t)
 	from := s.History.Elapsed()
 	run(t, s, "0s twin n5")
-	if _, ok := s.Until(waitTimeout, func() bool {
+	if _, ok := s.WaitUntil(waitTimeout, func() bool {
 		n, _ := s.History.CountLines("n5", "newer incarnation of this name", from)
 		return n > 0
 	}); !ok {
@@ -209,14 +209,14 @@
 	defer load.Wait()
 	defer cancel()
 	run(t, s, "0s hang n5\n0s mute n4>* 1500ms\n0s mute *>n4 1500ms")
-	if _, ok := s.Until(waitTimeout, func() bool {
+	if _, ok := s.WaitUntil(waitTimeout, func() bool {
 		n, _ := s.History.CountLines("n1", "n5 changed: work hangs there", from)
 		return n > 0
 	}); !ok {
 		t.Error("stuck work is not reported")
 	}
 	run(t, s, "0s unhang n5")
-	if _, ok := s.Until(waitTimeout, func() bool {
+	if _, ok := s.WaitUntil(waitTimeout, func() bool {
 		n, _ := s.History.CountLines("n1", "n5 changed: work goes on there", from)
 		return n > 0
 	}); !ok {
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -249,8 +249,8 @@
 	return all
 }
 
-// Until waits for something to hold, and gives how long that took, in seconds; false if it never did.
-func (s *Cluster) Until(within time.Duration, holds func() bool) (float64, bool) {
+// WaitUntil waits for something to hold, and gives how long that took, in seconds; false if it never did.
+func (s *Cluster) WaitUntil(within time.Duration, holds func() bool) (float64, bool) {
 	for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		took := time.Since(begin)
 		if holds() {
