--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -137,7 +137,7 @@
 func (r *crowdRun) reachDirectly() error {
 	for k, name := range processNames() {
 		own, via := r.cluster.Network.Own(k+1).String(), r.cluster.Network.Via(k+1).String()
-		err := r.cluster.Amend(name, func(settings string) string {
+		err := r.cluster.EditSettings(name, func(settings string) string {
 			return strings.Replace(settings, "fleet.advertise "+via, "fleet.advertise "+own, 1)
 		})
 		if err != nil {
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -206,7 +206,7 @@
 func (r *sharedCluster) lower(p *play) int {
 	const to = sharedLimit * 2 / 3
 	for _, name := range r.Names() {
-		r.Amend(name, func(settings string) string {
+		r.EditSettings(name, func(settings string) string {
 			return strings.Replace(settings, fmt.Sprintf("behind %d ", sharedLimit), fmt.Sprintf("behind %d ", to), 1)
 		})
 		r.Node(name).Reload()
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -208,7 +208,7 @@
 	c.owner("")
 	for _, next := range []string{"n1 n2 n3 / n4 n2 n3", "n4 n2 n3"} {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(settings string) string {
+			if err := c.EditSettings(name, func(settings string) string {
 				return regexp.MustCompile(`(?m)^fleet.voters .*$`).ReplaceAllString(settings, "fleet.voters "+next)
 			}); err != nil {
 				t.Fatal(err)
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -161,7 +161,7 @@
 	c := newShareCluster(t)
 	replaceSetting := func(old, replacement string) {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(settings string) string {
+			if err := c.EditSettings(name, func(settings string) string {
 				return strings.Replace(settings, old, replacement, 1)
 			}); err != nil {
 				t.Fatal(err)
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -202,8 +202,8 @@
 	return n, nil
 }
 
-// Amend changes a process's operators' file, for its next start.
-func (s *Cluster) Amend(name string, f func(laws string) string) error {
+// EditSettings changes a process's operators' file, for its next start.
+func (s *Cluster) EditSettings(name string, f func(laws string) string) error {
 	path := filepath.Join(s.dir, name+".conf")
 	text, err := os.ReadFile(path)
 	if err != nil {
