--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -54,7 +54,7 @@
 // killOwner kills the owner while a voter's disk fails, and starts it again.
 func (t *ownerTrial) killOwner() error {
 	victim := t.owner
-	folder := t.on.Folder(t.others()[0])
+	folder := t.on.StateDir(t.others()[0])
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		return err
 	}
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -496,7 +496,7 @@
 	c := newConfigCluster(t)
 	c.waitAcknowledged(10)
 	c.waitFor("a1 has written its file", func() bool {
-		_, err := os.Stat(filepath.Join(c.Folder("a1"), "config-scope"))
+		_, err := os.Stat(filepath.Join(c.StateDir("a1"), "config-scope"))
 		return err == nil
 	})
 	for _, end := range []string{"notice", "kill"} {
@@ -525,7 +525,7 @@
 	c := newConfigCluster(t)
 	first := c.leader("")
 	c.waitAcknowledged(5)
-	folder := c.Folder(first)
+	folder := c.StateDir(first)
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -183,9 +183,9 @@
 func TestVoterWithoutDisk(t *testing.T) {
 	c := startCluster(t, true)
 	c.owner("")
-	movedFolder := func(name string) string { return c.Folder(name) + ".away" }
+	movedFolder := func(name string) string { return c.StateDir(name) + ".away" }
 	for _, name := range []string{"n1", "n2"} {
-		if err := os.Rename(c.Folder(name), movedFolder(name)); err != nil {
+		if err := os.Rename(c.StateDir(name), movedFolder(name)); err != nil {
 			t.Fatal(err)
 		}
 		if name == "n1" {
@@ -195,7 +195,7 @@
 	if _, ok := c.WaitUntil(waitTimeout, func() bool { return c.worker.Owner(lease) == "" }); !ok {
 		t.Error("owned without a majority that can persist its votes")
 	}
-	if err := os.Rename(movedFolder("n1"), c.Folder("n1")); err != nil {
+	if err := os.Rename(movedFolder("n1"), c.StateDir("n1")); err != nil {
 		t.Fatal(err)
 	}
 	c.owner("")
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -182,10 +182,10 @@
 				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
 			}
 			if slices.Contains(s.plan.WithStateDir, called) {
-				if err := os.MkdirAll(s.Folder(name), 0o700); err != nil {
+				if err := os.MkdirAll(s.StateDir(name), 0o700); err != nil {
 					return nil, err
 				}
-				laws = append(laws, "fleet.state "+s.Folder(name))
+				laws = append(laws, "fleet.state "+s.StateDir(name))
 			}
 			laws = append(laws, s.plan.Settings...)
 		}
@@ -215,8 +215,8 @@
 // Socket is the local socket of a process.
 func (s *Cluster) Socket(name string) string { return filepath.Join(s.dir, name+".sock") }
 
-// Folder is where what a process keeps lasts, under a plan with folders.
-func (s *Cluster) Folder(name string) string { return filepath.Join(s.dir, name+".state") }
+// StateDir is where what a process keeps lasts, under a plan with folders.
+func (s *Cluster) StateDir(name string) string { return filepath.Join(s.dir, name+".state") }
 
 func (s *Cluster) start(n *Node) error {
 	if n.bare == nil {
