--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -278,7 +278,7 @@
 	var loading sync.WaitGroup
 	var out map[string]rig.Outcome
 	loading.Go(func() { out = p.load(s, length, 15, all) })
-	if err := s.Play(context.Background(), script); err != nil {
+	if err := s.RunScript(context.Background(), script); err != nil {
 		return err
 	}
 	alive := s.Running()
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Play does what a script says, at its times, counted from now; it returns once all is done.
-func (s *Cluster) Play(ctx context.Context, script Script) error {
+// RunScript does what a script says, at its times, counted from now; it returns once all is done.
+func (s *Cluster) RunScript(ctx context.Context, script Script) error {
 	begin := time.Now()
 	for _, f := range script {
 		select {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	return s.Play(context.Background(), script)
+	return s.RunScript(context.Background(), script)
 }
 
 // Do does one thing now.
