--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -116,7 +116,7 @@
 	var loads, baselines sync.WaitGroup
 	t.startLoads(&loads)
 	baselines.Go(func() { // the same is done to the lowest name, n1
-		t.errLowest = t.lowest.Run("5s stop n1\n9s cont n1\n11s split n1,n2|n3,n4,n5\n16s heal")
+		t.errLowest = t.lowest.RunScriptText("5s stop n1\n9s cont n1\n11s split n1,n2|n3,n4,n5\n16s heal")
 	})
 	baselines.Go(func() { t.errDrifting = p.drift(t.drifting) })
 	if err := p.undisturbed(t.on, t.off, t.names, t.owner); err != nil {
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -15,8 +15,8 @@
 // run does something to the processes of the program, and the same where the fleet is off.
 func (t *ownerTrial) run(script string) {
 	var both sync.WaitGroup
-	both.Go(func() { t.errOff = errors.Join(t.errOff, t.off.Run(script)) })
-	t.errOn = errors.Join(t.errOn, t.on.Run(script))
+	both.Go(func() { t.errOff = errors.Join(t.errOff, t.off.RunScriptText(script)) })
+	t.errOn = errors.Join(t.errOn, t.on.RunScriptText(script))
 	both.Wait()
 }
 
@@ -36,7 +36,7 @@
 // stopOwners stops the owner past its lease three times, in the middle of its orders; whether it has one in its hands is left to
 // chance. Meanwhile messages are doubled, and some come over several terms too late.
 func (t *ownerTrial) stopOwners() {
-	t.errOn = errors.Join(t.errOn, t.on.Run(fmt.Sprintf("0s double *>* 30%%\n0s mute %s>* 2500ms", t.others()[0])))
+	t.errOn = errors.Join(t.errOn, t.on.RunScriptText(fmt.Sprintf("0s double *>* 30%%\n0s mute %s>* 2500ms", t.others()[0])))
 	for range 3 {
 		if t.owner == "" {
 			break
@@ -48,7 +48,7 @@
 		t.run("0s cont " + stopped)
 		time.Sleep(experimentLease / 2)
 	}
-	t.on.Run("0s heal")
+	t.on.RunScriptText("0s heal")
 }
 
 // killOwner kills the owner while a voter's disk fails, and starts it again.
@@ -66,12 +66,12 @@
 
 // cutOwnerOff cuts the owner off one way: it speaks and does not hear, then it hears and does not speak.
 func (t *ownerTrial) cutOwnerOff() {
-	t.on.Run("0s cut *>" + t.owner)
+	t.on.RunScriptText("0s cut *>" + t.owner)
 	t.next("deaf")
-	t.on.Run("0s heal")
-	t.on.Run("0s cut " + t.owner + ">*")
+	t.on.RunScriptText("0s heal")
+	t.on.RunScriptText("0s cut " + t.owner + ">*")
 	t.next("unheard")
-	t.on.Run("0s heal")
+	t.on.RunScriptText("0s heal")
 }
 
 // takeMajority stops three of five: without a majority there is no owner; with it back there is one within two leases.
@@ -135,7 +135,7 @@
 	}
 	p.inform("resident.on.top.mb", resident)
 	rest := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == owner || s == on.workers[1].Owner(ownerWindow) })
-	if err := on.Run(fmt.Sprintf("0s loss *>* 10%%\n0s mute %s>* 500ms\n0s mute %s>* 1500ms\n4s heal", rest[0], rest[1])); err != nil {
+	if err := on.RunScriptText(fmt.Sprintf("0s loss *>* 10%%\n0s mute %s>* 500ms\n0s mute %s>* 1500ms\n4s heal", rest[0], rest[1])); err != nil {
 		return err
 	}
 	changes := 0
@@ -154,19 +154,19 @@
 			break
 		}
 		sleeper := owner
-		if err := c.Run("0s stop " + sleeper); err != nil {
+		if err := c.RunScriptText("0s stop " + sleeper); err != nil {
 			return err
 		}
 		owner, _ = c.awaitOwner(sleeper)
-		if err := c.Run("500ms cont " + sleeper); err != nil {
+		if err := c.RunScriptText("500ms cont " + sleeper); err != nil {
 			return err
 		}
 		// Cut off, it goes on until its own clock says that its lease is over.
-		if err := c.Run("500ms cut *>" + owner + "\n500ms cut " + owner + ">*"); err != nil {
+		if err := c.RunScriptText("500ms cut *>" + owner + "\n500ms cut " + owner + ">*"); err != nil {
 			return err
 		}
 		owner, _ = c.awaitOwner(owner)
-		if err := c.Run("500ms heal"); err != nil {
+		if err := c.RunScriptText("500ms heal"); err != nil {
 			return err
 		}
 	}
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -143,12 +143,12 @@
 		if err != nil {
 			return err
 		}
-		if err := r.cluster.Run("0s kill " + name); err != nil {
+		if err := r.cluster.RunScriptText("0s kill " + name); err != nil {
 			return err
 		}
 	}
 	for _, name := range processNames() {
-		if err := r.cluster.Run("0s start " + name); err != nil {
+		if err := r.cluster.RunScriptText("0s start " + name); err != nil {
 			return err
 		}
 	}
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -12,7 +12,7 @@
 
 // run plays a script in the cluster under an allocator.
 func (t *shareTrial) run(script string) {
-	t.err = errors.Join(t.err, t.on.Run(script))
+	t.err = errors.Join(t.err, t.on.RunScriptText(script))
 }
 
 // changeAllocators has the allocator killed, stopped and cut off from half of the others. It returns the names of these others.
@@ -93,7 +93,7 @@
 	}
 	var starts sync.WaitGroup
 	for _, name := range t.on.Names() {
-		starts.Go(func() { t.on.Run("0s start " + name) })
+		starts.Go(func() { t.on.RunScriptText("0s start " + name) })
 	}
 	starts.Wait()
 	t.on.startPhase("again")
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -70,7 +70,7 @@
 		9s    restart n11
 		10s   start n12
 	`
-	if err := f.all(func(s *rig.Cluster) error { return s.Run(script) }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.RunScriptText(script) }); err != nil {
 		return err
 	}
 	loads.Wait()
@@ -101,7 +101,7 @@
 		release = append(release, fmt.Sprintf("%dms notice n%d", 900*k, k+1), fmt.Sprintf("%dms replace n%d r%d", 900*k+700, k+1, k+1))
 	}
 	if !p.brief {
-		if err := on.Run(strings.Join(release, "\n")); err != nil {
+		if err := on.RunScriptText(strings.Join(release, "\n")); err != nil {
 			return err
 		}
 		fresh := []string{}
@@ -118,7 +118,7 @@
 		for _, name := range fresh {
 			again = append(again, "100ms start "+name)
 		}
-		if err := on.Run(strings.Join(again, "\n")); err != nil {
+		if err := on.RunScriptText(strings.Join(again, "\n")); err != nil {
 			return err
 		}
 		p.atMost("restart.of.all", p.untilAlike(on, 12*time.Second, n, fresh), 10)
@@ -185,7 +185,7 @@
 	}()
 	from := on.History.Elapsed()
 	if err := f.all(func(s *rig.Cluster) error {
-		return s.Run("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
+		return s.RunScriptText("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
 	}); err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 	small, large := all[:4], all[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
 	from = on.History.Elapsed()
-	if err := f.all(func(s *rig.Cluster) error { return s.Run(cut) }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.RunScriptText(cut) }); err != nil {
 		return err
 	}
 	var convergedSmall, convergedLarge float64
@@ -223,7 +223,7 @@
 		return bare.History.AgreeOnMembers(4, small...) && bare.History.AgreeOnMembers(8, large...)
 	})
 	p.inform("settled.after.cut.bare", bareCut)
-	if err := f.all(func(s *rig.Cluster) error { return s.Run("0s heal") }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.RunScriptText("0s heal") }); err != nil {
 		return err
 	}
 	p.atMost("rejoined.max", p.untilAlike(on, 12*time.Second, n, all), 10)
@@ -232,13 +232,13 @@
 
 	// One way only, then in three.
 	from = on.History.Elapsed()
-	if err := on.Run("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
+	if err := on.RunScriptText("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
 	}
 	_, lasting = falseDeaths(on, from, from+4, 3, all, func(string, float64) bool { return true })
 	p.exactly("one.way.deaths.lasting", float64(lasting), 0)
 	if !p.brief {
-		if err := on.Run("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
+		if err := on.RunScriptText("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
 			return err
 		}
 		p.atMost("rejoined.of.three", p.untilAlike(on, 12*time.Second, n, all), 10)
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -189,7 +189,7 @@
 func (c *configCluster) runScript(script string) {
 	c.t.Helper()
 	c.History.AddEvent("", "note", script)
-	err := c.Run(script)
+	err := c.RunScriptText(script)
 	c.mu.Lock()
 	for _, line := range strings.Split(script, "\n") {
 		if words := strings.Fields(line); len(words) == 3 &&
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -77,7 +77,7 @@
 
 func (c *roleCluster) run(script string) {
 	c.t.Helper()
-	if err := c.Run(script); err != nil {
+	if err := c.RunScriptText(script); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -73,7 +73,7 @@
 
 func (c *shareCluster) run(script string) {
 	c.t.Helper()
-	if err := c.Run(script); err != nil {
+	if err := c.RunScriptText(script); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -64,7 +64,7 @@
 
 func run(t *testing.T, s *rig.Cluster, script string) {
 	t.Helper()
-	if err := s.Run(script); err != nil {
+	if err := s.RunScriptText(script); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// Run plays a script that is written out.
-func (s *Cluster) Run(text string) error {
+// RunScriptText plays a script that is written out.
+func (s *Cluster) RunScriptText(text string) error {
 	script, err := ParseScript(text)
 	if err != nil {
 		return err
