--- a/rig/faults.go
+++ b/rig/faults.go
@@ -16,7 +16,7 @@
 			return ctx.Err()
 		case <-time.After(time.Until(begin.Add(f.At))):
 		}
-		if err := s.Do(f); err != nil {
+		if err := s.Inject(f); err != nil {
 			return fmt.Errorf("%s: %w", f, err)
 		}
 	}
@@ -32,8 +32,8 @@
 	return s.RunScript(context.Background(), script)
 }
 
-// Do does one thing now.
-func (s *Cluster) Do(f Fault) error {
+// Inject does one thing now.
+func (s *Cluster) Inject(f Fault) error {
 	s.History.AddEvent("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
 	if f.Paths != nil {
 		return s.change(f)
