--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -50,7 +50,7 @@
 // Node is one process of a process cluster.
 type Node struct {
 	*Program
-	Net  *Net // for callers
+	Proxy  *Net // for callers
 	slot int
 	bare *Process
 	feed func() // ends a starving
@@ -171,7 +171,7 @@
 		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
 			roster: s.roster.Address(), check: s.Checker, called: called}
 		n.Program.tap = func(line []byte) { s.History.AddLogLine(name, line) }
-		if n.Net, err = NewNet(name, address, s.Checker); err != nil {
+		if n.Proxy, err = NewNet(name, address, s.Checker); err != nil {
 			return nil, err
 		}
 		var laws []string
@@ -244,7 +244,7 @@
 func (s *Cluster) Addresses(names ...string) []string {
 	var all []string
 	for _, name := range names {
-		all = append(all, s.Node(name).Net.Address())
+		all = append(all, s.Node(name).Proxy.Address())
 	}
 	return all
 }
@@ -283,7 +283,7 @@
 				n.Stop()
 			}
 			n.Kernel.Close()
-			n.Net.Close()
+			n.Proxy.Close()
 		})
 	}
 	all.Wait()
