--- a/rig/faults.go
+++ b/rig/faults.go
@@ -42,9 +42,9 @@
 		s.Network.Heal()
 		return nil
 	}
-	n := s.Node(f.Who[0])
+	n := s.Node(f.Processes[0])
 	if n == nil {
-		return fmt.Errorf("no process is called %q", f.Who[0])
+		return fmt.Errorf("no process is called %q", f.Processes[0])
 	}
 	p := n.process()
 	switch f.Verb {
@@ -81,7 +81,7 @@
 		}
 	case "replace":
 		s.kill(n)
-		fresh, err := s.add(f.Who[1], f.Who[1], n.slot)
+		fresh, err := s.add(f.Processes[1], f.Processes[1], n.slot)
 		if err != nil {
 			return err
 		}
--- a/rig/script.go
+++ b/rig/script.go
@@ -30,7 +30,7 @@
 type Fault struct {
 	At    time.Duration
 	Verb  string
-	Who   []string   // of what is done to processes; the first is whom it is done to
+	Processes   []string   // of what is done to processes; the first is whom it is done to
 	Paths [][]string // groups, of what is done to paths; of one way, from and to
 	Share float64    // loss, double, starve
 	Mean  time.Duration
@@ -92,7 +92,7 @@
 				err = fmt.Errorf("%q has no two sides", word)
 			}
 		case "who":
-			f.Who = append(f.Who, word)
+			f.Processes = append(f.Processes, word)
 		case "share":
 			f.Share, err = strconv.ParseFloat(strings.TrimSuffix(word, "%"), 64)
 			f.Share /= 100
@@ -139,7 +139,7 @@
 		case "way":
 			words = append(words, groups(">"))
 		case "who":
-			words = append(words, f.Who[who])
+			words = append(words, f.Processes[who])
 			who++
 		case "share":
 			words = append(words, strconv.FormatFloat(f.Share*100, 'g', 6, 64)+"%")
@@ -199,8 +199,8 @@
 			}
 			busy[who] = at + lasts + 2*time.Second
 			pair := ills[kind-4]
-			add(Fault{At: at, Verb: pair[0], Who: []string{who}, Share: 0.1})
-			add(Fault{At: at + lasts, Verb: pair[1], Who: []string{who}})
+			add(Fault{At: at, Verb: pair[0], Processes: []string{who}, Share: 0.1})
+			add(Fault{At: at + lasts, Verb: pair[1], Processes: []string{who}})
 		}
 	}
 	add(Fault{At: length, Verb: "heal"})
