--- a/rig/faults.go
+++ b/rig/faults.go
@@ -35,7 +35,7 @@
 // Inject does one thing now.
 func (s *Cluster) Inject(f Fault) error {
 	s.History.AddEvent("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
-	if f.Paths != nil {
+	if f.Groups != nil {
 		return s.change(f)
 	}
 	if f.Verb == "heal" {
@@ -99,7 +99,7 @@
 // change puts a fault on paths.
 func (s *Cluster) change(f Fault) error {
 	var groups [][]int
-	for _, names := range f.Paths {
+	for _, names := range f.Groups {
 		var slots []int
 		if len(names) == 1 && names[0] == "*" {
 			names = s.Names()
--- a/rig/script.go
+++ b/rig/script.go
@@ -31,7 +31,7 @@
 	At    time.Duration
 	Verb  string
 	Processes   []string   // of what is done to processes; the first is whom it is done to
-	Paths [][]string // groups, of what is done to paths; of one way, from and to
+	Groups [][]string // groups, of what is done to paths; of one way, from and to
 	Share float64    // loss, double, starve
 	Mean  time.Duration
 	Most  time.Duration
@@ -86,9 +86,9 @@
 		case "groups", "way":
 			by := map[string]string{"groups": "|", "way": ">"}[part]
 			for _, group := range strings.Split(word, by) {
-				f.Paths = append(f.Paths, strings.Split(group, ","))
+				f.Groups = append(f.Groups, strings.Split(group, ","))
 			}
-			if len(f.Paths) < 2 || part == "way" && len(f.Paths) != 2 {
+			if len(f.Groups) < 2 || part == "way" && len(f.Groups) != 2 {
 				err = fmt.Errorf("%q has no two sides", word)
 			}
 		case "who":
@@ -126,7 +126,7 @@
 	words := []string{f.At.String(), f.Verb}
 	groups := func(by string) string {
 		var all []string
-		for _, g := range f.Paths {
+		for _, g := range f.Groups {
 			all = append(all, strings.Join(g, ","))
 		}
 		return strings.Join(all, by)
@@ -182,16 +182,16 @@
 		switch kind := r.IntN(8); kind {
 		case 0:
 			rest := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(side, n) })
-			add(Fault{At: at, Verb: "split", Paths: [][]string{side, rest}})
+			add(Fault{At: at, Verb: "split", Groups: [][]string{side, rest}})
 			add(Fault{At: at + lasts, Verb: "heal"})
 		case 1:
-			add(Fault{At: at, Verb: "cut", Paths: [][]string{side[:1], some(1 + r.IntN(len(names)-1))}})
+			add(Fault{At: at, Verb: "cut", Groups: [][]string{side[:1], some(1 + r.IntN(len(names)-1))}})
 			add(Fault{At: at + lasts, Verb: "heal"})
 		case 2:
-			add(Fault{At: at, Verb: "loss", Paths: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(15)) / 100})
-			add(Fault{At: at, Verb: "double", Paths: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(20)) / 100})
+			add(Fault{At: at, Verb: "loss", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(15)) / 100})
+			add(Fault{At: at, Verb: "double", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(20)) / 100})
 		case 3:
-			add(Fault{At: at, Verb: "delay", Paths: [][]string{side, {"*"}}, Mean: span(0.005, 0.06), Most: span(0, 0.05)})
+			add(Fault{At: at, Verb: "delay", Groups: [][]string{side, {"*"}}, Mean: span(0.005, 0.06), Most: span(0, 0.05)})
 		default:
 			who := side[0]
 			if at < busy[who] {
