--- a/rig/faults.go
+++ b/rig/faults.go
@@ -146,9 +146,9 @@
 	case "double":
 		p.Double = f.Share
 	case "delay":
-		p.Delay, p.Jitter = f.Mean, f.Most
+		p.Delay, p.Jitter = f.Delay, f.Most
 	case "mute":
-		p.Mute = f.Mean
+		p.Mute = f.Delay
 	case "rate":
 		p.Rate = f.Rate
 	}
--- a/rig/script.go
+++ b/rig/script.go
@@ -33,7 +33,7 @@
 	Processes   []string   // of what is done to processes; the first is whom it is done to
 	Groups [][]string // groups, of what is done to paths; of one way, from and to
 	Share float64    // loss, double, starve
-	Mean  time.Duration
+	Delay  time.Duration
 	Most  time.Duration
 	Rate  float64
 }
@@ -100,7 +100,7 @@
 				err = fmt.Errorf("%s is no share", word)
 			}
 		case "mean":
-			f.Mean, err = time.ParseDuration(word)
+			f.Delay, err = time.ParseDuration(word)
 		case "most":
 			f.Most, err = time.ParseDuration(word)
 		case "rate":
@@ -144,7 +144,7 @@
 		case "share":
 			words = append(words, strconv.FormatFloat(f.Share*100, 'g', 6, 64)+"%")
 		case "mean":
-			words = append(words, f.Mean.String())
+			words = append(words, f.Delay.String())
 		case "most":
 			words = append(words, f.Most.String())
 		case "rate":
@@ -191,7 +191,7 @@
 			add(Fault{At: at, Verb: "loss", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(15)) / 100})
 			add(Fault{At: at, Verb: "double", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(20)) / 100})
 		case 3:
-			add(Fault{At: at, Verb: "delay", Groups: [][]string{side, {"*"}}, Mean: span(0.005, 0.06), Most: span(0, 0.05)})
+			add(Fault{At: at, Verb: "delay", Groups: [][]string{side, {"*"}}, Delay: span(0.005, 0.06), Most: span(0, 0.05)})
 		default:
 			who := side[0]
 			if at < busy[who] {
