--- a/rig/faults.go
+++ b/rig/faults.go
@@ -146,7 +146,7 @@
 	case "double":
 		p.Double = f.Share
 	case "delay":
-		p.Delay, p.Jitter = f.Delay, f.Most
+		p.Delay, p.Jitter = f.Delay, f.Jitter
 	case "mute":
 		p.Mute = f.Delay
 	case "rate":
--- a/rig/script.go
+++ b/rig/script.go
@@ -34,7 +34,7 @@
 	Groups [][]string // groups, of what is done to paths; of one way, from and to
 	Share float64    // loss, double, starve
 	Delay  time.Duration
-	Most  time.Duration
+	Jitter  time.Duration
 	Rate  float64
 }
 
@@ -102,7 +102,7 @@
 		case "mean":
 			f.Delay, err = time.ParseDuration(word)
 		case "most":
-			f.Most, err = time.ParseDuration(word)
+			f.Jitter, err = time.ParseDuration(word)
 		case "rate":
 			f.Rate, err = strconv.ParseFloat(word, 64)
 		}
@@ -146,7 +146,7 @@
 		case "mean":
 			words = append(words, f.Delay.String())
 		case "most":
-			words = append(words, f.Most.String())
+			words = append(words, f.Jitter.String())
 		case "rate":
 			words = append(words, strconv.FormatFloat(f.Rate, 'g', 10, 64))
 		}
@@ -191,7 +191,7 @@
 			add(Fault{At: at, Verb: "loss", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(15)) / 100})
 			add(Fault{At: at, Verb: "double", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(20)) / 100})
 		case 3:
-			add(Fault{At: at, Verb: "delay", Groups: [][]string{side, {"*"}}, Delay: span(0.005, 0.06), Most: span(0, 0.05)})
+			add(Fault{At: at, Verb: "delay", Groups: [][]string{side, {"*"}}, Delay: span(0.005, 0.06), Jitter: span(0, 0.05)})
 		default:
 			who := side[0]
 			if at < busy[who] {
