--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -255,7 +255,7 @@
 func playViewDrawn(p *play) error {
 	const n = 8
 	length := p.span(20 * time.Second)
-	script := rig.Draw(p.Seed, names(n), 10, length)
+	script := rig.RandomScript(p.Seed, names(n), 10, length)
 	if p.Script != "" {
 		text, err := os.ReadFile(p.Script)
 		if err != nil {
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -16,16 +16,16 @@
 // A script reads as it is written, whoever wrote it; a faulty one is named by its line.
 func TestScript(t *testing.T) {
 	for seed := range uint64(50) {
-		s := Draw(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second)
+		s := RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second)
 		again, err := ParseScript(s.String())
 		if err != nil || again.String() != s.String() || len(s) < 2 {
 			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, s, again)
 		}
-		if Draw(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second).String() != s.String() {
+		if RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second).String() != s.String() {
 			t.Fatalf("seed %d does not replay", seed)
 		}
 	}
-	if Draw(1, []string{"n1", "n2"}, 9, time.Second).String() == Draw(2, []string{"n1", "n2"}, 9, time.Second).String() {
+	if RandomScript(1, []string{"n1", "n2"}, 9, time.Second).String() == RandomScript(2, []string{"n1", "n2"}, 9, time.Second).String() {
 		t.Error("two seeds draw the same")
 	}
 	for text, want := range map[string]string{"2 cut a>b": "line 1: \"2\" is no time", "\n1s shake a": "line 2: no fault", "1s": "no fault is named",
--- a/rig/script.go
+++ b/rig/script.go
@@ -157,8 +157,8 @@
 // ills are what can be wrong with a process for a while, and what ends it.
 var ills = [4][2]string{{"kill", "start"}, {"stop", "cont"}, {"starve", "feed"}, {"hang", "unhang"}}
 
-// Draw makes a script from a seed: faults of every kind among the names, overlapping, all of them over by the end.
-func Draw(seed uint64, names []string, faults int, length time.Duration) Script {
+// RandomScript makes a script from a seed: faults of every kind among the names, overlapping, all of them over by the end.
+func RandomScript(seed uint64, names []string, faults int, length time.Duration) Script {
 	r := rand.New(rand.NewPCG(seed, 11))
 	some := func(n int) []string {
 		k := r.Perm(len(names))[:n]
