--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -45,7 +45,7 @@
 		s.silenceRoster(last)
 	case drawn.KernelLate: // from the start on, see withhold
 	case drawn.KernelDown:
-		during(kernel.Down, func() {
+		during(kernel.TakeDown, func() {
 			if err := kernel.Return(); err != nil {
 				s.check.RigFailed("%v", err)
 			}
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -191,7 +191,7 @@
 // return the links stand again.
 func (p *play) restartKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
-		s.Kernel.Down()
+		s.Kernel.TakeDown()
 	}
 	f.window("kernel.out", func() { time.Sleep(p.span(2 * time.Second)) }).inform(p)
 	returned := time.Now()
@@ -234,7 +234,7 @@
 	if l.withheld {
 		l.server.Kernel.Withhold()
 	} else {
-		l.server.Kernel.Down()
+		l.server.Kernel.TakeDown()
 	}
 }
 
--- a/rig/outage.go
+++ b/rig/outage.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Down ends the link and refuses connections until Return. Runs go on, and their notices are kept.
-func (k *Kernel) Down() {
+// TakeDown ends the link and refuses connections until Return. Runs go on, and their notices are kept.
+func (k *Kernel) TakeDown() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.listener.Close()
