--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -46,7 +46,7 @@
 	case drawn.KernelLate: // from the start on, see withhold
 	case drawn.KernelDown:
 		during(kernel.TakeDown, func() {
-			if err := kernel.Return(); err != nil {
+			if err := kernel.BringUp(); err != nil {
 				s.check.RigFailed("%v", err)
 			}
 		})
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -196,7 +196,7 @@
 	f.window("kernel.out", func() { time.Sleep(p.span(2 * time.Second)) }).inform(p)
 	returned := time.Now()
 	for _, s := range f.Programs {
-		if err := s.Kernel.Return(); err != nil {
+		if err := s.Kernel.BringUp(); err != nil {
 			f.check.RigFailed("%v", err)
 		}
 	}
@@ -241,7 +241,7 @@
 func (l lateKernel) end(check *rig.Checker) {
 	if l.withheld {
 		l.server.Kernel.Release()
-	} else if err := l.server.Kernel.Return(); err != nil {
+	} else if err := l.server.Kernel.BringUp(); err != nil {
 		check.RigFailed("%v", err)
 	}
 }
--- a/rig/outage.go
+++ b/rig/outage.go
@@ -14,8 +14,8 @@
 	k.dropLink()
 }
 
-// Return takes connections again at the same address.
-func (k *Kernel) Return() error {
+// BringUp takes connections again at the same address.
+func (k *Kernel) BringUp() error {
 	listener, err := net.Listen("tcp", k.Address())
 	if err != nil {
 		return fmt.Errorf("kernel of %s: %w", k.server, err)
