--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -110,7 +110,7 @@
 }
 
 func (s *trialServer) withhold(f drawn.Fault) {
-	s.program.Kernel.Withhold()
+	s.program.Kernel.WithholdNotices()
 	time.AfterFunc(seconds64(f.For), s.program.Kernel.Release)
 }
 
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -232,7 +232,7 @@
 // start makes the kernel late, before its app server is killed.
 func (l lateKernel) start() {
 	if l.withheld {
-		l.server.Kernel.Withhold()
+		l.server.Kernel.WithholdNotices()
 	} else {
 		l.server.Kernel.TakeDown()
 	}
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -137,7 +137,7 @@
 // the link.
 func TestKernelWithheld(t *testing.T) {
 	s := newTestTrial(t, KernelConfig{Gauges: []string{}})
-	s.kernel.Withhold()
+	s.kernel.WithholdNotices()
 	var links []*testLink
 	for range 3 {
 		nc, err := net.Dial("tcp", s.kernel.Address())
--- a/rig/outage.go
+++ b/rig/outage.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Withhold has links accepted and says nothing on them. Release ends it.
-func (k *Kernel) Withhold() {
+// WithholdNotices has links accepted and says nothing on them. Release ends it.
+func (k *Kernel) WithholdNotices() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.withheld = make(chan struct{})
