--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -111,7 +111,7 @@
 
 func (s *trialServer) withhold(f drawn.Fault) {
 	s.program.Kernel.WithholdNotices()
-	time.AfterFunc(seconds64(f.For), s.program.Kernel.Release)
+	time.AfterFunc(seconds64(f.For), s.program.Kernel.ReleaseNotices)
 }
 
 // kill ends the process outright, and starts it again under its name.
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -240,7 +240,7 @@
 
 func (l lateKernel) end(check *rig.Checker) {
 	if l.withheld {
-		l.server.Kernel.Release()
+		l.server.Kernel.ReleaseNotices()
 	} else if err := l.server.Kernel.BringUp(); err != nil {
 		check.RigFailed("%v", err)
 	}
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -157,7 +157,7 @@
 	if !s.kernel.LinkedAt().IsZero() {
 		t.Error("there is a link before the kernel is up")
 	}
-	s.kernel.Release()
+	s.kernel.ReleaseNotices()
 	if n := links[2].hear(); n.Action != "BOOTED" {
 		t.Errorf("%+v", n)
 	}
--- a/rig/outage.go
+++ b/rig/outage.go
@@ -34,8 +34,8 @@
 	k.withheld = make(chan struct{})
 }
 
-// Release says on every link what was held back by Withhold.
-func (k *Kernel) Release() {
+// ReleaseNotices says on every link what was held back by Withhold.
+func (k *Kernel) ReleaseNotices() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	close(k.withheld)
