--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -183,7 +183,7 @@
 			a := badAnswer{}
 			thrift.DecodeAnswer(frame, &a)
 			if a.served {
-				b.check.report(1, "%s serves a client that sent %s", b.server, kind.name)
+				b.check.reportViolation(1, "%s serves a client that sent %s", b.server, kind.name)
 			}
 			return true
 		}
--- a/rig/check.go
+++ b/rig/check.go
@@ -28,86 +28,86 @@
 // was refused or was reset before the last byte of the request.
 type Checker struct {
 	mu         sync.Mutex
-	rpcs       map[string]*askedRPC
-	tries      map[*flow]map[int32]*tried // by connection and number, until the connection has ended
+	rpcs       map[string]*requestedRPC
+	tries      map[*flow]map[int32]*tryState // by connection and number, until the connection has ended
 	servers    map[string]*processState
 	violations []Violation
 	counts     map[string]int
 	slack      time.Duration
-	crossed    map[string]*tried // by RPC; nil unless ResendCrossed, see there
-	terms      *ServerSettings            // nil unless Judge, see there
+	crossedTries    map[string]*tryState // by RPC; nil unless ResendCrossed, see there
+	settings      *ServerSettings            // nil unless Judge, see there
 }
 
-// askedRPC is one RPC, over all its tries.
-type askedRPC struct {
+// requestedRPC is one RPC, over all its tries.
+type requestedRPC struct {
 	kind     rpc.Kind
 	deadline time.Time
 	tries    int
 	runs     int
 	sent     bool
-	last     bool      // refused, and no other try wished
-	until    time.Time // refused, and not before
+	noRetry     bool      // refused, and no other try wished
+	retryAfter    time.Time // refused, and not before
 	ran      bool
 }
 
-// tried is one try on the wire.
-type tried struct {
+// tryState is one try on the wire.
+type tryState struct {
 	id       string
 	server   string
-	at       time.Time
+	sentAt       time.Time
 	due      time.Time
-	answered bool
+	replied bool
 	excused  bool     // interrupted, or its connection was ended by the caller or by us
-	late     bool     // may be answered late: its app server's process was stopped meanwhile
+	mayBeLate     bool     // may be answered late: its app server's process was stopped meanwhile
 	sent     *sentTry // nil unless Judge
 }
 
-// over reports whether no answer is owed any more.
-func (t *tried) over() bool { return t.answered || t.excused }
+// settled reports whether no answer is owed any more.
+func (t *tryState) settled() bool { return t.replied || t.excused }
 
 // processState is one app server's.
 type processState struct {
 	up      bool
-	notice  time.Time
-	stop    time.Time
+	noticeAt  time.Time
+	stopBy    time.Time
 	grace   time.Duration
 	killed  bool
 	paused  bool
-	resumed time.Time // when it was last let go on
-	ended   time.Time
-	started map[string]time.Time
-	ledger  *ledger // of what clients sent to this process
+	resumedAt time.Time // when it was last let go on
+	endedAt   time.Time
+	runStarts map[string]time.Time
+	requests  *ledger // of what clients sent to this process
 }
 
 func newProcessState() *processState {
-	return &processState{started: map[string]time.Time{}, ledger: newLedger()}
+	return &processState{runStarts: map[string]time.Time{}, requests: newLedger()}
 }
 
 // NewChecker allows so much beside each time that a rule names, for what the machine itself takes.
 func NewChecker(slack time.Duration) *Checker {
-	return &Checker{rpcs: map[string]*askedRPC{}, tries: map[*flow]map[int32]*tried{}, servers: map[string]*processState{},
+	return &Checker{rpcs: map[string]*requestedRPC{}, tries: map[*flow]map[int32]*tryState{}, servers: map[string]*processState{},
 		counts: map[string]int{}, slack: slack}
 }
 
-// violate is called under the lock. So many are enough to see what is wrong.
-func (c *Checker) violate(rule int, format string, args ...any) {
+// addViolation is called under the lock. So many are enough to see what is wrong.
+func (c *Checker) addViolation(rule int, format string, args ...any) {
 	if len(c.violations) < 1000 {
 		c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
-// report takes note of a violation that a stand-in has seen.
-func (c *Checker) report(rule int, format string, args ...any) {
+// reportViolation takes note of a violation that a stand-in has seen.
+func (c *Checker) reportViolation(rule int, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violate(rule, format, args...)
+	c.addViolation(rule, format, args...)
 }
 
 // RigFailed takes note that the rig itself did not work: such a run shows nothing.
 func (c *Checker) RigFailed(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violate(0, format, args...)
+	c.addViolation(0, format, args...)
 }
 
 // Count is a figure that the checker has kept: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
@@ -129,7 +129,7 @@
 func (c *Checker) RegisterRPC(id string, kind rpc.Kind, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rpcs[id] = &askedRPC{kind: kind, deadline: deadline}
+	c.rpcs[id] = &requestedRPC{kind: kind, deadline: deadline}
 	c.counts["asked"]++
 }
 
@@ -139,7 +139,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil {
-		r.deadline, r.last, r.until = deadline, false, time.Time{}
+		r.deadline, r.noRetry, r.retryAfter = deadline, false, time.Time{}
 	}
 }
 
@@ -148,7 +148,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(RunResult(id))) {
-		c.violate(1, "%s was served with what no run of it made: %.40q", id, body)
+		c.addViolation(1, "%s was served with what no run of it made: %.40q", id, body)
 	}
 }
 
@@ -173,8 +173,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
-	s.notice, s.grace = time.Now(), grace
-	s.stop = s.notice.Add(stop)
+	s.noticeAt, s.grace = time.Now(), grace
+	s.stopBy = s.noticeAt.Add(stop)
 }
 
 // ProcessKilled tells that it is about to be ended outright: what it holds is excused.
@@ -183,10 +183,10 @@
 	defer c.mu.Unlock()
 	s := c.server(server)
 	s.killed = true
-	maps.DeleteFunc(c.crossed, func(_ string, t *tried) bool { return t.server == server })
+	maps.DeleteFunc(c.crossedTries, func(_ string, t *tryState) bool { return t.server == server })
 	for _, tries := range c.tries {
 		for _, t := range tries {
-			if t.server == server && !t.answered {
+			if t.server == server && !t.replied {
 				t.excused = true
 			}
 		}
@@ -201,12 +201,12 @@
 	s := c.server(server)
 	s.paused = paused
 	if !paused {
-		s.resumed = time.Now()
+		s.resumedAt = time.Now()
 	}
 	for _, tries := range c.tries {
 		for _, t := range tries {
 			if t.server == server {
-				t.late = true
+				t.mayBeLate = true
 			}
 		}
 	}
@@ -219,22 +219,22 @@
 	s := c.server(server)
 	switch {
 	case s.killed:
-	case s.notice.IsZero():
-		c.violate(4, "%s ended by itself: code %d, %v", server, code, err)
+	case s.noticeAt.IsZero():
+		c.addViolation(4, "%s ended by itself: code %d, %v", server, code, err)
 	case code != 0:
-		c.violate(4, "%s ended with code %d after its notice: %v", server, code, err)
-	case time.Now().After(s.stop.Add(c.slack)):
-		c.violate(3, "%s ended %v after its stop", server, time.Since(s.stop))
+		c.addViolation(4, "%s ended with code %d after its notice: %v", server, code, err)
+	case time.Now().After(s.stopBy.Add(c.slack)):
+		c.addViolation(3, "%s ended %v after its stop", server, time.Since(s.stopBy))
 	}
-	s.up, s.ended = false, time.Now()
+	s.up, s.endedAt = false, time.Now()
 }
 
-// lives reports whether the process of an app server has been started and has not ended, or ended a moment ago.
-func (c *Checker) lives(server string) bool {
+// isAlive reports whether the process of an app server has been started and has not ended, or ended a moment ago.
+func (c *Checker) isAlive(server string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[server]
-	return s != nil && (s.up || time.Since(s.ended) <= c.slack)
+	return s != nil && (s.up || time.Since(s.endedAt) <= c.slack)
 }
 
 // VerifyMemory tells what it takes, against its limit.
@@ -242,6 +242,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes > limit {
-		c.violate(4, "%s takes %d MB of %d", server, bytes>>20, limit>>20)
+		c.addViolation(4, "%s takes %d MB of %d", server, bytes>>20, limit>>20)
 	}
 }
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -46,7 +46,7 @@
 func (c *Checker) judged() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.terms != nil
+	return c.settings != nil
 }
 
 // executeJudged enters an RPC into the ledger of its app server.
@@ -55,41 +55,41 @@
 	defer c.mu.Unlock()
 	s := &sentTry{call: q.fields["call"], method: q.fields["op"], token: q.fields["dedupe"], body: slices.Clone(q.body),
 		recv: q.recv(now), heapKB: q.heap()}
-	s.entry = c.terms.Catalog.Lookup(s.call, s.body)
+	s.entry = c.settings.Catalog.Lookup(s.call, s.body)
 	if conn.arrivals != nil {
 		conn.arrivals.Add(now, s.entry.Work)
 	}
 	ttl, told := q.ttl()
 	if !told {
-		ttl = c.terms.deadline(s.method)
+		ttl = c.settings.deadline(s.method)
 	}
 	due := s.recv.Add(ttl)
 	if due.Before(now) { // in no case earlier than the reading of the request
 		due = now
 	}
-	s.tried = c.newTried(conn.Net.server, s.entry.RPC, now, due)
-	s.tried.sent = s
-	c.server(conn.Net.server).ledger.add(s)
+	s.tryState = c.newTried(conn.Net.server, s.entry.RPC, now, due)
+	s.tryState.sent = s
+	c.server(conn.Net.server).requests.add(s)
 	c.counts["tries"]++
-	delete(c.crossed, s.id)
+	delete(c.crossedTries, s.id)
 	if conn.ended.Load() { // nothing is read any more
 		s.excused = true
 		return false
 	}
-	if before := c.tries[conn][q.seq]; before != nil && !before.over() {
+	if before := c.tries[conn][q.seq]; before != nil && !before.settled() {
 		// Its number is in use: which of the two an answer is for cannot be told.
 		conn.mayAnswer(q.seq)
 		s.excused = true
 		return false
 	}
-	c.open(conn, q.seq, s.tried)
+	c.open(conn, q.seq, s.tryState)
 	return true
 }
 
 // replied tells of a message of an app server; err says that it cannot be read.
 func (c *Checker) replied(conn *flow, a reply, err error) {
 	if err != nil {
-		c.report(1, "%s says what no router can read: %v", conn.Net.server, err)
+		c.reportViolation(1, "%s says what no router can read: %v", conn.Net.server, err)
 		return
 	}
 	if a.kind == replyDraining || c.allowed(conn, a) {
@@ -105,7 +105,7 @@
 	case replyAborted:
 		c.ReplyReceived(conn, a.seq, rpc.Error, false, 0)
 	case replyChecked:
-		c.report(1, "%s answers a health check under number %d, which was not asked", conn.Net.server, a.seq)
+		c.reportViolation(1, "%s answers a health check under number %d, which was not asked", conn.Net.server, a.seq)
 	}
 }
 
@@ -114,7 +114,7 @@
 func (c *Checker) allowed(conn *flow, a reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tries[conn][a.seq]; t != nil && !t.answered {
+	if t := c.tries[conn][a.seq]; t != nil && !t.replied {
 		return false
 	}
 	if conn.spare[a.seq] == 0 {
@@ -129,16 +129,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tries[conn][a.seq]
-	if t == nil || t.sent == nil || t.answered {
+	if t == nil || t.sent == nil || t.replied {
 		return
 	}
-	l := c.server(t.server).ledger
+	l := c.server(t.server).requests
 	for _, s := range l.siblings(t.sent) {
 		if slices.ContainsFunc(s.results, func(r []byte) bool { return bytes.Equal(r, a.body) }) {
 			return
 		}
 	}
-	c.violate(1, "%s was served by %s with what no run of it made there: %.60q", t.sent, t.server, a.body)
+	c.addViolation(1, "%s was served by %s with what no run of it made there: %.60q", t.sent, t.server, a.body)
 }
 
 // judgePushback finds a refusal of what has been run: it promises that nothing has come of the request. Another try of it has
@@ -148,14 +148,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tries[conn][a.seq]
-	if t == nil || t.sent == nil || t.answered || c.terms.Methods[t.sent.method].Kind == rpc.Idempotent {
+	if t == nil || t.sent == nil || t.replied || c.settings.Methods[t.sent.method].Kind == rpc.Idempotent {
 		return
 	}
-	for _, s := range c.server(t.server).ledger.siblings(t.sent) {
+	for _, s := range c.server(t.server).requests.siblings(t.sent) {
 		switch {
 		case s.ran.IsZero():
-		case s == t.sent, now.Sub(s.ran) > c.slack && t.at.Before(s.recv.Add(c.terms.Methods[s.method].Window)):
-			c.violate(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, s)
+		case s == t.sent, now.Sub(s.ran) > c.slack && t.sentAt.Before(s.recv.Add(c.settings.Methods[s.method].Window)):
+			c.addViolation(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, s)
 			return
 		}
 	}
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -13,31 +13,31 @@
 	defer c.mu.Unlock()
 	r, s := c.rpcs[id], c.server(server)
 	if r == nil {
-		c.violate(1, "%s ran %q, which nobody asked for", server, id)
+		c.addViolation(1, "%s ran %q, which nobody asked for", server, id)
 		return
 	}
 	c.counts["runs"]++
 	r.runs++
 	r.ran = true
-	s.started[id] = now
+	s.runStarts[id] = now
 	if r.runs > 1 && r.kind != rpc.Idempotent {
 		c.counts["double.runs"]++
-		c.violate(2, "%s (%s) run a second time, at %s", id, r.kind, server)
+		c.addViolation(2, "%s (%s) run a second time, at %s", id, r.kind, server)
 	}
-	if s.notice.IsZero() {
+	if s.noticeAt.IsZero() {
 		return
 	}
 	// The rule counts when the RPC came, not when it starts.
 	came := time.Time{}
 	for _, tries := range c.tries {
 		for _, t := range tries {
-			if t.server == server && t.id == id && t.at.After(came) {
-				came = t.at
+			if t.server == server && t.id == id && t.sentAt.After(came) {
+				came = t.sentAt
 			}
 		}
 	}
-	if came.After(s.notice.Add(s.grace + c.slack)) {
-		c.violate(3, "%s came to %s %v after its notice and was run", id, server, came.Sub(s.notice))
+	if came.After(s.noticeAt.Add(s.grace + c.slack)) {
+		c.addViolation(3, "%s came to %s %v after its notice and was run", id, server, came.Sub(s.noticeAt))
 	}
 }
 
@@ -45,31 +45,31 @@
 func (c *Checker) order(server, call, method string, body []byte) (o workOrder, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.terms == nil {
+	if c.settings == nil {
 		id, work, ok := DecodeBody(body)
 		return workOrder{entry: CatalogEntry{RPC: id, Work: work}}, ok
 	}
-	l := c.server(server).ledger
+	l := c.server(server).requests
 	s := l.find(call, method, body)
 	if s == nil {
-		c.violate(1, "%s asks its kernel to run what no client has sent it: %s", server, l.altered(call, method, body))
+		c.addViolation(1, "%s asks its kernel to run what no client has sent it: %s", server, l.altered(call, method, body))
 		return workOrder{}, false
 	}
-	return workOrder{entry: s.entry, sent: s, over: s.over()}, true
+	return workOrder{entry: s.entry, sent: s, over: s.settled()}, true
 }
 
 // known reports whether a client has sent an RPC of this id to this process. Without Judge nobody knows, and all are.
 func (c *Checker) known(server, call string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.terms == nil || len(c.server(server).ledger.byCall[call]) > 0
+	return c.settings == nil || len(c.server(server).requests.byCall[call]) > 0
 }
 
 // requestOver reports whether the request of a run has been answered or given up.
 func (c *Checker) requestOver(o workOrder) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return o.sent != nil && o.sent.over()
+	return o.sent != nil && o.sent.settled()
 }
 
 // begun tells that a run has begun.
@@ -82,37 +82,37 @@
 	defer c.mu.Unlock()
 	c.counts["runs"]++
 	p := c.server(server)
-	if !p.notice.IsZero() && o.sent.at.After(p.notice.Add(p.grace+c.slack)) {
-		c.violate(3, "%s came to %s %v after its notice and was run", o.sent, server, o.sent.at.Sub(p.notice))
+	if !p.noticeAt.IsZero() && o.sent.sentAt.After(p.noticeAt.Add(p.grace+c.slack)) {
+		c.addViolation(3, "%s came to %s %v after its notice and was run", o.sent, server, o.sent.sentAt.Sub(p.noticeAt))
 	}
-	c.judgeRun(server, p.ledger, o.sent)
+	c.judgeRun(server, p.requests, o.sent)
 	if r := c.rpcs[o.entry.RPC]; r != nil {
 		r.ran = true
 	}
 	o.sent.ran, o.sent.running = time.Now(), true
-	p.ledger.live[o.sent] = struct{}{}
-	p.started[o.sent.id] = o.sent.ran
+	p.requests.live[o.sent] = struct{}{}
+	p.runStarts[o.sent.id] = o.sent.ran
 }
 
 // judgeRun finds a second effect: of a non-idempotent RPC ever, of a tokened one within the window that counts from the
 // arrival of the try that ran. Called under the lock.
 func (c *Checker) judgeRun(server string, l *ledger, s *sentTry) {
-	m := c.terms.Methods[s.method]
+	m := c.settings.Methods[s.method]
 	if m.Kind == rpc.Idempotent {
 		return
 	}
 	if !s.ran.IsZero() {
 		c.counts["double.runs"]++
-		c.violate(2, "%s (%s) run a second time, at %s", s, m.Kind, server)
+		c.addViolation(2, "%s (%s) run a second time, at %s", s, m.Kind, server)
 		return
 	}
 	if m.Kind != rpc.Tokened {
 		return
 	}
 	for _, other := range l.siblings(s) {
-		if until := other.recv.Add(m.Window); !other.ran.IsZero() && s.at.Add(c.slack).Before(until) {
+		if until := other.recv.Add(m.Window); !other.ran.IsZero() && s.sentAt.Add(c.slack).Before(until) {
 			c.counts["double.runs"]++
-			c.violate(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server, other, until.Sub(s.at))
+			c.addViolation(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server, other, until.Sub(s.sentAt))
 			return
 		}
 	}
@@ -140,20 +140,20 @@
 func (c *Checker) bookedKB(server string, runFactor float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.server(server).ledger.bookedKB(time.Now(), runFactor)
+	return c.server(server).requests.bookedKB(time.Now(), runFactor)
 }
 
 // load is what an app server has to do.
 func (c *Checker) load(server string) serverLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.server(server).ledger.load(time.Now())
+	return c.server(server).requests.load(time.Now())
 }
 
 // connected counts a connection to an app server, until it has ended.
 func (c *Checker) connected(f *flow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f.counted = c.server(f.Net.server).ledger
+	f.counted = c.server(f.Net.server).requests
 	f.counted.connections++
 }
--- a/rig/check_terms.go
+++ b/rig/check_terms.go
@@ -32,7 +32,7 @@
 	if terms.Catalog == nil {
 		terms.Catalog = NewCatalog()
 	}
-	c.terms = &terms
+	c.settings = &terms
 }
 
 // deadline is how long an RPC of a method that carries no deadline has.
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -16,46 +16,46 @@
 	if r == nil {
 		return
 	}
-	delete(c.crossed, id)
+	delete(c.crossedTries, id)
 	if r.tries++; r.tries > 1 {
 		c.counts["further"]++
 	}
 	switch {
-	case r.last, now.Before(r.until):
+	case r.noRetry, now.Before(r.retryAfter):
 		c.counts["refused.retried"]++
-		c.violate(5, "%s tried again at %s, %v before it was allowed to", id, server, time.Until(r.until))
+		c.addViolation(5, "%s tried again at %s, %v before it was allowed to", id, server, time.Until(r.retryAfter))
 	}
 	// A millisecond is what the wire's figures are rounded to; the slack is for this process, which may be off its
 	// core between the caller's look at the clock and this one.
 	if now.After(r.deadline.Add(c.slack)) {
 		c.counts["late.sent"]++
-		c.violate(5, "%s sent %v after its deadline", id, now.Sub(r.deadline))
+		c.addViolation(5, "%s sent %v after its deadline", id, now.Sub(r.deadline))
 	}
 	if due.After(r.deadline.Add(2*time.Millisecond + c.slack/5)) {
-		c.violate(5, "%s sent with a deadline %v later than its own", id, due.Sub(r.deadline))
+		c.addViolation(5, "%s sent with a deadline %v later than its own", id, due.Sub(r.deadline))
 	}
 	if r.kind == rpc.NonIdempotent && r.sent {
-		c.violate(5, "%s is non-idempotent and was sent twice", id)
+		c.addViolation(5, "%s is non-idempotent and was sent twice", id)
 	}
 	r.sent = true
 	if c.tries[conn][seq] != nil {
-		c.violate(5, "%s sent under number %d, which is in use", id, seq)
+		c.addViolation(5, "%s sent under number %d, which is in use", id, seq)
 	}
 	c.open(conn, seq, c.newTried(server, id, now, due))
 }
 
 // open has an answer to a number owed on a connection. Called under the lock.
-func (c *Checker) open(conn *flow, seq int32, t *tried) {
+func (c *Checker) open(conn *flow, seq int32, t *tryState) {
 	if c.tries[conn] == nil {
-		c.tries[conn] = map[int32]*tried{}
+		c.tries[conn] = map[int32]*tryState{}
 	}
 	c.tries[conn][seq] = t
 }
 
 // newTried is called under the lock.
-func (c *Checker) newTried(server, id string, now, due time.Time) *tried {
+func (c *Checker) newTried(server, id string, now, due time.Time) *tryState {
 	s := c.server(server)
-	return &tried{id: id, server: server, at: now, due: due, excused: s.killed, late: s.paused}
+	return &tryState{id: id, server: server, sentAt: now, due: due, excused: s.killed, mayBeLate: s.paused}
 }
 
 // TryInterrupted tells that the caller of a try waits no longer.
@@ -75,31 +75,31 @@
 	t := c.tries[conn][seq]
 	switch {
 	case t == nil:
-		c.violate(1, "an answer to number %d, which was not asked", seq)
+		c.addViolation(1, "an answer to number %d, which was not asked", seq)
 		return
-	case t.answered:
-		c.violate(2, "two answers to %s", t.id)
+	case t.replied:
+		c.addViolation(2, "two answers to %s", t.id)
 		return
 	}
-	t.answered = true
+	t.replied = true
 	if t.sent != nil {
-		c.server(t.server).ledger.answered(now, now.Sub(t.at), how == rpc.OK)
+		c.server(t.server).requests.answered(now, now.Sub(t.sentAt), how == rpc.OK)
 	}
 	if now.After(c.owedUntil(t).Add(c.slack)) && !t.excused && !conn.callerUnread() {
 		c.counts["late.answers"]++
-		c.violate(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
+		c.addViolation(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
 	r, s := c.rpcs[t.id], c.server(t.server)
 	if r == nil || how != rpc.PushedBack {
 		return
 	}
 	c.counts["pushed_back"]++
-	r.last = r.last || last
-	if until := now.Add(after - c.slack/10); after > 0 && until.After(r.until) {
-		r.until = until
+	r.noRetry = r.noRetry || last
+	if until := now.Add(after - c.slack/10); after > 0 && until.After(r.retryAfter) {
+		r.retryAfter = until
 	}
-	if at, ran := s.started[t.id]; ran && r.kind != rpc.Idempotent && at.After(t.at) {
-		c.violate(2, "%s pushed back by %s, where it had been run", t.id, t.server)
+	if at, ran := s.runStarts[t.id]; ran && r.kind != rpc.Idempotent && at.After(t.sentAt) {
+		c.addViolation(2, "%s pushed back by %s, where it had been run", t.id, t.server)
 	}
 }
 
@@ -107,7 +107,7 @@
 func (c *Checker) TryNotWritten(conn *flow, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tries[conn][seq]; t != nil && !t.over() {
+	if t := c.tries[conn][seq]; t != nil && !t.settled() {
 		t.excused = true
 		c.counts["turned.away"]++
 	}
@@ -121,7 +121,7 @@
 	// Only this connection's: looking through all tries held the rig up while many connections ended, and its own
 	// lateness looked like the app server's.
 	for _, t := range c.tries[conn] {
-		if t.over() {
+		if t.settled() {
 			continue
 		}
 		t.excused = true
@@ -129,10 +129,10 @@
 		case ours || conn.callerUnread() || c.server(t.server).killed:
 		case c.crossedClose(t):
 			c.counts["crossed"]++
-			c.crossed[t.id] = t
+			c.crossedTries[t.id] = t
 		default:
 			c.counts["unanswered"]++
-			c.violate(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
+			c.addViolation(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
 		}
 	}
 	delete(c.tries, conn)
@@ -149,9 +149,9 @@
 	defer c.mu.Unlock()
 	for conn, tries := range c.tries {
 		for _, t := range tries {
-			if !t.over() && !conn.callerUnread() && now.After(c.owedUntil(t).Add(c.slack)) {
+			if !t.settled() && !conn.callerUnread() && now.After(c.owedUntil(t).Add(c.slack)) {
 				c.counts["unanswered"]++
-				c.violate(1, "%s never answered by %s", t.id, t.server)
+				c.addViolation(1, "%s never answered by %s", t.id, t.server)
 				t.excused = true
 			}
 		}
@@ -161,15 +161,15 @@
 
 // owedUntil is when the answer of a try has to be there. While its process is stopped it cannot answer; as soon as it goes on,
 // it has to. Called under the lock.
-func (c *Checker) owedUntil(t *tried) time.Time {
+func (c *Checker) owedUntil(t *tryState) time.Time {
 	s := c.server(t.server)
 	switch {
-	case !t.late:
+	case !t.mayBeLate:
 		return t.due
 	case s.paused:
 		return time.Now()
-	case s.resumed.After(t.due):
-		return s.resumed.Add(resumeTime)
+	case s.resumedAt.After(t.due):
+		return s.resumedAt.Add(resumeTime)
 	}
 	return t.due.Add(resumeTime)
 }
--- a/rig/crossing.go
+++ b/rig/crossing.go
@@ -14,26 +14,26 @@
 func (c *Checker) ExpectResendAfterClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.crossed = map[string]*tried{}
+	c.crossedTries = map[string]*tryState{}
 }
 
 // crossedClose reports whether a try was written as its app server closed the connection: an app server may close any
 // connection that has no open request. A request that has been run there was open. Called under the lock.
-func (c *Checker) crossedClose(t *tried) bool {
-	_, ran := c.server(t.server).started[t.id]
+func (c *Checker) crossedClose(t *tryState) bool {
+	_, ran := c.server(t.server).runStarts[t.id]
 	if t.sent != nil {
 		ran = !t.sent.ran.IsZero()
 	}
-	return c.crossed != nil && !ran && time.Since(t.at) <= closeCrossing+min(c.slack, crossingWindow-closeCrossing)
+	return c.crossedTries != nil && !ran && time.Since(t.sentAt) <= closeCrossing+min(c.slack, crossingWindow-closeCrossing)
 }
 
 // finishCrossed finds what crossed a close and was not sent again, although there was time. Called under the lock.
 func (c *Checker) finishCrossed() {
-	for id, t := range c.crossed {
-		if t.due.Sub(t.at) > 2*(closeCrossing+c.slack) {
+	for id, t := range c.crossedTries {
+		if t.due.Sub(t.sentAt) > 2*(closeCrossing+c.slack) {
 			c.counts["unanswered"]++
-			c.violate(1, "%s lost: %s closed the connection over it, and it was not sent again", id, t.server)
+			c.addViolation(1, "%s lost: %s closed the connection over it, and it was not sent again", id, t.server)
 		}
-		delete(c.crossed, id)
+		delete(c.crossedTries, id)
 	}
 }
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -65,7 +65,7 @@
 // call has the client send one try, due in so long.
 func (s *stubServer) call(call, method, token string, body []byte, ttl time.Duration) {
 	s.t.Helper()
-	s.check.terms.Catalog.Add(call, CatalogEntry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
+	s.check.settings.Catalog.Add(call, CatalogEntry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
 	s.number++
 	now := float64(time.Now().UnixMilli()) / 1000
 	frame := thrift.Execute(nil, s.number, method, call, 1, now, ttl.Seconds(), 10, 0.5, false, token, "", body)
@@ -229,7 +229,7 @@
 	s.check.SetPaused("n1", false)
 	s.check.Finish()
 	s.none(t) // a moment to catch up
-	s.check.servers["n1"].resumed = time.Now().Add(-2 * resumeTime)
+	s.check.servers["n1"].resumedAt = time.Now().Add(-2 * resumeTime)
 	s.check.Finish()
 	s.one(t, 1, "never answered")
 }
@@ -256,8 +256,8 @@
 				s.check.begun("n1", o)
 			}
 			run(tryA, "token")
-			first := s.check.servers["n1"].ledger.byCall[tryA][0]
-			first.recv, first.at = first.recv.Add(-one.later), first.at.Add(-one.later)
+			first := s.check.servers["n1"].requests.byCall[tryA][0]
+			first.recv, first.sentAt = first.recv.Add(-one.later), first.sentAt.Add(-one.later)
 			run(tryB, one.token)
 			if one.what == "" {
 				s.none(t)
@@ -278,8 +278,8 @@
 			s := newTestTrial(t, KernelConfig{})
 			s.sent(tryA, "write", "token", nil, 0)
 			s.sent(tryB, "write", "token", nil, 0)
-			first := s.check.servers["n1"].ledger.byCall[tryA][0]
-			first.ran, first.recv = first.at.Add(-one.ago), first.recv.Add(-one.ago)
+			first := s.check.servers["n1"].requests.byCall[tryA][0]
+			first.ran, first.recv = first.sentAt.Add(-one.ago), first.recv.Add(-one.ago)
 			s.check.replied(s.flow, reply{kind: replyPushedBack, seq: 2}, nil)
 			if one.what == "" {
 				s.none(t)
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -154,5 +154,5 @@
 
 // violate tells the checker of what the app server did.
 func (k *Kernel) violate(rule int, format string, args ...any) {
-	k.check.report(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
+	k.check.reportViolation(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
 }
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -136,7 +136,7 @@
 
 // sent has a client send an RPC, in the ledger only.
 func (s *testTrial) sent(call, method, token string, body []byte, work float64) {
-	s.check.terms.Catalog.Add(call, CatalogEntry{RPC: "rpc " + call, Work: work})
+	s.check.settings.Catalog.Add(call, CatalogEntry{RPC: "rpc " + call, Work: work})
 	s.seq++
 	s.check.asked(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
 		fields: map[string]string{"op": method, "call": call, "dedupe": token, "heap": "10",
--- a/rig/ledger.go
+++ b/rig/ledger.go
@@ -8,7 +8,7 @@
 
 // sentTry is one RPC as a client sent it, and what has become of it at the app server.
 type sentTry struct {
-	*tried
+	*tryState
 	call   string
 	method string
 	token  string
@@ -54,7 +54,7 @@
 // find is the try that a command names: of those under its id with its method and body the last that is not over.
 func (l *ledger) find(call, method string, body []byte) (found *sentTry) {
 	for _, s := range l.byCall[call] {
-		if s.method == method && bytes.Equal(s.body, body) && (found == nil || found.over() || !s.over()) {
+		if s.method == method && bytes.Equal(s.body, body) && (found == nil || found.settled() || !s.settled()) {
 			found = s
 		}
 	}
@@ -85,9 +85,9 @@
 		switch {
 		case s.running:
 			sum += s.heapKB * runFactor
-		case s.over():
+		case s.settled():
 			delete(l.live, s)
-		case now.Sub(s.at) >= heldAfter:
+		case now.Sub(s.sentAt) >= heldAfter:
 			sum += s.heapKB
 		}
 	}
@@ -116,7 +116,7 @@
 func (l *ledger) load(now time.Time) serverLoad {
 	load := serverLoad{connections: l.connections}
 	for s := range l.live {
-		if !s.over() {
+		if !s.settled() {
 			load.open++
 		}
 	}
--- a/rig/net.go
+++ b/rig/net.go
@@ -226,7 +226,7 @@
 	look := lookout{
 		message: f.watchReply,
 		garbage: func(err error) {
-			f.check.report(1, "%s says what no router can read: %v", f.Net.server, err)
+			f.check.reportViolation(1, "%s says what no router can read: %v", f.Net.server, err)
 		},
 	}
 	queue := make(chan []byte, mostQueued)
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -142,10 +142,10 @@
 func (r *Roster) judge(report, name string, err error) {
 	switch {
 	case err != nil:
-		r.check.report(1, "a datagram to the roster %.80q: %v", report, err)
+		r.check.reportViolation(1, "a datagram to the roster %.80q: %v", report, err)
 	case !r.names[name]:
-		r.check.report(1, "a report to the roster in the name of %q, which nobody has", name)
-	case !r.check.lives(name):
-		r.check.report(1, "a report to the roster from %s, which has ended", name)
+		r.check.reportViolation(1, "a report to the roster in the name of %q, which nobody has", name)
+	case !r.check.isAlive(name):
+		r.check.reportViolation(1, "a report to the roster from %s, which has ended", name)
 	}
 }
