--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -8,27 +8,27 @@
 	"valveglade/rpc"
 )
 
-// asked tells of a message of a router, as its last byte is about to be written to an app server; err says that it cannot be
+// observeRequest tells of a message of a router, as its last byte is about to be written to an app server; err says that it cannot be
 // read. It returns whether an answer is owed.
-func (c *Checker) asked(conn *flow, q request, err error) (owed bool) {
+func (c *Checker) observeRequest(conn *flow, q request, err error) (owed bool) {
 	switch {
 	case err == nil && q.kind == messageOneway && q.name == "interrupt":
 		c.TryInterrupted(conn, q.target)
 	case err == nil && q.kind == messageCall && q.name == "execute":
-		return c.execute(conn, q)
+		return c.observeRPC(conn, q)
 	case q.kind == messageCall: // a health check, or what no router sends: an answer does no harm, and is not judged
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		conn.mayAnswer(q.seq)
+		conn.allowExtraReply(q.seq)
 	}
 	return false
 }
 
-// execute tells of an RPC on its way to an app server.
-func (c *Checker) execute(conn *flow, q request) (owed bool) {
+// observeRPC tells of an RPC on its way to an app server.
+func (c *Checker) observeRPC(conn *flow, q request) (owed bool) {
 	now := time.Now()
-	if c.judged() {
-		return c.executeJudged(conn, q, now)
+	if c.checksServers() {
+		return c.observeCheckedRPC(conn, q, now)
 	}
 	id, work, ok := DecodeBody(q.body)
 	if !ok {
@@ -42,15 +42,15 @@
 	return true
 }
 
-// judged reports whether Judge has been called.
-func (c *Checker) judged() bool {
+// checksServers reports whether Judge has been called.
+func (c *Checker) checksServers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settings != nil
 }
 
-// executeJudged enters an RPC into the ledger of its app server.
-func (c *Checker) executeJudged(conn *flow, q request, now time.Time) (owed bool) {
+// observeCheckedRPC enters an RPC into the ledger of its app server.
+func (c *Checker) observeCheckedRPC(conn *flow, q request, now time.Time) (owed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &sentTry{call: q.fields["call"], method: q.fields["op"], token: q.fields["dedupe"], body: slices.Clone(q.body),
@@ -78,7 +78,7 @@
 	}
 	if before := c.tries[conn][q.seq]; before != nil && !before.settled() {
 		// Its number is in use: which of the two an answer is for cannot be told.
-		conn.mayAnswer(q.seq)
+		conn.allowExtraReply(q.seq)
 		s.excused = true
 		return false
 	}
@@ -86,21 +86,21 @@
 	return true
 }
 
-// replied tells of a message of an app server; err says that it cannot be read.
-func (c *Checker) replied(conn *flow, a reply, err error) {
+// observeReply tells of a message of an app server; err says that it cannot be read.
+func (c *Checker) observeReply(conn *flow, a reply, err error) {
 	if err != nil {
 		c.reportViolation(1, "%s says what no router can read: %v", conn.Net.server, err)
 		return
 	}
-	if a.kind == replyDraining || c.allowed(conn, a) {
+	if a.kind == replyDraining || c.consumeExtraReply(conn, a) {
 		return
 	}
 	switch a.kind {
 	case replyServed:
-		c.judgeResult(conn, a)
+		c.verifyServedResult(conn, a)
 		c.ReplyReceived(conn, a.seq, rpc.OK, false, 0)
 	case replyPushedBack:
-		c.judgePushback(conn, a)
+		c.verifyPushback(conn, a)
 		c.ReplyReceived(conn, a.seq, rpc.PushedBack, a.last, a.after)
 	case replyAborted:
 		c.ReplyReceived(conn, a.seq, rpc.Error, false, 0)
@@ -109,9 +109,9 @@
 	}
 }
 
-// allowed reports whether a message may be answered that owes no answer, or one more under a number that its client has used
+// consumeExtraReply reports whether a message may be answered that owes no answer, or one more under a number that its client has used
 // twice.
-func (c *Checker) allowed(conn *flow, a reply) bool {
+func (c *Checker) consumeExtraReply(conn *flow, a reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tries[conn][a.seq]; t != nil && !t.replied {
@@ -124,8 +124,8 @@
 	return true
 }
 
-// judgeResult finds a result that no run at this app server made for the RPC, or for another try of it.
-func (c *Checker) judgeResult(conn *flow, a reply) {
+// verifyServedResult finds a result that no run at this app server made for the RPC, or for another try of it.
+func (c *Checker) verifyServedResult(conn *flow, a reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tries[conn][a.seq]
@@ -141,9 +141,9 @@
 	c.addViolation(1, "%s was served by %s with what no run of it made there: %.60q", t.sent, t.server, a.body)
 }
 
-// judgePushback finds a refusal of what has been run: it promises that nothing has come of the request. Another try of it has
+// verifyPushback finds a refusal of what has been run: it promises that nothing has come of the request. Another try of it has
 // to have been run for a moment already, as a refusal takes a moment to get here.
-func (c *Checker) judgePushback(conn *flow, a reply) {
+func (c *Checker) verifyPushback(conn *flow, a reply) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,8 +161,8 @@
 	}
 }
 
-// mayAnswer allows one more answer under a number. Called under the checker's lock.
-func (f *flow) mayAnswer(seq int32) {
+// allowExtraReply allows one more answer under a number. Called under the checker's lock.
+func (f *flow) allowExtraReply(seq int32) {
 	if f.spare == nil {
 		f.spare = map[int32]int{}
 	}
--- a/rig/flow.go
+++ b/rig/flow.go
@@ -23,13 +23,13 @@
 // watchRequest tells the checker of a message that goes to the app server; owed says that it has to be answered under seq.
 func (f *flow) watchRequest(message []byte) (seq int32, owed bool) {
 	q, err := readRequest(message)
-	return q.seq, f.check.asked(f, q, err)
+	return q.seq, f.check.observeRequest(f, q, err)
 }
 
 // watchReply tells the checker of a message that has come from the app server.
 func (f *flow) watchReply(message []byte) {
 	a, err := readReply(message)
-	f.check.replied(f, a, err)
+	f.check.observeReply(f, a, err)
 }
 
 // unreadAfter is when a write that does not come back shows that the caller does not read.
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -280,7 +280,7 @@
 			s.sent(tryB, "write", "token", nil, 0)
 			first := s.check.servers["n1"].requests.byCall[tryA][0]
 			first.ran, first.recv = first.sentAt.Add(-one.ago), first.recv.Add(-one.ago)
-			s.check.replied(s.flow, reply{kind: replyPushedBack, seq: 2}, nil)
+			s.check.observeReply(s.flow, reply{kind: replyPushedBack, seq: 2}, nil)
 			if one.what == "" {
 				s.none(t)
 				return
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -138,7 +138,7 @@
 func (s *testTrial) sent(call, method, token string, body []byte, work float64) {
 	s.check.settings.Catalog.Add(call, CatalogEntry{RPC: "rpc " + call, Work: work})
 	s.seq++
-	s.check.asked(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
+	s.check.observeRequest(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
 		fields: map[string]string{"op": method, "call": call, "dedupe": token, "heap": "10",
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
