--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// order is what a kernel is to run on a command; ok is false where no client has sent that to this process.
-func (c *Checker) order(server, call, method string, body []byte) (o workOrder, ok bool) {
+// resolveCommand is what a kernel is to run on a command; ok is false where no client has sent that to this process.
+func (c *Checker) resolveCommand(server, call, method string, body []byte) (o workOrder, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.settings == nil {
@@ -58,22 +58,22 @@
 	return workOrder{entry: s.entry, sent: s, over: s.settled()}, true
 }
 
-// known reports whether a client has sent an RPC of this id to this process. Without Judge nobody knows, and all are.
-func (c *Checker) known(server, call string) bool {
+// knowsCall reports whether a client has sent an RPC of this id to this process. Without Judge nobody knows, and all are.
+func (c *Checker) knowsCall(server, call string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settings == nil || len(c.server(server).requests.byCall[call]) > 0
 }
 
-// requestOver reports whether the request of a run has been answered or given up.
-func (c *Checker) requestOver(o workOrder) bool {
+// requestSettled reports whether the request of a run has been answered or given up.
+func (c *Checker) requestSettled(o workOrder) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return o.sent != nil && o.sent.settled()
 }
 
-// begun tells that a run has begun.
-func (c *Checker) begun(server string, o workOrder) {
+// recordRunStart tells that a run has recordRunStart.
+func (c *Checker) recordRunStart(server string, o workOrder) {
 	if o.sent == nil {
 		c.RunStarted(server, o.entry.RPC)
 		return
@@ -85,7 +85,7 @@
 	if !p.noticeAt.IsZero() && o.sent.sentAt.After(p.noticeAt.Add(p.grace+c.slack)) {
 		c.addViolation(3, "%s came to %s %v after its notice and was run", o.sent, server, o.sent.sentAt.Sub(p.noticeAt))
 	}
-	c.judgeRun(server, p.requests, o.sent)
+	c.verifyRun(server, p.requests, o.sent)
 	if r := c.rpcs[o.entry.RPC]; r != nil {
 		r.ran = true
 	}
@@ -94,9 +94,9 @@
 	p.runStarts[o.sent.id] = o.sent.ran
 }
 
-// judgeRun finds a second effect: of a non-idempotent RPC ever, of a tokened one within the window that counts from the
+// verifyRun finds a second effect: of a non-idempotent RPC ever, of a tokened one within the window that counts from the
 // arrival of the try that ran. Called under the lock.
-func (c *Checker) judgeRun(server string, l *ledger, s *sentTry) {
+func (c *Checker) verifyRun(server string, l *ledger, s *sentTry) {
 	m := c.settings.Methods[s.method]
 	if m.Kind == rpc.Idempotent {
 		return
@@ -118,8 +118,8 @@
 	}
 }
 
-// made tells of the result of a run.
-func (c *Checker) made(o workOrder, result []byte) {
+// recordResult tells of the result of a run.
+func (c *Checker) recordResult(o workOrder, result []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o.sent != nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-// finished tells that a run is over.
-func (c *Checker) finished(o workOrder) {
+// recordRunEnd tells that a run is over.
+func (c *Checker) recordRunEnd(o workOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o.sent != nil {
@@ -150,8 +150,8 @@
 	return c.server(server).requests.load(time.Now())
 }
 
-// connected counts a connection to an app server, until it has ended.
-func (c *Checker) connected(f *flow) {
+// connectionOpened counts a connection to an app server, until it has ended.
+func (c *Checker) connectionOpened(f *flow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f.counted = c.server(f.Net.server).requests
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -249,11 +249,11 @@
 			s := newTestTrial(t, KernelConfig{})
 			run := func(call, token string) {
 				s.sent(call, "write", token, []byte("body"), 3600)
-				o, ok := s.check.order("n1", call, "write", []byte("body"))
+				o, ok := s.check.resolveCommand("n1", call, "write", []byte("body"))
 				if !ok {
 					t.Fatal("not known")
 				}
-				s.check.begun("n1", o)
+				s.check.recordRunStart("n1", o)
 			}
 			run(tryA, "token")
 			first := s.check.servers["n1"].requests.byCall[tryA][0]
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -135,7 +135,7 @@
 		k.refuse(c)
 		return
 	}
-	order, ok := k.check.order(k.server, c.UID, c.Lane, c.Content)
+	order, ok := k.check.resolveCommand(k.server, c.UID, c.Lane, c.Content)
 	if !ok {
 		k.refuse(c)
 		return
@@ -152,7 +152,7 @@
 		k.refuse(c)
 		return
 	}
-	if !k.check.known(k.server, c.UID) {
+	if !k.check.knowsCall(k.server, c.UID) {
 		k.violate(1, "sends PREEMPT %q, which no client has sent it", c.UID)
 		k.refuse(c)
 		return
@@ -172,7 +172,7 @@
 		k.refuse(c)
 		return
 	}
-	if !k.check.known(k.server, c.UID) {
+	if !k.check.knowsCall(k.server, c.UID) {
 		k.violate(1, "sends RESCHED %q, which no client has sent it", c.UID)
 		k.refuse(c)
 		return
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -130,7 +130,7 @@
 // newFlow is a connection with no network.
 func newFlow(server string, check *Checker) *flow {
 	f := &flow{Net: &Net{server: server, check: check}}
-	check.connected(f)
+	check.connectionOpened(f)
 	return f
 }
 
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -25,7 +25,7 @@
 		k.notify(reaped(uid, "late", 0, nil))
 		return
 	}
-	k.check.begun(k.server, order)
+	k.check.recordRunStart(k.server, order)
 	k.runs[uid] = &run{uid: uid, order: order, left: order.entry.Work, began: time.Now(), backend: k.config.Backend.counts(lane)}
 	if k.config.Backend.counts(lane) {
 		k.config.Backend.add(k.server, 1)
@@ -36,7 +36,7 @@
 
 // preempt takes a run off the cores, in the way of the settings.
 func (k *Kernel) preempt(r *run) {
-	if k.config.Preemption == PreemptFreeze && !k.check.requestOver(r.order) {
+	if k.config.Preemption == PreemptFreeze && !k.check.requestSettled(r.order) {
 		if !r.paused {
 			r.paused, r.stopped = true, false
 			k.notify(reaped(r.uid, "broken_off", time.Since(r.began), nil))
@@ -49,7 +49,7 @@
 // dropPaused forgets paused runs whose request is over: their end has been told when they were paused.
 func (k *Kernel) dropPaused() {
 	for _, r := range k.runs {
-		if r.paused && k.check.requestOver(r.order) {
+		if r.paused && k.check.requestSettled(r.order) {
 			k.forget(r)
 		}
 	}
@@ -138,7 +138,7 @@
 func (k *Kernel) end(r *run, code string, result []byte) {
 	k.forget(r)
 	if code == "fine" {
-		k.check.made(r.order, result)
+		k.check.recordResult(r.order, result)
 	}
 	k.notify(reaped(r.uid, code, time.Since(r.began), result))
 }
@@ -146,7 +146,7 @@
 // forget takes a run out of the books.
 func (k *Kernel) forget(r *run) {
 	delete(k.runs, r.uid)
-	k.check.finished(r.order)
+	k.check.recordRunEnd(r.order)
 	if r.backend {
 		k.config.Backend.add(k.server, -1)
 	}
--- a/rig/net.go
+++ b/rig/net.go
@@ -185,7 +185,7 @@
 	if f.ours.Load() { // reset meanwhile
 		server.Close()
 	}
-	f.check.connected(f)
+	f.check.connectionOpened(f)
 	var both sync.WaitGroup
 	both.Go(func() { f.passRequests(server) })
 	both.Go(func() { f.passReplies(server) })
