--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -82,7 +82,7 @@
 		s.excused = true
 		return false
 	}
-	c.open(conn, q.seq, s.tryState)
+	c.openTry(conn, q.seq, s.tryState)
 	return true
 }
 
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -37,7 +37,7 @@
 		}},
 		"lost before a close": {1, "without an answer", func(c *Checker, f *flow) {
 			c.ExpectResendAfterClose()
-			time.Sleep(closeCrossing + 20*time.Millisecond)
+			time.Sleep(resendWindow + 20*time.Millisecond)
 			c.ConnectionEnded(f, false)
 		}},
 		"run and lost over a close": {1, "without an answer", func(c *Checker, f *flow) {
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -41,11 +41,11 @@
 	if c.tries[conn][seq] != nil {
 		c.addViolation(5, "%s sent under number %d, which is in use", id, seq)
 	}
-	c.open(conn, seq, c.newTried(server, id, now, due))
+	c.openTry(conn, seq, c.newTried(server, id, now, due))
 }
 
-// open has an answer to a number owed on a connection. Called under the lock.
-func (c *Checker) open(conn *flow, seq int32, t *tryState) {
+// openTry has an answer to a number owed on a connection. Called under the lock.
+func (c *Checker) openTry(conn *flow, seq int32, t *tryState) {
 	if c.tries[conn] == nil {
 		c.tries[conn] = map[int32]*tryState{}
 	}
@@ -85,7 +85,7 @@
 	if t.sent != nil {
 		c.server(t.server).requests.answered(now, now.Sub(t.sentAt), how == rpc.OK)
 	}
-	if now.After(c.owedUntil(t).Add(c.slack)) && !t.excused && !conn.callerUnread() {
+	if now.After(c.replyDueBy(t).Add(c.slack)) && !t.excused && !conn.callerUnread() {
 		c.counts["late.answers"]++
 		c.addViolation(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
@@ -149,19 +149,19 @@
 	defer c.mu.Unlock()
 	for conn, tries := range c.tries {
 		for _, t := range tries {
-			if !t.settled() && !conn.callerUnread() && now.After(c.owedUntil(t).Add(c.slack)) {
+			if !t.settled() && !conn.callerUnread() && now.After(c.replyDueBy(t).Add(c.slack)) {
 				c.counts["unanswered"]++
 				c.addViolation(1, "%s never answered by %s", t.id, t.server)
 				t.excused = true
 			}
 		}
 	}
-	c.finishCrossed()
+	c.reportLostCrossed()
 }
 
-// owedUntil is when the answer of a try has to be there. While its process is stopped it cannot answer; as soon as it goes on,
+// replyDueBy is when the answer of a try has to be there. While its process is stopped it cannot answer; as soon as it goes on,
 // it has to. Called under the lock.
-func (c *Checker) owedUntil(t *tryState) time.Time {
+func (c *Checker) replyDueBy(t *tryState) time.Time {
 	s := c.server(t.server)
 	switch {
 	case !t.mayBeLate:
@@ -169,10 +169,10 @@
 	case s.paused:
 		return time.Now()
 	case s.resumedAt.After(t.due):
-		return s.resumedAt.Add(resumeTime)
+		return s.resumedAt.Add(resumeGracePeriod)
 	}
-	return t.due.Add(resumeTime)
+	return t.due.Add(resumeGracePeriod)
 }
 
-// resumeTime is what a process that was stopped is given to catch up.
-const resumeTime = time.Second
+// resumeGracePeriod is what a process that was stopped is given to catch up.
+const resumeGracePeriod = time.Second
--- a/rig/crossing.go
+++ b/rig/crossing.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// closeCrossing is the protocol's figure: a request that crosses the close of a connection within it is sent again, once,
+// resendWindow is the protocol's figure: a request that crosses the close of a connection within it is sent again, once,
 // on a new connection.
-const closeCrossing = 50 * time.Millisecond
+const resendWindow = 50 * time.Millisecond
 
-// crossingWindow is that on a busy machine. It does not grow with what else is allowed for lateness: what has been read is lost.
-const crossingWindow = closeCrossing + 150*time.Millisecond
+// maxResendWindow is that on a busy machine. It does not grow with what else is allowed for lateness: what has been read is lost.
+const maxResendWindow = resendWindow + 150*time.Millisecond
 
 // ExpectResendAfterClose tells the checker that the callers keep to that: an RPC that crossed a close is lost only if it is not sent
 // again. Without it each RPC on a connection that its app server ends is lost.
@@ -24,13 +24,13 @@
 	if t.sent != nil {
 		ran = !t.sent.ran.IsZero()
 	}
-	return c.crossedTries != nil && !ran && time.Since(t.sentAt) <= closeCrossing+min(c.slack, crossingWindow-closeCrossing)
+	return c.crossedTries != nil && !ran && time.Since(t.sentAt) <= resendWindow+min(c.slack, maxResendWindow-resendWindow)
 }
 
-// finishCrossed finds what crossed a close and was not sent again, although there was time. Called under the lock.
-func (c *Checker) finishCrossed() {
+// reportLostCrossed finds what crossed a close and was not sent again, although there was time. Called under the lock.
+func (c *Checker) reportLostCrossed() {
 	for id, t := range c.crossedTries {
-		if t.due.Sub(t.sentAt) > 2*(closeCrossing+c.slack) {
+		if t.due.Sub(t.sentAt) > 2*(resendWindow+c.slack) {
 			c.counts["unanswered"]++
 			c.addViolation(1, "%s lost: %s closed the connection over it, and it was not sent again", id, t.server)
 		}
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -229,7 +229,7 @@
 	s.check.SetPaused("n1", false)
 	s.check.Finish()
 	s.none(t) // a moment to catch up
-	s.check.servers["n1"].resumedAt = time.Now().Add(-2 * resumeTime)
+	s.check.servers["n1"].resumedAt = time.Now().Add(-2 * resumeGracePeriod)
 	s.check.Finish()
 	s.one(t, 1, "never answered")
 }
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -280,7 +280,7 @@
 	defer c.mu.Unlock()
 	c.ended = true
 	for seq, o := range c.open {
-		o.done <- PeerOutcome{Err: ErrLost, Crossed: !c.ours && time.Since(o.at) <= crossingWindow}
+		o.done <- PeerOutcome{Err: ErrLost, Crossed: !c.ours && time.Since(o.at) <= maxResendWindow}
 		delete(c.open, seq)
 	}
 }
