--- a/rig/check.go
+++ b/rig/check.go
@@ -76,11 +76,11 @@
 	resumedAt time.Time // when it was last let go on
 	endedAt   time.Time
 	runStarts map[string]time.Time
-	requests  *ledger // of what clients sent to this process
+	requests  *requestLog // of what clients sent to this process
 }
 
 func newProcessState() *processState {
-	return &processState{runStarts: map[string]time.Time{}, requests: newLedger()}
+	return &processState{runStarts: map[string]time.Time{}, requests: newRequestLog()}
 }
 
 // NewChecker allows so much beside each time that a rule names, for what the machine itself takes.
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -54,7 +54,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &sentTry{call: q.fields["call"], method: q.fields["op"], token: q.fields["dedupe"], body: slices.Clone(q.body),
-		recv: q.recv(now), heapKB: q.heap()}
+		arrivedAt: q.recv(now), heapKB: q.heap()}
 	s.entry = c.settings.Catalog.Lookup(s.call, s.body)
 	if conn.arrivals != nil {
 		conn.arrivals.Add(now, s.entry.Work)
@@ -63,7 +63,7 @@
 	if !told {
 		ttl = c.settings.deadline(s.method)
 	}
-	due := s.recv.Add(ttl)
+	due := s.arrivedAt.Add(ttl)
 	if due.Before(now) { // in no case earlier than the reading of the request
 		due = now
 	}
@@ -153,8 +153,8 @@
 	}
 	for _, s := range c.server(t.server).requests.siblings(t.sent) {
 		switch {
-		case s.ran.IsZero():
-		case s == t.sent, now.Sub(s.ran) > c.slack && t.sentAt.Before(s.recv.Add(c.settings.Methods[s.method].Window)):
+		case s.lastRunAt.IsZero():
+		case s == t.sent, now.Sub(s.lastRunAt) > c.slack && t.sentAt.Before(s.arrivedAt.Add(c.settings.Methods[s.method].Window)):
 			c.addViolation(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, s)
 			return
 		}
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -52,7 +52,7 @@
 	l := c.server(server).requests
 	s := l.find(call, method, body)
 	if s == nil {
-		c.addViolation(1, "%s asks its kernel to run what no client has sent it: %s", server, l.altered(call, method, body))
+		c.addViolation(1, "%s asks its kernel to run what no client has sent it: %s", server, l.describeMismatch(call, method, body))
 		return workOrder{}, false
 	}
 	return workOrder{entry: s.entry, sent: s, over: s.settled()}, true
@@ -89,19 +89,19 @@
 	if r := c.rpcs[o.entry.RPC]; r != nil {
 		r.ran = true
 	}
-	o.sent.ran, o.sent.running = time.Now(), true
-	p.requests.live[o.sent] = struct{}{}
-	p.runStarts[o.sent.id] = o.sent.ran
+	o.sent.lastRunAt, o.sent.running = time.Now(), true
+	p.requests.active[o.sent] = struct{}{}
+	p.runStarts[o.sent.id] = o.sent.lastRunAt
 }
 
 // verifyRun finds a second effect: of a non-idempotent RPC ever, of a tokened one within the window that counts from the
 // arrival of the try that ran. Called under the lock.
-func (c *Checker) verifyRun(server string, l *ledger, s *sentTry) {
+func (c *Checker) verifyRun(server string, l *requestLog, s *sentTry) {
 	m := c.settings.Methods[s.method]
 	if m.Kind == rpc.Idempotent {
 		return
 	}
-	if !s.ran.IsZero() {
+	if !s.lastRunAt.IsZero() {
 		c.counts["double.runs"]++
 		c.addViolation(2, "%s (%s) run a second time, at %s", s, m.Kind, server)
 		return
@@ -110,7 +110,7 @@
 		return
 	}
 	for _, other := range l.siblings(s) {
-		if until := other.recv.Add(m.Window); !other.ran.IsZero() && s.sentAt.Add(c.slack).Before(until) {
+		if until := other.arrivedAt.Add(m.Window); !other.lastRunAt.IsZero() && s.sentAt.Add(c.slack).Before(until) {
 			c.counts["double.runs"]++
 			c.addViolation(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server, other, until.Sub(s.sentAt))
 			return
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -83,7 +83,7 @@
 	}
 	t.replied = true
 	if t.sent != nil {
-		c.server(t.server).requests.answered(now, now.Sub(t.sentAt), how == rpc.OK)
+		c.server(t.server).requests.addReply(now, now.Sub(t.sentAt), how == rpc.OK)
 	}
 	if now.After(c.replyDueBy(t).Add(c.slack)) && !t.excused && !conn.callerUnread() {
 		c.counts["late.answers"]++
--- a/rig/crossing.go
+++ b/rig/crossing.go
@@ -22,7 +22,7 @@
 func (c *Checker) crossedClose(t *tryState) bool {
 	_, ran := c.server(t.server).runStarts[t.id]
 	if t.sent != nil {
-		ran = !t.sent.ran.IsZero()
+		ran = !t.sent.lastRunAt.IsZero()
 	}
 	return c.crossedTries != nil && !ran && time.Since(t.sentAt) <= resendWindow+min(c.slack, maxResendWindow-resendWindow)
 }
--- a/rig/judge_test.go
+++ b/rig/judge_test.go
@@ -257,7 +257,7 @@
 			}
 			run(tryA, "token")
 			first := s.check.servers["n1"].requests.byCall[tryA][0]
-			first.recv, first.sentAt = first.recv.Add(-one.later), first.sentAt.Add(-one.later)
+			first.arrivedAt, first.sentAt = first.arrivedAt.Add(-one.later), first.sentAt.Add(-one.later)
 			run(tryB, one.token)
 			if one.what == "" {
 				s.none(t)
@@ -279,7 +279,7 @@
 			s.sent(tryA, "write", "token", nil, 0)
 			s.sent(tryB, "write", "token", nil, 0)
 			first := s.check.servers["n1"].requests.byCall[tryA][0]
-			first.ran, first.recv = first.sentAt.Add(-one.ago), first.recv.Add(-one.ago)
+			first.lastRunAt, first.arrivedAt = first.sentAt.Add(-one.ago), first.arrivedAt.Add(-one.ago)
 			s.check.observeReply(s.flow, reply{kind: replyPushedBack, seq: 2}, nil)
 			if one.what == "" {
 				s.none(t)
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -44,15 +44,15 @@
 	case "links":
 		return float64(load.connections)
 	case "outstanding":
-		return float64(load.open)
+		return float64(load.openRequests)
 	case "backlog":
-		return float64(max(load.open-len(k.runs), 0))
+		return float64(max(load.openRequests-len(k.runs), 0))
 	case "throughput":
 		return load.servedPerSecond
 	case "errors_per_s":
 		return load.failedPerSecond
 	case "recent_ms":
-		return load.recent.Seconds() * 1000
+		return load.meanDuration.Seconds() * 1000
 	}
 	return 0
 }
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -196,8 +196,8 @@
 		t.Errorf("%v", m)
 	}
 	s.check.mu.Lock()
-	for held := range s.check.server("n1").requests.live {
-		held.sentAt = held.sentAt.Add(-heldAfter)
+	for held := range s.check.server("n1").requests.active {
+		held.sentAt = held.sentAt.Add(-minHeldTime)
 	}
 	s.check.mu.Unlock()
 	if m := l.sync("2"); m[3] != 0.04 {
--- a/rig/ledger.go
+++ b/rig/ledger.go
@@ -13,46 +13,46 @@
 	method string
 	token  string
 	body   []byte
-	recv   time.Time
+	arrivedAt   time.Time
 	heapKB float64
 	entry  CatalogEntry
 
-	ran     time.Time // when its last run began, the zero time for never
+	lastRunAt     time.Time // when its last run began, the zero time for never
 	running bool      // paused counts too
 	results [][]byte  // that runs of it have made
 }
 
-// ledger is all that clients have sent to one process since its start. It is guarded by the checker's lock.
-type ledger struct {
+// requestLog is all that clients have sent to one process since its start. It is guarded by the checker's lock.
+type requestLog struct {
 	byCall  map[string][]*sentTry
 	byToken map[string][]*sentTry
-	live    map[*sentTry]struct{} // held or running, perhaps some more
+	active    map[*sentTry]struct{} // held or running, perhaps some more
 
 	connections int
-	answers     []ledgerAnswer // of the last second
+	recentReplies     []recentReply // of the last second
 }
 
-// ledgerAnswer is one that an app server gave.
-type ledgerAnswer struct {
+// recentReply is one that an app server gave.
+type recentReply struct {
 	at   time.Time
-	took time.Duration
-	good bool
+	duration time.Duration
+	served bool
 }
 
-func newLedger() *ledger {
-	return &ledger{byCall: map[string][]*sentTry{}, byToken: map[string][]*sentTry{}, live: map[*sentTry]struct{}{}}
+func newRequestLog() *requestLog {
+	return &requestLog{byCall: map[string][]*sentTry{}, byToken: map[string][]*sentTry{}, active: map[*sentTry]struct{}{}}
 }
 
-func (l *ledger) add(s *sentTry) {
+func (l *requestLog) add(s *sentTry) {
 	l.byCall[s.call] = append(l.byCall[s.call], s)
 	if s.token != "" {
 		l.byToken[s.token] = append(l.byToken[s.token], s)
 	}
-	l.live[s] = struct{}{}
+	l.active[s] = struct{}{}
 }
 
 // find is the try that a command names: of those under its id with its method and body the last that is not over.
-func (l *ledger) find(call, method string, body []byte) (found *sentTry) {
+func (l *requestLog) find(call, method string, body []byte) (found *sentTry) {
 	for _, s := range l.byCall[call] {
 		if s.method == method && bytes.Equal(s.body, body) && (found == nil || found.settled() || !s.settled()) {
 			found = s
@@ -62,7 +62,7 @@
 }
 
 // siblings are all tries of one request, itself among them: those with its token, method and body.
-func (l *ledger) siblings(s *sentTry) []*sentTry {
+func (l *requestLog) siblings(s *sentTry) []*sentTry {
 	if s.token == "" {
 		return []*sentTry{s}
 	}
@@ -75,64 +75,64 @@
 	return all
 }
 
-// heldAfter is when a request that does not run counts against the memory.
-const heldAfter = 100 * time.Millisecond
+// minHeldTime is when a request that does not run counts against the memory.
+const minHeldTime = 100 * time.Millisecond
 
 // bookedKB is the memory that all requests book now.
-func (l *ledger) bookedKB(now time.Time, runFactor float64) float64 {
+func (l *requestLog) bookedKB(now time.Time, runFactor float64) float64 {
 	sum := 0.0
-	for s := range l.live {
+	for s := range l.active {
 		switch {
 		case s.running:
 			sum += s.heapKB * runFactor
 		case s.settled():
-			delete(l.live, s)
-		case now.Sub(s.sentAt) >= heldAfter:
+			delete(l.active, s)
+		case now.Sub(s.sentAt) >= minHeldTime:
 			sum += s.heapKB
 		}
 	}
 	return sum
 }
 
-// answered takes note of an answer, for the gauges.
-func (l *ledger) answered(now time.Time, took time.Duration, good bool) {
-	l.answers = append(l.answers, ledgerAnswer{now, took, good})
+// addReply takes note of an answer, for the gauges.
+func (l *requestLog) addReply(now time.Time, took time.Duration, good bool) {
+	l.recentReplies = append(l.recentReplies, recentReply{now, took, good})
 	old := 0
-	for old < len(l.answers) && now.Sub(l.answers[old].at) > time.Second {
+	for old < len(l.recentReplies) && now.Sub(l.recentReplies[old].at) > time.Second {
 		old++
 	}
-	l.answers = l.answers[old:]
+	l.recentReplies = l.recentReplies[old:]
 }
 
 // serverLoad is what the gauges tell beside the cores.
 type serverLoad struct {
 	connections     int
-	open            int
+	openRequests            int
 	servedPerSecond float64
 	failedPerSecond float64
-	recent          time.Duration
+	meanDuration          time.Duration
 }
 
-func (l *ledger) load(now time.Time) serverLoad {
+func (l *requestLog) load(now time.Time) serverLoad {
 	load := serverLoad{connections: l.connections}
-	for s := range l.live {
+	for s := range l.active {
 		if !s.settled() {
-			load.open++
+			load.openRequests++
 		}
 	}
 	sum := time.Duration(0)
-	for _, a := range l.answers {
+	for _, a := range l.recentReplies {
 		switch {
 		case now.Sub(a.at) > time.Second:
-		case a.good:
+		case a.served:
 			load.servedPerSecond++
-			sum += a.took
+			sum += a.duration
 		default:
 			load.failedPerSecond++
 		}
 	}
 	if load.servedPerSecond > 0 {
-		load.recent = sum / time.Duration(load.servedPerSecond)
+		load.meanDuration = sum / time.Duration(load.servedPerSecond)
 	}
 	return load
 }
@@ -140,8 +140,8 @@
 // String names a try in a violation.
 func (s *sentTry) String() string { return fmt.Sprintf("%s of %s (%.40q)", s.call, s.id, s.method) }
 
-// altered says how a command differs from what was sent under its id.
-func (l *ledger) altered(call, method string, body []byte) string {
+// describeMismatch says how a command differs from what was sent under its id.
+func (l *requestLog) describeMismatch(call, method string, body []byte) string {
 	sent := l.byCall[call]
 	switch {
 	case len(sent) == 0:
