--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -210,7 +210,7 @@
 	}
 	h := NewHistory()
 	say := func(who, msg string, after float64) {
-		h.AddLogLine(who, fmt.Appendf(nil, `{"msg":%q,"role":"o","term":1,"ts":%f}`, msg, float64(h.began.UnixNano())/1e9+after))
+		h.AddLogLine(who, fmt.Appendf(nil, `{"msg":%q,"role":"o","term":1,"ts":%f}`, msg, float64(h.startedAt.UnixNano())/1e9+after))
 	}
 	say("a", "role acquired", 1)
 	say("a", "stepped down", 2)
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -18,14 +18,14 @@
 	Checker   *Checker
 	History *History
 	Network   *Paths
-	plan    ClusterConfig
+	config    ClusterConfig
 	dir     string
 	roster  *Roster
 
 	mu    sync.Mutex
 	nodes map[string]*Node
-	order []string
-	slots int
+	names []string
+	lastSlot int
 }
 
 // ClusterConfig is what a process cluster is to be.
@@ -52,17 +52,17 @@
 	*Program
 	Proxy  *Net // for callers
 	slot int
-	bare *Process
-	feed func() // ends a starving
+	bareProcess *Process
+	stopThrottle func() // ends a starving
 }
 
-// callersPort is where each process takes RPCs, at its own address.
-const callersPort = 7000
+// rpcPort is where each process takes RPCs, at its own address.
+const rpcPort = 7000
 
 // process is what signals go to.
 func (n *Node) process() *Process {
-	if n.bare != nil {
-		return n.bare
+	if n.bareProcess != nil {
+		return n.bareProcess
 	}
 	return &n.Program.Process
 }
@@ -73,29 +73,29 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Cluster{Checker: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
+	s := &Cluster{Checker: NewChecker(plan.Slack), History: NewHistory(), config: plan, dir: dir, nodes: map[string]*Node{}}
 	if s.Network, err = NewPaths(plan.Seed); err != nil {
 		return nil, err
 	}
 	if s.roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
-	s.slots = plan.UnusedSeeds
+	s.lastSlot = plan.UnusedSeeds
 	for _, name := range plan.Names {
-		if _, err := s.add(name, name, s.slot()); err != nil {
+		if _, err := s.addNode(name, name, s.nextSlot()); err != nil {
 			s.Close()
 			return nil, err
 		}
 	}
-	if err := s.each(plan.Names, func(n *Node) error { return s.start(n) }); err != nil {
+	if err := s.forEach(plan.Names, func(n *Node) error { return s.start(n) }); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// each does something to some at the same time.
-func (s *Cluster) each(names []string, f func(*Node) error) error {
+// forEach does something to some at the same time.
+func (s *Cluster) forEach(names []string, f func(*Node) error) error {
 	errs := make([]error, len(names))
 	var all sync.WaitGroup
 	for k, name := range names {
@@ -121,7 +121,7 @@
 func (s *Cluster) Names() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.order)
+	return slices.Clone(s.names)
 }
 
 // Running are those that have not ended.
@@ -129,65 +129,65 @@
 	return slices.DeleteFunc(s.Names(), func(name string) bool { return !s.Node(name).process().Running() })
 }
 
-// seeds are the addresses that a process is given: the first slots, of which some may belong to nobody.
-func (s *Cluster) seeds() []string {
-	n := s.plan.Seeds
+// joinAddresses are the addresses that a process is given: the first slots, of which some may belong to nobody.
+func (s *Cluster) joinAddresses() []string {
+	n := s.config.Seeds
 	if n == 0 {
 		n = 3
 	}
 	var all []string
-	for k := range n + s.plan.UnusedSeeds {
+	for k := range n + s.config.UnusedSeeds {
 		all = append(all, s.Network.Via(k+1).String())
 	}
 	return all
 }
 
-// slot is the next address that nobody has had.
-func (s *Cluster) slot() int {
+// nextSlot is the next address that nobody has had.
+func (s *Cluster) nextSlot() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slots++
-	return s.slots
+	s.lastSlot++
+	return s.lastSlot
 }
 
-// add makes a process that calls itself called, at an address, and does not start it.
-func (s *Cluster) add(name, called string, slot int) (*Node, error) {
+// addNode makes a process that calls itself called, at an address, and does not start it.
+func (s *Cluster) addNode(name, called string, slot int) (*Node, error) {
 	if err := s.Network.Add(slot); err != nil {
 		return nil, err
 	}
 	n := &Node{slot: slot}
 	own, via := s.Network.Own(slot), s.Network.Via(slot)
-	if s.plan.BareCommand != nil {
+	if s.config.BareCommand != nil {
 		n.Program = &Program{Name: name, called: called, check: s.Checker}
-		n.bare = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
+		n.bareProcess = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
 	} else {
-		kernel, err := NewKernel(name, s.plan.Site.Cores, s.Checker)
+		kernel, err := NewKernel(name, s.config.Site.Cores, s.Checker)
 		if err != nil {
 			return nil, err
 		}
-		kernel.config.Backend = s.plan.Backend
+		kernel.config.Backend = s.config.Backend
 		// At its own address no other process can have taken the port meanwhile.
-		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
-		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, bin: s.plan.Program, dir: s.dir,
+		address := netip.AddrPortFrom(own.Addr(), rpcPort).String()
+		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.config.Site, bin: s.config.Program, dir: s.dir,
 			roster: s.roster.Address(), check: s.Checker, called: called}
 		n.Program.tap = func(line []byte) { s.History.AddLogLine(name, line) }
 		if n.Proxy, err = NewNet(name, address, s.Checker); err != nil {
 			return nil, err
 		}
 		var laws []string
-		if !s.plan.NoFleet {
+		if !s.config.NoFleet {
 			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
-				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Network.Network().String(), "fleet.socket "+s.Socket(name))
-			if s.plan.Zones > 0 {
-				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
+				"fleet.join "+strings.Join(s.joinAddresses(), " "), "fleet.allow "+s.Network.Network().String(), "fleet.socket "+s.Socket(name))
+			if s.config.Zones > 0 {
+				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.config.Zones))
 			}
-			if slices.Contains(s.plan.WithStateDir, called) {
+			if slices.Contains(s.config.WithStateDir, called) {
 				if err := os.MkdirAll(s.StateDir(name), 0o700); err != nil {
 					return nil, err
 				}
 				laws = append(laws, "fleet.state "+s.StateDir(name))
 			}
-			laws = append(laws, s.plan.Settings...)
+			laws = append(laws, s.config.Settings...)
 		}
 		path := filepath.Join(s.dir, name+".conf")
 		if err := os.WriteFile(path, []byte(strings.Join(laws, "\n")+"\n"), 0o600); err != nil {
@@ -197,7 +197,7 @@
 	}
 	s.mu.Lock()
 	s.nodes[name] = n
-	s.order = append(s.order, name)
+	s.names = append(s.names, name)
 	s.mu.Unlock()
 	return n, nil
 }
@@ -219,21 +219,21 @@
 func (s *Cluster) StateDir(name string) string { return filepath.Join(s.dir, name+".state") }
 
 func (s *Cluster) start(n *Node) error {
-	if n.bare == nil {
+	if n.bareProcess == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.BareCommand(n.called, s.Network.Own(n.slot).String(), s.Network.Via(n.slot).String(), s.seeds())
-	_, err := n.bare.run(cmd, func(error) {})
+	cmd := s.config.BareCommand(n.called, s.Network.Own(n.slot).String(), s.Network.Via(n.slot).String(), s.joinAddresses())
+	_, err := n.bareProcess.run(cmd, func(error) {})
 	return err
 }
 
 func (s *Cluster) kill(n *Node) {
-	if n.feed != nil {
-		n.feed()
-		n.feed = nil
+	if n.stopThrottle != nil {
+		n.stopThrottle()
+		n.stopThrottle = nil
 	}
-	if n.bare != nil {
-		n.bare.kill()
+	if n.bareProcess != nil {
+		n.bareProcess.kill()
 	} else {
 		n.Program.Kill()
 	}
@@ -270,12 +270,12 @@
 	var all sync.WaitGroup
 	for _, name := range s.Names() {
 		n := s.Node(name)
-		if n.feed != nil {
-			n.feed()
+		if n.stopThrottle != nil {
+			n.stopThrottle()
 		}
 		all.Go(func() {
-			if n.bare != nil {
-				n.bare.kill()
+			if n.bareProcess != nil {
+				n.bareProcess.kill()
 				return
 			}
 			if n.Program.started() {
--- a/rig/faults.go
+++ b/rig/faults.go
@@ -36,7 +36,7 @@
 func (s *Cluster) Inject(f Fault) error {
 	s.History.AddEvent("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
 	if f.Groups != nil {
-		return s.change(f)
+		return s.changePaths(f)
 	}
 	if f.Verb == "heal" {
 		s.Network.Heal()
@@ -63,31 +63,31 @@
 		s.Checker.SetPaused(n.Name, false)
 	case "starve":
 		period := 100 * time.Millisecond
-		n.feed = p.Throttle(time.Duration(f.Share*float64(period)), period)
+		n.stopThrottle = p.Throttle(time.Duration(f.Share*float64(period)), period)
 		s.Checker.SetPaused(n.Name, true)
 	case "feed":
-		if n.feed != nil {
-			n.feed()
-			n.feed = nil
+		if n.stopThrottle != nil {
+			n.stopThrottle()
+			n.stopThrottle = nil
 		}
 		s.Checker.SetPaused(n.Name, false)
 	case "hang", "unhang":
-		if n.bare == nil {
+		if n.bareProcess == nil {
 			n.Kernel.Hang(f.Verb == "hang")
 		}
 	case "notice":
-		if n.bare == nil {
+		if n.bareProcess == nil {
 			n.Notice()
 		}
 	case "replace":
 		s.kill(n)
-		fresh, err := s.add(f.Processes[1], f.Processes[1], n.slot)
+		fresh, err := s.addNode(f.Processes[1], f.Processes[1], n.slot)
 		if err != nil {
 			return err
 		}
 		return s.start(fresh)
 	case "twin":
-		twin, err := s.add(n.Name+"-twin", n.Name, s.slot())
+		twin, err := s.addNode(n.Name+"-twin", n.Name, s.nextSlot())
 		if err != nil {
 			return err
 		}
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// change puts a fault on paths.
-func (s *Cluster) change(f Fault) error {
+// changePaths puts a fault on paths.
+func (s *Cluster) changePaths(f Fault) error {
 	var groups [][]int
 	for _, names := range f.Groups {
 		var slots []int
@@ -117,7 +117,7 @@
 		for _, a := range from {
 			for _, b := range to {
 				if a != b {
-					s.Network.Change(a, b, f.worsen)
+					s.Network.Change(a, b, f.applyTo)
 				}
 			}
 		}
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// worsen is what a fault does to one path.
-func (f Fault) worsen(p *Path) {
+// applyTo is what a fault does to one path.
+func (f Fault) applyTo(p *Path) {
 	switch f.Verb {
 	case "split", "cut":
 		p.Cut = true
--- a/rig/history.go
+++ b/rig/history.go
@@ -12,7 +12,7 @@
 // faults in between.
 type History struct {
 	mu     sync.Mutex
-	began  time.Time
+	startedAt  time.Time
 	events []Event
 	latest map[string]Observation
 }
@@ -39,10 +39,10 @@
 }
 
 // NewHistory begins one.
-func NewHistory() *History { return &History{began: time.Now(), latest: map[string]Observation{}} }
+func NewHistory() *History { return &History{startedAt: time.Now(), latest: map[string]Observation{}} }
 
 // Elapsed is the time since the start, in seconds.
-func (h *History) Elapsed() float64 { return time.Since(h.began).Seconds() }
+func (h *History) Elapsed() float64 { return time.Since(h.startedAt).Seconds() }
 
 // AddEvent takes a word of whoever plays.
 func (h *History) AddEvent(who, kind, text string) {
@@ -67,11 +67,11 @@
 	}
 }
 
-// mostEvents bounds what is kept of one run.
-const mostEvents = 200_000
+// maxEvents bounds what is kept of one run.
+const maxEvents = 200_000
 
 func (h *History) add(e Event) {
-	if len(h.events) < mostEvents {
+	if len(h.events) < maxEvents {
 		h.events = append(h.events, e)
 	}
 }
--- a/rig/script.go
+++ b/rig/script.go
@@ -39,7 +39,7 @@
 }
 
 // What follows each verb, and for how long a drawn fault of it lasts.
-var verbs = map[string]string{"split": "groups", "cut": "way", "loss": "way share", "double": "way share",
+var faultForms = map[string]string{"split": "groups", "cut": "way", "loss": "way share", "double": "way share",
 	"delay": "way mean most", "mute": "way mean", "rate": "way rate", "heal": "", "kill": "who", "start": "who",
 	"restart": "who", "stop": "who", "cont": "who", "hang": "who", "unhang": "who", "notice": "who", "starve": "who share",
 	"feed": "who", "replace": "who who", "twin": "who"}
@@ -71,7 +71,7 @@
 		return Fault{}, fmt.Errorf("no fault is named")
 	}
 	f := Fault{At: at, Verb: words[1]}
-	form, ok := verbs[f.Verb]
+	form, ok := faultForms[f.Verb]
 	if !ok {
 		return Fault{}, fmt.Errorf("no fault is called %q", f.Verb)
 	}
@@ -132,7 +132,7 @@
 		return strings.Join(all, by)
 	}
 	who := 0
-	for _, part := range strings.Fields(verbs[f.Verb]) {
+	for _, part := range strings.Fields(faultForms[f.Verb]) {
 		switch part {
 		case "groups":
 			words = append(words, groups("|"))
@@ -154,8 +154,8 @@
 	return strings.Join(words, " ")
 }
 
-// ills are what can be wrong with a process for a while, and what ends it.
-var ills = [4][2]string{{"kill", "start"}, {"stop", "cont"}, {"starve", "feed"}, {"hang", "unhang"}}
+// processFaults are what can be wrong with a process for a while, and what ends it.
+var processFaults = [4][2]string{{"kill", "start"}, {"stop", "cont"}, {"starve", "feed"}, {"hang", "unhang"}}
 
 // RandomScript makes a script from a seed: faults of every kind among the names, overlapping, all of them over by the end.
 func RandomScript(seed uint64, names []string, faults int, length time.Duration) Script {
@@ -198,7 +198,7 @@
 				continue
 			}
 			busy[who] = at + lasts + 2*time.Second
-			pair := ills[kind-4]
+			pair := processFaults[kind-4]
 			add(Fault{At: at, Verb: pair[0], Processes: []string{who}, Share: 0.1})
 			add(Fault{At: at + lasts, Verb: pair[1], Processes: []string{who}})
 		}
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -75,7 +75,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []LeadershipInterval
-	began := float64(h.began.UnixNano()) / 1e9
+	began := float64(h.startedAt.UnixNano()) / 1e9
 	end := func(who, role string, at float64) {
 		for k := range all {
 			if t := &all[k]; t.Process == who && (role == "" || t.Role == role) && math.IsInf(t.To, 1) {
