--- a/rig/check.go
+++ b/rig/check.go
@@ -9,123 +9,124 @@
 	"valveglade/rpc"
 )
 
-// Violation is one rule broken: 1 to 4 are the app server's, 5 is the caller's, 0 the rig's own fault.
+// Violation is one breach of a rule. Rules 1 to 4 bind app servers and rule 5 binds callers; 0 marks a failure of the rig itself.
 type Violation struct {
-	Rule int
+	Rule        int
 	Description string
 }
 
-func (b Violation) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.Description) }
+func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Description) }
 
-// Checker watches everything that an experiment does and knows the rules. It is told by callers (Asked), by the
-// network (Try, Interrupted, Answered, Ended), by the kernels (Started) and by whoever starts and stops programs
-// (Up, Notice, Killed, Exited). It is safe for use by many goroutines.
+// Checker observes an experiment and records every violation of the rules. Callers report RPCs (RegisterRPC), the recording
+// proxies report traffic (TrySent, TryInterrupted, ReplyReceived, ConnectionEnded), the kernels report runs (RunStarted), and
+// the code that starts and stops programs reports process states (ProcessStarted, ShutdownRequested, ProcessKilled,
+// ProcessExited). It is safe for concurrent use.
 //
-// An RPC is excused from its final answer by its own caller's interrupt or end or by its not reading, by a reset on the
-// routers' side and by the kill of its process, and by nothing else: trouble of the kernel, of the roster or with other
-// clients excuses nothing. An app server that ends a connection has lost what was written on it and has no answer, on a new
-// connection too: it may have been read. What was provably never read is what could not be written, because the connection
-// was refused or was reset before the last byte of the request.
+// An RPC needs no reply if its own caller interrupted it, closed the connection or does not read, if the connection was reset
+// on the routers' side, or if its process was killed. Nothing else excuses a missing reply: not trouble of the kernel, of the
+// roster or with other clients. An app server that closes a connection loses every unanswered request written on it, on a new
+// connection too, because it may have read them. A request is known to be unread only if it could not be written, because the
+// connection was refused or was reset before the last byte of the request.
 type Checker struct {
-	mu         sync.Mutex
-	rpcs       map[string]*requestedRPC
-	tries      map[*flow]map[int32]*tryState // by connection and number, until the connection has ended
-	servers    map[string]*processState
-	violations []Violation
-	counts     map[string]int
-	slack      time.Duration
-	crossedTries    map[string]*tryState // by RPC; nil unless ResendCrossed, see there
-	settings      *ServerSettings            // nil unless Judge, see there
-}
-
-// requestedRPC is one RPC, over all its tries.
+	mu           sync.Mutex
+	rpcs         map[string]*requestedRPC
+	tries        map[*flow]map[int32]*tryState // by connection and sequence number, until the connection has ended
+	servers      map[string]*processState
+	violations   []Violation
+	counts       map[string]int
+	slack        time.Duration
+	crossedTries map[string]*tryState // by RPC; nil unless ExpectResendAfterClose was called
+	settings     *ServerSettings      // nil unless CheckServers was called
+}
+
+// requestedRPC is the state of one RPC over all its tries.
 type requestedRPC struct {
-	kind     rpc.Kind
-	deadline time.Time
-	tries    int
-	runs     int
-	sent     bool
-	noRetry     bool      // refused, and no other try wished
-	retryAfter    time.Time // refused, and not before
-	ran      bool
+	kind       rpc.Kind
+	deadline   time.Time
+	tries      int
+	runs       int
+	sent       bool
+	noRetry    bool      // pushed back with the request not to try again
+	retryAfter time.Time // pushed back: no further try before this time
+	ran        bool
 }
 
-// tryState is one try on the wire.
+// tryState is the state of one try that was sent to an app server.
 type tryState struct {
-	id       string
-	server   string
-	sentAt       time.Time
-	due      time.Time
-	replied bool
-	excused  bool     // interrupted, or its connection was ended by the caller or by us
-	mayBeLate     bool     // may be answered late: its app server's process was stopped meanwhile
-	sent     *sentTry // nil unless Judge
+	id        string
+	server    string
+	sentAt    time.Time
+	due       time.Time
+	replied   bool
+	excused   bool     // interrupted, or its connection was ended by the caller or by the rig
+	mayBeLate bool     // its app server's process was paused meanwhile
+	sent      *sentTry // nil unless CheckServers was called
 }
 
-// settled reports whether no answer is owed any more.
+// settled reports whether no reply is pending any more.
 func (t *tryState) settled() bool { return t.replied || t.excused }
 
-// processState is one app server's.
+// processState is the state of one app server's process.
 type processState struct {
-	up      bool
+	up        bool
 	noticeAt  time.Time
 	stopBy    time.Time
-	grace   time.Duration
-	killed  bool
-	paused  bool
-	resumedAt time.Time // when it was last let go on
+	grace     time.Duration
+	killed    bool
+	paused    bool
+	resumedAt time.Time // when it was last resumed
 	endedAt   time.Time
 	runStarts map[string]time.Time
-	requests  *requestLog // of what clients sent to this process
+	requests  *requestLog // what clients sent to this process
 }
 
 func newProcessState() *processState {
 	return &processState{runStarts: map[string]time.Time{}, requests: newRequestLog()}
 }
 
-// NewChecker allows so much beside each time that a rule names, for what the machine itself takes.
+// NewChecker returns a checker that tolerates slack beyond each time limit of a rule, for scheduling delays of the machine.
 func NewChecker(slack time.Duration) *Checker {
 	return &Checker{rpcs: map[string]*requestedRPC{}, tries: map[*flow]map[int32]*tryState{}, servers: map[string]*processState{},
 		counts: map[string]int{}, slack: slack}
 }
 
-// addViolation is called under the lock. So many are enough to see what is wrong.
+// addViolation records a violation; it keeps at most 1000, which suffice for a diagnosis. The caller holds c.mu.
 func (c *Checker) addViolation(rule int, format string, args ...any) {
 	if len(c.violations) < 1000 {
 		c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
-// reportViolation takes note of a violation that a stand-in has seen.
+// reportViolation records a violation that a stand-in has observed.
 func (c *Checker) reportViolation(rule int, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addViolation(rule, format, args...)
 }
 
-// RigFailed takes note that the rig itself did not work: such a run shows nothing.
+// RigFailed records a failure of the rig itself, which makes the trial inconclusive.
 func (c *Checker) RigFailed(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addViolation(0, format, args...)
 }
 
-// Count is a figure that the checker has kept: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
-// unanswered, turned.away (never read: the connection was reset first), crossed.
+// Count returns one of the checker's counters: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
+// unanswered, turned.away (never read because the connection was reset first), crossed.
 func (c *Checker) Count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts[name]
 }
 
-// Violations is what has been seen to break a rule.
+// Violations returns a copy of the violations recorded so far.
 func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Violation(nil), c.violations...)
 }
 
-// RegisterRPC tells of an RPC that a caller is about to ask for.
+// RegisterRPC records an RPC that a caller is about to request.
 func (c *Checker) RegisterRPC(id string, kind rpc.Kind, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,8 +134,8 @@
 	c.counts["asked"]++
 }
 
-// RepeatRPC tells that a caller asks once more for an RPC that had its outcome: until a new deadline, and whatever was
-// said of the earlier tries.
+// RepeatRPC records that a caller requests an RPC again that already had its outcome. The RPC gets a new deadline, and
+// pushbacks of its earlier tries no longer restrict it.
 func (c *Checker) RepeatRPC(id string, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,16 +144,16 @@
 	}
 }
 
-// VerifyResult tells what a caller got for an RPC: only what a run of it made is a result.
+// VerifyResult checks the result that a caller received for an RPC: a run of that RPC must have produced it.
 func (c *Checker) VerifyResult(id string, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(RunResult(id))) {
-		c.addViolation(1, "%s was served with what no run of it made: %.40q", id, body)
+		c.addViolation(1, "%s was served with a result that no run of it made: %.40q", id, body)
 	}
 }
 
-// server is called under the lock.
+// server returns the state of an app server's process and creates it on first use. The caller holds c.mu.
 func (c *Checker) server(name string) *processState {
 	if c.servers[name] == nil {
 		c.servers[name] = newProcessState()
@@ -160,7 +161,7 @@
 	return c.servers[name]
 }
 
-// ProcessStarted tells that an app server's program has been started.
+// ProcessStarted records that an app server's program has been started.
 func (c *Checker) ProcessStarted(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,7 +169,7 @@
 	c.servers[server].up = true
 }
 
-// ShutdownRequested tells that it has been told to leave.
+// ShutdownRequested records that an app server was told to shut down: it accepts RPCs for the grace period and exits within stop.
 func (c *Checker) ShutdownRequested(server string, grace, stop time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +178,7 @@
 	s.stopBy = s.noticeAt.Add(stop)
 }
 
-// ProcessKilled tells that it is about to be ended outright: what it holds is excused.
+// ProcessKilled records that an app server's process is about to be killed, which excuses its pending replies.
 func (c *Checker) ProcessKilled(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,8 +194,8 @@
 	}
 }
 
-// SetPaused tells that the rig has stopped its process, or starves it, or lets it go on: what it answers late meanwhile is
-// excused, and all else is not. It still owes each answer once it goes on.
+// SetPaused records that the rig has paused or throttled an app server's process, or lets it continue. Replies that are late
+// for this reason are excused and nothing else is: every pending reply is still due once the process continues.
 func (c *Checker) SetPaused(server string, paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +213,7 @@
 	}
 }
 
-// ProcessExited tells how its process ended.
+// ProcessExited records the end of an app server's process and checks its exit code and time.
 func (c *Checker) ProcessExited(server string, code int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +230,7 @@
 	s.up, s.endedAt = false, time.Now()
 }
 
-// isAlive reports whether the process of an app server has been started and has not ended, or ended a moment ago.
+// isAlive reports whether an app server's process is running or ended no longer than the slack ago.
 func (c *Checker) isAlive(server string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,11 +238,11 @@
 	return s != nil && (s.up || time.Since(s.endedAt) <= c.slack)
 }
 
-// VerifyMemory tells what it takes, against its limit.
+// VerifyMemory checks the memory that an app server's process uses against its limit, both in bytes.
 func (c *Checker) VerifyMemory(server string, bytes, limit int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes > limit {
-		c.addViolation(4, "%s takes %d MB of %d", server, bytes>>20, limit>>20)
+		c.addViolation(4, "%s takes %d MB of memory, limit %d MB", server, bytes>>20, limit>>20)
 	}
 }
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -15,33 +15,33 @@
 // Cluster is many processes of the real program that may talk to each other, with a path between each two, and what is done
 // to them by a script.
 type Cluster struct {
-	Checker   *Checker
+	Checker *Checker
 	History *History
-	Network   *Paths
-	config    ClusterConfig
+	Network *Paths
+	config  ClusterConfig
 	dir     string
 	roster  *Roster
 
-	mu    sync.Mutex
-	nodes map[string]*Node
-	names []string
+	mu       sync.Mutex
+	nodes    map[string]*Node
+	names    []string
 	lastSlot int
 }
 
 // ClusterConfig is what a process cluster is to be.
 type ClusterConfig struct {
-	Program string   // the program's binary
-	Names   []string // of the first processes
-	Site    Site
-	Settings    []string // further lines of each one's operators' file
+	Program      string   // the program's binary
+	Names        []string // of the first processes
+	Site         Site
+	Settings     []string // further lines of each one's operators' file
 	WithStateDir []string // who has a folder that lasts
-	NoFleet     bool     // no fleet: the same processes, which do not talk
-	Zones   int      // how many zones they are spread over, 0 for none
-	Seeds   int      // how many addresses each is given to join; 3 if 0
-	UnusedSeeds int      // how many of the addresses given first belong to nobody
-	Slack   time.Duration
-	Seed    uint64
-	Backend *Backend // what all kernels' runs reach, nil for nothing
+	NoFleet      bool     // no fleet: the same processes, which do not talk
+	Zones        int      // how many zones they are spread over, 0 for none
+	Seeds        int      // how many addresses each is given to join; 3 if 0
+	UnusedSeeds  int      // how many of the addresses given first belong to nobody
+	Slack        time.Duration
+	Seed         uint64
+	Backend      *Backend // what all kernels' runs reach, nil for nothing
 	// BareCommand starts another program instead, with no kernel and no callers, and is given where it listens, what it tells
 	// others and whom to join.
 	BareCommand func(name, listen, advertise string, join []string) *exec.Cmd
@@ -50,9 +50,9 @@
 // Node is one process of a process cluster.
 type Node struct {
 	*Program
-	Proxy  *Net // for callers
-	slot int
-	bareProcess *Process
+	Proxy        *Net // for callers
+	slot         int
+	bareProcess  *Process
 	stopThrottle func() // ends a starving
 }
 
--- a/rig/flow.go
+++ b/rig/flow.go
@@ -17,7 +17,7 @@
 	wrote          atomic.Uint64 // chunks so far, from which the pieces of the next are drawn
 
 	spare   map[int32]int // answers that are not owed and do no harm, by number; under the checker's lock
-	counted *requestLog       // where it counts as a connection; under the checker's lock
+	counted *requestLog   // where it counts as a connection; under the checker's lock
 }
 
 // watchRequest tells the checker of a message that goes to the app server; owed says that it has to be answered under seq.
--- a/rig/history.go
+++ b/rig/history.go
@@ -11,25 +11,25 @@
 // History is all that was said and done in a run, in the order in which it came: the lines of every process, and the
 // faults in between.
 type History struct {
-	mu     sync.Mutex
-	startedAt  time.Time
-	events []Event
-	latest map[string]Observation
+	mu        sync.Mutex
+	startedAt time.Time
+	events    []Event
+	latest    map[string]Observation
 }
 
 // Event is one line of it.
 type Event struct {
 	Time    float64         `json:"t"` // seconds since the start
-	Process  string          `json:"who"`
-	Kind string          `json:"kind"` // log, fault, or a word of whoever plays
-	Text string          `json:"text,omitempty"`
-	Line json.RawMessage `json:"line,omitempty"`
+	Process string          `json:"who"`
+	Kind    string          `json:"kind"` // log, fault, or a word of whoever plays
+	Text    string          `json:"text,omitempty"`
+	Line    json.RawMessage `json:"line,omitempty"`
 }
 
 // Observation is a view as a process's log tells it.
 type Observation struct {
-	Time         float64 `json:"-"`
-	Process       string  `json:"-"`
+	Time      float64 `json:"-"`
+	Process   string  `json:"-"`
 	Msg       string
 	Version   uint64
 	Digest    string
--- a/rig/request_log.go
+++ b/rig/request_log.go
@@ -9,34 +9,34 @@
 // sentTry is one RPC as a client sent it, and what has become of it at the app server.
 type sentTry struct {
 	*tryState
-	call   string
-	method string
-	token  string
-	body   []byte
-	arrivedAt   time.Time
-	heapKB float64
-	entry  CatalogEntry
-
-	lastRunAt     time.Time // when its last run began, the zero time for never
-	running bool      // paused counts too
-	results [][]byte  // that runs of it have made
+	call      string
+	method    string
+	token     string
+	body      []byte
+	arrivedAt time.Time
+	heapKB    float64
+	entry     CatalogEntry
+
+	lastRunAt time.Time // when its last run began, the zero time for never
+	running   bool      // paused counts too
+	results   [][]byte  // that runs of it have made
 }
 
 // requestLog is all that clients have sent to one process since its start. It is guarded by the checker's lock.
 type requestLog struct {
 	byCall  map[string][]*sentTry
 	byToken map[string][]*sentTry
-	active    map[*sentTry]struct{} // held or running, perhaps some more
+	active  map[*sentTry]struct{} // held or running, perhaps some more
 
-	connections int
-	recentReplies     []recentReply // of the last second
+	connections   int
+	recentReplies []recentReply // of the last second
 }
 
 // recentReply is one that an app server gave.
 type recentReply struct {
-	at   time.Time
+	at       time.Time
 	duration time.Duration
-	served bool
+	served   bool
 }
 
 func newRequestLog() *requestLog {
@@ -107,10 +107,10 @@
 // serverLoad is what the gauges tell beside the cores.
 type serverLoad struct {
 	connections     int
-	openRequests            int
+	openRequests    int
 	servedPerSecond float64
 	failedPerSecond float64
-	meanDuration          time.Duration
+	meanDuration    time.Duration
 }
 
 func (l *requestLog) load(now time.Time) serverLoad {
--- a/rig/script.go
+++ b/rig/script.go
@@ -28,14 +28,14 @@
 
 // Fault is one line of it.
 type Fault struct {
-	At    time.Duration
-	Verb  string
-	Processes   []string   // of what is done to processes; the first is whom it is done to
-	Groups [][]string // groups, of what is done to paths; of one way, from and to
-	Share float64    // loss, double, starve
-	Delay  time.Duration
-	Jitter  time.Duration
-	Rate  float64
+	At        time.Duration
+	Verb      string
+	Processes []string   // of what is done to processes; the first is whom it is done to
+	Groups    [][]string // groups, of what is done to paths; of one way, from and to
+	Share     float64    // loss, double, starve
+	Delay     time.Duration
+	Jitter    time.Duration
+	Rate      float64
 }
 
 // What follows each verb, and for how long a drawn fault of it lasts.
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -10,11 +10,11 @@
 
 // Verdict is what a worker's record says.
 type Verdict struct {
-	MaxConcurrentOwners       int // the most owners whose orders had their effects among each other's
-	LateEffects  int // effects of one who ordered before, after another had begun, who went on afterwards
-	DecreasingTerms int // terms below one before
-	SharedTerms  int // terms with more than one owner
-	OwnerChanges      int // of owner
+	MaxConcurrentOwners int // the most owners whose orders had their effects among each other's
+	LateEffects         int // effects of one who ordered before, after another had begun, who went on afterwards
+	DecreasingTerms     int // terms below one before
+	SharedTerms         int // terms with more than one owner
+	OwnerChanges        int // of owner
 }
 
 // NewVerdict reads the record: an owner whose orders lie between two of another's, within a span, was one at the same time.
@@ -66,8 +66,8 @@
 // where the process was stopped or killed: what it does after that is late, and judged by its orders.
 type LeadershipInterval struct {
 	Role, Process string
-	Term      uint64
-	From, To  float64
+	Term          uint64
+	From, To      float64
 }
 
 // LeadershipIntervals reads them out of a history.
