--- a/rig/body.go
+++ b/rig/body.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// EncodeBody is what an RPC of the rig carries: its name, by which the checker knows all its tries again, and the seconds
-// of work that the kernel's stand-in makes of it.
+// EncodeBody returns the body of an RPC of the rig: its id, by which the checker matches all its tries, and the work in seconds
+// that the simulated kernel does for it.
 func EncodeBody(id string, work float64) []byte { return fmt.Appendf(nil, "%s %.6f", id, work) }
 
-// DecodeBody reads it.
+// DecodeBody parses a body that EncodeBody returned; ok is false for any other.
 func DecodeBody(body []byte) (id string, work float64, ok bool) {
 	id, rest, found := strings.Cut(string(body), " ")
 	work, err := strconv.ParseFloat(rest, 64)
 	return id, work, found && err == nil && id != "" && work >= 0
 }
 
-// RunResult is the result of a run.
+// RunResult returns the result that a run of an RPC produces by default.
 func RunResult(id string) []byte { return []byte("done " + id) }
--- a/rig/catalog.go
+++ b/rig/catalog.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// CatalogEntry is what a trial has drawn for one try of an RPC: which RPC it is a try of, and what a run of it does.
+// CatalogEntry describes one try of an RPC in a trial: the RPC that it belongs to and what a run of it does.
 type CatalogEntry struct {
 	RPC    string  // the same for all tries of one RPC
 	Work   float64 // seconds on a core
-	Result []byte  // what the run makes; nil for Answer(RPC)
-	Fails  bool    // the run ends with a fault and makes nothing
+	Result []byte  // what the run produces; nil for RunResult(RPC)
+	Fails  bool    // the run ends with a fault and produces nothing
 }
 
-// result is what a run makes.
+// result returns what a run produces.
 func (e CatalogEntry) result() []byte {
 	if e.Result != nil {
 		return e.Result
@@ -24,18 +24,18 @@
 	entries map[string]CatalogEntry
 }
 
-// NewCatalog returns an empty one.
+// NewCatalog returns an empty catalog.
 func NewCatalog() *Catalog { return &Catalog{entries: map[string]CatalogEntry{}} }
 
-// Add enters a try; it comes before the try is written to an app server.
+// Add adds the entry of a try. It must be called before the try is written to an app server.
 func (c *Catalog) Add(call string, entry CatalogEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.entries[call] = entry
 }
 
-// Lookup returns the entry of a try. A try that was not entered is read from its body as Body writes it; where that cannot
-// be done, it is an RPC of its own that takes no work.
+// Lookup returns the entry of a try. The entry of a try that was not added is parsed from its body; a body that EncodeBody did
+// not write stands for an RPC of its own that takes no work.
 func (c *Catalog) Lookup(call string, body []byte) CatalogEntry {
 	c.mu.Lock()
 	entry, found := c.entries[call]
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -8,146 +8,146 @@
 	"valveglade/rpc"
 )
 
-// observeRequest tells of a message of a router, as its last byte is about to be written to an app server; err says that it cannot be
-// read. It returns whether an answer is owed.
-func (c *Checker) observeRequest(conn *flow, q request, err error) (owed bool) {
+// observeRequest records a message of a router whose last byte is about to be written to an app server; err is the error of
+// parsing it. It returns whether a reply to the message is due.
+func (c *Checker) observeRequest(conn *flow, message request, err error) (replyDue bool) {
 	switch {
-	case err == nil && q.kind == messageOneway && q.name == "interrupt":
-		c.TryInterrupted(conn, q.target)
-	case err == nil && q.kind == messageCall && q.name == "execute":
-		return c.observeRPC(conn, q)
-	case q.kind == messageCall: // a health check, or what no router sends: an answer does no harm, and is not judged
+	case err == nil && message.kind == messageOneway && message.name == "interrupt":
+		c.TryInterrupted(conn, message.target)
+	case err == nil && message.kind == messageCall && message.name == "execute":
+		return c.observeRPC(conn, message)
+	case message.kind == messageCall: // a health check or an unknown call: a reply is allowed and not checked
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		conn.allowExtraReply(q.seq)
+		conn.allowExtraReply(message.seq)
 	}
 	return false
 }
 
-// observeRPC tells of an RPC on its way to an app server.
-func (c *Checker) observeRPC(conn *flow, q request) (owed bool) {
+// observeRPC records an RPC on its way to an app server.
+func (c *Checker) observeRPC(conn *flow, message request) (replyDue bool) {
 	now := time.Now()
 	if c.checksServers() {
-		return c.observeCheckedRPC(conn, q, now)
+		return c.observeCheckedRPC(conn, message, now)
 	}
-	id, work, ok := DecodeBody(q.body)
+	id, work, ok := DecodeBody(message.body)
 	if !ok {
 		return false
 	}
 	if conn.arrivals != nil {
 		conn.arrivals.Add(now, work)
 	}
-	ttl, _ := q.ttl()
-	c.TrySent(conn.Net.server, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
+	ttl, _ := message.ttl()
+	c.TrySent(conn.Net.server, conn, message.seq, id, message.recv(now).Add(ttl), message.fields["again"] == "1")
 	return true
 }
 
-// checksServers reports whether Judge has been called.
+// checksServers reports whether CheckServers has been called.
 func (c *Checker) checksServers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settings != nil
 }
 
-// observeCheckedRPC enters an RPC into the ledger of its app server.
-func (c *Checker) observeCheckedRPC(conn *flow, q request, now time.Time) (owed bool) {
+// observeCheckedRPC adds an RPC to the request log of its app server.
+func (c *Checker) observeCheckedRPC(conn *flow, message request, now time.Time) (replyDue bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := &sentTry{call: q.fields["call"], method: q.fields["op"], token: q.fields["dedupe"], body: slices.Clone(q.body),
-		arrivedAt: q.recv(now), heapKB: q.heap()}
-	s.entry = c.settings.Catalog.Lookup(s.call, s.body)
+	sent := &sentTry{call: message.fields["call"], method: message.fields["op"], token: message.fields["dedupe"],
+		body: slices.Clone(message.body), arrivedAt: message.recv(now), heapKB: message.heap()}
+	sent.entry = c.settings.Catalog.Lookup(sent.call, sent.body)
 	if conn.arrivals != nil {
-		conn.arrivals.Add(now, s.entry.Work)
+		conn.arrivals.Add(now, sent.entry.Work)
 	}
-	ttl, told := q.ttl()
-	if !told {
-		ttl = c.settings.deadline(s.method)
+	ttl, hasTTL := message.ttl()
+	if !hasTTL {
+		ttl = c.settings.deadline(sent.method)
 	}
-	due := s.arrivedAt.Add(ttl)
-	if due.Before(now) { // in no case earlier than the reading of the request
+	due := sent.arrivedAt.Add(ttl)
+	if due.Before(now) { // a reply is never due before the request has been read
 		due = now
 	}
-	s.tryState = c.newTried(conn.Net.server, s.entry.RPC, now, due)
-	s.tryState.sent = s
-	c.server(conn.Net.server).requests.add(s)
+	sent.tryState = c.newTryState(conn.Net.server, sent.entry.RPC, now, due)
+	sent.tryState.sent = sent
+	c.server(conn.Net.server).requests.add(sent)
 	c.counts["tries"]++
-	delete(c.crossedTries, s.id)
-	if conn.ended.Load() { // nothing is read any more
-		s.excused = true
+	delete(c.crossedTries, sent.id)
+	if conn.ended.Load() { // the app server reads nothing any more
+		sent.excused = true
 		return false
 	}
-	if before := c.tries[conn][q.seq]; before != nil && !before.settled() {
-		// Its number is in use: which of the two an answer is for cannot be told.
-		conn.allowExtraReply(q.seq)
-		s.excused = true
+	if before := c.tries[conn][message.seq]; before != nil && !before.settled() {
+		// The sequence number is in use, so a reply cannot be matched to one of the two requests.
+		conn.allowExtraReply(message.seq)
+		sent.excused = true
 		return false
 	}
-	c.openTry(conn, q.seq, s.tryState)
+	c.openTry(conn, message.seq, sent.tryState)
 	return true
 }
 
-// observeReply tells of a message of an app server; err says that it cannot be read.
-func (c *Checker) observeReply(conn *flow, a reply, err error) {
+// observeReply records a message of an app server; err is the error of parsing it.
+func (c *Checker) observeReply(conn *flow, answer reply, err error) {
 	if err != nil {
-		c.reportViolation(1, "%s says what no router can read: %v", conn.Net.server, err)
+		c.reportViolation(1, "%s sent a message that no router can read: %v", conn.Net.server, err)
 		return
 	}
-	if a.kind == replyDraining || c.consumeExtraReply(conn, a) {
+	if answer.kind == replyDraining || c.consumeExtraReply(conn, answer) {
 		return
 	}
-	switch a.kind {
+	switch answer.kind {
 	case replyServed:
-		c.verifyServedResult(conn, a)
-		c.ReplyReceived(conn, a.seq, rpc.OK, false, 0)
+		c.verifyServedResult(conn, answer)
+		c.ReplyReceived(conn, answer.seq, rpc.OK, false, 0)
 	case replyPushedBack:
-		c.verifyPushback(conn, a)
-		c.ReplyReceived(conn, a.seq, rpc.PushedBack, a.last, a.after)
+		c.verifyPushback(conn, answer)
+		c.ReplyReceived(conn, answer.seq, rpc.PushedBack, answer.last, answer.after)
 	case replyAborted:
-		c.ReplyReceived(conn, a.seq, rpc.Error, false, 0)
+		c.ReplyReceived(conn, answer.seq, rpc.Error, false, 0)
 	case replyChecked:
-		c.reportViolation(1, "%s answers a health check under number %d, which was not asked", conn.Net.server, a.seq)
+		c.reportViolation(1, "%s answered a health check with sequence number %d, which was not asked", conn.Net.server, answer.seq)
 	}
 }
 
-// consumeExtraReply reports whether a message may be answered that owes no answer, or one more under a number that its client has used
-// twice.
-func (c *Checker) consumeExtraReply(conn *flow, a reply) bool {
+// consumeExtraReply uses up one allowed extra reply and reports whether there was one: to a message that needs no reply, or
+// a second one under a sequence number that its client has used twice.
+func (c *Checker) consumeExtraReply(conn *flow, answer reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tries[conn][a.seq]; t != nil && !t.replied {
+	if t := c.tries[conn][answer.seq]; t != nil && !t.replied {
 		return false
 	}
-	if conn.spare[a.seq] == 0 {
+	if conn.spare[answer.seq] == 0 {
 		return false
 	}
-	conn.spare[a.seq]--
+	conn.spare[answer.seq]--
 	return true
 }
 
-// verifyServedResult finds a result that no run at this app server made for the RPC, or for another try of it.
-func (c *Checker) verifyServedResult(conn *flow, a reply) {
+// verifyServedResult records a violation if no run at this app server produced the result for the RPC or another try of it.
+func (c *Checker) verifyServedResult(conn *flow, answer reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tries[conn][a.seq]
+	t := c.tries[conn][answer.seq]
 	if t == nil || t.sent == nil || t.replied {
 		return
 	}
 	l := c.server(t.server).requests
 	for _, s := range l.siblings(t.sent) {
-		if slices.ContainsFunc(s.results, func(r []byte) bool { return bytes.Equal(r, a.body) }) {
+		if slices.ContainsFunc(s.results, func(r []byte) bool { return bytes.Equal(r, answer.body) }) {
 			return
 		}
 	}
-	c.addViolation(1, "%s was served by %s with what no run of it made there: %.60q", t.sent, t.server, a.body)
+	c.addViolation(1, "%s was served by %s with a result that no run of it made there: %.60q", t.sent, t.server, answer.body)
 }
 
-// verifyPushback finds a refusal of what has been run: it promises that nothing has come of the request. Another try of it has
-// to have been run for a moment already, as a refusal takes a moment to get here.
-func (c *Checker) verifyPushback(conn *flow, a reply) {
+// verifyPushback records a violation if an RPC was pushed back although it had been run: a pushback promises that the request
+// had no effect. A run of another try counts only once it is older than the slack, because a pushback takes time to arrive.
+func (c *Checker) verifyPushback(conn *flow, answer reply) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tries[conn][a.seq]
+	t := c.tries[conn][answer.seq]
 	if t == nil || t.sent == nil || t.replied || c.settings.Methods[t.sent.method].Kind == rpc.Idempotent {
 		return
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// allowExtraReply allows one more answer under a number. Called under the checker's lock.
+// allowExtraReply allows one more reply under a sequence number. The caller holds the checker's lock.
 func (f *flow) allowExtraReply(seq int32) {
 	if f.spare == nil {
 		f.spare = map[int32]int{}
--- a/rig/check_resend.go
+++ b/rig/check_resend.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// resendWindow is the protocol's figure: a request that crosses the close of a connection within it is sent again, once,
-// on a new connection.
+// resendWindow is the protocol's limit for sending a request again: a request that was written at most this long before the
+// close of its connection is sent once more, on a new connection.
 const resendWindow = 50 * time.Millisecond
 
-// maxResendWindow is that on a busy machine. It does not grow with what else is allowed for lateness: what has been read is lost.
+// maxResendWindow is the resend window allowed on a busy machine. It does not grow with the checker's slack, because a request
+// that was read before the close is lost.
 const maxResendWindow = resendWindow + 150*time.Millisecond
 
-// ExpectResendAfterClose tells the checker that the callers keep to that: an RPC that crossed a close is lost only if it is not sent
-// again. Without it each RPC on a connection that its app server ends is lost.
+// ExpectResendAfterClose tells the checker that callers resend requests that crossed the close of a connection: such an RPC is
+// lost only if it is not sent again. Otherwise every pending RPC on a connection that its app server closes is lost.
 func (c *Checker) ExpectResendAfterClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crossedTries = map[string]*tryState{}
 }
 
-// crossedClose reports whether a try was written as its app server closed the connection: an app server may close any
-// connection that has no open request. A request that has been run there was open. Called under the lock.
+// crossedClose reports whether a try was written while its app server closed the connection, which an app server may do with
+// any connection that has no open request. A request that has been run there was open. The caller holds c.mu.
 func (c *Checker) crossedClose(t *tryState) bool {
 	_, ran := c.server(t.server).runStarts[t.id]
 	if t.sent != nil {
@@ -27,7 +28,8 @@
 	return c.crossedTries != nil && !ran && time.Since(t.sentAt) <= resendWindow+min(c.slack, maxResendWindow-resendWindow)
 }
 
-// reportLostCrossed finds what crossed a close and was not sent again, although there was time. Called under the lock.
+// reportLostCrossed records a violation for each try that crossed a close and was not sent again although there was time. The
+// caller holds c.mu.
 func (c *Checker) reportLostCrossed() {
 	for id, t := range c.crossedTries {
 		if t.due.Sub(t.sentAt) > 2*(resendWindow+c.slack) {
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -6,14 +6,14 @@
 	"valveglade/rpc"
 )
 
-// RunStarted tells that a kernel has begun to run an RPC.
+// RunStarted records that a kernel has started to run an RPC.
 func (c *Checker) RunStarted(server, id string) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, s := c.rpcs[id], c.server(server)
 	if r == nil {
-		c.addViolation(1, "%s ran %q, which nobody asked for", server, id)
+		c.addViolation(1, "%s ran %q, which no caller requested", server, id)
 		return
 	}
 	c.counts["runs"]++
@@ -27,21 +27,21 @@
 	if s.noticeAt.IsZero() {
 		return
 	}
-	// The rule counts when the RPC came, not when it starts.
-	came := time.Time{}
+	// The rule applies to the arrival time of the RPC, not to the start of its run.
+	arrived := time.Time{}
 	for _, tries := range c.tries {
 		for _, t := range tries {
-			if t.server == server && t.id == id && t.sentAt.After(came) {
-				came = t.sentAt
+			if t.server == server && t.id == id && t.sentAt.After(arrived) {
+				arrived = t.sentAt
 			}
 		}
 	}
-	if came.After(s.noticeAt.Add(s.grace + c.slack)) {
-		c.addViolation(3, "%s came to %s %v after its notice and was run", id, server, came.Sub(s.noticeAt))
+	if arrived.After(s.noticeAt.Add(s.grace + c.slack)) {
+		c.addViolation(3, "%s arrived at %s %v after its notice and was run", id, server, arrived.Sub(s.noticeAt))
 	}
 }
 
-// resolveCommand is what a kernel is to run on a command; ok is false where no client has sent that to this process.
+// resolveCommand returns what a kernel runs for a command; ok is false if no client has sent this RPC to the process.
 func (c *Checker) resolveCommand(server, call, method string, body []byte) (o workOrder, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,20 +52,21 @@
 	l := c.server(server).requests
 	s := l.find(call, method, body)
 	if s == nil {
-		c.addViolation(1, "%s asks its kernel to run what no client has sent it: %s", server, l.describeMismatch(call, method, body))
+		c.addViolation(1, "%s commanded its kernel to run what no client has sent it: %s", server,
+			l.describeMismatch(call, method, body))
 		return workOrder{}, false
 	}
 	return workOrder{entry: s.entry, sent: s, over: s.settled()}, true
 }
 
-// knowsCall reports whether a client has sent an RPC of this id to this process. Without Judge nobody knows, and all are.
+// knowsCall reports whether a client has sent an RPC with this id to the process. Without CheckServers it is always true.
 func (c *Checker) knowsCall(server, call string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settings == nil || len(c.server(server).requests.byCall[call]) > 0
 }
 
-// requestSettled reports whether the request of a run has been answered or given up.
+// requestSettled reports whether the request of a run has its reply or needs none any more.
 func (c *Checker) requestSettled(o workOrder) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +84,7 @@
 	c.counts["runs"]++
 	p := c.server(server)
 	if !p.noticeAt.IsZero() && o.sent.sentAt.After(p.noticeAt.Add(p.grace+c.slack)) {
-		c.addViolation(3, "%s came to %s %v after its notice and was run", o.sent, server, o.sent.sentAt.Sub(p.noticeAt))
+		c.addViolation(3, "%s arrived at %s %v after its notice and was run", o.sent, server, o.sent.sentAt.Sub(p.noticeAt))
 	}
 	c.verifyRun(server, p.requests, o.sent)
 	if r := c.rpcs[o.entry.RPC]; r != nil {
@@ -94,8 +95,8 @@
 	p.runStarts[o.sent.id] = o.sent.lastRunAt
 }
 
-// verifyRun finds a second effect: of a non-idempotent RPC ever, of a tokened one within the window that counts from the
-// arrival of the try that ran. Called under the lock.
+// verifyRun records a violation if an RPC has a second effect: a non-idempotent RPC at any time, a tokened one within its
+// window, which starts with the arrival of the try that ran. The caller holds c.mu.
 func (c *Checker) verifyRun(server string, l *requestLog, s *sentTry) {
 	m := c.settings.Methods[s.method]
 	if m.Kind == rpc.Idempotent {
@@ -112,13 +113,14 @@
 	for _, other := range l.siblings(s) {
 		if until := other.arrivedAt.Add(m.Window); !other.lastRunAt.IsZero() && s.sentAt.Add(c.slack).Before(until) {
 			c.counts["double.runs"]++
-			c.addViolation(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server, other, until.Sub(s.sentAt))
+			c.addViolation(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server,
+				other, until.Sub(s.sentAt))
 			return
 		}
 	}
 }
 
-// recordResult tells of the result of a run.
+// recordResult records the result of a run.
 func (c *Checker) recordResult(o workOrder, result []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 }
 
-// recordRunEnd tells that a run is over.
+// recordRunEnd records the end of a run.
 func (c *Checker) recordRunEnd(o workOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,21 +138,21 @@
 	}
 }
 
-// bookedKB is the memory that all requests of an app server book now.
+// bookedKB returns the memory that all requests of an app server book now, in KB.
 func (c *Checker) bookedKB(server string, runFactor float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.server(server).requests.bookedKB(time.Now(), runFactor)
 }
 
-// load is what an app server has to do.
+// load returns the present load of an app server.
 func (c *Checker) load(server string) serverLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.server(server).requests.load(time.Now())
 }
 
-// connectionOpened counts a connection to an app server, until it has ended.
+// connectionOpened counts a connection to an app server until ConnectionEnded is called.
 func (c *Checker) connectionOpened(f *flow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/rig/check_settings.go
+++ b/rig/check_settings.go
@@ -6,38 +6,38 @@
 	"valveglade/rpc"
 )
 
-// ServerSettings are those by which app servers are judged each alone, whatever their callers do: what the settings of a trial say of
-// its methods, and what its clients send.
+// ServerSettings is what the checker needs to check each app server independently of its callers: the settings of the
+// methods in a trial and the catalog of what its clients send.
 type ServerSettings struct {
 	Methods map[string]MethodSettings
 	Catalog *Catalog
 }
 
-// MethodSettings is what the settings say of one method.
+// MethodSettings holds the settings of one method.
 type MethodSettings struct {
 	Kind     rpc.Kind
-	Deadline time.Duration // of an RPC that carries none
-	Window   time.Duration // of tokens
+	Deadline time.Duration // of an RPC that carries no deadline
+	Window   time.Duration // in which a token prevents a second run
 }
 
-// unknownDeadline is when an RPC of no known method is to be answered that carries no deadline.
+// unknownDeadline is the time limit of an RPC that carries no deadline and names an unknown method.
 const unknownDeadline = 5 * time.Second
 
-// CheckServers has each app server judged alone and by itself, and all that it says checked against what clients have sent to its
-// process: commands to its kernel, results to its callers, reports to the roster. Callers may do as they like, and need not
-// tell of what they ask. It comes before anything is sent.
-func (c *Checker) CheckServers(terms ServerSettings) {
+// CheckServers makes the checker check each app server independently of the callers. Everything that an app server sends is
+// compared with what clients have sent to its process: commands to its kernel, replies to its callers, reports to the roster.
+// Callers may behave in any way and need not call RegisterRPC. CheckServers must be called before any request is sent.
+func (c *Checker) CheckServers(settings ServerSettings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if terms.Catalog == nil {
-		terms.Catalog = NewCatalog()
+	if settings.Catalog == nil {
+		settings.Catalog = NewCatalog()
 	}
-	c.settings = &terms
+	c.settings = &settings
 }
 
-// deadline is how long an RPC of a method that carries no deadline has.
-func (t *ServerSettings) deadline(method string) time.Duration {
-	if m, known := t.Methods[method]; known && m.Deadline > 0 {
+// deadline returns the time limit of an RPC of a method that carries no deadline.
+func (s *ServerSettings) deadline(method string) time.Duration {
+	if m, known := s.Methods[method]; known && m.Deadline > 0 {
 		return m.Deadline
 	}
 	return unknownDeadline
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -6,7 +6,7 @@
 	"valveglade/rpc"
 )
 
-// TrySent tells of an RPC whose last byte has been written to an app server.
+// TrySent records a try whose last byte has been written to an app server.
 func (c *Checker) TrySent(server string, conn *flow, seq int32, id string, due time.Time, again bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -25,8 +25,8 @@
 		c.counts["refused.retried"]++
 		c.addViolation(5, "%s tried again at %s, %v before it was allowed to", id, server, time.Until(r.retryAfter))
 	}
-	// A millisecond is what the wire's figures are rounded to; the slack is for this process, which may be off its
-	// core between the caller's look at the clock and this one.
+	// Times on the wire are rounded to a millisecond. The slack covers this process losing its core between the caller's
+	// reading of the clock and this one.
 	if now.After(r.deadline.Add(c.slack)) {
 		c.counts["late.sent"]++
 		c.addViolation(5, "%s sent %v after its deadline", id, now.Sub(r.deadline))
@@ -39,12 +39,12 @@
 	}
 	r.sent = true
 	if c.tries[conn][seq] != nil {
-		c.addViolation(5, "%s sent under number %d, which is in use", id, seq)
+		c.addViolation(5, "%s sent with sequence number %d, which is in use", id, seq)
 	}
-	c.openTry(conn, seq, c.newTried(server, id, now, due))
+	c.openTry(conn, seq, c.newTryState(server, id, now, due))
 }
 
-// openTry has an answer to a number owed on a connection. Called under the lock.
+// openTry records that a reply to a sequence number is pending on a connection. The caller holds c.mu.
 func (c *Checker) openTry(conn *flow, seq int32, t *tryState) {
 	if c.tries[conn] == nil {
 		c.tries[conn] = map[int32]*tryState{}
@@ -52,13 +52,13 @@
 	c.tries[conn][seq] = t
 }
 
-// newTried is called under the lock.
-func (c *Checker) newTried(server, id string, now, due time.Time) *tryState {
+// newTryState returns the state of a try that is sent now. The caller holds c.mu.
+func (c *Checker) newTryState(server, id string, now, due time.Time) *tryState {
 	s := c.server(server)
 	return &tryState{id: id, server: server, sentAt: now, due: due, excused: s.killed, mayBeLate: s.paused}
 }
 
-// TryInterrupted tells that the caller of a try waits no longer.
+// TryInterrupted records that the caller of a try has canceled it and waits no longer.
 func (c *Checker) TryInterrupted(conn *flow, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,15 +67,15 @@
 	}
 }
 
-// ReplyReceived tells of an answer to a try, as it came from the app server.
-func (c *Checker) ReplyReceived(conn *flow, seq int32, how rpc.Outcome, last bool, after time.Duration) {
+// ReplyReceived records the reply to a try as it came from the app server.
+func (c *Checker) ReplyReceived(conn *flow, seq int32, outcome rpc.Outcome, last bool, retryAfter time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tries[conn][seq]
 	switch {
 	case t == nil:
-		c.addViolation(1, "an answer to number %d, which was not asked", seq)
+		c.addViolation(1, "a reply to sequence number %d, which was not asked", seq)
 		return
 	case t.replied:
 		c.addViolation(2, "two answers to %s", t.id)
@@ -83,19 +83,19 @@
 	}
 	t.replied = true
 	if t.sent != nil {
-		c.server(t.server).requests.addReply(now, now.Sub(t.sentAt), how == rpc.OK)
+		c.server(t.server).requests.addReply(now, now.Sub(t.sentAt), outcome == rpc.OK)
 	}
 	if now.After(c.replyDueBy(t).Add(c.slack)) && !t.excused && !conn.callerUnread() {
 		c.counts["late.answers"]++
 		c.addViolation(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
 	r, s := c.rpcs[t.id], c.server(t.server)
-	if r == nil || how != rpc.PushedBack {
+	if r == nil || outcome != rpc.PushedBack {
 		return
 	}
 	c.counts["pushed_back"]++
 	r.noRetry = r.noRetry || last
-	if until := now.Add(after - c.slack/10); after > 0 && until.After(r.retryAfter) {
+	if until := now.Add(retryAfter - c.slack/10); retryAfter > 0 && until.After(r.retryAfter) {
 		r.retryAfter = until
 	}
 	if at, ran := s.runStarts[t.id]; ran && r.kind != rpc.Idempotent && at.After(t.sentAt) {
@@ -103,7 +103,8 @@
 	}
 }
 
-// TryNotWritten tells that the last byte of a try could not be written, as its connection was reset before: it was never read.
+// TryNotWritten records that the last byte of a try could not be written because its connection had been reset. The app server
+// has never read the try.
 func (c *Checker) TryNotWritten(conn *flow, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,20 +114,20 @@
 	}
 }
 
-// ConnectionEnded tells that a connection is over: by the caller's doing, or ours, what was open on it is excused. What its app server
-// ends is lost, on a new connection too.
-func (c *Checker) ConnectionEnded(conn *flow, ours bool) {
+// ConnectionEnded records the end of a connection. If the caller or the rig ended it (notByServer), its pending replies are
+// excused; if the app server ended it, they are lost, on a new connection too.
+func (c *Checker) ConnectionEnded(conn *flow, notByServer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Only this connection's: looking through all tries held the rig up while many connections ended, and its own
-	// lateness looked like the app server's.
+	// Only this connection's tries: a scan of all tries delayed the rig while many connections ended, so that its own delay
+	// was taken for late replies of the app server.
 	for _, t := range c.tries[conn] {
 		if t.settled() {
 			continue
 		}
 		t.excused = true
 		switch {
-		case ours || conn.callerUnread() || c.server(t.server).killed:
+		case notByServer || conn.callerUnread() || c.server(t.server).killed:
 		case c.crossedClose(t):
 			c.counts["crossed"]++
 			c.crossedTries[t.id] = t
@@ -142,7 +143,7 @@
 	}
 }
 
-// Finish looks at what is still open: tries whose deadline has passed without an answer.
+// Finish records a violation for each try whose deadline has passed without a reply.
 func (c *Checker) Finish() {
 	now := time.Now()
 	c.mu.Lock()
@@ -159,8 +160,8 @@
 	c.reportLostCrossed()
 }
 
-// replyDueBy is when the answer of a try has to be there. While its process is stopped it cannot answer; as soon as it goes on,
-// it has to. Called under the lock.
+// replyDueBy returns the time by which the reply to a try is due. A paused process cannot reply; once it continues, it has
+// resumeGracePeriod to do so. The caller holds c.mu.
 func (c *Checker) replyDueBy(t *tryState) time.Time {
 	s := c.server(t.server)
 	switch {
@@ -174,5 +175,5 @@
 	return t.due.Add(resumeGracePeriod)
 }
 
-// resumeGracePeriod is what a process that was stopped is given to catch up.
+// resumeGracePeriod is the time that a paused process has to catch up once it continues.
 const resumeGracePeriod = time.Second
