--- a/rig/history.go
+++ b/rig/history.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// History is all that was said and done in a run, in the order in which it came: the lines of every process, and the
-// faults in between.
+// History records the events of a trial in the order in which they arrived: the log lines of every process and the faults
+// injected in between. It is safe for concurrent use.
 type History struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -17,16 +17,16 @@
 	latest    map[string]Observation
 }
 
-// Event is one line of it.
+// Event is one entry of a history.
 type Event struct {
-	Time    float64         `json:"t"` // seconds since the start
+	Time    float64         `json:"t"` // seconds since the start of the history
 	Process string          `json:"who"`
-	Kind    string          `json:"kind"` // log, fault, or a word of whoever plays
+	Kind    string          `json:"kind"` // log, fault, or a kind that the experiment chooses
 	Text    string          `json:"text,omitempty"`
 	Line    json.RawMessage `json:"line,omitempty"`
 }
 
-// Observation is a view as a process's log tells it.
+// Observation is the membership view of a process as its log reports it.
 type Observation struct {
 	Time      float64 `json:"-"`
 	Process   string  `json:"-"`
@@ -38,90 +38,93 @@
 	Changes   []string
 }
 
-// NewHistory begins one.
+// NewHistory returns an empty history that starts now.
 func NewHistory() *History { return &History{startedAt: time.Now(), latest: map[string]Observation{}} }
 
-// Elapsed is the time since the start, in seconds.
+// Elapsed returns the time since the start, in seconds.
 func (h *History) Elapsed() float64 { return time.Since(h.startedAt).Seconds() }
 
-// AddEvent takes a word of whoever plays.
-func (h *History) AddEvent(who, kind, text string) {
+// AddEvent records an event of the experiment itself.
+func (h *History) AddEvent(process, kind, text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.add(Event{Time: h.Elapsed(), Process: who, Kind: kind, Text: text})
+	h.add(Event{Time: h.Elapsed(), Process: process, Kind: kind, Text: text})
 }
 
-// AddLogLine takes a line of a process.
-func (h *History) AddLogLine(who string, line []byte) {
+// AddLogLine records a log line of a process.
+func (h *History) AddLogLine(process string, line []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e := Event{Time: h.Elapsed(), Process: who, Kind: "log"}
+	e := Event{Time: h.Elapsed(), Process: process, Kind: "log"}
 	if json.Valid(line) {
 		e.Line = append(json.RawMessage(nil), line...)
 	} else {
 		e.Text = string(line)
 	}
 	h.add(e)
-	if s, ok := e.Observation(); ok {
-		h.latest[who] = s
+	if observation, ok := e.Observation(); ok {
+		h.latest[process] = observation
 	}
 }
 
-// maxEvents bounds what is kept of one run.
+// maxEvents is the maximum number of events that a history keeps; later ones are dropped.
 const maxEvents = 200_000
 
+// add records an event. The caller holds h.mu.
 func (h *History) add(e Event) {
 	if len(h.events) < maxEvents {
 		h.events = append(h.events, e)
 	}
 }
 
-// Observation reads a view out of a line, if it tells one.
+// Observation parses the membership view in a log line; the result is false if the line reports none.
 func (e Event) Observation() (Observation, bool) {
-	s := Observation{Time: e.Time, Process: e.Process}
-	if e.Line == nil || json.Unmarshal(e.Line, &s) != nil || s.Msg != "view" {
-		return s, false
+	observation := Observation{Time: e.Time, Process: e.Process}
+	if e.Line == nil || json.Unmarshal(e.Line, &observation) != nil || observation.Msg != "view" {
+		return observation, false
 	}
-	return s, true
+	return observation, true
 }
 
-// Latest is the view that a process told last.
-func (h *History) Latest(who string) (Observation, bool) {
+// Latest returns the last view that a process reported.
+func (h *History) Latest(process string) (Observation, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s, ok := h.latest[who]
-	return s, ok
+	observation, ok := h.latest[process]
+	return observation, ok
 }
 
 // Forget drops the view of a process that has ended.
-func (h *History) Forget(who string) {
+func (h *History) Forget(process string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.latest, who)
+	delete(h.latest, process)
 }
 
-// Observations are the views of one process, or of all for an empty name, from a time on.
-func (h *History) Observations(who string, from float64) []Observation {
+// Observations returns the views that one process, or every process for an empty name, has reported from a time on, in seconds.
+func (h *History) Observations(process string, from float64) []Observation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []Observation
 	for _, e := range h.events {
-		if e.Time < from || who != "" && e.Process != who {
+		if e.Time < from || process != "" && e.Process != process {
 			continue
 		}
-		if s, ok := e.Observation(); ok {
-			all = append(all, s)
+		if observation, ok := e.Observation(); ok {
+			all = append(all, observation)
 		}
 	}
 	return all
 }
 
-// CountLines counts the lines of a process from a time on that have a text in them.
-func (h *History) CountLines(who, text string, from float64) (n int, first float64) {
+// CountLines counts the events of one process, or of every process for an empty name, that contain a text, from a time on. It
+// also returns the time of the first one. Times are in seconds.
+func (h *History) CountLines(process, text string, from float64) (n int, first float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
-		if e.Time >= from && (who == "" || e.Process == who) && (strings.Contains(string(e.Line), text) || strings.Contains(e.Text, text)) {
+		if e.Time >= from && (process == "" || e.Process == process) &&
+			(strings.Contains(string(e.Line), text) || strings.Contains(e.Text, text)) {
 			if n++; n == 1 {
 				first = e.Time
 			}
@@ -130,26 +133,26 @@
 	return n, first
 }
 
-// Write puts it out as JSON lines.
-func (h *History) Write(to io.Writer) error {
+// Write writes the events as JSON lines.
+func (h *History) Write(writer io.Writer) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := json.NewEncoder(to)
+	encoder := json.NewEncoder(writer)
 	for _, e := range h.events {
-		if err := out.Encode(e); err != nil {
+		if err := encoder.Encode(e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// AgreeOnMembers tells whether all of these see the same n members; of how sure they are, none is asked.
-func (h *History) AgreeOnMembers(n int, who ...string) bool {
+// AgreeOnMembers reports whether the latest views of all these processes have the same n members, whatever their certainty.
+func (h *History) AgreeOnMembers(n int, processes ...string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, name := range who {
-		s, ok := h.latest[name]
-		if !ok || s.Members != n || s.Digest != h.latest[who[0]].Digest {
+	for _, name := range processes {
+		observation, ok := h.latest[name]
+		if !ok || observation.Members != n || observation.Digest != h.latest[processes[0]].Digest {
 			return false
 		}
 	}
--- a/rig/request_log.go
+++ b/rig/request_log.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sentTry is one RPC as a client sent it, and what has become of it at the app server.
+// sentTry is one try of an RPC as a client sent it, with the state of its runs at the app server.
 type sentTry struct {
 	*tryState
 	call      string
@@ -17,22 +17,22 @@
 	heapKB    float64
 	entry     CatalogEntry
 
-	lastRunAt time.Time // when its last run began, the zero time for never
-	running   bool      // paused counts too
-	results   [][]byte  // that runs of it have made
+	lastRunAt time.Time // start of its last run; the zero time if it was never run
+	running   bool      // also true while its run is paused
+	results   [][]byte  // of its runs
 }
 
-// requestLog is all that clients have sent to one process since its start. It is guarded by the checker's lock.
+// requestLog holds everything that clients have sent to one process since its start. It is guarded by the checker's lock.
 type requestLog struct {
 	byCall  map[string][]*sentTry
 	byToken map[string][]*sentTry
-	active  map[*sentTry]struct{} // held or running, perhaps some more
+	active  map[*sentTry]struct{} // held or running; settled tries are removed lazily
 
 	connections   int
-	recentReplies []recentReply // of the last second
+	recentReplies []recentReply // those of the last second
 }
 
-// recentReply is one that an app server gave.
+// recentReply is a reply that an app server sent.
 type recentReply struct {
 	at       time.Time
 	duration time.Duration
@@ -51,7 +51,8 @@
 	l.active[s] = struct{}{}
 }
 
-// find is the try that a command names: of those under its id with its method and body the last that is not over.
+// find returns the try that a command names: the last one with this id, method and body that is not settled, or the last one
+// if all are settled; nil if there is none.
 func (l *requestLog) find(call, method string, body []byte) (found *sentTry) {
 	for _, s := range l.byCall[call] {
 		if s.method == method && bytes.Equal(s.body, body) && (found == nil || found.settled() || !s.settled()) {
@@ -61,7 +62,7 @@
 	return found
 }
 
-// siblings are all tries of one request, itself among them: those with its token, method and body.
+// siblings returns all tries of the same request, s included: those with its token, method and body.
 func (l *requestLog) siblings(s *sentTry) []*sentTry {
 	if s.token == "" {
 		return []*sentTry{s}
@@ -75,10 +76,10 @@
 	return all
 }
 
-// minHeldTime is when a request that does not run counts against the memory.
+// minHeldTime is how long a request that does not run is held before it counts against the memory.
 const minHeldTime = 100 * time.Millisecond
 
-// bookedKB is the memory that all requests book now.
+// bookedKB returns the memory that all requests book now, in KB. A running request counts runFactor times its memory.
 func (l *requestLog) bookedKB(now time.Time, runFactor float64) float64 {
 	sum := 0.0
 	for s := range l.active {
@@ -94,17 +95,17 @@
 	return sum
 }
 
-// addReply takes note of an answer, for the gauges.
+// addReply records a reply for the gauges and drops those older than a second.
 func (l *requestLog) addReply(now time.Time, took time.Duration, good bool) {
 	l.recentReplies = append(l.recentReplies, recentReply{now, took, good})
-	old := 0
-	for old < len(l.recentReplies) && now.Sub(l.recentReplies[old].at) > time.Second {
-		old++
+	expired := 0
+	for expired < len(l.recentReplies) && now.Sub(l.recentReplies[expired].at) > time.Second {
+		expired++
 	}
-	l.recentReplies = l.recentReplies[old:]
+	l.recentReplies = l.recentReplies[expired:]
 }
 
-// serverLoad is what the gauges tell beside the cores.
+// serverLoad holds the figures that the gauges report besides the use of cores.
 type serverLoad struct {
 	connections     int
 	openRequests    int
@@ -113,6 +114,7 @@
 	meanDuration    time.Duration
 }
 
+// load returns the load of the process at the given time.
 func (l *requestLog) load(now time.Time) serverLoad {
 	load := serverLoad{connections: l.connections}
 	for s := range l.active {
@@ -137,10 +139,10 @@
 	return load
 }
 
-// String names a try in a violation.
+// String identifies a try in a violation.
 func (s *sentTry) String() string { return fmt.Sprintf("%s of %s (%.40q)", s.call, s.id, s.method) }
 
-// describeMismatch says how a command differs from what was sent under its id.
+// describeMismatch returns how a command differs from what was sent under its id.
 func (l *requestLog) describeMismatch(call, method string, body []byte) string {
 	sent := l.byCall[call]
 	switch {
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -8,78 +8,81 @@
 	"time"
 )
 
-// Verdict is what a worker's record says.
+// Verdict is the evaluation of the orders that a worker received from the owners of a role.
 type Verdict struct {
-	MaxConcurrentOwners int // the most owners whose orders had their effects among each other's
-	LateEffects         int // effects of one who ordered before, after another had begun, who went on afterwards
-	DecreasingTerms     int // terms below one before
-	SharedTerms         int // terms with more than one owner
-	OwnerChanges        int // of owner
+	MaxConcurrentOwners int // the maximum number of owners whose orders interleaved
+	LateEffects         int // orders of an earlier owner that took effect after those of its successor had begun
+	DecreasingTerms     int // orders whose term is lower than that of the order before
+	SharedTerms         int // orders under a term that another owner had used
+	OwnerChanges        int // changes of the owner
 }
 
-// NewVerdict reads the record: an owner whose orders lie between two of another's, within a span, was one at the same time.
+// NewVerdict evaluates orders in the order of their effects. Two owners held the role at the same time if orders of one lie
+// between two orders of the other that are at most span apart.
 func NewVerdict(orders []Order, span time.Duration) Verdict {
-	j := Verdict{MaxConcurrentOwners: min(len(orders), 1)}
-	byTerm := map[uint64]string{}
-	for k, o := range orders {
-		if k > 0 && o.Term < orders[k-1].Term {
-			j.DecreasingTerms++
+	verdict := Verdict{MaxConcurrentOwners: min(len(orders), 1)}
+	ownerOfTerm := map[uint64]string{}
+	for k, order := range orders {
+		if k > 0 && order.Term < orders[k-1].Term {
+			verdict.DecreasingTerms++
 		}
-		if by, seen := byTerm[o.Term]; seen && by != o.Owner && o.Term > 0 {
-			j.SharedTerms++
+		if owner, seen := ownerOfTerm[order.Term]; seen && owner != order.Owner && order.Term > 0 {
+			verdict.SharedTerms++
 		}
-		byTerm[o.Term] = o.Owner
-		if k == 0 || orders[k-1].Owner == o.Owner {
+		ownerOfTerm[order.Term] = order.Owner
+		if k == 0 || orders[k-1].Owner == order.Owner {
 			continue
 		}
-		j.OwnerChanges++
-		// Between its own last order and this one another's lie: late, if that other goes on.
+		verdict.OwnerChanges++
+		// If orders of others lie between this owner's previous order and this one, this one is late.
 		before := k - 1
-		for before >= 0 && orders[before].Owner != o.Owner {
+		for before >= 0 && orders[before].Owner != order.Owner {
 			before--
 		}
-		if before < 0 || o.At.Sub(orders[before].At) > span {
+		if before < 0 || order.At.Sub(orders[before].At) > span {
 			continue
 		}
-		// Under a term of its own that came later it has taken over anew.
+		// It is not late if its term is later than the others': the owner has taken over again.
 		others := map[string]bool{}
-		for _, x := range orders[before+1 : k] {
-			if x.Term >= o.Term {
-				others[x.Owner] = true
+		for _, other := range orders[before+1 : k] {
+			if other.Term >= order.Term {
+				others[other.Owner] = true
 			}
 		}
 		if len(others) == 0 {
 			continue
 		}
-		j.MaxConcurrentOwners = max(j.MaxConcurrentOwners, 1+len(others))
-		j.LateEffects++
+		verdict.MaxConcurrentOwners = max(verdict.MaxConcurrentOwners, 1+len(others))
+		verdict.LateEffects++
 	}
-	return j
+	return verdict
 }
 
-// Line tells some of a record, for people.
-func (j Verdict) String() string {
-	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d", j.MaxConcurrentOwners, j.LateEffects, j.DecreasingTerms, j.SharedTerms, j.OwnerChanges))
+// String returns a summary for logs.
+func (v Verdict) String() string {
+	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d",
+		v.MaxConcurrentOwners, v.LateEffects, v.DecreasingTerms, v.SharedTerms, v.OwnerChanges))
 }
 
-// LeadershipInterval is for how long one process worked as the owner of a role, by its own log, in seconds of the history. It ends
-// where the process was stopped or killed: what it does after that is late, and judged by its orders.
+// LeadershipInterval is a time in which one process worked as the owner of a role according to its own log, in seconds of the
+// history. It ends when the process is paused, throttled or killed: anything that it does later is late and is evaluated by
+// NewVerdict.
 type LeadershipInterval struct {
 	Role, Process string
 	Term          uint64
 	From, To      float64
 }
 
-// LeadershipIntervals reads them out of a history.
+// LeadershipIntervals returns the leadership intervals in the log lines; To is infinite for one that has not ended.
 func (h *History) LeadershipIntervals() []LeadershipInterval {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []LeadershipInterval
-	began := float64(h.startedAt.UnixNano()) / 1e9
-	end := func(who, role string, at float64) {
+	start := float64(h.startedAt.UnixNano()) / 1e9
+	endIntervals := func(process, role string, at float64) {
 		for k := range all {
-			if t := &all[k]; t.Process == who && (role == "" || t.Role == role) && math.IsInf(t.To, 1) {
-				t.To = at
+			if interval := &all[k]; interval.Process == process && (role == "" || interval.Role == role) && math.IsInf(interval.To, 1) {
+				interval.To = at
 			}
 		}
 	}
@@ -87,7 +90,7 @@
 		if words := strings.Fields(e.Text); e.Kind == "fault" && len(words) > 1 {
 			switch words[0] {
 			case "stop", "kill", "restart", "replace", "starve":
-				end(words[1], "", e.Time)
+				endIntervals(words[1], "", e.Time)
 			}
 		}
 		var line struct {
@@ -100,23 +103,23 @@
 		}
 		switch line.Msg {
 		case "role acquired":
-			all = append(all, LeadershipInterval{line.Role, e.Process, line.Term, line.Ts - began, math.Inf(1)})
+			all = append(all, LeadershipInterval{line.Role, e.Process, line.Term, line.Ts - start, math.Inf(1)})
 		case "stepped down":
-			end(e.Process, line.Role, line.Ts-began)
+			endIntervals(e.Process, line.Role, line.Ts-start)
 		}
 	}
 	return all
 }
 
-// MaxOverlap is for how long two processes worked as owners of one role at the same time, at the most, in seconds.
+// MaxOverlap returns the longest time in which two processes worked as owners of one role at the same time, in seconds.
 func MaxOverlap(all []LeadershipInterval) float64 {
-	most := 0.0
+	longest := 0.0
 	for k, a := range all {
 		for _, b := range all[:k] {
 			if a.Role == b.Role && a.Process != b.Process {
-				most = max(most, min(a.To, b.To)-max(a.From, b.From))
+				longest = max(longest, min(a.To, b.To)-max(a.From, b.From))
 			}
 		}
 	}
-	return most
+	return longest
 }
