--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Cluster is many processes of the real program that may talk to each other, with a path between each two, and what is done
-// to them by a script.
+// Cluster is a group of processes of the real program that communicate over a faulty network, with a path between each two. A
+// script injects faults into it.
 type Cluster struct {
 	Checker *Checker
 	History *History
@@ -28,38 +28,38 @@
 	lastSlot int
 }
 
-// ClusterConfig is what a process cluster is to be.
+// ClusterConfig describes a cluster.
 type ClusterConfig struct {
 	Program      string   // the program's binary
-	Names        []string // of the first processes
+	Names        []string // names of the first processes
 	Site         Site
-	Settings     []string // further lines of each one's operators' file
-	WithStateDir []string // who has a folder that lasts
-	NoFleet      bool     // no fleet: the same processes, which do not talk
-	Zones        int      // how many zones they are spread over, 0 for none
-	Seeds        int      // how many addresses each is given to join; 3 if 0
-	UnusedSeeds  int      // how many of the addresses given first belong to nobody
+	Settings     []string // further lines of each process's settings file
+	WithStateDir []string // names of the processes with a state directory
+	NoFleet      bool     // the same processes without a fleet, which do not communicate
+	Zones        int      // number of zones that the processes are spread over; 0 for none
+	Seeds        int      // number of addresses that each process is given to join; 3 if 0
+	UnusedSeeds  int      // number of further join addresses, listed first, at which no process listens
 	Slack        time.Duration
 	Seed         uint64
-	Backend      *Backend // what all kernels' runs reach, nil for nothing
-	// BareCommand starts another program instead, with no kernel and no callers, and is given where it listens, what it tells
-	// others and whom to join.
+	Backend      *Backend // the backend that the runs of all kernels call; nil for none
+	// BareCommand, unless nil, returns the command of another program to start instead, without a kernel and callers. It gets
+	// the process's name, the address to listen on, the address to advertise and the addresses to join.
 	BareCommand func(name, listen, advertise string, join []string) *exec.Cmd
 }
 
-// Node is one process of a process cluster.
+// Node is one process of a cluster.
 type Node struct {
 	*Program
-	Proxy        *Net // for callers
+	Proxy        *Net // between callers and the process
 	slot         int
 	bareProcess  *Process
-	stopThrottle func() // ends a starving
+	stopThrottle func() // ends the throttling of the process; nil if it is not throttled
 }
 
-// rpcPort is where each process takes RPCs, at its own address.
+// rpcPort is the port on which each process accepts RPCs, at its own address.
 const rpcPort = 7000
 
-// process is what signals go to.
+// process returns the process that receives signals.
 func (n *Node) process() *Process {
 	if n.bareProcess != nil {
 		return n.bareProcess
@@ -67,41 +67,42 @@
 	return &n.Program.Process
 }
 
-// NewCluster starts one; all processes are started together.
-func NewCluster(plan ClusterConfig) (*Cluster, error) {
+// NewCluster starts a cluster; all processes are started at the same time. The caller must call Close.
+func NewCluster(config ClusterConfig) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return nil, err
 	}
-	s := &Cluster{Checker: NewChecker(plan.Slack), History: NewHistory(), config: plan, dir: dir, nodes: map[string]*Node{}}
-	if s.Network, err = NewPaths(plan.Seed); err != nil {
+	cluster := &Cluster{Checker: NewChecker(config.Slack), History: NewHistory(), config: config, dir: dir,
+		nodes: map[string]*Node{}}
+	if cluster.Network, err = NewPaths(config.Seed); err != nil {
 		return nil, err
 	}
-	if s.roster, err = NewRoster(); err != nil {
+	if cluster.roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
-	s.lastSlot = plan.UnusedSeeds
-	for _, name := range plan.Names {
-		if _, err := s.addNode(name, name, s.nextSlot()); err != nil {
-			s.Close()
+	cluster.lastSlot = config.UnusedSeeds
+	for _, name := range config.Names {
+		if _, err := cluster.addNode(name, name, cluster.nextSlot()); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
-	if err := s.forEach(plan.Names, func(n *Node) error { return s.start(n) }); err != nil {
-		s.Close()
+	if err := cluster.forEach(config.Names, func(n *Node) error { return cluster.start(n) }); err != nil {
+		cluster.Close()
 		return nil, err
 	}
-	return s, nil
+	return cluster, nil
 }
 
-// forEach does something to some at the same time.
-func (s *Cluster) forEach(names []string, f func(*Node) error) error {
+// forEach calls f for the named nodes concurrently and returns the first error in the order of the names.
+func (c *Cluster) forEach(names []string, f func(*Node) error) error {
 	errs := make([]error, len(names))
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for k, name := range names {
-		all.Go(func() { errs[k] = f(s.Node(name)) })
+		running.Go(func() { errs[k] = f(c.Node(name)) })
 	}
-	all.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -110,124 +111,125 @@
 	return nil
 }
 
-// Node is the process of that name in the rig, nil if there is none.
-func (s *Cluster) Node(name string) *Node {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.nodes[name]
+// Node returns the node of that name, or nil if there is none.
+func (c *Cluster) Node(name string) *Node {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.nodes[name]
 }
 
-// Names are all processes so far, in the order in which they were added.
-func (s *Cluster) Names() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.names)
+// Names returns the names of all nodes in the order in which they were added.
+func (c *Cluster) Names() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.names)
 }
 
-// Running are those that have not ended.
-func (s *Cluster) Running() []string {
-	return slices.DeleteFunc(s.Names(), func(name string) bool { return !s.Node(name).process().Running() })
+// Running returns the names of the nodes whose processes have not ended.
+func (c *Cluster) Running() []string {
+	return slices.DeleteFunc(c.Names(), func(name string) bool { return !c.Node(name).process().Running() })
 }
 
-// joinAddresses are the addresses that a process is given: the first slots, of which some may belong to nobody.
-func (s *Cluster) joinAddresses() []string {
-	n := s.config.Seeds
+// joinAddresses returns the addresses that each process is given to join: those of the first slots, including the unused ones.
+func (c *Cluster) joinAddresses() []string {
+	n := c.config.Seeds
 	if n == 0 {
 		n = 3
 	}
-	var all []string
-	for k := range n + s.config.UnusedSeeds {
-		all = append(all, s.Network.Via(k+1).String())
+	var addresses []string
+	for k := range n + c.config.UnusedSeeds {
+		addresses = append(addresses, c.Network.Via(k+1).String())
 	}
-	return all
+	return addresses
 }
 
-// nextSlot is the next address that nobody has had.
-func (s *Cluster) nextSlot() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastSlot++
-	return s.lastSlot
+// nextSlot returns the number of the next address that no process has had.
+func (c *Cluster) nextSlot() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastSlot++
+	return c.lastSlot
 }
 
-// addNode makes a process that calls itself called, at an address, and does not start it.
-func (s *Cluster) addNode(name, called string, slot int) (*Node, error) {
-	if err := s.Network.Add(slot); err != nil {
+// addNode adds a node whose process announces itself as ownName, at the address of a slot, without starting the process.
+func (c *Cluster) addNode(name, ownName string, slot int) (*Node, error) {
+	if err := c.Network.Add(slot); err != nil {
 		return nil, err
 	}
-	n := &Node{slot: slot}
-	own, via := s.Network.Own(slot), s.Network.Via(slot)
-	if s.config.BareCommand != nil {
-		n.Program = &Program{Name: name, called: called, check: s.Checker}
-		n.bareProcess = &Process{tap: func(line []byte) { s.History.AddLogLine(name, line) }}
+	node := &Node{slot: slot}
+	listen, advertise := c.Network.Own(slot), c.Network.Via(slot)
+	if c.config.BareCommand != nil {
+		node.Program = &Program{Name: name, called: ownName, check: c.Checker}
+		node.bareProcess = &Process{tap: func(line []byte) { c.History.AddLogLine(name, line) }}
 	} else {
-		kernel, err := NewKernel(name, s.config.Site.Cores, s.Checker)
+		kernel, err := NewKernel(name, c.config.Site.Cores, c.Checker)
 		if err != nil {
 			return nil, err
 		}
-		kernel.config.Backend = s.config.Backend
-		// At its own address no other process can have taken the port meanwhile.
-		address := netip.AddrPortFrom(own.Addr(), rpcPort).String()
-		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.config.Site, bin: s.config.Program, dir: s.dir,
-			roster: s.roster.Address(), check: s.Checker, called: called}
-		n.Program.tap = func(line []byte) { s.History.AddLogLine(name, line) }
-		if n.Proxy, err = NewNet(name, address, s.Checker); err != nil {
+		kernel.config.Backend = c.config.Backend
+		// No other process can have taken the port in the meantime, because the address belongs to this process alone.
+		address := netip.AddrPortFrom(listen.Addr(), rpcPort).String()
+		node.Program = &Program{Name: name, Address: address, Kernel: kernel, site: c.config.Site, bin: c.config.Program, dir: c.dir,
+			roster: c.roster.Address(), check: c.Checker, called: ownName}
+		node.Program.tap = func(line []byte) { c.History.AddLogLine(name, line) }
+		if node.Proxy, err = NewNet(name, address, c.Checker); err != nil {
 			return nil, err
 		}
-		var laws []string
-		if !s.config.NoFleet {
-			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
-				"fleet.join "+strings.Join(s.joinAddresses(), " "), "fleet.allow "+s.Network.Network().String(), "fleet.socket "+s.Socket(name))
-			if s.config.Zones > 0 {
-				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.config.Zones))
+		var settings []string
+		if !c.config.NoFleet {
+			settings = append(settings, "fleet.listen "+listen.String(), "fleet.advertise "+advertise.String(),
+				"fleet.join "+strings.Join(c.joinAddresses(), " "), "fleet.allow "+c.Network.Network().String(),
+				"fleet.socket "+c.Socket(name))
+			if c.config.Zones > 0 {
+				settings = append(settings, fmt.Sprintf("fleet.zone z%d", 1+slot%c.config.Zones))
 			}
-			if slices.Contains(s.config.WithStateDir, called) {
-				if err := os.MkdirAll(s.StateDir(name), 0o700); err != nil {
+			if slices.Contains(c.config.WithStateDir, ownName) {
+				if err := os.MkdirAll(c.StateDir(name), 0o700); err != nil {
 					return nil, err
 				}
-				laws = append(laws, "fleet.state "+s.StateDir(name))
+				settings = append(settings, "fleet.state "+c.StateDir(name))
 			}
-			laws = append(laws, s.config.Settings...)
+			settings = append(settings, c.config.Settings...)
 		}
-		path := filepath.Join(s.dir, name+".conf")
-		if err := os.WriteFile(path, []byte(strings.Join(laws, "\n")+"\n"), 0o600); err != nil {
+		path := filepath.Join(c.dir, name+".conf")
+		if err := os.WriteFile(path, []byte(strings.Join(settings, "\n")+"\n"), 0o600); err != nil {
 			return nil, err
 		}
-		n.Program.args = []string{"--settings", path}
+		node.Program.args = []string{"--settings", path}
 	}
-	s.mu.Lock()
-	s.nodes[name] = n
-	s.names = append(s.names, name)
-	s.mu.Unlock()
-	return n, nil
+	c.mu.Lock()
+	c.nodes[name] = node
+	c.names = append(c.names, name)
+	c.mu.Unlock()
+	return node, nil
 }
 
-// EditSettings changes a process's operators' file, for its next start.
-func (s *Cluster) EditSettings(name string, f func(laws string) string) error {
-	path := filepath.Join(s.dir, name+".conf")
+// EditSettings changes a process's settings file; the change applies from its next start.
+func (c *Cluster) EditSettings(name string, edit func(settings string) string) error {
+	path := filepath.Join(c.dir, name+".conf")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, []byte(f(string(text))), 0o600)
+	return os.WriteFile(path, []byte(edit(string(text))), 0o600)
 }
 
-// Socket is the local socket of a process.
-func (s *Cluster) Socket(name string) string { return filepath.Join(s.dir, name+".sock") }
+// Socket returns the path of the local socket of a process.
+func (c *Cluster) Socket(name string) string { return filepath.Join(c.dir, name+".sock") }
 
-// StateDir is where what a process keeps lasts, under a plan with folders.
-func (s *Cluster) StateDir(name string) string { return filepath.Join(s.dir, name+".state") }
+// StateDir returns the state directory of a process that is listed in ClusterConfig.WithStateDir.
+func (c *Cluster) StateDir(name string) string { return filepath.Join(c.dir, name+".state") }
 
-func (s *Cluster) start(n *Node) error {
+func (c *Cluster) start(n *Node) error {
 	if n.bareProcess == nil {
 		return n.Program.Start()
 	}
-	cmd := s.config.BareCommand(n.called, s.Network.Own(n.slot).String(), s.Network.Via(n.slot).String(), s.joinAddresses())
+	cmd := c.config.BareCommand(n.called, c.Network.Own(n.slot).String(), c.Network.Via(n.slot).String(), c.joinAddresses())
 	_, err := n.bareProcess.run(cmd, func(error) {})
 	return err
 }
 
-func (s *Cluster) kill(n *Node) {
+func (c *Cluster) kill(n *Node) {
 	if n.stopThrottle != nil {
 		n.stopThrottle()
 		n.stopThrottle = nil
@@ -237,20 +239,21 @@
 	} else {
 		n.Program.Kill()
 	}
-	s.History.Forget(n.Name)
+	c.History.Forget(n.Name)
 }
 
-// Addresses is where callers reach some of them.
-func (s *Cluster) Addresses(names ...string) []string {
-	var all []string
+// Addresses returns the addresses at which callers reach the named nodes.
+func (c *Cluster) Addresses(names ...string) []string {
+	var addresses []string
 	for _, name := range names {
-		all = append(all, s.Node(name).Proxy.Address())
+		addresses = append(addresses, c.Node(name).Proxy.Address())
 	}
-	return all
+	return addresses
 }
 
-// WaitUntil waits for something to hold, and gives how long that took, in seconds; false if it never did.
-func (s *Cluster) WaitUntil(within time.Duration, holds func() bool) (float64, bool) {
+// WaitUntil waits for a condition to hold. It returns the time waited in seconds, and false if the condition did not hold within
+// the limit.
+func (c *Cluster) WaitUntil(within time.Duration, holds func() bool) (float64, bool) {
 	for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		took := time.Since(begin)
 		if holds() {
@@ -262,18 +265,18 @@
 	}
 }
 
-// CPU is the processor time of one process so far.
-func (s *Cluster) CPU(name string) time.Duration { return s.Node(name).process().CPU() }
+// CPU returns the processor time that a process has used so far.
+func (c *Cluster) CPU(name string) time.Duration { return c.Node(name).process().CPU() }
 
-// Close ends all of it.
-func (s *Cluster) Close() {
-	var all sync.WaitGroup
-	for _, name := range s.Names() {
-		n := s.Node(name)
+// Close stops all processes and removes the cluster's files.
+func (c *Cluster) Close() {
+	var closing sync.WaitGroup
+	for _, name := range c.Names() {
+		n := c.Node(name)
 		if n.stopThrottle != nil {
 			n.stopThrottle()
 		}
-		all.Go(func() {
+		closing.Go(func() {
 			if n.bareProcess != nil {
 				n.bareProcess.kill()
 				return
@@ -286,8 +289,8 @@
 			n.Proxy.Close()
 		})
 	}
-	all.Wait()
-	s.Network.Close()
-	s.roster.Close()
-	os.RemoveAll(s.dir)
+	closing.Wait()
+	c.Network.Close()
+	c.roster.Close()
+	os.RemoveAll(c.dir)
 }
--- a/rig/cluster_faults.go
+++ b/rig/cluster_faults.go
@@ -7,149 +7,149 @@
 	"time"
 )
 
-// RunScript does what a script says, at its times, counted from now; it returns once all is done.
-func (s *Cluster) RunScript(ctx context.Context, script Script) error {
+// RunScript injects the faults of a script at their times, counted from now, and returns after the last one.
+func (c *Cluster) RunScript(ctx context.Context, script Script) error {
 	begin := time.Now()
-	for _, f := range script {
+	for _, fault := range script {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Until(begin.Add(f.At))):
+		case <-time.After(time.Until(begin.Add(fault.At))):
 		}
-		if err := s.Inject(f); err != nil {
-			return fmt.Errorf("%s: %w", f, err)
+		if err := c.Inject(fault); err != nil {
+			return fmt.Errorf("%s: %w", fault, err)
 		}
 	}
 	return nil
 }
 
-// RunScriptText plays a script that is written out.
-func (s *Cluster) RunScriptText(text string) error {
+// RunScriptText parses and runs a script.
+func (c *Cluster) RunScriptText(text string) error {
 	script, err := ParseScript(text)
 	if err != nil {
 		return err
 	}
-	return s.RunScript(context.Background(), script)
+	return c.RunScript(context.Background(), script)
 }
 
-// Inject does one thing now.
-func (s *Cluster) Inject(f Fault) error {
-	s.History.AddEvent("", "fault", strings.TrimPrefix(f.String(), f.At.String()+" "))
-	if f.Groups != nil {
-		return s.changePaths(f)
+// Inject injects one fault now, whatever its time.
+func (c *Cluster) Inject(fault Fault) error {
+	c.History.AddEvent("", "fault", strings.TrimPrefix(fault.String(), fault.At.String()+" "))
+	if fault.Groups != nil {
+		return c.changePaths(fault)
 	}
-	if f.Verb == "heal" {
-		s.Network.Heal()
+	if fault.Verb == "heal" {
+		c.Network.Heal()
 		return nil
 	}
-	n := s.Node(f.Processes[0])
-	if n == nil {
-		return fmt.Errorf("no process is called %q", f.Processes[0])
+	node := c.Node(fault.Processes[0])
+	if node == nil {
+		return fmt.Errorf("no process is named %q", fault.Processes[0])
 	}
-	p := n.process()
-	switch f.Verb {
+	process := node.process()
+	switch fault.Verb {
 	case "kill":
-		s.kill(n)
+		c.kill(node)
 	case "start":
-		return s.start(n)
+		return c.start(node)
 	case "restart":
-		s.kill(n)
-		return s.start(n)
+		c.kill(node)
+		return c.start(node)
 	case "stop":
-		s.Checker.SetPaused(n.Name, true)
-		p.Pause(true)
+		c.Checker.SetPaused(node.Name, true)
+		process.Pause(true)
 	case "cont":
-		p.Pause(false)
-		s.Checker.SetPaused(n.Name, false)
+		process.Pause(false)
+		c.Checker.SetPaused(node.Name, false)
 	case "starve":
 		period := 100 * time.Millisecond
-		n.stopThrottle = p.Throttle(time.Duration(f.Share*float64(period)), period)
-		s.Checker.SetPaused(n.Name, true)
+		node.stopThrottle = process.Throttle(time.Duration(fault.Share*float64(period)), period)
+		c.Checker.SetPaused(node.Name, true)
 	case "feed":
-		if n.stopThrottle != nil {
-			n.stopThrottle()
-			n.stopThrottle = nil
+		if node.stopThrottle != nil {
+			node.stopThrottle()
+			node.stopThrottle = nil
 		}
-		s.Checker.SetPaused(n.Name, false)
+		c.Checker.SetPaused(node.Name, false)
 	case "hang", "unhang":
-		if n.bareProcess == nil {
-			n.Kernel.Hang(f.Verb == "hang")
+		if node.bareProcess == nil {
+			node.Kernel.Hang(fault.Verb == "hang")
 		}
 	case "notice":
-		if n.bareProcess == nil {
-			n.Notice()
+		if node.bareProcess == nil {
+			node.Notice()
 		}
 	case "replace":
-		s.kill(n)
-		fresh, err := s.addNode(f.Processes[1], f.Processes[1], n.slot)
+		c.kill(node)
+		replacement, err := c.addNode(fault.Processes[1], fault.Processes[1], node.slot)
 		if err != nil {
 			return err
 		}
-		return s.start(fresh)
+		return c.start(replacement)
 	case "twin":
-		twin, err := s.addNode(n.Name+"-twin", n.Name, s.nextSlot())
+		twin, err := c.addNode(node.Name+"-twin", node.Name, c.nextSlot())
 		if err != nil {
 			return err
 		}
-		return s.start(twin)
+		return c.start(twin)
 	}
 	return nil
 }
 
-// changePaths puts a fault on paths.
-func (s *Cluster) changePaths(f Fault) error {
+// changePaths applies a fault to all paths between its groups.
+func (c *Cluster) changePaths(fault Fault) error {
 	var groups [][]int
-	for _, names := range f.Groups {
+	for _, names := range fault.Groups {
 		var slots []int
 		if len(names) == 1 && names[0] == "*" {
-			names = s.Names()
+			names = c.Names()
 		}
 		for _, name := range names {
-			n := s.Node(name)
+			n := c.Node(name)
 			if n == nil {
-				return fmt.Errorf("no process is called %q", name)
+				return fmt.Errorf("no process is named %q", name)
 			}
 			slots = append(slots, n.slot)
 		}
 		groups = append(groups, slots)
 	}
-	on := func(from, to []int) {
+	applyBetween := func(from, to []int) {
 		for _, a := range from {
 			for _, b := range to {
 				if a != b {
-					s.Network.Change(a, b, f.applyTo)
+					c.Network.Change(a, b, fault.applyTo)
 				}
 			}
 		}
 	}
-	if f.Verb != "split" {
-		on(groups[0], groups[1])
+	if fault.Verb != "split" {
+		applyBetween(groups[0], groups[1])
 		return nil
 	}
 	for j := range groups {
 		for k := range groups {
 			if j != k {
-				on(groups[j], groups[k])
+				applyBetween(groups[j], groups[k])
 			}
 		}
 	}
 	return nil
 }
 
-// applyTo is what a fault does to one path.
-func (f Fault) applyTo(p *Path) {
+// applyTo applies the fault to one path.
+func (f Fault) applyTo(path *Path) {
 	switch f.Verb {
 	case "split", "cut":
-		p.Cut = true
+		path.Cut = true
 	case "loss":
-		p.Loss = f.Share
+		path.Loss = f.Share
 	case "double":
-		p.Double = f.Share
+		path.Double = f.Share
 	case "delay":
-		p.Delay, p.Jitter = f.Delay, f.Jitter
+		path.Delay, path.Jitter = f.Delay, f.Jitter
 	case "mute":
-		p.Mute = f.Delay
+		path.Mute = f.Delay
 	case "rate":
-		p.Rate = f.Rate
+		path.Rate = f.Rate
 	}
 }
--- a/rig/kernel_outage.go
+++ b/rig/kernel_outage.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TakeDown ends the link and refuses connections until Return. Runs go on, and their notices are kept.
+// TakeDown closes the link and refuses connections until BringUp. Runs continue and their notices are kept.
 func (k *Kernel) TakeDown() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -14,7 +14,7 @@
 	k.dropLink()
 }
 
-// BringUp takes connections again at the same address.
+// BringUp accepts connections again at the same address.
 func (k *Kernel) BringUp() error {
 	listener, err := net.Listen("tcp", k.Address())
 	if err != nil {
@@ -27,14 +27,14 @@
 	return nil
 }
 
-// WithholdNotices has links accepted and says nothing on them. Release ends it.
+// WithholdNotices makes the kernel accept links without sending anything on them until ReleaseNotices.
 func (k *Kernel) WithholdNotices() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.withheld = make(chan struct{})
 }
 
-// ReleaseNotices says on every link what was held back by Withhold.
+// ReleaseNotices sends on every link the notices that WithholdNotices held back.
 func (k *Kernel) ReleaseNotices() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -42,7 +42,7 @@
 	k.withheld = nil
 }
 
-// LinkedAt returns when the kernel last said BOOTED on a link; the zero time if there is no link.
+// LinkedAt returns when the kernel last sent BOOTED on a link, or the zero time if there is no link.
 func (k *Kernel) LinkedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -52,7 +52,7 @@
 	return k.linkedAt
 }
 
-// dropLink is called under the lock.
+// dropLink closes the link, if there is one. The caller holds k.mu.
 func (k *Kernel) dropLink() {
 	if k.link != nil {
 		k.link.close()
@@ -60,7 +60,7 @@
 	}
 }
 
-// awaitRelease waits while links are withheld.
+// awaitRelease blocks while notices are withheld.
 func (k *Kernel) awaitRelease() {
 	k.mu.Lock()
 	withheld := k.withheld
--- a/rig/script.go
+++ b/rig/script.go
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// Script is a schedule of faults. As text it has one fault a line, a time and then words:
+// Script is a schedule of faults. Its text form has one fault per line: a time, a verb and the verb's arguments:
 //
-//	2s    split n1,n2,n3|n4,n5      both ways between the groups
-//	2s    cut n1>*                  one way
-//	2s    loss *>* 10%              of packets; double alike
-//	2s    delay *>* 20ms 10ms       mean and the most it differs by
-//	2s    mute n1>* 2s              packets alone come so much later
-//	2s    rate n1>* 20000           bytes a second
+//	2s    split n1,n2,n3|n4,n5      both directions between the groups
+//	2s    cut n1>*                  one direction
+//	2s    loss *>* 10%              of packets; double (duplication) has the same form
+//	2s    delay *>* 20ms 10ms       mean delay and jitter, the maximum deviation
+//	2s    mute n1>* 2s              delays packets only, not streams
+//	2s    rate n1>* 20000           bytes per second
 //	6s    heal                      all of the above
-//	7s    kill n1                   start, restart (at once, the same name), stop, cont, hang, unhang, notice
-//	7s    starve n1 10%             of a core, in parts of a tenth of a second; feed ends it
-//	7s    replace n1 n13            killed, and a new name started at its address
+//	7s    kill n1                   start, restart (immediate, same name), stop, cont, hang, unhang, notice
+//	7s    starve n1 10%             of a core, in periods of 100 ms; feed ends it
+//	7s    replace n1 n13            kills n1 and starts a new name at its address
 //	7s    twin n1                   another process under its name
 //
-// An empty line or one that begins with # is passed over.
+// Empty lines and lines that begin with # are ignored.
 type Script []Fault
 
-// Fault is one line of it.
+// Fault is one line of a script.
 type Fault struct {
 	At        time.Duration
 	Verb      string
-	Processes []string   // of what is done to processes; the first is whom it is done to
-	Groups    [][]string // groups, of what is done to paths; of one way, from and to
+	Processes []string   // of faults of processes; the first is the affected one
+	Groups    [][]string // of faults of paths: the groups of names; for one direction, from and to
 	Share     float64    // loss, double, starve
 	Delay     time.Duration
 	Jitter    time.Duration
 	Rate      float64
 }
 
-// What follows each verb, and for how long a drawn fault of it lasts.
+// faultForms names the arguments that follow each verb.
 var faultForms = map[string]string{"split": "groups", "cut": "way", "loss": "way share", "double": "way share",
 	"delay": "way mean most", "mute": "way mean", "rate": "way rate", "heal": "", "kill": "who", "start": "who",
 	"restart": "who", "stop": "who", "cont": "who", "hang": "who", "unhang": "who", "notice": "who", "starve": "who share",
 	"feed": "who", "replace": "who who", "twin": "who"}
 
-// ParseScript reads one; an error names the line.
+// ParseScript parses a script; an error names the line.
 func ParseScript(text string) (Script, error) {
 	var s Script
 	for n, line := range strings.Split(text, "\n") {
@@ -71,24 +71,24 @@
 		return Fault{}, fmt.Errorf("no fault is named")
 	}
 	f := Fault{At: at, Verb: words[1]}
-	form, ok := faultForms[f.Verb]
+	argumentForm, ok := faultForms[f.Verb]
 	if !ok {
-		return Fault{}, fmt.Errorf("no fault is called %q", f.Verb)
+		return Fault{}, fmt.Errorf("no fault is named %q", f.Verb)
 	}
-	parts := strings.Fields(form)
-	if len(words)-2 != len(parts) {
-		return Fault{}, fmt.Errorf("%s wants %d words, not %d", f.Verb, len(parts), len(words)-2)
+	arguments := strings.Fields(argumentForm)
+	if len(words)-2 != len(arguments) {
+		return Fault{}, fmt.Errorf("%s wants %d words, not %d", f.Verb, len(arguments), len(words)-2)
 	}
-	for k, part := range parts {
+	for k, argument := range arguments {
 		word := words[2+k]
 		var err error
-		switch part {
+		switch argument {
 		case "groups", "way":
-			by := map[string]string{"groups": "|", "way": ">"}[part]
-			for _, group := range strings.Split(word, by) {
+			separator := map[string]string{"groups": "|", "way": ">"}[argument]
+			for _, group := range strings.Split(word, separator) {
 				f.Groups = append(f.Groups, strings.Split(group, ","))
 			}
-			if len(f.Groups) < 2 || part == "way" && len(f.Groups) != 2 {
+			if len(f.Groups) < 2 || argument == "way" && len(f.Groups) != 2 {
 				err = fmt.Errorf("%q has no two sides", word)
 			}
 		case "who":
@@ -113,7 +113,7 @@
 	return f, nil
 }
 
-// String writes it as ParseScript reads it.
+// String returns the script in the form that ParseScript parses.
 func (s Script) String() string {
 	var out strings.Builder
 	for _, f := range s {
@@ -124,23 +124,23 @@
 
 func (f Fault) String() string {
 	words := []string{f.At.String(), f.Verb}
-	groups := func(by string) string {
+	groups := func(separator string) string {
 		var all []string
 		for _, g := range f.Groups {
 			all = append(all, strings.Join(g, ","))
 		}
-		return strings.Join(all, by)
+		return strings.Join(all, separator)
 	}
-	who := 0
-	for _, part := range strings.Fields(faultForms[f.Verb]) {
-		switch part {
+	processIndex := 0
+	for _, argument := range strings.Fields(faultForms[f.Verb]) {
+		switch argument {
 		case "groups":
 			words = append(words, groups("|"))
 		case "way":
 			words = append(words, groups(">"))
 		case "who":
-			words = append(words, f.Processes[who])
-			who++
+			words = append(words, f.Processes[processIndex])
+			processIndex++
 		case "share":
 			words = append(words, strconv.FormatFloat(f.Share*100, 'g', 6, 64)+"%")
 		case "mean":
@@ -154,13 +154,14 @@
 	return strings.Join(words, " ")
 }
 
-// processFaults are what can be wrong with a process for a while, and what ends it.
+// processFaults holds the verbs of the random faults of a process, each with the verb that ends it.
 var processFaults = [4][2]string{{"kill", "start"}, {"stop", "cont"}, {"starve", "feed"}, {"hang", "unhang"}}
 
-// RandomScript makes a script from a seed: faults of every kind among the names, overlapping, all of them over by the end.
+// RandomScript returns a script drawn from a seed: overlapping faults of every kind among the names, all of which have ended by
+// the end of the script.
 func RandomScript(seed uint64, names []string, faults int, length time.Duration) Script {
 	r := rand.New(rand.NewPCG(seed, 11))
-	some := func(n int) []string {
+	randomNames := func(n int) []string {
 		k := r.Perm(len(names))[:n]
 		slices.Sort(k)
 		var all []string
@@ -169,38 +170,39 @@
 		}
 		return all
 	}
-	span := func(least, most float64) time.Duration {
-		return time.Duration((least+r.Float64()*(most-least))*1000).Round(10) * time.Millisecond
+	randomDuration := func(minimum, maximum float64) time.Duration {
+		return time.Duration((minimum+r.Float64()*(maximum-minimum))*1000).Round(10) * time.Millisecond
 	}
 	var s Script
 	add := func(f Fault) { s = append(s, f) }
-	busy := map[string]time.Duration{} // a process has one thing wrong with it at a time
+	busyUntil := map[string]time.Duration{} // a process has one fault at a time
 	for range faults {
-		at := span(0, length.Seconds()*0.75)
-		lasts := min(span(1, 6), length-at)
-		side := some(1 + r.IntN(len(names)/2))
+		at := randomDuration(0, length.Seconds()*0.75)
+		duration := min(randomDuration(1, 6), length-at)
+		group := randomNames(1 + r.IntN(len(names)/2))
 		switch kind := r.IntN(8); kind {
 		case 0:
-			rest := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(side, n) })
-			add(Fault{At: at, Verb: "split", Groups: [][]string{side, rest}})
-			add(Fault{At: at + lasts, Verb: "heal"})
+			rest := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(group, n) })
+			add(Fault{At: at, Verb: "split", Groups: [][]string{group, rest}})
+			add(Fault{At: at + duration, Verb: "heal"})
 		case 1:
-			add(Fault{At: at, Verb: "cut", Groups: [][]string{side[:1], some(1 + r.IntN(len(names)-1))}})
-			add(Fault{At: at + lasts, Verb: "heal"})
+			add(Fault{At: at, Verb: "cut", Groups: [][]string{group[:1], randomNames(1 + r.IntN(len(names)-1))}})
+			add(Fault{At: at + duration, Verb: "heal"})
 		case 2:
 			add(Fault{At: at, Verb: "loss", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(15)) / 100})
 			add(Fault{At: at, Verb: "double", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(20)) / 100})
 		case 3:
-			add(Fault{At: at, Verb: "delay", Groups: [][]string{side, {"*"}}, Delay: span(0.005, 0.06), Jitter: span(0, 0.05)})
+			add(Fault{At: at, Verb: "delay", Groups: [][]string{group, {"*"}},
+				Delay: randomDuration(0.005, 0.06), Jitter: randomDuration(0, 0.05)})
 		default:
-			who := side[0]
-			if at < busy[who] {
+			process := group[0]
+			if at < busyUntil[process] {
 				continue
 			}
-			busy[who] = at + lasts + 2*time.Second
-			pair := processFaults[kind-4]
-			add(Fault{At: at, Verb: pair[0], Processes: []string{who}, Share: 0.1})
-			add(Fault{At: at + lasts, Verb: pair[1], Processes: []string{who}})
+			busyUntil[process] = at + duration + 2*time.Second
+			verbs := processFaults[kind-4]
+			add(Fault{At: at, Verb: verbs[0], Processes: []string{process}, Share: 0.1})
+			add(Fault{At: at + duration, Verb: verbs[1], Processes: []string{process}})
 		}
 	}
 	add(Fault{At: length, Verb: "heal"})
