--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// A script reads as it is written, whoever wrote it; a faulty one is named by its line.
+// A script must be parsed back from its text unchanged, a seed must always draw the same script, and a parse error must name
+// the line.
 func TestScript(t *testing.T) {
 	for seed := range uint64(50) {
 		s := RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second)
@@ -25,19 +26,21 @@
 			t.Fatalf("seed %d does not replay", seed)
 		}
 	}
-	if RandomScript(1, []string{"n1", "n2"}, 9, time.Second).String() == RandomScript(2, []string{"n1", "n2"}, 9, time.Second).String() {
+	if RandomScript(1, []string{"n1", "n2"}, 9, time.Second).String() ==
+		RandomScript(2, []string{"n1", "n2"}, 9, time.Second).String() {
 		t.Error("two seeds draw the same")
 	}
-	for text, want := range map[string]string{"2 cut a>b": "line 1: \"2\" is no time", "\n1s shake a": "line 2: no fault", "1s": "no fault is named",
-		"1s loss a>b": "wants 2 words", "1s cut a": "no two sides", "1s loss a>b 300%": "no share", "1s delay a>b x 1s": "invalid duration"} {
+	for text, want := range map[string]string{"2 cut a>b": "line 1: \"2\" is no time", "\n1s shake a": "line 2: no fault",
+		"1s": "no fault is named", "1s loss a>b": "wants 2 words", "1s cut a": "no two sides", "1s loss a>b 300%": "no share",
+		"1s delay a>b x 1s": "invalid duration"} {
 		if _, err := ParseScript(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-// talk is two sockets with paths between them.
-func talk(t *testing.T) (p *Paths, one, two *net.UDPConn) {
+// newUDPPair returns two UDP sockets and the paths between them.
+func newUDPPair(t *testing.T) (p *Paths, one, two *net.UDPConn) {
 	t.Helper()
 	p, err := NewPaths(1)
 	if err != nil {
@@ -60,8 +63,9 @@
 	return p, open(1), open(2)
 }
 
-// arrives counts what comes of n packets sent from one to the other, and gives when the last came.
-func arrives(p *Paths, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
+// sendPackets sends n packets from one socket to the other. It returns how many arrived and the time until the last one, or -1
+// if a packet came from the wrong address.
+func sendPackets(p *Paths, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
 	begin := time.Now()
 	for k := range n {
 		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.Via(slot))
@@ -72,45 +76,46 @@
 		if _, src, err := to.ReadFromUDPAddrPort(b); err != nil {
 			return got, last
 		} else if src.Addr() != p.Via(3-slot).Addr() {
-			return -1, 0 // it does not say who speaks
+			return -1, 0 // not the advertised address of the sender
 		}
 		got, last = got+1, time.Since(begin)
 	}
 }
 
-// Each fault of a path does what it says, one way only, and ends with it.
+// Each fault of a path takes effect in one direction only and ends with Heal.
 func TestPaths(t *testing.T) {
-	p, one, two := talk(t)
-	if n, _ := arrives(p, one, two, 2, 50); n != 50 {
-		t.Errorf("%d of 50 on a good path", n)
+	p, one, two := newUDPPair(t)
+	if n, _ := sendPackets(p, one, two, 2, 50); n != 50 {
+		t.Errorf("%d of 50 packets arrived on a path without faults", n)
 	}
-	p.Change(1, 2, func(l *Path) { l.Cut = true })
-	if n, _ := arrives(p, one, two, 2, 50); n != 0 {
-		t.Errorf("%d of 50 through a cut", n)
+	p.Change(1, 2, func(path *Path) { path.Cut = true })
+	if n, _ := sendPackets(p, one, two, 2, 50); n != 0 {
+		t.Errorf("%d of 50 packets arrived during a cut", n)
 	}
-	if n, _ := arrives(p, two, one, 1, 50); n != 50 {
-		t.Errorf("%d of 50 the other way", n)
+	if n, _ := sendPackets(p, two, one, 1, 50); n != 50 {
+		t.Errorf("%d of 50 packets arrived in the other direction", n)
 	}
 	p.Heal()
-	p.Change(1, 2, func(l *Path) { l.Loss = 0.5 })
-	if n, _ := arrives(p, one, two, 2, 200); n < 60 || n > 140 {
-		t.Errorf("%d of 200 at a loss of a half", n)
+	p.Change(1, 2, func(path *Path) { path.Loss = 0.5 })
+	if n, _ := sendPackets(p, one, two, 2, 200); n < 60 || n > 140 {
+		t.Errorf("%d of 200 packets arrived at a loss of 50%%", n)
 	}
 	p.Heal()
-	p.Change(1, 2, func(l *Path) { l.Double, l.Delay = 1, 100*time.Millisecond })
-	if n, last := arrives(p, one, two, 2, 50); n != 100 || last < 100*time.Millisecond {
-		t.Errorf("%d of 50 doubled, the last after %v", n, last)
+	p.Change(1, 2, func(path *Path) { path.Double, path.Delay = 1, 100*time.Millisecond })
+	if n, last := sendPackets(p, one, two, 2, 50); n != 100 || last < 100*time.Millisecond {
+		t.Errorf("%d packets arrived of 50 duplicated ones, the last after %v", n, last)
 	}
 	p.Heal()
-	p.Change(1, 2, func(l *Path) { l.Rate = 500 })
-	if n, last := arrives(p, one, two, 2, 50); n != 50 || last < 150*time.Millisecond {
-		t.Errorf("%d of 50 on a narrow path, the last after %v", n, last)
+	p.Change(1, 2, func(path *Path) { path.Rate = 500 })
+	if n, last := sendPackets(p, one, two, 2, 50); n != 50 || last < 150*time.Millisecond {
+		t.Errorf("%d of 50 packets arrived at a limited rate, the last after %v", n, last)
 	}
 }
 
-// A stream waits behind a cut, goes on after it, and tells who speaks; to an end where nobody listens it is closed.
+// A stream must stall during a cut, continue after it and show the address of its sender. A stream to an address at which no
+// process listens must be closed.
 func TestStreams(t *testing.T) {
-	p, _, _ := talk(t)
+	p, _, _ := newUDPPair(t)
 	listener, err := net.Listen("tcp", p.Own(2).String())
 	if err != nil {
 		t.Fatal(err)
@@ -118,50 +123,50 @@
 	defer listener.Close()
 	go func() {
 		for {
-			nc, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer nc.Close()
+				defer conn.Close()
 				b := make([]byte, 100)
-				n, _ := nc.Read(b)
-				host, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
-				fmt.Fprintf(nc, "%s from %s", b[:n], host)
+				n, _ := conn.Read(b)
+				host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+				fmt.Fprintf(conn, "%s from %s", b[:n], host)
 			}()
 		}
 	}()
 	dial := func() net.Conn {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.Own(1).Addr().AsSlice()}}
-		nc, err := d.Dial("tcp", p.Via(2).String())
+		conn, err := d.Dial("tcp", p.Via(2).String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(5 * time.Second))
-		return nc
+		t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		return conn
 	}
 	b := make([]byte, 100)
-	p.Change(2, 1, func(l *Path) { l.Cut = true })
-	nc := dial()
-	fmt.Fprint(nc, "hello")
-	nc.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-	if n, err := nc.Read(b); err == nil {
-		t.Errorf("%q through a cut", b[:n])
+	p.Change(2, 1, func(path *Path) { path.Cut = true })
+	conn := dial()
+	fmt.Fprint(conn, "hello")
+	conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	if n, err := conn.Read(b); err == nil {
+		t.Errorf("read %q during a cut", b[:n])
 	}
 	p.Heal()
-	nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if n, err := nc.Read(b); err != nil || string(b[:n]) != "hello from "+p.Via(1).Addr().String() {
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if n, err := conn.Read(b); err != nil || string(b[:n]) != "hello from "+p.Via(1).Addr().String() {
 		t.Errorf("%q, %v", b[:n], err)
 	}
 	listener.Close()
 	if n, err := dial().Read(b); err == nil || n > 0 {
-		t.Errorf("%q from nobody", b[:n])
+		t.Errorf("read %q from an address at which no process listens", b[:n])
 	}
 }
 
-// Whatever the rig has started ends with it, also when the rig itself is killed.
-func TestEndsWithTheRig(t *testing.T) {
+// Processes that the rig has started must end with it, even if the rig itself is killed.
+func TestProcessesEndWithTheRig(t *testing.T) {
 	if path := os.Getenv("RIG_CHILD"); path != "" {
 		p := &Process{}
 		if _, err := p.run(exec.Command("sleep", "60"), func(error) {}); err != nil {
@@ -172,12 +177,12 @@
 		select {}
 	}
 	path := filepath.Join(t.TempDir(), "pid")
-	rig := exec.Command(os.Args[0], "-test.run=^TestEndsWithTheRig$")
+	rig := exec.Command(os.Args[0], "-test.run=^TestProcessesEndWithTheRig$")
 	rig.Env = append(os.Environ(), "RIG_CHILD="+path)
 	if err := rig.Start(); err != nil {
 		t.Fatal(err)
 	}
-	wait := func(what string, holds func() bool) {
+	waitUntil := func(what string, holds func() bool) {
 		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				rig.Process.Kill()
@@ -186,15 +191,15 @@
 		}
 	}
 	pid := 0
-	wait("no child was started", func() bool {
+	waitUntil("the rig started no process", func() bool {
 		text, err := os.ReadFile(path)
 		pid, _ = strconv.Atoi(string(text))
 		return err == nil && pid > 0
 	})
 	rig.Process.Kill()
 	rig.Wait()
-	// What is left of it may wait for a parent to reap it.
-	wait("the child lives on", func() bool {
+	// An ended process may remain as a zombie until its parent reaps it.
+	waitUntil("the process outlives the rig", func() bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		return err != nil || strings.Contains(string(text), ") Z ") || syscall.Kill(pid, 0) != nil
 	})
