--- a/rig/check_resend.go
+++ b/rig/check_resend.go
@@ -21,11 +21,11 @@
 // crossedClose reports whether a try was written while its app server closed the connection, which an app server may do with
 // any connection that has no open request. A request that has been run there was open. The caller holds c.mu.
 func (c *Checker) crossedClose(t *tryState) bool {
-	_, ran := c.server(t.server).runStarts[t.id]
+	_, wasRun := c.server(t.server).runStarts[t.id]
 	if t.sent != nil {
-		ran = !t.sent.lastRunAt.IsZero()
+		wasRun = !t.sent.lastRunAt.IsZero()
 	}
-	return c.crossedTries != nil && !ran && time.Since(t.sentAt) <= resendWindow+min(c.slack, maxResendWindow-resendWindow)
+	return c.crossedTries != nil && !wasRun && time.Since(t.sentAt) <= resendWindow+min(c.slack, maxResendWindow-resendWindow)
 }
 
 // reportLostCrossed records a violation for each try that crossed a close and was not sent again although there was time. The
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -42,7 +42,7 @@
 }
 
 // resolveCommand returns what a kernel runs for a command; ok is false if no client has sent this RPC to the process.
-func (c *Checker) resolveCommand(server, call, method string, body []byte) (o workOrder, ok bool) {
+func (c *Checker) resolveCommand(server, call, method string, body []byte) (order workOrder, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.settings == nil {
@@ -67,32 +67,33 @@
 }
 
 // requestSettled reports whether the request of a run has its reply or needs none any more.
-func (c *Checker) requestSettled(o workOrder) bool {
+func (c *Checker) requestSettled(order workOrder) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return o.sent != nil && o.sent.settled()
+	return order.sent != nil && order.sent.settled()
 }
 
-// recordRunStart tells that a run has recordRunStart.
-func (c *Checker) recordRunStart(server string, o workOrder) {
-	if o.sent == nil {
-		c.RunStarted(server, o.entry.RPC)
+// recordRunStart records the start of a run.
+func (c *Checker) recordRunStart(server string, order workOrder) {
+	if order.sent == nil {
+		c.RunStarted(server, order.entry.RPC)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["runs"]++
-	p := c.server(server)
-	if !p.noticeAt.IsZero() && o.sent.sentAt.After(p.noticeAt.Add(p.grace+c.slack)) {
-		c.addViolation(3, "%s arrived at %s %v after its notice and was run", o.sent, server, o.sent.sentAt.Sub(p.noticeAt))
+	process := c.server(server)
+	if !process.noticeAt.IsZero() && order.sent.sentAt.After(process.noticeAt.Add(process.grace+c.slack)) {
+		c.addViolation(3, "%s arrived at %s %v after its notice and was run", order.sent, server,
+			order.sent.sentAt.Sub(process.noticeAt))
 	}
-	c.verifyRun(server, p.requests, o.sent)
-	if r := c.rpcs[o.entry.RPC]; r != nil {
+	c.verifyRun(server, process.requests, order.sent)
+	if r := c.rpcs[order.entry.RPC]; r != nil {
 		r.ran = true
 	}
-	o.sent.lastRunAt, o.sent.running = time.Now(), true
-	p.requests.active[o.sent] = struct{}{}
-	p.runStarts[o.sent.id] = o.sent.lastRunAt
+	order.sent.lastRunAt, order.sent.running = time.Now(), true
+	process.requests.active[order.sent] = struct{}{}
+	process.runStarts[order.sent.id] = order.sent.lastRunAt
 }
 
 // verifyRun records a violation if an RPC has a second effect: a non-idempotent RPC at any time, a tokened one within its
@@ -121,20 +122,20 @@
 }
 
 // recordResult records the result of a run.
-func (c *Checker) recordResult(o workOrder, result []byte) {
+func (c *Checker) recordResult(order workOrder, result []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o.sent != nil {
-		o.sent.results = append(o.sent.results, result)
+	if order.sent != nil {
+		order.sent.results = append(order.sent.results, result)
 	}
 }
 
 // recordRunEnd records the end of a run.
-func (c *Checker) recordRunEnd(o workOrder) {
+func (c *Checker) recordRunEnd(order workOrder) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o.sent != nil {
-		o.sent.running = false
+	if order.sent != nil {
+		order.sent.running = false
 	}
 }
 
--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -178,7 +178,7 @@
 			whole := s.runAndServe(h, out)
 			return []byte(strings.Replace(string(whole), "load\x00\x00\x00\x011", "load\x00\x00\x00\x01x", 1))
 		}, 1, "load"},
-		"a run that may not be stopped": {func(s *stubServer, h Heard, out []byte) []byte {
+		"a preemption that the settings do not allow": {func(s *stubServer, h Heard, out []byte) []byte {
 			out = s.runAndServe(h, out)
 			s.link.say(`{"action":"PREEMPT","uid":"%s"}`, h.Call)
 			s.link.hear()
--- a/rig/request_log.go
+++ b/rig/request_log.go
@@ -96,8 +96,8 @@
 }
 
 // addReply records a reply for the gauges and drops those older than a second.
-func (l *requestLog) addReply(now time.Time, took time.Duration, good bool) {
-	l.recentReplies = append(l.recentReplies, recentReply{now, took, good})
+func (l *requestLog) addReply(now time.Time, duration time.Duration, served bool) {
+	l.recentReplies = append(l.recentReplies, recentReply{now, duration, served})
 	expired := 0
 	for expired < len(l.recentReplies) && now.Sub(l.recentReplies[expired].at) > time.Second {
 		expired++
@@ -123,12 +123,12 @@
 		}
 	}
 	sum := time.Duration(0)
-	for _, a := range l.recentReplies {
+	for _, recent := range l.recentReplies {
 		switch {
-		case now.Sub(a.at) > time.Second:
-		case a.served:
+		case now.Sub(recent.at) > time.Second:
+		case recent.served:
 			load.servedPerSecond++
-			sum += a.duration
+			sum += recent.duration
 		default:
 			load.failedPerSecond++
 		}
