--- a/rig/script.go
+++ b/rig/script.go
@@ -73,7 +73,7 @@
 	f := Fault{At: at, Verb: words[1]}
 	argumentForm, ok := faultForms[f.Verb]
 	if !ok {
-		return Fault{}, fmt.Errorf("no fault is named %q", f.Verb)
+		return Fault{}, fmt.Errorf("no fault is called %q", f.Verb)
 	}
 	arguments := strings.Fields(argumentForm)
 	if len(words)-2 != len(arguments) {
