--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// expectViolation waits for a violation and checks that it is the only one.
-func (s *stubServer) expectViolation(rule int, what string) {
+// awaitViolation waits for a violation and checks that it is the only one.
+func (s *stubServer) awaitViolation(rule int, what string) {
 	s.t.Helper()
 	waitFor(s.t, "a violation: "+what, func() bool { return len(s.check.Violations()) > 0 })
 	s.one(s.t, rule, what)
@@ -202,7 +202,7 @@
 				return injected.behave(s, h, out)
 			})
 			s.sendTry(tryA, "write", "token", []byte("body of A"), longTTL)
-			s.expectViolation(injected.rule, injected.what)
+			s.awaitViolation(injected.rule, injected.what)
 			<-done // the stub must not use the kernel after the end of the test
 		})
 	}
@@ -300,7 +300,7 @@
 	s.runOnKernel(tryA, "read", nil) // the request has its reply, and therefore is not run
 	s.none(t)
 	s.sendTry(tryB, "read", "", nil, longTTL)
-	s.expectViolation(3, "after its notice and was run")
+	s.awaitViolation(3, "after its notice and was run")
 	s.readReply()
 }
 
