--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -114,7 +114,7 @@
 			ctx, stop := context.WithTimeout(context.Background(), deadline)
 			defer stop()
 			began := time.Now()
-			_, err := c.Call(ctx, method, rig.Body(id, 0), client.As(client.Method{Kind: client.Idempotent}))
+			_, err := c.Call(ctx, method, rig.EncodeBody(id, 0), client.As(client.Method{Kind: client.Idempotent}))
 			var callError *client.Error
 			if !errors.As(err, &callError) || time.Since(began) > deadline+slack {
 				withoutErrorCount.Add(1)
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -36,7 +36,7 @@
 		s.reload(s.config(s.program))
 	case drawn.ReloadMoved:
 		if err := kernel.Move(); err != nil {
-			s.check.Failed("%v", err)
+			s.check.RigFailed("%v", err)
 		}
 		s.reload(s.config(s.program))
 	case drawn.ReloadFaulty:
@@ -45,9 +45,9 @@
 		s.silenceRoster(last)
 	case drawn.KernelLate: // from the start on, see withhold
 	case drawn.KernelDown:
-		during(kernel.Down, func() {
-			if err := kernel.Return(); err != nil {
-				s.check.Failed("%v", err)
+		during(kernel.TakeDown, func() {
+			if err := kernel.BringUp(); err != nil {
+				s.check.RigFailed("%v", err)
 			}
 		})
 	case drawn.KernelHung:
@@ -110,8 +110,8 @@
 }
 
 func (s *trialServer) withhold(f drawn.Fault) {
-	s.program.Kernel.Withhold()
-	time.AfterFunc(seconds64(f.For), s.program.Kernel.Release)
+	s.program.Kernel.WithholdNotices()
+	time.AfterFunc(seconds64(f.For), s.program.Kernel.ReleaseNotices)
 }
 
 // kill ends the process outright, and starts it again under its name.
@@ -199,7 +199,7 @@
 		s.mu.Lock()
 		s.paused, s.excused = paused, time.Now()
 		s.mu.Unlock()
-		s.check.Paused(s.program.Name, paused)
+		s.check.SetPaused(s.program.Name, paused)
 		s.program.SetPaused(paused)
 	}
 	set(true)
@@ -216,7 +216,7 @@
 	}
 	s.awaitHandlers()
 	if err := s.program.WriteConfigText(text); err != nil {
-		s.check.Failed("%v", err)
+		s.check.RigFailed("%v", err)
 		return
 	}
 	s.program.Signal(syscall.SIGHUP)
@@ -230,7 +230,7 @@
 	s.roster.Stop()
 	time.Sleep(last)
 	if err := s.roster.Restart(); err != nil {
-		s.check.Failed("%v", err)
+		s.check.RigFailed("%v", err)
 	}
 }
 
@@ -277,7 +277,7 @@
 		return
 	}
 	if err := s.program.FillLog(); err != nil {
-		s.check.Failed("the log's pipe cannot be filled: %v", err)
+		s.check.RigFailed("the log's pipe cannot be filled: %v", err)
 	}
 	if last > 0 {
 		time.Sleep(last)
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -122,9 +122,9 @@
 		return err
 	}
 	t.check = rig.NewChecker(trialSlack)
-	t.check.ResendCrossed()
+	t.check.ExpectResendAfterClose()
 	t.catalog = rig.NewCatalog()
-	t.check.Judge(t.terms())
+	t.check.CheckServers(t.terms())
 	if t.roster, err = rig.NewRoster(); err != nil {
 		return err
 	}
@@ -144,10 +144,10 @@
 }
 
 // terms are what app servers are judged by.
-func (t *trial) terms() rig.Terms {
-	terms := rig.Terms{Methods: map[string]rig.MethodTerms{}, Catalog: t.catalog}
+func (t *trial) terms() rig.ServerSettings {
+	terms := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
-		terms.Methods[m.Name] = rig.MethodTerms{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
+		terms.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
 	}
 	return terms
 }
@@ -255,7 +255,7 @@
 	t.check.Finish()
 	for _, v := range t.check.Violations() {
 		if v.Rule != callersRule {
-			t.violate("%s%s", v, t.endWords(v.What))
+			t.violate("%s%s", v, t.endWords(v.Description))
 		}
 	}
 	t.result.tries, t.result.runs = t.check.Count("tries"), t.check.Count("runs")
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer caller.Close()
-	body := rig.Body("x", 0)
+	body := rig.EncodeBody("x", 0)
 	clientCalls := func() error {
 		return runConcurrently(workers, func() error {
 			for range callsPerWorker {
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -47,13 +47,13 @@
 	voters := names(5)
 	switch kind {
 	case "on":
-		plan.Folders = voters
-		plan.Laws = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
+		plan.WithStateDir = voters
+		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
 			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
 	case "off":
-		plan.Off = true
+		plan.NoFleet = true
 	default:
-		plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
+		plan.BareCommand = func(name, listen, advertise string, join []string) *exec.Cmd {
 			args := []string{"lowest", "--name", name, "--listen", listen, "--advertise", advertise, "--join", strings.Join(join, ","),
 				"--order", c.workers[0].Address()}
 			if kind == "drifting" { // any two drift apart by at most the bound
@@ -75,7 +75,7 @@
 // +Inf if there is none in time.
 func (c *roleCluster) awaitOwner(not string) (string, float64) {
 	who := ""
-	took, ok := c.Until(15*time.Second, func() bool {
+	took, ok := c.WaitUntil(15*time.Second, func() bool {
 		who = c.workers[0].Owner(ownerWindow)
 		return who != "" && who != not
 	})
@@ -116,7 +116,7 @@
 	var loads, baselines sync.WaitGroup
 	t.startLoads(&loads)
 	baselines.Go(func() { // the same is done to the lowest name, n1
-		t.errLowest = t.lowest.Run("5s stop n1\n9s cont n1\n11s split n1,n2|n3,n4,n5\n16s heal")
+		t.errLowest = t.lowest.RunScriptText("5s stop n1\n9s cont n1\n11s split n1,n2|n3,n4,n5\n16s heal")
 	})
 	baselines.Go(func() { t.errDrifting = p.drift(t.drifting) })
 	if err := p.undisturbed(t.on, t.off, t.names, t.owner); err != nil {
@@ -180,14 +180,14 @@
 	for k, role := range []string{"", ".second"} {
 		j := rig.NewVerdict(t.on.workers[k].Orders(time.Time{}), experimentLease)
 		t.printNote("role %d: %v", k+1, j)
-		t.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
+		t.atMost("owners.at.once"+role, float64(j.MaxConcurrentOwners), 1)
 		t.exactly("late.effects"+role, float64(j.LateEffects), 0)
-		t.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
+		t.exactly("terms.falling"+role, float64(j.DecreasingTerms+j.SharedTerms), 0)
 	}
-	t.exactly("work.overlap.s", rig.Overlap(t.on.History.LeadershipIntervals()), 0)
+	t.exactly("work.overlap.s", rig.MaxOverlap(t.on.History.LeadershipIntervals()), 0)
 	l := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
 	t.printNote("lowest name: %v", l)
-	t.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
+	t.atLeast("owners.at.once.lowest", float64(l.MaxConcurrentOwners), 2)
 	t.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
 	t.report("service.on", service(t.served[t.on], t.names))
 	t.atLeast("service.of.off", service(t.served[t.on], t.names)/service(t.served[t.off], t.names), 0.98)
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -54,11 +54,11 @@
 	reserved := 1
 	switch kind {
 	case "off":
-		plan.Off = true
+		plan.NoFleet = true
 	case "even":
 		reserved = sharedLimit / sharedOn // nothing is left to grant
 	}
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
+	plan.Settings = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
 		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
 	var err error
 	r.Cluster, err = rig.NewCluster(plan)
@@ -66,7 +66,7 @@
 }
 
 // sharedPlan is the plan of a cluster whose runs use the backend.
-func (p *experimentRun) sharedPlan(n int, backend *rig.Backend) rig.Plan {
+func (p *experimentRun) sharedPlan(n int, backend *rig.Backend) rig.ClusterConfig {
 	plan := p.plan(n)
 	plan.Backend = backend
 	plan.Site.Cores = 24
@@ -123,7 +123,7 @@
 					count(into, r.phase)
 					count(r.each, r.phase+" "+name+" "+s.Method)
 				}}
-			l.Run(ctx, r.Check, router)
+			l.Run(ctx, r.Checker, router)
 		})
 	}
 	group.Wait()
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -91,7 +91,7 @@
 	site := tillSite(4, 30)
 	site.Sockets = restartSockets
 	check := rig.NewChecker(rigSlack)
-	check.ResendCrossed()
+	check.ExpectResendAfterClose()
 	fleet, err := rig.NewFleet(run.Program, count, site, check)
 	if err != nil {
 		return nil, err
@@ -192,13 +192,13 @@
 // return the links are up again.
 func (run *experimentRun) runKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
-		s.Kernel.Down()
+		s.Kernel.TakeDown()
 	}
 	f.measureWindow("kernel.out", func() { time.Sleep(run.scaled(2 * time.Second)) }).report(run)
 	returned := time.Now()
 	for _, s := range f.Programs {
-		if err := s.Kernel.Return(); err != nil {
-			f.check.Failed("%v", err)
+		if err := s.Kernel.BringUp(); err != nil {
+			f.check.RigFailed("%v", err)
 		}
 	}
 	maxDelay := 0.0
@@ -233,18 +233,18 @@
 // start makes the kernel unavailable, before its app server is killed.
 func (l lateKernel) start() {
 	if l.withholdsBooted {
-		l.server.Kernel.Withhold()
+		l.server.Kernel.WithholdNotices()
 	} else {
-		l.server.Kernel.Down()
+		l.server.Kernel.TakeDown()
 	}
 }
 
 // end makes the kernel available again.
 func (l lateKernel) end(check *rig.Checker) {
 	if l.withholdsBooted {
-		l.server.Kernel.Release()
-	} else if err := l.server.Kernel.Return(); err != nil {
-		check.Failed("%v", err)
+		l.server.Kernel.ReleaseNotices()
+	} else if err := l.server.Kernel.BringUp(); err != nil {
+		check.RigFailed("%v", err)
 	}
 }
 
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -81,7 +81,7 @@
 	names = append(names, f.distributors...)
 	settings := []string{"fleet.voters v1 v2 v3", "fleet.config on", "fleet.config-rate " + rate}
 	settings = append(settings, "fleet.config-distributors "+strings.Join(f.distributors, " "))
-	s, err := rig.NewCluster(rig.Plan{Program: p.Program, Names: names, Slack: time.Second, Seed: p.Seed, Folders: names, Laws: settings,
+	s, err := rig.NewCluster(rig.ClusterConfig{Program: p.Program, Names: names, Slack: time.Second, Seed: p.Seed, WithStateDir: names, Settings: settings,
 		Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSockets, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 	}
-	if _, ok := s.Until(time.Minute, f.even); !ok {
+	if _, ok := s.WaitUntil(time.Minute, f.even); !ok {
 		s.Close()
 		return nil, errors.New("the distributors do not come to one version")
 	}
@@ -103,7 +103,7 @@
 
 // apply has changes committed, and tries again while nobody leads.
 func (f *distributionFleet) apply(text string) (version uint64, err error) {
-	_, ok := f.Until(time.Minute, func() bool {
+	_, ok := f.WaitUntil(time.Minute, func() bool {
 		result, failed := fleet.ApplyChanges(fleet.ConfigSocket(f.Socket("v1")), "changes", []byte(text))
 		if err = failed; err == nil && result.Error != "" {
 			err = errors.New(result.Error)
@@ -135,10 +135,10 @@
 	at = map[string]netip.AddrPort{}
 	for slot, name := range f.Names() {
 		if slices.Contains(f.distributors, name) {
-			at[name] = f.Paths.ListenAddress(slot + 1)
+			at[name] = f.Network.ListenAddress(slot + 1)
 		}
 	}
-	bytes := f.Paths.ListenAddress(1).Addr().As4()
+	bytes := f.Network.ListenAddress(1).Addr().As4()
 	bytes[2], bytes[3] = 9, 1
 	return at, netip.AddrFrom4(bytes)
 }
--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -200,7 +200,7 @@
 func (c *frameConn) send(route int) {
 	id := c.load.name()
 	if c.load.check != nil {
-		c.load.check.Asked(id, rpc.Idempotent, time.Now().Add(rpcDeadline))
+		c.load.check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(rpcDeadline))
 	}
 	c.load.pending.Add(1)
 	c.mu.Lock()
@@ -212,7 +212,7 @@
 	c.seq++
 	now := time.Now()
 	frame := thrift.Execute(nil, c.seq, routeName(route), fmt.Sprintf("%016x", rand.Uint64()), c.source, float64(now.UnixMilli())/1000, rpcDeadline.Seconds(),
-		1, 0.5, false, "", "", rig.Body(id, 0))
+		1, 0.5, false, "", "", rig.EncodeBody(id, 0))
 	c.began[c.seq] = time.Now()
 	if _, err := c.Write(frame); err != nil {
 		delete(c.began, c.seq)
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	took, _ := t.on.Until(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
+	took, _ := t.on.WaitUntil(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
 	p.atMost("first.keeper.s", took, 10)
 	p.untilAlike(t.on.Cluster, 10*time.Second, sharedOn, t.on.Names())
 	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
@@ -206,7 +206,7 @@
 func (r *sharedCluster) lower(p *experimentRun) int {
 	const to = sharedLimit * 2 / 3
 	for _, name := range r.Names() {
-		r.Amend(name, func(settings string) string {
+		r.EditSettings(name, func(settings string) string {
 			return strings.Replace(settings, fmt.Sprintf("behind %d ", sharedLimit), fmt.Sprintf("behind %d ", to), 1)
 		})
 		r.Node(name).Reload()
@@ -224,14 +224,14 @@
 	const many, few = 40, 10
 	r := newSharedCluster(few)
 	plan := p.sharedPlan(many, r.backend)
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
+	plan.Settings = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
 	if r.Cluster, err = rig.NewCluster(plan); err != nil {
 		return err
 	}
 	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
+	if _, ok := r.WaitUntil(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
 	p.untilAlike(r.Cluster, 15*time.Second, many, r.Names())
@@ -270,7 +270,7 @@
 		return err
 	}
 	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
+	if _, ok := r.WaitUntil(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -19,7 +19,7 @@
 func runView(p *experimentRun) error {
 	const n = 12
 	plan := p.plan(n)
-	plan.Off = true
+	plan.NoFleet = true
 	began := time.Now()
 	f, err := startClusters(p.plan(n), plan)
 	if err != nil {
@@ -53,7 +53,7 @@
 			mu.Unlock()
 		})
 	}
-	from := on.History.Now()
+	from := on.History.Elapsed()
 	const script = `
 		0s    kill n12
 		0s    stop n9
@@ -70,7 +70,7 @@
 		9s    restart n11
 		10s   start n12
 	`
-	if err := f.all(func(s *rig.Cluster) error { return s.Run(script) }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.RunScriptText(script) }); err != nil {
 		return err
 	}
 	loads.Wait()
@@ -80,7 +80,7 @@
 		worst = max(worst, flapped(on, name, "n11", from+1, from+11))
 	}
 	p.atMost("versions.by.flapping", float64(worst), 4)
-	_, told := on.History.Lines("n10", "newer incarnation of this name", from)
+	_, told := on.History.CountLines("n10", "newer incarnation of this name", from)
 	p.atMost("named.twice.told", told-from-0.5, 5)
 	p.atMost("named.twice.resolved", known(on, "n10", "restarted", from, still)-0.5, 5)
 	slept := func(name string, t float64) bool {
@@ -101,7 +101,7 @@
 		release = append(release, fmt.Sprintf("%dms notice n%d", 900*k, k+1), fmt.Sprintf("%dms replace n%d r%d", 900*k+700, k+1, k+1))
 	}
 	if !p.shortForm {
-		if err := on.Run(strings.Join(release, "\n")); err != nil {
+		if err := on.RunScriptText(strings.Join(release, "\n")); err != nil {
 			return err
 		}
 		fresh := []string{}
@@ -118,7 +118,7 @@
 		for _, name := range fresh {
 			again = append(again, "100ms start "+name)
 		}
-		if err := on.Run(strings.Join(again, "\n")); err != nil {
+		if err := on.RunScriptText(strings.Join(again, "\n")); err != nil {
 			return err
 		}
 		p.atMost("restart.of.all", p.untilAlike(on, 12*time.Second, n, fresh), 10)
@@ -183,9 +183,9 @@
 		defer close(loadOver)
 		out = p.load(on, length, 15, all)
 	}()
-	from := on.History.Now()
+	from := on.History.Elapsed()
 	if err := f.all(func(s *rig.Cluster) error {
-		return s.Run("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
+		return s.RunScriptText("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
 	}); err != nil {
 		return err
 	}
@@ -197,8 +197,8 @@
 	// Cut in two, and back. Four see eight die.
 	small, large := all[:4], all[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
-	from = on.History.Now()
-	if err := f.all(func(s *rig.Cluster) error { return s.Run(cut) }); err != nil {
+	from = on.History.Elapsed()
+	if err := f.all(func(s *rig.Cluster) error { return s.RunScriptText(cut) }); err != nil {
 		return err
 	}
 	var convergedSmall, convergedLarge float64
@@ -212,33 +212,33 @@
 		at := math.Inf(1)
 		for _, observation := range on.History.Observations(name, from) {
 			if observation.Certainty == "partitioned" {
-				at = observation.T - from
+				at = observation.Time - from
 				break
 			}
 		}
 		partitioned = max(partitioned, at)
 	}
 	p.atMost("narrow.said", partitioned, 6)
-	bareCut, _ := bare.Until(10*time.Second, func() bool {
-		return bare.History.Alike(4, small...) && bare.History.Alike(8, large...)
+	bareCut, _ := bare.WaitUntil(10*time.Second, func() bool {
+		return bare.History.AgreeOnMembers(4, small...) && bare.History.AgreeOnMembers(8, large...)
 	})
 	p.report("settled.after.cut.bare", bareCut)
-	if err := f.all(func(s *rig.Cluster) error { return s.Run("0s heal") }); err != nil {
+	if err := f.all(func(s *rig.Cluster) error { return s.RunScriptText("0s heal") }); err != nil {
 		return err
 	}
 	p.atMost("rejoined.max", p.untilAlike(on, 12*time.Second, n, all), 10)
-	_, back := bare.Until(3*time.Second, func() bool { return bare.History.Alike(n, all...) })
+	_, back := bare.WaitUntil(3*time.Second, func() bool { return bare.History.AgreeOnMembers(n, all...) })
 	p.exactly("rejoined.bare", float64(count(back)), 0)
 
 	// One way only, then in three.
-	from = on.History.Now()
-	if err := on.Run("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
+	from = on.History.Elapsed()
+	if err := on.RunScriptText("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
 	}
 	_, lasting = falseDeaths(on, from, from+4, 3, all, func(string, float64) bool { return true })
 	p.exactly("one.way.deaths.lasting", float64(lasting), 0)
 	if !p.shortForm {
-		if err := on.Run("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
+		if err := on.RunScriptText("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
 			return err
 		}
 		p.atMost("rejoined.of.three", p.untilAlike(on, 12*time.Second, n, all), 10)
@@ -255,7 +255,7 @@
 func runViewDrawn(p *experimentRun) error {
 	const n = 8
 	length := p.scaled(20 * time.Second)
-	script := rig.Draw(p.Seed, names(n), 10, length)
+	script := rig.RandomScript(p.Seed, names(n), 10, length)
 	if p.Script != "" {
 		text, err := os.ReadFile(p.Script)
 		if err != nil {
@@ -278,7 +278,7 @@
 	var loading sync.WaitGroup
 	var out map[string]rig.Outcome
 	loading.Go(func() { out = p.load(s, length, 15, all) })
-	if err := s.Play(context.Background(), script); err != nil {
+	if err := s.RunScript(context.Background(), script); err != nil {
 		return err
 	}
 	alive := s.Running()
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -40,7 +40,7 @@
 }
 
 // startClusters starts a process cluster for each plan, at the same time. The caller closes the group; after an error there is none.
-func startClusters(plans ...rig.Plan) (*clusterGroup, error) {
+func startClusters(plans ...rig.ClusterConfig) (*clusterGroup, error) {
 	clusters := make([]*rig.Cluster, len(plans))
 	errs := make([]error, len(plans))
 	var group sync.WaitGroup
@@ -77,15 +77,15 @@
 }
 
 // plan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
-func (p *experimentRun) plan(n int) rig.Plan {
-	return rig.Plan{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
+func (p *experimentRun) plan(n int) rig.ClusterConfig {
+	return rig.ClusterConfig{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, UnusedSeeds: 2, Slack: rigSlack,
 		Seed: p.Seed}
 }
 
 // bare is the same with the gossip library alone.
-func (p *experimentRun) bare(n int) rig.Plan {
+func (p *experimentRun) bare(n int) rig.ClusterConfig {
 	plan := p.plan(n)
-	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
+	plan.BareCommand = func(name, listen, advertise string, join []string) *exec.Cmd {
 		return exec.Command(p.self(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
 			strings.Join(join, ","))
 	}
@@ -115,7 +115,7 @@
 			defer router.Close()
 			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: till(0.004, time.Second),
 				Rate: func(float64) float64 { return rate }}
-			o := l.Run(context.Background(), s.Check, router)
+			o := l.Run(context.Background(), s.Checker, router)
 			mu.Lock()
 			out[name] = o
 			mu.Unlock()
@@ -142,7 +142,7 @@
 		at := math.Inf(1)
 		for _, observation := range s.History.Observations(viewer, from) {
 			if slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" "+what) }) {
-				at = observation.T - from
+				at = observation.Time - from
 				break
 			}
 		}
@@ -159,12 +159,12 @@
 		for k, observation := range observations {
 			for _, c := range observation.Changes {
 				name, rest, _ := strings.Cut(c, " ")
-				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.T > to || !alive(name, observation.T) {
+				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.Time > to || !alive(name, observation.Time) {
 					continue
 				}
 				all++
 				back := slices.ContainsFunc(observations[k:], func(l rig.Observation) bool {
-					return l.T < observation.T+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
+					return l.Time < observation.Time+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
 				})
 				if !back {
 					lasting++
@@ -179,8 +179,8 @@
 func (p *experimentRun) violations(clusters ...*rig.Cluster) {
 	n := 0
 	for _, s := range clusters {
-		s.Check.Finish()
-		for k, b := range s.Check.Violations() {
+		s.Checker.Finish()
+		for k, b := range s.Checker.Violations() {
 			n++
 			if k < 5 {
 				p.printNote("%s", b)
@@ -192,7 +192,7 @@
 
 // untilAlike waits until all of these see one view of n members; the time counts in a figure.
 func (p *experimentRun) untilAlike(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
-	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
+	took, ok := s.WaitUntil(within, func() bool { return s.History.AgreeOnMembers(n, who...) })
 	if !ok {
 		for _, name := range who {
 			observation, _ := s.History.Latest(name)
@@ -220,7 +220,7 @@
 func flapped(s *rig.Cluster, viewer, name string, from, to float64) int {
 	n := 0
 	for _, observation := range s.History.Observations(viewer, from) {
-		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
+		if observation.Time < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
 			n++
 		}
 	}
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -52,8 +52,8 @@
 	t.Helper()
 	t.Parallel()
 	names := append(append([]string{}, configVoters...), configAppServers...)
-	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1, Folders: names,
-		Laws: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
+	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1, WithStateDir: names,
+		Settings: []string{"fleet.voters " + strings.Join(configVoters, " "), "fleet.lease " + lease.String(), "fleet.config on",
 			"fleet.config-services " + servedService, "fleet.config-distributors v1 v2",
 			"fleet.config-age " + configStaleAfter.String()},
 		Site: rig.Site{Cores: 1, MemoryMB: 96, Sockets: 512, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
@@ -73,8 +73,8 @@
 
 func (c *configCluster) close() {
 	c.stopBackground()
-	c.Check.Finish()
-	for _, violation := range c.Check.Violations() {
+	c.Checker.Finish()
+	for _, violation := range c.Checker.Violations() {
 		c.t.Error(violation)
 	}
 	if c.t.Failed() {
@@ -188,8 +188,8 @@
 // runScript runs a script of faults. A restarted process may continue from an older version.
 func (c *configCluster) runScript(script string) {
 	c.t.Helper()
-	c.History.Add("", "note", script)
-	err := c.Run(script)
+	c.History.AddEvent("", "note", script)
+	err := c.RunScriptText(script)
 	c.mu.Lock()
 	for _, line := range strings.Split(script, "\n") {
 		if words := strings.Fields(line); len(words) == 3 &&
@@ -213,7 +213,7 @@
 func (c *configCluster) waitAcknowledged(more int) {
 	c.t.Helper()
 	before := c.acknowledgedCount()
-	if _, ok := c.Until(healTimeout, func() bool {
+	if _, ok := c.WaitUntil(healTimeout, func() bool {
 		if before == 0 {
 			result, err := fleet.ApplyChanges(c.socket("a1"), "changes", []byte(changeText(0)))
 			c.recordOutcome(0, false, result, err)
@@ -231,7 +231,7 @@
 func (c *configCluster) leader(except string) string {
 	c.t.Helper()
 	leader := ""
-	if _, ok := c.Until(healTimeout, func() bool {
+	if _, ok := c.WaitUntil(healTimeout, func() bool {
 		for _, name := range configVoters {
 			if status, err := fleet.AskDistribution(c.socket(name)); err == nil && status.Leads && name != except {
 				leader = name
@@ -333,7 +333,7 @@
 
 func (c *configCluster) waitFor(description string, condition func() bool) {
 	c.t.Helper()
-	if _, ok := c.Until(healTimeout, condition); !ok {
+	if _, ok := c.WaitUntil(healTimeout, condition); !ok {
 		for _, name := range c.Names() {
 			status, err := fleet.AskDistribution(c.socket(name))
 			c.t.Logf("%s: %+v %v", name, status, err)
@@ -409,12 +409,12 @@
 		return err == nil && status.Stale && status.Age > configStaleAfter.Seconds()
 	})
 	c.waitFor("it logs once that its configuration is stale", func() bool {
-		n, _ := c.History.Lines("a1", "configuration is stale", 0)
+		n, _ := c.History.CountLines("a1", "configuration is stale", 0)
 		return n == 1
 	})
 	c.healAndCheck()
 	c.waitFor("it logs once that its configuration is no longer stale", func() bool {
-		n, _ := c.History.Lines("a1", "configuration is no longer stale", 0)
+		n, _ := c.History.CountLines("a1", "configuration is no longer stale", 0)
 		return n == 1
 	})
 }
@@ -496,7 +496,7 @@
 	c := newConfigCluster(t)
 	c.waitAcknowledged(10)
 	c.waitFor("a1 has written its file", func() bool {
-		_, err := os.Stat(filepath.Join(c.Folder("a1"), "config-scope"))
+		_, err := os.Stat(filepath.Join(c.StateDir("a1"), "config-scope"))
 		return err == nil
 	})
 	for _, end := range []string{"notice", "kill"} {
@@ -514,7 +514,7 @@
 	if err != nil || status.SnapshotsTaken != 0 {
 		t.Errorf("a1 took %d snapshots after its restart, %v", status.SnapshotsTaken, err)
 	}
-	if n, _ := c.History.Lines("a1", "continuing from the local file", 0); n != 2 {
+	if n, _ := c.History.CountLines("a1", "continuing from the local file", 0); n != 2 {
 		t.Errorf("%d starts continued from the local file", n)
 	}
 }
@@ -525,7 +525,7 @@
 	c := newConfigCluster(t)
 	first := c.leader("")
 	c.waitAcknowledged(5)
-	folder := c.Folder(first)
+	folder := c.StateDir(first)
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -41,9 +41,9 @@
 	if folders {
 		persistent = []string{"n1", "n2", "n3"}
 	}
-	cluster, err := rig.NewCluster(rig.Plan{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
-		Slack: time.Second, Seed: 1, Folders: persistent,
-		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
+	cluster, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: []string{"n1", "n2", "n3", "n4"},
+		Slack: time.Second, Seed: 1, WithStateDir: persistent,
+		Settings: []string{"fleet.voters n1 n2 n3", "fleet.lease " + lease.String(),
 			"fleet.office o " + worker.Address() + " 10ms"},
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
@@ -53,14 +53,14 @@
 	c := &roleCluster{cluster, t, worker}
 	t.Cleanup(func() {
 		verdict := rig.NewVerdict(worker.Orders(time.Time{}), lease)
-		if verdict.AtOnce > 1 || verdict.LateEffects+verdict.FallingTerms+verdict.SharedTerms > 0 {
+		if verdict.MaxConcurrentOwners > 1 || verdict.LateEffects+verdict.DecreasingTerms+verdict.SharedTerms > 0 {
 			t.Errorf("%v", verdict)
 		}
-		if overlap := rig.Overlap(cluster.History.LeadershipIntervals()); overlap > 0 {
+		if overlap := rig.MaxOverlap(cluster.History.LeadershipIntervals()); overlap > 0 {
 			t.Errorf("two processes acted as owners at the same time for %g s", overlap)
 		}
-		cluster.Check.Finish()
-		for _, violation := range cluster.Check.Violations() {
+		cluster.Checker.Finish()
+		for _, violation := range cluster.Checker.Violations() {
 			t.Error(violation)
 		}
 		if t.Failed() {
@@ -77,7 +77,7 @@
 
 func (c *roleCluster) run(script string) {
 	c.t.Helper()
-	if err := c.Run(script); err != nil {
+	if err := c.RunScriptText(script); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -86,7 +86,7 @@
 func (c *roleCluster) owner(except string) string {
 	c.t.Helper()
 	name := ""
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		name = c.worker.Owner(200 * time.Millisecond)
 		return name != "" && name != except
 	}); !ok {
@@ -112,7 +112,7 @@
 			for _, name := range c.Names() {
 				c.run("0s start " + name)
 			}
-			if _, ok := c.Until(waitTimeout, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
+			if _, ok := c.WaitUntil(waitTimeout, func() bool { return len(c.worker.Orders(time.Time{})) > before+9 }); !ok {
 				t.Fatal("no owner after the restart")
 			}
 			if commands := c.worker.Orders(time.Time{}); commands[len(commands)-1].Term <= commands[before-1].Term {
@@ -128,12 +128,12 @@
 	c := startCluster(t, true)
 	for range 2 {
 		paused := c.owner("")
-		from := c.History.Now()
+		from := c.History.Elapsed()
 		c.run("0s stop " + paused)
 		c.owner(paused)
 		c.run("0s cont " + paused)
-		if _, ok := c.Until(waitTimeout, func() bool {
-			n, _ := c.History.Lines(paused, "stepped down", from)
+		if _, ok := c.WaitUntil(waitTimeout, func() bool {
+			n, _ := c.History.CountLines(paused, "stepped down", from)
 			return n > 0
 		}); !ok {
 			t.Errorf("%s does not step down", paused)
@@ -160,7 +160,7 @@
 	from := time.Now()
 	c.run("0s heal")
 	time.Sleep(2 * lease)
-	if verdict := rig.NewVerdict(c.worker.Orders(from), time.Minute); verdict.Changes > 0 || c.worker.Owner(lease) != third {
+	if verdict := rig.NewVerdict(c.worker.Orders(from), time.Minute); verdict.OwnerChanges > 0 || c.worker.Owner(lease) != third {
 		t.Errorf("%s lost the role to a process that was reconnected: %v", third, verdict)
 	}
 }
@@ -183,19 +183,19 @@
 func TestVoterWithoutDisk(t *testing.T) {
 	c := startCluster(t, true)
 	c.owner("")
-	movedFolder := func(name string) string { return c.Folder(name) + ".away" }
+	movedFolder := func(name string) string { return c.StateDir(name) + ".away" }
 	for _, name := range []string{"n1", "n2"} {
-		if err := os.Rename(c.Folder(name), movedFolder(name)); err != nil {
+		if err := os.Rename(c.StateDir(name), movedFolder(name)); err != nil {
 			t.Fatal(err)
 		}
 		if name == "n1" {
 			c.owner("")
 		}
 	}
-	if _, ok := c.Until(waitTimeout, func() bool { return c.worker.Owner(lease) == "" }); !ok {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool { return c.worker.Owner(lease) == "" }); !ok {
 		t.Error("owned without a majority that can persist its votes")
 	}
-	if err := os.Rename(movedFolder("n1"), c.Folder("n1")); err != nil {
+	if err := os.Rename(movedFolder("n1"), c.StateDir("n1")); err != nil {
 		t.Fatal(err)
 	}
 	c.owner("")
@@ -208,7 +208,7 @@
 	c.owner("")
 	for _, next := range []string{"n1 n2 n3 / n4 n2 n3", "n4 n2 n3"} {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(settings string) string {
+			if err := c.EditSettings(name, func(settings string) string {
 				return regexp.MustCompile(`(?m)^fleet.voters .*$`).ReplaceAllString(settings, "fleet.voters "+next)
 			}); err != nil {
 				t.Fatal(err)
@@ -216,7 +216,7 @@
 			c.run("0s restart " + name)
 			// Waits for each process before restarting the next one: a voter without a folder is silent for one lease.
 			from := time.Now().Add(lease)
-			if _, ok := c.Until(waitTimeout, func() bool {
+			if _, ok := c.WaitUntil(waitTimeout, func() bool {
 				commands := c.worker.Orders(from)
 				return len(commands) > 3 && c.worker.Owner(lease) != ""
 			}); !ok {
@@ -241,7 +241,7 @@
 		if name == first {
 			continue
 		}
-		if _, ok := c.Until(waitTimeout, func() bool {
+		if _, ok := c.WaitUntil(waitTimeout, func() bool {
 			table, err = exec.Command(program, "fleet", "owners", "--socket", c.Socket(name)).CombinedOutput()
 			return err == nil && strings.Contains(string(table), first)
 		}); !ok {
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -32,9 +32,9 @@
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
 	c := &shareCluster{t: t, backend: rig.NewBackend(sharedLimit, "lookup")}
 	var err error
-	c.Cluster, err = rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1,
+	c.Cluster, err = rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1,
 		Backend: c.backend,
-		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
+		Settings: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
 			"fleet.floor 1 " + strings.Join(names, " ")},
 		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
@@ -52,7 +52,7 @@
 				Rate: func(float64) float64 { return 2 * sharedLimit / 0.1 / 5 },
 				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 1,
 					Work: 0.1, Deadline: time.Second}}}
-			load.Run(ctx, c.Check, router)
+			load.Run(ctx, c.Checker, router)
 		})
 	}
 	t.Cleanup(func() {
@@ -61,8 +61,8 @@
 		if exceeded := c.backend.MaxExcess(); exceeded > 0 {
 			t.Errorf("the limit was exceeded by %d", exceeded)
 		}
-		c.Check.Finish()
-		for _, violation := range c.Check.Violations() {
+		c.Checker.Finish()
+		for _, violation := range c.Checker.Violations() {
 			t.Error(violation)
 		}
 		c.Close()
@@ -73,7 +73,7 @@
 
 func (c *shareCluster) run(script string) {
 	c.t.Helper()
-	if err := c.Run(script); err != nil {
+	if err := c.RunScriptText(script); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -82,7 +82,7 @@
 func (c *shareCluster) waitForUse(fraction float64) {
 	c.t.Helper()
 	c.backend.MeanRunning()
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		time.Sleep(200 * time.Millisecond)
 		return c.backend.MeanRunning() >= fraction*sharedLimit
 	}); !ok {
@@ -93,7 +93,7 @@
 // allocator waits until a process other than the given one reports that it is the allocator, and returns its name.
 func (c *shareCluster) allocator(except string) (found string) {
 	c.t.Helper()
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		for _, name := range c.Names() {
 			table, err := exec.Command(program, "fleet", "shares", "--json", "--socket", c.Socket(name)).CombinedOutput()
 			if err == nil && name != except && strings.Contains(string(table), `"limit":`) {
@@ -161,7 +161,7 @@
 	c := newShareCluster(t)
 	replaceSetting := func(old, replacement string) {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(settings string) string {
+			if err := c.EditSettings(name, func(settings string) string {
 				return strings.Replace(settings, old, replacement, 1)
 			}); err != nil {
 				t.Fatal(err)
@@ -170,7 +170,7 @@
 		}
 	}
 	replaceSetting("fleet.share s 12 ", "fleet.share s 7 ")
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		c.backend.MeanRunning()
 		time.Sleep(300 * time.Millisecond)
 		return c.backend.MeanRunning() <= 7
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	t.Parallel()
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
-	s, err := rig.NewCluster(rig.Plan{Program: program, Names: names, Seeds: 2, DeadEnd: 2, Slack: time.Second, Seed: 1,
+	s, err := rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Seeds: 2, UnusedSeeds: 2, Slack: time.Second, Seed: 1,
 		Site: rig.Site{Cores: 1, MemoryMB: 64, Sockets: 256, StopTimeout: 1500 * time.Millisecond, GracePeriod: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "enter", Kind: string(rpc.NonIdempotent),
 				LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
@@ -32,8 +32,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		s.Check.Finish()
-		for _, b := range s.Check.Violations() {
+		s.Checker.Finish()
+		for _, b := range s.Checker.Violations() {
 			t.Error(b)
 		}
 		if t.Failed() {
@@ -57,14 +57,14 @@
 
 func waitConverged(t *testing.T, s *rig.Cluster, n int, names []string) {
 	t.Helper()
-	if _, ok := s.Until(waitTimeout, func() bool { return s.History.Alike(n, names...) }); !ok {
+	if _, ok := s.WaitUntil(waitTimeout, func() bool { return s.History.AgreeOnMembers(n, names...) }); !ok {
 		t.Fatalf("%v have not converged on a view of %d members", names, n)
 	}
 }
 
 func run(t *testing.T, s *rig.Cluster, script string) {
 	t.Helper()
-	if err := s.Run(script); err != nil {
+	if err := s.RunScriptText(script); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -77,10 +77,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s kill n5")
 	waitConverged(t, s, 4, names[:4])
-	if n, _ := s.History.Lines("n1", "n5 went: died", from); n != 1 {
+	if n, _ := s.History.CountLines("n1", "n5 went: died", from); n != 1 {
 		t.Errorf("%d reports that it died", n)
 	}
 	run(t, s, "0s start n5")
@@ -105,7 +105,7 @@
 	}
 	run(t, s, "0s notice n5")
 	waitConverged(t, s, 4, names[:4])
-	if n, _ := s.History.Lines("n1", "n5 went: left", from); n != 1 {
+	if n, _ := s.History.CountLines("n1", "n5 went: left", from); n != 1 {
 		t.Errorf("%d reports that it left", n)
 	}
 }
@@ -115,13 +115,13 @@
 	s, names := startCluster(t)
 	run(t, s, "0s stop n5")
 	waitConverged(t, s, 4, names[:4])
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s cont n5")
 	waitConverged(t, s, 5, names)
-	if n, _ := s.History.Lines("n5", "begins gossip anew", from); n != 1 {
+	if n, _ := s.History.CountLines("n5", "begins gossip anew", from); n != 1 {
 		t.Errorf("gossip restarted %d times", n)
 	}
-	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
+	if n, _ := s.History.CountLines("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed after a pause", n)
 	}
 }
@@ -130,19 +130,19 @@
 // healed.
 func TestPartition(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s split n1,n2|n3,n4,n5")
 	waitConverged(t, s, 2, names[:2])
 	waitConverged(t, s, 3, names[2:])
 	for _, name := range names[:2] {
-		if _, ok := s.Until(waitTimeout, func() bool {
+		if _, ok := s.WaitUntil(waitTimeout, func() bool {
 			v, _ := s.History.Latest(name)
 			return v.Certainty == "partitioned"
 		}); !ok {
 			t.Errorf("%s does not report a partition", name)
 		}
 	}
-	if n, _ := s.History.Lines("n4", `"certainty":"partitioned"`, from); n != 0 {
+	if n, _ := s.History.CountLines("n4", `"certainty":"partitioned"`, from); n != 0 {
 		t.Error("the larger side reports a partition")
 	}
 	run(t, s, "0s heal")
@@ -152,9 +152,9 @@
 // A cut in one direction between two members removes nobody: other members relay the messages.
 func TestOneWayPartition(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s cut n1>n2\n5s heal")
-	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
+	if n, _ := s.History.CountLines("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed", n)
 	}
 	waitConverged(t, s, 5, names)
@@ -163,16 +163,16 @@
 // Of two processes with one name the newer stays a member; the older is superseded, logs it once and keeps serving.
 func TestSameName(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	run(t, s, "0s twin n5")
-	if _, ok := s.Until(waitTimeout, func() bool {
-		n, _ := s.History.Lines("n5", "newer incarnation of this name", from)
+	if _, ok := s.WaitUntil(waitTimeout, func() bool {
+		n, _ := s.History.CountLines("n5", "newer incarnation of this name", from)
 		return n > 0
 	}); !ok {
 		t.Fatal("the older process never learns of the newer one")
 	}
 	waitConverged(t, s, 5, append(slices.Clone(names[:4]), "n5-twin"))
-	if n, _ := s.History.Lines("n5", "newer incarnation of this name", from); n != 1 {
+	if n, _ := s.History.CountLines("n5", "newer incarnation of this name", from); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
 	if !s.Node("n5").Running() {
@@ -195,7 +195,7 @@
 // declared dead.
 func TestStuckWorkAndLateGossip(t *testing.T) {
 	s, names := startCluster(t)
-	from := s.History.Now()
+	from := s.History.Elapsed()
 	router := rig.NewRouter(1, s.Addresses("n5")[0])
 	defer router.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -204,25 +204,25 @@
 		generator := rig.Load{Seed: 1, Duration: waitTimeout, Prefix: "x", Rate: func(float64) float64 { return 20 },
 			Shares: []rig.Share{{Method: "enter", Kind: rpc.NonIdempotent, Criticality: 1,
 				Fraction: 1, Work: 0.005, Deadline: time.Second}}}
-		generator.Run(ctx, s.Check, router)
+		generator.Run(ctx, s.Checker, router)
 	})
 	defer load.Wait()
 	defer cancel()
 	run(t, s, "0s hang n5\n0s mute n4>* 1500ms\n0s mute *>n4 1500ms")
-	if _, ok := s.Until(waitTimeout, func() bool {
-		n, _ := s.History.Lines("n1", "n5 changed: work hangs there", from)
+	if _, ok := s.WaitUntil(waitTimeout, func() bool {
+		n, _ := s.History.CountLines("n1", "n5 changed: work hangs there", from)
 		return n > 0
 	}); !ok {
 		t.Error("stuck work is not reported")
 	}
 	run(t, s, "0s unhang n5")
-	if _, ok := s.Until(waitTimeout, func() bool {
-		n, _ := s.History.Lines("n1", "n5 changed: work goes on there", from)
+	if _, ok := s.WaitUntil(waitTimeout, func() bool {
+		n, _ := s.History.CountLines("n1", "n5 changed: work goes on there", from)
 		return n > 0
 	}); !ok {
 		t.Error("the end of stuck work is not reported")
 	}
-	if n, _ := s.History.Lines("", " went: ", from); n != 0 {
+	if n, _ := s.History.CountLines("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed", n)
 	}
 	run(t, s, "0s heal")
--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -187,7 +187,7 @@
 			answer := badClientReply{}
 			thrift.DecodeAnswer(frame, &answer)
 			if answer.served {
-				b.check.report(1, "%s serves a client that sent %s", b.server, kind.name)
+				b.check.reportViolation(1, "%s serves a client that sent %s", b.server, kind.name)
 			}
 			return true
 		}
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -6,154 +6,157 @@
 	"valveglade/rpc"
 )
 
-// Started tells that a kernel has begun to run an RPC.
-func (c *Checker) Started(server, id string) {
+// RunStarted records that a kernel has started to run an RPC.
+func (c *Checker) RunStarted(server, id string) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, s := c.rpcs[id], c.server(server)
 	if r == nil {
-		c.violate(1, "%s ran %q, which nobody asked for", server, id)
+		c.addViolation(1, "%s ran %q, which no caller requested", server, id)
 		return
 	}
 	c.counts["runs"]++
 	r.runs++
 	r.ran = true
-	s.started[id] = now
+	s.runStarts[id] = now
 	if r.runs > 1 && r.kind != rpc.Idempotent {
 		c.counts["double.runs"]++
-		c.violate(2, "%s (%s) run a second time, at %s", id, r.kind, server)
+		c.addViolation(2, "%s (%s) run a second time, at %s", id, r.kind, server)
 	}
-	if s.notice.IsZero() {
+	if s.noticeAt.IsZero() {
 		return
 	}
-	// The rule counts when the RPC came, not when it starts.
-	came := time.Time{}
+	// The rule applies to the arrival time of the RPC, not to the start of its run.
+	arrived := time.Time{}
 	for _, tries := range c.tries {
 		for _, t := range tries {
-			if t.server == server && t.id == id && t.at.After(came) {
-				came = t.at
+			if t.server == server && t.id == id && t.sentAt.After(arrived) {
+				arrived = t.sentAt
 			}
 		}
 	}
-	if came.After(s.notice.Add(s.grace + c.slack)) {
-		c.violate(3, "%s came to %s %v after its notice and was run", id, server, came.Sub(s.notice))
+	if arrived.After(s.noticeAt.Add(s.grace + c.slack)) {
+		c.addViolation(3, "%s arrived at %s %v after its notice and was run", id, server, arrived.Sub(s.noticeAt))
 	}
 }
 
-// order is what a kernel is to run on a command; ok is false where no client has sent that to this process.
-func (c *Checker) order(server, call, method string, body []byte) (o runRequest, ok bool) {
+// resolveCommand returns what a kernel runs for a command; ok is false if no client has sent this RPC to the process.
+func (c *Checker) resolveCommand(server, call, method string, body []byte) (order runRequest, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.terms == nil {
-		id, work, ok := ReadBody(body)
-		return runRequest{entry: Entry{RPC: id, Work: work}}, ok
+	if c.settings == nil {
+		id, work, ok := DecodeBody(body)
+		return runRequest{entry: CatalogEntry{RPC: id, Work: work}}, ok
 	}
-	l := c.server(server).ledger
+	l := c.server(server).requests
 	s := l.find(call, method, body)
 	if s == nil {
-		c.violate(1, "%s asks its kernel to run what no client has sent it: %s", server, l.altered(call, method, body))
+		c.addViolation(1, "%s commanded its kernel to run what no client has sent it: %s", server,
+			l.describeMismatch(call, method, body))
 		return runRequest{}, false
 	}
-	return runRequest{entry: s.entry, sent: s, requestOver: s.over()}, true
+	return runRequest{entry: s.entry, sent: s, requestOver: s.settled()}, true
 }
 
-// known reports whether a client has sent an RPC of this id to this process. Without Judge nobody knows, and all are.
-func (c *Checker) known(server, call string) bool {
+// knowsCall reports whether a client has sent an RPC with this id to the process. Without CheckServers it is always true.
+func (c *Checker) knowsCall(server, call string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.terms == nil || len(c.server(server).ledger.byCall[call]) > 0
+	return c.settings == nil || len(c.server(server).requests.byCall[call]) > 0
 }
 
-// requestOver reports whether the request of a run has been answered or given up.
-func (c *Checker) requestOver(o runRequest) bool {
+// requestSettled reports whether the request of a run has its reply or needs none any more.
+func (c *Checker) requestSettled(order runRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return o.sent != nil && o.sent.over()
+	return order.sent != nil && order.sent.settled()
 }
 
-// begun tells that a run has begun.
-func (c *Checker) begun(server string, o runRequest) {
-	if o.sent == nil {
-		c.Started(server, o.entry.RPC)
+// recordRunStart records the start of a run.
+func (c *Checker) recordRunStart(server string, order runRequest) {
+	if order.sent == nil {
+		c.RunStarted(server, order.entry.RPC)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts["runs"]++
-	p := c.server(server)
-	if !p.notice.IsZero() && o.sent.at.After(p.notice.Add(p.grace+c.slack)) {
-		c.violate(3, "%s came to %s %v after its notice and was run", o.sent, server, o.sent.at.Sub(p.notice))
+	process := c.server(server)
+	if !process.noticeAt.IsZero() && order.sent.sentAt.After(process.noticeAt.Add(process.grace+c.slack)) {
+		c.addViolation(3, "%s arrived at %s %v after its notice and was run", order.sent, server,
+			order.sent.sentAt.Sub(process.noticeAt))
 	}
-	c.judgeRun(server, p.ledger, o.sent)
-	if r := c.rpcs[o.entry.RPC]; r != nil {
+	c.verifyRun(server, process.requests, order.sent)
+	if r := c.rpcs[order.entry.RPC]; r != nil {
 		r.ran = true
 	}
-	o.sent.ran, o.sent.running = time.Now(), true
-	p.ledger.live[o.sent] = struct{}{}
-	p.started[o.sent.id] = o.sent.ran
+	order.sent.lastRunAt, order.sent.running = time.Now(), true
+	process.requests.active[order.sent] = struct{}{}
+	process.runStarts[order.sent.id] = order.sent.lastRunAt
 }
 
-// judgeRun finds a second effect: of a non-idempotent RPC ever, of a tokened one within the window that counts from the
-// arrival of the try that ran. Called under the lock.
-func (c *Checker) judgeRun(server string, l *ledger, s *sentTry) {
-	m := c.terms.Methods[s.method]
+// verifyRun records a violation if an RPC has a second effect: a non-idempotent RPC at any time, a tokened one within its
+// window, which starts with the arrival of the try that ran. The caller holds c.mu.
+func (c *Checker) verifyRun(server string, l *requestLog, s *sentTry) {
+	m := c.settings.Methods[s.method]
 	if m.Kind == rpc.Idempotent {
 		return
 	}
-	if !s.ran.IsZero() {
+	if !s.lastRunAt.IsZero() {
 		c.counts["double.runs"]++
-		c.violate(2, "%s (%s) run a second time, at %s", s, m.Kind, server)
+		c.addViolation(2, "%s (%s) run a second time, at %s", s, m.Kind, server)
 		return
 	}
 	if m.Kind != rpc.Tokened {
 		return
 	}
 	for _, other := range l.siblings(s) {
-		if until := other.recv.Add(m.Window); !other.ran.IsZero() && s.at.Add(c.slack).Before(until) {
+		if until := other.arrivedAt.Add(m.Window); !other.lastRunAt.IsZero() && s.sentAt.Add(c.slack).Before(until) {
 			c.counts["double.runs"]++
-			c.violate(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server, other, until.Sub(s.at))
+			c.addViolation(2, "%s run at %s, where %s of the same token was run, %v before the end of its window", s, server,
+				other, until.Sub(s.sentAt))
 			return
 		}
 	}
 }
 
-// made tells of the result of a run.
-func (c *Checker) made(o runRequest, result []byte) {
+// recordResult records the result of a run.
+func (c *Checker) recordResult(order runRequest, result []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o.sent != nil {
-		o.sent.results = append(o.sent.results, result)
+	if order.sent != nil {
+		order.sent.results = append(order.sent.results, result)
 	}
 }
 
-// finished tells that a run is over.
-func (c *Checker) finished(o runRequest) {
+// recordRunEnd records the end of a run.
+func (c *Checker) recordRunEnd(order runRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o.sent != nil {
-		o.sent.running = false
+	if order.sent != nil {
+		order.sent.running = false
 	}
 }
 
-// bookedKB is the memory that all requests of an app server book now.
+// bookedKB returns the memory that all requests of an app server book now, in KB.
 func (c *Checker) bookedKB(server string, runFactor float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.server(server).ledger.bookedKB(time.Now(), runFactor)
+	return c.server(server).requests.bookedKB(time.Now(), runFactor)
 }
 
-// load is what an app server has to do.
+// load returns the present load of an app server.
 func (c *Checker) load(server string) serverLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.server(server).ledger.load(time.Now())
+	return c.server(server).requests.load(time.Now())
 }
 
-// connected counts a connection to an app server, until it has ended.
-func (c *Checker) connected(f *proxiedConnection) {
+// connectionOpened counts a connection to an app server until ConnectionEnded is called.
+func (c *Checker) connectionOpened(f *proxiedConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f.countedIn = c.server(f.FaultProxy.serverName).ledger
+	f.countedIn = c.server(f.FaultProxy.serverName).requests
 	f.countedIn.connections++
 }
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -12,96 +12,97 @@
 	"time"
 )
 
-// Cluster is many processes of the real program that may talk to each other, with a path between each two, and what is done
-// to them by a script.
+// Cluster is a group of processes of the real program that communicate over a faulty network, with a path between each two. A
+// script injects faults into it.
 type Cluster struct {
-	Check   *Checker
+	Checker *Checker
 	History *History
-	Paths   *FaultyNetwork
-	plan    Plan
+	Network *FaultyNetwork
+	config  ClusterConfig
 	dir     string
 	roster  *Roster
 
-	mu    sync.Mutex
-	nodes map[string]*Node
-	order []string
-	slots int
+	mu       sync.Mutex
+	nodes    map[string]*Node
+	names    []string
+	lastSlot int
 }
 
-// Plan is what a process cluster is to be.
-type Plan struct {
-	Program string   // the program's binary
-	Names   []string // of the first processes
-	Site    Site
-	Laws    []string // further lines of each one's operators' file
-	Folders []string // who has a folder that lasts
-	Off     bool     // no fleet: the same processes, which do not talk
-	Zones   int      // how many zones they are spread over, 0 for none
-	Seeds   int      // how many addresses each is given to join; 3 if 0
-	DeadEnd int      // how many of the addresses given first belong to nobody
-	Slack   time.Duration
-	Seed    uint64
-	Backend *Backend // what all kernels' runs reach, nil for nothing
-	// Bare starts another program instead, with no kernel and no callers, and is given where it listens, what it tells
-	// others and whom to join.
-	Bare func(name, listen, advertise string, join []string) *exec.Cmd
+// ClusterConfig describes a cluster.
+type ClusterConfig struct {
+	Program      string   // the program's binary
+	Names        []string // names of the first processes
+	Site         Site
+	Settings     []string // further lines of each process's settings file
+	WithStateDir []string // names of the processes with a state directory
+	NoFleet      bool     // the same processes without a fleet, which do not communicate
+	Zones        int      // number of zones that the processes are spread over; 0 for none
+	Seeds        int      // number of addresses that each process is given to join; 3 if 0
+	UnusedSeeds  int      // number of further join addresses, listed first, at which no process listens
+	Slack        time.Duration
+	Seed         uint64
+	Backend      *Backend // the backend that the runs of all kernels call; nil for none
+	// BareCommand, unless nil, returns the command of another program to start instead, without a kernel and callers. It gets
+	// the process's name, the address to listen on, the address to advertise and the addresses to join.
+	BareCommand func(name, listen, advertise string, join []string) *exec.Cmd
 }
 
-// Node is one process of a process cluster.
+// Node is one process of a cluster.
 type Node struct {
 	*Program
-	Net  *FaultProxy // for callers
-	slot int
-	bare *Process
-	feed func() // ends a starving
+	Proxy        *FaultProxy // between callers and the process
+	slot         int
+	bareProcess  *Process
+	stopThrottle func() // ends the throttling of the process; nil if it is not throttled
 }
 
-// callersPort is where each process takes RPCs, at its own address.
-const callersPort = 7000
+// rpcPort is the port on which each process accepts RPCs, at its own address.
+const rpcPort = 7000
 
-// process is what signals go to.
+// process returns the process that receives signals.
 func (n *Node) process() *Process {
-	if n.bare != nil {
-		return n.bare
+	if n.bareProcess != nil {
+		return n.bareProcess
 	}
 	return &n.Program.Process
 }
 
-// NewCluster starts one; all processes are started together.
-func NewCluster(plan Plan) (*Cluster, error) {
+// NewCluster starts a cluster; all processes are started at the same time. The caller must call Close.
+func NewCluster(config ClusterConfig) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return nil, err
 	}
-	s := &Cluster{Check: NewChecker(plan.Slack), History: NewHistory(), plan: plan, dir: dir, nodes: map[string]*Node{}}
-	if s.Paths, err = NewFaultyNetwork(plan.Seed); err != nil {
+	cluster := &Cluster{Checker: NewChecker(config.Slack), History: NewHistory(), config: config, dir: dir,
+		nodes: map[string]*Node{}}
+	if cluster.Network, err = NewFaultyNetwork(config.Seed); err != nil {
 		return nil, err
 	}
-	if s.roster, err = NewRoster(); err != nil {
+	if cluster.roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
-	s.slots = plan.DeadEnd
-	for _, name := range plan.Names {
-		if _, err := s.add(name, name, s.slot()); err != nil {
-			s.Close()
+	cluster.lastSlot = config.UnusedSeeds
+	for _, name := range config.Names {
+		if _, err := cluster.addNode(name, name, cluster.nextSlot()); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
-	if err := s.each(plan.Names, func(n *Node) error { return s.start(n) }); err != nil {
-		s.Close()
+	if err := cluster.forEach(config.Names, func(n *Node) error { return cluster.start(n) }); err != nil {
+		cluster.Close()
 		return nil, err
 	}
-	return s, nil
+	return cluster, nil
 }
 
-// each does something to some at the same time.
-func (s *Cluster) each(names []string, f func(*Node) error) error {
+// forEach calls f for the named nodes concurrently and returns the first error in the order of the names.
+func (c *Cluster) forEach(names []string, f func(*Node) error) error {
 	errs := make([]error, len(names))
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for k, name := range names {
-		all.Go(func() { errs[k] = f(s.Node(name)) })
+		running.Go(func() { errs[k] = f(c.Node(name)) })
 	}
-	all.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -110,147 +111,149 @@
 	return nil
 }
 
-// Node is the process of that name in the rig, nil if there is none.
-func (s *Cluster) Node(name string) *Node {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.nodes[name]
+// Node returns the node of that name, or nil if there is none.
+func (c *Cluster) Node(name string) *Node {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.nodes[name]
 }
 
-// Names are all processes so far, in the order in which they were added.
-func (s *Cluster) Names() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.order)
+// Names returns the names of all nodes in the order in which they were added.
+func (c *Cluster) Names() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.names)
 }
 
-// Running are those that have not ended.
-func (s *Cluster) Running() []string {
-	return slices.DeleteFunc(s.Names(), func(name string) bool { return !s.Node(name).process().Running() })
+// Running returns the names of the nodes whose processes have not ended.
+func (c *Cluster) Running() []string {
+	return slices.DeleteFunc(c.Names(), func(name string) bool { return !c.Node(name).process().Running() })
 }
 
-// seeds are the addresses that a process is given: the first slots, of which some may belong to nobody.
-func (s *Cluster) seeds() []string {
-	n := s.plan.Seeds
+// joinAddresses returns the addresses that each process is given to join: those of the first slots, including the unused ones.
+func (c *Cluster) joinAddresses() []string {
+	n := c.config.Seeds
 	if n == 0 {
 		n = 3
 	}
-	var all []string
-	for k := range n + s.plan.DeadEnd {
-		all = append(all, s.Paths.AdvertisedAddress(k+1).String())
+	var addresses []string
+	for k := range n + c.config.UnusedSeeds {
+		addresses = append(addresses, c.Network.AdvertisedAddress(k+1).String())
 	}
-	return all
+	return addresses
 }
 
-// slot is the next address that nobody has had.
-func (s *Cluster) slot() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.slots++
-	return s.slots
+// nextSlot returns the number of the next address that no process has had.
+func (c *Cluster) nextSlot() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastSlot++
+	return c.lastSlot
 }
 
-// add makes a process that calls itself called, at an address, and does not start it.
-func (s *Cluster) add(name, called string, slot int) (*Node, error) {
-	if err := s.Paths.Add(slot); err != nil {
+// addNode adds a node whose process announces itself as ownName, at the address of a slot, without starting the process.
+func (c *Cluster) addNode(name, ownName string, slot int) (*Node, error) {
+	if err := c.Network.Add(slot); err != nil {
 		return nil, err
 	}
-	n := &Node{slot: slot}
-	own, via := s.Paths.ListenAddress(slot), s.Paths.AdvertisedAddress(slot)
-	if s.plan.Bare != nil {
-		n.Program = &Program{Name: name, configName: called, check: s.Check}
-		n.bare = &Process{onLogLine: func(line []byte) { s.History.Said(name, line) }}
+	node := &Node{slot: slot}
+	listen, advertise := c.Network.ListenAddress(slot), c.Network.AdvertisedAddress(slot)
+	if c.config.BareCommand != nil {
+		node.Program = &Program{Name: name, configName: ownName, check: c.Checker}
+		node.bareProcess = &Process{onLogLine: func(line []byte) { c.History.AddLogLine(name, line) }}
 	} else {
-		kernel, err := NewKernel(name, s.plan.Site.Cores, s.Check)
+		kernel, err := NewKernel(name, c.config.Site.Cores, c.Checker)
 		if err != nil {
 			return nil, err
 		}
-		kernel.config.Backend = s.plan.Backend
-		// At its own address no other process can have taken the port meanwhile.
-		address := netip.AddrPortFrom(own.Addr(), callersPort).String()
-		n.Program = &Program{Name: name, Address: address, Kernel: kernel, site: s.plan.Site, binary: s.plan.Program, directory: s.dir,
-			roster: s.roster.Address(), check: s.Check, configName: called}
-		n.Program.onLogLine = func(line []byte) { s.History.Said(name, line) }
-		if n.Net, err = NewFaultProxy(name, address, s.Check); err != nil {
+		kernel.config.Backend = c.config.Backend
+		// No other process can have taken the port in the meantime, because the address belongs to this process alone.
+		address := netip.AddrPortFrom(listen.Addr(), rpcPort).String()
+		node.Program = &Program{Name: name, Address: address, Kernel: kernel, site: c.config.Site, binary: c.config.Program, directory: c.dir,
+			roster: c.roster.Address(), check: c.Checker, configName: ownName}
+		node.Program.onLogLine = func(line []byte) { c.History.AddLogLine(name, line) }
+		if node.Proxy, err = NewFaultProxy(name, address, c.Checker); err != nil {
 			return nil, err
 		}
-		var laws []string
-		if !s.plan.Off {
-			laws = append(laws, "fleet.listen "+own.String(), "fleet.advertise "+via.String(),
-				"fleet.join "+strings.Join(s.seeds(), " "), "fleet.allow "+s.Paths.Subnet().String(), "fleet.socket "+s.Socket(name))
-			if s.plan.Zones > 0 {
-				laws = append(laws, fmt.Sprintf("fleet.zone z%d", 1+slot%s.plan.Zones))
+		var settings []string
+		if !c.config.NoFleet {
+			settings = append(settings, "fleet.listen "+listen.String(), "fleet.advertise "+advertise.String(),
+				"fleet.join "+strings.Join(c.joinAddresses(), " "), "fleet.allow "+c.Network.Subnet().String(),
+				"fleet.socket "+c.Socket(name))
+			if c.config.Zones > 0 {
+				settings = append(settings, fmt.Sprintf("fleet.zone z%d", 1+slot%c.config.Zones))
 			}
-			if slices.Contains(s.plan.Folders, called) {
-				if err := os.MkdirAll(s.Folder(name), 0o700); err != nil {
+			if slices.Contains(c.config.WithStateDir, ownName) {
+				if err := os.MkdirAll(c.StateDir(name), 0o700); err != nil {
 					return nil, err
 				}
-				laws = append(laws, "fleet.state "+s.Folder(name))
+				settings = append(settings, "fleet.state "+c.StateDir(name))
 			}
-			laws = append(laws, s.plan.Laws...)
+			settings = append(settings, c.config.Settings...)
 		}
-		path := filepath.Join(s.dir, name+".conf")
-		if err := os.WriteFile(path, []byte(strings.Join(laws, "\n")+"\n"), 0o600); err != nil {
+		path := filepath.Join(c.dir, name+".conf")
+		if err := os.WriteFile(path, []byte(strings.Join(settings, "\n")+"\n"), 0o600); err != nil {
 			return nil, err
 		}
-		n.Program.args = []string{"--settings", path}
+		node.Program.args = []string{"--settings", path}
 	}
-	s.mu.Lock()
-	s.nodes[name] = n
-	s.order = append(s.order, name)
-	s.mu.Unlock()
-	return n, nil
+	c.mu.Lock()
+	c.nodes[name] = node
+	c.names = append(c.names, name)
+	c.mu.Unlock()
+	return node, nil
 }
 
-// Amend changes a process's operators' file, for its next start.
-func (s *Cluster) Amend(name string, f func(laws string) string) error {
-	path := filepath.Join(s.dir, name+".conf")
+// EditSettings changes a process's settings file; the change applies from its next start.
+func (c *Cluster) EditSettings(name string, edit func(settings string) string) error {
+	path := filepath.Join(c.dir, name+".conf")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, []byte(f(string(text))), 0o600)
+	return os.WriteFile(path, []byte(edit(string(text))), 0o600)
 }
 
-// Socket is the local socket of a process.
-func (s *Cluster) Socket(name string) string { return filepath.Join(s.dir, name+".sock") }
+// Socket returns the path of the local socket of a process.
+func (c *Cluster) Socket(name string) string { return filepath.Join(c.dir, name+".sock") }
 
-// Folder is where what a process keeps lasts, under a plan with folders.
-func (s *Cluster) Folder(name string) string { return filepath.Join(s.dir, name+".state") }
+// StateDir returns the state directory of a process that is listed in ClusterConfig.WithStateDir.
+func (c *Cluster) StateDir(name string) string { return filepath.Join(c.dir, name+".state") }
 
-func (s *Cluster) start(n *Node) error {
-	if n.bare == nil {
+func (c *Cluster) start(n *Node) error {
+	if n.bareProcess == nil {
 		return n.Program.Start()
 	}
-	cmd := s.plan.Bare(n.configName, s.Paths.ListenAddress(n.slot).String(), s.Paths.AdvertisedAddress(n.slot).String(), s.seeds())
-	_, err := n.bare.spawn(cmd, func(error) {})
+	cmd := c.config.BareCommand(n.configName, c.Network.ListenAddress(n.slot).String(), c.Network.AdvertisedAddress(n.slot).String(), c.joinAddresses())
+	_, err := n.bareProcess.spawn(cmd, func(error) {})
 	return err
 }
 
-func (s *Cluster) kill(n *Node) {
-	if n.feed != nil {
-		n.feed()
-		n.feed = nil
+func (c *Cluster) kill(n *Node) {
+	if n.stopThrottle != nil {
+		n.stopThrottle()
+		n.stopThrottle = nil
 	}
-	if n.bare != nil {
-		n.bare.kill()
+	if n.bareProcess != nil {
+		n.bareProcess.kill()
 	} else {
 		n.Program.Kill()
 	}
-	s.History.Forget(n.Name)
+	c.History.Forget(n.Name)
 }
 
-// Addresses is where callers reach some of them.
-func (s *Cluster) Addresses(names ...string) []string {
-	var all []string
+// Addresses returns the addresses at which callers reach the named nodes.
+func (c *Cluster) Addresses(names ...string) []string {
+	var addresses []string
 	for _, name := range names {
-		all = append(all, s.Node(name).Net.Address())
+		addresses = append(addresses, c.Node(name).Proxy.Address())
 	}
-	return all
+	return addresses
 }
 
-// Until waits for something to hold, and gives how long that took, in seconds; false if it never did.
-func (s *Cluster) Until(within time.Duration, holds func() bool) (float64, bool) {
+// WaitUntil waits for a condition to hold. It returns the time waited in seconds, and false if the condition did not hold within
+// the limit.
+func (c *Cluster) WaitUntil(within time.Duration, holds func() bool) (float64, bool) {
 	for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		took := time.Since(begin)
 		if holds() {
@@ -262,20 +265,20 @@
 	}
 }
 
-// CPU is the processor time of one process so far.
-func (s *Cluster) CPU(name string) time.Duration { return s.Node(name).process().CPUTime() }
+// CPU returns the processor time that a process has used so far.
+func (c *Cluster) CPU(name string) time.Duration { return c.Node(name).process().CPUTime() }
 
-// Close ends all of it.
-func (s *Cluster) Close() {
-	var all sync.WaitGroup
-	for _, name := range s.Names() {
-		n := s.Node(name)
-		if n.feed != nil {
-			n.feed()
+// Close stops all processes and removes the cluster's files.
+func (c *Cluster) Close() {
+	var closing sync.WaitGroup
+	for _, name := range c.Names() {
+		n := c.Node(name)
+		if n.stopThrottle != nil {
+			n.stopThrottle()
 		}
-		all.Go(func() {
-			if n.bare != nil {
-				n.bare.kill()
+		closing.Go(func() {
+			if n.bareProcess != nil {
+				n.bareProcess.kill()
 				return
 			}
 			if n.Program.started() {
@@ -283,11 +286,11 @@
 				n.Stop()
 			}
 			n.Kernel.Close()
-			n.Net.Close()
+			n.Proxy.Close()
 		})
 	}
-	all.Wait()
-	s.Paths.Close()
-	s.roster.Close()
-	os.RemoveAll(s.dir)
+	closing.Wait()
+	c.Network.Close()
+	c.roster.Close()
+	os.RemoveAll(c.dir)
 }
--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -70,7 +70,7 @@
 	case !refusing && wasRefusing:
 		listener, err := net.Listen("tcp", p.listener.Addr().String())
 		if err != nil {
-			p.check.Failed("the proxy cannot listen again: %v", err)
+			p.check.RigFailed("the proxy cannot listen again: %v", err)
 			return
 		}
 		p.listener = listener
@@ -161,7 +161,7 @@
 	f.mu.Lock()
 	delete(f.connections, f)
 	f.mu.Unlock()
-	f.check.Ended(f, f.endedLocally.Load())
+	f.check.ConnectionEnded(f, f.endedLocally.Load())
 }
 
 // discardAll reads what the caller sends until it closes the connection, and never replies.
@@ -190,7 +190,7 @@
 	if f.endedLocally.Load() { // reset while connecting
 		server.Close()
 	}
-	f.check.connected(f)
+	f.check.connectionOpened(f)
 	var directions sync.WaitGroup
 	directions.Go(func() { f.forwardRequests(server) })
 	directions.Go(func() { f.forwardReplies(server) })
@@ -210,7 +210,7 @@
 		err := f.writeFragments(server, b)
 		for _, seq := range pendingSeqs {
 			if err != nil {
-				f.check.Unwritten(f, seq)
+				f.check.TryNotWritten(f, seq)
 			}
 		}
 		pendingSeqs = pendingSeqs[:0]
@@ -231,7 +231,7 @@
 	observer := frameObserver{
 		onFrame: f.watchReply,
 		onInvalid: func(err error) {
-			f.check.report(1, "%s says what no router can read: %v", f.FaultProxy.serverName, err)
+			f.check.reportViolation(1, "%s says what no router can read: %v", f.FaultProxy.serverName, err)
 		},
 	}
 	queue := make(chan []byte, maxQueuedChunks)
@@ -242,7 +242,7 @@
 		return nil
 	})
 	f.endedByServer.Store(true)
-	f.check.Ended(f, f.endedLocally.Load())
+	f.check.ConnectionEnded(f, f.endedLocally.Load())
 	close(queue)
 	writer.Wait()
 	if tcp, ok := f.caller.(*net.TCPConn); ok {
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -69,15 +69,15 @@
 		now := float64(time.Now().UnixMilli()) / 1000
 		for k := range 100 {
 			id := string(rune('a'+k%26)) + strings.Repeat("x", k/26)
-			c.Asked(id, rpc.Idempotent, time.Now().Add(10*time.Second))
-			frame := thrift.Execute(nil, int32(k+1), "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", Body(id, 0))
+			c.RegisterRPC(id, rpc.Idempotent, time.Now().Add(10*time.Second))
+			frame := thrift.Execute(nil, int32(k+1), "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody(id, 0))
 			if _, err := nc.Write(frame); err != nil {
 				break
 			}
 			time.Sleep(10 * time.Microsecond)
 		}
 		waitFor(t, "the lost request", func() bool { return len(c.Violations()) > 0 })
-		if v := c.Violations(); v[0].Rule != 1 || !strings.Contains(v[0].What, "without an answer") {
+		if v := c.Violations(); v[0].Rule != 1 || !strings.Contains(v[0].Description, "without an answer") {
 			t.Errorf("%v", v)
 		}
 		nc.Close()
@@ -106,11 +106,11 @@
 	defer nc.Close()
 	now := float64(time.Now().UnixMilli()) / 1000
 	id := strings.Repeat("i", 2000)
-	c.Asked(id, rpc.Idempotent, time.Now().Add(time.Hour))
+	c.RegisterRPC(id, rpc.Idempotent, time.Now().Add(time.Hour))
 	go func() {
 		for k := range int32(20_000) {
 			if _, err := nc.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "",
-				Body(id, 0))); err != nil {
+				EncodeBody(id, 0))); err != nil {
 				return
 			}
 		}
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -36,14 +36,14 @@
 			{Name: "ü", Kind: "fragile", LatencyTarget: 0.5, Deadline: 1, Criticality: 3}},
 		DomainOverrides: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
-	terms := Terms{Methods: map[string]MethodTerms{}}
+	terms := ServerSettings{Methods: map[string]MethodSettings{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
 		Overload: OverloadLimit{5, 1500 * time.Millisecond}, Seed: seed}
 	for _, m := range site.Methods {
 		config.Methods = append(config.Methods, m.Name)
-		terms.Methods[m.Name] = MethodTerms{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
+		terms.Methods[m.Name] = MethodSettings{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
 	}
-	check.Judge(terms)
+	check.CheckServers(terms)
 	p := &checkedProgram{check: check}
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 			body[k] = byte(random.Uint32())
 		}
 		if random.IntN(2) == 0 {
-			body = Body(fmt.Sprint(random.Uint64()), random.ExpFloat64()*0.02)
+			body = EncodeBody(fmt.Sprint(random.Uint64()), random.ExpFloat64()*0.02)
 		}
 		token := ""
 		if m.Kind == "dedup" {
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -156,5 +156,5 @@
 
 // reportViolation reports a violation by the app server to the checker.
 func (k *Kernel) reportViolation(rule int, format string, args ...any) {
-	k.check.report(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
+	k.check.reportViolation(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
 }
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -11,7 +11,7 @@
 
 // runRequest is what is known of a run that the app server asks for.
 type runRequest struct {
-	entry       Entry
+	entry       CatalogEntry
 	sent        *sentTry // nil if commands are not checked against what clients sent
 	requestOver bool     // the request has been answered or given up
 }
@@ -138,7 +138,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	request, ok := k.check.order(k.server, command.UID, command.Lane, command.Content)
+	request, ok := k.check.resolveCommand(k.server, command.UID, command.Lane, command.Content)
 	if !ok {
 		k.rejectCommand(command)
 		return
@@ -156,7 +156,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	if !k.check.known(k.server, command.UID) {
+	if !k.check.knowsCall(k.server, command.UID) {
 		k.reportViolation(1, "sends PREEMPT %q, which no client has sent it", command.UID)
 		k.rejectCommand(command)
 		return
@@ -177,7 +177,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	if !k.check.known(k.server, command.UID) {
+	if !k.check.knowsCall(k.server, command.UID) {
 		k.reportViolation(1, "sends RESCHED %q, which no client has sent it", command.UID)
 		k.rejectCommand(command)
 		return
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -139,7 +139,7 @@
 // becomes the link.
 func TestKernelWithholdsBooted(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
-	s.kernel.Withhold()
+	s.kernel.WithholdNotices()
 	var links []*testLink
 	for range 3 {
 		nc, err := net.Dial("tcp", s.kernel.Address())
@@ -159,7 +159,7 @@
 	if !s.kernel.LinkedAt().IsZero() {
 		t.Error("there is a link before Release")
 	}
-	s.kernel.Release()
+	s.kernel.ReleaseNotices()
 	if n := links[2].readNotice(); n.Action != "BOOTED" {
 		t.Errorf("first line after Release: %+v, want BOOTED", n)
 	}
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -114,12 +114,12 @@
 func newTestSetup(t *testing.T, config KernelConfig) *testSetup {
 	t.Helper()
 	c := NewChecker(50 * time.Millisecond)
-	c.Judge(Terms{Methods: map[string]MethodTerms{
+	c.CheckServers(ServerSettings{Methods: map[string]MethodSettings{
 		"read":   {Kind: rpc.Idempotent, Deadline: 10 * time.Second},
 		"write":  {Kind: rpc.Tokened, Deadline: 10 * time.Second, Window: 20 * time.Second},
 		"charge": {Kind: rpc.NonIdempotent, Deadline: 10 * time.Second},
 	}})
-	c.Up("n1")
+	c.ProcessStarted("n1")
 	config.Methods = []string{"read", "write", "charge"}
 	config.Cores = max(config.Cores, 2)
 	k, err := NewConfiguredKernel("n1", config, c)
@@ -133,15 +133,15 @@
 // newFlow returns a connection without a network.
 func newFlow(server string, check *Checker) *proxiedConnection {
 	f := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: check}}
-	check.connected(f)
+	check.connectionOpened(f)
 	return f
 }
 
 // recordSent records in the ledger an RPC that a client sends; nothing is sent.
 func (s *testSetup) recordSent(callID, method, token string, body []byte, work float64) {
-	s.check.terms.Catalog.Add(callID, Entry{RPC: "rpc " + callID, Work: work})
+	s.check.settings.Catalog.Add(callID, CatalogEntry{RPC: "rpc " + callID, Work: work})
 	s.seq++
-	s.check.asked(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
+	s.check.observeRequest(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
 		fields: map[string]string{"op": method, "call": callID, "dedupe": token, "heap": "10",
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
@@ -150,7 +150,7 @@
 func (s *testSetup) expectViolation(t *testing.T, rule int, text string) {
 	t.Helper()
 	violations := s.check.Violations()
-	if len(violations) != 1 || violations[0].Rule != rule || !strings.Contains(violations[0].What, text) {
+	if len(violations) != 1 || violations[0].Rule != rule || !strings.Contains(violations[0].Description, text) {
 		t.Errorf("violations: %v, want exactly one of rule %d with %q", violations, rule, text)
 	}
 }
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -38,7 +38,7 @@
 				s.expectViolation(t, 1, test.what)
 				return
 			}
-			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(Answer("rpc "+tryA)) {
+			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(RunResult("rpc "+tryA)) {
 				t.Errorf("unexpected notice: %+v", n)
 			}
 			s.expectNoViolations(t)
@@ -50,9 +50,9 @@
 func TestKernelLedgerPerProcess(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 	s.recordSent(tryA, "read", "", nil, 0)
-	s.check.Killed("n1")
+	s.check.ProcessKilled("n1")
 	s.kernel.Restart()
-	s.check.Up("n1")
+	s.check.ProcessStarted("n1")
 	l := dialKernel(t, s.kernel, 0)
 	l.sendSched(tryA, "read", nil)
 	if n := l.readNotice(); n.Action != "EINVAL" {
@@ -149,7 +149,7 @@
 		}
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.readNotice()
-		s.check.Answered(s.flow, 1, rpc.Error, false, 0)
+		s.check.ReplyReceived(s.flow, 1, rpc.Error, false, 0)
 		if m := l.syncGauges("4"); !slices.Equal(m, []float64{0, 0}) {
 			t.Errorf("gauges %v once the request is over, want zeros", m)
 		}
@@ -197,14 +197,14 @@
 		t.Errorf("gauges %v, want 1, 2, 1, 0.03, 1, 0", m)
 	}
 	s.check.mu.Lock()
-	for held := range s.check.server("n1").ledger.live {
-		held.at = held.at.Add(-heldAfter)
+	for held := range s.check.server("n1").requests.active {
+		held.sentAt = held.sentAt.Add(-minHeldTime)
 	}
 	s.check.mu.Unlock()
 	if m := l.syncGauges("2"); m[3] != 0.04 {
 		t.Errorf("heap_share %g with one request held, want 0.04", m[3])
 	}
-	s.check.Ended(s.flow, true)
+	s.check.ConnectionEnded(s.flow, true)
 	if m := l.syncGauges("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
 		t.Errorf("gauges %v after the clients disconnected", m)
 	}
--- a/rig/load.go
+++ b/rig/load.go
@@ -96,7 +96,7 @@
 		}
 		pending.Go(func() {
 			deadline := time.Now().Add(share.Deadline)
-			check.Asked(id, share.Kind, deadline)
+			check.RegisterRPC(id, share.Kind, deadline)
 			ctx, stop := context.WithDeadline(ctx, deadline)
 			defer stop()
 			token := ""
@@ -104,7 +104,7 @@
 				token = "token-" + id + strings.Repeat("x", l.TokenPadding)
 			}
 			callStart := time.Now()
-			body := Body(id, work)
+			body := EncodeBody(id, work)
 			if l.PendingCount != nil {
 				l.PendingCount.Add(1)
 				defer l.PendingCount.Add(-1)
@@ -112,7 +112,7 @@
 			result, err := caller.Call(ctx, share.Method, token, share.Criticality, body)
 			took := time.Since(callStart)
 			if err == nil {
-				check.Result(id, result)
+				check.VerifyResult(id, result)
 			}
 			if l.AfterCall != nil {
 				l.AfterCall(share, id, token, body, err)
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -120,7 +120,7 @@
 	if !c.addPending(c.seq, &pendingTry{time.Now(), done}) {
 		return nil, ErrNotConnected
 	}
-	c.catalog.Add(call, Entry{RPC: try.RPC, Work: try.Work, Result: try.Result, Fails: try.Fails})
+	c.catalog.Add(call, CatalogEntry{RPC: try.RPC, Work: try.Work, Result: try.Result, Fails: try.Fails})
 	c.writeFrame(ExecuteFrame(c.seq, fields, try.Body))
 	return &PeerCall{Done: done, conn: c, seq: c.seq}, nil
 }
@@ -282,7 +282,7 @@
 	defer c.mu.Unlock()
 	c.ended = true
 	for seq, try := range c.pending {
-		try.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(try.sentAt) <= crossingWindow}
+		try.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(try.sentAt) <= maxResendWindow}
 		delete(c.pending, seq)
 	}
 }
--- a/rig/program.go
+++ b/rig/program.go
@@ -164,9 +164,9 @@
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
-	p.check.Up(p.Name)
+	p.check.ProcessStarted(p.Name)
 	p.Kernel.BeginColdStart()
-	_, err := p.spawn(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
+	_, err := p.spawn(cmd, func(err error) { p.check.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
 
@@ -226,7 +226,7 @@
 
 // Kill kills the program and its kernel's runs, and waits for its end.
 func (p *Program) Kill() {
-	p.check.Killed(p.Name)
+	p.check.ProcessKilled(p.Name)
 	p.signal(syscall.SIGKILL)
 	p.Kernel.Restart()
 	p.wait()
@@ -234,7 +234,7 @@
 
 // RequestShutdown sends SIGTERM and tells the checker; it does not wait for the end.
 func (p *Program) RequestShutdown() {
-	p.check.Notice(p.Name, p.site.GracePeriod, p.site.StopTimeout)
+	p.check.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
@@ -328,7 +328,7 @@
 					f.mu.Unlock()
 					p.Kill()
 				default:
-					f.Check.Memory(p.Name, resident, limit)
+					f.Check.VerifyMemory(p.Name, resident, limit)
 				}
 			}
 		}
--- a/rig/proxied_connection.go
+++ b/rig/proxied_connection.go
@@ -17,19 +17,19 @@
 	chunkCount     atomic.Uint64 // chunks written so far, which seed how the next one is split
 
 	optionalReplies map[int32]int // count of allowed replies that are not due, by sequence number; guarded by the checker's lock
-	countedIn       *ledger       // the ledger that counts the connection; guarded by the checker's lock
+	countedIn       *requestLog   // the ledger that counts the connection; guarded by the checker's lock
 }
 
 // watchRequest reports a message to the app server to the checker. If replyDue, the app server must reply under seq.
 func (f *proxiedConnection) watchRequest(message []byte) (seq int32, replyDue bool) {
 	req, err := readRequest(message)
-	return req.seq, f.check.asked(f, req, err)
+	return req.seq, f.check.observeRequest(f, req, err)
 }
 
 // watchReply reports a message from the app server to the checker.
 func (f *proxiedConnection) watchReply(message []byte) {
 	decoded, err := readReply(message)
-	f.check.replied(f, decoded, err)
+	f.check.observeReply(f, decoded, err)
 }
 
 // stalledWriteTimeout is the duration after which a blocked write shows that the caller does not read.
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -142,10 +142,10 @@
 func (r *Roster) checkReport(report, name string, err error) {
 	switch {
 	case err != nil:
-		r.check.report(1, "invalid datagram to the roster, %.80q: %v", report, err)
+		r.check.reportViolation(1, "invalid datagram to the roster, %.80q: %v", report, err)
 	case !r.names[name]:
-		r.check.report(1, "a report to the roster names %q, which is no known process", name)
-	case !r.check.lives(name):
-		r.check.report(1, "a report to the roster from %s, which has ended", name)
+		r.check.reportViolation(1, "a report to the roster names %q, which is no known process", name)
+	case !r.check.isAlive(name):
+		r.check.reportViolation(1, "a report to the roster from %s, which has ended", name)
 	}
 }
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -182,12 +182,12 @@
 	case received.HealthCheck:
 		c.out = thrift.Checked(c.out, received.Seq, true, 100)
 	case !received.Interrupt:
-		c.out = thrift.Served(c.out, received.Seq, Answer(received.ID), 100)
+		c.out = thrift.Served(c.out, received.Seq, RunResult(received.ID), 100)
 	}
 }
 
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
-	id, _, _ := ReadBody(body)
+	id, _, _ := DecodeBody(body)
 	c.handle(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call),
 		Body: slices.Clone(body), Recv: recv, TTL: ttl, IsRetry: again})
 }
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -75,7 +75,7 @@
 			return
 		}
 		if highestTerm, ok := w.accept(owner, term); !ok {
-			w.history.Add(owner, "late", fmt.Sprintf("order rejected: stale term %d, term %d is known", term, highestTerm))
+			w.history.AddEvent(owner, "late", fmt.Sprintf("order rejected: stale term %d, term %d is known", term, highestTerm))
 			fmt.Fprintf(conn, "late %d\n", highestTerm)
 			continue
 		}
