--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -13,9 +13,9 @@
 	"valveglade/rig/hollow"
 )
 
-// hollowCommand runs one measurement of rig/hollow in a process of its own, so that its CPU and memory are its own: the plan
+// measurementCommand runs one measurement of rig/hollow in a process of its own, so that its CPU and memory are its own: the plan
 // is read from standard input, the cost written to standard output, as JSON.
-func hollowCommand() *cobra.Command {
+func measurementCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow KIND", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		if args[0] == "members" {
 			return hollow.ServeMembers(os.Stdin, os.Stdout)
@@ -86,8 +86,8 @@
 // hollowAtOnce is how many measurements run side by side.
 const hollowAtOnce = 4
 
-// runHollows runs one measurement for each plan, some side by side, and gives the costs in the order of the plans.
-func runHollows[C, P any](p *experimentRun, kind string, plans []P) ([]C, error) {
+// runMeasurements runs one measurement for each plan, some side by side, and gives the costs in the order of the plans.
+func runMeasurements[C, P any](p *experimentRun, kind string, plans []P) ([]C, error) {
 	costs := make([]C, len(plans))
 	var group errgroup.Group
 	if group.SetLimit(hollowAtOnce); p.shortForm {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -165,7 +165,7 @@
 	runCommand.Flags().StringVar(&jsonPath, "json", "", "also write the figures to this file")
 	run.faults.register(runCommand)
 	root.AddCommand(runCommand, echoCommand(), bareCommand(), lowestCommand(), capacityCommand(),
-		hollowCommand(), callerCommand(), plantedCommand())
+		measurementCommand(), callerCommand(), plantedCommand())
 	return root
 }
 
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -18,18 +18,18 @@
 	designRestartsPerDay = 81000
 )
 
-// forms is a value that an experiment has in each of its forms, such as the sizes that it runs at.
-type forms[T any] struct{ brief, usual, long T }
+// formValues is a value that an experiment has in each of its forms, such as the sizes that it runs at.
+type formValues[T any] struct{ short, standard, long T }
 
-// of returns the value in the form that is run: the shortest takes precedence over the long one.
-func (f forms[T]) of(p *experimentRun) T {
+// valueFor returns the value in the form that is run: the shortest takes precedence over the long one.
+func (f formValues[T]) valueFor(p *experimentRun) T {
 	switch {
 	case p.shortForm:
-		return f.brief
+		return f.short
 	case p.Long:
 		return f.long
 	}
-	return f.usual
+	return f.standard
 }
 
 // scalePart measures some series of the scale run.
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// series fits the points of s with the model in s.Fit.Model, linear if none is named, appends s to the result and prints
+// addSeries fits the points of s with the model in s.Fit.Model, linear if none is named, appends s to the result and prints
 // one line of it.
-func (p *experimentRun) series(r *slope.Result, s slope.Series) error {
+func (p *experimentRun) addSeries(r *slope.Result, s slope.Series) error {
 	if s.Fit.Model == "" {
 		s.Fit.Model = slope.ModelLinear
 	}
--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -13,8 +13,8 @@
 	{"config-budgets", measureConfigBudgets},
 }
 
-// fewEntries is how many there are of what a series does not vary.
-const fewEntries = 100
+// fixedEntryCount is how many there are of what a series does not vary.
+const fixedEntryCount = 100
 
 // changesAtEachSize are made; their median counts.
 func (p *experimentRun) changesAtEachSize() int {
@@ -26,19 +26,19 @@
 
 // tenantSizes and routeSizes are what the configuration is measured at; the long form goes to the design size.
 func (p *experimentRun) tenantSizes() []int {
-	return forms[[]int]{
-		brief: []int{10, 40, 160, 640},
-		usual: []int{1_000, 10_000, 30_000, 100_000},
-		long:  []int{1_000, 3_000, 10_000, 30_000, 100_000, 400_000, designTenants},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{10, 40, 160, 640},
+		standard: []int{1_000, 10_000, 30_000, 100_000},
+		long:     []int{1_000, 3_000, 10_000, 30_000, 100_000, 400_000, designTenants},
+	}.valueFor(p)
 }
 
 func (p *experimentRun) routeSizes() []int {
-	return forms[[]int]{
-		brief: []int{10, 40, 160, 640},
-		usual: []int{1_000, 5_000, 15_000, 40_000},
-		long:  []int{1_000, 3_000, 10_000, 30_000, designRoutes},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{10, 40, 160, 640},
+		standard: []int{1_000, 5_000, 15_000, 40_000},
+		long:     []int{1_000, 3_000, 10_000, 30_000, designRoutes},
+	}.valueFor(p)
 }
 
 // configCost is what one size of the configuration costs.
@@ -48,8 +48,8 @@
 }
 
 // measureConfigOnce starts a program with a configuration and changes that some times.
-func (p *experimentRun) measureConfigOnce(size tables) (cost configCost, err error) {
-	s, err := p.startScaled(size, roomyMemory, fewSockets)
+func (p *experimentRun) measureConfigOnce(size configSize) (cost configCost, err error) {
+	s, err := p.startScaled(size, roomyMemory, smallSocketLimit)
 	if err != nil {
 		return cost, err
 	}
@@ -67,22 +67,22 @@
 	return cost, nil
 }
 
-// fewSockets is what a program may hold that serves few connections.
-const fewSockets = 256
+// smallSocketLimit is what a program may hold that serves few connections.
+const smallSocketLimit = 256
 
 // measureConfig measures what a configuration costs against routes and against tenants: a start with it, and a change
 // of one entry, which the program takes in by reading all of it again.
 func measureConfig(p *experimentRun, r *slope.Result) error {
-	byTenants := func(n int) tables { return tables{routes: fewEntries, tenants: n} }
+	byTenants := func(n int) configSize { return configSize{routes: fixedEntryCount, tenants: n} }
 	if err := p.configSeries(r, "tenants", p.tenantSizes(), byTenants); err != nil {
 		return err
 	}
-	byRoutes := func(n int) tables { return tables{routes: n, tenants: fewEntries} }
+	byRoutes := func(n int) configSize { return configSize{routes: n, tenants: fixedEntryCount} }
 	return p.configSeries(r, "routes", p.routeSizes(), byRoutes)
 }
 
 // configSeries measures the costs against one kind of entry.
-func (p *experimentRun) configSeries(r *slope.Result, against string, sizes []int, of func(n int) tables) error {
+func (p *experimentRun) configSeries(r *slope.Result, against string, sizes []int, of func(n int) configSize) error {
 	var file, start, resident, wall, cpu, peak []slope.Point
 	for _, n := range sizes {
 		cost, err := p.measureConfigOnce(of(n))
@@ -106,7 +106,7 @@
 		{Name: "start.seconds", Unit: "s", Points: start, Note: oneCore + "; from exec to the first RPC served"},
 	} {
 		s.Name, s.Against = s.Name+"."+against, against
-		if err := p.series(r, s); err != nil {
+		if err := p.addSeries(r, s); err != nil {
 			return err
 		}
 	}
--- a/cmd/rehearse/scale_config_test.go
+++ b/cmd/rehearse/scale_config_test.go
@@ -11,9 +11,9 @@
 // TestScaledConfiguration has the program's own parser find in a rendered file what was asked for, and two generations
 // differ in one entry.
 func TestScaledConfiguration(t *testing.T) {
-	for _, size := range []tables{{routes: 1}, {routes: 7, tenants: 1}, {routes: 3, tenants: 40}} {
-		c := configuration{listen: "127.0.0.1:1", kernel: "127.0.0.1:2", roster: "127.0.0.1:3", memoryMB: 64, sockets: 64,
-			tables: size, seed: 1}
+	for _, size := range []configSize{{routes: 1}, {routes: 7, tenants: 1}, {routes: 3, tenants: 40}} {
+		c := configFile{listen: "127.0.0.1:1", kernel: "127.0.0.1:2", roster: "127.0.0.1:3", memoryMB: 64, sockets: 64,
+			size: size, seed: 1}
 		first, err := config.Parse(c.text(), "", "")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -38,11 +38,11 @@
 
 // distributionSizes are the numbers of app servers.
 func (p *experimentRun) distributionSizes() []int {
-	return forms[[]int]{
-		brief: []int{4, 8, 16, 32},
-		usual: []int{125, 250, 500, 1000},
-		long:  []int{1000, 2150, 4300, 8600},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{4, 8, 16, 32},
+		standard: []int{125, 250, 500, 1000},
+		long:     []int{1000, 2150, 4300, 8600},
+	}.valueFor(p)
 }
 
 // distributedServices is how many services there are: in the shortest form so few that a handful of app servers serves them all.
@@ -183,7 +183,7 @@
 		{Name: "distribution.on.bytes", Unit: "B/s"}, {Name: "distribution.on.cpu.app_server", Unit: "% of a core"},
 		{Name: "distribution.on.cpu.distributor", Unit: "% of a core"}} {
 		s.Against, s.Points, s.Note = "members", found[s.Name], note
-		if err := p.series(r, s); err != nil {
+		if err := p.addSeries(r, s); err != nil {
 			return err
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	defer f.Close()
 	at, local := f.addresses()
-	start := time.Now().Add(secondsOf(connecting))
+	start := time.Now().Add(toDuration(connecting))
 	var plans []hollow.SubscriberPlan
 	for first := 0; first < members; first += perHollowProcess {
 		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(perHollowProcess, members-first), First: first, Distributors: at, Local: local,
@@ -214,7 +214,7 @@
 	var costs []hollow.SubscriberCost
 	var watching sync.WaitGroup
 	var watchErr error
-	watching.Go(func() { costs, watchErr = runHollows[hollow.SubscriberCost](p, "subscribers", plans) })
+	watching.Go(func() { costs, watchErr = runMeasurements[hollow.SubscriberCost](p, "subscribers", plans) })
 	time.Sleep(time.Until(start))
 	before := f.processorTimes()
 	committed, err := p.makeChanges(f)
@@ -248,8 +248,8 @@
 func (p *experimentRun) makeChanges(f *distributionFleet) (map[changeKey]time.Time, error) {
 	committed := map[changeKey]time.Time{}
 	random := rand.New(rand.NewPCG(p.Seed, 77))
-	every := secondsOf(1 / designChangesPerSecond)
-	for end := time.Now().Add(secondsOf(p.distributionSeconds())); time.Now().Before(end); {
+	every := toDuration(1 / designChangesPerSecond)
+	for end := time.Now().Add(toDuration(p.distributionSeconds())); time.Now().Before(end); {
 		began := time.Now()
 		service := f.services[random.IntN(len(f.services))]
 		text := fmt.Sprintf("put tenant tenant%05d service=%s quota=%d\n", random.IntN(tenantsEach), service, 1+random.IntN(100_000))
@@ -304,4 +304,4 @@
 	}
 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -48,7 +48,7 @@
 		{Name: "distribution.off.change_seconds", Unit: "s", Note: "from asking for the change until the whole table is read, at no bound of bytes a second"},
 	} {
 		s.Against, s.Points = "entries", found[s.Name]
-		if err := p.series(r, s); err != nil {
+		if err := p.addSeries(r, s); err != nil {
 			return err
 		}
 	}
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -384,7 +384,7 @@
 		{"view.process.memory", "MB", slope.ModelLinear, processes},
 	}
 	for _, s := range all {
-		if err := p.series(r, slope.Series{Name: s.name, Unit: s.unit, Against: "members", Points: found[s.name], Note: s.note,
+		if err := p.addSeries(r, slope.Series{Name: s.name, Unit: s.unit, Against: "members", Points: found[s.name], Note: s.note,
 			Fit: slope.Fit{Model: s.model}}); err != nil {
 			return err
 		}
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -19,7 +19,7 @@
 // has one core, as on the platform.
 type scaledProgram struct {
 	*rig.Process
-	configuration configuration
+	configuration configFile
 	directory     string
 	fileBytes     int // of its configuration
 	check         *rig.Checker
@@ -49,9 +49,9 @@
 var errTimeout = errors.New("not seen in time")
 
 // startScaled starts a program with so many entries; directives are lines of its operators' file.
-func (p *experimentRun) startScaled(size tables, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
+func (p *experimentRun) startScaled(size configSize, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
 	s := &scaledProgram{check: rig.NewChecker(checkerSlack), lines: make(chan logLine, mostLogLines),
-		configuration: configuration{tables: size, memoryMB: memoryMB, sockets: sockets, seed: p.Seed}}
+		configuration: configFile{size: size, memoryMB: memoryMB, sockets: sockets, seed: p.Seed}}
 	if err := s.open(); err != nil {
 		s.close()
 		return nil, err
@@ -154,7 +154,7 @@
 
 // serveOne has one RPC served on a connection of its own.
 func (s *scaledProgram) serveOne() error {
-	load := newFrameLoad(s.configuration.listen, s.check, s.configuration.tables.routes, "first")
+	load := newFrameLoad(s.configuration.listen, s.check, s.configuration.size.routes, "first")
 	defer load.close()
 	if err := load.connect(1); err != nil {
 		return err
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -33,7 +33,7 @@
 	for _, n := range roles {
 		plans = append(plans, hollow.RolePlan{Candidates: few, Roles: n, Seconds: 12, Lease: usualLease, Seed: p.Seed})
 	}
-	costs, err := runHollows[hollow.RoleCost](p, "roles", plans)
+	costs, err := runMeasurements[hollow.RoleCost](p, "roles", plans)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 		if u.against == "roles" {
 			note = fmt.Sprintf("%s; %d candidates", roleNote, few)
 		}
-		if err := p.series(r, slope.Series{Name: u.name, Unit: u.unit, Against: u.against, Points: found[u.name], Note: note}); err != nil {
+		if err := p.addSeries(r, slope.Series{Name: u.name, Unit: u.unit, Against: u.against, Points: found[u.name], Note: note}); err != nil {
 			return err
 		}
 	}
@@ -84,7 +84,7 @@
 	for _, n := range sizes {
 		plans = append(plans, hollow.BurstPlan{Candidates: n})
 	}
-	costs, err := runHollows[hollow.BurstCost](p, "burst", plans)
+	costs, err := runMeasurements[hollow.BurstCost](p, "burst", plans)
 	if err != nil {
 		return err
 	}
@@ -101,12 +101,12 @@
 	}
 	p.report("voter.burst.first.lost", float64(firstLost))
 	note := "a real voter of fleet, all candidates ask at one moment, over an in-memory transport with no packet lost on its way"
-	err = p.series(r, slope.Series{Name: "voter.burst.answered", Unit: "questions", Against: "questions at once", Points: answered, Note: note,
+	err = p.addSeries(r, slope.Series{Name: "voter.burst.answered", Unit: "questions", Against: "questions at once", Points: answered, Note: note,
 		Fit: slope.Fit{Model: slope.ModelPower}})
 	if err != nil {
 		return err
 	}
-	return p.series(r, slope.Series{Name: "voter.burst.lost", Unit: "% of the questions", Against: "questions at once", Points: lost, Note: note + "; " + thresholdNote})
+	return p.addSeries(r, slope.Series{Name: "voter.burst.lost", Unit: "% of the questions", Against: "questions at once", Points: lost, Note: note + "; " + thresholdNote})
 }
 
 // quotaSizes are the holders and kinds of work that an allocator is measured against.
@@ -143,7 +143,7 @@
 func measureQuota(p *experimentRun, r *slope.Result) error {
 	sizes := p.quotaSizes()
 	plans := sizes.plans(p.Seed)
-	costs, err := runHollows[hollow.QuotaCost](p, "quota", plans)
+	costs, err := runMeasurements[hollow.QuotaCost](p, "quota", plans)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 				s.Against = "kinds of work"
 				s.Note += fmt.Sprintf("; %d holders", many)
 			}
-			if err := p.series(r, s); errors.Is(err, slope.ErrTooFewSizes) {
+			if err := p.addSeries(r, s); errors.Is(err, slope.ErrTooFewSizes) {
 				p.printNote("%s: not fitted, as at only %d sizes less than %g%% of the questions were lost", s.Name, len(s.Points), 100*mostLost)
 			} else if err != nil {
 				return err
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -67,30 +67,30 @@
 
 // connectionSizes are how many connections are open.
 func (p *experimentRun) connectionSizes() []int {
-	return forms[[]int]{
-		brief: []int{4, 8, 16, 32},
-		usual: []int{10, 100, 1_000, 4_000},
-		long:  []int{10, 100, 1_000, 2_000, 4_000, 10_000},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{4, 8, 16, 32},
+		standard: []int{10, 100, 1_000, 4_000},
+		long:     []int{10, 100, 1_000, 2_000, 4_000, 10_000},
+	}.valueFor(p)
 }
 
 // rpcTables is the configuration under which RPCs are measured: the design size.
-func (p *experimentRun) rpcTables() tables {
+func (p *experimentRun) rpcTables() configSize {
 	if p.shortForm {
-		return tables{routes: 100, tenants: 1000}
+		return configSize{routes: 100, tenants: 1000}
 	}
-	return tables{routes: designRoutes, tenants: designTenants}
+	return configSize{routes: designRoutes, tenants: designTenants}
 }
 
 // measureConnectionMemory measures the program's resident memory against open connections, each of which has carried one
 // RPC and is idle then.
 func measureConnectionMemory(p *experimentRun, r *slope.Result) error {
-	s, err := p.startScaled(tables{routes: fewEntries}, roomyMemory, socketsLimit)
+	s, err := p.startScaled(configSize{routes: fixedEntryCount}, roomyMemory, socketsLimit)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	load := newFrameLoad(s.configuration.listen, s.check, fewEntries, "memory")
+	load := newFrameLoad(s.configuration.listen, s.check, fixedEntryCount, "memory")
 	defer load.close()
 	var silent, used []slope.Point
 	for _, n := range p.connectionSizes() {
@@ -103,11 +103,11 @@
 		}
 		used = append(used, slope.Point{X: float64(n), Y: float64(s.Resident())})
 	}
-	if err := p.series(r, slope.Series{Name: "rpc.connection_bytes.idle", Unit: "B", Against: "connections", Points: silent,
+	if err := p.addSeries(r, slope.Series{Name: "rpc.connection_bytes.idle", Unit: "B", Against: "connections", Points: silent,
 		Note: "resident memory of the program; the new connections have carried a health check"}); err != nil {
 		return err
 	}
-	return p.series(r, slope.Series{Name: "rpc.connection_bytes.used", Unit: "B", Against: "connections", Points: used,
+	return p.addSeries(r, slope.Series{Name: "rpc.connection_bytes.used", Unit: "B", Against: "connections", Points: used,
 		Note: "resident memory of the program; each connection has carried an RPC"})
 }
 
@@ -168,11 +168,11 @@
 }
 
 func (p *experimentRun) rpcRates() []rpcRate {
-	return forms[[]rpcRate]{
-		brief: []rpcRate{{meanRate, 1, 200 * time.Millisecond}, {highRate, 1, 50 * time.Millisecond}},
-		usual: []rpcRate{{meanRate, 3, 500 * time.Millisecond}, {highRate, 3, 250 * time.Millisecond}},
-		long:  []rpcRate{{meanRate, 6, time.Second}, {highRate, 6, 500 * time.Millisecond}},
-	}.of(p)
+	return formValues[[]rpcRate]{
+		short:    []rpcRate{{meanRate, 1, 200 * time.Millisecond}, {highRate, 1, 50 * time.Millisecond}},
+		standard: []rpcRate{{meanRate, 3, 500 * time.Millisecond}, {highRate, 3, 250 * time.Millisecond}},
+		long:     []rpcRate{{meanRate, 6, time.Second}, {highRate, 6, 500 * time.Millisecond}},
+	}.valueFor(p)
 }
 
 // measureRPC measures what the program adds to an RPC against open connections, with tables of the design size in memory,
@@ -208,9 +208,9 @@
 
 // rpcSeries measures each rate at each number of connections.
 func (p *experimentRun) rpcSeries(r *slope.Result, s *scaledProgram, bare *bareServer, note string) error {
-	through := newFrameLoad(s.configuration.listen, s.check, s.configuration.tables.routes, "rpc")
+	through := newFrameLoad(s.configuration.listen, s.check, s.configuration.size.routes, "rpc")
 	defer through.close()
-	bareLoad := newFrameLoad(bare.address, nil, s.configuration.tables.routes, "bare")
+	bareLoad := newFrameLoad(bare.address, nil, s.configuration.size.routes, "bare")
 	defer bareLoad.close()
 	rates := p.rpcRates()
 	var medians, tails, cpus = make([][]slope.Point, len(rates)), make([][]slope.Point, len(rates)), make([][]slope.Point, len(rates))
@@ -243,7 +243,7 @@
 			what   string
 			points []slope.Point
 		}{{"added_p50", medians[k]}, {"added_p99", tails[k]}, {"cpu", cpus[k]}} {
-			if err := p.series(r, slope.Series{Name: fmt.Sprintf("rpc.%s_seconds.at_%g", one.what, rate.perSecond), Unit: "s",
+			if err := p.addSeries(r, slope.Series{Name: fmt.Sprintf("rpc.%s_seconds.at_%g", one.what, rate.perSecond), Unit: "s",
 				Against: "connections", Points: one.points, Note: note}); err != nil {
 				return err
 			}
@@ -254,20 +254,20 @@
 
 // changingTenants are how many tenants the configuration has that changes while RPCs are served.
 func (p *experimentRun) changingTenants() []int {
-	return forms[[]int]{
-		brief: []int{10, 40, 160, 640},
-		usual: []int{1_000, 4_000, 12_000, 40_000},
-		long:  []int{1_000, 3_000, 10_000, 30_000, 100_000, 300_000},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{10, 40, 160, 640},
+		standard: []int{1_000, 4_000, 12_000, 40_000},
+		long:     []int{1_000, 3_000, 10_000, 30_000, 100_000, 300_000},
+	}.valueFor(p)
 }
 
 // changingRate is at which RPCs are sent at each size; but for the shortest form a round has a change or more in it.
 func (p *experimentRun) changingRate() rpcRate {
-	return forms[rpcRate]{
-		brief: rpcRate{meanRate, 1, 200 * time.Millisecond},
-		usual: rpcRate{meanRate, 3, changePeriod},
-		long:  rpcRate{meanRate, 6, changePeriod},
-	}.of(p)
+	return formValues[rpcRate]{
+		short:    rpcRate{meanRate, 1, 200 * time.Millisecond},
+		standard: rpcRate{meanRate, 3, changePeriod},
+		long:     rpcRate{meanRate, 6, changePeriod},
+	}.valueFor(p)
 }
 
 // measureRPCUnderChanges measures what the program adds to an RPC while its configuration changes as often as at the design
@@ -280,7 +280,7 @@
 	defer bare.close()
 	var tails, cores []slope.Point
 	for _, n := range p.changingTenants() {
-		added, core, err := p.rpcUnderChanges(bare, tables{routes: fewEntries, tenants: n})
+		added, core, err := p.rpcUnderChanges(bare, configSize{routes: fixedEntryCount, tenants: n})
 		if err != nil {
 			return fmt.Errorf("%d tenants: %w", n, err)
 		}
@@ -288,19 +288,19 @@
 		cores = append(cores, slope.Point{X: float64(n), Y: core})
 	}
 	note := fmt.Sprintf("%d RPCs and %g changes a second; program on one core", meanRate, designChangesPerSecond)
-	if err := p.series(r, slope.Series{Name: "config.off.rpc_added_p99_seconds", Unit: "s", Against: "tenants", Points: tails,
+	if err := p.addSeries(r, slope.Series{Name: "config.off.rpc_added_p99_seconds", Unit: "s", Against: "tenants", Points: tails,
 		Note: note}); err != nil {
 		return err
 	}
-	return p.series(r, slope.Series{Name: "config.off.core_share", Unit: "of a core", Against: "tenants", Points: cores,
+	return p.addSeries(r, slope.Series{Name: "config.off.core_share", Unit: "of a core", Against: "tenants", Points: cores,
 		Note: note + "; above the same RPCs without changes"})
 }
 
 // rpcUnderChanges gives what the program adds to an RPC while its configuration changes, and the share of a core that it
 // spends above the same RPCs without changes.
-func (p *experimentRun) rpcUnderChanges(bare *bareServer, size tables) (added addedTime, core float64, err error) {
+func (p *experimentRun) rpcUnderChanges(bare *bareServer, size configSize) (added addedTime, core float64, err error) {
 	const connections = 10
-	s, err := p.startScaled(size, roomyMemory, fewSockets)
+	s, err := p.startScaled(size, roomyMemory, smallSocketLimit)
 	if err != nil {
 		return added, 0, err
 	}
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -86,11 +86,11 @@
 
 // memberSizes are how many members a start is measured among.
 func (p *experimentRun) memberSizes() []int {
-	return forms[[]int]{
-		brief: []int{2, 3, 4, 5},
-		usual: []int{5, 10, 20, 40},
-		long:  []int{10, 30, 60, 100, 200},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{2, 3, 4, 5},
+		standard: []int{5, 10, 20, 40},
+		long:     []int{10, 30, 60, 100, 200},
+	}.valueFor(p)
 }
 
 // measureStartMembers measures a start against the members of the fleet: until the program serves, and until its view has
@@ -114,11 +114,11 @@
 		learned = append(learned, slope.Point{X: float64(n), Y: complete})
 	}
 	const hollowNote = "other members are hollow, in this process"
-	if err := p.series(r, slope.Series{Name: "start.seconds.members", Unit: "s", Against: "members", Points: ready,
+	if err := p.addSeries(r, slope.Series{Name: "start.seconds.members", Unit: "s", Against: "members", Points: ready,
 		Note: hollowNote + "; from exec to the first RPC served"}); err != nil {
 		return err
 	}
-	return p.series(r, slope.Series{Name: "start.view_seconds.members", Unit: "s", Against: "members", Points: learned,
+	return p.addSeries(r, slope.Series{Name: "start.view_seconds.members", Unit: "s", Against: "members", Points: learned,
 		Note: hollowNote + "; from exec to a view with all members"})
 }
 
@@ -134,7 +134,8 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	s, err := p.startScaled(tables{routes: fewEntries, tenants: fewEntries}, roomyMemory, fewSockets, "fleet.listen "+listen,
+	s, err := p.startScaled(configSize{routes: fixedEntryCount, tenants: fixedEntryCount}, roomyMemory, smallSocketLimit,
+		"fleet.listen "+listen,
 		"fleet.join "+strings.Join(join, " "), "fleet.allow "+loopback.String(), "fleet.probe "+memberProbe.String())
 	if err != nil {
 		return 0, 0, err
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -235,7 +235,7 @@
 		}
 	}
 	for k, column := range columns {
-		if err := p.series(r, slope.Series{Name: "config.on." + column.name + ".entries", Unit: column.unit, Against: "entries",
+		if err := p.addSeries(r, slope.Series{Name: "config.on." + column.name + ".entries", Unit: column.unit, Against: "entries",
 			Points: points[k], Note: column.note + "; the module alone, in this process"}); err != nil {
 			return err
 		}
--- a/cmd/rehearse/scale_tables.go
+++ b/cmd/rehearse/scale_tables.go
@@ -6,12 +6,12 @@
 	"os"
 )
 
-// tables is how many entries a configuration has.
-type tables struct {
+// configSize is how many entries a configuration has.
+type configSize struct {
 	routes, tenants int
 }
 
-func (t tables) String() string { return fmt.Sprintf("%d routes, %d tenants", t.routes, t.tenants) }
+func (t configSize) String() string { return fmt.Sprintf("%d routes, %d tenants", t.routes, t.tenants) }
 
 // The design size of the configuration, and how often it changes.
 const (
@@ -28,11 +28,11 @@
 	budgetAddedSeconds   = 0.0057
 )
 
-// configuration is the file that a program of the scale run is given.
-type configuration struct {
+// configFile is the file that a program of the scale run is given.
+type configFile struct {
 	listen, kernel, roster string
 	memoryMB, sockets      int
-	tables                 tables
+	size                   configSize
 	generation             int // a higher one is the same file with one entry changed
 	seed                   uint64
 }
@@ -42,21 +42,21 @@
 
 // text renders the file. Idle connections are kept, as keepaliveMaxS is 0: else the program asks them to leave. A route is an entry of settings.profiles, a tenant one of settings.accounts, with a name that the
 // program passes over: it tells tenants apart by their place.
-func (c configuration) text() []byte {
+func (c configFile) text() []byte {
 	chance := rand.New(rand.NewPCG(c.seed, uint64(c.generation)))
-	out := make([]byte, 0, 4096+c.tables.routes*130+c.tables.tenants*50)
+	out := make([]byte, 0, 4096+c.size.routes*130+c.size.tenants*50)
 	out = fmt.Appendf(out, `{"name":"scaled","listen":%q,"kernel":%q,"roster":%q,"stop_ms":1000,`, c.listen, c.kernel, c.roster)
 	out = fmt.Appendf(out, `"limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":{`, c.memoryMB, c.sockets)
 	out = append(out, `"domain":{"below":"none","nCores":64,"memoryKb":64000,"runFactor":4,"entryKb":1,"keepaliveMaxS":0,`+
 		`"callers":20,"preemption":"discard","signal":"allowance","ownStats":[]},`...)
 	out = append(out, `"rules":{"overloadFactor":5,"stopSendingWithinS":0.2},"ceilings":{"retryAfter":false},"profiles":[`...)
 	changedRoute, changedTenant := -1, -1
-	if c.tables.tenants > 0 {
-		changedTenant = chance.IntN(c.tables.tenants)
+	if c.size.tenants > 0 {
+		changedTenant = chance.IntN(c.size.tenants)
 	} else {
-		changedRoute = chance.IntN(c.tables.routes)
+		changedRoute = chance.IntN(c.size.routes)
 	}
-	for route := range c.tables.routes {
+	for route := range c.size.routes {
 		deadline := 2
 		if route == changedRoute {
 			deadline = 3 + c.generation%1000
@@ -65,21 +65,21 @@
 			routeName(route), deadline)
 	}
 	out = append(out[:len(out)-1], `],"accounts":[`...)
-	for tenant := range c.tables.tenants {
+	for tenant := range c.size.tenants {
 		quota := 25
 		if tenant == changedTenant {
 			quota = 100 + c.generation
 		}
 		out = fmt.Appendf(out, `{"name":"tenant-%08d","quotaRps":%d},`, tenant, quota)
 	}
-	if c.tables.tenants > 0 {
+	if c.size.tenants > 0 {
 		out = out[:len(out)-1]
 	}
 	return append(out, `]}}`...)
 }
 
 // write replaces a file by this configuration at once, and gives its size in bytes.
-func (c configuration) write(path string) (int, error) {
+func (c configFile) write(path string) (int, error) {
 	text := c.text()
 	fresh := path + ".new"
 	if err := os.WriteFile(fresh, text, 0o600); err != nil {
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -20,11 +20,11 @@
 
 // pureSizes are the sizes at which the view's machine runs alone.
 func (p *experimentRun) pureSizes() []int {
-	return forms[[]int]{
-		brief: []int{20, 40, 80, 160},
-		usual: []int{300, 1000, 3000, 8600},
-		long:  []int{300, 1000, 3000, 8600, 17200},
-	}.of(p)
+	return formValues[[]int]{
+		short:    []int{20, 40, 80, 160},
+		standard: []int{300, 1000, 3000, 8600},
+		long:     []int{300, 1000, 3000, 8600, 17200},
+	}.valueFor(p)
 }
 
 // pureSeconds is how many seconds are simulated at each size.
@@ -65,7 +65,7 @@
 				Restart: restart.kind, Seconds: p.pureSeconds(members), Observers: observers, Seed: p.Seed})
 		}
 	}
-	costs, err := runHollows[hollow.ViewCost](p, "view", plans)
+	costs, err := runMeasurements[hollow.ViewCost](p, "view", plans)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 		}
 		for _, s := range all {
 			s.Against, s.Points, s.Note = "members", found[s.Name], pureNote
-			if err := p.series(r, s); err != nil {
+			if err := p.addSeries(r, s); err != nil {
 				return err
 			}
 		}
@@ -105,7 +105,7 @@
 		plans = append(plans, hollow.ViewPlan{Members: members, RestartsPerSecond: perSecond, Restart: hollow.AllChanges,
 			Seconds: seconds, Observers: observers, Seed: p.Seed})
 	}
-	costs, err := runHollows[hollow.ViewCost](p, "view", plans)
+	costs, err := runMeasurements[hollow.ViewCost](p, "view", plans)
 	if err != nil {
 		return err
 	}
@@ -115,12 +115,12 @@
 		found.add("settled", plans[k].RestartsPerSecond, 100*cost.ConvergedShare)
 	}
 	note := fmt.Sprintf("%s; at %d members", pureNote, members)
-	err = p.series(r, slope.Series{Name: "view.pure.churn.cpu", Unit: "% of a core", Against: "restarts a second",
+	err = p.addSeries(r, slope.Series{Name: "view.pure.churn.cpu", Unit: "% of a core", Against: "restarts a second",
 		Points: found["cpu"], Note: note})
 	if err != nil {
 		return err
 	}
-	return p.series(r, slope.Series{Name: "view.pure.churn.settled", Unit: "% of the time", Against: "restarts a second",
+	return p.addSeries(r, slope.Series{Name: "view.pure.churn.settled", Unit: "% of the time", Against: "restarts a second",
 		Points: found["settled"], Note: note, Fit: slope.Fit{Model: slope.ModelLog}})
 }
 
@@ -140,7 +140,7 @@
 			plans = append(plans, hollow.OutagePlan{View: plan, Lost: lost, SpreadSeconds: lossSpread})
 		}
 	}
-	costs, err := runHollows[hollow.Outage](p, "outage", plans)
+	costs, err := runMeasurements[hollow.Outage](p, "outage", plans)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	for _, what := range kinds {
 		for _, part := range []struct{ name, unit string }{{"lost", "s"}, {"back", "s"}, {"cpu", "% of a core"}} {
 			name := what + "." + part.name
-			err := p.series(r, slope.Series{Name: "view.pure." + name, Unit: part.unit, Against: "members", Points: found[name], Note: note})
+			err := p.addSeries(r, slope.Series{Name: "view.pure." + name, Unit: part.unit, Against: "members", Points: found[name], Note: note})
 			if err != nil {
 				return err
 			}
