--- a/cmd/rehearse/capacity_test.go
+++ b/cmd/rehearse/capacity_test.go
@@ -8,7 +8,8 @@
 	"valveglade/rig/slope"
 )
 
-// TestCapacityPage fails where the tables of the capacity page are not those of the committed result file.
+// TestCapacityPage checks that the tables of the capacity page are those of the committed result file: they get out of date if
+// one is changed without the other.
 func TestCapacityPage(t *testing.T) {
 	result, err := slope.ReadResult("../../docs/capacity/scale.json")
 	if err != nil {
@@ -25,15 +26,17 @@
 	_, rest, found := strings.Cut(string(page), capacityBegin)
 	got, _, ended := strings.Cut(rest, capacityEnd)
 	if !found || !ended {
-		t.Fatal("the page has no generated part")
+		t.Fatal("docs/CAPACITY.md has no generated part between the two markers")
 	}
 	if got = capacityBegin + got + capacityEnd + "\n"; got != want.String() {
-		t.Errorf("the page's tables are not those of docs/capacity/scale.json: run `rehearse capacity docs/capacity/scale.json`\n%s", want.String())
+		t.Errorf("the tables of the page differ from docs/capacity/scale.json: run `rehearse capacity docs/capacity/scale.json`\n%s",
+			want.String())
 	}
 }
 
-// TestCapacityRowTellsWorkedOut forces both sides of the largest size that was run.
-func TestCapacityRowTellsWorkedOut(t *testing.T) {
+// TestBudgetRowMarksExtrapolation checks that a value within the sizes that were run is marked as measured, and one beyond the
+// largest of them as extrapolated.
+func TestBudgetRowMarksExtrapolation(t *testing.T) {
 	points := []slope.Point{{X: 1, Y: 2}, {X: 2, Y: 4}, {X: 3, Y: 6}, {X: 4, Y: 8}}
 	fit, err := slope.Linear(points)
 	if err != nil {
