--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -12,112 +12,113 @@
 	"valveglade/rig/slope"
 )
 
-// The design size: what a fleet is to have in two years.
+// The design size of a fleet: its app servers, and their restarts a day, expected in two years.
 const (
 	designMembers        = 8600
 	designRestartsPerDay = 81000
 )
 
-// formValues is a value that an experiment has in each of its forms, such as the sizes that it runs at.
+// formValues holds one value for each form of an experiment, such as the sizes that it measures.
 type formValues[T any] struct{ short, standard, long T }
 
-// valueFor returns the value in the form that is run: the shortest takes precedence over the long one.
-func (f formValues[T]) valueFor(p *experimentRun) T {
+// valueFor returns the value for the form that is run. The shortest form takes precedence over the long one.
+func (f formValues[T]) valueFor(run *experimentRun) T {
 	switch {
-	case p.shortForm:
+	case run.shortForm:
 		return f.short
-	case p.Long:
+	case run.Long:
 		return f.long
 	}
 	return f.standard
 }
 
-// scalePart measures some series of the scale run.
+// scalePart is a part of the scale experiment that measures one or more series.
 type scalePart struct {
 	name    string
-	measure func(p *experimentRun, r *slope.Result) error
+	measure func(run *experimentRun, result *slope.Result) error
 }
 
-// scaleParts are the parts of a run, in the order in which they run: the one that is named, else all. Those of the
-// distribution need minutes, so that an unnamed default run leaves them out.
-func (p *experimentRun) scaleParts() []scalePart {
+// scaleParts returns the parts to run, in order: the part that was selected, else all. The parts that measure distribution take
+// minutes, so only the long form, or selecting them by name, includes them.
+func (run *experimentRun) scaleParts() []scalePart {
 	parts := slices.Concat(viewScaleParts, roleScaleParts, configScaleParts)
-	if p.Long || p.Part != "" {
+	if run.Long || run.Part != "" {
 		parts = append(parts, distributionScaleParts...)
 	}
-	if p.Part == "" {
+	if run.Part == "" {
 		return parts
 	}
-	return slices.DeleteFunc(parts, func(part scalePart) bool { return part.name != p.Part })
+	return slices.DeleteFunc(parts, func(part scalePart) bool { return part.name != run.Part })
 }
 
-// playScale measures how costs grow with the size of the fleet, and fits them. A part that fails does not keep the others
-// from running; the run falls short by it.
-func runScale(p *experimentRun) error {
-	r := &slope.Result{Commit: commit(), Go: runtime.Version(), Seed: p.Seed, Cores: runtime.NumCPU(), Long: p.Long}
-	p.scale = r
-	failed := 0
-	parts := p.scaleParts()
+// runScale measures how costs grow with the size of the fleet and fits a model to each series. After a part fails, the others
+// still run; the figure parts.failed then misses its bound of 0.
+func runScale(run *experimentRun) error {
+	result := &slope.Result{Commit: sourceRevision(), Go: runtime.Version(), Seed: run.Seed, Cores: runtime.NumCPU(), Long: run.Long}
+	run.scale = result
+	failedParts := 0
+	parts := run.scaleParts()
 	if len(parts) == 0 {
-		return fmt.Errorf("the scale run has no part %q", p.Part)
+		return fmt.Errorf("unknown part %q of the scale experiment", run.Part)
 	}
 	for _, part := range parts {
 		began := time.Now()
-		if err := part.measure(p, r); err != nil {
-			failed++
-			p.printNote("part %s failed: %v", part.name, err)
+		if err := part.measure(run, result); err != nil {
+			failedParts++
+			run.printNote("part %s failed: %v", part.name, err)
 		}
-		p.printNote("part %s took %.1f s", part.name, time.Since(began).Seconds())
+		run.printNote("part %s took %.1f s", part.name, time.Since(began).Seconds())
 	}
-	r.TookSeconds = time.Since(p.began).Seconds()
-	p.exactly("parts.failed", float64(failed), 0)
+	result.TookSeconds = time.Since(run.began).Seconds()
+	run.exactly("parts.failed", float64(failedParts), 0)
 	return nil
 }
 
-// addSeries fits the points of s with the model in s.Fit.Model, linear if none is named, appends s to the result and prints
-// one line of it.
-func (p *experimentRun) addSeries(r *slope.Result, s slope.Series) error {
-	if s.Fit.Model == "" {
-		s.Fit.Model = slope.ModelLinear
+// addSeries fits the model named in series.Fit.Model, by default the linear one, to the points of the series, appends the series
+// to the result and prints a line on it.
+func (run *experimentRun) addSeries(result *slope.Result, series slope.Series) error {
+	if series.Fit.Model == "" {
+		series.Fit.Model = slope.ModelLinear
 	}
-	fit, err := slope.Of(s.Fit.Model, s.Points)
+	fit, err := slope.Of(series.Fit.Model, series.Points)
 	if err != nil {
-		return fmt.Errorf("%s: %w", s.Name, err)
+		return fmt.Errorf("%s: %w", series.Name, err)
 	}
-	s.Fit = fit
-	for _, point := range s.Points {
-		s.Largest = max(s.Largest, point.X)
+	series.Fit = fit
+	for _, point := range series.Points {
+		series.Largest = max(series.Largest, point.X)
 	}
-	if s.ClockFactor == 0 {
-		s.ClockFactor = 1
+	if series.ClockFactor == 0 {
+		series.ClockFactor = 1
 	}
-	r.Series = append(r.Series, s)
-	p.printNote("%s", seriesLine(s))
+	result.Series = append(result.Series, series)
+	run.printNote("%s", formatSeries(series))
 	return nil
 }
 
-// seriesLine tells a series: its fit, its error, the largest size that was run and, for a series against the members of
-// a fleet, its value at the design size.
-func seriesLine(s slope.Series) string {
+// formatSeries returns a line on a series: its fit with the error, the largest size that was run and, for a series against the
+// members of a fleet, its value at the design size.
+func formatSeries(series slope.Series) string {
 	var line strings.Builder
-	fmt.Fprintf(&line, "%-36s %s slope %.4g ± %.2g %s per %s, R2 %.3f, run to %g", s.Name, s.Fit.Model, s.Fit.Slope,
-		s.Fit.SlopeError, s.Unit, s.Against, s.Fit.R2, s.Largest)
-	if s.ClockFactor != 1 {
-		fmt.Fprintf(&line, ", clock %gx slower", s.ClockFactor)
+	fmt.Fprintf(&line, "%-36s %s slope %.4g ± %.2g %s per %s, R2 %.3f, run to %g", series.Name, series.Fit.Model, series.Fit.Slope,
+		series.Fit.SlopeError, series.Unit, series.Against, series.Fit.R2, series.Largest)
+	if series.ClockFactor != 1 {
+		fmt.Fprintf(&line, ", clock %gx slower", series.ClockFactor)
 	}
-	if s.Against == "members" {
-		value, deviation, measured := s.At(designMembers)
-		how := "measured"
+	if series.Against == "members" {
+		value, deviation, measured := series.At(designMembers)
+		source := "measured"
 		if !measured {
-			how = "worked out"
+			source = "worked out"
 		}
-		fmt.Fprintf(&line, "; at %d %.4g ± %.2g %s (%s)", designMembers, value, deviation, s.Unit, how)
+		fmt.Fprintf(&line, "; at %d %.4g ± %.2g %s (%s)", designMembers, value, deviation, series.Unit, source)
 	}
 	return line.String()
 }
 
-// commit is the revision of the source that this program was built from.
-func commit() string {
+// sourceRevision returns the revision of the source that this program was built from. A build without version information takes
+// that of the working directory; it is "unknown" if git has none.
+func sourceRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, setting := range info.Settings {
 			if setting.Key == "vcs.revision" {
--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -2,7 +2,7 @@
 
 import "valveglade/rig/slope"
 
-// configScaleParts are the parts of the scale run that measure configuration, start and RPCs.
+// configScaleParts are the parts of the scale experiment that measure the configuration, the start and RPCs.
 var configScaleParts = []scalePart{
 	{"config", measureConfig},
 	{"start-members", measureStartMembers},
@@ -13,100 +13,105 @@
 	{"config-budgets", measureConfigBudgets},
 }
 
-// fixedEntryCount is how many there are of what a series does not vary.
+// fixedEntryCount is the number of entries of the kind that a series does not vary.
 const fixedEntryCount = 100
 
-// changesAtEachSize are made; their median counts.
-func (p *experimentRun) changesAtEachSize() int {
-	if p.shortForm {
+// changesPerSize returns the number of changes made at each size; a cost is the median over them.
+func (run *experimentRun) changesPerSize() int {
+	if run.shortForm {
 		return 1
 	}
 	return 3
 }
 
-// tenantSizes and routeSizes are what the configuration is measured at; the long form goes to the design size.
-func (p *experimentRun) tenantSizes() []int {
+// tenantSizes returns the numbers of tenants that the configuration is measured at. The long form reaches the design size.
+func (run *experimentRun) tenantSizes() []int {
 	return formValues[[]int]{
 		short:    []int{10, 40, 160, 640},
 		standard: []int{1_000, 10_000, 30_000, 100_000},
 		long:     []int{1_000, 3_000, 10_000, 30_000, 100_000, 400_000, designTenants},
-	}.valueFor(p)
+	}.valueFor(run)
 }
 
-func (p *experimentRun) routeSizes() []int {
+// routeSizes returns the numbers of routes that the configuration is measured at. The long form reaches the design size.
+func (run *experimentRun) routeSizes() []int {
 	return formValues[[]int]{
 		short:    []int{10, 40, 160, 640},
 		standard: []int{1_000, 5_000, 15_000, 40_000},
 		long:     []int{1_000, 3_000, 10_000, 30_000, designRoutes},
-	}.valueFor(p)
+	}.valueFor(run)
 }
 
-// configCost is what one size of the configuration costs.
+// configCost holds the costs of a configuration of one size.
 type configCost struct {
 	fileBytes, startSeconds, residentBytes float64
 	change                                 changeCost
 }
 
-// measureConfigOnce starts a program with a configuration and changes that some times.
-func (p *experimentRun) measureConfigOnce(size configSize) (cost configCost, err error) {
-	s, err := p.startScaled(size, roomyMemory, smallSocketLimit)
+// measureConfigOnce starts a program with a configuration of the given size and changes that changesPerSize times. The cost of a
+// change is the median.
+func (run *experimentRun) measureConfigOnce(size configSize) (cost configCost, err error) {
+	program, err := run.startScaled(size, roomyMemory, smallSocketLimit)
 	if err != nil {
 		return cost, err
 	}
-	defer s.close()
-	cost.fileBytes, cost.startSeconds, cost.residentBytes = float64(s.fileBytes), s.startSeconds, float64(s.Resident())
+	defer program.close()
+	cost.fileBytes, cost.startSeconds, cost.residentBytes = float64(program.fileBytes), program.startSeconds,
+		float64(program.Resident())
 	var wall, cpu, peak []float64
-	for range p.changesAtEachSize() {
-		c, err := s.change()
+	for range run.changesPerSize() {
+		changed, err := program.change()
 		if err != nil {
 			return cost, err
 		}
-		wall, cpu, peak = append(wall, c.wallSeconds), append(cpu, c.cpuSeconds), append(peak, c.peakBytes)
+		wall, cpu, peak = append(wall, changed.wallSeconds), append(cpu, changed.cpuSeconds), append(peak, changed.peakBytes)
 	}
 	cost.change = changeCost{quantile(wall, 0.5), quantile(cpu, 0.5), quantile(peak, 0.5)}
 	return cost, nil
 }
 
-// smallSocketLimit is what a program may hold that serves few connections.
+// smallSocketLimit is the socket limit of a program that serves few connections.
 const smallSocketLimit = 256
 
-// measureConfig measures what a configuration costs against routes and against tenants: a start with it, and a change
-// of one entry, which the program takes in by reading all of it again.
-func measureConfig(p *experimentRun, r *slope.Result) error {
-	byTenants := func(n int) configSize { return configSize{routes: fixedEntryCount, tenants: n} }
-	if err := p.configSeries(r, "tenants", p.tenantSizes(), byTenants); err != nil {
+// measureConfig measures the costs of a configuration against the number of tenants and against the number of routes: those of a
+// start with it, and those of a change of one entry, for which the program reads the whole file again.
+func measureConfig(run *experimentRun, result *slope.Result) error {
+	byTenants := func(count int) configSize { return configSize{routes: fixedEntryCount, tenants: count} }
+	if err := run.configSeries(result, "tenants", run.tenantSizes(), byTenants); err != nil {
 		return err
 	}
-	byRoutes := func(n int) configSize { return configSize{routes: n, tenants: fixedEntryCount} }
-	return p.configSeries(r, "routes", p.routeSizes(), byRoutes)
+	byRoutes := func(count int) configSize { return configSize{routes: count, tenants: fixedEntryCount} }
+	return run.configSeries(result, "routes", run.routeSizes(), byRoutes)
 }
 
-// configSeries measures the costs against one kind of entry.
-func (p *experimentRun) configSeries(r *slope.Result, against string, sizes []int, of func(n int) configSize) error {
+// configSeries adds the series of the costs against the number of entries of one kind, which sizeOf turns into a size.
+func (run *experimentRun) configSeries(result *slope.Result, against string, sizes []int,
+	sizeOf func(count int) configSize) error {
 	var file, start, resident, wall, cpu, peak []slope.Point
-	for _, n := range sizes {
-		cost, err := p.measureConfigOnce(of(n))
+	for _, count := range sizes {
+		cost, err := run.measureConfigOnce(sizeOf(count))
 		if err != nil {
 			return err
 		}
-		at := func(y float64) slope.Point { return slope.Point{X: float64(n), Y: y} }
+		at := func(y float64) slope.Point { return slope.Point{X: float64(count), Y: y} }
 		file, start = append(file, at(cost.fileBytes)), append(start, at(cost.startSeconds))
 		resident = append(resident, at(cost.residentBytes))
 		wall, cpu = append(wall, at(cost.change.wallSeconds)), append(cpu, at(cost.change.cpuSeconds))
 		peak = append(peak, at(cost.change.peakBytes))
 	}
 	const oneCore = "program on one core, memory limit 4096 MB"
-	for _, s := range []slope.Series{
+	for _, series := range []slope.Series{
 		{Name: "config.off.change_seconds", Unit: "s of a core", Points: cpu, Note: oneCore + "; the whole file is read again"},
 		{Name: "config.off.change_wall_seconds", Unit: "s", Points: wall, Note: oneCore + "; from the signal to the line of the log"},
-		{Name: "config.off.change_peak_bytes", Unit: "B", Points: peak, Note: oneCore + "; resident at the most while a change is taken in"},
+		{Name: "config.off.change_peak_bytes", Unit: "B", Points: peak,
+			Note: oneCore + "; resident at the most while a change is taken in"},
 		{Name: "config.off.resident_bytes", Unit: "B", Points: resident, Note: oneCore + "; after the start"},
 		{Name: "config.off.start_bytes", Unit: "B", Points: file, Note: "the file, which a start needs whole"},
 		{Name: "config.off.change_bytes", Unit: "B", Points: file, Note: "a change is the whole file"},
 		{Name: "start.seconds", Unit: "s", Points: start, Note: oneCore + "; from exec to the first RPC served"},
 	} {
-		s.Name, s.Against = s.Name+"."+against, against
-		if err := p.addSeries(r, s); err != nil {
+		series.Name, series.Against = series.Name+"."+against, against
+		if err := run.addSeries(result, series); err != nil {
 			return err
 		}
 	}
--- a/cmd/rehearse/scale_config_file.go
+++ b/cmd/rehearse/scale_config_file.go
@@ -6,44 +6,45 @@
 	"os"
 )
 
-// configSize is how many entries a configuration has.
+// configSize holds the numbers of entries of a configuration.
 type configSize struct {
 	routes, tenants int
 }
 
-func (t configSize) String() string { return fmt.Sprintf("%d routes, %d tenants", t.routes, t.tenants) }
+func (s configSize) String() string { return fmt.Sprintf("%d routes, %d tenants", s.routes, s.tenants) }
 
-// The design size of the configuration, and how often it changes.
+// The design size of the configuration and the rate of its changes.
 const (
 	designRoutes           = 76_000
 	designTenants          = 1_300_000
 	designChangesPerSecond = 1.04
 )
 
-// What control may take on each app server: of a core, of memory, and of the network a second.
+// What valveglade may use on each app server.
 const (
-	budgetCore           = 0.036
-	budgetBytes          = 128 << 20
-	budgetBytesPerSecond = 20_000
-	budgetAddedSeconds   = 0.0057
+	budgetCore           = 0.036     // of a core
+	budgetBytes          = 128 << 20 // of memory
+	budgetBytesPerSecond = 20_000    // of network traffic
+	budgetAddedSeconds   = 0.0057    // added to an RPC at the 99th percentile
 )
 
-// configFile is the file that a program of the scale run is given.
+// configFile describes the configuration file of a program of the scale experiment.
 type configFile struct {
 	listen, kernel, roster string
 	memoryMB, sockets      int
 	size                   configSize
-	generation             int // a higher one is the same file with one entry changed
+	generation             int // selects which entry differs from the usual value, and that value
 	seed                   uint64
 }
 
-// routeName is the method that a route stands for.
+// routeName returns the name of the method of a route. A service has six routes.
 func routeName(route int) string { return fmt.Sprintf("service-%05d/Method%06d", route/6, route) }
 
-// text renders the file. Idle connections are kept, as keepaliveMaxS is 0: else the program asks them to leave. A route is an entry of settings.profiles, a tenant one of settings.accounts, with a name that the
-// program passes over: it tells tenants apart by their place.
+// text renders the file. keepaliveMaxS is 0 so that idle connections stay open; otherwise the program asks their clients to
+// disconnect. A route is an entry of settings.profiles, a tenant one of settings.accounts. The program ignores the names of
+// tenants and identifies a tenant by its position.
 func (c configFile) text() []byte {
-	chance := rand.New(rand.NewPCG(c.seed, uint64(c.generation)))
+	random := rand.New(rand.NewPCG(c.seed, uint64(c.generation)))
 	out := make([]byte, 0, 4096+c.size.routes*130+c.size.tenants*50)
 	out = fmt.Appendf(out, `{"name":"scaled","listen":%q,"kernel":%q,"roster":%q,"stop_ms":1000,`, c.listen, c.kernel, c.roster)
 	out = fmt.Appendf(out, `"limits":{"cores":1,"memory_mb":%d,"sockets":%d},"settings":{`, c.memoryMB, c.sockets)
@@ -52,9 +53,9 @@
 	out = append(out, `"rules":{"overloadFactor":5,"stopSendingWithinS":0.2},"ceilings":{"retryAfter":false},"profiles":[`...)
 	changedRoute, changedTenant := -1, -1
 	if c.size.tenants > 0 {
-		changedTenant = chance.IntN(c.size.tenants)
+		changedTenant = random.IntN(c.size.tenants)
 	} else {
-		changedRoute = chance.IntN(c.size.routes)
+		changedRoute = random.IntN(c.size.routes)
 	}
 	for route := range c.size.routes {
 		deadline := 2
@@ -78,12 +79,12 @@
 	return append(out, `]}}`...)
 }
 
-// write replaces a file by this configuration at once, and gives its size in bytes.
+// write atomically replaces the file at path with the rendered configuration and returns its size in bytes.
 func (c configFile) write(path string) (int, error) {
 	text := c.text()
-	fresh := path + ".new"
-	if err := os.WriteFile(fresh, text, 0o600); err != nil {
+	newPath := path + ".new"
+	if err := os.WriteFile(newPath, text, 0o600); err != nil {
 		return 0, err
 	}
-	return len(text), os.Rename(fresh, path)
+	return len(text), os.Rename(newPath, path)
 }
