--- a/cmd/rehearse/measurement_process.go
+++ b/cmd/rehearse/measurement_process.go
@@ -13,89 +13,94 @@
 	"valveglade/rig/hollow"
 )
 
-// measurementCommand runs one measurement of rig/hollow in a process of its own, so that its CPU and memory are its own: the plan
-// is read from standard input, the cost written to standard output, as JSON.
+// measurementCommand returns the hidden command that runs one measurement of package hollow. It runs in a process of its own, so
+// that the CPU time and memory of the process are those of the measurement. The command reads the plan as JSON from standard
+// input and writes the cost as JSON to standard output.
 func measurementCommand() *cobra.Command {
-	return &cobra.Command{Use: "hollow KIND", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		if args[0] == "members" {
-			return hollow.ServeMembers(os.Stdin, os.Stdout)
-		}
-		run, known := hollowRuns[args[0]]
-		if !known {
-			return fmt.Errorf("no hollow run is named %q", args[0])
-		}
-		cost, err := run(json.NewDecoder(os.Stdin))
-		if err != nil {
-			return err
-		}
-		return json.NewEncoder(os.Stdout).Encode(cost)
-	}}
+	return &cobra.Command{Use: "hollow KIND", Hidden: true, Args: cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			if args[0] == "members" {
+				return hollow.ServeMembers(os.Stdin, os.Stdout)
+			}
+			measure, known := measurements[args[0]]
+			if !known {
+				return fmt.Errorf("unknown measurement %q", args[0])
+			}
+			cost, err := measure(json.NewDecoder(os.Stdin))
+			if err != nil {
+				return err
+			}
+			return json.NewEncoder(os.Stdout).Encode(cost)
+		}}
 }
 
-// hollowRuns are the measurements by name. Each reads its plan.
-var hollowRuns = map[string]func(plan *json.Decoder) (any, error){
-	"view": func(d *json.Decoder) (any, error) {
-		return decoded(d, func(plan hollow.ViewPlan) (any, error) { return hollow.RunView(plan), nil })
+// measurements are the measurements by name. Each decodes its plan, runs it and returns the cost.
+var measurements = map[string]func(plan *json.Decoder) (any, error){
+	"view": func(decoder *json.Decoder) (any, error) {
+		return decodeAndRun(decoder, func(plan hollow.ViewPlan) (any, error) { return hollow.RunView(plan), nil })
 	},
-	"outage": func(d *json.Decoder) (any, error) {
-		return decoded(d, func(plan hollow.OutagePlan) (any, error) { return hollow.RunOutage(plan) })
+	"outage": func(decoder *json.Decoder) (any, error) {
+		return decodeAndRun(decoder, func(plan hollow.OutagePlan) (any, error) { return hollow.RunOutage(plan) })
 	},
-	"subscribers": func(d *json.Decoder) (any, error) {
-		return decoded(d, func(plan hollow.SubscriberPlan) (any, error) { return hollow.RunSubscribers(plan) })
+	"subscribers": func(decoder *json.Decoder) (any, error) {
+		return decodeAndRun(decoder, func(plan hollow.SubscriberPlan) (any, error) { return hollow.RunSubscribers(plan) })
 	},
-	"roles": func(d *json.Decoder) (any, error) {
-		return decoded(d, func(plan hollow.RolePlan) (any, error) { return hollow.RunRoles(plan) })
+	"roles": func(decoder *json.Decoder) (any, error) {
+		return decodeAndRun(decoder, func(plan hollow.RolePlan) (any, error) { return hollow.RunRoles(plan) })
 	},
-	"quota": func(d *json.Decoder) (any, error) {
-		return decoded(d, func(plan hollow.QuotaPlan) (any, error) { return hollow.RunQuota(plan) })
+	"quota": func(decoder *json.Decoder) (any, error) {
+		return decodeAndRun(decoder, func(plan hollow.QuotaPlan) (any, error) { return hollow.RunQuota(plan) })
 	},
-	"burst": func(d *json.Decoder) (any, error) {
-		return decoded(d, func(plan hollow.BurstPlan) (any, error) { return hollow.RunVoterBurst(plan) })
+	"burst": func(decoder *json.Decoder) (any, error) {
+		return decodeAndRun(decoder, func(plan hollow.BurstPlan) (any, error) { return hollow.RunVoterBurst(plan) })
 	},
 }
 
-func decoded[P any](d *json.Decoder, run func(P) (any, error)) (any, error) {
+// decodeAndRun decodes a plan and runs the measurement on it.
+func decodeAndRun[P any](decoder *json.Decoder, measure func(P) (any, error)) (any, error) {
 	var plan P
-	if err := d.Decode(&plan); err != nil {
+	if err := decoder.Decode(&plan); err != nil {
 		return nil, err
 	}
-	return run(plan)
+	return measure(plan)
 }
 
-// runHollow runs one measurement in a process of its own.
-func runHollow[C any](p *experimentRun, kind string, plan any) (cost C, err error) {
-	text, err := json.Marshal(plan)
+// runMeasurement runs the measurement kind on the plan in a process of its own and returns its cost. An error holds what the
+// process wrote to standard error.
+func runMeasurement[C any](run *experimentRun, kind string, plan any) (cost C, err error) {
+	input, err := json.Marshal(plan)
 	if err != nil {
 		return cost, err
 	}
-	cmd := exec.Command(p.self(), "hollow", kind)
-	cmd.Stdin = bytes.NewReader(text)
-	cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", hollowCores))
-	var complaint bytes.Buffer
-	cmd.Stderr = &complaint
+	cmd := exec.Command(run.self(), "hollow", kind)
+	cmd.Stdin = bytes.NewReader(input)
+	cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", measurementCores))
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return cost, fmt.Errorf("%s %s: %w: %s", kind, text, err, bytes.TrimSpace(complaint.Bytes()))
+		return cost, fmt.Errorf("%s %s: %w: %s", kind, input, err, bytes.TrimSpace(stderr.Bytes()))
 	}
 	return cost, json.Unmarshal(out, &cost)
 }
 
-// hollowCores is how many cores a measurement may use at once: more would spin for work where there is none, which is CPU too.
-const hollowCores = 2
+// measurementCores is GOMAXPROCS of a measurement. More threads would spend CPU time on spinning while they look for work.
+const measurementCores = 2
 
-// hollowAtOnce is how many measurements run side by side.
-const hollowAtOnce = 4
+// maxConcurrentMeasurements limits the measurements that run at the same time.
+const maxConcurrentMeasurements = 4
 
-// runMeasurements runs one measurement for each plan, some side by side, and gives the costs in the order of the plans.
-func runMeasurements[C, P any](p *experimentRun, kind string, plans []P) ([]C, error) {
+// runMeasurements runs one measurement for each plan, up to maxConcurrentMeasurements at a time, and returns the costs in the
+// order of the plans.
+func runMeasurements[C, P any](run *experimentRun, kind string, plans []P) ([]C, error) {
 	costs := make([]C, len(plans))
 	var group errgroup.Group
-	if group.SetLimit(hollowAtOnce); p.shortForm {
-		group.SetLimit(len(plans)) // tiny ones
+	if group.SetLimit(maxConcurrentMeasurements); run.shortForm {
+		group.SetLimit(len(plans)) // the measurements of the shortest form are small
 	}
-	for k, plan := range plans {
+	for index, plan := range plans {
 		group.Go(func() (err error) {
-			costs[k], err = runHollow[C](p, kind, plan)
+			costs[index], err = runMeasurement[C](run, kind, plan)
 			return err
 		})
 	}
--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -18,107 +18,110 @@
 	"valveglade/rpc"
 )
 
-// distributionScaleParts are the parts of the scale run that measure the distribution of configuration.
+// distributionScaleParts are the parts of the scale experiment that measure the distribution of configuration.
 var distributionScaleParts = []scalePart{
 	{"distribution-members", measureDistribution},
 	{"distribution-table", measureDistributionTable},
 }
 
-// What is distributed.
+// The workload of the distribution parts and its bounds.
 const (
-	designInForceSeconds = 18.0
-	designBytesPerSecond = 20e3
-	distributionServices = 200
-	servicesEach         = 4  // of one app server
-	tenantsEach          = 50 // of one service
-	perDistributor       = 430
-	perHollowProcess     = 2150
-	distributionSockets  = 4096 // an eighth of them are for subscribers
+	designInForceSeconds     = 18.0
+	designBytesPerSecond     = 20e3
+	distributionServices     = 200
+	servicesPerAppServer     = 4
+	tenantsPerService        = 50
+	appServersPerDistributor = 430
+	appServersPerProcess     = 2150 // simulated app servers
+	distributionSocketLimit  = 4096 // an eighth of the sockets is reserved for subscribers
 )
 
-// distributionSizes are the numbers of app servers.
-func (p *experimentRun) distributionSizes() []int {
+// distributionSizes returns the numbers of app servers that distribution is measured at.
+func (run *experimentRun) distributionSizes() []int {
 	return formValues[[]int]{
 		short:    []int{4, 8, 16, 32},
 		standard: []int{125, 250, 500, 1000},
 		long:     []int{1000, 2150, 4300, 8600},
-	}.valueFor(p)
+	}.valueFor(run)
 }
 
-// distributedServices is how many services there are: in the shortest form so few that a handful of app servers serves them all.
-func (p *experimentRun) distributedServices() int {
-	if p.shortForm {
-		return 2 * servicesEach
+// distributedServices returns the number of services. The shortest form has so few that a handful of app servers serves them all.
+func (run *experimentRun) distributedServices() int {
+	if run.shortForm {
+		return 2 * servicesPerAppServer
 	}
 	return distributionServices
 }
 
-// distributionSeconds is how long changes are made at each size.
-func (p *experimentRun) distributionSeconds() float64 {
-	if p.shortForm {
+// distributionSeconds returns how long changes are made at each size, in seconds.
+func (run *experimentRun) distributionSeconds() float64 {
+	if run.shortForm {
 		return 4
 	}
 	return 30
 }
 
-// distributionFleet is voters and distributors as processes.
+// distributionFleet is a cluster of voters and distributors, each a process of its own.
 type distributionFleet struct {
 	*rig.Cluster
 	distributors []string
 	services     []string
 }
 
-// startDistribution starts one, with entries in its table.
-func (p *experimentRun) startDistribution(distributors, entriesEach int, rate string) (*distributionFleet, error) {
-	f := &distributionFleet{}
+// startDistribution starts three voters and the given number of distributors, commits entriesEach tenants for each service and
+// waits until all processes have the same version. rate limits the bytes that a distributor sends a subscriber in a second. The
+// caller closes the fleet.
+func (run *experimentRun) startDistribution(distributors, entriesEach int, rate string) (*distributionFleet, error) {
+	distribution := &distributionFleet{}
 	names := []string{"v1", "v2", "v3"}
 	for k := range distributors {
-		f.distributors = append(f.distributors, fmt.Sprintf("d%d", k+1))
+		distribution.distributors = append(distribution.distributors, fmt.Sprintf("d%d", k+1))
 	}
-	for k := range p.distributedServices() {
-		f.services = append(f.services, fmt.Sprintf("service%03d", k))
+	for k := range run.distributedServices() {
+		distribution.services = append(distribution.services, fmt.Sprintf("service%03d", k))
 	}
-	names = append(names, f.distributors...)
+	names = append(names, distribution.distributors...)
 	settings := []string{"fleet.voters v1 v2 v3", "fleet.config on", "fleet.config-rate " + rate}
-	settings = append(settings, "fleet.config-distributors "+strings.Join(f.distributors, " "))
-	s, err := rig.NewCluster(rig.Plan{Program: p.Program, Names: names, Slack: time.Second, Seed: p.Seed, Folders: names, Laws: settings,
-		Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSockets, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
+	settings = append(settings, "fleet.config-distributors "+strings.Join(distribution.distributors, " "))
+	cluster, err := rig.NewCluster(rig.Plan{Program: run.Program, Names: names, Slack: time.Second, Seed: run.Seed, Folders: names,
+		Laws: settings, Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSocketLimit, Stop: 2 * time.Second,
+			Grace: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		return nil, err
 	}
-	f.Cluster = s
-	for _, text := range hollow.FillChanges(f.services, entriesEach) {
-		if _, err := f.apply(text); err != nil {
-			s.Close()
+	distribution.Cluster = cluster
+	for _, text := range hollow.FillChanges(distribution.services, entriesEach) {
+		if _, err := distribution.apply(text); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
-	if _, ok := s.Until(time.Minute, f.even); !ok {
-		s.Close()
-		return nil, errors.New("the distributors do not come to one version")
+	if _, ok := cluster.Until(time.Minute, distribution.sameVersion); !ok {
+		cluster.Close()
+		return nil, errors.New("voters and distributors did not converge on one version within a minute")
 	}
-	return f, nil
+	return distribution, nil
 }
 
-// apply has changes committed, and tries again while nobody leads.
+// apply commits changes and returns the version that they made. It retries for up to a minute, as there may be no leader.
 func (f *distributionFleet) apply(text string) (version uint64, err error) {
 	_, ok := f.Until(time.Minute, func() bool {
-		result, failed := fleet.ApplyChanges(fleet.ConfigSocket(f.Socket("v1")), "changes", []byte(text))
-		if err = failed; err == nil && result.Error != "" {
+		result, applyErr := fleet.ApplyChanges(fleet.ConfigSocket(f.Socket("v1")), "changes", []byte(text))
+		if err = applyErr; err == nil && result.Error != "" {
 			err = errors.New(result.Error)
 		}
 		version = result.Version
 		return err == nil
 	})
 	if !ok {
-		return 0, fmt.Errorf("not applied: %w", err)
+		return 0, fmt.Errorf("changes not committed within a minute: %w", err)
 	}
 	return version, nil
 }
 
-// even reports whether all processes are of one version.
-func (f *distributionFleet) even() bool {
+// sameVersion reports whether all processes have the same version and none is stale.
+func (f *distributionFleet) sameVersion() bool {
 	versions := map[uint64]bool{}
 	for _, name := range f.Names() {
 		status, err := fleet.AskDistribution(fleet.ConfigSocket(f.Socket(name)))
@@ -130,106 +133,110 @@
 	return len(versions) == 1
 }
 
-// addresses are where subscribers reach the distributors, and the address that they speak from.
-func (f *distributionFleet) addresses() (at map[string]netip.AddrPort, local netip.Addr) {
-	at = map[string]netip.AddrPort{}
+// addresses returns the address of each distributor and the local address that subscribers connect from.
+func (f *distributionFleet) addresses() (distributors map[string]netip.AddrPort, local netip.Addr) {
+	distributors = map[string]netip.AddrPort{}
 	for slot, name := range f.Names() {
 		if slices.Contains(f.distributors, name) {
-			at[name] = f.Paths.Own(slot + 1)
+			distributors[name] = f.Paths.Own(slot + 1)
 		}
 	}
 	bytes := f.Paths.Own(1).Addr().As4()
 	bytes[2], bytes[3] = 9, 1
-	return at, netip.AddrFrom4(bytes)
+	return distributors, netip.AddrFrom4(bytes)
 }
 
-// distributionCost is what one size took.
+// distributionCost holds the costs of distribution at one size.
 type distributionCost struct {
-	inForce                   []float64 // seconds of each change, until all that serve it had it
-	missing                   int       // changes that not all had in the end
-	bytes                     float64   // a second, of one app server
-	subscriberCore            float64   // of a core, of one app server
-	distributorCore           float64   // of a core, of the busiest distributor
-	ready, stale, laterWholes int
+	inForceSeconds               []float64 // for each change, until all app servers that serve it had it; +Inf if some never did
+	incompleteChanges            int       // changes that some app servers did not have at the end
+	bytesPerSecond               float64   // of one app server
+	subscriberCore               float64   // share of a core, of one app server
+	distributorCore              float64   // share of a core, of the busiest distributor
+	ready, stale, laterSnapshots int       // subscribers ready at the start, stale at the end; snapshots taken in between
 }
 
-// measureDistribution measures changes at the design's rate against the number of app servers.
-func measureDistribution(p *experimentRun, r *slope.Result) error {
-	found := points{}
-	for _, members := range p.distributionSizes() {
-		cost, err := p.distributeAmong(members)
+// measureDistribution measures, against the number of app servers, what it costs to distribute changes made at the design rate.
+func measureDistribution(run *experimentRun, result *slope.Result) error {
+	measured := points{}
+	for _, members := range run.distributionSizes() {
+		cost, err := run.distributeAmong(members)
 		if err != nil {
 			return fmt.Errorf("%d app servers: %w", members, err)
 		}
-		slowest, median := quantile(cost.inForce, 1), quantile(cost.inForce, 0.5)
-		p.printNote("distribution, %d app servers: %d followed, %d changes in force everywhere after %.3g s at the median, %.3g s at the most; "+
-			"%d not everywhere, %d stale, %d whole tables; an app server %.0f B/s, %.3g%% of a core; the busiest distributor %.3g%%", members,
-			cost.ready, len(cost.inForce), median, slowest, cost.missing, cost.stale, cost.laterWholes, cost.bytes, 100*cost.subscriberCore,
-			100*cost.distributorCore)
-		x := float64(members)
-		found.add("distribution.on.in_force_max", x, slowest)
-		found.add("distribution.on.in_force_median", x, median)
-		found.add("distribution.on.bytes", x, cost.bytes)
-		found.add("distribution.on.cpu.app_server", x, 100*cost.subscriberCore)
-		found.add("distribution.on.cpu.distributor", x, 100*cost.distributorCore)
-		p.exactly(fmt.Sprintf("distribution.%d.missing", members), float64(cost.missing), 0)
-		p.atMost(fmt.Sprintf("distribution.%d.in_force_s", members), slowest, designInForceSeconds)
-		p.atMost(fmt.Sprintf("distribution.%d.bytes", members), cost.bytes, designBytesPerSecond)
+		slowest, median := quantile(cost.inForceSeconds, 1), quantile(cost.inForceSeconds, 0.5)
+		run.printNote("distribution, %d app servers: %d subscribed, %d changes in force everywhere after a median of %.3g s, max "+
+			"%.3g s; %d incomplete, %d stale, %d snapshots; per app server %.0f B/s, %.3g%% of a core; busiest distributor %.3g%%",
+			members, cost.ready, len(cost.inForceSeconds), median, slowest, cost.incompleteChanges, cost.stale, cost.laterSnapshots,
+			cost.bytesPerSecond, 100*cost.subscriberCore, 100*cost.distributorCore)
+		size := float64(members)
+		measured.add("distribution.on.in_force_max", size, slowest)
+		measured.add("distribution.on.in_force_median", size, median)
+		measured.add("distribution.on.bytes", size, cost.bytesPerSecond)
+		measured.add("distribution.on.cpu.app_server", size, 100*cost.subscriberCore)
+		measured.add("distribution.on.cpu.distributor", size, 100*cost.distributorCore)
+		run.exactly(fmt.Sprintf("distribution.%d.missing", members), float64(cost.incompleteChanges), 0)
+		run.atMost(fmt.Sprintf("distribution.%d.in_force_s", members), slowest, designInForceSeconds)
+		run.atMost(fmt.Sprintf("distribution.%d.bytes", members), cost.bytesPerSecond, designBytesPerSecond)
 	}
-	note := fmt.Sprintf("%d services of %d tenants, %d served each, %.2f changes a second; app servers are hollow, up to %d a process, with the watching in "+
-		"their CPU; voters and distributors are processes, a distributor for each %d", distributionServices, tenantsEach, servicesEach,
-		designChangesPerSecond, perHollowProcess, perDistributor)
-	for _, s := range []slope.Series{{Name: "distribution.on.in_force_max", Unit: "s"}, {Name: "distribution.on.in_force_median", Unit: "s"},
+	note := fmt.Sprintf("%d services of %d tenants, %d served each, %.2f changes a second; app servers are hollow, up to %d "+
+		"a process, with the watching in their CPU; voters and distributors are processes, a distributor for each %d",
+		distributionServices, tenantsPerService, servicesPerAppServer, designChangesPerSecond, appServersPerProcess,
+		appServersPerDistributor)
+	for _, series := range []slope.Series{{Name: "distribution.on.in_force_max", Unit: "s"},
+		{Name: "distribution.on.in_force_median", Unit: "s"},
 		{Name: "distribution.on.bytes", Unit: "B/s"}, {Name: "distribution.on.cpu.app_server", Unit: "% of a core"},
 		{Name: "distribution.on.cpu.distributor", Unit: "% of a core"}} {
-		s.Against, s.Points, s.Note = "members", found[s.Name], note
-		if err := p.addSeries(r, s); err != nil {
+		series.Against, series.Points, series.Note = "members", measured[series.Name], note
+		if err := run.addSeries(result, series); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// connectSeconds is how long subscribers have until changes begin.
+// connectSeconds is the time that subscribers have to connect before changes begin.
 const connectSeconds = 12.0
 
-// distributeAmong makes changes among hollow app servers.
-func (p *experimentRun) distributeAmong(members int) (cost distributionCost, err error) {
-	settling, connecting, entries := 5.0, connectSeconds, tenantsEach
-	if p.shortForm {
-		settling, connecting, entries = 8, 4, 2
+// distributeAmong measures the distribution of changes to the given number of simulated app servers.
+func (run *experimentRun) distributeAmong(members int) (cost distributionCost, err error) {
+	settleSeconds, leadSeconds, entries := 5.0, connectSeconds, tenantsPerService
+	if run.shortForm {
+		settleSeconds, leadSeconds, entries = 8, 4, 2
 	}
-	f, err := p.startDistribution(2+(members-1)/perDistributor, entries, "20KB")
+	cluster, err := run.startDistribution(2+(members-1)/appServersPerDistributor, entries, "20KB")
 	if err != nil {
 		return cost, err
 	}
-	defer f.Close()
-	at, local := f.addresses()
-	start := time.Now().Add(toDuration(connecting))
+	defer cluster.Close()
+	distributorAddresses, local := cluster.addresses()
+	start := time.Now().Add(toDuration(leadSeconds))
 	var plans []hollow.SubscriberPlan
-	for first := 0; first < members; first += perHollowProcess {
-		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(perHollowProcess, members-first), First: first, Distributors: at, Local: local,
-			Services: f.services, Each: servicesEach, Rate: designBytesPerSecond, Seed: p.Seed, StartAt: start, Seconds: p.distributionSeconds() + settling})
+	for first := 0; first < members; first += appServersPerProcess {
+		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(appServersPerProcess, members-first), First: first,
+			Distributors: distributorAddresses, Local: local, Services: cluster.services, Each: servicesPerAppServer,
+			Rate: designBytesPerSecond, Seed: run.Seed, StartAt: start, Seconds: run.distributionSeconds() + settleSeconds})
 	}
 	var costs []hollow.SubscriberCost
-	var watching sync.WaitGroup
-	var watchErr error
-	watching.Go(func() { costs, watchErr = runMeasurements[hollow.SubscriberCost](p, "subscribers", plans) })
+	var subscribers sync.WaitGroup
+	var subscribersErr error
+	subscribers.Go(func() { costs, subscribersErr = runMeasurements[hollow.SubscriberCost](run, "subscribers", plans) })
 	time.Sleep(time.Until(start))
-	before := f.processorTimes()
-	committed, err := p.makeChanges(f)
-	after := f.processorTimes()
-	watching.Wait()
-	if err = errors.Join(err, watchErr); err != nil {
+	before := cluster.processorTimes()
+	committed, err := run.makeChanges(cluster)
+	after := cluster.processorTimes()
+	subscribers.Wait()
+	if err = errors.Join(err, subscribersErr); err != nil {
 		return cost, err
 	}
-	for _, name := range f.distributors {
-		cost.distributorCore = max(cost.distributorCore, (after[name]-before[name]).Seconds()/p.distributionSeconds())
+	for _, name := range cluster.distributors {
+		cost.distributorCore = max(cost.distributorCore, (after[name]-before[name]).Seconds()/run.distributionSeconds())
 	}
-	cost.add(costs, committed, members, p.distributionSeconds()+settling)
+	cost.add(costs, committed, members, run.distributionSeconds()+settleSeconds)
 	return cost, nil
 }
 
+// processorTimes returns the processor time that each distributor has used so far.
 func (f *distributionFleet) processorTimes() map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for _, name := range f.distributors {
@@ -238,70 +245,74 @@
 	return all
 }
 
-// changeKey names a change by service and index.
+// changeKey identifies a change by its service and its index in the log.
 type changeKey struct {
 	service string
 	index   uint64
 }
 
-// makeChanges makes changes at the design's rate, and tells when each was asked for.
-func (p *experimentRun) makeChanges(f *distributionFleet) (map[changeKey]time.Time, error) {
+// makeChanges commits changes at the design rate for distributionSeconds and returns when each was requested.
+func (run *experimentRun) makeChanges(cluster *distributionFleet) (map[changeKey]time.Time, error) {
 	committed := map[changeKey]time.Time{}
-	random := rand.New(rand.NewPCG(p.Seed, 77))
-	every := toDuration(1 / designChangesPerSecond)
-	for end := time.Now().Add(toDuration(p.distributionSeconds())); time.Now().Before(end); {
+	random := rand.New(rand.NewPCG(run.Seed, 77))
+	interval := toDuration(1 / designChangesPerSecond)
+	for end := time.Now().Add(toDuration(run.distributionSeconds())); time.Now().Before(end); {
 		began := time.Now()
-		service := f.services[random.IntN(len(f.services))]
-		text := fmt.Sprintf("put tenant tenant%05d service=%s quota=%d\n", random.IntN(tenantsEach), service, 1+random.IntN(100_000))
-		index, err := f.apply(text)
+		service := cluster.services[random.IntN(len(cluster.services))]
+		text := fmt.Sprintf("put tenant tenant%05d service=%s quota=%d\n", random.IntN(tenantsPerService), service,
+			1+random.IntN(100_000))
+		index, err := cluster.apply(text)
 		if err != nil {
 			return nil, err
 		}
 		committed[changeKey{service, index}] = began
-		time.Sleep(time.Until(began.Add(every)))
+		time.Sleep(time.Until(began.Add(interval)))
 	}
 	return committed, nil
 }
 
-// add joins what the hollow processes saw.
-func (c *distributionCost) add(costs []hollow.SubscriberCost, committed map[changeKey]time.Time, members int, seconds float64) {
-	type sight struct {
-		has  int
-		last time.Time
+// add sums up the costs of the processes of simulated app servers and derives from their observations how long each committed
+// change took to reach all app servers that serve it. seconds is the length of the measurement.
+func (cost *distributionCost) add(costs []hollow.SubscriberCost, committed map[changeKey]time.Time, members int,
+	seconds float64) {
+	type observation struct {
+		count int // app servers that have the change
+		last  time.Time
 	}
-	sights := map[changeKey]*sight{}
+	observations := map[changeKey]*observation{}
 	serving := map[string]int{}
-	for _, one := range costs {
-		c.ready += one.Ready
-		c.stale += one.Stale
-		c.laterWholes += int(one.LaterSnapshots)
-		c.bytes += float64(one.Bytes) / seconds / float64(members)
-		c.subscriberCore += one.CoreSeconds / seconds / float64(members)
-		for service, n := range one.Serving {
-			serving[service] += n
+	for _, processCost := range costs {
+		cost.ready += processCost.Ready
+		cost.stale += processCost.Stale
+		cost.laterSnapshots += int(processCost.LaterSnapshots)
+		cost.bytesPerSecond += float64(processCost.Bytes) / seconds / float64(members)
+		cost.subscriberCore += processCost.CoreSeconds / seconds / float64(members)
+		for service, count := range processCost.Serving {
+			serving[service] += count
 		}
-		for _, seen := range one.Seen {
+		for _, seen := range processCost.Seen {
 			key := changeKey{seen.Service, seen.Index}
-			if sights[key] == nil {
-				sights[key] = &sight{}
+			if observations[key] == nil {
+				observations[key] = &observation{}
 			}
-			s := sights[key]
-			s.has += seen.Has
-			if seen.Last.After(s.last) {
-				s.last = seen.Last
+			observed := observations[key]
+			observed.count += seen.Has
+			if seen.Last.After(observed.last) {
+				observed.last = seen.Last
 			}
 		}
 	}
-	for key, at := range committed {
-		switch s := sights[key]; {
-		case serving[key.service] == 0: // nobody is to have it
-		case s == nil || s.has < serving[key.service]:
-			c.missing++
-			c.inForce = append(c.inForce, math.Inf(1))
+	for key, requested := range committed {
+		switch observed := observations[key]; {
+		case serving[key.service] == 0: // no app server subscribes to the service
+		case observed == nil || observed.count < serving[key.service]:
+			cost.incompleteChanges++
+			cost.inForceSeconds = append(cost.inForceSeconds, math.Inf(1))
 		default:
-			c.inForce = append(c.inForce, s.last.Sub(at).Seconds())
+			cost.inForceSeconds = append(cost.inForceSeconds, observed.last.Sub(requested).Seconds())
 		}
 	}
 }
 
+// toDuration converts seconds to a duration.
 func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -15,29 +15,32 @@
 	"valveglade/store/configstore"
 )
 
-// designServices is how many services the entries of the design size belong to.
+// designServices is the number of services that the entries of the design size belong to.
 const designServices = 13_000
 
-// designEntries is how many entries the design size has: routes and tenants.
+// designEntries is the number of entries of the design size: routes and tenants.
 const designEntries = designRoutes + designTenants
 
-// entrySizes are how many entries the configuration table is measured with: it is a pure module, quick at the design size.
-func (p *experimentRun) entrySizes() []int {
-	if p.shortForm {
+// entrySizes returns the numbers of entries that the configuration table is measured with. The table does no I/O, so measuring it
+// at the design size is quick.
+func (run *experimentRun) entrySizes() []int {
+	if run.shortForm {
 		return []int{500, 1_000, 2_000, 4_000}
 	}
 	return []int{10_000, 100_000, 400_000, designEntries}
 }
 
+// serviceName returns the name of a service by its number.
 func serviceName(service int) string { return fmt.Sprintf("service-%05d", service) }
 
-// tableShape is how the entries of a table are spread over services: as at the design size.
+// tableShape describes a table whose entries are spread over services as at the design size.
 type tableShape struct {
-	services, entriesEach, routesEach int
+	services, entriesEach, routesEach int    // the last two are per service
 	seed                              uint64 // of names and values
 }
 
-func shapeOf(entries int, seed uint64) tableShape {
+// newTableShape returns the shape of a table of about the given number of entries: full services, and at least one.
+func newTableShape(entries int, seed uint64) tableShape {
 	const entriesEach = (designEntries + designServices - 1) / designServices
 	const routesEach = (designRoutes + designServices - 1) / designServices
 	return tableShape{services: max(entries/entriesEach, 1), entriesEach: entriesEach, routesEach: routesEach, seed: seed}
@@ -45,17 +48,17 @@
 
 func (s tableShape) entries() int { return s.services * s.entriesEach }
 
-// service gives the entries of one service in the table's order, with names and values by chance: names and values that
-// resemble each other would take less memory than real ones do.
+// service returns the entries of one service in the order of the table. Names and values are random: similar ones would take less
+// memory than real ones do.
 func (s tableShape) service(service int) []configtable.Change {
-	chance := rand.New(rand.NewPCG(s.seed, uint64(service)))
+	random := rand.New(rand.NewPCG(s.seed, uint64(service)))
 	entries := make([]configtable.Change, 0, s.entriesEach)
 	for k := range s.entriesEach {
 		change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: serviceName(service),
-			Name: fmt.Sprintf("tenant-%016x", chance.Uint64()), Value: tenantValue(chance)}
+			Name: fmt.Sprintf("tenant-%016x", random.Uint64()), Value: tenantValue(random)}
 		if k < s.routesEach {
-			change.Kind, change.Name = configtable.Route, fmt.Sprintf("route-%016x", chance.Uint64())
-			change.Value = routeValue(chance)
+			change.Kind, change.Name = configtable.Route, fmt.Sprintf("route-%016x", random.Uint64())
+			change.Value = routeValue(random)
 		}
 		entries = append(entries, change)
 	}
@@ -65,17 +68,19 @@
 	return entries
 }
 
-func tenantValue(chance *rand.Rand) configtable.Value {
-	return configtable.Value{Tenant: configtable.TenantValue{QuotaPerSecond: float64(1 + chance.IntN(10_000))}}
+// tenantValue returns a random value of a tenant.
+func tenantValue(random *rand.Rand) configtable.Value {
+	return configtable.Value{Tenant: configtable.TenantValue{QuotaPerSecond: float64(1 + random.IntN(10_000))}}
 }
 
-func routeValue(chance *rand.Rand) configtable.Value {
-	return configtable.Value{Route: configtable.RouteValue{Method: fmt.Sprintf("Method%06d", chance.IntN(1_000_000)),
-		LatencyTargetMilliseconds: float64(10 * (1 + chance.IntN(100))), DeadlineMilliseconds: float64(1000 * (1 + chance.IntN(60))),
-		Criticality: float64(chance.IntN(1000)) / 1000}}
+// routeValue returns a random value of a route.
+func routeValue(random *rand.Rand) configtable.Value {
+	return configtable.Value{Route: configtable.RouteValue{Method: fmt.Sprintf("Method%06d", random.IntN(1_000_000)),
+		LatencyTargetMilliseconds: float64(10 * (1 + random.IntN(100))), DeadlineMilliseconds: float64(1000 * (1 + random.IntN(60))),
+		Criticality: float64(random.IntN(1000)) / 1000}}
 }
 
-// build makes the table at once, as from a snapshot.
+// build builds the whole table in one go, as loading a snapshot does.
 func (s tableShape) build() (configtable.Table, error) {
 	var builder configtable.Builder
 	for service := range s.services {
@@ -91,16 +96,16 @@
 	return builder.Table(), nil
 }
 
-// tableCost is what one size of the table costs.
+// tableCost holds the costs of a table of one size.
 type tableCost struct {
 	entries                                             float64
-	changeSeconds, changeBytes, changeAllocated         float64 // one change
+	changeSeconds, changeBytes, changeAllocated         float64 // of one change
 	heapBytes, snapshotBytes, writeSeconds, loadSeconds float64
 }
 
-const tableChanges = 4000 // that are applied one by one
+const tableChanges = 4000 // applied one by one at each size
 
-// measureTableOnce builds a table, changes it, and takes it through a snapshot on disk.
+// measureTableOnce builds a table, applies changes to it, and writes it to a snapshot on disk and reads it back.
 func measureTableOnce(shape tableShape) (cost tableCost, err error) {
 	cost.entries = float64(shape.entries())
 	before := heapInUse()
@@ -115,59 +120,60 @@
 	return cost, cost.snapshot(table)
 }
 
-// heapInUse is the live heap of this process.
+// heapInUse returns the live heap of this process in bytes.
 func heapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // what the first has to leave to finalizers
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+	runtime.GC() // frees what the first collection left to finalizers
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
 }
 
-// change applies changes of entries drawn by chance, encoded and decoded as they come over the network.
-func (t *tableCost) change(table configtable.Table, shape tableShape) (configtable.Table, error) {
-	chance := rand.New(rand.NewPCG(shape.seed, uint64(shape.services)))
+// change applies changes to random entries, which it encodes and decodes as for the network, and records their costs. It returns
+// the changed table.
+func (c *tableCost) change(table configtable.Table, shape tableShape) (configtable.Table, error) {
+	random := rand.New(rand.NewPCG(shape.seed, uint64(shape.services)))
 	var encoded [][]byte
 	for range tableChanges {
-		change := shape.service(chance.IntN(shape.services))[chance.IntN(shape.entriesEach)]
+		change := shape.service(random.IntN(shape.services))[random.IntN(shape.entriesEach)]
 		if change.Kind == configtable.Tenant {
-			change.Value = tenantValue(chance)
+			change.Value = tenantValue(random)
 		} else {
-			change.Value = routeValue(chance)
+			change.Value = routeValue(random)
 		}
 		data, err := change.Encode()
 		if err != nil {
 			return table, err
 		}
 		encoded = append(encoded, data)
-		t.changeBytes += float64(len(data)) / tableChanges
+		c.changeBytes += float64(len(data)) / tableChanges
 	}
-	var began, ended runtime.MemStats
-	runtime.ReadMemStats(&began)
-	spentBefore := spent()
-	for k, data := range encoded {
+	var statsBefore, statsAfter runtime.MemStats
+	runtime.ReadMemStats(&statsBefore)
+	cpuBefore := spent()
+	for changeNumber, data := range encoded {
 		change, err := configtable.Decode(data)
 		if err != nil {
 			return table, err
 		}
-		if table, err = table.Apply([]configtable.CommittedChange{{Index: uint64(2 + k), Change: change}}); err != nil {
+		if table, err = table.Apply([]configtable.CommittedChange{{Index: uint64(2 + changeNumber), Change: change}}); err != nil {
 			return table, err
 		}
 	}
-	t.changeSeconds = (spent() - spentBefore).Seconds() / tableChanges
-	runtime.ReadMemStats(&ended)
-	t.changeAllocated = float64(ended.TotalAlloc-began.TotalAlloc) / tableChanges
+	c.changeSeconds = (spent() - cpuBefore).Seconds() / tableChanges
+	runtime.ReadMemStats(&statsAfter)
+	c.changeAllocated = float64(statsAfter.TotalAlloc-statsBefore.TotalAlloc) / tableChanges
 	return table, nil
 }
 
-// snapshot writes a table to disk and reads it back as a start does.
-func (t *tableCost) snapshot(table configtable.Table) error {
-	folder, err := os.MkdirTemp("", "scale-table")
+// snapshot writes a table to disk, reads it back as a starting process does, and records the costs.
+func (c *tableCost) snapshot(table configtable.Table) error {
+	directory, err := os.MkdirTemp("", "scale-table")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
-	store, _, err := configstore.Open(folder, "scaled")
+	defer os.RemoveAll(directory)
+	store, _, err := configstore.Open(directory, "scaled")
 	if err != nil {
 		return err
 	}
@@ -175,28 +181,28 @@
 	if err := store.InstallSnapshot(table, configstore.Version{Term: 1, Index: tableChanges + 1}); err != nil {
 		return err
 	}
-	t.writeSeconds = time.Since(began).Seconds()
+	c.writeSeconds = time.Since(began).Seconds()
 	if err := store.Close(); err != nil {
 		return err
 	}
-	if t.snapshotBytes, err = folderBytes(folder); err != nil {
+	if c.snapshotBytes, err = directoryBytes(directory); err != nil {
 		return err
 	}
 	began = time.Now()
-	store, recovered, err := configstore.Open(folder, "scaled")
+	store, recovered, err := configstore.Open(directory, "scaled")
 	if err != nil {
 		return err
 	}
-	t.loadSeconds = time.Since(began).Seconds()
+	c.loadSeconds = time.Since(began).Seconds()
 	if recovered.Table.Digest() != table.Digest() || recovered.Table.Len() != table.Len() {
-		return fmt.Errorf("%v was read back as %v", table, recovered.Table)
+		return fmt.Errorf("table %v was read back from its snapshot as %v", table, recovered.Table)
 	}
 	return store.Close()
 }
 
-// folderBytes is the size of all files in a folder.
-func folderBytes(folder string) (all float64, err error) {
-	paths, err := filepath.Glob(filepath.Join(folder, "*"))
+// directoryBytes returns the total size of the files in a directory.
+func directoryBytes(directory string) (total float64, err error) {
+	paths, err := filepath.Glob(filepath.Join(directory, "*"))
 	if err != nil {
 		return 0, err
 	}
@@ -205,16 +211,17 @@
 		if err != nil {
 			return 0, err
 		}
-		all += float64(info.Size())
+		total += float64(info.Size())
 	}
-	return all, nil
+	return total, nil
 }
 
-// measureTable measures the configuration table: a change, memory, and a start from its snapshot, against entries.
-func measureTable(p *experimentRun, r *slope.Result) error {
+// measureTable measures the configuration table against the number of entries: the costs of a change, memory, and the costs of a
+// start from a snapshot.
+func measureTable(run *experimentRun, result *slope.Result) error {
 	columns := []struct {
 		name, unit, note string
-		of               func(t tableCost) float64
+		value            func(t tableCost) float64
 	}{
 		{"change_seconds", "s of a core", "decoded and applied, one by one", func(t tableCost) float64 { return t.changeSeconds }},
 		{"change_bytes", "B", "encoded, without the log's own head", func(t tableCost) float64 { return t.changeBytes }},
@@ -225,18 +232,18 @@
 		{"load_seconds", "s", "snapshot from disk, checked", func(t tableCost) float64 { return t.loadSeconds }},
 	}
 	points := make([][]slope.Point, len(columns))
-	for _, entries := range p.entrySizes() {
-		cost, err := measureTableOnce(shapeOf(entries, p.Seed))
+	for _, entries := range run.entrySizes() {
+		cost, err := measureTableOnce(newTableShape(entries, run.Seed))
 		if err != nil {
 			return fmt.Errorf("%d entries: %w", entries, err)
 		}
 		for k, column := range columns {
-			points[k] = append(points[k], slope.Point{X: cost.entries, Y: column.of(cost)})
+			points[k] = append(points[k], slope.Point{X: cost.entries, Y: column.value(cost)})
 		}
 	}
 	for k, column := range columns {
-		if err := p.addSeries(r, slope.Series{Name: "config.on." + column.name + ".entries", Unit: column.unit, Against: "entries",
-			Points: points[k], Note: column.note + "; the module alone, in this process"}); err != nil {
+		if err := run.addSeries(result, slope.Series{Name: "config.on." + column.name + ".entries", Unit: column.unit,
+			Against: "entries", Points: points[k], Note: column.note + "; the module alone, in this process"}); err != nil {
 			return err
 		}
 	}
