--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -26,8 +26,8 @@
 
 // The workload of the distribution parts and its bounds.
 const (
-	designInForceSeconds     = 18.0
-	designBytesPerSecond     = 20e3
+	designInForceSeconds     = 18.0 // until a change is in force on all app servers that serve it
+	designBytesPerSecond     = 20e3 // of one app server
 	distributionServices     = 200
 	servicesPerAppServer     = 4
 	tenantsPerService        = 50
