--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -213,7 +213,7 @@
 	log := &serviceLog{}
 	callers := make([]rig.Caller, plan.clients)
 	for k := range callers {
-		remote, err := rig.NewRemoteCaller(exec.Command(run.self(), "caller", "--kind", kind, "--seed",
+		remote, err := rig.NewRemoteCaller(exec.Command(run.ownBinary(), "caller", "--kind", kind, "--seed",
 			fmt.Sprint(run.Seed*1_000_003+uint64(k)+1), "--servers", strings.Join(fleet.Addresses(), ",")))
 		if err != nil {
 			return nil, err
--- a/cmd/rehearse/faults_planted.go
+++ b/cmd/rehearse/faults_planted.go
@@ -72,7 +72,7 @@
 
 // playPlant plays the plain case with a program in which something is planted.
 func (p *experimentRun) playPlant(name string, seed uint64) (*trialResult, error) {
-	planted := &experimentRun{Seed: seed, Program: p.self(), rehearseBinary: p.rehearseBinary, Logs: p.Logs, output: p.output, programArgs: []string{"planted", name}}
+	planted := &experimentRun{Seed: seed, Program: p.ownBinary(), rehearseBinary: p.rehearseBinary, Logs: p.Logs, output: p.output, programArgs: []string{"planted", name}}
 	if name == plantNothing {
 		return planted.steadyTrial(plantedCase(seed))
 	}
--- a/cmd/rehearse/hollow.go
+++ b/cmd/rehearse/hollow.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return cost, err
 	}
-	cmd := exec.Command(p.self(), "hollow", kind)
+	cmd := exec.Command(p.ownBinary(), "hollow", kind)
 	cmd.Stdin = bytes.NewReader(text)
 	cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", hollowCores))
 	var complaint bytes.Buffer
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -43,8 +43,8 @@
 		}
 		c.workers = append(c.workers, w)
 	}
-	plan := p.plan(n)
-	voters := names(5)
+	plan := p.clusterPlan(n)
+	voters := nodeNames(5)
 	switch kind {
 	case "on":
 		plan.Folders = voters
@@ -60,7 +60,7 @@
 				rate := 1 + experimentDrift*(float64(slices.Index(voters, name)%3)-1)*0.49
 				args = append(args, "--voters", strings.Join(voters, ","), "--drift", fmt.Sprint(experimentDrift), "--rate", fmt.Sprint(rate))
 			}
-			return exec.Command(p.self(), args...)
+			return exec.Command(p.ownBinary(), args...)
 		}
 	}
 	var err error
@@ -101,7 +101,7 @@
 // without a majority, drained, while voters are slow, late, dead or without a disk. The baselines are the same by clocks that drift,
 // processes where the lowest name of the view is the owner, and the same load with the fleet off.
 func runOwner(p *experimentRun) error {
-	t := &ownerTrial{experimentRun: p, names: names(5), served: map[*roleCluster]map[string]rig.Outcome{}}
+	t := &ownerTrial{experimentRun: p, names: nodeNames(5), served: map[*roleCluster]map[string]rig.Outcome{}}
 	err := t.start()
 	defer t.close()
 	if err != nil {
@@ -110,8 +110,8 @@
 	var took float64
 	t.owner, took = t.on.awaitOwner("")
 	p.atMost("first.owner.s", took, 10)
-	p.untilAlike(t.on.Cluster, 10*time.Second, len(t.names), t.names)
-	p.untilAlike(t.lowest.Cluster, 10*time.Second, len(t.names), t.names)
+	p.awaitSameView(t.on.Cluster, 10*time.Second, len(t.names), t.names)
+	p.awaitSameView(t.lowest.Cluster, 10*time.Second, len(t.names), t.names)
 
 	var loads, baselines sync.WaitGroup
 	t.startLoads(&loads)
@@ -136,8 +136,8 @@
 		return err
 	}
 	t.verdicts()
-	p.violations(t.on.Cluster, t.off.Cluster)
-	return p.keep(t.on.Cluster)
+	p.checkViolations(t.on.Cluster, t.off.Cluster)
+	return p.writeHistory(t.on.Cluster)
 }
 
 // start starts the clusters, all at the same time.
@@ -166,7 +166,7 @@
 	var mu sync.Mutex
 	for _, c := range []*roleCluster{t.on, t.off} {
 		loads.Go(func() {
-			out := t.load(c.Cluster, length, 20, t.names)
+			out := t.loadCluster(c.Cluster, length, 20, t.names)
 			mu.Lock()
 			defer mu.Unlock()
 			t.served[c] = out
@@ -189,6 +189,6 @@
 	t.printNote("lowest name: %v", l)
 	t.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
 	t.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
-	t.report("service.on", service(t.served[t.on], t.names))
-	t.atLeast("service.of.off", service(t.served[t.on], t.names)/service(t.served[t.off], t.names), 0.98)
+	t.report("service.on", servedCriticality(t.served[t.on], t.names))
+	t.atLeast("service.of.off", servedCriticality(t.served[t.on], t.names)/servedCriticality(t.served[t.off], t.names), 0.98)
 }
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -73,7 +73,7 @@
 // capacity is the rate that the throttled program can just bear, reading in plain order: a load rises until its RPCs
 // take several times as long as the work and the quota's pauses do.
 func (p *experimentRun) capacity(args []string) (float64, error) {
-	s, err := p.startPressureServer(tillSite(1000, 30), args, time.Second, 8)
+	s, err := p.startPressureServer(pressureMixSite(1000, 30), args, time.Second, 8)
 	if err != nil {
 		return 0, err
 	}
@@ -100,7 +100,7 @@
 			}
 		}
 	})
-	rig.Load{Seed: p.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: till(0.004, time.Second), PendingCount: &open}.Run(ctx,
+	rig.Load{Seed: p.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: pressureMix(0.004, time.Second), PendingCount: &open}.Run(ctx,
 		s.check, s.routers...)
 	end()
 	done.Wait()
@@ -125,7 +125,7 @@
 	// Measured twice at once, as the two fleets below share the machine too.
 	bears := 1000.0 // for tests: well within any machine
 	if !p.shortForm {
-		one, two, err := both(func(bool) (float64, error) { return p.capacity(of(false)) })
+		one, two, err := runOnAndOff(func(bool) (float64, error) { return p.capacity(of(false)) })
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 	p.report("bears.rpcs.per.s", bears)
 	base := bears * 1.12 / 3
 	triple := func(on bool) (t triplingResult, err error) {
-		s, err := p.startPressureServer(tillSite(1000, 30), of(on), time.Second, 8)
+		s, err := p.startPressureServer(pressureMixSite(1000, 30), of(on), time.Second, 8)
 		if err != nil {
 			return t, err
 		}
@@ -142,13 +142,13 @@
 		defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 		run := func(prefix string, rate float64, length time.Duration, after func(rig.Share, string, string, []byte, error)) rig.Outcome {
 			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
-				Shares: till(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
+				Shares: pressureMix(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
 		}
 		run("a", base, 1500*time.Millisecond, nil)
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		var probing sync.WaitGroup
-		probing.Go(func() { t.probes = probe(ctx, s.Addresses()[0], 10*time.Millisecond) })
+		probing.Go(func() { t.probes = timeHealthChecks(ctx, s.Addresses()[0], 10*time.Millisecond) })
 		var mu sync.Mutex
 		t.out = run("b", 3*base, p.scaled(6*time.Second), func(m rig.Share, id, token string, body []byte, err error) {
 			if err != nil || token == "" || len(id)%2 == 0 || !strings.HasSuffix(id, "7") {
@@ -175,7 +175,7 @@
 		}
 		return t, nil
 	}
-	on, off, err := both(triple)
+	on, off, err := runOnAndOff(triple)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 	p.exactly("begun.turned.away", float64(on.pushedBack), 0)
 	p.report("begun.repeated", float64(on.repeats))
 	starved := 0
-	for _, s := range till(0, 0) {
+	for _, s := range pressureMix(0, 0) {
 		m, o := on.out.ByMethod[s.Method], off.out.ByMethod[s.Method]
 		if m.OK*100 < m.Requested {
 			starved++
@@ -226,14 +226,14 @@
 		if err != nil {
 			return l, err
 		}
-		site := tillSite(64, 2*1200)
+		site := pressureMixSite(64, 2*1200)
 		site.MemoryMB, site.Kill = limit, true
 		s, err := p.startPressureServer(site, args, time.Second, 4)
 		if err != nil {
 			return l, err
 		}
 		defer s.close()
-		shares := till(0.001, time.Second)
+		shares := pressureMix(0.001, time.Second)
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
 		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: "l", TokenPadding: 110,
 			Shares: shares}.Run(context.Background(), s.check, s.routers...)
@@ -244,7 +244,7 @@
 		}
 		return l, nil
 	}
-	on, off, err := both(one)
+	on, off, err := runOnAndOff(one)
 	if err != nil {
 		return err
 	}
@@ -269,14 +269,14 @@
 // still.
 func (p *experimentRun) fewCores(of func(bool) []string, note func(*rig.Checker)) error {
 	const cores, work, rate = 4, 0.02, 330.0
-	s, err := p.startPressureServer(tillSite(cores, 30), of(true), 200*time.Millisecond, 8)
+	s, err := p.startPressureServer(pressureMixSite(cores, 30), of(true), 200*time.Millisecond, 8)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	run := func(prefix string, rate float64, length time.Duration) rig.Outcome {
 		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
-			Shares: till(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
+			Shares: pressureMix(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	}
 	run("w", rate/3, p.scaled(time.Second))
 	length := p.scaled(4 * time.Second)
@@ -284,7 +284,7 @@
 	// With full knowledge the most critical would be served first, as far as the cores reach; what is waiting at the end
 	// is served after it.
 	left, best, asked := float64(cores)*(length.Seconds()+1)/(work*0.96), 0.0, 0.0 // the mean of what is cut at five times
-	shares := till(work, 0)
+	shares := pressureMix(work, 0)
 	for k := len(shares) - 1; k >= 0; k-- {
 		n := float64(out.ByMethod[shares[k].Method].Requested)
 		asked += n * shares[k].Criticality
@@ -325,14 +325,14 @@
 			bears = f.Value
 		}
 	}
-	s, err := p.startPressureServer(tillSite(1000, 30), of(true), time.Second, 8)
+	s, err := p.startPressureServer(pressureMixSite(1000, 30), of(true), time.Second, 8)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 	rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return bears }, Duration: length, Prefix: "e",
-		Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
+		Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	all := levelChanges(s.Programs[0].Log())
 	for _, m := range all {
 		p.printNote("edge: %s from %s by %s, %.0f refused", m.Level, m.From, m.Causes, m.Refused)
@@ -366,9 +366,9 @@
 func (p *experimentRun) calmCost(of func(bool) []string, note func(*rig.Checker)) error {
 	const rate = 1500.0
 	one := func(on bool) (*pressureServer, error) {
-		return p.startPressureServer(tillSite(64, 30), of(on), time.Second, 4)
+		return p.startPressureServer(pressureMixSite(64, 30), of(on), time.Second, 4)
 	}
-	on, off, err := both(one)
+	on, off, err := runOnAndOff(one)
 	if err != nil {
 		return err
 	}
@@ -384,7 +384,7 @@
 		s := []*pressureServer{on, off}[k%2]
 		before := s.Programs[0].CPU()
 		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
-			Prefix: "c" + string(rune('a'+k)), Shares: till(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
+			Prefix: "c" + string(rune('a'+k)), Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
 		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
 		asked[k%2] += float64(out.Requested)
 	}
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -20,8 +20,8 @@
 	"valveglade/rpc"
 )
 
-// till is the mix of a busy shop: most are lookups, what counts are recordings.
-func till(work float64, deadline time.Duration) []rig.Share {
+// pressureMix is the mix of a busy shop: most are lookups, what counts are recordings.
+func pressureMix(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.65, Work: work, Deadline: deadline},
 		{Method: "check", Kind: rpc.Idempotent, Criticality: 5, Fraction: 0.15, Work: work, Deadline: deadline},
@@ -29,9 +29,9 @@
 	}
 }
 
-func tillSite(cores int, window float64) rig.Site {
+func pressureMixSite(cores int, window float64) rig.Site {
 	methods := []rig.SiteMethod{}
-	for _, s := range till(0, time.Second) {
+	for _, s := range pressureMix(0, time.Second) {
 		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
 		if s.Kind == rpc.Tokened {
 			m.Window = window
@@ -82,9 +82,9 @@
 	return n
 }
 
-// probe sends health checks on a connection of its own and returns the seconds that each answer took, which is the delay of the
+// timeHealthChecks sends health checks on a connection of its own and returns the seconds that each answer took, which is the delay of the
 // program's event loops.
-func probe(ctx context.Context, address string, every time.Duration) []float64 {
+func timeHealthChecks(ctx context.Context, address string, every time.Duration) []float64 {
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil
@@ -98,7 +98,7 @@
 		if _, err := nc.Write(thrift.Check(nil, seq)); err != nil {
 			return took
 		}
-		if !wholeFrame(in) {
+		if !readFrame(in) {
 			return append(took, time.Since(began).Seconds())
 		}
 		took = append(took, time.Since(began).Seconds())
@@ -107,7 +107,7 @@
 	return took
 }
 
-func wholeFrame(in *bufio.Reader) bool {
+func readFrame(in *bufio.Reader) bool {
 	b := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		_, size, err := thrift.Frame(b.Bytes())
@@ -159,8 +159,8 @@
 	s.Fleet.Close()
 }
 
-// both runs a function with the shedding on and off, at the same time.
-func both[T any](f func(on bool) (T, error)) (on, off T, err error) {
+// runOnAndOff runs a function with the shedding on and off, at the same time.
+func runOnAndOff[T any](f func(on bool) (T, error)) (on, off T, err error) {
 	var all sync.WaitGroup
 	var errOn, errOff error
 	all.Go(func() { on, errOn = f(true) })
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -48,7 +48,7 @@
 // startSharedCluster starts a cluster of a kind: "on" under an allocator, "even" with the limit split evenly, "off" without a common
 // limit and without a fleet.
 func (p *experimentRun) startSharedCluster(kind string, limit string) (*sharedCluster, error) {
-	all := names(sharedOn)
+	all := nodeNames(sharedOn)
 	r := newSharedCluster(sharedLimit)
 	plan := p.sharedPlan(sharedOn, r.backend)
 	reserved := 1
@@ -58,7 +58,7 @@
 	case "even":
 		reserved = sharedLimit / sharedOn // nothing is left to grant
 	}
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
+	plan.Laws = []string{"fleet.voters " + strings.Join(nodeNames(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
 		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
 	var err error
 	r.Cluster, err = rig.NewCluster(plan)
@@ -67,7 +67,7 @@
 
 // sharedPlan is the plan of a cluster whose runs use the backend.
 func (p *experimentRun) sharedPlan(n int, backend *rig.Backend) rig.Plan {
-	plan := p.plan(n)
+	plan := p.clusterPlan(n)
 	plan.Backend = backend
 	plan.Site.Cores = 24
 	plan.Site.Methods = nil
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -88,9 +88,9 @@
 }
 
 func (run *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
-	site := tillSite(4, 30)
+	site := pressureMixSite(4, 30)
 	site.Sockets = restartSockets
-	check := rig.NewChecker(rigSlack)
+	check := rig.NewChecker(clusterSlack)
 	check.ResendCrossed()
 	fleet, err := rig.NewFleet(run.Program, count, site, check)
 	if err != nil {
@@ -144,7 +144,7 @@
 
 func (f *restartFleet) runLoad(ctx context.Context, server string, caller *retryingCaller, seed uint64) {
 	load := rig.Load{Seed: seed, Duration: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
-		Shares: till(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
+		Shares: pressureMix(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
 	load.Run(ctx, f.check, recordingCaller{caller, f.calls, server})
 }
 
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -96,7 +96,7 @@
 
 // start starts the processes, the crowd and the members.
 func (r *crowdRun) start() (err error) {
-	site := fleetSite()
+	site := clusterSite()
 	site.MemoryMB = 128
 	if r.cluster, err = rig.NewCluster(rig.Plan{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	plan := hollow.MembersPlan{Count: crowdMembers, Fleet: r.size, At: own, Join: r.crowd.Addresses()}
 	var ready sync.WaitGroup
 	ready.Add(1)
-	r.members, err = hollow.StartMembers(exec.Command(r.p.self(), "hollow", "members"), plan, func(s hollow.Seen) {
+	r.members, err = hollow.StartMembers(exec.Command(r.p.ownBinary(), "hollow", "members"), plan, func(s hollow.Seen) {
 		ready.Wait()
 		r.crowd.SetView(r.targets[s.Member], s.Version, s.Digest)
 	})
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -144,7 +144,7 @@
 	}
 	var began, ended runtime.MemStats
 	runtime.ReadMemStats(&began)
-	spentBefore := spent()
+	spentBefore := rusageCPUTime()
 	for k, data := range encoded {
 		change, err := configtable.Decode(data)
 		if err != nil {
@@ -154,7 +154,7 @@
 			return table, err
 		}
 	}
-	t.changeSeconds = (spent() - spentBefore).Seconds() / tableChanges
+	t.changeSeconds = (rusageCPUTime() - spentBefore).Seconds() / tableChanges
 	runtime.ReadMemStats(&ended)
 	t.changeAllocated = float64(ended.TotalAlloc-began.TotalAlloc) / tableChanges
 	return table, nil
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -80,7 +80,7 @@
 	}
 	took, _ := t.on.Until(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
 	p.atMost("first.keeper.s", took, 10)
-	p.untilAlike(t.on.Cluster, 10*time.Second, sharedOn, t.on.Names())
+	p.awaitSameView(t.on.Cluster, 10*time.Second, sharedOn, t.on.Names())
 	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
 
 	var loads sync.WaitGroup
@@ -112,8 +112,8 @@
 	}
 	t.restartAll()
 	t.compare()
-	p.violations(t.on.Cluster, t.even.Cluster, t.off.Cluster)
-	return p.keep(t.on.Cluster)
+	p.checkViolations(t.on.Cluster, t.even.Cluster, t.off.Cluster)
+	return p.writeHistory(t.on.Cluster)
 }
 
 // start starts the clusters, all at the same time.
@@ -224,7 +224,7 @@
 	const many, few = 40, 10
 	r := newSharedCluster(few)
 	plan := p.sharedPlan(many, r.backend)
-	plan.Laws = []string{"fleet.voters " + strings.Join(names(5), " "), "fleet.lease " + experimentLease.String(),
+	plan.Laws = []string{"fleet.voters " + strings.Join(nodeNames(5), " "), "fleet.lease " + experimentLease.String(),
 		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
 	var err error
 	if r.Cluster, err = rig.NewCluster(plan); err != nil {
@@ -234,7 +234,7 @@
 	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
 		return errors.New("nobody keeps the share")
 	}
-	p.untilAlike(r.Cluster, 15*time.Second, many, r.Names())
+	p.awaitSameView(r.Cluster, 15*time.Second, many, r.Names())
 	time.Sleep(3500 * time.Millisecond) // until the reserved permits may be used
 	r.startPhase("many")
 	var load sync.WaitGroup
@@ -259,8 +259,8 @@
 		}
 	}
 	p.exactly("app.servers.starved", float64(starved), 0)
-	p.violations(r.Cluster)
-	return p.keep(r.Cluster)
+	p.checkViolations(r.Cluster)
+	return p.writeHistory(r.Cluster)
 }
 
 // playShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
@@ -296,8 +296,8 @@
 	}
 	stop()
 	loads.Wait()
-	p.violations(r.Cluster)
-	return p.keep(r.Cluster)
+	p.checkViolations(r.Cluster)
+	return p.writeHistory(r.Cluster)
 }
 
 // autoTarget is how many times as long as their work runs may take.
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -15,8 +15,8 @@
 	"valveglade/rig"
 )
 
-// names are n1 to the n-th.
-func names(n int) []string {
+// nodeNames are n1 to the n-th.
+func nodeNames(n int) []string {
 	var all []string
 	for k := range n {
 		all = append(all, fmt.Sprintf("n%d", k+1))
@@ -24,15 +24,15 @@
 	return all
 }
 
-// fleetSite is a site whose processes are given little to do, so that what is seen is what the faults did.
-func fleetSite() rig.Site {
-	site := tillSite(4, 30)
+// clusterSite is a site whose processes are given little to do, so that what is seen is what the faults did.
+func clusterSite() rig.Site {
+	site := pressureMixSite(4, 30)
 	site.Stop, site.Grace = 1800*time.Millisecond, time.Second
 	return site
 }
 
-// rigSlack is what the checker allows: with many processes on a few cores, that is mostly the machine's.
-const rigSlack = 300 * time.Millisecond
+// clusterSlack is what the checker allows: with many processes on a few cores, that is mostly the machine's.
+const clusterSlack = 300 * time.Millisecond
 
 // clusterGroup is some process clusters that undergo the same faults.
 type clusterGroup struct {
@@ -57,8 +57,8 @@
 	return f, nil
 }
 
-// all does something to each process cluster at the same time.
-func (f *clusterGroup) all(do func(*rig.Cluster) error) error {
+// onEach does something to each process cluster at the same time.
+func (f *clusterGroup) onEach(do func(*rig.Cluster) error) error {
 	errs := make([]error, len(f.clusters))
 	var group sync.WaitGroup
 	for k, s := range f.clusters {
@@ -76,24 +76,24 @@
 	group.Wait()
 }
 
-// plan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
-func (p *experimentRun) plan(n int) rig.Plan {
-	return rig.Plan{Program: p.Program, Names: names(n), Site: fleetSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: rigSlack,
+// clusterPlan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
+func (p *experimentRun) clusterPlan(n int) rig.Plan {
+	return rig.Plan{Program: p.Program, Names: nodeNames(n), Site: clusterSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: clusterSlack,
 		Seed: p.Seed}
 }
 
-// bare is the same with the gossip library alone.
-func (p *experimentRun) bare(n int) rig.Plan {
-	plan := p.plan(n)
+// gossipOnlyPlan is the same with the gossip library alone.
+func (p *experimentRun) gossipOnlyPlan(n int) rig.Plan {
+	plan := p.clusterPlan(n)
 	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
-		return exec.Command(p.self(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
+		return exec.Command(p.ownBinary(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
 			strings.Join(join, ","))
 	}
 	return plan
 }
 
-// self is this program's binary.
-func (p *experimentRun) self() string {
+// ownBinary is this program's binary.
+func (p *experimentRun) ownBinary() string {
 	if p.rehearseBinary != "" {
 		return p.rehearseBinary
 	}
@@ -104,8 +104,8 @@
 	return self
 }
 
-// load asks all of some processes for a length of time, each by a caller of its own.
-func (p *experimentRun) load(s *rig.Cluster, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
+// loadCluster asks all of some processes for a length of time, each by a caller of its own.
+func (p *experimentRun) loadCluster(s *rig.Cluster, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
 	out := map[string]rig.Outcome{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -113,7 +113,7 @@
 		group.Go(func() {
 			router := rig.NewRouter(k+1, s.Addresses(name)[0])
 			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: till(0.004, time.Second),
+			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: pressureMix(0.004, time.Second),
 				Rate: func(float64) float64 { return rate }}
 			o := l.Run(context.Background(), s.Check, router)
 			mu.Lock()
@@ -125,8 +125,8 @@
 	return out
 }
 
-// service is the share of criticality served by some of them together.
-func service(out map[string]rig.Outcome, who []string) float64 {
+// servedCriticality is the share of criticality served by some of them together.
+func servedCriticality(out map[string]rig.Outcome, who []string) float64 {
 	sum := 0.0
 	for _, name := range who {
 		sum += out[name].Criticality
@@ -134,9 +134,9 @@
 	return sum / float64(len(who))
 }
 
-// known gives how long after a time the last of the viewers told of something about a name, in seconds: +Inf if one
+// reportDelay gives how long after a time the last of the viewers told of something about a name, in seconds: +Inf if one
 // never did.
-func known(s *rig.Cluster, name, what string, from float64, viewers []string) float64 {
+func reportDelay(s *rig.Cluster, name, what string, from float64, viewers []string) float64 {
 	worst := 0.0
 	for _, viewer := range viewers {
 		at := math.Inf(1)
@@ -151,9 +151,9 @@
 	return worst
 }
 
-// falseDeaths counts members that were told dead by viewers though they lived, and how many of these were not back within a
+// countFalseDeaths counts members that were told dead by viewers though they lived, and how many of these were not back within a
 // span. Alive tells whether a member was alive at a time.
-func falseDeaths(s *rig.Cluster, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
+func countFalseDeaths(s *rig.Cluster, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
 	for _, viewer := range viewers {
 		observations := s.History.Observations(viewer, from)
 		for k, observation := range observations {
@@ -175,8 +175,8 @@
 	return all, lasting
 }
 
-// violations has the checkers' last word.
-func (p *experimentRun) violations(clusters ...*rig.Cluster) {
+// checkViolations has the checkers' last word.
+func (p *experimentRun) checkViolations(clusters ...*rig.Cluster) {
 	n := 0
 	for _, s := range clusters {
 		s.Check.Finish()
@@ -190,8 +190,8 @@
 	p.exactly("breaches", float64(n), 0)
 }
 
-// untilAlike waits until all of these see one view of n members; the time counts in a figure.
-func (p *experimentRun) untilAlike(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
+// awaitSameView waits until all of these see one view of n members; the time counts in a figure.
+func (p *experimentRun) awaitSameView(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
 	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
 	if !ok {
 		for _, name := range who {
@@ -203,8 +203,8 @@
 	return took
 }
 
-// keep writes the history to a file, if one was asked for.
-func (p *experimentRun) keep(s *rig.Cluster) error {
+// writeHistory writes the history to a file, if one was asked for.
+func (p *experimentRun) writeHistory(s *rig.Cluster) error {
 	if p.History == "" {
 		return nil
 	}
@@ -216,8 +216,8 @@
 	return s.History.Write(f)
 }
 
-// flapped counts the views that differ by what became of one member.
-func flapped(s *rig.Cluster, viewer, name string, from, to float64) int {
+// countMemberChanges counts the views that differ by what became of one member.
+func countMemberChanges(s *rig.Cluster, viewer, name string, from, to float64) int {
 	n := 0
 	for _, observation := range s.History.Observations(viewer, from) {
 		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
@@ -227,8 +227,8 @@
 	return n
 }
 
-// differ counts the processes that run and do not see what most see.
-func differ(s *rig.Cluster) float64 {
+// countDivergentViews counts the processes that run and do not see what most see.
+func countDivergentViews(s *rig.Cluster) float64 {
 	seen := map[string]int{}
 	total, most := 0, 0
 	for _, name := range s.Running() {
@@ -243,7 +243,7 @@
 	return float64(total - most)
 }
 
-func count(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -129,10 +129,10 @@
 	}
 	p.report(name("at.rest.after.s"), time.Since(began).Seconds())
 	span := p.scaled(5 * time.Second)
-	cpu := spent()
+	cpu := rusageCPUTime()
 	bytes0, packets0 := passed()
 	time.Sleep(span)
-	cpu = spent() - cpu
+	cpu = rusageCPUTime() - cpu
 	bytes, packets := passed()
 	bytes, packets = bytes-bytes0, packets-packets0
 	per := float64(n) * span.Seconds()
@@ -150,8 +150,8 @@
 	return took, nil
 }
 
-// spent is the processor time that this process has taken.
-func spent() time.Duration {
+// rusageCPUTime is the processor time that this process has taken.
+func rusageCPUTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
