--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -13,13 +13,14 @@
 	"valveglade/rig"
 )
 
-// The lease of an experiment, and for how long after its last order a process still counts as the owner.
+// experimentLease is the length of the leases in the experiments on roles and shares. ownerWindow is how long after its last
+// order a process still counts as the owner.
 const experimentLease, ownerWindow = time.Second, 200 * time.Millisecond
 
-// roleCluster is a cluster of processes of which some own roles, and the workers that carry out their orders.
+// roleCluster is a cluster of processes that compete for two roles, and the workers that execute the orders of the owners.
 type roleCluster struct {
 	*rig.Cluster
-	workers []*rig.Worker // of each role
+	workers []*rig.Worker // one for each role
 }
 
 func (c *roleCluster) close() {
@@ -32,18 +33,19 @@
 	}
 }
 
-// startRoleCluster starts a cluster of a kind: "on" is the program with two roles, "off" the same with the fleet off, "lowest" has
-// the lowest name of each view as the owner, and in "drifting" processes campaign by clocks that drift, at the bound.
-func (p *experimentRun) startRoleCluster(kind string, n int) (*roleCluster, error) {
+// startRoleCluster starts a cluster of n processes of a kind: "on" is the program with two roles, "off" is the program with the
+// fleet off, in "lowest" each process takes the lowest name of its view as the owner, and in "drifting" processes campaign with
+// clocks that drift apart by maxClockDrift. The caller must close the cluster, also after an error.
+func (run *experimentRun) startRoleCluster(kind string, n int) (*roleCluster, error) {
 	c := &roleCluster{}
 	for range 2 {
-		w, err := rig.NewWorker(kind != "lowest", rig.NewHistory())
+		worker, err := rig.NewWorker(kind != "lowest", rig.NewHistory())
 		if err != nil {
 			return nil, err
 		}
-		c.workers = append(c.workers, w)
+		c.workers = append(c.workers, worker)
 	}
-	plan := p.clusterPlan(n)
+	plan := run.clusterPlan(n)
 	voters := nodeNames(5)
 	switch kind {
 	case "on":
@@ -54,13 +56,14 @@
 		plan.Off = true
 	default:
 		plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
-			args := []string{"lowest", "--name", name, "--listen", listen, "--advertise", advertise, "--join", strings.Join(join, ","),
-				"--order", c.workers[0].Address()}
-			if kind == "drifting" { // any two drift apart by at most the bound
-				rate := 1 + experimentDrift*(float64(slices.Index(voters, name)%3)-1)*0.49
-				args = append(args, "--voters", strings.Join(voters, ","), "--drift", fmt.Sprint(experimentDrift), "--rate", fmt.Sprint(rate))
+			args := []string{"lowest", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
+				strings.Join(join, ","), "--order", c.workers[0].Address()}
+			if kind == "drifting" { // any two clocks drift apart by at most maxClockDrift
+				clockRate := 1 + maxClockDrift*(float64(slices.Index(voters, name)%3)-1)*0.49
+				args = append(args, "--voters", strings.Join(voters, ","), "--drift", fmt.Sprint(maxClockDrift), "--rate",
+					fmt.Sprint(clockRate))
 			}
-			return exec.Command(p.ownBinary(), args...)
+			return exec.Command(run.ownBinary(), args...)
 		}
 	}
 	var err error
@@ -68,40 +71,40 @@
 	return c, err
 }
 
-// experimentDrift is the bound on how far clocks drift apart: far more than real ones do.
-const experimentDrift = 0.2
+// maxClockDrift is the fraction by which any two clocks drift apart at most, far above that of real clocks.
+const maxClockDrift = 0.2
 
-// awaitOwner waits for an owner of the first role other than a given one. It returns the owner and the seconds that this took, or
-// +Inf if there is none in time.
-func (c *roleCluster) awaitOwner(not string) (string, float64) {
-	who := ""
+// awaitOwner waits up to 15 s for an owner of the first role other than former. It returns the owner and the seconds waited, or
+// "" and +Inf if there is none in time.
+func (c *roleCluster) awaitOwner(former string) (string, float64) {
+	owner := ""
 	took, ok := c.Until(15*time.Second, func() bool {
-		who = c.workers[0].Owner(ownerWindow)
-		return who != "" && who != not
+		owner = c.workers[0].Owner(ownerWindow)
+		return owner != "" && owner != former
 	})
 	if !ok {
 		return "", math.Inf(1)
 	}
-	return who, took
+	return owner, took
 }
 
-// ownerTrial is the state of the experiment on roles.
+// ownerTrial is the state of the owner experiment.
 type ownerTrial struct {
 	*experimentRun
 	names                     []string
 	on, off, lowest, drifting *roleCluster
-	owner                     string  // of the first role in on
-	worst                     float64 // the longest time to a new owner, in seconds
+	owner                     string  // owner of the first role in the cluster on
+	longestHandover           float64 // longest time until a new owner was found, in seconds
 	errOn, errOff             error
 	errLowest, errDrifting    error
 	served                    map[*roleCluster]map[string]rig.Outcome
 }
 
-// playOwner is the experiment on roles: the owner killed, stopped past its lease with a command in its hands, cut off, left
-// without a majority, drained, while voters are slow, late, dead or without a disk. The baselines are the same by clocks that drift,
-// processes where the lowest name of the view is the owner, and the same load with the fleet off.
-func runOwner(p *experimentRun) error {
-	t := &ownerTrial{experimentRun: p, names: nodeNames(5), served: map[*roleCluster]map[string]rig.Outcome{}}
+// runOwner is the experiment on role ownership. The owner is killed, stopped past its lease while it may have an order in
+// progress, cut off one way, left without a majority, and drained, while voters are slow, late, dead or without a disk. It is
+// compared with clusters whose clocks drift, whose owner is the lowest name of the view, and whose fleet is off.
+func runOwner(run *experimentRun) error {
+	t := &ownerTrial{experimentRun: run, names: nodeNames(5), served: map[*roleCluster]map[string]rig.Outcome{}}
 	err := t.start()
 	defer t.close()
 	if err != nil {
@@ -109,17 +112,17 @@
 	}
 	var took float64
 	t.owner, took = t.on.awaitOwner("")
-	p.atMost("first.owner.s", took, 10)
-	p.awaitSameView(t.on.Cluster, 10*time.Second, len(t.names), t.names)
-	p.awaitSameView(t.lowest.Cluster, 10*time.Second, len(t.names), t.names)
+	run.atMost("first.owner.s", took, 10)
+	run.awaitSameView(t.on.Cluster, 10*time.Second, len(t.names), t.names)
+	run.awaitSameView(t.lowest.Cluster, 10*time.Second, len(t.names), t.names)
 
 	var loads, baselines sync.WaitGroup
 	t.startLoads(&loads)
-	baselines.Go(func() { // the same is done to the lowest name, n1
+	baselines.Go(func() { // n1, as the lowest name, is the owner here
 		t.errLowest = t.lowest.Run("5s stop n1\n9s cont n1\n11s split n1,n2|n3,n4,n5\n16s heal")
 	})
-	baselines.Go(func() { t.errDrifting = p.drift(t.drifting) })
-	if err := p.undisturbed(t.on, t.off, t.names, t.owner); err != nil {
+	baselines.Go(func() { t.errDrifting = run.stopDriftingOwners(t.drifting) })
+	if err := run.checkOwnerStability(t.on, t.off, t.names, t.owner); err != nil {
 		return err
 	}
 	t.stopOwners()
@@ -127,28 +130,28 @@
 		return err
 	}
 	t.cutOwnerOff()
-	t.takeMajority()
+	t.stopMajority()
 	t.drainOwner()
-	p.atMost("new.owner.max.s", t.worst, 2*experimentLease.Seconds())
+	run.atMost("new.owner.max.s", t.longestHandover, 2*experimentLease.Seconds())
 	loads.Wait()
 	baselines.Wait()
 	if err := errors.Join(t.errOn, t.errOff, t.errLowest, t.errDrifting); err != nil {
 		return err
 	}
-	t.verdicts()
-	p.checkViolations(t.on.Cluster, t.off.Cluster)
-	return p.writeHistory(t.on.Cluster)
+	t.checkOrders()
+	run.checkViolations(t.on.Cluster, t.off.Cluster)
+	return run.writeHistory(t.on.Cluster)
 }
 
-// start starts the clusters, all at the same time.
+// start starts the four clusters concurrently.
 func (t *ownerTrial) start() error {
 	var group sync.WaitGroup
 	errs := make([]error, 4)
-	for k, one := range []struct {
-		kind string
-		c    **roleCluster
+	for k, entry := range []struct {
+		kind    string
+		cluster **roleCluster
 	}{{"on", &t.on}, {"off", &t.off}, {"lowest", &t.lowest}, {"drifting", &t.drifting}} {
-		group.Go(func() { *one.c, errs[k] = t.startRoleCluster(one.kind, len(t.names)) })
+		group.Go(func() { *entry.cluster, errs[k] = t.startRoleCluster(entry.kind, len(t.names)) })
 	}
 	group.Wait()
 	return errors.Join(errs...)
@@ -160,35 +163,35 @@
 	}
 }
 
-// startLoads sends RPCs to the clusters whose service is compared.
+// startLoads starts the same load on the clusters on and off, whose service is compared. loads is done when both loads are.
 func (t *ownerTrial) startLoads(loads *sync.WaitGroup) {
-	length := t.scaled(33 * time.Second)
+	duration := t.scaled(33 * time.Second)
 	var mu sync.Mutex
 	for _, c := range []*roleCluster{t.on, t.off} {
 		loads.Go(func() {
-			out := t.loadCluster(c.Cluster, length, 20, t.names)
+			outcomes := t.loadCluster(c.Cluster, duration, 20, t.names)
 			mu.Lock()
 			defer mu.Unlock()
-			t.served[c] = out
+			t.served[c] = outcomes
 		})
 	}
 }
 
-// verdicts checks the orders that the workers carried out, and the service.
-func (t *ownerTrial) verdicts() {
+// checkOrders checks the orders that the workers executed, and compares the service of the clusters on and off.
+func (t *ownerTrial) checkOrders() {
 	t.atLeast("late.refused", float64(t.on.workers[0].Refused()), 1)
 	for k, role := range []string{"", ".second"} {
-		j := rig.NewVerdict(t.on.workers[k].Orders(time.Time{}), experimentLease)
-		t.printNote("role %d: %v", k+1, j)
-		t.atMost("owners.at.once"+role, float64(j.AtOnce), 1)
-		t.exactly("late.effects"+role, float64(j.LateEffects), 0)
-		t.exactly("terms.falling"+role, float64(j.FallingTerms+j.SharedTerms), 0)
+		verdict := rig.NewVerdict(t.on.workers[k].Orders(time.Time{}), experimentLease)
+		t.printNote("role %d: %v", k+1, verdict)
+		t.atMost("owners.at.once"+role, float64(verdict.AtOnce), 1)
+		t.exactly("late.effects"+role, float64(verdict.LateEffects), 0)
+		t.exactly("terms.falling"+role, float64(verdict.FallingTerms+verdict.SharedTerms), 0)
 	}
 	t.exactly("work.overlap.s", rig.Overlap(t.on.History.LeadershipIntervals()), 0)
-	l := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
-	t.printNote("lowest name: %v", l)
-	t.atLeast("owners.at.once.lowest", float64(l.AtOnce), 2)
-	t.atLeast("late.effects.lowest", float64(l.LateEffects), 1)
+	lowestVerdict := rig.NewVerdict(t.lowest.workers[0].Orders(time.Time{}), experimentLease)
+	t.printNote("lowest name: %v", lowestVerdict)
+	t.atLeast("owners.at.once.lowest", float64(lowestVerdict.AtOnce), 2)
+	t.atLeast("late.effects.lowest", float64(lowestVerdict.LateEffects), 1)
 	t.report("service.on", servedCriticality(t.served[t.on], t.names))
 	t.atLeast("service.of.off", servedCriticality(t.served[t.on], t.names)/servedCriticality(t.served[t.off], t.names), 0.98)
 }
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -12,156 +12,162 @@
 	"valveglade/rig"
 )
 
-// run does something to the processes of the program, and the same where the fleet is off.
-func (t *ownerTrial) run(script string) {
+// runScript runs a fault script on the clusters on and off at the same time, and records the errors.
+func (t *ownerTrial) runScript(script string) {
 	var both sync.WaitGroup
 	both.Go(func() { t.errOff = errors.Join(t.errOff, t.off.Run(script)) })
 	t.errOn = errors.Join(t.errOn, t.on.Run(script))
 	both.Wait()
 }
 
-// next waits for another owner, after a kind of fault.
-func (t *ownerTrial) next(fault string) {
-	who, took := t.on.awaitOwner(t.owner)
+// awaitNextOwner waits for another owner after a fault of a kind, and reports how long that took.
+func (t *ownerTrial) awaitNextOwner(fault string) {
+	owner, took := t.on.awaitOwner(t.owner)
 	t.report("new.owner.s."+fault, took)
-	t.worst = max(t.worst, took)
-	t.owner = who
+	t.longestHandover = max(t.longestHandover, took)
+	t.owner = owner
 }
 
-// others are the processes that do not own the first role.
-func (t *ownerTrial) others() []string {
+// nonOwners returns the names of the processes that do not own the first role.
+func (t *ownerTrial) nonOwners() []string {
 	return slices.DeleteFunc(slices.Clone(t.names), func(s string) bool { return s == t.owner })
 }
 
-// stopOwners stops the owner past its lease three times, in the middle of its orders; whether it has one in its hands is left to
-// chance. Meanwhile messages are doubled, and some come over several terms too late.
+// stopOwners stops the owner past its lease three times while it sends orders; whether an order is in progress at that time is
+// left to chance. Meanwhile messages are duplicated, and those of one voter arrive several terms late.
 func (t *ownerTrial) stopOwners() {
-	t.errOn = errors.Join(t.errOn, t.on.Run(fmt.Sprintf("0s double *>* 30%%\n0s mute %s>* 2500ms", t.others()[0])))
+	t.errOn = errors.Join(t.errOn, t.on.Run(fmt.Sprintf("0s double *>* 30%%\n0s mute %s>* 2500ms", t.nonOwners()[0])))
 	for range 3 {
 		if t.owner == "" {
 			break
 		}
 		stopped := t.owner
-		t.run("0s stop " + stopped)
-		t.next("stopped")
+		t.runScript("0s stop " + stopped)
+		t.awaitNextOwner("stopped")
 		time.Sleep(2 * experimentLease)
-		t.run("0s cont " + stopped)
+		t.runScript("0s cont " + stopped)
 		time.Sleep(experimentLease / 2)
 	}
 	t.on.Run("0s heal")
 }
 
-// killOwner kills the owner while a voter's disk fails, and starts it again.
+// killOwner kills the owner while the folder of a voter is missing as after a disk failure, and starts the owner again.
 func (t *ownerTrial) killOwner() error {
-	victim := t.owner
-	folder := t.on.Folder(t.others()[0])
+	killed := t.owner
+	folder := t.on.Folder(t.nonOwners()[0])
 	if err := os.Rename(folder, folder+".away"); err != nil {
 		return err
 	}
-	t.run("0s kill " + victim)
-	t.next("killed")
-	t.run("0s start " + victim)
+	t.runScript("0s kill " + killed)
+	t.awaitNextOwner("killed")
+	t.runScript("0s start " + killed)
 	return os.Rename(folder+".away", folder)
 }
 
-// cutOwnerOff cuts the owner off one way: it speaks and does not hear, then it hears and does not speak.
+// cutOwnerOff cuts the owner off in one direction: first it sends and does not receive, then it receives and does not send.
 func (t *ownerTrial) cutOwnerOff() {
 	t.on.Run("0s cut *>" + t.owner)
-	t.next("deaf")
+	t.awaitNextOwner("deaf")
 	t.on.Run("0s heal")
 	t.on.Run("0s cut " + t.owner + ">*")
-	t.next("unheard")
+	t.awaitNextOwner("unheard")
 	t.on.Run("0s heal")
 }
 
-// takeMajority stops three of five: without a majority there is no owner; with it back there is one within two leases.
-func (t *ownerTrial) takeMajority() {
+// stopMajority stops three of the five voters and continues them. Without a majority no owner may send orders; with the majority
+// back there must be an owner within two leases.
+func (t *ownerTrial) stopMajority() {
 	for _, name := range t.names[:3] {
-		t.run("0s stop " + name)
+		t.runScript("0s stop " + name)
 	}
 	time.Sleep(3 * experimentLease / 2)
-	lost := time.Now()
+	majorityLost := time.Now()
 	time.Sleep(experimentLease)
-	t.exactly("orders.without.majority", float64(len(t.on.workers[0].Orders(lost))), 0)
+	t.exactly("orders.without.majority", float64(len(t.on.workers[0].Orders(majorityLost))), 0)
 	for _, name := range t.names[:3] {
-		t.run("0s cont " + name)
+		t.runScript("0s cont " + name)
 	}
 	var took float64
 	t.owner, took = t.on.awaitOwner("")
 	t.atMost("back.with.majority.s", took, 2*experimentLease.Seconds())
 }
 
-// drainOwner drains the owner as a voter dies.
+// drainOwner drains the owner right after a voter was killed.
 func (t *ownerTrial) drainOwner() {
-	t.run("0s kill " + t.others()[0])
-	t.run("0s notice " + t.owner)
+	t.runScript("0s kill " + t.nonOwners()[0])
+	t.runScript("0s notice " + t.owner)
 	_, took := t.on.awaitOwner(t.owner)
 	t.atMost("handover.drain.s", took, 1)
 }
 
-// undisturbed leaves the owner alone: first nothing happens, and the cost is measured; then messages are lost, one voter is slow and
-// one answers later than a lease. The owner must not change.
-func (p *experimentRun) undisturbed(on, off *roleCluster, all []string, owner string) error {
-	span := 4 * time.Second
-	if p.Long {
-		span = time.Minute
+// checkOwnerStability checks that the owner does not change without need. First there are no faults, and the cost of the fleet is
+// measured; then messages are lost, one voter is slow and another one answers later than a lease.
+func (run *experimentRun) checkOwnerStability(on, off *roleCluster, names []string, owner string) error {
+	interval := 4 * time.Second
+	if run.Long {
+		interval = time.Minute
 	}
-	began := time.Now()
+	start := time.Now()
 	before, err := member.ReadStatus(on.Socket("n1"))
 	if err != nil {
 		return err
 	}
-	used := map[*roleCluster]time.Duration{}
-	cpu := func(c *roleCluster) (sum time.Duration) {
-		for _, name := range all {
+	cpuBefore := map[*roleCluster]time.Duration{}
+	totalCPU := func(c *roleCluster) (sum time.Duration) {
+		for _, name := range names {
 			sum += c.CPU(name)
 		}
 		return sum
 	}
 	for _, c := range []*roleCluster{on, off} {
-		used[c] = cpu(c)
+		cpuBefore[c] = totalCPU(c)
 	}
-	time.Sleep(span)
+	time.Sleep(interval)
 	after, err := member.ReadStatus(on.Socket("n1"))
 	if err != nil {
 		return err
 	}
-	p.report("cpu.on.top.share", (cpu(on)-used[on]-cpu(off)+used[off]).Seconds()/span.Seconds()/float64(len(all)))
-	p.report("bytes.s", float64(after.Bytes[0]+after.Bytes[1]-before.Bytes[0]-before.Bytes[1])/span.Seconds())
-	p.report("packets.s", float64(after.Packets[0]-before.Packets[0])/span.Seconds())
+	run.report("cpu.on.top.share",
+		(totalCPU(on)-cpuBefore[on]-totalCPU(off)+cpuBefore[off]).Seconds()/interval.Seconds()/float64(len(names)))
+	run.report("bytes.s", float64(after.Bytes[0]+after.Bytes[1]-before.Bytes[0]-before.Bytes[1])/interval.Seconds())
+	run.report("packets.s", float64(after.Packets[0]-before.Packets[0])/interval.Seconds())
 	resident := 0.0
-	for _, name := range all {
-		resident += float64(on.Node(name).Resident()-off.Node(name).Resident()) / 1e6 / float64(len(all))
+	for _, name := range names {
+		resident += float64(on.Node(name).Resident()-off.Node(name).Resident()) / 1e6 / float64(len(names))
 	}
-	p.report("resident.on.top.mb", resident)
-	rest := slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == owner || s == on.workers[1].Owner(ownerWindow) })
-	if err := on.Run(fmt.Sprintf("0s loss *>* 10%%\n0s mute %s>* 500ms\n0s mute %s>* 1500ms\n4s heal", rest[0], rest[1])); err != nil {
+	run.report("resident.on.top.mb", resident)
+	others := slices.DeleteFunc(slices.Clone(names), func(s string) bool {
+		return s == owner || s == on.workers[1].Owner(ownerWindow)
+	})
+	if err := on.Run(fmt.Sprintf("0s loss *>* 10%%\n0s mute %s>* 500ms\n0s mute %s>* 1500ms\n4s heal",
+		others[0], others[1])); err != nil {
 		return err
 	}
 	changes := 0
 	for _, w := range on.workers {
-		changes += rig.NewVerdict(w.Orders(began), time.Minute).Changes
+		changes += rig.NewVerdict(w.Orders(start), time.Minute).Changes
 	}
-	p.exactly("needless.changes", float64(changes), 0)
+	run.exactly("needless.changes", float64(changes), 0)
 	return nil
 }
 
-// drift stops owners past their leases whose clocks drift from the voters' by as much as they may.
-func (p *experimentRun) drift(c *roleCluster) error {
+// stopDriftingOwners stops owners past their leases, and cuts others off, in a cluster whose clocks drift apart by maxClockDrift,
+// and checks the orders.
+func (run *experimentRun) stopDriftingOwners(c *roleCluster) error {
 	owner, _ := c.awaitOwner("")
 	for range 4 {
 		if owner == "" {
 			break
 		}
-		sleeper := owner
-		if err := c.Run("0s stop " + sleeper); err != nil {
+		stopped := owner
+		if err := c.Run("0s stop " + stopped); err != nil {
 			return err
 		}
-		owner, _ = c.awaitOwner(sleeper)
-		if err := c.Run("500ms cont " + sleeper); err != nil {
+		owner, _ = c.awaitOwner(stopped)
+		if err := c.Run("500ms cont " + stopped); err != nil {
 			return err
 		}
-		// Cut off, it goes on until its own clock says that its lease is over.
+		// An owner that is cut off continues until its lease expires by its own clock.
 		if err := c.Run("500ms cut *>" + owner + "\n500ms cut " + owner + ">*"); err != nil {
 			return err
 		}
@@ -170,11 +176,11 @@
 			return err
 		}
 	}
-	j := rig.NewVerdict(c.workers[0].Orders(time.Time{}), experimentLease)
-	p.printNote("drifting: %v", j)
-	p.atMost("owners.at.once.drifting", float64(j.AtOnce), 1)
-	p.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
-	p.exactly("late.effects.drifting", float64(j.LateEffects+j.FallingTerms+j.SharedTerms), 0)
-	p.atLeast("changes.drifting", float64(j.Changes), 4)
+	verdict := rig.NewVerdict(c.workers[0].Orders(time.Time{}), experimentLease)
+	run.printNote("drifting: %v", verdict)
+	run.atMost("owners.at.once.drifting", float64(verdict.AtOnce), 1)
+	run.exactly("work.overlap.drifting.s", rig.Overlap(c.History.LeadershipIntervals()), 0)
+	run.exactly("late.effects.drifting", float64(verdict.LateEffects+verdict.FallingTerms+verdict.SharedTerms), 0)
+	run.atLeast("changes.drifting", float64(verdict.Changes), 4)
 	return nil
 }
