--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -16,62 +16,64 @@
 	"valveglade/rpc"
 )
 
-// sharedCluster is a process cluster with a shared backend, and a record of the RPCs that were sent to it.
+// sharedCluster is a process cluster with a shared backend, and a record of the RPCs sent to it. The totals hold the criticality
+// that was served and that was requested.
 type sharedCluster struct {
 	*rig.Cluster
 	backend *rig.Backend
 
-	mu    sync.Mutex
-	asked []sharedRequest
-	ok    map[string][2]float64 // by phase, the criticality served and asked of RPCs that need the backend
-	each  map[string][2]float64 // the same of each app server and method
-	plain map[string][2]float64 // of those that do not
-	phase string
+	mu            sync.Mutex
+	requests      []sharedRequest
+	backendTotals map[string][2]float64 // of RPCs that use the backend, by phase
+	methodTotals  map[string][2]float64 // by phase, app server and method, separated by spaces
+	plainTotals   map[string][2]float64 // of RPCs that do not use the backend, by phase
+	phase         string
 }
 
-// sharedRequest is one RPC that needs the backend.
+// sharedRequest is an RPC that uses the backend.
 type sharedRequest struct {
-	at, work, criticality float64
-	phase                 string
+	sentAt, work, criticality float64
+	phase                     string
 }
 
-// newSharedCluster returns a shared cluster with a backend of a limit, and no processes yet.
+// newSharedCluster returns a shared cluster without processes, whose backend has a limit of concurrent runs.
 func newSharedCluster(limit int) *sharedCluster {
 	return &sharedCluster{
-		backend: rig.NewBackend(limit, "lookup", "check", "record"),
-		ok:      map[string][2]float64{},
-		each:    map[string][2]float64{},
-		plain:   map[string][2]float64{},
+		backend:       rig.NewBackend(limit, "lookup", "check", "record"),
+		backendTotals: map[string][2]float64{},
+		methodTotals:  map[string][2]float64{},
+		plainTotals:   map[string][2]float64{},
 	}
 }
 
-// startSharedCluster starts a cluster of a kind: "on" under an allocator, "even" with the limit split evenly, "off" without a common
-// limit and without a fleet.
-func (p *experimentRun) startSharedCluster(kind string, limit string) (*sharedCluster, error) {
-	all := nodeNames(sharedOn)
-	r := newSharedCluster(sharedLimit)
-	plan := p.sharedPlan(sharedOn, r.backend)
+// startSharedCluster starts a cluster of a kind: "on" with an allocator, "even" with the limit split evenly, "off" without a
+// shared limit and without a fleet. limit is written to the settings as it is.
+func (run *experimentRun) startSharedCluster(kind string, limit string) (*sharedCluster, error) {
+	serverNames := nodeNames(sharedServers)
+	c := newSharedCluster(sharedLimit)
+	plan := run.sharedPlan(sharedServers, c.backend)
 	reserved := 1
 	switch kind {
 	case "off":
 		plan.Off = true
 	case "even":
-		reserved = sharedLimit / sharedOn // nothing is left to grant
+		reserved = sharedLimit / sharedServers // the whole limit is reserved, so nothing is left to grant
 	}
-	plan.Laws = []string{"fleet.voters " + strings.Join(nodeNames(5), " "), "fleet.lease " + experimentLease.String(), "fleet.share behind " + limit +
-		" lookup check record", fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(all, " "))}
+	plan.Laws = []string{"fleet.voters " + strings.Join(nodeNames(5), " "), "fleet.lease " + experimentLease.String(),
+		"fleet.share behind " + limit + " lookup check record",
+		fmt.Sprintf("fleet.floor %d %s", reserved, strings.Join(serverNames, " "))}
 	var err error
-	r.Cluster, err = rig.NewCluster(plan)
-	return r, err
+	c.Cluster, err = rig.NewCluster(plan)
+	return c, err
 }
 
-// sharedPlan is the plan of a cluster whose runs use the backend.
-func (p *experimentRun) sharedPlan(n int, backend *rig.Backend) rig.Plan {
-	plan := p.clusterPlan(n)
+// sharedPlan returns the plan of a cluster of n app servers whose runs use the backend.
+func (run *experimentRun) sharedPlan(n int, backend *rig.Backend) rig.Plan {
+	plan := run.clusterPlan(n)
 	plan.Backend = backend
 	plan.Site.Cores = 24
 	plan.Site.Methods = nil
-	for _, s := range sharedLoad() {
+	for _, s := range sharedMix() {
 		m := rig.SiteMethod{Name: s.Method, Kind: string(s.Kind), Target: 0.8, Deadline: 1, Criticality: s.Criticality}
 		if s.Kind == rpc.Tokened {
 			m.Window = 30
@@ -81,122 +83,123 @@
 	return plan
 }
 
-// startPhase names the part of the run to which RPCs belong from now on.
-func (r *sharedCluster) startPhase(phase string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.phase = phase
+// startPhase starts a phase of the experiment: later RPCs count in its totals.
+func (c *sharedCluster) startPhase(phase string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.phase = phase
 }
 
-// load sends RPCs to all app servers, to each at a rate of its own that may change.
-func (r *sharedCluster) load(ctx context.Context, p *experimentRun, length time.Duration, rate func(name string) float64) {
+// sendLoad sends RPCs to all app servers for a duration. rate returns the current rate for an app server, in RPCs per second.
+func (c *sharedCluster) sendLoad(ctx context.Context, run *experimentRun, duration time.Duration,
+	rate func(name string) float64) {
 	began := time.Now()
 	var group sync.WaitGroup
-	for k, name := range r.Names() {
+	for k, name := range c.Names() {
 		group.Go(func() {
-			router := rig.NewRouter(k+1, r.Addresses(name)[0])
+			router := rig.NewRouter(k+1, c.Addresses(name)[0])
 			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: sharedLoad(),
+			load := rig.Load{Seed: run.Seed + uint64(k)<<32, Duration: duration, Prefix: name + "-", Shares: sharedMix(),
 				Rate: func(float64) float64 { return rate(name) },
-				BeforeCall: func(s rig.Share, work float64) {
-					r.mu.Lock()
-					defer r.mu.Unlock()
-					if s.Method != "plain" {
-						r.asked = append(r.asked, sharedRequest{time.Since(began).Seconds(), work, s.Criticality, r.phase})
+				BeforeCall: func(share rig.Share, work float64) {
+					c.mu.Lock()
+					defer c.mu.Unlock()
+					if share.Method != "plain" {
+						c.requests = append(c.requests, sharedRequest{time.Since(began).Seconds(), work, share.Criticality, c.phase})
 					}
 				},
-				AfterCall: func(s rig.Share, _, _ string, _ []byte, err error) {
-					r.mu.Lock()
-					defer r.mu.Unlock()
-					got := 0.0
+				AfterCall: func(share rig.Share, _, _ string, _ []byte, err error) {
+					c.mu.Lock()
+					defer c.mu.Unlock()
+					served := 0.0
 					if err == nil {
-						got = s.Criticality
+						served = share.Criticality
 					}
-					into := r.ok
-					if s.Method == "plain" {
-						into = r.plain
+					totals := c.backendTotals
+					if share.Method == "plain" {
+						totals = c.plainTotals
 					}
-					count := func(into map[string][2]float64, key string) {
-						o := into[key]
-						into[key] = [2]float64{o[0] + got, o[1] + s.Criticality}
+					add := func(totals map[string][2]float64, key string) {
+						sums := totals[key]
+						totals[key] = [2]float64{sums[0] + served, sums[1] + share.Criticality}
 					}
-					count(into, r.phase)
-					count(r.each, r.phase+" "+name+" "+s.Method)
+					add(totals, c.phase)
+					add(c.methodTotals, c.phase+" "+name+" "+share.Method)
 				}}
-			l.Run(ctx, r.Check, router)
+			load.Run(ctx, c.Check, router)
 		})
 	}
 	group.Wait()
 }
 
 // servedShare returns the share of criticality that was served in a phase.
-func (r *sharedCluster) servedShare(phase string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	o := r.ok[phase]
-	return o[0] / max(o[1], 1e-9)
+func (c *sharedCluster) servedShare(phase string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	sums := c.backendTotals[phase]
+	return sums[0] / max(sums[1], 1e-9)
 }
 
-// leastServedShare returns the least such share over all app servers and methods.
-func (r *sharedCluster) leastServedShare(phase string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	least := 1.0
-	for key, o := range r.each {
+// minServedShare returns the minimum of the share served in a phase over all app servers and methods.
+func (c *sharedCluster) minServedShare(phase string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	minShare := 1.0
+	for key, sums := range c.methodTotals {
 		if strings.HasPrefix(key, phase+" ") {
-			least = min(least, o[0]/o[1])
+			minShare = min(minShare, sums[0]/sums[1])
 		}
 	}
-	return least
+	return minShare
 }
 
-// bestShare returns the share that an ideal scheduler would serve, with full knowledge and no delay: in each half second the most
-// critical first, as far as the limit goes.
-func (r *sharedCluster) bestShare(phase string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	const span = 0.5
+// idealShare returns the share of criticality that an ideal scheduler would serve in a phase, with full knowledge and no delay:
+// in each half second the most critical RPCs first, up to the limit.
+func (c *sharedCluster) idealShare(phase string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	const window = 0.5
 	windows := map[int][]sharedRequest{}
-	all, got := 0.0, 0.0
-	for _, d := range r.asked {
-		if d.phase == phase {
-			windows[int(d.at/span)] = append(windows[int(d.at/span)], d)
-			all += d.criticality
+	requested, served := 0.0, 0.0
+	for _, request := range c.requests {
+		if request.phase == phase {
+			windows[int(request.sentAt/window)] = append(windows[int(request.sentAt/window)], request)
+			requested += request.criticality
 		}
 	}
-	for _, w := range windows {
-		slices.SortStableFunc(w, func(a, b sharedRequest) int { return cmp.Compare(b.criticality, a.criticality) })
-		left := span * sharedLimit
-		for _, d := range w {
-			if left -= d.work; left < 0 {
+	for _, inWindow := range windows {
+		slices.SortStableFunc(inWindow, func(a, b sharedRequest) int { return cmp.Compare(b.criticality, a.criticality) })
+		capacity := window * sharedLimit
+		for _, request := range inWindow {
+			if capacity -= request.work; capacity < 0 {
 				break
 			}
-			got += d.criticality
+			served += request.criticality
 		}
 	}
-	return got / max(all, 1e-9)
+	return served / max(requested, 1e-9)
 }
 
-// packets returns the number of the fleet's packets that all processes have sent.
-func (r *sharedCluster) packets() (sum float64) {
-	for _, n := range r.Running() {
-		if shown, err := member.ReadStatus(r.Socket(n)); err == nil {
-			sum += float64(shown.Packets[0])
+// sentPackets returns the number of packets of the fleet that all running processes have sent.
+func (c *sharedCluster) sentPackets() (sum float64) {
+	for _, name := range c.Running() {
+		if status, err := member.ReadStatus(c.Socket(name)); err == nil {
+			sum += float64(status.Packets[0])
 		}
 	}
 	return sum
 }
 
-// allocator returns the process that allocates the share, and the share as it sees it.
-func (r *sharedCluster) allocator() (name string, s fleet.Share) {
-	for _, n := range r.Running() {
-		shown, err := member.ReadStatus(r.Socket(n))
-		if err != nil || shown.Roles == nil {
+// allocator returns the name of the process that allocates the share, and its state of the share, or "" if there is none.
+func (c *sharedCluster) allocator() (name string, share fleet.Share) {
+	for _, process := range c.Running() {
+		status, err := member.ReadStatus(c.Socket(process))
+		if err != nil || status.Roles == nil {
 			continue
 		}
-		var f fleet.Status
-		if json.Unmarshal(shown.Roles, &f) == nil && len(f.Shares) > 0 && f.Shares[0].Limit > 0 {
-			return n, f.Shares[0]
+		var fleetStatus fleet.Status
+		if json.Unmarshal(status.Roles, &fleetStatus) == nil && len(fleetStatus.Shares) > 0 && fleetStatus.Shares[0].Limit > 0 {
+			return process, fleetStatus.Shares[0]
 		}
 	}
 	return "", fleet.Share{}
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -13,118 +13,119 @@
 	"valveglade/rpc"
 )
 
-// The limit of the experiment, the number of app servers that share it, and the mean work of a run in seconds. A third of the limit
-// is reserved. Where all ask for more, one app server has less than a tenth, which is missing for a while if it dies.
+// Sizes of the share experiment. A third of the limit is reserved. With high demand everywhere, each app server holds less than a
+// tenth of the limit, which is unused for a while if the app server dies.
 const (
-	sharedLimit = 48
-	sharedOn    = 16
-	sharedWork  = 0.1
+	sharedLimit       = 48  // limit of concurrent runs at the backend
+	sharedServers     = 16  // app servers that share the limit
+	sharedWorkSeconds = 0.1 // mean work of a run, in seconds
 )
 
-// sharedLoad is the mix of RPCs: three methods that need the shared backend, and one that does not.
-func sharedLoad() []rig.Share {
+// sharedMix returns the mix of RPCs: three methods that use the shared backend, and one that does not.
+func sharedMix() []rig.Share {
 	return []rig.Share{
-		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.45, Work: sharedWork, Deadline: time.Second},
-		{Method: "check", Kind: rpc.Idempotent, Criticality: 2, Fraction: 0.25, Work: sharedWork, Deadline: time.Second},
-		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Fraction: 0.15, Work: sharedWork, Deadline: time.Second},
+		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.45, Work: sharedWorkSeconds, Deadline: time.Second},
+		{Method: "check", Kind: rpc.Idempotent, Criticality: 2, Fraction: 0.25, Work: sharedWorkSeconds, Deadline: time.Second},
+		{Method: "record", Kind: rpc.Tokened, Criticality: 4, Fraction: 0.15, Work: sharedWorkSeconds, Deadline: time.Second},
 		{Method: "plain", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.15, Work: 0.01, Deadline: time.Second},
 	}
 }
 
-// sharedRate is the rate in RPCs per second that fills the limit: 0.85 of the mix needs the shared backend.
-const sharedRate = sharedLimit / sharedWork / 0.85
+// saturatingRate is the rate in RPCs per second that uses the whole limit: 0.85 of the mix uses the shared backend.
+const saturatingRate = sharedLimit / sharedWorkSeconds / 0.85
 
-// sharedDemand is how many RPCs are sent to each app server, which changes while they are sent.
+// sharedDemand is the rate of RPCs at each app server, which can be changed while a load runs. It is safe for concurrent use.
 type sharedDemand struct {
-	mu   sync.Mutex
-	hot  string  // the app server that gets most of them, empty where all get the same
-	rate float64 // of all together, in RPCs per second
+	mu        sync.Mutex
+	hotServer string  // app server that gets most RPCs, empty if all get the same number
+	rate      float64 // of all app servers together, in RPCs per second
 }
 
-// set changes the demand from now on.
-func (d *sharedDemand) set(hot string, rate float64) {
+// set changes the hot app server and the total rate in RPCs per second.
+func (d *sharedDemand) set(hotServer string, rate float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hot, d.rate = hot, rate
+	d.hotServer, d.rate = hotServer, rate
 }
 
-// of returns the rate at one app server.
-func (d *sharedDemand) of(name string) float64 {
+// rateFor returns the rate at one app server, in RPCs per second.
+func (d *sharedDemand) rateFor(name string) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.hot == "":
-		return d.rate / sharedOn
-	case d.hot == name:
+	case d.hotServer == "":
+		return d.rate / sharedServers
+	case d.hotServer == name:
 		return 0.6 * d.rate
 	}
-	return 0.4 * d.rate / (sharedOn - 1)
+	return 0.4 * d.rate / (sharedServers - 1)
 }
 
-// shareTrial is the state of the experiment on a common limit.
+// shareTrial is the state of the share experiment.
 type shareTrial struct {
 	*experimentRun
 	on, even, off *sharedCluster
 	demand        sharedDemand
-	err           error // of faults
+	err           error // joined errors of the fault scripts
 }
 
-// playShare is the experiment on a common limit: demand that moves, an allocator killed, stopped and cut off, a holder killed, a lower
-// limit, all restarted. The baselines are an even split, and no common limit.
-func runShare(p *experimentRun) error {
-	t := &shareTrial{experimentRun: p}
+// runShare is the experiment on a shared limit: the demand moves between app servers, the allocator is killed, stopped and cut
+// off, a holder is killed, the limit is lowered, and all processes are restarted. The baselines are an even split of the limit,
+// and no shared limit.
+func runShare(run *experimentRun) error {
+	t := &shareTrial{experimentRun: run}
 	err := t.start()
 	defer t.close()
 	if err != nil {
 		return err
 	}
 	took, _ := t.on.Until(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
-	p.atMost("first.keeper.s", took, 10)
-	p.awaitSameView(t.on.Cluster, 10*time.Second, sharedOn, t.on.Names())
-	time.Sleep(2 * time.Second) // the wait of reserved permits for former incarnations is over
+	run.atMost("first.keeper.s", took, 10)
+	run.awaitSameView(t.on.Cluster, 10*time.Second, sharedServers, t.on.Names())
+	time.Sleep(2 * time.Second) // until reserved permits need not wait for former incarnations
 
 	var loads sync.WaitGroup
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	compared, endCompared := context.WithCancel(ctx)
 	defer endCompared()
-	t.demand.set("n1", skewedDemand*sharedRate)
+	t.demand.set("n1", skewedFraction*saturatingRate)
 	for _, c := range t.clusters() {
 		c.startPhase("start")
 		until := compared
 		if c == t.on {
 			until = ctx
 		}
-		loads.Go(func() { c.load(until, p, time.Minute, t.demand.of) })
+		loads.Go(func() { c.sendLoad(until, run, time.Minute, t.demand.rateFor) })
 	}
 	time.Sleep(time.Second)
 	t.moveDemand()
 	t.fillLimit()
 	t.on.startPhase("faults")
 	endCompared()
-	t.failHolders(t.changeAllocators())
-	p.exactly("over.limit", float64(t.on.backend.MaxExcess()), 0)
-	p.exactly("over.limit.lowered", float64(t.on.lower(p)), 0)
+	t.failHolders(t.disruptAllocators())
+	run.exactly("over.limit", float64(t.on.backend.MaxExcess()), 0)
+	run.exactly("over.limit.lowered", float64(t.on.lowerLimit(run)), 0)
 	stop()
 	loads.Wait()
 	if t.err != nil {
 		return t.err
 	}
 	t.restartAll()
-	t.compare()
-	p.checkViolations(t.on.Cluster, t.even.Cluster, t.off.Cluster)
-	return p.writeHistory(t.on.Cluster)
+	t.compareWithBaselines()
+	run.checkViolations(t.on.Cluster, t.even.Cluster, t.off.Cluster)
+	return run.writeHistory(t.on.Cluster)
 }
 
-// start starts the clusters, all at the same time.
+// start starts the three clusters concurrently.
 func (t *shareTrial) start() error {
 	var group sync.WaitGroup
 	errs := make([]error, 3)
-	for k, one := range []struct {
+	for k, entry := range []struct {
 		kind    string
 		cluster **sharedCluster
 	}{{"on", &t.on}, {"even", &t.even}, {"off", &t.off}} {
-		group.Go(func() { *one.cluster, errs[k] = t.startSharedCluster(one.kind, fmt.Sprint(sharedLimit)) })
+		group.Go(func() { *entry.cluster, errs[k] = t.startSharedCluster(entry.kind, fmt.Sprint(sharedLimit)) })
 	}
 	group.Wait()
 	return errors.Join(errs...)
@@ -140,165 +141,173 @@
 	}
 }
 
-// enter begins a phase in all clusters.
-func (t *shareTrial) enter(phase string) {
+// startPhase starts a phase in all clusters.
+func (t *shareTrial) startPhase(phase string) {
 	for _, c := range t.clusters() {
 		c.startPhase(phase)
 	}
 }
 
-// skewedDemand is the share of sharedRate that is sent while most of it goes to one app server.
-const skewedDemand = 0.75
+// skewedFraction is the fraction of saturatingRate that is sent while most RPCs go to one app server.
+const skewedFraction = 0.75
 
-// moveDemand sends most of the demand to one app server, another one every two seconds, and measures how long the share follows.
+// moveDemand sends most RPCs to one app server, to another one every two seconds, and reports the longest time until a third of
+// the limit is in use at that app server.
 func (t *shareTrial) moveDemand() {
-	t.enter("skewed")
-	follows := 0.0
+	t.startPhase("skewed")
+	maxDelay := 0.0
 	for _, name := range []string{"n2", "n5", "n8"} {
-		t.demand.set(name, skewedDemand*sharedRate)
+		t.demand.set(name, skewedFraction*saturatingRate)
 		began := time.Now()
 		took := math.Inf(1)
 		for time.Since(began) < 2*time.Second {
-			if _, n := t.on.backend.RunningCount(name); n >= sharedLimit/3 && math.IsInf(took, 1) {
+			if _, running := t.on.backend.RunningCount(name); running >= sharedLimit/3 && math.IsInf(took, 1) {
 				took = time.Since(began).Seconds()
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		follows = max(follows, took)
+		maxDelay = max(maxDelay, took)
 	}
-	t.atMost("follows.demand.s", follows, 2)
+	t.atMost("follows.demand.s", maxDelay, 2)
 }
 
-// fillLimit sends more than the limit, to all alike, and measures the use of the limit and the packets that this takes.
+// fillLimit sends more RPCs than the limit admits, evenly to all app servers, and reports the use of the limit and the fleet's
+// packets.
 func (t *shareTrial) fillLimit() {
-	t.enter("full")
-	t.demand.set("", 1.5*sharedRate)
+	t.startPhase("full")
+	t.demand.set("", 1.5*saturatingRate)
 	time.Sleep(time.Second)
 	t.on.backend.MeanRunning()
 	t.even.backend.MeanRunning()
-	packets, runs, began := t.on.packets(), t.on.backend.StartedRuns(), time.Now()
+	packets, runs, began := t.on.sentPackets(), t.on.backend.StartedRuns(), time.Now()
 	time.Sleep(3 * time.Second)
-	packets, runs = t.on.packets()-packets, t.on.backend.StartedRuns()-runs
-	t.report("packets.s", packets/time.Since(began).Seconds()/sharedOn)
+	packets, runs = t.on.sentPackets()-packets, t.on.backend.StartedRuns()-runs
+	t.report("packets.s", packets/time.Since(began).Seconds()/sharedServers)
 	t.report("packets.a.run", packets/float64(runs))
 	t.atLeast("used.steady", t.on.backend.MeanRunning()/sharedLimit, 0.9)
 	t.report("used.steady.even", t.even.backend.MeanRunning()/sharedLimit)
 }
 
-// compare compares what was served under an allocator with the baselines.
-func (t *shareTrial) compare() {
+// compareWithBaselines compares what the cluster with an allocator served with the baselines.
+func (t *shareTrial) compareWithBaselines() {
 	t.atLeast("over.limit.off", float64(t.off.backend.MaxExcess()), 1)
 	t.exactly("over.limit.even", float64(t.even.backend.MaxExcess()), 0)
 	for _, phase := range []string{"skewed", "full"} {
-		t.report("best."+phase, t.on.bestShare(phase))
-		t.atLeast("criticality.ok."+phase, t.on.servedShare(phase)/t.on.bestShare(phase), 0.9)
+		t.report("best."+phase, t.on.idealShare(phase))
+		t.atLeast("criticality.ok."+phase, t.on.servedShare(phase)/t.on.idealShare(phase), 0.9)
 		t.report("criticality.even."+phase, t.even.servedShare(phase))
 	}
-	t.atLeast("served.least.full", t.on.leastServedShare("full"), 0.1)
+	t.atLeast("served.least.full", t.on.minServedShare("full"), 0.1)
 	t.atLeast("criticality.of.even.skewed", t.on.servedShare("skewed")/t.even.servedShare("skewed"), 1.3)
-	for _, phase := range []string{"skewed", "full"} { // nothing else is done to either then
-		a, b := t.on.plain[phase], t.off.plain[phase]
-		t.atLeast("plain.of.off."+phase, a[0]/a[1]/(b[0]/b[1]), 0.98)
+	for _, phase := range []string{"skewed", "full"} { // these phases are the same in both clusters
+		onTotals, offTotals := t.on.plainTotals[phase], t.off.plainTotals[phase]
+		t.atLeast("plain.of.off."+phase, onTotals[0]/onTotals[1]/(offTotals[0]/offTotals[1]), 0.98)
 	}
 }
 
-// lower has a reload lower the limit by a third, and gives by how much that is passed once what was granted before is over.
-func (r *sharedCluster) lower(p *experimentRun) int {
-	const to = sharedLimit * 2 / 3
-	for _, name := range r.Names() {
-		r.Amend(name, func(settings string) string {
-			return strings.Replace(settings, fmt.Sprintf("behind %d ", sharedLimit), fmt.Sprintf("behind %d ", to), 1)
+// lowerLimit lowers the limit by a third in a reload of all app servers. It returns the largest number of runs above the new
+// limit after all earlier grants have expired.
+func (c *sharedCluster) lowerLimit(run *experimentRun) int {
+	const loweredLimit = sharedLimit * 2 / 3
+	for _, name := range c.Names() {
+		c.Amend(name, func(settings string) string {
+			return strings.Replace(settings, fmt.Sprintf("behind %d ", sharedLimit), fmt.Sprintf("behind %d ", loweredLimit), 1)
 		})
-		r.Node(name).Reload()
+		c.Node(name).Reload()
 	}
-	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants of two leases, and runs of a second
-	r.backend.SetLimit(to)
-	r.backend.MeanRunning()
+	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants last two leases, and runs up to a second
+	c.backend.SetLimit(loweredLimit)
+	c.backend.MeanRunning()
 	time.Sleep(time.Second)
-	p.atLeast("used.lowered", r.backend.MeanRunning()/to, 0.8)
-	return r.backend.MaxExcess()
+	run.atLeast("used.lowered", c.backend.MeanRunning()/loweredLimit, 0.8)
+	return c.backend.MaxExcess()
 }
 
-// playShareForty is the experiment on few permits among many: each of forty processes has its turn.
-func runShareForty(p *experimentRun) error {
-	const many, few = 40, 10
-	r := newSharedCluster(few)
-	plan := p.sharedPlan(many, r.backend)
+// runShareForty is the experiment on few permits for many app servers: each of forty must get permits at some time.
+func runShareForty(run *experimentRun) error {
+	const servers, permits = 40, 10
+	c := newSharedCluster(permits)
+	plan := run.sharedPlan(servers, c.backend)
 	plan.Laws = []string{"fleet.voters " + strings.Join(nodeNames(5), " "), "fleet.lease " + experimentLease.String(),
-		fmt.Sprintf("fleet.share behind %d lookup check record", few), "fleet.floor 1 n1 n2"}
+		fmt.Sprintf("fleet.share behind %d lookup check record", permits), "fleet.floor 1 n1 n2"}
 	var err error
-	if r.Cluster, err = rig.NewCluster(plan); err != nil {
+	if c.Cluster, err = rig.NewCluster(plan); err != nil {
 		return err
 	}
-	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
-		return errors.New("nobody keeps the share")
+	defer c.Close()
+	if _, ok := c.Until(10*time.Second, func() bool { allocator, _ := c.allocator(); return allocator != "" }); !ok {
+		return errors.New("no process allocates the share after 10 s")
 	}
-	p.awaitSameView(r.Cluster, 15*time.Second, many, r.Names())
+	run.awaitSameView(c.Cluster, 15*time.Second, servers, c.Names())
 	time.Sleep(3500 * time.Millisecond) // until the reserved permits may be used
-	r.startPhase("many")
-	var load sync.WaitGroup
-	length := p.scaled(12 * time.Second)
-	load.Go(func() { // four times what may run
-		r.load(context.Background(), p, length, func(string) float64 { return 4 * few / sharedWork / 0.85 / many })
+	c.startPhase("many")
+	var loads sync.WaitGroup
+	duration := run.scaled(12 * time.Second)
+	loads.Go(func() { // four times the rate that the permits admit
+		c.sendLoad(context.Background(), run, duration, func(string) float64 {
+			return 4 * permits / sharedWorkSeconds / 0.85 / servers
+		})
 	})
-	time.Sleep(length / 4)
-	r.backend.MeanRunning()
-	time.Sleep(length / 2)
-	p.atLeast("used.steady", r.backend.MeanRunning()/few, 0.7)
-	load.Wait()
-	p.exactly("over.limit", float64(r.backend.MaxExcess()), 0)
+	time.Sleep(duration / 4)
+	c.backend.MeanRunning()
+	time.Sleep(duration / 2)
+	run.atLeast("used.steady", c.backend.MeanRunning()/permits, 0.7)
+	loads.Wait()
+	run.exactly("over.limit", float64(c.backend.MaxExcess()), 0)
 	starved := 0
-	for _, name := range r.Names() {
+	for _, name := range c.Names() {
 		served := 0.0
 		for _, method := range []string{"lookup", "check", "record"} {
-			served += r.each["many "+name+" "+method][0]
+			served += c.methodTotals["many "+name+" "+method][0]
 		}
 		if served == 0 {
 			starved++
 		}
 	}
-	p.exactly("app.servers.starved", float64(starved), 0)
-	p.checkViolations(r.Cluster)
-	return p.writeHistory(r.Cluster)
+	run.exactly("app.servers.starved", float64(starved), 0)
+	run.checkViolations(c.Cluster)
+	return run.writeHistory(c.Cluster)
 }
 
-// playShareAuto is the experiment on a limit that is found: what stands behind takes longer past so many at once, which changes.
-func runShareAuto(p *experimentRun) error {
-	r, err := p.startSharedCluster("on", fmt.Sprintf("auto %d-%d %s", sharedOn, 3*sharedLimit, time.Duration(autoTarget*sharedWork*float64(time.Second))))
+// runShareAuto is the experiment on an automatic limit: the backend is slower above a number of concurrent runs, its capacity,
+// which changes, and the limit must follow it.
+func runShareAuto(run *experimentRun) error {
+	c, err := run.startSharedCluster("on", fmt.Sprintf("auto %d-%d %s", sharedServers, 3*sharedLimit,
+		time.Duration(autoLatencyFactor*sharedWorkSeconds*float64(time.Second))))
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	if _, ok := r.Until(10*time.Second, func() bool { who, _ := r.allocator(); return who != "" }); !ok {
-		return errors.New("nobody keeps the share")
+	defer c.Close()
+	if _, ok := c.Until(10*time.Second, func() bool { allocator, _ := c.allocator(); return allocator != "" }); !ok {
+		return errors.New("no process allocates the share after 10 s")
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var loads sync.WaitGroup
-	r.startPhase("auto")
-	loads.Go(func() { // more than there is, at the most that is borne
-		r.load(ctx, p, time.Minute, func(string) float64 { return 1.4 * sharedRate / sharedOn })
+	c.startPhase("auto")
+	loads.Go(func() { // more than the highest capacity admits
+		c.sendLoad(ctx, run, time.Minute, func(string) float64 { return 1.4 * saturatingRate / sharedServers })
 	})
-	for k, bears := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
-		r.backend.SetCapacity(bears)
-		time.Sleep(p.scaled([]time.Duration{14, 8, 13}[k] * time.Second)) // up takes longer than down, and 20 s are allowed
-		sum, n := 0.0, 0.0                                                // it goes up and down about what is right: the mean over some seconds
-		for end := time.Now().Add(p.scaled(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			if _, s := r.allocator(); s.Limit > 0 {
-				sum += float64(s.Limit)
-				n++
+	for k, capacity := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
+		c.backend.SetCapacity(capacity)
+		time.Sleep(run.scaled([]time.Duration{14, 8, 13}[k] * time.Second)) // rising takes longer than falling; 20 s are allowed
+		// The limit oscillates around the capacity, so its mean over some seconds is compared.
+		sum, samples := 0.0, 0.0
+		for end := time.Now().Add(run.scaled(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+			if _, share := c.allocator(); share.Limit > 0 {
+				sum += float64(share.Limit)
+				samples++
 			}
 		}
-		off := math.Abs(sum/n-float64(bears)) / float64(bears)
-		p.printNote("%d are borne, the limit is %.1f", bears, sum/n)
-		p.atMost(fmt.Sprintf("limit.off.share.%d", bears), off, 0.2)
+		deviation := math.Abs(sum/samples-float64(capacity)) / float64(capacity)
+		run.printNote("backend capacity %d runs, mean limit %.1f", capacity, sum/samples)
+		run.atMost(fmt.Sprintf("limit.off.share.%d", capacity), deviation, 0.2)
 	}
 	stop()
 	loads.Wait()
-	p.checkViolations(r.Cluster)
-	return p.writeHistory(r.Cluster)
+	run.checkViolations(c.Cluster)
+	return run.writeHistory(c.Cluster)
 }
 
-// autoTarget is how many times as long as their work runs may take.
-const autoTarget = 1.12
+// autoLatencyFactor is the latency target of the automatic limit, as a multiple of the mean work of a run.
+const autoLatencyFactor = 1.12
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -10,86 +10,89 @@
 	"time"
 )
 
-// run plays a script in the cluster under an allocator.
-func (t *shareTrial) run(script string) {
+// runScript runs a fault script on the cluster on, and records the error.
+func (t *shareTrial) runScript(script string) {
 	t.err = errors.Join(t.err, t.on.Run(script))
 }
 
-// changeAllocators has the allocator killed, stopped and cut off from half of the others. It returns the names of these others.
-func (t *shareTrial) changeAllocators() []string {
-	t.changeAllocator("killed", "0s kill ALLOCATOR")
+// disruptAllocators kills the allocator, stops the next one, and cuts the one after that off from half of the others. It returns
+// the names of all app servers but the last of these allocators.
+func (t *shareTrial) disruptAllocators() []string {
+	t.disruptAllocator("killed", "0s kill ALLOCATOR")
 	for _, name := range t.on.Names() {
 		if !slices.Contains(t.on.Running(), name) {
-			t.run("0s start " + name)
+			t.runScript("0s start " + name)
 		}
 	}
-	// What the one that died had, and the reserved permits of its new incarnation, are back once its last grant is over.
+	// The permits of the killed process, and the reserved permits of its new incarnation, are usable after its last grant expires.
 	t.on.backend.MeanRunning()
 	t.on.Until(5*time.Second, func() bool {
 		time.Sleep(300 * time.Millisecond)
 		return t.on.backend.MeanRunning() >= 0.97*sharedLimit
 	})
 	stopped, _ := t.on.allocator()
-	t.changeAllocator("stopped", "0s stop ALLOCATOR")
-	t.run("1500ms cont " + stopped)
+	t.disruptAllocator("stopped", "0s stop ALLOCATOR")
+	t.runScript("1500ms cont " + stopped)
 	allocator, _ := t.on.allocator()
 	others := slices.DeleteFunc(t.on.Names(), func(name string) bool { return name == allocator })
-	t.changeAllocator("cut", "0s split ALLOCATOR,"+strings.Join(others[sharedOn/2:], ",")+"|"+strings.Join(others[:sharedOn/2], ","))
+	t.disruptAllocator("cut", "0s split ALLOCATOR,"+strings.Join(others[sharedServers/2:], ",")+"|"+
+		strings.Join(others[:sharedServers/2], ","))
 	return others
 }
 
-// changeAllocator plays a fault at the allocator, which is ALLOCATOR in the script: another one is to take over, use stays above the
-// reserved permits meanwhile, and comes back.
-func (t *shareTrial) changeAllocator(fault, script string) {
+// disruptAllocator runs a fault script on the allocator, whose name replaces ALLOCATOR in the script. Another process must take
+// over, the use of the limit must not fall below the reserved permits meanwhile, and must recover.
+func (t *shareTrial) disruptAllocator(fault, script string) {
 	former, _ := t.on.allocator()
 	t.on.backend.MeanRunning()
 	began := time.Now()
-	t.run(strings.ReplaceAll(script, "ALLOCATOR", former))
-	allocator, back := "", math.Inf(1)
-	least := 1.0
+	t.runScript(strings.ReplaceAll(script, "ALLOCATOR", former))
+	allocator, recovered := "", math.Inf(1)
+	minUsed := 1.0
 	for time.Since(began) < 4*experimentLease {
 		time.Sleep(250 * time.Millisecond)
 		used := t.on.backend.MeanRunning() / sharedLimit
-		least = min(least, used)
+		minUsed = min(minUsed, used)
 		if allocator == "" {
 			if allocator, _ = t.on.allocator(); allocator == former {
 				allocator = ""
 			}
 		}
 		if allocator != "" && used >= 0.9 {
-			back = time.Since(began).Seconds()
+			recovered = time.Since(began).Seconds()
 			break
 		}
 	}
-	if fault == "cut" { // what is on the other side comes back with the cut's end alone
-		t.report("back.s."+fault, back)
+	if fault == "cut" { // the permits on the other side are usable only after the partition ends
+		t.report("back.s."+fault, recovered)
 	} else {
-		t.atMost("back.s."+fault, back, 3*experimentLease.Seconds())
+		t.atMost("back.s."+fault, recovered, 3*experimentLease.Seconds())
 	}
-	t.atLeast("used.least."+fault, least, float64(sharedOn-1)/sharedLimit)
+	t.atLeast("used.least."+fault, minUsed, float64(sharedServers-1)/sharedLimit)
 }
 
-// failHolders kills one holder and stops another past its grant, while the backend takes ten times as long and recovers.
+// failHolders kills one holder and stops another one past its grant, while runs take ten times as long for a while.
 func (t *shareTrial) failHolders(holders []string) {
 	var slow sync.WaitGroup
 	slow.Go(func() {
-		for _, times := range []float64{10, 1} {
+		for _, factor := range []float64{10, 1} {
 			time.Sleep(1500 * time.Millisecond)
 			for _, name := range t.on.Names() {
-				t.on.Node(name).Kernel.Slow(times)
+				t.on.Node(name).Kernel.Slow(factor)
 			}
 		}
 	})
 	killed, stopped := holders[0], holders[1]
-	t.run("500ms heal\n500ms kill " + killed + "\n500ms stop " + stopped + "\n1500ms start " + killed + "\n4s cont " + stopped + "\n5s heal")
+	t.runScript("500ms heal\n500ms kill " + killed + "\n500ms stop " + stopped + "\n1500ms start " + killed +
+		"\n4s cont " + stopped + "\n5s heal")
 	slow.Wait()
 }
 
-// restartAll restarts all app servers cold, and asks for more than the limit at once again.
+// restartAll kills and restarts all app servers, and sends more RPCs than the limit admits right after their start.
 func (t *shareTrial) restartAll() {
-	t.demand.set("", 1.5*sharedRate)
+	t.demand.set("", 1.5*saturatingRate)
 	for _, name := range t.on.Names() {
-		t.run("0s kill " + name)
+		t.runScript("0s kill " + name)
 	}
 	var starts sync.WaitGroup
 	for _, name := range t.on.Names() {
@@ -97,7 +100,7 @@
 	}
 	starts.Wait()
 	t.on.startPhase("again")
-	t.on.load(context.Background(), t.experimentRun, 4*time.Second, t.demand.of)
+	t.on.sendLoad(context.Background(), t.experimentRun, 4*time.Second, t.demand.rateFor)
 	t.exactly("over.limit.restarted", float64(t.on.backend.MaxExcess()), 0)
 	t.report("served.restarted", t.on.servedShare("again"))
 }
