--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -14,42 +14,42 @@
 	"valveglade/rig"
 )
 
-// playView is the experiment on the view: deaths, flapping, two under one name, a sleeper, a rolling release and a start of
-// all at once, compared with the same processes with the fleet off.
-func runView(p *experimentRun) error {
+// runView is the experiment on the view: a crash, a process that restarts again and again, two processes under one name, a
+// paused process, a rolling release and a restart of all processes at once. The same processes with the fleet off are compared.
+func runView(run *experimentRun) error {
 	const n = 12
-	plan := p.clusterPlan(n)
+	plan := run.clusterPlan(n)
 	plan.Off = true
 	began := time.Now()
-	f, err := startClusters(p.clusterPlan(n), plan)
+	pair, err := startClusters(run.clusterPlan(n), plan)
 	if err != nil {
 		return err
 	}
-	defer f.close()
-	on, off := f.clusters[0], f.clusters[1]
-	all := nodeNames(n)
-	p.awaitSameView(on, 15*time.Second, n, all)
-	p.atMost("joined.all", time.Since(began).Seconds(), 10)
+	defer pair.close()
+	on, off := pair.clusters[0], pair.clusters[1]
+	names := nodeNames(n)
+	run.awaitSameView(on, 15*time.Second, n, names)
+	run.atMost("joined.all", time.Since(began).Seconds(), 10)
 
-	// At rest, once what the joining has set off has been passed around.
-	if !p.shortForm {
+	// The cost at rest is measured once the gossip about the joining has ended.
+	if !run.shortForm {
 		time.Sleep(3 * time.Second)
-		if err := p.measureAtRest(on, off, all, 3*time.Second); err != nil {
+		if err := run.measureAtRest(on, off, names, 3*time.Second); err != nil {
 			return err
 		}
 	}
 
-	// Nobody does anything to the first half; to the second, all kinds of things.
-	still := all[:6]
-	length := 12 * time.Second
+	// The first half of the processes has no faults; all faults are in the second half.
+	untouched := names[:6]
+	duration := 12 * time.Second
 	served := map[*rig.Cluster]map[string]rig.Outcome{}
 	var mu sync.Mutex
 	var loads sync.WaitGroup
-	for _, s := range f.clusters {
+	for _, cluster := range pair.clusters {
 		loads.Go(func() {
-			out := p.loadCluster(s, length, 25, all)
+			outcomes := run.loadCluster(cluster, duration, 25, names)
 			mu.Lock()
-			served[s] = out
+			served[cluster] = outcomes
 			mu.Unlock()
 		})
 	}
@@ -70,222 +70,224 @@
 		9s    restart n11
 		10s   start n12
 	`
-	if err := f.onEach(func(s *rig.Cluster) error { return s.Run(script) }); err != nil {
+	if err := pair.onEach(func(cluster *rig.Cluster) error { return cluster.Run(script) }); err != nil {
 		return err
 	}
 	loads.Wait()
-	p.atMost("death.known.max", reportDelay(on, "n12", "went", from, still), 6)
-	worst := 0
-	for _, name := range still {
-		worst = max(worst, countMemberChanges(on, name, "n11", from+1, from+11))
+	run.atMost("death.known.max", reportDelay(on, "n12", "went", from, untouched), 6)
+	maxVersions := 0
+	for _, name := range untouched {
+		maxVersions = max(maxVersions, countMemberChanges(on, name, "n11", from+1, from+11))
 	}
-	p.atMost("versions.by.flapping", float64(worst), 4)
-	_, told := on.History.Lines("n10", "newer incarnation of this name", from)
-	p.atMost("named.twice.told", told-from-0.5, 5)
-	p.atMost("named.twice.resolved", reportDelay(on, "n10", "restarted", from, still)-0.5, 5)
-	slept := func(name string, t float64) bool {
+	run.atMost("versions.by.flapping", float64(maxVersions), 4)
+	_, toldAt := on.History.Lines("n10", "newer incarnation of this name", from)
+	run.atMost("named.twice.told", toldAt-from-0.5, 5)
+	run.atMost("named.twice.resolved", reportDelay(on, "n10", "restarted", from, untouched)-0.5, 5)
+	aliveAt := func(name string, t float64) bool {
 		return !slices.Contains([]string{"n11", "n12", "n10"}, name) && (name != "n9" || t > from+6)
 	}
-	anyOf := slices.Concat(still, []string{"n7", "n8", "n9"})
-	false1, lasting := countFalseDeaths(on, from, from+12, 3, anyOf, slept)
-	p.report("false.deaths", float64(false1))
-	p.exactly("false.deaths.lasting", float64(lasting), 0)
-	p.atMost("back.after.all", p.awaitSameView(on, 10*time.Second, n, slices.Concat(still, []string{"n7", "n8", "n9", "n10-twin", "n11", "n12"})), 10)
-	a, b := servedCriticality(served[on], still), servedCriticality(served[off], still)
-	p.report("service.on", a)
-	p.atLeast("service.of.off", a/b, 0.98)
+	viewers := slices.Concat(untouched, []string{"n7", "n8", "n9"})
+	falseDeaths, lasting := countFalseDeaths(on, from, from+12, 3, viewers, aliveAt)
+	run.report("false.deaths", float64(falseDeaths))
+	run.exactly("false.deaths.lasting", float64(lasting), 0)
+	run.atMost("back.after.all", run.awaitSameView(on, 10*time.Second, n,
+		slices.Concat(untouched, []string{"n7", "n8", "n9", "n10-twin", "n11", "n12"})), 10)
+	servedOn, servedOff := servedCriticality(served[on], untouched), servedCriticality(served[off], untouched)
+	run.report("service.on", servedOn)
+	run.atLeast("service.of.off", servedOn/servedOff, 0.98)
 
-	// All are replaced one after the other.
-	release := []string{}
+	// A rolling release replaces one process after another.
+	releaseScript := []string{}
 	for k := range 9 {
-		release = append(release, fmt.Sprintf("%dms notice n%d", 900*k, k+1), fmt.Sprintf("%dms replace n%d r%d", 900*k+700, k+1, k+1))
+		releaseScript = append(releaseScript, fmt.Sprintf("%dms notice n%d", 900*k, k+1),
+			fmt.Sprintf("%dms replace n%d r%d", 900*k+700, k+1, k+1))
 	}
-	if !p.shortForm {
-		if err := on.Run(strings.Join(release, "\n")); err != nil {
+	if !run.shortForm {
+		if err := on.Run(strings.Join(releaseScript, "\n")); err != nil {
 			return err
 		}
-		fresh := []string{}
+		replacements := []string{}
 		for k := range 9 {
-			fresh = append(fresh, fmt.Sprintf("r%d", k+1))
+			replacements = append(replacements, fmt.Sprintf("r%d", k+1))
 		}
-		fresh = append(fresh, "n10-twin", "n11", "n12")
-		p.atMost("release.settled", p.awaitSameView(on, 10*time.Second, n, fresh), 6)
-		// The whole fleet at once.
-		again := []string{}
-		for _, name := range fresh {
-			again = append(again, "0s kill "+name)
+		replacements = append(replacements, "n10-twin", "n11", "n12")
+		run.atMost("release.settled", run.awaitSameView(on, 10*time.Second, n, replacements), 6)
+		// All processes are restarted at once.
+		restartScript := []string{}
+		for _, name := range replacements {
+			restartScript = append(restartScript, "0s kill "+name)
 		}
-		for _, name := range fresh {
-			again = append(again, "100ms start "+name)
+		for _, name := range replacements {
+			restartScript = append(restartScript, "100ms start "+name)
 		}
-		if err := on.Run(strings.Join(again, "\n")); err != nil {
+		if err := on.Run(strings.Join(restartScript, "\n")); err != nil {
 			return err
 		}
-		p.atMost("restart.of.all", p.awaitSameView(on, 12*time.Second, n, fresh), 10)
+		run.atMost("restart.of.all", run.awaitSameView(on, 12*time.Second, n, replacements), 10)
 	}
-	p.exactly("views.differ.at.end", countDivergentViews(on), 0)
-	p.checkViolations(on, off)
-	return p.writeHistory(on)
+	run.exactly("views.differ.at.end", countDivergentViews(on), 0)
+	run.checkViolations(on, off)
+	return run.writeHistory(on)
 }
 
-// measureAtRest measures what the fleet costs an idle process: bytes and packets of the fleet, and processor time on
-// top of the same process with the fleet off.
-func (p *experimentRun) measureAtRest(on, off *rig.Cluster, all []string, span time.Duration) error {
-	look := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
-		for _, name := range all {
-			shown, err := member.ReadStatus(on.Socket(name))
+// measureAtRest reports the cost of the fleet for an idle process over an interval: the bytes and packets of the fleet, and the
+// processor time above that of the same process with the fleet off.
+func (run *experimentRun) measureAtRest(on, off *rig.Cluster, names []string, interval time.Duration) error {
+	readTotals := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
+		for _, name := range names {
+			status, err := member.ReadStatus(on.Socket(name))
 			if err != nil {
 				return 0, 0, 0, 0, err
 			}
-			bytes += shown.Bytes[0] + shown.Bytes[1]
-			packets += shown.Packets[0]
+			bytes += status.Bytes[0] + status.Bytes[1]
+			packets += status.Packets[0]
 			cpuOn += on.CPU(name)
 			cpuOff += off.CPU(name)
 		}
 		return cpuOn, cpuOff, bytes, packets, nil
 	}
-	on0, off0, bytes0, packets0, err := look()
+	on0, off0, bytes0, packets0, err := readTotals()
 	if err != nil {
 		return err
 	}
-	time.Sleep(span)
-	on1, off1, bytes1, packets1, err := look()
+	time.Sleep(interval)
+	on1, off1, bytes1, packets1, err := readTotals()
 	if err != nil {
 		return err
 	}
-	per := span.Seconds() * float64(len(all))
-	p.atMost("rest.cpu.share", ((on1-on0)-(off1-off0)).Seconds()/per, 0.01)
-	p.report("rest.cpu.share.off", (off1-off0).Seconds()/per)
-	p.report("rest.bytes.s", float64(bytes1-bytes0)/per)
-	p.report("rest.packets.s", float64(packets1-packets0)/per)
+	memberSeconds := interval.Seconds() * float64(len(names))
+	run.atMost("rest.cpu.share", ((on1-on0)-(off1-off0)).Seconds()/memberSeconds, 0.01)
+	run.report("rest.cpu.share.off", (off1-off0).Seconds()/memberSeconds)
+	run.report("rest.bytes.s", float64(bytes1-bytes0)/memberSeconds)
+	run.report("rest.packets.s", float64(packets1-packets0)/memberSeconds)
 	return nil
 }
 
-// playViewFaults is the experiment on the view between faults of the network, compared with the gossip library alone.
-func runViewFaults(p *experimentRun) error {
+// runViewFaults is the experiment on the view under network faults, compared with the gossip library alone.
+func runViewFaults(run *experimentRun) error {
 	const n = 12
-	f, err := startClusters(p.clusterPlan(n), p.gossipOnlyPlan(n))
+	pair, err := startClusters(run.clusterPlan(n), run.gossipOnlyPlan(n))
 	if err != nil {
 		return err
 	}
-	defer f.close()
-	on, bare := f.clusters[0], f.clusters[1]
+	defer pair.close()
+	on, bare := pair.clusters[0], pair.clusters[1]
 	var group sync.WaitGroup
-	all := nodeNames(n)
-	p.atMost("joined.all", p.awaitSameView(on, 15*time.Second, n, all), 10)
-	p.report("joined.all.bare", p.awaitSameView(bare, 15*time.Second, n, all))
+	names := nodeNames(n)
+	run.atMost("joined.all", run.awaitSameView(on, 15*time.Second, n, names), 10)
+	run.report("joined.all.bare", run.awaitSameView(bare, 15*time.Second, n, names))
 
-	// Loss and jitter, and one that is starved meanwhile.
+	// Packet loss, jitter and duplication, while one process gets little processor time.
 	loadOver := make(chan struct{})
-	var out map[string]rig.Outcome
-	length := p.scaled(30 * time.Second)
+	var outcomes map[string]rig.Outcome
+	duration := run.scaled(30 * time.Second)
 	go func() {
 		defer close(loadOver)
-		out = p.loadCluster(on, length, 15, all)
+		outcomes = run.loadCluster(on, duration, 15, names)
 	}()
 	from := on.History.Now()
-	if err := f.onEach(func(s *rig.Cluster) error {
-		return s.Run("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
+	if err := pair.onEach(func(cluster *rig.Cluster) error {
+		return cluster.Run("0s loss *>* 10%\n0s delay *>* 25ms 25ms\n0s double *>* 5%\n0s starve n3 10%\n6s feed n3\n6s heal")
 	}); err != nil {
 		return err
 	}
-	false1, lasting := countFalseDeaths(on, from, from+6, 3, all, func(string, float64) bool { return true })
-	p.report("false.deaths", float64(false1))
-	p.exactly("false.deaths.lasting", float64(lasting), 0)
-	p.awaitSameView(on, 4*time.Second, n, all)
+	falseDeaths, lasting := countFalseDeaths(on, from, from+6, 3, names, func(string, float64) bool { return true })
+	run.report("false.deaths", float64(falseDeaths))
+	run.exactly("false.deaths.lasting", float64(lasting), 0)
+	run.awaitSameView(on, 4*time.Second, n, names)
 
-	// Cut in two, and back. Four see eight die.
-	small, large := all[:4], all[4:]
+	// A network partition into four and eight members, and its end. The four see the eight die.
+	small, large := names[:4], names[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
 	from = on.History.Now()
-	if err := f.onEach(func(s *rig.Cluster) error { return s.Run(cut) }); err != nil {
+	if err := pair.onEach(func(cluster *rig.Cluster) error { return cluster.Run(cut) }); err != nil {
 		return err
 	}
 	var convergedSmall, convergedLarge float64
-	group.Go(func() { convergedSmall = p.awaitSameView(on, 9*time.Second, 4, small) })
-	group.Go(func() { convergedLarge = p.awaitSameView(on, 9*time.Second, 8, large) })
+	group.Go(func() { convergedSmall = run.awaitSameView(on, 9*time.Second, 4, small) })
+	group.Go(func() { convergedLarge = run.awaitSameView(on, 9*time.Second, 8, large) })
 	group.Wait()
-	p.atMost("settled.after.cut.small", convergedSmall, 6)
-	p.atMost("settled.after.cut.large", convergedLarge, 6)
+	run.atMost("settled.after.cut.small", convergedSmall, 6)
+	run.atMost("settled.after.cut.large", convergedLarge, 6)
 	partitioned := 0.0
 	for _, name := range small {
-		at := math.Inf(1)
+		delay := math.Inf(1)
 		for _, observation := range on.History.Observations(name, from) {
 			if observation.Certainty == "partitioned" {
-				at = observation.T - from
+				delay = observation.T - from
 				break
 			}
 		}
-		partitioned = max(partitioned, at)
+		partitioned = max(partitioned, delay)
 	}
-	p.atMost("narrow.said", partitioned, 6)
-	bareCut, _ := bare.Until(10*time.Second, func() bool {
+	run.atMost("narrow.said", partitioned, 6)
+	bareSettled, _ := bare.Until(10*time.Second, func() bool {
 		return bare.History.Alike(4, small...) && bare.History.Alike(8, large...)
 	})
-	p.report("settled.after.cut.bare", bareCut)
-	if err := f.onEach(func(s *rig.Cluster) error { return s.Run("0s heal") }); err != nil {
+	run.report("settled.after.cut.bare", bareSettled)
+	if err := pair.onEach(func(cluster *rig.Cluster) error { return cluster.Run("0s heal") }); err != nil {
 		return err
 	}
-	p.atMost("rejoined.max", p.awaitSameView(on, 12*time.Second, n, all), 10)
-	_, back := bare.Until(3*time.Second, func() bool { return bare.History.Alike(n, all...) })
-	p.exactly("rejoined.bare", float64(boolToInt(back)), 0)
+	run.atMost("rejoined.max", run.awaitSameView(on, 12*time.Second, n, names), 10)
+	_, rejoined := bare.Until(3*time.Second, func() bool { return bare.History.Alike(n, names...) })
+	run.exactly("rejoined.bare", float64(boolToInt(rejoined)), 0)
 
-	// One way only, then in three.
+	// A link cut in one direction only, then a partition in three.
 	from = on.History.Now()
 	if err := on.Run("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
 	}
-	_, lasting = countFalseDeaths(on, from, from+4, 3, all, func(string, float64) bool { return true })
-	p.exactly("one.way.deaths.lasting", float64(lasting), 0)
-	if !p.shortForm {
+	_, lasting = countFalseDeaths(on, from, from+4, 3, names, func(string, float64) bool { return true })
+	run.exactly("one.way.deaths.lasting", float64(lasting), 0)
+	if !run.shortForm {
 		if err := on.Run("0s split n1,n2,n3,n4|n5,n6,n7,n8|n9,n10,n11,n12\n6s heal"); err != nil {
 			return err
 		}
-		p.atMost("rejoined.of.three", p.awaitSameView(on, 12*time.Second, n, all), 10)
+		run.atMost("rejoined.of.three", run.awaitSameView(on, 12*time.Second, n, names), 10)
 	}
 	<-loadOver
-	p.report("service", servedCriticality(out, all))
-	p.exactly("views.differ.at.end", countDivergentViews(on), 0)
-	p.checkViolations(on)
-	return p.writeHistory(on)
+	run.report("service", servedCriticality(outcomes, names))
+	run.exactly("views.differ.at.end", countDivergentViews(on), 0)
+	run.checkViolations(on)
+	return run.writeHistory(on)
 }
 
-// playViewDrawn plays faults drawn at random, and checks what must hold under any faults: in the end all processes have one view of
-// all that run, and no rule was broken.
-func runViewDrawn(p *experimentRun) error {
+// runViewDrawn applies faults drawn at random from the seed, or those of a script, and checks what must hold under any faults:
+// in the end all running processes have one view of all of them, and the checkers found no violation.
+func runViewDrawn(run *experimentRun) error {
 	const n = 8
-	length := p.scaled(20 * time.Second)
-	script := rig.Draw(p.Seed, nodeNames(n), 10, length)
-	if p.Script != "" {
-		text, err := os.ReadFile(p.Script)
+	duration := run.scaled(20 * time.Second)
+	script := rig.Draw(run.Seed, nodeNames(n), 10, duration)
+	if run.Script != "" {
+		text, err := os.ReadFile(run.Script)
 		if err != nil {
 			return err
 		}
 		if script, err = rig.ParseScript(string(text)); err != nil {
-			return fmt.Errorf("%s: %w", p.Script, err)
+			return fmt.Errorf("%s: %w", run.Script, err)
 		}
 	}
 	for line := range strings.Lines(script.String()) {
-		p.printNote("%s", strings.TrimSpace(line))
+		run.printNote("%s", strings.TrimSpace(line))
 	}
-	s, err := rig.NewCluster(p.clusterPlan(n))
+	cluster, err := rig.NewCluster(run.clusterPlan(n))
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	all := nodeNames(n)
-	p.atMost("joined.all", p.awaitSameView(s, 15*time.Second, n, all), 10)
+	defer cluster.Close()
+	names := nodeNames(n)
+	run.atMost("joined.all", run.awaitSameView(cluster, 15*time.Second, n, names), 10)
 	var loading sync.WaitGroup
-	var out map[string]rig.Outcome
-	loading.Go(func() { out = p.loadCluster(s, length, 15, all) })
-	if err := s.Play(context.Background(), script); err != nil {
+	var outcomes map[string]rig.Outcome
+	loading.Go(func() { outcomes = run.loadCluster(cluster, duration, 15, names) })
+	if err := cluster.Play(context.Background(), script); err != nil {
 		return err
 	}
-	alive := s.Running()
-	p.atMost("settled.after.all", p.awaitSameView(s, 20*time.Second, len(alive), alive), 15)
+	alive := cluster.Running()
+	run.atMost("settled.after.all", run.awaitSameView(cluster, 20*time.Second, len(alive), alive), 15)
 	loading.Wait()
-	p.report("service", servedCriticality(out, all))
-	p.exactly("views.differ.at.end", countDivergentViews(s), 0)
-	p.checkViolations(s)
-	return p.writeHistory(s)
+	run.report("service", servedCriticality(outcomes, names))
+	run.exactly("views.differ.at.end", countDivergentViews(cluster), 0)
+	run.checkViolations(cluster)
+	return run.writeHistory(cluster)
 }
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -15,7 +15,7 @@
 	"valveglade/rig"
 )
 
-// nodeNames are n1 to the n-th.
+// nodeNames returns the names of n processes, from n1 on.
 func nodeNames(n int) []string {
 	var all []string
 	for k := range n {
@@ -24,22 +24,23 @@
 	return all
 }
 
-// clusterSite is a site whose processes are given little to do, so that what is seen is what the faults did.
+// clusterSite returns the settings of processes under a light load, so that observations come from the faults alone.
 func clusterSite() rig.Site {
 	site := pressureMixSite(4, 30)
 	site.Stop, site.Grace = 1800*time.Millisecond, time.Second
 	return site
 }
 
-// clusterSlack is what the checker allows: with many processes on a few cores, that is mostly the machine's.
+// clusterSlack is the tolerance of the times that the checker compares: many processes share a few cores.
 const clusterSlack = 300 * time.Millisecond
 
-// clusterGroup is some process clusters that undergo the same faults.
+// clusterGroup is a group of process clusters with the same faults.
 type clusterGroup struct {
 	clusters []*rig.Cluster // in the order of their plans
 }
 
-// startClusters starts a process cluster for each plan, at the same time. The caller closes the group; after an error there is none.
+// startClusters starts a process cluster for each plan, all concurrently. The caller must close the group. After an error there
+// is no group.
 func startClusters(plans ...rig.Plan) (*clusterGroup, error) {
 	clusters := make([]*rig.Cluster, len(plans))
 	errs := make([]error, len(plans))
@@ -48,54 +49,55 @@
 		group.Go(func() { clusters[k], errs[k] = rig.NewCluster(plan) })
 	}
 	group.Wait()
-	f := &clusterGroup{clusters: clusters}
+	g := &clusterGroup{clusters: clusters}
 	if err := errors.Join(errs...); err != nil {
-		f.clusters = slices.DeleteFunc(f.clusters, func(c *rig.Cluster) bool { return c == nil })
-		f.close()
+		g.clusters = slices.DeleteFunc(g.clusters, func(c *rig.Cluster) bool { return c == nil })
+		g.close()
 		return nil, err
 	}
-	return f, nil
+	return g, nil
 }
 
-// onEach does something to each process cluster at the same time.
-func (f *clusterGroup) onEach(do func(*rig.Cluster) error) error {
-	errs := make([]error, len(f.clusters))
+// onEach calls a function for each process cluster concurrently, and joins the errors.
+func (g *clusterGroup) onEach(do func(*rig.Cluster) error) error {
+	errs := make([]error, len(g.clusters))
 	var group sync.WaitGroup
-	for k, s := range f.clusters {
-		group.Go(func() { errs[k] = do(s) })
+	for k, cluster := range g.clusters {
+		group.Go(func() { errs[k] = do(cluster) })
 	}
 	group.Wait()
 	return errors.Join(errs...)
 }
 
-func (f *clusterGroup) close() {
+func (g *clusterGroup) close() {
 	var group sync.WaitGroup
-	for _, s := range f.clusters {
-		group.Go(s.Close)
+	for _, cluster := range g.clusters {
+		group.Go(cluster.Close)
 	}
 	group.Wait()
 }
 
-// clusterPlan is a process cluster of n processes, of which the first two addresses that each is given belong to nobody.
-func (p *experimentRun) clusterPlan(n int) rig.Plan {
-	return rig.Plan{Program: p.Program, Names: nodeNames(n), Site: clusterSite(), Zones: 3, Seeds: 3, DeadEnd: 2, Slack: clusterSlack,
-		Seed: p.Seed}
+// clusterPlan returns the plan of a cluster of n processes. The first two addresses that each of them is given to join belong to
+// no process.
+func (run *experimentRun) clusterPlan(n int) rig.Plan {
+	return rig.Plan{Program: run.Program, Names: nodeNames(n), Site: clusterSite(), Zones: 3, Seeds: 3, DeadEnd: 2,
+		Slack: clusterSlack, Seed: run.Seed}
 }
 
-// gossipOnlyPlan is the same with the gossip library alone.
-func (p *experimentRun) gossipOnlyPlan(n int) rig.Plan {
-	plan := p.clusterPlan(n)
+// gossipOnlyPlan returns the plan of the same cluster with processes that run the gossip library alone.
+func (run *experimentRun) gossipOnlyPlan(n int) rig.Plan {
+	plan := run.clusterPlan(n)
 	plan.Bare = func(name, listen, advertise string, join []string) *exec.Cmd {
-		return exec.Command(p.ownBinary(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
+		return exec.Command(run.ownBinary(), "bare", "--name", name, "--listen", listen, "--advertise", advertise, "--join",
 			strings.Join(join, ","))
 	}
 	return plan
 }
 
-// ownBinary is this program's binary.
-func (p *experimentRun) ownBinary() string {
-	if p.rehearseBinary != "" {
-		return p.rehearseBinary
+// ownBinary returns the path of this program's binary.
+func (run *experimentRun) ownBinary() string {
+	if run.rehearseBinary != "" {
+		return run.rehearseBinary
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -104,69 +106,73 @@
 	return self
 }
 
-// loadCluster asks all of some processes for a length of time, each by a caller of its own.
-func (p *experimentRun) loadCluster(s *rig.Cluster, length time.Duration, rate float64, who []string) map[string]rig.Outcome {
-	out := map[string]rig.Outcome{}
+// loadCluster sends RPCs to the named processes for a duration, with a caller and a rate in RPCs per second for each process. It
+// returns the outcomes by name.
+func (run *experimentRun) loadCluster(cluster *rig.Cluster, duration time.Duration, rate float64,
+	names []string) map[string]rig.Outcome {
+	outcomes := map[string]rig.Outcome{}
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	for k, name := range who {
+	for k, name := range names {
 		group.Go(func() {
-			router := rig.NewRouter(k+1, s.Addresses(name)[0])
+			router := rig.NewRouter(k+1, cluster.Addresses(name)[0])
 			defer router.Close()
-			l := rig.Load{Seed: p.Seed + uint64(k)<<32, Duration: length, Prefix: name + "-", Shares: pressureMix(0.004, time.Second),
-				Rate: func(float64) float64 { return rate }}
-			o := l.Run(context.Background(), s.Check, router)
+			load := rig.Load{Seed: run.Seed + uint64(k)<<32, Duration: duration, Prefix: name + "-",
+				Shares: pressureMix(0.004, time.Second), Rate: func(float64) float64 { return rate }}
+			outcome := load.Run(context.Background(), cluster.Check, router)
 			mu.Lock()
-			out[name] = o
+			outcomes[name] = outcome
 			mu.Unlock()
 		})
 	}
 	group.Wait()
-	return out
+	return outcomes
 }
 
-// servedCriticality is the share of criticality served by some of them together.
-func servedCriticality(out map[string]rig.Outcome, who []string) float64 {
+// servedCriticality returns the share of criticality that the named processes served, the mean over them.
+func servedCriticality(outcomes map[string]rig.Outcome, names []string) float64 {
 	sum := 0.0
-	for _, name := range who {
-		sum += out[name].Criticality
+	for _, name := range names {
+		sum += outcomes[name].Criticality
 	}
-	return sum / float64(len(who))
+	return sum / float64(len(names))
 }
 
-// reportDelay gives how long after a time the last of the viewers told of something about a name, in seconds: +Inf if one
-// never did.
-func reportDelay(s *rig.Cluster, name, what string, from float64, viewers []string) float64 {
-	worst := 0.0
+// reportDelay returns how long after a time all viewers had reported an event of a member, in seconds, or +Inf if one never did.
+func reportDelay(cluster *rig.Cluster, name, event string, from float64, viewers []string) float64 {
+	longest := 0.0
 	for _, viewer := range viewers {
-		at := math.Inf(1)
-		for _, observation := range s.History.Observations(viewer, from) {
-			if slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" "+what) }) {
-				at = observation.T - from
+		delay := math.Inf(1)
+		for _, observation := range cluster.History.Observations(viewer, from) {
+			if slices.ContainsFunc(observation.Changes, func(change string) bool { return strings.HasPrefix(change, name+" "+event) }) {
+				delay = observation.T - from
 				break
 			}
 		}
-		worst = max(worst, at)
+		longest = max(longest, delay)
 	}
-	return worst
+	return longest
 }
 
-// countFalseDeaths counts members that were told dead by viewers though they lived, and how many of these were not back within a
-// span. Alive tells whether a member was alive at a time.
-func countFalseDeaths(s *rig.Cluster, from, to, span float64, viewers []string, alive func(name string, t float64) bool) (all, lasting int) {
+// countFalseDeaths counts the deaths that viewers reported of members that were alive, and how many of these were not revoked
+// within a grace period in seconds. alive returns whether a member was alive at a time.
+func countFalseDeaths(cluster *rig.Cluster, from, to, grace float64, viewers []string,
+	alive func(name string, t float64) bool) (all, lasting int) {
 	for _, viewer := range viewers {
-		observations := s.History.Observations(viewer, from)
+		observations := cluster.History.Observations(viewer, from)
 		for k, observation := range observations {
-			for _, c := range observation.Changes {
-				name, rest, _ := strings.Cut(c, " ")
+			for _, change := range observation.Changes {
+				name, rest, _ := strings.Cut(change, " ")
 				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.T > to || !alive(name, observation.T) {
 					continue
 				}
 				all++
-				back := slices.ContainsFunc(observations[k:], func(l rig.Observation) bool {
-					return l.T < observation.T+span && slices.ContainsFunc(l.Changes, func(c string) bool { return strings.HasPrefix(c, name+" came") })
+				returned := slices.ContainsFunc(observations[k:], func(later rig.Observation) bool {
+					return later.T < observation.T+grace && slices.ContainsFunc(later.Changes, func(change string) bool {
+						return strings.HasPrefix(change, name+" came")
+					})
 				})
-				if !back {
+				if !returned {
 					lasting++
 				}
 			}
@@ -175,76 +181,79 @@
 	return all, lasting
 }
 
-// checkViolations has the checkers' last word.
-func (p *experimentRun) checkViolations(clusters ...*rig.Cluster) {
-	n := 0
-	for _, s := range clusters {
-		s.Check.Finish()
-		for k, b := range s.Check.Violations() {
-			n++
+// checkViolations finishes the checkers of the clusters and reports the violations that they found.
+func (run *experimentRun) checkViolations(clusters ...*rig.Cluster) {
+	count := 0
+	for _, cluster := range clusters {
+		cluster.Check.Finish()
+		for k, violation := range cluster.Check.Violations() {
+			count++
 			if k < 5 {
-				p.printNote("%s", b)
+				run.printNote("%s", violation)
 			}
 		}
 	}
-	p.exactly("breaches", float64(n), 0)
+	run.exactly("breaches", float64(count), 0)
 }
 
-// awaitSameView waits until all of these see one view of n members; the time counts in a figure.
-func (p *experimentRun) awaitSameView(s *rig.Cluster, within time.Duration, n int, who []string) float64 {
-	took, ok := s.Until(within, func() bool { return s.History.Alike(n, who...) })
+// awaitSameView waits until all named processes have the same view of n members. It returns the seconds waited, or +Inf if they
+// have not within the timeout; it then prints their last observations.
+func (run *experimentRun) awaitSameView(cluster *rig.Cluster, within time.Duration, n int, names []string) float64 {
+	took, ok := cluster.Until(within, func() bool { return cluster.History.Alike(n, names...) })
 	if !ok {
-		for _, name := range who {
-			observation, _ := s.History.Latest(name)
-			p.printNote("%s: %d members, %s, %s", name, observation.Members, observation.Digest, observation.Certainty)
+		for _, name := range names {
+			observation, _ := cluster.History.Latest(name)
+			run.printNote("%s: %d members, %s, %s", name, observation.Members, observation.Digest, observation.Certainty)
 		}
 		return math.Inf(1)
 	}
 	return took
 }
 
-// writeHistory writes the history to a file, if one was asked for.
-func (p *experimentRun) writeHistory(s *rig.Cluster) error {
-	if p.History == "" {
+// writeHistory writes the history of a cluster to the file that was asked for, if any.
+func (run *experimentRun) writeHistory(cluster *rig.Cluster) error {
+	if run.History == "" {
 		return nil
 	}
-	f, err := os.Create(p.History)
+	file, err := os.Create(run.History)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	return s.History.Write(f)
+	defer file.Close()
+	return cluster.History.Write(file)
 }
 
-// countMemberChanges counts the views that differ by what became of one member.
-func countMemberChanges(s *rig.Cluster, viewer, name string, from, to float64) int {
+// countMemberChanges counts the observations of a viewer, between two times, with a change of one member.
+func countMemberChanges(cluster *rig.Cluster, viewer, name string, from, to float64) int {
 	n := 0
-	for _, observation := range s.History.Observations(viewer, from) {
-		if observation.T < to && slices.ContainsFunc(observation.Changes, func(c string) bool { return strings.HasPrefix(c, name+" ") }) {
+	for _, observation := range cluster.History.Observations(viewer, from) {
+		if observation.T < to && slices.ContainsFunc(observation.Changes, func(change string) bool {
+			return strings.HasPrefix(change, name+" ")
+		}) {
 			n++
 		}
 	}
 	return n
 }
 
-// countDivergentViews counts the processes that run and do not see what most see.
-func countDivergentViews(s *rig.Cluster) float64 {
-	seen := map[string]int{}
-	total, most := 0, 0
-	for _, name := range s.Running() {
-		observation, ok := s.History.Latest(name)
+// countDivergentViews counts the running processes whose view differs from the most frequent one. Superseded ones do not count.
+func countDivergentViews(cluster *rig.Cluster) float64 {
+	byDigest := map[string]int{}
+	total, largest := 0, 0
+	for _, name := range cluster.Running() {
+		observation, ok := cluster.History.Latest(name)
 		if !ok || observation.Certainty == "superseded" {
 			continue
 		}
 		total++
-		seen[observation.Digest]++
-		most = max(most, seen[observation.Digest])
+		byDigest[observation.Digest]++
+		largest = max(largest, byDigest[observation.Digest])
 	}
-	return float64(total - most)
+	return float64(total - largest)
 }
 
-func boolToInt(b bool) int {
-	if b {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -16,46 +16,47 @@
 	"valveglade/member"
 )
 
-// playViewCost measures the fleet's view at sizes that processes do not reach: many members in this process, over loopback
-// sockets, at rest and after a fifth have died at one time.
-func runViewCost(p *experimentRun) error {
+// runViewCost measures the fleet's view at sizes that cannot be run as processes: many members in this process gossip over
+// loopback sockets, at rest and after a fifth of them died at once.
+func runViewCost(run *experimentRun) error {
 	sizes := []int{20, 100}
 	switch {
-	case p.shortForm:
+	case run.shortForm:
 		sizes = sizes[:1]
-	case p.Long:
+	case run.Long:
 		sizes = append(sizes, 300)
 	}
 	var converged []float64
 	for _, n := range sizes {
-		took, err := p.measureView(n)
+		took, err := run.measureViewCost(n)
 		if err != nil {
 			return err
 		}
 		converged = append(converged, took)
 	}
 	for k := 1; k < len(sizes); k++ {
-		p.report(fmt.Sprintf("settled.growth.%d.to.%d", sizes[0], sizes[k]), converged[k]/converged[0])
+		run.report(fmt.Sprintf("settled.growth.%d.to.%d", sizes[0], sizes[k]), converged[k]/converged[0])
 	}
 	return nil
 }
 
-// atRest is what a member sends and receives at the most when nothing happens, in bytes a second: three probes of some
-// hundred bytes each way. Gossip that never comes to rest, as when each word is said again for being slow to go out, is a
-// hundred times that.
-const atRest = 2000
+// maxRestTraffic is the maximum that a member sends and receives without changes, in bytes per second: three probes of some
+// hundred bytes in each direction. Gossip that never ends, as when each message is repeated because it was slow to be sent,
+// takes a hundred times as much.
+const maxRestTraffic = 2000
 
-// measureView gives how long the rest of n took to settle after a fifth had died, in seconds.
-func (p *experimentRun) measureView(n int) (float64, error) {
-	name := func(what string) string { return fmt.Sprintf("%s.%d", what, n) }
+// measureViewCost reports the cost of n members. It returns how long the views of the remaining members took to converge after a
+// fifth died, in seconds.
+func (run *experimentRun) measureViewCost(n int) (float64, error) {
+	figureName := func(what string) string { return fmt.Sprintf("%s.%d", what, n) }
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	var all []*member.Member
 	var group sync.WaitGroup
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	defer group.Wait()
-	defer end()
+	defer cancel()
 	var seeds []netip.AddrPort
 	for k := range n {
 		m, err := member.New(member.Config{Name: fmt.Sprintf("m%03d", k), Zone: fmt.Sprintf("z%d", k%3),
@@ -81,7 +82,7 @@
 		}
 		return true
 	}
-	wait := func(within time.Duration, members []*member.Member) float64 {
+	awaitConverged := func(within time.Duration, members []*member.Member) float64 {
 		for from := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 			if converged(members) {
 				return time.Since(from).Seconds()
@@ -91,7 +92,7 @@
 			}
 		}
 	}
-	differ := func(took float64, members []*member.Member) {
+	printViews := func(took float64, members []*member.Member) {
 		if !math.IsInf(took, 1) {
 			return
 		}
@@ -103,56 +104,56 @@
 			}
 			seen[fmt.Sprintf("%d members, %v, version %d, %x, %v", len(v.Members), v.Certainty, v.Version, v.Digest, states)]++
 		}
-		p.printNote("%v", seen)
+		run.printNote("%v", seen)
 	}
-	took := wait(30*time.Second, all)
-	p.atMost(name("joined.settled.s"), took, 30)
-	differ(took, all)
+	took := awaitConverged(30*time.Second, all)
+	run.atMost(figureName("joined.settled.s"), took, 30)
+	printViews(took, all)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	held := float64(after.HeapInuse+after.StackInuse) - float64(before.HeapInuse+before.StackInuse)
-	p.atMost(name("memory.member.mb"), held/float64(n)/(1<<20), 8)
-	// What the joining has set off goes on being passed around for a while.
-	passed := func() (bytes, packets int64) {
+	usedBytes := float64(after.HeapInuse+after.StackInuse) - float64(before.HeapInuse+before.StackInuse)
+	run.atMost(figureName("memory.member.mb"), usedBytes/float64(n)/(1<<20), 8)
+	// Gossip about the joining continues for a while after the views have converged.
+	traffic := func() (bytes, packets int64) {
 		for _, m := range all {
 			c := m.Stats()
 			bytes, packets = bytes+c.SentBytes+c.GotBytes, packets+c.SentPackets
 		}
 		return bytes, packets
 	}
-	for calm := 0; calm < 2 && time.Since(began) < time.Minute; {
-		was, _ := passed()
+	for quietSeconds := 0; quietSeconds < 2 && time.Since(began) < time.Minute; {
+		previous, _ := traffic()
 		time.Sleep(time.Second)
-		if is, _ := passed(); float64(is-was) < atRest*float64(n) {
-			calm++
+		if current, _ := traffic(); float64(current-previous) < maxRestTraffic*float64(n) {
+			quietSeconds++
 		}
 	}
-	p.report(name("at.rest.after.s"), time.Since(began).Seconds())
-	span := p.scaled(5 * time.Second)
+	run.report(figureName("at.rest.after.s"), time.Since(began).Seconds())
+	interval := run.scaled(5 * time.Second)
 	cpu := rusageCPUTime()
-	bytes0, packets0 := passed()
-	time.Sleep(span)
+	bytes0, packets0 := traffic()
+	time.Sleep(interval)
 	cpu = rusageCPUTime() - cpu
-	bytes, packets := passed()
+	bytes, packets := traffic()
 	bytes, packets = bytes-bytes0, packets-packets0
-	per := float64(n) * span.Seconds()
-	p.atMost(name("cpu.member.share"), cpu.Seconds()/per, 0.01)
-	p.atMost(name("bytes.member.s"), float64(bytes)/per, atRest)
-	p.report(name("packets.member.s"), float64(packets)/per)
-	// A fifth die at one time.
+	memberSeconds := float64(n) * interval.Seconds()
+	run.atMost(figureName("cpu.member.share"), cpu.Seconds()/memberSeconds, 0.01)
+	run.atMost(figureName("bytes.member.s"), float64(bytes)/memberSeconds, maxRestTraffic)
+	run.report(figureName("packets.member.s"), float64(packets)/memberSeconds)
+	// A fifth of the members die at once.
 	dead := all[n-n/5:]
 	for _, m := range dead {
 		m.Kill()
 	}
-	took = wait(25*time.Second, all[:n-n/5])
-	p.atMost(name("settled.after.fifth.s"), took, 15)
-	differ(took, all[:n-n/5])
+	took = awaitConverged(25*time.Second, all[:n-n/5])
+	run.atMost(figureName("settled.after.fifth.s"), took, 15)
+	printViews(took, all[:n-n/5])
 	return took, nil
 }
 
-// rusageCPUTime is the processor time that this process has taken.
+// rusageCPUTime returns the user and system time of this process, as the kernel accounts it.
 func rusageCPUTime() time.Duration {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
