--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -12,15 +12,15 @@
 	"valveglade/rig"
 )
 
-// pressureTrial is what the parts of an experiment on pressure share: settings with the shedding on and off, and what the checkers
-// found.
+// pressureTrial is the common state of the parts of a pressure experiment: the settings files with load shedding on and off, and
+// the violations that the checkers found.
 type pressureTrial struct {
 	directory  string
-	arguments  map[bool][]string // of the program, by whether it sheds
+	arguments  map[bool][]string // the program's arguments, by whether shedding is on
 	violations violationLog
 }
 
-// newPressureTrial writes the settings files. The caller closes the trial.
+// newPressureTrial writes the settings files. The caller must close the trial.
 func newPressureTrial() (*pressureTrial, error) {
 	directory, err := os.MkdirTemp("", "pressure")
 	if err != nil {
@@ -38,359 +38,367 @@
 
 func (t *pressureTrial) close() { os.RemoveAll(t.directory) }
 
-// of returns the program's arguments with the shedding on or off.
-func (t *pressureTrial) of(on bool) []string { return t.arguments[on] }
+// argsFor returns the program's arguments with shedding on or off.
+func (t *pressureTrial) argsFor(on bool) []string { return t.arguments[on] }
 
-// playPressure is the experiment on shedding before falling behind.
-func runPressure(p *experimentRun) error {
+// runPressure is the experiment on shedding load before the program falls behind.
+func runPressure(run *experimentRun) error {
 	t, err := newPressureTrial()
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	note := t.violations.collect
-	if err := p.tripling(t.of, note); err != nil {
+	collectViolations := t.violations.collect
+	if err := run.measureTripledLoad(t.argsFor, collectViolations); err != nil {
 		return err
 	}
-	if err := p.leak(t.directory, note); err != nil {
+	if err := run.measureTokenGrowth(t.directory, collectViolations); err != nil {
 		return err
 	}
-	if err := p.fewCores(t.of, note); err != nil {
+	if err := run.measureSlowKernel(t.argsFor, collectViolations); err != nil {
 		return err
 	}
-	if err := p.edge(t.of, note); err != nil {
+	if err := run.measureEdge(t.argsFor, collectViolations); err != nil {
 		return err
 	}
-	if !p.shortForm {
-		if err := p.calmCost(t.of, note); err != nil {
+	if !run.shortForm {
+		if err := run.measureWatchCost(t.argsFor, collectViolations); err != nil {
 			return err
 		}
 	}
-	t.violations.report(p)
+	t.violations.report(run)
 	return nil
 }
 
-// capacity is the rate that the throttled program can just bear, reading in plain order: a load rises until its RPCs
-// take several times as long as the work and the quota's pauses do.
-func (p *experimentRun) capacity(args []string) (float64, error) {
-	s, err := p.startPressureServer(pressureMixSite(1000, 30), args, time.Second, 8)
+// measureCapacity returns the highest rate that the throttled program keeps up with, in RPCs per second. The rate of a load rises
+// until its RPCs take several times as long as their work and the pauses of the CPU quota. With shedding off, the program reads
+// RPCs in the order of arrival.
+func (run *experimentRun) measureCapacity(args []string) (float64, error) {
+	server, err := run.startPressureServer(pressureMixSite(1000, 30), args, time.Second, 8)
 	if err != nil {
 		return 0, err
 	}
-	defer s.close()
-	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	const from, slope, backend, look, lag = 2000.0, 1500.0, 0.06, 10 * time.Millisecond, 0.25
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	rate := func(t float64) float64 { return from + slope*t }
+	defer server.close()
+	defer server.Programs[0].Throttle(quotaRun, quotaPeriod)()
+	// startRate and rateSlope give the rate in RPCs per second; lag is the delay of the detection in seconds.
+	const startRate, rateSlope, pendingSeconds, checkInterval, lag = 2000.0, 1500.0, 0.06, 10 * time.Millisecond, 0.25
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	rate := func(elapsed float64) float64 { return startRate + rateSlope*elapsed }
 	began := time.Now()
-	var open atomic.Int64
+	var pending atomic.Int64
 	var done sync.WaitGroup
-	found := 0.0
+	foundRate := 0.0
 	done.Go(func() {
-		defer end()
-		for slow := 0; ctx.Err() == nil; time.Sleep(look) {
-			t := time.Since(began).Seconds()
-			if slow++; float64(open.Load()) < backend*rate(t) {
-				slow = 0
+		defer cancel()
+		for consecutive := 0; ctx.Err() == nil; time.Sleep(checkInterval) {
+			elapsed := time.Since(began).Seconds()
+			if consecutive++; float64(pending.Load()) < pendingSeconds*rate(elapsed) {
+				consecutive = 0
 			}
-			if slow == 12 { // by then it has been behind for a while
-				found = rate(t - lag)
+			if consecutive == 12 { // the program has been behind for a while
+				foundRate = rate(elapsed - lag)
 				return
 			}
 		}
 	})
-	rig.Load{Seed: p.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: pressureMix(0.004, time.Second), PendingCount: &open}.Run(ctx,
-		s.check, s.routers...)
-	end()
+	rig.Load{Seed: run.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: pressureMix(0.004, time.Second),
+		PendingCount: &pending}.Run(ctx, server.check, server.routers...)
+	cancel()
 	done.Wait()
-	if found == 0 {
-		return 0, errors.New("the program bears more than this experiment can ask for")
+	if foundRate == 0 {
+		return 0, errors.New("capacity not found: the program keeps up with the highest rate of the load")
 	}
-	return found, nil
+	return foundRate, nil
 }
 
-// triplingResult is what came of a tripling.
-type triplingResult struct {
-	out        rig.Outcome
-	probes     []float64
-	pushedBack int // repeats of what had begun that were pushed back
-	repeats    int
+// tripledLoadResult is the result of one app server under a tripled load.
+type tripledLoadResult struct {
+	outcome    rig.Outcome
+	checkTimes []float64 // duration of each health check, in seconds
+	pushedBack int       // repeats of RPCs already run that were pushed back
+	repeats    int       // repeats of RPCs already run
 	levels     []levelChange
 }
 
-// tripling has the load go from well within what the program can read to an eighth beyond it. The kernel could serve
-// it all.
-func (p *experimentRun) tripling(of func(bool) []string, note func(*rig.Checker)) error {
-	// Measured twice at once, as the two fleets below share the machine too.
-	bears := 1000.0 // for tests: well within any machine
-	if !p.shortForm {
-		one, two, err := runOnAndOff(func(bool) (float64, error) { return p.capacity(of(false)) })
+// measureTripledLoad triples a load, from well below the rate that the program can read to an eighth above it, with shedding on
+// and off. The kernel could serve all of it.
+func (run *experimentRun) measureTripledLoad(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
+	// Two app servers are measured at the same time, as the two below share the machine too.
+	capacity := 1000.0 // in tests, low enough for any machine
+	if !run.shortForm {
+		first, second, err := runOnAndOff(func(bool) (float64, error) { return run.measureCapacity(argsFor(false)) })
 		if err != nil {
 			return err
 		}
-		bears = min(one, two) // a rise that is met late shows too much
+		capacity = min(first, second) // a late detection gives too high a rate
 	}
-	p.report("bears.rpcs.per.s", bears)
-	base := bears * 1.12 / 3
-	triple := func(on bool) (t triplingResult, err error) {
-		s, err := p.startPressureServer(pressureMixSite(1000, 30), of(on), time.Second, 8)
+	run.report("bears.rpcs.per.s", capacity)
+	baseRate := capacity * 1.12 / 3
+	triple := func(on bool) (result tripledLoadResult, err error) {
+		s, err := run.startPressureServer(pressureMixSite(1000, 30), argsFor(on), time.Second, 8)
 		if err != nil {
-			return t, err
+			return result, err
 		}
 		defer s.close()
 		defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
-		run := func(prefix string, rate float64, length time.Duration, after func(rig.Share, string, string, []byte, error)) rig.Outcome {
-			return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
+		sendLoad := func(prefix string, rate float64, length time.Duration,
+			after func(rig.Share, string, string, []byte, error)) rig.Outcome {
+			return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
 				Shares: pressureMix(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
 		}
-		run("a", base, 1500*time.Millisecond, nil)
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
-		var probing sync.WaitGroup
-		probing.Go(func() { t.probes = timeHealthChecks(ctx, s.Addresses()[0], 10*time.Millisecond) })
+		sendLoad("a", baseRate, 1500*time.Millisecond, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		var checks sync.WaitGroup
+		checks.Go(func() { result.checkTimes = timeHealthChecks(ctx, s.Addresses()[0], 10*time.Millisecond) })
 		var mu sync.Mutex
-		t.out = run("b", 3*base, p.scaled(6*time.Second), func(m rig.Share, id, token string, body []byte, err error) {
+		result.outcome = sendLoad("b", 3*baseRate, run.scaled(6*time.Second), func(share rig.Share, id, token string, body []byte,
+			err error) {
 			if err != nil || token == "" || len(id)%2 == 0 || !strings.HasSuffix(id, "7") {
 				return
 			}
-			time.Sleep(300 * time.Millisecond) // a repeat of what has been served
-			due := time.Now().Add(time.Second)
-			s.check.Repeated(id, due)
-			ctx, stop := context.WithDeadline(context.Background(), due)
+			time.Sleep(300 * time.Millisecond) // then repeat an RPC that was served
+			deadline := time.Now().Add(time.Second)
+			s.check.Repeated(id, deadline)
+			ctx, stop := context.WithDeadline(context.Background(), deadline)
 			defer stop()
-			_, err = s.routers[0].Call(ctx, m.Method, token, m.Criticality, body)
+			_, err = s.routers[0].Call(ctx, share.Method, token, share.Criticality, body)
 			mu.Lock()
 			defer mu.Unlock()
-			t.repeats++
+			result.repeats++
 			if errors.Is(err, rig.ErrPushedBack) {
-				t.pushedBack++
+				result.pushedBack++
 			}
 		})
-		end()
-		probing.Wait()
-		t.levels = levelChanges(s.Programs[0].Log())
-		if on { // without it the program falls behind, which is what is to be shown
-			note(s.check)
+		cancel()
+		checks.Wait()
+		result.levels = levelChanges(s.Programs[0].Log())
+		if on { // with shedding off the program is expected to fall behind
+			collectViolations(s.check)
 		}
-		return t, nil
+		return result, nil
 	}
 	on, off, err := runOnAndOff(triple)
 	if err != nil {
 		return err
 	}
-	p.atMost("loop.delay.p99.ms", quantile(on.probes, 0.99)*1000, 50)
-	p.atLeast("off.loop.delay.p99.ms", quantile(off.probes, 0.99)*1000, 50)
-	p.atLeast("criticality.ok", on.out.Criticality, 0.95)
-	p.report("off.criticality.ok", off.out.Criticality)
-	p.exactly("begun.turned.away", float64(on.pushedBack), 0)
-	p.report("begun.repeated", float64(on.repeats))
+	run.atMost("loop.delay.p99.ms", quantile(on.checkTimes, 0.99)*1000, 50)
+	run.atLeast("off.loop.delay.p99.ms", quantile(off.checkTimes, 0.99)*1000, 50)
+	run.atLeast("criticality.ok", on.outcome.Criticality, 0.95)
+	run.report("off.criticality.ok", off.outcome.Criticality)
+	run.exactly("begun.turned.away", float64(on.pushedBack), 0)
+	run.report("begun.repeated", float64(on.repeats))
 	starved := 0
 	for _, s := range pressureMix(0, 0) {
-		m, o := on.out.ByMethod[s.Method], off.out.ByMethod[s.Method]
-		if m.OK*100 < m.Requested {
+		onMethod, offMethod := on.outcome.ByMethod[s.Method], off.outcome.ByMethod[s.Method]
+		if onMethod.OK*100 < onMethod.Requested {
 			starved++
 		}
-		p.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, m.OK, m.Requested,
-			float64(m.Latencies.ValueAtQuantile(99))/1000, o.OK, o.Requested, float64(o.Latencies.ValueAtQuantile(99))/1000)
+		run.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, onMethod.OK, onMethod.Requested,
+			float64(onMethod.Latencies.ValueAtQuantile(99))/1000, offMethod.OK, offMethod.Requested,
+			float64(offMethod.Latencies.ValueAtQuantile(99))/1000)
 	}
-	p.exactly("starved.methods", float64(starved), 0)
+	run.exactly("starved.methods", float64(starved), 0)
 	for _, s := range on.levels {
-		p.printNote("%s from %s by %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
 	}
 	return nil
 }
 
-// leak has tokens that are kept for long fill the memory: what grows with what is served, and comes back only after the
-// window.
-func (p *experimentRun) leak(dir string, note func(*rig.Checker)) error {
-	length := p.scaled(6500 * time.Millisecond)
+// measureTokenGrowth fills the memory with tokens that are kept for long, with shedding on and off: the memory grows with each
+// RPC served, and is freed only after the deduplication window.
+func (run *experimentRun) measureTokenGrowth(dir string, collectViolations func(*rig.Checker)) error {
+	duration := run.scaled(6500 * time.Millisecond)
 	rate := 7500.0
-	if p.shortForm {
+	if run.shortForm {
 		rate = 500
 	}
-	if p.Long { // twenty minutes, in which as many tokens come
-		length = 20 * time.Minute
+	if run.Long { // twenty minutes at a rate that brings about as many tokens
+		duration = 20 * time.Minute
 		rate = 7500 * 7 / 1200.0 * 1.5
 	}
-	type leaked struct {
-		peak   int64
-		killed int
-		out    rig.Outcome
-		shifts []levelChange
-	}
-	const limit = 18
-	one := func(on bool) (l leaked, err error) {
-		word := map[bool]string{true: "on", false: "off"}[on]
-		args, err := writeSettings(dir, "leak-"+word+".conf", "pressure "+word, "pressure.growth "+max(length/6, time.Second).String())
+	type tokenGrowth struct {
+		peak    int64
+		killed  int
+		outcome rig.Outcome
+		levels  []levelChange
+	}
+	const memoryLimitMB = 18
+	runLoad := func(on bool) (result tokenGrowth, err error) {
+		state := map[bool]string{true: "on", false: "off"}[on]
+		args, err := writeSettings(dir, "leak-"+state+".conf", "pressure "+state,
+			"pressure.growth "+max(duration/6, time.Second).String())
 		if err != nil {
-			return l, err
+			return result, err
 		}
 		site := pressureMixSite(64, 2*1200)
-		site.MemoryMB, site.Kill = limit, true
-		s, err := p.startPressureServer(site, args, time.Second, 4)
+		site.MemoryMB, site.Kill = memoryLimitMB, true
+		s, err := run.startPressureServer(site, args, time.Second, 4)
 		if err != nil {
-			return l, err
+			return result, err
 		}
 		defer s.close()
 		shares := pressureMix(0.001, time.Second)
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
-		l.out = rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: "l", TokenPadding: 110,
-			Shares: shares}.Run(context.Background(), s.check, s.routers...)
-		l.peak, l.killed = s.Peak(), s.Killed()
-		l.shifts = levelChanges(s.Programs[0].Log())
+		result.outcome = rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: duration, Prefix: "l",
+			TokenPadding: 110, Shares: shares}.Run(context.Background(), s.check, s.routers...)
+		result.peak, result.killed = s.Peak(), s.Killed()
+		result.levels = levelChanges(s.Programs[0].Log())
 		if on {
-			note(s.check)
+			collectViolations(s.check)
 		}
-		return l, nil
+		return result, nil
 	}
-	on, off, err := runOnAndOff(one)
+	on, off, err := runOnAndOff(runLoad)
 	if err != nil {
 		return err
 	}
-	p.atMost("memory.peak.mb", float64(on.peak)/(1<<20), limit)
-	p.exactly("killed", float64(on.killed), 0)
-	if !p.shortForm { // which is too short to fill it
-		p.atLeast("off.killed", float64(off.killed), 1)
+	run.atMost("memory.peak.mb", float64(on.peak)/(1<<20), memoryLimitMB)
+	run.exactly("killed", float64(on.killed), 0)
+	if !run.shortForm { // the shortest form does not fill the memory
+		run.atLeast("off.killed", float64(off.killed), 1)
 	}
-	p.report("off.memory.peak.mb", float64(off.peak)/(1<<20))
+	run.report("off.memory.peak.mb", float64(off.peak)/(1<<20))
 	foreseen := 0.0
-	for _, s := range on.shifts {
+	for _, s := range on.levels {
 		if strings.Contains(s.Causes, "leak") {
 			foreseen = 1
 		}
-		p.printNote("leak: %s from %s by %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
 	}
-	p.report("leak.foreseen", foreseen)
+	run.report("leak.foreseen", foreseen)
 	return nil
 }
 
-// fewCores has the kernel fall behind, not the program: Breakwater's own matter, and no pressure. Then the kernel stands
-// still.
-func (p *experimentRun) fewCores(of func(bool) []string, note func(*rig.Checker)) error {
+// measureSlowKernel overloads the kernel and not the program: admission by credits has to handle that, as in Breakwater, and the
+// program must not refuse RPCs for pressure of its own. Afterwards the kernel hangs for a while.
+func (run *experimentRun) measureSlowKernel(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	const cores, work, rate = 4, 0.02, 330.0
-	s, err := p.startPressureServer(pressureMixSite(cores, 30), of(true), 200*time.Millisecond, 8)
+	s, err := run.startPressureServer(pressureMixSite(cores, 30), argsFor(true), 200*time.Millisecond, 8)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	run := func(prefix string, rate float64, length time.Duration) rig.Outcome {
-		return rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
+	sendLoad := func(prefix string, rate float64, duration time.Duration) rig.Outcome {
+		return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: duration, Prefix: prefix,
 			Shares: pressureMix(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
 	}
-	run("w", rate/3, p.scaled(time.Second))
-	length := p.scaled(4 * time.Second)
-	out := run("f", rate, length)
-	// With full knowledge the most critical would be served first, as far as the cores reach; what is waiting at the end
-	// is served after it.
-	left, best, asked := float64(cores)*(length.Seconds()+1)/(work*0.96), 0.0, 0.0 // the mean of what is cut at five times
+	sendLoad("w", rate/3, run.scaled(time.Second))
+	duration := run.scaled(4 * time.Second)
+	outcome := sendLoad("f", rate, duration)
+	// An ideal scheduler serves the most critical RPCs first, up to the time of the cores, including one second after the end of
+	// the load for the RPCs then waiting. The mean work is taken as 0.96 of the nominal one, as drawn work is cut off at
+	// five times that.
+	remaining, ideal, requested := float64(cores)*(duration.Seconds()+1)/(work*0.96), 0.0, 0.0
 	shares := pressureMix(work, 0)
 	for k := len(shares) - 1; k >= 0; k-- {
-		n := float64(out.ByMethod[shares[k].Method].Requested)
-		asked += n * shares[k].Criticality
-		got := min(n, max(left, 0))
-		left -= got
-		best += got * shares[k].Criticality
-	}
-	p.atLeast("few.cores.of.the.best", out.Criticality/(best/asked), 0.95)
-	p.report("few.cores.criticality.ok", out.Criticality)
+		n := float64(outcome.ByMethod[shares[k].Method].Requested)
+		requested += n * shares[k].Criticality
+		served := min(n, max(remaining, 0))
+		remaining -= served
+		ideal += served * shares[k].Criticality
+	}
+	run.atLeast("few.cores.of.the.best", outcome.Criticality/(ideal/requested), 0.95)
+	run.report("few.cores.criticality.ok", outcome.Criticality)
 	var hanging sync.WaitGroup
 	hanging.Go(func() {
-		time.Sleep(p.scaled(500 * time.Millisecond))
+		time.Sleep(run.scaled(500 * time.Millisecond))
 		s.Programs[0].Kernel.Hang(true)
-		time.Sleep(p.scaled(1500 * time.Millisecond))
+		time.Sleep(run.scaled(1500 * time.Millisecond))
 		s.Programs[0].Kernel.Hang(false)
 	})
-	run("h", rate/3, p.scaled(2500*time.Millisecond))
+	sendLoad("h", rate/3, run.scaled(2500*time.Millisecond))
 	hanging.Wait()
 	refused := 0.0
-	for _, m := range levelChanges(s.Programs[0].Log()) {
-		refused = max(refused, m.Refused)
-		p.printNote("few cores: %s from %s by %s", m.Level, m.From, m.Causes)
+	for _, change := range levelChanges(s.Programs[0].Log()) {
+		refused = max(refused, change.Refused)
+		run.printNote("few cores: pressure level %s, was %s, causes %s", change.Level, change.From, change.Causes)
 	}
-	p.exactly("not.our.own.refused", refused, 0)
-	note(s.check)
+	run.exactly("not.our.own.refused", refused, 0)
+	collectViolations(s.check)
 	return nil
 }
 
-// edge holds the load where the program just cannot bear it.
-func (p *experimentRun) edge(of func(bool) []string, note func(*rig.Checker)) error {
-	length := p.scaled(5 * time.Second)
-	if p.Long {
-		length = 2 * time.Minute
-	}
-	bears := 0.0
-	for _, f := range p.figures {
+// measureEdge holds the load at the program's capacity and counts how often the pressure level flaps.
+func (run *experimentRun) measureEdge(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
+	duration := run.scaled(5 * time.Second)
+	if run.Long {
+		duration = 2 * time.Minute
+	}
+	capacity := 0.0
+	for _, f := range run.figures {
 		if f.Name == "bears.rpcs.per.s" {
-			bears = f.Value
+			capacity = f.Value
 		}
 	}
-	s, err := p.startPressureServer(pressureMixSite(1000, 30), of(true), time.Second, 8)
+	s, err := run.startPressureServer(pressureMixSite(1000, 30), argsFor(true), time.Second, 8)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	rig.Load{Seed: p.Seed, Rate: func(float64) float64 { return bears }, Duration: length, Prefix: "e",
+	rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return capacity }, Duration: duration, Prefix: "e",
 		Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
-	all := levelChanges(s.Programs[0].Log())
-	for _, m := range all {
-		p.printNote("edge: %s from %s by %s, %.0f refused", m.Level, m.From, m.Causes, m.Refused)
+	changes := levelChanges(s.Programs[0].Log())
+	for _, change := range changes {
+		run.printNote("edge: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
+			change.Refused)
 	}
-	p.atMost("flaps", float64(countFlaps(all)), 2)
-	note(s.check)
+	run.atMost("flaps", float64(countFlaps(changes)), 2)
+	collectViolations(s.check)
 	return nil
 }
 
-// playEdge holds the load at the edge for two minutes.
-func runPressureEdge(p *experimentRun) error {
+// runPressureEdge holds the load at the program's capacity for two minutes.
+func runPressureEdge(run *experimentRun) error {
 	t, err := newPressureTrial()
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	bears, err := p.capacity(t.of(true))
+	capacity, err := run.measureCapacity(t.argsFor(true))
 	if err != nil {
 		return err
 	}
-	p.report("bears.rpcs.per.s", bears)
-	p.Long = true
-	if err := p.edge(t.of, t.violations.collect); err != nil {
+	run.report("bears.rpcs.per.s", capacity)
+	run.Long = true
+	if err := run.measureEdge(t.argsFor, t.violations.collect); err != nil {
 		return err
 	}
-	t.violations.report(p)
+	t.violations.report(run)
 	return nil
 }
 
-// calmCost compares the processor time of an RPC with watching and without, in turn.
-func (p *experimentRun) calmCost(of func(bool) []string, note func(*rig.Checker)) error {
+// measureWatchCost compares the processor time per RPC with pressure watched and not, in alternating rounds without pressure.
+func (run *experimentRun) measureWatchCost(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	const rate = 1500.0
-	one := func(on bool) (*pressureServer, error) {
-		return p.startPressureServer(pressureMixSite(64, 30), of(on), time.Second, 4)
+	start := func(on bool) (*pressureServer, error) {
+		return run.startPressureServer(pressureMixSite(64, 30), argsFor(on), time.Second, 4)
 	}
-	on, off, err := runOnAndOff(one)
+	on, off, err := runOnAndOff(start)
 	if err != nil {
 		return err
 	}
 	defer on.close()
 	defer off.close()
-	spent := [2]float64{}
-	asked := [2]float64{}
+	cpuSeconds := [2]float64{}
+	requested := [2]float64{}
 	rounds := 3
-	if p.Long {
+	if run.Long {
 		rounds = 30
 	}
 	for k := range rounds * 2 {
 		s := []*pressureServer{on, off}[k%2]
 		before := s.Programs[0].CPU()
-		out := rig.Load{Seed: p.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
+		outcome := rig.Load{Seed: run.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
 			Prefix: "c" + string(rune('a'+k)), Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
-		spent[k%2] += (s.Programs[0].CPU() - before).Seconds()
-		asked[k%2] += float64(out.Requested)
+		cpuSeconds[k%2] += (s.Programs[0].CPU() - before).Seconds()
+		requested[k%2] += float64(outcome.Requested)
 	}
-	p.report("calm.cpu.us", spent[0]/asked[0]*1e6)
-	p.report("off.calm.cpu.us", spent[1]/asked[1]*1e6)
-	p.atMost("calm.cost", spent[0]/asked[0]/(spent[1]/asked[1]), 1.03)
-	note(on.check)
+	run.report("calm.cpu.us", cpuSeconds[0]/requested[0]*1e6)
+	run.report("off.calm.cpu.us", cpuSeconds[1]/requested[1]*1e6)
+	run.atMost("calm.cost", cpuSeconds[0]/requested[0]/(cpuSeconds[1]/requested[1]), 1.03)
+	collectViolations(on.check)
 	return nil
 }
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -20,7 +20,8 @@
 	"valveglade/rpc"
 )
 
-// pressureMix is the mix of a busy shop: most are lookups, what counts are recordings.
+// pressureMix returns a mix of RPCs in which most are lookups and the most critical ones are recordings. work is the mean in
+// seconds on a core.
 func pressureMix(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 0.65, Work: work, Deadline: deadline},
@@ -29,6 +30,8 @@
 	}
 }
 
+// pressureMixSite returns the settings of an app server that serves pressureMix. window is the deduplication window of tokened
+// RPCs, in seconds.
 func pressureMixSite(cores int, window float64) rig.Site {
 	methods := []rig.SiteMethod{}
 	for _, s := range pressureMix(0, time.Second) {
@@ -38,8 +41,8 @@
 		}
 		methods = append(methods, m)
 	}
-	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 8, OneCore: true,
-		MaxAfter: 2, Methods: methods}
+	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, Stop: 1200 * time.Millisecond, Grace: time.Second, Callers: 8,
+		OneCore: true, MaxAfter: 2, Methods: methods}
 }
 
 // writeSettings writes a settings file and returns the arguments that name it.
@@ -57,97 +60,102 @@
 
 // levelChanges returns the changes of the pressure level in a program's log.
 func levelChanges(log string) []levelChange {
-	var all []levelChange
+	var changes []levelChange
 	for line := range strings.Lines(log) {
-		var s levelChange
-		if json.Unmarshal([]byte(line), &s) == nil && s.Msg == "pressure" {
-			all = append(all, s)
+		var change levelChange
+		if json.Unmarshal([]byte(line), &change) == nil && change.Msg == "pressure" {
+			changes = append(changes, change)
 		}
 	}
-	return all
+	return changes
 }
 
-// countFlaps counts the times that a level was left and entered again within ten seconds.
-func countFlaps(all []levelChange) int {
+// countFlaps counts the rises of the pressure level within ten seconds of a fall.
+func countFlaps(changes []levelChange) int {
 	n := 0
-	rank := map[string]int{"calm": 0, "wary": 1, "pressed": 2, "strained": 3, "shut": 4}
-	fell := math.Inf(-1)
-	for _, s := range all {
-		if rank[s.Level] < rank[s.From] {
-			fell = s.TS
-		} else if s.TS-fell < 10 {
+	ranks := map[string]int{"calm": 0, "wary": 1, "pressed": 2, "strained": 3, "shut": 4}
+	lastFall := math.Inf(-1)
+	for _, change := range changes {
+		if ranks[change.Level] < ranks[change.From] {
+			lastFall = change.TS
+		} else if change.TS-lastFall < 10 {
 			n++
 		}
 	}
 	return n
 }
 
-// timeHealthChecks sends health checks on a connection of its own and returns the seconds that each answer took, which is the delay of the
-// program's event loops.
-func timeHealthChecks(ctx context.Context, address string, every time.Duration) []float64 {
-	nc, err := net.Dial("tcp", address)
+// timeHealthChecks sends a health check at each interval on a connection of its own, until the context ends. It returns the
+// seconds that each reply took, which is the delay of the program's event loops.
+func timeHealthChecks(ctx context.Context, address string, interval time.Duration) []float64 {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil
 	}
-	defer nc.Close()
-	in := bufio.NewReader(nc)
-	var took []float64
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	var durations []float64
 	for seq := int32(1); ctx.Err() == nil; seq++ {
-		began := time.Now()
-		nc.SetDeadline(began.Add(10 * time.Second))
-		if _, err := nc.Write(thrift.Check(nil, seq)); err != nil {
-			return took
+		start := time.Now()
+		conn.SetDeadline(start.Add(10 * time.Second))
+		if _, err := conn.Write(thrift.Check(nil, seq)); err != nil {
+			return durations
 		}
-		if !readFrame(in) {
-			return append(took, time.Since(began).Seconds())
+		if !readFrame(reader) {
+			return append(durations, time.Since(start).Seconds())
 		}
-		took = append(took, time.Since(began).Seconds())
-		time.Sleep(time.Until(began.Add(every)))
+		durations = append(durations, time.Since(start).Seconds())
+		time.Sleep(time.Until(start.Add(interval)))
 	}
-	return took
+	return durations
 }
 
-func readFrame(in *bufio.Reader) bool {
-	b := readbuffer.New(thrift.MaxFrame + 4)
+// readFrame reads until a whole frame has arrived, and reports whether one did.
+func readFrame(reader *bufio.Reader) bool {
+	buffer := readbuffer.New(thrift.MaxFrame + 4)
 	for {
-		_, size, err := thrift.Frame(b.Bytes())
+		_, size, err := thrift.Frame(buffer.Bytes())
 		if err != nil {
 			return false
 		}
 		if size > 0 {
 			return true
 		}
-		if b.Fill(in) != nil {
+		if buffer.Fill(reader) != nil {
 			return false
 		}
 	}
 }
 
-func quantile(all []float64, q float64) float64 {
-	if len(all) == 0 {
+// quantile returns a quantile of unsorted values, or +Inf without values.
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
 		return math.Inf(1)
 	}
-	s := slices.Sorted(slices.Values(all))
-	return s[min(int(q*float64(len(s))), len(s)-1)]
+	sorted := slices.Sorted(slices.Values(values))
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// pressureServer is one app server with its stand-ins, its checker and its callers.
+// pressureServer is one app server with its simulated kernel, its checker and its callers.
 type pressureServer struct {
 	*rig.Fleet
 	check   *rig.Checker
 	routers []rig.Caller
 }
 
-func (p *experimentRun) startPressureServer(site rig.Site, args []string, slack time.Duration, callers int) (*pressureServer, error) {
+// startPressureServer starts an app server with some arguments and callers. slack is the tolerance of the checker. The caller
+// must close the server.
+func (run *experimentRun) startPressureServer(site rig.Site, args []string, slack time.Duration,
+	callers int) (*pressureServer, error) {
 	site.Args = args
 	check := rig.NewChecker(slack)
-	f, err := rig.NewFleet(p.Program, 1, site, check)
+	fleet, err := rig.NewFleet(run.Program, 1, site, check)
 	if err != nil {
 		return nil, err
 	}
-	s := &pressureServer{Fleet: f, check: check}
+	s := &pressureServer{Fleet: fleet, check: check}
 	for k := range callers {
-		s.routers = append(s.routers, rig.NewRouter(k+1, f.Addresses()[0]))
+		s.routers = append(s.routers, rig.NewRouter(k+1, fleet.Addresses()[0]))
 	}
 	return s, nil
 }
@@ -159,15 +167,15 @@
 	s.Fleet.Close()
 }
 
-// runOnAndOff runs a function with the shedding on and off, at the same time.
-func runOnAndOff[T any](f func(on bool) (T, error)) (on, off T, err error) {
-	var all sync.WaitGroup
+// runOnAndOff calls a function with shedding on and off, at the same time.
+func runOnAndOff[T any](measure func(on bool) (T, error)) (on, off T, err error) {
+	var group sync.WaitGroup
 	var errOn, errOff error
-	all.Go(func() { on, errOn = f(true) })
-	all.Go(func() { off, errOff = f(false) })
-	all.Wait()
+	group.Go(func() { on, errOn = measure(true) })
+	group.Go(func() { off, errOff = measure(false) })
+	group.Wait()
 	return on, off, errors.Join(errOn, errOff)
 }
 
-// The CPU quota that throttles the program below what reading needs: the run time in each period.
+// quotaRun is the run time in each quotaPeriod of the CPU quota that throttles the program below what reading needs.
 const quotaRun, quotaPeriod = 1600 * time.Microsecond, 10 * time.Millisecond
