--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -151,7 +151,7 @@
 	return took, nil
 }
 
-// rusageCPUTime returns the user and system time of this process, as the kernel accounts it.
+// rusageCPUTime returns the user and system time of this process, as the operating system accounts it.
 func rusageCPUTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
