--- a/cmd/rehearse/measurement_process.go
+++ b/cmd/rehearse/measurement_process.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return cost, err
 	}
-	cmd := exec.Command(run.self(), "hollow", kind)
+	cmd := exec.Command(run.ownBinary(), "hollow", kind)
 	cmd.Stdin = bytes.NewReader(input)
 	cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", measurementCores))
 	var stderr bytes.Buffer
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -150,7 +150,7 @@
 	}
 	var statsBefore, statsAfter runtime.MemStats
 	runtime.ReadMemStats(&statsBefore)
-	cpuBefore := spent()
+	cpuBefore := rusageCPUTime()
 	for changeNumber, data := range encoded {
 		change, err := configtable.Decode(data)
 		if err != nil {
@@ -160,7 +160,7 @@
 			return table, err
 		}
 	}
-	c.changeSeconds = (spent() - cpuBefore).Seconds() / tableChanges
+	c.changeSeconds = (rusageCPUTime() - cpuBefore).Seconds() / tableChanges
 	runtime.ReadMemStats(&statsAfter)
 	c.changeAllocated = float64(statsAfter.TotalAlloc-statsBefore.TotalAlloc) / tableChanges
 	return table, nil
