--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -17,10 +17,10 @@
 
 // Figures of the load of a trial.
 const (
-	trialFar    = time.Hour              // an answer is due then where neither the RPC nor its method says when
-	trialSpread = 50 * time.Millisecond  // between the first try and a second copy, on the mean
-	trialStay   = 300 * time.Millisecond // kept to the end of a window for the rig's own lateness
-	trialRoomy  = 20                     // RPCs with room, of which some have to be served
+	unboundedWait    = time.Hour              // an answer is due then where neither the RPC nor its method says when
+	meanCopyDelay = 50 * time.Millisecond  // between the first try and a second copy, on the mean
+	windowMargin   = 300 * time.Millisecond // kept to the end of a window for the rig's own lateness
+	minEasyRPCs  = 20                     // RPCs with room, of which some have to be served
 )
 
 // trialMethod is one method as the load asks for it.
@@ -49,7 +49,7 @@
 			var open sync.WaitGroup
 			defer open.Wait()
 			for n := 0; ctx.Err() == nil; n++ {
-				wait(ctx, seconds64(chance.ExpFloat64()/rate))
+				sleepContext(ctx, secondsToDuration(chance.ExpFloat64()/rate))
 				// Requests come once the app server has answered a health check. Nothing is written to a machine that stands still.
 				if s.probe.HealthyAt().IsZero() || s.isPaused() {
 					continue
@@ -65,8 +65,8 @@
 func (t *trial) methods() []trialMethod {
 	var all []trialMethod
 	for k, m := range t.drawn.Settings.Methods {
-		told := t.told.Settings.Profiles[k]
-		all = append(all, trialMethod{m, seconds64(min(told.DeadlineS, trialFar.Seconds())), seconds64(min(told.WindowS, trialFar.Seconds()))})
+		told := t.decoded.Settings.Profiles[k]
+		all = append(all, trialMethod{m, secondsToDuration(min(told.DeadlineS, unboundedWait.Seconds())), secondsToDuration(min(told.WindowS, unboundedWait.Seconds()))})
 	}
 	return all
 }
@@ -119,25 +119,25 @@
 		c.makeOdd(chance)
 	}
 	now := time.Now()
-	c.recv = now.Add(-seconds64(load.Stale * chance.Float64())).Truncate(time.Millisecond)
+	c.recv = now.Add(-secondsToDuration(load.Stale * chance.Float64())).Truncate(time.Millisecond)
 	c.due = laterOf(c.recv.Add(c.waits()), now)
 	if chance.Float64() < load.Goes {
 		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
 	}
 	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
-		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(trialSpread))
+		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(meanCopyDelay))
 	}
 	return c
 }
 
-// longestBody is the protocol's bound.
-const longestBody = 2048
+// maxBodyBytes is the protocol's bound.
+const maxBodyBytes = 2048
 
 // makeOdd gives the RPC what few RPCs have: a body of any bytes, an impatient caller, or a token that RPCs of other methods carry too.
 func (c *trialCall) makeOdd(chance *rand.Rand) {
 	switch chance.IntN(3) {
 	case 0:
-		c.body = make([]byte, pick(chance, []int{0, 1, chance.IntN(longestBody), longestBody}))
+		c.body = make([]byte, randomElement(chance, []int{0, 1, chance.IntN(maxBodyBytes), maxBodyBytes}))
 		for k := range c.body {
 			c.body[k] = byte(chance.Uint32())
 		}
@@ -145,25 +145,25 @@
 		c.patience = max(time.Duration(chance.Float64()*float64(min(c.waits(), time.Second))), time.Millisecond)
 		c.due = laterOf(c.recv.Add(c.waits()), time.Now())
 	default:
-		c.token = fmt.Sprintf("%032x", chance.IntN(sharedTokens))
+		c.token = fmt.Sprintf("%032x", chance.IntN(sharedTokenCount))
 		c.copyAfter = 0
 	}
 }
 
-// sharedTokens are tokens that RPCs of different methods carry.
-const sharedTokens = 10
+// sharedTokenCount are tokens that RPCs of different methods carry.
+const sharedTokenCount = 10
 
-func pick[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
+func randomElement[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
 
 // waits is how long its caller waits: as long as the method's deadline, where there is one.
 func (c *trialCall) waits() time.Duration {
-	if c.patience > 0 && c.told.PassesDeadline() {
+	if c.patience > 0 && c.decoded.PassesDeadline() {
 		return c.patience
 	}
 	if c.method.deadline > 0 {
 		return c.method.deadline
 	}
-	return trialFar
+	return unboundedWait
 }
 
 func (c *trialCall) try(again bool) rig.PeerTry {
@@ -176,7 +176,7 @@
 	var both sync.WaitGroup
 	if c.copyAfter > 0 {
 		both.Go(func() {
-			wait(ctx, c.copyAfter)
+			sleepContext(ctx, c.copyAfter)
 			if ctx.Err() == nil && c.mayRepeat() {
 				c.once(ctx, true)
 			}
@@ -198,7 +198,7 @@
 	if c.closed || c.life != c.kills.Load() || !now.Before(c.due) {
 		return false
 	}
-	return c.token == "" || now.Before(c.recv.Add(c.method.window-trialStay))
+	return c.token == "" || now.Before(c.recv.Add(c.method.window-windowMargin))
 }
 
 // once sends one try and waits for its outcome.
@@ -257,7 +257,7 @@
 
 // hasRoom tells whether an app server without trouble can serve the RPC easily.
 func (c *trialCall) hasRoom() bool {
-	domain := c.told.Settings.Domain
+	domain := c.decoded.Settings.Domain
 	work := 0.0
 	for _, m := range c.drawn.Settings.Methods {
 		work += m.Work / float64(len(c.drawn.Settings.Methods))
@@ -270,7 +270,7 @@
 func (t *trialCalls) judge(s *trialServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !s.disturbed && t.roomy >= trialRoomy && t.served == 0 {
+	if !s.disturbed && t.roomy >= minEasyRPCs && t.served == 0 {
 		s.violate("rule 1: %s serves none of %d RPCs that it has room for: %v", s.program.Name, t.roomy, t.ended)
 	}
 	if s.badTold == 0 && len(s.badIgnored) > 0 {
@@ -278,7 +278,7 @@
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -18,7 +18,7 @@
 	s.mu.Lock()
 	s.disturbed = true
 	s.mu.Unlock()
-	last := seconds64(f.For)
+	last := secondsToDuration(f.For)
 	during := func(do, undo func()) {
 		do()
 		time.Sleep(last)
@@ -59,7 +59,7 @@
 	case drawn.LinkReset:
 		kernel.ResetLink()
 	case drawn.LinkLossy:
-		kernel.BreakLosing(lossyLast)
+		kernel.BreakLosing(lossyInterval)
 	case drawn.LinkLate:
 		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkPieces:
@@ -83,7 +83,7 @@
 		time.Sleep(last)
 		rude.Close()
 	case drawn.Silent:
-		idle := rig.NewIdleClients(s.program.Address, min(int(s.told.Limits.Sockets)*f.Size/100, maxSilent), 50*time.Millisecond, s.drawn.Seed)
+		idle := rig.NewIdleClients(s.program.Address, min(int(s.decoded.Limits.Sockets)*f.Size/100, maxIdleConnections), 50*time.Millisecond, s.drawn.Seed)
 		time.Sleep(last)
 		idle.Close()
 	case drawn.BadClients:
@@ -93,11 +93,11 @@
 	}
 }
 
-// maxSilent bounds the connections without work to one app server: the rig holds their other ends.
-const maxSilent = 600
+// maxIdleConnections bounds the connections without work to one app server: the rig holds their other ends.
+const maxIdleConnections = 600
 
-// lossyLast is for how long before a break commands may be lost: the protocol's figure.
-const lossyLast = 50 * time.Millisecond
+// lossyInterval is for how long before a break commands may be lost: the protocol's figure.
+const lossyInterval = 50 * time.Millisecond
 
 // linkFault changes what is wrong with the kernel's link.
 func (s *trialServer) linkFault(change func(*rig.LinkFaults)) func() {
@@ -111,7 +111,7 @@
 
 func (s *trialServer) withhold(f drawn.Fault) {
 	s.program.Kernel.Withhold()
-	time.AfterFunc(seconds64(f.For), s.program.Kernel.Release)
+	time.AfterFunc(secondsToDuration(f.For), s.program.Kernel.Release)
 }
 
 // kill ends the process outright, and starts it again under its name.
@@ -138,15 +138,15 @@
 	s.awaitHandlers()
 	s.kills.Add(1)
 	if again, ok := map[int]syscall.Signal{1: syscall.SIGHUP, 2: syscall.SIGTERM}[size]; ok {
-		time.AfterFunc(signalAgain, func() { s.program.Signal(again) })
+		time.AfterFunc(secondSignalDelay, func() { s.program.Signal(again) })
 	}
 	s.leave()
 	s.program.Kernel.Restart()
 	s.again()
 }
 
-// signalAgain is between the notice and another signal: before the end of any drain.
-const signalAgain = 100 * time.Millisecond
+// secondSignalDelay is between the notice and another signal: before the end of any drain.
+const secondSignalDelay = 100 * time.Millisecond
 
 // faultyConfig is one of the files that no page allows.
 func (s *trialServer) faultyConfig(number int) string {
@@ -167,23 +167,23 @@
 	s.mu.Lock()
 	from := s.launched
 	s.mu.Unlock()
-	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(from) < startTime {
+	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(from) < signalReadyTimeout {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// startTime is what the runtime of a process takes at most on a busy machine.
-const startTime = 500 * time.Millisecond
+// signalReadyTimeout is what the runtime of a process takes at most on a busy machine.
+const signalReadyTimeout = 500 * time.Millisecond
 
 // again starts the process once more and counts whether it is ready in time.
 func (s *trialServer) again() {
 	s.begin()
 	began := time.Now()
-	at := awaitTime(trialReady, s.probe.HealthyAt)
+	at := awaitTime(readyTimeout, s.probe.HealthyAt)
 	s.trial.mu.Lock()
 	defer s.trial.mu.Unlock()
 	s.result.restarts++
-	if !at.IsZero() && at.Sub(began) <= trialReady {
+	if !at.IsZero() && at.Sub(began) <= readyTimeout {
 		s.result.ready++
 	}
 }
@@ -255,21 +255,21 @@
 func (s *trialServer) burst(size int) {
 	chance := rand.New(rand.NewPCG(s.drawn.Seed, uint64(size)))
 	methods := s.methods()
-	ctx, stop := context.WithTimeout(context.Background(), burstLast)
+	ctx, stop := context.WithTimeout(context.Background(), burstTimeout)
 	defer stop()
 	var all sync.WaitGroup
 	for k := range size {
 		if s.probe.HealthyAt().IsZero() || s.isPaused() {
 			break
 		}
-		call := s.newCall(s.peers[k%len(s.peers)], pick(chance, methods), chance, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
+		call := s.newCall(s.peers[k%len(s.peers)], randomElement(chance, methods), chance, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
 		all.Go(func() { call.play(ctx) })
 	}
 	all.Wait()
 }
 
-// burstLast bounds the wait for the outcomes of a burst.
-const burstLast = 2 * time.Second
+// burstTimeout bounds the wait for the outcomes of a burst.
+const burstTimeout = 2 * time.Second
 
 // fillLog has nobody read the process's log for a while, or as long as it lives.
 func (s *trialServer) fillLog(last time.Duration) {
--- a/cmd/rehearse/faults_planted.go
+++ b/cmd/rehearse/faults_planted.go
@@ -41,21 +41,21 @@
 	return c
 }
 
-// playPlanted searches for faults in programs in which one is planted, and in one with none, started the same way.
-func (p *experimentRun) playPlanted() error {
-	control, err := p.playPlant(plantNothing, p.Seed)
+// runInjectedFaults searches for faults in programs in which one is planted, and in one with none, started the same way.
+func (p *experimentRun) runInjectedFaults() error {
+	control, err := p.runInjectedFault(plantNothing, p.Seed)
 	if err != nil {
 		return err
 	}
 	if len(control.violations) > 0 {
-		control.show(p)
+		control.print(p)
 	}
 	p.exactly("planted.nothing.violations", float64(len(control.violations)), 0)
 	for _, plant := range plantedFaults {
 		began := time.Now()
 		found := false
 		for seed := p.Seed; !found && time.Since(began) < plantedWithin; seed++ {
-			r, err := p.playPlant(plant.name, seed)
+			r, err := p.runInjectedFault(plant.name, seed)
 			if err != nil {
 				return err
 			}
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// playPlant plays the plain case with a program in which something is planted.
-func (p *experimentRun) playPlant(name string, seed uint64) (*trialResult, error) {
+// runInjectedFault plays the plain case with a program in which something is planted.
+func (p *experimentRun) runInjectedFault(name string, seed uint64) (*trialResult, error) {
 	planted := &experimentRun{Seed: seed, Program: p.self(), rehearseBinary: p.rehearseBinary, Logs: p.Logs, output: p.output, programArgs: []string{"planted", name}}
 	if name == plantNothing {
-		return planted.steadyTrial(plantedCase(seed))
+		return planted.runTrialWithRepeats(plantedCase(seed))
 	}
-	return planted.trial(plantedCase(seed)) // what is planted may keep its own process from a core
+	return planted.runTrial(plantedCase(seed)) // what is planted may keep its own process from a core
 }
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -43,7 +43,7 @@
 func (t *trial) newServer(number int) (*trialServer, error) {
 	s := &trialServer{trial: t, number: number}
 	name := serverName(number)
-	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.p.Program, Args: t.p.programArgs, Site: t.site(), Kernel: t.kernel(number), Folder: t.folder,
+	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs, Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
 		Roster: t.roster.Address(), Check: t.check, Config: s.config})
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 		s.net.Pieces(t.drawn.Seed)
 	}
 	for k := range t.drawn.Load.Routers {
-		form := t.form()
+		form := t.peerOptions()
 		if k > 0 {
 			form.WriteSize = 0
 		}
@@ -68,16 +68,16 @@
 
 func serverName(number int) string { return fmt.Sprintf("n%d", number+1) }
 
-// site is what the rig itself goes by.
-func (t *trial) site() rig.Site {
-	return rig.Site{MemoryMB: int(t.told.Limits.MemoryMB), Sockets: int(t.told.Limits.Sockets),
-		Stop: seconds64(t.told.StopMS / 1000), Grace: seconds64(t.told.Settings.Rules.StopSendingWithinS), OneCore: true}
+// siteSettings is what the rig itself goes by.
+func (t *trial) siteSettings() rig.Site {
+	return rig.Site{MemoryMB: int(t.decoded.Limits.MemoryMB), Sockets: int(t.decoded.Limits.Sockets),
+		Stop: secondsToDuration(t.decoded.StopMS / 1000), Grace: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS), OneCore: true}
 }
 
-// form is how routers write under the settings.
-func (t *trial) form() rig.PeerOptions {
-	return rig.PeerOptions{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
-		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), WriteSize: t.drawn.Load.Pieces}
+// peerOptions is how routers write under the settings.
+func (t *trial) peerOptions() rig.PeerOptions {
+	return rig.PeerOptions{PassesDeadline: t.decoded.PassesDeadline(), HangupSeen: t.decoded.HangupSeen(),
+		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.drawn.Load.Pieces}
 }
 
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
@@ -119,16 +119,16 @@
 	var waits []time.Duration // of the last second
 	for ctx.Err() == nil {
 		s.look()
-		time.Sleep(lookEvery)
-		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/lookEvery) {
+		time.Sleep(watchInterval)
+		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/watchInterval) {
 			waits = waits[1:]
 		}
-		s.noteWait(waits[len(waits)-1] - waits[0]) // below 0 over a restart
+		s.recordCoreWait(waits[len(waits)-1] - waits[0]) // below 0 over a restart
 	}
 }
 
-// lookEvery is between two looks at a process.
-const lookEvery = 50 * time.Millisecond
+// watchInterval is between two looks at a process.
+const watchInterval = 50 * time.Millisecond
 
 func (s *trialServer) look() {
 	s.mu.Lock()
@@ -140,17 +140,17 @@
 		s.ready = true
 	}
 	last := laterOf(laterOf(s.launched, s.excused), s.probe.LastAnswerAt())
-	if silent := time.Since(last); silent > trialMute {
+	if silent := time.Since(last); silent > maxHealthCheckGap {
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
 		s.excused = time.Now().Add(time.Hour) // once is enough
 	}
-	if takes, limit := s.program.Resident(), int64(s.told.Limits.MemoryMB)<<20; takes > limit && !s.over {
+	if takes, limit := s.program.Resident(), int64(s.decoded.Limits.MemoryMB)<<20; takes > limit && !s.over {
 		s.over = true
 		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, takes>>20, limit>>20)
 	}
-	if holds := s.program.Descriptors(); holds > int(s.told.Limits.Sockets) && !s.over {
+	if holds := s.program.Descriptors(); holds > int(s.decoded.Limits.Sockets) && !s.over {
 		s.over = true
-		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, holds, int(s.told.Limits.Sockets))
+		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, holds, int(s.decoded.Limits.Sockets))
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	var err error
 	for range 3 { // work that is left over may take one of them
-		if err = s.program.Resting(trialRest, trialIdle); err == nil {
+		if err = s.program.Resting(restDuration, maxRestCPUShare); err == nil {
 			return
 		}
 	}
@@ -184,9 +184,9 @@
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
-	if s.told.StopMS > longestStop.Seconds()*1000 {
+	if s.decoded.StopMS > maxStopWait.Seconds()*1000 {
 		s.program.Notice()
-		time.Sleep(longestStop / 4)
+		time.Sleep(maxStopWait / 4)
 		s.program.Kill()
 	} else if err := s.program.Stop(); err != nil {
 		s.violate("rule 3: %v", err)
@@ -194,15 +194,15 @@
 	s.down()
 }
 
-// longestStop is the longest time to the stop that a trial waits for.
-const longestStop = 8 * time.Second
+// maxStopWait is the longest time to the stop that a trial waits for.
+const maxStopWait = 8 * time.Second
 
 // judge looks at the log and at what was served.
 func (s *trialServer) judge() {
-	if s.p.Logs != "" {
-		name := filepath.Join(s.p.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
+	if s.run.Logs != "" {
+		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
 		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
-			s.p.printNote("%v", err)
+			s.run.printNote("%v", err)
 		}
 	}
 	for _, word := range []string{"panic:", "fatal error:", "DATA RACE"} {
@@ -214,14 +214,14 @@
 	s.calls.judge(s)
 }
 
-// lastWords are the last lines of what the process logged, for those who look into a trial.
-func (s *trialServer) lastWords() string {
+// logTail are the last lines of what the process logged, for those who look into a trial.
+func (s *trialServer) logTail() string {
 	lines := strings.Split(strings.TrimSpace(s.logs), "\n")
-	return strings.Join(lines[max(len(lines)-lastLines, 0):], "\n")
+	return strings.Join(lines[max(len(lines)-logTailLines, 0):], "\n")
 }
 
-// lastLines are shown of a log.
-const lastLines = 3
+// logTailLines are shown of a log.
+const logTailLines = 3
 
 // clear ends the process and what surrounds it.
 func (s *trialServer) clear() {
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -10,20 +10,20 @@
 	"valveglade/rig/drawn"
 )
 
-// casesAtOnce bounds the trials that tests play side by side.
-const casesAtOnce = 6
+// maxParallelTrials bounds the trials that tests play side by side.
+const maxParallelTrials = 6
 
-// atOnce holds a place for each trial that is played now.
-var atOnce = make(chan struct{}, casesAtOnce)
+// trialSlots holds a place for each trial that is played now.
+var trialSlots = make(chan struct{}, maxParallelTrials)
 
 // playCase plays one case with the program.
 func playCase(t *testing.T, c drawn.Case) *trialResult {
 	t.Helper()
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
+	trialSlots <- struct{}{}
+	defer func() { <-trialSlots }()
 	var out bytes.Buffer
 	p := &experimentRun{Seed: c.Seed, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
-	r, err := p.steadyTrial(c)
+	r, err := p.runTrialWithRepeats(c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 
 // Some cases of the search, always the same, keep the rules.
 func TestFaults(t *testing.T) {
-	for seed := range uint64(faultTrialsBrief) {
+	for seed := range uint64(faultTrialsShort) {
 		c := drawn.Draw(seed)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
@@ -75,10 +75,10 @@
 	for _, plant := range append([]plantedFault{{name: plantNothing}}, plantedFaults...) {
 		t.Run(plant.name, func(t *testing.T) {
 			t.Parallel()
-			atOnce <- struct{}{}
-			defer func() { <-atOnce }()
+			trialSlots <- struct{}{}
+			defer func() { <-trialSlots }()
 			p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &bytes.Buffer{}}
-			r, err := p.playPlant(plant.name, p.Seed)
+			r, err := p.runInjectedFault(plant.name, p.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -19,12 +19,12 @@
 
 // Figures of a trial.
 const (
-	trialSlack = 500 * time.Millisecond // past what the rules name: several trials and other work share the machine
-	trialRest  = 700 * time.Millisecond // in which an app server without work is watched
-	trialIdle  = 0.2                    // of a core, at most, that it takes then
-	trialMute  = 3 * time.Second        // at most, between answers to health checks
-	trialReady = 10 * time.Second       // from a restart to the first good health check
-	trialLast  = 1500 * time.Millisecond
+	checkTolerance = 500 * time.Millisecond // past what the rules name: several trials and other work share the machine
+	restDuration  = 700 * time.Millisecond // in which an app server without work is watched
+	maxRestCPUShare  = 0.2                    // of a core, at most, that it takes then
+	maxHealthCheckGap  = 3 * time.Second        // at most, between answers to health checks
+	readyTimeout = 10 * time.Second       // from a restart to the first good health check
+	faultFreeTime  = 1500 * time.Millisecond
 )
 
 // trialResult is what a trial came to.
@@ -33,77 +33,77 @@
 	violations      []string
 	restarts, ready int
 	tries, runs     int
-	again           int           // how often it was played again
-	waited          time.Duration // the longest that a process waited for a core, within a second
+	repeats           int           // how often it was played again
+	coreWait          time.Duration // the longest that a process waited for a core, within a second
 }
 
-// aboutTime is in violations that a machine may cause which is late itself.
-var aboutTime = regexp.MustCompile(`after its (deadline|stop)|answers nobody|never answered|closed the connection over it`)
+// timingViolation is in violations that a machine may cause which is late itself.
+var timingViolation = regexp.MustCompile(`after its (deadline|stop)|answers nobody|never answered|closed the connection over it`)
 
-// mostWaited is how long a process may wait for a core, within a second, before violations about time show nothing.
-const mostWaited = 200 * time.Millisecond
+// coreWaitLimit is how long a process may wait for a core, within a second, before violations about time show nothing.
+const coreWaitLimit = 200 * time.Millisecond
 
-// starved tells whether the violations show nothing but that the machine was busy.
-func (r *trialResult) starved() bool {
-	return r.waited > mostWaited && len(r.violations) > 0 &&
-		!slices.ContainsFunc(r.violations, func(v string) bool { return !aboutTime.MatchString(v) })
+// inconclusive tells whether the violations show nothing but that the machine was busy.
+func (r *trialResult) inconclusive() bool {
+	return r.coreWait > coreWaitLimit && len(r.violations) > 0 &&
+		!slices.ContainsFunc(r.violations, func(v string) bool { return !timingViolation.MatchString(v) })
 }
 
 // class is by what a failing trial is known again when less is in it.
-func (r *trialResult) class() string { return classOf(r.violations[0]) }
+func (r *trialResult) class() string { return violationClass(r.violations[0]) }
 
-func (r *trialResult) has(class string) bool {
-	return slices.ContainsFunc(r.violations, func(v string) bool { return classOf(v) == class })
+func (r *trialResult) hasClass(class string) bool {
+	return slices.ContainsFunc(r.violations, func(v string) bool { return violationClass(v) == class })
 }
 
-// particulars are what differs between two violations of one kind.
-var particulars = regexp.MustCompile(`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
+// variableParts are what differs between two violations of one kind.
+var variableParts = regexp.MustCompile(`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
 
-func classOf(violation string) string {
+func violationClass(violation string) string {
 	first, _, _ := strings.Cut(violation, "\n")
 	if _, last, found := strings.Cut(violation, "valveglade: "); found { // why a process ended
 		first += last
 	}
-	return particulars.ReplaceAllString(first, "_")
+	return variableParts.ReplaceAllString(first, "_")
 }
 
 // trial is one under way.
 type trial struct {
-	p          *experimentRun
+	run          *experimentRun
 	drawn      drawn.Case
-	told       drawn.Told
+	decoded       drawn.Told
 	check      *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
-	folder     string
+	directory     string
 	servers    []*trialServer
-	began      time.Time
+	startedAt      time.Time
 	rosterDown atomic.Bool
 
 	mu     sync.Mutex
 	result trialResult
 }
 
-// trial plays one case.
-func (p *experimentRun) trial(c drawn.Case) (*trialResult, error) {
-	t := &trial{p: p, drawn: c, result: trialResult{drawn: c}}
+// runTrial plays one case.
+func (p *experimentRun) runTrial(c drawn.Case) (*trialResult, error) {
+	t := &trial{run: p, drawn: c, result: trialResult{drawn: c}}
 	if err := t.prepare(); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNoTrial, err)
+		return nil, fmt.Errorf("%w: %w", errTrialSetup, err)
 	}
-	defer t.clear()
+	defer t.tearDown()
 	ctx, over := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
-	watching.Go(func() { t.witness(ctx) })
-	t.start()
+	watching.Go(func() { t.measureLateness(ctx) })
+	t.startServers()
 	for _, s := range t.servers {
 		watching.Go(func() { s.watch(ctx) })
 	}
-	t.play()
-	t.rest()
-	t.stop()
+	t.runLoadAndFaults()
+	t.checkServersAtRest()
+	t.stopServers()
 	over()
 	watching.Wait()
-	t.judge()
+	t.collectViolations()
 	return &t.result, nil
 }
 
@@ -115,16 +115,16 @@
 }
 
 func (t *trial) prepare() (err error) {
-	if t.told, err = t.drawn.Settings.Told(); err != nil {
+	if t.decoded, err = t.drawn.Settings.Told(); err != nil {
 		return err
 	}
-	if t.folder, err = os.MkdirTemp("", "faults"); err != nil {
+	if t.directory, err = os.MkdirTemp("", "faults"); err != nil {
 		return err
 	}
-	t.check = rig.NewChecker(trialSlack)
+	t.check = rig.NewChecker(checkTolerance)
 	t.check.ResendCrossed()
 	t.catalog = rig.NewCatalog()
-	t.check.Judge(t.terms())
+	t.check.Judge(t.checkerTerms())
 	if t.roster, err = rig.NewRoster(); err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// terms are what app servers are judged by.
-func (t *trial) terms() rig.Terms {
+// checkerTerms are what app servers are judged by.
+func (t *trial) checkerTerms() rig.Terms {
 	terms := rig.Terms{Methods: map[string]rig.MethodTerms{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
 		terms.Methods[m.Name] = rig.MethodTerms{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
@@ -152,31 +152,31 @@
 	return terms
 }
 
-// kernel is the stand-in of the settings.
-func (t *trial) kernel(number int) rig.KernelConfig {
-	domain, rules := t.told.Settings.Domain, t.told.Settings.Rules
+// kernelConfig is the stand-in of the settings.
+func (t *trial) kernelConfig(number int) rig.KernelConfig {
+	domain, rules := t.decoded.Settings.Domain, t.decoded.Settings.Rules
 	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1), Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
 		Gauges: domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
-		Crowding: rig.Crowding{Factor: rules.OverloadFactor, Window: seconds64(rules.FallS)}, Seed: t.drawn.Seed + uint64(number)<<32,
-		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: seconds64(rules.RampTimeS), Window: seconds64(rules.FallS)}}
+		Crowding: rig.Crowding{Factor: rules.OverloadFactor, Window: secondsToDuration(rules.FallS)}, Seed: t.drawn.Seed + uint64(number)<<32,
+		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: secondsToDuration(rules.RampTimeS), Window: secondsToDuration(rules.FallS)}}
 	for _, m := range t.drawn.Settings.Methods {
 		config.Methods = append(config.Methods, m.Name)
 	}
 	return config
 }
 
-// clear ends what is left of a trial.
-func (t *trial) clear() {
+// tearDown ends what is left of a trial.
+func (t *trial) tearDown() {
 	for _, s := range t.servers {
 		s.clear()
 	}
 	t.roster.Close()
-	os.RemoveAll(t.folder)
+	os.RemoveAll(t.directory)
 }
 
-// start has all processes begin together, with what is late from their start on.
-func (t *trial) start() {
-	t.began = time.Now()
+// startServers has all processes begin together, with what is late from their startServers on.
+func (t *trial) startServers() {
+	t.startedAt = time.Now()
 	for _, s := range t.servers {
 		for _, f := range t.drawn.Faults {
 			if f.Server == s.number && f.Kind == drawn.KernelLate {
@@ -189,8 +189,8 @@
 	}
 }
 
-// play has the load and the faults go on side by side, each in its time.
-func (t *trial) play() {
+// runLoadAndFaults has the load and the faults go on side by side, each in its time.
+func (t *trial) runLoadAndFaults() {
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for _, s := range t.servers {
@@ -199,38 +199,38 @@
 	var faults sync.WaitGroup
 	for _, f := range t.drawn.Faults {
 		faults.Go(func() {
-			time.Sleep(time.Until(t.began.Add(seconds64(f.At))))
+			time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(f.At))))
 			t.servers[f.Server].inflict(f)
 		})
 	}
-	time.Sleep(time.Until(t.began.Add(seconds64(t.drawn.Seconds))))
+	time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(t.drawn.Seconds))))
 	faults.Wait()
-	time.Sleep(t.p.scaled(trialLast)) // without a fault
+	time.Sleep(t.run.scaled(faultFreeTime)) // without a fault
 	stop()
 	all.Wait()
 }
 
-// witnessEvery is between two looks of the witness.
-const witnessEvery = 10 * time.Millisecond
+// latenessInterval is between two looks of the witness.
+const latenessInterval = 10 * time.Millisecond
 
-// witness notes how late this process itself is.
-func (t *trial) witness(ctx context.Context) {
+// measureLateness notes how late this process itself is.
+func (t *trial) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		time.Sleep(witnessEvery)
-		t.noteWait(time.Since(began) - witnessEvery)
+		time.Sleep(latenessInterval)
+		t.recordCoreWait(time.Since(began) - latenessInterval)
 	}
 }
 
-// noteWait takes note of a wait for a core.
-func (t *trial) noteWait(d time.Duration) {
+// recordCoreWait takes note of a wait for a core.
+func (t *trial) recordCoreWait(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.waited = max(t.result.waited, d)
+	t.result.coreWait = max(t.result.coreWait, d)
 }
 
-// rest watches the app servers without load.
-func (t *trial) rest() {
+// checkServersAtRest watches the app servers without load.
+func (t *trial) checkServersAtRest() {
 	var all sync.WaitGroup
 	for _, s := range t.servers {
 		all.Go(s.rest)
@@ -238,8 +238,8 @@
 	all.Wait()
 }
 
-// stop tells all app servers to leave and waits for their ends.
-func (t *trial) stop() {
+// stopServers tells all app servers to leave and waits for their ends.
+func (t *trial) stopServers() {
 	var all sync.WaitGroup
 	for _, s := range t.servers {
 		all.Go(s.stop)
@@ -247,26 +247,26 @@
 	all.Wait()
 }
 
-// judge gathers what the checker and the logs say.
-func (t *trial) judge() {
+// collectViolations gathers what the checker and the logs say.
+func (t *trial) collectViolations() {
 	for _, s := range t.servers {
 		s.judge()
 	}
 	t.check.Finish()
 	for _, v := range t.check.Violations() {
 		if v.Rule != callersRule {
-			t.violate("%s%s", v, t.endWords(v.What))
+			t.violate("%s%s", v, t.logBeforeExit(v.What))
 		}
 	}
 	t.result.tries, t.result.runs = t.check.Count("tries"), t.check.Count("runs")
 }
 
-// endWords is what a process said before it ended by itself, if that is what the violation tells.
-func (t *trial) endWords(violation string) string {
+// logBeforeExit is what a process said before it ended by itself, if that is what the violation tells.
+func (t *trial) logBeforeExit(violation string) string {
 	name, rest, _ := strings.Cut(violation, " ")
 	for _, s := range t.servers {
 		if s.program.Name == name && strings.HasPrefix(rest, "ended") {
-			return "\n" + s.lastWords()
+			return "\n" + s.logTail()
 		}
 	}
 	return ""
@@ -275,4 +275,4 @@
 // callersRule is the checker's number for what callers, not app servers, may not do.
 const callersRule = 5
 
-func seconds64(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
