--- a/cmd/rehearse/bare.go
+++ b/cmd/rehearse/bare.go
@@ -19,7 +19,7 @@
 
 // bareCommand is the baseline of the fleet's view: the gossip library alone, with its own transport, at the same probe
 // interval. It tells its members on standard error as the program tells its view.
-func bareCommand() *cobra.Command {
+func memberlistCommand() *cobra.Command {
 	var name, listen, advertise, join string
 	var probe time.Duration
 	c := &cobra.Command{Use: "bare", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -44,7 +44,7 @@
 		if err != nil {
 			return err
 		}
-		c.Transport = &bareTransport{own, &net.TCPAddr{IP: net.ParseIP(c.BindAddr)}}
+		c.Transport = &localAddressTransport{own, &net.TCPAddr{IP: net.ParseIP(c.BindAddr)}}
 		list, err := memberlist.Create(c)
 		if err != nil {
 			return err
@@ -54,7 +54,7 @@
 				n, _ := list.Join(strings.Split(join, ","))
 				met = n > 1 || list.NumMembers() > 1
 			}
-			tellBare(list.Members())
+			printMembers(list.Members())
 		}
 	}}
 	c.Flags().StringVar(&name, "name", "", "")
@@ -66,32 +66,32 @@
 }
 
 // bareTransport is the library's own, which speaks from the address where it listens.
-type bareTransport struct {
+type localAddressTransport struct {
 	*memberlist.NetTransport
 	from *net.TCPAddr
 }
 
-func (t *bareTransport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
+func (t *localAddressTransport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: within, LocalAddr: t.from}).Dial("tcp", address)
 }
 
-func (t *bareTransport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
+func (t *localAddressTransport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, within)
 }
 
-var lastBare string
+var lastMembers string
 
-func tellBare(members []*memberlist.Node) {
+func printMembers(members []*memberlist.Node) {
 	var names []string
 	for _, n := range members {
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
 	all := strings.Join(names, " ")
-	if all == lastBare {
+	if all == lastMembers {
 		return
 	}
-	lastBare = all
+	lastMembers = all
 	h := fnv.New64a()
 	h.Write([]byte(all))
 	json.NewEncoder(os.Stderr).Encode(map[string]any{"msg": "view", "digest": fmt.Sprintf("%016x", h.Sum64()),
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -17,10 +17,10 @@
 
 // Figures of the load of a trial.
 const (
-	unboundedWait    = time.Hour              // an answer is due then where neither the RPC nor its method says when
+	unboundedWait = time.Hour              // an answer is due then where neither the RPC nor its method says when
 	meanCopyDelay = 50 * time.Millisecond  // between the first try and a second copy, on the mean
-	windowMargin   = 300 * time.Millisecond // kept to the end of a window for the rig's own lateness
-	minEasyRPCs  = 20                     // RPCs with room, of which some have to be served
+	windowMargin  = 300 * time.Millisecond // kept to the end of a window for the rig's own lateness
+	minEasyRPCs   = 20                     // RPCs with room, of which some have to be served
 )
 
 // trialMethod is one method as the load asks for it.
@@ -30,16 +30,16 @@
 }
 
 // trialCalls counts what became of the RPCs of one app server.
-type trialCalls struct {
-	mu     sync.Mutex
-	asked  int
-	ended  map[string]int
-	roomy  int // RPCs that an app server without trouble has room for
-	served int // of these
+type callOutcomes struct {
+	mu       sync.Mutex
+	total    int
+	byResult map[string]int
+	easy     int // RPCs that an app server without trouble has room for
+	served   int // of these
 }
 
 // load asks for RPCs until ctx ends.
-func (s *trialServer) load(ctx context.Context) {
+func (s *trialServer) generateLoad(ctx context.Context) {
 	var all sync.WaitGroup
 	methods := s.methods()
 	for k, peer := range s.peers {
@@ -55,7 +55,7 @@
 					continue
 				}
 				call := s.newCall(peer, methods[chance.IntN(len(methods))], chance, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
-				open.Go(func() { call.play(ctx) })
+				open.Go(func() { call.execute(ctx) })
 			}
 		})
 	}
@@ -80,23 +80,23 @@
 // trialCall is one RPC of the load, over all its tries.
 type trialCall struct {
 	*trialServer
-	peer      *rig.Peer
-	method    trialMethod
-	id, token string
-	body      []byte
-	work      float64 // seconds on a core
-	result    []byte
-	fails     bool
-	patience  time.Duration // of its caller, where that is less than the method's deadline; 0 for as long
-	recv      time.Time
-	due       time.Time
-	goes      time.Duration // when its caller stops waiting, 0 for never
-	copyAfter time.Duration // when a second copy is sent, 0 for never
-	rank      float64
-	life      int64 // the number of kills at its first try
+	peer         *rig.Peer
+	method       trialMethod
+	id, token    string
+	body         []byte
+	work         float64 // seconds on a core
+	result       []byte
+	fails        bool
+	ownTimeout   time.Duration // of its caller, where that is less than the method's deadline; 0 for as long
+	receivedAt   time.Time
+	deadline     time.Time
+	cancelAfter  time.Duration // when its caller stops waiting, 0 for never
+	copyAfter    time.Duration // when a second copy is sent, 0 for never
+	criticality  float64
+	killsAtStart int64 // the number of kills at its first try
 
-	mu     sync.Mutex
-	closed bool // no further try is allowed
+	mu               sync.Mutex
+	retriesForbidden bool // no further try is allowed
 }
 
 func (s *trialServer) newCall(peer *rig.Peer, m trialMethod, chance *rand.Rand, id string) *trialCall {
@@ -104,7 +104,7 @@
 	if load.Fill > 0 {
 		id += "-" + strings.Repeat("x", load.Fill)
 	}
-	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, rank: chance.Float64(), life: s.kills.Load()}
+	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, criticality: chance.Float64(), killsAtStart: s.kills.Load()}
 	c.body = rig.Body(id, 0)
 	c.work = min(m.Work*chance.ExpFloat64(), 5*m.Work)
 	if load.Results > 0 {
@@ -116,13 +116,13 @@
 		c.token = fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())
 	}
 	if chance.Float64() < load.Odd {
-		c.makeOdd(chance)
+		c.makeUnusual(chance)
 	}
 	now := time.Now()
-	c.recv = now.Add(-secondsToDuration(load.Stale * chance.Float64())).Truncate(time.Millisecond)
-	c.due = laterOf(c.recv.Add(c.waits()), now)
+	c.receivedAt = now.Add(-secondsToDuration(load.Stale * chance.Float64())).Truncate(time.Millisecond)
+	c.deadline = laterOf(c.receivedAt.Add(c.timeout()), now)
 	if chance.Float64() < load.Goes {
-		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
+		c.cancelAfter = time.Duration(chance.Float64() * float64(min(c.timeout(), 2*time.Second)))
 	}
 	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
 		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(meanCopyDelay))
@@ -134,7 +134,7 @@
 const maxBodyBytes = 2048
 
 // makeOdd gives the RPC what few RPCs have: a body of any bytes, an impatient caller, or a token that RPCs of other methods carry too.
-func (c *trialCall) makeOdd(chance *rand.Rand) {
+func (c *trialCall) makeUnusual(chance *rand.Rand) {
 	switch chance.IntN(3) {
 	case 0:
 		c.body = make([]byte, randomElement(chance, []int{0, 1, chance.IntN(maxBodyBytes), maxBodyBytes}))
@@ -142,8 +142,8 @@
 			c.body[k] = byte(chance.Uint32())
 		}
 	case 1:
-		c.patience = max(time.Duration(chance.Float64()*float64(min(c.waits(), time.Second))), time.Millisecond)
-		c.due = laterOf(c.recv.Add(c.waits()), time.Now())
+		c.ownTimeout = max(time.Duration(chance.Float64()*float64(min(c.timeout(), time.Second))), time.Millisecond)
+		c.deadline = laterOf(c.receivedAt.Add(c.timeout()), time.Now())
 	default:
 		c.token = fmt.Sprintf("%032x", chance.IntN(sharedTokenCount))
 		c.copyAfter = 0
@@ -156,9 +156,9 @@
 func randomElement[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
 
 // waits is how long its caller waits: as long as the method's deadline, where there is one.
-func (c *trialCall) waits() time.Duration {
-	if c.patience > 0 && c.decoded.PassesDeadline() {
-		return c.patience
+func (c *trialCall) timeout() time.Duration {
+	if c.ownTimeout > 0 && c.decoded.PassesDeadline() {
+		return c.ownTimeout
 	}
 	if c.method.deadline > 0 {
 		return c.method.deadline
@@ -166,57 +166,57 @@
 	return unboundedWait
 }
 
-func (c *trialCall) try(again bool) rig.PeerTry {
-	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.recv, Timeout: c.waits(), Criticality: c.rank,
+func (c *trialCall) peerTry(again bool) rig.PeerTry {
+	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.receivedAt, Timeout: c.timeout(), Criticality: c.criticality,
 		IsRetry: again, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
 // play sends the RPC, and a copy where one is drawn, until it has its outcome or the trial ends.
-func (c *trialCall) play(ctx context.Context) {
+func (c *trialCall) execute(ctx context.Context) {
 	var both sync.WaitGroup
 	if c.copyAfter > 0 {
 		both.Go(func() {
 			sleepContext(ctx, c.copyAfter)
-			if ctx.Err() == nil && c.mayRepeat() {
-				c.once(ctx, true)
+			if ctx.Err() == nil && c.mayRetry() {
+				c.sendTry(ctx, true)
 			}
 		})
 	}
-	outcome, sent := c.once(ctx, false)
-	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.ClosedInFlight && c.mayRepeat() {
-		outcome, _ = c.once(ctx, true)
+	outcome, sent := c.sendTry(ctx, false)
+	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.ClosedInFlight && c.mayRetry() {
+		outcome, _ = c.sendTry(ctx, true)
 	}
 	both.Wait()
-	c.calls.add(c, outcome, sent)
+	c.outcomes.record(c, outcome, sent)
 }
 
 // mayRepeat tells whether the RPC may be sent once more: its process still lives, and a token is still in its window.
-func (c *trialCall) mayRepeat() bool {
+func (c *trialCall) mayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.closed || c.life != c.kills.Load() || !now.Before(c.due) {
+	if c.retriesForbidden || c.killsAtStart != c.kills.Load() || !now.Before(c.deadline) {
 		return false
 	}
-	return c.token == "" || now.Before(c.recv.Add(c.method.window-windowMargin))
+	return c.token == "" || now.Before(c.receivedAt.Add(c.method.window-windowMargin))
 }
 
 // once sends one try and waits for its outcome.
-func (c *trialCall) once(ctx context.Context, again bool) (rig.PeerOutcome, bool) {
-	call, err := c.peer.Send(c.try(again))
+func (c *trialCall) sendTry(ctx context.Context, again bool) (rig.PeerOutcome, bool) {
+	call, err := c.peer.Send(c.peerTry(again))
 	if err != nil {
 		return rig.PeerOutcome{Err: err}, false
 	}
 	gone := make(<-chan time.Time)
-	if c.goes > 0 && !again {
-		timer := time.NewTimer(c.goes)
+	if c.cancelAfter > 0 && !again {
+		timer := time.NewTimer(c.cancelAfter)
 		defer timer.Stop()
 		gone = timer.C
 	}
 	for {
 		select {
 		case o := <-call.Done:
-			c.took(o)
+			c.recordReply(o)
 			return o, true
 		case <-gone:
 			call.Cancel()
@@ -228,27 +228,27 @@
 }
 
 // took hears what an answer says of further tries.
-func (c *trialCall) took(o rig.PeerOutcome) {
+func (c *trialCall) recordReply(o rig.PeerOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = c.closed || o.NoRetry || o.RetryAfter > 0 || o.Err == nil
+	c.retriesForbidden = c.retriesForbidden || o.NoRetry || o.RetryAfter > 0 || o.Err == nil
 }
 
 // add counts an RPC's outcome.
-func (t *trialCalls) add(c *trialCall, o rig.PeerOutcome, sent bool) {
+func (t *callOutcomes) record(c *trialCall, o rig.PeerOutcome, sent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended == nil {
-		t.ended = map[string]int{}
+	if t.byResult == nil {
+		t.byResult = map[string]int{}
 	}
-	t.asked++
+	t.total++
 	word := "served"
 	if o.Err != nil {
 		word = o.Err.Error()
 	}
-	t.ended[word]++
-	if sent && !errors.Is(o.Err, context.Canceled) && c.goes == 0 && !c.fails && c.hasRoom() {
-		t.roomy++
+	t.byResult[word]++
+	if sent && !errors.Is(o.Err, context.Canceled) && c.cancelAfter == 0 && !c.fails && c.isEasy() {
+		t.easy++
 		if o.Err == nil {
 			t.served++
 		}
@@ -256,25 +256,25 @@
 }
 
 // hasRoom tells whether an app server without trouble can serve the RPC easily.
-func (c *trialCall) hasRoom() bool {
+func (c *trialCall) isEasy() bool {
 	domain := c.decoded.Settings.Domain
 	work := 0.0
 	for _, m := range c.drawn.Settings.Methods {
 		work += m.Work / float64(len(c.drawn.Settings.Methods))
 	}
-	return c.waits() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls && domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
+	return c.timeout() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls && domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
 		c.drawn.Load.Rate*work < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
 }
 
 // judge finds app servers that serve nothing although they could.
-func (t *trialCalls) judge(s *trialServer) {
+func (t *callOutcomes) checkServed(s *trialServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !s.disturbed && t.roomy >= minEasyRPCs && t.served == 0 {
-		s.violate("rule 1: %s serves none of %d RPCs that it has room for: %v", s.program.Name, t.roomy, t.ended)
+	if !s.hadFault && t.easy >= minEasyRPCs && t.served == 0 {
+		s.violate("rule 1: %s serves none of %d RPCs that it has room for: %v", s.program.Name, t.easy, t.byResult)
 	}
-	if s.badTold == 0 && len(s.badIgnored) > 0 {
-		s.violate("rule 4: %s tells bad clients nothing: %v", s.program.Name, s.badIgnored)
+	if s.badClientsAnswered == 0 && len(s.badClientsIgnored) > 0 {
+		s.violate("rule 4: %s tells bad clients nothing: %v", s.program.Name, s.badClientsIgnored)
 	}
 }
 
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -14,9 +14,9 @@
 )
 
 // inflict does one fault to the app server, undoes it after its time, and returns.
-func (s *trialServer) inflict(f drawn.Fault) {
+func (s *trialServer) applyFault(f drawn.Fault) {
 	s.mu.Lock()
-	s.disturbed = true
+	s.hadFault = true
 	s.mu.Unlock()
 	last := secondsToDuration(f.For)
 	during := func(do, undo func()) {
@@ -42,7 +42,7 @@
 	case drawn.ReloadFaulty:
 		s.reload(s.faultyConfig(f.Size))
 	case drawn.RosterSilent:
-		s.silenceRoster(last)
+		s.stopRoster(last)
 	case drawn.KernelLate: // from the start on, see withhold
 	case drawn.KernelDown:
 		during(kernel.Down, func() {
@@ -61,13 +61,13 @@
 	case drawn.LinkLossy:
 		kernel.BreakLosing(lossyInterval)
 	case drawn.LinkLate:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFault(func(l *rig.LinkFaults) { l.Late = 0 }))
+		during(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkPieces:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFault(func(l *rig.LinkFaults) { l.Pieces = false }))
+		during(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = false }))
 	case drawn.LinkDoubled:
-		during(s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFault(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
+		during(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
 	case drawn.RouterDeaf:
-		during(func() { s.deafen(true) }, func() { s.deafen(false) })
+		during(func() { s.setRouterReadsPaused(true) }, func() { s.setRouterReadsPaused(false) })
 	case drawn.RouterReset:
 		for _, p := range s.peers {
 			p.ResetConnections()
@@ -79,7 +79,7 @@
 	case drawn.Burst:
 		s.burst(f.Size)
 	case drawn.RudeRouter:
-		rude := rig.NewMisbehavingRouter(s.net.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
+		rude := rig.NewMisbehavingRouter(s.proxy.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
 		time.Sleep(last)
 		rude.Close()
 	case drawn.Silent:
@@ -100,7 +100,7 @@
 const lossyInterval = 50 * time.Millisecond
 
 // linkFault changes what is wrong with the kernel's link.
-func (s *trialServer) linkFault(change func(*rig.LinkFaults)) func() {
+func (s *trialServer) linkFaultSetter(change func(*rig.LinkFaults)) func() {
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -109,29 +109,29 @@
 	}
 }
 
-func (s *trialServer) withhold(f drawn.Fault) {
+func (s *trialServer) delayKernel(f drawn.Fault) {
 	s.program.Kernel.Withhold()
 	time.AfterFunc(secondsToDuration(f.For), s.program.Kernel.Release)
 }
 
 // kill ends the process outright, and starts it again under its name.
 func (s *trialServer) kill(after time.Duration) {
-	s.life.Lock()
-	defer s.life.Unlock()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
 		return
 	}
 	s.kills.Add(1)
 	s.program.Kill()
-	s.down()
+	s.recordExit()
 	time.Sleep(after)
-	s.again()
+	s.restart()
 }
 
 // terminate tells the process to leave, and starts it again under its name once it has.
 func (s *trialServer) terminate(size int) {
-	s.life.Lock()
-	defer s.life.Unlock()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
 		return
 	}
@@ -140,9 +140,9 @@
 	if again, ok := map[int]syscall.Signal{1: syscall.SIGHUP, 2: syscall.SIGTERM}[size]; ok {
 		time.AfterFunc(secondSignalDelay, func() { s.program.Signal(again) })
 	}
-	s.leave()
+	s.shutDown()
 	s.program.Kernel.Restart()
-	s.again()
+	s.restart()
 }
 
 // secondSignalDelay is between the notice and another signal: before the end of any drain.
@@ -165,7 +165,7 @@
 // awaitHandlers waits until a process that has just been started can take a signal: before, its runtime is not up.
 func (s *trialServer) awaitHandlers() {
 	s.mu.Lock()
-	from := s.launched
+	from := s.launchedAt
 	s.mu.Unlock()
 	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(from) < signalReadyTimeout {
 		time.Sleep(time.Millisecond)
@@ -176,8 +176,8 @@
 const signalReadyTimeout = 500 * time.Millisecond
 
 // again starts the process once more and counts whether it is ready in time.
-func (s *trialServer) again() {
-	s.begin()
+func (s *trialServer) restart() {
+	s.launchLocked()
 	began := time.Now()
 	at := awaitTime(readyTimeout, s.probe.HealthyAt)
 	s.trial.mu.Lock()
@@ -190,14 +190,14 @@
 
 // pause stops the process for a while, as a busy machine would.
 func (s *trialServer) pause(last time.Duration) {
-	s.life.Lock()
-	defer s.life.Unlock()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
 		return
 	}
 	set := func(paused bool) {
 		s.mu.Lock()
-		s.paused, s.excused = paused, time.Now()
+		s.paused, s.excusedUntil = paused, time.Now()
 		s.mu.Unlock()
 		s.check.Paused(s.program.Name, paused)
 		s.program.Pause(paused)
@@ -209,8 +209,8 @@
 
 // reload replaces the file and has the process read it.
 func (s *trialServer) reload(text string) {
-	s.life.Lock()
-	defer s.life.Unlock()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
 		return
 	}
@@ -222,7 +222,7 @@
 	s.program.Signal(syscall.SIGHUP)
 }
 
-func (s *trialServer) silenceRoster(last time.Duration) {
+func (s *trialServer) stopRoster(last time.Duration) {
 	if !s.rosterDown.CompareAndSwap(false, true) {
 		return
 	}
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *trialServer) deafen(deaf bool) {
+func (s *trialServer) setRouterReadsPaused(deaf bool) {
 	for _, p := range s.peers {
 		p.SetReadPaused(deaf)
 	}
@@ -247,8 +247,8 @@
 	told, ignored := bad.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.badTold += told
-	s.badIgnored = append(s.badIgnored, ignored...)
+	s.badClientsAnswered += told
+	s.badClientsIgnored = append(s.badClientsIgnored, ignored...)
 }
 
 // burst asks for many RPCs at once and waits for their outcomes.
@@ -263,7 +263,7 @@
 			break
 		}
 		call := s.newCall(s.peers[k%len(s.peers)], randomElement(chance, methods), chance, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
-		all.Go(func() { call.play(ctx) })
+		all.Go(func() { call.execute(ctx) })
 	}
 	all.Wait()
 }
--- a/cmd/rehearse/faults_planted.go
+++ b/cmd/rehearse/faults_planted.go
@@ -9,29 +9,29 @@
 )
 
 // plantedFault is a mistake that the search has to find, and by which violation.
-type plantedFault struct {
-	name  string // of the sub-command planted
-	found string // part of the violation's text
+type injectedFault struct {
+	name      string // of the sub-command planted
+	violation string // part of the violation's text
 }
 
-var plantedFaults = []plantedFault{
-	{plantOtherBody, "was served by"},
-	{plantSecondRun, "of the same token was run"},
-	{plantLostAnswer, "lost:"},
-	{plantIdleSpin, "the processor at rest"},
-	{plantIgnoredStop, "did not end by itself"},
+var injectedFaults = []injectedFault{
+	{injectOtherBody, "was served by"},
+	{injectSecondRun, "of the same token was run"},
+	{injectLostReply, "lost:"},
+	{injectIdleSpin, "the processor at rest"},
+	{injectIgnoredStop, "did not end by itself"},
 }
 
 // in reports whether it was found in a trial.
-func (f plantedFault) in(r *trialResult) bool {
-	return slices.ContainsFunc(r.violations, func(v string) bool { return strings.Contains(v, f.found) })
+func (f injectedFault) foundIn(r *trialResult) bool {
+	return slices.ContainsFunc(r.violations, func(v string) bool { return strings.Contains(v, f.violation) })
 }
 
 // plantedWithin bounds the search for one of them.
-const plantedWithin = 60 * time.Second
+const injectedFaultTimeout = 60 * time.Second
 
 // plantedCase is a case without anything uncommon: whatever is found in it was planted.
-func plantedCase(seed uint64) drawn.Case {
+func injectionCase(seed uint64) drawn.Case {
 	c := drawn.Case{Seed: seed, Servers: 3, Seconds: 3, Load: drawn.Load{Rate: 40, Routers: 2, Repeats: 0.2}}
 	for _, effect := range []string{"retryable", "dedup", "fragile"} {
 		m := drawn.PlainMethod()
@@ -43,7 +43,7 @@
 
 // runInjectedFaults searches for faults in programs in which one is planted, and in one with none, started the same way.
 func (p *experimentRun) runInjectedFaults() error {
-	control, err := p.runInjectedFault(plantNothing, p.Seed)
+	control, err := p.runInjectedFault(injectNothing, p.Seed)
 	if err != nil {
 		return err
 	}
@@ -51,21 +51,21 @@
 		control.print(p)
 	}
 	p.exactly("planted.nothing.violations", float64(len(control.violations)), 0)
-	for _, plant := range plantedFaults {
+	for _, plant := range injectedFaults {
 		began := time.Now()
 		found := false
-		for seed := p.Seed; !found && time.Since(began) < plantedWithin; seed++ {
+		for seed := p.Seed; !found && time.Since(began) < injectedFaultTimeout; seed++ {
 			r, err := p.runInjectedFault(plant.name, seed)
 			if err != nil {
 				return err
 			}
-			found = plant.in(r)
+			found = plant.foundIn(r)
 		}
 		took := time.Since(began).Seconds()
 		if !found {
-			took = 2 * plantedWithin.Seconds()
+			took = 2 * injectedFaultTimeout.Seconds()
 		}
-		p.atMost("planted."+plant.name+".found.s", took, plantedWithin.Seconds())
+		p.atMost("planted."+plant.name+".found.s", took, injectedFaultTimeout.Seconds())
 	}
 	return nil
 }
@@ -73,8 +73,8 @@
 // runInjectedFault plays the plain case with a program in which something is planted.
 func (p *experimentRun) runInjectedFault(name string, seed uint64) (*trialResult, error) {
 	planted := &experimentRun{Seed: seed, Program: p.self(), rehearseBinary: p.rehearseBinary, Logs: p.Logs, output: p.output, programArgs: []string{"planted", name}}
-	if name == plantNothing {
-		return planted.runTrialWithRepeats(plantedCase(seed))
+	if name == injectNothing {
+		return planted.runTrialWithRepeats(injectionCase(seed))
 	}
-	return planted.runTrial(plantedCase(seed)) // what is planted may keep its own process from a core
+	return planted.runTrial(injectionCase(seed)) // what is planted may keep its own process from a core
 }
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -17,27 +17,27 @@
 // trialServer is one app server of a trial, with its surroundings.
 type trialServer struct {
 	*trial
-	number  int
-	program *rig.Program
-	net     *rig.Net // between the routers and it
-	probe   *rig.HealthProbe
-	peers   []*rig.Peer
-	calls   trialCalls
-	kills   atomic.Int64 // processes that have ended: tokens do not outlive them
-
-	life       sync.Mutex // held while the process is started or ended
-	mu         sync.Mutex
-	launched   time.Time // zero while there is no process
-	excused    time.Time // until when it may be silent: it was stopped
-	paused     bool
-	leaving    bool // it has been told to
-	over       bool // it has taken more than its limits, which is said once
-	ready      bool // the probe has seen it ready
-	logs       string
-	linkFaults rig.LinkFaults
-	disturbed  bool     // a fault was inflicted on it
-	badTold    int      // bad clients that were told something
-	badIgnored []string // kinds of bad clients that were told nothing
+	number   int
+	program  *rig.Program
+	proxy    *rig.Net // between the routers and it
+	probe    *rig.HealthProbe
+	peers    []*rig.Peer
+	outcomes callOutcomes
+	kills    atomic.Int64 // processes that have ended: tokens do not outlive them
+
+	lifecycle          sync.Mutex // held while the process is started or ended
+	mu                 sync.Mutex
+	launchedAt         time.Time // zero while there is no process
+	excusedUntil       time.Time // until when it may be silent: it was stopped
+	paused             bool
+	leaving            bool // it has been told to
+	limitReported      bool // it has taken more than its limits, which is said once
+	ready              bool // the probe has seen it ready
+	logs               string
+	linkFaults         rig.LinkFaults
+	hadFault           bool     // a fault was inflicted on it
+	badClientsAnswered int      // bad clients that were told something
+	badClientsIgnored  []string // kinds of bad clients that were told nothing
 }
 
 func (t *trial) newServer(number int) (*trialServer, error) {
@@ -50,18 +50,18 @@
 	}
 	s.program = program
 	s.probe = rig.NewHealthProbe(program.Address)
-	if s.net, err = rig.NewNet(name, program.Address, t.check); err != nil {
+	if s.proxy, err = rig.NewNet(name, program.Address, t.check); err != nil {
 		return nil, err
 	}
 	if t.drawn.Load.Pieces > 0 {
-		s.net.Pieces(t.drawn.Seed)
+		s.proxy.Pieces(t.drawn.Seed)
 	}
 	for k := range t.drawn.Load.Routers {
 		form := t.peerOptions()
 		if k > 0 {
 			form.WriteSize = 0
 		}
-		s.peers = append(s.peers, rig.NewPeer(s.net.Address(), 10*number+k, form, t.catalog, t.drawn.Seed+uint64(number)<<32))
+		s.peers = append(s.peers, rig.NewPeer(s.proxy.Address(), 10*number+k, form, t.catalog, t.drawn.Seed+uint64(number)<<32))
 	}
 	return s, nil
 }
@@ -88,13 +88,13 @@
 
 // launch starts the process.
 func (s *trialServer) launch() {
-	s.life.Lock()
-	defer s.life.Unlock()
-	s.begin()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
+	s.launchLocked()
 }
 
 // begin is launch under the lock of its life.
-func (s *trialServer) begin() {
+func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
 		s.check.Failed("%s cannot be started: %v", s.program.Name, err)
 		return
@@ -102,15 +102,15 @@
 	s.probe.Restart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.launched, s.paused, s.leaving, s.excused, s.ready = time.Now(), false, false, time.Time{}, false
+	s.launchedAt, s.paused, s.leaving, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
 }
 
 // down notes that there is no process any more.
-func (s *trialServer) down() {
+func (s *trialServer) recordExit() {
 	s.kills.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.launched = time.Time{}
+	s.launchedAt = time.Time{}
 	s.logs = s.program.Log()
 }
 
@@ -118,7 +118,7 @@
 func (s *trialServer) watch(ctx context.Context) {
 	var waits []time.Duration // of the last second
 	for ctx.Err() == nil {
-		s.look()
+		s.checkProcess()
 		time.Sleep(watchInterval)
 		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/watchInterval) {
 			waits = waits[1:]
@@ -130,32 +130,32 @@
 // watchInterval is between two looks at a process.
 const watchInterval = 50 * time.Millisecond
 
-func (s *trialServer) look() {
+func (s *trialServer) checkProcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.launched.IsZero() || s.paused || s.leaving || !s.program.Running() {
+	if s.launchedAt.IsZero() || s.paused || s.leaving || !s.program.Running() {
 		return
 	}
 	if ready := s.probe.HealthyAt(); !s.ready && !ready.IsZero() {
 		s.ready = true
 	}
-	last := laterOf(laterOf(s.launched, s.excused), s.probe.LastAnswerAt())
+	last := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastAnswerAt())
 	if silent := time.Since(last); silent > maxHealthCheckGap {
 		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
-		s.excused = time.Now().Add(time.Hour) // once is enough
+		s.excusedUntil = time.Now().Add(time.Hour) // once is enough
 	}
-	if takes, limit := s.program.Resident(), int64(s.decoded.Limits.MemoryMB)<<20; takes > limit && !s.over {
-		s.over = true
+	if takes, limit := s.program.Resident(), int64(s.decoded.Limits.MemoryMB)<<20; takes > limit && !s.limitReported {
+		s.limitReported = true
 		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, takes>>20, limit>>20)
 	}
-	if holds := s.program.Descriptors(); holds > int(s.decoded.Limits.Sockets) && !s.over {
-		s.over = true
+	if holds := s.program.Descriptors(); holds > int(s.decoded.Limits.Sockets) && !s.limitReported {
+		s.limitReported = true
 		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, holds, int(s.decoded.Limits.Sockets))
 	}
 }
 
 // rest waits until the app server owes nothing, and measures the processor time that it takes without work.
-func (s *trialServer) rest() {
+func (s *trialServer) checkAtRest() {
 	if !s.program.Running() {
 		return
 	}
@@ -170,17 +170,17 @@
 
 // stop tells the process to leave, and waits for its end.
 func (s *trialServer) stop() {
-	s.life.Lock()
-	defer s.life.Unlock()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
-		s.down()
+		s.recordExit()
 		return
 	}
-	s.leave()
+	s.shutDown()
 }
 
 // leave has the process leave and waits for its end. Where that would take longer than a trial it is killed on its way.
-func (s *trialServer) leave() {
+func (s *trialServer) shutDown() {
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
@@ -191,14 +191,14 @@
 	} else if err := s.program.Stop(); err != nil {
 		s.violate("rule 3: %v", err)
 	}
-	s.down()
+	s.recordExit()
 }
 
 // maxStopWait is the longest time to the stop that a trial waits for.
 const maxStopWait = 8 * time.Second
 
 // judge looks at the log and at what was served.
-func (s *trialServer) judge() {
+func (s *trialServer) checkLogAndLoad() {
 	if s.run.Logs != "" {
 		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
 		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
@@ -211,7 +211,7 @@
 			break
 		}
 	}
-	s.calls.judge(s)
+	s.outcomes.checkServed(s)
 }
 
 // logTail are the last lines of what the process logged, for those who look into a trial.
@@ -224,12 +224,12 @@
 const logTailLines = 3
 
 // clear ends the process and what surrounds it.
-func (s *trialServer) clear() {
+func (s *trialServer) close() {
 	s.probe.Close()
 	for _, p := range s.peers {
 		p.Close()
 	}
-	s.net.Close()
+	s.proxy.Close()
 	if s.program.Running() {
 		s.program.Kill()
 	}
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -72,7 +72,7 @@
 
 // What is planted in a program is found, and nothing where nothing is.
 func TestFaultsPlanted(t *testing.T) {
-	for _, plant := range append([]plantedFault{{name: plantNothing}}, plantedFaults...) {
+	for _, plant := range append([]injectedFault{{name: injectNothing}}, injectedFaults...) {
 		t.Run(plant.name, func(t *testing.T) {
 			t.Parallel()
 			trialSlots <- struct{}{}
@@ -82,11 +82,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if plant.name == plantNothing {
+			if plant.name == injectNothing {
 				for _, v := range r.violations {
 					t.Errorf("%.500s", v)
 				}
-			} else if !plant.in(r) {
+			} else if !plant.foundIn(r) {
 				t.Errorf("not found: %.500q", r.violations)
 			}
 		})
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -19,12 +19,12 @@
 
 // Figures of a trial.
 const (
-	checkTolerance = 500 * time.Millisecond // past what the rules name: several trials and other work share the machine
-	restDuration  = 700 * time.Millisecond // in which an app server without work is watched
-	maxRestCPUShare  = 0.2                    // of a core, at most, that it takes then
-	maxHealthCheckGap  = 3 * time.Second        // at most, between answers to health checks
-	readyTimeout = 10 * time.Second       // from a restart to the first good health check
-	faultFreeTime  = 1500 * time.Millisecond
+	checkTolerance    = 500 * time.Millisecond // past what the rules name: several trials and other work share the machine
+	restDuration      = 700 * time.Millisecond // in which an app server without work is watched
+	maxRestCPUShare   = 0.2                    // of a core, at most, that it takes then
+	maxHealthCheckGap = 3 * time.Second        // at most, between answers to health checks
+	readyTimeout      = 10 * time.Second       // from a restart to the first good health check
+	faultFreeTime     = 1500 * time.Millisecond
 )
 
 // trialResult is what a trial came to.
@@ -33,8 +33,8 @@
 	violations      []string
 	restarts, ready int
 	tries, runs     int
-	repeats           int           // how often it was played again
-	coreWait          time.Duration // the longest that a process waited for a core, within a second
+	repeats         int           // how often it was played again
+	coreWait        time.Duration // the longest that a process waited for a core, within a second
 }
 
 // timingViolation is in violations that a machine may cause which is late itself.
@@ -69,15 +69,15 @@
 
 // trial is one under way.
 type trial struct {
-	run          *experimentRun
+	run        *experimentRun
 	drawn      drawn.Case
-	decoded       drawn.Told
+	decoded    drawn.Told
 	check      *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
-	directory     string
+	directory  string
 	servers    []*trialServer
-	startedAt      time.Time
+	startedAt  time.Time
 	rosterDown atomic.Bool
 
 	mu     sync.Mutex
@@ -168,7 +168,7 @@
 // tearDown ends what is left of a trial.
 func (t *trial) tearDown() {
 	for _, s := range t.servers {
-		s.clear()
+		s.close()
 	}
 	t.roster.Close()
 	os.RemoveAll(t.directory)
@@ -180,7 +180,7 @@
 	for _, s := range t.servers {
 		for _, f := range t.drawn.Faults {
 			if f.Server == s.number && f.Kind == drawn.KernelLate {
-				s.withhold(f)
+				s.delayKernel(f)
 			}
 		}
 	}
@@ -194,13 +194,13 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(func() { s.load(ctx) })
+		all.Go(func() { s.generateLoad(ctx) })
 	}
 	var faults sync.WaitGroup
 	for _, f := range t.drawn.Faults {
 		faults.Go(func() {
 			time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(f.At))))
-			t.servers[f.Server].inflict(f)
+			t.servers[f.Server].applyFault(f)
 		})
 	}
 	time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(t.drawn.Seconds))))
@@ -233,7 +233,7 @@
 func (t *trial) checkServersAtRest() {
 	var all sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(s.rest)
+		all.Go(s.checkAtRest)
 	}
 	all.Wait()
 }
@@ -250,7 +250,7 @@
 // collectViolations gathers what the checker and the logs say.
 func (t *trial) collectViolations() {
 	for _, s := range t.servers {
-		s.judge()
+		s.checkLogAndLoad()
 	}
 	t.check.Finish()
 	for _, v := range t.check.Violations() {
--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -18,7 +18,7 @@
 
 // lowestCommand is the baseline of ownership: whoever sees itself as the lowest name of its own view is the owner, without
 // terms and voters, and sends the same commands. With voters it campaigns as the program does, by a clock that drifts.
-func lowestCommand() *cobra.Command {
+func lowestNameCommand() *cobra.Command {
 	var name, listen, advertise, join, order string
 	var voters []string
 	var rate, drift float64
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			if err := f.Campaign("o", fleet.SendCommands("o", name, order, orderEvery)); err != nil {
+			if err := f.Campaign("o", fleet.SendCommands("o", name, order, commandInterval)); err != nil {
 				return err
 			}
 			return f.Run(cmd.Context())
@@ -55,7 +55,7 @@
 		defer stop()
 		begin := func() context.CancelFunc {
 			ctx, end := context.WithCancel(cmd.Context())
-			go fleet.SendCommands("o", name, order, orderEvery)(ctx, 0)
+			go fleet.SendCommands("o", name, order, commandInterval)(ctx, 0)
 			return end
 		}
 		end := func() {}
@@ -84,4 +84,4 @@
 }
 
 // orderEvery is how often owners send orders in an experiment.
-const orderEvery = 20 * time.Millisecond
+const commandInterval = 20 * time.Millisecond
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -164,8 +164,8 @@
 	runCommand.Flags().StringVar(&run.Part, "part", "", "run only this part, in experiments with parts")
 	runCommand.Flags().StringVar(&jsonPath, "json", "", "also write the figures to this file")
 	run.faults.register(runCommand)
-	root.AddCommand(runCommand, echoCommand(), bareCommand(), lowestCommand(), capacityCommand(),
-		hollowCommand(), callerCommand(), plantedCommand())
+	root.AddCommand(runCommand, echoCommand(), memberlistCommand(), lowestNameCommand(), capacityCommand(),
+		hollowCommand(), callerCommand(), faultInjectorCommand())
 	return root
 }
 
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -49,7 +49,7 @@
 	case "on":
 		plan.Folders = voters
 		plan.Laws = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
-			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
+			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), commandInterval, c.workers[1].Address(), commandInterval)}
 	case "off":
 		plan.Off = true
 	default:
--- a/cmd/rehearse/planted.go
+++ b/cmd/rehearse/planted.go
@@ -27,31 +27,31 @@
 
 // What can be planted in a program, between it and its routers or its kernel.
 const (
-	plantNothing     = "nothing"
-	plantOtherBody   = "other-body"   // now and then an RPC is served with another's result
-	plantSecondRun   = "second-run"   // a repeat is not known by its token and runs again
-	plantLostAnswer  = "lost-answer"  // now and then an answer is not written
-	plantIdleSpin    = "idle-spin"    // a loop that waits for nothing
-	plantIgnoredStop = "ignored-stop" // SIGTERM is not heeded
+	injectNothing     = "nothing"
+	injectOtherBody   = "other-body"   // now and then an RPC is served with another's result
+	injectSecondRun   = "second-run"   // a repeat is not known by its token and runs again
+	injectLostReply   = "lost-answer"  // now and then an answer is not written
+	injectIdleSpin    = "idle-spin"    // a loop that waits for nothing
+	injectIgnoredStop = "ignored-stop" // SIGTERM is not heeded
 )
 
 // plantEvery is how often what happens now and then does.
-const plantEvery = 10
+const injectionInterval = 10
 
 // plantedCommand serves as the program does, with a mistake in it: the judge of the search for faults has to find it.
-func plantedCommand() *cobra.Command {
+func faultInjectorCommand() *cobra.Command {
 	return &cobra.Command{Use: "planted KIND", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return servePlanted(args[0]) }}
+		RunE: func(_ *cobra.Command, args []string) error { return serveWithFault(args[0]) }}
 }
 
-func servePlanted(kind string) error {
-	if !slices.Contains([]string{plantNothing, plantOtherBody, plantSecondRun, plantLostAnswer, plantIdleSpin, plantIgnoredStop}, kind) {
+func serveWithFault(kind string) error {
+	if !slices.Contains([]string{injectNothing, injectOtherBody, injectSecondRun, injectLostReply, injectIdleSpin, injectIgnoredStop}, kind) {
 		return fmt.Errorf("nothing called %q can be planted", kind)
 	}
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if kind == plantIgnoredStop {
+	if kind == injectIgnoredStop {
 		ctx = context.WithoutCancel(ctx)
 	}
 	c, err := config.FromEnv()
@@ -70,11 +70,11 @@
 	if err != nil {
 		return err
 	}
-	plant := &plant{kind: kind}
-	go plant.between(outer, inner.Addr().String(), plant.passFrames, plant.passRequests)
-	go plant.between(link, c.Kernel.String(), plant.passNotices, passAll)
+	plant := &faultInjector{kind: kind}
+	go plant.forwardConnections(outer, inner.Addr().String(), plant.forwardReplies, plant.forwardRequests)
+	go plant.forwardConnections(link, c.Kernel.String(), plant.forwardNotices, forwardAll)
 	c.Kernel = link.Addr().(*net.TCPAddr).AddrPort()
-	if kind == plantIdleSpin {
+	if kind == injectIdleSpin {
 		go func() {
 			for {
 				runtime.Gosched()
@@ -91,19 +91,19 @@
 }
 
 // plant is what stands between the app server and the others.
-type plant struct {
+type faultInjector struct {
 	kind string
 
-	mu      sync.Mutex
-	count   int
-	content json.RawMessage // of the last result
+	mu         sync.Mutex
+	count      int
+	lastResult json.RawMessage // of the last result
 }
 
 // passing carries one direction until it ends.
-type passing func(from, to net.Conn)
+type forwardFunc func(from, to net.Conn)
 
 // between passes connections on to an address: back is what comes from there.
-func (p *plant) between(listener net.Listener, address string, back, forth passing) {
+func (p *faultInjector) forwardConnections(listener net.Listener, address string, back, forth forwardFunc) {
 	for {
 		near, err := listener.Accept()
 		if err != nil {
@@ -124,21 +124,21 @@
 	}
 }
 
-func passAll(from, to net.Conn) { io.Copy(to, from) }
+func forwardAll(from, to net.Conn) { io.Copy(to, from) }
 
 // now tells whether what happens now and then happens.
-func (p *plant) now(kind string) bool {
+func (p *faultInjector) shouldInject(kind string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.kind != kind {
 		return false
 	}
 	p.count++
-	return p.count%plantEvery == 0
+	return p.count%injectionInterval == 0
 }
 
 // passFrames carries answers, and may lose one.
-func (p *plant) passFrames(from, to net.Conn) {
+func (p *faultInjector) forwardReplies(from, to net.Conn) {
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		_, size, err := thrift.Frame(in.Bytes())
@@ -146,7 +146,7 @@
 		case err == nil && size == 0:
 			err = in.Fill(from)
 		case err == nil:
-			if !bytes.Contains(in.Bytes()[:size], []byte("execute")) || !p.now(plantLostAnswer) {
+			if !bytes.Contains(in.Bytes()[:size], []byte("execute")) || !p.shouldInject(injectLostReply) {
 				_, err = to.Write(in.Bytes()[:size])
 			}
 			in.Discard(size)
@@ -161,9 +161,9 @@
 var tokenKey = []byte("\x00\x00\x00\x06dedupe")
 
 // passRequests carries what routers say, and may have each token be another one.
-func (p *plant) passRequests(from, to net.Conn) {
-	if p.kind != plantSecondRun {
-		passAll(from, to)
+func (p *faultInjector) forwardRequests(from, to net.Conn) {
+	if p.kind != injectSecondRun {
+		forwardAll(from, to)
 		return
 	}
 	in := readbuffer.New(thrift.MaxFrame + 4)
@@ -190,30 +190,30 @@
 }
 
 // passNotices carries what the kernel says, and may change it or act on it.
-func (p *plant) passNotices(from, to net.Conn) {
+func (p *faultInjector) forwardNotices(from, to net.Conn) {
 	lines := bufio.NewReader(from)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		if _, err := to.Write(p.notice(line)); err != nil {
+		if _, err := to.Write(p.rewriteNotice(line)); err != nil {
 			return
 		}
 	}
 }
 
 // notice is what the app server reads of a notice.
-func (p *plant) notice(line []byte) []byte {
+func (p *faultInjector) rewriteNotice(line []byte) []byte {
 	var notice map[string]json.RawMessage
 	if json.Unmarshal(line, &notice) != nil || string(notice["action"]) != `"REAP"` || string(notice["code"]) != `"fine"` {
 		return line
 	}
-	swap := p.now(plantOtherBody)
+	swap := p.shouldInject(injectOtherBody)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	last := p.content
-	p.content = notice["content"]
+	last := p.lastResult
+	p.lastResult = notice["content"]
 	if !swap || last == nil {
 		return line
 	}
