--- a/cmd/rehearse/bare.go
+++ b/cmd/rehearse/bare.go
@@ -22,61 +22,61 @@
 func memberlistCommand() *cobra.Command {
 	var name, listen, advertise, join string
 	var probe time.Duration
-	c := &cobra.Command{Use: "bare", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		c := memberlist.DefaultLANConfig()
-		c.Name, c.ProbeInterval, c.ProbeTimeout, c.Logger = name, probe, probe/2, log.New(io.Discard, "", 0)
-		for _, a := range []struct {
+	command := &cobra.Command{Use: "bare", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		cfg := memberlist.DefaultLANConfig()
+		cfg.Name, cfg.ProbeInterval, cfg.ProbeTimeout, cfg.Logger = name, probe, probe/2, log.New(io.Discard, "", 0)
+		for _, binding := range []struct {
 			text string
 			host *string
 			port *int
-		}{{listen, &c.BindAddr, &c.BindPort}, {advertise, &c.AdvertiseAddr, &c.AdvertisePort}} {
-			host, port, err := net.SplitHostPort(a.text)
+		}{{listen, &cfg.BindAddr, &cfg.BindPort}, {advertise, &cfg.AdvertiseAddr, &cfg.AdvertisePort}} {
+			host, port, err := net.SplitHostPort(binding.text)
 			if err != nil {
 				return err
 			}
-			*a.host = host
-			if *a.port, err = strconv.Atoi(port); err != nil {
+			*binding.host = host
+			if *binding.port, err = strconv.Atoi(port); err != nil {
 				return err
 			}
 		}
-		own, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{c.BindAddr}, BindPort: c.BindPort,
-			Logger: c.Logger})
+		transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{cfg.BindAddr}, BindPort: cfg.BindPort,
+			Logger: cfg.Logger})
 		if err != nil {
 			return err
 		}
-		c.Transport = &localAddressTransport{own, &net.TCPAddr{IP: net.ParseIP(c.BindAddr)}}
-		list, err := memberlist.Create(c)
+		cfg.Transport = &localAddressTransport{transport, &net.TCPAddr{IP: net.ParseIP(cfg.BindAddr)}}
+		members, err := memberlist.Create(cfg)
 		if err != nil {
 			return err
 		}
-		for met := false; ; time.Sleep(100 * time.Millisecond) {
-			if !met {
-				n, _ := list.Join(strings.Split(join, ","))
-				met = n > 1 || list.NumMembers() > 1
+		for joined := false; ; time.Sleep(100 * time.Millisecond) {
+			if !joined {
+				nodes, _ := members.Join(strings.Split(join, ","))
+				joined = nodes > 1 || members.NumMembers() > 1
 			}
-			printMembers(list.Members())
+			printMembers(members.Members())
 		}
 	}}
-	c.Flags().StringVar(&name, "name", "", "")
-	c.Flags().StringVar(&listen, "listen", "", "")
-	c.Flags().StringVar(&advertise, "advertise", "", "")
-	c.Flags().StringVar(&join, "join", "", "")
-	c.Flags().DurationVar(&probe, "probe", 400*time.Millisecond, "")
-	return c
+	command.Flags().StringVar(&name, "name", "", "")
+	command.Flags().StringVar(&listen, "listen", "", "")
+	command.Flags().StringVar(&advertise, "advertise", "", "")
+	command.Flags().StringVar(&join, "join", "", "")
+	command.Flags().DurationVar(&probe, "probe", 400*time.Millisecond, "")
+	return command
 }
 
 // bareTransport is the library's own, which speaks from the address where it listens.
 type localAddressTransport struct {
 	*memberlist.NetTransport
-	from *net.TCPAddr
+	localAddress *net.TCPAddr
 }
 
-func (t *localAddressTransport) DialTimeout(address string, within time.Duration) (net.Conn, error) {
-	return (&net.Dialer{Timeout: within, LocalAddr: t.from}).Dial("tcp", address)
+func (t *localAddressTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	return (&net.Dialer{Timeout: timeout, LocalAddr: t.localAddress}).Dial("tcp", address)
 }
 
-func (t *localAddressTransport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	return t.DialTimeout(a.Addr, within)
+func (t *localAddressTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(address.Addr, timeout)
 }
 
 var lastMembers string
@@ -87,13 +87,13 @@
 		names = append(names, n.Name)
 	}
 	slices.Sort(names)
-	all := strings.Join(names, " ")
-	if all == lastMembers {
+	allNames := strings.Join(names, " ")
+	if allNames == lastMembers {
 		return
 	}
-	lastMembers = all
-	h := fnv.New64a()
-	h.Write([]byte(all))
-	json.NewEncoder(os.Stderr).Encode(map[string]any{"msg": "view", "digest": fmt.Sprintf("%016x", h.Sum64()),
+	lastMembers = allNames
+	hash := fnv.New64a()
+	hash.Write([]byte(allNames))
+	json.NewEncoder(os.Stderr).Encode(map[string]any{"msg": "view", "digest": fmt.Sprintf("%016x", hash.Sum64()),
 		"members": len(names), "certainty": "", "changes": []string{}})
 }
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -15,11 +15,11 @@
 
 // faultFlags are those of the search for faults.
 type faultFlags struct {
-	first   int    // of the trials of a seed
-	trials  int    // 0 for as many as the form has
-	parallel   int    // trials side by side
-	replays int    // at most, to cut one failing trial down
-	onlyCase    string // a case to play, or @ and a file of one
+	first          int    // of the trials of a seed
+	trials         int    // 0 for as many as the form has
+	parallel       int    // trials side by side
+	replays        int    // at most, to cut one failing trial down
+	onlyCase       string // a case to play, or @ and a file of one
 	injectedFaults bool   // play the planted faults instead
 }
 
@@ -31,7 +31,7 @@
 	faultTrials      = 100
 	faultTrialsLong  = 300
 	faultTrialsShort = 4
-	maxReducedTrials    = 6
+	maxReducedTrials = 6
 )
 
 func (f *faultFlags) register(cmd *cobra.Command) {
@@ -44,32 +44,32 @@
 }
 
 // playFaults searches for faults: trials under settings and schedules that are drawn from the seed.
-func runFaults(p *experimentRun) error {
+func runFaults(run *experimentRun) error {
 	switch {
-	case p.faults.onlyCase != "":
-		return p.runGivenCase(p.faults.onlyCase)
-	case p.faults.injectedFaults:
-		return p.runInjectedFaults()
+	case run.faults.onlyCase != "":
+		return run.runGivenCase(run.faults.onlyCase)
+	case run.faults.injectedFaults:
+		return run.runInjectedFaults()
 	}
-	trials := p.faults.trials
+	trials := run.faults.trials
 	switch {
 	case trials > 0:
-	case p.shortForm:
+	case run.shortForm:
 		trials = faultTrialsShort
-	case p.Long:
+	case run.Long:
 		trials = faultTrialsLong
 	default:
 		trials = faultTrials
 	}
-	failed := p.runTrials(trials)
+	failed := run.runTrials(trials)
 	for _, r := range failed[:min(len(failed), maxReducedTrials)] {
-		p.reduceTrial(r)
+		run.reduceTrial(r)
 	}
 	return nil
 }
 
 // runGivenCase plays one case that is given.
-func (p *experimentRun) runGivenCase(text string) error {
+func (run *experimentRun) runGivenCase(text string) error {
 	if name, ok := strings.CutPrefix(text, "@"); ok {
 		read, err := os.ReadFile(name)
 		if err != nil {
@@ -81,65 +81,65 @@
 	if err != nil {
 		return err
 	}
-	r, err := p.runTrialWithRepeats(c)
+	result, err := run.runTrialWithRepeats(c)
 	if err != nil {
 		return err
 	}
-	r.print(p)
-	p.exactly("violations", float64(len(r.violations)), 0)
-	if len(r.violations) > 0 && p.faults.replays > 0 {
-		p.reduceTrial(r)
+	result.print(run)
+	run.exactly("violations", float64(len(result.violations)), 0)
+	if len(result.violations) > 0 && run.faults.replays > 0 {
+		run.reduceTrial(result)
 	}
 	return nil
 }
 
 // trialTotals sums what the trials of a run came to.
 type trialTotals struct {
-	mu        sync.Mutex
-	results   []*trialResult
-	failed    []*trialResult
-	setupErrors    []error
-	undecided int // failed by time alone on a machine that was late each time
+	mu          sync.Mutex
+	results     []*trialResult
+	failed      []*trialResult
+	setupErrors []error
+	undecided   int // failed by time alone on a machine that was late each time
 }
 
 // runTrials plays trials side by side and returns those with violations.
-func (p *experimentRun) runTrials(trials int) []*trialResult {
-	var tally trialTotals
+func (run *experimentRun) runTrials(trials int) []*trialResult {
+	var totals trialTotals
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
-	for range max(p.faults.parallel, 1) {
-		players.Go(func() {
+	var workers sync.WaitGroup
+	for range max(run.faults.parallel, 1) {
+		workers.Go(func() {
 			for seed := range seeds {
-				p.runTrialSeed(seed, &tally)
+				run.runTrialSeed(seed, &totals)
 			}
 		})
 	}
 	for k := range trials {
-		seeds <- p.Seed*seedsPerRun + uint64(p.faults.first+k)
+		seeds <- run.Seed*seedsPerRun + uint64(run.faults.first+k)
 	}
 	close(seeds)
-	players.Wait()
-	p.reportTrials(&tally)
-	return tally.failed
+	workers.Wait()
+	run.reportTrials(&totals)
+	return totals.failed
 }
 
-func (p *experimentRun) runTrialSeed(seed uint64, tally *trialTotals) {
-	r, err := p.runTrialWithRepeats(drawn.Draw(seed))
-	tally.mu.Lock()
-	defer tally.mu.Unlock()
+func (run *experimentRun) runTrialSeed(seed uint64, totals *trialTotals) {
+	result, err := run.runTrialWithRepeats(drawn.Draw(seed))
+	totals.mu.Lock()
+	defer totals.mu.Unlock()
 	if err != nil {
-		tally.setupErrors = append(tally.setupErrors, err)
-		p.printNote("trial %d could not be played: %v", seed, err)
+		totals.setupErrors = append(totals.setupErrors, err)
+		run.printNote("trial %d could not be played: %v", seed, err)
 		return
 	}
-	tally.results = append(tally.results, r)
+	totals.results = append(totals.results, result)
 	switch {
-	case r.inconclusive():
-		tally.undecided++
-		r.print(p)
-	case len(r.violations) > 0:
-		tally.failed = append(tally.failed, r)
-		r.print(p)
+	case result.inconclusive():
+		totals.undecided++
+		result.print(run)
+	case len(result.violations) > 0:
+		totals.failed = append(totals.failed, result)
+		result.print(run)
 	}
 }
 
@@ -151,83 +151,83 @@
 
 // runTrialWithRepeats plays a case, and once more where its violations are about time alone and the machine kept an app server or this
 // process from its core.
-func (p *experimentRun) runTrialWithRepeats(c drawn.Case) (*trialResult, error) {
-	for again := 0; ; again++ {
-		r, err := p.runTrial(c)
+func (run *experimentRun) runTrialWithRepeats(c drawn.Case) (*trialResult, error) {
+	for repeats := 0; ; repeats++ {
+		result, err := run.runTrial(c)
 		if err != nil {
 			return nil, err
 		}
-		if r.repeats = again; again == maxTrialRepeats || !r.inconclusive() {
-			return r, nil
+		if result.repeats = repeats; repeats == maxTrialRepeats || !result.inconclusive() {
+			return result, nil
 		}
-		first, _, _ := strings.Cut(r.violations[0], "\n")
-		p.printNote("seed %d is played again: the machine was late by %v; %.200s", c.Seed, r.coreWait.Round(time.Millisecond), first)
+		firstLine, _, _ := strings.Cut(result.violations[0], "\n")
+		run.printNote("seed %d is played again: the machine was late by %v; %.200s", c.Seed, result.coreWait.Round(time.Millisecond), firstLine)
 	}
 }
 
 // reportTrials gives the figures of all trials.
-func (p *experimentRun) reportTrials(t *trialTotals) {
-	restarts, ready, tries, runs, again, kinds := 0, 0, 0, 0, 0, map[drawn.FaultKind]int{}
-	for _, r := range t.results {
-		restarts, ready = restarts+r.restarts, ready+r.ready
-		tries, runs, again = tries+r.tries, runs+r.runs, again+r.repeats
-		for _, f := range r.drawn.Faults {
+func (run *experimentRun) reportTrials(totals *trialTotals) {
+	restarts, ready, tries, runs, repeats, kinds := 0, 0, 0, 0, 0, map[drawn.FaultKind]int{}
+	for _, result := range totals.results {
+		restarts, ready = restarts+result.restarts, ready+result.ready
+		tries, runs, repeats = tries+result.tries, runs+result.runs, repeats+result.repeats
+		for _, f := range result.testCase.Faults {
 			kinds[f.Kind]++
 		}
 	}
-	p.report("trials", float64(len(t.results)))
-	p.report("trials.again", float64(again))
-	p.report("tries", float64(tries))
-	p.report("runs", float64(runs))
+	run.report("trials", float64(len(totals.results)))
+	run.report("trials.again", float64(repeats))
+	run.report("tries", float64(tries))
+	run.report("runs", float64(runs))
 	for _, kind := range drawn.Kinds() {
-		p.report("faults."+string(kind), float64(kinds[kind]))
+		run.report("faults."+string(kind), float64(kinds[kind]))
 	}
-	p.report("restarts", float64(restarts))
+	run.report("restarts", float64(restarts))
 	if restarts > 0 {
-		p.atLeast("ready.within.10s", float64(ready)/float64(restarts), 0.9)
+		run.atLeast("ready.within.10s", float64(ready)/float64(restarts), 0.9)
 	}
-	p.exactly("trials.not.played", float64(len(t.setupErrors)), 0)
-	p.atMost("trials.undecided", float64(t.undecided), maxUndecidedShare*float64(len(t.results)))
-	p.exactly("trials.failed", float64(len(t.failed)), 0)
+	run.exactly("trials.not.played", float64(len(totals.setupErrors)), 0)
+	run.atMost("trials.undecided", float64(totals.undecided), maxUndecidedShare*float64(len(totals.results)))
+	run.exactly("trials.failed", float64(len(totals.failed)), 0)
 }
 
 // reduceTrial cuts a failing trial down and prints what is left, so that it can be played again and become a test.
-func (p *experimentRun) reduceTrial(r *trialResult) {
-	began := time.Now()
-	want := r.class()
-	last := r
-	smallest := drawn.Reduce(r.drawn, p.faults.replays, func(c drawn.Case) bool {
-		again, err := p.runTrial(c)
-		if err != nil || !again.hasClass(want) {
+func (run *experimentRun) reduceTrial(failed *trialResult) {
+	startedAt := time.Now()
+	class := failed.class()
+	lastFailed := failed
+	smallest := drawn.Reduce(failed.testCase, run.faults.replays, func(c drawn.Case) bool {
+		result, err := run.runTrial(c)
+		if err != nil || !result.hasClass(class) {
 			return false
 		}
-		last = again
+		lastFailed = result
 		return true
 	})
-	p.printNote("trial %d cut down in %.0f s: %s", r.drawn.Seed, time.Since(began).Seconds(), last.violations[0])
-	p.printNote("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
+	run.printNote("trial %d cut down in %.0f s: %s", failed.testCase.Seed, time.Since(startedAt).Seconds(), lastFailed.violations[0])
+	run.printNote("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
 }
 
 // errTrialSetup is wrapped by what kept a trial from being played.
 var errTrialSetup = errors.New("the trial could not be set up")
 
 // print prints a failing trial.
-func (r *trialResult) print(p *experimentRun) {
+func (r *trialResult) print(run *experimentRun) {
 	var faults []string
-	for _, f := range r.drawn.Faults {
+	for _, f := range r.testCase.Faults {
 		faults = append(faults, fmt.Sprintf("%s n%d %.1f", f.Kind, f.Server+1, f.At))
 	}
-	p.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.drawn.Seed, r.drawn.Servers, len(r.drawn.Settings.Methods), len(r.drawn.Settings.Keys),
+	run.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.testCase.Seed, r.testCase.Servers, len(r.testCase.Settings.Methods), len(r.testCase.Settings.Keys),
 		strings.Join(faults, ", "))
 	shown := map[string]int{}
 	for _, v := range r.violations {
 		if shown[violationClass(v)]++; shown[violationClass(v)] <= 2 {
-			p.printNote("  %.400s", strings.ReplaceAll(v, "\n", "\n#     "))
+			run.printNote("  %.400s", strings.ReplaceAll(v, "\n", "\n#     "))
 		}
 	}
 	for class, n := range shown {
 		if n > 2 {
-			p.printNote("  %d times in all: %.60s", n, class)
+			run.printNote("  %d times in all: %.60s", n, class)
 		}
 	}
 }
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -40,35 +40,35 @@
 
 // load asks for RPCs until ctx ends.
 func (s *trialServer) generateLoad(ctx context.Context) {
-	var all sync.WaitGroup
+	var generators sync.WaitGroup
 	methods := s.methods()
 	for k, peer := range s.peers {
-		chance := rand.New(rand.NewPCG(s.drawn.Seed+uint64(s.number)<<32, uint64(k)))
-		rate := s.drawn.Load.Rate / float64(len(s.peers))
-		all.Go(func() {
-			var open sync.WaitGroup
-			defer open.Wait()
+		random := rand.New(rand.NewPCG(s.testCase.Seed+uint64(s.number)<<32, uint64(k)))
+		rate := s.testCase.Load.Rate / float64(len(s.peers))
+		generators.Go(func() {
+			var pending sync.WaitGroup
+			defer pending.Wait()
 			for n := 0; ctx.Err() == nil; n++ {
-				sleepContext(ctx, secondsToDuration(chance.ExpFloat64()/rate))
+				sleepContext(ctx, secondsToDuration(random.ExpFloat64()/rate))
 				// Requests come once the app server has answered a health check. Nothing is written to a machine that stands still.
 				if s.probe.HealthyAt().IsZero() || s.isPaused() {
 					continue
 				}
-				call := s.newCall(peer, methods[chance.IntN(len(methods))], chance, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
-				open.Go(func() { call.execute(ctx) })
+				call := s.newCall(peer, methods[random.IntN(len(methods))], random, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
+				pending.Go(func() { call.execute(ctx) })
 			}
 		})
 	}
-	all.Wait()
+	generators.Wait()
 }
 
 func (t *trial) methods() []trialMethod {
-	var all []trialMethod
-	for k, m := range t.drawn.Settings.Methods {
-		told := t.decoded.Settings.Profiles[k]
-		all = append(all, trialMethod{m, secondsToDuration(min(told.DeadlineS, unboundedWait.Seconds())), secondsToDuration(min(told.WindowS, unboundedWait.Seconds()))})
+	var methods []trialMethod
+	for k, method := range t.testCase.Settings.Methods {
+		decoded := t.decoded.Settings.Profiles[k]
+		methods = append(methods, trialMethod{method, secondsToDuration(min(decoded.DeadlineS, unboundedWait.Seconds())), secondsToDuration(min(decoded.WindowS, unboundedWait.Seconds()))})
 	}
-	return all
+	return methods
 }
 
 func (s *trialServer) isPaused() bool {
@@ -99,33 +99,33 @@
 	retriesForbidden bool // no further try is allowed
 }
 
-func (s *trialServer) newCall(peer *rig.Peer, m trialMethod, chance *rand.Rand, id string) *trialCall {
-	load := s.drawn.Load
+func (s *trialServer) newCall(peer *rig.Peer, method trialMethod, random *rand.Rand, id string) *trialCall {
+	load := s.testCase.Load
 	if load.Fill > 0 {
 		id += "-" + strings.Repeat("x", load.Fill)
 	}
-	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, criticality: chance.Float64(), killsAtStart: s.kills.Load()}
+	c := &trialCall{trialServer: s, peer: peer, method: method, id: id, criticality: random.Float64(), killsAtStart: s.kills.Load()}
 	c.body = rig.Body(id, 0)
-	c.work = min(m.Work*chance.ExpFloat64(), 5*m.Work)
+	c.work = min(method.Work*random.ExpFloat64(), 5*method.Work)
 	if load.Results > 0 {
 		c.result = bytes.Repeat([]byte(id[:1]), load.Results)
 		copy(c.result, id)
 	}
-	c.fails = chance.Float64() < load.Fails
-	if m.Effect == string(rpc.Tokened) {
-		c.token = fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())
+	c.fails = random.Float64() < load.Fails
+	if method.Effect == string(rpc.Tokened) {
+		c.token = fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
 	}
-	if chance.Float64() < load.Odd {
-		c.makeUnusual(chance)
+	if random.Float64() < load.Odd {
+		c.makeUnusual(random)
 	}
 	now := time.Now()
-	c.receivedAt = now.Add(-secondsToDuration(load.Stale * chance.Float64())).Truncate(time.Millisecond)
+	c.receivedAt = now.Add(-secondsToDuration(load.Stale * random.Float64())).Truncate(time.Millisecond)
 	c.deadline = laterOf(c.receivedAt.Add(c.timeout()), now)
-	if chance.Float64() < load.Goes {
-		c.cancelAfter = time.Duration(chance.Float64() * float64(min(c.timeout(), 2*time.Second)))
+	if random.Float64() < load.Goes {
+		c.cancelAfter = time.Duration(random.Float64() * float64(min(c.timeout(), 2*time.Second)))
 	}
-	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
-		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(meanCopyDelay))
+	if method.Effect != string(rpc.NonIdempotent) && random.Float64() < load.Repeats {
+		c.copyAfter = 1 + time.Duration(random.ExpFloat64()*float64(meanCopyDelay))
 	}
 	return c
 }
@@ -134,18 +134,18 @@
 const maxBodyBytes = 2048
 
 // makeOdd gives the RPC what few RPCs have: a body of any bytes, an impatient caller, or a token that RPCs of other methods carry too.
-func (c *trialCall) makeUnusual(chance *rand.Rand) {
-	switch chance.IntN(3) {
+func (c *trialCall) makeUnusual(random *rand.Rand) {
+	switch random.IntN(3) {
 	case 0:
-		c.body = make([]byte, randomElement(chance, []int{0, 1, chance.IntN(maxBodyBytes), maxBodyBytes}))
+		c.body = make([]byte, randomElement(random, []int{0, 1, random.IntN(maxBodyBytes), maxBodyBytes}))
 		for k := range c.body {
-			c.body[k] = byte(chance.Uint32())
+			c.body[k] = byte(random.Uint32())
 		}
 	case 1:
-		c.ownTimeout = max(time.Duration(chance.Float64()*float64(min(c.timeout(), time.Second))), time.Millisecond)
+		c.ownTimeout = max(time.Duration(random.Float64()*float64(min(c.timeout(), time.Second))), time.Millisecond)
 		c.deadline = laterOf(c.receivedAt.Add(c.timeout()), time.Now())
 	default:
-		c.token = fmt.Sprintf("%032x", chance.IntN(sharedTokenCount))
+		c.token = fmt.Sprintf("%032x", random.IntN(sharedTokenCount))
 		c.copyAfter = 0
 	}
 }
@@ -153,7 +153,7 @@
 // sharedTokenCount are tokens that RPCs of different methods carry.
 const sharedTokenCount = 10
 
-func randomElement[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
+func randomElement[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
 // waits is how long its caller waits: as long as the method's deadline, where there is one.
 func (c *trialCall) timeout() time.Duration {
@@ -166,16 +166,16 @@
 	return unboundedWait
 }
 
-func (c *trialCall) peerTry(again bool) rig.PeerTry {
+func (c *trialCall) peerTry(isRetry bool) rig.PeerTry {
 	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.receivedAt, Timeout: c.timeout(), Criticality: c.criticality,
-		IsRetry: again, Work: c.work, Result: c.result, Fails: c.fails}
+		IsRetry: isRetry, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
 // play sends the RPC, and a copy where one is drawn, until it has its outcome or the trial ends.
 func (c *trialCall) execute(ctx context.Context) {
-	var both sync.WaitGroup
+	var tries sync.WaitGroup
 	if c.copyAfter > 0 {
-		both.Go(func() {
+		tries.Go(func() {
 			sleepContext(ctx, c.copyAfter)
 			if ctx.Err() == nil && c.mayRetry() {
 				c.sendTry(ctx, true)
@@ -186,7 +186,7 @@
 	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.ClosedInFlight && c.mayRetry() {
 		outcome, _ = c.sendTry(ctx, true)
 	}
-	both.Wait()
+	tries.Wait()
 	c.outcomes.record(c, outcome, sent)
 }
 
@@ -202,25 +202,25 @@
 }
 
 // once sends one try and waits for its outcome.
-func (c *trialCall) sendTry(ctx context.Context, again bool) (rig.PeerOutcome, bool) {
-	call, err := c.peer.Send(c.peerTry(again))
+func (c *trialCall) sendTry(ctx context.Context, isRetry bool) (rig.PeerOutcome, bool) {
+	call, err := c.peer.Send(c.peerTry(isRetry))
 	if err != nil {
 		return rig.PeerOutcome{Err: err}, false
 	}
-	gone := make(<-chan time.Time)
-	if c.cancelAfter > 0 && !again {
+	cancelTimer := make(<-chan time.Time)
+	if c.cancelAfter > 0 && !isRetry {
 		timer := time.NewTimer(c.cancelAfter)
 		defer timer.Stop()
-		gone = timer.C
+		cancelTimer = timer.C
 	}
 	for {
 		select {
-		case o := <-call.Done:
-			c.recordReply(o)
-			return o, true
-		case <-gone:
+		case outcome := <-call.Done:
+			c.recordReply(outcome)
+			return outcome, true
+		case <-cancelTimer:
 			call.Cancel()
-			gone = nil
+			cancelTimer = nil
 		case <-ctx.Done(): // what is open is answered until the stop, and the checker sees it
 			return rig.PeerOutcome{Err: ctx.Err()}, true
 		}
@@ -228,28 +228,28 @@
 }
 
 // took hears what an answer says of further tries.
-func (c *trialCall) recordReply(o rig.PeerOutcome) {
+func (c *trialCall) recordReply(outcome rig.PeerOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.retriesForbidden = c.retriesForbidden || o.NoRetry || o.RetryAfter > 0 || o.Err == nil
+	c.retriesForbidden = c.retriesForbidden || outcome.NoRetry || outcome.RetryAfter > 0 || outcome.Err == nil
 }
 
 // add counts an RPC's outcome.
-func (t *callOutcomes) record(c *trialCall, o rig.PeerOutcome, sent bool) {
+func (t *callOutcomes) record(c *trialCall, outcome rig.PeerOutcome, sent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byResult == nil {
 		t.byResult = map[string]int{}
 	}
 	t.total++
-	word := "served"
-	if o.Err != nil {
-		word = o.Err.Error()
+	result := "served"
+	if outcome.Err != nil {
+		result = outcome.Err.Error()
 	}
-	t.byResult[word]++
-	if sent && !errors.Is(o.Err, context.Canceled) && c.cancelAfter == 0 && !c.fails && c.isEasy() {
+	t.byResult[result]++
+	if sent && !errors.Is(outcome.Err, context.Canceled) && c.cancelAfter == 0 && !c.fails && c.isEasy() {
 		t.easy++
-		if o.Err == nil {
+		if outcome.Err == nil {
 			t.served++
 		}
 	}
@@ -258,12 +258,12 @@
 // hasRoom tells whether an app server without trouble can serve the RPC easily.
 func (c *trialCall) isEasy() bool {
 	domain := c.decoded.Settings.Domain
-	work := 0.0
-	for _, m := range c.drawn.Settings.Methods {
-		work += m.Work / float64(len(c.drawn.Settings.Methods))
+	meanWork := 0.0
+	for _, m := range c.testCase.Settings.Methods {
+		meanWork += m.Work / float64(len(c.testCase.Settings.Methods))
 	}
 	return c.timeout() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls && domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
-		c.drawn.Load.Rate*work < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
+		c.testCase.Load.Rate*meanWork < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
 }
 
 // judge finds app servers that serve nothing although they could.
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -18,18 +18,18 @@
 	s.mu.Lock()
 	s.hadFault = true
 	s.mu.Unlock()
-	last := secondsToDuration(f.For)
-	during := func(do, undo func()) {
+	duration := secondsToDuration(f.For)
+	forDuration := func(do, undo func()) {
 		do()
-		time.Sleep(last)
+		time.Sleep(duration)
 		undo()
 	}
 	kernel := s.program.Kernel
 	switch f.Kind {
 	case drawn.Kill:
-		s.kill(last)
+		s.kill(duration)
 	case drawn.Pause:
-		s.pause(last)
+		s.pause(duration)
 	case drawn.Terminate:
 		s.terminate(f.Size)
 	case drawn.Reload:
@@ -42,18 +42,18 @@
 	case drawn.ReloadFaulty:
 		s.reload(s.faultyConfig(f.Size))
 	case drawn.RosterSilent:
-		s.stopRoster(last)
+		s.stopRoster(duration)
 	case drawn.KernelLate: // from the start on, see withhold
 	case drawn.KernelDown:
-		during(kernel.Down, func() {
+		forDuration(kernel.Down, func() {
 			if err := kernel.Return(); err != nil {
 				s.check.Failed("%v", err)
 			}
 		})
 	case drawn.KernelHung:
-		during(func() { kernel.Hang(true) }, func() { kernel.Hang(false) })
+		forDuration(func() { kernel.Hang(true) }, func() { kernel.Hang(false) })
 	case drawn.KernelSlow:
-		during(func() { kernel.Slow(float64(f.Size)) }, func() { kernel.Slow(1) })
+		forDuration(func() { kernel.Slow(float64(f.Size)) }, func() { kernel.Slow(1) })
 	case drawn.LinkCut:
 		kernel.BreakInNotice()
 	case drawn.LinkReset:
@@ -61,13 +61,13 @@
 	case drawn.LinkLossy:
 		kernel.BreakLosing(lossyInterval)
 	case drawn.LinkLate:
-		during(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = 0 }))
+		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkPieces:
-		during(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = false }))
+		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = false }))
 	case drawn.LinkDoubled:
-		during(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
+		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
 	case drawn.RouterDeaf:
-		during(func() { s.setRouterReadsPaused(true) }, func() { s.setRouterReadsPaused(false) })
+		forDuration(func() { s.setRouterReadsPaused(true) }, func() { s.setRouterReadsPaused(false) })
 	case drawn.RouterReset:
 		for _, p := range s.peers {
 			p.ResetConnections()
@@ -79,17 +79,17 @@
 	case drawn.Burst:
 		s.burst(f.Size)
 	case drawn.RudeRouter:
-		rude := rig.NewMisbehavingRouter(s.proxy.Address(), s.drawn.Settings.Methods[0].Name, s.catalog, s.drawn.Seed)
-		time.Sleep(last)
-		rude.Close()
+		router := rig.NewMisbehavingRouter(s.proxy.Address(), s.testCase.Settings.Methods[0].Name, s.catalog, s.testCase.Seed)
+		time.Sleep(duration)
+		router.Close()
 	case drawn.Silent:
-		idle := rig.NewIdleClients(s.program.Address, min(int(s.decoded.Limits.Sockets)*f.Size/100, maxIdleConnections), 50*time.Millisecond, s.drawn.Seed)
-		time.Sleep(last)
-		idle.Close()
+		clients := rig.NewIdleClients(s.program.Address, min(int(s.decoded.Limits.Sockets)*f.Size/100, maxIdleConnections), 50*time.Millisecond, s.testCase.Seed)
+		time.Sleep(duration)
+		clients.Close()
 	case drawn.BadClients:
-		s.badClients(f, last)
+		s.badClients(f, duration)
 	case drawn.LogFull:
-		s.fillLog(last)
+		s.fillLog(duration)
 	}
 }
 
@@ -115,7 +115,7 @@
 }
 
 // kill ends the process outright, and starts it again under its name.
-func (s *trialServer) kill(after time.Duration) {
+func (s *trialServer) kill(delay time.Duration) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
@@ -124,21 +124,21 @@
 	s.kills.Add(1)
 	s.program.Kill()
 	s.recordExit()
-	time.Sleep(after)
+	time.Sleep(delay)
 	s.restart()
 }
 
 // terminate tells the process to leave, and starts it again under its name once it has.
-func (s *trialServer) terminate(size int) {
+func (s *trialServer) terminate(secondSignalNumber int) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
 		return
 	}
-	s.awaitHandlers()
+	s.awaitSignalHandlers()
 	s.kills.Add(1)
-	if again, ok := map[int]syscall.Signal{1: syscall.SIGHUP, 2: syscall.SIGTERM}[size]; ok {
-		time.AfterFunc(secondSignalDelay, func() { s.program.Signal(again) })
+	if secondSignal, ok := map[int]syscall.Signal{1: syscall.SIGHUP, 2: syscall.SIGTERM}[secondSignalNumber]; ok {
+		time.AfterFunc(secondSignalDelay, func() { s.program.Signal(secondSignal) })
 	}
 	s.shutDown()
 	s.program.Kernel.Restart()
@@ -150,24 +150,24 @@
 
 // faultyConfig is one of the files that no page allows.
 func (s *trialServer) faultyConfig(number int) string {
-	whole := s.config(s.program)
+	valid := s.config(s.program)
 	switch number {
 	case 0:
-		return whole[:len(whole)/2]
+		return valid[:len(valid)/2]
 	case 1:
-		return strings.Replace(whole, `"settings":{`, `"settings":"none","of_before":{`, 1)
+		return strings.Replace(valid, `"settings":{`, `"settings":"none","of_before":{`, 1)
 	case 2:
-		return strings.Replace(whole, `"name":"`+s.program.Name+`",`, "", 1) + "]"
+		return strings.Replace(valid, `"name":"`+s.program.Name+`",`, "", 1) + "]"
 	}
-	return strings.Replace(whole, `"kernel":"`, `"kernel":"nowhere`, 1)
+	return strings.Replace(valid, `"kernel":"`, `"kernel":"nowhere`, 1)
 }
 
 // awaitHandlers waits until a process that has just been started can take a signal: before, its runtime is not up.
-func (s *trialServer) awaitHandlers() {
+func (s *trialServer) awaitSignalHandlers() {
 	s.mu.Lock()
-	from := s.launchedAt
+	launchedAt := s.launchedAt
 	s.mu.Unlock()
-	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(from) < signalReadyTimeout {
+	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(launchedAt) < signalReadyTimeout {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -178,18 +178,18 @@
 // again starts the process once more and counts whether it is ready in time.
 func (s *trialServer) restart() {
 	s.launchLocked()
-	began := time.Now()
-	at := awaitTime(readyTimeout, s.probe.HealthyAt)
+	startedAt := time.Now()
+	healthyAt := awaitTime(readyTimeout, s.probe.HealthyAt)
 	s.trial.mu.Lock()
 	defer s.trial.mu.Unlock()
 	s.result.restarts++
-	if !at.IsZero() && at.Sub(began) <= readyTimeout {
+	if !healthyAt.IsZero() && healthyAt.Sub(startedAt) <= readyTimeout {
 		s.result.ready++
 	}
 }
 
 // pause stops the process for a while, as a busy machine would.
-func (s *trialServer) pause(last time.Duration) {
+func (s *trialServer) pause(duration time.Duration) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
@@ -203,7 +203,7 @@
 		s.program.Pause(paused)
 	}
 	set(true)
-	time.Sleep(last)
+	time.Sleep(duration)
 	set(false)
 }
 
@@ -214,7 +214,7 @@
 	if !s.program.Running() {
 		return
 	}
-	s.awaitHandlers()
+	s.awaitSignalHandlers()
 	if err := s.program.WriteConfigText(text); err != nil {
 		s.check.Failed("%v", err)
 		return
@@ -222,65 +222,65 @@
 	s.program.Signal(syscall.SIGHUP)
 }
 
-func (s *trialServer) stopRoster(last time.Duration) {
+func (s *trialServer) stopRoster(duration time.Duration) {
 	if !s.rosterDown.CompareAndSwap(false, true) {
 		return
 	}
 	defer s.rosterDown.Store(false)
 	s.roster.Stop()
-	time.Sleep(last)
+	time.Sleep(duration)
 	if err := s.roster.Restart(); err != nil {
 		s.check.Failed("%v", err)
 	}
 }
 
-func (s *trialServer) setRouterReadsPaused(deaf bool) {
+func (s *trialServer) setRouterReadsPaused(paused bool) {
 	for _, p := range s.peers {
-		p.SetReadPaused(deaf)
+		p.SetReadPaused(paused)
 	}
 }
 
 // badClients has some clients send nonsense for a while.
-func (s *trialServer) badClients(f drawn.Fault, last time.Duration) {
-	bad := rig.NewBadClients(s.program.Name, s.program.Address, s.drawn.Settings.Methods[0].Name, f.Size, s.check, s.drawn.Seed)
-	time.Sleep(last)
-	told, ignored := bad.Close()
+func (s *trialServer) badClients(f drawn.Fault, duration time.Duration) {
+	clients := rig.NewBadClients(s.program.Name, s.program.Address, s.testCase.Settings.Methods[0].Name, f.Size, s.check, s.testCase.Seed)
+	time.Sleep(duration)
+	answered, ignored := clients.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.badClientsAnswered += told
+	s.badClientsAnswered += answered
 	s.badClientsIgnored = append(s.badClientsIgnored, ignored...)
 }
 
 // burst asks for many RPCs at once and waits for their outcomes.
 func (s *trialServer) burst(size int) {
-	chance := rand.New(rand.NewPCG(s.drawn.Seed, uint64(size)))
+	random := rand.New(rand.NewPCG(s.testCase.Seed, uint64(size)))
 	methods := s.methods()
 	ctx, stop := context.WithTimeout(context.Background(), burstTimeout)
 	defer stop()
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for k := range size {
 		if s.probe.HealthyAt().IsZero() || s.isPaused() {
 			break
 		}
-		call := s.newCall(s.peers[k%len(s.peers)], randomElement(chance, methods), chance, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
-		all.Go(func() { call.execute(ctx) })
+		call := s.newCall(s.peers[k%len(s.peers)], randomElement(random, methods), random, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
+		calls.Go(func() { call.execute(ctx) })
 	}
-	all.Wait()
+	calls.Wait()
 }
 
 // burstTimeout bounds the wait for the outcomes of a burst.
 const burstTimeout = 2 * time.Second
 
 // fillLog has nobody read the process's log for a while, or as long as it lives.
-func (s *trialServer) fillLog(last time.Duration) {
+func (s *trialServer) fillLog(duration time.Duration) {
 	if !s.program.Running() {
 		return
 	}
 	if err := s.program.FillLog(); err != nil {
 		s.check.Failed("the log's pipe cannot be filled: %v", err)
 	}
-	if last > 0 {
-		time.Sleep(last)
+	if duration > 0 {
+		time.Sleep(duration)
 		s.program.ReadLog()
 	}
 }
--- a/cmd/rehearse/faults_planted.go
+++ b/cmd/rehearse/faults_planted.go
@@ -23,8 +23,8 @@
 }
 
 // in reports whether it was found in a trial.
-func (f injectedFault) foundIn(r *trialResult) bool {
-	return slices.ContainsFunc(r.violations, func(v string) bool { return strings.Contains(v, f.violation) })
+func (fault injectedFault) foundIn(r *trialResult) bool {
+	return slices.ContainsFunc(r.violations, func(v string) bool { return strings.Contains(v, fault.violation) })
 }
 
 // plantedWithin bounds the search for one of them.
@@ -42,39 +42,39 @@
 }
 
 // runInjectedFaults searches for faults in programs in which one is planted, and in one with none, started the same way.
-func (p *experimentRun) runInjectedFaults() error {
-	control, err := p.runInjectedFault(injectNothing, p.Seed)
+func (run *experimentRun) runInjectedFaults() error {
+	control, err := run.runInjectedFault(injectNothing, run.Seed)
 	if err != nil {
 		return err
 	}
 	if len(control.violations) > 0 {
-		control.print(p)
+		control.print(run)
 	}
-	p.exactly("planted.nothing.violations", float64(len(control.violations)), 0)
-	for _, plant := range injectedFaults {
-		began := time.Now()
+	run.exactly("planted.nothing.violations", float64(len(control.violations)), 0)
+	for _, fault := range injectedFaults {
+		startedAt := time.Now()
 		found := false
-		for seed := p.Seed; !found && time.Since(began) < injectedFaultTimeout; seed++ {
-			r, err := p.runInjectedFault(plant.name, seed)
+		for seed := run.Seed; !found && time.Since(startedAt) < injectedFaultTimeout; seed++ {
+			result, err := run.runInjectedFault(fault.name, seed)
 			if err != nil {
 				return err
 			}
-			found = plant.foundIn(r)
+			found = fault.foundIn(result)
 		}
-		took := time.Since(began).Seconds()
+		took := time.Since(startedAt).Seconds()
 		if !found {
 			took = 2 * injectedFaultTimeout.Seconds()
 		}
-		p.atMost("planted."+plant.name+".found.s", took, injectedFaultTimeout.Seconds())
+		run.atMost("planted."+fault.name+".found.s", took, injectedFaultTimeout.Seconds())
 	}
 	return nil
 }
 
 // runInjectedFault plays the plain case with a program in which something is planted.
-func (p *experimentRun) runInjectedFault(name string, seed uint64) (*trialResult, error) {
-	planted := &experimentRun{Seed: seed, Program: p.self(), rehearseBinary: p.rehearseBinary, Logs: p.Logs, output: p.output, programArgs: []string{"planted", name}}
+func (run *experimentRun) runInjectedFault(name string, seed uint64) (*trialResult, error) {
+	faultyRun := &experimentRun{Seed: seed, Program: run.self(), rehearseBinary: run.rehearseBinary, Logs: run.Logs, output: run.output, programArgs: []string{"planted", name}}
 	if name == injectNothing {
-		return planted.runTrialWithRepeats(injectionCase(seed))
+		return faultyRun.runTrialWithRepeats(injectionCase(seed))
 	}
-	return planted.runTrial(injectionCase(seed)) // what is planted may keep its own process from a core
+	return faultyRun.runTrial(injectionCase(seed)) // what is planted may keep its own process from a core
 }
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -53,15 +53,15 @@
 	if s.proxy, err = rig.NewNet(name, program.Address, t.check); err != nil {
 		return nil, err
 	}
-	if t.drawn.Load.Pieces > 0 {
-		s.proxy.Pieces(t.drawn.Seed)
+	if t.testCase.Load.Pieces > 0 {
+		s.proxy.Pieces(t.testCase.Seed)
 	}
-	for k := range t.drawn.Load.Routers {
-		form := t.peerOptions()
+	for k := range t.testCase.Load.Routers {
+		options := t.peerOptions()
 		if k > 0 {
-			form.WriteSize = 0
+			options.WriteSize = 0
 		}
-		s.peers = append(s.peers, rig.NewPeer(s.proxy.Address(), 10*number+k, form, t.catalog, t.drawn.Seed+uint64(number)<<32))
+		s.peers = append(s.peers, rig.NewPeer(s.proxy.Address(), 10*number+k, options, t.catalog, t.testCase.Seed+uint64(number)<<32))
 	}
 	return s, nil
 }
@@ -77,13 +77,13 @@
 // peerOptions is how routers write under the settings.
 func (t *trial) peerOptions() rig.PeerOptions {
 	return rig.PeerOptions{PassesDeadline: t.decoded.PassesDeadline(), HangupSeen: t.decoded.HangupSeen(),
-		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.drawn.Load.Pieces}
+		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.testCase.Load.Pieces}
 }
 
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
 
 func (s *trialServer) configFor(kernel string) string {
-	return s.drawn.Settings.Config(drawn.Addresses{Name: s.program.Name, Listen: s.program.Address, Kernel: kernel, Roster: s.program.Roster()})
+	return s.testCase.Settings.Config(drawn.Addresses{Name: s.program.Name, Listen: s.program.Address, Kernel: kernel, Roster: s.program.Roster()})
 }
 
 // launch starts the process.
@@ -116,14 +116,14 @@
 
 // watch looks whether the process answers health checks while it runs.
 func (s *trialServer) watch(ctx context.Context) {
-	var waits []time.Duration // of the last second
+	var coreWaits []time.Duration // of the last second
 	for ctx.Err() == nil {
 		s.checkProcess()
 		time.Sleep(watchInterval)
-		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/watchInterval) {
-			waits = waits[1:]
+		if coreWaits = append(coreWaits, s.program.Waited()); len(coreWaits) > int(time.Second/watchInterval) {
+			coreWaits = coreWaits[1:]
 		}
-		s.recordCoreWait(waits[len(waits)-1] - waits[0]) // below 0 over a restart
+		s.recordCoreWait(coreWaits[len(coreWaits)-1] - coreWaits[0]) // below 0 over a restart
 	}
 }
 
@@ -136,21 +136,21 @@
 	if s.launchedAt.IsZero() || s.paused || s.leaving || !s.program.Running() {
 		return
 	}
-	if ready := s.probe.HealthyAt(); !s.ready && !ready.IsZero() {
+	if healthyAt := s.probe.HealthyAt(); !s.ready && !healthyAt.IsZero() {
 		s.ready = true
 	}
-	last := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastAnswerAt())
-	if silent := time.Since(last); silent > maxHealthCheckGap {
-		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
+	lastAnswer := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastAnswerAt())
+	if silence := time.Since(lastAnswer); silence > maxHealthCheckGap {
+		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silence.Seconds())
 		s.excusedUntil = time.Now().Add(time.Hour) // once is enough
 	}
-	if takes, limit := s.program.Resident(), int64(s.decoded.Limits.MemoryMB)<<20; takes > limit && !s.limitReported {
+	if memory, limit := s.program.Resident(), int64(s.decoded.Limits.MemoryMB)<<20; memory > limit && !s.limitReported {
 		s.limitReported = true
-		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, takes>>20, limit>>20)
+		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, memory>>20, limit>>20)
 	}
-	if holds := s.program.Descriptors(); holds > int(s.decoded.Limits.Sockets) && !s.limitReported {
+	if descriptors := s.program.Descriptors(); descriptors > int(s.decoded.Limits.Sockets) && !s.limitReported {
 		s.limitReported = true
-		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, holds, int(s.decoded.Limits.Sockets))
+		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, descriptors, int(s.decoded.Limits.Sockets))
 	}
 }
 
@@ -200,14 +200,14 @@
 // judge looks at the log and at what was served.
 func (s *trialServer) checkLogAndLoad() {
 	if s.run.Logs != "" {
-		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
+		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.testCase.Seed, s.program.Name))
 		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
 			s.run.printNote("%v", err)
 		}
 	}
-	for _, word := range []string{"panic:", "fatal error:", "DATA RACE"} {
-		if at := strings.Index(s.logs, word); at >= 0 {
-			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, word, s.logs[at:])
+	for _, marker := range []string{"panic:", "fatal error:", "DATA RACE"} {
+		if at := strings.Index(s.logs, marker); at >= 0 {
+			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, marker, s.logs[at:])
 			break
 		}
 	}
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -17,17 +17,17 @@
 var trialSlots = make(chan struct{}, maxParallelTrials)
 
 // playCase plays one case with the program.
-func playCase(t *testing.T, c drawn.Case) *trialResult {
+func runCase(t *testing.T, c drawn.Case) *trialResult {
 	t.Helper()
 	trialSlots <- struct{}{}
 	defer func() { <-trialSlots }()
 	var out bytes.Buffer
-	p := &experimentRun{Seed: c.Seed, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
-	r, err := p.runTrialWithRepeats(c)
+	run := &experimentRun{Seed: c.Seed, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
+	result, err := run.runTrialWithRepeats(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
 // Each case that the search has found to fail once keeps the rules.
@@ -47,7 +47,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, v := range playCase(t, c).violations {
+			for _, v := range runCase(t, c).violations {
 				t.Errorf("%.500s", v)
 			}
 		})
@@ -60,7 +60,7 @@
 		c := drawn.Draw(seed)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			for _, v := range playCase(t, c).violations {
+			for _, v := range runCase(t, c).violations {
 				t.Errorf("%.500s", v)
 			}
 			if t.Failed() {
@@ -71,23 +71,23 @@
 }
 
 // What is planted in a program is found, and nothing where nothing is.
-func TestFaultsPlanted(t *testing.T) {
-	for _, plant := range append([]injectedFault{{name: injectNothing}}, injectedFaults...) {
-		t.Run(plant.name, func(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
+	for _, fault := range append([]injectedFault{{name: injectNothing}}, injectedFaults...) {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			trialSlots <- struct{}{}
 			defer func() { <-trialSlots }()
-			p := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &bytes.Buffer{}}
-			r, err := p.runInjectedFault(plant.name, p.Seed)
+			run := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &bytes.Buffer{}}
+			result, err := run.runInjectedFault(fault.name, run.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if plant.name == injectNothing {
-				for _, v := range r.violations {
+			if fault.name == injectNothing {
+				for _, v := range result.violations {
 					t.Errorf("%.500s", v)
 				}
-			} else if !plant.foundIn(r) {
-				t.Errorf("not found: %.500q", r.violations)
+			} else if !fault.foundIn(result) {
+				t.Errorf("not found: %.500q", result.violations)
 			}
 		})
 	}
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -29,7 +29,7 @@
 
 // trialResult is what a trial came to.
 type trialResult struct {
-	drawn           drawn.Case
+	testCase        drawn.Case
 	violations      []string
 	restarts, ready int
 	tries, runs     int
@@ -60,17 +60,17 @@
 var variableParts = regexp.MustCompile(`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
 
 func violationClass(violation string) string {
-	first, _, _ := strings.Cut(violation, "\n")
-	if _, last, found := strings.Cut(violation, "valveglade: "); found { // why a process ended
-		first += last
+	class, _, _ := strings.Cut(violation, "\n")
+	if _, reason, found := strings.Cut(violation, "valveglade: "); found { // why a process ended
+		class += reason
 	}
-	return variableParts.ReplaceAllString(first, "_")
+	return variableParts.ReplaceAllString(class, "_")
 }
 
 // trial is one under way.
 type trial struct {
 	run        *experimentRun
-	drawn      drawn.Case
+	testCase   drawn.Case
 	decoded    drawn.Told
 	check      *rig.Checker
 	catalog    *rig.Catalog
@@ -85,24 +85,24 @@
 }
 
 // runTrial plays one case.
-func (p *experimentRun) runTrial(c drawn.Case) (*trialResult, error) {
-	t := &trial{run: p, drawn: c, result: trialResult{drawn: c}}
+func (run *experimentRun) runTrial(c drawn.Case) (*trialResult, error) {
+	t := &trial{run: run, testCase: c, result: trialResult{testCase: c}}
 	if err := t.prepare(); err != nil {
 		return nil, fmt.Errorf("%w: %w", errTrialSetup, err)
 	}
 	defer t.tearDown()
-	ctx, over := context.WithCancel(context.Background())
-	var watching sync.WaitGroup
-	watching.Go(func() { t.measureLateness(ctx) })
+	ctx, stopWatchers := context.WithCancel(context.Background())
+	var watchers sync.WaitGroup
+	watchers.Go(func() { t.measureLateness(ctx) })
 	t.startServers()
 	for _, s := range t.servers {
-		watching.Go(func() { s.watch(ctx) })
+		watchers.Go(func() { s.watch(ctx) })
 	}
 	t.runLoadAndFaults()
 	t.checkServersAtRest()
 	t.stopServers()
-	over()
-	watching.Wait()
+	stopWatchers()
+	watchers.Wait()
 	t.collectViolations()
 	return &t.result, nil
 }
@@ -115,7 +115,7 @@
 }
 
 func (t *trial) prepare() (err error) {
-	if t.decoded, err = t.drawn.Settings.Told(); err != nil {
+	if t.decoded, err = t.testCase.Settings.Told(); err != nil {
 		return err
 	}
 	if t.directory, err = os.MkdirTemp("", "faults"); err != nil {
@@ -129,11 +129,11 @@
 		return err
 	}
 	var names []string
-	for k := range t.drawn.Servers {
+	for k := range t.testCase.Servers {
 		names = append(names, serverName(k))
 	}
 	t.roster.CheckReports(t.check, names...)
-	for k := range t.drawn.Servers {
+	for k := range t.testCase.Servers {
 		s, err := t.newServer(k)
 		if err != nil {
 			return err
@@ -157,9 +157,9 @@
 	domain, rules := t.decoded.Settings.Domain, t.decoded.Settings.Rules
 	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1), Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
 		Gauges: domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
-		Crowding: rig.Crowding{Factor: rules.OverloadFactor, Window: secondsToDuration(rules.FallS)}, Seed: t.drawn.Seed + uint64(number)<<32,
+		Crowding: rig.Crowding{Factor: rules.OverloadFactor, Window: secondsToDuration(rules.FallS)}, Seed: t.testCase.Seed + uint64(number)<<32,
 		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: secondsToDuration(rules.RampTimeS), Window: secondsToDuration(rules.FallS)}}
-	for _, m := range t.drawn.Settings.Methods {
+	for _, m := range t.testCase.Settings.Methods {
 		config.Methods = append(config.Methods, m.Name)
 	}
 	return config
@@ -178,7 +178,7 @@
 func (t *trial) startServers() {
 	t.startedAt = time.Now()
 	for _, s := range t.servers {
-		for _, f := range t.drawn.Faults {
+		for _, f := range t.testCase.Faults {
 			if f.Server == s.number && f.Kind == drawn.KernelLate {
 				s.delayKernel(f)
 			}
@@ -192,22 +192,22 @@
 // runLoadAndFaults has the load and the faults go on side by side, each in its time.
 func (t *trial) runLoadAndFaults() {
 	ctx, stop := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var loads sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(func() { s.generateLoad(ctx) })
+		loads.Go(func() { s.generateLoad(ctx) })
 	}
 	var faults sync.WaitGroup
-	for _, f := range t.drawn.Faults {
+	for _, f := range t.testCase.Faults {
 		faults.Go(func() {
 			time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(f.At))))
 			t.servers[f.Server].applyFault(f)
 		})
 	}
-	time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(t.drawn.Seconds))))
+	time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(t.testCase.Seconds))))
 	faults.Wait()
 	time.Sleep(t.run.scaled(faultFreeTime)) // without a fault
 	stop()
-	all.Wait()
+	loads.Wait()
 }
 
 // latenessInterval is between two looks of the witness.
@@ -216,35 +216,35 @@
 // measureLateness notes how late this process itself is.
 func (t *trial) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		time.Sleep(latenessInterval)
-		t.recordCoreWait(time.Since(began) - latenessInterval)
+		t.recordCoreWait(time.Since(startedAt) - latenessInterval)
 	}
 }
 
 // recordCoreWait takes note of a wait for a core.
-func (t *trial) recordCoreWait(d time.Duration) {
+func (t *trial) recordCoreWait(wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.coreWait = max(t.result.coreWait, d)
+	t.result.coreWait = max(t.result.coreWait, wait)
 }
 
 // checkServersAtRest watches the app servers without load.
 func (t *trial) checkServersAtRest() {
-	var all sync.WaitGroup
+	var checks sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(s.checkAtRest)
+		checks.Go(s.checkAtRest)
 	}
-	all.Wait()
+	checks.Wait()
 }
 
 // stopServers tells all app servers to leave and waits for their ends.
 func (t *trial) stopServers() {
-	var all sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(s.stop)
+		stops.Go(s.stop)
 	}
-	all.Wait()
+	stops.Wait()
 }
 
 // collectViolations gathers what the checker and the logs say.
@@ -263,9 +263,9 @@
 
 // logBeforeExit is what a process said before it ended by itself, if that is what the violation tells.
 func (t *trial) logBeforeExit(violation string) string {
-	name, rest, _ := strings.Cut(violation, " ")
+	name, message, _ := strings.Cut(violation, " ")
 	for _, s := range t.servers {
-		if s.program.Name == name && strings.HasPrefix(rest, "ended") {
+		if s.program.Name == name && strings.HasPrefix(message, "ended") {
 			return "\n" + s.logTail()
 		}
 	}
--- a/cmd/rehearse/lowest.go
+++ b/cmd/rehearse/lowest.go
@@ -22,65 +22,65 @@
 	var name, listen, advertise, join, order string
 	var voters []string
 	var rate, drift float64
-	c := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		p := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
+	command := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+		memberConfig := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
 			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 300 * time.Millisecond, View: view.Defaults()}
 		for _, a := range strings.Split(join, ",") {
-			p.Join = append(p.Join, netip.MustParseAddrPort(a))
+			memberConfig.Join = append(memberConfig.Join, netip.MustParseAddrPort(a))
 		}
 		log, err := zap.NewProduction(zap.ErrorOutput(zap.CombineWriteSyncers(os.Stderr)))
 		if err != nil {
 			return err
 		}
-		m, err := member.New(p, log)
+		node, err := member.New(memberConfig, log)
 		if err != nil {
 			return err
 		}
-		m.UpdateState(view.Serving, false, view.Load{})
-		go m.Run(cmd.Context())
+		node.UpdateState(view.Serving, false, view.Load{})
+		go node.Run(cmd.Context())
 		if len(voters) > 0 {
-			began := time.Now()
+			startedAt := time.Now()
 			lease := experimentLease.Seconds()
-			f, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters}, Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
-				Clock: func() float64 { return rate * time.Since(began).Seconds() }}, m, log)
+			fleetNode, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters}, Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
+				Clock: func() float64 { return rate * time.Since(startedAt).Seconds() }}, node, log)
 			if err != nil {
 				return err
 			}
-			if err := f.Campaign("o", fleet.SendCommands("o", name, order, commandInterval)); err != nil {
+			if err := fleetNode.Campaign("o", fleet.SendCommands("o", name, order, commandInterval)); err != nil {
 				return err
 			}
-			return f.Run(cmd.Context())
+			return fleetNode.Run(cmd.Context())
 		}
-		changes, stop := m.Changes()
+		changes, stop := node.Changes()
 		defer stop()
-		begin := func() context.CancelFunc {
-			ctx, end := context.WithCancel(cmd.Context())
+		startSending := func() context.CancelFunc {
+			ctx, cancel := context.WithCancel(cmd.Context())
 			go fleet.SendCommands("o", name, order, commandInterval)(ctx, 0)
-			return end
+			return cancel
 		}
-		end := func() {}
-		owns := false
+		stopSending := func() {}
+		isOwner := false
 		for range changes {
-			v := m.View()
-			if lowest := v.Members[0].Name == name && v.Certainty <= view.Partitioned; lowest != owns {
-				if owns = lowest; !owns {
-					end()
+			current := node.View()
+			if isLowest := current.Members[0].Name == name && current.Certainty <= view.Partitioned; isLowest != isOwner {
+				if isOwner = isLowest; !isOwner {
+					stopSending()
 					continue
 				}
-				end = begin()
+				stopSending = startSending()
 			}
 		}
 		return nil
 	}}
-	c.Flags().StringVar(&name, "name", "", "")
-	c.Flags().StringVar(&listen, "listen", "", "")
-	c.Flags().StringVar(&advertise, "advertise", "", "")
-	c.Flags().StringVar(&join, "join", "", "")
-	c.Flags().StringVar(&order, "order", "", "")
-	c.Flags().StringSliceVar(&voters, "voters", nil, "")
-	c.Flags().Float64Var(&rate, "rate", 1, "")
-	c.Flags().Float64Var(&drift, "drift", 0, "")
-	return c
+	command.Flags().StringVar(&name, "name", "", "")
+	command.Flags().StringVar(&listen, "listen", "", "")
+	command.Flags().StringVar(&advertise, "advertise", "", "")
+	command.Flags().StringVar(&join, "join", "", "")
+	command.Flags().StringVar(&order, "order", "", "")
+	command.Flags().StringSliceVar(&voters, "voters", nil, "")
+	command.Flags().Float64Var(&rate, "rate", 1, "")
+	command.Flags().Float64Var(&drift, "drift", 0, "")
+	return command
 }
 
 // orderEvery is how often owners send orders in an experiment.
--- a/cmd/rehearse/planted.go
+++ b/cmd/rehearse/planted.go
@@ -54,26 +54,26 @@
 	if kind == injectIgnoredStop {
 		ctx = context.WithoutCancel(ctx)
 	}
-	c, err := config.FromEnv()
+	cfg, err := config.FromEnv()
 	if err != nil {
 		return err
 	}
-	inner, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	serverListener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
-	outer, err := net.Listen("tcp", c.Listen.String())
+	routerListener, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
 		return err
 	}
-	link, err := net.Listen("tcp", "127.0.0.1:0")
+	kernelListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	plant := &faultInjector{kind: kind}
-	go plant.forwardConnections(outer, inner.Addr().String(), plant.forwardReplies, plant.forwardRequests)
-	go plant.forwardConnections(link, c.Kernel.String(), plant.forwardNotices, forwardAll)
-	c.Kernel = link.Addr().(*net.TCPAddr).AddrPort()
+	injector := &faultInjector{kind: kind}
+	go injector.forwardConnections(routerListener, serverListener.Addr().String(), injector.forwardReplies, injector.forwardRequests)
+	go injector.forwardConnections(kernelListener, cfg.Kernel.String(), injector.forwardNotices, forwardAll)
+	cfg.Kernel = kernelListener.Addr().(*net.TCPAddr).AddrPort()
 	if kind == injectIdleSpin {
 		go func() {
 			for {
@@ -87,7 +87,7 @@
 	}
 	// Answers that are on their way through the front go out before the process ends.
 	defer time.Sleep(50 * time.Millisecond)
-	return server.New(c, log).ServeOn(ctx, inner)
+	return server.New(cfg, log).ServeOn(ctx, serverListener)
 }
 
 // plant is what stands between the app server and the others.
@@ -103,23 +103,23 @@
 type forwardFunc func(from, to net.Conn)
 
 // between passes connections on to an address: back is what comes from there.
-func (p *faultInjector) forwardConnections(listener net.Listener, address string, back, forth forwardFunc) {
+func (f *faultInjector) forwardConnections(listener net.Listener, address string, toClient, toServer forwardFunc) {
 	for {
-		near, err := listener.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer near.Close()
-			far, err := net.Dial("tcp", address)
+			defer client.Close()
+			upstream, err := net.Dial("tcp", address)
 			if err != nil {
 				return
 			}
-			defer far.Close()
-			var both sync.WaitGroup
-			both.Go(func() { forth(near, far); far.(*net.TCPConn).CloseWrite() })
-			both.Go(func() { back(far, near); near.(*net.TCPConn).CloseWrite() })
-			both.Wait()
+			defer upstream.Close()
+			var directions sync.WaitGroup
+			directions.Go(func() { toServer(client, upstream); upstream.(*net.TCPConn).CloseWrite() })
+			directions.Go(func() { toClient(upstream, client); client.(*net.TCPConn).CloseWrite() })
+			directions.Wait()
 		}()
 	}
 }
@@ -127,18 +127,18 @@
 func forwardAll(from, to net.Conn) { io.Copy(to, from) }
 
 // now tells whether what happens now and then happens.
-func (p *faultInjector) shouldInject(kind string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.kind != kind {
+func (f *faultInjector) shouldInject(kind string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.kind != kind {
 		return false
 	}
-	p.count++
-	return p.count%injectionInterval == 0
+	f.count++
+	return f.count%injectionInterval == 0
 }
 
 // passFrames carries answers, and may lose one.
-func (p *faultInjector) forwardReplies(from, to net.Conn) {
+func (f *faultInjector) forwardReplies(from, to net.Conn) {
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
 		_, size, err := thrift.Frame(in.Bytes())
@@ -146,7 +146,7 @@
 		case err == nil && size == 0:
 			err = in.Fill(from)
 		case err == nil:
-			if !bytes.Contains(in.Bytes()[:size], []byte("execute")) || !p.shouldInject(injectLostReply) {
+			if !bytes.Contains(in.Bytes()[:size], []byte("execute")) || !f.shouldInject(injectLostReply) {
 				_, err = to.Write(in.Bytes()[:size])
 			}
 			in.Discard(size)
@@ -161,8 +161,8 @@
 var tokenKey = []byte("\x00\x00\x00\x06dedupe")
 
 // passRequests carries what routers say, and may have each token be another one.
-func (p *faultInjector) forwardRequests(from, to net.Conn) {
-	if p.kind != injectSecondRun {
+func (f *faultInjector) forwardRequests(from, to net.Conn) {
+	if f.kind != injectSecondRun {
 		forwardAll(from, to)
 		return
 	}
@@ -175,10 +175,10 @@
 		case err == nil:
 			frame := in.Bytes()[:size]
 			if at := bytes.Index(frame, tokenKey); at >= 0 {
-				p.mu.Lock()
-				p.count++
-				copy(frame[at+len(tokenKey)+4:], fmt.Sprintf("%016x", p.count))
-				p.mu.Unlock()
+				f.mu.Lock()
+				f.count++
+				copy(frame[at+len(tokenKey)+4:], fmt.Sprintf("%016x", f.count))
+				f.mu.Unlock()
 			}
 			_, err = to.Write(frame)
 			in.Discard(size)
@@ -190,34 +190,34 @@
 }
 
 // passNotices carries what the kernel says, and may change it or act on it.
-func (p *faultInjector) forwardNotices(from, to net.Conn) {
+func (f *faultInjector) forwardNotices(from, to net.Conn) {
 	lines := bufio.NewReader(from)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		if _, err := to.Write(p.rewriteNotice(line)); err != nil {
+		if _, err := to.Write(f.rewriteNotice(line)); err != nil {
 			return
 		}
 	}
 }
 
 // notice is what the app server reads of a notice.
-func (p *faultInjector) rewriteNotice(line []byte) []byte {
+func (f *faultInjector) rewriteNotice(line []byte) []byte {
 	var notice map[string]json.RawMessage
 	if json.Unmarshal(line, &notice) != nil || string(notice["action"]) != `"REAP"` || string(notice["code"]) != `"fine"` {
 		return line
 	}
-	swap := p.shouldInject(injectOtherBody)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	last := p.lastResult
-	p.lastResult = notice["content"]
-	if !swap || last == nil {
+	swapResult := f.shouldInject(injectOtherBody)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	previous := f.lastResult
+	f.lastResult = notice["content"]
+	if !swapResult || previous == nil {
 		return line
 	}
-	notice["content"] = last
+	notice["content"] = previous
 	changed, err := json.Marshal(notice)
 	if err != nil {
 		return line
