--- a/cmd/rehearse/fault_injector.go
+++ b/cmd/rehearse/fault_injector.go
@@ -25,28 +25,31 @@
 	"valveglade/server"
 )
 
-// What can be planted in a program, between it and its routers or its kernel.
+// Faults that can be injected into a program, or into its connections to its routers and its kernel.
 const (
 	injectNothing     = "nothing"
-	injectOtherBody   = "other-body"   // now and then an RPC is served with another's result
-	injectSecondRun   = "second-run"   // a repeat is not known by its token and runs again
-	injectLostReply   = "lost-answer"  // now and then an answer is not written
-	injectIdleSpin    = "idle-spin"    // a loop that waits for nothing
-	injectIgnoredStop = "ignored-stop" // SIGTERM is not heeded
+	injectOtherBody   = "other-body"   // some RPCs are served with the result of another RPC
+	injectSecondRun   = "second-run"   // a retry is not recognized by its token and runs again
+	injectLostReply   = "lost-answer"  // some replies are not written
+	injectIdleSpin    = "idle-spin"    // a goroutine runs a busy loop
+	injectIgnoredStop = "ignored-stop" // SIGTERM is ignored
 )
 
-// plantEvery is how often what happens now and then does.
+// injectionInterval is the number of messages of which one is changed or dropped.
 const injectionInterval = 10
 
-// plantedCommand serves as the program does, with a mistake in it: the judge of the search for faults has to find it.
+// faultInjectorCommand returns the sub-command that serves as the program does, with an injected fault that the checker of the
+// search for faults has to find.
 func faultInjectorCommand() *cobra.Command {
 	return &cobra.Command{Use: "planted KIND", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return serveWithFault(args[0]) }}
 }
 
+// serveWithFault serves with the configuration of the environment and the given fault until SIGTERM. SIGHUP has no effect.
 func serveWithFault(kind string) error {
-	if !slices.Contains([]string{injectNothing, injectOtherBody, injectSecondRun, injectLostReply, injectIdleSpin, injectIgnoredStop}, kind) {
-		return fmt.Errorf("nothing called %q can be planted", kind)
+	if !slices.Contains([]string{injectNothing, injectOtherBody, injectSecondRun, injectLostReply, injectIdleSpin,
+		injectIgnoredStop}, kind) {
+		return fmt.Errorf("unknown kind of injected fault: %q", kind)
 	}
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -85,24 +88,25 @@
 	if err != nil {
 		return err
 	}
-	// Answers that are on their way through the front go out before the process ends.
+	// Leave time to forward the last replies to the routers before the process ends.
 	defer time.Sleep(50 * time.Millisecond)
 	return server.New(cfg, log).ServeOn(ctx, serverListener)
 }
 
-// plant is what stands between the app server and the others.
+// faultInjector forwards the messages between the app server, its routers and its kernel, and injects a fault.
 type faultInjector struct {
 	kind string
 
 	mu         sync.Mutex
-	count      int
-	lastResult json.RawMessage // of the last result
+	count      int             // messages that the fault may affect
+	lastResult json.RawMessage // content of the last successful end notice
 }
 
-// passing carries one direction until it ends.
+// forwardFunc forwards one direction of a connection until it ends.
 type forwardFunc func(from, to net.Conn)
 
-// between passes connections on to an address: back is what comes from there.
+// forwardConnections accepts connections and forwards each to address, with toServer for what the client sends and toClient for
+// the other direction.
 func (f *faultInjector) forwardConnections(listener net.Listener, address string, toClient, toServer forwardFunc) {
 	for {
 		client, err := listener.Accept()
@@ -124,9 +128,10 @@
 	}
 }
 
+// forwardAll forwards all bytes unchanged.
 func forwardAll(from, to net.Conn) { io.Copy(to, from) }
 
-// now tells whether what happens now and then happens.
+// shouldInject reports whether the fault, if it is of the given kind, affects this message: each one in injectionInterval.
 func (f *faultInjector) shouldInject(kind string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,7 +142,7 @@
 	return f.count%injectionInterval == 0
 }
 
-// passFrames carries answers, and may lose one.
+// forwardReplies forwards replies, and drops some if the fault is injectLostReply.
 func (f *faultInjector) forwardReplies(from, to net.Conn) {
 	in := readbuffer.New(thrift.MaxFrame + 4)
 	for {
@@ -157,10 +162,10 @@
 	}
 }
 
-// tokenKey begins the field of a token; its length and the token follow.
+// tokenKey is the encoded key of the token field. The token's length and the token follow it.
 var tokenKey = []byte("\x00\x00\x00\x06dedupe")
 
-// passRequests carries what routers say, and may have each token be another one.
+// forwardRequests forwards the routers' messages, and replaces each token by a new one if the fault is injectSecondRun.
 func (f *faultInjector) forwardRequests(from, to net.Conn) {
 	if f.kind != injectSecondRun {
 		forwardAll(from, to)
@@ -189,7 +194,7 @@
 	}
 }
 
-// passNotices carries what the kernel says, and may change it or act on it.
+// forwardNotices forwards the kernel's notices as rewriteNotice returns them.
 func (f *faultInjector) forwardNotices(from, to net.Conn) {
 	lines := bufio.NewReader(from)
 	for {
@@ -203,7 +208,8 @@
 	}
 }
 
-// notice is what the app server reads of a notice.
+// rewriteNotice returns the notice that the app server reads: for injectOtherBody, some end notices carry the result of an
+// earlier run.
 func (f *faultInjector) rewriteNotice(line []byte) []byte {
 	var notice map[string]json.RawMessage
 	if json.Unmarshal(line, &notice) != nil || string(notice["action"]) != `"REAP"` || string(notice["code"]) != `"fine"` {
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -13,20 +13,20 @@
 	"valveglade/rig/drawn"
 )
 
-// faultFlags are those of the search for faults.
+// faultFlags holds the flags of the faults experiment.
 type faultFlags struct {
-	first          int    // of the trials of a seed
-	trials         int    // 0 for as many as the form has
-	parallel       int    // trials side by side
-	replays        int    // at most, to cut one failing trial down
-	onlyCase       string // a case to play, or @ and a file of one
-	injectedFaults bool   // play the planted faults instead
+	first          int    // index of the first trial within the seed
+	trials         int    // number of trials; 0 selects the default of the run's length
+	parallel       int    // number of trials that run in parallel
+	replays        int    // maximum number of trials for reducing one failing trial
+	onlyCase       string // the only case to run, or @ and the name of a file that holds it
+	injectedFaults bool   // run the injected faults instead
 }
 
-// seedsPerRun is how many seeds of trials each seed of a run has.
+// seedsPerRun is the number of trial seeds that belong to each seed of a run.
 const seedsPerRun = 1_000_000
 
-// Trials in a run of each form, and how many failing ones are cut down.
+// Number of trials in a run of each length, and maximum number of failing trials that are reduced.
 const (
 	faultTrials      = 100
 	faultTrialsLong  = 300
@@ -34,16 +34,18 @@
 	maxReducedTrials = 6
 )
 
+// register adds the flags to cmd.
 func (f *faultFlags) register(cmd *cobra.Command) {
-	cmd.Flags().IntVar(&f.trials, "trials", 0, "trials of faults, whose seeds follow one another")
-	cmd.Flags().IntVar(&f.first, "first", 0, "the first of the trials of faults, counted from 0")
-	cmd.Flags().IntVar(&f.parallel, "aside", 2, "trials of faults that are played side by side")
-	cmd.Flags().IntVar(&f.replays, "replays", 24, "trials at most to cut a failing one of faults down")
-	cmd.Flags().StringVar(&f.onlyCase, "only", "", "play this case of faults alone, as a failing trial prints it, or @FILE")
-	cmd.Flags().BoolVar(&f.injectedFaults, "planted", false, "play faults that are planted in the program, and show how soon each is found")
+	cmd.Flags().IntVar(&f.trials, "trials", 0, "number of fault trials, with consecutive seeds")
+	cmd.Flags().IntVar(&f.first, "first", 0, "index of the first fault trial, counted from 0")
+	cmd.Flags().IntVar(&f.parallel, "aside", 2, "number of fault trials that run in parallel")
+	cmd.Flags().IntVar(&f.replays, "replays", 24, "maximum number of trials for reducing a failing fault trial")
+	cmd.Flags().StringVar(&f.onlyCase, "only", "", "run only this fault case, as a failing trial prints it, or @FILE")
+	cmd.Flags().BoolVar(&f.injectedFaults, "planted", false,
+		"run programs with injected faults and report the time until each is found")
 }
 
-// playFaults searches for faults: trials under settings and schedules that are drawn from the seed.
+// runFaults searches for faults with trials whose settings and fault schedules are drawn from the seed.
 func runFaults(run *experimentRun) error {
 	switch {
 	case run.faults.onlyCase != "":
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// runGivenCase plays one case that is given.
+// runGivenCase runs one case that is given as text, or as @ and a file name.
 func (run *experimentRun) runGivenCase(text string) error {
 	if name, ok := strings.CutPrefix(text, "@"); ok {
 		read, err := os.ReadFile(name)
@@ -93,16 +95,16 @@
 	return nil
 }
 
-// trialTotals sums what the trials of a run came to.
+// trialTotals collects the results of all trials of a run.
 type trialTotals struct {
 	mu          sync.Mutex
 	results     []*trialResult
 	failed      []*trialResult
 	setupErrors []error
-	undecided   int // failed by time alone on a machine that was late each time
+	undecided   int // trials with only timing violations, while the machine was overloaded in each repeat
 }
 
-// runTrials plays trials side by side and returns those with violations.
+// runTrials runs the given number of trials in parallel and returns those with violations.
 func (run *experimentRun) runTrials(trials int) []*trialResult {
 	var totals trialTotals
 	seeds := make(chan uint64)
@@ -123,13 +125,14 @@
 	return totals.failed
 }
 
+// runTrialSeed runs the trial of a seed and adds its result to totals.
 func (run *experimentRun) runTrialSeed(seed uint64, totals *trialTotals) {
 	result, err := run.runTrialWithRepeats(drawn.Draw(seed))
 	totals.mu.Lock()
 	defer totals.mu.Unlock()
 	if err != nil {
 		totals.setupErrors = append(totals.setupErrors, err)
-		run.printNote("trial %d could not be played: %v", seed, err)
+		run.printNote("trial %d could not be set up: %v", seed, err)
 		return
 	}
 	totals.results = append(totals.results, result)
@@ -143,14 +146,14 @@
 	}
 }
 
-// maxUndecidedShare is the share of trials about which a busy machine may leave nothing said.
+// maxUndecidedShare is the maximum share of trials that may stay undecided because the machine is busy.
 const maxUndecidedShare = 0.1
 
-// maxTrialRepeats bounds how often a trial is played again.
+// maxTrialRepeats is the maximum number of repeats of an inconclusive trial.
 const maxTrialRepeats = 2
 
-// runTrialWithRepeats plays a case, and once more where its violations are about time alone and the machine kept an app server or this
-// process from its core.
+// runTrialWithRepeats runs a case and repeats it if all violations are about timing and an app server or this process had to
+// wait for a core.
 func (run *experimentRun) runTrialWithRepeats(c drawn.Case) (*trialResult, error) {
 	for repeats := 0; ; repeats++ {
 		result, err := run.runTrial(c)
@@ -161,11 +164,12 @@
 			return result, nil
 		}
 		firstLine, _, _ := strings.Cut(result.violations[0], "\n")
-		run.printNote("seed %d is played again: the machine was late by %v; %.200s", c.Seed, result.coreWait.Round(time.Millisecond), firstLine)
+		run.printNote("repeating seed %d: a process waited %v for a core; %.200s", c.Seed,
+			result.coreWait.Round(time.Millisecond), firstLine)
 	}
 }
 
-// reportTrials gives the figures of all trials.
+// reportTrials reports the figures of all trials.
 func (run *experimentRun) reportTrials(totals *trialTotals) {
 	restarts, ready, tries, runs, repeats, kinds := 0, 0, 0, 0, 0, map[drawn.FaultKind]int{}
 	for _, result := range totals.results {
@@ -191,7 +195,7 @@
 	run.exactly("trials.failed", float64(len(totals.failed)), 0)
 }
 
-// reduceTrial cuts a failing trial down and prints what is left, so that it can be played again and become a test.
+// reduceTrial reduces a failing trial to a smaller case and prints the command that runs it. The case can become a test.
 func (run *experimentRun) reduceTrial(failed *trialResult) {
 	startedAt := time.Now()
 	class := failed.class()
@@ -204,21 +208,21 @@
 		lastFailed = result
 		return true
 	})
-	run.printNote("trial %d cut down in %.0f s: %s", failed.testCase.Seed, time.Since(startedAt).Seconds(), lastFailed.violations[0])
+	run.printNote("trial %d reduced in %.0f s: %s", failed.testCase.Seed, time.Since(startedAt).Seconds(), lastFailed.violations[0])
 	run.printNote("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
 }
 
-// errTrialSetup is wrapped by what kept a trial from being played.
+// errTrialSetup is wrapped by errors of the setup of a trial.
 var errTrialSetup = errors.New("the trial could not be set up")
 
-// print prints a failing trial.
+// print prints the case of a trial and its violations, at most two of each class.
 func (r *trialResult) print(run *experimentRun) {
 	var faults []string
 	for _, f := range r.testCase.Faults {
 		faults = append(faults, fmt.Sprintf("%s n%d %.1f", f.Kind, f.Server+1, f.At))
 	}
-	run.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.testCase.Seed, r.testCase.Servers, len(r.testCase.Settings.Methods), len(r.testCase.Settings.Keys),
-		strings.Join(faults, ", "))
+	run.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.testCase.Seed, r.testCase.Servers,
+		len(r.testCase.Settings.Methods), len(r.testCase.Settings.Keys), strings.Join(faults, ", "))
 	shown := map[string]int{}
 	for _, v := range r.violations {
 		if shown[violationClass(v)]++; shown[violationClass(v)] <= 2 {
@@ -227,7 +231,7 @@
 	}
 	for class, n := range shown {
 		if n > 2 {
-			run.printNote("  %d times in all: %.60s", n, class)
+			run.printNote("  %d violations of this class: %.60s", n, class)
 		}
 	}
 }
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -15,30 +15,30 @@
 	"valveglade/rpc"
 )
 
-// Figures of the load of a trial.
+// Parameters of the load of a trial.
 const (
-	unboundedWait = time.Hour              // an answer is due then where neither the RPC nor its method says when
-	meanCopyDelay = 50 * time.Millisecond  // between the first try and a second copy, on the mean
-	windowMargin  = 300 * time.Millisecond // kept to the end of a window for the rig's own lateness
-	minEasyRPCs   = 20                     // RPCs with room, of which some have to be served
+	unboundedWait = time.Hour              // caller's timeout where neither the RPC nor its method sets one
+	meanCopyDelay = 50 * time.Millisecond  // mean time between the first try and a second copy
+	windowMargin  = 300 * time.Millisecond // distance of retries from the end of the token window, for delays of the rig
+	minEasyRPCs   = 20                     // number of easy RPCs of which at least one has to be served
 )
 
-// trialMethod is one method as the load asks for it.
+// trialMethod is a method with the deadline and the token window of its settings.
 type trialMethod struct {
 	drawn.Method
 	deadline, window time.Duration
 }
 
-// trialCalls counts what became of the RPCs of one app server.
+// callOutcomes counts the outcomes of the RPCs of one app server.
 type callOutcomes struct {
 	mu       sync.Mutex
 	total    int
 	byResult map[string]int
-	easy     int // RPCs that an app server without trouble has room for
-	served   int // of these
+	easy     int // RPCs that an app server without faults can serve easily
+	served   int // easy RPCs that were served
 }
 
-// load asks for RPCs until ctx ends.
+// generateLoad sends RPCs until ctx ends.
 func (s *trialServer) generateLoad(ctx context.Context) {
 	var generators sync.WaitGroup
 	methods := s.methods()
@@ -50,7 +50,7 @@
 			defer pending.Wait()
 			for n := 0; ctx.Err() == nil; n++ {
 				sleepContext(ctx, secondsToDuration(random.ExpFloat64()/rate))
-				// Requests come once the app server has answered a health check. Nothing is written to a machine that stands still.
+				// Routers send requests only after the app server has answered a health check, and not while it is paused.
 				if s.probe.HealthyAt().IsZero() || s.isPaused() {
 					continue
 				}
@@ -62,11 +62,13 @@
 	generators.Wait()
 }
 
+// methods returns the methods of the settings, with times of at most unboundedWait.
 func (t *trial) methods() []trialMethod {
 	var methods []trialMethod
 	for k, method := range t.testCase.Settings.Methods {
 		decoded := t.decoded.Settings.Profiles[k]
-		methods = append(methods, trialMethod{method, secondsToDuration(min(decoded.DeadlineS, unboundedWait.Seconds())), secondsToDuration(min(decoded.WindowS, unboundedWait.Seconds()))})
+		methods = append(methods, trialMethod{method, secondsToDuration(min(decoded.DeadlineS, unboundedWait.Seconds())),
+			secondsToDuration(min(decoded.WindowS, unboundedWait.Seconds()))})
 	}
 	return methods
 }
@@ -77,28 +79,29 @@
 	return s.paused
 }
 
-// trialCall is one RPC of the load, over all its tries.
+// trialCall is one RPC of the load, with all its tries.
 type trialCall struct {
 	*trialServer
 	peer         *rig.Peer
 	method       trialMethod
 	id, token    string
 	body         []byte
-	work         float64 // seconds on a core
+	work         float64 // seconds of processor time
 	result       []byte
 	fails        bool
-	ownTimeout   time.Duration // of its caller, where that is less than the method's deadline; 0 for as long
+	ownTimeout   time.Duration // caller's timeout if shorter than the method's deadline; 0 if not
 	receivedAt   time.Time
 	deadline     time.Time
-	cancelAfter  time.Duration // when its caller stops waiting, 0 for never
-	copyAfter    time.Duration // when a second copy is sent, 0 for never
+	cancelAfter  time.Duration // delay until the caller cancels; 0 for never
+	copyAfter    time.Duration // delay until a second copy is sent; 0 for never
 	criticality  float64
-	killsAtStart int64 // the number of kills at its first try
+	killsAtStart int64 // kills of the app server before the first try
 
 	mu               sync.Mutex
-	retriesForbidden bool // no further try is allowed
+	retriesForbidden bool // a reply has excluded further tries
 }
 
+// newCall draws an RPC of a method, to be sent through peer.
 func (s *trialServer) newCall(peer *rig.Peer, method trialMethod, random *rand.Rand, id string) *trialCall {
 	load := s.testCase.Load
 	if load.Fill > 0 {
@@ -130,10 +133,11 @@
 	return c
 }
 
-// maxBodyBytes is the protocol's bound.
+// maxBodyBytes is the protocol's limit for request bodies.
 const maxBodyBytes = 2048
 
-// makeOdd gives the RPC what few RPCs have: a body of any bytes, an impatient caller, or a token that RPCs of other methods carry too.
+// makeUnusual gives the RPC a body of random bytes, a short timeout of its caller, or a token that RPCs of other methods carry
+// as well.
 func (c *trialCall) makeUnusual(random *rand.Rand) {
 	switch random.IntN(3) {
 	case 0:
@@ -150,12 +154,14 @@
 	}
 }
 
-// sharedTokenCount are tokens that RPCs of different methods carry.
+// sharedTokenCount is the number of tokens that RPCs of different methods share.
 const sharedTokenCount = 10
 
+// randomElement returns an element of from, drawn uniformly.
 func randomElement[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
-// waits is how long its caller waits: as long as the method's deadline, where there is one.
+// timeout returns how long the caller waits: its own timeout if routers pass deadlines on, else the method's deadline if it
+// has one, else unboundedWait.
 func (c *trialCall) timeout() time.Duration {
 	if c.ownTimeout > 0 && c.decoded.PassesDeadline() {
 		return c.ownTimeout
@@ -166,12 +172,13 @@
 	return unboundedWait
 }
 
+// peerTry returns the try as the router sends it.
 func (c *trialCall) peerTry(isRetry bool) rig.PeerTry {
-	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.receivedAt, Timeout: c.timeout(), Criticality: c.criticality,
-		IsRetry: isRetry, Work: c.work, Result: c.result, Fails: c.fails}
+	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.receivedAt,
+		Timeout: c.timeout(), Criticality: c.criticality, IsRetry: isRetry, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
-// play sends the RPC, and a copy where one is drawn, until it has its outcome or the trial ends.
+// execute sends the RPC, and a second copy if one is drawn, and waits until it has its outcome or the trial ends.
 func (c *trialCall) execute(ctx context.Context) {
 	var tries sync.WaitGroup
 	if c.copyAfter > 0 {
@@ -190,7 +197,8 @@
 	c.outcomes.record(c, outcome, sent)
 }
 
-// mayRepeat tells whether the RPC may be sent once more: its process still lives, and a token is still in its window.
+// mayRetry reports whether the RPC may be sent again: no reply has excluded it, the app server's process has not been replaced,
+// the deadline has not passed, and a token is still within its window.
 func (c *trialCall) mayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +209,7 @@
 	return c.token == "" || now.Before(c.receivedAt.Add(c.method.window-windowMargin))
 }
 
-// once sends one try and waits for its outcome.
+// sendTry sends one try and waits for its outcome. It reports false if the try could not be sent.
 func (c *trialCall) sendTry(ctx context.Context, isRetry bool) (rig.PeerOutcome, bool) {
 	call, err := c.peer.Send(c.peerTry(isRetry))
 	if err != nil {
@@ -221,63 +229,65 @@
 		case <-cancelTimer:
 			call.Cancel()
 			cancelTimer = nil
-		case <-ctx.Done(): // what is open is answered until the stop, and the checker sees it
+		case <-ctx.Done(): // pending replies still come until the stop, and the checker sees them
 			return rig.PeerOutcome{Err: ctx.Err()}, true
 		}
 	}
 }
 
-// took hears what an answer says of further tries.
+// recordReply records whether a reply excludes further tries.
 func (c *trialCall) recordReply(outcome rig.PeerOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retriesForbidden = c.retriesForbidden || outcome.NoRetry || outcome.RetryAfter > 0 || outcome.Err == nil
 }
 
-// add counts an RPC's outcome.
-func (t *callOutcomes) record(c *trialCall, outcome rig.PeerOutcome, sent bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.byResult == nil {
-		t.byResult = map[string]int{}
+// record counts an RPC's outcome.
+func (o *callOutcomes) record(c *trialCall, outcome rig.PeerOutcome, sent bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.byResult == nil {
+		o.byResult = map[string]int{}
 	}
-	t.total++
+	o.total++
 	result := "served"
 	if outcome.Err != nil {
 		result = outcome.Err.Error()
 	}
-	t.byResult[result]++
+	o.byResult[result]++
 	if sent && !errors.Is(outcome.Err, context.Canceled) && c.cancelAfter == 0 && !c.fails && c.isEasy() {
-		t.easy++
+		o.easy++
 		if outcome.Err == nil {
-			t.served++
+			o.served++
 		}
 	}
 }
 
-// hasRoom tells whether an app server without trouble can serve the RPC easily.
+// isEasy reports whether an app server without faults can serve the RPC easily.
 func (c *trialCall) isEasy() bool {
 	domain := c.decoded.Settings.Domain
 	meanWork := 0.0
 	for _, m := range c.testCase.Settings.Methods {
 		meanWork += m.Work / float64(len(c.testCase.Settings.Methods))
 	}
-	return c.timeout() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls && domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
+	return c.timeout() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls &&
+		domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
 		c.testCase.Load.Rate*meanWork < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
 }
 
-// judge finds app servers that serve nothing although they could.
-func (t *callOutcomes) checkServed(s *trialServer) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !s.hadFault && t.easy >= minEasyRPCs && t.served == 0 {
-		s.violate("rule 1: %s serves none of %d RPCs that it has room for: %v", s.program.Name, t.easy, t.byResult)
+// checkServed reports app servers that served no easy RPC although they had no fault, and those that answered no bad client.
+func (o *callOutcomes) checkServed(s *trialServer) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !s.hadFault && o.easy >= minEasyRPCs && o.served == 0 {
+		s.violate("rule 1: %s served none of %d RPCs that it has capacity for: %v", s.program.Name, o.easy, o.byResult)
 	}
 	if s.badClientsAnswered == 0 && len(s.badClientsIgnored) > 0 {
-		s.violate("rule 4: %s tells bad clients nothing: %v", s.program.Name, s.badClientsIgnored)
+		s.violate("rule 4: %s sent no reply to any bad client: %v", s.program.Name, s.badClientsIgnored)
 	}
 }
 
+// sleepContext sleeps for d, or until ctx ends.
 func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/cmd/rehearse/faults_inflict.go
+++ b/cmd/rehearse/faults_inflict.go
@@ -13,7 +13,7 @@
 	"valveglade/rig/drawn"
 )
 
-// inflict does one fault to the app server, undoes it after its time, and returns.
+// applyFault applies a fault to the app server and returns after the fault's duration, once it is undone.
 func (s *trialServer) applyFault(f drawn.Fault) {
 	s.mu.Lock()
 	s.hadFault = true
@@ -43,7 +43,7 @@
 		s.reload(s.faultyConfig(f.Size))
 	case drawn.RosterSilent:
 		s.stopRoster(duration)
-	case drawn.KernelLate: // from the start on, see withhold
+	case drawn.KernelLate: // applied from the start by delayKernel
 	case drawn.KernelDown:
 		forDuration(kernel.Down, func() {
 			if err := kernel.Return(); err != nil {
@@ -61,11 +61,14 @@
 	case drawn.LinkLossy:
 		kernel.BreakLosing(lossyInterval)
 	case drawn.LinkLate:
-		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = 0 }))
+		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = time.Duration(f.Size) * time.Millisecond }),
+			s.linkFaultSetter(func(l *rig.LinkFaults) { l.Late = 0 }))
 	case drawn.LinkPieces:
-		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = true }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = false }))
+		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = true }),
+			s.linkFaultSetter(func(l *rig.LinkFaults) { l.Pieces = false }))
 	case drawn.LinkDoubled:
-		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }), s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
+		forDuration(s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0.5, 0.2 }),
+			s.linkFaultSetter(func(l *rig.LinkFaults) { l.Doubled, l.Remarks = 0, 0 }))
 	case drawn.RouterDeaf:
 		forDuration(func() { s.setRouterReadsPaused(true) }, func() { s.setRouterReadsPaused(false) })
 	case drawn.RouterReset:
@@ -83,7 +86,8 @@
 		time.Sleep(duration)
 		router.Close()
 	case drawn.Silent:
-		clients := rig.NewIdleClients(s.program.Address, min(int(s.decoded.Limits.Sockets)*f.Size/100, maxIdleConnections), 50*time.Millisecond, s.testCase.Seed)
+		clients := rig.NewIdleClients(s.program.Address,
+			min(int(s.decoded.Limits.Sockets)*f.Size/100, maxIdleConnections), 50*time.Millisecond, s.testCase.Seed)
 		time.Sleep(duration)
 		clients.Close()
 	case drawn.BadClients:
@@ -93,13 +97,13 @@
 	}
 }
 
-// maxIdleConnections bounds the connections without work to one app server: the rig holds their other ends.
+// maxIdleConnections limits the idle connections to one app server, since the rig holds their client ends.
 const maxIdleConnections = 600
 
-// lossyInterval is for how long before a break commands may be lost: the protocol's figure.
+// lossyInterval is the protocol's limit for the time before a link failure in which commands may be lost.
 const lossyInterval = 50 * time.Millisecond
 
-// linkFault changes what is wrong with the kernel's link.
+// linkFaultSetter returns a function that changes the faults of the link to the kernel.
 func (s *trialServer) linkFaultSetter(change func(*rig.LinkFaults)) func() {
 	return func() {
 		s.mu.Lock()
@@ -109,12 +113,13 @@
 	}
 }
 
+// delayKernel withholds the kernel's messages from the start, for the fault's duration.
 func (s *trialServer) delayKernel(f drawn.Fault) {
 	s.program.Kernel.Withhold()
 	time.AfterFunc(secondsToDuration(f.For), s.program.Kernel.Release)
 }
 
-// kill ends the process outright, and starts it again under its name.
+// kill kills the process and starts it again under its name after delay.
 func (s *trialServer) kill(delay time.Duration) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -128,7 +133,8 @@
 	s.restart()
 }
 
-// terminate tells the process to leave, and starts it again under its name once it has.
+// terminate shuts the process down and starts it again under its name after its exit. secondSignalNumber selects another
+// signal during the drain: 1 for SIGHUP, 2 for SIGTERM, else none.
 func (s *trialServer) terminate(secondSignalNumber int) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -145,10 +151,10 @@
 	s.restart()
 }
 
-// secondSignalDelay is between the notice and another signal: before the end of any drain.
+// secondSignalDelay is the time from the shutdown signal to the second one, which comes before the end of any drain.
 const secondSignalDelay = 100 * time.Millisecond
 
-// faultyConfig is one of the files that no page allows.
+// faultyConfig returns one of the invalid configuration files: truncated, malformed or with an invalid value.
 func (s *trialServer) faultyConfig(number int) string {
 	valid := s.config(s.program)
 	switch number {
@@ -162,7 +168,8 @@
 	return strings.Replace(valid, `"kernel":"`, `"kernel":"nowhere`, 1)
 }
 
-// awaitHandlers waits until a process that has just been started can take a signal: before, its runtime is not up.
+// awaitSignalHandlers waits until a process that has just been started can handle signals. A signal that comes before its
+// runtime is initialized would end it.
 func (s *trialServer) awaitSignalHandlers() {
 	s.mu.Lock()
 	launchedAt := s.launchedAt
@@ -172,10 +179,10 @@
 	}
 }
 
-// signalReadyTimeout is what the runtime of a process takes at most on a busy machine.
+// signalReadyTimeout is the maximum time that a process's runtime takes to initialize on a busy machine.
 const signalReadyTimeout = 500 * time.Millisecond
 
-// again starts the process once more and counts whether it is ready in time.
+// restart starts the process again and counts whether it is ready within readyTimeout.
 func (s *trialServer) restart() {
 	s.launchLocked()
 	startedAt := time.Now()
@@ -188,7 +195,7 @@
 	}
 }
 
-// pause stops the process for a while, as a busy machine would.
+// pause suspends the process for the given duration, as a busy machine would.
 func (s *trialServer) pause(duration time.Duration) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -207,7 +214,7 @@
 	set(false)
 }
 
-// reload replaces the file and has the process read it.
+// reload replaces the configuration file and signals the process to reload it.
 func (s *trialServer) reload(text string) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -222,6 +229,7 @@
 	s.program.Signal(syscall.SIGHUP)
 }
 
+// stopRoster stops the roster for the given duration, unless it is stopped already.
 func (s *trialServer) stopRoster(duration time.Duration) {
 	if !s.rosterDown.CompareAndSwap(false, true) {
 		return
@@ -234,15 +242,17 @@
 	}
 }
 
+// setRouterReadsPaused sets whether the app server's routers stop reading.
 func (s *trialServer) setRouterReadsPaused(paused bool) {
 	for _, p := range s.peers {
 		p.SetReadPaused(paused)
 	}
 }
 
-// badClients has some clients send nonsense for a while.
+// badClients runs clients that send malformed messages for the given duration.
 func (s *trialServer) badClients(f drawn.Fault, duration time.Duration) {
-	clients := rig.NewBadClients(s.program.Name, s.program.Address, s.testCase.Settings.Methods[0].Name, f.Size, s.check, s.testCase.Seed)
+	clients := rig.NewBadClients(s.program.Name, s.program.Address, s.testCase.Settings.Methods[0].Name, f.Size, s.check,
+		s.testCase.Seed)
 	time.Sleep(duration)
 	answered, ignored := clients.Close()
 	s.mu.Lock()
@@ -251,7 +261,7 @@
 	s.badClientsIgnored = append(s.badClientsIgnored, ignored...)
 }
 
-// burst asks for many RPCs at once and waits for their outcomes.
+// burst sends size RPCs at once and waits for their outcomes.
 func (s *trialServer) burst(size int) {
 	random := rand.New(rand.NewPCG(s.testCase.Seed, uint64(size)))
 	methods := s.methods()
@@ -262,22 +272,23 @@
 		if s.probe.HealthyAt().IsZero() || s.isPaused() {
 			break
 		}
-		call := s.newCall(s.peers[k%len(s.peers)], randomElement(random, methods), random, fmt.Sprintf("%s-burst-%d", s.program.Name, k))
+		call := s.newCall(s.peers[k%len(s.peers)], randomElement(random, methods), random,
+			fmt.Sprintf("%s-burst-%d", s.program.Name, k))
 		calls.Go(func() { call.execute(ctx) })
 	}
 	calls.Wait()
 }
 
-// burstTimeout bounds the wait for the outcomes of a burst.
+// burstTimeout limits the wait for the outcomes of a burst.
 const burstTimeout = 2 * time.Second
 
-// fillLog has nobody read the process's log for a while, or as long as it lives.
+// fillLog fills the pipe of the process's log and resumes reading after the given duration, or never if it is 0.
 func (s *trialServer) fillLog(duration time.Duration) {
 	if !s.program.Running() {
 		return
 	}
 	if err := s.program.FillLog(); err != nil {
-		s.check.Failed("the log's pipe cannot be filled: %v", err)
+		s.check.Failed("cannot fill the pipe of the process's log: %v", err)
 	}
 	if duration > 0 {
 		time.Sleep(duration)
--- a/cmd/rehearse/faults_injected.go
+++ b/cmd/rehearse/faults_injected.go
@@ -8,10 +8,10 @@
 	"valveglade/rig/drawn"
 )
 
-// plantedFault is a mistake that the search has to find, and by which violation.
+// injectedFault is a fault in the program that the search has to find, with the violation that reveals it.
 type injectedFault struct {
-	name      string // of the sub-command planted
-	violation string // part of the violation's text
+	name      string // argument of the sub-command planted
+	violation string // substring of the violation's text
 }
 
 var injectedFaults = []injectedFault{
@@ -22,15 +22,15 @@
 	{injectIgnoredStop, "did not end by itself"},
 }
 
-// in reports whether it was found in a trial.
+// foundIn reports whether a trial found the fault.
 func (fault injectedFault) foundIn(r *trialResult) bool {
 	return slices.ContainsFunc(r.violations, func(v string) bool { return strings.Contains(v, fault.violation) })
 }
 
-// plantedWithin bounds the search for one of them.
+// injectedFaultTimeout limits the search for one injected fault.
 const injectedFaultTimeout = 60 * time.Second
 
-// plantedCase is a case without anything uncommon: whatever is found in it was planted.
+// injectionCase returns a case without faults and unusual settings, so that all violations come from the injected fault.
 func injectionCase(seed uint64) drawn.Case {
 	c := drawn.Case{Seed: seed, Servers: 3, Seconds: 3, Load: drawn.Load{Rate: 40, Routers: 2, Repeats: 0.2}}
 	for _, effect := range []string{"retryable", "dedup", "fragile"} {
@@ -41,7 +41,8 @@
 	return c
 }
 
-// runInjectedFaults searches for faults in programs in which one is planted, and in one with none, started the same way.
+// runInjectedFaults searches for faults in programs with one injected fault each, and in a control program without any that is
+// started in the same way.
 func (run *experimentRun) runInjectedFaults() error {
 	control, err := run.runInjectedFault(injectNothing, run.Seed)
 	if err != nil {
@@ -70,11 +71,12 @@
 	return nil
 }
 
-// runInjectedFault plays the plain case with a program in which something is planted.
+// runInjectedFault runs the case of a seed with a program that has the named fault.
 func (run *experimentRun) runInjectedFault(name string, seed uint64) (*trialResult, error) {
-	faultyRun := &experimentRun{Seed: seed, Program: run.self(), rehearseBinary: run.rehearseBinary, Logs: run.Logs, output: run.output, programArgs: []string{"planted", name}}
+	faultyRun := &experimentRun{Seed: seed, Program: run.self(), rehearseBinary: run.rehearseBinary,
+		Logs: run.Logs, output: run.output, programArgs: []string{"planted", name}}
 	if name == injectNothing {
 		return faultyRun.runTrialWithRepeats(injectionCase(seed))
 	}
-	return faultyRun.runTrial(injectionCase(seed)) // what is planted may keep its own process from a core
+	return faultyRun.runTrial(injectionCase(seed)) // no repeats: the injected fault may itself keep the process waiting for a core
 }
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -14,36 +14,38 @@
 	"valveglade/rig/drawn"
 )
 
-// trialServer is one app server of a trial, with its surroundings.
+// trialServer is one app server of a trial, with its stand-ins and the state of its process.
 type trialServer struct {
 	*trial
 	number   int
 	program  *rig.Program
-	proxy    *rig.Net // between the routers and it
+	proxy    *rig.Net // between the routers and the app server
 	probe    *rig.HealthProbe
 	peers    []*rig.Peer
 	outcomes callOutcomes
-	kills    atomic.Int64 // processes that have ended: tokens do not outlive them
+	kills    atomic.Int64 // number of processes that have ended; tokens do not outlive their process
 
 	lifecycle          sync.Mutex // held while the process is started or ended
 	mu                 sync.Mutex
-	launchedAt         time.Time // zero while there is no process
-	excusedUntil       time.Time // until when it may be silent: it was stopped
+	launchedAt         time.Time // zero while no process runs
+	excusedUntil       time.Time // time up to which missing answers are excused, because of a pause
 	paused             bool
-	leaving            bool // it has been told to
-	limitReported      bool // it has taken more than its limits, which is said once
-	ready              bool // the probe has seen it ready
+	leaving            bool // it is shutting down
+	limitReported      bool // a violation of its limits has been reported, which happens once
+	ready              bool // the probe has seen it healthy
 	logs               string
 	linkFaults         rig.LinkFaults
-	hadFault           bool     // a fault was inflicted on it
-	badClientsAnswered int      // bad clients that were told something
-	badClientsIgnored  []string // kinds of bad clients that were told nothing
+	hadFault           bool     // a fault was applied to it
+	badClientsAnswered int      // messages of bad clients that got a reply
+	badClientsIgnored  []string // kinds of messages of bad clients that got no reply
 }
 
+// newServer creates an app server and its stand-ins, and does not start its process.
 func (t *trial) newServer(number int) (*trialServer, error) {
 	s := &trialServer{trial: t, number: number}
 	name := serverName(number)
-	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs, Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
+	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs,
+		Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
 		Roster: t.roster.Address(), Check: t.check, Config: s.config})
 	if err != nil {
 		return nil, err
@@ -66,24 +68,29 @@
 	return s, nil
 }
 
+// serverName returns the name of the app server of a number, counted from 0.
 func serverName(number int) string { return fmt.Sprintf("n%d", number+1) }
 
-// siteSettings is what the rig itself goes by.
+// siteSettings returns the settings of the site that the rig itself uses.
 func (t *trial) siteSettings() rig.Site {
 	return rig.Site{MemoryMB: int(t.decoded.Limits.MemoryMB), Sockets: int(t.decoded.Limits.Sockets),
-		Stop: secondsToDuration(t.decoded.StopMS / 1000), Grace: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS), OneCore: true}
+		Stop: secondsToDuration(t.decoded.StopMS / 1000), Grace: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS),
+		OneCore: true}
 }
 
-// peerOptions is how routers write under the settings.
+// peerOptions returns how routers write under the settings.
 func (t *trial) peerOptions() rig.PeerOptions {
 	return rig.PeerOptions{PassesDeadline: t.decoded.PassesDeadline(), HangupSeen: t.decoded.HangupSeen(),
 		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.testCase.Load.Pieces}
 }
 
+// config returns the configuration file of the program with its kernel's present address.
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
 
+// configFor returns the configuration file with the given kernel address.
 func (s *trialServer) configFor(kernel string) string {
-	return s.testCase.Settings.Config(drawn.Addresses{Name: s.program.Name, Listen: s.program.Address, Kernel: kernel, Roster: s.program.Roster()})
+	return s.testCase.Settings.Config(drawn.Addresses{Name: s.program.Name, Listen: s.program.Address, Kernel: kernel,
+		Roster: s.program.Roster()})
 }
 
 // launch starts the process.
@@ -93,7 +100,7 @@
 	s.launchLocked()
 }
 
-// begin is launch under the lock of its life.
+// launchLocked starts the process. The caller holds lifecycle.
 func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
 		s.check.Failed("%s cannot be started: %v", s.program.Name, err)
@@ -105,7 +112,7 @@
 	s.launchedAt, s.paused, s.leaving, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
 }
 
-// down notes that there is no process any more.
+// recordExit records that the process has ended, and keeps its log.
 func (s *trialServer) recordExit() {
 	s.kills.Add(1)
 	s.mu.Lock()
@@ -114,22 +121,23 @@
 	s.logs = s.program.Log()
 }
 
-// watch looks whether the process answers health checks while it runs.
+// watch checks the process and records its waits for a core, until ctx ends.
 func (s *trialServer) watch(ctx context.Context) {
-	var coreWaits []time.Duration // of the last second
+	var coreWaits []time.Duration // total waits, sampled over the last second
 	for ctx.Err() == nil {
 		s.checkProcess()
 		time.Sleep(watchInterval)
 		if coreWaits = append(coreWaits, s.program.Waited()); len(coreWaits) > int(time.Second/watchInterval) {
 			coreWaits = coreWaits[1:]
 		}
-		s.recordCoreWait(coreWaits[len(coreWaits)-1] - coreWaits[0]) // below 0 over a restart
+		s.recordCoreWait(coreWaits[len(coreWaits)-1] - coreWaits[0]) // negative across a restart
 	}
 }
 
-// watchInterval is between two looks at a process.
+// watchInterval is the interval between two checks of a process.
 const watchInterval = 50 * time.Millisecond
 
+// checkProcess checks that a running process answers health checks and keeps its limits of memory and descriptors.
 func (s *trialServer) checkProcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,26 +149,27 @@
 	}
 	lastAnswer := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastAnswerAt())
 	if silence := time.Since(lastAnswer); silence > maxHealthCheckGap {
-		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silence.Seconds())
-		s.excusedUntil = time.Now().Add(time.Hour) // once is enough
+		s.violate("rule 4: %s answered no health check for %.1f s", s.program.Name, silence.Seconds())
+		s.excusedUntil = time.Now().Add(time.Hour) // report it only once
 	}
 	if memory, limit := s.program.Resident(), int64(s.decoded.Limits.MemoryMB)<<20; memory > limit && !s.limitReported {
 		s.limitReported = true
-		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, memory>>20, limit>>20)
+		s.violate("rule 4: %s uses %d MB of memory, more than its limit of %d MB", s.program.Name, memory>>20, limit>>20)
 	}
 	if descriptors := s.program.Descriptors(); descriptors > int(s.decoded.Limits.Sockets) && !s.limitReported {
 		s.limitReported = true
-		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, descriptors, int(s.decoded.Limits.Sockets))
+		s.violate("rule 4: %s holds %d descriptors, more than its limit of %d", s.program.Name, descriptors,
+			int(s.decoded.Limits.Sockets))
 	}
 }
 
-// rest waits until the app server owes nothing, and measures the processor time that it takes without work.
+// checkAtRest measures the processor time that the app server uses without work, and reports a violation if it is too much.
 func (s *trialServer) checkAtRest() {
 	if !s.program.Running() {
 		return
 	}
 	var err error
-	for range 3 { // work that is left over may take one of them
+	for range 3 { // remaining work may take one of the attempts
 		if err = s.program.Resting(restDuration, maxRestCPUShare); err == nil {
 			return
 		}
@@ -168,7 +177,7 @@
 	s.violate("rule 4: %s: %v", s.program.Name, err)
 }
 
-// stop tells the process to leave, and waits for its end.
+// stop shuts the process down, if it runs, and waits until it has ended.
 func (s *trialServer) stop() {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -179,7 +188,8 @@
 	s.shutDown()
 }
 
-// leave has the process leave and waits for its end. Where that would take longer than a trial it is killed on its way.
+// shutDown shuts the process down and waits until it has ended. If its stop time is longer than a trial waits, the process is
+// killed during the shutdown.
 func (s *trialServer) shutDown() {
 	s.mu.Lock()
 	s.leaving = true
@@ -194,10 +204,10 @@
 	s.recordExit()
 }
 
-// maxStopWait is the longest time to the stop that a trial waits for.
+// maxStopWait is the longest stop time that a trial waits for.
 const maxStopWait = 8 * time.Second
 
-// judge looks at the log and at what was served.
+// checkLogAndLoad checks the log for crashes and the outcomes of the load. It saves the log if a directory for logs is set.
 func (s *trialServer) checkLogAndLoad() {
 	if s.run.Logs != "" {
 		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.testCase.Seed, s.program.Name))
@@ -214,16 +224,16 @@
 	s.outcomes.checkServed(s)
 }
 
-// logTail are the last lines of what the process logged, for those who look into a trial.
+// logTail returns the last lines of the process's log, for the analysis of a trial.
 func (s *trialServer) logTail() string {
 	lines := strings.Split(strings.TrimSpace(s.logs), "\n")
 	return strings.Join(lines[max(len(lines)-logTailLines, 0):], "\n")
 }
 
-// logTailLines are shown of a log.
+// logTailLines is the number of log lines that logTail returns.
 const logTailLines = 3
 
-// clear ends the process and what surrounds it.
+// close ends the process and its stand-ins.
 func (s *trialServer) close() {
 	s.probe.Close()
 	for _, p := range s.peers {
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -10,13 +10,13 @@
 	"valveglade/rig/drawn"
 )
 
-// maxParallelTrials bounds the trials that tests play side by side.
+// maxParallelTrials limits the trials that tests run in parallel.
 const maxParallelTrials = 6
 
-// trialSlots holds a place for each trial that is played now.
+// trialSlots holds an entry for each running trial.
 var trialSlots = make(chan struct{}, maxParallelTrials)
 
-// playCase plays one case with the program.
+// runCase runs one case with the program.
 func runCase(t *testing.T, c drawn.Case) *trialResult {
 	t.Helper()
 	trialSlots <- struct{}{}
@@ -30,7 +30,7 @@
 	return result
 }
 
-// Each case that the search has found to fail once keeps the rules.
+// Each case that once failed in the search keeps the rules.
 func TestFaultCases(t *testing.T) {
 	names, err := filepath.Glob("testdata/faults/*.json")
 	if err != nil || len(names) == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Some cases of the search, always the same, keep the rules.
+// A few cases of the search with fixed seeds keep the rules.
 func TestFaults(t *testing.T) {
 	for seed := range uint64(faultTrialsShort) {
 		c := drawn.Draw(seed)
@@ -70,14 +70,16 @@
 	}
 }
 
-// What is planted in a program is found, and nothing where nothing is.
-func TestInjectedFaults(t *testing.T) {
+// The search finds each injected fault, and no violation in a program without one.
+// It guards against a checker that misses faults.
+func TestFaultsInjected(t *testing.T) {
 	for _, fault := range append([]injectedFault{{name: injectNothing}}, injectedFaults...) {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			trialSlots <- struct{}{}
 			defer func() { <-trialSlots }()
-			run := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &bytes.Buffer{}}
+			run := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary,
+				shortForm: true, output: &bytes.Buffer{}}
 			result, err := run.runInjectedFault(fault.name, run.Seed)
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -17,57 +17,62 @@
 	"valveglade/rpc"
 )
 
-// Figures of a trial.
+// Parameters of a trial.
 const (
-	checkTolerance    = 500 * time.Millisecond // past what the rules name: several trials and other work share the machine
-	restDuration      = 700 * time.Millisecond // in which an app server without work is watched
-	maxRestCPUShare   = 0.2                    // of a core, at most, that it takes then
-	maxHealthCheckGap = 3 * time.Second        // at most, between answers to health checks
-	readyTimeout      = 10 * time.Second       // from a restart to the first good health check
-	faultFreeTime     = 1500 * time.Millisecond
+	checkTolerance    = 500 * time.Millisecond  // allowed beyond the rules' times, since trials and other work share the machine
+	restDuration      = 700 * time.Millisecond  // how long an app server without work is observed
+	maxRestCPUShare   = 0.2                     // maximum share of a core that an app server without work uses
+	maxHealthCheckGap = 3 * time.Second         // maximum time between two answers to health checks
+	readyTimeout      = 10 * time.Second        // maximum time from a restart to the first successful health check
+	faultFreeTime     = 1500 * time.Millisecond // load without faults at the end of a trial
 )
 
-// trialResult is what a trial came to.
+// trialResult is the result of a trial.
 type trialResult struct {
 	testCase        drawn.Case
 	violations      []string
 	restarts, ready int
 	tries, runs     int
-	repeats         int           // how often it was played again
-	coreWait        time.Duration // the longest that a process waited for a core, within a second
+	repeats         int           // number of repeats
+	coreWait        time.Duration // longest time that a process waited for a core within one second
 }
 
-// timingViolation is in violations that a machine may cause which is late itself.
-var timingViolation = regexp.MustCompile(`after its (deadline|stop)|answers nobody|never answered|closed the connection over it`)
+// timingViolation matches violations that an overloaded machine may cause by itself.
+var timingViolation = regexp.MustCompile(
+	`after its (deadline|stop)|answered no health check|never answered|closed the connection over it`)
 
-// coreWaitLimit is how long a process may wait for a core, within a second, before violations about time show nothing.
+// coreWaitLimit is the maximum time that a process may wait for a core within one second. Beyond it, timing violations prove
+// nothing.
 const coreWaitLimit = 200 * time.Millisecond
 
-// inconclusive tells whether the violations show nothing but that the machine was busy.
+// inconclusive reports whether the machine was busy and all violations are about timing.
 func (r *trialResult) inconclusive() bool {
 	return r.coreWait > coreWaitLimit && len(r.violations) > 0 &&
 		!slices.ContainsFunc(r.violations, func(v string) bool { return !timingViolation.MatchString(v) })
 }
 
-// class is by what a failing trial is known again when less is in it.
+// class returns the class of the first violation. A reduced case has to fail with the same class.
 func (r *trialResult) class() string { return violationClass(r.violations[0]) }
 
+// hasClass reports whether one of the violations is of the class.
 func (r *trialResult) hasClass(class string) bool {
 	return slices.ContainsFunc(r.violations, func(v string) bool { return violationClass(v) == class })
 }
 
-// variableParts are what differs between two violations of one kind.
-var variableParts = regexp.MustCompile(`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
+// variableParts matches the parts in which two violations of one class differ.
+var variableParts = regexp.MustCompile(
+	`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
 
+// violationClass returns the violation's first line without its variable parts, and the reason of a process that ended.
 func violationClass(violation string) string {
 	class, _, _ := strings.Cut(violation, "\n")
-	if _, reason, found := strings.Cut(violation, "valveglade: "); found { // why a process ended
+	if _, reason, found := strings.Cut(violation, "valveglade: "); found { // why the process ended
 		class += reason
 	}
 	return variableParts.ReplaceAllString(class, "_")
 }
 
-// trial is one under way.
+// trial is a running trial.
 type trial struct {
 	run        *experimentRun
 	testCase   drawn.Case
@@ -84,7 +89,7 @@
 	result trialResult
 }
 
-// runTrial plays one case.
+// runTrial runs one case and returns its result, or an error that wraps errTrialSetup.
 func (run *experimentRun) runTrial(c drawn.Case) (*trialResult, error) {
 	t := &trial{run: run, testCase: c, result: trialResult{testCase: c}}
 	if err := t.prepare(); err != nil {
@@ -107,13 +112,14 @@
 	return &t.result, nil
 }
 
-// violate takes note of a broken rule.
+// violate records a violation of a rule.
 func (t *trial) violate(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.violations = append(t.result.violations, fmt.Sprintf(format, args...))
 }
 
+// prepare creates the stand-ins and the app servers, and starts no process.
 func (t *trial) prepare() (err error) {
 	if t.decoded, err = t.testCase.Settings.Told(); err != nil {
 		return err
@@ -143,7 +149,7 @@
 	return nil
 }
 
-// checkerTerms are what app servers are judged by.
+// checkerTerms returns the terms by which the checker judges app servers.
 func (t *trial) checkerTerms() rig.Terms {
 	terms := rig.Terms{Methods: map[string]rig.MethodTerms{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
@@ -152,20 +158,23 @@
 	return terms
 }
 
-// kernelConfig is the stand-in of the settings.
+// kernelConfig returns the configuration of the stand-in kernel of an app server, as the settings describe the kernel.
 func (t *trial) kernelConfig(number int) rig.KernelConfig {
 	domain, rules := t.decoded.Settings.Domain, t.decoded.Settings.Rules
-	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1), Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
-		Gauges: domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
-		Crowding: rig.Crowding{Factor: rules.OverloadFactor, Window: secondsToDuration(rules.FallS)}, Seed: t.testCase.Seed + uint64(number)<<32,
-		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: secondsToDuration(rules.RampTimeS), Window: secondsToDuration(rules.FallS)}}
+	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1),
+		Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
+		Gauges:     domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
+		Crowding: rig.Crowding{Factor: rules.OverloadFactor, Window: secondsToDuration(rules.FallS)},
+		Seed:     t.testCase.Seed + uint64(number)<<32,
+		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: secondsToDuration(rules.RampTimeS),
+			Window: secondsToDuration(rules.FallS)}}
 	for _, m := range t.testCase.Settings.Methods {
 		config.Methods = append(config.Methods, m.Name)
 	}
 	return config
 }
 
-// tearDown ends what is left of a trial.
+// tearDown ends all processes and stand-ins of the trial and removes its directory.
 func (t *trial) tearDown() {
 	for _, s := range t.servers {
 		s.close()
@@ -174,7 +183,7 @@
 	os.RemoveAll(t.directory)
 }
 
-// startServers has all processes begin together, with what is late from their startServers on.
+// startServers starts all processes together, with the faults that apply from their start.
 func (t *trial) startServers() {
 	t.startedAt = time.Now()
 	for _, s := range t.servers {
@@ -189,7 +198,7 @@
 	}
 }
 
-// runLoadAndFaults has the load and the faults go on side by side, each in its time.
+// runLoadAndFaults runs the load and, at their times, the faults concurrently. The load ends faultFreeTime after the last fault.
 func (t *trial) runLoadAndFaults() {
 	ctx, stop := context.WithCancel(context.Background())
 	var loads sync.WaitGroup
@@ -205,15 +214,15 @@
 	}
 	time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(t.testCase.Seconds))))
 	faults.Wait()
-	time.Sleep(t.run.scaled(faultFreeTime)) // without a fault
+	time.Sleep(t.run.scaled(faultFreeTime))
 	stop()
 	loads.Wait()
 }
 
-// latenessInterval is between two looks of the witness.
+// latenessInterval is the sleep over which measureLateness measures.
 const latenessInterval = 10 * time.Millisecond
 
-// measureLateness notes how late this process itself is.
+// measureLateness records how late this process itself wakes up, until ctx ends.
 func (t *trial) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		startedAt := time.Now()
@@ -222,14 +231,14 @@
 	}
 }
 
-// recordCoreWait takes note of a wait for a core.
+// recordCoreWait records a wait for a core.
 func (t *trial) recordCoreWait(wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.coreWait = max(t.result.coreWait, wait)
 }
 
-// checkServersAtRest watches the app servers without load.
+// checkServersAtRest observes the app servers without load.
 func (t *trial) checkServersAtRest() {
 	var checks sync.WaitGroup
 	for _, s := range t.servers {
@@ -238,7 +247,7 @@
 	checks.Wait()
 }
 
-// stopServers tells all app servers to leave and waits for their ends.
+// stopServers shuts all app servers down and waits until they have ended.
 func (t *trial) stopServers() {
 	var stops sync.WaitGroup
 	for _, s := range t.servers {
@@ -247,7 +256,7 @@
 	stops.Wait()
 }
 
-// collectViolations gathers what the checker and the logs say.
+// collectViolations collects the violations of the checker, the logs and the load.
 func (t *trial) collectViolations() {
 	for _, s := range t.servers {
 		s.checkLogAndLoad()
@@ -261,7 +270,7 @@
 	t.result.tries, t.result.runs = t.check.Count("tries"), t.check.Count("runs")
 }
 
-// logBeforeExit is what a process said before it ended by itself, if that is what the violation tells.
+// logBeforeExit returns the last log lines of a process if the violation says that the process ended by itself, else "".
 func (t *trial) logBeforeExit(violation string) string {
 	name, message, _ := strings.Cut(violation, " ")
 	for _, s := range t.servers {
@@ -272,7 +281,8 @@
 	return ""
 }
 
-// callersRule is the checker's number for what callers, not app servers, may not do.
+// callersRule is the checker's number of the rule for callers; it says nothing about app servers.
 const callersRule = 5
 
+// secondsToDuration converts seconds to a duration.
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/cmd/rehearse/lowest_name_baseline.go
+++ b/cmd/rehearse/lowest_name_baseline.go
@@ -16,15 +16,17 @@
 	"valveglade/member"
 )
 
-// lowestCommand is the baseline of ownership: whoever sees itself as the lowest name of its own view is the owner, without
-// terms and voters, and sends the same commands. With voters it campaigns as the program does, by a clock that drifts.
+// lowestNameCommand returns the sub-command that is the baseline of ownership: a process whose name is the lowest of its own view
+// is the owner, without terms and voters, and sends the same commands. With voters, it campaigns as the program does, with a
+// clock that drifts.
 func lowestNameCommand() *cobra.Command {
 	var name, listen, advertise, join, order string
 	var voters []string
 	var rate, drift float64
 	command := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		memberConfig := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen), Advertise: netip.MustParseAddrPort(advertise),
-			Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 300 * time.Millisecond, View: view.Defaults()}
+		memberConfig := member.Config{Name: name, Listen: netip.MustParseAddrPort(listen),
+			Advertise: netip.MustParseAddrPort(advertise),
+			Allow:     []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, ProbeInterval: 300 * time.Millisecond, View: view.Defaults()}
 		for _, a := range strings.Split(join, ",") {
 			memberConfig.Join = append(memberConfig.Join, netip.MustParseAddrPort(a))
 		}
@@ -41,8 +43,9 @@
 		if len(voters) > 0 {
 			startedAt := time.Now()
 			lease := experimentLease.Seconds()
-			fleetNode, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters}, Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
-				Clock: func() float64 { return rate * time.Since(startedAt).Seconds() }}, node, log)
+			fleetNode, err := fleet.New(fleet.Config{Name: name, Voters: [][]string{voters},
+				Timing: owner.Timing{Lease: lease, Drift: drift, Margin: lease / 10},
+				Clock:  func() float64 { return rate * time.Since(startedAt).Seconds() }}, node, log)
 			if err != nil {
 				return err
 			}
@@ -83,5 +86,5 @@
 	return command
 }
 
-// orderEvery is how often owners send orders in an experiment.
+// commandInterval is the interval at which owners send commands in an experiment.
 const commandInterval = 20 * time.Millisecond
--- a/cmd/rehearse/memberlist_baseline.go
+++ b/cmd/rehearse/memberlist_baseline.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 )
 
-// bareCommand is the baseline of the fleet's view: the gossip library alone, with its own transport, at the same probe
-// interval. It tells its members on standard error as the program tells its view.
+// memberlistCommand returns the sub-command that is the baseline of the fleet's view: the gossip library alone, with its own
+// transport and the same probe interval. It logs its members to standard error in the form of the program's view.
 func memberlistCommand() *cobra.Command {
 	var name, listen, advertise, join string
 	var probe time.Duration
@@ -39,8 +39,8 @@
 				return err
 			}
 		}
-		transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{cfg.BindAddr}, BindPort: cfg.BindPort,
-			Logger: cfg.Logger})
+		transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{cfg.BindAddr},
+			BindPort: cfg.BindPort, Logger: cfg.Logger})
 		if err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 	return command
 }
 
-// bareTransport is the library's own, which speaks from the address where it listens.
+// localAddressTransport is the library's transport, with connections that are opened from the address where it listens.
 type localAddressTransport struct {
 	*memberlist.NetTransport
 	localAddress *net.TCPAddr
@@ -79,8 +79,10 @@
 	return t.DialTimeout(address.Addr, timeout)
 }
 
+// lastMembers holds the member names that were printed last.
 var lastMembers string
 
+// printMembers prints the names of the members to standard error, if they have changed, as a view of the program.
 func printMembers(members []*memberlist.Node) {
 	var names []string
 	for _, n := range members {
