--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -63,7 +63,8 @@
 var variableParts = regexp.MustCompile(
 	`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
 
-// violationClass returns the violation's first line without its variable parts, and the reason of a process that ended.
+// violationClass returns the first line of a violation, and the reason if it is about a process that ended, with the variable
+// parts replaced.
 func violationClass(violation string) string {
 	class, _, _ := strings.Cut(violation, "\n")
 	if _, reason, found := strings.Cut(violation, "valveglade: "); found { // why the process ended
--- a/cmd/rehearse/memberlist_baseline.go
+++ b/cmd/rehearse/memberlist_baseline.go
@@ -71,10 +71,12 @@
 	localAddress *net.TCPAddr
 }
 
+// DialTimeout connects to address from the listening address.
 func (t *localAddressTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: timeout, LocalAddr: t.localAddress}).Dial("tcp", address)
 }
 
+// DialAddressTimeout connects to a member from the listening address.
 func (t *localAddressTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
