--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -13,63 +13,65 @@
 	"valveglade/rig/drawn"
 )
 
-// faultFlags are those of the search for faults.
+// faultFlags holds the flags of the faults experiment.
 type faultFlags struct {
-	first   int    // of the trials of a seed
-	trials  int    // 0 for as many as the form has
-	aside   int    // trials side by side
-	replays int    // at most, to cut one failing trial down
-	only    string // a case to play, or @ and a file of one
-	planted bool   // play the planted faults instead
+	first          int    // index of the first trial within the seed
+	trials         int    // number of trials; 0 selects the default of the run's length
+	parallel       int    // number of trials that run in parallel
+	replays        int    // maximum number of trials for reducing one failing trial
+	onlyCase       string // the only case to run, or @ and the name of a file that holds it
+	injectedFaults bool   // run the injected faults instead
 }
 
-// trialSeeds is how many seeds of trials each seed of a run has.
-const trialSeeds = 1_000_000
+// seedsPerRun is the number of trial seeds that belong to each seed of a run.
+const seedsPerRun = 1_000_000
 
-// Trials in a run of each form, and how many failing ones are cut down.
+// Number of trials in a run of each length, and maximum number of failing trials that are reduced.
 const (
 	faultTrials      = 100
 	faultTrialsLong  = 300
-	faultTrialsBrief = 4
-	faultsReduced    = 6
+	faultTrialsShort = 4
+	maxReducedTrials = 6
 )
 
+// register adds the flags to cmd.
 func (f *faultFlags) register(cmd *cobra.Command) {
-	cmd.Flags().IntVar(&f.trials, "trials", 0, "trials of faults, whose seeds follow one another")
-	cmd.Flags().IntVar(&f.first, "first", 0, "the first of the trials of faults, counted from 0")
-	cmd.Flags().IntVar(&f.aside, "aside", 2, "trials of faults that are played side by side")
-	cmd.Flags().IntVar(&f.replays, "replays", 24, "trials at most to cut a failing one of faults down")
-	cmd.Flags().StringVar(&f.only, "only", "", "play this case of faults alone, as a failing trial prints it, or @FILE")
-	cmd.Flags().BoolVar(&f.planted, "planted", false, "play faults that are planted in the program, and show how soon each is found")
+	cmd.Flags().IntVar(&f.trials, "trials", 0, "number of fault trials, with consecutive seeds")
+	cmd.Flags().IntVar(&f.first, "first", 0, "index of the first fault trial, counted from 0")
+	cmd.Flags().IntVar(&f.parallel, "aside", 2, "number of fault trials that run in parallel")
+	cmd.Flags().IntVar(&f.replays, "replays", 24, "maximum number of trials for reducing a failing fault trial")
+	cmd.Flags().StringVar(&f.onlyCase, "only", "", "run only this fault case, as a failing trial prints it, or @FILE")
+	cmd.Flags().BoolVar(&f.injectedFaults, "planted", false,
+		"run programs with injected faults and report the time until each is found")
 }
 
-// playFaults searches for faults: trials under settings and schedules that are drawn from the seed.
-func runFaults(p *experimentRun) error {
+// runFaults searches for faults with trials whose settings and fault schedules are drawn from the seed.
+func runFaults(run *experimentRun) error {
 	switch {
-	case p.faults.only != "":
-		return p.playOnly(p.faults.only)
-	case p.faults.planted:
-		return p.playPlanted()
+	case run.faults.onlyCase != "":
+		return run.runGivenCase(run.faults.onlyCase)
+	case run.faults.injectedFaults:
+		return run.runInjectedFaults()
 	}
-	trials := p.faults.trials
+	trials := run.faults.trials
 	switch {
 	case trials > 0:
-	case p.shortForm:
-		trials = faultTrialsBrief
-	case p.Long:
+	case run.shortForm:
+		trials = faultTrialsShort
+	case run.Long:
 		trials = faultTrialsLong
 	default:
 		trials = faultTrials
 	}
-	failed := p.playTrials(trials)
-	for _, r := range failed[:min(len(failed), faultsReduced)] {
-		p.reduceTrial(r)
+	failed := run.runTrials(trials)
+	for _, r := range failed[:min(len(failed), maxReducedTrials)] {
+		run.reduceTrial(r)
 	}
 	return nil
 }
 
-// playOnly plays one case that is given.
-func (p *experimentRun) playOnly(text string) error {
+// runGivenCase runs one case that is given as text, or as @ and a file name.
+func (run *experimentRun) runGivenCase(text string) error {
 	if name, ok := strings.CutPrefix(text, "@"); ok {
 		read, err := os.ReadFile(name)
 		if err != nil {
@@ -81,153 +83,155 @@
 	if err != nil {
 		return err
 	}
-	r, err := p.steadyTrial(c)
+	result, err := run.runTrialWithRepeats(c)
 	if err != nil {
 		return err
 	}
-	r.show(p)
-	p.exactly("violations", float64(len(r.violations)), 0)
-	if len(r.violations) > 0 && p.faults.replays > 0 {
-		p.reduceTrial(r)
+	result.print(run)
+	run.exactly("violations", float64(len(result.violations)), 0)
+	if len(result.violations) > 0 && run.faults.replays > 0 {
+		run.reduceTrial(result)
 	}
 	return nil
 }
 
-// faultTally sums what the trials of a run came to.
-type faultTally struct {
-	mu        sync.Mutex
-	results   []*trialResult
-	failed    []*trialResult
-	broken    []error
-	undecided int // failed by time alone on a machine that was late each time
+// trialTotals collects the results of all trials of a run.
+type trialTotals struct {
+	mu          sync.Mutex
+	results     []*trialResult
+	failed      []*trialResult
+	setupErrors []error
+	undecided   int // trials with only timing violations, while the machine was overloaded in each repeat
 }
 
-// playTrials plays trials side by side and returns those with violations.
-func (p *experimentRun) playTrials(trials int) []*trialResult {
-	var tally faultTally
+// runTrials runs the given number of trials in parallel and returns those with violations.
+func (run *experimentRun) runTrials(trials int) []*trialResult {
+	var totals trialTotals
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
-	for range max(p.faults.aside, 1) {
-		players.Go(func() {
+	var workers sync.WaitGroup
+	for range max(run.faults.parallel, 1) {
+		workers.Go(func() {
 			for seed := range seeds {
-				p.playSeed(seed, &tally)
+				run.runTrialSeed(seed, &totals)
 			}
 		})
 	}
 	for k := range trials {
-		seeds <- p.Seed*trialSeeds + uint64(p.faults.first+k)
+		seeds <- run.Seed*seedsPerRun + uint64(run.faults.first+k)
 	}
 	close(seeds)
-	players.Wait()
-	p.judgeTrials(&tally)
-	return tally.failed
+	workers.Wait()
+	run.reportTrials(&totals)
+	return totals.failed
 }
 
-func (p *experimentRun) playSeed(seed uint64, tally *faultTally) {
-	r, err := p.steadyTrial(drawn.Draw(seed))
-	tally.mu.Lock()
-	defer tally.mu.Unlock()
+// runTrialSeed runs the trial of a seed and adds its result to totals.
+func (run *experimentRun) runTrialSeed(seed uint64, totals *trialTotals) {
+	result, err := run.runTrialWithRepeats(drawn.Draw(seed))
+	totals.mu.Lock()
+	defer totals.mu.Unlock()
 	if err != nil {
-		tally.broken = append(tally.broken, err)
-		p.printNote("trial %d could not be played: %v", seed, err)
+		totals.setupErrors = append(totals.setupErrors, err)
+		run.printNote("trial %d could not be set up: %v", seed, err)
 		return
 	}
-	tally.results = append(tally.results, r)
+	totals.results = append(totals.results, result)
 	switch {
-	case r.starved():
-		tally.undecided++
-		r.show(p)
-	case len(r.violations) > 0:
-		tally.failed = append(tally.failed, r)
-		r.show(p)
+	case result.inconclusive():
+		totals.undecided++
+		result.print(run)
+	case len(result.violations) > 0:
+		totals.failed = append(totals.failed, result)
+		result.print(run)
 	}
 }
 
-// mostUndecided is the share of trials about which a busy machine may leave nothing said.
-const mostUndecided = 0.1
+// maxUndecidedShare is the maximum share of trials that may stay undecided because the machine is busy.
+const maxUndecidedShare = 0.1
 
-// trialsAgain bounds how often a trial is played again.
-const trialsAgain = 2
+// maxTrialRepeats is the maximum number of repeats of an inconclusive trial.
+const maxTrialRepeats = 2
 
-// steadyTrial plays a case, and once more where its violations are about time alone and the machine kept an app server or this
-// process from its core.
-func (p *experimentRun) steadyTrial(c drawn.Case) (*trialResult, error) {
-	for again := 0; ; again++ {
-		r, err := p.trial(c)
+// runTrialWithRepeats runs a case and repeats it if all violations are about timing and an app server or this process had to
+// wait for a core.
+func (run *experimentRun) runTrialWithRepeats(c drawn.Case) (*trialResult, error) {
+	for repeats := 0; ; repeats++ {
+		result, err := run.runTrial(c)
 		if err != nil {
 			return nil, err
 		}
-		if r.again = again; again == trialsAgain || !r.starved() {
-			return r, nil
+		if result.repeats = repeats; repeats == maxTrialRepeats || !result.inconclusive() {
+			return result, nil
 		}
-		first, _, _ := strings.Cut(r.violations[0], "\n")
-		p.printNote("seed %d is played again: the machine was late by %v; %.200s", c.Seed, r.waited.Round(time.Millisecond), first)
+		firstLine, _, _ := strings.Cut(result.violations[0], "\n")
+		run.printNote("repeating seed %d: a process waited %v for a core; %.200s", c.Seed,
+			result.coreWait.Round(time.Millisecond), firstLine)
 	}
 }
 
-// judgeTrials gives the figures of all trials.
-func (p *experimentRun) judgeTrials(t *faultTally) {
-	restarts, ready, tries, runs, again, kinds := 0, 0, 0, 0, 0, map[drawn.FaultKind]int{}
-	for _, r := range t.results {
-		restarts, ready = restarts+r.restarts, ready+r.ready
-		tries, runs, again = tries+r.tries, runs+r.runs, again+r.again
-		for _, f := range r.drawn.Faults {
+// reportTrials reports the figures of all trials.
+func (run *experimentRun) reportTrials(totals *trialTotals) {
+	restarts, ready, tries, runs, repeats, kinds := 0, 0, 0, 0, 0, map[drawn.FaultKind]int{}
+	for _, result := range totals.results {
+		restarts, ready = restarts+result.restarts, ready+result.ready
+		tries, runs, repeats = tries+result.tries, runs+result.runs, repeats+result.repeats
+		for _, f := range result.testCase.Faults {
 			kinds[f.Kind]++
 		}
 	}
-	p.report("trials", float64(len(t.results)))
-	p.report("trials.again", float64(again))
-	p.report("tries", float64(tries))
-	p.report("runs", float64(runs))
+	run.report("trials", float64(len(totals.results)))
+	run.report("trials.again", float64(repeats))
+	run.report("tries", float64(tries))
+	run.report("runs", float64(runs))
 	for _, kind := range drawn.Kinds() {
-		p.report("faults."+string(kind), float64(kinds[kind]))
+		run.report("faults."+string(kind), float64(kinds[kind]))
 	}
-	p.report("restarts", float64(restarts))
+	run.report("restarts", float64(restarts))
 	if restarts > 0 {
-		p.atLeast("ready.within.10s", float64(ready)/float64(restarts), 0.9)
+		run.atLeast("ready.within.10s", float64(ready)/float64(restarts), 0.9)
 	}
-	p.exactly("trials.not.played", float64(len(t.broken)), 0)
-	p.atMost("trials.undecided", float64(t.undecided), mostUndecided*float64(len(t.results)))
-	p.exactly("trials.failed", float64(len(t.failed)), 0)
+	run.exactly("trials.not.played", float64(len(totals.setupErrors)), 0)
+	run.atMost("trials.undecided", float64(totals.undecided), maxUndecidedShare*float64(len(totals.results)))
+	run.exactly("trials.failed", float64(len(totals.failed)), 0)
 }
 
-// reduceTrial cuts a failing trial down and prints what is left, so that it can be played again and become a test.
-func (p *experimentRun) reduceTrial(r *trialResult) {
-	began := time.Now()
-	want := r.class()
-	last := r
-	smallest := drawn.Reduce(r.drawn, p.faults.replays, func(c drawn.Case) bool {
-		again, err := p.trial(c)
-		if err != nil || !again.has(want) {
+// reduceTrial reduces a failing trial to a smaller case and prints the command that runs it. The case can become a test.
+func (run *experimentRun) reduceTrial(failed *trialResult) {
+	startedAt := time.Now()
+	class := failed.class()
+	lastFailed := failed
+	smallest := drawn.Reduce(failed.testCase, run.faults.replays, func(c drawn.Case) bool {
+		result, err := run.runTrial(c)
+		if err != nil || !result.hasClass(class) {
 			return false
 		}
-		last = again
+		lastFailed = result
 		return true
 	})
-	p.printNote("trial %d cut down in %.0f s: %s", r.drawn.Seed, time.Since(began).Seconds(), last.violations[0])
-	p.printNote("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
+	run.printNote("trial %d reduced in %.0f s: %s", failed.testCase.Seed, time.Since(startedAt).Seconds(), lastFailed.violations[0])
+	run.printNote("  rehearse run faults --only '%s'", strings.ReplaceAll(smallest.String(), "'", `'\''`))
 }
 
-// errNoTrial is wrapped by what kept a trial from being played.
-var errNoTrial = errors.New("the trial could not be set up")
+// errTrialSetup is wrapped by errors of the setup of a trial.
+var errTrialSetup = errors.New("the trial could not be set up")
 
-// show prints a failing trial.
-func (r *trialResult) show(p *experimentRun) {
+// print prints the case of a trial and its violations, at most two of each class.
+func (r *trialResult) print(run *experimentRun) {
 	var faults []string
-	for _, f := range r.drawn.Faults {
+	for _, f := range r.testCase.Faults {
 		faults = append(faults, fmt.Sprintf("%s n%d %.1f", f.Kind, f.Server+1, f.At))
 	}
-	p.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.drawn.Seed, r.drawn.Servers, len(r.drawn.Settings.Methods), len(r.drawn.Settings.Keys),
-		strings.Join(faults, ", "))
+	run.printNote("seed %d: %d app servers, %d methods, %d keys; %s", r.testCase.Seed, r.testCase.Servers,
+		len(r.testCase.Settings.Methods), len(r.testCase.Settings.Keys), strings.Join(faults, ", "))
 	shown := map[string]int{}
 	for _, v := range r.violations {
-		if shown[classOf(v)]++; shown[classOf(v)] <= 2 {
-			p.printNote("  %.400s", strings.ReplaceAll(v, "\n", "\n#     "))
+		if shown[violationClass(v)]++; shown[violationClass(v)] <= 2 {
+			run.printNote("  %.400s", strings.ReplaceAll(v, "\n", "\n#     "))
 		}
 	}
 	for class, n := range shown {
 		if n > 2 {
-			p.printNote("  %d times in all: %.60s", n, class)
+			run.printNote("  %d violations of this class: %.60s", n, class)
 		}
 	}
 }
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -17,123 +17,130 @@
 	"valveglade/rpc"
 )
 
-// Figures of a trial.
+// Parameters of a trial.
 const (
-	trialSlack = 500 * time.Millisecond // past what the rules name: several trials and other work share the machine
-	trialRest  = 700 * time.Millisecond // in which an app server without work is watched
-	trialIdle  = 0.2                    // of a core, at most, that it takes then
-	trialMute  = 3 * time.Second        // at most, between answers to health checks
-	trialReady = 10 * time.Second       // from a restart to the first good health check
-	trialLast  = 1500 * time.Millisecond
+	checkTolerance    = 500 * time.Millisecond  // allowed beyond the rules' times, since trials and other work share the machine
+	restDuration      = 700 * time.Millisecond  // how long an app server without work is observed
+	maxRestCPUShare   = 0.2                     // maximum share of a core that an app server without work uses
+	maxHealthCheckGap = 3 * time.Second         // maximum time between two answers to health checks
+	readyTimeout      = 10 * time.Second        // maximum time from a restart to the first successful health check
+	faultFreeTime     = 1500 * time.Millisecond // load without faults at the end of a trial
 )
 
-// trialResult is what a trial came to.
+// trialResult is the result of a trial.
 type trialResult struct {
-	drawn           drawn.Case
+	testCase        drawn.Case
 	violations      []string
 	restarts, ready int
 	tries, runs     int
-	again           int           // how often it was played again
-	waited          time.Duration // the longest that a process waited for a core, within a second
+	repeats         int           // number of repeats
+	coreWait        time.Duration // longest time that a process waited for a core within one second
 }
 
-// aboutTime is in violations that a machine may cause which is late itself.
-var aboutTime = regexp.MustCompile(`after its (deadline|stop)|answers nobody|never answered|closed the connection over it`)
+// timingViolation matches violations that an overloaded machine may cause by itself.
+var timingViolation = regexp.MustCompile(
+	`after its (deadline|stop)|answered no health check|never answered|closed the connection over it`)
 
-// mostWaited is how long a process may wait for a core, within a second, before violations about time show nothing.
-const mostWaited = 200 * time.Millisecond
+// coreWaitLimit is the maximum time that a process may wait for a core within one second. Beyond it, timing violations prove
+// nothing.
+const coreWaitLimit = 200 * time.Millisecond
 
-// starved tells whether the violations show nothing but that the machine was busy.
-func (r *trialResult) starved() bool {
-	return r.waited > mostWaited && len(r.violations) > 0 &&
-		!slices.ContainsFunc(r.violations, func(v string) bool { return !aboutTime.MatchString(v) })
+// inconclusive reports whether the machine was busy and all violations are about timing.
+func (r *trialResult) inconclusive() bool {
+	return r.coreWait > coreWaitLimit && len(r.violations) > 0 &&
+		!slices.ContainsFunc(r.violations, func(v string) bool { return !timingViolation.MatchString(v) })
 }
 
-// class is by what a failing trial is known again when less is in it.
-func (r *trialResult) class() string { return classOf(r.violations[0]) }
+// class returns the class of the first violation. A reduced case has to fail with the same class.
+func (r *trialResult) class() string { return violationClass(r.violations[0]) }
 
-func (r *trialResult) has(class string) bool {
-	return slices.ContainsFunc(r.violations, func(v string) bool { return classOf(v) == class })
+// hasClass reports whether one of the violations is of the class.
+func (r *trialResult) hasClass(class string) bool {
+	return slices.ContainsFunc(r.violations, func(v string) bool { return violationClass(v) == class })
 }
 
-// particulars are what differs between two violations of one kind.
-var particulars = regexp.MustCompile(`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
+// variableParts matches the parts in which two violations of one class differ.
+var variableParts = regexp.MustCompile(
+	`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
 
-func classOf(violation string) string {
-	first, _, _ := strings.Cut(violation, "\n")
-	if _, last, found := strings.Cut(violation, "valveglade: "); found { // why a process ended
-		first += last
+// violationClass returns the first line of a violation, and the reason if it is about a process that ended, with the variable
+// parts replaced.
+func violationClass(violation string) string {
+	class, _, _ := strings.Cut(violation, "\n")
+	if _, reason, found := strings.Cut(violation, "valveglade: "); found { // why the process ended
+		class += reason
 	}
-	return particulars.ReplaceAllString(first, "_")
+	return variableParts.ReplaceAllString(class, "_")
 }
 
-// trial is one under way.
+// trial is a running trial.
 type trial struct {
-	p          *experimentRun
-	drawn      drawn.Case
-	told       drawn.ParsedConfig
+	run        *experimentRun
+	testCase   drawn.Case
+	decoded    drawn.ParsedConfig
 	check      *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
-	folder     string
+	directory  string
 	servers    []*trialServer
-	began      time.Time
+	startedAt  time.Time
 	rosterDown atomic.Bool
 
 	mu     sync.Mutex
 	result trialResult
 }
 
-// trial plays one case.
-func (p *experimentRun) trial(c drawn.Case) (*trialResult, error) {
-	t := &trial{p: p, drawn: c, result: trialResult{drawn: c}}
+// runTrial runs one case and returns its result, or an error that wraps errTrialSetup.
+func (run *experimentRun) runTrial(c drawn.Case) (*trialResult, error) {
+	t := &trial{run: run, testCase: c, result: trialResult{testCase: c}}
 	if err := t.prepare(); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNoTrial, err)
+		return nil, fmt.Errorf("%w: %w", errTrialSetup, err)
 	}
-	defer t.clear()
-	ctx, over := context.WithCancel(context.Background())
-	var watching sync.WaitGroup
-	watching.Go(func() { t.witness(ctx) })
-	t.start()
+	defer t.tearDown()
+	ctx, stopWatchers := context.WithCancel(context.Background())
+	var watchers sync.WaitGroup
+	watchers.Go(func() { t.measureLateness(ctx) })
+	t.startServers()
 	for _, s := range t.servers {
-		watching.Go(func() { s.watch(ctx) })
+		watchers.Go(func() { s.watch(ctx) })
 	}
-	t.play()
-	t.rest()
-	t.stop()
-	over()
-	watching.Wait()
-	t.judge()
+	t.runLoadAndFaults()
+	t.checkServersAtRest()
+	t.stopServers()
+	stopWatchers()
+	watchers.Wait()
+	t.collectViolations()
 	return &t.result, nil
 }
 
-// violate takes note of a broken rule.
+// violate records a violation of a rule.
 func (t *trial) violate(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.violations = append(t.result.violations, fmt.Sprintf(format, args...))
 }
 
+// prepare creates the stand-ins and the app servers, and starts no process.
 func (t *trial) prepare() (err error) {
-	if t.told, err = t.drawn.Settings.ParsedConfig(); err != nil {
+	if t.decoded, err = t.testCase.Settings.ParsedConfig(); err != nil {
 		return err
 	}
-	if t.folder, err = os.MkdirTemp("", "faults"); err != nil {
+	if t.directory, err = os.MkdirTemp("", "faults"); err != nil {
 		return err
 	}
-	t.check = rig.NewChecker(trialSlack)
+	t.check = rig.NewChecker(checkTolerance)
 	t.check.ExpectResendAfterClose()
 	t.catalog = rig.NewCatalog()
-	t.check.CheckServers(t.terms())
+	t.check.CheckServers(t.checkerTerms())
 	if t.roster, err = rig.NewRoster(); err != nil {
 		return err
 	}
 	var names []string
-	for k := range t.drawn.Servers {
+	for k := range t.testCase.Servers {
 		names = append(names, serverName(k))
 	}
 	t.roster.CheckReports(t.check, names...)
-	for k := range t.drawn.Servers {
+	for k := range t.testCase.Servers {
 		s, err := t.newServer(k)
 		if err != nil {
 			return err
@@ -143,8 +150,8 @@
 	return nil
 }
 
-// terms are what app servers are judged by.
-func (t *trial) terms() rig.ServerSettings {
+// checkerTerms returns the terms by which the checker judges app servers.
+func (t *trial) checkerTerms() rig.ServerSettings {
 	terms := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
 		terms.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
@@ -152,35 +159,38 @@
 	return terms
 }
 
-// kernel is the stand-in of the settings.
-func (t *trial) kernel(number int) rig.KernelConfig {
-	domain, rules := t.told.Settings.Domain, t.told.Settings.Rules
-	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1), Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
-		Gauges: domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
-		Overload: rig.OverloadLimit{Factor: rules.OverloadFactor, Window: seconds64(rules.FallS)}, Seed: t.drawn.Seed + uint64(number)<<32,
-		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: seconds64(rules.RampTimeS), Window: seconds64(rules.FallS)}}
-	for _, m := range t.drawn.Settings.Methods {
+// kernelConfig returns the configuration of the stand-in kernel of an app server, as the settings describe the kernel.
+func (t *trial) kernelConfig(number int) rig.KernelConfig {
+	domain, rules := t.decoded.Settings.Domain, t.decoded.Settings.Rules
+	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1),
+		Preemption: rig.Preemption(cmp.Or(domain.Preemption, string(rig.PreemptNone))),
+		Gauges:     domain.OwnStats, Memory: rig.BookedMemory{KB: domain.MemoryKB, RunFactor: domain.RunFactor},
+		Overload: rig.OverloadLimit{Factor: rules.OverloadFactor, Window: secondsToDuration(rules.FallS)},
+		Seed:     t.testCase.Seed + uint64(number)<<32,
+		Cold: rig.ColdStart{Capacity: rules.StartCapacity, Ramp: secondsToDuration(rules.RampTimeS),
+			Window: secondsToDuration(rules.FallS)}}
+	for _, m := range t.testCase.Settings.Methods {
 		config.Methods = append(config.Methods, m.Name)
 	}
 	return config
 }
 
-// clear ends what is left of a trial.
-func (t *trial) clear() {
+// tearDown ends all processes and stand-ins of the trial and removes its directory.
+func (t *trial) tearDown() {
 	for _, s := range t.servers {
-		s.clear()
+		s.close()
 	}
 	t.roster.Close()
-	os.RemoveAll(t.folder)
+	os.RemoveAll(t.directory)
 }
 
-// start has all processes begin together, with what is late from their start on.
-func (t *trial) start() {
-	t.began = time.Now()
+// startServers starts all processes together, with the faults that apply from their start.
+func (t *trial) startServers() {
+	t.startedAt = time.Now()
 	for _, s := range t.servers {
-		for _, f := range t.drawn.Faults {
+		for _, f := range t.testCase.Faults {
 			if f.Server == s.number && f.Kind == drawn.KernelLate {
-				s.withhold(f)
+				s.delayKernel(f)
 			}
 		}
 	}
@@ -189,90 +199,91 @@
 	}
 }
 
-// play has the load and the faults go on side by side, each in its time.
-func (t *trial) play() {
+// runLoadAndFaults runs the load and, at their times, the faults concurrently. The load ends faultFreeTime after the last fault.
+func (t *trial) runLoadAndFaults() {
 	ctx, stop := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var loads sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(func() { s.load(ctx) })
+		loads.Go(func() { s.generateLoad(ctx) })
 	}
 	var faults sync.WaitGroup
-	for _, f := range t.drawn.Faults {
+	for _, f := range t.testCase.Faults {
 		faults.Go(func() {
-			time.Sleep(time.Until(t.began.Add(seconds64(f.At))))
-			t.servers[f.Server].inflict(f)
+			time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(f.At))))
+			t.servers[f.Server].applyFault(f)
 		})
 	}
-	time.Sleep(time.Until(t.began.Add(seconds64(t.drawn.Seconds))))
+	time.Sleep(time.Until(t.startedAt.Add(secondsToDuration(t.testCase.Seconds))))
 	faults.Wait()
-	time.Sleep(t.p.scaled(trialLast)) // without a fault
+	time.Sleep(t.run.scaled(faultFreeTime))
 	stop()
-	all.Wait()
+	loads.Wait()
 }
 
-// witnessEvery is between two looks of the witness.
-const witnessEvery = 10 * time.Millisecond
+// latenessInterval is the sleep over which measureLateness measures.
+const latenessInterval = 10 * time.Millisecond
 
-// witness notes how late this process itself is.
-func (t *trial) witness(ctx context.Context) {
+// measureLateness records how late this process itself wakes up, until ctx ends.
+func (t *trial) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
-		time.Sleep(witnessEvery)
-		t.noteWait(time.Since(began) - witnessEvery)
+		startedAt := time.Now()
+		time.Sleep(latenessInterval)
+		t.recordCoreWait(time.Since(startedAt) - latenessInterval)
 	}
 }
 
-// noteWait takes note of a wait for a core.
-func (t *trial) noteWait(d time.Duration) {
+// recordCoreWait records a wait for a core.
+func (t *trial) recordCoreWait(wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.waited = max(t.result.waited, d)
+	t.result.coreWait = max(t.result.coreWait, wait)
 }
 
-// rest watches the app servers without load.
-func (t *trial) rest() {
-	var all sync.WaitGroup
+// checkServersAtRest observes the app servers without load.
+func (t *trial) checkServersAtRest() {
+	var checks sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(s.rest)
+		checks.Go(s.checkAtRest)
 	}
-	all.Wait()
+	checks.Wait()
 }
 
-// stop tells all app servers to leave and waits for their ends.
-func (t *trial) stop() {
-	var all sync.WaitGroup
+// stopServers shuts all app servers down and waits until they have ended.
+func (t *trial) stopServers() {
+	var stops sync.WaitGroup
 	for _, s := range t.servers {
-		all.Go(s.stop)
+		stops.Go(s.stop)
 	}
-	all.Wait()
+	stops.Wait()
 }
 
-// judge gathers what the checker and the logs say.
-func (t *trial) judge() {
+// collectViolations collects the violations of the checker, the logs and the load.
+func (t *trial) collectViolations() {
 	for _, s := range t.servers {
-		s.judge()
+		s.checkLogAndLoad()
 	}
 	t.check.Finish()
 	for _, v := range t.check.Violations() {
 		if v.Rule != callersRule {
-			t.violate("%s%s", v, t.endWords(v.Description))
+			t.violate("%s%s", v, t.logBeforeExit(v.Description))
 		}
 	}
 	t.result.tries, t.result.runs = t.check.Count("tries"), t.check.Count("runs")
 }
 
-// endWords is what a process said before it ended by itself, if that is what the violation tells.
-func (t *trial) endWords(violation string) string {
-	name, rest, _ := strings.Cut(violation, " ")
+// logBeforeExit returns the last log lines of a process if the violation says that the process ended by itself, else "".
+func (t *trial) logBeforeExit(violation string) string {
+	name, message, _ := strings.Cut(violation, " ")
 	for _, s := range t.servers {
-		if s.program.Name == name && strings.HasPrefix(rest, "ended") {
-			return "\n" + s.lastWords()
+		if s.program.Name == name && strings.HasPrefix(message, "ended") {
+			return "\n" + s.logTail()
 		}
 	}
 	return ""
 }
 
-// callersRule is the checker's number for what callers, not app servers, may not do.
+// callersRule is the checker's number of the rule for callers; it says nothing about app servers.
 const callersRule = 5
 
-func seconds64(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// secondsToDuration converts seconds to a duration.
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -51,7 +51,7 @@
 	case "on":
 		plan.WithStateDir = voters
 		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
-			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderEvery, c.workers[1].Address(), orderEvery)}
+			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), commandInterval, c.workers[1].Address(), commandInterval)}
 	case "off":
 		plan.NoFleet = true
 	default:
