--- a/rig/hollow/cpu.go
+++ b/rig/hollow/cpu.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// CPU is the processor time that this process has taken, on all its threads.
-func CPU() time.Duration {
+// ProcessCPUTime is the processor time that this process has taken, on all its threads.
+func ProcessCPUTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -139,7 +139,7 @@
 }
 
 func (s *memberServer) sample() *Sample {
-	out := &Sample{CPUSeconds: CPU().Seconds(), ResidentBytes: resident("self")}
+	out := &Sample{CPUSeconds: ProcessCPUTime().Seconds(), ResidentBytes: resident("self")}
 	for _, m := range s.members {
 		out.Costs = append(out.Costs, m.Stats())
 	}
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -264,11 +264,11 @@
 
 func (r *quotaRun) measure() QuotaCost {
 	asked, answered, _ := r.counts()
-	packets, bytes, spent := r.ports[0].packets.Load(), r.ports[0].bytes.Load(), CPU()-r.thread.spent()
+	packets, bytes, spent := r.ports[0].packets.Load(), r.ports[0].bytes.Load(), ProcessCPUTime()-r.thread.spent()
 	began := time.Now()
 	r.ask(time.Duration(r.plan.Seconds * float64(time.Second)))
 	took := time.Since(began).Seconds()
-	spent = CPU() - r.thread.spent() - spent
+	spent = ProcessCPUTime() - r.thread.spent() - spent
 	packets, bytes = r.ports[0].packets.Load()-packets, r.ports[0].bytes.Load()-bytes
 	time.Sleep(quotaAsk) // for the last answers
 	askedAfter, answeredAfter, refused := r.counts()
@@ -328,14 +328,14 @@
 		m := owner.Message{Kind: owner.PreVote, Role: roleName(0), From: owner.Incarnation{Name: memberName(k), ID: 1}, To: p.name, Round: 1}
 		questions = append(questions, encodeRoleMessage(m))
 	}
-	before := CPU()
+	before := ProcessCPUTime()
 	for k, q := range questions {
 		net.send(memberName(k), p.name, q)
 	}
 	for last := int64(-1); answered.Load() != last; time.Sleep(50 * time.Millisecond) {
 		last = answered.Load()
 	}
-	spent := CPU() - before
+	spent := ProcessCPUTime() - before
 	n := int(answered.Load())
 	return BurstCost{Answered: n, CPUPerQuestion: spent / time.Duration(max(n, 1))}, nil
 }
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -128,14 +128,14 @@
 		bytes -= status.Bytes
 		s.look(func(int, uint64) { /* what was there before */ })
 	}
-	began, seen := CPU(), map[string]*SeenChange{}
+	began, seen := ProcessCPUTime(), map[string]*SeenChange{}
 	for end := plan.StartAt.Add(time.Duration(plan.Seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(watchEvery) {
 		now := time.Now()
 		for _, s := range all {
 			s.look(func(k int, index uint64) { note(seen, s.services[k], index, of, now) })
 		}
 	}
-	cost.CoreSeconds = (CPU() - began).Seconds()
+	cost.CoreSeconds = (ProcessCPUTime() - began).Seconds()
 	for _, s := range all {
 		status := s.Status()
 		cost.LaterSnapshots += status.SnapshotsTaken
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -214,7 +214,7 @@
 	var cost ViewCost
 	digests := make([]uint64, len(v.nodes))
 	converged, samples, changes := 0, 0, 0
-	began, cpu := v.now, CPU()
+	began, cpu := v.now, ProcessCPUTime()
 	for v.now < began+v.plan.Seconds {
 		v.step(true)
 		for k, node := range v.nodes {
@@ -230,7 +230,7 @@
 		}
 	}
 	played := (v.now - began) * float64(len(v.nodes))
-	cost.CoreShare = (CPU() - cpu).Seconds() / played
+	cost.CoreShare = (ProcessCPUTime() - cpu).Seconds() / played
 	cost.ConvergedShare = float64(converged) / float64(samples)
 	cost.ViewsPerHour = float64(changes) / played * time.Hour.Seconds()
 	return cost
@@ -260,7 +260,7 @@
 	for v.now < quietSeconds {
 		v.step(false)
 	}
-	began, cpu := v.now, CPU()
+	began, cpu := v.now, ProcessCPUTime()
 	var out Outage
 	var err error
 	left := plan.View.Members - plan.Lost
@@ -277,7 +277,7 @@
 	if out.BackSeconds, err = v.untilConverged(plan.View.Members); err != nil {
 		return out, err
 	}
-	out.CoreShare = (CPU() - cpu).Seconds() / ((v.now - began) * float64(len(v.nodes)))
+	out.CoreShare = (ProcessCPUTime() - cpu).Seconds() / ((v.now - began) * float64(len(v.nodes)))
 	return out, nil
 }
 
