--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -55,7 +55,7 @@
 	size    int
 	seconds float64
 	cluster *rig.Cluster
-	crowd   *hollow.Crowd
+	crowd   *hollow.SimulatedMembers
 	members *hollow.Members
 	targets []*hollow.Target // members first, then processes
 	cost    crowdCost
--- a/rig/hollow/crowd.go
+++ b/rig/hollow/crowd.go
@@ -12,10 +12,10 @@
 	"valveglade/logic/view"
 )
 
-// Crowd simulates the rest of a large fleet for a few real members: it answers their probes on behalf of all others, and sends them
+// SimulatedMembers simulates the rest of a large fleet for a few real members: it answers their probes on behalf of all others, and sends them
 // the packets that those would send. One table holds all of them, so that a member needs no goroutine and no socket of its own. The
 // real members send and receive what they would in a fleet of that size.
-type Crowd struct {
+type SimulatedMembers struct {
 	size    int // of the whole fleet
 	random  *rand.Rand
 	sockets []*crowdSocket
@@ -96,8 +96,8 @@
 
 // NewCrowd simulates count members, numbered from first on, in a fleet of a size. Its sockets are bound to an address. The caller
 // closes it.
-func NewCrowd(at netip.Addr, first, count, size int, seed uint64) (*Crowd, error) {
-	c := &Crowd{size: size, random: rand.New(rand.NewPCG(seed, 3)), closed: make(chan struct{}), byNode: map[string]int{},
+func NewCrowd(at netip.Addr, first, count, size int, seed uint64) (*SimulatedMembers, error) {
+	c := &SimulatedMembers{size: size, random: rand.New(rand.NewPCG(seed, 3)), closed: make(chan struct{}), byNode: map[string]int{},
 		others: map[string]aliveMessage{}}
 	for range crowdSockets {
 		s, err := openCrowdSocket(at)
@@ -144,7 +144,7 @@
 }
 
 // Close stops the crowd and waits for its goroutines.
-func (c *Crowd) Close() {
+func (c *SimulatedMembers) Close() {
 	close(c.closed)
 	for _, s := range c.sockets {
 		s.packets.Close()
@@ -154,7 +154,7 @@
 }
 
 // Addresses returns the addresses at which real members may join it.
-func (c *Crowd) Addresses() []netip.AddrPort {
+func (c *SimulatedMembers) Addresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, s := range c.sockets[:3] {
 		all = append(all, s.address)
@@ -163,21 +163,21 @@
 }
 
 // Add adds a real member to those that the crowd exchanges messages with.
-func (c *Crowd) Add(t *Target) {
+func (c *SimulatedMembers) Add(t *Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.targets = append(c.targets, t)
 }
 
 // SetView sets the view that members of the crowd report, as a target has it.
-func (c *Crowd) SetView(t *Target, version, digest uint64) {
+func (c *SimulatedMembers) SetView(t *Target, version, digest uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t.version, t.digest = version, digest
 }
 
 // StreamBytes returns the bytes that have passed on streams with targets.
-func (c *Crowd) StreamBytes() int64 { return c.streamBytes.Load() }
+func (c *SimulatedMembers) StreamBytes() int64 { return c.streamBytes.Load() }
 
 // Len returns the number of simulated members.
-func (c *Crowd) Len() int { return len(c.members) }
+func (c *SimulatedMembers) Len() int { return len(c.members) }
--- a/rig/hollow/crowd_gossip.go
+++ b/rig/hollow/crowd_gossip.go
@@ -8,7 +8,7 @@
 )
 
 // readPackets answers what arrives on one socket until the crowd is closed.
-func (c *Crowd) readPackets(s *crowdSocket) {
+func (c *SimulatedMembers) readPackets(s *crowdSocket) {
 	b := make([]byte, 64<<10)
 	for {
 		n, from, err := s.packets.ReadFromUDPAddrPort(b)
@@ -31,7 +31,7 @@
 }
 
 // handleMessage handles one message of a real member.
-func (c *Crowd) handleMessage(s *crowdSocket, m []byte, size int, from netip.AddrPort) {
+func (c *SimulatedMembers) handleMessage(s *crowdSocket, m []byte, size int, from netip.AddrPort) {
 	if len(m) == 0 {
 		return
 	}
@@ -64,14 +64,14 @@
 	}
 }
 
-func (c *Crowd) isUp(node string) bool {
+func (c *SimulatedMembers) isUp(node string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k, known := c.byNode[node]
 	return known && !c.members[k].down
 }
 
-func (c *Crowd) acknowledge(s *crowdSocket, number uint32, node string, to netip.AddrPort) {
+func (c *SimulatedMembers) acknowledge(s *crowdSocket, number uint32, node string, to netip.AddrPort) {
 	c.mu.Lock()
 	payload := c.viewPayload(c.byNode[node])
 	c.mu.Unlock()
@@ -79,7 +79,7 @@
 }
 
 // learn passes on the alive message of a real member, if it is newer than the last.
-func (c *Crowd) learn(alive aliveMessage) {
+func (c *SimulatedMembers) learn(alive aliveMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ours := c.byNode[alive.Node]; ours {
@@ -96,7 +96,7 @@
 }
 
 // viewPayload returns the view that a member of the crowd reports: that of one of the targets. The lock is held.
-func (c *Crowd) viewPayload(k int) []byte {
+func (c *SimulatedMembers) viewPayload(k int) []byte {
 	for offset := range c.targets {
 		if t := c.targets[(k+offset)%len(c.targets)]; t.version > 0 {
 			return echoPayload(t.version, t.digest)
@@ -106,7 +106,7 @@
 }
 
 // refute has a member of the crowd refute a suspicion.
-func (c *Crowd) refute(claim claimMessage) {
+func (c *SimulatedMembers) refute(claim claimMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k, known := c.byNode[claim.Node]
@@ -118,7 +118,7 @@
 }
 
 // aliveMessageOf returns the alive message of a member. The lock is held.
-func (c *Crowd) aliveMessageOf(k int) []byte {
+func (c *SimulatedMembers) aliveMessageOf(k int) []byte {
 	m := &c.members[k]
 	at := c.sockets[m.socket].address
 	return encodeMessage(msgAlive, aliveMessage{m.incarnation, nodeName(m.entry), at.Addr().AsSlice(), at.Port(), meta(m.entry), protocolVersions})
@@ -128,7 +128,7 @@
 const spreadOver = time.Second
 
 // spread schedules a message to reach each target a number of times, at random times of its own. The lock is held.
-func (c *Crowd) spread(from time.Time, message []byte, times int) {
+func (c *SimulatedMembers) spread(from time.Time, message []byte, times int) {
 	first := from.Add(200 * time.Millisecond)
 	for _, t := range c.targets {
 		for range times {
@@ -138,7 +138,7 @@
 }
 
 // gossip sends what is due, in rounds.
-func (c *Crowd) gossip() {
+func (c *SimulatedMembers) gossip() {
 	tick := time.NewTicker(gossipEvery)
 	defer tick.Stop()
 	for {
@@ -157,7 +157,7 @@
 }
 
 // sendDue sends one target the messages that are due, in as many packets as gossipNodes members would send.
-func (c *Crowd) sendDue(t *Target, now time.Time) {
+func (c *SimulatedMembers) sendDue(t *Target, now time.Time) {
 	c.mu.Lock()
 	var ready [][]byte
 	t.due = slices.DeleteFunc(t.due, func(m timedMessage) bool {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (c *Crowd) randomIndex(n int) int {
+func (c *SimulatedMembers) randomIndex(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.IntN(n)
--- a/rig/hollow/crowd_probe.go
+++ b/rig/hollow/crowd_probe.go
@@ -9,7 +9,7 @@
 const drainPings = 1
 
 // probe sends each target one probe in every interval, and many while queues are drained.
-func (c *Crowd) probe() {
+func (c *SimulatedMembers) probe() {
 	next := time.Now()
 	for number := uint32(1); ; number++ {
 		c.mu.Lock()
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *Crowd) ping(t *Target, number uint32) {
+func (c *SimulatedMembers) ping(t *Target, number uint32) {
 	c.mu.Lock()
 	s, node := c.sockets[c.random.IntN(len(c.sockets))], t.Pinged
 	c.mu.Unlock()
@@ -54,7 +54,7 @@
 
 // Drain empties the queues that joining has filled at the targets, through answers to many probes, and reports whether this was
 // done in time. It only shortens what the program does by itself at three packets a round.
-func (c *Crowd) Drain(within time.Duration) bool {
+func (c *SimulatedMembers) Drain(within time.Duration) bool {
 	c.mu.Lock()
 	c.fast = true
 	c.mu.Unlock()
--- a/rig/hollow/crowd_restart.go
+++ b/rig/hollow/crowd_restart.go
@@ -8,7 +8,7 @@
 
 // Restart simulates the restart of one member: the messages that the program sends, and those that its new process passes on about
 // the members it has learnt of, as many of them to each target as of any message.
-func (c *Crowd) Restart(k int) {
+func (c *SimulatedMembers) Restart(k int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, times := time.Now(), retransmits(c.size)
@@ -32,7 +32,7 @@
 }
 
 // newIncarnation gives a member another incarnation. The lock is held.
-func (c *Crowd) newIncarnation(k int) {
+func (c *SimulatedMembers) newIncarnation(k int) {
 	m := &c.members[k]
 	m.entry.Incarnation.Number++
 	m.entry.Incarnation.Nonce += 1 << 16
@@ -43,7 +43,7 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Lose has some members die at one time: they answer no more, two others suspect each, and it is declared dead after the timeout.
-func (c *Crowd) Lose(first, count int) {
+func (c *SimulatedMembers) Lose(first, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, times := time.Now(), retransmits(c.size)
@@ -62,7 +62,7 @@
 }
 
 // Return has lost members come back with new processes that serve at once.
-func (c *Crowd) Return(first, count int) {
+func (c *SimulatedMembers) Return(first, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := first; k < first+count; k++ {
--- a/rig/hollow/crowd_stream.go
+++ b/rig/hollow/crowd_stream.go
@@ -13,7 +13,7 @@
 )
 
 // acceptStreams answers each stream that is opened to one socket until the crowd is closed.
-func (c *Crowd) acceptStreams(s *crowdSocket) {
+func (c *SimulatedMembers) acceptStreams(s *crowdSocket) {
 	for {
 		nc, err := s.streams.Accept()
 		if err != nil {
@@ -31,7 +31,7 @@
 const streamLimit = 3 * time.Second
 
 // answerStream answers an exchange, or a probe over a stream.
-func (c *Crowd) answerStream(nc net.Conn) {
+func (c *SimulatedMembers) answerStream(nc net.Conn) {
 	in := bufio.NewReader(nc)
 	head := make([]byte, len(gossipMagic)+1)
 	if _, err := io.ReadFull(in, head); err != nil || head[len(gossipMagic)] != gossipKind {
@@ -68,7 +68,7 @@
 }
 
 // readExchange returns the names in an exchange, and learns of real members.
-func (c *Crowd) readExchange(in io.Reader) (nodes []string, err error) {
+func (c *SimulatedMembers) readExchange(in io.Reader) (nodes []string, err error) {
 	decoder := codec.NewDecoder(in, &codec.MsgpackHandle{})
 	var head exchangeHead
 	if err := decoder.Decode(&head); err != nil {
@@ -88,7 +88,7 @@
 }
 
 // exchange returns the message with all that the crowd knows.
-func (c *Crowd) exchange(join bool) []byte {
+func (c *SimulatedMembers) exchange(join bool) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := encodeMessage(msgExchange, exchangeHead{Nodes: len(c.members) + len(c.others), Join: join})
@@ -110,7 +110,7 @@
 
 // Exchange exchanges the whole state with a target, as a member does at intervals, and returns the bytes of both directions. It
 // learns the target's name in the library, if that is not known yet.
-func (c *Crowd) Exchange(t *Target, join bool) (int64, error) {
+func (c *SimulatedMembers) Exchange(t *Target, join bool) (int64, error) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: c.sockets[0].address.Addr().AsSlice()}, Timeout: time.Second}
 	nc, err := dialer.Dial("tcp", t.Address.String())
 	if err != nil {
