--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -106,7 +106,7 @@
 		return err
 	}
 	at, own := netip.AddrFrom4([4]byte{network[0], network[1], 4, 1}), netip.AddrFrom4([4]byte{network[0], network[1], 5, 1})
-	if r.crowd, err = hollow.NewCrowd(at, crowdMembers, r.size-crowdMembers-crowdProcesses, r.size, r.p.Seed); err != nil {
+	if r.crowd, err = hollow.NewSimulatedMembers(at, crowdMembers, r.size-crowdMembers-crowdProcesses, r.size, r.p.Seed); err != nil {
 		return err
 	}
 	plan := hollow.MembersPlan{Count: crowdMembers, Fleet: r.size, At: own, Join: r.crowd.Addresses()}
--- a/rig/hollow/crowd.go
+++ b/rig/hollow/crowd.go
@@ -94,9 +94,9 @@
 	return time.Duration(suspicionTimes * math.Log10(float64(max(size, 10))) * float64(probeEvery))
 }
 
-// NewCrowd simulates count members, numbered from first on, in a fleet of a size. Its sockets are bound to an address. The caller
+// NewSimulatedMembers simulates count members, numbered from first on, in a fleet of a size. Its sockets are bound to an address. The caller
 // closes it.
-func NewCrowd(at netip.Addr, first, count, size int, seed uint64) (*SimulatedMembers, error) {
+func NewSimulatedMembers(at netip.Addr, first, count, size int, seed uint64) (*SimulatedMembers, error) {
 	c := &SimulatedMembers{size: size, random: rand.New(rand.NewPCG(seed, 3)), closed: make(chan struct{}), byNode: map[string]int{},
 		others: map[string]aliveMessage{}}
 	for range crowdSockets {
