--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -127,7 +127,7 @@
 		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Paths.Own(k + 1)})
 	}
 	for _, t := range r.targets {
-		r.crowd.Add(t)
+		r.crowd.AddTarget(t)
 	}
 	ready.Done()
 	return nil
--- a/rig/hollow/crowd.go
+++ b/rig/hollow/crowd.go
@@ -162,8 +162,8 @@
 	return all
 }
 
-// Add adds a real member to those that the crowd exchanges messages with.
-func (c *SimulatedMembers) Add(t *Target) {
+// AddTarget adds a real member to those that the crowd exchanges messages with.
+func (c *SimulatedMembers) AddTarget(t *Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.targets = append(c.targets, t)
