--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -317,7 +317,7 @@
 // zone has a zone lost, and back.
 func (r *crowdRun) zone() error {
 	count := max(r.size/zoneParts, 1)
-	r.crowd.Lose(0, count)
+	r.crowd.Fail(0, count)
 	r.cost.lost = r.members.UntilSettled(r.size-count, zoneWithin)
 	r.crowd.Return(0, count)
 	r.cost.back = r.members.UntilSettled(r.size, zoneWithin)
--- a/rig/hollow/crowd_restart.go
+++ b/rig/hollow/crowd_restart.go
@@ -42,8 +42,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Lose has some members die at one time: they answer no more, two others suspect each, and it is declared dead after the timeout.
-func (c *SimulatedMembers) Lose(first, count int) {
+// Fail has some members die at one time: they answer no more, two others suspect each, and it is declared dead after the timeout.
+func (c *SimulatedMembers) Fail(first, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, times := time.Now(), retransmits(c.size)
