--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -319,7 +319,7 @@
 	count := max(r.size/zoneParts, 1)
 	r.crowd.Fail(0, count)
 	r.cost.lost = r.members.UntilSettled(r.size-count, zoneWithin)
-	r.crowd.Return(0, count)
+	r.crowd.Recover(0, count)
 	r.cost.back = r.members.UntilSettled(r.size, zoneWithin)
 	if math.IsInf(r.cost.lost+r.cost.back, 1) {
 		r.p.printNote("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneWithin, r.cost.lost,
--- a/rig/hollow/crowd_restart.go
+++ b/rig/hollow/crowd_restart.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Return has lost members come back with new processes that serve at once.
-func (c *SimulatedMembers) Return(first, count int) {
+// Recover has lost members come back with new processes that serve at once.
+func (c *SimulatedMembers) Recover(first, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := first; k < first+count; k++ {
