--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	for _, node := range r.members.Nodes {
-		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, Pinged: node.Node})
+		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, NodeName: node.Node})
 	}
 	for k, name := range processNames() {
 		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Paths.Own(k + 1)})
--- a/rig/hollow/crowd.go
+++ b/rig/hollow/crowd.go
@@ -50,12 +50,12 @@
 
 // Target is one real member that a crowd exchanges messages with.
 type Target struct {
-	Name    string
-	Address netip.AddrPort
-	Pinged  string // its name in the library; empty while it is not to be probed
-	due     []timedMessage
-	version uint64 // of the view that it has, as the crowd reports it
-	digest  uint64
+	Name     string
+	Address  netip.AddrPort
+	NodeName string // its name in the library; empty while it is not to be probed
+	due      []timedMessage
+	version  uint64 // of the view that it has, as the crowd reports it
+	digest   uint64
 }
 
 type timedMessage struct {
--- a/rig/hollow/crowd_probe.go
+++ b/rig/hollow/crowd_probe.go
@@ -39,7 +39,7 @@
 
 func (c *SimulatedMembers) ping(t *Target, number uint32) {
 	c.mu.Lock()
-	s, node := c.sockets[c.random.IntN(len(c.sockets))], t.Pinged
+	s, node := c.sockets[c.random.IntN(len(c.sockets))], t.NodeName
 	c.mu.Unlock()
 	if node == "" {
 		return
--- a/rig/hollow/crowd_stream.go
+++ b/rig/hollow/crowd_stream.go
@@ -135,8 +135,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, node := range nodes {
-		if name, _, _ := strings.Cut(node, "~"); name == t.Name && t.Pinged == "" {
-			t.Pinged = node
+		if name, _, _ := strings.Cut(node, "~"); name == t.Name && t.NodeName == "" {
+			t.NodeName = node
 		}
 	}
 	return int64(sent) + got.Load(), err
