--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -350,7 +350,7 @@
 		if errs[k] != nil {
 			continue
 		}
-		exchanges := 2 / hollow.ExchangeSeconds(c.size) // a second: one begun here and one elsewhere in each interval
+		exchanges := 2 / hollow.ExchangeIntervalSeconds(c.size) // a second: one begun here and one elsewhere in each interval
 		core := c.core + exchanges*c.exchangeCPU
 		bytes := c.bytes + exchanges*c.exchangeBytes
 		p.printNote("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
--- a/rig/hollow/crowd.go
+++ b/rig/hollow/crowd.go
@@ -81,8 +81,8 @@
 	return retransmit * int(math.Ceil(math.Log10(float64(size+1))))
 }
 
-// ExchangeSeconds returns the interval in seconds at which a member of a fleet exchanges its whole state with another.
-func ExchangeSeconds(size int) float64 {
+// ExchangeIntervalSeconds returns the interval in seconds at which a member of a fleet exchanges its whole state with another.
+func ExchangeIntervalSeconds(size int) float64 {
 	if size <= exchangeScaled {
 		return exchangeEvery
 	}
--- a/rig/hollow/gossip_test.go
+++ b/rig/hollow/gossip_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	for size, want := range map[int]float64{10: 12, 33: 24, 1000: 72, 8600: 120} {
-		if got := ExchangeSeconds(size); got != want {
+		if got := ExchangeIntervalSeconds(size); got != want {
 			t.Errorf("%d members exchange all every %g s, not %g", size, got, want)
 		}
 	}
