--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -30,8 +30,8 @@
 	Join         []netip.AddrPort
 }
 
-// Seen is what one member of the process sees from now on.
-type Seen struct {
+// Observation is what one member of the process sees from now on.
+type Observation struct {
 	Member  int // from 0
 	Version uint64
 	Digest  uint64
@@ -51,7 +51,7 @@
 // report is one line from the process: the addresses at first, then what is seen, and samples when asked for.
 type report struct {
 	Nodes   []memberNode `json:",omitempty"`
-	Seen    *Seen        `json:",omitempty"`
+	Seen    *Observation `json:",omitempty"`
 	Sample  *Sample      `json:",omitempty"`
 	Problem string       `json:",omitempty"`
 }
@@ -133,7 +133,7 @@
 			return
 		case <-changes:
 			v := m.View()
-			s.tell(report{Seen: &Seen{k, v.Version, v.Digest, len(v.Members), v.Certainty, time.Now()}})
+			s.tell(report{Seen: &Observation{k, v.Version, v.Digest, len(v.Members), v.Certainty, time.Now()}})
 		}
 	}
 }
@@ -172,16 +172,16 @@
 	cmd   *exec.Cmd
 	in    io.WriteCloser
 	over  chan struct{}
-	onSee func(Seen)
+	onSee func(Observation)
 
 	samples chan Sample
 	mu      sync.Mutex
-	latest  []Seen
-	history []Seen
+	latest  []Observation
+	history []Observation
 }
 
 // StartMembers starts one. OnSee hears of every view.
-func StartMembers(cmd *exec.Cmd, plan MembersPlan, onSee func(Seen)) (*Members, error) {
+func StartMembers(cmd *exec.Cmd, plan MembersPlan, onSee func(Observation)) (*Members, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	m := &Members{cmd: cmd, in: in, over: make(chan struct{}), onSee: onSee, samples: make(chan Sample, 1), latest: make([]Seen, plan.Count)}
+	m := &Members{cmd: cmd, in: in, over: make(chan struct{}), onSee: onSee, samples: make(chan Sample, 1), latest: make([]Observation, plan.Count)}
 	if err := json.NewEncoder(in).Encode(plan); err != nil {
 		m.Close()
 		return nil, err
@@ -245,10 +245,10 @@
 }
 
 // Latest is what each of them sees.
-func (m *Members) Latest() []Seen {
+func (m *Members) Latest() []Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]Seen(nil), m.latest...)
+	return append([]Observation(nil), m.latest...)
 }
 
 // Converged reports whether all see that many members, alike and converged.
@@ -278,9 +278,9 @@
 	defer m.mu.Unlock()
 	converged := time.Duration(0)
 	for k := range m.latest {
-		last := Seen{Sure: view.Converging}
+		last := Observation{Sure: view.Converging}
 		since := from
-		for _, s := range append(m.of(k), Seen{Sure: view.Converging, At: to}) {
+		for _, s := range append(m.of(k), Observation{Sure: view.Converging, At: to}) {
 			at := s.At
 			if at.After(to) {
 				at = to
@@ -298,8 +298,8 @@
 }
 
 // of is the history of one member, under the lock.
-func (m *Members) of(k int) []Seen {
-	var all []Seen
+func (m *Members) of(k int) []Observation {
+	var all []Observation
 	for _, s := range m.history {
 		if s.Member == k {
 			all = append(all, s)
