--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -32,12 +32,12 @@
 
 // Observation is what one member of the process sees from now on.
 type Observation struct {
-	Member  int // from 0
-	Version uint64
-	Digest  uint64
-	Members int
-	Sure    view.Certainty
-	At      time.Time
+	Member    int // from 0
+	Version   uint64
+	Digest    uint64
+	Members   int
+	Certainty view.Certainty `json:"Sure"`
+	At        time.Time
 }
 
 // Sample is what the members of a process have cost so far.
@@ -255,7 +255,7 @@
 func (m *Members) Converged(members int) bool {
 	all := m.Latest()
 	for _, s := range all {
-		if s.Members != members || s.Sure != view.Converged || s.Digest != all[0].Digest {
+		if s.Members != members || s.Certainty != view.Converged || s.Digest != all[0].Digest {
 			return false
 		}
 	}
@@ -278,15 +278,15 @@
 	defer m.mu.Unlock()
 	converged := time.Duration(0)
 	for k := range m.latest {
-		last := Observation{Sure: view.Converging}
+		last := Observation{Certainty: view.Converging}
 		since := from
-		for _, s := range append(m.of(k), Observation{Sure: view.Converging, At: to}) {
+		for _, s := range append(m.of(k), Observation{Certainty: view.Converging, At: to}) {
 			at := s.At
 			if at.After(to) {
 				at = to
 			}
 			if at.After(since) {
-				if last.Sure == view.Converged {
+				if last.Certainty == view.Converged {
 					converged += at.Sub(since)
 				}
 				since = at
