--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -25,7 +25,7 @@
 // MembersPlan is a process of some members: the program's own, with their sockets and goroutines, without an app server around.
 type MembersPlan struct {
 	First, Count int        // by their numbers
-	Fleet        int        // members of the whole fleet
+	FleetSize    int        `json:"Fleet"` // members of the whole fleet
 	At           netip.Addr // where they listen
 	Join         []netip.AddrPort
 }
@@ -107,7 +107,7 @@
 		name := memberName(plan.First + k)
 		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
 			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			ProbeInterval: probeEvery, View: boundless(plan.Fleet)}, zap.NewNop())
+			ProbeInterval: probeEvery, View: boundless(plan.FleetSize)}, zap.NewNop())
 		if err != nil {
 			return err
 		}
