--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -109,7 +109,7 @@
 	if r.crowd, err = hollow.NewSimulatedMembers(at, crowdMembers, r.size-crowdMembers-crowdProcesses, r.size, r.p.Seed); err != nil {
 		return err
 	}
-	plan := hollow.MembersPlan{Count: crowdMembers, FleetSize: r.size, At: own, Join: r.crowd.Addresses()}
+	plan := hollow.MembersPlan{Count: crowdMembers, FleetSize: r.size, ListenAddress: own, Join: r.crowd.Addresses()}
 	var ready sync.WaitGroup
 	ready.Add(1)
 	r.members, err = hollow.StartMembers(exec.Command(r.p.self(), "hollow", "members"), plan, func(s hollow.Observation) {
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -24,10 +24,10 @@
 
 // MembersPlan is a process of some members: the program's own, with their sockets and goroutines, without an app server around.
 type MembersPlan struct {
-	First, Count int        // by their numbers
-	FleetSize    int        `json:"Fleet"` // members of the whole fleet
-	At           netip.Addr // where they listen
-	Join         []netip.AddrPort
+	First, Count  int        // by their numbers
+	FleetSize     int        `json:"Fleet"` // members of the whole fleet
+	ListenAddress netip.Addr `json:"At"`    // where they listen
+	Join          []netip.AddrPort
 }
 
 // Observation is what one member of the process sees from now on.
@@ -105,7 +105,7 @@
 	var nodes []memberNode
 	for k := range plan.Count {
 		name := memberName(plan.First + k)
-		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.At, 0),
+		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.ListenAddress, 0),
 			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 			ProbeInterval: probeEvery, View: boundless(plan.FleetSize)}, zap.NewNop())
 		if err != nil {
