--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -56,7 +56,7 @@
 	seconds float64
 	cluster *rig.Cluster
 	crowd   *hollow.SimulatedMembers
-	members *hollow.Members
+	members *hollow.MemberProcess
 	targets []*hollow.Target // members first, then processes
 	cost    crowdCost
 }
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -166,8 +166,8 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// Members is such a process, as whoever started it sees it.
-type Members struct {
+// MemberProcess is such a process, as whoever started it sees it.
+type MemberProcess struct {
 	Nodes []memberNode
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -181,7 +181,7 @@
 }
 
 // StartMembers starts one. OnSee hears of every view.
-func StartMembers(cmd *exec.Cmd, plan MembersPlan, onSee func(Observation)) (*Members, error) {
+func StartMembers(cmd *exec.Cmd, plan MembersPlan, onSee func(Observation)) (*MemberProcess, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	m := &Members{cmd: cmd, in: in, over: make(chan struct{}), onSee: onSee, samples: make(chan Sample, 1), latest: make([]Observation, plan.Count)}
+	m := &MemberProcess{cmd: cmd, in: in, over: make(chan struct{}), onSee: onSee, samples: make(chan Sample, 1), latest: make([]Observation, plan.Count)}
 	if err := json.NewEncoder(in).Encode(plan); err != nil {
 		m.Close()
 		return nil, err
@@ -210,7 +210,7 @@
 	return m, nil
 }
 
-func (m *Members) read(from *json.Decoder) {
+func (m *MemberProcess) read(from *json.Decoder) {
 	defer close(m.over)
 	for {
 		var r report
@@ -232,7 +232,7 @@
 }
 
 // Sample asks what they have cost so far.
-func (m *Members) Sample() (Sample, error) {
+func (m *MemberProcess) Sample() (Sample, error) {
 	if _, err := io.WriteString(m.in, "sample\n"); err != nil {
 		return Sample{}, err
 	}
@@ -245,14 +245,14 @@
 }
 
 // Latest is what each of them sees.
-func (m *Members) Latest() []Observation {
+func (m *MemberProcess) Latest() []Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]Observation(nil), m.latest...)
 }
 
 // Converged reports whether all see that many members, alike and converged.
-func (m *Members) Converged(members int) bool {
+func (m *MemberProcess) Converged(members int) bool {
 	all := m.Latest()
 	for _, s := range all {
 		if s.Members != members || s.Certainty != view.Converged || s.Digest != all[0].Digest {
@@ -263,7 +263,7 @@
 }
 
 // UntilSettled waits for that, and gives how many seconds it took; +Inf where it did not come within a time.
-func (m *Members) UntilSettled(members int, within time.Duration) float64 {
+func (m *MemberProcess) UntilSettled(members int, within time.Duration) float64 {
 	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
 		if m.Converged(members) {
 			return time.Since(began).Seconds()
@@ -273,7 +273,7 @@
 }
 
 // ConvergedShare is in what share of a span they called themselves converged, on the mean.
-func (m *Members) ConvergedShare(from, to time.Time) float64 {
+func (m *MemberProcess) ConvergedShare(from, to time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	converged := time.Duration(0)
@@ -298,7 +298,7 @@
 }
 
 // of is the history of one member, under the lock.
-func (m *Members) of(k int) []Observation {
+func (m *MemberProcess) of(k int) []Observation {
 	var all []Observation
 	for _, s := range m.history {
 		if s.Member == k {
@@ -309,7 +309,7 @@
 }
 
 // Close ends the process and waits for it.
-func (m *Members) Close() error {
+func (m *MemberProcess) Close() error {
 	m.in.Close()
 	<-m.over
 	return m.cmd.Wait()
