--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -112,7 +112,7 @@
 	plan := hollow.MembersPlan{Count: crowdMembers, FleetSize: r.size, ListenAddress: own, Join: r.crowd.Addresses()}
 	var ready sync.WaitGroup
 	ready.Add(1)
-	r.members, err = hollow.StartMembers(exec.Command(r.p.self(), "hollow", "members"), plan, func(s hollow.Observation) {
+	r.members, err = hollow.StartMemberProcess(exec.Command(r.p.self(), "hollow", "members"), plan, func(s hollow.Observation) {
 		ready.Wait()
 		r.crowd.SetView(r.targets[s.Member], s.Version, s.Digest)
 	})
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -180,8 +180,8 @@
 	history []Observation
 }
 
-// StartMembers starts one. OnSee hears of every view.
-func StartMembers(cmd *exec.Cmd, plan MembersPlan, onSee func(Observation)) (*MemberProcess, error) {
+// StartMemberProcess starts one. OnSee hears of every view.
+func StartMemberProcess(cmd *exec.Cmd, plan MembersPlan, onSee func(Observation)) (*MemberProcess, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
