--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -179,7 +179,7 @@
 			return err
 		}
 	}
-	if r.members.UntilSettled(r.size, joinWithin) > joinWithin.Seconds() {
+	if r.members.SecondsUntilConverged(r.size, joinWithin) > joinWithin.Seconds() {
 		return fmt.Errorf("members have not settled: %+v", r.members.Latest())
 	}
 	r.cost.joined = time.Since(began).Seconds()
@@ -318,9 +318,9 @@
 func (r *crowdRun) zone() error {
 	count := max(r.size/zoneParts, 1)
 	r.crowd.Fail(0, count)
-	r.cost.lost = r.members.UntilSettled(r.size-count, zoneWithin)
+	r.cost.lost = r.members.SecondsUntilConverged(r.size-count, zoneWithin)
 	r.crowd.Recover(0, count)
-	r.cost.back = r.members.UntilSettled(r.size, zoneWithin)
+	r.cost.back = r.members.SecondsUntilConverged(r.size, zoneWithin)
 	if math.IsInf(r.cost.lost+r.cost.back, 1) {
 		r.p.printNote("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneWithin, r.cost.lost,
 			r.cost.back, r.members.Latest())
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -262,8 +262,8 @@
 	return true
 }
 
-// UntilSettled waits for that, and gives how many seconds it took; +Inf where it did not come within a time.
-func (m *MemberProcess) UntilSettled(members int, within time.Duration) float64 {
+// SecondsUntilConverged waits for that, and gives how many seconds it took; +Inf where it did not come within a time.
+func (m *MemberProcess) SecondsUntilConverged(members int, within time.Duration) float64 {
 	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
 		if m.Converged(members) {
 			return time.Since(began).Seconds()
