--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -53,7 +53,7 @@
 
 var restartKinds = []struct {
 	name string
-	kind hollow.Restart
+	kind hollow.RestartKind
 }{{"one-change", hollow.OneChange}, {"all-changes", hollow.AllChanges}}
 
 // measurePureView runs the view's machine alone against members, with restarts in proportion.
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -11,11 +11,11 @@
 )
 
 // Steps in which one restart reaches the other members' views.
-type Restart uint8
+type RestartKind uint8
 
 const (
 	// OneChange is a restart of which others hear one thing: a later incarnation, serving.
-	OneChange Restart = iota
+	OneChange RestartKind = iota
 	// AllChanges is a restart as the program tells it: leaving, gone, back and cold, serving.
 	AllChanges
 )
@@ -24,7 +24,7 @@
 type ViewPlan struct {
 	Members           int
 	RestartsPerSecond float64 // of the whole fleet
-	Restart           Restart
+	Restart           RestartKind
 	Seconds           float64 // simulated, after the fleet has converged
 	Observers         int     // machines that are run side by side
 	Seed              uint64
