--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -140,7 +140,7 @@
 			plans = append(plans, hollow.OutagePlan{View: plan, Lost: lost, SpreadSeconds: lossSpread})
 		}
 	}
-	costs, err := runHollows[hollow.Outage](p, "outage", plans)
+	costs, err := runHollows[hollow.OutageCost](p, "outage", plans)
 	if err != nil {
 		return err
 	}
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -243,8 +243,8 @@
 	SpreadSeconds float64 // over which the deaths are found
 }
 
-// Outage is how a machine bears it.
-type Outage struct {
+// OutageCost is how a machine bears it.
+type OutageCost struct {
 	LostSeconds float64 // until all observers have converged without them
 	BackSeconds float64 // until all observers have converged with them
 	CoreShare   float64 // of both, CPU seconds a simulated second
@@ -254,14 +254,14 @@
 var ErrNotConverged = errors.New("views have not converged")
 
 // RunOutage plays it. It returns ErrNotConverged if the observers do not settle.
-func RunOutage(plan OutagePlan) (Outage, error) {
+func RunOutage(plan OutagePlan) (OutageCost, error) {
 	v := newPureView(plan.View)
 	v.start()
 	for v.now < quietSeconds {
 		v.step(false)
 	}
 	began, cpu := v.now, ProcessCPUTime()
-	var out Outage
+	var out OutageCost
 	var err error
 	left := plan.View.Members - plan.Lost
 	for k := left; k < plan.View.Members; k++ {
