--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -19,16 +19,16 @@
 
 // SubscriberPlan is a measurement of app servers' subscriptions to real distributors, many in one process.
 type SubscriberPlan struct {
-	Subscribers  int
-	First        int // number of the first one: names differ between processes
-	Distributors map[string]netip.AddrPort
-	Local        netip.Addr // to speak from
-	Services     []string   // all that there are
-	Each         int        // services of one subscriber
-	Rate         float64    // bytes a second
-	Seed         uint64
-	StartAt      time.Time // the watch begins
-	Seconds      float64   // and lasts so long
+	Subscribers           int
+	First                 int // number of the first one: names differ between processes
+	Distributors          map[string]netip.AddrPort
+	Local                 netip.Addr // to speak from
+	Services              []string   // all that there are
+	ServicesPerSubscriber int        `json:"Each"` // services of one subscriber
+	Rate                  float64    // bytes a second
+	Seed                  uint64
+	StartAt               time.Time // the watch begins
+	Seconds               float64   // and lasts so long
 }
 
 // SeenChange tells when the subscribers of a service had an entry of it.
@@ -102,7 +102,7 @@
 
 func newSubscriber(plan SubscriberPlan, k int, distributors []string, random *rand.Rand) *subscriber {
 	s := &subscriber{}
-	for _, at := range random.Perm(len(plan.Services))[:min(plan.Each, len(plan.Services))] {
+	for _, at := range random.Perm(len(plan.Services))[:min(plan.ServicesPerSubscriber, len(plan.Services))] {
 		s.services = append(s.services, plan.Services[at])
 	}
 	name := fmt.Sprintf("hollow%d", plan.First+k)
