--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -208,7 +208,7 @@
 	start := time.Now().Add(secondsOf(connecting))
 	var plans []hollow.SubscriberPlan
 	for first := 0; first < members; first += perHollowProcess {
-		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(perHollowProcess, members-first), First: first, Distributors: at, Local: local,
+		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(perHollowProcess, members-first), First: first, Distributors: at, LocalAddress: local,
 			Services: f.services, ServicesPerSubscriber: servicesEach, Rate: designBytesPerSecond, Seed: p.Seed, StartAt: start, Seconds: p.distributionSeconds() + settling})
 	}
 	var costs []hollow.SubscriberCost
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -22,7 +22,7 @@
 	Subscribers           int
 	First                 int // number of the first one: names differ between processes
 	Distributors          map[string]netip.AddrPort
-	Local                 netip.Addr // to speak from
+	LocalAddress          netip.Addr `json:"Local"` // to speak from
 	Services              []string   // all that there are
 	ServicesPerSubscriber int        `json:"Each"` // services of one subscriber
 	Rate                  float64    // bytes a second
@@ -106,7 +106,7 @@
 		s.services = append(s.services, plan.Services[at])
 	}
 	name := fmt.Sprintf("hollow%d", plan.First+k)
-	book := addressBook{name: name, local: &net.TCPAddr{IP: plan.Local.AsSlice()}, at: plan.Distributors}
+	book := addressBook{name: name, local: &net.TCPAddr{IP: plan.LocalAddress.AsSlice()}, at: plan.Distributors}
 	s.Distribution = fleet.NewSubscriber(fleet.DistributionConfig{Name: name, Distributors: distributors,
 		Services: s.services, BytesPerSecond: plan.Rate, StaleAfter: 18}, book, zap.NewNop())
 	s.indices = make([]uint64, len(s.services))
