--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -209,7 +209,7 @@
 	var plans []hollow.SubscriberPlan
 	for first := 0; first < members; first += perHollowProcess {
 		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(perHollowProcess, members-first), First: first, Distributors: at, LocalAddress: local,
-			Services: f.services, ServicesPerSubscriber: servicesEach, Rate: designBytesPerSecond, Seed: p.Seed, StartAt: start, Seconds: p.distributionSeconds() + settling})
+			Services: f.services, ServicesPerSubscriber: servicesEach, BytesPerSecond: designBytesPerSecond, Seed: p.Seed, StartAt: start, Seconds: p.distributionSeconds() + settling})
 	}
 	var costs []hollow.SubscriberCost
 	var watching sync.WaitGroup
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -25,7 +25,7 @@
 	LocalAddress          netip.Addr `json:"Local"` // to speak from
 	Services              []string   // all that there are
 	ServicesPerSubscriber int        `json:"Each"` // services of one subscriber
-	Rate                  float64    // bytes a second
+	BytesPerSecond        float64    `json:"Rate"` // bytes a second
 	Seed                  uint64
 	StartAt               time.Time // the watch begins
 	Seconds               float64   // and lasts so long
@@ -108,7 +108,7 @@
 	name := fmt.Sprintf("hollow%d", plan.First+k)
 	book := addressBook{name: name, local: &net.TCPAddr{IP: plan.LocalAddress.AsSlice()}, at: plan.Distributors}
 	s.Distribution = fleet.NewSubscriber(fleet.DistributionConfig{Name: name, Distributors: distributors,
-		Services: s.services, BytesPerSecond: plan.Rate, StaleAfter: 18}, book, zap.NewNop())
+		Services: s.services, BytesPerSecond: plan.BytesPerSecond, StaleAfter: 18}, book, zap.NewNop())
 	s.indices = make([]uint64, len(s.services))
 	return s
 }
