--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -31,8 +31,8 @@
 	Seconds               float64   // and lasts so long
 }
 
-// SeenChange tells when the subscribers of a service had an entry of it.
-type SeenChange struct {
+// ObservedChange tells when the subscribers of a service had an entry of it.
+type ObservedChange struct {
 	Service string
 	Index   uint64
 	Has     int
@@ -48,7 +48,7 @@
 	LaterSnapshots uint64         // during it
 	Stale          int            // subscribers at its end
 	Serving        map[string]int // subscribers of each service
-	Seen           []SeenChange
+	Seen           []ObservedChange
 }
 
 // addressBook opens streams to members at known addresses.
@@ -128,7 +128,7 @@
 		bytes -= status.Bytes
 		s.look(func(int, uint64) { /* what was there before */ })
 	}
-	began, seen := ProcessCPUTime(), map[string]*SeenChange{}
+	began, seen := ProcessCPUTime(), map[string]*ObservedChange{}
 	for end := plan.StartAt.Add(time.Duration(plan.Seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(watchEvery) {
 		now := time.Now()
 		for _, s := range all {
@@ -167,11 +167,11 @@
 	}
 }
 
-func note(seen map[string]*SeenChange, service string, index uint64, of map[string]int, now time.Time) {
+func note(seen map[string]*ObservedChange, service string, index uint64, of map[string]int, now time.Time) {
 	key := fmt.Sprint(service, " ", index)
 	one := seen[key]
 	if one == nil {
-		one = &SeenChange{Service: service, Index: index}
+		one = &ObservedChange{Service: service, Index: index}
 		seen[key] = one
 	}
 	one.Has++
