--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -286,7 +286,7 @@
 				sights[key] = &sight{}
 			}
 			s := sights[key]
-			s.has += seen.Has
+			s.has += seen.Subscribers
 			if seen.Last.After(s.last) {
 				s.last = seen.Last
 			}
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -33,10 +33,10 @@
 
 // ObservedChange tells when the subscribers of a service had an entry of it.
 type ObservedChange struct {
-	Service string
-	Index   uint64
-	Has     int
-	Last    time.Time // when the last of them had it
+	Service     string
+	Index       uint64
+	Subscribers int       `json:"Has"`
+	Last        time.Time // when the last of them had it
 }
 
 // SubscriberCost is what the subscriptions of one process took during the watch.
@@ -174,7 +174,7 @@
 		one = &ObservedChange{Service: service, Index: index}
 		seen[key] = one
 	}
-	one.Has++
+	one.Subscribers++
 	one.Last = now
 }
 
