--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -280,7 +280,7 @@
 		for service, n := range one.Serving {
 			serving[service] += n
 		}
-		for _, seen := range one.Seen {
+		for _, seen := range one.ObservedChanges {
 			key := changeKey{seen.Service, seen.Index}
 			if sights[key] == nil {
 				sights[key] = &sight{}
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -41,14 +41,14 @@
 
 // SubscriberCost is what the subscriptions of one process took during the watch.
 type SubscriberCost struct {
-	Ready          int            // subscribers that followed when the watch began
-	CoreSeconds    float64        // of this process, with the watching
-	Bytes          int64          // of all subscribers, both ways
-	Snapshots      uint64         // taken until the watch began
-	LaterSnapshots uint64         // during it
-	Stale          int            // subscribers at its end
-	Serving        map[string]int // subscribers of each service
-	Seen           []ObservedChange
+	Ready           int              // subscribers that followed when the watch began
+	CoreSeconds     float64          // of this process, with the watching
+	Bytes           int64            // of all subscribers, both ways
+	Snapshots       uint64           // taken until the watch began
+	LaterSnapshots  uint64           // during it
+	Stale           int              // subscribers at its end
+	Serving         map[string]int   // subscribers of each service
+	ObservedChanges []ObservedChange `json:"Seen"`
 }
 
 // addressBook opens streams to members at known addresses.
@@ -147,7 +147,7 @@
 	cost.LaterSnapshots -= cost.Snapshots
 	cost.Bytes = bytes
 	for _, one := range seen {
-		cost.Seen = append(cost.Seen, *one)
+		cost.ObservedChanges = append(cost.ObservedChanges, *one)
 	}
 	return cost
 }
