--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -277,7 +277,7 @@
 		c.laterWholes += int(one.LaterSnapshots)
 		c.bytes += float64(one.Bytes) / seconds / float64(members)
 		c.subscriberCore += one.CoreSeconds / seconds / float64(members)
-		for service, n := range one.Serving {
+		for service, n := range one.SubscribersByService {
 			serving[service] += n
 		}
 		for _, seen := range one.ObservedChanges {
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -41,14 +41,14 @@
 
 // SubscriberCost is what the subscriptions of one process took during the watch.
 type SubscriberCost struct {
-	Ready           int              // subscribers that followed when the watch began
-	CoreSeconds     float64          // of this process, with the watching
-	Bytes           int64            // of all subscribers, both ways
-	Snapshots       uint64           // taken until the watch began
-	LaterSnapshots  uint64           // during it
-	Stale           int              // subscribers at its end
-	Serving         map[string]int   // subscribers of each service
-	ObservedChanges []ObservedChange `json:"Seen"`
+	Ready                int              // subscribers that followed when the watch began
+	CoreSeconds          float64          // of this process, with the watching
+	Bytes                int64            // of all subscribers, both ways
+	Snapshots            uint64           // taken until the watch began
+	LaterSnapshots       uint64           // during it
+	Stale                int              // subscribers at its end
+	SubscribersByService map[string]int   `json:"Serving"` // subscribers of each service
+	ObservedChanges      []ObservedChange `json:"Seen"`
 }
 
 // addressBook opens streams to members at known addresses.
@@ -118,7 +118,7 @@
 
 func watchSubscribers(plan SubscriberPlan, all []*subscriber, of map[string]int) (cost SubscriberCost) {
 	bytes := int64(0)
-	cost.Serving = of
+	cost.SubscribersByService = of
 	for _, s := range all {
 		status := s.Status()
 		if status.State == "following" {
