--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -71,13 +71,13 @@
 
 // QuotaCost is what the allocator bore, and what became of the holders' questions.
 type QuotaCost struct {
-	QuestionsPerSecond float64
-	LostShare          float64 // of the questions of holders that were answered at least once
-	RefusedHolders     int     // of whom no question was ever answered
-	CoreShare          float64 // of all that answers; reading a packet and taking it apart is not among it
-	CPUPerQuestion     time.Duration
-	PacketsPerSecond   float64 // that the allocator sends
-	BytesPerSecond     float64 // that the allocator sends
+	RequestsPerSecond float64 `json:"QuestionsPerSecond"`
+	LostShare         float64 // of the questions of holders that were answered at least once
+	RefusedHolders    int     // of whom no question was ever answered
+	CoreShare         float64 // of all that answers; reading a packet and taking it apart is not among it
+	CPUPerQuestion    time.Duration
+	PacketsPerSecond  float64 // that the allocator sends
+	BytesPerSecond    float64 // that the allocator sends
 }
 
 const (
@@ -273,7 +273,7 @@
 	time.Sleep(quotaAsk) // for the last answers
 	askedAfter, answeredAfter, refused := r.counts()
 	asked, answered = askedAfter-asked, answeredAfter-answered
-	cost := QuotaCost{RefusedHolders: refused, QuestionsPerSecond: float64(asked) / took, CoreShare: spent.Seconds() / took,
+	cost := QuotaCost{RefusedHolders: refused, RequestsPerSecond: float64(asked) / took, CoreShare: spent.Seconds() / took,
 		PacketsPerSecond: float64(packets) / took, BytesPerSecond: float64(bytes) / took}
 	served := asked * (len(r.holders) - refused) / len(r.holders)
 	cost.LostShare = max(1-float64(answered)/float64(max(served, 1)), 0)
--- a/rig/hollow/quota_test.go
+++ b/rig/hollow/quota_test.go
@@ -30,7 +30,7 @@
 	if cost.RefusedHolders != 0 || cost.LostShare > 0.5 {
 		t.Errorf("few questions are answered: %+v", cost)
 	}
-	if cost.QuestionsPerSecond < 100 || cost.CoreShare <= 0 || cost.BytesPerSecond <= 0 {
+	if cost.RequestsPerSecond < 100 || cost.CoreShare <= 0 || cost.BytesPerSecond <= 0 {
 		t.Errorf("%+v", cost)
 	}
 }
