--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -156,7 +156,7 @@
 		}
 		p.printNote("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
 			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.RequestsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
-			100*cost.CoreShare, cost.CPUPerQuestion, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
+			100*cost.CoreShare, cost.CPUPerRequest, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
 		x, against := float64(plan.Holders), "holders"
 		if k >= len(sizes.holders) {
 			x, against = float64(plan.Kinds), "kinds"
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -71,13 +71,13 @@
 
 // QuotaCost is what the allocator bore, and what became of the holders' questions.
 type QuotaCost struct {
-	RequestsPerSecond float64 `json:"QuestionsPerSecond"`
-	LostShare         float64 // of the questions of holders that were answered at least once
-	RefusedHolders    int     // of whom no question was ever answered
-	CoreShare         float64 // of all that answers; reading a packet and taking it apart is not among it
-	CPUPerQuestion    time.Duration
-	PacketsPerSecond  float64 // that the allocator sends
-	BytesPerSecond    float64 // that the allocator sends
+	RequestsPerSecond float64       `json:"QuestionsPerSecond"`
+	LostShare         float64       // of the questions of holders that were answered at least once
+	RefusedHolders    int           // of whom no question was ever answered
+	CoreShare         float64       // of all that answers; reading a packet and taking it apart is not among it
+	CPUPerRequest     time.Duration `json:"CPUPerQuestion"`
+	PacketsPerSecond  float64       // that the allocator sends
+	BytesPerSecond    float64       // that the allocator sends
 }
 
 const (
@@ -277,7 +277,7 @@
 		PacketsPerSecond: float64(packets) / took, BytesPerSecond: float64(bytes) / took}
 	served := asked * (len(r.holders) - refused) / len(r.holders)
 	cost.LostShare = max(1-float64(answered)/float64(max(served, 1)), 0)
-	cost.CPUPerQuestion = spent / time.Duration(max(asked, 1))
+	cost.CPUPerRequest = spent / time.Duration(max(asked, 1))
 	return cost
 }
 
