--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -92,7 +92,7 @@
 	firstLost := 0
 	for k, cost := range costs {
 		n := sizes[k]
-		p.printNote("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerQuestion)
+		p.printNote("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerRequest)
 		answered = append(answered, slope.Point{X: float64(n), Y: float64(cost.Answered)})
 		lost = append(lost, slope.Point{X: float64(n), Y: 100 * float64(n-cost.Answered) / float64(n)})
 		if firstLost == 0 && cost.Answered < n {
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -302,8 +302,8 @@
 
 // BurstCost is what a voter answers of many questions that come at one time.
 type BurstCost struct {
-	Answered       int
-	CPUPerQuestion time.Duration
+	Answered      int
+	CPUPerRequest time.Duration `json:"CPUPerQuestion"`
 }
 
 // RunVoterBurst has that many candidates ask one real voter at one time, as when a lease has ended, over an in-memory transport.
@@ -337,5 +337,5 @@
 	}
 	spent := ProcessCPUTime() - before
 	n := int(answered.Load())
-	return BurstCost{Answered: n, CPUPerQuestion: spent / time.Duration(max(n, 1))}, nil
+	return BurstCost{Answered: n, CPUPerRequest: spent / time.Duration(max(n, 1))}, nil
 }
