--- a/rig/hollow/cpu.go
+++ b/rig/hollow/cpu.go
@@ -1,5 +1,5 @@
-// Package hollow measures parts of the program at sizes that whole processes do not reach: the view's machine alone, members
-// amid a stand-in for the rest of the fleet, and elected roles and quotas between in-memory queues.
+// Package hollow measures parts of the program at scales that are too large for separate processes: the view's state machine
+// alone, real members among simulated ones, and elected roles and quotas over in-memory queues.
 package hollow
 
 import (
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// ProcessCPUTime is the processor time that this process has taken, on all its threads.
+// ProcessCPUTime returns the user and system CPU time that all threads of this process have used.
 func ProcessCPUTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// HeapBytes is what is reachable on the heap, after a collection.
+// HeapBytes returns the size in bytes of the allocated heap objects after a garbage collection.
 func HeapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/rig/hollow/encoding.go
+++ b/rig/hollow/encoding.go
@@ -8,16 +8,18 @@
 	"valveglade/logic/share"
 )
 
-// The bytes of fleet's messages, as docs/owner.md and docs/share.md have them: hollow candidates and leaseholders
-// speak to real processes in them.
+// This file encodes the messages of package fleet that are described in docs/owner.md and docs/share.md: simulated candidates
+// and leaseholders exchange them with real processes.
 
+// appendText appends a string with its length in one byte.
 func appendText(out []byte, s string) []byte { return append(append(out, byte(len(s))), s...) }
 
+// appendFloat appends the bits of a float in big-endian order.
 func appendFloat(out []byte, v float64) []byte {
 	return binary.BigEndian.AppendUint64(out, math.Float64bits(v))
 }
 
-// encodeRoleMessage is a message between candidate and voter.
+// encodeRoleMessage encodes a message between a candidate and a voter.
 func encodeRoleMessage(m owner.Message) []byte {
 	out := append([]byte("VO\x02"), byte(m.Kind))
 	out = appendText(out, m.Role)
@@ -30,47 +32,47 @@
 	return appendText(out, m.Holder)
 }
 
-// The kinds of message about quotas.
+// Kinds of quota messages.
 const (
 	kindAnnounced = 0
 	kindRequested = 1
 	kindGranted   = 2
 )
 
-// encodeRequest is what a leaseholder asks its allocator.
-func encodeRequest(role, from string, q share.Request) []byte {
+// encodeRequest encodes a quota request of a leaseholder to its allocator.
+func encodeRequest(role, from string, request share.Request) []byte {
 	out := append([]byte("VG\x01"), kindRequested)
 	out = appendText(out, role)
 	out = appendText(out, from)
-	out = binary.BigEndian.AppendUint64(out, q.Term)
-	out = binary.BigEndian.AppendUint64(out, q.From.ID)
-	out = binary.BigEndian.AppendUint64(out, q.Number)
-	for _, n := range []int{q.Holds, q.Uses, q.Wants} {
+	out = binary.BigEndian.AppendUint64(out, request.Term)
+	out = binary.BigEndian.AppendUint64(out, request.From.ID)
+	out = binary.BigEndian.AppendUint64(out, request.Number)
+	for _, n := range []int{request.Holds, request.Uses, request.Wants} {
 		out = binary.BigEndian.AppendUint32(out, uint32(n))
 	}
-	out = appendFloat(out, q.Left)
-	out = appendFloat(out, q.Criticality)
-	return appendFloat(out, q.RunTime)
+	out = appendFloat(out, request.Left)
+	out = appendFloat(out, request.Criticality)
+	return appendFloat(out, request.RunTime)
 }
 
-// answer is what an allocator sends, as far as hollow holders look at it.
-type answer struct {
-	kind   byte
-	role   string
-	from   string
-	term   uint64
-	id     uint64 // of the holder, in a grant
-	number uint64 // of its request
-	grants int
+// allocatorAnswer is a message of an allocator, without the fields that simulated leaseholders ignore.
+type allocatorAnswer struct {
+	kind          byte
+	role          string
+	from          string
+	term          uint64
+	holderID      uint64 // in a grant
+	requestNumber uint64 // in a grant: the request that it answers
+	grants        int
 }
 
-// decodeAnswer reads a message of an allocator; false if it is none.
-func decodeAnswer(b []byte) (a answer, ok bool) {
+// decodeAnswer decodes a message of an allocator. It returns false if the bytes are not such a message.
+func decodeAnswer(b []byte) (a allocatorAnswer, ok bool) {
 	if len(b) < 4 || string(b[:3]) != "VG\x01" {
 		return a, false
 	}
 	a.kind, b = b[3], b[4:]
-	text := func() string {
+	nextString := func() string {
 		if len(b) == 0 || len(b) < 1+int(b[0]) {
 			b = nil
 			return ""
@@ -79,7 +81,7 @@
 		b = b[1+int(b[0]):]
 		return s
 	}
-	number := func() uint64 {
+	nextUint64 := func() uint64 {
 		if len(b) < 8 {
 			b = nil
 			return 0
@@ -88,9 +90,9 @@
 		b = b[8:]
 		return n
 	}
-	a.role, a.from, a.term = text(), text(), number()
+	a.role, a.from, a.term = nextString(), nextString(), nextUint64()
 	if a.kind == kindGranted {
-		a.id, a.number = number(), number()
+		a.holderID, a.requestNumber = nextUint64(), nextUint64()
 		if len(b) < 4 {
 			return a, false
 		}
--- a/rig/hollow/gossip.go
+++ b/rig/hollow/gossip.go
@@ -12,16 +12,17 @@
 	"valveglade/logic/view"
 )
 
-// The bytes of members' packets and streams, as docs/fleet.md has them, and of the gossip library's messages in them.
+// This file encodes the packets and streams of members that are described in docs/fleet.md, and the messages of the gossip
+// library in them.
 
 const (
-	gossipMagic  = "VGF\x01"
-	gossipKind   = 'g'
-	gossipHead   = len(gossipMagic) + 1 + 4
-	gossipPacket = 1400 - gossipHead // payload bytes of one packet
+	gossipMagic      = "VGF\x01"
+	gossipPacketKind = 'g'
+	gossipHeaderSize = len(gossipMagic) + 1 + 4
+	maxGossipPayload = 1400 - gossipHeaderSize // bytes per packet
 )
 
-// The library's kinds of message.
+// Message kinds of the gossip library.
 const (
 	msgPing         = 0
 	msgIndirectPing = 1
@@ -31,29 +32,32 @@
 	msgDead         = 5
 	msgExchange     = 6
 	msgCompound     = 7
-	msgChecked      = 12
+	msgHasChecksum  = 12
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 var errNotGossip = errors.New("not a gossip packet")
 
-func sealGossip(payload []byte) []byte {
-	out := append([]byte(gossipMagic), gossipKind)
-	sum := crc32.Update(crc32.Update(0, castagnoli, []byte{gossipKind}), castagnoli, payload)
+// encodeGossipPacket adds magic, kind and checksum to a payload.
+func encodeGossipPacket(payload []byte) []byte {
+	out := append([]byte(gossipMagic), gossipPacketKind)
+	sum := crc32.Update(crc32.Update(0, castagnoliTable, []byte{gossipPacketKind}), castagnoliTable, payload)
 	return append(binary.BigEndian.AppendUint32(out, sum), payload...)
 }
 
-func openGossip(b []byte) ([]byte, error) {
-	if len(b) < gossipHead || string(b[:len(gossipMagic)]) != gossipMagic || b[len(gossipMagic)] != gossipKind {
+// decodeGossipPacket returns the payload of a gossip packet, without verifying its checksum. It returns errNotGossip for a packet
+// of another kind.
+func decodeGossipPacket(b []byte) ([]byte, error) {
+	if len(b) < gossipHeaderSize || string(b[:len(gossipMagic)]) != gossipMagic || b[len(gossipMagic)] != gossipPacketKind {
 		return nil, errNotGossip
 	}
-	return b[gossipHead:], nil
+	return b[gossipHeaderSize:], nil
 }
 
-// messages splits a packet of the library.
-func messages(b []byte) [][]byte {
-	if len(b) > 5 && b[0] == msgChecked {
+// splitMessages splits a packet of the library into its messages.
+func splitMessages(b []byte) [][]byte {
+	if len(b) > 5 && b[0] == msgHasChecksum {
 		b = b[5:]
 	}
 	if len(b) < 2 || b[0] != msgCompound {
@@ -76,13 +80,13 @@
 	return all
 }
 
-// mostCompound is how many messages one packet has at the most.
-const mostCompound = 255
+// maxPackedMessages is the maximum number of messages per packet.
+const maxPackedMessages = 255
 
-// compound puts as many messages into one packet as fit, and gives the rest.
-func compound(all [][]byte) (packet []byte, rest [][]byte) {
+// packMessages packs as many messages as fit into one packet and returns it with the remaining ones.
+func packMessages(all [][]byte) (packet []byte, rest [][]byte) {
 	size, count := 2, 0
-	for count < len(all) && count < mostCompound && size+2+len(all[count]) <= gossipPacket {
+	for count < len(all) && count < maxPackedMessages && size+2+len(all[count]) <= maxGossipPayload {
 		size += 2 + len(all[count])
 		count++
 	}
@@ -120,7 +124,7 @@
 	Payload []byte
 }
 
-// claimMessage is a suspicion or a death.
+// claimMessage claims that a member is suspect or dead.
 type claimMessage struct {
 	Incarnation uint32
 	Node        string
@@ -136,7 +140,7 @@
 	Vsn         []uint8
 }
 
-type exchangeHead struct {
+type exchangeHeader struct {
 	Nodes        int
 	UserStateLen int
 	Join         bool
@@ -152,23 +156,26 @@
 	Vsn         []uint8
 }
 
-// protocolVersions are those that the library's members speak: least, most and current of protocol and delegate.
+// protocolVersions holds the protocol versions of the library's members: minimum, maximum and current one of the protocol, then
+// of the delegate.
 var protocolVersions = []uint8{1, 5, 2, 0, 0, 0}
 
+// encodeMessage returns the message kind followed by the MessagePack encoding of v.
 func encodeMessage(kind byte, v any) []byte {
 	out := bytes.NewBuffer([]byte{kind})
 	if err := codec.NewEncoder(out, &codec.MsgpackHandle{}).Encode(v); err != nil {
-		panic(err) // of our own types: cannot be
+		panic(err) // unreachable: only types of this package are encoded
 	}
 	return out.Bytes()
 }
 
+// decodeMessage decodes a MessagePack message without its kind.
 func decodeMessage(b []byte, into any) error {
 	return codec.NewDecoder(bytes.NewReader(b), &codec.MsgpackHandle{}).Decode(into)
 }
 
-// meta is a member's word on itself.
-func meta(e view.Entry) []byte {
+// encodeMeta encodes the metadata that a member publishes about itself.
+func encodeMeta(e view.Entry) []byte {
 	out := append([]byte("VM"), 1, e.Proto, byte(e.State), 0)
 	out = binary.BigEndian.AppendUint64(out, e.Incarnation.Number)
 	out = binary.BigEndian.AppendUint32(out, e.Incarnation.Nonce)
@@ -176,10 +183,10 @@
 	return appendText(appendText(out, e.Name), e.Zone)
 }
 
-// nodeName is the name under which the library knows one incarnation.
+// nodeName returns the node name of one incarnation of a member in the gossip library.
 func nodeName(e view.Entry) string { return fmt.Sprintf("%s~%08x", e.Name, e.Incarnation.Nonce) }
 
-// echoPayload is what an answer to a probe carries: version and digest of a view.
-func echoPayload(version, digest uint64) []byte {
+// encodeViewPayload encodes the payload of an answer to a probe: version and digest of a view.
+func encodeViewPayload(version, digest uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte("VE\x01"), version), digest)
 }
--- a/rig/hollow/gossip_test.go
+++ b/rig/hollow/gossip_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCompound packs messages into packets that are not too large, and unpacks the same.
-func TestCompound(t *testing.T) {
+// TestPackMessages guards against oversized packets, and against messages lost or changed by packing and splitting them.
+func TestPackMessages(t *testing.T) {
 	var all, unpacked [][]byte
 	for k := range 40 {
 		all = append(all, bytes.Repeat([]byte{msgAlive}, 60+k))
@@ -14,51 +14,52 @@
 	for rest := all; len(rest) > 0; {
 		var packet []byte
 		before := len(rest)
-		packet, rest = compound(rest)
-		if len(packet) > gossipPacket || len(rest) == before {
-			t.Fatalf("a packet of %d bytes, %d messages left of %d", len(packet), len(rest), before)
+		packet, rest = packMessages(rest)
+		if len(packet) > maxGossipPayload || len(rest) == before {
+			t.Fatalf("packed into %d bytes, %d of %d messages remain", len(packet), len(rest), before)
 		}
-		payload, err := openGossip(sealGossip(packet))
+		payload, err := decodeGossipPacket(encodeGossipPacket(packet))
 		if err != nil {
 			t.Fatal(err)
 		}
-		unpacked = append(unpacked, messages(payload)...)
+		unpacked = append(unpacked, splitMessages(payload)...)
 	}
 	if len(unpacked) != len(all) {
-		t.Fatalf("%d messages of %d", len(unpacked), len(all))
+		t.Fatalf("got %d messages, want %d", len(unpacked), len(all))
 	}
 	for k := range all {
 		if !bytes.Equal(all[k], unpacked[k]) {
-			t.Errorf("message %d differs", k)
+			t.Errorf("message %d differs after packing and splitting", k)
 		}
 	}
 }
 
-// TestCutPackets has no message read past the end of a packet that was cut.
-func TestCutPackets(t *testing.T) {
-	packet, _ := compound([][]byte{{msgAlive, 1, 2, 3}, {msgDead, 4, 5}})
+// TestTruncatedPackets guards against reading messages past the end of a truncated packet, and against taking a packet of
+// another kind for gossip.
+func TestTruncatedPackets(t *testing.T) {
+	packet, _ := packMessages([][]byte{{msgAlive, 1, 2, 3}, {msgDead, 4, 5}})
 	for n := range packet {
-		for _, m := range messages(packet[:n]) {
+		for _, m := range splitMessages(packet[:n]) {
 			if len(m) > n {
-				t.Errorf("a message of %d bytes in %d", len(m), n)
+				t.Errorf("message of %d bytes in a packet of %d bytes", len(m), n)
 			}
 		}
 	}
-	if _, err := openGossip([]byte("VGF\x01n")); err == nil {
-		t.Error("a packet of another kind is taken")
+	if _, err := decodeGossipPacket([]byte("VGF\x01n")); err == nil {
+		t.Error("accepted a packet of another kind")
 	}
 }
 
-// TestRates compares the rates of gossip with those that the library works out.
-func TestRates(t *testing.T) {
+// TestGossipRates guards against gossip rates that differ from those of the library at the same fleet size.
+func TestGossipRates(t *testing.T) {
 	for size, want := range map[int]int{9: 4, 99: 8, 1000: 16, 8600: 16} {
-		if got := retransmits(size); got != want {
-			t.Errorf("%d members pass a message on %d times, not %d", size, got, want)
+		if got := retransmitCount(size); got != want {
+			t.Errorf("fleet of %d members: retransmits %d times, want %d", size, got, want)
 		}
 	}
 	for size, want := range map[int]float64{10: 12, 33: 24, 1000: 72, 8600: 120} {
 		if got := ExchangeIntervalSeconds(size); got != want {
-			t.Errorf("%d members exchange all every %g s, not %g", size, got, want)
+			t.Errorf("fleet of %d members: exchanges the state every %g s, want %g", size, got, want)
 		}
 	}
 }
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -22,17 +22,17 @@
 	"valveglade/member"
 )
 
-// MembersPlan is a process of some members: the program's own, with their sockets and goroutines, without an app server around.
+// MembersPlan describes a process that runs several real members with their sockets and goroutines, without app servers.
 type MembersPlan struct {
-	First, Count  int        // by their numbers
+	First, Count  int        // number of the first member, and how many there are
 	FleetSize     int        `json:"Fleet"` // members of the whole fleet
-	ListenAddress netip.Addr `json:"At"`    // where they listen
+	ListenAddress netip.Addr `json:"At"`
 	Join          []netip.AddrPort
 }
 
-// Observation is what one member of the process sees from now on.
+// Observation is a new view of one member of the process.
 type Observation struct {
-	Member    int // from 0
+	Member    int // index in the process, from 0
 	Version   uint64
 	Digest    uint64
 	Members   int
@@ -40,7 +40,7 @@
 	At        time.Time
 }
 
-// Sample is what the members of a process have cost so far.
+// Sample holds the cumulative resource use of the process and its members.
 type Sample struct {
 	CPUSeconds    float64
 	ResidentBytes float64
@@ -48,21 +48,22 @@
 	Costs         []member.Stats
 }
 
-// report is one line from the process: the addresses at first, then what is seen, and samples when asked for.
+// report is one line of the process's output: the nodes first, then each observation, and a sample for each request.
 type report struct {
-	Nodes   []memberNode `json:",omitempty"`
-	Seen    *Observation `json:",omitempty"`
-	Sample  *Sample      `json:",omitempty"`
-	Problem string       `json:",omitempty"`
+	Nodes       []memberNode `json:",omitempty"`
+	Observation *Observation `json:"Seen,omitempty"`
+	Sample      *Sample      `json:",omitempty"`
+	Problem     string       `json:",omitempty"`
 }
 
 type memberNode struct {
 	Name    string
-	Node    string // as the library knows it
+	Node    string // in the gossip library
 	Address netip.AddrPort
 }
 
-// ServeMembers is that process: it reads the plan from in, and then a line for each sample; it ends with in.
+// ServeMembers runs the members of the plan that it reads from the first line of in. It writes a sample for each further line
+// and stops at the end of in.
 func ServeMembers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	var plan MembersPlan
@@ -72,15 +73,15 @@
 	if err := json.Unmarshal(lines.Bytes(), &plan); err != nil {
 		return err
 	}
-	s := &memberServer{to: json.NewEncoder(out)}
+	s := &memberServer{encoder: json.NewEncoder(out)}
 	ctx, stop := context.WithCancel(context.Background())
-	defer s.group.Wait()
+	defer s.goroutines.Wait()
 	defer stop()
 	if err := s.start(ctx, plan); err != nil {
 		return err
 	}
 	for lines.Scan() {
-		s.tell(report{Sample: s.sample()})
+		s.send(report{Sample: s.sample()})
 	}
 	for _, m := range s.members {
 		m.Kill()
@@ -88,43 +89,47 @@
 	return lines.Err()
 }
 
+// memberServer runs the members of a process and reports on them.
 type memberServer struct {
-	mu      sync.Mutex
-	to      *json.Encoder
-	members []*member.Member
-	group   sync.WaitGroup
+	mu         sync.Mutex
+	encoder    *json.Encoder
+	members    []*member.Member
+	goroutines sync.WaitGroup
 }
 
-func (s *memberServer) tell(r report) {
+// send writes one line of output.
+func (s *memberServer) send(r report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.to.Encode(r)
+	s.encoder.Encode(r)
 }
 
+// start starts the members of the plan and reports their nodes.
 func (s *memberServer) start(ctx context.Context, plan MembersPlan) error {
 	var nodes []memberNode
 	for k := range plan.Count {
 		name := memberName(plan.First + k)
-		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zones), Listen: netip.AddrPortFrom(plan.ListenAddress, 0),
-			Join: plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
-			ProbeInterval: probeEvery, View: boundless(plan.FleetSize)}, zap.NewNop())
+		m, err := member.New(member.Config{Name: name, Zone: fmt.Sprintf("z%02d", k%zoneCount),
+			Listen: netip.AddrPortFrom(plan.ListenAddress, 0),
+			Join:   plan.Join, Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
+			ProbeInterval: probeInterval, View: viewConfig(plan.FleetSize)}, zap.NewNop())
 		if err != nil {
 			return err
 		}
 		s.members = append(s.members, m)
 		nodes = append(nodes, memberNode{Name: name, Node: nodeName(*m.View().Find(name)), Address: m.Address()})
 	}
-	s.tell(report{Nodes: nodes})
+	s.send(report{Nodes: nodes})
 	for k, m := range s.members {
-		s.group.Go(func() { m.Run(ctx) })
-		s.group.Go(func() { s.watch(ctx, k, m) })
+		s.goroutines.Go(func() { m.Run(ctx) })
+		s.goroutines.Go(func() { s.reportViews(ctx, k, m) })
 		m.UpdateState(view.Serving, false, view.Load{})
 	}
 	return nil
 }
 
-// watch reports each view of one member.
-func (s *memberServer) watch(ctx context.Context, k int, m *member.Member) {
+// reportViews reports each new view of one member.
+func (s *memberServer) reportViews(ctx context.Context, k int, m *member.Member) {
 	changes, stop := m.Changes()
 	defer stop()
 	for {
@@ -133,13 +138,14 @@
 			return
 		case <-changes:
 			v := m.View()
-			s.tell(report{Seen: &Observation{k, v.Version, v.Digest, len(v.Members), v.Certainty, time.Now()}})
+			s.send(report{Observation: &Observation{k, v.Version, v.Digest, len(v.Members), v.Certainty, time.Now()}})
 		}
 	}
 }
 
+// sample returns the resource use so far.
 func (s *memberServer) sample() *Sample {
-	out := &Sample{CPUSeconds: ProcessCPUTime().Seconds(), ResidentBytes: resident("self")}
+	out := &Sample{CPUSeconds: ProcessCPUTime().Seconds(), ResidentBytes: residentBytes("self")}
 	for _, m := range s.members {
 		out.Costs = append(out.Costs, m.Stats())
 	}
@@ -149,8 +155,8 @@
 	return out
 }
 
-// resident is a process's resident memory in bytes, 0 if it cannot be read.
-func resident(process string) float64 {
+// residentBytes returns a process's resident memory in bytes, 0 if it cannot be read.
+func residentBytes(process string) float64 {
 	text, err := os.ReadFile("/proc/" + process + "/statm")
 	if err != nil {
 		return 0
@@ -166,13 +172,13 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// MemberProcess is such a process, as whoever started it sees it.
+// MemberProcess is a child process that runs ServeMembers.
 type MemberProcess struct {
-	Nodes []memberNode
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	over  chan struct{}
-	onSee func(Observation)
+	Nodes         []memberNode
+	cmd           *exec.Cmd
+	stdin         io.WriteCloser
+	exited        chan struct{}
+	onObservation func(Observation)
 
 	samples chan Sample
 	mu      sync.Mutex
@@ -180,78 +186,81 @@
 	history []Observation
 }
 
-// StartMemberProcess starts one. OnSee hears of every view.
-func StartMemberProcess(cmd *exec.Cmd, plan MembersPlan, onSee func(Observation)) (*MemberProcess, error) {
-	in, err := cmd.StdinPipe()
+// StartMemberProcess starts cmd as a child process that runs the plan. It calls onObservation for each observation, from another
+// goroutine. The caller must call Close.
+func StartMemberProcess(cmd *exec.Cmd, plan MembersPlan, onObservation func(Observation)) (*MemberProcess, error) {
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	m := &MemberProcess{cmd: cmd, in: in, over: make(chan struct{}), onSee: onSee, samples: make(chan Sample, 1), latest: make([]Observation, plan.Count)}
-	if err := json.NewEncoder(in).Encode(plan); err != nil {
+	m := &MemberProcess{cmd: cmd, stdin: stdin, exited: make(chan struct{}), onObservation: onObservation,
+		samples: make(chan Sample, 1), latest: make([]Observation, plan.Count)}
+	if err := json.NewEncoder(stdin).Encode(plan); err != nil {
 		m.Close()
 		return nil, err
 	}
-	from := json.NewDecoder(out)
+	decoder := json.NewDecoder(stdout)
 	var first report
-	if err := from.Decode(&first); err != nil {
-		in.Close()
+	if err := decoder.Decode(&first); err != nil {
+		stdin.Close()
 		cmd.Wait()
-		return nil, fmt.Errorf("members: %w", err)
+		return nil, fmt.Errorf("read the nodes of the member process: %w", err)
 	}
 	m.Nodes = first.Nodes
-	go m.read(from)
+	go m.read(decoder)
 	return m, nil
 }
 
-func (m *MemberProcess) read(from *json.Decoder) {
-	defer close(m.over)
+// read handles the output of the process until it ends.
+func (m *MemberProcess) read(decoder *json.Decoder) {
+	defer close(m.exited)
 	for {
 		var r report
-		if from.Decode(&r) != nil {
+		if decoder.Decode(&r) != nil {
 			return
 		}
 		if r.Sample != nil {
 			m.samples <- *r.Sample
 		}
-		if r.Seen == nil {
+		if r.Observation == nil {
 			continue
 		}
 		m.mu.Lock()
-		m.latest[r.Seen.Member] = *r.Seen
-		m.history = append(m.history, *r.Seen)
+		m.latest[r.Observation.Member] = *r.Observation
+		m.history = append(m.history, *r.Observation)
 		m.mu.Unlock()
-		m.onSee(*r.Seen)
+		m.onObservation(*r.Observation)
 	}
 }
 
-// Sample asks what they have cost so far.
+// Sample requests and returns the resource use so far.
 func (m *MemberProcess) Sample() (Sample, error) {
-	if _, err := io.WriteString(m.in, "sample\n"); err != nil {
+	if _, err := io.WriteString(m.stdin, "sample\n"); err != nil {
 		return Sample{}, err
 	}
 	select {
 	case s := <-m.samples:
 		return s, nil
-	case <-m.over:
+	case <-m.exited:
 		return Sample{}, io.ErrUnexpectedEOF
 	}
 }
 
-// Latest is what each of them sees.
+// Latest returns the latest observation of each member.
 func (m *MemberProcess) Latest() []Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]Observation(nil), m.latest...)
 }
 
-// Converged reports whether all see that many members, alike and converged.
+// Converged reports whether all members have converged on the same view with the given number of members.
 func (m *MemberProcess) Converged(members int) bool {
 	all := m.Latest()
 	for _, s := range all {
@@ -262,9 +271,9 @@
 	return true
 }
 
-// SecondsUntilConverged waits for that, and gives how many seconds it took; +Inf where it did not come within a time.
-func (m *MemberProcess) SecondsUntilConverged(members int, within time.Duration) float64 {
-	for began := time.Now(); time.Since(began) < within; time.Sleep(20 * time.Millisecond) {
+// SecondsUntilConverged waits until Converged and returns how many seconds that took, +Inf after the timeout.
+func (m *MemberProcess) SecondsUntilConverged(members int, timeout time.Duration) float64 {
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(20 * time.Millisecond) {
 		if m.Converged(members) {
 			return time.Since(began).Seconds()
 		}
@@ -272,7 +281,8 @@
 	return math.Inf(1)
 }
 
-// ConvergedShare is in what share of a span they called themselves converged, on the mean.
+// ConvergedShare returns the share of the time between from and to in which a member considered its view converged, as a mean
+// over all members.
 func (m *MemberProcess) ConvergedShare(from, to time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -280,7 +290,7 @@
 	for k := range m.latest {
 		last := Observation{Certainty: view.Converging}
 		since := from
-		for _, s := range append(m.of(k), Observation{Certainty: view.Converging, At: to}) {
+		for _, s := range append(m.observationsOf(k), Observation{Certainty: view.Converging, At: to}) {
 			at := s.At
 			if at.After(to) {
 				at = to
@@ -297,8 +307,8 @@
 	return converged.Seconds() / (to.Sub(from).Seconds() * float64(len(m.latest)))
 }
 
-// of is the history of one member, under the lock.
-func (m *MemberProcess) of(k int) []Observation {
+// observationsOf returns the observations of one member. The caller must hold mu.
+func (m *MemberProcess) observationsOf(k int) []Observation {
 	var all []Observation
 	for _, s := range m.history {
 		if s.Member == k {
@@ -308,9 +318,9 @@
 	return all
 }
 
-// Close ends the process and waits for it.
+// Close stops the process and waits for it to exit.
 func (m *MemberProcess) Close() error {
-	m.in.Close()
-	<-m.over
+	m.stdin.Close()
+	<-m.exited
 	return m.cmd.Wait()
 }
--- a/rig/hollow/simulated_members_gossip.go
+++ b/rig/hollow/simulated_members_gossip.go
@@ -7,177 +7,182 @@
 	"time"
 )
 
-// readPackets answers what arrives on one socket until the crowd is closed.
-func (c *SimulatedMembers) readPackets(s *crowdSocket) {
-	b := make([]byte, 64<<10)
+// readPackets reads and handles the packets of one socket until Close.
+func (sim *SimulatedMembers) readPackets(s *memberSocket) {
+	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := s.packets.ReadFromUDPAddrPort(b)
+		n, from, err := s.packets.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			select {
-			case <-c.closed:
+			case <-sim.closed:
 				return
 			default:
 				continue
 			}
 		}
-		payload, err := openGossip(b[:n])
+		payload, err := decodeGossipPacket(buffer[:n])
 		if err != nil {
 			continue
 		}
-		for _, m := range messages(payload) {
-			c.handleMessage(s, m, n, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		for _, m := range splitMessages(payload) {
+			sim.handleMessage(s, m, n, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		}
 	}
 }
 
-// handleMessage handles one message of a real member.
-func (c *SimulatedMembers) handleMessage(s *crowdSocket, m []byte, size int, from netip.AddrPort) {
+// handleMessage handles one message of a real member. The size is that of the packet in bytes.
+func (sim *SimulatedMembers) handleMessage(s *memberSocket, m []byte, size int, from netip.AddrPort) {
 	if len(m) == 0 {
 		return
 	}
 	switch m[0] {
 	case msgPing:
 		var ping pingMessage
-		if decodeMessage(m[1:], &ping) == nil && c.isUp(ping.Node) {
-			c.acknowledge(s, ping.SeqNo, ping.Node, from)
+		if decodeMessage(m[1:], &ping) == nil && sim.isUp(ping.Node) {
+			sim.acknowledge(s, ping.SeqNo, ping.Node, from)
 		}
 	case msgIndirectPing:
 		var ping indirectPingMessage
-		if decodeMessage(m[1:], &ping) == nil && c.isUp(ping.Node) {
-			c.acknowledge(s, ping.SeqNo, ping.Node, from)
+		if decodeMessage(m[1:], &ping) == nil && sim.isUp(ping.Node) {
+			sim.acknowledge(s, ping.SeqNo, ping.Node, from)
 		}
 	case msgAck:
-		c.mu.Lock()
-		c.acks++
-		c.ackSize += size
-		c.mu.Unlock()
+		sim.mu.Lock()
+		sim.acks++
+		sim.ackBytes += size
+		sim.mu.Unlock()
 	case msgAlive:
 		var alive aliveMessage
 		if decodeMessage(m[1:], &alive) == nil {
-			c.learn(alive)
+			sim.relayAlive(alive)
 		}
 	case msgSuspect, msgDead:
 		var claim claimMessage
 		if decodeMessage(m[1:], &claim) == nil {
-			c.refute(claim)
+			sim.refuteClaim(claim)
 		}
 	}
 }
 
-func (c *SimulatedMembers) isUp(node string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	k, known := c.byNode[node]
-	return known && !c.members[k].down
+// isUp reports whether the node is a simulated member that has not failed.
+func (sim *SimulatedMembers) isUp(node string) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	k, known := sim.indexByNode[node]
+	return known && !sim.members[k].down
 }
 
-func (c *SimulatedMembers) acknowledge(s *crowdSocket, number uint32, node string, to netip.AddrPort) {
-	c.mu.Lock()
-	payload := c.viewPayload(c.byNode[node])
-	c.mu.Unlock()
-	s.packets.WriteToUDPAddrPort(sealGossip(encodeMessage(msgAck, ackMessage{number, payload})), to)
+// acknowledge answers a probe of a simulated member.
+func (sim *SimulatedMembers) acknowledge(s *memberSocket, sequenceNumber uint32, node string, to netip.AddrPort) {
+	sim.mu.Lock()
+	payload := sim.viewPayload(sim.indexByNode[node])
+	sim.mu.Unlock()
+	s.packets.WriteToUDPAddrPort(encodeGossipPacket(encodeMessage(msgAck, ackMessage{sequenceNumber, payload})), to)
 }
 
-// learn passes on the alive message of a real member, if it is newer than the last.
-func (c *SimulatedMembers) learn(alive aliveMessage) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if _, ours := c.byNode[alive.Node]; ours {
+// relayAlive schedules an alive message of a real member for all targets if it is newer than the last one.
+func (sim *SimulatedMembers) relayAlive(alive aliveMessage) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if _, simulated := sim.indexByNode[alive.Node]; simulated {
 		return
 	}
-	if known, there := c.others[alive.Node]; there && known.Incarnation >= alive.Incarnation {
+	if known, found := sim.realMembers[alive.Node]; found && known.Incarnation >= alive.Incarnation {
 		return
 	}
-	if !slices.ContainsFunc(c.targets, func(t *Target) bool { return strings.HasPrefix(alive.Node, t.Name+"~") }) {
-		return // a former incarnation of a target
+	if !slices.ContainsFunc(sim.targets, func(t *Target) bool { return strings.HasPrefix(alive.Node, t.Name+"~") }) {
+		return // an earlier incarnation of a target
 	}
-	c.others[alive.Node] = alive
-	c.spread(time.Now(), encodeMessage(msgAlive, alive), retransmits(c.size))
+	sim.realMembers[alive.Node] = alive
+	sim.scheduleGossip(time.Now(), encodeMessage(msgAlive, alive), retransmitCount(sim.size))
 }
 
-// viewPayload returns the view that a member of the crowd reports: that of one of the targets. The lock is held.
-func (c *SimulatedMembers) viewPayload(k int) []byte {
-	for offset := range c.targets {
-		if t := c.targets[(k+offset)%len(c.targets)]; t.version > 0 {
-			return echoPayload(t.version, t.digest)
+// viewPayload returns the encoded view that simulated member k reports: that of one of the targets, nil if none is known. The
+// caller must hold mu.
+func (sim *SimulatedMembers) viewPayload(k int) []byte {
+	for offset := range sim.targets {
+		if t := sim.targets[(k+offset)%len(sim.targets)]; t.viewVersion > 0 {
+			return encodeViewPayload(t.viewVersion, t.viewDigest)
 		}
 	}
 	return nil
 }
 
-// refute has a member of the crowd refute a suspicion.
-func (c *SimulatedMembers) refute(claim claimMessage) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	k, known := c.byNode[claim.Node]
-	if !known || c.members[k].down || c.members[k].incarnation > claim.Incarnation {
+// refuteClaim makes a simulated member that is up refute a suspicion or a death by an alive message of a higher incarnation.
+func (sim *SimulatedMembers) refuteClaim(claim claimMessage) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	k, known := sim.indexByNode[claim.Node]
+	if !known || sim.members[k].down || sim.members[k].incarnation > claim.Incarnation {
 		return
 	}
-	c.members[k].incarnation = claim.Incarnation + 1
-	c.spread(time.Now(), c.aliveMessageOf(k), retransmits(c.size))
+	sim.members[k].incarnation = claim.Incarnation + 1
+	sim.scheduleGossip(time.Now(), sim.aliveMessageOf(k), retransmitCount(sim.size))
 }
 
-// aliveMessageOf returns the alive message of a member. The lock is held.
-func (c *SimulatedMembers) aliveMessageOf(k int) []byte {
-	m := &c.members[k]
-	at := c.sockets[m.socket].address
-	return encodeMessage(msgAlive, aliveMessage{m.incarnation, nodeName(m.entry), at.Addr().AsSlice(), at.Port(), meta(m.entry), protocolVersions})
+// aliveMessageOf returns the encoded alive message of simulated member k. The caller must hold mu.
+func (sim *SimulatedMembers) aliveMessageOf(k int) []byte {
+	m := &sim.members[k]
+	address := sim.sockets[m.socket].address
+	return encodeMessage(msgAlive, aliveMessage{m.incarnation, nodeName(m.entry), address.Addr().AsSlice(), address.Port(),
+		encodeMeta(m.entry), protocolVersions})
 }
 
-// spreadOver is the time over which members pass a message on after it arrived.
-const spreadOver = time.Second
+// spreadDuration is the time over which members retransmit a message that they have received.
+const spreadDuration = time.Second
 
-// spread schedules a message to reach each target a number of times, at random times of its own. The lock is held.
-func (c *SimulatedMembers) spread(from time.Time, message []byte, times int) {
-	first := from.Add(200 * time.Millisecond)
-	for _, t := range c.targets {
-		for range times {
-			t.due = append(t.due, timedMessage{first.Add(time.Duration(c.random.Float64() * float64(spreadOver))), message})
+// scheduleGossip schedules the given number of copies of a message for each target, each at a random time after earliest. The
+// caller must hold mu.
+func (sim *SimulatedMembers) scheduleGossip(earliest time.Time, message []byte, copies int) {
+	first := earliest.Add(200 * time.Millisecond)
+	for _, t := range sim.targets {
+		for range copies {
+			t.pending = append(t.pending, timedMessage{first.Add(time.Duration(sim.random.Float64() * float64(spreadDuration))), message})
 		}
 	}
 }
 
-// gossip sends what is due, in rounds.
-func (c *SimulatedMembers) gossip() {
-	tick := time.NewTicker(gossipEvery)
+// runGossip sends the messages that are due in each gossip interval until Close.
+func (sim *SimulatedMembers) runGossip() {
+	tick := time.NewTicker(gossipInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-c.closed:
+		case <-sim.closed:
 			return
 		case now := <-tick.C:
-			c.mu.Lock()
-			targets := slices.Clone(c.targets)
-			c.mu.Unlock()
+			sim.mu.Lock()
+			targets := slices.Clone(sim.targets)
+			sim.mu.Unlock()
 			for _, t := range targets {
-				c.sendDue(t, now)
+				sim.sendPending(t, now)
 			}
 		}
 	}
 }
 
-// sendDue sends one target the messages that are due, in as many packets as gossipNodes members would send.
-func (c *SimulatedMembers) sendDue(t *Target, now time.Time) {
-	c.mu.Lock()
+// sendPending sends a target the messages that are due, in as many packets as gossipFanout members would send.
+func (sim *SimulatedMembers) sendPending(t *Target, now time.Time) {
+	sim.mu.Lock()
 	var ready [][]byte
-	t.due = slices.DeleteFunc(t.due, func(m timedMessage) bool {
-		if m.at.After(now) {
+	t.pending = slices.DeleteFunc(t.pending, func(m timedMessage) bool {
+		if m.sendAt.After(now) {
 			return false
 		}
 		ready = append(ready, m.message)
 		return true
 	})
-	c.mu.Unlock()
-	part := max((len(ready)+gossipNodes-1)/gossipNodes, 1)
+	sim.mu.Unlock()
+	perPacket := max((len(ready)+gossipFanout-1)/gossipFanout, 1)
 	for len(ready) > 0 {
-		packet, rest := compound(ready[:min(part, len(ready))])
-		ready = append(rest, ready[min(part, len(ready)):]...)
-		c.sockets[c.randomIndex(len(c.sockets))].packets.WriteToUDPAddrPort(sealGossip(packet), t.Address)
+		packet, rest := packMessages(ready[:min(perPacket, len(ready))])
+		ready = append(rest, ready[min(perPacket, len(ready)):]...)
+		sim.sockets[sim.randomIndex(len(sim.sockets))].packets.WriteToUDPAddrPort(encodeGossipPacket(packet), t.Address)
 	}
 }
 
-func (c *SimulatedMembers) randomIndex(n int) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.random.IntN(n)
+func (sim *SimulatedMembers) randomIndex(n int) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.random.IntN(n)
 }
--- a/rig/hollow/simulated_members_probe.go
+++ b/rig/hollow/simulated_members_probe.go
@@ -5,72 +5,73 @@
 	"time"
 )
 
-// drainPings is the number of probes in a millisecond that drain a target's queue: each answer carries some queued messages.
-const drainPings = 1
+// drainProbesPerMillisecond is the rate of probes that drain a target's gossip queue: each answer carries some queued messages.
+const drainProbesPerMillisecond = 1
 
-// probe sends each target one probe in every interval, and many while queues are drained.
-func (c *SimulatedMembers) probe() {
-	next := time.Now()
-	for number := uint32(1); ; number++ {
-		c.mu.Lock()
-		fast := c.fast
-		targets := slices.Clone(c.targets)
-		c.mu.Unlock()
+// runProbes sends each target one probe per interval, and many while queues are drained, until Close.
+func (sim *SimulatedMembers) runProbes() {
+	nextProbe := time.Now()
+	for sequenceNumber := uint32(1); ; sequenceNumber++ {
+		sim.mu.Lock()
+		draining := sim.draining
+		targets := slices.Clone(sim.targets)
+		sim.mu.Unlock()
 		select {
-		case <-c.closed:
+		case <-sim.closed:
 			return
 		case <-time.After(2 * time.Millisecond):
 		}
-		if !fast && time.Now().Before(next) {
+		if !draining && time.Now().Before(nextProbe) {
 			continue
 		}
-		next = time.Now().Add(probeEvery)
-		times := 1
-		if fast {
-			times = 2 * drainPings
+		nextProbe = time.Now().Add(probeInterval)
+		count := 1
+		if draining {
+			count = 2 * drainProbesPerMillisecond
 		}
 		for _, t := range targets {
-			for range times {
-				c.ping(t, number)
+			for range count {
+				sim.sendPing(t, sequenceNumber)
 			}
 		}
 	}
 }
 
-func (c *SimulatedMembers) ping(t *Target, number uint32) {
-	c.mu.Lock()
-	s, node := c.sockets[c.random.IntN(len(c.sockets))], t.NodeName
-	c.mu.Unlock()
+// sendPing sends a target a probe from a random socket, unless the target's node name is not known yet.
+func (sim *SimulatedMembers) sendPing(t *Target, sequenceNumber uint32) {
+	sim.mu.Lock()
+	s, node := sim.sockets[sim.random.IntN(len(sim.sockets))], t.NodeName
+	sim.mu.Unlock()
 	if node == "" {
 		return
 	}
-	message := encodeMessage(msgPing, pingMessage{SeqNo: number, Node: node, SourceAddr: s.address.Addr().AsSlice(),
+	message := encodeMessage(msgPing, pingMessage{SeqNo: sequenceNumber, Node: node, SourceAddr: s.address.Addr().AsSlice(),
 		SourcePort: s.address.Port(), SourceNode: "crowd"})
-	s.packets.WriteToUDPAddrPort(sealGossip(message), t.Address)
+	s.packets.WriteToUDPAddrPort(encodeGossipPacket(message), t.Address)
 }
 
-// drainedAck is the mean size in bytes up to which answers to probes show that members have nothing more to pass on.
-const drainedAck = 250
+// maxDrainedAckBytes is the mean size in bytes of answers to probes up to which the targets have no more queued gossip.
+const maxDrainedAckBytes = 250
 
-// Drain empties the queues that joining has filled at the targets, through answers to many probes, and reports whether this was
-// done in time. It only shortens what the program does by itself at three packets a round.
-func (c *SimulatedMembers) Drain(within time.Duration) bool {
-	c.mu.Lock()
-	c.fast = true
-	c.mu.Unlock()
+// Drain empties the gossip queues that joining has filled at the targets, by answers to many probes, and reports whether they
+// were empty before the timeout. It only speeds up what the program does by itself at three packets per gossip round.
+func (sim *SimulatedMembers) Drain(timeout time.Duration) bool {
+	sim.mu.Lock()
+	sim.draining = true
+	sim.mu.Unlock()
 	defer func() {
-		c.mu.Lock()
-		c.fast = false
-		c.mu.Unlock()
+		sim.mu.Lock()
+		sim.draining = false
+		sim.mu.Unlock()
 	}()
-	for until := time.Now().Add(within); time.Now().Before(until); {
-		c.mu.Lock()
-		c.acks, c.ackSize = 0, 0
-		c.mu.Unlock()
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
+		sim.mu.Lock()
+		sim.acks, sim.ackBytes = 0, 0
+		sim.mu.Unlock()
 		time.Sleep(200 * time.Millisecond)
-		c.mu.Lock()
-		drained := c.acks > 10 && c.ackSize < drainedAck*c.acks
-		c.mu.Unlock()
+		sim.mu.Lock()
+		drained := sim.acks > 10 && sim.ackBytes < maxDrainedAckBytes*sim.acks
+		sim.mu.Unlock()
 		if drained {
 			return true
 		}
--- a/rig/hollow/simulated_members_stream.go
+++ b/rig/hollow/simulated_members_stream.go
@@ -12,29 +12,29 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// acceptStreams answers each stream that is opened to one socket until the crowd is closed.
-func (c *SimulatedMembers) acceptStreams(s *crowdSocket) {
+// acceptStreams accepts and answers the streams of one socket until Close.
+func (sim *SimulatedMembers) acceptStreams(s *memberSocket) {
 	for {
-		nc, err := s.streams.Accept()
+		conn, err := s.streams.Accept()
 		if err != nil {
 			return
 		}
-		c.group.Go(func() {
-			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(streamLimit))
-			c.answerStream(nc)
+		sim.goroutines.Go(func() {
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(streamTimeout))
+			sim.answerStream(conn)
 		})
 	}
 }
 
-// streamLimit is how long one stream may last.
-const streamLimit = 3 * time.Second
+// streamTimeout limits the duration of one stream.
+const streamTimeout = 3 * time.Second
 
-// answerStream answers an exchange, or a probe over a stream.
-func (c *SimulatedMembers) answerStream(nc net.Conn) {
-	in := bufio.NewReader(nc)
-	head := make([]byte, len(gossipMagic)+1)
-	if _, err := io.ReadFull(in, head); err != nil || head[len(gossipMagic)] != gossipKind {
+// answerStream answers a state exchange or a probe over a stream.
+func (sim *SimulatedMembers) answerStream(conn net.Conn) {
+	in := bufio.NewReader(conn)
+	header := make([]byte, len(gossipMagic)+1)
+	if _, err := io.ReadFull(in, header); err != nil || header[len(gossipMagic)] != gossipPacketKind {
 		return
 	}
 	kind, err := in.ReadByte()
@@ -44,18 +44,18 @@
 	switch kind {
 	case msgPing:
 		var ping pingMessage
-		if codec.NewDecoder(in, &codec.MsgpackHandle{}).Decode(&ping) == nil && c.isUp(ping.Node) {
-			nc.Write(encodeMessage(msgAck, ackMessage{SeqNo: ping.SeqNo}))
+		if codec.NewDecoder(in, &codec.MsgpackHandle{}).Decode(&ping) == nil && sim.isUp(ping.Node) {
+			conn.Write(encodeMessage(msgAck, ackMessage{SeqNo: ping.SeqNo}))
 		}
 	case msgExchange:
-		if _, err := c.readExchange(&countingReader{in, &c.streamBytes}); err == nil {
-			n, _ := nc.Write(c.exchange(false))
-			c.streamBytes.Add(int64(n))
+		if _, err := sim.readExchange(&countingReader{in, &sim.streamBytes}); err == nil {
+			n, _ := conn.Write(sim.encodeExchange(false))
+			sim.streamBytes.Add(int64(n))
 		}
 	}
 }
 
-// countingReader adds what is read to a counter.
+// countingReader adds the number of bytes read to a counter.
 type countingReader struct {
 	io.Reader
 	bytes *atomic.Int64
@@ -67,77 +67,79 @@
 	return n, err
 }
 
-// readExchange returns the names in an exchange, and learns of real members.
-func (c *SimulatedMembers) readExchange(in io.Reader) (nodes []string, err error) {
+// readExchange reads a state exchange and returns the names of its nodes. It relays the alive messages of real members.
+func (sim *SimulatedMembers) readExchange(in io.Reader) (nodes []string, err error) {
 	decoder := codec.NewDecoder(in, &codec.MsgpackHandle{})
-	var head exchangeHead
-	if err := decoder.Decode(&head); err != nil {
+	var header exchangeHeader
+	if err := decoder.Decode(&header); err != nil {
 		return nil, err
 	}
-	for range head.Nodes {
-		var one exchangeState
-		if err := decoder.Decode(&one); err != nil {
+	for range header.Nodes {
+		var state exchangeState
+		if err := decoder.Decode(&state); err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, one.Name)
-		if one.State == 0 {
-			c.learn(aliveMessage{one.Incarnation, one.Name, one.Addr, one.Port, one.Meta, one.Vsn})
+		nodes = append(nodes, state.Name)
+		if state.State == 0 {
+			sim.relayAlive(aliveMessage{state.Incarnation, state.Name, state.Addr, state.Port, state.Meta, state.Vsn})
 		}
 	}
 	return nodes, nil
 }
 
-// exchange returns the message with all that the crowd knows.
-func (c *SimulatedMembers) exchange(join bool) []byte {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out := encodeMessage(msgExchange, exchangeHead{Nodes: len(c.members) + len(c.others), Join: join})
-	for _, o := range c.others {
-		out = append(out, encodeMessage(0, exchangeState{o.Node, o.Addr, o.Port, o.Meta, o.Incarnation, 0, o.Vsn})[1:]...)
+// encodeExchange returns the encoded state of all simulated members and of the known real members.
+func (sim *SimulatedMembers) encodeExchange(join bool) []byte {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	out := encodeMessage(msgExchange, exchangeHeader{Nodes: len(sim.members) + len(sim.realMembers), Join: join})
+	for _, alive := range sim.realMembers {
+		out = append(out, encodeMessage(0, exchangeState{alive.Node, alive.Addr, alive.Port, alive.Meta, alive.Incarnation, 0,
+			alive.Vsn})[1:]...)
 	}
-	for k := range c.members {
-		m := &c.members[k]
+	for k := range sim.members {
+		m := &sim.members[k]
 		state := 0
 		if m.down {
 			state = 2
 		}
-		at := c.sockets[m.socket].address
-		out = append(out, encodeMessage(0, exchangeState{nodeName(m.entry), at.Addr().AsSlice(), at.Port(), meta(m.entry), m.incarnation, state,
+		address := sim.sockets[m.socket].address
+		out = append(out, encodeMessage(0, exchangeState{nodeName(m.entry), address.Addr().AsSlice(), address.Port(),
+			encodeMeta(m.entry), m.incarnation, state,
 			protocolVersions})[1:]...)
 	}
 	return out
 }
 
-// Exchange exchanges the whole state with a target, as a member does at intervals, and returns the bytes of both directions. It
-// learns the target's name in the library, if that is not known yet.
-func (c *SimulatedMembers) Exchange(t *Target, join bool) (int64, error) {
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: c.sockets[0].address.Addr().AsSlice()}, Timeout: time.Second}
-	nc, err := dialer.Dial("tcp", t.Address.String())
+// Exchange exchanges the whole state with a target, as a member does at intervals, and returns the number of bytes sent and
+// received. It sets the target's node name if that is not known yet.
+func (sim *SimulatedMembers) Exchange(t *Target, join bool) (int64, error) {
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: sim.sockets[0].address.Addr().AsSlice()}, Timeout: time.Second}
+	conn, err := dialer.Dial("tcp", t.Address.String())
 	if err != nil {
 		return 0, err
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(streamLimit))
-	sent, err := nc.Write(append(append([]byte(gossipMagic), gossipKind), c.exchange(join)...))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(streamTimeout))
+	sent, err := conn.Write(append(append([]byte(gossipMagic), gossipPacketKind), sim.encodeExchange(join)...))
 	if err != nil {
 		return int64(sent), err
 	}
-	var got atomic.Int64
-	in := bufio.NewReader(&countingReader{nc, &got})
+	var received atomic.Int64
+	in := bufio.NewReader(&countingReader{conn, &received})
 	kind := make([]byte, 1)
 	if _, err := io.ReadFull(in, kind); err != nil {
-		return int64(sent), fmt.Errorf("no answer to an exchange: %w", err)
+		return int64(sent), fmt.Errorf("read the answer to a state exchange: %w", err)
 	}
 	if kind[0] != msgExchange {
-		return int64(sent), fmt.Errorf("an exchange is answered by kind %d", kind[0])
+		return int64(sent), fmt.Errorf("state exchange: answer has message kind %d instead of a state", kind[0])
 	}
-	nodes, err := c.readExchange(in)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	nodes, err := sim.readExchange(in)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, node := range nodes {
 		if name, _, _ := strings.Cut(node, "~"); name == t.Name && t.NodeName == "" {
 			t.NodeName = node
 		}
 	}
-	return int64(sent) + got.Load(), err
+	return int64(sent) + received.Load(), err
 }
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -17,69 +17,69 @@
 	"valveglade/member"
 )
 
-// SubscriberPlan is a measurement of app servers' subscriptions to real distributors, many in one process.
+// SubscriberPlan describes a measurement of many app servers' subscriptions, in one process, to real distributors.
 type SubscriberPlan struct {
 	Subscribers           int
-	First                 int // number of the first one: names differ between processes
+	First                 int // number of the first subscriber: names differ between processes
 	Distributors          map[string]netip.AddrPort
-	LocalAddress          netip.Addr `json:"Local"` // to speak from
-	Services              []string   // all that there are
-	ServicesPerSubscriber int        `json:"Each"` // services of one subscriber
-	BytesPerSecond        float64    `json:"Rate"` // bytes a second
+	LocalAddress          netip.Addr `json:"Local"` // source address of connections
+	Services              []string   // from which those of each subscriber are drawn
+	ServicesPerSubscriber int        `json:"Each"`
+	BytesPerSecond        float64    `json:"Rate"`
 	Seed                  uint64
-	StartAt               time.Time // the watch begins
-	Seconds               float64   // and lasts so long
+	StartAt               time.Time // of the measurement
+	Seconds               float64   // that the measurement takes
 }
 
-// ObservedChange tells when the subscribers of a service had an entry of it.
+// ObservedChange tells how many subscribers of a service have a certain log entry for it.
 type ObservedChange struct {
 	Service     string
 	Index       uint64
 	Subscribers int       `json:"Has"`
-	Last        time.Time // when the last of them had it
+	Last        time.Time // when the last of them received it
 }
 
-// SubscriberCost is what the subscriptions of one process took during the watch.
+// SubscriberCost is the cost of the subscriptions of one process during the measurement.
 type SubscriberCost struct {
-	Ready                int              // subscribers that followed when the watch began
-	CoreSeconds          float64          // of this process, with the watching
-	Bytes                int64            // of all subscribers, both ways
-	Snapshots            uint64           // taken until the watch began
-	LaterSnapshots       uint64           // during it
-	Stale                int              // subscribers at its end
-	SubscribersByService map[string]int   `json:"Serving"` // subscribers of each service
+	Ready                int              // subscribers that followed a distributor when the measurement began
+	CoreSeconds          float64          // CPU time of this process, including the measurement itself
+	Bytes                int64            // sent and received by all subscribers
+	Snapshots            uint64           // taken before the measurement began
+	LaterSnapshots       uint64           // taken during the measurement
+	Stale                int              // subscribers that were stale at the end
+	SubscribersByService map[string]int   `json:"Serving"` // number of subscribers of each service
 	ObservedChanges      []ObservedChange `json:"Seen"`
 }
 
 // addressBook opens streams to members at known addresses.
 type addressBook struct {
-	name  string
-	local net.Addr
-	at    map[string]netip.AddrPort
+	name      string
+	local     net.Addr
+	addresses map[string]netip.AddrPort
 }
 
-// OpenStream opens a stream to a member by its name.
+// OpenStream opens a stream to the member with the given name. It returns member.ErrUnknownMember if the address is not known.
 func (a addressBook) OpenStream(ctx context.Context, to string) (*member.Stream, error) {
-	at, known := a.at[to]
+	at, known := a.addresses[to]
 	if !known {
 		return nil, fmt.Errorf("%w: %s", member.ErrUnknownMember, to)
 	}
 	return member.DialStream(ctx, a.local, at, a.name, to)
 }
 
-// subscriber is one hollow app server.
+// subscriber is the subscription of one simulated app server.
 type subscriber struct {
 	*fleet.Distribution
-	services []string
-	last     *fleet.TableState // as the watch saw it last
-	indices  []uint64          // of its services' last entries then
+	services  []string
+	lastState *fleet.TableState // last observed
+	indices   []uint64          // of the last entry for each service in lastState
 }
 
-// RunSubscribers runs them, and watches.
+// RunSubscribers starts the subscribers of the plan and measures them from StartAt on.
 func RunSubscribers(plan SubscriberPlan) (SubscriberCost, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	defer running.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer cancel()
 	random := rand.New(rand.NewPCG(plan.Seed, uint64(plan.First)))
 	names := make([]string, 0, len(plan.Distributors))
@@ -87,56 +87,60 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	all := make([]*subscriber, plan.Subscribers)
-	of := map[string]int{}
-	for k := range all {
-		all[k] = newSubscriber(plan, k, names, random)
-		for _, service := range all[k].services {
-			of[service]++
+	subscribers := make([]*subscriber, plan.Subscribers)
+	subscribersByService := map[string]int{}
+	for k := range subscribers {
+		subscribers[k] = newSubscriber(plan, k, names, random)
+		for _, service := range subscribers[k].services {
+			subscribersByService[service]++
 		}
-		running.Go(func() { all[k].Run(ctx) })
+		goroutines.Go(func() { subscribers[k].Run(ctx) })
 	}
 	time.Sleep(time.Until(plan.StartAt))
-	return watchSubscribers(plan, all, of), nil
+	return watchSubscribers(plan, subscribers, subscribersByService), nil
 }
 
+// newSubscriber creates subscriber k, with services drawn at random.
 func newSubscriber(plan SubscriberPlan, k int, distributors []string, random *rand.Rand) *subscriber {
 	s := &subscriber{}
 	for _, at := range random.Perm(len(plan.Services))[:min(plan.ServicesPerSubscriber, len(plan.Services))] {
 		s.services = append(s.services, plan.Services[at])
 	}
 	name := fmt.Sprintf("hollow%d", plan.First+k)
-	book := addressBook{name: name, local: &net.TCPAddr{IP: plan.LocalAddress.AsSlice()}, at: plan.Distributors}
+	book := addressBook{name: name, local: &net.TCPAddr{IP: plan.LocalAddress.AsSlice()}, addresses: plan.Distributors}
 	s.Distribution = fleet.NewSubscriber(fleet.DistributionConfig{Name: name, Distributors: distributors,
 		Services: s.services, BytesPerSecond: plan.BytesPerSecond, StaleAfter: 18}, book, zap.NewNop())
 	s.indices = make([]uint64, len(s.services))
 	return s
 }
 
-// watchEvery is how often subscribers are looked at.
-const watchEvery = 10 * time.Millisecond
+// pollDelay is the time between two checks of all subscribers for new entries.
+const pollDelay = 10 * time.Millisecond
 
-func watchSubscribers(plan SubscriberPlan, all []*subscriber, of map[string]int) (cost SubscriberCost) {
+// watchSubscribers measures the subscribers until the end of the plan.
+func watchSubscribers(plan SubscriberPlan, subscribers []*subscriber, subscribersByService map[string]int) (cost SubscriberCost) {
 	bytes := int64(0)
-	cost.SubscribersByService = of
-	for _, s := range all {
+	cost.SubscribersByService = subscribersByService
+	for _, s := range subscribers {
 		status := s.Status()
 		if status.State == "following" {
 			cost.Ready++
 		}
 		cost.Snapshots += status.SnapshotsTaken
 		bytes -= status.Bytes
-		s.look(func(int, uint64) { /* what was there before */ })
+		s.reportNewEntries(func(int, uint64) { /* entries from before the measurement do not count */ })
 	}
-	began, seen := ProcessCPUTime(), map[string]*ObservedChange{}
-	for end := plan.StartAt.Add(time.Duration(plan.Seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(watchEvery) {
+	began, observed := ProcessCPUTime(), map[string]*ObservedChange{}
+	for end := plan.StartAt.Add(time.Duration(plan.Seconds * float64(time.Second))); time.Now().Before(end); time.Sleep(pollDelay) {
 		now := time.Now()
-		for _, s := range all {
-			s.look(func(k int, index uint64) { note(seen, s.services[k], index, of, now) })
+		for _, s := range subscribers {
+			s.reportNewEntries(func(k int, index uint64) {
+				recordObservation(observed, s.services[k], index, subscribersByService, now)
+			})
 		}
 	}
 	cost.CoreSeconds = (ProcessCPUTime() - began).Seconds()
-	for _, s := range all {
+	for _, s := range subscribers {
 		status := s.Status()
 		cost.LaterSnapshots += status.SnapshotsTaken
 		bytes += status.Bytes
@@ -146,19 +150,19 @@
 	}
 	cost.LaterSnapshots -= cost.Snapshots
 	cost.Bytes = bytes
-	for _, one := range seen {
-		cost.ObservedChanges = append(cost.ObservedChanges, *one)
+	for _, change := range observed {
+		cost.ObservedChanges = append(cost.ObservedChanges, *change)
 	}
 	return cost
 }
 
-// look finds services whose last entry is another one than before.
-func (s *subscriber) look(found func(service int, index uint64)) {
+// reportNewEntries calls found for each service whose last entry has changed since the previous call.
+func (s *subscriber) reportNewEntries(found func(service int, index uint64)) {
 	state := s.Distribution.Table()
-	if state == s.last {
+	if state == s.lastState {
 		return
 	}
-	s.last = state
+	s.lastState = state
 	for k, service := range s.services {
 		if index := state.Table.LastIndex(service); index != s.indices[k] {
 			s.indices[k] = index
@@ -167,24 +171,27 @@
 	}
 }
 
-func note(seen map[string]*ObservedChange, service string, index uint64, of map[string]int, now time.Time) {
+// recordObservation counts a subscriber that has received an entry of a service.
+func recordObservation(observed map[string]*ObservedChange, service string, index uint64,
+	subscribersByService map[string]int, now time.Time) {
 	key := fmt.Sprint(service, " ", index)
-	one := seen[key]
-	if one == nil {
-		one = &ObservedChange{Service: service, Index: index}
-		seen[key] = one
+	change := observed[key]
+	if change == nil {
+		change = &ObservedChange{Service: service, Index: index}
+		observed[key] = change
 	}
-	one.Subscribers++
-	one.Last = now
+	change.Subscribers++
+	change.Last = now
 }
 
-// FillChanges are the texts that put entries into a number of services, each of at most fleet.MaxChangeText bytes.
+// FillChanges returns texts of changes that put entries into each service, each text of at most fleet.MaxChangeText bytes.
 func FillChanges(services []string, entries int) []string {
 	var texts []string
 	text := ""
 	for _, service := range services {
 		for k := range entries {
-			line := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: service, Name: fmt.Sprintf("tenant%05d", k),
+			line := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: service,
+				Name:  fmt.Sprintf("tenant%05d", k),
 				Value: configtable.Value{Tenant: configtable.TenantValue{QuotaPerSecond: float64(1 + k%997)}}}.String() + "\n"
 			if len(text)+len(line) > fleet.MaxChangeText {
 				texts, text = append(texts, text), ""
--- a/rig/hollow/thread.go
+++ b/rig/hollow/thread.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// threadClock tells the processor time of one thread.
+// threadClock reads the CPU time of one thread.
 type threadClock struct{ path string }
 
-// lockThread binds the calling goroutine to its thread, for the rest of its life, and gives that thread's clock.
+// lockThread locks the calling goroutine to its thread until the caller unlocks it, and returns the clock of that thread.
 func lockThread() threadClock {
 	runtime.LockOSThread()
 	return threadClock{fmt.Sprintf("/proc/self/task/%d/schedstat", syscall.Gettid())}
 }
 
-// spent is the thread's processor time so far, 0 if it cannot be read.
-func (t threadClock) spent() time.Duration {
+// cpuTime returns the CPU time that the thread has used so far, 0 if it cannot be read.
+func (t threadClock) cpuTime() time.Duration {
 	text, err := os.ReadFile(t.path)
 	if err != nil {
 		return 0
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -10,48 +10,49 @@
 	"valveglade/logic/view"
 )
 
-// Steps in which one restart reaches the other members' views.
+// RestartKind is the sequence of events by which other members observe a restart.
 type RestartKind uint8
 
 const (
-	// OneChange is a restart of which others hear one thing: a later incarnation, serving.
+	// OneChange is a restart that others observe as one event: a later incarnation that serves.
 	OneChange RestartKind = iota
-	// AllChanges is a restart as the program tells it: leaving, gone, back and cold, serving.
+	// AllChanges is a restart as the program announces it: leaving, gone, back but cold, serving.
 	AllChanges
 )
 
-// ViewPlan is what one run of the pure view plays.
+// ViewPlan describes a run of the view's state machine.
 type ViewPlan struct {
 	Members           int
 	RestartsPerSecond float64 // of the whole fleet
 	Restart           RestartKind
-	Seconds           float64 // simulated, after the fleet has converged
-	Observers         int     // machines that are run side by side
+	Seconds           float64 // of simulated time, after the fleet has converged
+	Observers         int     // members whose state machines are run
 	Seed              uint64
 }
 
-// ViewCost is what one machine of the run cost and saw.
+// ViewCost is the cost and outcome per observer.
 type ViewCost struct {
-	CoreShare      float64 // CPU seconds a simulated second
+	CoreShare      float64 // CPU seconds per simulated second
 	ConvergedShare float64 // of the simulated time
 	HeapBytes      float64
-	ViewsPerHour   float64 // published with another digest
+	ViewsPerHour   float64 // published with a digest that differs from the previous one
 }
 
 const (
-	tickSeconds  = 0.1  // between two ticks of a machine, as the member's loop has it
-	probeSeconds = 0.3  // between two probes, each of which brings another's digest
-	meanDelay    = 0.35 // seconds until gossip has reached a member, on the mean; rounds of 0.105 s
-	quietSeconds = 4.0  // simulated before the measurement, for the fleet to settle
+	tickSeconds      = 0.1  // between two ticks of a state machine, as in the member's loop
+	probeSeconds     = 0.3  // between two probes, each of which brings the digest of another member
+	meanDelaySeconds = 0.35 // until gossip reaches a member, mean; gossip rounds take 0.105 s
+	warmUpSeconds    = 4.0  // simulated before the measurement, for the fleet to converge
 )
 
-// delivery is one event on its way to one observer.
+// delivery is an event to be delivered to one observer.
 type delivery struct {
 	at       float64
 	observer int
 	event    view.Event
 }
 
+// deliveries is a heap of deliveries, ordered by time.
 type deliveries []delivery
 
 func (d deliveries) Len() int           { return len(d) }
@@ -65,159 +66,164 @@
 	return x
 }
 
-// pureView is a run: some observers' machines, and gossip on its way to them.
-type pureView struct {
-	plan    ViewPlan
-	random  *rand.Rand
-	entries []view.Entry // the truth
-	pending deliveries
-	nodes   []*view.Machine
-	now     float64
+// viewRun is the state of one run: the observers and the gossip that is to be delivered to them.
+type viewRun struct {
+	plan      ViewPlan
+	random    *rand.Rand
+	entries   []view.Entry // current entry of each member
+	pending   deliveries
+	observers []*view.Machine
+	now       float64
 }
 
-// RunView plays the view's machine alone, without sockets, over simulated time. Gossip reaches each observer after a delay of its
-// own; every probe brings an observer the digest that another one has. The bound on names is raised to what the plan needs.
+// RunView runs the view's state machine alone, without sockets, in simulated time. Gossip reaches each observer after a random
+// delay; each probe brings an observer the digest of another one. The limit on names is raised to what the plan needs.
 func RunView(plan ViewPlan) ViewCost {
-	v := newPureView(plan)
+	r := newViewRun(plan)
 	heapBefore := HeapBytes()
-	v.start()
-	for v.now < quietSeconds {
-		v.step(false)
+	r.start()
+	for r.now < warmUpSeconds {
+		r.step(false)
 	}
 	heap := HeapBytes() - heapBefore
-	cost := v.measure()
+	cost := r.measure()
 	cost.HeapBytes = heap / float64(plan.Observers)
 	return cost
 }
 
-func newPureView(plan ViewPlan) *pureView {
-	v := &pureView{plan: plan, random: rand.New(rand.NewPCG(plan.Seed, uint64(plan.Members)))}
+// newViewRun creates the entries of all members, without starting the observers.
+func newViewRun(plan ViewPlan) *viewRun {
+	r := &viewRun{plan: plan, random: rand.New(rand.NewPCG(plan.Seed, uint64(plan.Members)))}
 	for k := range plan.Members {
-		v.entries = append(v.entries, entry(k, 1000))
+		r.entries = append(r.entries, newEntry(k, 1000))
 	}
-	return v
+	return r
 }
 
-func entry(k int, birth uint64) view.Entry {
-	return view.Entry{Name: memberName(k), Zone: fmt.Sprintf("z%02d", k%zones), Address: fmt.Sprintf("10.%d.%d.%d:7946", k>>16, k>>8&255, k&255),
-		Incarnation: view.Incarnation{Number: birth, Nonce: uint32(birth)}, State: view.Serving, Proto: 1}
+// newEntry returns the entry of member k with the given incarnation number.
+func newEntry(k int, incarnation uint64) view.Entry {
+	return view.Entry{Name: memberName(k), Zone: fmt.Sprintf("z%02d", k%zoneCount),
+		Address:     fmt.Sprintf("10.%d.%d.%d:7946", k>>16, k>>8&255, k&255),
+		Incarnation: view.Incarnation{Number: incarnation, Nonce: uint32(incarnation)}, State: view.Serving, Proto: 1}
 }
 
-// zones is how many zones the members are spread over.
-const zones = 25
+// zoneCount is the number of zones that the members are spread over.
+const zoneCount = 25
 
+// memberName returns the name of member k.
 func memberName(k int) string { return fmt.Sprintf("app%05d.pool", k) }
 
-// boundless is the usual settings with room for so many names.
-func boundless(members int) view.Config {
+// viewConfig returns the default configuration with its limits raised for the given number of members.
+func viewConfig(members int) view.Config {
 	config := view.Defaults()
 	config.MaxNames = max(config.MaxNames, 2*members)
 	config.MaxRemembered = max(config.MaxRemembered, members)
 	return config
 }
 
-// start makes the observers, the first members of the fleet, and tells them of all others.
-func (v *pureView) start() {
-	for k := range v.plan.Observers {
-		node := view.New(v.entries[k], nil, v.now, v.plan.Seed+uint64(k), boundless(v.plan.Members))
-		for other, e := range v.entries {
+// start creates the observers, which are the first members of the fleet, and delivers the entries of all others to them.
+func (r *viewRun) start() {
+	for k := range r.plan.Observers {
+		node := view.New(r.entries[k], nil, r.now, r.plan.Seed+uint64(k), viewConfig(r.plan.Members))
+		for other, e := range r.entries {
 			if other != k {
-				node.Step(view.Event{Kind: view.Alive, Entry: e}, v.now)
+				node.Step(view.Event{Kind: view.Alive, Entry: e}, r.now)
 			}
 		}
-		v.nodes = append(v.nodes, node)
+		r.observers = append(r.observers, node)
 	}
 }
 
-// step is one tick of all observers.
-func (v *pureView) step(churn bool) {
-	v.now += tickSeconds
+// step runs one tick of all observers.
+func (r *viewRun) step(churn bool) {
+	r.now += tickSeconds
 	if churn {
-		v.restart()
+		r.drawRestarts()
 	}
-	for len(v.pending) > 0 && v.pending[0].at <= v.now {
-		d := heap.Pop(&v.pending).(delivery)
-		v.nodes[d.observer].Step(d.event, v.now)
+	for len(r.pending) > 0 && r.pending[0].at <= r.now {
+		d := heap.Pop(&r.pending).(delivery)
+		r.observers[d.observer].Step(d.event, r.now)
 	}
-	for k, node := range v.nodes {
-		v.echo(k)
-		node.Tick(v.now)
-		v.carry(k)
+	for k, node := range r.observers {
+		r.deliverPeerDigest(k)
+		node.Tick(r.now)
+		r.completeContacts(k)
 	}
 }
 
-// carry answers what a machine wants done: whoever it looks for is met.
-func (v *pureView) carry(k int) {
-	for _, order := range v.nodes[k].Ready() {
+// completeContacts reports success for each contact that an observer's state machine requests.
+func (r *viewRun) completeContacts(k int) {
+	for _, order := range r.observers[k].Ready() {
 		if order.Kind == view.Contact {
-			v.nodes[k].Step(view.Event{Kind: view.ContactDone, Address: order.Address, OK: true}, v.now)
+			r.observers[k].Step(view.Event{Kind: view.ContactDone, Address: order.Address, OK: true}, r.now)
 		}
 	}
 }
 
-// echo brings an observer the digest of a random member, which sees what another observer sees.
-func (v *pureView) echo(k int) {
-	if len(v.nodes) < 2 || v.random.Float64() >= tickSeconds/probeSeconds {
+// deliverPeerDigest delivers to an observer the digest of a random member, which has the same view as a random other observer.
+func (r *viewRun) deliverPeerDigest(k int) {
+	if len(r.observers) < 2 || r.random.Float64() >= tickSeconds/probeSeconds {
 		return
 	}
-	seen := v.nodes[(k+1+v.random.IntN(len(v.nodes)-1))%len(v.nodes)].View()
-	who := v.entries[v.random.IntN(len(v.entries))].Name
-	v.nodes[k].Step(view.Event{Kind: view.PeerDigest, Name: who, Version: seen.Version, Digest: seen.Digest}, v.now)
+	seen := r.observers[(k+1+r.random.IntN(len(r.observers)-1))%len(r.observers)].View()
+	who := r.entries[r.random.IntN(len(r.entries))].Name
+	r.observers[k].Step(view.Event{Kind: view.PeerDigest, Name: who, Version: seen.Version, Digest: seen.Digest}, r.now)
 }
 
-// restart draws the restarts of one tick. Observers themselves stay.
-func (v *pureView) restart() {
-	for expected := v.plan.RestartsPerSecond * tickSeconds; ; expected-- {
-		if v.random.Float64() >= expected {
+// drawRestarts draws the restarts of one tick. Observers do not restart.
+func (r *viewRun) drawRestarts() {
+	for expected := r.plan.RestartsPerSecond * tickSeconds; ; expected-- {
+		if r.random.Float64() >= expected {
 			return
 		}
-		k := v.plan.Observers + v.random.IntN(v.plan.Members-v.plan.Observers)
-		v.tell(k)
+		k := r.plan.Observers + r.random.IntN(r.plan.Members-r.plan.Observers)
+		r.announceRestart(k)
 	}
 }
 
-// Seconds from the notice of a restart: the old process has drained and says good-bye, the new one is heard of, and serves.
+// Seconds from the announcement of a restart until the old process has drained and leaves, until the new process is back, and
+// until it serves.
 const (
-	goneAfter    = 2.0
-	backAfter    = 4.0
-	servingAfter = 6.0
+	leaveAfterSeconds   = 2.0
+	returnAfterSeconds  = 4.0
+	servingAfterSeconds = 6.0
 )
 
-// tell has all observers hear of one restart.
-func (v *pureView) tell(k int) {
-	was := v.entries[k]
-	is := was
-	is.Incarnation = view.Incarnation{Number: was.Incarnation.Number + 1, Nonce: was.Incarnation.Nonce + 1}
-	v.entries[k] = is
-	if v.plan.Restart == OneChange {
-		v.spread(0, view.Event{Kind: view.Alive, Entry: is})
+// announceRestart schedules the events of one restart for all observers.
+func (r *viewRun) announceRestart(k int) {
+	old := r.entries[k]
+	updated := old
+	updated.Incarnation = view.Incarnation{Number: old.Incarnation.Number + 1, Nonce: old.Incarnation.Nonce + 1}
+	r.entries[k] = updated
+	if r.plan.Restart == OneChange {
+		r.schedule(0, view.Event{Kind: view.Alive, Entry: updated})
 		return
 	}
-	leaving, cold := was, is
+	leaving, cold := old, updated
 	leaving.State, cold.State = view.Leaving, view.Cold
-	v.spread(0, view.Event{Kind: view.Alive, Entry: leaving})
-	v.spread(goneAfter, view.Event{Kind: view.Leave, Entry: leaving})
-	v.spread(backAfter, view.Event{Kind: view.Alive, Entry: cold})
-	v.spread(servingAfter, view.Event{Kind: view.Alive, Entry: is})
+	r.schedule(0, view.Event{Kind: view.Alive, Entry: leaving})
+	r.schedule(leaveAfterSeconds, view.Event{Kind: view.Leave, Entry: leaving})
+	r.schedule(returnAfterSeconds, view.Event{Kind: view.Alive, Entry: cold})
+	r.schedule(servingAfterSeconds, view.Event{Kind: view.Alive, Entry: updated})
 }
 
-// spread has an event reach each observer after a delay of its own.
-func (v *pureView) spread(after float64, e view.Event) {
-	for k := range v.nodes {
-		delay := meanDelay * (0.5 + v.random.Float64())
-		heap.Push(&v.pending, delivery{v.now + after + delay, k, e})
+// schedule schedules an event for each observer, after a random gossip delay of its own.
+func (r *viewRun) schedule(after float64, e view.Event) {
+	for k := range r.observers {
+		delay := meanDelaySeconds * (0.5 + r.random.Float64())
+		heap.Push(&r.pending, delivery{r.now + after + delay, k, e})
 	}
 }
 
-// measure plays the churn.
-func (v *pureView) measure() ViewCost {
+// measure runs the planned restarts and returns the cost.
+func (r *viewRun) measure() ViewCost {
 	var cost ViewCost
-	digests := make([]uint64, len(v.nodes))
+	digests := make([]uint64, len(r.observers))
 	converged, samples, changes := 0, 0, 0
-	began, cpu := v.now, ProcessCPUTime()
-	for v.now < began+v.plan.Seconds {
-		v.step(true)
-		for k, node := range v.nodes {
+	began, cpuBefore := r.now, ProcessCPUTime()
+	for r.now < began+r.plan.Seconds {
+		r.step(true)
+		for k, node := range r.observers {
 			seen := node.View()
 			samples++
 			if seen.Certainty == view.Converged {
@@ -229,72 +235,73 @@
 			}
 		}
 	}
-	played := (v.now - began) * float64(len(v.nodes))
-	cost.CoreShare = (ProcessCPUTime() - cpu).Seconds() / played
+	observedSeconds := (r.now - began) * float64(len(r.observers))
+	cost.CoreShare = (ProcessCPUTime() - cpuBefore).Seconds() / observedSeconds
 	cost.ConvergedShare = float64(converged) / float64(samples)
-	cost.ViewsPerHour = float64(changes) / played * time.Hour.Seconds()
+	cost.ViewsPerHour = float64(changes) / observedSeconds * time.Hour.Seconds()
 	return cost
 }
 
-// OutagePlan is the loss of some members at one time, and their return, with nothing else going on.
+// OutagePlan describes the failure of several members at the same time and their return, without other changes.
 type OutagePlan struct {
 	View          ViewPlan
 	Lost          int
-	SpreadSeconds float64 // over which the deaths are found
+	SpreadSeconds float64 // over which the failures are detected
 }
 
-// OutageCost is how a machine bears it.
+// OutageCost is the time that observers need to converge, and the cost.
 type OutageCost struct {
-	LostSeconds float64 // until all observers have converged without them
-	BackSeconds float64 // until all observers have converged with them
-	CoreShare   float64 // of both, CPU seconds a simulated second
+	LostSeconds float64 // from the failure until all observers have converged
+	BackSeconds float64 // from the return until all observers have converged
+	CoreShare   float64 // of both, CPU seconds per simulated second
 }
 
-// ErrNotConverged is returned where observers do not settle within settleLimit.
-var ErrNotConverged = errors.New("views have not converged")
+// ErrNotConverged is returned if the observers do not converge within settleTimeoutSeconds.
+var ErrNotConverged = errors.New("the observers' views have not converged")
 
-// RunOutage plays it. It returns ErrNotConverged if the observers do not settle.
+// RunOutage runs an outage. It returns ErrNotConverged if the observers do not converge.
 func RunOutage(plan OutagePlan) (OutageCost, error) {
-	v := newPureView(plan.View)
-	v.start()
-	for v.now < quietSeconds {
-		v.step(false)
+	r := newViewRun(plan.View)
+	r.start()
+	for r.now < warmUpSeconds {
+		r.step(false)
 	}
-	began, cpu := v.now, ProcessCPUTime()
+	began, cpuBefore := r.now, ProcessCPUTime()
 	var out OutageCost
 	var err error
-	left := plan.View.Members - plan.Lost
-	for k := left; k < plan.View.Members; k++ {
-		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Dead, Entry: v.entries[k]})
+	remaining := plan.View.Members - plan.Lost
+	for k := remaining; k < plan.View.Members; k++ {
+		r.schedule(r.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Dead, Entry: r.entries[k]})
 	}
-	if out.LostSeconds, err = v.untilConverged(left); err != nil {
+	if out.LostSeconds, err = r.secondsUntilConverged(remaining); err != nil {
 		return out, err
 	}
-	for k := left; k < plan.View.Members; k++ {
-		v.entries[k].Incarnation.Number++
-		v.spread(v.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Alive, Entry: v.entries[k]})
+	for k := remaining; k < plan.View.Members; k++ {
+		r.entries[k].Incarnation.Number++
+		r.schedule(r.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Alive, Entry: r.entries[k]})
 	}
-	if out.BackSeconds, err = v.untilConverged(plan.View.Members); err != nil {
+	if out.BackSeconds, err = r.secondsUntilConverged(plan.View.Members); err != nil {
 		return out, err
 	}
-	out.CoreShare = (ProcessCPUTime() - cpu).Seconds() / ((v.now - began) * float64(len(v.nodes)))
+	out.CoreShare = (ProcessCPUTime() - cpuBefore).Seconds() / ((r.now - began) * float64(len(r.observers)))
 	return out, nil
 }
 
-// settleLimit is for how many simulated seconds a converged view is waited for.
-const settleLimit = 60.0
+// settleTimeoutSeconds limits the simulated time to wait for a converged view.
+const settleTimeoutSeconds = 60.0
 
-// untilConverged gives how many seconds it takes until all observers have converged and see that many members.
-func (v *pureView) untilConverged(members int) (float64, error) {
-	for began := v.now; v.now < began+settleLimit; {
-		v.step(false)
+// secondsUntilConverged runs until all observers have converged on a view with the given number of members, and returns the
+// simulated seconds that it took.
+func (r *viewRun) secondsUntilConverged(members int) (float64, error) {
+	for began := r.now; r.now < began+settleTimeoutSeconds; {
+		r.step(false)
 		all := true
-		for _, node := range v.nodes {
+		for _, node := range r.observers {
 			seen := node.View()
 			all = all && seen.Certainty == view.Converged && len(seen.Members) == members
 		}
 		if all {
-			return v.now - began, nil
+			return r.now - began, nil
 		}
 	}
 	return 0, ErrNotConverged
--- a/rig/hollow/view_test.go
+++ b/rig/hollow/view_test.go
@@ -4,45 +4,47 @@
 	"testing"
 )
 
-func tinyPlan(restarts float64) ViewPlan {
+func smallPlan(restarts float64) ViewPlan {
 	return ViewPlan{Members: 60, RestartsPerSecond: restarts, Restart: AllChanges, Seconds: 30, Observers: 2, Seed: 1}
 }
 
-// TestRunView has a calm fleet converged all the time, and one that restarts hardly ever.
+// TestRunView guards against views that do not converge in a fleet without changes, and against a simulation in which restarts
+// do not reach the views.
 func TestRunView(t *testing.T) {
-	calm, busy := RunView(tinyPlan(0)), RunView(tinyPlan(2))
+	calm, busy := RunView(smallPlan(0)), RunView(smallPlan(2))
 	if calm.ConvergedShare < 0.99 || calm.ViewsPerHour > 2*3600/30 {
-		t.Errorf("at rest: %+v", calm)
+		t.Errorf("without restarts: %+v", calm)
 	}
 	if busy.ConvergedShare > 0.3 || busy.ViewsPerHour < 3600 {
-		t.Errorf("with two restarts a second: %+v", busy)
+		t.Errorf("with two restarts per second: %+v", busy)
 	}
 	if calm.CoreShare <= 0 || calm.HeapBytes <= 0 {
-		t.Errorf("costs nothing: %+v", calm)
+		t.Errorf("no CPU time or heap measured: %+v", calm)
 	}
 }
 
-// TestRunViewPastTheBound has more names than the usual settings allow.
-func TestRunViewPastTheBound(t *testing.T) {
-	plan := tinyPlan(0)
+// TestRunViewAboveNameLimit guards against members that are left out of views because there are more names than the default
+// limit allows.
+func TestRunViewAboveNameLimit(t *testing.T) {
+	plan := smallPlan(0)
 	plan.Members, plan.Seconds = 1500, 2
-	v := newPureView(plan)
-	v.start()
-	for v.now < quietSeconds {
-		v.step(false)
+	r := newViewRun(plan)
+	r.start()
+	for r.now < warmUpSeconds {
+		r.step(false)
 	}
-	if got := len(v.nodes[0].View().Members); got != plan.Members {
-		t.Errorf("%d of %d members are seen", got, plan.Members)
+	if got := len(r.observers[0].View().Members); got != plan.Members {
+		t.Errorf("view has %d of %d members", got, plan.Members)
 	}
 }
 
-// TestRunOutage has a rack lost and back.
+// TestRunOutage guards against views that take too long to converge after the failure and the return of ten members.
 func TestRunOutage(t *testing.T) {
-	out, err := RunOutage(OutagePlan{tinyPlan(0), 10, 1})
+	out, err := RunOutage(OutagePlan{smallPlan(0), 10, 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if out.LostSeconds < 1 || out.LostSeconds > 10 || out.BackSeconds < 1 || out.BackSeconds > 10 {
-		t.Errorf("%+v", out)
+		t.Errorf("want 1 to 10 s until converged in both directions: %+v", out)
 	}
 }
