--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -214,8 +214,8 @@
 	var plans []hollow.SubscriberPlan
 	for first := 0; first < members; first += appServersPerProcess {
 		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(appServersPerProcess, members-first), First: first,
-			Distributors: distributorAddresses, Local: local, Services: cluster.services, Each: servicesPerAppServer,
-			Rate: designBytesPerSecond, Seed: run.Seed, StartAt: start, Seconds: run.distributionSeconds() + settleSeconds})
+			Distributors: distributorAddresses, LocalAddress: local, Services: cluster.services, ServicesPerSubscriber: servicesPerAppServer,
+			BytesPerSecond: designBytesPerSecond, Seed: run.Seed, StartAt: start, Seconds: run.distributionSeconds() + settleSeconds})
 	}
 	var costs []hollow.SubscriberCost
 	var subscribers sync.WaitGroup
@@ -287,16 +287,16 @@
 		cost.laterSnapshots += int(processCost.LaterSnapshots)
 		cost.bytesPerSecond += float64(processCost.Bytes) / seconds / float64(members)
 		cost.subscriberCore += processCost.CoreSeconds / seconds / float64(members)
-		for service, count := range processCost.Serving {
+		for service, count := range processCost.SubscribersByService {
 			serving[service] += count
 		}
-		for _, seen := range processCost.Seen {
+		for _, seen := range processCost.ObservedChanges {
 			key := changeKey{seen.Service, seen.Index}
 			if observations[key] == nil {
 				observations[key] = &observation{}
 			}
 			observed := observations[key]
-			observed.count += seen.Has
+			observed.count += seen.Subscribers
 			if seen.Last.After(observed.last) {
 				observed.last = seen.Last
 			}
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -55,8 +55,8 @@
 	size    int
 	seconds float64
 	cluster *rig.Cluster
-	crowd   *hollow.Crowd
-	members *hollow.Members
+	crowd   *hollow.SimulatedMembers
+	members *hollow.MemberProcess
 	targets []*hollow.Target // members first, then processes
 	cost    crowdCost
 }
@@ -106,13 +106,13 @@
 		return err
 	}
 	at, own := netip.AddrFrom4([4]byte{network[0], network[1], 4, 1}), netip.AddrFrom4([4]byte{network[0], network[1], 5, 1})
-	if r.crowd, err = hollow.NewCrowd(at, crowdMembers, r.size-crowdMembers-crowdProcesses, r.size, r.p.Seed); err != nil {
+	if r.crowd, err = hollow.NewSimulatedMembers(at, crowdMembers, r.size-crowdMembers-crowdProcesses, r.size, r.p.Seed); err != nil {
 		return err
 	}
-	plan := hollow.MembersPlan{Count: crowdMembers, Fleet: r.size, At: own, Join: r.crowd.Addresses()}
+	plan := hollow.MembersPlan{Count: crowdMembers, FleetSize: r.size, ListenAddress: own, Join: r.crowd.Addresses()}
 	var ready sync.WaitGroup
 	ready.Add(1)
-	r.members, err = hollow.StartMembers(exec.Command(r.p.ownBinary(), "hollow", "members"), plan, func(s hollow.Seen) {
+	r.members, err = hollow.StartMemberProcess(exec.Command(r.p.ownBinary(), "hollow", "members"), plan, func(s hollow.Observation) {
 		ready.Wait()
 		r.crowd.SetView(r.targets[s.Member], s.Version, s.Digest)
 	})
@@ -121,13 +121,13 @@
 		return err
 	}
 	for _, node := range r.members.Nodes {
-		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, Pinged: node.Node})
+		r.targets = append(r.targets, &hollow.Target{Name: node.Name, Address: node.Address, NodeName: node.Node})
 	}
 	for k, name := range processNames() {
 		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Network.ListenAddress(k + 1)})
 	}
 	for _, t := range r.targets {
-		r.crowd.Add(t)
+		r.crowd.AddTarget(t)
 	}
 	ready.Done()
 	return nil
@@ -179,7 +179,7 @@
 			return err
 		}
 	}
-	if r.members.UntilSettled(r.size, joinWithin) > joinWithin.Seconds() {
+	if r.members.SecondsUntilConverged(r.size, joinWithin) > joinWithin.Seconds() {
 		return fmt.Errorf("members have not settled: %+v", r.members.Latest())
 	}
 	r.cost.joined = time.Since(began).Seconds()
@@ -317,10 +317,10 @@
 // zone has a zone lost, and back.
 func (r *crowdRun) zone() error {
 	count := max(r.size/zoneParts, 1)
-	r.crowd.Lose(0, count)
-	r.cost.lost = r.members.UntilSettled(r.size-count, zoneWithin)
-	r.crowd.Return(0, count)
-	r.cost.back = r.members.UntilSettled(r.size, zoneWithin)
+	r.crowd.Fail(0, count)
+	r.cost.lost = r.members.SecondsUntilConverged(r.size-count, zoneWithin)
+	r.crowd.Recover(0, count)
+	r.cost.back = r.members.SecondsUntilConverged(r.size, zoneWithin)
 	if math.IsInf(r.cost.lost+r.cost.back, 1) {
 		r.p.printNote("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneWithin, r.cost.lost,
 			r.cost.back, r.members.Latest())
@@ -350,7 +350,7 @@
 		if errs[k] != nil {
 			continue
 		}
-		exchanges := 2 / hollow.ExchangeSeconds(c.size) // a second: one begun here and one elsewhere in each interval
+		exchanges := 2 / hollow.ExchangeIntervalSeconds(c.size) // a second: one begun here and one elsewhere in each interval
 		core := c.core + exchanges*c.exchangeCPU
 		bytes := c.bytes + exchanges*c.exchangeBytes
 		p.printNote("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -92,7 +92,7 @@
 	firstLost := 0
 	for k, cost := range costs {
 		n := sizes[k]
-		p.printNote("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerQuestion)
+		p.printNote("%d questions at once: a voter answers %d, %v a question", n, cost.Answered, cost.CPUPerRequest)
 		answered = append(answered, slope.Point{X: float64(n), Y: float64(cost.Answered)})
 		lost = append(lost, slope.Point{X: float64(n), Y: 100 * float64(n-cost.Answered) / float64(n)})
 		if firstLost == 0 && cost.Answered < n {
@@ -155,8 +155,8 @@
 			firstLost = plan.Holders
 		}
 		p.printNote("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
-			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.QuestionsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
-			100*cost.CoreShare, cost.CPUPerQuestion, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
+			"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.RequestsPerSecond, 100*cost.LostShare, cost.RefusedHolders,
+			100*cost.CoreShare, cost.CPUPerRequest, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
 		x, against := float64(plan.Holders), "holders"
 		if k >= len(sizes.holders) {
 			x, against = float64(plan.Kinds), "kinds"
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -53,7 +53,7 @@
 
 var restartKinds = []struct {
 	name string
-	kind hollow.Restart
+	kind hollow.RestartKind
 }{{"one-change", hollow.OneChange}, {"all-changes", hollow.AllChanges}}
 
 // measurePureView runs the view's machine alone against members, with restarts in proportion.
@@ -140,7 +140,7 @@
 			plans = append(plans, hollow.OutagePlan{View: plan, Lost: lost, SpreadSeconds: lossSpread})
 		}
 	}
-	costs, err := runMeasurements[hollow.Outage](p, "outage", plans)
+	costs, err := runMeasurements[hollow.OutageCost](p, "outage", plans)
 	if err != nil {
 		return err
 	}
