--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -51,7 +51,7 @@
 // measureConfigOnce starts a program with a configuration of the given size and changes that changesPerSize times. The cost of a
 // change is the median.
 func (run *experimentRun) measureConfigOnce(size configSize) (cost configCost, err error) {
-	program, err := run.startScaled(size, roomyMemory, smallSocketLimit)
+	program, err := run.startScaled(size, ampleMemoryMB, smallSocketLimit)
 	if err != nil {
 		return cost, err
 	}
@@ -60,7 +60,7 @@
 		float64(program.ResidentBytes())
 	var wall, cpu, peak []float64
 	for range run.changesPerSize() {
-		changed, err := program.change()
+		changed, err := program.changeConfiguration()
 		if err != nil {
 			return cost, err
 		}
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -14,32 +14,32 @@
 	"valveglade/rig/slope"
 )
 
-// crowdCost is what real members and real processes cost amid a crowd that stands in for the rest of a fleet.
-type crowdCost struct {
+// memberCost is what real members and real processes cost amid a crowd that stands in for the rest of a fleet.
+type memberCost struct {
 	size         int
-	joined       float64 // seconds until all members have settled with all others
-	newcomerSent float64 // bytes a second that a member sends right after it joined
+	joinSeconds       float64 // seconds until all members have settled with all others
+	newcomerBytesPerSecond float64 // bytes a second that a member sends right after it joined
 	drained      bool
 
-	core, packets, bytes float64 // of one member under the design's churn: share of a core, packets and bytes a second, both ways
-	converged            float64 // share of that time
-	resident             float64 // bytes of one member, the process's own share taken off
+	memberCore, packetsPerSecond, bytesPerSecond float64 // of one member under the design's churn: share of a core, packets and bytes a second, both ways
+	convergedShare            float64 // share of that time
+	residentBytes             float64 // bytes of one member, the process's own share taken off
 	exchangeBytes        float64 // of one exchange, both ways
-	exchangeCPU          float64 // seconds
-	lost, back           float64 // seconds to settle after a zone was lost, and after it was back
+	exchangeCPUSeconds          float64 // seconds
+	zoneLostSeconds, zoneBackSeconds           float64 // seconds to settle after a zone was lost, and after it was back
 
-	processCore, processResident float64 // of one real process: share of a core, and bytes
+	processCore, processResidentBytes float64 // of one real process: share of a core, and bytes
 }
 
 // The members and processes amid a crowd.
 const (
-	crowdMembers   = 4
-	crowdProcesses = 6
+	measuredMembers   = 4
+	measuredProcesses = 6
 )
 
-// crowdSizes are the sizes of fleets amid which members are measured, and for how many seconds. A member takes no exchange of more
+// simulatedFleetSizes are the sizes of fleets amid which members are measured, and for how many seconds. A member takes no exchange of more
 // than 4,096 names, so it cannot join a larger fleet: a trial amid 8,600 that was told by gossip alone never came to know all.
-func (p *experimentRun) crowdSizes() (sizes []int, seconds float64) {
+func (p *experimentRun) simulatedFleetSizes() (sizes []int, seconds float64) {
 	switch {
 	case p.shortForm:
 		return []int{30, 40, 60, 80}, 1
@@ -49,32 +49,32 @@
 	return []int{100, 300, 1000, 2000}, 6
 }
 
-// crowdRun is the measurement at one size.
-type crowdRun struct {
-	p       *experimentRun
+// fleetMeasurement is the measurement at one size.
+type fleetMeasurement struct {
+	run       *experimentRun
 	size    int
 	seconds float64
 	cluster *rig.Cluster
-	crowd   *hollow.Crowd
+	simulated   *hollow.Crowd
 	members *hollow.Members
 	targets []*hollow.Target // members first, then processes
-	cost    crowdCost
+	cost    memberCost
 }
 
 // processNames are the real processes amid a crowd.
 func processNames() []string {
 	var all []string
-	for k := range crowdProcesses {
+	for k := range measuredProcesses {
 		all = append(all, fmt.Sprintf("process%d", k))
 	}
 	return all
 }
 
-// measureAmid measures members and processes in a fleet of one size.
-func (p *experimentRun) measureAmid(size int, seconds float64) (crowdCost, error) {
-	r := &crowdRun{p: p, size: size, seconds: seconds, cost: crowdCost{size: size}}
+// measureFleetSize measures members and processes in a fleet of one size.
+func (p *experimentRun) measureFleetSize(size int, seconds float64) (memberCost, error) {
+	r := &fleetMeasurement{run: p, size: size, seconds: seconds, cost: memberCost{size: size}}
 	defer r.close()
-	for _, step := range []func() error{r.start, r.join, r.newcomer, r.drain, r.churn, r.exchange, r.zone} {
+	for _, step := range []func() error{r.start, r.join, r.measureNewcomer, r.drainQueues, r.measureChurn, r.measureExchanges, r.measureZoneLoss} {
 		if err := step(); err != nil {
 			return r.cost, fmt.Errorf("amid %d: %w", size, err)
 		}
@@ -82,12 +82,12 @@
 	return r.cost, nil
 }
 
-func (r *crowdRun) close() {
+func (r *fleetMeasurement) close() {
 	if r.members != nil {
 		r.members.Close()
 	}
-	if r.crowd != nil {
-		r.crowd.Close()
+	if r.simulated != nil {
+		r.simulated.Close()
 	}
 	if r.cluster != nil {
 		r.cluster.Close()
@@ -95,26 +95,26 @@
 }
 
 // start starts the processes, the crowd and the members.
-func (r *crowdRun) start() (err error) {
+func (r *fleetMeasurement) start() (err error) {
 	site := fleetSite()
 	site.MemoryMB = 128
-	if r.cluster, err = rig.NewCluster(rig.ClusterConfig{Program: r.p.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.p.Seed}); err != nil {
+	if r.cluster, err = rig.NewCluster(rig.ClusterConfig{Program: r.run.Program, Names: processNames(), Site: site, Slack: time.Second, Seed: r.run.Seed}); err != nil {
 		return err
 	}
 	network := r.cluster.Network.Subnet().Addr().As4()
-	if err := r.reachDirectly(); err != nil {
+	if err := r.advertiseListenAddresses(); err != nil {
 		return err
 	}
 	at, own := netip.AddrFrom4([4]byte{network[0], network[1], 4, 1}), netip.AddrFrom4([4]byte{network[0], network[1], 5, 1})
-	if r.crowd, err = hollow.NewCrowd(at, crowdMembers, r.size-crowdMembers-crowdProcesses, r.size, r.p.Seed); err != nil {
+	if r.simulated, err = hollow.NewCrowd(at, measuredMembers, r.size-measuredMembers-measuredProcesses, r.size, r.run.Seed); err != nil {
 		return err
 	}
-	plan := hollow.MembersPlan{Count: crowdMembers, Fleet: r.size, At: own, Join: r.crowd.Addresses()}
+	plan := hollow.MembersPlan{Count: measuredMembers, Fleet: r.size, At: own, Join: r.simulated.Addresses()}
 	var ready sync.WaitGroup
 	ready.Add(1)
-	r.members, err = hollow.StartMembers(exec.Command(r.p.self(), "hollow", "members"), plan, func(s hollow.Seen) {
+	r.members, err = hollow.StartMembers(exec.Command(r.run.self(), "hollow", "members"), plan, func(s hollow.Seen) {
 		ready.Wait()
-		r.crowd.SetView(r.targets[s.Member], s.Version, s.Digest)
+		r.simulated.SetView(r.targets[s.Member], s.Version, s.Digest)
 	})
 	if err != nil {
 		ready.Done()
@@ -127,14 +127,14 @@
 		r.targets = append(r.targets, &hollow.Target{Name: name, Address: r.cluster.Network.ListenAddress(k + 1)})
 	}
 	for _, t := range r.targets {
-		r.crowd.Add(t)
+		r.simulated.Add(t)
 	}
 	ready.Done()
 	return nil
 }
 
-// reachDirectly starts the processes again with addresses that members outside the process cluster reach too.
-func (r *crowdRun) reachDirectly() error {
+// advertiseListenAddresses starts the processes again with addresses that members outside the process cluster reach too.
+func (r *fleetMeasurement) advertiseListenAddresses() error {
 	for k, name := range processNames() {
 		own, via := r.cluster.Network.ListenAddress(k+1).String(), r.cluster.Network.AdvertisedAddress(k+1).String()
 		err := r.cluster.EditSettings(name, func(settings string) string {
@@ -155,64 +155,64 @@
 	return nil
 }
 
-// introductions is how often a process is told of all others at the most: a busy machine may not answer an exchange in time.
-const introductions = 3
+// maxJoinExchanges is how often a process is told of all others at the most: a busy machine may not answer an exchange in time.
+const maxJoinExchanges = 3
 
-// introduce has a process know everybody.
-func (r *crowdRun) introduce(t *hollow.Target) (err error) {
-	for range introductions {
-		if _, err = r.crowd.Exchange(t, true); err == nil {
+// joinProcess has a process know everybody.
+func (r *fleetMeasurement) joinProcess(t *hollow.Target) (err error) {
+	for range maxJoinExchanges {
+		if _, err = r.simulated.Exchange(t, true); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// joinWithin is how long everybody may take to know everybody.
-const joinWithin = 30 * time.Second
+// joinTimeout is how long everybody may take to know everybody.
+const joinTimeout = 30 * time.Second
 
 // join has everybody know everybody.
-func (r *crowdRun) join() error {
+func (r *fleetMeasurement) join() error {
 	began := time.Now()
-	for _, t := range r.targets[crowdMembers:] {
-		if err := r.introduce(t); err != nil {
+	for _, t := range r.targets[measuredMembers:] {
+		if err := r.joinProcess(t); err != nil {
 			return err
 		}
 	}
-	if r.members.UntilSettled(r.size, joinWithin) > joinWithin.Seconds() {
+	if r.members.UntilSettled(r.size, joinTimeout) > joinTimeout.Seconds() {
 		return fmt.Errorf("members have not settled: %+v", r.members.Latest())
 	}
-	r.cost.joined = time.Since(began).Seconds()
+	r.cost.joinSeconds = time.Since(began).Seconds()
 	return nil
 }
 
-// spanCost is what the members cost in a span.
-type spanCost struct {
-	cpu, sentBytes, bytes, packets float64 // a member and second
+// intervalCost is what the members cost in a span.
+type intervalCost struct {
+	core, sentBytesPerSecond, bytesPerSecond, packetsPerSecond float64 // a member and second
 }
 
 // measureDuring samples the members before and after something.
-func (r *crowdRun) measureDuring(do func() error) (spanCost, error) {
+func (r *fleetMeasurement) measureDuring(do func() error) (intervalCost, error) {
 	before, err := r.members.Sample()
 	if err != nil {
-		return spanCost{}, err
+		return intervalCost{}, err
 	}
 	began := time.Now()
 	if err := do(); err != nil {
-		return spanCost{}, err
+		return intervalCost{}, err
 	}
 	after, err := r.members.Sample()
 	if err != nil {
-		return spanCost{}, err
+		return intervalCost{}, err
 	}
-	var c spanCost
+	var c intervalCost
 	per := time.Since(began).Seconds() * float64(len(after.Costs))
-	c.cpu = (after.CPUSeconds - before.CPUSeconds) / per
+	c.core = (after.CPUSeconds - before.CPUSeconds) / per
 	for k, is := range after.Costs {
 		was := before.Costs[k]
-		c.sentBytes += float64(is.SentBytes-was.SentBytes) / per
-		c.bytes += float64(is.SentBytes-was.SentBytes+is.GotBytes-was.GotBytes) / per
-		c.packets += float64(is.SentPackets-was.SentPackets+is.GotPackets-was.GotPackets) / per
+		c.sentBytesPerSecond += float64(is.SentBytes-was.SentBytes) / per
+		c.bytesPerSecond += float64(is.SentBytes-was.SentBytes+is.GotBytes-was.GotBytes) / per
+		c.packetsPerSecond += float64(is.SentPackets-was.SentPackets+is.GotPackets-was.GotPackets) / per
 	}
 	return c, nil
 }
@@ -221,46 +221,46 @@
 	return func() error { time.Sleep(d); return nil }
 }
 
-// newcomer measures what a member sends right after it has joined: all that it has learnt.
-func (r *crowdRun) newcomer() error {
-	c, err := r.measureDuring(sleepFor(r.p.scaled(time.Second)))
-	r.cost.newcomerSent = c.sentBytes
+// measureNewcomer measures what a member sends right after it has joined: all that it has learnt.
+func (r *fleetMeasurement) measureNewcomer() error {
+	c, err := r.measureDuring(sleepFor(r.run.scaled(time.Second)))
+	r.cost.newcomerBytesPerSecond = c.sentBytesPerSecond
 	return err
 }
 
-// drainWithin is how long the queues that joining left may take to drain, through answers to probes.
-const drainWithin = 20 * time.Second
+// drainTimeout is how long the queues that joining left may take to drain, through answers to probes.
+const drainTimeout = 20 * time.Second
 
-func (r *crowdRun) drain() error {
-	r.cost.drained = r.crowd.Drain(drainWithin + time.Duration(r.size/400)*time.Second)
-	time.Sleep(r.p.scaled(time.Second))
+func (r *fleetMeasurement) drainQueues() error {
+	r.cost.drained = r.simulated.Drain(drainTimeout + time.Duration(r.size/400)*time.Second)
+	time.Sleep(r.run.scaled(time.Second))
 	return nil
 }
 
-// churn measures members and processes while others restart.
-func (r *crowdRun) churn() error {
-	cpu := r.processCPU()
+// measureChurn measures members and processes while others restart.
+func (r *fleetMeasurement) measureChurn() error {
+	cpu := r.totalProcessCPU()
 	began := time.Now()
 	c, err := r.measureDuring(func() error {
-		r.restarts()
+		r.restartMembers()
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	took := time.Since(began)
-	r.cost.core, r.cost.bytes, r.cost.packets = c.cpu, c.bytes, c.packets
-	r.cost.converged = r.members.ConvergedShare(began, time.Now())
-	r.cost.processCore = (r.processCPU() - cpu).Seconds() / took.Seconds() / crowdProcesses
+	r.cost.memberCore, r.cost.bytesPerSecond, r.cost.packetsPerSecond = c.core, c.bytesPerSecond, c.packetsPerSecond
+	r.cost.convergedShare = r.members.ConvergedShare(began, time.Now())
+	r.cost.processCore = (r.totalProcessCPU() - cpu).Seconds() / took.Seconds() / measuredProcesses
 	for _, name := range processNames() {
-		r.cost.processResident += float64(r.cluster.Node(name).ResidentBytes()) / crowdProcesses
+		r.cost.processResidentBytes += float64(r.cluster.Node(name).ResidentBytes()) / measuredProcesses
 	}
 	sample, err := r.members.Sample()
-	r.cost.resident = sample.HeapBytes / crowdMembers
+	r.cost.residentBytes = sample.HeapBytes / measuredMembers
 	return err
 }
 
-func (r *crowdRun) processCPU() time.Duration {
+func (r *fleetMeasurement) totalProcessCPU() time.Duration {
 	all := time.Duration(0)
 	for _, name := range processNames() {
 		all += r.cluster.CPU(name)
@@ -268,31 +268,31 @@
 	return all
 }
 
-// restarts has members of the crowd restart, in proportion to the design, for the span of the measurement.
-func (r *crowdRun) restarts() {
-	every := time.Duration(float64(time.Second) / (restartsPerMember * float64(r.size)))
+// restartMembers has members of the crowd restart, in proportion to the design, for the span of the measurement.
+func (r *fleetMeasurement) restartMembers() {
+	every := time.Duration(float64(time.Second) / (restartsPerMemberPerSecond * float64(r.size)))
 	span := time.Duration(r.seconds * float64(time.Second))
 	began := time.Now()
 	for k := 0; time.Since(began) < span; k++ {
-		r.crowd.Restart((k * 37) % r.crowd.Len())
+		r.simulated.Restart((k * 37) % r.simulated.Len())
 		time.Sleep(min(every, span-time.Since(began)))
 	}
 }
 
-// exchange measures whole exchanges, one after another.
-func (r *crowdRun) exchange() error {
+// measureExchanges measures whole exchanges, one after another.
+func (r *fleetMeasurement) measureExchanges() error {
 	const times = 3
 	refused := 0
 	bytes := int64(0)
-	rest, err := r.measureDuring(sleepFor(r.p.scaled(time.Second)))
+	rest, err := r.measureDuring(sleepFor(r.run.scaled(time.Second)))
 	if err != nil {
 		return err
 	}
 	began := time.Now()
 	c, err := r.measureDuring(func() error {
 		for range times {
-			for _, t := range r.targets[:crowdMembers] {
-				n, err := r.crowd.Exchange(t, false)
+			for _, t := range r.targets[:measuredMembers] {
+				n, err := r.simulated.Exchange(t, false)
 				if bytes += n; err != nil {
 					refused++
 				}
@@ -304,37 +304,37 @@
 		return err
 	}
 	if refused > 0 {
-		r.p.printNote("amid %d: %d of %d exchanges are refused or cut", r.size, refused, times*crowdMembers)
+		r.run.printNote("amid %d: %d of %d exchanges are refused or cut", r.size, refused, times*measuredMembers)
 	}
-	r.cost.exchangeBytes = float64(bytes) / (times * crowdMembers)
-	r.cost.exchangeCPU = max(c.cpu-rest.cpu, 0) * time.Since(began).Seconds() / times
+	r.cost.exchangeBytes = float64(bytes) / (times * measuredMembers)
+	r.cost.exchangeCPUSeconds = max(c.core-rest.core, 0) * time.Since(began).Seconds() / times
 	return nil
 }
 
-// zoneWithin is how long members may take to settle after a zone was lost.
-const zoneWithin = 25 * time.Second
+// zoneTimeout is how long members may take to settle after a zone was lost.
+const zoneTimeout = 25 * time.Second
 
-// zone has a zone lost, and back.
-func (r *crowdRun) zone() error {
-	count := max(r.size/zoneParts, 1)
-	r.crowd.Lose(0, count)
-	r.cost.lost = r.members.UntilSettled(r.size-count, zoneWithin)
-	r.crowd.Return(0, count)
-	r.cost.back = r.members.UntilSettled(r.size, zoneWithin)
-	if math.IsInf(r.cost.lost+r.cost.back, 1) {
-		r.p.printNote("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneWithin, r.cost.lost,
-			r.cost.back, r.members.Latest())
+// measureZoneLoss has a measureZoneLoss lost, and back.
+func (r *fleetMeasurement) measureZoneLoss() error {
+	count := max(r.size/zoneCount, 1)
+	r.simulated.Lose(0, count)
+	r.cost.zoneLostSeconds = r.members.UntilSettled(r.size-count, zoneTimeout)
+	r.simulated.Return(0, count)
+	r.cost.zoneBackSeconds = r.members.UntilSettled(r.size, zoneTimeout)
+	if math.IsInf(r.cost.zoneLostSeconds+r.cost.zoneBackSeconds, 1) {
+		r.run.printNote("amid %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", r.size, zoneTimeout, r.cost.zoneLostSeconds,
+			r.cost.zoneBackSeconds, r.members.Latest())
 	}
 	return nil
 }
 
-// measureAmidCrowds measures real members and real processes in fleets of several sizes, side by side.
-func measureAmidCrowds(p *experimentRun, r *slope.Result) error {
-	sizes, seconds := p.crowdSizes()
-	costs, errs := make([]crowdCost, len(sizes)), make([]error, len(sizes))
+// measureFleetSizes measures real members and real processes in fleets of several sizes, side by side.
+func measureFleetSizes(p *experimentRun, r *slope.Result) error {
+	sizes, seconds := p.simulatedFleetSizes()
+	costs, errs := make([]memberCost, len(sizes)), make([]error, len(sizes))
 	var group sync.WaitGroup
 	for k, size := range sizes {
-		group.Go(func() { costs[k], errs[k] = p.measureAmid(size, seconds) })
+		group.Go(func() { costs[k], errs[k] = p.measureFleetSize(size, seconds) })
 	}
 	group.Wait()
 	failed := 0
@@ -351,26 +351,26 @@
 			continue
 		}
 		exchanges := 2 / hollow.ExchangeSeconds(c.size) // a second: one begun here and one elsewhere in each interval
-		core := c.core + exchanges*c.exchangeCPU
-		bytes := c.bytes + exchanges*c.exchangeBytes
+		core := c.memberCore + exchanges*c.exchangeCPUSeconds
+		bytes := c.bytesPerSecond + exchanges*c.exchangeBytes
 		p.printNote("amid %d: a member %.3g%% of a core (%.3g%% for exchanges), %.2f MB, %.0f packets and %.1f KB a second (%.1f for exchanges), "+
 			"settled %.0f%%; joined after %.1f s and then sends %.0f KB a second (drained %t); zone lost %.1f s, back %.1f s; a process %.3g%% "+
-			"of a core, %.0f MB", c.size, 100*core, 100*exchanges*c.exchangeCPU, c.resident/(1<<20), c.packets, bytes/1000,
-			exchanges*c.exchangeBytes/1000, 100*c.converged, c.joined, c.newcomerSent/1000, c.drained, c.lost, c.back, 100*c.processCore,
-			c.processResident/(1<<20))
+			"of a core, %.0f MB", c.size, 100*core, 100*exchanges*c.exchangeCPUSeconds, c.residentBytes/(1<<20), c.packetsPerSecond, bytes/1000,
+			exchanges*c.exchangeBytes/1000, 100*c.convergedShare, c.joinSeconds, c.newcomerBytesPerSecond/1000, c.drained, c.zoneLostSeconds, c.zoneBackSeconds, 100*c.processCore,
+			c.processResidentBytes/(1<<20))
 		x := float64(c.size)
 		found.add("view.member.cpu", x, 100*core)
-		found.add("view.member.memory", x, c.resident/(1<<20))
+		found.add("view.member.memory", x, c.residentBytes/(1<<20))
 		found.add("view.member.bytes", x, bytes/1000)
-		found.add("view.member.packets", x, c.packets)
-		found.add("view.member.newcomer.sent", x, c.newcomerSent/1000)
-		found.add("view.member.joined", x, c.joined)
-		if !math.IsInf(c.lost+c.back, 1) {
-			found.add("view.member.zone.lost", x, c.lost)
-			found.add("view.member.zone.back", x, c.back)
+		found.add("view.member.packets", x, c.packetsPerSecond)
+		found.add("view.member.newcomer.sent", x, c.newcomerBytesPerSecond/1000)
+		found.add("view.member.joined", x, c.joinSeconds)
+		if !math.IsInf(c.zoneLostSeconds+c.zoneBackSeconds, 1) {
+			found.add("view.member.zone.lost", x, c.zoneLostSeconds)
+			found.add("view.member.zone.back", x, c.zoneBackSeconds)
 		}
 		found.add("view.process.cpu", x, 100*c.processCore)
-		found.add("view.process.memory", x, c.processResident/(1<<20))
+		found.add("view.process.memory", x, c.processResidentBytes/(1<<20))
 	}
 	note := fmt.Sprintf("real members with sockets, in real time, amid a crowd that stands in for the rest of the fleet; restarts in "+
 		"proportion, but at least one in the %g s; bytes and CPU with the exchanges of all that is known, weighed one by one and counted at the library's rate", seconds)
--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -19,7 +19,7 @@
 // each. It writes the frames as a router does, and no more.
 type frameLoad struct {
 	address string
-	check   *rig.Checker // told of each RPC, nil for none
+	checker   *rig.Checker // told of each RPC, nil for none
 	routes  int          // methods that are called
 	prefix  string       // of the RPCs' names
 	conns   []*frameConn
@@ -27,7 +27,7 @@
 	mu        sync.Mutex
 	sent      int
 	latencies []float64 // seconds, of what was served since the last reset
-	refused   int       // RPCs that were pushed back: the app server's own admission
+	pushedBack   int       // RPCs that were pushed back: the app server's own admission
 	failed    int       // RPCs that had no proper answer
 	failure   error     // of the first of them
 	pending   sync.WaitGroup
@@ -37,11 +37,11 @@
 type frameConn struct {
 	net.Conn
 	load   *frameLoad
-	source int // the caller's number
+	caller int // the caller's number
 
 	mu    sync.Mutex
-	seq   int32
-	began map[int32]time.Time // of RPCs that are not answered yet; nil once the connection has ended
+	sequence   int32
+	sentAt map[int32]time.Time // of RPCs that are not answered yet; nil once the connection has ended
 	ready chan struct{}       // closed with the answer to the health check
 }
 
@@ -52,14 +52,14 @@
 )
 
 const (
-	connectAtOnce  = 64
+	maxParallelConnects  = 64
 	connectTimeout = 10 * time.Second
-	answerTimeout  = 20 * time.Second
+	replyTimeout  = 20 * time.Second
 	rpcDeadline    = 2 * time.Second // told to the app server; answers are waited for longer
 )
 
 func newFrameLoad(address string, check *rig.Checker, routes int, prefix string) *frameLoad {
-	return &frameLoad{address: address, check: check, routes: routes, prefix: prefix}
+	return &frameLoad{address: address, checker: check, routes: routes, prefix: prefix}
 }
 
 // connect opens connections until there are n, each with a health check: the app server closes those that say nothing.
@@ -71,7 +71,7 @@
 		slots <- k
 	}
 	close(slots)
-	return runConcurrently(connectAtOnce, func() error {
+	return runConcurrently(maxParallelConnects, func() error {
 		for k := range slots {
 			if err := l.open(k); err != nil {
 				return err
@@ -87,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	c := &frameConn{Conn: nc, load: l, source: k, began: map[int32]time.Time{}, ready: make(chan struct{}), seq: 1}
+	c := &frameConn{Conn: nc, load: l, caller: k, sentAt: map[int32]time.Time{}, ready: make(chan struct{}), sequence: 1}
 	l.conns[k] = c
-	go c.read()
+	go c.readReplies()
 	if _, err := nc.Write(thrift.Check(nil, 1)); err != nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 	}
 }
 
-// onEach has one RPC served on each connection, a hundred at a time.
-func (l *frameLoad) onEach() error {
+// executeOnEach has one RPC served on each connection, a hundred at a time.
+func (l *frameLoad) executeOnEach() error {
 	const atOnce = 100
 	for batch := range slices.Chunk(l.conns, atOnce) {
 		for k, c := range batch {
@@ -120,7 +120,7 @@
 			return err
 		}
 	}
-	l.take()
+	l.takeLatencies()
 	return nil
 }
 
@@ -140,7 +140,7 @@
 	if err := l.wait(); err != nil {
 		return nil, err
 	}
-	return l.take(), nil
+	return l.takeLatencies(), nil
 }
 
 // wait waits until all that was sent has an outcome.
@@ -152,7 +152,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(answerTimeout):
+	case <-time.After(replyTimeout):
 		return fmt.Errorf("answers: %w", errTimeout)
 	}
 	l.mu.Lock()
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// take gives the latencies so far and begins anew.
-func (l *frameLoad) take() []float64 {
+// takeLatencies gives the latencies so far and begins anew.
+func (l *frameLoad) takeLatencies() []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := l.latencies
@@ -172,22 +172,22 @@
 	return all
 }
 
-// name gives the next RPC's.
-func (l *frameLoad) name() string {
+// nextName gives the next RPC's.
+func (l *frameLoad) nextName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
 	return fmt.Sprintf("%s-%d", l.prefix, l.sent)
 }
 
-// ended takes in the outcome of an RPC.
-func (l *frameLoad) ended(latency time.Duration, failure error) {
+// recordOutcome takes in the outcome of an RPC.
+func (l *frameLoad) recordOutcome(latency time.Duration, failure error) {
 	l.mu.Lock()
 	switch {
 	case failure == nil:
 		l.latencies = append(l.latencies, latency.Seconds())
 	case errors.Is(failure, errPushedBack):
-		l.refused++
+		l.pushedBack++
 	default:
 		l.failed++
 		l.failure = cmp.Or(l.failure, failure)
@@ -198,65 +198,65 @@
 
 // send writes one RPC.
 func (c *frameConn) send(route int) {
-	id := c.load.name()
-	if c.load.check != nil {
-		c.load.check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(rpcDeadline))
+	id := c.load.nextName()
+	if c.load.checker != nil {
+		c.load.checker.RegisterRPC(id, rpc.Idempotent, time.Now().Add(rpcDeadline))
 	}
 	c.load.pending.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.began == nil {
-		c.load.ended(0, errConnectionLost)
+	if c.sentAt == nil {
+		c.load.recordOutcome(0, errConnectionLost)
 		return
 	}
-	c.seq++
+	c.sequence++
 	now := time.Now()
-	frame := thrift.Execute(nil, c.seq, routeName(route), fmt.Sprintf("%016x", rand.Uint64()), c.source, float64(now.UnixMilli())/1000, rpcDeadline.Seconds(),
+	frame := thrift.Execute(nil, c.sequence, routeName(route), fmt.Sprintf("%016x", rand.Uint64()), c.caller, float64(now.UnixMilli())/1000, rpcDeadline.Seconds(),
 		1, 0.5, false, "", "", rig.EncodeBody(id, 0))
-	c.began[c.seq] = time.Now()
+	c.sentAt[c.sequence] = time.Now()
 	if _, err := c.Write(frame); err != nil {
-		delete(c.began, c.seq)
-		c.load.ended(0, err)
+		delete(c.sentAt, c.sequence)
+		c.load.recordOutcome(0, err)
 	}
 }
 
-// read takes in answers until the connection ends.
-func (c *frameConn) read() {
+// readReplies takes in answers until the connection ends.
+func (c *frameConn) readReplies() {
 	rig.ReadReplies(c, c)
-	c.lost()
+	c.failPending()
 }
 
-// lost ends the connection and all that waits on it.
-func (c *frameConn) lost() {
+// failPending ends the connection and all that waits on it.
+func (c *frameConn) failPending() {
 	c.Close()
 	c.mu.Lock()
-	waiting := len(c.began)
-	c.began = nil
+	waiting := len(c.sentAt)
+	c.sentAt = nil
 	c.mu.Unlock()
 	for range waiting {
-		c.load.ended(0, errConnectionLost)
+		c.load.recordOutcome(0, errConnectionLost)
 	}
 }
 
-// end takes in the answer to an RPC.
-func (c *frameConn) end(seq int32, failure error) {
+// finish takes in the answer to an RPC.
+func (c *frameConn) finish(seq int32, failure error) {
 	now := time.Now()
 	c.mu.Lock()
-	began, waits := c.began[seq]
-	delete(c.began, seq)
+	began, waits := c.sentAt[seq]
+	delete(c.sentAt, seq)
 	c.mu.Unlock()
 	if waits {
-		c.load.ended(now.Sub(began), failure)
+		c.load.recordOutcome(now.Sub(began), failure)
 	}
 }
 
 // Served, PushedBack, Aborted, Checked and Draining are what the app server says.
-func (c *frameConn) Served(seq int32, _ []byte, _ float64) { c.end(seq, nil) }
+func (c *frameConn) Served(seq int32, _ []byte, _ float64) { c.finish(seq, nil) }
 func (c *frameConn) PushedBack(seq int32, _ bool, _, _ float64) {
-	c.end(seq, errPushedBack)
+	c.finish(seq, errPushedBack)
 }
 func (c *frameConn) Aborted(seq int32, why string, _ float64) {
-	c.end(seq, fmt.Errorf("%w: aborted %s", errNotServed, why))
+	c.finish(seq, fmt.Errorf("%w: aborted %s", errNotServed, why))
 }
 func (c *frameConn) Checked(int32, bool, float64) { close(c.ready) }
 func (c *frameConn) Draining()                    { /* a scale run closes its connections itself */ }
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -22,10 +22,10 @@
 	configuration configFile
 	directory     string
 	fileBytes     int // of its configuration
-	check         *rig.Checker
+	checker         *rig.Checker
 	kernel        *rig.Kernel
 	roster        net.PacketConn
-	lines         chan logLine
+	logLines         chan logLine
 	startSeconds  float64 // from the exec to the first RPC served
 }
 
@@ -36,12 +36,12 @@
 }
 
 const (
-	mostLogLines = 4096             // that wait to be read
-	startWithin  = 60 * time.Second // for a configuration of the design size
-	reloadWithin = 60 * time.Second
-	stopWithin   = 5 * time.Second
+	maxQueuedLogLines = 4096             // that wait to be read
+	startTimeout  = 60 * time.Second // for a configuration of the design size
+	reloadTimeout = 60 * time.Second
+	stopTimeout   = 5 * time.Second
 	checkerSlack = time.Second
-	roomyMemory  = 4096 // MB: the collector is not pressed by the limit
+	ampleMemoryMB  = 4096 // MB: the collector is not pressed by the limit
 	kernelCores  = 64   // as in the configuration: many enough that no RPC waits for one
 	rosterReport = "HERE scaled on"
 )
@@ -50,9 +50,9 @@
 
 // startScaled starts a program with so many entries; directives are lines of its operators' file.
 func (p *experimentRun) startScaled(size configSize, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
-	s := &scaledProgram{check: rig.NewChecker(checkerSlack), lines: make(chan logLine, mostLogLines),
+	s := &scaledProgram{checker: rig.NewChecker(checkerSlack), logLines: make(chan logLine, maxQueuedLogLines),
 		configuration: configFile{size: size, memoryMB: memoryMB, sockets: sockets, seed: p.Seed}}
-	if err := s.open(); err != nil {
+	if err := s.prepare(); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -63,12 +63,12 @@
 	return s, nil
 }
 
-// open prepares the stand-ins and the configuration.
-func (s *scaledProgram) open() (err error) {
+// prepare prepares the stand-ins and the configuration.
+func (s *scaledProgram) prepare() (err error) {
 	if s.directory, err = os.MkdirTemp("", "scale"); err != nil {
 		return err
 	}
-	if s.kernel, err = rig.NewKernel("scaled", kernelCores, s.check); err != nil {
+	if s.kernel, err = rig.NewKernel("scaled", kernelCores, s.checker); err != nil {
 		return err
 	}
 	if s.roster, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
@@ -78,7 +78,7 @@
 		return err
 	}
 	s.configuration.kernel, s.configuration.roster = s.kernel.Address(), s.roster.LocalAddr().String()
-	s.fileBytes, err = s.configuration.write(s.path())
+	s.fileBytes, err = s.configuration.write(s.configPath())
 	return err
 }
 
@@ -91,7 +91,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-func (s *scaledProgram) path() string { return filepath.Join(s.directory, "config.json") }
+func (s *scaledProgram) configPath() string { return filepath.Join(s.directory, "config.json") }
 
 // launch starts the program and waits until it is on the roster and has served an RPC.
 func (s *scaledProgram) launch(program string, directives []string) error {
@@ -104,32 +104,32 @@
 		arguments = []string{"--settings", path}
 	}
 	command := exec.Command(program, arguments...)
-	command.Env = append(os.Environ(), "GW_CONFIG="+s.path(), "GOMAXPROCS=1")
-	s.check.ProcessStarted("scaled")
+	command.Env = append(os.Environ(), "GW_CONFIG="+s.configPath(), "GOMAXPROCS=1")
+	s.checker.ProcessStarted("scaled")
 	began := time.Now()
-	process, err := rig.Launch(command, s.heard)
+	process, err := rig.Launch(command, s.queueLogLine)
 	if err != nil {
 		return err
 	}
 	s.Process = process
-	if err := s.awaitRoster(began.Add(startWithin)); err != nil {
+	if err := s.awaitRoster(began.Add(startTimeout)); err != nil {
 		return fmt.Errorf("%w: %.500s", err, s.Log())
 	}
-	if err := s.serveOne(); err != nil {
+	if err := s.executeFirstRPC(); err != nil {
 		return err
 	}
 	s.startSeconds = time.Since(began).Seconds()
 	return nil
 }
 
-// heard takes note of a line of the log. It never waits.
-func (s *scaledProgram) heard(line []byte) {
+// queueLogLine takes note of a line of the log. It never waits.
+func (s *scaledProgram) queueLogLine(line []byte) {
 	var l logLine
 	if json.Unmarshal(line, &l) != nil {
 		return
 	}
 	select {
-	case s.lines <- l:
+	case s.logLines <- l:
 	default:
 	}
 }
@@ -152,22 +152,22 @@
 	}
 }
 
-// serveOne has one RPC served on a connection of its own.
-func (s *scaledProgram) serveOne() error {
-	load := newFrameLoad(s.configuration.listen, s.check, s.configuration.size.routes, "first")
+// executeFirstRPC has one RPC served on a connection of its own.
+func (s *scaledProgram) executeFirstRPC() error {
+	load := newFrameLoad(s.configuration.listen, s.checker, s.configuration.size.routes, "first")
 	defer load.close()
 	if err := load.connect(1); err != nil {
 		return err
 	}
-	return load.onEach()
+	return load.executeOnEach()
 }
 
-// await waits for a line of the log.
-func (s *scaledProgram) await(within time.Duration, wanted func(l logLine) bool) error {
+// awaitLogLine waits for a line of the log.
+func (s *scaledProgram) awaitLogLine(within time.Duration, wanted func(l logLine) bool) error {
 	timeout := time.After(within)
 	for {
 		select {
-		case l := <-s.lines:
+		case l := <-s.logLines:
 			if wanted(l) {
 				return nil
 			}
@@ -183,13 +183,13 @@
 	peakBytes               float64 // resident, at the most
 }
 
-// tail is for what the collector still does after a change has been taken in.
-const tail = 50 * time.Millisecond
+// collectionWait is for what the collector still does after a change has been taken in.
+const collectionWait = 50 * time.Millisecond
 
-// change has one entry changed, and waits until the program has taken it in.
-func (s *scaledProgram) change() (cost changeCost, err error) {
+// changeConfiguration has one entry changed, and waits until the program has taken it in.
+func (s *scaledProgram) changeConfiguration() (cost changeCost, err error) {
 	s.configuration.generation++
-	if _, err := s.configuration.write(s.path()); err != nil {
+	if _, err := s.configuration.write(s.configPath()); err != nil {
 		return cost, err
 	}
 	if err := s.ResetPeakResident(); err != nil {
@@ -197,24 +197,24 @@
 	}
 	cpu, began := s.CPUTime(), time.Now()
 	s.Reload()
-	if err := s.await(reloadWithin, reloaded); err != nil {
+	if err := s.awaitLogLine(reloadTimeout, isConfigReloaded); err != nil {
 		return cost, err
 	}
 	cost.wallSeconds = time.Since(began).Seconds()
-	time.Sleep(tail)
+	time.Sleep(collectionWait)
 	cost.cpuSeconds = (s.CPUTime() - cpu).Seconds()
 	cost.peakBytes = float64(s.PeakResidentBytes())
 	return cost, nil
 }
 
-// reloaded tells whether a line says that a configuration has been taken in.
-func reloaded(l logLine) bool { return l.Message == "config reloaded" }
+// isConfigReloaded tells whether a line says that a configuration has been taken in.
+func isConfigReloaded(l logLine) bool { return l.Message == "config reloaded" }
 
-// violations are the rules that the program has broken.
-func (s *scaledProgram) violations() int { return len(s.check.Violations()) }
+// violationCount are the rules that the program has broken.
+func (s *scaledProgram) violationCount() int { return len(s.checker.Violations()) }
 
-// leave has the program leave the fleet and end by itself.
-func (s *scaledProgram) leave() error { return s.Terminate(stopWithin) }
+// shutDown has the program shutDown the fleet and end by itself.
+func (s *scaledProgram) shutDown() error { return s.Terminate(stopTimeout) }
 
 // close ends all of it.
 func (s *scaledProgram) close() {
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -15,8 +15,8 @@
 	{"quota", measureQuota},
 }
 
-// usualLease is the default of fleet.lease, in seconds.
-const usualLease = 2
+// defaultLeaseSeconds is the default of fleet.lease, in seconds.
+const defaultLeaseSeconds = 2
 
 const roleNote = "pure voters and candidates on simulated time, a lease of 2 s; bytes are those that the program would send"
 
@@ -28,10 +28,10 @@
 	}
 	var plans []hollow.RolePlan
 	for _, n := range candidates {
-		plans = append(plans, hollow.RolePlan{Candidates: n, Roles: 1, Seconds: 12, Lease: usualLease, KillOwner: true, Seed: p.Seed})
+		plans = append(plans, hollow.RolePlan{Candidates: n, Roles: 1, Seconds: 12, Lease: defaultLeaseSeconds, KillOwner: true, Seed: p.Seed})
 	}
 	for _, n := range roles {
-		plans = append(plans, hollow.RolePlan{Candidates: few, Roles: n, Seconds: 12, Lease: usualLease, Seed: p.Seed})
+		plans = append(plans, hollow.RolePlan{Candidates: few, Roles: n, Seconds: 12, Lease: defaultLeaseSeconds, Seed: p.Seed})
 	}
 	costs, err := runMeasurements[hollow.RoleCost](p, "roles", plans)
 	if err != nil {
@@ -112,7 +112,7 @@
 // quotaSizes are the holders and kinds of work that an allocator is measured against.
 type quotaSizes struct {
 	holders, kinds []int
-	many           int // holders at each number of kinds
+	fixedHolders           int // holders at each number of kinds
 	seconds        float64
 }
 
@@ -120,7 +120,7 @@
 	sizes := quotaSizes{[]int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 200, 2}
 	switch {
 	case p.shortForm:
-		sizes.holders, sizes.seconds, sizes.many = []int{5, 10, 20, 40}, 0.3, 10
+		sizes.holders, sizes.seconds, sizes.fixedHolders = []int{5, 10, 20, 40}, 0.3, 10
 	case p.Long:
 		sizes.holders, sizes.seconds = append(sizes.holders, 1500, 3000, designMembers), 5
 	}
@@ -134,7 +134,7 @@
 		plans = append(plans, hollow.QuotaPlan{Holders: n, Kinds: 1, Seconds: s.seconds, Seed: seed})
 	}
 	for _, n := range s.kinds {
-		plans = append(plans, hollow.QuotaPlan{Holders: s.many, Kinds: n, Seconds: s.seconds, Seed: seed})
+		plans = append(plans, hollow.QuotaPlan{Holders: s.fixedHolders, Kinds: n, Seconds: s.seconds, Seed: seed})
 	}
 	return plans
 }
@@ -151,7 +151,7 @@
 	firstLost := 0
 	for k, cost := range costs {
 		plan := plans[k]
-		if firstLost == 0 && plan.Kinds == 1 && cost.LostShare > anyLost {
+		if firstLost == 0 && plan.Kinds == 1 && cost.LostShare > negligibleLostShare {
 			firstLost = plan.Holders
 		}
 		p.printNote("%d holders, %d kinds: %.0f questions a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v a question, sends "+
@@ -161,17 +161,17 @@
 		if k >= len(sizes.holders) {
 			x, against = float64(plan.Kinds), "kinds"
 		}
-		found.addQuota(against, x, cost, p.shortForm)
+		found.addQuotaCost(against, x, cost, p.shortForm)
 	}
 	p.report("allocator.first.lost.holders", float64(firstLost))
-	return p.quotaSeries(r, found, sizes.many)
+	return p.addQuotaSeries(r, found, sizes.fixedHolders)
 }
 
-// addQuota adds one run's points. What answering costs says nothing where most is not answered; tiny runs are too short to tell.
-func (p points) addQuota(against string, x float64, cost hollow.QuotaCost, tiny bool) {
+// addQuotaCost adds one run's points. What answering costs says nothing where most is not answered; tiny runs are too short to tell.
+func (p points) addQuotaCost(against string, x float64, cost hollow.QuotaCost, tiny bool) {
 	p.add("allocator.lost."+against, x, 100*cost.LostShare)
 	p.add("allocator.refused."+against, x, float64(cost.RefusedHolders))
-	if cost.LostShare > mostLost && !tiny {
+	if cost.LostShare > maxLostShare && !tiny {
 		return
 	}
 	p.add("allocator.cpu."+against, x, 100*cost.CoreShare)
@@ -179,8 +179,8 @@
 	p.add("allocator.sent.packets."+against, x, cost.PacketsPerSecond)
 }
 
-// quotaUnits are the series of an allocator.
-var quotaUnits = []struct {
+// quotaSeriesSpecs are the series of an allocator.
+var quotaSeriesSpecs = []struct {
 	name, unit, model string
 	threshold         bool
 }{
@@ -193,9 +193,9 @@
 
 const quotaNote = "a real allocator of fleet in real time over an in-memory transport, hollow holders that each ask ten times a second"
 
-// quotaSeries fits what was found. A series whose allocator answered at too few sizes is left out, and that is said.
-func (p *experimentRun) quotaSeries(r *slope.Result, found points, many int) error {
-	for _, u := range quotaUnits {
+// addQuotaSeries fits what was found. A series whose allocator answered at too few sizes is left out, and that is said.
+func (p *experimentRun) addQuotaSeries(r *slope.Result, found points, many int) error {
+	for _, u := range quotaSeriesSpecs {
 		for _, against := range []string{"holders", "kinds"} {
 			s := slope.Series{Name: u.name + "." + against, Unit: u.unit, Against: "members", Fit: slope.Fit{Model: u.model}, Note: quotaNote}
 			s.Points = found[s.Name]
@@ -208,7 +208,7 @@
 				s.Note += fmt.Sprintf("; %d holders", many)
 			}
 			if err := p.addSeries(r, s); errors.Is(err, slope.ErrTooFewSizes) {
-				p.printNote("%s: not fitted, as at only %d sizes less than %g%% of the questions were lost", s.Name, len(s.Points), 100*mostLost)
+				p.printNote("%s: not fitted, as at only %d sizes less than %g%% of the questions were lost", s.Name, len(s.Points), 100*maxLostShare)
 			} else if err != nil {
 				return err
 			}
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// anyLost is past which share questions are held for lost: one in some hundreds may still be on its way as the count ends.
-const anyLost = 0.005
+// negligibleLostShare is past which share questions are held for lost: one in some hundreds may still be on its way as the count ends.
+const negligibleLostShare = 0.005
 
-// mostLost is up to what share of lost questions an allocator is held for one that answers.
-const mostLost = 0.05
+// maxLostShare is up to what share of lost questions an allocator is held for one that answers.
+const maxLostShare = 0.05
--- a/cmd/rehearse/scale_rpc.go
+++ b/cmd/rehearse/scale_rpc.go
@@ -17,9 +17,9 @@
 // meanRate and highRate are RPCs a second to one app server: the mean of the design size, and ten times that.
 const meanRate, highRate = 140, 1400
 
-// socketsLimit is what a program may hold that serves thousands of connections: past three quarters of it idle ones are
+// largeSocketLimit is what a program may hold that serves thousands of connections: past three quarters of it idle ones are
 // asked to leave.
-const socketsLimit = 19_000
+const largeSocketLimit = 19_000
 
 // bareServer answers each frame at once, in a process of its own with one core.
 type bareServer struct {
@@ -61,9 +61,9 @@
 	b.command.Wait()
 }
 
-// pairedConnections bounds the connections to the program and to the bare server together, by the descriptors that a process
+// maxPairedConnections bounds the connections to the program and to the bare server together, by the descriptors that a process
 // may hold here.
-const pairedConnections = 18_000
+const maxPairedConnections = 18_000
 
 // connectionSizes are how many connections are open.
 func (p *experimentRun) connectionSizes() []int {
@@ -74,8 +74,8 @@
 	}.valueFor(p)
 }
 
-// rpcTables is the configuration under which RPCs are measured: the design size.
-func (p *experimentRun) rpcTables() configSize {
+// rpcConfigSize is the configuration under which RPCs are measured: the design size.
+func (p *experimentRun) rpcConfigSize() configSize {
 	if p.shortForm {
 		return configSize{routes: 100, tenants: 1000}
 	}
@@ -85,12 +85,12 @@
 // measureConnectionMemory measures the program's resident memory against open connections, each of which has carried one
 // RPC and is idle then.
 func measureConnectionMemory(p *experimentRun, r *slope.Result) error {
-	s, err := p.startScaled(configSize{routes: fixedEntryCount}, roomyMemory, socketsLimit)
+	s, err := p.startScaled(configSize{routes: fixedEntryCount}, ampleMemoryMB, largeSocketLimit)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	load := newFrameLoad(s.configuration.listen, s.check, fixedEntryCount, "memory")
+	load := newFrameLoad(s.configuration.listen, s.checker, fixedEntryCount, "memory")
 	defer load.close()
 	var silent, used []slope.Point
 	for _, n := range p.connectionSizes() {
@@ -98,7 +98,7 @@
 			return fmt.Errorf("%d connections: %w", n, err)
 		}
 		silent = append(silent, slope.Point{X: float64(n), Y: float64(s.ResidentBytes())})
-		if err := load.onEach(); err != nil {
+		if err := load.executeOnEach(); err != nil {
 			return fmt.Errorf("%d connections: %w: %.2000s", n, err, s.Log())
 		}
 		used = append(used, slope.Point{X: float64(n), Y: float64(s.ResidentBytes())})
@@ -111,8 +111,8 @@
 		Note: "resident memory of the program; each connection has carried an RPC"})
 }
 
-// addedTime is what the program adds to an RPC, over a bare server that answers the same frames at the same time.
-type addedTime struct {
+// addedLatency is what the program adds to an RPC, over a bare server that answers the same frames at the same time.
+type addedLatency struct {
 	median, tail          float64 // added, in seconds
 	programTail, bareTail float64 // the 99th percentiles themselves
 	samples               int     // of the program's
@@ -120,12 +120,12 @@
 
 // compareLoads runs the same rate through both at the same time, in rounds. Only the half of the rounds count in which the
 // bare server's own tail was shortest: in the others the machine was busy with something else.
-func compareLoads(program, bare *frameLoad, rate rpcRate, seed uint64) (addedTime, error) {
+func compareLoads(program, bare *frameLoad, rate rpcRate, seed uint64) (addedLatency, error) {
 	var rounds []loadRound
 	for k := range rate.rounds {
-		round, err := playRound(program, bare, rate, seed+uint64(k))
+		round, err := runRound(program, bare, rate, seed+uint64(k))
 		if err != nil {
-			return addedTime{}, err
+			return addedLatency{}, err
 		}
 		rounds = append(rounds, round)
 	}
@@ -135,7 +135,7 @@
 		kept.program = append(kept.program, round.program...)
 		kept.bare = append(kept.bare, round.bare...)
 	}
-	return addedTime{
+	return addedLatency{
 		median:      quantile(kept.program, 0.5) - quantile(kept.bare, 0.5),
 		tail:        quantile(kept.program, 0.99) - quantile(kept.bare, 0.99),
 		programTail: quantile(kept.program, 0.99),
@@ -147,7 +147,7 @@
 // loadRound is the latencies of one round, in seconds.
 type loadRound struct{ program, bare []float64 }
 
-func playRound(program, bare *frameLoad, rate rpcRate, seed uint64) (round loadRound, err error) {
+func runRound(program, bare *frameLoad, rate rpcRate, seed uint64) (round loadRound, err error) {
 	sides := make(chan func() error, 2)
 	sides <- func() (err error) {
 		round.program, err = program.run(rate.perSecond, rate.length, 2*seed)
@@ -178,8 +178,8 @@
 // measureRPC measures what the program adds to an RPC against open connections, with tables of the design size in memory,
 // and what one change costs in the same program.
 func measureRPC(p *experimentRun, r *slope.Result) error {
-	size := p.rpcTables()
-	s, err := p.startScaled(size, roomyMemory, socketsLimit)
+	size := p.rpcConfigSize()
+	s, err := p.startScaled(size, ampleMemoryMB, largeSocketLimit)
 	if err != nil {
 		return err
 	}
@@ -191,36 +191,36 @@
 		return err
 	}
 	defer bare.close()
-	if err := p.rpcSeries(r, s, bare, "tables of "+size.String()+"; program on one core"); err != nil {
+	if err := p.addRPCSeries(r, s, bare, "tables of "+size.String()+"; program on one core"); err != nil {
 		return err
 	}
 	p.report("rpc.tables.resident_bytes", float64(s.ResidentBytes()))
-	cost, err := s.change()
+	cost, err := s.changeConfiguration()
 	if err != nil {
 		return err
 	}
 	p.report("rpc.tables.change_seconds", cost.cpuSeconds)
 	p.report("rpc.tables.change_wall_seconds", cost.wallSeconds)
 	p.report("rpc.tables.change_peak_bytes", cost.peakBytes)
-	p.exactly("rpc.breaches", float64(s.violations()), 0)
+	p.exactly("rpc.breaches", float64(s.violationCount()), 0)
 	return nil
 }
 
-// rpcSeries measures each rate at each number of connections.
-func (p *experimentRun) rpcSeries(r *slope.Result, s *scaledProgram, bare *bareServer, note string) error {
-	through := newFrameLoad(s.configuration.listen, s.check, s.configuration.size.routes, "rpc")
+// addRPCSeries measures each rate at each number of connections.
+func (p *experimentRun) addRPCSeries(r *slope.Result, s *scaledProgram, bare *bareServer, note string) error {
+	through := newFrameLoad(s.configuration.listen, s.checker, s.configuration.size.routes, "rpc")
 	defer through.close()
 	bareLoad := newFrameLoad(bare.address, nil, s.configuration.size.routes, "bare")
 	defer bareLoad.close()
 	rates := p.rpcRates()
 	var medians, tails, cpus = make([][]slope.Point, len(rates)), make([][]slope.Point, len(rates)), make([][]slope.Point, len(rates))
 	for _, n := range p.connectionSizes() {
-		n = min(n, pairedConnections/2)
+		n = min(n, maxPairedConnections/2)
 		for _, load := range []*frameLoad{through, bareLoad} {
 			if err := load.connect(n); err != nil {
 				return fmt.Errorf("%d connections to %s: %w: %.2000s", n, load.prefix, err, s.Log())
 			}
-			if err := load.onEach(); err != nil {
+			if err := load.executeOnEach(); err != nil {
 				return fmt.Errorf("%d connections: %w", n, err)
 			}
 		}
@@ -237,7 +237,7 @@
 			tails[k] = append(tails[k], slope.Point{X: float64(n), Y: added.tail})
 		}
 	}
-	p.report("rpc.refused_share", float64(through.refused)/float64(max(through.sent, 1)))
+	p.report("rpc.refused_share", float64(through.pushedBack)/float64(max(through.sent, 1)))
 	for k, rate := range rates {
 		for _, one := range []struct {
 			what   string
@@ -265,8 +265,8 @@
 func (p *experimentRun) changingRate() rpcRate {
 	return formValues[rpcRate]{
 		short:    rpcRate{meanRate, 1, 200 * time.Millisecond},
-		standard: rpcRate{meanRate, 3, changePeriod},
-		long:     rpcRate{meanRate, 6, changePeriod},
+		standard: rpcRate{meanRate, 3, changeInterval},
+		long:     rpcRate{meanRate, 6, changeInterval},
 	}.valueFor(p)
 }
 
@@ -280,7 +280,7 @@
 	defer bare.close()
 	var tails, cores []slope.Point
 	for _, n := range p.changingTenants() {
-		added, core, err := p.rpcUnderChanges(bare, configSize{routes: fixedEntryCount, tenants: n})
+		added, core, err := p.measureUnderChanges(bare, configSize{routes: fixedEntryCount, tenants: n})
 		if err != nil {
 			return fmt.Errorf("%d tenants: %w", n, err)
 		}
@@ -296,16 +296,16 @@
 		Note: note + "; above the same RPCs without changes"})
 }
 
-// rpcUnderChanges gives what the program adds to an RPC while its configuration changes, and the share of a core that it
+// measureUnderChanges gives what the program adds to an RPC while its configuration changes, and the share of a core that it
 // spends above the same RPCs without changes.
-func (p *experimentRun) rpcUnderChanges(bare *bareServer, size configSize) (added addedTime, core float64, err error) {
+func (p *experimentRun) measureUnderChanges(bare *bareServer, size configSize) (added addedLatency, core float64, err error) {
 	const connections = 10
-	s, err := p.startScaled(size, roomyMemory, smallSocketLimit)
+	s, err := p.startScaled(size, ampleMemoryMB, smallSocketLimit)
 	if err != nil {
 		return added, 0, err
 	}
 	defer s.close()
-	through := newFrameLoad(s.configuration.listen, s.check, size.routes, "changing")
+	through := newFrameLoad(s.configuration.listen, s.checker, size.routes, "changing")
 	defer through.close()
 	bareLoad := newFrameLoad(bare.address, nil, size.routes, "bare")
 	defer bareLoad.close()
@@ -313,18 +313,18 @@
 		if err := load.connect(connections); err != nil {
 			return added, 0, err
 		}
-		if err := load.onEach(); err != nil {
+		if err := load.executeOnEach(); err != nil {
 			return added, 0, err
 		}
 	}
 	rate := p.changingRate()
 	cpu, began := s.CPUTime(), time.Now()
-	if _, err := playRound(through, bareLoad, rpcRate{meanRate, 1, rate.length / 2}, p.Seed); err != nil {
+	if _, err := runRound(through, bareLoad, rpcRate{meanRate, 1, rate.length / 2}, p.Seed); err != nil {
 		return added, 0, err
 	}
 	quietCore := (s.CPUTime() - cpu).Seconds() / time.Since(began).Seconds()
 	end, over := make(chan struct{}), make(chan error, 1)
-	go func() { over <- s.changeUntil(end) }()
+	go func() { over <- s.keepChanging(end) }()
 	cpu, began = s.CPUTime(), time.Now()
 	added, err = compareLoads(through, bareLoad, rate, p.Seed+1)
 	core = (s.CPUTime()-cpu).Seconds()/time.Since(began).Seconds() - quietCore
@@ -335,15 +335,15 @@
 	return added, core, err
 }
 
-// changePeriod is the time between two changes at the design size.
-const changePeriod = 961_538 * time.Microsecond
+// changeInterval is the time between two changes at the design size.
+const changeInterval = 961_538 * time.Microsecond
 
-// changeUntil changes the configuration as often as at the design size, or as often as the program takes changes in.
-func (s *scaledProgram) changeUntil(end <-chan struct{}) error {
-	every := time.NewTicker(changePeriod)
+// keepChanging changes the configuration as often as at the design size, or as often as the program takes changes in.
+func (s *scaledProgram) keepChanging(end <-chan struct{}) error {
+	every := time.NewTicker(changeInterval)
 	defer every.Stop()
 	for {
-		if _, err := s.change(); err != nil {
+		if _, err := s.changeConfiguration(); err != nil {
 			return err
 		}
 		select {
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -19,30 +19,30 @@
 var loopback = netip.MustParsePrefix("127.0.0.0/8")
 
 const (
-	memberProbe   = 300 * time.Millisecond
-	learnedWithin = 60 * time.Second
-	joinAddresses = 3
+	memberProbeInterval   = 300 * time.Millisecond
+	convergenceTimeout = 60 * time.Second
+	maxJoinAddresses = 3
 )
 
-// hollowMembers are members of the fleet's view in this process, without an app server round them.
-type hollowMembers struct {
+// inProcessMembers are members of the fleet's view in this process, without an app server round them.
+type inProcessMembers struct {
 	all   []*member.Member
 	group sync.WaitGroup
 	stop  context.CancelFunc
 	ctx   context.Context
 }
 
-func newHollowMembers() *hollowMembers {
-	h := &hollowMembers{}
+func newInProcessMembers() *inProcessMembers {
+	h := &inProcessMembers{}
 	h.ctx, h.stop = context.WithCancel(context.Background())
 	return h
 }
 
-// grow adds members until there are n.
-func (h *hollowMembers) grow(n int) error {
+// growTo adds members until there are n.
+func (h *inProcessMembers) growTo(n int) error {
 	for k := len(h.all); k < n; k++ {
 		m, err := member.New(member.Config{Name: fmt.Sprintf("hollow-%04d", k), Listen: netip.MustParseAddrPort("127.0.0.1:0"),
-			Join: h.seeds(), Allow: []netip.Prefix{loopback}, ProbeInterval: memberProbe, View: view.Defaults()}, zap.NewNop())
+			Join: h.joinAddresses(), Allow: []netip.Prefix{loopback}, ProbeInterval: memberProbeInterval, View: view.Defaults()}, zap.NewNop())
 		if err != nil {
 			return err
 		}
@@ -53,17 +53,17 @@
 	return nil
 }
 
-// seeds are the addresses that others join at.
-func (h *hollowMembers) seeds() (all []netip.AddrPort) {
-	for _, m := range h.all[:min(len(h.all), joinAddresses)] {
+// joinAddresses are the addresses that others join at.
+func (h *inProcessMembers) joinAddresses() (all []netip.AddrPort) {
+	for _, m := range h.all[:min(len(h.all), maxJoinAddresses)] {
 		all = append(all, m.Address())
 	}
 	return all
 }
 
-// settle waits until each member's view has n.
-func (h *hollowMembers) settle(n int) error {
-	for until := time.Now().Add(learnedWithin); time.Now().Before(until); time.Sleep(memberProbe / 10) {
+// awaitViews waits until each member's view has n.
+func (h *inProcessMembers) awaitViews(n int) error {
+	for until := time.Now().Add(convergenceTimeout); time.Now().Before(until); time.Sleep(memberProbeInterval / 10) {
 		converged := true
 		for _, m := range h.all {
 			converged = converged && len(m.View().Members) >= n
@@ -76,7 +76,7 @@
 }
 
 // close drops all members without a word.
-func (h *hollowMembers) close() {
+func (h *inProcessMembers) close() {
 	h.stop()
 	for _, m := range h.all {
 		m.Kill()
@@ -96,17 +96,17 @@
 // measureStartMembers measures a start against the members of the fleet: until the program serves, and until its view has
 // all members.
 func measureStartMembers(p *experimentRun, r *slope.Result) error {
-	hollow := newHollowMembers()
+	hollow := newInProcessMembers()
 	defer hollow.close()
 	var ready, learned []slope.Point
 	for _, n := range p.memberSizes() {
-		if err := hollow.grow(n); err != nil {
+		if err := hollow.growTo(n); err != nil {
 			return err
 		}
-		if err := hollow.settle(n); err != nil {
+		if err := hollow.awaitViews(n); err != nil {
 			return err
 		}
-		served, complete, err := p.startAmong(hollow.seeds(), n)
+		served, complete, err := p.startInFleet(hollow.joinAddresses(), n)
 		if err != nil {
 			return err
 		}
@@ -122,9 +122,9 @@
 		Note: hollowNote + "; from exec to a view with all members"})
 }
 
-// startAmong starts the program in a fleet of n others, and gives the seconds until it served and until its view was
+// startInFleet starts the program in a fleet of n others, and gives the seconds until it served and until its view was
 // complete.
-func (p *experimentRun) startAmong(seeds []netip.AddrPort, n int) (served, complete float64, err error) {
+func (p *experimentRun) startInFleet(seeds []netip.AddrPort, n int) (served, complete float64, err error) {
 	var join []string
 	for _, at := range seeds {
 		join = append(join, at.String())
@@ -134,15 +134,15 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	s, err := p.startScaled(configSize{routes: fixedEntryCount, tenants: fixedEntryCount}, roomyMemory, smallSocketLimit, "fleet.listen "+listen,
-		"fleet.join "+strings.Join(join, " "), "fleet.allow "+loopback.String(), "fleet.probe "+memberProbe.String())
+	s, err := p.startScaled(configSize{routes: fixedEntryCount, tenants: fixedEntryCount}, ampleMemoryMB, smallSocketLimit, "fleet.listen "+listen,
+		"fleet.join "+strings.Join(join, " "), "fleet.allow "+loopback.String(), "fleet.probe "+memberProbeInterval.String())
 	if err != nil {
 		return 0, 0, err
 	}
 	defer s.close()
-	if err := s.await(learnedWithin, func(l logLine) bool { return l.Message == "view" && l.Members > n }); err != nil {
+	if err := s.awaitLogLine(convergenceTimeout, func(l logLine) bool { return l.Message == "view" && l.Members > n }); err != nil {
 		return 0, 0, fmt.Errorf("%d members: %w", n, err)
 	}
 	complete = time.Since(began).Seconds()
-	return s.startSeconds, complete, s.leave()
+	return s.startSeconds, complete, s.shutDown()
 }
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -12,14 +12,14 @@
 	{"view-pure", measurePureView},
 	{"view-churn", measureViewChurn},
 	{"view-outage", measureViewOutage},
-	{"view-crowd", measureAmidCrowds},
+	{"view-crowd", measureFleetSizes},
 }
 
-// restartsPerMember is how often an app server restarts, per second: the design's restarts over its members.
-const restartsPerMember = designRestartsPerDay / 86400.0 / designMembers
+// restartsPerMemberPerSecond is how often an app server restarts, per second: the design's restarts over its members.
+const restartsPerMemberPerSecond = designRestartsPerDay / 86400.0 / designMembers
 
-// pureSizes are the sizes at which the view's machine runs alone.
-func (p *experimentRun) pureSizes() []int {
+// pureViewSizes are the sizes at which the view's machine runs alone.
+func (p *experimentRun) pureViewSizes() []int {
 	return formValues[[]int]{
 		short:    []int{20, 40, 80, 160},
 		standard: []int{300, 1000, 3000, 8600},
@@ -27,8 +27,8 @@
 	}.valueFor(p)
 }
 
-// pureSeconds is how many seconds are simulated at each size.
-func (p *experimentRun) pureSeconds(members int) float64 {
+// pureViewSeconds is how many seconds are simulated at each size.
+func (p *experimentRun) pureViewSeconds(members int) float64 {
 	switch {
 	case p.shortForm:
 		return 10
@@ -45,11 +45,11 @@
 
 func (p points) add(name string, x, y float64) { p[name] = append(p[name], slope.Point{X: x, Y: y}) }
 
-const pureNote = "the pure view: the machine of logic/view alone, on simulated time, fed generated gossip; its bound of 1,024 " +
+const pureViewNote = "the pure view: the machine of logic/view alone, on simulated time, fed generated gossip; its bound of 1,024 " +
 	"names raised by a setting"
 
-// observers is how many machines run in each measurement of the pure view.
-const observers = 2
+// observersPerRun is how many machines run in each measurement of the pure view.
+const observersPerRun = 2
 
 var restartKinds = []struct {
 	name string
@@ -59,10 +59,10 @@
 // measurePureView runs the view's machine alone against members, with restarts in proportion.
 func measurePureView(p *experimentRun, r *slope.Result) error {
 	var plans []hollow.ViewPlan
-	for _, members := range p.pureSizes() {
+	for _, members := range p.pureViewSizes() {
 		for _, restart := range restartKinds {
-			plans = append(plans, hollow.ViewPlan{Members: members, RestartsPerSecond: restartsPerMember * float64(members),
-				Restart: restart.kind, Seconds: p.pureSeconds(members), Observers: observers, Seed: p.Seed})
+			plans = append(plans, hollow.ViewPlan{Members: members, RestartsPerSecond: restartsPerMemberPerSecond * float64(members),
+				Restart: restart.kind, Seconds: p.pureViewSeconds(members), Observers: observersPerRun, Seed: p.Seed})
 		}
 	}
 	costs, err := runMeasurements[hollow.ViewCost](p, "view", plans)
@@ -85,7 +85,7 @@
 			{Name: "view.pure.memory." + restart.name, Unit: "MB", Fit: slope.Fit{Model: slope.ModelLinear}},
 		}
 		for _, s := range all {
-			s.Against, s.Points, s.Note = "members", found[s.Name], pureNote
+			s.Against, s.Points, s.Note = "members", found[s.Name], pureViewNote
 			if err := p.addSeries(r, s); err != nil {
 				return err
 			}
@@ -103,7 +103,7 @@
 	var plans []hollow.ViewPlan
 	for _, perSecond := range []float64{0.05, 0.1, 0.2, 0.4, 0.94} {
 		plans = append(plans, hollow.ViewPlan{Members: members, RestartsPerSecond: perSecond, Restart: hollow.AllChanges,
-			Seconds: seconds, Observers: observers, Seed: p.Seed})
+			Seconds: seconds, Observers: observersPerRun, Seed: p.Seed})
 	}
 	costs, err := runMeasurements[hollow.ViewCost](p, "view", plans)
 	if err != nil {
@@ -114,7 +114,7 @@
 		found.add("cpu", plans[k].RestartsPerSecond, 100*cost.CoreShare)
 		found.add("settled", plans[k].RestartsPerSecond, 100*cost.ConvergedShare)
 	}
-	note := fmt.Sprintf("%s; at %d members", pureNote, members)
+	note := fmt.Sprintf("%s; at %d members", pureViewNote, members)
 	err = p.addSeries(r, slope.Series{Name: "view.pure.churn.cpu", Unit: "% of a core", Against: "restarts a second",
 		Points: found["cpu"], Note: note})
 	if err != nil {
@@ -126,18 +126,18 @@
 
 const (
 	rackSize   = 40  // app servers that a rack or a switch takes with it
-	zoneParts  = 25  // zones, of which one is lost
-	lossSpread = 3.0 // seconds over which the deaths of one cause are found
+	zoneCount  = 25  // zones, of which one is lost
+	deathSpreadSeconds = 3.0 // seconds over which the deaths of one cause are found
 )
 
 // measureViewOutage has a rack, and a zone, lost and back at each size, at rest otherwise.
 func measureViewOutage(p *experimentRun, r *slope.Result) error {
 	var plans []hollow.OutagePlan
 	kinds := []string{"rack", "zone"}
-	for _, members := range p.pureSizes() {
-		for _, lost := range []int{min(rackSize, members/4), max(members/zoneParts, 1)} {
-			plan := hollow.ViewPlan{Members: members, Observers: observers, Seed: p.Seed}
-			plans = append(plans, hollow.OutagePlan{View: plan, Lost: lost, SpreadSeconds: lossSpread})
+	for _, members := range p.pureViewSizes() {
+		for _, lost := range []int{min(rackSize, members/4), max(members/zoneCount, 1)} {
+			plan := hollow.ViewPlan{Members: members, Observers: observersPerRun, Seed: p.Seed}
+			plans = append(plans, hollow.OutagePlan{View: plan, Lost: lost, SpreadSeconds: deathSpreadSeconds})
 		}
 	}
 	costs, err := runMeasurements[hollow.Outage](p, "outage", plans)
@@ -153,7 +153,7 @@
 		found.add(what+".back", float64(members), out.BackSeconds)
 		found.add(what+".cpu", float64(members), 100*out.CoreShare)
 	}
-	note := fmt.Sprintf("%s; deaths are found over %g s", pureNote, lossSpread)
+	note := fmt.Sprintf("%s; deaths are found over %g s", pureViewNote, deathSpreadSeconds)
 	for _, what := range kinds {
 		for _, part := range []struct{ name, unit string }{{"lost", "s"}, {"back", "s"}, {"cpu", "% of a core"}} {
 			name := what + "." + part.name
