--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -15,57 +15,59 @@
 	"valveglade/rpc"
 )
 
-// frameLoad sends RPCs at a rate over many open connections, whatever becomes of those sent before, and takes the time of
-// each. It writes the frames as a router does, and no more.
+// frameLoad is an open-loop load: it sends RPCs at a rate over many open connections, whatever the outcome of earlier ones, and
+// measures the latency of each. It only writes frames as a router does, and has no other behaviour of a router.
 type frameLoad struct {
 	address string
-	checker   *rig.Checker // told of each RPC, nil for none
-	routes  int          // methods that are called
-	prefix  string       // of the RPCs' names
+	checker *rig.Checker // observes each RPC; may be nil
+	routes  int          // number of methods that are called
+	prefix  string       // of the names of RPCs
 	conns   []*frameConn
 
-	mu        sync.Mutex
-	sent      int
-	latencies []float64 // seconds, of what was served since the last reset
-	pushedBack   int       // RPCs that were pushed back: the app server's own admission
-	failed    int       // RPCs that had no proper answer
-	failure   error     // of the first of them
-	pending   sync.WaitGroup
+	mu         sync.Mutex
+	sent       int
+	latencies  []float64 // in seconds, of RPCs served since the last takeLatencies
+	pushedBack int       // RPCs that the admission of the app server pushed back
+	failed     int       // RPCs that ended in any other way
+	failure    error     // the first failure
+	pending    sync.WaitGroup
 }
 
-// frameConn is one of its connections.
+// frameConn is one connection of a frameLoad.
 type frameConn struct {
 	net.Conn
 	load   *frameLoad
-	caller int // the caller's number
+	caller int // number of the caller
 
-	mu    sync.Mutex
-	sequence   int32
-	sentAt map[int32]time.Time // of RPCs that are not answered yet; nil once the connection has ended
-	ready chan struct{}       // closed with the answer to the health check
+	mu       sync.Mutex
+	sequence int32
+	sentAt   map[int32]time.Time // send times of RPCs without a reply; nil once the connection has ended
+	ready    chan struct{}       // closed by the reply to the health check
 }
 
 var (
-	errNotServed      = errors.New("an RPC was not served")
-	errPushedBack     = errors.New("an RPC was pushed back")
-	errConnectionLost = errors.New("a connection has ended")
+	errNotServed      = errors.New("RPC was not served")
+	errPushedBack     = errors.New("RPC was pushed back")
+	errConnectionLost = errors.New("connection ended before the reply")
 )
 
 const (
-	maxParallelConnects  = 64
-	connectTimeout = 10 * time.Second
-	replyTimeout  = 20 * time.Second
-	rpcDeadline    = 2 * time.Second // told to the app server; answers are waited for longer
+	maxParallelConnects = 64
+	connectTimeout      = 10 * time.Second
+	replyTimeout        = 20 * time.Second
+	rpcDeadline         = 2 * time.Second // sent to the app server; the load waits longer for replies
 )
 
-func newFrameLoad(address string, check *rig.Checker, routes int, prefix string) *frameLoad {
-	return &frameLoad{address: address, checker: check, routes: routes, prefix: prefix}
+// newFrameLoad returns a load without connections.
+func newFrameLoad(address string, checker *rig.Checker, routes int, prefix string) *frameLoad {
+	return &frameLoad{address: address, checker: checker, routes: routes, prefix: prefix}
 }
 
-// connect opens connections until there are n, each with a health check: the app server closes those that say nothing.
-func (l *frameLoad) connect(n int) error {
+// connect opens connections until there are count of them, each with a health check, as the app server closes connections that
+// send nothing.
+func (l *frameLoad) connect(count int) error {
 	first := len(l.conns)
-	l.conns = append(l.conns, make([]*frameConn, max(n-first, 0))...)
+	l.conns = append(l.conns, make([]*frameConn, max(count-first, 0))...)
 	slots := make(chan int, len(l.conns)-first)
 	for k := first; k < len(l.conns); k++ {
 		slots <- k
@@ -81,26 +83,27 @@
 	})
 }
 
-// open makes connection k.
+// open opens connection k and waits for the reply to its health check.
 func (l *frameLoad) open(k int) error {
-	nc, err := net.DialTimeout("tcp", l.address, connectTimeout)
+	conn, err := net.DialTimeout("tcp", l.address, connectTimeout)
 	if err != nil {
 		return err
 	}
-	c := &frameConn{Conn: nc, load: l, caller: k, sentAt: map[int32]time.Time{}, ready: make(chan struct{}), sequence: 1}
+	c := &frameConn{Conn: conn, load: l, caller: k, sentAt: map[int32]time.Time{}, ready: make(chan struct{}), sequence: 1}
 	l.conns[k] = c
 	go c.readReplies()
-	if _, err := nc.Write(thrift.Check(nil, 1)); err != nil {
+	if _, err := conn.Write(thrift.Check(nil, 1)); err != nil {
 		return err
 	}
 	select {
 	case <-c.ready:
 		return nil
 	case <-time.After(connectTimeout):
-		return fmt.Errorf("health check: %w", errTimeout)
+		return fmt.Errorf("reply to the health check: %w", errTimeout)
 	}
 }
 
+// close closes all connections.
 func (l *frameLoad) close() {
 	for _, c := range l.conns {
 		if c != nil {
@@ -109,7 +112,7 @@
 	}
 }
 
-// executeOnEach has one RPC served on each connection, a hundred at a time.
+// executeOnEach has one RPC served on each connection, a hundred at a time, and drops their latencies.
 func (l *frameLoad) executeOnEach() error {
 	const atOnce = 100
 	for batch := range slices.Chunk(l.conns, atOnce) {
@@ -124,18 +127,18 @@
 	return nil
 }
 
-// run sends so many RPCs a second for a time, over connections and to routes by chance, waits for the answers, and gives
-// how long they took.
-func (l *frameLoad) run(rate float64, length time.Duration, seed uint64) ([]float64, error) {
-	chance := rand.New(rand.NewPCG(seed, uint64(rate)))
-	begin, at := time.Now(), 0.0
+// run sends RPCs at the given mean rate per second for the duration, over random connections and to random routes. It waits for
+// the replies and returns the latencies in seconds.
+func (l *frameLoad) run(rate float64, duration time.Duration, seed uint64) ([]float64, error) {
+	random := rand.New(rand.NewPCG(seed, uint64(rate)))
+	start, offset := time.Now(), 0.0
 	for {
-		at += chance.ExpFloat64() / rate
-		if at >= length.Seconds() {
+		offset += random.ExpFloat64() / rate
+		if offset >= duration.Seconds() {
 			break
 		}
-		time.Sleep(time.Until(begin.Add(time.Duration(at * float64(time.Second)))))
-		l.conns[chance.IntN(len(l.conns))].send(chance.IntN(l.routes))
+		time.Sleep(time.Until(start.Add(time.Duration(offset * float64(time.Second)))))
+		l.conns[random.IntN(len(l.conns))].send(random.IntN(l.routes))
 	}
 	if err := l.wait(); err != nil {
 		return nil, err
@@ -143,7 +146,7 @@
 	return l.takeLatencies(), nil
 }
 
-// wait waits until all that was sent has an outcome.
+// wait waits until every RPC sent so far has an outcome, and returns an error if one failed.
 func (l *frameLoad) wait() error {
 	done := make(chan struct{})
 	go func() {
@@ -153,26 +156,26 @@
 	select {
 	case <-done:
 	case <-time.After(replyTimeout):
-		return fmt.Errorf("answers: %w", errTimeout)
+		return fmt.Errorf("replies to RPCs: %w", errTimeout)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failed > 0 {
-		return fmt.Errorf("%d of %d: %w", l.failed, l.sent, l.failure)
+		return fmt.Errorf("%d of %d RPCs failed, the first with: %w", l.failed, l.sent, l.failure)
 	}
 	return nil
 }
 
-// takeLatencies gives the latencies so far and begins anew.
+// takeLatencies returns the latencies collected since the last call.
 func (l *frameLoad) takeLatencies() []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := l.latencies
+	latencies := l.latencies
 	l.latencies = nil
-	return all
+	return latencies
 }
 
-// nextName gives the next RPC's.
+// nextName returns the name of the next RPC.
 func (l *frameLoad) nextName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,7 +183,7 @@
 	return fmt.Sprintf("%s-%d", l.prefix, l.sent)
 }
 
-// recordOutcome takes in the outcome of an RPC.
+// recordOutcome records the outcome of one RPC.
 func (l *frameLoad) recordOutcome(latency time.Duration, failure error) {
 	l.mu.Lock()
 	switch {
@@ -196,7 +199,7 @@
 	l.pending.Done()
 }
 
-// send writes one RPC.
+// send writes one RPC. It also records an outcome if the connection has ended or the write fails.
 func (c *frameConn) send(route int) {
 	id := c.load.nextName()
 	if c.load.checker != nil {
@@ -211,8 +214,8 @@
 	}
 	c.sequence++
 	now := time.Now()
-	frame := thrift.Execute(nil, c.sequence, routeName(route), fmt.Sprintf("%016x", rand.Uint64()), c.caller, float64(now.UnixMilli())/1000, rpcDeadline.Seconds(),
-		1, 0.5, false, "", "", rig.EncodeBody(id, 0))
+	frame := thrift.Execute(nil, c.sequence, routeName(route), fmt.Sprintf("%016x", rand.Uint64()), c.caller,
+		float64(now.UnixMilli())/1000, rpcDeadline.Seconds(), 1, 0.5, false, "", "", rig.EncodeBody(id, 0))
 	c.sentAt[c.sequence] = time.Now()
 	if _, err := c.Write(frame); err != nil {
 		delete(c.sentAt, c.sequence)
@@ -220,43 +223,43 @@
 	}
 }
 
-// readReplies takes in answers until the connection ends.
+// readReplies handles replies until the connection ends.
 func (c *frameConn) readReplies() {
 	rig.ReadReplies(c, c)
 	c.failPending()
 }
 
-// failPending ends the connection and all that waits on it.
+// failPending closes the connection and fails all RPCs that wait for a reply on it.
 func (c *frameConn) failPending() {
 	c.Close()
 	c.mu.Lock()
-	waiting := len(c.sentAt)
+	pending := len(c.sentAt)
 	c.sentAt = nil
 	c.mu.Unlock()
-	for range waiting {
+	for range pending {
 		c.load.recordOutcome(0, errConnectionLost)
 	}
 }
 
-// finish takes in the answer to an RPC.
-func (c *frameConn) finish(seq int32, failure error) {
+// finish records the reply to an RPC, unless that already has an outcome.
+func (c *frameConn) finish(sequence int32, failure error) {
 	now := time.Now()
 	c.mu.Lock()
-	began, waits := c.sentAt[seq]
-	delete(c.sentAt, seq)
+	sentAt, pending := c.sentAt[sequence]
+	delete(c.sentAt, sequence)
 	c.mu.Unlock()
-	if waits {
-		c.load.recordOutcome(now.Sub(began), failure)
+	if pending {
+		c.load.recordOutcome(now.Sub(sentAt), failure)
 	}
 }
 
-// Served, PushedBack, Aborted, Checked and Draining are what the app server says.
-func (c *frameConn) Served(seq int32, _ []byte, _ float64) { c.finish(seq, nil) }
-func (c *frameConn) PushedBack(seq int32, _ bool, _, _ float64) {
-	c.finish(seq, errPushedBack)
+// Served, PushedBack, Aborted, Checked and Draining handle the replies of the app server.
+func (c *frameConn) Served(sequence int32, _ []byte, _ float64) { c.finish(sequence, nil) }
+func (c *frameConn) PushedBack(sequence int32, _ bool, _, _ float64) {
+	c.finish(sequence, errPushedBack)
 }
-func (c *frameConn) Aborted(seq int32, why string, _ float64) {
-	c.finish(seq, fmt.Errorf("%w: aborted %s", errNotServed, why))
+func (c *frameConn) Aborted(sequence int32, reason string, _ float64) {
+	c.finish(sequence, fmt.Errorf("%w: aborted %s", errNotServed, reason))
 }
 func (c *frameConn) Checked(int32, bool, float64) { close(c.ready) }
-func (c *frameConn) Draining()                    { /* a scale run closes its connections itself */ }
+func (c *frameConn) Draining()                    { /* the load closes its connections itself */ }
