--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -15,55 +15,56 @@
 	"valveglade/rig"
 )
 
-// scaledProgram is one real program under a configuration of some size, with stand-ins for its kernel and its roster. It
-// has one core, as on the platform.
+// scaledProgram is one real program with a configuration of some size, and stand-ins for its kernel and its roster. It has one
+// core, as on the platform.
 type scaledProgram struct {
 	*rig.Process
 	configuration configFile
 	directory     string
-	fileBytes     int // of its configuration
-	checker         *rig.Checker
+	fileBytes     int // size of its configuration
+	checker       *rig.Checker
 	kernel        *rig.Kernel
 	roster        net.PacketConn
-	logLines         chan logLine
-	startSeconds  float64 // from the exec to the first RPC served
+	logLines      chan logLine
+	startSeconds  float64 // from exec to the first RPC served
 }
 
-// logLine is a line that the program has logged, as far as measurements need it.
+// logLine holds the fields of a log line of the program that measurements need.
 type logLine struct {
 	Message string `json:"msg"`
 	Members int    `json:"members"`
 }
 
 const (
-	maxQueuedLogLines = 4096             // that wait to be read
-	startTimeout  = 60 * time.Second // for a configuration of the design size
-	reloadTimeout = 60 * time.Second
-	stopTimeout   = 5 * time.Second
-	checkerSlack = time.Second
-	ampleMemoryMB  = 4096 // MB: the collector is not pressed by the limit
-	kernelCores  = 64   // as in the configuration: many enough that no RPC waits for one
-	rosterReport = "HERE scaled on"
+	maxQueuedLogLines = 4096
+	startTimeout      = 60 * time.Second // for a configuration of the design size
+	reloadTimeout     = 60 * time.Second
+	stopTimeout       = 5 * time.Second
+	checkerSlack      = time.Second
+	ampleMemoryMB     = 4096 // so large that the limit does not put pressure on the garbage collector
+	kernelCores       = 64   // as in the configuration; enough that no RPC waits for a core
+	rosterReport      = "HERE scaled on"
 )
 
-var errTimeout = errors.New("not seen in time")
+var errTimeout = errors.New("timed out")
 
-// startScaled starts a program with so many entries; directives are lines of its operators' file.
-func (p *experimentRun) startScaled(size configSize, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
+// startScaled starts a program with a configuration of the given size; directives are lines of its settings file. The caller
+// closes the program.
+func (run *experimentRun) startScaled(size configSize, memoryMB, sockets int, directives ...string) (*scaledProgram, error) {
 	s := &scaledProgram{checker: rig.NewChecker(checkerSlack), logLines: make(chan logLine, maxQueuedLogLines),
-		configuration: configFile{size: size, memoryMB: memoryMB, sockets: sockets, seed: p.Seed}}
+		configuration: configFile{size: size, memoryMB: memoryMB, sockets: sockets, seed: run.Seed}}
 	if err := s.prepare(); err != nil {
 		s.close()
 		return nil, err
 	}
-	if err := s.launch(p.Program, directives); err != nil {
+	if err := s.launch(run.Program, directives); err != nil {
 		s.close()
 		return nil, fmt.Errorf("%v: %w", size, err)
 	}
 	return s, nil
 }
 
-// prepare prepares the stand-ins and the configuration.
+// prepare starts the stand-ins and writes the configuration.
 func (s *scaledProgram) prepare() (err error) {
 	if s.directory, err = os.MkdirTemp("", "scale"); err != nil {
 		return err
@@ -82,7 +83,7 @@
 	return err
 }
 
-// freeAddress gives an address with a port that was free a moment ago.
+// freeAddress returns a loopback address whose port was free a moment ago.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +95,7 @@
 func (s *scaledProgram) configPath() string { return filepath.Join(s.directory, "config.json") }
 
 // launch starts the program and waits until it is on the roster and has served an RPC.
-func (s *scaledProgram) launch(program string, directives []string) error {
+func (s *scaledProgram) launch(binary string, directives []string) error {
 	var arguments []string
 	if len(directives) > 0 {
 		path := filepath.Join(s.directory, "valveglade.conf")
@@ -103,7 +104,7 @@
 		}
 		arguments = []string{"--settings", path}
 	}
-	command := exec.Command(program, arguments...)
+	command := exec.Command(binary, arguments...)
 	command.Env = append(os.Environ(), "GW_CONFIG="+s.configPath(), "GOMAXPROCS=1")
 	s.checker.ProcessStarted("scaled")
 	began := time.Now()
@@ -122,31 +123,31 @@
 	return nil
 }
 
-// queueLogLine takes note of a line of the log. It never waits.
+// queueLogLine queues a log line. It never blocks: a line that finds the queue full is dropped.
 func (s *scaledProgram) queueLogLine(line []byte) {
-	var l logLine
-	if json.Unmarshal(line, &l) != nil {
+	var entry logLine
+	if json.Unmarshal(line, &entry) != nil {
 		return
 	}
 	select {
-	case s.logLines <- l:
+	case s.logLines <- entry:
 	default:
 	}
 }
 
-// awaitRoster waits until the program reports itself as ready.
-func (s *scaledProgram) awaitRoster(until time.Time) error {
-	if err := s.roster.SetReadDeadline(until); err != nil {
+// awaitRoster waits until the program reports to the roster that it is ready.
+func (s *scaledProgram) awaitRoster(deadline time.Time) error {
+	if err := s.roster.SetReadDeadline(deadline); err != nil {
 		return err
 	}
 	for buffer := make([]byte, 256); ; {
-		n, _, err := s.roster.ReadFrom(buffer)
+		size, _, err := s.roster.ReadFrom(buffer)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return fmt.Errorf("report to the roster: %w", errTimeout)
+			return fmt.Errorf("waiting for the report to the roster: %w", errTimeout)
 		case err != nil:
 			return err
-		case bytes.Equal(buffer[:n], []byte(rosterReport)):
+		case bytes.Equal(buffer[:size], []byte(rosterReport)):
 			return nil
 		}
 	}
@@ -162,31 +163,31 @@
 	return load.executeOnEach()
 }
 
-// awaitLogLine waits for a line of the log.
-func (s *scaledProgram) awaitLogLine(within time.Duration, wanted func(l logLine) bool) error {
-	timeout := time.After(within)
+// awaitLogLine waits for a log line that matches. It discards the lines before it.
+func (s *scaledProgram) awaitLogLine(timeout time.Duration, matches func(entry logLine) bool) error {
+	expired := time.After(timeout)
 	for {
 		select {
-		case l := <-s.logLines:
-			if wanted(l) {
+		case entry := <-s.logLines:
+			if matches(entry) {
 				return nil
 			}
-		case <-timeout:
-			return fmt.Errorf("line of the log: %w: %.500s", errTimeout, s.Log())
+		case <-expired:
+			return fmt.Errorf("waiting for a log line: %w: %.500s", errTimeout, s.Log())
 		}
 	}
 }
 
-// changeCost is what the program spent on one change of its configuration.
+// changeCost holds what the program spent on one change of its configuration.
 type changeCost struct {
 	wallSeconds, cpuSeconds float64
-	peakBytes               float64 // resident, at the most
+	peakBytes               float64 // maximum resident memory
 }
 
-// collectionWait is for what the collector still does after a change has been taken in.
+// collectionWait is the time for the garbage collection that follows a change.
 const collectionWait = 50 * time.Millisecond
 
-// changeConfiguration has one entry changed, and waits until the program has taken it in.
+// changeConfiguration changes one entry and waits until the program has reloaded its configuration.
 func (s *scaledProgram) changeConfiguration() (cost changeCost, err error) {
 	s.configuration.generation++
 	if _, err := s.configuration.write(s.configPath()); err != nil {
@@ -195,28 +196,28 @@
 	if err := s.ResetPeakResident(); err != nil {
 		return cost, err
 	}
-	cpu, began := s.CPUTime(), time.Now()
+	cpuBefore, began := s.CPUTime(), time.Now()
 	s.Reload()
 	if err := s.awaitLogLine(reloadTimeout, isConfigReloaded); err != nil {
 		return cost, err
 	}
 	cost.wallSeconds = time.Since(began).Seconds()
 	time.Sleep(collectionWait)
-	cost.cpuSeconds = (s.CPUTime() - cpu).Seconds()
+	cost.cpuSeconds = (s.CPUTime() - cpuBefore).Seconds()
 	cost.peakBytes = float64(s.PeakResidentBytes())
 	return cost, nil
 }
 
-// isConfigReloaded tells whether a line says that a configuration has been taken in.
-func isConfigReloaded(l logLine) bool { return l.Message == "config reloaded" }
+// isConfigReloaded reports whether the line says that the program has reloaded its configuration.
+func isConfigReloaded(entry logLine) bool { return entry.Message == "config reloaded" }
 
-// violationCount are the rules that the program has broken.
+// violationCount returns the number of rules that the program has violated.
 func (s *scaledProgram) violationCount() int { return len(s.checker.Violations()) }
 
-// shutDown has the program shutDown the fleet and end by itself.
+// shutDown terminates the program, which leaves the fleet and exits by itself.
 func (s *scaledProgram) shutDown() error { return s.Terminate(stopTimeout) }
 
-// close ends all of it.
+// close kills the program, closes the stand-ins and removes the files.
 func (s *scaledProgram) close() {
 	if s.Process != nil {
 		s.Kill()
