--- a/client/peer_test.go
+++ b/client/peer_test.go
@@ -60,7 +60,7 @@
 				for worker := range 8 {
 					group.Go(func() {
 						for index := range 20 {
-							if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body(fmt.Sprint(worker, index), 0),
+							if _, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody(fmt.Sprint(worker, index), 0),
 								idempotent); err != nil {
 								t.Errorf("RPC %d %d: %v", worker, index, err)
 							}
@@ -76,16 +76,16 @@
 
 // After two answers to one RPC, the caller gets the first, and the second closes the connection.
 func TestDuplicateAnswer(t *testing.T) {
-	stub := must(rig.NewStub(func(message rig.Heard, out []byte) []byte {
-		if message.CheckOnly {
+	stub := must(rig.NewStub(func(message rig.ReceivedRequest, out []byte) []byte {
+		if message.HealthCheck {
 			return thrift.Checked(out, message.Seq, true, 100)
 		}
-		return thrift.Aborted(thrift.Served(out, message.Seq, rig.Answer(message.ID), 100), message.Seq, 100)
+		return thrift.Aborted(thrift.Served(out, message.Seq, rig.RunResult(message.ID), 100), message.Seq, 100)
 	}))
 	defer stub.Close()
 	c := must(client.Dial(stub.Address()))
 	defer c.Close()
-	if _, err := c.Call(withTimeout(testTimeout), "m", rig.Body("x", 0)); err != nil {
+	if _, err := c.Call(withTimeout(testTimeout), "m", rig.EncodeBody("x", 0)); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the connection is closed", func() bool { return c.Counts().Lost == 1 })
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -15,60 +15,62 @@
 	"valveglade/rpc"
 )
 
-// Figures of the load of a trial.
+// Parameters of the load of a trial.
 const (
-	trialFar    = time.Hour              // an answer is due then where neither the RPC nor its method says when
-	trialSpread = 50 * time.Millisecond  // between the first try and a second copy, on the mean
-	trialStay   = 300 * time.Millisecond // kept to the end of a window for the rig's own lateness
-	trialRoomy  = 20                     // RPCs with room, of which some have to be served
+	unboundedWait = time.Hour              // caller's timeout where neither the RPC nor its method sets one
+	meanCopyDelay = 50 * time.Millisecond  // mean time between the first try and a second copy
+	windowMargin  = 300 * time.Millisecond // distance of retries from the end of the token window, for delays of the rig
+	minEasyRPCs   = 20                     // number of easy RPCs of which at least one has to be served
 )
 
-// trialMethod is one method as the load asks for it.
+// trialMethod is a method with the deadline and the token window of its settings.
 type trialMethod struct {
 	drawn.Method
 	deadline, window time.Duration
 }
 
-// trialCalls counts what became of the RPCs of one app server.
-type trialCalls struct {
-	mu     sync.Mutex
-	asked  int
-	ended  map[string]int
-	roomy  int // RPCs that an app server without trouble has room for
-	served int // of these
+// callOutcomes counts the outcomes of the RPCs of one app server.
+type callOutcomes struct {
+	mu       sync.Mutex
+	total    int
+	byResult map[string]int
+	easy     int // RPCs that an app server without faults can serve easily
+	served   int // easy RPCs that were served
 }
 
-// load asks for RPCs until ctx ends.
-func (s *trialServer) load(ctx context.Context) {
-	var all sync.WaitGroup
+// generateLoad sends RPCs until ctx ends.
+func (s *trialServer) generateLoad(ctx context.Context) {
+	var generators sync.WaitGroup
 	methods := s.methods()
 	for k, peer := range s.peers {
-		chance := rand.New(rand.NewPCG(s.drawn.Seed+uint64(s.number)<<32, uint64(k)))
-		rate := s.drawn.Load.Rate / float64(len(s.peers))
-		all.Go(func() {
-			var open sync.WaitGroup
-			defer open.Wait()
+		random := rand.New(rand.NewPCG(s.testCase.Seed+uint64(s.number)<<32, uint64(k)))
+		rate := s.testCase.Load.Rate / float64(len(s.peers))
+		generators.Go(func() {
+			var pending sync.WaitGroup
+			defer pending.Wait()
 			for n := 0; ctx.Err() == nil; n++ {
-				wait(ctx, seconds64(chance.ExpFloat64()/rate))
-				// Requests come once the app server has answered a health check. Nothing is written to a machine that stands still.
-				if s.probe.Ready().IsZero() || s.isPaused() {
+				sleepContext(ctx, secondsToDuration(random.ExpFloat64()/rate))
+				// Routers send requests only after the app server has answered a health check, and not while it is paused.
+				if s.probe.HealthyAt().IsZero() || s.isPaused() {
 					continue
 				}
-				call := s.newCall(peer, methods[chance.IntN(len(methods))], chance, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
-				open.Go(func() { call.play(ctx) })
+				call := s.newCall(peer, methods[random.IntN(len(methods))], random, fmt.Sprintf("%s-%d-%d", s.program.Name, k, n))
+				pending.Go(func() { call.execute(ctx) })
 			}
 		})
 	}
-	all.Wait()
+	generators.Wait()
 }
 
+// methods returns the methods of the settings, with times of at most unboundedWait.
 func (t *trial) methods() []trialMethod {
-	var all []trialMethod
-	for k, m := range t.drawn.Settings.Methods {
-		told := t.told.Settings.Profiles[k]
-		all = append(all, trialMethod{m, seconds64(min(told.DeadlineS, trialFar.Seconds())), seconds64(min(told.WindowS, trialFar.Seconds()))})
+	var methods []trialMethod
+	for k, method := range t.testCase.Settings.Methods {
+		decoded := t.decoded.Settings.Profiles[k]
+		methods = append(methods, trialMethod{method, secondsToDuration(min(decoded.DeadlineS, unboundedWait.Seconds())),
+			secondsToDuration(min(decoded.WindowS, unboundedWait.Seconds()))})
 	}
-	return all
+	return methods
 }
 
 func (s *trialServer) isPaused() bool {
@@ -77,208 +79,216 @@
 	return s.paused
 }
 
-// trialCall is one RPC of the load, over all its tries.
+// trialCall is one RPC of the load, with all its tries.
 type trialCall struct {
 	*trialServer
-	peer      *rig.Peer
-	method    trialMethod
-	id, token string
-	body      []byte
-	work      float64 // seconds on a core
-	result    []byte
-	fails     bool
-	patience  time.Duration // of its caller, where that is less than the method's deadline; 0 for as long
-	recv      time.Time
-	due       time.Time
-	goes      time.Duration // when its caller stops waiting, 0 for never
-	copyAfter time.Duration // when a second copy is sent, 0 for never
-	rank      float64
-	life      int64 // the number of kills at its first try
+	peer         *rig.Peer
+	method       trialMethod
+	id, token    string
+	body         []byte
+	work         float64 // seconds of processor time
+	result       []byte
+	fails        bool
+	ownTimeout   time.Duration // caller's timeout if shorter than the method's deadline; 0 if not
+	receivedAt   time.Time
+	deadline     time.Time
+	cancelAfter  time.Duration // delay until the caller cancels; 0 for never
+	copyAfter    time.Duration // delay until a second copy is sent; 0 for never
+	criticality  float64
+	killsAtStart int64 // kills of the app server before the first try
 
-	mu     sync.Mutex
-	closed bool // no further try is allowed
+	mu               sync.Mutex
+	retriesForbidden bool // a reply has excluded further tries
 }
 
-func (s *trialServer) newCall(peer *rig.Peer, m trialMethod, chance *rand.Rand, id string) *trialCall {
-	load := s.drawn.Load
-	if load.Fill > 0 {
-		id += "-" + strings.Repeat("x", load.Fill)
+// newCall draws an RPC of a method, to be sent through peer.
+func (s *trialServer) newCall(peer *rig.Peer, method trialMethod, random *rand.Rand, id string) *trialCall {
+	load := s.testCase.Load
+	if load.PaddingBytes > 0 {
+		id += "-" + strings.Repeat("x", load.PaddingBytes)
 	}
-	c := &trialCall{trialServer: s, peer: peer, method: m, id: id, rank: chance.Float64(), life: s.kills.Load()}
-	c.body = rig.Body(id, 0)
-	c.work = min(m.Work*chance.ExpFloat64(), 5*m.Work)
-	if load.Results > 0 {
-		c.result = bytes.Repeat([]byte(id[:1]), load.Results)
+	c := &trialCall{trialServer: s, peer: peer, method: method, id: id, criticality: random.Float64(), killsAtStart: s.kills.Load()}
+	c.body = rig.EncodeBody(id, 0)
+	c.work = min(method.Work*random.ExpFloat64(), 5*method.Work)
+	if load.ResultBytes > 0 {
+		c.result = bytes.Repeat([]byte(id[:1]), load.ResultBytes)
 		copy(c.result, id)
 	}
-	c.fails = chance.Float64() < load.Fails
-	if m.Effect == string(rpc.Tokened) {
-		c.token = fmt.Sprintf("%016x%016x", chance.Uint64(), chance.Uint64())
+	c.fails = random.Float64() < load.FailShare
+	if method.Effect == string(rpc.Tokened) {
+		c.token = fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
 	}
-	if chance.Float64() < load.Odd {
-		c.makeOdd(chance)
+	if random.Float64() < load.OddShare {
+		c.makeUnusual(random)
 	}
 	now := time.Now()
-	c.recv = now.Add(-seconds64(load.Stale * chance.Float64())).Truncate(time.Millisecond)
-	c.due = latest(c.recv.Add(c.waits()), now)
-	if chance.Float64() < load.Goes {
-		c.goes = time.Duration(chance.Float64() * float64(min(c.waits(), 2*time.Second)))
+	c.receivedAt = now.Add(-secondsToDuration(load.StaleSeconds * random.Float64())).Truncate(time.Millisecond)
+	c.deadline = laterOf(c.receivedAt.Add(c.timeout()), now)
+	if random.Float64() < load.AbandonShare {
+		c.cancelAfter = time.Duration(random.Float64() * float64(min(c.timeout(), 2*time.Second)))
 	}
-	if m.Effect != string(rpc.NonIdempotent) && chance.Float64() < load.Repeats {
-		c.copyAfter = 1 + time.Duration(chance.ExpFloat64()*float64(trialSpread))
+	if method.Effect != string(rpc.NonIdempotent) && random.Float64() < load.RepeatShare {
+		c.copyAfter = 1 + time.Duration(random.ExpFloat64()*float64(meanCopyDelay))
 	}
 	return c
 }
 
-// longestBody is the protocol's bound.
-const longestBody = 2048
+// maxBodyBytes is the protocol's limit for request bodies.
+const maxBodyBytes = 2048
 
-// makeOdd gives the RPC what few RPCs have: a body of any bytes, an impatient caller, or a token that RPCs of other methods carry too.
-func (c *trialCall) makeOdd(chance *rand.Rand) {
-	switch chance.IntN(3) {
+// makeUnusual gives the RPC a body of random bytes, a short timeout of its caller, or a token that RPCs of other methods carry
+// as well.
+func (c *trialCall) makeUnusual(random *rand.Rand) {
+	switch random.IntN(3) {
 	case 0:
-		c.body = make([]byte, pick(chance, []int{0, 1, chance.IntN(longestBody), longestBody}))
+		c.body = make([]byte, randomElement(random, []int{0, 1, random.IntN(maxBodyBytes), maxBodyBytes}))
 		for k := range c.body {
-			c.body[k] = byte(chance.Uint32())
+			c.body[k] = byte(random.Uint32())
 		}
 	case 1:
-		c.patience = max(time.Duration(chance.Float64()*float64(min(c.waits(), time.Second))), time.Millisecond)
-		c.due = latest(c.recv.Add(c.waits()), time.Now())
+		c.ownTimeout = max(time.Duration(random.Float64()*float64(min(c.timeout(), time.Second))), time.Millisecond)
+		c.deadline = laterOf(c.receivedAt.Add(c.timeout()), time.Now())
 	default:
-		c.token = fmt.Sprintf("%032x", chance.IntN(sharedTokens))
+		c.token = fmt.Sprintf("%032x", random.IntN(sharedTokenCount))
 		c.copyAfter = 0
 	}
 }
 
-// sharedTokens are tokens that RPCs of different methods carry.
-const sharedTokens = 10
+// sharedTokenCount is the number of tokens that RPCs of different methods share.
+const sharedTokenCount = 10
 
-func pick[T any](chance *rand.Rand, from []T) T { return from[chance.IntN(len(from))] }
+// randomElement returns an element of from, drawn uniformly.
+func randomElement[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
-// waits is how long its caller waits: as long as the method's deadline, where there is one.
-func (c *trialCall) waits() time.Duration {
-	if c.patience > 0 && c.told.PassesDeadline() {
-		return c.patience
+// timeout returns how long the caller waits: its own timeout if routers pass deadlines on, else the method's deadline if it
+// has one, else unboundedWait.
+func (c *trialCall) timeout() time.Duration {
+	if c.ownTimeout > 0 && c.decoded.PassesDeadline() {
+		return c.ownTimeout
 	}
 	if c.method.deadline > 0 {
 		return c.method.deadline
 	}
-	return trialFar
+	return unboundedWait
 }
 
-func (c *trialCall) try(again bool) rig.PeerTry {
-	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, Recv: c.recv, Waits: c.waits(), Criticality: c.rank,
-		Again: again, Work: c.work, Result: c.result, Fails: c.fails}
+// peerTry returns the try as the router sends it.
+func (c *trialCall) peerTry(isRetry bool) rig.PeerTry {
+	return rig.PeerTry{RPC: c.id, Method: c.method.Name, Token: c.token, Body: c.body, ReceivedAt: c.receivedAt,
+		Timeout: c.timeout(), Criticality: c.criticality, IsRetry: isRetry, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
-// play sends the RPC, and a copy where one is drawn, until it has its outcome or the trial ends.
-func (c *trialCall) play(ctx context.Context) {
-	var both sync.WaitGroup
+// execute sends the RPC, and a second copy if one is drawn, and waits until it has its outcome or the trial ends.
+func (c *trialCall) execute(ctx context.Context) {
+	var tries sync.WaitGroup
 	if c.copyAfter > 0 {
-		both.Go(func() {
-			wait(ctx, c.copyAfter)
-			if ctx.Err() == nil && c.mayRepeat() {
-				c.once(ctx, true)
+		tries.Go(func() {
+			sleepContext(ctx, c.copyAfter)
+			if ctx.Err() == nil && c.mayRetry() {
+				c.sendTry(ctx, true)
 			}
 		})
 	}
-	outcome, sent := c.once(ctx, false)
-	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.Crossed && c.mayRepeat() {
-		outcome, _ = c.once(ctx, true)
+	outcome, sent := c.sendTry(ctx, false)
+	if sent && errors.Is(outcome.Err, rig.ErrLost) && outcome.ClosedInFlight && c.mayRetry() {
+		outcome, _ = c.sendTry(ctx, true)
 	}
-	both.Wait()
-	c.calls.add(c, outcome, sent)
+	tries.Wait()
+	c.outcomes.record(c, outcome, sent)
 }
 
-// mayRepeat tells whether the RPC may be sent once more: its process still lives, and a token is still in its window.
-func (c *trialCall) mayRepeat() bool {
+// mayRetry reports whether the RPC may be sent again: no reply has excluded it, the app server's process has not been replaced,
+// the deadline has not passed, and a token is still within its window.
+func (c *trialCall) mayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.closed || c.life != c.kills.Load() || !now.Before(c.due) {
+	if c.retriesForbidden || c.killsAtStart != c.kills.Load() || !now.Before(c.deadline) {
 		return false
 	}
-	return c.token == "" || now.Before(c.recv.Add(c.method.window-trialStay))
+	return c.token == "" || now.Before(c.receivedAt.Add(c.method.window-windowMargin))
 }
 
-// once sends one try and waits for its outcome.
-func (c *trialCall) once(ctx context.Context, again bool) (rig.PeerOutcome, bool) {
-	call, err := c.peer.Send(c.try(again))
+// sendTry sends one try and waits for its outcome. It reports false if the try could not be sent.
+func (c *trialCall) sendTry(ctx context.Context, isRetry bool) (rig.PeerOutcome, bool) {
+	call, err := c.peer.Send(c.peerTry(isRetry))
 	if err != nil {
 		return rig.PeerOutcome{Err: err}, false
 	}
-	gone := make(<-chan time.Time)
-	if c.goes > 0 && !again {
-		timer := time.NewTimer(c.goes)
+	cancelTimer := make(<-chan time.Time)
+	if c.cancelAfter > 0 && !isRetry {
+		timer := time.NewTimer(c.cancelAfter)
 		defer timer.Stop()
-		gone = timer.C
+		cancelTimer = timer.C
 	}
 	for {
 		select {
-		case o := <-call.Done:
-			c.took(o)
-			return o, true
-		case <-gone:
-			call.GiveUp()
-			gone = nil
-		case <-ctx.Done(): // what is open is answered until the stop, and the checker sees it
+		case outcome := <-call.Done:
+			c.recordReply(outcome)
+			return outcome, true
+		case <-cancelTimer:
+			call.Cancel()
+			cancelTimer = nil
+		case <-ctx.Done(): // pending replies still come until the stop, and the checker sees them
 			return rig.PeerOutcome{Err: ctx.Err()}, true
 		}
 	}
 }
 
-// took hears what an answer says of further tries.
-func (c *trialCall) took(o rig.PeerOutcome) {
+// recordReply records whether a reply excludes further tries.
+func (c *trialCall) recordReply(outcome rig.PeerOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = c.closed || o.Last || o.After > 0 || o.Err == nil
+	c.retriesForbidden = c.retriesForbidden || outcome.NoRetry || outcome.RetryAfter > 0 || outcome.Err == nil
 }
 
-// add counts an RPC's outcome.
-func (t *trialCalls) add(c *trialCall, o rig.PeerOutcome, sent bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.ended == nil {
-		t.ended = map[string]int{}
+// record counts an RPC's outcome.
+func (o *callOutcomes) record(c *trialCall, outcome rig.PeerOutcome, sent bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.byResult == nil {
+		o.byResult = map[string]int{}
 	}
-	t.asked++
-	word := "served"
-	if o.Err != nil {
-		word = o.Err.Error()
+	o.total++
+	result := "served"
+	if outcome.Err != nil {
+		result = outcome.Err.Error()
 	}
-	t.ended[word]++
-	if sent && !errors.Is(o.Err, context.Canceled) && c.goes == 0 && !c.fails && c.hasRoom() {
-		t.roomy++
-		if o.Err == nil {
-			t.served++
+	o.byResult[result]++
+	if sent && !errors.Is(outcome.Err, context.Canceled) && c.cancelAfter == 0 && !c.fails && c.isEasy() {
+		o.easy++
+		if outcome.Err == nil {
+			o.served++
 		}
 	}
 }
 
-// hasRoom tells whether an app server without trouble can serve the RPC easily.
-func (c *trialCall) hasRoom() bool {
-	domain := c.told.Settings.Domain
-	work := 0.0
-	for _, m := range c.drawn.Settings.Methods {
-		work += m.Work / float64(len(c.drawn.Settings.Methods))
+// isEasy reports whether an app server without faults can serve the RPC easily.
+func (c *trialCall) isEasy() bool {
+	domain := c.decoded.Settings.Domain
+	meanWork := 0.0
+	for _, m := range c.testCase.Settings.Methods {
+		meanWork += m.Work / float64(len(c.testCase.Settings.Methods))
 	}
-	return c.waits() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls && domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
-		c.drawn.Load.Rate*work < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
+	return c.timeout() >= time.Second && c.method.Work <= 0.02 && !c.method.Calls &&
+		domain.MemoryKB >= 64000 && domain.RunFactor <= 4 &&
+		c.testCase.Load.Rate*meanWork < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
 }
 
-// judge finds app servers that serve nothing although they could.
-func (t *trialCalls) judge(s *trialServer) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !s.disturbed && t.roomy >= trialRoomy && t.served == 0 {
-		s.violate("rule 1: %s serves none of %d RPCs that it has room for: %v", s.program.Name, t.roomy, t.ended)
+// checkServed reports app servers that served no easy RPC although they had no fault, and those that answered no bad client.
+func (o *callOutcomes) checkServed(s *trialServer) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !s.hadFault && o.easy >= minEasyRPCs && o.served == 0 {
+		s.violate("rule 1: %s served none of %d RPCs that it has capacity for: %v", s.program.Name, o.easy, o.byResult)
 	}
-	if s.badTold == 0 && len(s.badIgnored) > 0 {
-		s.violate("rule 4: %s tells bad clients nothing: %v", s.program.Name, s.badIgnored)
+	if s.badClientsAnswered == 0 && len(s.badClientsIgnored) > 0 {
+		s.violate("rule 4: %s sent no reply to any bad client: %v", s.program.Name, s.badClientsIgnored)
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleepContext sleeps for d, or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -14,222 +14,232 @@
 	"valveglade/rig/drawn"
 )
 
-// trialServer is one app server of a trial, with its surroundings.
+// trialServer is one app server of a trial, with its stand-ins and the state of its process.
 type trialServer struct {
 	*trial
-	number  int
-	program *rig.Program
-	net     *rig.Net // between the routers and it
-	probe   *rig.HealthProbe
-	peers   []*rig.Peer
-	calls   trialCalls
-	kills   atomic.Int64 // processes that have ended: tokens do not outlive them
-
-	life       sync.Mutex // held while the process is started or ended
-	mu         sync.Mutex
-	launched   time.Time // zero while there is no process
-	excused    time.Time // until when it may be silent: it was stopped
-	paused     bool
-	leaving    bool // it has been told to
-	over       bool // it has taken more than its limits, which is said once
-	ready      bool // the probe has seen it ready
-	logs       string
-	linkFaults rig.LinkFaults
-	disturbed  bool     // a fault was inflicted on it
-	badTold    int      // bad clients that were told something
-	badIgnored []string // kinds of bad clients that were told nothing
-}
-
+	number   int
+	program  *rig.Program
+	proxy    *rig.FaultProxy // between the routers and the app server
+	probe    *rig.HealthProbe
+	peers    []*rig.Peer
+	outcomes callOutcomes
+	kills    atomic.Int64 // number of processes that have ended; tokens do not outlive their process
+
+	lifecycle          sync.Mutex // held while the process is started or ended
+	mu                 sync.Mutex
+	launchedAt         time.Time // zero while no process runs
+	excusedUntil       time.Time // time up to which missing answers are excused, because of a pause
+	paused             bool
+	leaving            bool // it is shutting down
+	limitReported      bool // a violation of its limits has been reported, which happens once
+	ready              bool // the probe has seen it healthy
+	logs               string
+	linkFaults         rig.LinkFaults
+	hadFault           bool     // a fault was applied to it
+	badClientsAnswered int      // messages of bad clients that got a reply
+	badClientsIgnored  []string // kinds of messages of bad clients that got no reply
+}
+
+// newServer creates an app server and its stand-ins, and does not start its process.
 func (t *trial) newServer(number int) (*trialServer, error) {
 	s := &trialServer{trial: t, number: number}
 	name := serverName(number)
-	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.p.Program, Args: t.p.programArgs, Site: t.site(), Kernel: t.kernel(number), Folder: t.folder,
+	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs,
+		Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
 		Roster: t.roster.Address(), Check: t.check, Config: s.config})
 	if err != nil {
 		return nil, err
 	}
 	s.program = program
 	s.probe = rig.NewHealthProbe(program.Address)
-	if s.net, err = rig.NewNet(name, program.Address, t.check); err != nil {
+	if s.proxy, err = rig.NewFaultProxy(name, program.Address, t.check); err != nil {
 		return nil, err
 	}
-	if t.drawn.Load.Pieces > 0 {
-		s.net.Pieces(t.drawn.Seed)
+	if t.testCase.Load.FragmentBytes > 0 {
+		s.proxy.FragmentWrites(t.testCase.Seed)
 	}
-	for k := range t.drawn.Load.Routers {
-		form := t.form()
+	for k := range t.testCase.Load.Routers {
+		options := t.peerOptions()
 		if k > 0 {
-			form.Pieces = 0
+			options.WriteSize = 0
 		}
-		s.peers = append(s.peers, rig.NewPeer(s.net.Address(), 10*number+k, form, t.catalog, t.drawn.Seed+uint64(number)<<32))
+		s.peers = append(s.peers, rig.NewPeer(s.proxy.Address(), 10*number+k, options, t.catalog, t.testCase.Seed+uint64(number)<<32))
 	}
 	return s, nil
 }
 
+// serverName returns the name of the app server of a number, counted from 0.
 func serverName(number int) string { return fmt.Sprintf("n%d", number+1) }
 
-// site is what the rig itself goes by.
-func (t *trial) site() rig.Site {
-	return rig.Site{MemoryMB: int(t.told.Limits.MemoryMB), Sockets: int(t.told.Limits.Sockets),
-		Stop: seconds64(t.told.StopMS / 1000), Grace: seconds64(t.told.Settings.Rules.StopSendingWithinS), OneCore: true}
+// siteSettings returns the settings of the site that the rig itself uses.
+func (t *trial) siteSettings() rig.Site {
+	return rig.Site{MemoryMB: int(t.decoded.Limits.MemoryMB), Sockets: int(t.decoded.Limits.Sockets),
+		StopTimeout: secondsToDuration(t.decoded.StopMS / 1000), GracePeriod: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS),
+		OneCore: true}
 }
 
-// form is how routers write under the settings.
-func (t *trial) form() rig.PeerForm {
-	return rig.PeerForm{PassesDeadline: t.told.PassesDeadline(), HangupSeen: t.told.HangupSeen(),
-		MarksRetry: t.told.Settings.Clients.MarksRetry, Tenants: len(t.told.Settings.Accounts), Pieces: t.drawn.Load.Pieces}
+// peerOptions returns how routers write under the settings.
+func (t *trial) peerOptions() rig.PeerOptions {
+	return rig.PeerOptions{PassesDeadline: t.decoded.PassesDeadline(), HangupSeen: t.decoded.HangupSeen(),
+		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.testCase.Load.FragmentBytes}
 }
 
+// config returns the configuration file of the program with its kernel's present address.
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
 
+// configFor returns the configuration file with the given kernel address.
 func (s *trialServer) configFor(kernel string) string {
-	return s.drawn.Settings.Config(drawn.Addresses{Name: s.program.Name, Listen: s.program.Address, Kernel: kernel, Roster: s.program.Roster()})
+	return s.testCase.Settings.Config(drawn.Addresses{Name: s.program.Name, Listen: s.program.Address, Kernel: kernel,
+		Roster: s.program.Roster()})
 }
 
 // launch starts the process.
 func (s *trialServer) launch() {
-	s.life.Lock()
-	defer s.life.Unlock()
-	s.begin()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
+	s.launchLocked()
 }
 
-// begin is launch under the lock of its life.
-func (s *trialServer) begin() {
+// launchLocked starts the process. The caller holds lifecycle.
+func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
-		s.check.Failed("%s cannot be started: %v", s.program.Name, err)
+		s.check.RigFailed("%s cannot be started: %v", s.program.Name, err)
 		return
 	}
-	s.probe.Begin()
+	s.probe.Restart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.launched, s.paused, s.leaving, s.excused, s.ready = time.Now(), false, false, time.Time{}, false
+	s.launchedAt, s.paused, s.leaving, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
 }
 
-// down notes that there is no process any more.
-func (s *trialServer) down() {
+// recordExit records that the process has ended, and keeps its log.
+func (s *trialServer) recordExit() {
 	s.kills.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.launched = time.Time{}
+	s.launchedAt = time.Time{}
 	s.logs = s.program.Log()
 }
 
-// watch looks whether the process answers health checks while it runs.
+// watch checks the process and records its waits for a core, until ctx ends.
 func (s *trialServer) watch(ctx context.Context) {
-	var waits []time.Duration // of the last second
+	var coreWaits []time.Duration // total waits, sampled over the last second
 	for ctx.Err() == nil {
-		s.look()
-		time.Sleep(lookEvery)
-		if waits = append(waits, s.program.Waited()); len(waits) > int(time.Second/lookEvery) {
-			waits = waits[1:]
+		s.checkProcess()
+		time.Sleep(watchInterval)
+		if coreWaits = append(coreWaits, s.program.RunnableWait()); len(coreWaits) > int(time.Second/watchInterval) {
+			coreWaits = coreWaits[1:]
 		}
-		s.noteWait(waits[len(waits)-1] - waits[0]) // below 0 over a restart
+		s.recordCoreWait(coreWaits[len(coreWaits)-1] - coreWaits[0]) // negative across a restart
 	}
 }
 
-// lookEvery is between two looks at a process.
-const lookEvery = 50 * time.Millisecond
+// watchInterval is the interval between two checks of a process.
+const watchInterval = 50 * time.Millisecond
 
-func (s *trialServer) look() {
+// checkProcess checks that a running process answers health checks and keeps its limits of memory and descriptors.
+func (s *trialServer) checkProcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.launched.IsZero() || s.paused || s.leaving || !s.program.Running() {
+	if s.launchedAt.IsZero() || s.paused || s.leaving || !s.program.Running() {
 		return
 	}
-	if ready := s.probe.Ready(); !s.ready && !ready.IsZero() {
+	if healthyAt := s.probe.HealthyAt(); !s.ready && !healthyAt.IsZero() {
 		s.ready = true
 	}
-	last := latest(latest(s.launched, s.excused), s.probe.Answered())
-	if silent := time.Since(last); silent > trialMute {
-		s.violate("rule 4: %s answers nobody for %.1f s", s.program.Name, silent.Seconds())
-		s.excused = time.Now().Add(time.Hour) // once is enough
+	lastAnswer := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastAnswerAt())
+	if silence := time.Since(lastAnswer); silence > maxHealthCheckGap {
+		s.violate("rule 4: %s answered no health check for %.1f s", s.program.Name, silence.Seconds())
+		s.excusedUntil = time.Now().Add(time.Hour) // report it only once
 	}
-	if takes, limit := s.program.Resident(), int64(s.told.Limits.MemoryMB)<<20; takes > limit && !s.over {
-		s.over = true
-		s.violate("rule 4: %s takes %d MB of %d", s.program.Name, takes>>20, limit>>20)
+	if memory, limit := s.program.ResidentBytes(), int64(s.decoded.Limits.MemoryMB)<<20; memory > limit && !s.limitReported {
+		s.limitReported = true
+		s.violate("rule 4: %s uses %d MB of memory, more than its limit of %d MB", s.program.Name, memory>>20, limit>>20)
 	}
-	if holds := s.program.Descriptors(); holds > int(s.told.Limits.Sockets) && !s.over {
-		s.over = true
-		s.violate("rule 4: %s holds %d descriptors of %d", s.program.Name, holds, int(s.told.Limits.Sockets))
+	if descriptors := s.program.Descriptors(); descriptors > int(s.decoded.Limits.Sockets) && !s.limitReported {
+		s.limitReported = true
+		s.violate("rule 4: %s holds %d descriptors, more than its limit of %d", s.program.Name, descriptors,
+			int(s.decoded.Limits.Sockets))
 	}
 }
 
-// rest waits until the app server owes nothing, and measures the processor time that it takes without work.
-func (s *trialServer) rest() {
+// checkAtRest measures the processor time that the app server uses without work, and reports a violation if it is too much.
+func (s *trialServer) checkAtRest() {
 	if !s.program.Running() {
 		return
 	}
 	var err error
-	for range 3 { // work that is left over may take one of them
-		if err = s.program.Resting(trialRest, trialIdle); err == nil {
+	for range 3 { // remaining work may take one of the attempts
+		if err = s.program.CheckIdle(restDuration, maxRestCPUShare); err == nil {
 			return
 		}
 	}
 	s.violate("rule 4: %s: %v", s.program.Name, err)
 }
 
-// stop tells the process to leave, and waits for its end.
+// stop shuts the process down, if it runs, and waits until it has ended.
 func (s *trialServer) stop() {
-	s.life.Lock()
-	defer s.life.Unlock()
+	s.lifecycle.Lock()
+	defer s.lifecycle.Unlock()
 	if !s.program.Running() {
-		s.down()
+		s.recordExit()
 		return
 	}
-	s.leave()
+	s.shutDown()
 }
 
-// leave has the process leave and waits for its end. Where that would take longer than a trial it is killed on its way.
-func (s *trialServer) leave() {
+// shutDown shuts the process down and waits until it has ended. If its stop time is longer than a trial waits, the process is
+// killed during the shutdown.
+func (s *trialServer) shutDown() {
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
-	if s.told.StopMS > longestStop.Seconds()*1000 {
-		s.program.Notice()
-		time.Sleep(longestStop / 4)
+	if s.decoded.StopMS > maxStopWait.Seconds()*1000 {
+		s.program.RequestShutdown()
+		time.Sleep(maxStopWait / 4)
 		s.program.Kill()
 	} else if err := s.program.Stop(); err != nil {
 		s.violate("rule 3: %v", err)
 	}
-	s.down()
+	s.recordExit()
 }
 
-// longestStop is the longest time to the stop that a trial waits for.
-const longestStop = 8 * time.Second
+// maxStopWait is the longest stop time that a trial waits for.
+const maxStopWait = 8 * time.Second
 
-// judge looks at the log and at what was served.
-func (s *trialServer) judge() {
-	if s.p.Logs != "" {
-		name := filepath.Join(s.p.Logs, fmt.Sprintf("%d-%s.log", s.drawn.Seed, s.program.Name))
+// checkLogAndLoad checks the log for crashes and the outcomes of the load. It saves the log if a directory for logs is set.
+func (s *trialServer) checkLogAndLoad() {
+	if s.run.Logs != "" {
+		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.testCase.Seed, s.program.Name))
 		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
-			s.p.say("%v", err)
+			s.run.printNote("%v", err)
 		}
 	}
-	for _, word := range []string{"panic:", "fatal error:", "DATA RACE"} {
-		if at := strings.Index(s.logs, word); at >= 0 {
-			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, word, s.logs[at:])
+	for _, marker := range []string{"panic:", "fatal error:", "DATA RACE"} {
+		if at := strings.Index(s.logs, marker); at >= 0 {
+			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, marker, s.logs[at:])
 			break
 		}
 	}
-	s.calls.judge(s)
+	s.outcomes.checkServed(s)
 }
 
-// lastWords are the last lines of what the process logged, for those who look into a trial.
-func (s *trialServer) lastWords() string {
+// logTail returns the last lines of the process's log, for the analysis of a trial.
+func (s *trialServer) logTail() string {
 	lines := strings.Split(strings.TrimSpace(s.logs), "\n")
-	return strings.Join(lines[max(len(lines)-lastLines, 0):], "\n")
+	return strings.Join(lines[max(len(lines)-logTailLines, 0):], "\n")
 }
 
-// lastLines are shown of a log.
-const lastLines = 3
+// logTailLines is the number of log lines that logTail returns.
+const logTailLines = 3
 
-// clear ends the process and what surrounds it.
-func (s *trialServer) clear() {
+// close ends the process and its stand-ins.
+func (s *trialServer) close() {
 	s.probe.Close()
 	for _, p := range s.peers {
 		p.Close()
 	}
-	s.net.Close()
+	s.proxy.Close()
 	if s.program.Running() {
 		s.program.Kill()
 	}
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -10,27 +10,27 @@
 	"valveglade/rig/drawn"
 )
 
-// casesAtOnce bounds the trials that tests play side by side.
-const casesAtOnce = 6
+// maxParallelTrials limits the trials that tests run in parallel.
+const maxParallelTrials = 6
 
-// atOnce holds a place for each trial that is played now.
-var atOnce = make(chan struct{}, casesAtOnce)
+// trialSlots holds an entry for each running trial.
+var trialSlots = make(chan struct{}, maxParallelTrials)
 
-// playCase plays one case with the program.
-func playCase(t *testing.T, c drawn.Case) *trialResult {
+// runCase runs one case with the program.
+func runCase(t *testing.T, c drawn.Case) *trialResult {
 	t.Helper()
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
+	trialSlots <- struct{}{}
+	defer func() { <-trialSlots }()
 	var out bytes.Buffer
-	p := &play{Seed: c.Seed, Program: program, rehearse: rehearse, brief: true, out: &out}
-	r, err := p.steadyTrial(c)
+	run := &experimentRun{Seed: c.Seed, Program: programBinary, rehearseBinary: rehearseBinary, shortForm: true, output: &out}
+	result, err := run.runTrialWithRepeats(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// Each case that the search has found to fail once keeps the rules.
+// Each case that once failed in the search keeps the rules.
 func TestFaultCases(t *testing.T) {
 	names, err := filepath.Glob("testdata/faults/*.json")
 	if err != nil || len(names) == 0 {
@@ -43,24 +43,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c, err := drawn.Read(string(text))
+			c, err := drawn.ParseCase(string(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, v := range playCase(t, c).violations {
+			for _, v := range runCase(t, c).violations {
 				t.Errorf("%.500s", v)
 			}
 		})
 	}
 }
 
-// Some cases of the search, always the same, keep the rules.
+// A few cases of the search with fixed seeds keep the rules.
 func TestFaults(t *testing.T) {
-	for seed := range uint64(faultTrialsBrief) {
+	for seed := range uint64(faultTrialsShort) {
 		c := drawn.Draw(seed)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			for _, v := range playCase(t, c).violations {
+			for _, v := range runCase(t, c).violations {
 				t.Errorf("%.500s", v)
 			}
 			if t.Failed() {
@@ -70,24 +70,26 @@
 	}
 }
 
-// What is planted in a program is found, and nothing where nothing is.
-func TestFaultsPlanted(t *testing.T) {
-	for _, plant := range append([]plantedFault{{name: plantNothing}}, plantedFaults...) {
-		t.Run(plant.name, func(t *testing.T) {
+// The search finds each injected fault, and no violation in a program without one.
+// It guards against a checker that misses faults.
+func TestFaultsInjected(t *testing.T) {
+	for _, fault := range append([]injectedFault{{name: injectNothing}}, injectedFaults...) {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			atOnce <- struct{}{}
-			defer func() { <-atOnce }()
-			p := &play{Seed: 1, Program: program, rehearse: rehearse, brief: true, out: &bytes.Buffer{}}
-			r, err := p.playPlant(plant.name, p.Seed)
+			trialSlots <- struct{}{}
+			defer func() { <-trialSlots }()
+			run := &experimentRun{Seed: 1, Program: programBinary, rehearseBinary: rehearseBinary,
+				shortForm: true, output: &bytes.Buffer{}}
+			result, err := run.runInjectedFault(fault.name, run.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if plant.name == plantNothing {
-				for _, v := range r.violations {
+			if fault.name == injectNothing {
+				for _, v := range result.violations {
 					t.Errorf("%.500s", v)
 				}
-			} else if !plant.in(r) {
-				t.Errorf("not found: %.500q", r.violations)
+			} else if !fault.foundIn(result) {
+				t.Errorf("not found: %.500q", result.violations)
 			}
 		})
 	}
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -17,82 +17,82 @@
 
 // Bounds of the restart experiment.
 const (
-	restartSockets   = 128                     // limits.sockets of each app server
-	restartExcess    = 16                      // idle clients over limits.sockets
-	restartReady     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
-	restartBack      = 3 * time.Second         // for a link or report after the other side's return
-	restartClients   = restartSockets * 5 / 4  // idle clients of each app server: some are between two connections
-	restartFlood     = 2                       // times as many idle clients at the app server that is flooded
-	restartPause     = 500 * time.Millisecond  // between an idle client's connections
-	restartFastPause = 200 * time.Millisecond  // between those of a flood
-	restartRate      = 15.0                    // RPCs per second of each caller
-	restartDeadline  = time.Second             // of an RPC
-	restartRetry     = 10 * time.Millisecond   // between a caller's tries
-	restartLateShare = 0.3                     // of kernels that are late
-	restartFull      = restartSockets * 9 / 10 // descriptors from which a table counts as full
+	restartSockets          = 128                     // limits.sockets of each app server
+	restartExcess           = 16                      // idle clients over limits.sockets
+	restartReadyTimeout     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
+	restartReconnectTimeout = 3 * time.Second         // for a kernel link or a report to the roster after the other side's return
+	restartIdleClients      = restartSockets * 5 / 4  // idle clients of each app server: some are between two connections
+	restartFloodFactor      = 2                       // times as many idle clients at the flooded app server
+	restartIdlePause        = 500 * time.Millisecond  // between an idle client's connections
+	restartFloodPause       = 200 * time.Millisecond  // between an idle client's connections in a flood
+	restartRate             = 15.0                    // RPCs per second of each caller
+	restartDeadline         = time.Second             // of an RPC
+	restartRetryDelay       = 10 * time.Millisecond   // between a caller's tries
+	restartLateKernelShare  = 0.3                     // share of kernels that are late
+	restartFullTable        = restartSockets * 9 / 10 // descriptors from which a descriptor table counts as full
 )
 
 // restartFleet is the fleet under test with its callers and idle clients.
 type restartFleet struct {
 	*rig.Fleet
-	check *rig.Checker
-	calls *callLog
-	load  sync.WaitGroup
-	stop  context.CancelFunc
-	idle  []*rig.IdleClients
-	kills atomic.Int64 // changes before and after each kill
+	check     *rig.Checker
+	calls     *callLog
+	load      sync.WaitGroup
+	stop      context.CancelFunc
+	idle      []*rig.IdleClients
+	killCount atomic.Int64 // incremented before and after each kill
 }
 
-// playRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
-// kills all of them and starts them again, some before their kernels are there.
-func playRestart(p *play) error {
+// runRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
+// kills all of them and starts them again, some before their kernels are available.
+func runRestart(run *experimentRun) error {
 	count := 20
-	if p.brief {
+	if run.shortForm {
 		count = 6
 	}
-	f, err := p.newRestartFleet(count)
+	f, err := run.newRestartFleet(count)
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	before := f.descriptors()
-	f.startLoad(p.Seed)
-	time.Sleep(p.span(time.Second))
+	before := f.awaitDescriptors()
+	f.startLoad(run.Seed)
+	time.Sleep(run.scaled(time.Second))
 
-	f.Roster.Down()
-	p.startIdle(f)
-	p.restartFill(f)
-	full := newTableWatch(f)
-	steady := f.window("full", func() { time.Sleep(p.span(6 * time.Second)) })
-	p.restartKernelOutage(f)
-	outcomes := []callWindow{steady}
-	after, err := p.restartAll(f)
+	f.Roster.Stop()
+	run.startIdle(f)
+	run.awaitFullTables(f)
+	sampler := startDescriptorSampler(f)
+	fullWindow := f.measureWindow("full", func() { time.Sleep(run.scaled(6 * time.Second)) })
+	run.runKernelOutage(f)
+	windows := []callWindow{fullWindow}
+	restartedWindow, err := run.restartAllServers(f)
 	if err != nil {
 		return err
 	}
-	outcomes = append(outcomes, after)
-	full.close(p)
-	for _, o := range outcomes {
-		p.restartAnswered(f, o)
+	windows = append(windows, restartedWindow)
+	sampler.close(run)
+	for _, w := range windows {
+		run.judgeAnswered(f, w)
 	}
 	f.stopIdle()
 	f.stopLoad()
-	p.restartLeftOver(f, before)
+	run.judgeDescriptorsLeftOver(f, before)
 	var violations violationLog
 	violations.collect(f.check)
 	for _, name := range []string{"turned.away", "crossed"} {
-		p.inform(name, float64(f.check.Count(name)))
+		run.report(name, float64(f.check.Count(name)))
 	}
-	violations.report(p)
+	violations.report(run)
 	return nil
 }
 
-func (p *play) newRestartFleet(count int) (*restartFleet, error) {
-	site := tillSite(4, 30)
+func (run *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
+	site := pressureMixSite(4, 30)
 	site.Sockets = restartSockets
-	check := rig.NewChecker(rigSlack)
-	check.ResendCrossed()
-	fleet, err := rig.NewFleet(p.Program, count, site, check)
+	check := rig.NewChecker(clusterSlack)
+	check.ExpectResendAfterClose()
+	fleet, err := rig.NewFleet(run.Program, count, site, check)
 	if err != nil {
 		return nil, err
 	}
@@ -105,34 +105,35 @@
 	f.Fleet.Close()
 }
 
-// descriptors counts those of each process once its kernel link and its reports are there.
-func (f *restartFleet) descriptors() []int {
-	for end := time.Now().Add(restartReady); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// awaitDescriptors returns the descriptor count of each process once the kernel link of each is up and the roster has its
+// report, or after restartReadyTimeout.
+func (f *restartFleet) awaitDescriptors() []int {
+	for end := time.Now().Add(restartReadyTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if !slices.ContainsFunc(f.Programs, func(s *rig.Program) bool {
-			_, heard := f.Roster.FirstHeard(s.Name)
-			return !heard || s.Kernel.LinkedAt().IsZero()
+			_, reported := f.Roster.FirstReported(s.Name)
+			return !reported || s.Kernel.LinkedAt().IsZero()
 		}) {
 			break
 		}
 	}
-	return f.count()
+	return f.countDescriptors()
 }
 
-func (f *restartFleet) count() []int {
-	var all []int
+func (f *restartFleet) countDescriptors() []int {
+	var counts []int
 	for _, s := range f.Programs {
-		all = append(all, s.Process.Descriptors())
+		counts = append(counts, s.Process.Descriptors())
 	}
-	return all
+	return counts
 }
 
-// startLoad gives each app server two callers: one keeps its connection, one connects for each RPC.
+// startLoad starts two callers for each app server: one keeps its connection, one connects for each RPC.
 func (f *restartFleet) startLoad(seed uint64) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	for k, s := range f.Programs {
 		for j := range 2 {
-			caller := &retryingCaller{source: 2*k + j + 1, address: f.Nets[k].Address(), fresh: j == 1, kills: &f.kills}
+			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), connectPerCall: j == 1, killCount: &f.killCount}
 			f.load.Go(func() {
 				defer caller.Close()
 				f.runLoad(ctx, s.Name, caller, seed+uint64(2*k+j)<<32)
@@ -142,8 +143,8 @@
 }
 
 func (f *restartFleet) runLoad(ctx context.Context, server string, caller *retryingCaller, seed uint64) {
-	load := rig.Load{Seed: seed, Length: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
-		Shares: till(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
+	load := rig.Load{Seed: seed, Duration: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
+		Shares: pressureMix(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
 	load.Run(ctx, f.check, recordingCaller{caller, f.calls, server})
 }
 
@@ -154,17 +155,17 @@
 	f.load.Wait()
 }
 
-// startIdle has idle clients hold the tables of all app servers, and flood one that is drawn from the seed: there new ones
-// arrive faster than those before them count as silent.
-func (p *play) startIdle(f *restartFleet) {
-	flooded := rand.New(rand.NewPCG(p.Seed, 3)).IntN(len(f.Programs))
-	p.say("%s is flooded", f.Programs[flooded].Name)
+// startIdle has idle clients fill the descriptors of all app servers, and flood one that is drawn from the seed: there new
+// connections arrive faster than earlier ones count as silent.
+func (run *experimentRun) startIdle(f *restartFleet) {
+	flooded := rand.New(rand.NewPCG(run.Seed, 3)).IntN(len(f.Programs))
+	run.printNote("%s is flooded", f.Programs[flooded].Name)
 	for k, s := range f.Programs {
-		clients, pause := restartClients, restartPause
+		clients, pause := restartIdleClients, restartIdlePause
 		if k == flooded {
-			clients, pause = restartFlood*restartClients, restartFastPause
+			clients, pause = restartFloodFactor*restartIdleClients, restartFloodPause
 		}
-		f.idle = append(f.idle, rig.NewIdleClients(s.Address, clients, pause, p.Seed+uint64(k)<<32))
+		f.idle = append(f.idle, rig.NewIdleClients(s.Address, clients, pause, run.Seed+uint64(k)<<32))
 	}
 }
 
@@ -175,108 +176,109 @@
 	f.idle = nil
 }
 
-// restartFill waits until each table of descriptors is full.
-func (p *play) restartFill(f *restartFleet) {
+// awaitFullTables waits until the descriptor table of each app server is full, and judges how long that took.
+func (run *experimentRun) awaitFullTables(f *restartFleet) {
 	began := time.Now()
 	for time.Since(began) < 5*time.Second {
-		if slices.Min(f.count()) >= restartFull {
+		if slices.Min(f.countDescriptors()) >= restartFullTable {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.atMost("full.after.s", time.Since(began).Seconds(), 4.9)
+	run.atMost("full.after.s", time.Since(began).Seconds(), 4.9)
 }
 
-// restartKernelOutage ends all kernel links, has reconnects refused for a while, and measures how long after the kernels'
-// return the links stand again.
-func (p *play) restartKernelOutage(f *restartFleet) {
+// runKernelOutage ends all kernel links, has reconnects refused for a while, and measures how long after the kernels'
+// return the links are up again.
+func (run *experimentRun) runKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
-		s.Kernel.Down()
+		s.Kernel.TakeDown()
 	}
-	f.window("kernel.out", func() { time.Sleep(p.span(2 * time.Second)) }).inform(p)
+	f.measureWindow("kernel.out", func() { time.Sleep(run.scaled(2 * time.Second)) }).report(run)
 	returned := time.Now()
 	for _, s := range f.Programs {
-		if err := s.Kernel.Return(); err != nil {
-			f.check.Failed("%v", err)
+		if err := s.Kernel.BringUp(); err != nil {
+			f.check.RigFailed("%v", err)
 		}
 	}
-	worst := 0.0
+	maxDelay := 0.0
 	for _, s := range f.Programs {
-		worst = max(worst, seconds(untilSet(2*restartBack, s.Kernel.LinkedAt), returned))
+		maxDelay = max(maxDelay, secondsAfter(awaitTime(2*restartReconnectTimeout, s.Kernel.LinkedAt), returned))
 	}
-	p.atMost("kernel.back.max.s", worst, restartBack.Seconds())
+	run.atMost("kernel.back.max.s", maxDelay, restartReconnectTimeout.Seconds())
 }
 
-// lateKernel is how one kernel is late for the restart of its app server.
+// lateKernel is a kernel that becomes available only some time after the restart of its app server.
 type lateKernel struct {
-	server   *rig.Program
-	by       time.Duration
-	withheld bool // its link is accepted and BOOTED held back; else connections are refused
+	server          *rig.Program
+	delay           time.Duration
+	withholdsBooted bool // the link is accepted and BOOTED withheld; else connections are refused
 }
 
-// drawLate chooses the late kernels; the last one is later than a process may take to be ready.
-func (p *play) drawLate(f *restartFleet) []lateKernel {
-	chance := rand.New(rand.NewPCG(p.Seed, 7))
-	count := max(2, int(restartLateShare*float64(len(f.Programs))))
+// drawLateKernels draws the late kernels; the last one is later than a process may take to be ready.
+func (run *experimentRun) drawLateKernels(f *restartFleet) []lateKernel {
+	random := rand.New(rand.NewPCG(run.Seed, 7))
+	count := max(2, int(restartLateKernelShare*float64(len(f.Programs))))
 	var late []lateKernel
-	for k, at := range chance.Perm(len(f.Programs))[:count] {
-		by := time.Duration((0.5 + 5.5*chance.Float64()) * float64(time.Second))
+	for k, index := range random.Perm(len(f.Programs))[:count] {
+		delay := time.Duration((0.5 + 5.5*random.Float64()) * float64(time.Second))
 		if k == count-1 {
-			by = restartReady + time.Second
+			delay = restartReadyTimeout + time.Second
 		}
-		late = append(late, lateKernel{f.Programs[at], p.span(by), k%2 == 0})
+		late = append(late, lateKernel{f.Programs[index], run.scaled(delay), k%2 == 0})
 	}
 	return late
 }
 
-// start makes the kernel late, before its app server is killed.
+// start makes the kernel unavailable, before its app server is killed.
 func (l lateKernel) start() {
-	if l.withheld {
-		l.server.Kernel.Withhold()
+	if l.withholdsBooted {
+		l.server.Kernel.WithholdNotices()
 	} else {
-		l.server.Kernel.Down()
+		l.server.Kernel.TakeDown()
 	}
 }
 
+// end makes the kernel available again.
 func (l lateKernel) end(check *rig.Checker) {
-	if l.withheld {
-		l.server.Kernel.Release()
-	} else if err := l.server.Kernel.Return(); err != nil {
-		check.Failed("%v", err)
+	if l.withholdsBooted {
+		l.server.Kernel.ReleaseNotices()
+	} else if err := l.server.Kernel.BringUp(); err != nil {
+		check.RigFailed("%v", err)
 	}
 }
 
-// restartAll kills all processes at once, starts them again, and judges when each is ready.
-func (p *play) restartAll(f *restartFleet) (callWindow, error) {
-	late := p.drawLate(f)
+// restartAllServers kills all processes at once, starts them again, and judges when each is ready.
+func (run *experimentRun) restartAllServers(f *restartFleet) (callWindow, error) {
+	late := run.drawLateKernels(f)
 	for _, l := range late {
 		l.start()
 	}
 	errs := make([]error, len(f.Programs))
 	var restarts sync.WaitGroup
-	f.kills.Add(1)
+	f.killCount.Add(1)
 	began := time.Now()
 	for k, s := range f.Programs {
 		restarts.Go(func() {
 			s.Kill()
-			f.kills.Add(1) // for what was asked for after the first count and before the kill
+			f.killCount.Add(1) // for the RPCs asked for after the first increment and before the kill
 			errs[k] = s.Start()
 		})
 	}
 	var returns sync.WaitGroup
 	judgedFrom := map[string]time.Time{}
 	for _, l := range late {
-		word := "refuses"
-		if l.withheld {
-			word = "accepts and withholds BOOTED"
+		mode := "refuses"
+		if l.withholdsBooted {
+			mode = "accepts and withholds BOOTED"
 		}
-		p.say("kernel of %s %s for %.1f s", l.server.Name, word, l.by.Seconds())
-		if l.by > p.span(restartReady) {
-			judgedFrom[l.server.Name] = began.Add(l.by)
-			p.say("%s is judged from its kernel's return", l.server.Name)
+		run.printNote("kernel of %s %s for %.1f s", l.server.Name, mode, l.delay.Seconds())
+		if l.delay > run.scaled(restartReadyTimeout) {
+			judgedFrom[l.server.Name] = began.Add(l.delay)
+			run.printNote("%s is judged from its kernel's return", l.server.Name)
 		}
 		returns.Go(func() {
-			time.Sleep(time.Until(began.Add(l.by)))
+			time.Sleep(time.Until(began.Add(l.delay)))
 			l.end(f.check)
 		})
 	}
@@ -284,95 +286,97 @@
 	if err := errors.Join(errs...); err != nil {
 		return callWindow{}, err
 	}
-	time.Sleep(time.Until(began.Add(p.span(4 * time.Second))))
+	time.Sleep(time.Until(began.Add(run.scaled(4 * time.Second))))
 	returned := time.Now()
-	if err := f.Roster.Return(); err != nil {
+	if err := f.Roster.Restart(); err != nil {
 		return callWindow{}, err
 	}
 	returns.Wait()
-	p.restartReady(f, began, returned, judgedFrom, late)
-	return f.window("restarted", func() { time.Sleep(p.span(6 * time.Second)) }), nil
+	run.judgeReadiness(f, began, returned, judgedFrom, late)
+	return f.measureWindow("restarted", func() { time.Sleep(run.scaled(6 * time.Second)) }), nil
 }
 
-// restartReady waits for each app server and judges the times. One is ready when its kernel link stands, the roster has
-// heard of it and it has served an RPC since its start.
-func (p *play) restartReady(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time, late []lateKernel) {
-	inTime, rosterWorst, linkWorst, slowest := 0, 0.0, 0.0, ""
-	var took []float64
+// judgeReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
+// received its report and it has served an RPC since its start.
+func (run *experimentRun) judgeReadiness(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time,
+	late []lateKernel) {
+	readyInTime, maxRosterDelay, maxLinkDelay, lastReported := 0, 0.0, 0.0, ""
+	var readyTimes []float64
 	for _, s := range f.Programs {
-		linked := untilSet(restartReady, s.Kernel.LinkedAt)
-		heard := untilSet(restartReady, func() time.Time { at, _ := f.Roster.FirstHeard(s.Name); return at })
-		served := untilSet(restartReady, func() time.Time { return f.calls.firstServed(s.Name, began) })
+		linked := awaitTime(restartReadyTimeout, s.Kernel.LinkedAt)
+		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstReported(s.Name); return at })
+		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(s.Name, began) })
 		from := began
 		if at, ok := judgedFrom[s.Name]; ok {
 			from = at
 		}
-		ready := max(seconds(linked, from), seconds(heard, from), seconds(served, from))
-		if ready <= restartReady.Seconds() {
-			inTime++
+		ready := max(secondsAfter(linked, from), secondsAfter(reported, from), secondsAfter(served, from))
+		if ready <= restartReadyTimeout.Seconds() {
+			readyInTime++
 		} else {
-			p.say("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, seconds(linked, from), seconds(heard, from),
-				seconds(served, from))
+			run.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, secondsAfter(linked, from),
+				secondsAfter(reported, from), secondsAfter(served, from))
 		}
-		took = append(took, ready)
-		reportable := rosterBack
+		readyTimes = append(readyTimes, ready)
+		reportableFrom := rosterBack
 		for _, l := range late {
 			if l.server == s {
-				linkWorst = max(linkWorst, seconds(linked, began.Add(l.by)))
-				reportable = latest(reportable, began.Add(l.by))
+				maxLinkDelay = max(maxLinkDelay, secondsAfter(linked, began.Add(l.delay)))
+				reportableFrom = laterOf(reportableFrom, began.Add(l.delay))
 			}
 		}
-		if back := seconds(heard, reportable); back > rosterWorst {
-			rosterWorst, slowest = back, s.Name
+		if delay := secondsAfter(reported, reportableFrom); delay > maxRosterDelay {
+			maxRosterDelay, lastReported = delay, s.Name
 		}
 	}
-	p.atLeast("ready.within.10s", float64(inTime)/float64(len(f.Programs)), 0.9)
-	p.inform("ready.median.s", quantile(took, 0.5))
-	p.inform("ready.max.s", slices.Max(took))
-	p.atMost("kernel.late.back.max.s", linkWorst, restartBack.Seconds())
-	p.atMost("roster.back.max.s", rosterWorst, restartBack.Seconds())
-	p.say("last on the roster: %s", slowest)
+	run.atLeast("ready.within.10s", float64(readyInTime)/float64(len(f.Programs)), 0.9)
+	run.report("ready.median.s", quantile(readyTimes, 0.5))
+	run.report("ready.max.s", slices.Max(readyTimes))
+	run.atMost("kernel.late.back.max.s", maxLinkDelay, restartReconnectTimeout.Seconds())
+	run.atMost("roster.back.max.s", maxRosterDelay, restartReconnectTimeout.Seconds())
+	run.printNote("last on the roster: %s", lastReported)
 }
 
-// restartAnswered judges the RPCs of one window.
-func (p *play) restartAnswered(f *restartFleet, w callWindow) {
-	p.atLeast("answered."+w.name, w.answeredShare(), 0.99)
-	w.inform(p)
+// judgeAnswered judges the RPCs of one window.
+func (run *experimentRun) judgeAnswered(f *restartFleet, w callWindow) {
+	run.atLeast("answered."+w.name, w.answeredShare(), 0.99)
+	w.report(run)
 	if len(w.failures) > 0 {
-		p.say("unanswered while %s: %s", w.name, strings.Join(w.failures[:min(len(w.failures), 5)], "; "))
+		run.printNote("unanswered while %s: %s", w.name, strings.Join(w.failures[:min(len(w.failures), 5)], "; "))
 	}
 }
 
-// restartLeftOver judges the descriptors once all clients have left.
-func (p *play) restartLeftOver(f *restartFleet, before []int) {
-	over := math.MaxInt
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && over > 0; time.Sleep(50 * time.Millisecond) {
-		over = math.MinInt
-		for k, n := range f.count() {
-			over = max(over, n-before[k])
+// judgeDescriptorsLeftOver compares the descriptor counts with those before, once all clients have left.
+func (run *experimentRun) judgeDescriptorsLeftOver(f *restartFleet, before []int) {
+	maxExcess := math.MaxInt
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && maxExcess > 0; time.Sleep(50 * time.Millisecond) {
+		maxExcess = math.MinInt
+		for k, n := range f.countDescriptors() {
+			maxExcess = max(maxExcess, n-before[k])
 		}
 	}
-	p.inform("descriptors.before", float64(slices.Max(before)))
-	p.atMost("descriptors.left.over", float64(over), 0)
+	run.report("descriptors.before", float64(slices.Max(before)))
+	run.atMost("descriptors.left.over", float64(maxExcess), 0)
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// seconds is how long after from something happened; +Inf if it never did.
-func seconds(at, from time.Time) float64 {
+// secondsAfter returns the seconds between from and at, or +Inf if at is zero.
+func secondsAfter(at, from time.Time) float64 {
 	if at.IsZero() {
 		return math.Inf(1)
 	}
 	return at.Sub(from).Seconds()
 }
 
-// untilSet polls a time until it is set; zero if it is not within the span.
-func untilSet(within time.Duration, read func() time.Time) time.Time {
+// awaitTime polls read until it returns a time other than zero, and returns the zero time if that takes longer
+// than within.
+func awaitTime(within time.Duration, read func() time.Time) time.Time {
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		if at := read(); !at.IsZero() || time.Now().After(end) {
 			return at
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -12,13 +12,13 @@
 	"valveglade/rig"
 )
 
-// retryingCaller calls one app server as a router does: what has no answer because the connection was refused or ended is
-// sent again until its deadline. A tokened RPC is not sent again after a kill: its app server's tokens are gone with the process.
+// retryingCaller calls one app server as a router does: an RPC that got no reply because the connection was refused or ended
+// is retried until its deadline. A tokened RPC is not retried after a kill: the app server's tokens are lost with the process.
 type retryingCaller struct {
-	source  int
-	address string
-	fresh   bool // a connection for each RPC
-	kills   *atomic.Int64
+	source         int
+	address        string
+	connectPerCall bool // opens a connection for each RPC
+	killCount      *atomic.Int64
 
 	mu     sync.Mutex
 	router *rig.Router
@@ -26,26 +26,26 @@
 
 // Call implements rig.Caller.
 func (c *retryingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	kills := c.kills.Load()
+	kills := c.killCount.Load()
 	for {
 		router, done := c.connection()
 		result, err := router.Call(ctx, method, token, criticality, body)
 		done()
 		if err == nil || errors.Is(err, rig.ErrPushedBack) || errors.Is(err, rig.ErrAborted) || ctx.Err() != nil ||
-			token != "" && c.kills.Load() != kills {
+			token != "" && c.killCount.Load() != kills {
 			return result, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(restartRetry):
+		case <-time.After(restartRetryDelay):
 		}
 	}
 }
 
-// connection gives the router to call through, and what to do after the call.
+// connection returns the router to call through, and the function to run after the call.
 func (c *retryingCaller) connection() (router *rig.Router, done func()) {
-	if c.fresh {
+	if c.connectPerCall {
 		router = rig.NewRouter(c.source, c.address)
 		return router, func() { router.Close() }
 	}
@@ -69,18 +69,18 @@
 
 // callRecord is one RPC from its first try to its end.
 type callRecord struct {
-	server       string
-	fresh        bool
-	asked, ended time.Time
-	err          error
+	server        string
+	newConnection bool
+	asked, ended  time.Time
+	err           error
 }
 
-// answered tells whether the RPC had a final answer of the app server by its deadline.
+// answered reports whether the RPC had a reply of the app server by its deadline.
 func (r callRecord) answered() bool {
 	return r.err == nil || errors.Is(r.err, rig.ErrPushedBack) || errors.Is(r.err, rig.ErrAborted)
 }
 
-// callLog keeps the records of all callers. It is safe for use by many goroutines.
+// callLog holds the records of all callers. It is safe for concurrent use.
 type callLog struct {
 	mu      sync.Mutex
 	records []callRecord
@@ -94,7 +94,7 @@
 	l.records = append(l.records, r)
 }
 
-// firstServed returns when an app server first served an RPC that was asked for since a time; the zero time if never.
+// firstServed returns when an app server first served an RPC that was asked for after since, or the zero time if never.
 func (l *callLog) firstServed(server string, since time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,14 +107,14 @@
 	return first
 }
 
-// between returns what was asked for from one time to another.
+// between returns the records of the RPCs that were asked for between two times.
 func (l *callLog) between(from, to time.Time) []callRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(l.records), func(r callRecord) bool { return r.asked.Before(from) || r.asked.After(to) })
 }
 
-// recordingCaller adds what becomes of each RPC to a log.
+// recordingCaller adds the result of each RPC to a log.
 type recordingCaller struct {
 	*retryingCaller
 	log    *callLog
@@ -125,19 +125,19 @@
 func (c recordingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	asked := time.Now()
 	result, err := c.retryingCaller.Call(ctx, method, token, criticality, body)
-	c.log.add(callRecord{c.server, c.fresh, asked, time.Now(), err})
+	c.log.add(callRecord{c.server, c.connectPerCall, asked, time.Now(), err})
 	return result, err
 }
 
-// callWindow is what became of the RPCs that were asked for during one part of the experiment.
+// callWindow holds the results of the RPCs that were asked for during one part of the experiment.
 type callWindow struct {
 	name                    string
 	asked, answered, served int
 	failures                []string
 }
 
-// window runs a part of the experiment, and waits until what was asked for in it has ended.
-func (f *restartFleet) window(name string, part func()) callWindow {
+// measureWindow runs a part of the experiment, and waits until the RPCs that were asked for in it have ended.
+func (f *restartFleet) measureWindow(name string, part func()) callWindow {
 	from := time.Now()
 	part()
 	to := time.Now()
@@ -151,7 +151,7 @@
 		if r.answered() {
 			w.answered++
 		} else {
-			w.failures = append(w.failures, fmt.Sprintf("%s new connection %v after %.2f s: %v", r.server, r.fresh,
+			w.failures = append(w.failures, fmt.Sprintf("%s new connection %v after %.2f s: %v", r.server, r.newConnection,
 				r.ended.Sub(r.asked).Seconds(), r.err))
 		}
 	}
@@ -160,53 +160,54 @@
 
 func (w callWindow) answeredShare() float64 { return float64(w.answered) / float64(w.asked) }
 
-// inform shows what is not judged.
-func (w callWindow) inform(p *play) {
-	p.inform("asked."+w.name, float64(w.asked))
-	p.inform("served."+w.name, float64(w.served)/float64(w.asked))
+// report reports the counts that have no bound.
+func (w callWindow) report(run *experimentRun) {
+	run.report("asked."+w.name, float64(w.asked))
+	run.report("served."+w.name, float64(w.served)/float64(w.asked))
 }
 
-// tableWatch samples the descriptors of the processes.
-type tableWatch struct {
-	fleet *restartFleet
-	end   chan struct{}
-	over  chan struct{}
-	most  int
-	seen  int // samples
-	full  int // of them with a full table
+// descriptorSampler samples the descriptor counts of the processes.
+type descriptorSampler struct {
+	fleet          *restartFleet
+	stop           chan struct{}
+	done           chan struct{}
+	maxDescriptors int
+	samples        int // of all processes
+	fullSamples    int // of samples, those with a full descriptor table
 }
 
-func newTableWatch(f *restartFleet) *tableWatch {
-	w := &tableWatch{fleet: f, end: make(chan struct{}), over: make(chan struct{})}
-	go w.run()
-	return w
+// startDescriptorSampler starts the sampling of a fleet; close ends it.
+func startDescriptorSampler(f *restartFleet) *descriptorSampler {
+	s := &descriptorSampler{fleet: f, stop: make(chan struct{}), done: make(chan struct{})}
+	go s.run()
+	return s
 }
 
-func (w *tableWatch) run() {
-	defer close(w.over)
+func (s *descriptorSampler) run() {
+	defer close(s.done)
 	for {
 		select {
-		case <-w.end:
+		case <-s.stop:
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
-		for _, n := range w.fleet.count() {
+		for _, n := range s.fleet.countDescriptors() {
 			if n == 0 {
-				continue // between two processes
+				continue // the process is killed and not yet started again
 			}
-			w.most = max(w.most, n)
-			w.seen++
-			if n >= restartFull {
-				w.full++
+			s.maxDescriptors = max(s.maxDescriptors, n)
+			s.samples++
+			if n >= restartFullTable {
+				s.fullSamples++
 			}
 		}
 	}
 }
 
-// close ends the sampling and gives its figures.
-func (w *tableWatch) close(p *play) {
-	close(w.end)
-	<-w.over
-	p.atMost("descriptors.most", float64(w.most), restartSockets)
-	p.atLeast("descriptors.full.share", float64(w.full)/float64(max(w.seen, 1)), 0.8)
+// close ends the sampling and judges its counts.
+func (s *descriptorSampler) close(run *experimentRun) {
+	close(s.stop)
+	<-s.done
+	run.atMost("descriptors.most", float64(s.maxDescriptors), restartSockets)
+	run.atLeast("descriptors.full.share", float64(s.fullSamples)/float64(max(s.samples, 1)), 0.8)
 }
--- a/fleet/share_cluster_test.go
+++ b/fleet/share_cluster_test.go
@@ -32,13 +32,13 @@
 	names := []string{"n1", "n2", "n3", "n4", "n5"}
 	c := &shareCluster{t: t, backend: rig.NewBackend(sharedLimit, "lookup")}
 	var err error
-	c.Cluster, err = rig.NewCluster(rig.Plan{Program: program, Names: names, Slack: time.Second, Seed: 1,
+	c.Cluster, err = rig.NewCluster(rig.ClusterConfig{Program: program, Names: names, Slack: time.Second, Seed: 1,
 		Backend: c.backend,
-		Laws: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
+		Settings: []string{"fleet.voters n1 n2 n3", "fleet.lease " + shareLease.String(),
 			fmt.Sprintf("fleet.share s %d lookup", sharedLimit),
 			"fleet.floor 1 " + strings.Join(names, " ")},
-		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, Stop: 2 * time.Second, Grace: time.Second, Callers: 1,
-			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), Target: 0.8, Deadline: 1, Criticality: 1}}}})
+		Site: rig.Site{Cores: 16, MemoryMB: 64, Sockets: 256, StopTimeout: 2 * time.Second, GracePeriod: time.Second, Callers: 1,
+			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.8, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,21 +48,21 @@
 		loads.Go(func() {
 			router := rig.NewRouter(index+1, c.Addresses(name)[0])
 			defer router.Close()
-			load := rig.Load{Seed: uint64(index), Length: 2 * time.Minute, Prefix: name + "-",
+			load := rig.Load{Seed: uint64(index), Duration: 2 * time.Minute, Prefix: name + "-",
 				Rate: func(float64) float64 { return 2 * sharedLimit / 0.1 / 5 },
-				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Part: 1,
+				Shares: []rig.Share{{Method: "lookup", Kind: rpc.Idempotent, Criticality: 1, Fraction: 1,
 					Work: 0.1, Deadline: time.Second}}}
-			load.Run(ctx, c.Check, router)
+			load.Run(ctx, c.Checker, router)
 		})
 	}
 	t.Cleanup(func() {
 		stop()
 		loads.Wait()
-		if exceeded := c.backend.Over(); exceeded > 0 {
+		if exceeded := c.backend.MaxExcess(); exceeded > 0 {
 			t.Errorf("the limit was exceeded by %d", exceeded)
 		}
-		c.Check.Finish()
-		for _, violation := range c.Check.Violations() {
+		c.Checker.Finish()
+		for _, violation := range c.Checker.Violations() {
 			t.Error(violation)
 		}
 		c.Close()
@@ -73,7 +73,7 @@
 
 func (c *shareCluster) run(script string) {
 	c.t.Helper()
-	if err := c.Run(script); err != nil {
+	if err := c.RunScriptText(script); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -81,10 +81,10 @@
 // waitForUse waits until a fraction of the limit is in use.
 func (c *shareCluster) waitForUse(fraction float64) {
 	c.t.Helper()
-	c.backend.Used()
-	if _, ok := c.Until(waitTimeout, func() bool {
+	c.backend.MeanRunning()
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		time.Sleep(200 * time.Millisecond)
-		return c.backend.Used() >= fraction*sharedLimit
+		return c.backend.MeanRunning() >= fraction*sharedLimit
 	}); !ok {
 		c.t.Fatalf("less than %g of the limit is in use", fraction)
 	}
@@ -93,7 +93,7 @@
 // allocator waits until a process other than the given one reports that it is the allocator, and returns its name.
 func (c *shareCluster) allocator(except string) (found string) {
 	c.t.Helper()
-	if _, ok := c.Until(waitTimeout, func() bool {
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
 		for _, name := range c.Names() {
 			table, err := exec.Command(program, "fleet", "shares", "--json", "--socket", c.Socket(name)).CombinedOutput()
 			if err == nil && name != except && strings.Contains(string(table), `"limit":`) {
@@ -161,7 +161,7 @@
 	c := newShareCluster(t)
 	replaceSetting := func(old, replacement string) {
 		for _, name := range c.Names() {
-			if err := c.Amend(name, func(settings string) string {
+			if err := c.EditSettings(name, func(settings string) string {
 				return strings.Replace(settings, old, replacement, 1)
 			}); err != nil {
 				t.Fatal(err)
@@ -170,19 +170,19 @@
 		}
 	}
 	replaceSetting("fleet.share s 12 ", "fleet.share s 7 ")
-	if _, ok := c.Until(waitTimeout, func() bool {
-		c.backend.Used()
+	if _, ok := c.WaitUntil(waitTimeout, func() bool {
+		c.backend.MeanRunning()
 		time.Sleep(300 * time.Millisecond)
-		return c.backend.Used() <= 7
+		return c.backend.MeanRunning() <= 7
 	}); !ok {
 		t.Error("the lower limit was not applied")
 	}
-	c.backend.Limit(7)
+	c.backend.SetLimit(7)
 	c.waitForUse(0.85 * 7 / sharedLimit)
-	if n := c.backend.Over(); n > 0 {
+	if n := c.backend.MaxExcess(); n > 0 {
 		t.Errorf("the lower limit was exceeded by %d", n)
 	}
-	c.backend.Limit(sharedLimit)
+	c.backend.SetLimit(sharedLimit)
 	replaceSetting("fleet.share s 7 ", "fleet.share s 12 ")
 	c.waitForUse(0.9)
 }
--- a/logic/owner/grant_test.go
+++ b/logic/owner/grant_test.go
@@ -266,8 +266,8 @@
 		s.requesters[k] = *NewRequester(Incarnation{fmt.Sprintf("a%d", k), 1}, "o", lease)
 		s.requesters[k].ObserveTerm(1)
 	}
-	return explore.World[*grantModel]{Begin: s, Acts: (*grantModel).actions, After: (*grantModel).apply,
-		Key: (*grantModel).key, Wrong: (*grantModel).violation, Tell: (*grantModel).describe}.Walk(maxStates)
+	return explore.Model[*grantModel]{Initial: s, Actions: (*grantModel).actions, Apply: (*grantModel).apply,
+		Key: (*grantModel).key, Violation: (*grantModel).violation, Describe: (*grantModel).describe}.Walk(maxStates)
 }
 
 var grantLease = Lease{Length: 1, Grace: 0.4, Drift: 0.3}
@@ -282,7 +282,7 @@
 	}
 	all := []bounds{{[2]int8{1, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 0}, {[2]int8{2, 1}, 5, 0, 0},
 		{[2]int8{2, 1}, 4, 1, 0}, {[2]int8{2, 1}, 4, 0, 1}}
-	if explore.Race {
+	if explore.RaceEnabled {
 		all = all[:1]
 	}
 	for _, one := range all {
@@ -290,8 +290,8 @@
 		r := exploreGrants(grantLease, one.requestsLeft, one.unitsLeft, one.duplicatesLeft,
 			one.restartsLeft, 4e6)
 		t.Logf("%+v: %d states, depth %d, %.1f s", one, r.States, r.Depth, time.Since(began).Seconds())
-		if r.Wrong != "" || !r.Complete {
-			t.Fatalf("%s (complete: %v)\n%s", r.Wrong, r.Complete, r.Trace)
+		if r.Violation != "" || !r.Complete {
+			t.Fatalf("%s (complete: %v)\n%s", r.Violation, r.Complete, r.Trace)
 		}
 	}
 }
@@ -300,14 +300,14 @@
 func TestDisabledGrantRules(t *testing.T) {
 	for _, rule := range []Rule{FromRequest, WaitForFormerGrants, LatestRequestOnly, GracePeriods,
 		TermMatch} {
-		if rule == TermMatch && explore.Race {
+		if rule == TermMatch && explore.RaceEnabled {
 			break // its violation takes long to find
 		}
 		lease := grantLease
 		lease.Disabled = rule
 		r := exploreGrants(lease, [2]int8{2, 1}, 4, 0, 0, 4e6)
-		t.Logf("rule %b disabled: %s after %d states\n%s", rule, r.Wrong, r.States, r.Trace)
-		if r.Wrong == "" {
+		t.Logf("rule %b disabled: %s after %d states\n%s", rule, r.Violation, r.States, r.Trace)
+		if r.Violation == "" {
 			t.Errorf("rule %b is disabled, and no violation is found", rule)
 		}
 	}
--- a/rig/check.go
+++ b/rig/check.go
@@ -9,150 +9,151 @@
 	"valveglade/rpc"
 )
 
-// Violation is one rule broken: 1 to 4 are the app server's, 5 is the caller's, 0 the rig's own fault.
+// Violation is one breach of a rule. Rules 1 to 4 bind app servers and rule 5 binds callers; 0 marks a failure of the rig itself.
 type Violation struct {
-	Rule int
-	What string
+	Rule        int
+	Description string
 }
 
-func (b Violation) String() string { return fmt.Sprintf("rule %d: %s", b.Rule, b.What) }
+func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Description) }
 
-// Checker watches everything that an experiment does and knows the rules. It is told by callers (Asked), by the
-// network (Try, Interrupted, Answered, Ended), by the kernels (Started) and by whoever starts and stops programs
-// (Up, Notice, Killed, Exited). It is safe for use by many goroutines.
+// Checker observes an experiment and records every violation of the rules. Callers report RPCs (RegisterRPC), the recording
+// proxies report traffic (TrySent, TryInterrupted, ReplyReceived, ConnectionEnded), the kernels report runs (RunStarted), and
+// the code that starts and stops programs reports process states (ProcessStarted, ShutdownRequested, ProcessKilled,
+// ProcessExited). It is safe for concurrent use.
 //
-// An RPC is excused from its final answer by its own caller's interrupt or end or by its not reading, by a reset on the
-// routers' side and by the kill of its process, and by nothing else: trouble of the kernel, of the roster or with other
-// clients excuses nothing. An app server that ends a connection has lost what was written on it and has no answer, on a new
-// connection too: it may have been read. What was provably never read is what could not be written, because the connection
-// was refused or was reset before the last byte of the request.
+// An RPC needs no reply if its own caller interrupted it, closed the connection or does not read, if the connection was reset
+// on the routers' side, or if its process was killed. Nothing else excuses a missing reply: not trouble of the kernel, of the
+// roster or with other clients. An app server that closes a connection loses every unanswered request written on it, on a new
+// connection too, because it may have read them. A request is known to be unread only if it could not be written, because the
+// connection was refused or was reset before the last byte of the request.
 type Checker struct {
-	mu         sync.Mutex
-	rpcs       map[string]*askedRPC
-	tries      map[*flow]map[int32]*tried // by connection and number, until the connection has ended
-	servers    map[string]*processState
-	violations []Violation
-	counts     map[string]int
-	slack      time.Duration
-	crossed    map[string]*tried // by RPC; nil unless ResendCrossed, see there
-	terms      *Terms            // nil unless Judge, see there
-}
-
-// askedRPC is one RPC, over all its tries.
-type askedRPC struct {
-	kind     rpc.Kind
-	deadline time.Time
-	tries    int
-	runs     int
-	sent     bool
-	last     bool      // refused, and no other try wished
-	until    time.Time // refused, and not before
-	ran      bool
-}
-
-// tried is one try on the wire.
-type tried struct {
-	id       string
-	server   string
-	at       time.Time
-	due      time.Time
-	answered bool
-	excused  bool     // interrupted, or its connection was ended by the caller or by us
-	late     bool     // may be answered late: its app server's process was stopped meanwhile
-	sent     *sentTry // nil unless Judge
-}
-
-// over reports whether no answer is owed any more.
-func (t *tried) over() bool { return t.answered || t.excused }
-
-// processState is one app server's.
+	mu           sync.Mutex
+	rpcs         map[string]*requestedRPC
+	tries        map[*proxiedConnection]map[int32]*tryState // by connection and sequence number, until the connection has ended
+	servers      map[string]*processState
+	violations   []Violation
+	counts       map[string]int
+	slack        time.Duration
+	crossedTries map[string]*tryState // by RPC; nil unless ExpectResendAfterClose was called
+	settings     *ServerSettings      // nil unless CheckServers was called
+}
+
+// requestedRPC is the state of one RPC over all its tries.
+type requestedRPC struct {
+	kind       rpc.Kind
+	deadline   time.Time
+	tries      int
+	runs       int
+	sent       bool
+	noRetry    bool      // pushed back with the request not to try again
+	retryAfter time.Time // pushed back: no further try before this time
+	ran        bool
+}
+
+// tryState is the state of one try that was sent to an app server.
+type tryState struct {
+	id        string
+	server    string
+	sentAt    time.Time
+	due       time.Time
+	replied   bool
+	excused   bool     // interrupted, or its connection was ended by the caller or by the rig
+	mayBeLate bool     // its app server's process was paused meanwhile
+	sent      *sentTry // nil unless CheckServers was called
+}
+
+// settled reports whether no reply is pending any more.
+func (t *tryState) settled() bool { return t.replied || t.excused }
+
+// processState is the state of one app server's process.
 type processState struct {
-	up      bool
-	notice  time.Time
-	stop    time.Time
-	grace   time.Duration
-	killed  bool
-	paused  bool
-	resumed time.Time // when it was last let go on
-	ended   time.Time
-	started map[string]time.Time
-	ledger  *ledger // of what clients sent to this process
+	up        bool
+	noticeAt  time.Time
+	stopBy    time.Time
+	grace     time.Duration
+	killed    bool
+	paused    bool
+	resumedAt time.Time // when it was last resumed
+	endedAt   time.Time
+	runStarts map[string]time.Time
+	requests  *requestLog // what clients sent to this process
 }
 
 func newProcessState() *processState {
-	return &processState{started: map[string]time.Time{}, ledger: newLedger()}
+	return &processState{runStarts: map[string]time.Time{}, requests: newRequestLog()}
 }
 
-// NewChecker allows so much beside each time that a rule names, for what the machine itself takes.
+// NewChecker returns a checker that tolerates slack beyond each time limit of a rule, for scheduling delays of the machine.
 func NewChecker(slack time.Duration) *Checker {
-	return &Checker{rpcs: map[string]*askedRPC{}, tries: map[*flow]map[int32]*tried{}, servers: map[string]*processState{},
+	return &Checker{rpcs: map[string]*requestedRPC{}, tries: map[*proxiedConnection]map[int32]*tryState{}, servers: map[string]*processState{},
 		counts: map[string]int{}, slack: slack}
 }
 
-// violate is called under the lock. So many are enough to see what is wrong.
-func (c *Checker) violate(rule int, format string, args ...any) {
+// addViolation records a violation; it keeps at most 1000, which suffice for a diagnosis. The caller holds c.mu.
+func (c *Checker) addViolation(rule int, format string, args ...any) {
 	if len(c.violations) < 1000 {
 		c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 	}
 }
 
-// report takes note of a violation that a stand-in has seen.
-func (c *Checker) report(rule int, format string, args ...any) {
+// reportViolation records a violation that a stand-in has observed.
+func (c *Checker) reportViolation(rule int, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violate(rule, format, args...)
+	c.addViolation(rule, format, args...)
 }
 
-// Failed takes note that the rig itself did not work: such a run shows nothing.
-func (c *Checker) Failed(format string, args ...any) {
+// RigFailed records a failure of the rig itself, which makes the trial inconclusive.
+func (c *Checker) RigFailed(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violate(0, format, args...)
+	c.addViolation(0, format, args...)
 }
 
-// Count is a figure that the checker has kept: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
-// unanswered, turned.away (never read: the connection was reset first), crossed.
+// Count returns one of the checker's counters: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
+// unanswered, turned.away (never read because the connection was reset first), crossed.
 func (c *Checker) Count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts[name]
 }
 
-// Violations is what has been seen to break a rule.
+// Violations returns a copy of the violations recorded so far.
 func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Violation(nil), c.violations...)
 }
 
-// Asked tells of an RPC that a caller is about to ask for.
-func (c *Checker) Asked(id string, kind rpc.Kind, deadline time.Time) {
+// RegisterRPC records an RPC that a caller is about to request.
+func (c *Checker) RegisterRPC(id string, kind rpc.Kind, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rpcs[id] = &askedRPC{kind: kind, deadline: deadline}
+	c.rpcs[id] = &requestedRPC{kind: kind, deadline: deadline}
 	c.counts["asked"]++
 }
 
-// Repeated tells that a caller asks once more for an RPC that had its outcome: until a new deadline, and whatever was
-// said of the earlier tries.
-func (c *Checker) Repeated(id string, deadline time.Time) {
+// RepeatRPC records that a caller requests an RPC again that already had its outcome. The RPC gets a new deadline, and
+// pushbacks of its earlier tries no longer restrict it.
+func (c *Checker) RepeatRPC(id string, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil {
-		r.deadline, r.last, r.until = deadline, false, time.Time{}
+		r.deadline, r.noRetry, r.retryAfter = deadline, false, time.Time{}
 	}
 }
 
-// Result tells what a caller got for an RPC: only what a run of it made is a result.
-func (c *Checker) Result(id string, body []byte) {
+// VerifyResult checks the result that a caller received for an RPC: a run of that RPC must have produced it.
+func (c *Checker) VerifyResult(id string, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(Answer(id))) {
-		c.violate(1, "%s was served with what no run of it made: %.40q", id, body)
+	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(RunResult(id))) {
+		c.addViolation(1, "%s was served with a result that no run of it made: %.40q", id, body)
 	}
 }
 
-// server is called under the lock.
+// server returns the state of an app server's process and creates it on first use. The caller holds c.mu.
 func (c *Checker) server(name string) *processState {
 	if c.servers[name] == nil {
 		c.servers[name] = newProcessState()
@@ -160,88 +161,88 @@
 	return c.servers[name]
 }
 
-// Up tells that an app server's program has been started.
-func (c *Checker) Up(server string) {
+// ProcessStarted records that an app server's program has been started.
+func (c *Checker) ProcessStarted(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.servers[server] = newProcessState()
 	c.servers[server].up = true
 }
 
-// Notice tells that it has been told to leave.
-func (c *Checker) Notice(server string, grace, stop time.Duration) {
+// ShutdownRequested records that an app server was told to shut down: it accepts RPCs for the grace period and exits within stop.
+func (c *Checker) ShutdownRequested(server string, grace, stop time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
-	s.notice, s.grace = time.Now(), grace
-	s.stop = s.notice.Add(stop)
+	s.noticeAt, s.grace = time.Now(), grace
+	s.stopBy = s.noticeAt.Add(stop)
 }
 
-// Killed tells that it is about to be ended outright: what it holds is excused.
-func (c *Checker) Killed(server string) {
+// ProcessKilled records that an app server's process is about to be killed, which excuses its pending replies.
+func (c *Checker) ProcessKilled(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
 	s.killed = true
-	maps.DeleteFunc(c.crossed, func(_ string, t *tried) bool { return t.server == server })
+	maps.DeleteFunc(c.crossedTries, func(_ string, t *tryState) bool { return t.server == server })
 	for _, tries := range c.tries {
 		for _, t := range tries {
-			if t.server == server && !t.answered {
+			if t.server == server && !t.replied {
 				t.excused = true
 			}
 		}
 	}
 }
 
-// Paused tells that the rig has stopped its process, or starves it, or lets it go on: what it answers late meanwhile is
-// excused, and all else is not. It still owes each answer once it goes on.
-func (c *Checker) Paused(server string, paused bool) {
+// SetPaused records that the rig has paused or throttled an app server's process, or lets it continue. Replies that are late
+// for this reason are excused and nothing else is: every pending reply is still due once the process continues.
+func (c *Checker) SetPaused(server string, paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
 	s.paused = paused
 	if !paused {
-		s.resumed = time.Now()
+		s.resumedAt = time.Now()
 	}
 	for _, tries := range c.tries {
 		for _, t := range tries {
 			if t.server == server {
-				t.late = true
+				t.mayBeLate = true
 			}
 		}
 	}
 }
 
-// Exited tells how its process ended.
-func (c *Checker) Exited(server string, code int, err error) {
+// ProcessExited records the end of an app server's process and checks its exit code and time.
+func (c *Checker) ProcessExited(server string, code int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(server)
 	switch {
 	case s.killed:
-	case s.notice.IsZero():
-		c.violate(4, "%s ended by itself: code %d, %v", server, code, err)
+	case s.noticeAt.IsZero():
+		c.addViolation(4, "%s ended by itself: code %d, %v", server, code, err)
 	case code != 0:
-		c.violate(4, "%s ended with code %d after its notice: %v", server, code, err)
-	case time.Now().After(s.stop.Add(c.slack)):
-		c.violate(3, "%s ended %v after its stop", server, time.Since(s.stop))
+		c.addViolation(4, "%s ended with code %d after its notice: %v", server, code, err)
+	case time.Now().After(s.stopBy.Add(c.slack)):
+		c.addViolation(3, "%s ended %v after its stop", server, time.Since(s.stopBy))
 	}
-	s.up, s.ended = false, time.Now()
+	s.up, s.endedAt = false, time.Now()
 }
 
-// lives reports whether the process of an app server has been started and has not ended, or ended a moment ago.
-func (c *Checker) lives(server string) bool {
+// isAlive reports whether an app server's process is running or ended no longer than the slack ago.
+func (c *Checker) isAlive(server string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[server]
-	return s != nil && (s.up || time.Since(s.ended) <= c.slack)
+	return s != nil && (s.up || time.Since(s.endedAt) <= c.slack)
 }
 
-// Memory tells what it takes, against its limit.
-func (c *Checker) Memory(server string, bytes, limit int64) {
+// VerifyMemory checks the memory that an app server's process uses against its limit, both in bytes.
+func (c *Checker) VerifyMemory(server string, bytes, limit int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes > limit {
-		c.violate(4, "%s takes %d MB of %d", server, bytes>>20, limit>>20)
+		c.addViolation(4, "%s takes %d MB of memory, limit %d MB", server, bytes>>20, limit>>20)
 	}
 }
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -8,163 +8,163 @@
 	"valveglade/rpc"
 )
 
-// asked tells of a message of a router, as its last byte is about to be written to an app server; err says that it cannot be
-// read. It returns whether an answer is owed.
-func (c *Checker) asked(conn *flow, q request, err error) (owed bool) {
+// observeRequest records a message of a router whose last byte is about to be written to an app server; err is the error of
+// parsing it. It returns whether a reply to the message is due.
+func (c *Checker) observeRequest(conn *proxiedConnection, message request, err error) (replyDue bool) {
 	switch {
-	case err == nil && q.kind == messageOneway && q.name == "interrupt":
-		c.Interrupted(conn, q.target)
-	case err == nil && q.kind == messageCall && q.name == "execute":
-		return c.execute(conn, q)
-	case q.kind == messageCall: // a health check, or what no router sends: an answer does no harm, and is not judged
+	case err == nil && message.kind == messageOneway && message.name == "interrupt":
+		c.TryInterrupted(conn, message.target)
+	case err == nil && message.kind == messageCall && message.name == "execute":
+		return c.observeRPC(conn, message)
+	case message.kind == messageCall: // a health check or an unknown call: a reply is allowed and not checked
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		conn.mayAnswer(q.seq)
+		conn.allowExtraReply(message.seq)
 	}
 	return false
 }
 
-// execute tells of an RPC on its way to an app server.
-func (c *Checker) execute(conn *flow, q request) (owed bool) {
+// observeRPC records an RPC on its way to an app server.
+func (c *Checker) observeRPC(conn *proxiedConnection, message request) (replyDue bool) {
 	now := time.Now()
-	if c.judged() {
-		return c.executeJudged(conn, q, now)
+	if c.checksServers() {
+		return c.observeCheckedRPC(conn, message, now)
 	}
-	id, work, ok := ReadBody(q.body)
+	id, work, ok := DecodeBody(message.body)
 	if !ok {
 		return false
 	}
 	if conn.arrivals != nil {
 		conn.arrivals.Add(now, work)
 	}
-	ttl, _ := q.ttl()
-	c.Try(conn.Net.server, conn, q.seq, id, q.recv(now).Add(ttl), q.fields["again"] == "1")
+	ttl, _ := message.ttl()
+	c.TrySent(conn.FaultProxy.serverName, conn, message.seq, id, message.receivedAt(now).Add(ttl), message.fields["again"] == "1")
 	return true
 }
 
-// judged reports whether Judge has been called.
-func (c *Checker) judged() bool {
+// checksServers reports whether CheckServers has been called.
+func (c *Checker) checksServers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.terms != nil
+	return c.settings != nil
 }
 
-// executeJudged enters an RPC into the ledger of its app server.
-func (c *Checker) executeJudged(conn *flow, q request, now time.Time) (owed bool) {
+// observeCheckedRPC adds an RPC to the request log of its app server.
+func (c *Checker) observeCheckedRPC(conn *proxiedConnection, message request, now time.Time) (replyDue bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := &sentTry{call: q.fields["call"], method: q.fields["op"], token: q.fields["dedupe"], body: slices.Clone(q.body),
-		recv: q.recv(now), heapKB: q.heap()}
-	s.entry = c.terms.Catalog.Lookup(s.call, s.body)
+	sent := &sentTry{call: message.fields["call"], method: message.fields["op"], token: message.fields["dedupe"],
+		body: slices.Clone(message.body), arrivedAt: message.receivedAt(now), heapKB: message.heapKB()}
+	sent.entry = c.settings.Catalog.Lookup(sent.call, sent.body)
 	if conn.arrivals != nil {
-		conn.arrivals.Add(now, s.entry.Work)
+		conn.arrivals.Add(now, sent.entry.Work)
 	}
-	ttl, told := q.ttl()
-	if !told {
-		ttl = c.terms.deadline(s.method)
+	ttl, hasTTL := message.ttl()
+	if !hasTTL {
+		ttl = c.settings.deadline(sent.method)
 	}
-	due := s.recv.Add(ttl)
-	if due.Before(now) { // in no case earlier than the reading of the request
+	due := sent.arrivedAt.Add(ttl)
+	if due.Before(now) { // a reply is never due before the request has been read
 		due = now
 	}
-	s.tried = c.newTried(conn.Net.server, s.entry.RPC, now, due)
-	s.tried.sent = s
-	c.server(conn.Net.server).ledger.add(s)
+	sent.tryState = c.newTryState(conn.FaultProxy.serverName, sent.entry.RPC, now, due)
+	sent.tryState.sent = sent
+	c.server(conn.FaultProxy.serverName).requests.add(sent)
 	c.counts["tries"]++
-	delete(c.crossed, s.id)
-	if conn.ended.Load() { // nothing is read any more
-		s.excused = true
+	delete(c.crossedTries, sent.id)
+	if conn.endedByServer.Load() { // the app server reads nothing any more
+		sent.excused = true
 		return false
 	}
-	if before := c.tries[conn][q.seq]; before != nil && !before.over() {
-		// Its number is in use: which of the two an answer is for cannot be told.
-		conn.mayAnswer(q.seq)
-		s.excused = true
+	if before := c.tries[conn][message.seq]; before != nil && !before.settled() {
+		// The sequence number is in use, so a reply cannot be matched to one of the two requests.
+		conn.allowExtraReply(message.seq)
+		sent.excused = true
 		return false
 	}
-	c.open(conn, q.seq, s.tried)
+	c.openTry(conn, message.seq, sent.tryState)
 	return true
 }
 
-// replied tells of a message of an app server; err says that it cannot be read.
-func (c *Checker) replied(conn *flow, a reply, err error) {
+// observeReply records a message of an app server; err is the error of parsing it.
+func (c *Checker) observeReply(conn *proxiedConnection, answer reply, err error) {
 	if err != nil {
-		c.report(1, "%s says what no router can read: %v", conn.Net.server, err)
+		c.reportViolation(1, "%s sent a message that no router can read: %v", conn.FaultProxy.serverName, err)
 		return
 	}
-	if a.kind == replyDraining || c.allowed(conn, a) {
+	if answer.kind == replyDraining || c.consumeExtraReply(conn, answer) {
 		return
 	}
-	switch a.kind {
+	switch answer.kind {
 	case replyServed:
-		c.judgeResult(conn, a)
-		c.Answered(conn, a.seq, rpc.OK, false, 0)
+		c.verifyServedResult(conn, answer)
+		c.ReplyReceived(conn, answer.seq, rpc.OK, false, 0)
 	case replyPushedBack:
-		c.judgePushback(conn, a)
-		c.Answered(conn, a.seq, rpc.PushedBack, a.last, a.after)
+		c.verifyPushback(conn, answer)
+		c.ReplyReceived(conn, answer.seq, rpc.PushedBack, answer.noRetry, answer.retryAfter)
 	case replyAborted:
-		c.Answered(conn, a.seq, rpc.Error, false, 0)
+		c.ReplyReceived(conn, answer.seq, rpc.Error, false, 0)
 	case replyChecked:
-		c.report(1, "%s answers a health check under number %d, which was not asked", conn.Net.server, a.seq)
+		c.reportViolation(1, "%s answered a health check with sequence number %d, which was not asked", conn.FaultProxy.serverName, answer.seq)
 	}
 }
 
-// allowed reports whether a message may be answered that owes no answer, or one more under a number that its client has used
-// twice.
-func (c *Checker) allowed(conn *flow, a reply) bool {
+// consumeExtraReply uses up one allowed extra reply and reports whether there was one: to a message that needs no reply, or
+// a second one under a sequence number that its client has used twice.
+func (c *Checker) consumeExtraReply(conn *proxiedConnection, answer reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tries[conn][a.seq]; t != nil && !t.answered {
+	if t := c.tries[conn][answer.seq]; t != nil && !t.replied {
 		return false
 	}
-	if conn.spare[a.seq] == 0 {
+	if conn.optionalReplies[answer.seq] == 0 {
 		return false
 	}
-	conn.spare[a.seq]--
+	conn.optionalReplies[answer.seq]--
 	return true
 }
 
-// judgeResult finds a result that no run at this app server made for the RPC, or for another try of it.
-func (c *Checker) judgeResult(conn *flow, a reply) {
+// verifyServedResult records a violation if no run at this app server produced the result for the RPC or another try of it.
+func (c *Checker) verifyServedResult(conn *proxiedConnection, answer reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tries[conn][a.seq]
-	if t == nil || t.sent == nil || t.answered {
+	t := c.tries[conn][answer.seq]
+	if t == nil || t.sent == nil || t.replied {
 		return
 	}
-	l := c.server(t.server).ledger
+	l := c.server(t.server).requests
 	for _, s := range l.siblings(t.sent) {
-		if slices.ContainsFunc(s.results, func(r []byte) bool { return bytes.Equal(r, a.body) }) {
+		if slices.ContainsFunc(s.results, func(r []byte) bool { return bytes.Equal(r, answer.body) }) {
 			return
 		}
 	}
-	c.violate(1, "%s was served by %s with what no run of it made there: %.60q", t.sent, t.server, a.body)
+	c.addViolation(1, "%s was served by %s with a result that no run of it made there: %.60q", t.sent, t.server, answer.body)
 }
 
-// judgePushback finds a refusal of what has been run: it promises that nothing has come of the request. Another try of it has
-// to have been run for a moment already, as a refusal takes a moment to get here.
-func (c *Checker) judgePushback(conn *flow, a reply) {
+// verifyPushback records a violation if an RPC was pushed back although it had been run: a pushback promises that the request
+// had no effect. A run of another try counts only once it is older than the slack, because a pushback takes time to arrive.
+func (c *Checker) verifyPushback(conn *proxiedConnection, answer reply) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tries[conn][a.seq]
-	if t == nil || t.sent == nil || t.answered || c.terms.Methods[t.sent.method].Kind == rpc.Idempotent {
+	t := c.tries[conn][answer.seq]
+	if t == nil || t.sent == nil || t.replied || c.settings.Methods[t.sent.method].Kind == rpc.Idempotent {
 		return
 	}
-	for _, s := range c.server(t.server).ledger.siblings(t.sent) {
+	for _, s := range c.server(t.server).requests.siblings(t.sent) {
 		switch {
-		case s.ran.IsZero():
-		case s == t.sent, now.Sub(s.ran) > c.slack && t.at.Before(s.recv.Add(c.terms.Methods[s.method].Window)):
-			c.violate(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, s)
+		case s.lastRunAt.IsZero():
+		case s == t.sent, now.Sub(s.lastRunAt) > c.slack && t.sentAt.Before(s.arrivedAt.Add(c.settings.Methods[s.method].Window)):
+			c.addViolation(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, s)
 			return
 		}
 	}
 }
 
-// mayAnswer allows one more answer under a number. Called under the checker's lock.
-func (f *flow) mayAnswer(seq int32) {
-	if f.spare == nil {
-		f.spare = map[int32]int{}
+// allowExtraReply allows one more reply under a sequence number. The caller holds the checker's lock.
+func (f *proxiedConnection) allowExtraReply(seq int32) {
+	if f.optionalReplies == nil {
+		f.optionalReplies = map[int32]int{}
 	}
-	f.spare[seq]++
+	f.optionalReplies[seq]++
 }
--- a/rig/coldstart.go
+++ b/rig/coldstart.go
@@ -7,90 +7,92 @@
 	"time"
 )
 
-// ColdStart is how app servers come up after a restart, as the settings name it. The zero value is no cold start at all.
+// ColdStart describes the slow start of app servers after a restart, as in the settings. The zero value means no slow start.
 type ColdStart struct {
-	Capacity float64       // share of its speed that an app server opens with: startCapacity
-	Ramp     time.Duration // until it has its full speed, in even steps: rampTimeS
-	Window   time.Duration // over which an overload counts: fallS
+	Capacity float64       // share of the full speed right after the start: startCapacity
+	Ramp     time.Duration // time until full speed, reached linearly: rampTimeS
+	Window   time.Duration // period over which an overload is measured: fallS
 }
 
-// SlowStart is how long a start counts as slow: the ramp, or one window if that is longer.
+// SlowStart returns how long the slow start lasts: the ramp, or one window if that is longer.
 func (c ColdStart) SlowStart() time.Duration { return max(c.Ramp, c.Window) }
 
-// Warmth is the share of its full speed that an app server has so long after its start.
-func (c ColdStart) Warmth(age time.Duration) float64 {
+// SpeedShare returns the share of the full speed that an app server has at the given age.
+func (c ColdStart) SpeedShare(age time.Duration) float64 {
 	if c.Ramp <= 0 {
 		return 1
 	}
 	return min(1, c.Capacity+(1-c.Capacity)*max(age, 0).Seconds()/c.Ramp.Seconds())
 }
 
-// meanWarmth is the mean of Warmth over the window that ends so long after the start. Before the start it counts as the
-// first share.
-func (c ColdStart) meanWarmth(age time.Duration) float64 {
+// meanSpeedShare returns the mean of SpeedShare over the window that ends at the given age. Times before the start count with
+// the initial share.
+func (c ColdStart) meanSpeedShare(age time.Duration) float64 {
 	const steps = 20
 	sum := 0.0
 	for k := range steps {
-		sum += c.Warmth(age - c.Window*time.Duration(2*k+1)/(2*steps))
+		sum += c.SpeedShare(age - c.Window*time.Duration(2*k+1)/(2*steps))
 	}
 	return sum / steps
 }
 
-// Arrivals are the RPCs that reached one app server, further tries included. It is safe for use by many goroutines.
+// Arrivals records the RPCs that reached one app server, including retries. It is safe for concurrent use.
 type Arrivals struct {
 	mu  sync.Mutex
 	all []arrival
 }
 
-// arrival is one RPC as it is passed on to the app server.
+// arrival is one RPC forwarded to the app server.
 type arrival struct {
 	at   time.Time
 	work float64 // seconds on a core
 }
 
-// Add takes note of an arrival, with the seconds of its work.
+// Add records an arrival with its work, in seconds on a core.
 func (a *Arrivals) Add(at time.Time, work float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.all = append(a.all, arrival{at, work})
 }
 
-// Peak is the most that arrived within one window of a cold start, over what the app server bears.
+// Peak is the largest load within one window of a slow start, as a ratio to the budget of the app server.
 type Peak struct {
-	ByWork  float64 // in requests of mean work
-	ByCount float64 // in requests
-	Age     time.Duration
+	ByWork  float64       // with requests weighted by their work
+	ByCount float64       // with all requests counted alike
+	Age     time.Duration // age of the app server at the peak by work
 }
 
-// coldBudget is the most requests of mean work that an app server in slow start bears within a window in which its cores
-// carry n of them.
-func coldBudget(n float64) float64 {
-	const few = 30 // under which the budget is wider, as chance weighs more
-	if n < few {
+// coldStartBudget returns the maximum number of requests of mean work for a window of a slow start in which the cores can
+// process n of them.
+func coldStartBudget(n float64) float64 {
+	const smallCount = 30 // below it the budget is wider, as random variation weighs more
+	if n < smallCount {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Peak looks at all windows that end between the boot and the end of the slow start, which is the ramp or one window if
-// that is longer, against the budget at the speed that the settings allow.
-func (a *Arrivals) Peak(c ColdStart, boot time.Time, cores int, meanWork float64) Peak {
+// Peak returns the largest load of all windows that end between the boot and the end of the slow start, relative to the
+// budget at the speed that the settings allow at that time. meanWork is in seconds on a core.
+func (a *Arrivals) Peak(start ColdStart, boot time.Time, cores int, meanWork float64) Peak {
 	a.mu.Lock()
-	all := slices.Clone(a.all)
+	arrivals := slices.Clone(a.all)
 	a.mu.Unlock()
-	all = slices.DeleteFunc(all, func(r arrival) bool { return r.at.Before(boot) || r.at.After(boot.Add(c.SlowStart())) })
-	slices.SortFunc(all, func(x, y arrival) int { return x.at.Compare(y.at) })
+	arrivals = slices.DeleteFunc(arrivals, func(arrived arrival) bool {
+		return arrived.at.Before(boot) || arrived.at.After(boot.Add(start.SlowStart()))
+	})
+	slices.SortFunc(arrivals, func(x, y arrival) int { return x.at.Compare(y.at) })
 	var peak Peak
 	work, first := 0.0, 0
-	for k, r := range all {
-		work += r.work
-		for r.at.Sub(all[first].at) >= c.Window {
-			work -= all[first].work
+	for k, arrived := range arrivals {
+		work += arrived.work
+		for arrived.at.Sub(arrivals[first].at) >= start.Window {
+			work -= arrivals[first].work
 			first++
 		}
-		age := r.at.Sub(boot)
-		n := float64(cores) * c.meanWarmth(age) * c.Window.Seconds() / meanWork
-		budget := coldBudget(n)
+		age := arrived.at.Sub(boot)
+		processable := float64(cores) * start.meanSpeedShare(age) * start.Window.Seconds() / meanWork
+		budget := coldStartBudget(processable)
 		if ratio := work / meanWork / budget; ratio > peak.ByWork {
 			peak.ByWork, peak.Age = ratio, age
 		}
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -8,49 +8,50 @@
 	"time"
 )
 
-// LinkFaults is what is wrong with a kernel's link while it goes on. The zero value is a good link.
+// LinkFaults are the faults of a kernel's link while it is up. The zero value is a link without faults.
 type LinkFaults struct {
-	Pieces  bool          // lines come in pieces of any length
-	Doubled float64       // share of notices that come twice under the same number
-	Remarks float64       // share of notices before which a DMESG is given
-	Late    time.Duration // lines come so much later, in their order
+	FragmentLines  bool          // write lines in fragments of random length
+	DuplicateShare float64       // share of notices sent twice with the same number
+	RemarkShare    float64       // share of notices preceded by a DMESG
+	Delay          time.Duration // delay of each line; the order is kept
 }
 
-// pieceGap lies between two pieces of a line, so that they are read apart.
-const pieceGap = time.Millisecond
+// fragmentInterval is the pause between two fragments of a line, so that they are read separately.
+const fragmentInterval = time.Millisecond
 
-// kernelLink is one connection of an app server to its kernel. Lines are written by a goroutine of its own: an app server
-// that does not read holds up nothing else.
+// kernelLink is one connection of an app server to its kernel. A goroutine of its own writes the lines, so that an app
+// server that does not read blocks nothing else.
 type kernelLink struct {
-	nc     net.Conn
-	number uint64     // among the connections to its kernel
-	deaf   bool       // commands that come on it are lost; guarded by the kernel's lock
-	chance *rand.Rand // of pieces; only the writer uses it
-	faults *atomic.Pointer[LinkFaults]
+	nc            net.Conn
+	number        uint64     // ordinal of the connection at its kernel
+	dropsCommands bool       // commands received on the link are dropped; guarded by Kernel.mu
+	random        *rand.Rand // for fragment lengths; used by the writer only
+	faults        *atomic.Pointer[LinkFaults]
 
-	mu    sync.Mutex
-	lines []linkLine
-	wake  chan struct{} // holds one after a change of lines
-	over  chan struct{} // closed with the link
-	once  sync.Once
+	mu        sync.Mutex
+	queue     []linkLine
+	wake      chan struct{} // holds one element after a change of queue
+	closed    chan struct{} // closed when the link is
+	closeOnce sync.Once
 }
 
-// linkLine is one line on its way.
+// linkLine is a queued line.
 type linkLine struct {
-	text []byte
-	from time.Time // not before
-	last bool      // the link breaks after it
+	text       []byte
+	sendAt     time.Time // earliest time to send it
+	closeAfter bool      // close the link after the line
 }
 
 func newKernelLink(nc net.Conn, number, seed uint64, faults *atomic.Pointer[LinkFaults]) *kernelLink {
-	return &kernelLink{nc: nc, number: number, chance: rand.New(rand.NewPCG(seed, number)), faults: faults, wake: make(chan struct{}, 1), over: make(chan struct{})}
+	return &kernelLink{nc: nc, number: number, random: rand.New(rand.NewPCG(seed, number)), faults: faults,
+		wake: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// send puts a line in the queue.
-func (l *kernelLink) send(text []byte, last bool) {
-	line := linkLine{text: text, from: time.Now().Add(l.faults.Load().Late), last: last}
+// send queues a line.
+func (l *kernelLink) send(text []byte, closeAfter bool) {
+	line := linkLine{text: text, sendAt: time.Now().Add(l.faults.Load().Delay), closeAfter: closeAfter}
 	l.mu.Lock()
-	l.lines = append(l.lines, line)
+	l.queue = append(l.queue, line)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -58,29 +59,29 @@
 	}
 }
 
-// next takes the first line off the queue and waits until it may go; ok is false once the link is over.
-func (l *kernelLink) next() (line linkLine, ok bool) {
+// nextLine dequeues the first line and waits until it may be sent; ok is false once the link is closed.
+func (l *kernelLink) nextLine() (line linkLine, ok bool) {
 	for {
 		l.mu.Lock()
-		if len(l.lines) > 0 {
-			line, l.lines = l.lines[0], l.lines[1:]
+		if len(l.queue) > 0 {
+			line, l.queue = l.queue[0], l.queue[1:]
 			l.mu.Unlock()
-			return line, l.sleep(time.Until(line.from))
+			return line, l.sleep(time.Until(line.sendAt))
 		}
 		l.mu.Unlock()
 		select {
 		case <-l.wake:
-		case <-l.over:
+		case <-l.closed:
 			return line, false
 		}
 	}
 }
 
-// sleep reports whether the link has outlived it.
+// sleep waits for d and reports whether the link is still open.
 func (l *kernelLink) sleep(d time.Duration) bool {
 	if d <= 0 {
 		select {
-		case <-l.over:
+		case <-l.closed:
 			return false
 		default:
 			return true
@@ -91,48 +92,48 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-l.over:
+	case <-l.closed:
 		return false
 	}
 }
 
-// write sends lines until the link is over.
-func (l *kernelLink) write() {
+// writeLines sends queued lines until the link is closed.
+func (l *kernelLink) writeLines() {
 	defer l.close()
 	for {
-		line, ok := l.next()
-		if !ok || !l.writeLine(line.text) || line.last {
+		line, ok := l.nextLine()
+		if !ok || !l.writeLine(line.text) || line.closeAfter {
 			return
 		}
 	}
 }
 
-// writeLine reports whether all of it could be written.
+// writeLine reports whether the whole line could be written.
 func (l *kernelLink) writeLine(text []byte) bool {
 	for len(text) > 0 {
 		size := len(text)
-		if l.faults.Load().Pieces {
-			size = 1 + l.chance.IntN(len(text))
+		if l.faults.Load().FragmentLines {
+			size = 1 + l.random.IntN(len(text))
 		}
 		if _, err := l.nc.Write(text[:size]); err != nil {
 			return false
 		}
-		if text = text[size:]; len(text) > 0 && !l.sleep(pieceGap) {
+		if text = text[size:]; len(text) > 0 && !l.sleep(fragmentInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// close ends the connection; what is queued is lost.
+// close closes the connection; queued lines are lost.
 func (l *kernelLink) close() {
-	l.once.Do(func() {
-		close(l.over)
+	l.closeOnce.Do(func() {
+		close(l.closed)
 		l.nc.Close()
 	})
 }
 
-// reset ends the connection, and what the app server has not read of it is lost too.
+// reset resets the connection; data that the app server has not read is lost too.
 func (l *kernelLink) reset() {
 	if tcp, ok := l.nc.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/rig/outage.go
+++ b/rig/kernel_outage.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Down ends the link and refuses connections until Return. Runs go on, and their notices are kept.
-func (k *Kernel) Down() {
+// TakeDown closes the link and refuses connections until BringUp. Runs continue and their notices are kept.
+func (k *Kernel) TakeDown() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.listener.Close()
 	k.dropLink()
 }
 
-// Return takes connections again at the same address.
-func (k *Kernel) Return() error {
+// BringUp accepts connections again at the same address.
+func (k *Kernel) BringUp() error {
 	listener, err := net.Listen("tcp", k.Address())
 	if err != nil {
 		return fmt.Errorf("kernel of %s: %w", k.server, err)
@@ -27,22 +27,22 @@
 	return nil
 }
 
-// Withhold has links accepted and says nothing on them. Release ends it.
-func (k *Kernel) Withhold() {
+// WithholdNotices makes the kernel accept links without sending anything on them until ReleaseNotices.
+func (k *Kernel) WithholdNotices() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.withheld = make(chan struct{})
 }
 
-// Release says on every link what was held back by Withhold.
-func (k *Kernel) Release() {
+// ReleaseNotices sends on every link the notices that WithholdNotices held back.
+func (k *Kernel) ReleaseNotices() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	close(k.withheld)
 	k.withheld = nil
 }
 
-// LinkedAt returns when the kernel last said BOOTED on a link; the zero time if there is no link.
+// LinkedAt returns when the kernel last sent BOOTED on a link, or the zero time if there is no link.
 func (k *Kernel) LinkedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -52,7 +52,7 @@
 	return k.linkedAt
 }
 
-// dropLink is called under the lock.
+// dropLink closes the link, if there is one. The caller holds k.mu.
 func (k *Kernel) dropLink() {
 	if k.link != nil {
 		k.link.close()
@@ -60,7 +60,7 @@
 	}
 }
 
-// awaitRelease waits while links are withheld.
+// awaitRelease blocks while notices are withheld.
 func (k *Kernel) awaitRelease() {
 	k.mu.Lock()
 	withheld := k.withheld
--- a/rig/load.go
+++ b/rig/load.go
@@ -15,138 +15,138 @@
 	"valveglade/rpc"
 )
 
-// Caller is what a load is sent through: token is empty but for tokened RPCs, criticality is from 0 to under 1.
+// Caller makes the RPCs of a load. token is empty except for tokened RPCs, criticality is in [0, 1).
 type Caller interface {
 	Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error)
 	Close() error
 }
 
-// Share is one method's part of a load.
+// Share is the part of a load that goes to one method.
 type Share struct {
 	Method      string
 	Kind        rpc.Kind
-	Criticality float64 // as its callers rank it, and as it counts
-	Part        float64 // of all RPCs
-	Work        float64 // seconds on a core, on the mean; exponential
+	Criticality float64 // sent with its RPCs, and their weight in Outcome.Criticality
+	Fraction    float64 // of all RPCs
+	Work        float64 // mean of the exponential distribution, in seconds on a core
 	Deadline    time.Duration
 }
 
-// Load asks, whatever becomes of what it has asked before.
+// Load is an open-loop workload: it sends RPCs at its rate regardless of the outcome of earlier ones.
 type Load struct {
-	Seed   uint64
-	Rate   func(t float64) float64 // RPCs a second, t seconds after the start
-	Length time.Duration
-	Shares []Share
-	Prefix string // of the names of its RPCs
-	Pad    int    // bytes that tokens are longer by
-	// Open counts the RPCs that have no outcome yet, if set.
-	Open *atomic.Int64
-	// Before is told of each RPC as it is asked, if set, with the seconds of its work.
-	Before func(s Share, work float64)
-	// After is told of each RPC's end, if set, in the goroutine that asked for it.
-	After func(s Share, id, token string, body []byte, err error)
+	Seed         uint64
+	Rate         func(t float64) float64 // RPCs per second, t seconds after the start
+	Duration     time.Duration
+	Shares       []Share
+	Prefix       string // of the ids of its RPCs
+	TokenPadding int    // bytes of padding added to each token
+	// PendingCount, if set, counts the RPCs that have no outcome yet.
+	PendingCount *atomic.Int64
+	// BeforeCall, if set, is called ahead of each RPC with its work, in seconds on a core.
+	BeforeCall func(s Share, work float64)
+	// AfterCall, if set, is called with the outcome of each RPC, in the goroutine that made it.
+	AfterCall func(s Share, id, token string, body []byte, err error)
 }
 
-// Served is what came of one method's share, or of all.
-type Served struct {
-	Asked, OK int
-	Times     *hdrhistogram.Histogram // of what was ok, in microseconds
+// MethodOutcome is the outcome of the RPCs of one method.
+type MethodOutcome struct {
+	Requested, OK int
+	Latencies     *hdrhistogram.Histogram // of the successful RPCs, in microseconds
 }
 
-// Outcome is what came of a load.
+// Outcome is the outcome of a load.
 type Outcome struct {
-	ByMethod map[string]*Served
-	// Criticality is the share served of what was asked, each RPC counting by its criticality.
-	Criticality float64
-	Asked, OK   int
+	ByMethod map[string]*MethodOutcome
+	// Criticality is the share of RPCs that succeeded, weighted by criticality.
+	Criticality   float64
+	Requested, OK int
 }
 
-// Run plays it through the callers in turn, each time by chance, and returns once all has an outcome.
+// Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
 func (l Load) Run(ctx context.Context, check *Checker, callers ...Caller) Outcome {
-	chance := rand.New(rand.NewPCG(l.Seed, 1))
-	out := Outcome{ByMethod: map[string]*Served{}}
-	for _, s := range l.Shares {
-		out.ByMethod[s.Method] = &Served{Times: hdrhistogram.New(1, 60_000_000, 3)}
+	rng := rand.New(rand.NewPCG(l.Seed, 1))
+	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
+	for _, share := range l.Shares {
+		out.ByMethod[share.Method] = &MethodOutcome{Latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	asked, got := 0.0, 0.0
-	begin := time.Now()
-	at := 0.0
-	for n := 0; ; n++ {
-		rate := l.Rate(at)
+	var pending sync.WaitGroup
+	requestedWeight, servedWeight := 0.0, 0.0
+	start := time.Now()
+	elapsed := 0.0
+	for number := 0; ; number++ {
+		rate := l.Rate(elapsed)
 		if rate <= 0 {
-			at += 0.01
+			elapsed += 0.01
 		} else {
-			at += chance.ExpFloat64() / rate
+			elapsed += rng.ExpFloat64() / rate
 		}
-		if at >= l.Length.Seconds() || ctx.Err() != nil {
+		if elapsed >= l.Duration.Seconds() || ctx.Err() != nil {
 			break
 		}
 		if rate <= 0 {
 			continue
 		}
-		time.Sleep(time.Until(begin.Add(time.Duration(at * float64(time.Second)))))
-		s := l.pick(chance.Float64())
-		work := math.Min(s.Work*chance.ExpFloat64(), 5*s.Work)
-		c := callers[chance.IntN(len(callers))]
-		id := fmt.Sprintf("%s%d", l.Prefix, n)
-		if l.Before != nil {
-			l.Before(s, work)
+		time.Sleep(time.Until(start.Add(time.Duration(elapsed * float64(time.Second)))))
+		share := l.pickShare(rng.Float64())
+		work := math.Min(share.Work*rng.ExpFloat64(), 5*share.Work)
+		caller := callers[rng.IntN(len(callers))]
+		id := fmt.Sprintf("%s%d", l.Prefix, number)
+		if l.BeforeCall != nil {
+			l.BeforeCall(share, work)
 		}
-		all.Go(func() {
-			due := time.Now().Add(s.Deadline)
-			check.Asked(id, s.Kind, due)
-			ctx, stop := context.WithDeadline(ctx, due)
+		pending.Go(func() {
+			deadline := time.Now().Add(share.Deadline)
+			check.RegisterRPC(id, share.Kind, deadline)
+			ctx, stop := context.WithDeadline(ctx, deadline)
 			defer stop()
 			token := ""
-			if s.Kind == rpc.Tokened {
-				token = "token-" + id + strings.Repeat("x", l.Pad)
+			if share.Kind == rpc.Tokened {
+				token = "token-" + id + strings.Repeat("x", l.TokenPadding)
 			}
-			began := time.Now()
-			body := Body(id, work)
-			if l.Open != nil {
-				l.Open.Add(1)
-				defer l.Open.Add(-1)
+			callStart := time.Now()
+			body := EncodeBody(id, work)
+			if l.PendingCount != nil {
+				l.PendingCount.Add(1)
+				defer l.PendingCount.Add(-1)
 			}
-			result, err := c.Call(ctx, s.Method, token, s.Criticality, body)
-			took := time.Since(began)
+			result, err := caller.Call(ctx, share.Method, token, share.Criticality, body)
+			took := time.Since(callStart)
 			if err == nil {
-				check.Result(id, result)
+				check.VerifyResult(id, result)
 			}
-			if l.After != nil {
-				l.After(s, id, token, body, err)
+			if l.AfterCall != nil {
+				l.AfterCall(share, id, token, body, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			m := out.ByMethod[s.Method]
-			m.Asked++
-			out.Asked++
-			asked += s.Criticality
+			methodOutcome := out.ByMethod[share.Method]
+			methodOutcome.Requested++
+			out.Requested++
+			requestedWeight += share.Criticality
 			if err == nil {
-				m.OK++
+				methodOutcome.OK++
 				out.OK++
-				got += s.Criticality
-				m.Times.RecordValue(took.Microseconds())
+				servedWeight += share.Criticality
+				methodOutcome.Latencies.RecordValue(took.Microseconds())
 			}
 		})
 	}
-	all.Wait()
-	if asked > 0 {
-		out.Criticality = got / asked
+	pending.Wait()
+	if requestedWeight > 0 {
+		out.Criticality = servedWeight / requestedWeight
 	}
 	return out
 }
 
-func (l Load) pick(x float64) Share {
+func (l Load) pickShare(position float64) Share {
 	total := 0.0
-	for _, s := range l.Shares {
-		total += s.Part
+	for _, share := range l.Shares {
+		total += share.Fraction
 	}
-	x *= total
-	for _, s := range l.Shares {
-		if x -= s.Part; x < 0 {
-			return s
+	position *= total
+	for _, share := range l.Shares {
+		if position -= share.Fraction; position < 0 {
+			return share
 		}
 	}
 	return l.Shares[len(l.Shares)-1]
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -13,57 +13,57 @@
 	"valveglade/internal/thrift"
 )
 
-// PeerForm is how the routers of a deployment write RPCs.
-type PeerForm struct {
-	PassesDeadline bool // RPCs say how long their caller waits
+// PeerOptions describes how the routers of a deployment write RPCs.
+type PeerOptions struct {
+	PassesDeadline bool // RPCs carry the remaining time of their caller
 	HangupSeen     bool // interrupts are sent
-	MarksRetry     bool // further tries are marked
-	Tenants        int  // RPCs name one of so many
-	Pieces         int  // bytes written at a time; 0 for whole messages
+	MarksRetry     bool // retries are marked
+	Tenants        int  // number of tenants named in RPCs; 0 for none
+	WriteSize      int  // bytes per write; 0 for whole messages
 }
 
-// Peer is a router of one app server, as the protocol has them: up to 32 RPCs open on a connection, new connections as it
-// needs them, and a connection that is asked to drain gets no new RPC. It can do what a bad router does. Behind a Net the
-// checker sees what it says and hears. It is safe for use by many goroutines.
+// Peer simulates a router of one app server that follows the protocol: up to 32 pending RPCs on a connection, new connections
+// on demand, no new RPC on a connection that is draining. It can also misbehave. If it connects through a faulty network, the
+// checker sees its messages and the replies. It is safe for concurrent use.
 type Peer struct {
 	address string
 	source  int
-	form    PeerForm
+	options PeerOptions
 	catalog *Catalog
 
-	mu     sync.Mutex
-	chance *rand.Rand
-	conns  []*peerConn
-	deaf   chan struct{} // closed when answers are read again; nil while they are
-	group  sync.WaitGroup
-	closed bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	connections []*peerConn
+	readPaused  chan struct{} // closed when reading resumes; nil while replies are read
+	group       sync.WaitGroup
+	closed      bool
 }
 
 // PeerTry is one try of an RPC.
 type PeerTry struct {
-	RPC         string // the same for all tries
+	RPC         string // id of the RPC, the same for all tries
 	Method      string
 	Token       string
 	Body        []byte
-	Recv        time.Time     // when it came to the machine
-	Waits       time.Duration // from Recv on; the field ttl
+	ReceivedAt  time.Time     // when the RPC arrived at the machine
+	Timeout     time.Duration // counted from ReceivedAt; the field ttl
 	Criticality float64
-	Again       bool
+	IsRetry     bool
 	Work        float64 // seconds on a core
-	Result      []byte  // of a run; nil for Answer(RPC)
-	Fails       bool    // a run ends with a fault
+	Result      []byte  // result of a run; nil for Answer(RPC)
+	Fails       bool    // a run ends with an error
 }
 
-// PeerOutcome is how a try ended: with a result, or with ErrPushedBack, ErrAborted, ErrLost.
+// PeerOutcome is the outcome of a try: a result, or ErrPushedBack, ErrAborted or ErrLost.
 type PeerOutcome struct {
-	Result  []byte
-	Err     error
-	Last    bool          // pushed back, and no other app server is to be tried
-	After   time.Duration // pushed back, and not before
-	Crossed bool          // the connection ended just when it was written
+	Result         []byte
+	Err            error
+	NoRetry        bool          // pushed back, and no other app server may be tried
+	RetryAfter     time.Duration // pushed back, minimum delay until the next try
+	ClosedInFlight bool          // the app server closed the connection just when the try was written
 }
 
-// PeerCall is a try that has been written.
+// PeerCall is a try that has been sent. Done delivers its outcome once.
 type PeerCall struct {
 	Done <-chan PeerOutcome
 	conn *peerConn
@@ -77,37 +77,38 @@
 	write sync.Mutex
 	seq   int32
 
-	mu     sync.Mutex
-	open   map[int32]*peerOpen
-	booked int
-	drains bool
-	ended  bool
-	ours   bool // it was ended from this side
+	mu            sync.Mutex
+	pending       map[int32]*pendingTry
+	reserved      int // places reserved for tries that are not written yet
+	draining      bool
+	ended         bool
+	closedLocally bool // the peer closed it
 }
 
-// peerOpen is a try without an outcome.
-type peerOpen struct {
-	at   time.Time
-	done chan PeerOutcome
+// pendingTry is a try without an outcome.
+type pendingTry struct {
+	sentAt time.Time
+	done   chan PeerOutcome
 }
 
-// ErrNotConnected is a try that was not written: no connection could be had.
+// ErrNotConnected is returned if a try was not sent, as there was no connection.
 var ErrNotConnected = errors.New("no connection")
 
-// peerConnects bounds the wait for a connection, and peerWrites that for an app server that does not read.
+// Timeouts for opening a connection and for one write to an app server that does not read.
 const (
-	peerConnects = 2 * time.Second
-	peerWrites   = 5 * time.Second
+	peerConnectTimeout = 2 * time.Second
+	peerWriteTimeout   = 5 * time.Second
 )
 
-// NewPeer makes one; it connects when it has something to send.
-func NewPeer(address string, source int, form PeerForm, catalog *Catalog, seed uint64) *Peer {
-	return &Peer{address: address, source: source, form: form, catalog: catalog, chance: rand.New(rand.NewPCG(seed, uint64(source)))}
+// NewPeer returns a peer that connects on demand; source is its id in RPCs. The caller must Close it.
+func NewPeer(address string, source int, options PeerOptions, catalog *Catalog, seed uint64) *Peer {
+	return &Peer{address: address, source: source, options: options, catalog: catalog,
+		rng: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
-// Send writes one try.
-func (p *Peer) Send(t PeerTry) (*PeerCall, error) {
-	c, err := p.connection()
+// Send sends one try.
+func (p *Peer) Send(try PeerTry) (*PeerCall, error) {
+	c, err := p.reserveConnection()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
@@ -115,243 +116,244 @@
 	c.write.Lock()
 	defer c.write.Unlock()
 	c.seq++
-	fields, call := p.fields(t)
-	if !c.book(c.seq, &peerOpen{time.Now(), done}) {
+	fields, call := p.fields(try)
+	if !c.addPending(c.seq, &pendingTry{time.Now(), done}) {
 		return nil, ErrNotConnected
 	}
-	c.catalog.Add(call, Entry{RPC: t.RPC, Work: t.Work, Result: t.Result, Fails: t.Fails})
-	c.put(ExecuteFrame(c.seq, fields, t.Body))
+	c.catalog.Add(call, CatalogEntry{RPC: try.RPC, Work: try.Work, Result: try.Result, Fails: try.Fails})
+	c.writeFrame(ExecuteFrame(c.seq, fields, try.Body))
 	return &PeerCall{Done: done, conn: c, seq: c.seq}, nil
 }
 
-// fields are those of the protocol, in any order, with a new call id.
-func (p *Peer) fields(t PeerTry) (fields []Pair, call string) {
+// fields returns the fields of a try in random order, with a new call id.
+func (p *Peer) fields(try PeerTry) (fields []Field, call string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	call = fmt.Sprintf("%016x", p.chance.Uint64())
-	fields = []Pair{{"op", t.Method}, {"call", call}, {"recv", strconv.FormatInt(t.Recv.UnixMilli(), 10)}, {"src", strconv.Itoa(p.source)},
-		{"heap", fmt.Sprintf("%.1f", 0.5+20*p.chance.Float64())}, {"crit", fmt.Sprintf("%.4f", min(t.Criticality, 0.9999))}}
-	if p.form.PassesDeadline {
-		fields = append(fields, Pair{"ttl", strconv.FormatInt(t.Waits.Milliseconds(), 10)})
+	call = fmt.Sprintf("%016x", p.rng.Uint64())
+	fields = []Field{{"op", try.Method}, {"call", call}, {"recv", strconv.FormatInt(try.ReceivedAt.UnixMilli(), 10)},
+		{"src", strconv.Itoa(p.source)}, {"heap", fmt.Sprintf("%.1f", 0.5+20*p.rng.Float64())},
+		{"crit", fmt.Sprintf("%.4f", min(try.Criticality, 0.9999))}}
+	if p.options.PassesDeadline {
+		fields = append(fields, Field{"ttl", strconv.FormatInt(try.Timeout.Milliseconds(), 10)})
 	}
-	if t.Token != "" {
-		fields = append(fields, Pair{"dedupe", t.Token})
-	} else if p.chance.IntN(2) == 0 {
-		fields = append(fields, Pair{"row", fmt.Sprintf("%016x", p.chance.IntN(8))})
+	if try.Token != "" {
+		fields = append(fields, Field{"dedupe", try.Token})
+	} else if p.rng.IntN(2) == 0 {
+		fields = append(fields, Field{"row", fmt.Sprintf("%016x", p.rng.IntN(8))})
 	}
-	if p.form.Tenants > 0 {
-		fields = append(fields, Pair{"org", strconv.Itoa(p.chance.IntN(p.form.Tenants))})
+	if p.options.Tenants > 0 {
+		fields = append(fields, Field{"org", strconv.Itoa(p.rng.IntN(p.options.Tenants))})
 	}
-	if t.Again && p.form.MarksRetry {
-		fields = append(fields, Pair{"rep", "1"})
+	if try.IsRetry && p.options.MarksRetry {
+		fields = append(fields, Field{"rep", "1"})
 	}
-	p.chance.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
+	p.rng.Shuffle(len(fields), func(a, b int) { fields[a], fields[b] = fields[b], fields[a] })
 	return fields, call
 }
 
-// GiveUp says that nobody waits for a try any more, where app servers are told of it.
-func (k *PeerCall) GiveUp() {
+// Cancel sends an interrupt for the try, if the deployment sends interrupts.
+func (k *PeerCall) Cancel() {
 	c := k.conn
-	if !c.form.HangupSeen {
+	if !c.options.HangupSeen {
 		return
 	}
 	c.write.Lock()
 	defer c.write.Unlock()
 	c.seq++
-	c.put(InterruptFrame(c.seq, k.seq))
+	c.writeFrame(InterruptFrame(c.seq, k.seq))
 }
 
-// put writes a frame, whole or in pieces. Called under the lock of writing.
-func (c *peerConn) put(frame []byte) {
-	c.SetWriteDeadline(time.Now().Add(peerWrites))
+// writeFrame writes a frame, whole or in parts of WriteSize bytes. The write lock must be held.
+func (c *peerConn) writeFrame(frame []byte) {
+	c.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	step := len(frame)
-	if c.form.Pieces > 0 {
-		step = c.form.Pieces
+	if c.options.WriteSize > 0 {
+		step = c.options.WriteSize
 	}
 	for len(frame) > 0 {
 		n := min(step, len(frame))
 		if _, err := c.Write(frame[:n]); err != nil {
-			c.retire() // answers that have come are still read; the reader finds the end
+			c.retire() // replies already received are still read; the reader detects the end
 			return
 		}
-		if frame = frame[n:]; len(frame) > 0 && c.form.Pieces < 8 {
+		if frame = frame[n:]; len(frame) > 0 && c.options.WriteSize < 8 {
 			time.Sleep(100 * time.Microsecond)
 		}
 	}
 }
 
-// book enters a try; false if the connection has ended meanwhile.
-func (c *peerConn) book(seq int32, o *peerOpen) bool {
+// addPending registers a try in its reserved place; false if the connection has ended meanwhile.
+func (c *peerConn) addPending(seq int32, try *pendingTry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.booked--
+	c.reserved--
 	if c.ended {
 		return false
 	}
-	c.open[seq] = o
+	c.pending[seq] = try
 	return true
 }
 
-// retire has no new RPC sent on the connection.
+// retire stops new RPCs on the connection, and closes it if nothing is pending on it.
 func (c *peerConn) retire() {
 	c.mu.Lock()
-	c.drains = true
-	idle := len(c.open)+c.booked == 0
+	c.draining = true
+	idle := len(c.pending)+c.reserved == 0
 	c.mu.Unlock()
 	if idle {
-		c.leave()
+		c.closeLocally()
 	}
 }
 
-// leave ends the connection from this side.
-func (c *peerConn) leave() {
+// closeLocally closes the connection and marks it as closed by the peer.
+func (c *peerConn) closeLocally() {
 	c.mu.Lock()
-	c.ours = true
+	c.closedLocally = true
 	c.mu.Unlock()
 	c.Conn.Close()
 }
 
-// connection books a place on one.
-func (p *Peer) connection() (*peerConn, error) {
+// reserveConnection reserves a place for one RPC on an existing or a new connection.
+func (p *Peer) reserveConnection() (*peerConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, net.ErrClosed
 	}
-	for k := 0; k < len(p.conns); k++ {
-		c := p.conns[k]
+	for k := 0; k < len(p.connections); k++ {
+		c := p.connections[k]
 		c.mu.Lock()
-		gone, room := c.ended || c.drains, len(c.open)+c.booked < routerOpen
-		if !gone && room {
-			c.booked++
+		unusable, hasRoom := c.ended || c.draining, len(c.pending)+c.reserved < maxPendingPerConnection
+		if !unusable && hasRoom {
+			c.reserved++
 		}
 		c.mu.Unlock()
 		switch {
-		case gone:
-			p.conns = append(p.conns[:k], p.conns[k+1:]...)
+		case unusable:
+			p.connections = append(p.connections[:k], p.connections[k+1:]...)
 			k--
-		case room:
+		case hasRoom:
 			return c, nil
 		}
 	}
-	nc, err := net.DialTimeout("tcp", p.address, peerConnects)
+	netConn, err := net.DialTimeout("tcp", p.address, peerConnectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &peerConn{Peer: p, Conn: nc, open: map[int32]*peerOpen{}, booked: 1}
-	p.conns = append(p.conns, c)
+	c := &peerConn{Peer: p, Conn: netConn, pending: map[int32]*pendingTry{}, reserved: 1}
+	p.connections = append(p.connections, c)
 	p.group.Go(c.read)
 	return c, nil
 }
 
 func (c *peerConn) read() {
-	defer c.over()
-	in := readbuffer.New(thrift.MaxFrame + 4)
+	defer c.failPending()
+	input := readbuffer.New(thrift.MaxFrame + 4)
 	for {
-		c.awaitHearing()
-		frame, size, err := thrift.Frame(in.Bytes())
+		c.waitUntilReading()
+		frame, size, err := thrift.Frame(input.Bytes())
 		switch {
 		case err == nil && size == 0:
-			err = in.Fill(c)
+			err = input.Fill(c)
 		case err == nil:
 			err = thrift.DecodeAnswer(frame, c)
-			in.Discard(size)
+			input.Discard(size)
 		}
-		if err != nil { // what cannot be read is the checker's to tell
+		if err != nil { // an unreadable reply is reported by the checker
 			return
 		}
 	}
 }
 
-// awaitHearing waits while the peer does not read.
-func (p *Peer) awaitHearing() {
+// waitUntilReading blocks while reading is paused.
+func (p *Peer) waitUntilReading() {
 	p.mu.Lock()
-	deaf := p.deaf
+	resumed := p.readPaused
 	p.mu.Unlock()
-	if deaf != nil {
-		<-deaf
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-// over gives what is open its outcome.
-func (c *peerConn) over() {
+// failPending closes the connection and ends all pending tries with ErrLost.
+func (c *peerConn) failPending() {
 	c.Conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended = true
-	for seq, o := range c.open {
-		o.done <- PeerOutcome{Err: ErrLost, Crossed: !c.ours && time.Since(o.at) <= crossingWindow}
-		delete(c.open, seq)
+	for seq, try := range c.pending {
+		try.done <- PeerOutcome{Err: ErrLost, ClosedInFlight: !c.closedLocally && time.Since(try.sentAt) <= maxResendWindow}
+		delete(c.pending, seq)
 	}
 }
 
-// end gives a try its outcome, and leaves a connection that is to have no more.
-func (c *peerConn) end(seq int32, o PeerOutcome) {
+// finish delivers the outcome of a try, and closes a draining connection once nothing is pending on it.
+func (c *peerConn) finish(seq int32, outcome PeerOutcome) {
 	c.mu.Lock()
-	open := c.open[seq]
-	delete(c.open, seq)
-	leave := c.drains && len(c.open)+c.booked == 0
+	try := c.pending[seq]
+	delete(c.pending, seq)
+	drained := c.draining && len(c.pending)+c.reserved == 0
 	c.mu.Unlock()
-	if open != nil {
-		open.done <- o
+	if try != nil {
+		try.done <- outcome
 	}
-	if leave {
-		c.leave()
+	if drained {
+		c.closeLocally()
 	}
 }
 
-// Served, PushedBack, Aborted and the rest are what the app server says.
+// Served and the methods below implement thrift.ReplyHandler.
 func (c *peerConn) Served(seq int32, result []byte, _ float64) {
-	c.end(seq, PeerOutcome{Result: append([]byte{}, result...)})
+	c.finish(seq, PeerOutcome{Result: append([]byte{}, result...)})
 }
 func (c *peerConn) PushedBack(seq int32, last bool, after, _ float64) {
 	wait := time.Duration(after * float64(time.Second))
-	c.end(seq, PeerOutcome{Err: ErrPushedBack, Last: last, After: wait})
+	c.finish(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, RetryAfter: wait})
 }
 func (c *peerConn) Aborted(seq int32, _ string, _ float64) {
-	c.end(seq, PeerOutcome{Err: ErrAborted})
+	c.finish(seq, PeerOutcome{Err: ErrAborted})
 }
 func (c *peerConn) Checked(int32, bool, float64) {}
 func (c *peerConn) Draining()                    { c.retire() }
 
-// Deaf stops the reading of answers, or lets it go on.
-func (p *Peer) Deaf(deaf bool) {
+// SetReadPaused pauses or resumes the reading of replies.
+func (p *Peer) SetReadPaused(paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case deaf && p.deaf == nil:
-		p.deaf = make(chan struct{})
-	case !deaf && p.deaf != nil:
-		close(p.deaf)
-		p.deaf = nil
+	case paused && p.readPaused == nil:
+		p.readPaused = make(chan struct{})
+	case !paused && p.readPaused != nil:
+		close(p.readPaused)
+		p.readPaused = nil
 	}
 }
 
-// Reset resets all connections, Leave closes them; the tries open on them have no caller any more.
-func (p *Peer) Reset() { p.endAll(true) }
+// ResetConnections resets all connections; the tries pending on them are lost.
+func (p *Peer) ResetConnections() { p.closeAll(true) }
 
-// Leave closes all connections.
-func (p *Peer) Leave() { p.endAll(false) }
+// CloseConnections closes all connections; the tries pending on them are lost.
+func (p *Peer) CloseConnections() { p.closeAll(false) }
 
-func (p *Peer) endAll(reset bool) {
+func (p *Peer) closeAll(reset bool) {
 	p.mu.Lock()
-	conns := p.conns
-	p.conns = nil
+	conns := p.connections
+	p.connections = nil
 	p.mu.Unlock()
 	for _, c := range conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok && reset {
 			tcp.SetLinger(0)
 		}
-		c.leave()
+		c.closeLocally()
 	}
 }
 
-// Close ends it and waits until nothing of it is left.
+// Close closes all connections and waits for the goroutines of the peer.
 func (p *Peer) Close() {
-	p.Deaf(false)
+	p.SetReadPaused(false)
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.endAll(false)
+	p.closeAll(false)
 	p.group.Wait()
 }
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -9,131 +9,131 @@
 	"valveglade/internal/thrift"
 )
 
-// HealthProbe asks one app server for its health all the time, on a connection of its own that it opens anew now and then.
+// HealthProbe sends health checks to one app server continuously, on connections of its own that it renews regularly.
 type HealthProbe struct {
 	address string
-	end     chan struct{}
+	stop    chan struct{}
 	group   sync.WaitGroup
 
-	mu   sync.Mutex
-	last time.Time // of any answer
-	good time.Time // of the first good answer since Begin
-	from time.Time
+	mu           sync.Mutex
+	lastAnswerAt time.Time // of any reply
+	healthyAt    time.Time // of the first healthy reply since Restart
+	startedAt    time.Time
 }
 
-// Figures of the probes: between two of them, for each answer, and checks on one connection.
+// Interval between two checks, timeout of each reply, and checks per connection.
 const (
-	probeEvery   = 100 * time.Millisecond
-	probeWaits   = time.Second
-	probesOnConn = 5
+	probeInterval       = 100 * time.Millisecond
+	probeTimeout        = time.Second
+	probesPerConnection = 5
 )
 
-// NewHealthProbe begins to ask.
+// NewHealthProbe starts a probe of the app server at address. The caller must Close it.
 func NewHealthProbe(address string) *HealthProbe {
-	p := &HealthProbe{address: address, end: make(chan struct{}), from: time.Now()}
+	p := &HealthProbe{address: address, stop: make(chan struct{}), startedAt: time.Now()}
 	p.group.Go(p.run)
 	return p
 }
 
-// Begin forgets the answers so far, as a process is started anew.
-func (p *HealthProbe) Begin() {
+// Restart discards the replies so far, because the process is restarted.
+func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.from, p.last, p.good = time.Now(), time.Time{}, time.Time{}
+	p.startedAt, p.lastAnswerAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
 }
 
-// Answered returns when the last answer came; the zero time if none has since Begin.
-func (p *HealthProbe) Answered() time.Time {
+// LastAnswerAt returns when the last reply came; the zero time if none has come since Restart.
+func (p *HealthProbe) LastAnswerAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.last
+	return p.lastAnswerAt
 }
 
-// Ready returns when the first good answer came since Begin; the zero time if none has.
-func (p *HealthProbe) Ready() time.Time {
+// HealthyAt returns when the first healthy reply since Restart came; the zero time if none has.
+func (p *HealthProbe) HealthyAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.good
+	return p.healthyAt
 }
 
-// Close ends it.
+// Close stops the probe and waits for it.
 func (p *HealthProbe) Close() {
-	close(p.end)
+	close(p.stop)
 	p.group.Wait()
 }
 
 func (p *HealthProbe) run() {
 	for {
-		p.converse()
-		if !p.pause() {
+		p.probeConnection()
+		if !p.wait() {
 			return
 		}
 	}
 }
 
-// pause reports whether the probe goes on.
-func (p *HealthProbe) pause() bool {
+// wait sleeps for the probe interval and returns false if the probe is stopped.
+func (p *HealthProbe) wait() bool {
 	select {
-	case <-p.end:
+	case <-p.stop:
 		return false
-	case <-time.After(probeEvery):
+	case <-time.After(probeInterval):
 		return true
 	}
 }
 
-// converse asks some times on one connection.
-func (p *HealthProbe) converse() {
-	conn, err := net.DialTimeout("tcp", p.address, probeWaits)
+// probeConnection sends a few health checks on one connection.
+func (p *HealthProbe) probeConnection() {
+	conn, err := net.DialTimeout("tcp", p.address, probeTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	in := readbuffer.New(thrift.MaxFrame + 4)
-	for seq := range int32(probesOnConn) {
-		asked := time.Now()
-		conn.SetDeadline(asked.Add(probeWaits))
+	input := readbuffer.New(thrift.MaxFrame + 4)
+	for seq := range int32(probesPerConnection) {
+		sentAt := time.Now()
+		conn.SetDeadline(sentAt.Add(probeTimeout))
 		if _, err := conn.Write(CheckFrame(seq + 1)); err != nil {
 			return
 		}
-		answer := probeAnswer{}
-		for !answer.came {
-			frame, size, err := thrift.Frame(in.Bytes())
+		answer := probeReply{}
+		for !answer.received {
+			frame, size, err := thrift.Frame(input.Bytes())
 			switch {
 			case err == nil && size == 0:
-				err = in.Fill(conn)
+				err = input.Fill(conn)
 			case err == nil:
 				err = thrift.DecodeAnswer(frame, &answer)
-				in.Discard(size)
+				input.Discard(size)
 			}
 			if err != nil {
 				return
 			}
 		}
-		p.take(asked, answer.good)
-		if !p.pause() {
+		p.record(sentAt, answer.healthy)
+		if !p.wait() {
 			return
 		}
 	}
 }
 
-// take notes an answer; one that was asked for before Begin is another process's.
-func (p *HealthProbe) take(asked time.Time, good bool) {
+// record records a reply. A reply to a check sent before Restart came from the previous process and is ignored.
+func (p *HealthProbe) record(sentAt time.Time, healthy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if asked.Before(p.from) {
+	if sentAt.Before(p.startedAt) {
 		return
 	}
-	p.last = time.Now()
-	if good && p.good.IsZero() {
-		p.good = p.last
+	p.lastAnswerAt = time.Now()
+	if healthy && p.healthyAt.IsZero() {
+		p.healthyAt = p.lastAnswerAt
 	}
 }
 
-// probeAnswer takes the answer to a health check.
-type probeAnswer struct{ came, good bool }
+// probeReply implements thrift.ReplyHandler and records the reply to a health check.
+type probeReply struct{ received, healthy bool }
 
-func (a *probeAnswer) Served(int32, []byte, float64)            {}
-func (a *probeAnswer) PushedBack(int32, bool, float64, float64) {}
-func (a *probeAnswer) Aborted(int32, string, float64)           { a.came = true }
-func (a *probeAnswer) Checked(_ int32, good bool, _ float64)    { a.came, a.good = true, good }
-func (a *probeAnswer) Draining()                                {}
+func (a *probeReply) Served(int32, []byte, float64)            {}
+func (a *probeReply) PushedBack(int32, bool, float64, float64) {}
+func (a *probeReply) Aborted(int32, string, float64)           { a.received = true }
+func (a *probeReply) Checked(_ int32, healthy bool, _ float64) { a.received, a.healthy = true, healthy }
+func (a *probeReply) Draining()                                {}
--- a/rig/program.go
+++ b/rig/program.go
@@ -16,28 +16,28 @@
 	"time"
 )
 
-// Site is what a fleet's app servers are told.
+// Site holds the settings and limits of a fleet's app servers.
 type Site struct {
-	Cores    int
-	MemoryMB int // the process's limit
-	Sockets  int
-	Stop     time.Duration
-	Grace    time.Duration
-	Callers  int
-	Methods  []SiteMethod
-	Marks    bool // callers mark further tries
-	MaxAfter float64
-	Extra    map[string]any // over settings.domain, as it is
-	Args     []string       // of the program
-	Limit    float64        // cores that it is told it may use, 1 if it is 0
-	OneCore  bool           // the program uses one core, as on the platform
-	Cold     ColdStart      // of app servers that are restarted
-	Kill     bool           // a program over its memory is killed, as the platform does, and that is no violation
+	Cores                int
+	MemoryMB             int // limit of the process
+	Sockets              int
+	StopTimeout          time.Duration
+	GracePeriod          time.Duration
+	Callers              int
+	Methods              []SiteMethod
+	MarksRetry           bool // clients mark retries
+	MaxRetryAfterSeconds float64
+	DomainOverrides      map[string]any // override entries of settings.domain
+	Args                 []string       // arguments of the program
+	CoreLimit            float64        // limits.cores; 0 stands for 1
+	OneCore              bool           // run the program on one core, as the platform does
+	Cold                 ColdStart      // of restarted app servers
+	KillOverMemory       bool           // kill programs over MemoryMB, as the platform does, and report no violation
 }
 
-// rules are the settings' figures of the rules.
+// rules returns settings.rules.
 func (s Site) rules() map[string]any {
-	rules := map[string]any{"overloadFactor": 5, "stopSendingWithinS": s.Grace.Seconds()}
+	rules := map[string]any{"overloadFactor": 5, "stopSendingWithinS": s.GracePeriod.Seconds()}
 	if s.Cold.Window > 0 {
 		rules["startCapacity"], rules["rampTimeS"] = s.Cold.Capacity, s.Cold.Ramp.Seconds()
 		rules["fallS"] = s.Cold.Window.Seconds()
@@ -45,72 +45,72 @@
 	return rules
 }
 
-// SiteMethod is one method, in the platform's words.
+// SiteMethod is one method, in the platform's terms.
 type SiteMethod struct {
-	Name        string  `json:"name"`
-	Kind        string  `json:"idempotency"`
-	Target      float64 `json:"onTimeS"`
-	Deadline    float64 `json:"deadlineS"`
-	Window      float64 `json:"windowS,omitempty"`
-	Criticality float64 `json:"worth"`
+	Name          string  `json:"name"`
+	Kind          string  `json:"idempotency"`
+	LatencyTarget float64 `json:"onTimeS"`
+	Deadline      float64 `json:"deadlineS"`
+	Window        float64 `json:"windowS,omitempty"`
+	Criticality   float64 `json:"worth"`
 }
 
-// Program is one app server: the real program as a process, its kernel a stand-in.
+// Program is one app server: the real program as a process, with a stand-in kernel.
 type Program struct {
-	Name    string
-	Address string
-	Kernel  *Kernel
-	site    Site
-	bin     string
-	dir     string
-	roster  string
-	check   *Checker
-	called  string                  // its own name for itself, if it is not Name
-	args    []string                // over the site's
-	text    func(p *Program) string // the configuration, where it is not the site's
+	Name       string
+	Address    string
+	Kernel     *Kernel
+	site       Site
+	binary     string
+	directory  string
+	roster     string
+	check      *Checker
+	configName string                  // name in its configuration, if not Name
+	args       []string                // appended to those of the site
+	configText func(p *Program) string // returns the configuration; nil to derive it from the site
 	Process
 }
 
-// ProgramPlan is one app server under a configuration that is given as text.
+// ProgramPlan describes one app server whose configuration is given as text.
 type ProgramPlan struct {
 	Name   string
 	Binary string
-	Args   []string // of the program
-	Site   Site     // what the rig itself goes by: limits, the times of a notice
+	Args   []string // arguments of the program
+	Site   Site     // limits and shutdown times, as used by the rig itself
 	Kernel KernelConfig
-	Folder string // for its files
+	Folder string // for the files of the app server
 	Roster string
 	Check  *Checker
-	Config func(p *Program) string // asked at each start and reload
+	Config func(p *Program) string // called at each start and reload
 }
 
-// NewProgram prepares one, with a kernel of its own; nothing is started before Launch.
+// NewProgram prepares an app server with a kernel of its own; the process is not started before Launch.
 func NewProgram(plan ProgramPlan) (*Program, error) {
 	kernel, err := NewConfiguredKernel(plan.Name, plan.Kernel, plan.Check)
 	if err != nil {
 		return nil, err
 	}
-	address, err := ownAddress()
+	address, err := freeLoopbackAddress()
 	if err != nil {
 		kernel.Close()
 		return nil, err
 	}
-	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, bin: plan.Binary, dir: plan.Folder,
-		roster: plan.Roster, check: plan.Check, args: plan.Args, text: plan.Config}, nil
+	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary, directory: plan.Folder,
+		roster: plan.Roster, check: plan.Check, args: plan.Args, configText: plan.Config}, nil
 }
 
-// Build makes the program in a folder, for tests; rehearse finds its own beside itself.
+// Build builds the program in a folder, for tests, and returns its path.
 func Build(dir string) (string, error) {
-	bin := filepath.Join(dir, "valveglade")
-	out, err := exec.Command("go", "build", "-o", bin, "valveglade/cmd/valveglade").CombinedOutput()
+	binary := filepath.Join(dir, "valveglade")
+	out, err := exec.Command("go", "build", "-o", binary, "valveglade/cmd/valveglade").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("building the program: %w: %s", err, out)
 	}
-	return bin, nil
+	return binary, nil
 }
 
-// Main runs a package's tests with the program built for them at the path that is left in program, and ends the process.
-func Main(m interface{ Run() int }, program *string) {
+// RunTests builds the program, stores its path in program, runs a package's tests and exits the process.
+func RunTests(m interface{ Run() int }, program *string) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err == nil {
 		*program, err = Build(dir)
@@ -124,8 +124,8 @@
 	os.Exit(code)
 }
 
-// freePort gives a port that was free a moment ago.
-func freePort() (string, error) {
+// freeAddress returns a loopback address with a port that was free when it was checked.
+func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -134,7 +134,7 @@
 	return l.Addr().String(), nil
 }
 
-// Start runs the program and returns once it takes connections.
+// Start starts the program and returns once it accepts connections.
 func (p *Program) Start() error {
 	if err := p.Launch(); err != nil {
 		return err
@@ -147,46 +147,47 @@
 		}
 		select {
 		case <-done:
-			return fmt.Errorf("%s ended at its start: %s", p.Name, p.Log())
+			return fmt.Errorf("%s exited during startup: %s", p.Name, p.Log())
 		default:
 		}
 	}
-	return fmt.Errorf("%s takes no connection", p.Name)
+	return fmt.Errorf("%s accepts no connection", p.Name)
 }
 
-// Launch runs the program and does not wait for it.
+// Launch starts the program without waiting until it is ready.
 func (p *Program) Launch() error {
 	if err := p.WriteConfig(); err != nil {
 		return err
 	}
-	cmd := p.command()
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.called, p.Name), "GW_LISTEN="+p.Address)
+	cmd := p.buildCommand()
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.configName, p.Name), "GW_LISTEN="+p.Address)
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
-	p.check.Up(p.Name)
-	p.Kernel.Boot()
-	_, err := p.run(cmd, func(err error) { p.check.Exited(p.Name, cmd.ProcessState.ExitCode(), err) })
+	p.check.ProcessStarted(p.Name)
+	p.Kernel.BeginColdStart()
+	_, err := p.spawn(cmd, func(err error) { p.check.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
 
-// command starts the program as the platform does. Where the configuration is a text, the system holds it to its descriptors, too.
-func (p *Program) command() *exec.Cmd {
+// buildCommand returns the command that starts the program as the platform does. If the configuration is given as
+// text, the shell also sets the descriptor limit.
+func (p *Program) buildCommand() *exec.Cmd {
 	args := slices.Concat(p.site.Args, p.args)
-	if p.text == nil || p.site.Sockets > systemDescriptors {
-		return exec.Command(p.bin, args...)
+	if p.configText == nil || p.site.Sockets > maxUlimitDescriptors {
+		return exec.Command(p.binary, args...)
 	}
-	limited := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(p.site.Sockets), p.bin}
-	return exec.Command("/bin/sh", slices.Concat(limited, args)...)
+	shellArgs := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(p.site.Sockets), p.binary}
+	return exec.Command("/bin/sh", slices.Concat(shellArgs, args)...)
 }
 
-// systemDescriptors is up to which a limit of descriptors is set in the system.
-const systemDescriptors = 1024
+// maxUlimitDescriptors is the largest descriptor limit that is enforced with ulimit.
+const maxUlimitDescriptors = 1024
 
-// WriteConfig puts the configuration where the program reads it, at its start and when it reloads.
+// WriteConfig writes the configuration file that the program reads at its start and on a reload.
 func (p *Program) WriteConfig() error {
-	if p.text != nil {
-		return p.WriteConfigText(p.text(p))
+	if p.configText != nil {
+		return p.WriteConfigText(p.configText(p))
 	}
 	text, err := p.siteConfig()
 	if err != nil {
@@ -195,81 +196,83 @@
 	return p.WriteConfigText(string(text))
 }
 
-// WriteConfigText puts any text there.
+// WriteConfigText writes any text to the configuration file.
 func (p *Program) WriteConfigText(text string) error {
 	return os.WriteFile(p.configPath(), []byte(text), 0o600)
 }
 
-func (p *Program) configPath() string { return filepath.Join(p.dir, p.Name+".json") }
+func (p *Program) configPath() string { return filepath.Join(p.directory, p.Name+".json") }
 
-// Roster is where it reports to.
+// Roster returns the address to which the program reports.
 func (p *Program) Roster() string { return p.roster }
 
-// siteConfig is the configuration that the site makes.
+// siteConfig returns the configuration derived from the site.
 func (p *Program) siteConfig() ([]byte, error) {
 	site := p.site
 	domain := map[string]any{"below": "none", "nCores": site.Cores, "memoryKb": 64000, "runFactor": 4, "entryKb": 1,
 		"keepaliveMaxS": 30, "callers": site.Callers, "preemption": "discard", "signal": "allowance", "ownStats": []string{}}
-	for k, v := range site.Extra {
+	for k, v := range site.DomainOverrides {
 		domain[k] = v
 	}
-	return json.Marshal(map[string]any{"name": cmp.Or(p.called, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(), "roster": p.roster,
-		"stop_ms": site.Stop.Milliseconds(),
-		"limits":  map[string]any{"cores": cmp.Or(site.Limit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
+	return json.Marshal(map[string]any{"name": cmp.Or(p.configName, p.Name), "listen": p.Address, "kernel": p.Kernel.Address(),
+		"roster":  p.roster,
+		"stop_ms": site.StopTimeout.Milliseconds(),
+		"limits":  map[string]any{"cores": cmp.Or(site.CoreLimit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
 			"rules":    site.rules(),
-			"clients":  map[string]any{"marksRetry": site.Marks},
-			"ceilings": map[string]any{"retryAfter": site.MaxAfter > 0, "maxRetryAfterS": site.MaxAfter}}})
+			"clients":  map[string]any{"marksRetry": site.MarksRetry},
+			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0, "maxRetryAfterS": site.MaxRetryAfterSeconds}}})
 }
 
-// Kill ends it outright, with its kernel's runs, and waits for its end.
+// Kill kills the program and its kernel's runs, and waits for its end.
 func (p *Program) Kill() {
-	p.check.Killed(p.Name)
+	p.check.ProcessKilled(p.Name)
 	p.signal(syscall.SIGKILL)
 	p.Kernel.Restart()
 	p.wait()
 }
 
-// Notice tells it to leave; Wait is for its end.
-func (p *Program) Notice() {
-	p.check.Notice(p.Name, p.site.Grace, p.site.Stop)
+// RequestShutdown sends SIGTERM and tells the checker; it does not wait for the end.
+func (p *Program) RequestShutdown() {
+	p.check.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
-// Stop tells it to leave and waits for its end, at most a little past its stop.
+// Stop shuts the program down and waits for its end. It kills the program 5 seconds after its StopTimeout and returns
+// an error.
 func (p *Program) Stop() error {
-	p.Notice()
+	p.RequestShutdown()
 	select {
 	case <-p.ended():
 		return nil
-	case <-time.After(p.site.Stop + 5*time.Second):
+	case <-time.After(p.site.StopTimeout + 5*time.Second):
 		p.Kill()
 		return errors.New(p.Name + " did not end by itself")
 	}
 }
 
-// Fleet is some app servers, each behind a faulty network of its own, and a sink for their reports.
+// Fleet is a group of app servers, each behind a recording proxy, and a roster that collects their reports.
 type Fleet struct {
-	Check    *Checker
-	Programs []*Program
-	Nets     []*Net
-	Roster   *Roster
-	dir      string
-	end      chan struct{}
-	group    sync.WaitGroup
+	Check     *Checker
+	Programs  []*Program
+	Proxies   []*FaultProxy
+	Roster    *Roster
+	directory string
+	stop      chan struct{}
+	group     sync.WaitGroup
 
-	mu     sync.Mutex
-	peak   int64
-	killed int
+	mu           sync.Mutex
+	peakResident int64
+	killed       int
 }
 
-// NewFleet starts n app servers of the program bin.
-func NewFleet(bin string, n int, site Site, check *Checker) (*Fleet, error) {
+// NewFleet starts n app servers of the program at path binary. The caller closes the fleet.
+func NewFleet(binary string, n int, site Site, check *Checker) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Check: check, dir: dir, end: make(chan struct{})}
+	f := &Fleet{Check: check, directory: dir, stop: make(chan struct{})}
 	if f.Roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
@@ -281,12 +284,12 @@
 			return nil, err
 		}
 		kernel.config.Cold = site.Cold
-		address, err := freePort()
+		address, err := freeAddress()
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, bin: bin, dir: dir,
+		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, binary: binary, directory: dir,
 			roster: f.Roster.Address(), check: check}
 		if err := p.Start(); err != nil {
 			kernel.Close()
@@ -294,70 +297,70 @@
 			return nil, err
 		}
 		f.Programs = append(f.Programs, p)
-		wire, err := NewNet(name, address, check)
+		proxy, err := NewFaultProxy(name, address, check)
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.Nets = append(f.Nets, wire)
+		f.Proxies = append(f.Proxies, proxy)
 	}
-	f.group.Go(f.weigh)
+	f.group.Go(f.watchMemory)
 	return f, nil
 }
 
-// weigh looks at the programs' memory.
-func (f *Fleet) weigh() {
+// watchMemory samples the memory of the programs and enforces their limit.
+func (f *Fleet) watchMemory() {
 	for {
 		select {
-		case <-f.end:
+		case <-f.stop:
 			return
 		case <-time.After(50 * time.Millisecond):
 			for _, p := range f.Programs {
-				takes, limit := p.Resident(), int64(p.site.MemoryMB)<<20
+				resident, limit := p.ResidentBytes(), int64(p.site.MemoryMB)<<20
 				f.mu.Lock()
-				f.peak = max(f.peak, takes)
+				f.peakResident = max(f.peakResident, resident)
 				f.mu.Unlock()
 				switch {
-				case takes <= limit:
-				case p.site.Kill && p.Running():
+				case resident <= limit:
+				case p.site.KillOverMemory && p.Running():
 					f.mu.Lock()
 					f.killed++
 					f.mu.Unlock()
 					p.Kill()
 				default:
-					f.Check.Memory(p.Name, takes, limit)
+					f.Check.VerifyMemory(p.Name, resident, limit)
 				}
 			}
 		}
 	}
 }
 
-// Peak is the most memory that any of the programs has taken, Killed how many were killed for it.
-func (f *Fleet) Peak() int64 {
+// PeakResidentBytes returns the largest resident memory of any of the programs, in bytes.
+func (f *Fleet) PeakResidentBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.peak
+	return f.peakResident
 }
 
-// Killed is how many programs were killed for their memory.
+// Killed returns how many programs were killed for exceeding their memory limit.
 func (f *Fleet) Killed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.killed
 }
 
-// Addresses is where callers connect.
+// Addresses returns the addresses to which clients connect.
 func (f *Fleet) Addresses() []string {
-	var all []string
-	for _, n := range f.Nets {
-		all = append(all, n.Address())
+	var addresses []string
+	for _, n := range f.Proxies {
+		addresses = append(addresses, n.Address())
 	}
-	return all
+	return addresses
 }
 
-// Close stops all of it.
+// Close stops the programs, kernels, proxies and the roster, and removes the files.
 func (f *Fleet) Close() {
-	close(f.end)
+	close(f.stop)
 	var all sync.WaitGroup
 	for _, p := range f.Programs {
 		all.Go(func() {
@@ -366,10 +369,10 @@
 		})
 	}
 	all.Wait()
-	for _, n := range f.Nets {
+	for _, n := range f.Proxies {
 		n.Close()
 	}
 	f.Roster.Close()
 	f.group.Wait()
-	os.RemoveAll(f.dir)
+	os.RemoveAll(f.directory)
 }
--- /dev/null
+++ b/rig/proxied_connection.go
@@ -0,0 +1,59 @@
+package rig
+
+import (
+	"net"
+	"sync/atomic"
+	"time"
+)
+
+// proxiedConnection is one connection of a client through the faulty network. It identifies the connection to the checker.
+type proxiedConnection struct {
+	*FaultProxy
+	caller, server net.Conn
+	endedLocally   atomic.Bool   // ended by the network or by the caller
+	endedByServer  atomic.Bool   // ended by the app server
+	writeStarted   atomic.Int64  // start of the pending write to the caller, in Unix nanoseconds; 0 for none
+	callerStalled  atomic.Bool   // a write to the caller blocked because the caller did not read
+	chunkCount     atomic.Uint64 // chunks written so far, which seed how the next one is split
+
+	optionalReplies map[int32]int // count of allowed replies that are not due, by sequence number; guarded by the checker's lock
+	countedIn       *requestLog   // the ledger that counts the connection; guarded by the checker's lock
+}
+
+// watchRequest reports a message to the app server to the checker. If replyDue, the app server must reply under seq.
+func (f *proxiedConnection) watchRequest(message []byte) (seq int32, replyDue bool) {
+	req, err := readRequest(message)
+	return req.seq, f.check.observeRequest(f, req, err)
+}
+
+// watchReply reports a message from the app server to the checker.
+func (f *proxiedConnection) watchReply(message []byte) {
+	decoded, err := readReply(message)
+	f.check.observeReply(f, decoded, err)
+}
+
+// stalledWriteTimeout is the duration after which a blocked write shows that the caller does not read.
+const stalledWriteTimeout = 50 * time.Millisecond
+
+// write writes to one side. It records the start of writes to the caller and whether one of them stalled.
+func (f *proxiedConnection) write(to net.Conn, b []byte) error {
+	if to != f.caller {
+		_, err := to.Write(b)
+		return err
+	}
+	start := time.Now()
+	f.writeStarted.Store(start.UnixNano())
+	_, err := to.Write(b)
+	f.writeStarted.Store(0)
+	if time.Since(start) > stalledWriteTimeout {
+		f.callerStalled.Store(true)
+	}
+	return err
+}
+
+// callerNotReading reports whether a write to the caller has stalled: later replies come late or not at all then, which is no
+// fault of the app server.
+func (f *proxiedConnection) callerNotReading() bool {
+	start := f.writeStarted.Load()
+	return f.callerStalled.Load() || start > 0 && time.Since(time.Unix(0, start)) > stalledWriteTimeout
+}
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// Roster stands in for the list from which routers learn of app servers: it hears their reports over UDP. It is safe for
-// use by many goroutines.
+// Roster simulates the registry from which routers learn of app servers: it receives their reports over UDP. It is safe for
+// concurrent use.
 type Roster struct {
 	address string
 
-	mu    sync.Mutex
-	conn  net.PacketConn // nil while the roster is down
-	heard map[string]time.Time
-	check *Checker        // nil unless Judge
-	names map[string]bool // that processes have
-	group sync.WaitGroup
+	mu           sync.Mutex
+	conn         net.PacketConn // nil while the roster is stopped
+	firstReports map[string]time.Time
+	check        *Checker        // nil unless CheckReports was called
+	names        map[string]bool // names of the known processes
+	group        sync.WaitGroup
 }
 
-// NewRoster listens on a free port.
+// NewRoster returns a roster that listens on a free port. The caller must Close it.
 func NewRoster() (*Roster, error) {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Roster{address: conn.LocalAddr().String(), heard: map[string]time.Time{}}
+	r := &Roster{address: conn.LocalAddr().String(), firstReports: map[string]time.Time{}}
 	r.listen(conn)
 	return r, nil
 }
 
-// Address is where app servers report to; it stays the same over an outage.
+// Address returns the address for reports; it stays the same across Stop and Restart.
 func (r *Roster) Address() string { return r.address }
 
-// Down closes the socket, so that reports are lost and what was heard is forgotten.
-func (r *Roster) Down() {
+// Stop closes the socket, so that reports are lost, and discards the reports received so far.
+func (r *Roster) Stop() {
 	r.mu.Lock()
 	conn := r.conn
 	r.conn = nil
-	clear(r.heard)
+	clear(r.firstReports)
 	r.mu.Unlock()
 	if conn != nil {
 		conn.Close()
@@ -49,8 +49,8 @@
 	r.group.Wait()
 }
 
-// Return opens the socket again at the same address.
-func (r *Roster) Return() error {
+// Restart opens the socket again at the same address.
+func (r *Roster) Restart() error {
 	conn, err := net.ListenPacket("udp", r.address)
 	if err != nil {
 		return err
@@ -59,21 +59,21 @@
 	return nil
 }
 
-// Close ends it.
-func (r *Roster) Close() { r.Down() }
+// Close closes the socket and waits for its reader.
+func (r *Roster) Close() { r.Stop() }
 
-// FirstHeard returns when the app server of that name first reported itself as on since the roster came up; ok is false
-// if it has not.
-func (r *Roster) FirstHeard(name string) (at time.Time, ok bool) {
+// FirstReported returns when the app server of that name first reported itself as on since the roster was started or
+// restarted, or since Forget; ok is false if it has not.
+func (r *Roster) FirstReported(name string) (at time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok = r.heard[name]
+	at, ok = r.firstReports[name]
 	return at, ok
 }
 
-// Judge has each report checked: its form, and that it comes from a process of one of these names that lives. A process has
-// the name under which the checker is told of it.
-func (r *Roster) Judge(check *Checker, names ...string) {
+// CheckReports has the checker verify each report from now on: its format, that its name is one of the given names, and that
+// the process of that name is alive. Names are those under which the checker knows the processes.
+func (r *Roster) CheckReports(check *Checker, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.check, r.names = check, map[string]bool{}
@@ -82,11 +82,11 @@
 	}
 }
 
-// Forget drops what was heard from one app server, as when its process is killed.
+// Forget discards the reports of one app server, for use when its process is killed.
 func (r *Roster) Forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.heard, name)
+	delete(r.firstReports, name)
 }
 
 func (r *Roster) listen(conn net.PacketConn) {
@@ -100,52 +100,52 @@
 			if err != nil {
 				return
 			}
-			r.hear(string(buffer[:n]))
+			r.record(string(buffer[:n]))
 		}
 	})
 }
 
-// hear records one report, "HERE name on" or "HERE name off".
-func (r *Roster) hear(report string) {
+// record processes one report, "HERE name on" or "HERE name off".
+func (r *Roster) record(report string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, on, err := parseReport(report)
 	if r.check != nil {
-		r.judge(report, name, err)
+		r.checkReport(report, name, err)
 	}
 	if err != nil {
 		return
 	}
-	if _, known := r.heard[name]; !known && on {
-		r.heard[name] = time.Now()
+	if _, known := r.firstReports[name]; !known && on {
+		r.firstReports[name] = time.Now()
 	}
 }
 
-// errNoReport is wrapped by the errors of datagrams that are no report.
-var errNoReport = errors.New("no report")
+// errMalformedReport is wrapped by the errors about datagrams that are no valid report.
+var errMalformedReport = errors.New("malformed report")
 
-// parseReport reads the three words of a report.
+// parseReport parses the three words of a report.
 func parseReport(report string) (name string, on bool, err error) {
 	words := strings.Split(report, " ")
 	switch {
 	case len(words) != 3:
-		return "", false, fmt.Errorf("%w: %d words", errNoReport, len(words))
+		return "", false, fmt.Errorf("%w: %d words, want 3", errMalformedReport, len(words))
 	case words[0] != "HERE":
-		return "", false, fmt.Errorf("%w: it begins with %q", errNoReport, words[0])
+		return "", false, fmt.Errorf("%w: begins with %q, want HERE", errMalformedReport, words[0])
 	case words[2] != "on" && words[2] != "off":
-		return "", false, fmt.Errorf("%w: it ends with %q", errNoReport, words[2])
+		return "", false, fmt.Errorf("%w: ends with %q, want on or off", errMalformedReport, words[2])
 	}
 	return words[1], words[2] == "on", nil
 }
 
-// judge is called under the lock.
-func (r *Roster) judge(report, name string, err error) {
+// checkReport reports a violation for an invalid report. The lock must be held.
+func (r *Roster) checkReport(report, name string, err error) {
 	switch {
 	case err != nil:
-		r.check.report(1, "a datagram to the roster %.80q: %v", report, err)
+		r.check.reportViolation(1, "invalid datagram to the roster, %.80q: %v", report, err)
 	case !r.names[name]:
-		r.check.report(1, "a report to the roster in the name of %q, which nobody has", name)
-	case !r.check.lives(name):
-		r.check.report(1, "a report to the roster from %s, which has ended", name)
+		r.check.reportViolation(1, "a report to the roster names %q, which is no known process", name)
+	case !r.check.isAlive(name):
+		r.check.reportViolation(1, "a report to the roster from %s, which has ended", name)
 	}
 }
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -10,186 +10,188 @@
 	"valveglade/internal/thrift"
 )
 
-// Heard is one RPC as a Stub reads it.
-type Heard struct {
-	Seq                  int32
-	Method, Token, ID    string
-	Call                 string
-	Body                 []byte
-	Recv, TTL            float64
-	Again                bool
-	Conn                 int // number of the connection, from 1
-	Interrupt, CheckOnly bool
+// ReceivedRequest is one message as a Stub decoded it.
+type ReceivedRequest struct {
+	Seq                    int32
+	Method, Token, ID      string
+	Call                   string
+	Body                   []byte
+	Recv, TTL              float64 // in seconds; Recv since the Unix epoch
+	IsRetry                bool
+	Conn                   int // number of the connection, starting at 1
+	Interrupt, HealthCheck bool
 }
 
-// Stub stands in for an app server where a real one would behave too well. What it does with each message that
-// comes is given to it; nil serves everything.
+// Stub simulates an app server whose behavior a test controls, such as one that breaks the protocol. Its handler writes the
+// replies to each message; without one it serves every RPC.
 type Stub struct {
-	raw      func(nc net.Conn) // takes over a whole connection, if set
-	listener net.Listener
-
-	mu     sync.Mutex
-	behave func(h Heard, out []byte) []byte
-	heard  []Heard
-	conns  map[net.Conn]struct{}
-	count  int
-	group  sync.WaitGroup
+	connectionHandler func(conn net.Conn) // if set, handles whole connections
+	listener          net.Listener
+
+	mu            sync.Mutex
+	handler       func(request ReceivedRequest, out []byte) []byte
+	received      []ReceivedRequest
+	conns         map[net.Conn]struct{}
+	acceptedCount int
+	group         sync.WaitGroup
 }
 
-// NewStub listens on a free port.
-func NewStub(behave func(h Heard, out []byte) []byte) (*Stub, error) {
-	s, err := newStub(behave)
+// NewStub returns a stub that listens on a free port. handler appends the replies to a message to out and returns the result;
+// nil serves everything. The caller must Close the stub.
+func NewStub(handler func(request ReceivedRequest, out []byte) []byte) (*Stub, error) {
+	s, err := newStub(handler)
 	if err == nil {
 		s.group.Go(s.accept)
 	}
 	return s, err
 }
 
-// NewRawStub hands each connection to raw.
-func NewRawStub(raw func(nc net.Conn)) (*Stub, error) {
+// NewRawStub returns a stub that listens on a free port and passes each connection to a handler. It closes the connection
+// when the handler returns. The caller must Close the stub.
+func NewRawStub(handler func(conn net.Conn)) (*Stub, error) {
 	s, err := newStub(nil)
 	if err == nil {
-		s.raw = raw
+		s.connectionHandler = handler
 		s.group.Go(s.accept)
 	}
 	return s, err
 }
 
-func newStub(behave func(h Heard, out []byte) []byte) (*Stub, error) {
+func newStub(handler func(request ReceivedRequest, out []byte) []byte) (*Stub, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return &Stub{behave: behave, listener: listener, conns: map[net.Conn]struct{}{}}, nil
+	return &Stub{handler: handler, listener: listener, conns: map[net.Conn]struct{}{}}, nil
 }
 
-// Address is where callers connect.
+// Address returns the address for callers.
 func (s *Stub) Address() string { return s.listener.Addr().String() }
 
-// Behave changes what is written for each message that comes.
-func (s *Stub) Behave(behave func(h Heard, out []byte) []byte) {
+// SetHandler replaces the handler of messages; nil serves everything.
+func (s *Stub) SetHandler(handler func(request ReceivedRequest, out []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behave = behave
+	s.handler = handler
 }
 
-// Heard is all that has come, health checks aside.
-func (s *Stub) Heard() []Heard {
+// Received returns a copy of the messages received so far, without health checks.
+func (s *Stub) Received() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Heard(nil), s.heard...)
+	return append([]ReceivedRequest(nil), s.received...)
 }
 
-// Conns is how many connections there are.
-func (s *Stub) Conns() int {
+// ConnectionCount returns the number of open connections.
+func (s *Stub) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Cut ends all connections.
-func (s *Stub) Cut() {
+// CloseConnections closes all connections.
+func (s *Stub) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for nc := range s.conns {
-		nc.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 }
 
-// Close ends it.
+// Close stops listening, closes all connections and waits for their handlers.
 func (s *Stub) Close() {
 	s.listener.Close()
-	s.Cut()
+	s.CloseConnections()
 	s.group.Wait()
 }
 
 func (s *Stub) accept() {
 	for {
-		nc, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.conns[nc] = struct{}{}
-		s.count++
-		number := s.count
+		s.conns[conn] = struct{}{}
+		s.acceptedCount++
+		number := s.acceptedCount
 		s.mu.Unlock()
 		s.group.Go(func() {
 			defer func() {
-				nc.Close()
+				conn.Close()
 				s.mu.Lock()
-				delete(s.conns, nc)
+				delete(s.conns, conn)
 				s.mu.Unlock()
 			}()
-			if s.raw != nil {
-				s.raw(nc)
+			if s.connectionHandler != nil {
+				s.connectionHandler(conn)
 				return
 			}
-			s.serve(nc, number)
+			s.serve(conn, number)
 		})
 	}
 }
 
-func (s *Stub) serve(nc net.Conn, number int) {
-	in := readbuffer.New(thrift.MaxFrame + 4)
-	in2 := &stubConn{Stub: s, nc: nc, number: number}
+func (s *Stub) serve(conn net.Conn, number int) {
+	input := readbuffer.New(thrift.MaxFrame + 4)
+	requests := &stubConn{Stub: s, conn: conn, number: number}
 	for {
-		frame, size, err := thrift.Frame(in.Bytes())
+		frame, size, err := thrift.Frame(input.Bytes())
 		if err != nil {
 			return
 		}
 		if size == 0 {
-			if len(in2.out) > 0 {
-				nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
-				if _, err := nc.Write(in2.out); err != nil {
+			if len(requests.out) > 0 {
+				conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
+				if _, err := conn.Write(requests.out); err != nil {
 					return
 				}
-				in2.out = in2.out[:0]
+				requests.out = requests.out[:0]
 			}
-			if in.Fill(nc) != nil {
+			if input.Fill(conn) != nil {
 				return
 			}
 			continue
 		}
-		if thrift.Decode(frame, in2) != nil {
+		if thrift.Decode(frame, requests) != nil {
 			return
 		}
-		in.Discard(size)
+		input.Discard(size)
 	}
 }
 
-// stubConn hears one connection.
+// stubConn implements thrift.RequestHandler for one connection of a Stub.
 type stubConn struct {
 	*Stub
-	nc     net.Conn
+	conn   net.Conn
 	number int
 	out    []byte
 }
 
-func (c *stubConn) hear(h Heard) {
-	h.Conn = c.number
+func (c *stubConn) handle(received ReceivedRequest) {
+	received.Conn = c.number
 	c.mu.Lock()
-	behave := c.behave
-	if !h.CheckOnly && len(c.Stub.heard) < 1<<16 {
-		c.Stub.heard = append(c.Stub.heard, h)
+	handler := c.handler
+	if !received.HealthCheck && len(c.Stub.received) < 1<<16 {
+		c.Stub.received = append(c.Stub.received, received)
 	}
 	c.mu.Unlock()
 	switch {
-	case behave != nil:
-		c.out = behave(h, c.out)
-	case h.CheckOnly:
-		c.out = thrift.Checked(c.out, h.Seq, true, 100)
-	case !h.Interrupt:
-		c.out = thrift.Served(c.out, h.Seq, Answer(h.ID), 100)
+	case handler != nil:
+		c.out = handler(received, c.out)
+	case received.HealthCheck:
+		c.out = thrift.Checked(c.out, received.Seq, true, 100)
+	case !received.Interrupt:
+		c.out = thrift.Served(c.out, received.Seq, RunResult(received.ID), 100)
 	}
 }
 
 func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
-	id, _, _ := ReadBody(body)
-	c.hear(Heard{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call), Body: slices.Clone(body),
-		Recv: recv, TTL: ttl, Again: again})
+	id, _, _ := DecodeBody(body)
+	c.handle(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call),
+		Body: slices.Clone(body), Recv: recv, TTL: ttl, IsRetry: again})
 }
 func (c *stubConn) Unreadable(int32, string) {}
-func (c *stubConn) Interrupt(target int32)   { c.hear(Heard{Seq: target, Interrupt: true}) }
-func (c *stubConn) Check(seq int32)          { c.hear(Heard{Seq: seq, CheckOnly: true}) }
+func (c *stubConn) Interrupt(target int32)   { c.handle(ReceivedRequest{Seq: target, Interrupt: true}) }
+func (c *stubConn) Check(seq int32)          { c.handle(ReceivedRequest{Seq: seq, HealthCheck: true}) }
 func (c *stubConn) Unknown(int32, string)    {}
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -8,128 +8,130 @@
 	"time"
 )
 
-// Worker stands in for somebody outside who carries out commands of a role. It refuses terms that are over, if it is told to,
-// and writes down who ordered what, when and under which term.
+// Worker simulates an outside system that executes the orders of a role owner. It rejects orders of stale terms, if it is
+// configured to, and records the owner, time and term of each executed order. It is safe for concurrent use.
 type Worker struct {
-	listener net.Listener
-	fences   bool
-	history  *History
+	listener          net.Listener
+	rejectsStaleTerms bool
+	history           *History
 
-	mu      sync.Mutex
-	orders  []Order
-	highest uint64
-	refused int
-	conns   map[net.Conn]struct{}
+	mu          sync.Mutex
+	orders      []Order
+	highestTerm uint64
+	refused     int
+	conns       map[net.Conn]struct{}
 }
 
-// Order is one that had its effect.
+// Order is an order that was executed.
 type Order struct {
 	At    time.Time
 	Owner string
 	Term  uint64
 }
 
-// NewWorker listens on a free port.
-func NewWorker(fences bool, history *History) (*Worker, error) {
+// NewWorker returns a worker that listens on a free port. The caller must Close it.
+func NewWorker(rejectsStaleTerms bool, history *History) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{listener: listener, fences: fences, history: history, conns: map[net.Conn]struct{}{}}
+	w := &Worker{listener: listener, rejectsStaleTerms: rejectsStaleTerms, history: history, conns: map[net.Conn]struct{}{}}
 	go func() {
 		for {
-			nc, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			w.mu.Lock()
-			w.conns[nc] = struct{}{}
+			w.conns[conn] = struct{}{}
 			w.mu.Unlock()
-			go w.serve(nc)
+			go w.serve(conn)
 		}
 	}()
 	return w, nil
 }
 
-// Address is where orders go.
+// Address returns the address for orders.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Close ends it.
+// Close stops listening and closes all connections.
 func (w *Worker) Close() {
 	w.listener.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for nc := range w.conns {
-		nc.Close()
+	for conn := range w.conns {
+		conn.Close()
 	}
 }
 
-func (w *Worker) serve(nc net.Conn) {
-	defer nc.Close()
-	lines := bufio.NewScanner(nc)
-	for lines.Scan() {
+func (w *Worker) serve(conn net.Conn) {
+	defer conn.Close()
+	scanner := bufio.NewScanner(conn)
+	for scanner.Scan() {
 		var role, owner string
 		var term uint64
-		var n int
-		if _, err := fmt.Sscanf(lines.Text(), "ORDER %s %d %d %s", &role, &term, &n, &owner); err != nil {
+		var number int
+		if _, err := fmt.Sscanf(scanner.Text(), "ORDER %s %d %d %s", &role, &term, &number, &owner); err != nil {
 			return
 		}
-		if known, ok := w.take(owner, term); !ok {
-			w.history.Add(owner, "late", fmt.Sprintf("order under term %d refused, %d is known", term, known))
-			fmt.Fprintf(nc, "late %d\n", known)
+		if highestTerm, ok := w.accept(owner, term); !ok {
+			w.history.AddEvent(owner, "late", fmt.Sprintf("order rejected: stale term %d, term %d is known", term, highestTerm))
+			fmt.Fprintf(conn, "late %d\n", highestTerm)
 			continue
 		}
-		fmt.Fprintln(nc, "ok")
+		fmt.Fprintln(conn, "ok")
 	}
 }
 
-func (w *Worker) take(owner string, term uint64) (known uint64, ok bool) {
+func (w *Worker) accept(owner string, term uint64) (highestTerm uint64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if term < w.highest && w.fences {
+	if term < w.highestTerm && w.rejectsStaleTerms {
 		w.refused++
-		return w.highest, false
+		return w.highestTerm, false
 	}
-	w.highest = max(w.highest, term)
+	w.highestTerm = max(w.highestTerm, term)
 	w.orders = append(w.orders, Order{time.Now(), owner, term})
-	return w.highest, true
+	return w.highestTerm, true
 }
 
-// Refused is how many orders came too late.
+// Refused returns the number of orders rejected for a stale term.
 func (w *Worker) Refused() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.refused
 }
 
-// Orders are those that had their effect since a time.
+// Orders returns the orders executed at or after a time.
 func (w *Worker) Orders(since time.Time) []Order {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var all []Order
-	for _, o := range w.orders {
-		if !o.At.Before(since) {
-			all = append(all, o)
+	var orders []Order
+	for _, order := range w.orders {
+		if !order.At.Before(since) {
+			orders = append(orders, order)
 		}
 	}
-	return all
+	return orders
 }
 
-// steadily is how many orders in a row make an owner: one alone may be what somebody had in its hands.
-const steadily = 4
+// minConsecutiveOrders is the number of consecutive orders that identify the owner: a single one may have been in flight when
+// the role changed hands.
+const minConsecutiveOrders = 4
 
-// Owner is whose orders had their effects last, within a span and several in a row; empty if there is none such.
+// Owner returns the owner of the last minConsecutiveOrders orders if they all came from it within the given duration, and ""
+// otherwise.
 func (w *Worker) Owner(within time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := len(w.orders)
-	if n < steadily {
+	count := len(w.orders)
+	if count < minConsecutiveOrders {
 		return ""
 	}
-	for _, o := range w.orders[n-steadily:] {
-		if time.Since(o.At) > within || o.Owner != w.orders[n-1].Owner {
+	for _, order := range w.orders[count-minConsecutiveOrders:] {
+		if time.Since(order.At) > within || order.Owner != w.orders[count-1].Owner {
 			return ""
 		}
 	}
-	return w.orders[n-1].Owner
+	return w.orders[count-1].Owner
 }
