--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -80,7 +80,7 @@
 		maxVersions = max(maxVersions, countMemberChanges(on, name, "n11", from+1, from+11))
 	}
 	run.atMost("versions.by.flapping", float64(maxVersions), 4)
-	_, toldAt := on.History.CountLines("n10", "newer incarnation of this name", from)
+	_, toldAt := on.History.CountEvents("n10", "newer incarnation of this name", from)
 	run.atMost("named.twice.told", toldAt-from-0.5, 5)
 	run.atMost("named.twice.resolved", reportDelay(on, "n10", "restarted", from, untouched)-0.5, 5)
 	aliveAt := func(name string, t float64) bool {
--- a/fleet/distribution_cluster_test.go
+++ b/fleet/distribution_cluster_test.go
@@ -409,12 +409,12 @@
 		return err == nil && status.Stale && status.Age > configStaleAfter.Seconds()
 	})
 	c.waitFor("it logs once that its configuration is stale", func() bool {
-		n, _ := c.History.CountLines("a1", "configuration is stale", 0)
+		n, _ := c.History.CountEvents("a1", "configuration is stale", 0)
 		return n == 1
 	})
 	c.healAndCheck()
 	c.waitFor("it logs once that its configuration is no longer stale", func() bool {
-		n, _ := c.History.CountLines("a1", "configuration is no longer stale", 0)
+		n, _ := c.History.CountEvents("a1", "configuration is no longer stale", 0)
 		return n == 1
 	})
 }
@@ -514,7 +514,7 @@
 	if err != nil || status.SnapshotsTaken != 0 {
 		t.Errorf("a1 took %d snapshots after its restart, %v", status.SnapshotsTaken, err)
 	}
-	if n, _ := c.History.CountLines("a1", "continuing from the local file", 0); n != 2 {
+	if n, _ := c.History.CountEvents("a1", "continuing from the local file", 0); n != 2 {
 		t.Errorf("%d starts continued from the local file", n)
 	}
 }
--- a/fleet/roles_cluster_test.go
+++ b/fleet/roles_cluster_test.go
@@ -133,7 +133,7 @@
 		c.owner(paused)
 		c.run("0s cont " + paused)
 		if _, ok := c.WaitUntil(waitTimeout, func() bool {
-			n, _ := c.History.CountLines(paused, "stepped down", from)
+			n, _ := c.History.CountEvents(paused, "stepped down", from)
 			return n > 0
 		}); !ok {
 			t.Errorf("%s does not step down", paused)
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -80,7 +80,7 @@
 	from := s.History.Elapsed()
 	run(t, s, "0s kill n5")
 	waitConverged(t, s, 4, names[:4])
-	if n, _ := s.History.CountLines("n1", "n5 went: died", from); n != 1 {
+	if n, _ := s.History.CountEvents("n1", "n5 went: died", from); n != 1 {
 		t.Errorf("%d reports that it died", n)
 	}
 	run(t, s, "0s start n5")
@@ -105,7 +105,7 @@
 	}
 	run(t, s, "0s notice n5")
 	waitConverged(t, s, 4, names[:4])
-	if n, _ := s.History.CountLines("n1", "n5 went: left", from); n != 1 {
+	if n, _ := s.History.CountEvents("n1", "n5 went: left", from); n != 1 {
 		t.Errorf("%d reports that it left", n)
 	}
 }
@@ -118,10 +118,10 @@
 	from := s.History.Elapsed()
 	run(t, s, "0s cont n5")
 	waitConverged(t, s, 5, names)
-	if n, _ := s.History.CountLines("n5", "begins gossip anew", from); n != 1 {
+	if n, _ := s.History.CountEvents("n5", "begins gossip anew", from); n != 1 {
 		t.Errorf("gossip restarted %d times", n)
 	}
-	if n, _ := s.History.CountLines("", " went: ", from); n != 0 {
+	if n, _ := s.History.CountEvents("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed after a pause", n)
 	}
 }
@@ -142,7 +142,7 @@
 			t.Errorf("%s does not report a partition", name)
 		}
 	}
-	if n, _ := s.History.CountLines("n4", `"certainty":"partitioned"`, from); n != 0 {
+	if n, _ := s.History.CountEvents("n4", `"certainty":"partitioned"`, from); n != 0 {
 		t.Error("the larger side reports a partition")
 	}
 	run(t, s, "0s heal")
@@ -154,7 +154,7 @@
 	s, names := startCluster(t)
 	from := s.History.Elapsed()
 	run(t, s, "0s cut n1>n2\n5s heal")
-	if n, _ := s.History.CountLines("", " went: ", from); n != 0 {
+	if n, _ := s.History.CountEvents("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed", n)
 	}
 	waitConverged(t, s, 5, names)
@@ -166,13 +166,13 @@
 	from := s.History.Elapsed()
 	run(t, s, "0s twin n5")
 	if _, ok := s.WaitUntil(waitTimeout, func() bool {
-		n, _ := s.History.CountLines("n5", "newer incarnation of this name", from)
+		n, _ := s.History.CountEvents("n5", "newer incarnation of this name", from)
 		return n > 0
 	}); !ok {
 		t.Fatal("the older process never learns of the newer one")
 	}
 	waitConverged(t, s, 5, append(slices.Clone(names[:4]), "n5-twin"))
-	if n, _ := s.History.CountLines("n5", "newer incarnation of this name", from); n != 1 {
+	if n, _ := s.History.CountEvents("n5", "newer incarnation of this name", from); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
 	if !s.Node("n5").Running() {
@@ -210,19 +210,19 @@
 	defer cancel()
 	run(t, s, "0s hang n5\n0s mute n4>* 1500ms\n0s mute *>n4 1500ms")
 	if _, ok := s.WaitUntil(waitTimeout, func() bool {
-		n, _ := s.History.CountLines("n1", "n5 changed: work hangs there", from)
+		n, _ := s.History.CountEvents("n1", "n5 changed: work hangs there", from)
 		return n > 0
 	}); !ok {
 		t.Error("stuck work is not reported")
 	}
 	run(t, s, "0s unhang n5")
 	if _, ok := s.WaitUntil(waitTimeout, func() bool {
-		n, _ := s.History.CountLines("n1", "n5 changed: work goes on there", from)
+		n, _ := s.History.CountEvents("n1", "n5 changed: work goes on there", from)
 		return n > 0
 	}); !ok {
 		t.Error("the end of stuck work is not reported")
 	}
-	if n, _ := s.History.CountLines("", " went: ", from); n != 0 {
+	if n, _ := s.History.CountEvents("", " went: ", from); n != 0 {
 		t.Errorf("%d members removed", n)
 	}
 	run(t, s, "0s heal")
--- a/rig/history.go
+++ b/rig/history.go
@@ -117,9 +117,9 @@
 	return all
 }
 
-// CountLines counts the events of one process, or of every process for an empty name, that contain a text, from a time on. It
+// CountEvents counts the events of one process, or of every process for an empty name, that contain a text, from a time on. It
 // also returns the time of the first one. Times are in seconds.
-func (h *History) CountLines(process, text string, from float64) (n int, first float64) {
+func (h *History) CountEvents(process, text string, from float64) (n int, first float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
