--- a/rig/address.go
+++ b/rig/address.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// listenOnRandomLoopback listens on a random loopback address. Connections of other processes come from 127.0.0.1, so
-// none of them can take the port while a listener is closed for a while.
+// listenOnRandomLoopback listens on a free port of a random loopback address. Connections of other processes come from
+// 127.0.0.1, so none of them can take the port while the listener is closed temporarily.
 func listenOnRandomLoopback() (listener net.Listener, err error) {
 	for range maxAddressAttempts {
 		host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
@@ -18,10 +18,10 @@
 	return nil, err
 }
 
-// maxAddressAttempts limits the search for a free address.
+// maxAddressAttempts is the maximum number of addresses that listenOnRandomLoopback tries.
 const maxAddressAttempts = 10
 
-// freeLoopbackAddress returns a random loopback address and port on which a process can listen repeatedly.
+// freeLoopbackAddress returns a random loopback address with a free port, on which a process can listen after each restart.
 func freeLoopbackAddress() (string, error) {
 	listener, err := listenOnRandomLoopback()
 	if err != nil {
--- a/rig/backend.go
+++ b/rig/backend.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Backend simulates a service with limited concurrency that all app servers call. Kernels report the runs of some methods to it.
-// The runs of a killed app server continue there until their work is done. It is safe for concurrent use.
+// Backend simulates a service with limited concurrency that all app servers call. Kernels report to it the runs of the methods
+// that reach it. The runs of a killed app server continue at the backend until their work is done. It is safe for concurrent use.
 type Backend struct {
 	methods map[string]bool
 
@@ -14,10 +14,10 @@
 	limit           int // maximum of concurrent runs
 	running         int
 	runningByServer map[string]int // by the name of the app server
-	maxExcess       int            // by how many runs the limit was exceeded
+	maxExcess       int            // largest number of runs above the limit
 	startedRuns     int            // runs started so far
 	capacity        int            // concurrent runs above which all runs slow down; 0 for unlimited
-	runSeconds      float64        // integral of the concurrent runs over time since measuredSince
+	runSeconds      float64        // integral of running over time since measuredSince, up to updatedAt
 	measuredSince   time.Time
 	updatedAt       time.Time
 }
@@ -32,10 +32,10 @@
 	return b
 }
 
-// countsMethod reports whether runs of a method reach the backend.
+// countsMethod reports whether runs of a method reach the backend; false for a nil backend.
 func (b *Backend) countsMethod(method string) bool { return b != nil && b.methods[method] }
 
-// add changes the count of concurrent runs of an app server; a positive change counts as started runs.
+// add changes the number of concurrent runs of an app server; an increase also counts as started runs.
 func (b *Backend) add(server string, change int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,28 +46,29 @@
 	b.maxExcess = max(b.maxExcess, b.running-b.limit)
 }
 
-// accumulate brings runSeconds up to date. The lock must be held.
+// accumulate brings runSeconds up to date. The caller holds b.mu.
 func (b *Backend) accumulate() {
 	now := time.Now()
 	b.runSeconds += float64(b.running) * now.Sub(b.updatedAt).Seconds()
 	b.updatedAt = now
 }
 
-// SetLimit changes the limit of concurrent runs and restarts the measurement of the maximum excess.
+// SetLimit changes the limit of concurrent runs; MaxExcess then counts from this moment.
 func (b *Backend) SetLimit(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit, b.maxExcess = limit, b.running-limit
 }
 
-// SetCapacity sets the concurrent runs above which all runs slow down, by the ratio of the concurrent runs to this number.
+// SetCapacity sets the number of concurrent runs above which all runs slow down, by the ratio of the concurrent runs to it; 0
+// means that they never slow down.
 func (b *Backend) SetCapacity(runs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.capacity = runs
 }
 
-// slowdown returns the factor by which runs take longer at present.
+// slowdown returns the factor by which runs take longer now; 1 for a nil backend.
 func (b *Backend) slowdown() float64 {
 	if b == nil {
 		return 1
@@ -80,7 +81,8 @@
 	return max(1, float64(b.running)/float64(b.capacity))
 }
 
-// MaxExcess returns the largest number of runs above the limit since the limit was set; 0 if it was never exceeded.
+// MaxExcess returns the largest number of runs above the limit since SetLimit was last called or, if never, since the backend was
+// created; 0 if the limit was never exceeded.
 func (b *Backend) MaxExcess() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,7 +96,7 @@
 	return b.startedRuns
 }
 
-// RunningCount returns the number of concurrent runs, of all app servers and of the given one.
+// RunningCount returns the numbers of concurrent runs of all app servers and of the given one.
 func (b *Backend) RunningCount(server string) (total, ofServer int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -15,8 +15,8 @@
 	"valveglade/internal/thrift"
 )
 
-// BadClients send messages that no router sends, at full speed, and connect again as soon as a message is rejected. None of
-// these messages may be run or served.
+// BadClients send messages that no router sends, without a delay between them, and reconnect as soon as a message is rejected.
+// None of these messages may be run or served.
 type BadClients struct {
 	server  string
 	address string
@@ -30,7 +30,7 @@
 	unanswered []string // kinds of messages without a reply in time
 }
 
-// badKind is one kind of malformed message and how the client goes on after it.
+// badKind is one kind of malformed message, with what the client does after sending it.
 type badKind struct {
 	name         string
 	message      func(b *BadClients, rng *rand.Rand) []byte
@@ -38,7 +38,7 @@
 	closesAtOnce bool // the client closes at once, and no reply is due
 }
 
-// badClientTimeout is how long a client waits for a reply: the protocol's 3 s and an allowance for a busy machine.
+// badClientTimeout is the time within which a message must be answered: the protocol's 3 s plus 2 s for a busy machine.
 const badClientTimeout = 5 * time.Second
 
 // badKinds are the kinds of malformed messages, from which each client draws.
@@ -66,7 +66,7 @@
 	{name: "no such method", message: func(b *BadClients, rng *rand.Rand) []byte {
 		return ExecuteFrame(1, b.fieldsWith(rng, "op", "no-such-method"), []byte("x"))
 	}},
-	{name: "figures", message: func(b *BadClients, rng *rand.Rand) []byte {
+	{name: "invalid number", message: func(b *BadClients, rng *rand.Rand) []byte {
 		field := pick(rng, []string{"recv", "src", "heap", "crit", "call"})
 		return ExecuteFrame(1, b.fieldsWith(rng, field, pick(rng, []string{"NaN", "-1", "1e400", "", "x", "-Inf"})), []byte("x"))
 	}},
@@ -81,11 +81,11 @@
 		}
 		return all
 	}},
-	{name: "the same number", message: func(b *BadClients, rng *rand.Rand) []byte {
+	{name: "repeated sequence number", message: func(b *BadClients, rng *rand.Rand) []byte {
 		frame := ExecuteFrame(7, b.fieldsWith(rng, "op", "no-such-method"), []byte("x"))
 		return append(frame, frame...)
 	}},
-	{name: "no such call", message: func(*BadClients, *rand.Rand) []byte {
+	{name: "unknown call", message: func(*BadClients, *rand.Rand) []byte {
 		return finishFrame(newFrame(messageCall, "nonsense", 1))
 	}},
 	{name: "interrupts", message: func(*BadClients, *rand.Rand) []byte {
@@ -101,7 +101,7 @@
 	}, closesAtOnce: true},
 }
 
-// NewBadClients starts n clients, which draw the kinds of their messages from the seed. The caller must Close them.
+// NewBadClients starts n clients, whose messages are drawn from the seed. The caller must Close them.
 func NewBadClients(server, address, method string, n int, check *Checker, seed uint64) *BadClients {
 	ctx, stop := context.WithCancel(context.Background())
 	b := &BadClients{server: server, address: address, method: method, check: check, stop: stop}
@@ -134,7 +134,7 @@
 	return fields
 }
 
-// sendOnce opens a connection, sends one message and waits for a reply.
+// sendOnce opens a connection, sends one message and waits until it is answered or the connection is closed.
 func (b *BadClients) sendOnce(ctx context.Context, kind badKind, rng *rand.Rand) {
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", b.address)
 	if err != nil {
@@ -184,9 +184,9 @@
 			return true
 		}
 		if size > 0 {
-			answer := badClientReply{}
-			thrift.DecodeAnswer(frame, &answer)
-			if answer.served {
+			reply := badClientReply{}
+			thrift.DecodeAnswer(frame, &reply)
+			if reply.served {
 				b.check.reportViolation(1, "%s serves a client that sent %s", b.server, kind.name)
 			}
 			return true
@@ -204,14 +204,16 @@
 // badClientReply implements thrift.ReplyHandler and records whether an RPC was served.
 type badClientReply struct{ served bool }
 
-func (a *badClientReply) Served(int32, []byte, float64)            { a.served = true }
-func (a *badClientReply) PushedBack(int32, bool, float64, float64) {}
-func (a *badClientReply) Aborted(int32, string, float64)           {}
-func (a *badClientReply) Checked(int32, bool, float64)             {}
-func (a *badClientReply) Draining()                                {}
+func (r *badClientReply) Served(int32, []byte, float64)            { r.served = true }
+func (r *badClientReply) PushedBack(int32, bool, float64, float64) {}
+func (r *badClientReply) Aborted(int32, string, float64)           {}
+func (r *badClientReply) Checked(int32, bool, float64)             {}
+func (r *badClientReply) Draining()                                {}
 
-func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
+// pick returns a random element of a non-empty slice.
+func pick[T any](rng *rand.Rand, elements []T) T { return elements[rng.IntN(len(elements))] }
 
+// sleepContext sleeps for the duration or until the context is done.
 func sleepContext(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/rig/body.go
+++ b/rig/body.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// EncodeBody returns the body of an RPC of the rig: its id, by which the checker matches all its tries, and the work in seconds
-// that the simulated kernel does for it.
+// EncodeBody returns the body of an RPC of the rig: the id, by which the checker matches all tries of the RPC, and the work of
+// its run, in seconds on a core.
 func EncodeBody(id string, work float64) []byte { return fmt.Appendf(nil, "%s %.6f", id, work) }
 
-// DecodeBody parses a body that EncodeBody returned; ok is false for any other.
+// DecodeBody parses a body in the format of EncodeBody; ok is false for any other.
 func DecodeBody(body []byte) (id string, work float64, ok bool) {
 	id, rest, found := strings.Cut(string(body), " ")
 	work, err := strconv.ParseFloat(rest, 64)
--- a/rig/catalog.go
+++ b/rig/catalog.go
@@ -7,7 +7,7 @@
 	RPC    string  // the same for all tries of one RPC
 	Work   float64 // seconds on a core
 	Result []byte  // what the run produces; nil for RunResult(RPC)
-	Fails  bool    // the run ends with a fault and produces nothing
+	Fails  bool    // the run ends with an error and produces no result
 }
 
 // result returns what a run produces.
@@ -18,7 +18,8 @@
 	return RunResult(e.RPC)
 }
 
-// Catalog holds the entries of a trial by call id, so that bodies may be any bytes. It is safe for use by many goroutines.
+// Catalog holds the entries of a trial by call id, so that bodies need not follow the format of EncodeBody. It is safe for
+// concurrent use.
 type Catalog struct {
 	mu      sync.Mutex
 	entries map[string]CatalogEntry
@@ -34,8 +35,8 @@
 	c.entries[call] = entry
 }
 
-// Lookup returns the entry of a try. The entry of a try that was not added is parsed from its body; a body that EncodeBody did
-// not write stands for an RPC of its own that takes no work.
+// Lookup returns the entry of a try. If none was added, the entry is parsed from the body; a body that is not in the format of
+// EncodeBody stands for an RPC of its own that takes no work.
 func (c *Catalog) Lookup(call string, body []byte) CatalogEntry {
 	c.mu.Lock()
 	entry, found := c.entries[call]
--- a/rig/check.go
+++ b/rig/check.go
@@ -17,25 +17,25 @@
 
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Description) }
 
-// Checker observes an experiment and records every violation of the rules. Callers report RPCs (RegisterRPC), the recording
+// Checker observes an experiment and records every violation of the rules. Callers report RPCs (RegisterRPC), the fault
 // proxies report traffic (TrySent, TryInterrupted, ReplyReceived, ConnectionEnded), the kernels report runs (RunStarted), and
 // the code that starts and stops programs reports process states (ProcessStarted, ShutdownRequested, ProcessKilled,
 // ProcessExited). It is safe for concurrent use.
 //
 // An RPC needs no reply if its own caller interrupted it, closed the connection or does not read, if the connection was reset
-// on the routers' side, or if its process was killed. Nothing else excuses a missing reply: not trouble of the kernel, of the
-// roster or with other clients. An app server that closes a connection loses every unanswered request written on it, on a new
+// on the routers' side, or if its process was killed. Nothing else excuses a missing reply: no failure of the kernel, of the
+// roster or of other clients. An app server that closes a connection loses every unanswered request written on it, on a new
 // connection too, because it may have read them. A request is known to be unread only if it could not be written, because the
 // connection was refused or was reset before the last byte of the request.
 type Checker struct {
 	mu           sync.Mutex
-	rpcs         map[string]*requestedRPC
+	rpcs         map[string]*requestedRPC                   // by the id of the RPC
 	tries        map[*proxiedConnection]map[int32]*tryState // by connection and sequence number, until the connection has ended
-	servers      map[string]*processState
+	servers      map[string]*processState                   // by the name of the app server
 	violations   []Violation
-	counts       map[string]int
-	slack        time.Duration
-	crossedTries map[string]*tryState // by RPC; nil unless ExpectResendAfterClose was called
+	counts       map[string]int       // see Count
+	slack        time.Duration        // tolerated beyond each time limit of a rule
+	crossedTries map[string]*tryState // by the id of the RPC; nil unless ExpectResendAfterClose was called
 	settings     *ServerSettings      // nil unless CheckServers was called
 }
 
@@ -53,31 +53,31 @@
 
 // tryState is the state of one try that was sent to an app server.
 type tryState struct {
-	id        string
+	id        string // of its RPC
 	server    string
 	sentAt    time.Time
-	due       time.Time
+	due       time.Time // deadline of its reply
 	replied   bool
 	excused   bool     // interrupted, or its connection was ended by the caller or by the rig
-	mayBeLate bool     // its app server's process was paused meanwhile
+	mayBeLate bool     // its app server's process was paused while the reply was pending
 	sent      *sentTry // nil unless CheckServers was called
 }
 
-// settled reports whether no reply is pending any more.
+// settled reports whether no reply is pending.
 func (t *tryState) settled() bool { return t.replied || t.excused }
 
 // processState is the state of one app server's process.
 type processState struct {
-	up        bool
-	noticeAt  time.Time
-	stopBy    time.Time
-	grace     time.Duration
-	killed    bool
-	paused    bool
-	resumedAt time.Time // when it was last resumed
-	endedAt   time.Time
-	runStarts map[string]time.Time
-	requests  *requestLog // what clients sent to this process
+	up                  bool // started and not ended
+	shutdownRequestedAt time.Time
+	stopBy              time.Time     // when it must have ended after the request to shut down
+	gracePeriod         time.Duration // in which it still accepts RPCs after the request to shut down
+	killed              bool          // by the rig
+	paused              bool          // by the rig, or throttled
+	resumedAt           time.Time     // when it was last resumed
+	endedAt             time.Time
+	runStarts           map[string]time.Time // last start of a run by the id of its RPC
+	requests            *requestLog          // what clients sent to this process
 }
 
 func newProcessState() *processState {
@@ -86,8 +86,8 @@
 
 // NewChecker returns a checker that tolerates slack beyond each time limit of a rule, for scheduling delays of the machine.
 func NewChecker(slack time.Duration) *Checker {
-	return &Checker{rpcs: map[string]*requestedRPC{}, tries: map[*proxiedConnection]map[int32]*tryState{}, servers: map[string]*processState{},
-		counts: map[string]int{}, slack: slack}
+	return &Checker{rpcs: map[string]*requestedRPC{}, tries: map[*proxiedConnection]map[int32]*tryState{},
+		servers: map[string]*processState{}, counts: map[string]int{}, slack: slack}
 }
 
 // addViolation records a violation; it keeps at most 1000, which suffice for a diagnosis. The caller holds c.mu.
@@ -111,8 +111,9 @@
 	c.addViolation(0, format, args...)
 }
 
-// Count returns one of the checker's counters: tries, runs, pushed_back, refused.retried, late.sent, double.runs,
-// unanswered, turned.away (never read because the connection was reset first), crossed.
+// Count returns one of the checker's counters: asked (RPCs), tries, further (tries of an RPC after its first), runs, pushed_back,
+// refused.retried, late.sent, late.answers, double.runs, unanswered, turned.away (requests that were never read because the
+// connection was reset first), crossed (requests that crossed the close of their connection).
 func (c *Checker) Count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,7 +135,7 @@
 	c.counts["asked"]++
 }
 
-// RepeatRPC records that a caller requests an RPC again that already had its outcome. The RPC gets a new deadline, and
+// RepeatRPC records that a caller requests an RPC again after its outcome. The RPC gets a new deadline, and
 // pushbacks of its earlier tries no longer restrict it.
 func (c *Checker) RepeatRPC(id string, deadline time.Time) {
 	c.mu.Lock()
@@ -169,21 +170,22 @@
 	c.servers[server].up = true
 }
 
-// ShutdownRequested records that an app server was told to shut down: it accepts RPCs for the grace period and exits within stop.
-func (c *Checker) ShutdownRequested(server string, grace, stop time.Duration) {
+// ShutdownRequested records that an app server was told to shut down: it accepts RPCs for the grace period and exits within the
+// stop timeout.
+func (c *Checker) ShutdownRequested(server string, gracePeriod, stopTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.server(server)
-	s.noticeAt, s.grace = time.Now(), grace
-	s.stopBy = s.noticeAt.Add(stop)
+	process := c.server(server)
+	process.shutdownRequestedAt, process.gracePeriod = time.Now(), gracePeriod
+	process.stopBy = process.shutdownRequestedAt.Add(stopTimeout)
 }
 
 // ProcessKilled records that an app server's process is about to be killed, which excuses its pending replies.
 func (c *Checker) ProcessKilled(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.server(server)
-	s.killed = true
+	process := c.server(server)
+	process.killed = true
 	maps.DeleteFunc(c.crossedTries, func(_ string, t *tryState) bool { return t.server == server })
 	for _, tries := range c.tries {
 		for _, t := range tries {
@@ -194,15 +196,15 @@
 	}
 }
 
-// SetPaused records that the rig has paused or throttled an app server's process, or lets it continue. Replies that are late
-// for this reason are excused and nothing else is: every pending reply is still due once the process continues.
+// SetPaused records that the rig has paused or throttled an app server's process, or lets it continue. Only the delay of replies
+// is excused: every pending reply is still due once the process continues.
 func (c *Checker) SetPaused(server string, paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.server(server)
-	s.paused = paused
+	process := c.server(server)
+	process.paused = paused
 	if !paused {
-		s.resumedAt = time.Now()
+		process.resumedAt = time.Now()
 	}
 	for _, tries := range c.tries {
 		for _, t := range tries {
@@ -217,25 +219,25 @@
 func (c *Checker) ProcessExited(server string, code int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.server(server)
+	process := c.server(server)
 	switch {
-	case s.killed:
-	case s.noticeAt.IsZero():
+	case process.killed:
+	case process.shutdownRequestedAt.IsZero():
 		c.addViolation(4, "%s ended by itself: code %d, %v", server, code, err)
 	case code != 0:
 		c.addViolation(4, "%s ended with code %d after its notice: %v", server, code, err)
-	case time.Now().After(s.stopBy.Add(c.slack)):
-		c.addViolation(3, "%s ended %v after its stop", server, time.Since(s.stopBy))
+	case time.Now().After(process.stopBy.Add(c.slack)):
+		c.addViolation(3, "%s ended %v after its stop", server, time.Since(process.stopBy))
 	}
-	s.up, s.endedAt = false, time.Now()
+	process.up, process.endedAt = false, time.Now()
 }
 
 // isAlive reports whether an app server's process is running or ended no longer than the slack ago.
 func (c *Checker) isAlive(server string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.servers[server]
-	return s != nil && (s.up || time.Since(s.endedAt) <= c.slack)
+	process := c.servers[server]
+	return process != nil && (process.up || time.Since(process.endedAt) <= c.slack)
 }
 
 // VerifyMemory checks the memory that an app server's process uses against its limit, both in bytes.
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -8,7 +8,7 @@
 	"valveglade/rpc"
 )
 
-// observeRequest records a message of a router whose last byte is about to be written to an app server; err is the error of
+// observeRequest records a message of a client whose last byte is about to be written to an app server; err is the error of
 // parsing it. It returns whether a reply to the message is due.
 func (c *Checker) observeRequest(conn *proxiedConnection, message request, err error) (replyDue bool) {
 	switch {
@@ -24,7 +24,7 @@
 	return false
 }
 
-// observeRPC records an RPC on its way to an app server.
+// observeRPC records an RPC on its way to an app server. It returns whether a reply is due.
 func (c *Checker) observeRPC(conn *proxiedConnection, message request) (replyDue bool) {
 	now := time.Now()
 	if c.checksServers() {
@@ -49,7 +49,7 @@
 	return c.settings != nil
 }
 
-// observeCheckedRPC adds an RPC to the request log of its app server.
+// observeCheckedRPC adds an RPC to the request log of its app server. It returns whether a reply is due.
 func (c *Checker) observeCheckedRPC(conn *proxiedConnection, message request, now time.Time) (replyDue bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,8 +76,8 @@
 		sent.excused = true
 		return false
 	}
-	if before := c.tries[conn][message.seq]; before != nil && !before.settled() {
-		// The sequence number is in use, so a reply cannot be matched to one of the two requests.
+	if earlier := c.tries[conn][message.seq]; earlier != nil && !earlier.settled() {
+		// With the sequence number in use, a reply cannot be matched to one of the two requests.
 		conn.allowExtraReply(message.seq)
 		sent.excused = true
 		return false
@@ -87,84 +87,86 @@
 }
 
 // observeReply records a message of an app server; err is the error of parsing it.
-func (c *Checker) observeReply(conn *proxiedConnection, answer reply, err error) {
+func (c *Checker) observeReply(conn *proxiedConnection, message reply, err error) {
 	if err != nil {
 		c.reportViolation(1, "%s sent a message that no router can read: %v", conn.FaultProxy.serverName, err)
 		return
 	}
-	if answer.kind == replyDraining || c.consumeExtraReply(conn, answer) {
+	if message.kind == replyDraining || c.consumeExtraReply(conn, message) {
 		return
 	}
-	switch answer.kind {
+	switch message.kind {
 	case replyServed:
-		c.verifyServedResult(conn, answer)
-		c.ReplyReceived(conn, answer.seq, rpc.OK, false, 0)
+		c.verifyServedResult(conn, message)
+		c.ReplyReceived(conn, message.seq, rpc.OK, false, 0)
 	case replyPushedBack:
-		c.verifyPushback(conn, answer)
-		c.ReplyReceived(conn, answer.seq, rpc.PushedBack, answer.noRetry, answer.retryAfter)
+		c.verifyPushback(conn, message)
+		c.ReplyReceived(conn, message.seq, rpc.PushedBack, message.noRetry, message.retryAfter)
 	case replyAborted:
-		c.ReplyReceived(conn, answer.seq, rpc.Error, false, 0)
+		c.ReplyReceived(conn, message.seq, rpc.Error, false, 0)
 	case replyChecked:
-		c.reportViolation(1, "%s answered a health check with sequence number %d, which was not asked", conn.FaultProxy.serverName, answer.seq)
+		c.reportViolation(1, "%s answered a health check with sequence number %d, which was not asked",
+			conn.FaultProxy.serverName, message.seq)
 	}
 }
 
-// consumeExtraReply uses up one allowed extra reply and reports whether there was one: to a message that needs no reply, or
-// a second one under a sequence number that its client has used twice.
-func (c *Checker) consumeExtraReply(conn *proxiedConnection, answer reply) bool {
+// consumeExtraReply uses up one allowed extra reply and reports whether there was one. An extra reply is allowed to a message
+// that needs none, and for a sequence number that its client used twice.
+func (c *Checker) consumeExtraReply(conn *proxiedConnection, message reply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tries[conn][answer.seq]; t != nil && !t.replied {
+	if t := c.tries[conn][message.seq]; t != nil && !t.replied {
 		return false
 	}
-	if conn.optionalReplies[answer.seq] == 0 {
+	if conn.optionalReplies[message.seq] == 0 {
 		return false
 	}
-	conn.optionalReplies[answer.seq]--
+	conn.optionalReplies[message.seq]--
 	return true
 }
 
 // verifyServedResult records a violation if no run at this app server produced the result for the RPC or another try of it.
-func (c *Checker) verifyServedResult(conn *proxiedConnection, answer reply) {
+func (c *Checker) verifyServedResult(conn *proxiedConnection, message reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tries[conn][answer.seq]
+	t := c.tries[conn][message.seq]
 	if t == nil || t.sent == nil || t.replied {
 		return
 	}
-	l := c.server(t.server).requests
-	for _, s := range l.siblings(t.sent) {
-		if slices.ContainsFunc(s.results, func(r []byte) bool { return bytes.Equal(r, answer.body) }) {
+	requests := c.server(t.server).requests
+	for _, other := range requests.siblings(t.sent) {
+		if slices.ContainsFunc(other.results, func(result []byte) bool { return bytes.Equal(result, message.body) }) {
 			return
 		}
 	}
-	c.addViolation(1, "%s was served by %s with a result that no run of it made there: %.60q", t.sent, t.server, answer.body)
+	c.addViolation(1, "%s was served by %s with a result that no run of it made there: %.60q", t.sent, t.server, message.body)
 }
 
 // verifyPushback records a violation if an RPC was pushed back although it had been run: a pushback promises that the request
-// had no effect. A run of another try counts only once it is older than the slack, because a pushback takes time to arrive.
-func (c *Checker) verifyPushback(conn *proxiedConnection, answer reply) {
+// had no effect. A run of another try counts only if it is older than the slack, because the pushback may have been on its way.
+func (c *Checker) verifyPushback(conn *proxiedConnection, message reply) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tries[conn][answer.seq]
+	t := c.tries[conn][message.seq]
 	if t == nil || t.sent == nil || t.replied || c.settings.Methods[t.sent.method].Kind == rpc.Idempotent {
 		return
 	}
-	for _, s := range c.server(t.server).requests.siblings(t.sent) {
+	for _, other := range c.server(t.server).requests.siblings(t.sent) {
 		switch {
-		case s.lastRunAt.IsZero():
-		case s == t.sent, now.Sub(s.lastRunAt) > c.slack && t.sentAt.Before(s.arrivedAt.Add(c.settings.Methods[s.method].Window)):
-			c.addViolation(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, s)
+		case other.lastRunAt.IsZero():
+		case other == t.sent,
+			now.Sub(other.lastRunAt) > c.slack && t.sentAt.Before(other.arrivedAt.Add(c.settings.Methods[other.method].Window)):
+			c.addViolation(2, "%s pushed back by %s, where %s had been run", t.sent, t.server, other)
 			return
 		}
 	}
 }
 
-// allowExtraReply allows one more reply under a sequence number. The caller holds the checker's lock.
-func (f *proxiedConnection) allowExtraReply(seq int32) {
-	if f.optionalReplies == nil {
-		f.optionalReplies = map[int32]int{}
+// allowExtraReply allows one more reply with a sequence number. The caller holds the checker's lock.
+func (conn *proxiedConnection) allowExtraReply(seq int32) {
+	if conn.optionalReplies == nil {
+		conn.optionalReplies = map[int32]int{}
 	}
-	f.optionalReplies[seq]++
+	conn.optionalReplies[seq]++
 }
--- a/rig/check_resend.go
+++ b/rig/check_resend.go
@@ -6,8 +6,8 @@
 // close of its connection is sent once more, on a new connection.
 const resendWindow = 50 * time.Millisecond
 
-// maxResendWindow is the resend window allowed on a busy machine. It does not grow with the checker's slack, because a request
-// that was read before the close is lost.
+// maxResendWindow is the resend window allowed on a busy machine. It is independent of the checker's slack, because a wider
+// window would also excuse requests that were read before the close and are lost.
 const maxResendWindow = resendWindow + 150*time.Millisecond
 
 // ExpectResendAfterClose tells the checker that callers resend requests that crossed the close of a connection: such an RPC is
--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -15,11 +15,11 @@
 type stubServer struct {
 	*testSetup
 	*Stub
-	t        *testing.T
-	link     *testLink
-	net      *FaultProxy
-	client   net.Conn
-	sequence int32
+	t         *testing.T
+	link      *testLink
+	proxy     *FaultProxy
+	client    net.Conn
+	clientSeq int32
 }
 
 // newStubServer returns a stub that runs and serves every RPC, with a connected client.
@@ -32,10 +32,10 @@
 	}
 	t.Cleanup(stub.Close)
 	s.Stub = stub
-	if s.net, err = NewFaultProxy("n1", stub.Address(), s.check); err != nil {
+	if s.proxy, err = NewFaultProxy("n1", stub.Address(), s.check); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.net.Close)
+	t.Cleanup(s.proxy.Close)
 	s.link = dialKernel(t, s.kernel, 0)
 	s.connectClient()
 	return s
@@ -44,12 +44,12 @@
 // connectClient gives the client a new connection.
 func (s *stubServer) connectClient() {
 	s.t.Helper()
-	conn, err := net.Dial("tcp", s.net.Address())
+	conn, err := net.Dial("tcp", s.proxy.Address())
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { conn.Close() })
-	s.client, s.sequence = conn, 0
+	s.client, s.clientSeq = conn, 0
 }
 
 // runAndServe runs an RPC on the kernel and serves it with the result.
@@ -67,9 +67,9 @@
 func (s *stubServer) sendTry(call, method, token string, body []byte, ttl time.Duration) {
 	s.t.Helper()
 	s.check.settings.Catalog.Add(call, CatalogEntry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
-	s.sequence++
+	s.clientSeq++
 	now := float64(time.Now().UnixMilli()) / 1000
-	frame := thrift.Execute(nil, s.sequence, method, call, 1, now, ttl.Seconds(), 10, 0.5, false, token, "", body)
+	frame := thrift.Execute(nil, s.clientSeq, method, call, 1, now, ttl.Seconds(), 10, 0.5, false, token, "", body)
 	if _, err := s.client.Write(frame); err != nil {
 		s.t.Fatal(err)
 	}
@@ -116,8 +116,8 @@
 		s.sendTry(fmt.Sprintf("%016x", k), method, token, []byte("\x00 any"), longTTL)
 		s.readReply()
 	}
-	s.sequence++
-	s.client.Write(thrift.Check(nil, s.sequence))
+	s.clientSeq++
+	s.client.Write(thrift.Check(nil, s.clientSeq))
 	s.readReply()
 	s.check.Finish()
 	s.expectNoViolations(t)
@@ -315,7 +315,7 @@
 		return thrift.Aborted(out, h.Seq, 1)
 	})
 	s.sendTry(tryA, "read", "", nil, longTTL)
-	s.sequence--
+	s.clientSeq--
 	s.sendTry(tryB, "read", "", nil, longTTL)
 	close(release)
 	s.readReply()
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -6,8 +6,8 @@
 	"valveglade/rpc"
 )
 
-// TrySent records a try whose last byte has been written to an app server.
-func (c *Checker) TrySent(server string, conn *proxiedConnection, seq int32, id string, due time.Time, again bool) {
+// TrySent records a try whose last byte is about to be written to an app server. due is the deadline that the try carries.
+func (c *Checker) TrySent(server string, conn *proxiedConnection, seq int32, id string, due time.Time, isRetry bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,8 +25,8 @@
 		c.counts["refused.retried"]++
 		c.addViolation(5, "%s tried again at %s, %v before it was allowed to", id, server, time.Until(r.retryAfter))
 	}
-	// Times on the wire are rounded to a millisecond. The slack covers this process losing its core between the caller's
-	// reading of the clock and this one.
+	// Times on the wire are rounded to a millisecond. The slack covers the time that this process may be descheduled between the
+	// caller's reading of the clock and this one.
 	if now.After(r.deadline.Add(c.slack)) {
 		c.counts["late.sent"]++
 		c.addViolation(5, "%s sent %v after its deadline", id, now.Sub(r.deadline))
@@ -44,7 +44,7 @@
 	c.openTry(conn, seq, c.newTryState(server, id, now, due))
 }
 
-// openTry records that a reply to a sequence number is pending on a connection. The caller holds c.mu.
+// openTry records that the reply with a sequence number is pending on a connection. The caller holds c.mu.
 func (c *Checker) openTry(conn *proxiedConnection, seq int32, t *tryState) {
 	if c.tries[conn] == nil {
 		c.tries[conn] = map[int32]*tryState{}
@@ -54,11 +54,11 @@
 
 // newTryState returns the state of a try that is sent now. The caller holds c.mu.
 func (c *Checker) newTryState(server, id string, now, due time.Time) *tryState {
-	s := c.server(server)
-	return &tryState{id: id, server: server, sentAt: now, due: due, excused: s.killed, mayBeLate: s.paused}
+	process := c.server(server)
+	return &tryState{id: id, server: server, sentAt: now, due: due, excused: process.killed, mayBeLate: process.paused}
 }
 
-// TryInterrupted records that the caller of a try has canceled it and waits no longer.
+// TryInterrupted records that the caller of a try has canceled it, which excuses its reply.
 func (c *Checker) TryInterrupted(conn *proxiedConnection, seq int32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,8 +67,8 @@
 	}
 }
 
-// ReplyReceived records the reply to a try as it came from the app server.
-func (c *Checker) ReplyReceived(conn *proxiedConnection, seq int32, outcome rpc.Outcome, last bool, retryAfter time.Duration) {
+// ReplyReceived records the reply to a try as the app server sent it. noRetry and retryAfter are those of a pushback.
+func (c *Checker) ReplyReceived(conn *proxiedConnection, seq int32, outcome rpc.Outcome, noRetry bool, retryAfter time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,16 +89,16 @@
 		c.counts["late.answers"]++
 		c.addViolation(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
-	r, s := c.rpcs[t.id], c.server(t.server)
+	r, process := c.rpcs[t.id], c.server(t.server)
 	if r == nil || outcome != rpc.PushedBack {
 		return
 	}
 	c.counts["pushed_back"]++
-	r.noRetry = r.noRetry || last
+	r.noRetry = r.noRetry || noRetry
 	if until := now.Add(retryAfter - c.slack/10); retryAfter > 0 && until.After(r.retryAfter) {
 		r.retryAfter = until
 	}
-	if at, ran := s.runStarts[t.id]; ran && r.kind != rpc.Idempotent && at.After(t.sentAt) {
+	if startedAt, ran := process.runStarts[t.id]; ran && r.kind != rpc.Idempotent && startedAt.After(t.sentAt) {
 		c.addViolation(2, "%s pushed back by %s, where it had been run", t.id, t.server)
 	}
 }
@@ -160,20 +160,21 @@
 	c.reportLostCrossed()
 }
 
-// replyDueBy returns the time by which the reply to a try is due. A paused process cannot reply; once it continues, it has
-// resumeGracePeriod to do so. The caller holds c.mu.
+// replyDueBy returns the time by which the reply to a try is due. A paused process cannot reply; once it has
+// continued, its replies may be late by resumeGracePeriod. The caller holds c.mu.
 func (c *Checker) replyDueBy(t *tryState) time.Time {
-	s := c.server(t.server)
+	process := c.server(t.server)
 	switch {
 	case !t.mayBeLate:
 		return t.due
-	case s.paused:
+	case process.paused:
 		return time.Now()
-	case s.resumedAt.After(t.due):
-		return s.resumedAt.Add(resumeGracePeriod)
+	case process.resumedAt.After(t.due):
+		return process.resumedAt.Add(resumeGracePeriod)
 	}
 	return t.due.Add(resumeGracePeriod)
 }
 
-// resumeGracePeriod is the time that a paused process has to catch up once it continues.
+// resumeGracePeriod is the additional time for the replies of a paused process, counted from their due time or from when the
+// process continues, whichever is later.
 const resumeGracePeriod = time.Second
--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -21,7 +21,7 @@
 	mu        sync.Mutex
 	endpoints map[int]*endpoint
 	paths     map[[2]int]*Path
-	rand      *rand.Rand
+	rng       *rand.Rand
 	group     sync.WaitGroup
 	closed    chan struct{}
 }
@@ -62,7 +62,7 @@
 		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", octet, fleetPort))
 		if err == nil {
 			return &FaultyNetwork{subnetOctet: octet, reservation: lock, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
-				rand: rand.New(rand.NewPCG(seed, 7)), closed: make(chan struct{})}, nil
+				rng: rand.New(rand.NewPCG(seed, 7)), closed: make(chan struct{})}, nil
 		}
 	}
 	return nil, errors.New("no part of the loopback network is free")
@@ -166,7 +166,7 @@
 func (network *FaultyNetwork) transitDelay(path *Path, size int) time.Duration {
 	delay := path.Delay
 	if path.Jitter > 0 {
-		delay += time.Duration((2*network.rand.Float64() - 1) * float64(path.Jitter))
+		delay += time.Duration((2*network.rng.Float64() - 1) * float64(path.Jitter))
 	}
 	if path.Rate > 0 {
 		now := time.Now()
@@ -201,10 +201,10 @@
 		}
 		path := network.path(from.slot, to.slot)
 		copies := 1
-		if path.Duplication > 0 && network.rand.Float64() < path.Duplication {
+		if path.Duplication > 0 && network.rng.Float64() < path.Duplication {
 			copies = 2
 		}
-		if path.Cut || path.Loss > 0 && network.rand.Float64() < path.Loss {
+		if path.Cut || path.Loss > 0 && network.rng.Float64() < path.Loss {
 			copies = 0
 		}
 		var delays [2]time.Duration
@@ -258,7 +258,7 @@
 		path := network.path(from.slot, to.slot)
 		cut := path.Cut
 		delay := network.transitDelay(path, size)
-		if path.Loss > 0 && network.rand.Float64() < path.Loss {
+		if path.Loss > 0 && network.rng.Float64() < path.Loss {
 			delay += 200 * time.Millisecond // TCP's minimum retransmission timeout
 		}
 		network.mu.Unlock()
--- a/rig/history.go
+++ b/rig/history.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// History records the events of a trial in the order in which they arrived: the log lines of every process and the faults
-// injected in between. It is safe for concurrent use.
+// History records the events of a trial in the order of their arrival: the log lines of every process, the injected faults and
+// the events of the experiment itself. It is safe for concurrent use.
 type History struct {
 	mu        sync.Mutex
 	startedAt time.Time
 	events    []Event
-	latest    map[string]Observation
+	latest    map[string]Observation // by process
 }
 
 // Event is one entry of a history.
@@ -26,7 +26,7 @@
 	Line    json.RawMessage `json:"line,omitempty"`
 }
 
-// Observation is the membership view of a process as its log reports it.
+// Observation is the membership view of a process as its log reports it. The names of the fields are those of the log.
 type Observation struct {
 	Time      float64 `json:"-"`
 	Process   string  `json:"-"`
@@ -51,18 +51,18 @@
 	h.add(Event{Time: h.Elapsed(), Process: process, Kind: kind, Text: text})
 }
 
-// AddLogLine records a log line of a process.
+// AddLogLine records a log line of a process, which need not be JSON.
 func (h *History) AddLogLine(process string, line []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e := Event{Time: h.Elapsed(), Process: process, Kind: "log"}
+	event := Event{Time: h.Elapsed(), Process: process, Kind: "log"}
 	if json.Valid(line) {
-		e.Line = append(json.RawMessage(nil), line...)
+		event.Line = append(json.RawMessage(nil), line...)
 	} else {
-		e.Text = string(line)
+		event.Text = string(line)
 	}
-	h.add(e)
-	if observation, ok := e.Observation(); ok {
+	h.add(event)
+	if observation, ok := event.Observation(); ok {
 		h.latest[process] = observation
 	}
 }
@@ -71,13 +71,13 @@
 const maxEvents = 200_000
 
 // add records an event. The caller holds h.mu.
-func (h *History) add(e Event) {
+func (h *History) add(event Event) {
 	if len(h.events) < maxEvents {
-		h.events = append(h.events, e)
+		h.events = append(h.events, event)
 	}
 }
 
-// Observation parses the membership view in a log line; the result is false if the line reports none.
+// Observation returns the membership view that the event reports, and false if it reports none.
 func (e Event) Observation() (Observation, bool) {
 	observation := Observation{Time: e.Time, Process: e.Process}
 	if e.Line == nil || json.Unmarshal(e.Line, &observation) != nil || observation.Msg != "view" {
@@ -86,7 +86,7 @@
 	return observation, true
 }
 
-// Latest returns the last view that a process reported.
+// Latest returns the last view that a process reported, and false if there is none.
 func (h *History) Latest(process string) (Observation, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,32 +101,33 @@
 	delete(h.latest, process)
 }
 
-// Observations returns the views that one process, or every process for an empty name, has reported from a time on, in seconds.
+// Observations returns the views that one process, or every process for an empty name, has reported since the time from, in
+// seconds since the start of the history.
 func (h *History) Observations(process string, from float64) []Observation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []Observation
-	for _, e := range h.events {
-		if e.Time < from || process != "" && e.Process != process {
+	for _, event := range h.events {
+		if event.Time < from || process != "" && event.Process != process {
 			continue
 		}
-		if observation, ok := e.Observation(); ok {
+		if observation, ok := event.Observation(); ok {
 			all = append(all, observation)
 		}
 	}
 	return all
 }
 
-// CountEvents counts the events of one process, or of every process for an empty name, that contain a text, from a time on. It
-// also returns the time of the first one. Times are in seconds.
+// CountEvents counts the events of one process, or of every process for an empty name, since the time from whose text or log
+// line contains a text. It also returns the time of the first one. Times are in seconds since the start of the history.
 func (h *History) CountEvents(process, text string, from float64) (n int, first float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, e := range h.events {
-		if e.Time >= from && (process == "" || e.Process == process) &&
-			(strings.Contains(string(e.Line), text) || strings.Contains(e.Text, text)) {
+	for _, event := range h.events {
+		if event.Time >= from && (process == "" || event.Process == process) &&
+			(strings.Contains(string(event.Line), text) || strings.Contains(event.Text, text)) {
 			if n++; n == 1 {
-				first = e.Time
+				first = event.Time
 			}
 		}
 	}
@@ -138,20 +139,20 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	encoder := json.NewEncoder(writer)
-	for _, e := range h.events {
-		if err := encoder.Encode(e); err != nil {
+	for _, event := range h.events {
+		if err := encoder.Encode(event); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// AgreeOnMembers reports whether the latest views of all these processes have the same n members, whatever their certainty.
+// AgreeOnMembers reports whether the latest views of all given processes have the same n members, whatever their certainty.
 func (h *History) AgreeOnMembers(n int, processes ...string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, name := range processes {
-		observation, ok := h.latest[name]
+	for _, process := range processes {
+		observation, ok := h.latest[process]
 		if !ok || observation.Members != n || observation.Digest != h.latest[processes[0]].Digest {
 			return false
 		}
--- a/rig/idle.go
+++ b/rig/idle.go
@@ -11,7 +11,7 @@
 	"valveglade/internal/thrift"
 )
 
-// IdleKind is what a client sends on a connection before it leaves it idle.
+// IdleKind states what a client sends on a connection before leaving it idle.
 type IdleKind uint8
 
 const (
@@ -30,8 +30,8 @@
 	stop    context.CancelFunc
 }
 
-// NewIdleClients starts n clients whose kinds are drawn from the seed. pause is the mean pause of a client between two
-// connections. The caller must Close them.
+// NewIdleClients starts n clients, each of a kind drawn from the seed. Their pauses between two connections vary between half
+// and one and a half times the given one. The caller must Close the clients.
 func NewIdleClients(address string, n int, pause time.Duration, seed uint64) *IdleClients {
 	ctx, stop := context.WithCancel(context.Background())
 	clients := &IdleClients{address: address, pause: pause, stop: stop}
@@ -44,15 +44,15 @@
 }
 
 // Close stops the clients, closes their connections and waits for them.
-func (i *IdleClients) Close() {
-	i.stop()
-	i.group.Wait()
+func (clients *IdleClients) Close() {
+	clients.stop()
+	clients.group.Wait()
 }
 
-func (i *IdleClients) run(ctx context.Context, kind IdleKind, rng *rand.Rand) {
+func (clients *IdleClients) run(ctx context.Context, kind IdleKind, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		i.hold(ctx, kind)
-		pause := time.Duration((0.5 + rng.Float64()) * float64(i.pause))
+		clients.hold(ctx, kind)
+		pause := time.Duration((0.5 + rng.Float64()) * float64(clients.pause))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -64,8 +64,8 @@
 var partialMessage = []byte("\x00\x00\x00\x40half")
 
 // hold keeps one connection open until the app server closes it.
-func (i *IdleClients) hold(ctx context.Context, kind IdleKind) {
-	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", i.address)
+func (clients *IdleClients) hold(ctx context.Context, kind IdleKind) {
+	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", clients.address)
 	if err != nil {
 		return
 	}
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -126,7 +126,7 @@
 
 // The program breaks no rule under each preemption setting, with and without gauges, while the link to its kernel
 // fails in every way.
-func TestJudgeProgram(t *testing.T) {
+func TestProgramObeysRules(t *testing.T) {
 	for name, test := range map[string]struct {
 		preemption Preemption
 		gauges     []string
@@ -162,7 +162,7 @@
 
 // injectLinkFaults injects random faults into the kernel's link, one at a time, until stop is closed.
 func (p *checkedProgram) injectLinkFaults(stop chan struct{}, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, 6))
+	rng := rand.New(rand.NewPCG(seed, 6))
 	p.proxy.FragmentWrites(seed)
 	for {
 		select {
@@ -171,7 +171,7 @@
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
-		switch random.IntN(6) {
+		switch rng.IntN(6) {
 		case 0:
 			p.Kernel.BreakLink()
 		case 1:
@@ -183,9 +183,9 @@
 		case 4:
 			p.Kernel.SendRemark("\"<&>\n")
 		default:
-			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: random.IntN(2) == 0, DuplicateShare: random.Float64(),
-				RemarkShare: random.Float64(),
-				Delay:       time.Duration(random.IntN(20)) * time.Millisecond})
+			p.Kernel.SetLinkFaults(LinkFaults{FragmentLines: rng.IntN(2) == 0, DuplicateShare: rng.Float64(),
+				RemarkShare: rng.Float64(),
+				Delay:       time.Duration(rng.IntN(20)) * time.Millisecond})
 		}
 	}
 }
