--- a/rig/check_program_test.go
+++ b/rig/check_program_test.go
@@ -11,11 +11,11 @@
 	"valveglade/rpc"
 )
 
-// programSlack is added to the times in the rules for other load on the machine: at a load of 59 on 8 cores a process
-// ended 0.36 s after its stop timeout, on an idle machine 0.4 s before it.
+// programSlack extends the time limits of the rules for other load on the machine: on 8 cores at a load of 59 a process ended
+// 0.36 s after its stop timeout, on an idle machine 0.4 s before it.
 const programSlack = 500 * time.Millisecond
 
-// checkedProgram is the real program behind a recording proxy, with a kernel that has the same settings and a checker.
+// checkedProgram is the real program behind a fault proxy, with a kernel that has the same settings and a checker.
 type checkedProgram struct {
 	*Program
 	check  *Checker
@@ -23,10 +23,11 @@
 	roster *Roster
 }
 
+// startCheckedProgram builds and starts the program with three methods, one of each kind, and stops it at the end of the test.
 func startCheckedProgram(t *testing.T, preemption Preemption, gauges []string, seed uint64) *checkedProgram {
 	t.Helper()
 	dir := t.TempDir()
-	bin, err := Build(dir)
+	binary, err := Build(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,14 +37,15 @@
 			{Name: "ü", Kind: "fragile", LatencyTarget: 0.5, Deadline: 1, Criticality: 3}},
 		DomainOverrides: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
 	check := NewChecker(programSlack)
-	terms := ServerSettings{Methods: map[string]MethodSettings{}}
+	serverSettings := ServerSettings{Methods: map[string]MethodSettings{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
 		Overload: OverloadLimit{5, 1500 * time.Millisecond}, Seed: seed}
-	for _, m := range site.Methods {
-		config.Methods = append(config.Methods, m.Name)
-		terms.Methods[m.Name] = MethodSettings{rpc.Kind(m.Kind), time.Duration(m.Deadline * 1e9), time.Duration(m.Window * 1e9)}
+	for _, method := range site.Methods {
+		config.Methods = append(config.Methods, method.Name)
+		serverSettings.Methods[method.Name] = MethodSettings{rpc.Kind(method.Kind), time.Duration(method.Deadline * 1e9),
+			time.Duration(method.Window * 1e9)}
 	}
-	check.CheckServers(terms)
+	check.CheckServers(serverSettings)
 	p := &checkedProgram{check: check}
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
@@ -57,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: bin, directory: dir,
+	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: binary, directory: dir,
 		roster: p.roster.Address(), check: check}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -74,8 +76,8 @@
 	return p
 }
 
-// runLoad lets some routers call the program for a while, with requests drawn from the seed, and returns how many
-// calls succeeded and failed.
+// runLoad makes four routers call the program for the duration, with requests drawn from the seed. It returns the numbers of
+// calls that succeeded and that failed.
 func (p *checkedProgram) runLoad(seed uint64, duration time.Duration) (served, failed int) {
 	var mu sync.Mutex
 	var calls sync.WaitGroup
@@ -83,30 +85,30 @@
 	for k := range 4 {
 		routers = append(routers, NewRouter(k+1, p.proxy.Address()))
 	}
-	random := rand.New(rand.NewPCG(seed, 5))
-	for begin := time.Now(); time.Since(begin) < duration; time.Sleep(time.Duration(random.ExpFloat64() * 4e6)) {
-		m := p.site.Methods[random.IntN(3)]
-		body := make([]byte, random.IntN(200))
+	rng := rand.New(rand.NewPCG(seed, 5))
+	for begin := time.Now(); time.Since(begin) < duration; time.Sleep(time.Duration(rng.ExpFloat64() * 4e6)) {
+		method := p.site.Methods[rng.IntN(3)]
+		body := make([]byte, rng.IntN(200))
 		for k := range body {
-			body[k] = byte(random.Uint32())
+			body[k] = byte(rng.Uint32())
 		}
-		if random.IntN(2) == 0 {
-			body = EncodeBody(fmt.Sprint(random.Uint64()), random.ExpFloat64()*0.02)
+		if rng.IntN(2) == 0 {
+			body = EncodeBody(fmt.Sprint(rng.Uint64()), rng.ExpFloat64()*0.02)
 		}
 		token := ""
-		if m.Kind == "dedup" {
-			token = fmt.Sprintf("%032x", random.Uint64())
+		if method.Kind == "dedup" {
+			token = fmt.Sprintf("%032x", rng.Uint64())
 		}
 		tries := 1
-		if m.Kind != "fragile" {
-			tries += random.IntN(2)
+		if method.Kind != "fragile" {
+			tries += rng.IntN(2)
 		}
 		for range tries {
-			r := routers[random.IntN(len(routers))]
+			router := routers[rng.IntN(len(routers))]
 			calls.Go(func() {
-				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(m.Deadline*1e9))
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(method.Deadline*1e9))
 				defer cancel()
-				_, err := r.Call(ctx, m.Name, token, 0.5, body)
+				_, err := router.Call(ctx, method.Name, token, 0.5, body)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
@@ -118,14 +120,14 @@
 		}
 	}
 	calls.Wait()
-	for _, r := range routers {
-		r.Close()
+	for _, router := range routers {
+		router.Close()
 	}
 	return served, failed
 }
 
-// The program breaks no rule under each preemption setting, with and without gauges, while the link to its kernel
-// fails in every way.
+// The program breaks no rule under any preemption setting, with and without gauges, while faults of every kind are injected
+// into the link to its kernel.
 func TestProgramObeysRules(t *testing.T) {
 	for name, test := range map[string]struct {
 		preemption Preemption
@@ -160,7 +162,7 @@
 	}
 }
 
-// injectLinkFaults injects random faults into the kernel's link, one at a time, until stop is closed.
+// injectLinkFaults injects random faults into the kernel's link, one every 100 ms, until stop is closed.
 func (p *checkedProgram) injectLinkFaults(stop chan struct{}, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	p.proxy.FragmentWrites(seed)
--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -10,8 +10,8 @@
 	"valveglade/internal/thrift"
 )
 
-// stubServer is a fake app server whose behavior a test chooses. It has a client that reaches it through the recording proxy
-// and a link to its kernel.
+// stubServer is a fake app server whose behavior a test chooses, with a client that reaches it through the fault proxy and a
+// link to its kernel.
 type stubServer struct {
 	*testSetup
 	*Stub
@@ -19,14 +19,14 @@
 	link      *testLink
 	proxy     *FaultProxy
 	client    net.Conn
-	clientSeq int32
+	clientSeq int32 // last sequence number of the client
 }
 
 // newStubServer returns a stub that runs and serves every RPC, with a connected client.
 func newStubServer(t *testing.T, config KernelConfig) *stubServer {
 	t.Helper()
 	s := &stubServer{testSetup: newTestSetup(t, config), t: t}
-	stub, err := NewStub(func(h ReceivedRequest, out []byte) []byte { return s.runAndServe(h, out) })
+	stub, err := NewStub(func(request ReceivedRequest, out []byte) []byte { return s.runAndServe(request, out) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,8 +53,8 @@
 }
 
 // runAndServe runs an RPC on the kernel and serves it with the result.
-func (s *stubServer) runAndServe(h ReceivedRequest, out []byte) []byte {
-	return thrift.Served(out, h.Seq, s.runOnKernel(h.Call, h.Method, h.Body), 1)
+func (s *stubServer) runAndServe(request ReceivedRequest, out []byte) []byte {
+	return thrift.Served(out, request.Seq, s.runOnKernel(request.Call, request.Method, request.Body), 1)
 }
 
 // runOnKernel makes the kernel run an RPC and returns the result, or nil if the RPC did not run.
@@ -91,25 +91,26 @@
 	s.expectViolation(s.t, rule, what)
 }
 
+// longTTL is a time limit that no try of these tests reaches.
 const longTTL = 10 * time.Second
 
-// A correct app server breaks no rule, not even if a tokened RPC is repeated.
+// A correct app server breaks no rule, even if a tokened RPC is repeated.
 func TestCheckServersAcceptsCorrectServer(t *testing.T) {
 	s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
 	results := map[string][]byte{}
-	s.SetHandler(func(h ReceivedRequest, out []byte) []byte {
+	s.SetHandler(func(request ReceivedRequest, out []byte) []byte {
 		switch {
-		case h.HealthCheck:
-			return thrift.Checked(out, h.Seq, true, 1)
-		case h.Interrupt:
+		case request.HealthCheck:
+			return thrift.Checked(out, request.Seq, true, 1)
+		case request.Interrupt:
 			return out
-		case h.Method == "read":
-			return thrift.PushedBack(out, h.Seq, true, 0.2, 1)
-		case results[h.Token] != nil:
-			return thrift.Served(out, h.Seq, results[h.Token], 1)
+		case request.Method == "read":
+			return thrift.PushedBack(out, request.Seq, true, 0.2, 1)
+		case results[request.Token] != nil:
+			return thrift.Served(out, request.Seq, results[request.Token], 1)
 		}
-		results[h.Token] = s.runOnKernel(h.Call, h.Method, h.Body)
-		return thrift.Served(out, h.Seq, results[h.Token], 1)
+		results[request.Token] = s.runOnKernel(request.Call, request.Method, request.Body)
+		return thrift.Served(out, request.Seq, results[request.Token], 1)
 	})
 	for k, method := range []string{"write", "write", "charge", "read"} {
 		token := map[string]string{"write": "token"}[method]
@@ -126,70 +127,70 @@
 // Each fault injected into an app server is found as exactly one violation.
 func TestCheckServersFindsInjectedFaults(t *testing.T) {
 	for name, injected := range map[string]struct {
-		behave func(s *stubServer, h ReceivedRequest, out []byte) []byte
+		behave func(s *stubServer, request ReceivedRequest, out []byte) []byte
 		rule   int
 		what   string
 	}{
-		"a body of another RPC": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			s.runOnKernel(h.Call, h.Method, []byte("another"))
-			return thrift.Aborted(out, h.Seq, 1)
+		"a body of another RPC": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			s.runOnKernel(request.Call, request.Method, []byte("another"))
+			return thrift.Aborted(out, request.Seq, 1)
 		}, 1, "with the body"},
-		"an altered method": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			s.runOnKernel(h.Call, "charge", h.Body)
-			return thrift.Aborted(out, h.Seq, 1)
+		"an altered method": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			s.runOnKernel(request.Call, "charge", request.Body)
+			return thrift.Aborted(out, request.Seq, 1)
 		}, 1, "in class"},
-		"an RPC that no client sent": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			s.runOnKernel(tryB, h.Method, h.Body)
-			return thrift.Aborted(out, h.Seq, 1)
+		"an RPC that no client sent": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			s.runOnKernel(tryB, request.Method, request.Body)
+			return thrift.Aborted(out, request.Seq, 1)
 		}, 1, "an id that none has"},
-		"a second run": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			s.runOnKernel(h.Call, h.Method, h.Body)
-			return s.runAndServe(h, out)
+		"a second run": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			s.runOnKernel(request.Call, request.Method, request.Body)
+			return s.runAndServe(request, out)
 		}, 2, "a second time"},
-		"two replies": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			out = s.runAndServe(h, out)
-			return thrift.Aborted(out, h.Seq, 1)
+		"two replies": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			out = s.runAndServe(request, out)
+			return thrift.Aborted(out, request.Seq, 1)
 		}, 2, "two answers"},
-		"a reply to no request": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			return thrift.Aborted(s.runAndServe(h, out), h.Seq+1, 1)
+		"a reply to no request": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			return thrift.Aborted(s.runAndServe(request, out), request.Seq+1, 1)
 		}, 1, "not asked"},
-		"a reply to a health check that was not sent": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			return thrift.Checked(s.runAndServe(h, out), h.Seq+1, true, 1)
+		"a reply to a health check that was not sent": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			return thrift.Checked(s.runAndServe(request, out), request.Seq+1, true, 1)
 		}, 1, "not asked"},
-		"a result of no run": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			return thrift.Served(out, h.Seq, []byte("made by "+h.Call), 1)
+		"a result of no run": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			return thrift.Served(out, request.Seq, []byte("made by "+request.Call), 1)
 		}, 1, "no run of it made"},
-		"a result that is altered": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			return thrift.Served(out, h.Seq, s.runOnKernel(h.Call, h.Method, h.Body)[1:], 1)
+		"a result that is altered": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			return thrift.Served(out, request.Seq, s.runOnKernel(request.Call, request.Method, request.Body)[1:], 1)
 		}, 1, "no run of it made"},
-		"pushed back after a run": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			s.runOnKernel(h.Call, h.Method, h.Body)
-			return thrift.PushedBack(out, h.Seq, false, 0, 1)
+		"pushed back after a run": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			s.runOnKernel(request.Call, request.Method, request.Body)
+			return thrift.PushedBack(out, request.Seq, false, 0, 1)
 		}, 2, "had been run"},
-		"a malformed reply": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			whole := s.runAndServe(h, nil)
+		"a malformed reply": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			whole := s.runAndServe(request, nil)
 			whole[len(whole)-1] = 8 // in place of the end of the struct
 			return append(out, whole...)
 		}, 1, "no router can read"},
-		"a reply of invalid length": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			return append(s.runAndServe(h, out), 0xff, 0xff, 0xff, 0xff)
+		"a reply of invalid length": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			return append(s.runAndServe(request, out), 0xff, 0xff, 0xff, 0xff)
 		}, 1, "no router can read"},
-		"a load that is no number": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			whole := s.runAndServe(h, out)
+		"a load that is no number": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			whole := s.runAndServe(request, out)
 			return []byte(strings.Replace(string(whole), "load\x00\x00\x00\x011", "load\x00\x00\x00\x01x", 1))
 		}, 1, "load"},
-		"a preemption that the settings do not allow": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			out = s.runAndServe(h, out)
-			s.link.sendLine(`{"action":"PREEMPT","uid":"%s"}`, h.Call)
+		"a preemption that the settings do not allow": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			out = s.runAndServe(request, out)
+			s.link.sendLine(`{"action":"PREEMPT","uid":"%s"}`, request.Call)
 			s.link.readNotice()
 			return out
 		}, 1, "do not allow"},
-		"an invalid command": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
-			out = s.runAndServe(h, out)
+		"an invalid command": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
+			out = s.runAndServe(request, out)
 			s.link.sendLine(`{"action":"SCHED"}`)
 			return out
 		}, 1, "wrote to its kernel"},
-		"a close after reading a request on a new connection": {func(s *stubServer, h ReceivedRequest, out []byte) []byte {
+		"a close after reading a request on a new connection": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			s.CloseConnections()
 			return out
 		}, 1, "without an answer"},
@@ -197,9 +198,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
 			done := make(chan struct{})
-			s.SetHandler(func(h ReceivedRequest, out []byte) []byte {
+			s.SetHandler(func(request ReceivedRequest, out []byte) []byte {
 				defer close(done)
-				return injected.behave(s, h, out)
+				return injected.behave(s, request, out)
 			})
 			s.sendTry(tryA, "write", "token", []byte("body of A"), longTTL)
 			s.awaitViolation(injected.rule, injected.what)
@@ -211,13 +212,13 @@
 // An RPC without a reply is found once its deadline has passed.
 func TestCheckServersFindsMissingReply(t *testing.T) {
 	s := newStubServer(t, KernelConfig{})
-	s.SetHandler(func(h ReceivedRequest, out []byte) []byte { return out })
+	s.SetHandler(func(request ReceivedRequest, out []byte) []byte { return out })
 	s.sendTry(tryA, "read", "", nil, time.Millisecond)
 	waitFor(t, "the violation of the missing reply", func() bool { s.check.Finish(); return len(s.check.Violations()) > 0 })
 	s.expectViolation(t, 1, "never answered")
 }
 
-// A process that was paused still has to reply once it continues: it gets resumeGracePeriod and no more.
+// A process that was paused still has to reply once it continues, within resumeGracePeriod.
 func TestCheckServersFindsMissingReplyAfterPause(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{})
 	s.check.TrySent("n1", s.flow, 1, "a", time.Now(), false) // not registered, and therefore ignored
@@ -238,7 +239,7 @@
 // A tokened RPC may run again only after its window, which starts with the arrival of the try that ran.
 func TestCheckServersTokenWindow(t *testing.T) {
 	for name, test := range map[string]struct {
-		later time.Duration // arrival of the second try after the first
+		later time.Duration // how long after the first try the second one arrives
 		token string
 		what  string
 	}{
@@ -250,11 +251,11 @@
 			s := newTestSetup(t, KernelConfig{})
 			run := func(call, token string) {
 				s.recordSent(call, "write", token, []byte("body"), 3600)
-				order, ok := s.check.resolveCommand("n1", call, "write", []byte("body"))
+				request, ok := s.check.resolveCommand("n1", call, "write", []byte("body"))
 				if !ok {
 					t.Fatal("the command does not match what the client sent")
 				}
-				s.check.recordRunStart("n1", order)
+				s.check.recordRunStart("n1", request)
 			}
 			run(tryA, "token")
 			first := s.check.servers["n1"].requests.byCall[tryA][0]
@@ -308,11 +309,11 @@
 func TestCheckServersExcusesClientFaults(t *testing.T) {
 	s := newStubServer(t, KernelConfig{})
 	release := make(chan struct{})
-	s.SetHandler(func(h ReceivedRequest, out []byte) []byte {
+	s.SetHandler(func(request ReceivedRequest, out []byte) []byte {
 		if len(s.Received()) == 1 {
 			<-release
 		}
-		return thrift.Aborted(out, h.Seq, 1)
+		return thrift.Aborted(out, request.Seq, 1)
 	})
 	s.sendTry(tryA, "read", "", nil, longTTL)
 	s.clientSeq--
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -21,27 +21,31 @@
 		for k := range sent {
 			sent[k] = byte(rng.Uint32())
 		}
-		echo, err := NewRawStub(func(nc net.Conn) { io.Copy(nc, nc); nc.(*net.TCPConn).CloseWrite(); io.Copy(io.Discard, nc) })
+		echo, err := NewRawStub(func(conn net.Conn) {
+			io.Copy(conn, conn)
+			conn.(*net.TCPConn).CloseWrite()
+			io.Copy(io.Discard, conn)
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := NewFaultProxy("n1", echo.Address(), NewChecker(time.Second))
+		proxy, err := NewFaultProxy("n1", echo.Address(), NewChecker(time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.FragmentWrites(seed)
-		nc, err := net.Dial("tcp", n.Address())
+		proxy.FragmentWrites(seed)
+		conn, err := net.Dial("tcp", proxy.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		go nc.Write(sent)
+		go conn.Write(sent)
 		got := make([]byte, len(sent))
-		nc.SetReadDeadline(time.Now().Add(testTimeout))
-		if _, err := io.ReadFull(nc, got); err != nil || !bytes.Equal(got, sent) {
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
+		if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		nc.Close()
-		n.Close()
+		conn.Close()
+		proxy.Close()
 		echo.Close()
 	}
 }
@@ -50,80 +54,81 @@
 // The proxy must not take its own failed write for a connection closed by the client.
 func TestFaultProxyResetWhileWriting(t *testing.T) {
 	for range 20 {
-		stub, err := NewRawStub(func(nc net.Conn) {
-			nc.Read(make([]byte, 4096))
-			nc.(*net.TCPConn).SetLinger(0)
+		stub, err := NewRawStub(func(conn net.Conn) {
+			conn.Read(make([]byte, 4096))
+			conn.(*net.TCPConn).SetLinger(0)
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := NewChecker(time.Second)
-		n, err := NewFaultProxy("n1", stub.Address(), c)
+		check := NewChecker(time.Second)
+		proxy, err := NewFaultProxy("n1", stub.Address(), check)
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc, err := net.Dial("tcp", n.Address())
+		conn, err := net.Dial("tcp", proxy.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := float64(time.Now().UnixMilli()) / 1000
 		for k := range 100 {
 			id := string(rune('a'+k%26)) + strings.Repeat("x", k/26)
-			c.RegisterRPC(id, rpc.Idempotent, time.Now().Add(10*time.Second))
+			check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(10*time.Second))
 			frame := thrift.Execute(nil, int32(k+1), "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody(id, 0))
-			if _, err := nc.Write(frame); err != nil {
+			if _, err := conn.Write(frame); err != nil {
 				break
 			}
 			time.Sleep(10 * time.Microsecond)
 		}
-		waitFor(t, "the lost request", func() bool { return len(c.Violations()) > 0 })
-		if v := c.Violations(); v[0].Rule != 1 || !strings.Contains(v[0].Description, "without an answer") {
-			t.Errorf("%v", v)
+		waitFor(t, "the lost request", func() bool { return len(check.Violations()) > 0 })
+		if violations := check.Violations(); violations[0].Rule != 1 ||
+			!strings.Contains(violations[0].Description, "without an answer") {
+			t.Errorf("%v", violations)
 		}
-		nc.Close()
-		n.Close()
+		conn.Close()
+		proxy.Close()
 		stub.Close()
 	}
 }
 
-// Replies that are late or missing because the caller does not read are no violation by the app server.
+// Replies that are late or missing because the caller does not read are no violation of the app server.
 func TestFaultProxyCallerNotReading(t *testing.T) {
-	s, err := NewStub(nil)
+	stub, err := NewStub(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	c := NewChecker(0)
-	n, err := NewFaultProxy("n1", s.Address(), c)
+	defer stub.Close()
+	check := NewChecker(0)
+	proxy, err := NewFaultProxy("n1", stub.Address(), check)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Close()
-	nc, err := net.Dial("tcp", n.Address())
+	defer proxy.Close()
+	conn, err := net.Dial("tcp", proxy.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	defer conn.Close()
 	now := float64(time.Now().UnixMilli()) / 1000
 	id := strings.Repeat("i", 2000)
-	c.RegisterRPC(id, rpc.Idempotent, time.Now().Add(time.Hour))
+	check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(time.Hour))
 	go func() {
 		for k := range int32(20_000) {
-			if _, err := nc.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "",
+			if _, err := conn.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "",
 				EncodeBody(id, 0))); err != nil {
 				return
 			}
 		}
 	}()
 	var blocked *proxiedConnection
-	var since time.Time // on a slow machine a write may block for a while and still return
+	var since time.Time // since when a write has been blocked; on a slow machine a write may block and still return
 	waitFor(t, "a write that stays blocked", func() bool {
-		n.mu.Lock()
-		defer n.mu.Unlock()
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
 		blocked = nil
-		for f := range n.connections {
-			if f.callerNotReading() {
-				blocked = f
+		for connection := range proxy.connections {
+			if connection.callerNotReading() {
+				blocked = connection
 			}
 		}
 		if blocked == nil {
@@ -135,13 +140,13 @@
 		}
 		return time.Since(since) > time.Second
 	})
-	c.mu.Lock()
-	for _, t := range c.tries[blocked] {
-		t.due = time.Now().Add(-time.Hour)
+	check.mu.Lock()
+	for _, try := range check.tries[blocked] {
+		try.due = time.Now().Add(-time.Hour)
 	}
-	c.mu.Unlock()
-	c.Finish()
-	if v := c.Violations(); len(v) > 0 {
-		t.Errorf("%d violations, the first: %.200s", len(v), v[0])
+	check.mu.Unlock()
+	check.Finish()
+	if violations := check.Violations(); len(violations) > 0 {
+		t.Errorf("%d violations, the first: %.200s", len(violations), violations[0])
 	}
 }
