--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Cluster is a group of processes of the real program that communicate over a faulty network, with a path between each two. A
-// script injects faults into it.
+// Cluster is a group of processes of the real program that communicate over a faulty network, with a path in each direction
+// between every two of them. A script injects faults into it.
 type Cluster struct {
 	Checker *Checker
 	History *History
@@ -23,9 +23,9 @@
 	roster  *Roster
 
 	mu       sync.Mutex
-	nodes    map[string]*Node
-	names    []string
-	lastSlot int
+	nodes    map[string]*Node // by name
+	names    []string         // in the order in which the nodes were added
+	lastSlot int              // the last slot given to a process or left unused
 }
 
 // ClusterConfig describes a cluster.
@@ -33,41 +33,41 @@
 	Program      string   // the program's binary
 	Names        []string // names of the first processes
 	Site         Site
-	Settings     []string // further lines of each process's settings file
-	WithStateDir []string // names of the processes with a state directory
-	NoFleet      bool     // the same processes without a fleet, which do not communicate
-	Zones        int      // number of zones that the processes are spread over; 0 for none
-	Seeds        int      // number of addresses that each process is given to join; 3 if 0
-	UnusedSeeds  int      // number of further join addresses, listed first, at which no process listens
-	Slack        time.Duration
-	Seed         uint64
-	Backend      *Backend // the backend that the runs of all kernels call; nil for none
-	// BareCommand, unless nil, returns the command of another program to start instead, without a kernel and callers. It gets
-	// the process's name, the address to listen on, the address to advertise and the addresses to join.
+	Settings     []string      // further lines of each process's settings file
+	WithStateDir []string      // names of the processes with a state directory
+	NoFleet      bool          // start the processes without a fleet, so that they do not communicate
+	Zones        int           // number of zones that the processes are spread over; 0 for none
+	Seeds        int           // number of join addresses that each process is given; 3 if 0
+	UnusedSeeds  int           // number of further join addresses, listed first, at which no process listens
+	Slack        time.Duration // of the checker, see NewChecker
+	Seed         uint64        // of the faults of the network
+	Backend      *Backend      // the backend that the runs of all kernels call; nil for none
+	// BareCommand, unless nil, returns the command of another program to start instead, which has no kernel and no callers. It
+	// is called with the name of the process, the address to listen on, the address to advertise and the addresses to join.
 	BareCommand func(name, listen, advertise string, join []string) *exec.Cmd
 }
 
 // Node is one process of a cluster.
 type Node struct {
 	*Program
-	Proxy        *FaultProxy // between callers and the process
-	slot         int
-	bareProcess  *Process
-	stopThrottle func() // ends the throttling of the process; nil if it is not throttled
+	Proxy        *FaultProxy // between callers and the process; nil with ClusterConfig.BareCommand
+	slot         int         // of the network
+	bareProcess  *Process    // set with ClusterConfig.BareCommand, nil without
+	stopThrottle func()      // ends the throttling of the process; nil if it is not throttled
 }
 
-// rpcPort is the port on which each process accepts RPCs, at its own address.
+// rpcPort is the port on which each process accepts RPCs, at its listen address.
 const rpcPort = 7000
 
-// process returns the process that receives signals.
-func (n *Node) process() *Process {
-	if n.bareProcess != nil {
-		return n.bareProcess
+// process returns the process of the node, either that of the program or the bare one.
+func (node *Node) process() *Process {
+	if node.bareProcess != nil {
+		return node.bareProcess
 	}
-	return &n.Program.Process
+	return &node.Program.Process
 }
 
-// NewCluster starts a cluster; all processes are started at the same time. The caller must call Close.
+// NewCluster starts a cluster, all processes concurrently. The caller must Close the cluster.
 func NewCluster(config ClusterConfig) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "cluster")
 	if err != nil {
@@ -88,7 +88,7 @@
 			return nil, err
 		}
 	}
-	if err := cluster.forEach(config.Names, func(n *Node) error { return cluster.start(n) }); err != nil {
+	if err := cluster.forEach(config.Names, func(node *Node) error { return cluster.start(node) }); err != nil {
 		cluster.Close()
 		return nil, err
 	}
@@ -125,25 +125,25 @@
 	return slices.Clone(c.names)
 }
 
-// Running returns the names of the nodes whose processes have not ended.
+// Running returns the names of the nodes whose processes are running.
 func (c *Cluster) Running() []string {
 	return slices.DeleteFunc(c.Names(), func(name string) bool { return !c.Node(name).process().Running() })
 }
 
-// joinAddresses returns the addresses that each process is given to join: those of the first slots, including the unused ones.
+// joinAddresses returns the join addresses that each process is given: those of the unused slots and of the first processes.
 func (c *Cluster) joinAddresses() []string {
-	n := c.config.Seeds
-	if n == 0 {
-		n = 3
+	seeds := c.config.Seeds
+	if seeds == 0 {
+		seeds = 3
 	}
 	var addresses []string
-	for k := range n + c.config.UnusedSeeds {
+	for k := range seeds + c.config.UnusedSeeds {
 		addresses = append(addresses, c.Network.AdvertisedAddress(k+1).String())
 	}
 	return addresses
 }
 
-// nextSlot returns the number of the next address that no process has had.
+// nextSlot returns a slot of the network that no process has had.
 func (c *Cluster) nextSlot() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,15 +151,15 @@
 	return c.lastSlot
 }
 
-// addNode adds a node whose process announces itself as ownName, at the address of a slot, without starting the process.
-func (c *Cluster) addNode(name, ownName string, slot int) (*Node, error) {
+// addNode adds a node at a slot of the network without starting its process, which will use configName as its own name.
+func (c *Cluster) addNode(name, configName string, slot int) (*Node, error) {
 	if err := c.Network.Add(slot); err != nil {
 		return nil, err
 	}
 	node := &Node{slot: slot}
 	listen, advertise := c.Network.ListenAddress(slot), c.Network.AdvertisedAddress(slot)
 	if c.config.BareCommand != nil {
-		node.Program = &Program{Name: name, configName: ownName, check: c.Checker}
+		node.Program = &Program{Name: name, configName: configName, check: c.Checker}
 		node.bareProcess = &Process{onLogLine: func(line []byte) { c.History.AddLogLine(name, line) }}
 	} else {
 		kernel, err := NewKernel(name, c.config.Site.Cores, c.Checker)
@@ -169,8 +169,8 @@
 		kernel.config.Backend = c.config.Backend
 		// No other process can have taken the port in the meantime, because the address belongs to this process alone.
 		address := netip.AddrPortFrom(listen.Addr(), rpcPort).String()
-		node.Program = &Program{Name: name, Address: address, Kernel: kernel, site: c.config.Site, binary: c.config.Program, directory: c.dir,
-			roster: c.roster.Address(), check: c.Checker, configName: ownName}
+		node.Program = &Program{Name: name, Address: address, Kernel: kernel, site: c.config.Site,
+			binary: c.config.Program, directory: c.dir, roster: c.roster.Address(), check: c.Checker, configName: configName}
 		node.Program.onLogLine = func(line []byte) { c.History.AddLogLine(name, line) }
 		if node.Proxy, err = NewFaultProxy(name, address, c.Checker); err != nil {
 			return nil, err
@@ -183,7 +183,7 @@
 			if c.config.Zones > 0 {
 				settings = append(settings, fmt.Sprintf("fleet.zone z%d", 1+slot%c.config.Zones))
 			}
-			if slices.Contains(c.config.WithStateDir, ownName) {
+			if slices.Contains(c.config.WithStateDir, configName) {
 				if err := os.MkdirAll(c.StateDir(name), 0o700); err != nil {
 					return nil, err
 				}
@@ -204,7 +204,8 @@
 	return node, nil
 }
 
-// EditSettings changes a process's settings file; the change applies from its next start.
+// EditSettings replaces the text of a process's settings file by what edit returns for it. The change applies from the next start
+// of the process.
 func (c *Cluster) EditSettings(name string, edit func(settings string) string) error {
 	path := filepath.Join(c.dir, name+".conf")
 	text, err := os.ReadFile(path)
@@ -220,26 +221,29 @@
 // StateDir returns the state directory of a process that is listed in ClusterConfig.WithStateDir.
 func (c *Cluster) StateDir(name string) string { return filepath.Join(c.dir, name+".state") }
 
-func (c *Cluster) start(n *Node) error {
-	if n.bareProcess == nil {
-		return n.Program.Start()
+// start starts the process of a node.
+func (c *Cluster) start(node *Node) error {
+	if node.bareProcess == nil {
+		return node.Program.Start()
 	}
-	cmd := c.config.BareCommand(n.configName, c.Network.ListenAddress(n.slot).String(), c.Network.AdvertisedAddress(n.slot).String(), c.joinAddresses())
-	_, err := n.bareProcess.spawn(cmd, func(error) {})
+	cmd := c.config.BareCommand(node.configName, c.Network.ListenAddress(node.slot).String(),
+		c.Network.AdvertisedAddress(node.slot).String(), c.joinAddresses())
+	_, err := node.bareProcess.spawn(cmd, func(error) {})
 	return err
 }
 
-func (c *Cluster) kill(n *Node) {
-	if n.stopThrottle != nil {
-		n.stopThrottle()
-		n.stopThrottle = nil
+// kill kills the process of a node and drops its view from the history.
+func (c *Cluster) kill(node *Node) {
+	if node.stopThrottle != nil {
+		node.stopThrottle()
+		node.stopThrottle = nil
 	}
-	if n.bareProcess != nil {
-		n.bareProcess.kill()
+	if node.bareProcess != nil {
+		node.bareProcess.kill()
 	} else {
-		n.Program.Kill()
+		node.Program.Kill()
 	}
-	c.History.Forget(n.Name)
+	c.History.Forget(node.Name)
 }
 
 // Addresses returns the addresses at which callers reach the named nodes.
@@ -251,16 +255,16 @@
 	return addresses
 }
 
-// WaitUntil waits for a condition to hold. It returns the time waited in seconds, and false if the condition did not hold within
-// the limit.
-func (c *Cluster) WaitUntil(within time.Duration, holds func() bool) (float64, bool) {
+// WaitUntil waits for a condition to hold. It returns the time waited, in seconds, and false if the condition did not hold within
+// the timeout.
+func (c *Cluster) WaitUntil(timeout time.Duration, condition func() bool) (float64, bool) {
 	for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		took := time.Since(begin)
-		if holds() {
-			return took.Seconds(), true
+		elapsed := time.Since(begin)
+		if condition() {
+			return elapsed.Seconds(), true
 		}
-		if took > within {
-			return took.Seconds(), false
+		if elapsed > timeout {
+			return elapsed.Seconds(), false
 		}
 	}
 }
@@ -272,21 +276,21 @@
 func (c *Cluster) Close() {
 	var closing sync.WaitGroup
 	for _, name := range c.Names() {
-		n := c.Node(name)
-		if n.stopThrottle != nil {
-			n.stopThrottle()
+		node := c.Node(name)
+		if node.stopThrottle != nil {
+			node.stopThrottle()
 		}
 		closing.Go(func() {
-			if n.bareProcess != nil {
-				n.bareProcess.kill()
+			if node.bareProcess != nil {
+				node.bareProcess.kill()
 				return
 			}
-			if n.Program.started() {
-				n.SetPaused(false)
-				n.Stop()
+			if node.Program.started() {
+				node.SetPaused(false)
+				node.Stop()
 			}
-			n.Kernel.Close()
-			n.Proxy.Close()
+			node.Kernel.Close()
+			node.Proxy.Close()
 		})
 	}
 	closing.Wait()
--- a/rig/cluster_faults.go
+++ b/rig/cluster_faults.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// RunScript injects the faults of a script at their times, counted from now, and returns after the last one.
+// RunScript injects the faults of a script at their times, counted from now. It returns after the last one, at the first that
+// cannot be injected or once the context is done.
 func (c *Cluster) RunScript(ctx context.Context, script Script) error {
 	begin := time.Now()
 	for _, fault := range script {
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// RunScriptText parses and runs a script.
+// RunScriptText parses a script and runs it to its end.
 func (c *Cluster) RunScriptText(text string) error {
 	script, err := ParseScript(text)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return c.RunScript(context.Background(), script)
 }
 
-// Inject injects one fault now, whatever its time.
+// Inject injects one fault now, ignoring its time in the script.
 func (c *Cluster) Inject(fault Fault) error {
 	c.History.AddEvent("", "fault", strings.TrimPrefix(fault.String(), fault.At.String()+" "))
 	if fault.Groups != nil {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// changePaths applies a fault to all paths between its groups.
+// changePaths applies a fault to all paths from its first group to its second or, for a split, between any two of its groups.
 func (c *Cluster) changePaths(fault Fault) error {
 	var groups [][]int
 	for _, names := range fault.Groups {
@@ -105,11 +106,11 @@
 			names = c.Names()
 		}
 		for _, name := range names {
-			n := c.Node(name)
-			if n == nil {
+			node := c.Node(name)
+			if node == nil {
 				return fmt.Errorf("no process is named %q", name)
 			}
-			slots = append(slots, n.slot)
+			slots = append(slots, node.slot)
 		}
 		groups = append(groups, slots)
 	}
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// applyTo applies the fault to one path.
+// applyTo sets the fault on one path.
 func (f Fault) applyTo(path *Path) {
 	switch f.Verb {
 	case "split", "cut":
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// A script must be parsed back from its text unchanged, a seed must always draw the same script, and a parse error must name
-// the line.
+// A script must be parsed back from its text unchanged, a seed must always draw the same script, and a parse error must state
+// what is wrong and in which line.
 func TestScript(t *testing.T) {
 	for seed := range uint64(50) {
-		s := RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second)
-		again, err := ParseScript(s.String())
-		if err != nil || again.String() != s.String() || len(s) < 2 {
-			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, s, again)
+		script := RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second)
+		again, err := ParseScript(script.String())
+		if err != nil || again.String() != script.String() || len(script) < 2 {
+			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, script, again)
 		}
-		if RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second).String() != s.String() {
-			t.Fatalf("seed %d does not replay", seed)
+		if RandomScript(seed, []string{"n1", "n2", "n3", "n4", "n5"}, 12, 20*time.Second).String() != script.String() {
+			t.Fatalf("seed %d draws two different scripts", seed)
 		}
 	}
 	if RandomScript(1, []string{"n1", "n2"}, 9, time.Second).String() ==
 		RandomScript(2, []string{"n1", "n2"}, 9, time.Second).String() {
-		t.Error("two seeds draw the same")
+		t.Error("two seeds draw the same script")
 	}
 	for text, want := range map[string]string{"2 cut a>b": "line 1: \"2\" is no time", "\n1s shake a": "line 2: no fault",
 		"1s": "no fault is named", "1s loss a>b": "wants 2 words", "1s cut a": "no two sides", "1s loss a>b 300%": "no share",
@@ -40,84 +40,84 @@
 	}
 }
 
-// newUDPPair returns two UDP sockets and the paths between them.
-func newUDPPair(t *testing.T) (p *FaultyNetwork, one, two *net.UDPConn) {
+// newUDPPair returns two UDP sockets, of slots 1 and 2, and the network that connects them.
+func newUDPPair(t *testing.T) (network *FaultyNetwork, one, two *net.UDPConn) {
 	t.Helper()
-	p, err := NewFaultyNetwork(1)
+	network, err := NewFaultyNetwork(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Close)
+	t.Cleanup(network.Close)
 	for slot := 1; slot <= 2; slot++ {
-		if err := p.Add(slot); err != nil {
+		if err := network.Add(slot); err != nil {
 			t.Fatal(err)
 		}
 	}
 	open := func(slot int) *net.UDPConn {
-		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.ListenAddress(slot)))
+		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(network.ListenAddress(slot)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		return c
+		t.Cleanup(func() { conn.Close() })
+		return conn
 	}
-	return p, open(1), open(2)
+	return network, open(1), open(2)
 }
 
-// sendPackets sends n packets from one socket to the other. It returns how many arrived and the time until the last one, or -1
-// if a packet came from the wrong address.
-func sendPackets(p *FaultyNetwork, from, to *net.UDPConn, slot, n int) (got int, last time.Duration) {
+// sendPackets sends n packets from one socket to the other, which has the given slot. It returns how many arrived and the time
+// until the last one, or -1 if a packet came from the wrong address.
+func sendPackets(network *FaultyNetwork, from, to *net.UDPConn, slot, n int) (received int, last time.Duration) {
 	begin := time.Now()
 	for k := range n {
-		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), p.AdvertisedAddress(slot))
+		from.WriteToUDPAddrPort([]byte(fmt.Sprint(k)), network.AdvertisedAddress(slot))
 	}
-	b := make([]byte, 100)
+	buffer := make([]byte, 100)
 	for {
 		to.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		if _, src, err := to.ReadFromUDPAddrPort(b); err != nil {
-			return got, last
-		} else if src.Addr() != p.AdvertisedAddress(3-slot).Addr() {
+		if _, src, err := to.ReadFromUDPAddrPort(buffer); err != nil {
+			return received, last
+		} else if src.Addr() != network.AdvertisedAddress(3-slot).Addr() {
 			return -1, 0 // not the advertised address of the sender
 		}
-		got, last = got+1, time.Since(begin)
+		received, last = received+1, time.Since(begin)
 	}
 }
 
 // Each fault of a path takes effect in one direction only and ends with Heal.
 func TestPaths(t *testing.T) {
-	p, one, two := newUDPPair(t)
-	if n, _ := sendPackets(p, one, two, 2, 50); n != 50 {
+	network, one, two := newUDPPair(t)
+	if n, _ := sendPackets(network, one, two, 2, 50); n != 50 {
 		t.Errorf("%d of 50 packets arrived on a path without faults", n)
 	}
-	p.Change(1, 2, func(path *Path) { path.Cut = true })
-	if n, _ := sendPackets(p, one, two, 2, 50); n != 0 {
+	network.Change(1, 2, func(path *Path) { path.Cut = true })
+	if n, _ := sendPackets(network, one, two, 2, 50); n != 0 {
 		t.Errorf("%d of 50 packets arrived during a cut", n)
 	}
-	if n, _ := sendPackets(p, two, one, 1, 50); n != 50 {
+	if n, _ := sendPackets(network, two, one, 1, 50); n != 50 {
 		t.Errorf("%d of 50 packets arrived in the other direction", n)
 	}
-	p.Heal()
-	p.Change(1, 2, func(path *Path) { path.Loss = 0.5 })
-	if n, _ := sendPackets(p, one, two, 2, 200); n < 60 || n > 140 {
+	network.Heal()
+	network.Change(1, 2, func(path *Path) { path.Loss = 0.5 })
+	if n, _ := sendPackets(network, one, two, 2, 200); n < 60 || n > 140 {
 		t.Errorf("%d of 200 packets arrived at a loss of 50%%", n)
 	}
-	p.Heal()
-	p.Change(1, 2, func(path *Path) { path.Duplication, path.Delay = 1, 100*time.Millisecond })
-	if n, last := sendPackets(p, one, two, 2, 50); n != 100 || last < 100*time.Millisecond {
+	network.Heal()
+	network.Change(1, 2, func(path *Path) { path.Duplication, path.Delay = 1, 100*time.Millisecond })
+	if n, last := sendPackets(network, one, two, 2, 50); n != 100 || last < 100*time.Millisecond {
 		t.Errorf("%d packets arrived of 50 duplicated ones, the last after %v", n, last)
 	}
-	p.Heal()
-	p.Change(1, 2, func(path *Path) { path.Rate = 500 })
-	if n, last := sendPackets(p, one, two, 2, 50); n != 50 || last < 150*time.Millisecond {
+	network.Heal()
+	network.Change(1, 2, func(path *Path) { path.Rate = 500 })
+	if n, last := sendPackets(network, one, two, 2, 50); n != 50 || last < 150*time.Millisecond {
 		t.Errorf("%d of 50 packets arrived at a limited rate, the last after %v", n, last)
 	}
 }
 
-// A stream must stall during a cut, continue after it and show the address of its sender. A stream to an address at which no
-// process listens must be closed.
+// A stream must stall while a path is cut, continue after that and come from the advertised address of its sender. A stream to an
+// address at which no process listens must be closed.
 func TestStreams(t *testing.T) {
-	p, _, _ := newUDPPair(t)
-	listener, err := net.Listen("tcp", p.ListenAddress(2).String())
+	network, _, _ := newUDPPair(t)
+	listener, err := net.Listen("tcp", network.ListenAddress(2).String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,16 +130,16 @@
 			}
 			go func() {
 				defer conn.Close()
-				b := make([]byte, 100)
-				n, _ := conn.Read(b)
+				buffer := make([]byte, 100)
+				n, _ := conn.Read(buffer)
 				host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-				fmt.Fprintf(conn, "%s from %s", b[:n], host)
+				fmt.Fprintf(conn, "%s from %s", buffer[:n], host)
 			}()
 		}
 	}()
 	dial := func() (net.Conn, error) {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: p.ListenAddress(1).Addr().AsSlice()}}
-		conn, err := d.Dial("tcp", p.AdvertisedAddress(2).String())
+		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: network.ListenAddress(1).Addr().AsSlice()}}
+		conn, err := dialer.Dial("tcp", network.AdvertisedAddress(2).String())
 		if err != nil {
 			return nil, err
 		}
@@ -147,21 +147,21 @@
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		return conn, nil
 	}
-	b := make([]byte, 100)
-	p.Change(2, 1, func(path *Path) { path.Cut = true })
+	buffer := make([]byte, 100)
+	network.Change(2, 1, func(path *Path) { path.Cut = true })
 	conn, err := dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(conn, "hello")
 	conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-	if n, err := conn.Read(b); err == nil {
-		t.Errorf("read %q during a cut", b[:n])
+	if n, err := conn.Read(buffer); err == nil {
+		t.Errorf("read %q during a cut", buffer[:n])
 	}
-	p.Heal()
+	network.Heal()
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if n, err := conn.Read(b); err != nil || string(b[:n]) != "hello from "+p.AdvertisedAddress(1).Addr().String() {
-		t.Errorf("%q, %v", b[:n], err)
+	if n, err := conn.Read(buffer); err != nil || string(buffer[:n]) != "hello from "+network.AdvertisedAddress(1).Addr().String() {
+		t.Errorf("%q, %v", buffer[:n], err)
 	}
 	listener.Close()
 	conn, err = dial()
@@ -171,19 +171,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := conn.Read(b); err == nil || n > 0 {
-		t.Errorf("read %q from an address at which no process listens", b[:n])
+	if n, err := conn.Read(buffer); err == nil || n > 0 {
+		t.Errorf("read %q from an address at which no process listens", buffer[:n])
 	}
 }
 
-// Processes that the rig has started must end with it, even if the rig itself is killed.
+// A process that the rig started must end with the rig, even if the rig is killed.
 func TestProcessesEndWithTheRig(t *testing.T) {
 	if path := os.Getenv("RIG_CHILD"); path != "" {
-		p := &Process{}
-		if _, err := p.spawn(exec.Command("sleep", "60"), func(error) {}); err != nil {
+		process := &Process{}
+		if _, err := process.spawn(exec.Command("sleep", "60"), func(error) {}); err != nil {
 			os.Exit(1)
 		}
-		os.WriteFile(path+".part", []byte(strconv.Itoa(p.Pid())), 0o600)
+		os.WriteFile(path+".part", []byte(strconv.Itoa(process.Pid())), 0o600)
 		os.Rename(path+".part", path)
 		select {}
 	}
@@ -193,11 +193,11 @@
 	if err := rig.Start(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil := func(what string, holds func() bool) {
-		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
+	waitUntil := func(failure string, condition func() bool) {
+		for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				rig.Process.Kill()
-				t.Fatal(what)
+				t.Fatal(failure)
 			}
 		}
 	}
--- a/rig/coldstart.go
+++ b/rig/coldstart.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// ColdStart describes the slow start of app servers after a restart, as in the settings. The zero value means no slow start.
+// ColdStart describes the slow start of app servers after a restart: startCapacity, rampTimeS and fallS of the settings. The zero
+// value means no slow start.
 type ColdStart struct {
-	Capacity float64       // share of the full speed right after the start: startCapacity
-	Ramp     time.Duration // time until full speed, reached linearly: rampTimeS
-	Window   time.Duration // period over which an overload is measured: fallS
+	Capacity float64       // share of the full speed right after the start
+	Ramp     time.Duration // time until full speed, which is reached linearly
+	Window   time.Duration // period over which an overload is measured
 }
 
 // SlowStart returns how long the slow start lasts: the ramp, or one window if that is longer.
@@ -36,13 +37,13 @@
 	return sum / steps
 }
 
-// Arrivals records the RPCs that reached one app server, including retries. It is safe for concurrent use.
+// Arrivals records the tries that reached one app server. It is safe for concurrent use.
 type Arrivals struct {
 	mu  sync.Mutex
 	all []arrival
 }
 
-// arrival is one RPC forwarded to the app server.
+// arrival is one try that was forwarded to the app server.
 type arrival struct {
 	at   time.Time
 	work float64 // seconds on a core
@@ -55,25 +56,25 @@
 	a.all = append(a.all, arrival{at, work})
 }
 
-// Peak is the largest load within one window of a slow start, as a ratio to the budget of the app server.
+// Peak is the largest load in any window of a slow start, as a ratio to the budget of the app server.
 type Peak struct {
 	ByWork  float64       // with requests weighted by their work
 	ByCount float64       // with all requests counted alike
 	Age     time.Duration // age of the app server at the peak by work
 }
 
-// coldStartBudget returns the maximum number of requests of mean work for a window of a slow start in which the cores can
-// process n of them.
+// coldStartBudget returns the maximum number of requests of mean work that may arrive in a window of a slow start in which the
+// cores can process n of them. It allows for random variation.
 func coldStartBudget(n float64) float64 {
-	const smallCount = 30 // below it the budget is wider, as random variation weighs more
+	const smallCount = 30 // below it the budget allows more, because random variation weighs more
 	if n < smallCount {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Peak returns the largest load of all windows that end between the boot and the end of the slow start, relative to the
-// budget at the speed that the settings allow at that time. meanWork is in seconds on a core.
+// Peak returns the largest load of all windows that end with an arrival between the boot and the end of the slow start, relative
+// to the budget for the speed at that time. meanWork is in seconds on a core.
 func (a *Arrivals) Peak(start ColdStart, boot time.Time, cores int, meanWork float64) Peak {
 	a.mu.Lock()
 	arrivals := slices.Clone(a.all)
--- a/rig/coldstart_test.go
+++ b/rig/coldstart_test.go
@@ -16,18 +16,18 @@
 	start := ColdStart{Capacity: 0.2, Ramp: 10 * time.Second, Window: time.Second}
 	const cores, work = 2, 0.01
 	boot := time.Now()
-	for times, over := range map[float64]bool{1: false, 3: true} {
-		var a Arrivals
+	for loadFactor, exceeded := range map[float64]bool{1: false, 3: true} {
+		var arrivals Arrivals
 		for range 1000 {
-			a.Add(boot.Add(-time.Millisecond), work)
-			a.Add(boot.Add(start.Ramp+time.Millisecond), work)
+			arrivals.Add(boot.Add(-time.Millisecond), work)
+			arrivals.Add(boot.Add(start.Ramp+time.Millisecond), work)
 		}
 		for age := time.Duration(0); age < start.Ramp; {
-			a.Add(boot.Add(age), work)
-			age += time.Duration(work / cores / start.SpeedShare(age) / times * float64(time.Second))
+			arrivals.Add(boot.Add(age), work)
+			age += time.Duration(work / cores / start.SpeedShare(age) / loadFactor * float64(time.Second))
 		}
-		if peak := a.Peak(start, boot, cores, work); peak.ByWork > 1 != over || peak.ByCount > 1 != over {
-			t.Errorf("load of %g times the capacity: unexpected peak %+v", times, peak)
+		if peak := arrivals.Peak(start, boot, cores, work); peak.ByWork > 1 != exceeded || peak.ByCount > 1 != exceeded {
+			t.Errorf("load of %g times the capacity: unexpected peak %+v", loadFactor, peak)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 }
 func (echoCaller) Close() error { return nil }
 
-// Each call must get exactly one reply, with its result or its error, and a truncated call must be an error.
+// ServeCalls must reply to each call once, with its result or its error, and return an error for a truncated call.
 func TestServeCalls(t *testing.T) {
 	var in, out bytes.Buffer
 	calls := json.NewEncoder(&in)
--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -13,11 +13,11 @@
 	"valveglade/internal/thrift"
 )
 
-// FaultProxy is a TCP proxy in front of one app server that injects faults; callers connect to its address. It forwards all
-// bytes unchanged and reports each message to the checker before it forwards the message's last byte.
+// FaultProxy is a TCP proxy in front of one app server; callers connect to its address. It injects network faults, forwards bytes
+// unchanged and reports each message to the checker before it forwards the last byte of the message.
 type FaultProxy struct {
-	serverName   string
-	target       string
+	serverName   string // of the app server, for the checker
+	target       string // address of the app server
 	check        *Checker
 	listener     net.Listener
 	onConnection func(time.Time) // called with the time of each forwarded connection, if set
@@ -52,12 +52,12 @@
 
 // OnConnection sets a function that is called with the time of each connection that is accepted and forwarded. It must be
 // called before the first connection.
-func (p *FaultProxy) OnConnection(f func(time.Time)) { p.onConnection = f }
+func (p *FaultProxy) OnConnection(callback func(time.Time)) { p.onConnection = callback }
 
 // CountArrivals sets the counter of forwarded RPCs. It must be called before the first connection.
-func (p *FaultProxy) CountArrivals(a *Arrivals) { p.arrivals = a }
+func (p *FaultProxy) CountArrivals(arrivals *Arrivals) { p.arrivals = arrivals }
 
-// SetDown resets all connections and refuses new ones, or accepts them again.
+// SetDown resets all connections and refuses new ones or, if refusing is false, accepts connections again at the same address.
 func (p *FaultProxy) SetDown(refusing bool) {
 	p.mu.Lock()
 	wasRefusing := p.refusing
@@ -78,7 +78,8 @@
 	}
 }
 
-// SetBlackhole resets all connections; new ones are accepted and what they send is discarded, or they are forwarded again.
+// SetBlackhole resets all connections. New ones are accepted and what they send is discarded or, if blackholed is false, they
+// are forwarded again.
 func (p *FaultProxy) SetBlackhole(blackholed bool) {
 	p.mu.Lock()
 	p.blackholed = blackholed
@@ -89,22 +90,22 @@
 // TrickleReplies writes replies the given number of bytes at a time, one write per trickleInterval; 0 removes the limit.
 func (p *FaultProxy) TrickleReplies(bytes int) { p.trickleBytes.Store(int64(bytes)) }
 
-// FragmentWrites splits the writes of both directions into fragments of random length drawn from the seed; 0 ends it.
+// FragmentWrites splits the writes of both directions into fragments, whose lengths are drawn from the seed; 0 ends this.
 func (p *FaultProxy) FragmentWrites(seed uint64) { p.fragmentSeed.Store(seed) }
 
-// SetDelay delays each chunk of bytes, in each direction.
-func (p *FaultProxy) SetDelay(d time.Duration) { p.delay.Store(int64(d)) }
+// SetDelay delays each chunk of bytes that is read, in each direction.
+func (p *FaultProxy) SetDelay(delay time.Duration) { p.delay.Store(int64(delay)) }
 
 // ResetConnections resets all connections.
 func (p *FaultProxy) ResetConnections() {
 	p.mu.Lock()
 	connections := make([]*proxiedConnection, 0, len(p.connections))
-	for f := range p.connections {
-		connections = append(connections, f)
+	for conn := range p.connections {
+		connections = append(connections, conn)
 	}
 	p.mu.Unlock()
-	for _, f := range connections {
-		f.reset()
+	for _, conn := range connections {
+		conn.reset()
 	}
 }
 
@@ -115,168 +116,168 @@
 	p.group.Wait()
 }
 
-// reset closes both sides of a connection, the one to the caller with a TCP reset.
-func (f *proxiedConnection) reset() {
-	f.endedLocally.Store(true)
-	if tcp, ok := f.caller.(*net.TCPConn); ok {
+// reset closes both sides of the connection, the side of the caller with a TCP reset.
+func (conn *proxiedConnection) reset() {
+	conn.endedLocally.Store(true)
+	if tcp, ok := conn.caller.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
-	f.caller.Close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.server != nil {
-		f.server.Close()
+	conn.caller.Close()
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.server != nil {
+		conn.server.Close()
 	}
 }
 
 // accept accepts connections until the listener is closed.
 func (p *FaultProxy) accept() {
 	for listener := p.listener; ; {
-		nc, err := listener.Accept()
+		caller, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		p.mu.Lock()
 		refusing, blackholed := p.refusing, p.blackholed
-		f := &proxiedConnection{FaultProxy: p, caller: nc}
-		p.connections[f] = struct{}{}
+		conn := &proxiedConnection{FaultProxy: p, caller: caller}
+		p.connections[conn] = struct{}{}
 		p.mu.Unlock()
 		switch {
 		case refusing:
-			f.reset()
-			f.finish()
+			conn.reset()
+			conn.finish()
 		case blackholed:
-			p.group.Go(f.discardAll)
+			p.group.Go(conn.discardAll)
 		default:
 			if p.onConnection != nil {
 				p.onConnection(time.Now())
 			}
-			p.group.Go(f.forward)
+			p.group.Go(conn.forward)
 		}
 	}
 }
 
-// finish removes a connection from the proxy and reports its end to the checker.
-func (f *proxiedConnection) finish() {
-	f.mu.Lock()
-	delete(f.connections, f)
-	f.mu.Unlock()
-	f.check.ConnectionEnded(f, f.endedLocally.Load())
+// finish removes the connection from the proxy and reports its end to the checker.
+func (conn *proxiedConnection) finish() {
+	conn.mu.Lock()
+	delete(conn.connections, conn)
+	conn.mu.Unlock()
+	conn.check.ConnectionEnded(conn, conn.endedLocally.Load())
 }
 
 // discardAll reads what the caller sends until it closes the connection, and never replies.
-func (f *proxiedConnection) discardAll() {
-	defer f.finish()
-	defer f.caller.Close()
-	b := make([]byte, 4096)
+func (conn *proxiedConnection) discardAll() {
+	defer conn.finish()
+	defer conn.caller.Close()
+	buffer := make([]byte, 4096)
 	for {
-		if _, err := f.caller.Read(b); err != nil {
+		if _, err := conn.caller.Read(buffer); err != nil {
 			return
 		}
 	}
 }
 
 // forward connects to the app server and forwards both directions until they end.
-func (f *proxiedConnection) forward() {
-	defer f.finish()
-	server, err := net.DialTimeout("tcp", f.target, time.Second)
+func (conn *proxiedConnection) forward() {
+	defer conn.finish()
+	server, err := net.DialTimeout("tcp", conn.target, time.Second)
 	if err != nil {
-		f.reset()
+		conn.reset()
 		return
 	}
-	f.mu.Lock()
-	f.server = server
-	f.mu.Unlock()
-	if f.endedLocally.Load() { // reset while connecting
+	conn.mu.Lock()
+	conn.server = server
+	conn.mu.Unlock()
+	if conn.endedLocally.Load() { // reset while connecting
 		server.Close()
 	}
-	f.check.connectionOpened(f)
+	conn.check.connectionOpened(conn)
 	var directions sync.WaitGroup
-	directions.Go(func() { f.forwardRequests(server) })
-	directions.Go(func() { f.forwardReplies(server) })
+	directions.Go(func() { conn.forwardRequests(server) })
+	directions.Go(func() { conn.forwardReplies(server) })
 	directions.Wait()
-	f.caller.Close()
+	conn.caller.Close()
 }
 
 // forwardRequests forwards the caller's requests to the app server.
-func (f *proxiedConnection) forwardRequests(server net.Conn) {
-	var pendingSeqs []int32 // sequence numbers of the requests in the bytes being written whose replies are due
+func (conn *proxiedConnection) forwardRequests(server net.Conn) {
+	var pendingSeqs []int32 // sequence numbers of the requests that end in the chunk being written and need a reply
 	onFrame := func(frame []byte) {
-		if seq, isPending := f.watchRequest(frame); isPending {
+		if seq, replyDue := conn.watchRequest(frame); replyDue {
 			pendingSeqs = append(pendingSeqs, seq)
 		}
 	}
-	err := f.transfer(f.caller, frameObserver{onFrame: onFrame}, func(b []byte) error {
-		err := f.writeFragments(server, b)
+	err := conn.transfer(conn.caller, frameObserver{onFrame: onFrame}, func(chunk []byte) error {
+		err := conn.writeFragments(server, chunk)
 		for _, seq := range pendingSeqs {
 			if err != nil {
-				f.check.TryNotWritten(f, seq)
+				conn.check.TryNotWritten(conn, seq)
 			}
 		}
 		pendingSeqs = pendingSeqs[:0]
 		return err
 	})
 	if err == errReceiverClosed { // the app server closed the connection; what it sent before is still forwarded
-		f.drainCaller()
+		conn.drainCaller()
 		return
 	}
-	f.endedLocally.Store(true) // the caller closed first, or the app server did, which forwardReplies reports
+	conn.endedLocally.Store(true) // the caller closed first, or the app server did, which forwardReplies reports
 	server.Close()
-	f.drainCaller()
+	conn.drainCaller()
 }
 
 // forwardReplies forwards the app server's replies to the caller. Replies are read as they arrive and written by a goroutine of
 // their own, so that a slow caller does not make the app server's replies look late.
-func (f *proxiedConnection) forwardReplies(server net.Conn) {
+func (conn *proxiedConnection) forwardReplies(server net.Conn) {
 	observer := frameObserver{
-		onFrame: f.watchReply,
+		onFrame: conn.watchReply,
 		onInvalid: func(err error) {
-			f.check.reportViolation(1, "%s says what no router can read: %v", f.FaultProxy.serverName, err)
+			conn.check.reportViolation(1, "%s sent bytes that no router can read: %v", conn.FaultProxy.serverName, err)
 		},
 	}
 	queue := make(chan []byte, maxQueuedChunks)
 	var writer sync.WaitGroup
-	writer.Go(func() { f.writeReplies(queue, server) })
-	f.transfer(server, observer, func(b []byte) error {
-		queue <- bytes.Clone(b)
+	writer.Go(func() { conn.writeReplies(queue, server) })
+	conn.transfer(server, observer, func(chunk []byte) error {
+		queue <- bytes.Clone(chunk)
 		return nil
 	})
-	f.endedByServer.Store(true)
-	f.check.ConnectionEnded(f, f.endedLocally.Load())
+	conn.endedByServer.Store(true)
+	conn.check.ConnectionEnded(conn, conn.endedLocally.Load())
 	close(queue)
 	writer.Wait()
-	if tcp, ok := f.caller.(*net.TCPConn); ok {
+	if tcp, ok := conn.caller.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	f.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
+	conn.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
 	server.Close()
 }
 
-// maxQueuedChunks bounds how many chunks read from an app server wait to be written to the caller. The bound lets the app
-// server notice a caller that does not read.
+// maxQueuedChunks is the maximum number of chunks of an app server that wait to be written to the caller. The limit lets
+// the app server notice a caller that does not read.
 const maxQueuedChunks = 16
 
 // writeReplies writes the chunks of the queue to the caller until the queue is closed. If a write fails, it closes the
 // connection to the app server and discards the remaining chunks.
-func (f *proxiedConnection) writeReplies(queue <-chan []byte, server net.Conn) {
+func (conn *proxiedConnection) writeReplies(queue <-chan []byte, server net.Conn) {
 	callerGone := false
-	for b := range queue {
-		if !callerGone && f.writeReply(b) != nil {
+	for chunk := range queue {
+		if !callerGone && conn.writeReply(chunk) != nil {
 			callerGone = true
-			f.endedLocally.Store(true)
+			conn.endedLocally.Store(true)
 			server.Close()
 		}
 	}
 }
 
-// callerDrainTime is how long a caller is still read after its app server closed the connection.
+// callerDrainTime is how long the proxy still reads from a caller after the connection to the app server has ended.
 const callerDrainTime = 200 * time.Millisecond
 
 // drainCaller reads and discards what the caller still sends: closing the connection with unread bytes would reset it and
 // lose replies that the caller has not read yet.
-func (f *proxiedConnection) drainCaller() {
-	f.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
-	io.Copy(io.Discard, f.caller)
+func (conn *proxiedConnection) drainCaller() {
+	conn.caller.SetReadDeadline(time.Now().Add(callerDrainTime))
+	io.Copy(io.Discard, conn.caller)
 }
 
 // frameObserver holds the callbacks for what is sent in one direction of a connection.
@@ -285,7 +286,7 @@
 	onInvalid func(err error) // called once, for bytes that are not a frame; may be nil
 }
 
-// The reasons why transfer ended.
+// The errors of transfer state which side ended it.
 var (
 	errReceiverClosed = errors.New("the receiver closed the connection")
 	errSenderClosed   = errors.New("the sender closed the connection")
@@ -293,15 +294,15 @@
 
 // transfer reads from one side and passes the bytes to write until one side closes the connection, and reports each frame to
 // the observer before its last byte is written. It returns errReceiverClosed or errSenderClosed.
-func (f *proxiedConnection) transfer(from net.Conn, observer frameObserver, write func([]byte) error) error {
+func (conn *proxiedConnection) transfer(from net.Conn, observer frameObserver, write func([]byte) error) error {
 	chunk := make([]byte, 16<<10)
 	var pending []byte // bytes of an incomplete frame
 	invalid := false
 	for {
 		n, err := from.Read(chunk)
 		if n > 0 {
-			if d := f.delay.Load(); d > 0 {
-				time.Sleep(time.Duration(d))
+			if delay := conn.delay.Load(); delay > 0 {
+				time.Sleep(time.Duration(delay))
 			}
 			if !invalid {
 				if pending, err = observeFrames(append(pending, chunk[:n]...), observer); err != nil {
@@ -319,7 +320,8 @@
 	}
 }
 
-// observeFrames reports all complete frames to the observer and returns the bytes after them.
+// observeFrames reports all complete frames to the observer and returns the bytes after them, or an error for bytes that are not
+// a frame.
 func observeFrames(pending []byte, observer frameObserver) (rest []byte, err error) {
 	for {
 		frame, size, err := thrift.Frame(pending)
@@ -340,43 +342,43 @@
 // trickleInterval is the time between two writes under TrickleReplies.
 const trickleInterval = 10 * time.Millisecond
 
-// writeReply writes to the caller, in small writes if TrickleReplies is set.
-func (f *proxiedConnection) writeReply(b []byte) error {
-	size := int(f.trickleBytes.Load())
+// writeReply writes a chunk to the caller, a few bytes at a time under TrickleReplies.
+func (conn *proxiedConnection) writeReply(chunk []byte) error {
+	size := int(conn.trickleBytes.Load())
 	if size <= 0 {
-		return f.writeFragments(f.caller, b)
+		return conn.writeFragments(conn.caller, chunk)
 	}
-	for len(b) > 0 {
-		n := min(size, len(b))
-		if err := f.write(f.caller, b[:n]); err != nil {
+	for len(chunk) > 0 {
+		n := min(size, len(chunk))
+		if err := conn.write(conn.caller, chunk[:n]); err != nil {
 			return err
 		}
-		if b = b[n:]; len(b) > 0 {
+		if chunk = chunk[n:]; len(chunk) > 0 {
 			time.Sleep(trickleInterval)
 		}
 	}
 	return nil
 }
 
-// maxFragments bounds the number of fragments of one chunk, which bounds the sum of the pauses between them.
+// maxFragments is the maximum number of fragments of one chunk. It limits the sum of the pauses between them.
 const maxFragments = 8
 
-// writeFragments writes to one side, in fragments of random length if FragmentWrites is set.
-func (f *proxiedConnection) writeFragments(to net.Conn, b []byte) error {
-	seed := f.fragmentSeed.Load()
+// writeFragments writes a chunk to one side, in fragments of random length under FragmentWrites.
+func (conn *proxiedConnection) writeFragments(to net.Conn, chunk []byte) error {
+	seed := conn.fragmentSeed.Load()
 	if seed == 0 {
-		return f.write(to, b)
+		return conn.write(to, chunk)
 	}
-	rng := rand.New(rand.NewPCG(seed, f.chunkCount.Add(1)))
-	for remaining := maxFragments; len(b) > 0; remaining-- {
-		n := len(b)
+	rng := rand.New(rand.NewPCG(seed, conn.chunkCount.Add(1)))
+	for remaining := maxFragments; len(chunk) > 0; remaining-- {
+		n := len(chunk)
 		if remaining > 1 {
-			n = 1 + rng.IntN(len(b))
+			n = 1 + rng.IntN(len(chunk))
 		}
-		if err := f.write(to, b[:n]); err != nil {
+		if err := conn.write(to, chunk[:n]); err != nil {
 			return err
 		}
-		if b = b[n:]; len(b) > 0 {
+		if chunk = chunk[n:]; len(chunk) > 0 {
 			time.Sleep(fragmentInterval)
 		}
 	}
--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -15,18 +15,18 @@
 // for each ordered pair of processes. Each process listens on and sends from a loopback address of its own and advertises
 // another one, on which FaultyNetwork listens: the two addresses identify sender and receiver.
 type FaultyNetwork struct {
-	subnetOctet int // second octet of the loopback addresses, reserved for this network
-	reservation net.PacketConn
+	subnetOctet int            // second octet of the loopback addresses, reserved for this network
+	reservation net.PacketConn // socket that reserves the octet
 
 	mu        sync.Mutex
-	endpoints map[int]*endpoint
-	paths     map[[2]int]*Path
+	endpoints map[int]*endpoint // by slot
+	paths     map[[2]int]*Path  // by the slots of sender and receiver
 	rng       *rand.Rand
 	group     sync.WaitGroup
 	closed    chan struct{}
 }
 
-// endpoint holds the addresses and the sockets of one process.
+// endpoint holds the addresses of one process and the sockets on which the network listens for it.
 type endpoint struct {
 	slot              int
 	listenAddress     netip.AddrPort // where the process listens and from where it sends
@@ -38,13 +38,13 @@
 // Path holds the faults of one direction between two processes. Its zero value is a path without faults.
 type Path struct {
 	Cut         bool
-	Loss        float64       // share of packets lost; a stream is delayed by 200 ms instead
+	Loss        float64       // share of packets lost; the bytes of a stream are delayed by 200 ms instead
 	Duplication float64       // share of packets sent twice
 	Delay       time.Duration // the mean, one way
 	Jitter      time.Duration // the largest deviation of a delay from the mean, which may reorder packets
-	Rate        float64       // bytes a second, 0 for unlimited
+	Rate        float64       // bytes per second; 0 for unlimited
 	PacketDelay time.Duration // further delay of packets alone: delays gossip but no RPCs
-	freeAt      time.Time     // when the path has sent all bytes so far, under Rate
+	freeAt      time.Time     // under Rate, when the path will have sent all bytes so far
 }
 
 // fleetPort is the port of all addresses of a network.
@@ -59,16 +59,16 @@
 	start := os.Getpid()
 	for k := range 200 {
 		octet := 16 + (start+k)%200
-		lock, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", octet, fleetPort))
+		reservation, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.3.1:%d", octet, fleetPort))
 		if err == nil {
-			return &FaultyNetwork{subnetOctet: octet, reservation: lock, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
+			return &FaultyNetwork{subnetOctet: octet, reservation: reservation, endpoints: map[int]*endpoint{}, paths: map[[2]int]*Path{},
 				rng: rand.New(rand.NewPCG(seed, 7)), closed: make(chan struct{})}, nil
 		}
 	}
 	return nil, errors.New("no part of the loopback network is free")
 }
 
-// addressOf returns an address of a slot: part 1 for the listen address, part 2 for the advertised one.
+// addressOf returns an address of a slot. part, the third octet, is 1 for the listen address and 2 for the advertised one.
 func (network *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), byte(part), byte(slot)}), fleetPort)
 }
@@ -99,20 +99,20 @@
 	if exists {
 		return nil // a new process takes over the address of one that has exited
 	}
-	e := &endpoint{slot: slot, listenAddress: network.ListenAddress(slot), advertisedAddress: network.AdvertisedAddress(slot)}
+	added := &endpoint{slot: slot, listenAddress: network.ListenAddress(slot), advertisedAddress: network.AdvertisedAddress(slot)}
 	var err error
-	if e.packetConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.advertisedAddress)); err != nil {
+	if added.packetConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(added.advertisedAddress)); err != nil {
 		return err
 	}
-	if e.streamListener, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(e.advertisedAddress)); err != nil {
-		e.packetConn.Close()
+	if added.streamListener, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(added.advertisedAddress)); err != nil {
+		added.packetConn.Close()
 		return err
 	}
 	network.mu.Lock()
-	network.endpoints[slot] = e
+	network.endpoints[slot] = added
 	network.mu.Unlock()
-	network.group.Go(func() { network.forwardPackets(e) })
-	network.group.Go(func() { network.acceptStreams(e) })
+	network.group.Go(func() { network.forwardPackets(added) })
+	network.group.Go(func() { network.acceptStreams(added) })
 	return nil
 }
 
@@ -130,13 +130,13 @@
 }
 
 // Change calls f, under the lock, with the faults of the path from one slot to another.
-func (network *FaultyNetwork) Change(from, to int, f func(*Path)) {
+func (network *FaultyNetwork) Change(from, to int, change func(*Path)) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	f(network.path(from, to))
+	change(network.path(from, to))
 }
 
-// Heal removes the faults of all paths.
+// Heal ends the faults of all paths.
 func (network *FaultyNetwork) Heal() {
 	network.mu.Lock()
 	defer network.mu.Unlock()
@@ -152,17 +152,17 @@
 	return network.paths[key]
 }
 
-// slotOf returns the slot whose process listens on an address, or 0 for none. Processes send from their listen address; what
-// FaultyNetwork forwards comes from an advertised one.
-func (network *FaultyNetwork) slotOf(at netip.Addr) int {
-	buffer := at.Unmap().As4()
-	if int(buffer[1]) != network.subnetOctet || buffer[2] != 1 {
+// slotOf returns the slot of a listen address, or 0 for any other address. Processes send from their listen addresses, whereas
+// the network forwards from advertised ones.
+func (network *FaultyNetwork) slotOf(address netip.Addr) int {
+	octets := address.Unmap().As4()
+	if int(octets[1]) != network.subnetOctet || octets[2] != 1 {
 		return 0
 	}
-	return int(buffer[3])
+	return int(octets[3])
 }
 
-// transitDelay returns how long a message of size bytes is delayed on a path. The caller holds the lock.
+// transitDelay returns the delay of size bytes that are sent on a path now. The caller holds the lock.
 func (network *FaultyNetwork) transitDelay(path *Path, size int) time.Duration {
 	delay := path.Delay
 	if path.Jitter > 0 {
@@ -182,7 +182,7 @@
 // maxPacketDelay bounds the queue of a path of limited rate: packets delayed longer are lost, as in a full queue.
 const maxPacketDelay = 2 * time.Second
 
-// forwardPackets forwards the packets to one process until its socket is closed.
+// forwardPackets forwards packets to one process until the socket of its advertised address is closed.
 func (network *FaultyNetwork) forwardPackets(to *endpoint) {
 	buffer := make([]byte, 64<<10)
 	for {
@@ -247,7 +247,8 @@
 	}
 }
 
-// streamTimeout is how long a stream waits for a cut path, after which the kernel of a real host would give up the connection.
+// streamTimeout is how long a stream waits while its path is cut. After it the stream ends, as on a host that gives up the
+// connection.
 const streamTimeout = 20 * time.Second
 
 // awaitPath waits until a path is not cut and returns the delay of size bytes that are sent now. It returns false after
