--- a/rig/check.go
+++ b/rig/check.go
@@ -150,7 +150,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r := c.rpcs[id]; r != nil && (!r.ran || string(body) != string(RunResult(id))) {
-		c.addViolation(1, "%s was served with a result that no run of it made: %.40q", id, body)
+		c.addViolation(1, "%s was served with a result that no run of it produced: %.40q", id, body)
 	}
 }
 
@@ -223,11 +223,11 @@
 	switch {
 	case process.killed:
 	case process.shutdownRequestedAt.IsZero():
-		c.addViolation(4, "%s ended by itself: code %d, %v", server, code, err)
+		c.addViolation(4, "%s ended without a request to shut down: code %d, %v", server, code, err)
 	case code != 0:
-		c.addViolation(4, "%s ended with code %d after its notice: %v", server, code, err)
+		c.addViolation(4, "%s ended with code %d after a request to shut down: %v", server, code, err)
 	case time.Now().After(process.stopBy.Add(c.slack)):
-		c.addViolation(3, "%s ended %v after its stop", server, time.Since(process.stopBy))
+		c.addViolation(3, "%s ended %v after its stop timeout", server, time.Since(process.stopBy))
 	}
 	process.up, process.endedAt = false, time.Now()
 }
@@ -245,6 +245,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes > limit {
-		c.addViolation(4, "%s takes %d MB of memory, limit %d MB", server, bytes>>20, limit>>20)
+		c.addViolation(4, "%s uses %d MB of memory, more than its limit of %d MB", server, bytes>>20, limit>>20)
 	}
 }
--- a/rig/check_messages.go
+++ b/rig/check_messages.go
@@ -105,7 +105,7 @@
 	case replyAborted:
 		c.ReplyReceived(conn, message.seq, rpc.Error, false, 0)
 	case replyChecked:
-		c.reportViolation(1, "%s answered a health check with sequence number %d, which was not asked",
+		c.reportViolation(1, "%s answered a health check with sequence number %d, which was not sent",
 			conn.FaultProxy.serverName, message.seq)
 	}
 }
@@ -139,7 +139,7 @@
 			return
 		}
 	}
-	c.addViolation(1, "%s was served by %s with a result that no run of it made there: %.60q", t.sent, t.server, message.body)
+	c.addViolation(1, "%s was served by %s with a result that no run of it produced there: %.60q", t.sent, t.server, message.body)
 }
 
 // verifyPushback records a violation if an RPC was pushed back although it had been run: a pushback promises that the request
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -37,7 +37,8 @@
 		}
 	}
 	if arrivedAt.After(process.shutdownRequestedAt.Add(process.gracePeriod + c.slack)) {
-		c.addViolation(3, "%s arrived at %s %v after its notice and was run", id, server, arrivedAt.Sub(process.shutdownRequestedAt))
+		c.addViolation(3, "%s arrived at %s %v after the request to shut down and was run", id, server,
+			arrivedAt.Sub(process.shutdownRequestedAt))
 	}
 }
 
@@ -53,7 +54,7 @@
 	requests := c.server(server).requests
 	sent := requests.find(call, method, body)
 	if sent == nil {
-		c.addViolation(1, "%s commanded its kernel to run what no client has sent it: %s", server,
+		c.addViolation(1, "%s commanded its kernel to run an RPC that no client has sent it: %s", server,
 			requests.describeMismatch(call, method, body))
 		return runRequest{}, false
 	}
@@ -86,7 +87,7 @@
 	process := c.server(server)
 	if !process.shutdownRequestedAt.IsZero() &&
 		request.sent.sentAt.After(process.shutdownRequestedAt.Add(process.gracePeriod+c.slack)) {
-		c.addViolation(3, "%s arrived at %s %v after its notice and was run", request.sent, server,
+		c.addViolation(3, "%s arrived at %s %v after the request to shut down and was run", request.sent, server,
 			request.sent.sentAt.Sub(process.shutdownRequestedAt))
 	}
 	c.verifyRun(server, process.requests, request.sent)
--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -150,19 +150,19 @@
 		"two replies": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			out = s.runAndServe(request, out)
 			return thrift.Aborted(out, request.Seq, 1)
-		}, 2, "two answers"},
+		}, 2, "two replies to"},
 		"a reply to no request": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			return thrift.Aborted(s.runAndServe(request, out), request.Seq+1, 1)
-		}, 1, "not asked"},
+		}, 1, "which no request has used"},
 		"a reply to a health check that was not sent": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			return thrift.Checked(s.runAndServe(request, out), request.Seq+1, true, 1)
-		}, 1, "not asked"},
+		}, 1, "which was not sent"},
 		"a result of no run": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			return thrift.Served(out, request.Seq, []byte("made by "+request.Call), 1)
-		}, 1, "no run of it made"},
+		}, 1, "no run of it produced"},
 		"a result that is altered": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			return thrift.Served(out, request.Seq, s.runOnKernel(request.Call, request.Method, request.Body)[1:], 1)
-		}, 1, "no run of it made"},
+		}, 1, "no run of it produced"},
 		"pushed back after a run": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			s.runOnKernel(request.Call, request.Method, request.Body)
 			return thrift.PushedBack(out, request.Seq, false, 0, 1)
@@ -193,7 +193,7 @@
 		"a close after reading a request on a new connection": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			s.CloseConnections()
 			return out
-		}, 1, "without an answer"},
+		}, 1, "without a reply"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStubServer(t, KernelConfig{Preemption: PreemptNone})
@@ -301,7 +301,7 @@
 	s.runOnKernel(tryA, "read", nil) // the request has its reply, and therefore is not run
 	s.expectNoViolations(t)
 	s.sendTry(tryB, "read", "", nil, longTTL)
-	s.awaitViolation(3, "after its notice and was run")
+	s.awaitViolation(3, "after the request to shut down and was run")
 	s.readReply()
 }
 
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -23,10 +23,10 @@
 			check.RunStarted("n1", "a")
 			check.RunStarted("n2", "a")
 		}},
-		"lost reply": {1, "without an answer", func(check *Checker, conn *proxiedConnection) {
+		"lost reply": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
 			check.ConnectionEnded(conn, false)
 		}},
-		"lost run": {1, "without an answer", func(check *Checker, conn *proxiedConnection) {
+		"lost run": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
 			check.RunStarted("n1", "a")
 			check.ConnectionEnded(conn, false)
 		}},
@@ -35,12 +35,12 @@
 			check.ConnectionEnded(conn, false)
 			check.Finish()
 		}},
-		"lost before a close": {1, "without an answer", func(check *Checker, conn *proxiedConnection) {
+		"lost before a close": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
 			check.ExpectResendAfterClose()
 			time.Sleep(resendWindow + 20*time.Millisecond)
 			check.ConnectionEnded(conn, false)
 		}},
-		"run and lost over a close": {1, "without an answer", func(check *Checker, conn *proxiedConnection) {
+		"run and lost over a close": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
 			check.ExpectResendAfterClose()
 			check.RunStarted("n1", "a")
 			check.ConnectionEnded(conn, false)
@@ -49,17 +49,17 @@
 			check.TrySent("n1", conn, 2, "a", time.Now().Add(-time.Second), false)
 			check.Finish()
 		}},
-		"two replies": {2, "two answers", func(check *Checker, conn *proxiedConnection) {
+		"two replies": {2, "two replies to", func(check *Checker, conn *proxiedConnection) {
 			check.ReplyReceived(conn, 1, rpc.OK, false, 0)
 			check.ReplyReceived(conn, 1, rpc.OK, false, 0)
 		}},
-		"reply to no request": {1, "which was not asked", func(check *Checker, conn *proxiedConnection) {
+		"reply to no request": {1, "which no request has used", func(check *Checker, conn *proxiedConnection) {
 			check.ReplyReceived(conn, 9, rpc.OK, false, 0)
 		}},
-		"made-up result": {1, "no run of it made", func(check *Checker, conn *proxiedConnection) {
+		"made-up result": {1, "no run of it produced", func(check *Checker, conn *proxiedConnection) {
 			check.VerifyResult("a", RunResult("a"))
 		}},
-		"late run": {3, "after its notice", func(check *Checker, conn *proxiedConnection) {
+		"late run": {3, "after the request to shut down", func(check *Checker, conn *proxiedConnection) {
 			check.ShutdownRequested("n1", -time.Second, time.Hour)
 			check.TrySent("n1", conn, 2, "a", far, false)
 			check.RunStarted("n1", "a")
@@ -72,9 +72,13 @@
 			check.RunStarted("n1", "a")
 			check.ReplyReceived(conn, 1, rpc.PushedBack, false, 0)
 		}},
-		"crash":  {4, "ended by itself", func(check *Checker, conn *proxiedConnection) { check.ProcessExited("n1", 2, nil) }},
-		"memory": {4, "takes", func(check *Checker, conn *proxiedConnection) { check.VerifyMemory("n1", 2<<20, 1<<20) }},
-		"ended late": {3, "after its stop", func(check *Checker, conn *proxiedConnection) {
+		"crash": {4, "ended without a request to shut down", func(check *Checker, conn *proxiedConnection) {
+			check.ProcessExited("n1", 2, nil)
+		}},
+		"memory": {4, "uses 2 MB of memory", func(check *Checker, conn *proxiedConnection) {
+			check.VerifyMemory("n1", 2<<20, 1<<20)
+		}},
+		"ended late": {3, "after its stop timeout", func(check *Checker, conn *proxiedConnection) {
 			check.ShutdownRequested("n1", 0, -time.Hour)
 			check.ProcessExited("n1", 0, nil)
 		}},
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -75,10 +75,10 @@
 	t := c.tries[conn][seq]
 	switch {
 	case t == nil:
-		c.addViolation(1, "a reply to sequence number %d, which was not asked", seq)
+		c.addViolation(1, "a reply with sequence number %d, which no request has used", seq)
 		return
 	case t.replied:
-		c.addViolation(2, "two answers to %s", t.id)
+		c.addViolation(2, "two replies to %s", t.id)
 		return
 	}
 	t.replied = true
@@ -87,7 +87,7 @@
 	}
 	if now.After(c.replyDueBy(t).Add(c.slack)) && !t.excused && !conn.callerNotReading() {
 		c.counts["late.answers"]++
-		c.addViolation(1, "%s answered by %s %v after its deadline", t.id, t.server, now.Sub(t.due))
+		c.addViolation(1, "%s got its reply from %s %v after its deadline", t.id, t.server, now.Sub(t.due))
 	}
 	r, process := c.rpcs[t.id], c.server(t.server)
 	if r == nil || outcome != rpc.PushedBack {
@@ -133,7 +133,7 @@
 			c.crossedTries[t.id] = t
 		default:
 			c.counts["unanswered"]++
-			c.addViolation(1, "%s lost: %s ended the connection without an answer", t.id, t.server)
+			c.addViolation(1, "%s lost: %s ended the connection without a reply", t.id, t.server)
 		}
 	}
 	delete(c.tries, conn)
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -82,7 +82,7 @@
 		}
 		waitFor(t, "the lost request", func() bool { return len(check.Violations()) > 0 })
 		if violations := check.Violations(); violations[0].Rule != 1 ||
-			!strings.Contains(violations[0].Description, "without an answer") {
+			!strings.Contains(violations[0].Description, "without a reply") {
 			t.Errorf("%v", violations)
 		}
 		conn.Close()
