--- a/rig/hollow/cpu.go
+++ b/rig/hollow/cpu.go
@@ -1,5 +1,6 @@
 // Package hollow measures parts of the program at scales that are too large for separate processes: the view's state machine
-// alone, real members among simulated ones, and elected roles and quotas over in-memory queues.
+// alone, real members among simulated ones, elected roles and quotas over in-memory queues, and many subscribers to the
+// configuration in one process.
 package hollow
 
 import (
--- a/rig/hollow/members.go
+++ b/rig/hollow/members.go
@@ -32,7 +32,7 @@
 
 // Observation is a new view of one member of the process.
 type Observation struct {
-	Member    int // index in the process, from 0
+	Member    int // index of the member in the process, from 0
 	Version   uint64
 	Digest    uint64
 	Members   int
@@ -58,7 +58,7 @@
 
 type memberNode struct {
 	Name    string
-	Node    string // in the gossip library
+	Node    string // node name in the gossip library
 	Address netip.AddrPort
 }
 
@@ -263,8 +263,8 @@
 // Converged reports whether all members have converged on the same view with the given number of members.
 func (m *MemberProcess) Converged(members int) bool {
 	all := m.Latest()
-	for _, s := range all {
-		if s.Members != members || s.Certainty != view.Converged || s.Digest != all[0].Digest {
+	for _, observation := range all {
+		if observation.Members != members || observation.Certainty != view.Converged || observation.Digest != all[0].Digest {
 			return false
 		}
 	}
@@ -290,8 +290,8 @@
 	for k := range m.latest {
 		last := Observation{Certainty: view.Converging}
 		since := from
-		for _, s := range append(m.observationsOf(k), Observation{Certainty: view.Converging, At: to}) {
-			at := s.At
+		for _, observation := range append(m.observationsOf(k), Observation{Certainty: view.Converging, At: to}) {
+			at := observation.At
 			if at.After(to) {
 				at = to
 			}
@@ -301,7 +301,7 @@
 				}
 				since = at
 			}
-			last = s
+			last = observation
 		}
 	}
 	return converged.Seconds() / (to.Sub(from).Seconds() * float64(len(m.latest)))
@@ -310,9 +310,9 @@
 // observationsOf returns the observations of one member. The caller must hold mu.
 func (m *MemberProcess) observationsOf(k int) []Observation {
 	var all []Observation
-	for _, s := range m.history {
-		if s.Member == k {
-			all = append(all, s)
+	for _, observation := range m.history {
+		if observation.Member == k {
+			all = append(all, observation)
 		}
 	}
 	return all
--- a/rig/hollow/quota.go
+++ b/rig/hollow/quota.go
@@ -103,7 +103,7 @@
 	mu            sync.Mutex
 	allocators    map[string]allocatorAnswer // by role
 	holders       []*simulatedHolder
-	holdersByName map[string][]*simulatedHolder // by kind
+	holdersByName map[string][]*simulatedHolder // those of one name in the order of their kinds
 }
 
 // simulatedHolder is a leaseholder of one kind of work. Its requests are those of the program's leaseholder.
@@ -326,8 +326,8 @@
 // in-memory transport.
 func RunVoterBurst(plan BurstPlan) (BurstCost, error) {
 	var answered atomic.Int64
-	net := newNetwork(func(string, string, []byte) { answered.Add(1) })
-	p := &port{name: voterName(0), network: net}
+	transport := newNetwork(func(string, string, []byte) { answered.Add(1) })
+	p := &port{name: voterName(0), network: transport}
 	voterNames := []string{voterName(0), voterName(1), voterName(2)}
 	f, err := fleet.New(fleet.Config{Name: p.name, Voters: [][]string{voterNames}, Folder: plan.Folder,
 		Timing: owner.Timing{Lease: 0.5, Drift: 0.01, Margin: 0.05}}, p, zap.NewNop())
@@ -348,7 +348,7 @@
 	}
 	before := ProcessCPUTime()
 	for k, request := range requests {
-		net.send(memberName(k), p.name, request)
+		transport.send(memberName(k), p.name, request)
 	}
 	for last := int64(-1); answered.Load() != last; time.Sleep(50 * time.Millisecond) {
 		last = answered.Load()
--- a/rig/hollow/roles.go
+++ b/rig/hollow/roles.go
@@ -12,8 +12,8 @@
 	Candidates int
 	Roles      int
 	Seconds    float64 // of simulated time, once each role has its first owner
-	Lease      float64
-	KillOwner  bool // kills the owner of the first role when the measurement begins
+	Lease      float64 // in seconds
+	KillOwner  bool    // kills the owner of the first role when the measurement begins
 	Seed       uint64
 }
 
@@ -39,10 +39,10 @@
 // roleRun is the state of one run of elected roles.
 type roleRun struct {
 	plan         RolePlan
-	now          float64
+	now          float64 // simulated time in seconds
 	voters       []*owner.Voter
 	candidates   [][]*owner.Candidate // by candidate, then by role
-	names        map[string]int
+	names        map[string]int       // index of each candidate
 	toVoters     []owner.Message
 	toCandidates []owner.Message
 	killed       int // index of the candidate that was killed, -1 for none
--- a/rig/hollow/simulated_members.go
+++ b/rig/hollow/simulated_members.go
@@ -39,7 +39,7 @@
 type simulatedMember struct {
 	entry       view.Entry
 	incarnation uint32
-	socket      int
+	socket      int // index in SimulatedMembers.sockets
 	down        bool
 }
 
--- a/rig/hollow/simulated_members_gossip.go
+++ b/rig/hollow/simulated_members_gossip.go
@@ -72,7 +72,7 @@
 	return known && !sim.members[k].down
 }
 
-// acknowledge answers a probe of a simulated member.
+// acknowledge answers a probe on behalf of the simulated member that it is addressed to.
 func (sim *SimulatedMembers) acknowledge(s *memberSocket, sequenceNumber uint32, node string, to netip.AddrPort) {
 	sim.mu.Lock()
 	payload := sim.viewPayload(sim.indexByNode[node])
--- a/rig/hollow/simulated_members_restart.go
+++ b/rig/hollow/simulated_members_restart.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Recover brings failed members back as new processes that serve at once.
+// Recover brings count failed members, from number first on, back as new processes that serve at once.
 func (sim *SimulatedMembers) Recover(first, count int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/rig/hollow/subscribers.go
+++ b/rig/hollow/subscribers.go
@@ -60,11 +60,11 @@
 
 // OpenStream opens a stream to the member with the given name. It returns member.ErrUnknownMember if the address is not known.
 func (a addressBook) OpenStream(ctx context.Context, to string) (*member.Stream, error) {
-	at, known := a.addresses[to]
+	address, known := a.addresses[to]
 	if !known {
 		return nil, fmt.Errorf("%w: %s", member.ErrUnknownMember, to)
 	}
-	return member.DialStream(ctx, a.local, at, a.name, to)
+	return member.DialStream(ctx, a.local, address, a.name, to)
 }
 
 // subscriber is the subscription of one simulated app server.
@@ -103,8 +103,8 @@
 // newSubscriber creates subscriber k, with services drawn at random.
 func newSubscriber(plan SubscriberPlan, k int, distributors []string, random *rand.Rand) *subscriber {
 	s := &subscriber{}
-	for _, at := range random.Perm(len(plan.Services))[:min(plan.ServicesPerSubscriber, len(plan.Services))] {
-		s.services = append(s.services, plan.Services[at])
+	for _, index := range random.Perm(len(plan.Services))[:min(plan.ServicesPerSubscriber, len(plan.Services))] {
+		s.services = append(s.services, plan.Services[index])
 	}
 	name := fmt.Sprintf("hollow%d", plan.First+k)
 	book := addressBook{name: name, local: &net.TCPAddr{IP: plan.LocalAddress.AsSlice()}, addresses: plan.Distributors}
--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -124,13 +124,13 @@
 // start creates the observers, which are the first members of the fleet, and delivers the entries of all others to them.
 func (r *viewRun) start() {
 	for k := range r.plan.Observers {
-		node := view.New(r.entries[k], nil, r.now, r.plan.Seed+uint64(k), viewConfig(r.plan.Members))
+		observer := view.New(r.entries[k], nil, r.now, r.plan.Seed+uint64(k), viewConfig(r.plan.Members))
 		for other, e := range r.entries {
 			if other != k {
-				node.Step(view.Event{Kind: view.Alive, Entry: e}, r.now)
+				observer.Step(view.Event{Kind: view.Alive, Entry: e}, r.now)
 			}
 		}
-		r.observers = append(r.observers, node)
+		r.observers = append(r.observers, observer)
 	}
 }
 
@@ -144,18 +144,18 @@
 		d := heap.Pop(&r.pending).(delivery)
 		r.observers[d.observer].Step(d.event, r.now)
 	}
-	for k, node := range r.observers {
+	for k, observer := range r.observers {
 		r.deliverPeerDigest(k)
-		node.Tick(r.now)
+		observer.Tick(r.now)
 		r.completeContacts(k)
 	}
 }
 
 // completeContacts reports success for each contact that an observer's state machine requests.
 func (r *viewRun) completeContacts(k int) {
-	for _, order := range r.observers[k].Ready() {
-		if order.Kind == view.Contact {
-			r.observers[k].Step(view.Event{Kind: view.ContactDone, Address: order.Address, OK: true}, r.now)
+	for _, action := range r.observers[k].Ready() {
+		if action.Kind == view.Contact {
+			r.observers[k].Step(view.Event{Kind: view.ContactDone, Address: action.Address, OK: true}, r.now)
 		}
 	}
 }
@@ -165,9 +165,9 @@
 	if len(r.observers) < 2 || r.random.Float64() >= tickSeconds/probeSeconds {
 		return
 	}
-	seen := r.observers[(k+1+r.random.IntN(len(r.observers)-1))%len(r.observers)].View()
-	who := r.entries[r.random.IntN(len(r.entries))].Name
-	r.observers[k].Step(view.Event{Kind: view.PeerDigest, Name: who, Version: seen.Version, Digest: seen.Digest}, r.now)
+	peerView := r.observers[(k+1+r.random.IntN(len(r.observers)-1))%len(r.observers)].View()
+	peerName := r.entries[r.random.IntN(len(r.entries))].Name
+	r.observers[k].Step(view.Event{Kind: view.PeerDigest, Name: peerName, Version: peerView.Version, Digest: peerView.Digest}, r.now)
 }
 
 // drawRestarts draws the restarts of one tick. Observers do not restart.
@@ -223,14 +223,14 @@
 	began, cpuBefore := r.now, ProcessCPUTime()
 	for r.now < began+r.plan.Seconds {
 		r.step(true)
-		for k, node := range r.observers {
-			seen := node.View()
+		for k, observer := range r.observers {
+			current := observer.View()
 			samples++
-			if seen.Certainty == view.Converged {
+			if current.Certainty == view.Converged {
 				converged++
 			}
-			if digests[k] != seen.Digest {
-				digests[k] = seen.Digest
+			if digests[k] != current.Digest {
+				digests[k] = current.Digest
 				changes++
 			}
 		}
@@ -256,7 +256,7 @@
 	CoreShare   float64 // of both, CPU seconds per simulated second
 }
 
-// ErrNotConverged is returned if the observers do not converge within settleTimeoutSeconds.
+// ErrNotConverged is returned if the observers' views do not converge within convergenceTimeoutSeconds.
 var ErrNotConverged = errors.New("the observers' views have not converged")
 
 // RunOutage runs an outage. It returns ErrNotConverged if the observers do not converge.
@@ -267,40 +267,40 @@
 		r.step(false)
 	}
 	began, cpuBefore := r.now, ProcessCPUTime()
-	var out OutageCost
+	var cost OutageCost
 	var err error
 	remaining := plan.View.Members - plan.Lost
 	for k := remaining; k < plan.View.Members; k++ {
 		r.schedule(r.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Dead, Entry: r.entries[k]})
 	}
-	if out.LostSeconds, err = r.secondsUntilConverged(remaining); err != nil {
-		return out, err
+	if cost.LostSeconds, err = r.secondsUntilConverged(remaining); err != nil {
+		return cost, err
 	}
 	for k := remaining; k < plan.View.Members; k++ {
 		r.entries[k].Incarnation.Number++
 		r.schedule(r.random.Float64()*plan.SpreadSeconds, view.Event{Kind: view.Alive, Entry: r.entries[k]})
 	}
-	if out.BackSeconds, err = r.secondsUntilConverged(plan.View.Members); err != nil {
-		return out, err
+	if cost.BackSeconds, err = r.secondsUntilConverged(plan.View.Members); err != nil {
+		return cost, err
 	}
-	out.CoreShare = (ProcessCPUTime() - cpuBefore).Seconds() / ((r.now - began) * float64(len(r.observers)))
-	return out, nil
+	cost.CoreShare = (ProcessCPUTime() - cpuBefore).Seconds() / ((r.now - began) * float64(len(r.observers)))
+	return cost, nil
 }
 
-// settleTimeoutSeconds limits the simulated time to wait for a converged view.
-const settleTimeoutSeconds = 60.0
+// convergenceTimeoutSeconds limits the simulated time to wait for a converged view.
+const convergenceTimeoutSeconds = 60.0
 
 // secondsUntilConverged runs until all observers have converged on a view with the given number of members, and returns the
 // simulated seconds that it took.
 func (r *viewRun) secondsUntilConverged(members int) (float64, error) {
-	for began := r.now; r.now < began+settleTimeoutSeconds; {
+	for began := r.now; r.now < began+convergenceTimeoutSeconds; {
 		r.step(false)
-		all := true
-		for _, node := range r.observers {
-			seen := node.View()
-			all = all && seen.Certainty == view.Converged && len(seen.Members) == members
+		converged := true
+		for _, observer := range r.observers {
+			current := observer.View()
+			converged = converged && current.Certainty == view.Converged && len(current.Members) == members
 		}
-		if all {
+		if converged {
 			return r.now - began, nil
 		}
 	}
--- a/rig/hollow/view_test.go
+++ b/rig/hollow/view_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-func smallPlan(restarts float64) ViewPlan {
-	return ViewPlan{Members: 60, RestartsPerSecond: restarts, Restart: AllChanges, Seconds: 30, Observers: 2, Seed: 1}
+func smallPlan(restartsPerSecond float64) ViewPlan {
+	return ViewPlan{Members: 60, RestartsPerSecond: restartsPerSecond, Restart: AllChanges, Seconds: 30, Observers: 2, Seed: 1}
 }
 
 // TestRunView guards against views that do not converge in a fleet without changes, and against a simulation in which restarts
@@ -40,11 +40,11 @@
 
 // TestRunOutage guards against views that take too long to converge after the failure and the return of ten members.
 func TestRunOutage(t *testing.T) {
-	out, err := RunOutage(OutagePlan{smallPlan(0), 10, 1})
+	cost, err := RunOutage(OutagePlan{smallPlan(0), 10, 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out.LostSeconds < 1 || out.LostSeconds > 10 || out.BackSeconds < 1 || out.BackSeconds > 10 {
-		t.Errorf("want 1 to 10 s until converged in both directions: %+v", out)
+	if cost.LostSeconds < 1 || cost.LostSeconds > 10 || cost.BackSeconds < 1 || cost.BackSeconds > 10 {
+		t.Errorf("want 1 to 10 s until converged in both directions: %+v", cost)
 	}
 }
