--- a/rig/hollow/view.go
+++ b/rig/hollow/view.go
@@ -47,8 +47,8 @@
 
 // delivery is an event to be delivered to one observer.
 type delivery struct {
-	at       float64
-	observer int
+	at       float64 // simulated time in seconds
+	observer int     // index of the observer
 	event    view.Event
 }
 
@@ -73,7 +73,7 @@
 	entries   []view.Entry // current entry of each member
 	pending   deliveries
 	observers []*view.Machine
-	now       float64
+	now       float64 // simulated time in seconds
 }
 
 // RunView runs the view's state machine alone, without sockets, in simulated time. Gossip reaches each observer after a random
@@ -207,7 +207,7 @@
 	r.schedule(servingAfterSeconds, view.Event{Kind: view.Alive, Entry: updated})
 }
 
-// schedule schedules an event for each observer, after a random gossip delay of its own.
+// schedule schedules an event for each observer, after the given number of seconds and a random gossip delay of its own.
 func (r *viewRun) schedule(after float64, e view.Event) {
 	for k := range r.observers {
 		delay := meanDelaySeconds * (0.5 + r.random.Float64())
