--- a/cmd/rehearse/scale_distribution.go
+++ b/cmd/rehearse/scale_distribution.go
@@ -68,10 +68,10 @@
 	services     []string
 }
 
-// startDistribution starts three voters and the given number of distributors, commits entriesEach tenants for each service and
-// waits until all processes have the same version. rate limits the bytes that a distributor sends a subscriber in a second. The
-// caller closes the fleet.
-func (run *experimentRun) startDistribution(distributors, entriesEach int, rate string) (*distributionFleet, error) {
+// startDistribution starts three voters and the given number of distributors, commits entriesPerService tenants for each
+// service and waits until all processes have the same version. rate is the maximum number of bytes per second that a distributor
+// sends to a subscriber. The caller closes the fleet.
+func (run *experimentRun) startDistribution(distributors, entriesPerService int, rate string) (*distributionFleet, error) {
 	distribution := &distributionFleet{}
 	names := []string{"v1", "v2", "v3"}
 	for k := range distributors {
@@ -83,15 +83,16 @@
 	names = append(names, distribution.distributors...)
 	settings := []string{"fleet.voters v1 v2 v3", "fleet.config on", "fleet.config-rate " + rate}
 	settings = append(settings, "fleet.config-distributors "+strings.Join(distribution.distributors, " "))
-	cluster, err := rig.NewCluster(rig.ClusterConfig{Program: run.Program, Names: names, Slack: time.Second, Seed: run.Seed, WithStateDir: names,
-		Settings: settings, Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSocketLimit, StopTimeout: 2 * time.Second,
+	cluster, err := rig.NewCluster(rig.ClusterConfig{Program: run.Program, Names: names, Slack: time.Second, Seed: run.Seed,
+		WithStateDir: names,
+		Settings:     settings, Site: rig.Site{Cores: 1, MemoryMB: 128, Sockets: distributionSocketLimit, StopTimeout: 2 * time.Second,
 			GracePeriod: time.Second, Callers: 1,
 			Methods: []rig.SiteMethod{{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: 0.5, Deadline: 1, Criticality: 1}}}})
 	if err != nil {
 		return nil, err
 	}
 	distribution.Cluster = cluster
-	for _, text := range hollow.FillChanges(distribution.services, entriesEach) {
+	for _, text := range hollow.FillChanges(distribution.services, entriesPerService) {
 		if _, err := distribution.apply(text); err != nil {
 			cluster.Close()
 			return nil, err
@@ -104,7 +105,8 @@
 	return distribution, nil
 }
 
-// apply commits changes and returns the version that they made. It retries for up to a minute, as there may be no leader.
+// apply commits changes and returns the version of the table that includes them. It retries for up to a minute, as there may be
+// no leader.
 func (f *distributionFleet) apply(text string) (version uint64, err error) {
 	_, ok := f.WaitUntil(time.Minute, func() bool {
 		result, applyErr := fleet.ApplyChanges(fleet.ConfigSocket(f.Socket("v1")), "changes", []byte(text))
@@ -141,9 +143,9 @@
 			distributors[name] = f.Network.ListenAddress(slot + 1)
 		}
 	}
-	bytes := f.Network.ListenAddress(1).Addr().As4()
-	bytes[2], bytes[3] = 9, 1
-	return distributors, netip.AddrFrom4(bytes)
+	octets := f.Network.ListenAddress(1).Addr().As4()
+	octets[2], octets[3] = 9, 1
+	return distributors, netip.AddrFrom4(octets)
 }
 
 // distributionCost holds the costs of distribution at one size.
@@ -214,17 +216,18 @@
 	var plans []hollow.SubscriberPlan
 	for first := 0; first < members; first += appServersPerProcess {
 		plans = append(plans, hollow.SubscriberPlan{Subscribers: min(appServersPerProcess, members-first), First: first,
-			Distributors: distributorAddresses, LocalAddress: local, Services: cluster.services, ServicesPerSubscriber: servicesPerAppServer,
-			BytesPerSecond: designBytesPerSecond, Seed: run.Seed, StartAt: start, Seconds: run.distributionSeconds() + settleSeconds})
+			Distributors: distributorAddresses, LocalAddress: local, Services: cluster.services,
+			ServicesPerSubscriber: servicesPerAppServer, BytesPerSecond: designBytesPerSecond, Seed: run.Seed, StartAt: start,
+			Seconds: run.distributionSeconds() + settleSeconds})
 	}
 	var costs []hollow.SubscriberCost
 	var subscribers sync.WaitGroup
 	var subscribersErr error
 	subscribers.Go(func() { costs, subscribersErr = runMeasurements[hollow.SubscriberCost](run, "subscribers", plans) })
 	time.Sleep(time.Until(start))
-	before := cluster.processorTimes()
+	before := cluster.distributorCPUTimes()
 	committed, err := run.makeChanges(cluster)
-	after := cluster.processorTimes()
+	after := cluster.distributorCPUTimes()
 	subscribers.Wait()
 	if err = errors.Join(err, subscribersErr); err != nil {
 		return cost, err
@@ -236,8 +239,8 @@
 	return cost, nil
 }
 
-// processorTimes returns the processor time that each distributor has used so far.
-func (f *distributionFleet) processorTimes() map[string]time.Duration {
+// distributorCPUTimes returns the CPU time that each distributor has used so far.
+func (f *distributionFleet) distributorCPUTimes() map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for _, name := range f.distributors {
 		all[name] = f.CPU(name)
@@ -280,7 +283,7 @@
 		last  time.Time
 	}
 	observations := map[changeKey]*observation{}
-	serving := map[string]int{}
+	subscribersByService := map[string]int{}
 	for _, processCost := range costs {
 		cost.ready += processCost.Ready
 		cost.stale += processCost.Stale
@@ -288,24 +291,24 @@
 		cost.bytesPerSecond += float64(processCost.Bytes) / seconds / float64(members)
 		cost.subscriberCore += processCost.CoreSeconds / seconds / float64(members)
 		for service, count := range processCost.SubscribersByService {
-			serving[service] += count
+			subscribersByService[service] += count
 		}
-		for _, seen := range processCost.ObservedChanges {
-			key := changeKey{seen.Service, seen.Index}
+		for _, change := range processCost.ObservedChanges {
+			key := changeKey{change.Service, change.Index}
 			if observations[key] == nil {
 				observations[key] = &observation{}
 			}
 			observed := observations[key]
-			observed.count += seen.Subscribers
-			if seen.Last.After(observed.last) {
-				observed.last = seen.Last
+			observed.count += change.Subscribers
+			if change.Last.After(observed.last) {
+				observed.last = change.Last
 			}
 		}
 	}
 	for key, requested := range committed {
 		switch observed := observations[key]; {
-		case serving[key.service] == 0: // no app server subscribes to the service
-		case observed == nil || observed.count < serving[key.service]:
+		case subscribersByService[key.service] == 0: // no app server subscribes to the service
+		case observed == nil || observed.count < subscribersByService[key.service]:
 			cost.incompleteChanges++
 			cost.inForceSeconds = append(cost.inForceSeconds, math.Inf(1))
 		default:
@@ -315,4 +318,4 @@
 }
 
 // toDuration converts seconds to a duration.
-func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/cmd/rehearse/scale_distribution_table.go
+++ b/cmd/rehearse/scale_distribution_table.go
@@ -16,8 +16,8 @@
 	"valveglade/rig/slope"
 )
 
-// distributionTables returns the numbers of entries per service that the table is measured with.
-func (run *experimentRun) distributionTables() []int {
+// distributionTableSizes returns the numbers of entries per service that the table is measured with.
+func (run *experimentRun) distributionTableSizes() []int {
 	if run.shortForm {
 		return []int{2, 4, 8, 16}
 	}
@@ -36,9 +36,9 @@
 // services: receiving only the change, and fetching the whole table again.
 func measureDistributionTable(run *experimentRun, result *slope.Result) error {
 	measured := points{}
-	for _, entriesEach := range run.distributionTables() {
-		if err := run.measureTableChanges(entriesEach, measured); err != nil {
-			return fmt.Errorf("%d entries per service: %w", entriesEach, err)
+	for _, entriesPerService := range run.distributionTableSizes() {
+		if err := run.measureTableChanges(entriesPerService, measured); err != nil {
+			return fmt.Errorf("%d entries per service: %w", entriesPerService, err)
 		}
 	}
 	for _, series := range []slope.Series{
@@ -67,10 +67,10 @@
 	return member.DialStream(ctx, o.local, o.addresses[to], "hollow", to)
 }
 
-// measureTableChanges commits changes to a table with entriesEach entries per service and adds their costs to measured. Each
-// change is timed until a subscriber to all services has it, and then again until the whole table has been fetched.
-func (run *experimentRun) measureTableChanges(entriesEach int, measured points) error {
-	cluster, err := run.startDistribution(1, entriesEach, "1000MB")
+// measureTableChanges commits changes to a table with the given number of entries per service and adds their costs to measured.
+// Each change is timed until a subscriber to all services has it, and then again until the whole table has been fetched.
+func (run *experimentRun) measureTableChanges(entriesPerService int, measured points) error {
+	cluster, err := run.startDistribution(1, entriesPerService, "1000MB")
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	if _, ok := cluster.WaitUntil(time.Minute, func() bool { return subscriber.Status().Age >= 0 }); !ok {
 		return errors.New("the subscriber received no table within a minute")
 	}
-	entries, initialBytes := float64(len(cluster.services)*entriesEach), subscriber.Status().Bytes
+	entries, initialBytes := float64(len(cluster.services)*entriesPerService), subscriber.Status().Bytes
 	var changeSeconds, fetchSeconds []float64
 	fetchedBytes := int64(0)
 	for k := range run.changesPerTableSize() {
--- a/cmd/rehearse/scale_table.go
+++ b/cmd/rehearse/scale_table.go
@@ -35,28 +35,29 @@
 
 // tableShape describes a table whose entries are spread over services as at the design size.
 type tableShape struct {
-	services, entriesEach, routesEach int    // the last two are per service
-	seed                              uint64 // of names and values
+	services, entriesPerService, routesPerService int
+	seed                                          uint64 // of names and values
 }
 
-// newTableShape returns the shape of a table of about the given number of entries: full services, and at least one.
+// newTableShape returns the shape of a table of about the given number of entries: a whole number of services, at least one.
 func newTableShape(entries int, seed uint64) tableShape {
-	const entriesEach = (designEntries + designServices - 1) / designServices
-	const routesEach = (designRoutes + designServices - 1) / designServices
-	return tableShape{services: max(entries/entriesEach, 1), entriesEach: entriesEach, routesEach: routesEach, seed: seed}
+	const entriesPerService = (designEntries + designServices - 1) / designServices
+	const routesPerService = (designRoutes + designServices - 1) / designServices
+	return tableShape{services: max(entries/entriesPerService, 1), entriesPerService: entriesPerService,
+		routesPerService: routesPerService, seed: seed}
 }
 
-func (s tableShape) entries() int { return s.services * s.entriesEach }
+func (s tableShape) entries() int { return s.services * s.entriesPerService }
 
-// service returns the entries of one service in the order of the table. Names and values are random: similar ones would take less
-// memory than real ones do.
+// service returns the entries of one service in the order of the table. Names and values are random: similar ones would take
+// less memory than real ones do.
 func (s tableShape) service(service int) []configtable.Change {
 	random := rand.New(rand.NewPCG(s.seed, uint64(service)))
-	entries := make([]configtable.Change, 0, s.entriesEach)
-	for k := range s.entriesEach {
+	entries := make([]configtable.Change, 0, s.entriesPerService)
+	for k := range s.entriesPerService {
 		change := configtable.Change{Operation: configtable.Put, Kind: configtable.Tenant, Service: serviceName(service),
 			Name: fmt.Sprintf("tenant-%016x", random.Uint64()), Value: tenantValue(random)}
-		if k < s.routesEach {
+		if k < s.routesPerService {
 			change.Kind, change.Name = configtable.Route, fmt.Sprintf("route-%016x", random.Uint64())
 			change.Value = routeValue(random)
 		}
@@ -80,7 +81,7 @@
 		Criticality: float64(random.IntN(1000)) / 1000}}
 }
 
-// build builds the whole table in one go, as loading a snapshot does.
+// build builds the whole table at once, as loading a snapshot does.
 func (s tableShape) build() (configtable.Table, error) {
 	var builder configtable.Builder
 	for service := range s.services {
@@ -103,10 +104,11 @@
 	heapBytes, snapshotBytes, writeSeconds, loadSeconds float64
 }
 
-const tableChanges = 4000 // applied one by one at each size
+// tableChanges is the number of changes that are applied one by one at each size.
+const tableChanges = 4000
 
-// measureTableOnce builds a table, applies changes to it, and writes it to a snapshot on disk and reads it back.
-func measureTableOnce(shape tableShape) (cost tableCost, err error) {
+// measureTableSize builds a table, applies changes to it, and writes it to a snapshot on disk and reads it back.
+func measureTableSize(shape tableShape) (cost tableCost, err error) {
 	cost.entries = float64(shape.entries())
 	before := heapInUse()
 	table, err := shape.build()
@@ -135,7 +137,7 @@
 	random := rand.New(rand.NewPCG(shape.seed, uint64(shape.services)))
 	var encoded [][]byte
 	for range tableChanges {
-		change := shape.service(random.IntN(shape.services))[random.IntN(shape.entriesEach)]
+		change := shape.service(random.IntN(shape.services))[random.IntN(shape.entriesPerService)]
 		if change.Kind == configtable.Tenant {
 			change.Value = tenantValue(random)
 		} else {
@@ -233,7 +235,7 @@
 	}
 	points := make([][]slope.Point, len(columns))
 	for _, entries := range run.entrySizes() {
-		cost, err := measureTableOnce(newTableShape(entries, run.Seed))
+		cost, err := measureTableSize(newTableShape(entries, run.Seed))
 		if err != nil {
 			return fmt.Errorf("%d entries: %w", entries, err)
 		}
