--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -17,7 +17,7 @@
 // memberCost holds what real members and real processes cost in a fleet of one size, the rest of which is simulated.
 type memberCost struct {
 	size                   int
-	joinSeconds            float64 // until all members have settled with all others
+	joinSeconds            float64 // until the views of all members have converged with all others in them
 	newcomerBytesPerSecond float64 // sent by a member right after it joined
 	drained                bool
 
@@ -26,7 +26,7 @@
 	residentBytes                                float64 // of one member, without the process itself
 	exchangeBytes                                float64 // of one exchange, in both directions
 	exchangeCPUSeconds                           float64 // of one exchange
-	zoneLostSeconds, zoneBackSeconds             float64 // time to settle after a zone was lost, and after its return
+	zoneLostSeconds, zoneBackSeconds             float64 // time to converge after a zone was lost, and after its return
 
 	processCore, processResidentBytes float64 // of one real process: share of a core, and bytes
 }
@@ -37,9 +37,9 @@
 	measuredProcesses = 6
 )
 
-// simulatedFleetSizes returns the sizes of the fleets that members are measured in, and for how many seconds. A member takes no
-// exchange of more than 4,096 names, so it cannot join a larger fleet: with gossip alone, a member of a fleet of 8,600 never
-// learnt of all others.
+// simulatedFleetSizes returns the sizes of the fleets that members are measured in, and for how many seconds. A member refuses a
+// state exchange of more than 4,096 members, so it cannot join a larger fleet: with gossip alone, a member of a fleet of 8,600
+// never learned of all others.
 func (run *experimentRun) simulatedFleetSizes() (sizes []int, seconds float64) {
 	switch {
 	case run.shortForm:
@@ -114,13 +114,15 @@
 		m.size-measuredMembers-measuredProcesses, m.size, m.run.Seed); err != nil {
 		return err
 	}
-	plan := hollow.MembersPlan{Count: measuredMembers, FleetSize: m.size, ListenAddress: memberAddress, Join: m.simulated.Addresses()}
+	plan := hollow.MembersPlan{Count: measuredMembers, FleetSize: m.size, ListenAddress: memberAddress,
+		Join: m.simulated.Addresses()}
 	var ready sync.WaitGroup
 	ready.Add(1)
-	m.members, err = hollow.StartMemberProcess(exec.Command(m.run.ownBinary(), "hollow", "members"), plan, func(seen hollow.Observation) {
-		ready.Wait()
-		m.simulated.SetView(m.targets[seen.Member], seen.Version, seen.Digest)
-	})
+	m.members, err = hollow.StartMemberProcess(exec.Command(m.run.ownBinary(), "hollow", "members"), plan,
+		func(observation hollow.Observation) {
+			ready.Wait()
+			m.simulated.SetView(m.targets[observation.Member], observation.Version, observation.Digest)
+		})
 	if err != nil {
 		ready.Done()
 		return err
@@ -187,7 +189,7 @@
 		}
 	}
 	if m.members.SecondsUntilConverged(m.size, joinTimeout) > joinTimeout.Seconds() {
-		return fmt.Errorf("members have not settled: %+v", m.members.Latest())
+		return fmt.Errorf("members have not converged: %+v", m.members.Latest())
 	}
 	m.cost.joinSeconds = time.Since(began).Seconds()
 	return nil
@@ -230,7 +232,7 @@
 	return func() error { time.Sleep(d); return nil }
 }
 
-// measureNewcomer measures what a member sends right after it has joined: it passes on all that it has learnt.
+// measureNewcomer measures what a member sends right after it has joined: it retransmits all that it has learned.
 func (m *fleetMeasurement) measureNewcomer() error {
 	cost, err := m.measureDuring(sleepFor(m.run.scaled(time.Second)))
 	m.cost.newcomerBytesPerSecond = cost.sentBytesPerSecond
@@ -293,7 +295,7 @@
 // measureExchanges measures whole-state exchanges, one after another.
 func (m *fleetMeasurement) measureExchanges() error {
 	const exchangesPerMember = 3
-	refused := 0
+	failed := 0
 	bytes := int64(0)
 	idle, err := m.measureDuring(sleepFor(m.run.scaled(time.Second)))
 	if err != nil {
@@ -305,7 +307,7 @@
 			for _, target := range m.targets[:measuredMembers] {
 				transferred, err := m.simulated.Exchange(target, false)
 				if bytes += transferred; err != nil {
-					refused++
+					failed++
 				}
 			}
 		}
@@ -314,18 +316,18 @@
 	if err != nil {
 		return err
 	}
-	if refused > 0 {
-		m.run.printNote("fleet of %d: %d of %d exchanges are refused or cut", m.size, refused, exchangesPerMember*measuredMembers)
+	if failed > 0 {
+		m.run.printNote("fleet of %d: %d of %d exchanges failed", m.size, failed, exchangesPerMember*measuredMembers)
 	}
 	m.cost.exchangeBytes = float64(bytes) / (exchangesPerMember * measuredMembers)
 	m.cost.exchangeCPUSeconds = max(cost.core-idle.core, 0) * time.Since(began).Seconds() / exchangesPerMember
 	return nil
 }
 
-// zoneTimeout is the time in which members have to settle after a zone is lost.
+// zoneTimeout limits the time that members have to converge after a zone is lost, and after it is back.
 const zoneTimeout = 25 * time.Second
 
-// measureZoneLoss has a zone lost and then return, and measures how long members take to settle after each.
+// measureZoneLoss makes all members of a zone fail and then recover, and measures how long members take to converge after each.
 func (m *fleetMeasurement) measureZoneLoss() error {
 	count := max(m.size/zoneCount, 1)
 	m.simulated.Fail(0, count)
@@ -333,7 +335,7 @@
 	m.simulated.Recover(0, count)
 	m.cost.zoneBackSeconds = m.members.SecondsUntilConverged(m.size, zoneTimeout)
 	if math.IsInf(m.cost.zoneLostSeconds+m.cost.zoneBackSeconds, 1) {
-		m.run.printNote("fleet of %d: not settled within %v of a zone lost (%.1f s) and back (%.1f s): %+v", m.size,
+		m.run.printNote("fleet of %d: not converged within %v of a zone lost (%.1f s) and back (%.1f s): %+v", m.size,
 			zoneTimeout, m.cost.zoneLostSeconds, m.cost.zoneBackSeconds, m.members.Latest())
 	}
 	return nil
@@ -361,12 +363,14 @@
 		if errs[k] != nil {
 			continue
 		}
-		exchanges := 2 / hollow.ExchangeIntervalSeconds(cost.size) // per second: in each interval, one begun by the member and one by another
+		// Exchanges per second: in each interval, one begun by the member and one by another.
+		exchanges := 2 / hollow.ExchangeIntervalSeconds(cost.size)
 		core := cost.memberCore + exchanges*cost.exchangeCPUSeconds
 		bytes := cost.bytesPerSecond + exchanges*cost.exchangeBytes
-		run.printNote("fleet of %d: a member %.3g%% of a core (exchanges %.3g%%), %.2f MB, %.0f packets/s and %.1f KB/s (exchanges %.1f), "+
-			"settled %.0f%%; joined after %.1f s, then sends %.0f KB/s (drained %t); zone lost %.1f s, back %.1f s; a process %.3g%% "+
-			"of a core, %.0f MB", cost.size, 100*core, 100*exchanges*cost.exchangeCPUSeconds, cost.residentBytes/(1<<20),
+		run.printNote(
+			"fleet of %d: a member %.3g%% of a core (exchanges %.3g%%), %.2f MB, %.0f packets/s and %.1f KB/s (exchanges %.1f), "+
+				"converged %.0f%%; joined after %.1f s, then sends %.0f KB/s (drained %t); zone lost %.1f s, back %.1f s; a process %.3g%% "+
+				"of a core, %.0f MB", cost.size, 100*core, 100*exchanges*cost.exchangeCPUSeconds, cost.residentBytes/(1<<20),
 			cost.packetsPerSecond, bytes/1000, exchanges*cost.exchangeBytes/1000, 100*cost.convergedShare, cost.joinSeconds,
 			cost.newcomerBytesPerSecond/1000, cost.drained, cost.zoneLostSeconds, cost.zoneBackSeconds, 100*cost.processCore,
 			cost.processResidentBytes/(1<<20))
@@ -384,9 +388,11 @@
 		measured.add("view.process.cpu", members, 100*cost.processCore)
 		measured.add("view.process.memory", members, cost.processResidentBytes/(1<<20))
 	}
-	note := fmt.Sprintf("real members with sockets, in real time, amid a crowd that stands in for the rest of the fleet; restarts in "+
-		"proportion, but at least one in the %g s; bytes and CPU with the exchanges of all that is known, weighed one by one and counted at the library's rate", seconds)
-	processNote := "real processes of the program amid the same crowd; CPU with all else that they do at rest; their views hold 1,024 names"
+	note := fmt.Sprintf(
+		"real members with sockets, in real time, amid a crowd that stands in for the rest of the fleet; restarts in "+
+			"proportion, but at least one in the %g s; bytes and CPU with the exchanges of all that is known, weighed one by one and counted at the library's rate", seconds)
+	processNote :=
+		"real processes of the program amid the same crowd; CPU with all else that they do at rest; their views hold 1,024 names"
 	seriesSpecs := []struct{ name, unit, model, note string }{
 		{"view.member.cpu", "% of a core", slope.ModelLinear, note}, {"view.member.memory", "MB", slope.ModelLinear, note},
 		{"view.member.bytes", "KB a second", slope.ModelLinear, note},
--- a/cmd/rehearse/scale_view.go
+++ b/cmd/rehearse/scale_view.go
@@ -72,7 +72,7 @@
 	measured := points{}
 	for k, cost := range costs {
 		members, kind := plans[k].Members, restartKinds[k%len(restartKinds)].name
-		run.printNote("pure view, %s, %d members: %.3g%% of a core, settled %.1f%% of the time, %.0f views an hour", kind, members,
+		run.printNote("pure view, %s, %d members: %.3g%% of a core, converged %.1f%% of the time, %.0f views an hour", kind, members,
 			100*cost.CoreShare, 100*cost.ConvergedShare, cost.ViewsPerHour)
 		measured.add("view.pure.cpu."+kind, float64(members), 100*cost.CoreShare)
 		measured.add("view.pure.settled."+kind, float64(members), 100*cost.ConvergedShare)
@@ -147,7 +147,7 @@
 	measured := points{}
 	for k, cost := range costs {
 		members, kind := plans[k].View.Members, kinds[k%len(kinds)]
-		run.printNote("pure view, a %s of %d lost among %d: settled after %.1f s, back after %.1f s, %.3g%% of a core", kind,
+		run.printNote("pure view, a %s of %d lost among %d: converged after %.1f s, back after %.1f s, %.3g%% of a core", kind,
 			plans[k].Lost, members, cost.LostSeconds, cost.BackSeconds, 100*cost.CoreShare)
 		measured.add(kind+".lost", float64(members), cost.LostSeconds)
 		measured.add(kind+".back", float64(members), cost.BackSeconds)
