--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("| %s | `%s` | %.3g %s | %s | %s | %s |", b.name, b.series, b.limit, s.Unit, atDesign, reached, share)
 }
 
-// estimateSource returns the words for a value at a size within the measured range, or for one that is extrapolated.
+// estimateSource returns how the tables mark a value within the measured sizes, or one that is extrapolated beyond them.
 func estimateSource(measured bool) string {
 	if measured {
 		return "measured"
--- a/cmd/rehearse/measurement_process.go
+++ b/cmd/rehearse/measurement_process.go
@@ -35,7 +35,7 @@
 }
 
 // measurements are the measurements by name. Each decodes its plan, runs it and returns the cost.
-var measurements = map[string]func(plan *json.Decoder) (any, error){
+var measurements = map[string]func(decoder *json.Decoder) (any, error){
 	"view": func(decoder *json.Decoder) (any, error) {
 		return decodeAndRun(decoder, func(plan hollow.ViewPlan) (any, error) { return hollow.RunView(plan), nil })
 	},
@@ -65,8 +65,8 @@
 	return measure(plan)
 }
 
-// runMeasurement runs the measurement kind on the plan in a process of its own and returns its cost. An error holds what the
-// process wrote to standard error.
+// runMeasurement runs the measurement of the given kind on the plan in a process of its own and returns its cost. An error holds
+// what the process wrote to standard error.
 func runMeasurement[C any](run *experimentRun, kind string, plan any) (cost C, err error) {
 	input, err := json.Marshal(plan)
 	if err != nil {
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// formatSeries returns a line on a series: its fit with the error, the largest size that was run and, for a series against the
-// members of a fleet, its value at the design size.
+// formatSeries returns a line on a series: its fit with the standard error of the slope, the largest size that was run and, for a
+// series against the members of a fleet, its value at the design size.
 func formatSeries(series slope.Series) string {
 	var line strings.Builder
 	fmt.Fprintf(&line, "%-36s %s slope %.4g ± %.2g %s per %s, R2 %.3f, run to %g", series.Name, series.Fit.Model, series.Fit.Slope,
--- a/cmd/rehearse/scale_budget.go
+++ b/cmd/rehearse/scale_budget.go
@@ -12,7 +12,7 @@
 	name   string
 	series string
 	limit  float64 // in the unit of the series
-	design float64 // design size, in what the series is measured against
+	design float64 // design size, in the quantity that the series is measured against
 	// threshold marks a series that is 0 up to some size: a fit to it says nothing about other sizes.
 	threshold bool
 }
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// sizeAt returns the size from which on a rising series stays over a limit. Between two measured sizes it interpolates; outside
+// sizeAt returns the size above which a rising series stays over a limit. Between two measured sizes it interpolates; outside
 // the measured range it takes the size from the fit and returns false for measured. The size is +Inf if the series never
 // reaches the limit.
 func sizeAt(series slope.Series, limit float64) (size float64, measured bool) {
--- a/cmd/rehearse/scale_config.go
+++ b/cmd/rehearse/scale_config.go
@@ -48,9 +48,9 @@
 	change                                 changeCost
 }
 
-// measureConfigOnce starts a program with a configuration of the given size and changes that changesPerSize times. The cost of a
-// change is the median.
-func (run *experimentRun) measureConfigOnce(size configSize) (cost configCost, err error) {
+// measureConfigSize starts a program with a configuration of the given size and changes the configuration changesPerSize times.
+// The cost of a change is the median.
+func (run *experimentRun) measureConfigSize(size configSize) (cost configCost, err error) {
 	program, err := run.startScaled(size, ampleMemoryMB, smallSocketLimit)
 	if err != nil {
 		return cost, err
@@ -73,23 +73,24 @@
 // smallSocketLimit is the socket limit of a program that serves few connections.
 const smallSocketLimit = 256
 
-// measureConfig measures the costs of a configuration against the number of tenants and against the number of routes: those of a
-// start with it, and those of a change of one entry, for which the program reads the whole file again.
+// measureConfig measures the costs of a configuration against the number of tenants and against the number of routes: the costs
+// of a start, and of a change of one entry, for which the program reads the whole file again.
 func measureConfig(run *experimentRun, result *slope.Result) error {
 	byTenants := func(count int) configSize { return configSize{routes: fixedEntryCount, tenants: count} }
-	if err := run.configSeries(result, "tenants", run.tenantSizes(), byTenants); err != nil {
+	if err := run.addConfigSeries(result, "tenants", run.tenantSizes(), byTenants); err != nil {
 		return err
 	}
 	byRoutes := func(count int) configSize { return configSize{routes: count, tenants: fixedEntryCount} }
-	return run.configSeries(result, "routes", run.routeSizes(), byRoutes)
+	return run.addConfigSeries(result, "routes", run.routeSizes(), byRoutes)
 }
 
-// configSeries adds the series of the costs against the number of entries of one kind, which sizeOf turns into a size.
-func (run *experimentRun) configSeries(result *slope.Result, against string, sizes []int,
+// addConfigSeries measures the costs at each of the sizes, which are numbers of entries of one kind, and adds the series. sizeOf
+// returns the configuration size for such a number.
+func (run *experimentRun) addConfigSeries(result *slope.Result, against string, sizes []int,
 	sizeOf func(count int) configSize) error {
 	var file, start, resident, wall, cpu, peak []slope.Point
 	for _, count := range sizes {
-		cost, err := run.measureConfigOnce(sizeOf(count))
+		cost, err := run.measureConfigSize(sizeOf(count))
 		if err != nil {
 			return err
 		}
--- a/cmd/rehearse/scale_load.go
+++ b/cmd/rehearse/scale_load.go
@@ -112,10 +112,10 @@
 	}
 }
 
-// executeOnEach has one RPC served on each connection, a hundred at a time, and drops their latencies.
+// executeOnEach executes one RPC on each connection, a hundred at a time, and discards the latencies.
 func (l *frameLoad) executeOnEach() error {
-	const atOnce = 100
-	for batch := range slices.Chunk(l.conns, atOnce) {
+	const batchSize = 100
+	for batch := range slices.Chunk(l.conns, batchSize) {
 		for k, c := range batch {
 			c.send(k % l.routes)
 		}
--- a/cmd/rehearse/scale_program.go
+++ b/cmd/rehearse/scale_program.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// executeFirstRPC has one RPC served on a connection of its own.
+// executeFirstRPC executes one RPC on a connection of its own.
 func (s *scaledProgram) executeFirstRPC() error {
 	load := newFrameLoad(s.configuration.listen, s.checker, s.configuration.size.routes, "first")
 	defer load.close()
@@ -211,7 +211,7 @@
 // isConfigReloaded reports whether the line says that the program has reloaded its configuration.
 func isConfigReloaded(entry logLine) bool { return entry.Message == "config reloaded" }
 
-// violationCount returns the number of rules that the program has violated.
+// violationCount returns the number of violations that the checker has recorded.
 func (s *scaledProgram) violationCount() int { return len(s.checker.Violations()) }
 
 // shutDown terminates the program, which leaves the fleet and exits by itself.
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -113,10 +113,10 @@
 		Points: lost, Note: note + "; " + thresholdNote})
 }
 
-// quotaSizes holds the numbers of holders and of kinds of work that an allocator is measured against.
+// quotaSizes holds the numbers of leaseholders and of kinds of work that an allocator is measured against.
 type quotaSizes struct {
 	holders, kinds []int
-	fixedHolders   int // holders while the number of kinds varies
+	fixedHolders   int // leaseholders while the number of kinds varies
 	seconds        float64
 }
 
@@ -132,7 +132,7 @@
 	return sizes
 }
 
-// plans returns a measurement for each number of holders, then one for each number of kinds.
+// plans returns a plan for each number of leaseholders, then one for each number of kinds.
 func (s quotaSizes) plans(seed uint64) []hollow.QuotaPlan {
 	var plans []hollow.QuotaPlan
 	for _, n := range s.holders {
@@ -144,7 +144,7 @@
 	return plans
 }
 
-// measureQuota measures a real allocator under the requests of simulated holders.
+// measureQuota measures a real allocator under the requests of simulated leaseholders.
 func measureQuota(run *experimentRun, result *slope.Result) error {
 	sizes := run.quotaSizes()
 	plans := sizes.plans(run.Seed)
@@ -160,8 +160,8 @@
 			firstLost = plan.Holders
 		}
 		run.printNote(
-			"%d holders, %d kinds: %.0f requests a second, %.2f%% lost, %d streams refused, %.3g%% of a core, %v per request, sends "+
-				"%.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.RequestsPerSecond, 100*cost.LostShare,
+			"%d leaseholders, %d kinds: %.0f requests a second, %.2f%% lost, %d without any answer, %.3g%% of a core, %v per request, "+
+				"sends %.0f packets and %.0f KB a second", plan.Holders, plan.Kinds, cost.RequestsPerSecond, 100*cost.LostShare,
 			cost.RefusedHolders, 100*cost.CoreShare, cost.CPUPerRequest, cost.PacketsPerSecond, cost.BytesPerSecond/1000)
 		x, against := float64(plan.Holders), "holders"
 		if k >= len(sizes.holders) {
@@ -174,7 +174,7 @@
 }
 
 // addQuotaCost adds the points of one measurement. It leaves out the cost of answering if too many requests were lost, as that
-// cost is then meaningless; the shortest form is too short to judge this.
+// cost is then meaningless. The shortest form keeps it, as it is too short to measure the share of lost requests.
 func (p points) addQuotaCost(against string, x float64, cost hollow.QuotaCost, shortForm bool) {
 	p.add("allocator.lost."+against, x, 100*cost.LostShare)
 	p.add("allocator.refused."+against, x, float64(cost.RefusedHolders))
@@ -217,7 +217,7 @@
 				series.Note += fmt.Sprintf("; %d holders", fixedHolders)
 			}
 			if err := run.addSeries(result, series); errors.Is(err, slope.ErrTooFewSizes) {
-				run.printNote("%s: not fitted, as at only %d sizes no more than %g%% of the requests were lost", series.Name,
+				run.printNote("%s: not fitted, as at only %d sizes at most %g%% of the requests were lost", series.Name,
 					len(series.Points), 100*maxLostShare)
 			} else if err != nil {
 				return err
@@ -227,7 +227,7 @@
 	return nil
 }
 
-// negligibleLostShare is the share of requests without an answer up to which none is counted as lost: one in some hundreds may
+// negligibleLostShare is the share of requests without an answer up to which none is counted as lost: one in several hundred may
 // still be in flight when the count ends.
 const negligibleLostShare = 0.005
 
--- a/cmd/rehearse/scale_start.go
+++ b/cmd/rehearse/scale_start.go
@@ -24,7 +24,7 @@
 	maxJoinAddresses    = 3
 )
 
-// inProcessMembers are members of the fleet in this process, without an app server around them.
+// inProcessMembers are members of the fleet that run in this process, without app servers.
 type inProcessMembers struct {
 	all   []*member.Member
 	group sync.WaitGroup
