--- a/gate/actions.go
+++ b/gate/actions.go
@@ -1,6 +1,7 @@
 package gate
 
-// actions implements rpc.Actions, through which the module acts on the gate.
+// actions implements rpc.Actions: the module calls its methods to carry out its decisions, such as to start or to push
+// back an RPC. The caller holds g.mu, except in New.
 type actions[T any] Gate[T]
 
 func (a *actions[T]) criticality(i int) float64 {
@@ -21,12 +22,16 @@
 	return a.permits.BlockingLimit(method)
 }
 
+// Start queues a job to run an RPC, which takes its permit and no longer counts as waiting. The permit and the token
+// count the run as started from here on, before the job is taken from the queue.
 func (a *actions[T]) Start(i int) {
 	a.gate().stopWaiting(i)
 	a.slots[i].holdsPermit = true
 	if a.permits != nil {
 		a.permits.RunStarted(a.slots[i].method, a.criticality(i))
 	}
+	// The entry may belong to another attempt with the same token; it counts as started only if this attempt runs for
+	// the token.
 	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.generation}) {
 		s.entry.state = started
 	}
