--- a/internal/thrift/answers.go
+++ b/internal/thrift/answers.go
@@ -8,7 +8,7 @@
 )
 
 // ReplyHandler handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is
-// the published credit, below 0 if there is none.
+// the published credit; a negative load means that the message has none.
 type ReplyHandler interface {
 	// Served handles the result of an RPC that ended ok.
 	Served(seq int32, result []byte, load float64)
@@ -27,8 +27,9 @@
 // errEmptyReply reports a reply whose result struct is empty.
 var errEmptyReply = errors.New("thrift: reply has neither a result nor an exception")
 
-// DecodeAnswer decodes the message in a frame from an app server and passes it to the handler. After an error the
-// connection must be closed, since the rest of its data cannot be trusted.
+// DecodeAnswer decodes the message in a frame from an app server, which is a reply or a request to drain, and passes it
+// to the handler. Answer is the protocol's name for the result of a call. After an error the connection must be closed,
+// since the remaining data of the connection cannot be trusted.
 func DecodeAnswer(frame []byte, handler ReplyHandler) error {
 	r := decoder{b: frame}
 	kind, name, seq, err := r.messageHeader()
@@ -38,6 +39,7 @@
 	switch {
 	case kind == msgException:
 		reason := "application exception"
+		// Only field 1, the exception's message, is decoded; returning false skips a field.
 		err := r.structFields(func(id int16, kind byte) bool {
 			if id != 1 || kind != typeString {
 				return false
@@ -46,24 +48,25 @@
 			return true
 		})
 		if err == nil {
-			handler.Aborted(seq, reason, -1)
+			handler.Aborted(seq, reason, -1) // an application exception has no load
 		}
 		return err
 	case kind == msgOneway && string(name) == "draining":
-		err := r.structFields(func(int16, byte) bool { return false })
+		err := r.structFields(func(int16, byte) bool { return false }) // skips all fields
 		if err == nil {
 			handler.Draining()
 		}
 		return err
 	case kind != msgReply:
-		return fmt.Errorf("thrift: message type is %d, want 2 (reply), 3 (exception) or a oneway draining", kind)
+		return fmt.Errorf("thrift: message type is %d, want 2 (reply), 3 (exception) or 4 (oneway) with method draining", kind)
 	case string(name) == "execute" || string(name) == "check":
 		return r.reply(seq, string(name) == "check", handler)
 	}
 	return fmt.Errorf("thrift: reply to method %.32q, want execute or check", name)
 }
 
-// reply decodes the result of a call: an Answer, or one of the exceptions Trylater and Aborted.
+// reply decodes the reply to a call: the result, a struct that the protocol names Answer, or one of the exceptions
+// Trylater and Aborted. check tells that the call is a health check.
 func (r *decoder) reply(seq int32, check bool, handler ReplyHandler) error {
 	const answerField, trylaterField, abortedField = 0, 1, 2 // field ids of the result struct
 	outcome := int16(-1)
