--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -62,7 +62,8 @@
 }
 
 // A voter's votes are stored in one file: the magic "VGP" and version 1, a CRC-32C of the JSON text, and the JSON
-// text of a voteFile. The file is replaced atomically and synced before any answer that depends on it is sent.
+// text of a voteFile. The file is replaced atomically and synced before any answer that depends on it is sent. The file
+// name, the magic and the JSON keys, such as "offices", are kept for compatibility with existing files.
 const (
 	voteFileMagic = "VGP\x01"
 	voteFileName  = "promises"
@@ -75,14 +76,18 @@
 	Roles         map[string]owner.Vote `json:"offices"`
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// crcTable is the polynomial table of CRC-32C.
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
+// writeVotes replaces the vote file with the given votes, by role. It returns only after the content is synced. The
+// configured Folder must not be empty, which would turn persistence off, and the folder must exist. After an error the
+// votes count as not persisted.
 func (f *Fleet) writeVotes(votes map[string]owner.Vote) error {
 	text, err := json.Marshal(voteFile{f.config.Name, f.config.Now().UnixMilli(), votes})
 	if err != nil {
 		return err
 	}
-	header := binary.BigEndian.AppendUint32([]byte(voteFileMagic), crc32.Checksum(text, castagnoli))
+	header := binary.BigEndian.AppendUint32([]byte(voteFileMagic), crc32.Checksum(text, crcTable))
 	return renameio.WriteFile(filepath.Join(f.config.Folder, voteFileName), append(header, text...), 0o600,
 		renameio.WithTempDir(f.config.Folder))
 }
@@ -104,7 +109,7 @@
 		return nil, false, err
 	}
 	rest, ok := bytes.CutPrefix(text, []byte(voteFileMagic))
-	if !ok || len(rest) < 4 || binary.BigEndian.Uint32(rest) != crc32.Checksum(rest[4:], castagnoli) {
+	if !ok || len(rest) < 4 || binary.BigEndian.Uint32(rest) != crc32.Checksum(rest[4:], crcTable) {
 		return nil, false, fmt.Errorf("%s: %w", path, errCorruptVoteFile)
 	}
 	var file voteFile
