--- a/server/reader.go
+++ b/server/reader.go
@@ -44,7 +44,7 @@
 			case !errors.Is(err, os.ErrDeadlineExceeded) || c.isEnding():
 				return nil
 			default:
-				overdue = c.handleOverdue()
+				overdue = c.handleReadTimeout()
 			}
 			continue
 		}
@@ -115,9 +115,13 @@
 	}
 }
 
-// handleOverdue reports whether the message deadline has passed. If so, an idle connection starts closing; a
-// busy one first gets time to answer what has been read.
-func (c *conn) handleOverdue() bool {
+// handleReadTimeout handles the expiry of the read deadline. It returns false if the message deadline has not passed,
+// as when the read deadline was only set to wake the reader. Otherwise it returns true, and an idle connection starts
+// closing. A busy connection first answers the RPCs that it has read: its message deadline is extended by a tenth of
+// messageTimeout (150 ms), after which this is repeated. The number of extensions is not limited. They end when the
+// message is complete, or when the open RPCs are answered and the replies written: no further RPC is read meanwhile,
+// and a router that does not read its replies is disconnected after writeTimeout.
+func (c *conn) handleReadTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.messageDeadline.IsZero() || time.Until(c.messageDeadline) > timerSlack {
@@ -127,7 +131,7 @@
 		c.enterPhase(phaseClosing)
 	} else {
 		c.messageDeadline = time.Now().Add(messageTimeout / 10)
-		c.wakeDeadlineSet = true
+		c.wakeDeadlineSet = true // the expired read deadline stays set; readyToShut replaces it before the next read
 	}
 	return true
 }
