--- a/server/monitor.go
+++ b/server/monitor.go
@@ -43,8 +43,8 @@
 // fullShare is the admitShare at which all RPCs of a method are admitted.
 const fullShare = 1 << 16
 
-// calmEffects is in force while there is no pressure.
-var calmEffects = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1,
+// defaultEffects is in force while there is no pressure, and while monitoring is off.
+var defaultEffects = pressure.Effects{CreditFactor: 1, Accept: true, MaxFrameBytes: math.MaxInt, ResultFactor: 1,
 	Healthy: true}
 
 func newMonitor(c *config.Config, settings *config.Settings) *monitor {
@@ -52,7 +52,7 @@
 	m := &monitor{admitShare: make([]atomic.Uint32, methodCount), received: make([]atomic.Uint64, methodCount),
 		succeeded: make([]atomic.Uint64, methodCount), seed: uint64(time.Now().UnixNano()),
 		settingsChanged: make(chan struct{}, 1)}
-	m.effects.Store(&calmEffects)
+	m.effects.Store(&defaultEffects)
 	for k := range m.admitShare {
 		m.admitShare[k].Store(fullShare)
 	}
@@ -110,16 +110,17 @@
 	}
 }
 
-// monitorSelf samples the process's state until ctx ends, and applies what follows from the samples: the
-// admitted share of each method's RPCs, and the pressure.Effects, such as the factor on the credit and
-// the reported health. When the pressure settings change, it resets both and starts sampling again with the new
-// settings, or waits for the next change if monitoring is off in them. The error is always nil: the server's
-// group requires this result, and an error would end the app server.
-func (s *Server) monitorSelf(ctx context.Context) error {
+// runMonitor runs on a goroutine of its own until ctx ends. While monitoring is on, it samples the process's state. From
+// each sample it sets the admitted share of each method's RPCs and the pressure.Effects, such as the factor on the credit
+// and the reported health. When the pressure settings change, it resets both to their values without pressure and starts
+// again with the new settings; if monitoring is off in them, it waits for the next change. It returns nil when ctx ends.
+// The error is always nil: the server's group requires this result, and an error would end the app server.
+func (s *Server) runMonitor(ctx context.Context) error {
 	m := s.monitor
 	for {
-		// The settings read below include all changes signalled so far. A later change signals again. The waits
-		// for a change send the signal again when they receive it, so that it is consumed only here.
+		// Discards a pending signal, as the settings read below include all changes signaled so far; a later change
+		// signals again. No other receiver discards the signal: the two in sampleUntilChanged and at the end of this
+		// loop send it again, and it is then discarded here, before the settings are read.
 		select {
 		case <-m.settingsChanged:
 		default:
@@ -127,16 +128,19 @@
 		settings := m.currentSettings()
 		m.enabled.Store(settings.On)
 		if settings.On {
-			// A panic while sampling is logged. The effects are then reset, and sampling starts again.
+			// A panic while sampling is logged. The effects are then reset, and sampling starts again without a delay.
+			// A panic that repeats at each sample recurs once per read interval, since the first sample is taken one
+			// interval after the start. One that repeats before the first sample would recur without any delay.
 			s.recoverPanic(func() error {
 				s.sampleUntilChanged(ctx, settings)
 				return nil
 			})
 		}
 		m.reset()
-		// This sets the result limit. The two effects are equal, so it signals no change of health; watchHealth
-		// finds one at its next tick.
-		s.applyEffects(calmEffects, calmEffects)
+		// Sets the gate's limit on the bytes of kept results to its value without pressure. The previous and the
+		// current effects are passed as equal, so no change of health is signaled; watchHealth finds one at its next
+		// tick.
+		s.applyEffects(defaultEffects, defaultEffects)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -151,12 +155,12 @@
 	}
 }
 
-// reset admits all RPCs.
+// reset sets the admitted shares, the effects and the level to their values without pressure.
 func (m *monitor) reset() {
 	for k := range m.admitShare {
 		m.admitShare[k].Store(fullShare)
 	}
-	m.effects.Store(&calmEffects)
+	m.effects.Store(&defaultEffects)
 	m.level.Store(int32(pressure.Calm))
 }
 
@@ -246,7 +250,8 @@
 	reading[pressure.PendingReplies] = float64(m.replyBytes.Load()) / (float64(c.Memory) / requestMemoryShare)
 }
 
-// applyEffects pushes the effects that nobody polls: the gate's memory for results, and health.
+// applyEffects passes on the effects that are not polled: it sets the gate's limit on the bytes of kept results, and
+// signals a change of health to watchHealth.
 func (s *Server) applyEffects(previous, current pressure.Effects) {
 	s.gate.SetResultLimit(int(float64(s.config.Load().Memory/resultMemoryShare) * current.ResultFactor))
 	if previous.Healthy != current.Healthy {
--- a/server/monitor_test.go
+++ b/server/monitor_test.go
@@ -48,7 +48,7 @@
 	h.endRun(2, "fine", "two")
 	r.printReplies(2)
 	fmt.Println("rejected:", h.monitor.rejected.Load())
-	h.forceEffects(calmEffects, 1, 1)
+	h.forceEffects(defaultEffects, 1, 1)
 	r.execute(7)
 	h.printKernelCommand()
 	h.endRun(7, "fine", "seven")
--- a/server/server.go
+++ b/server/server.go
@@ -156,7 +156,7 @@
 	s.group.Go(func() error { return s.dispatch(runCtx) })
 	s.group.Go(func() error { return s.runTicks(runCtx) })
 	s.group.Go(func() error { return s.watchHealth(runCtx) })
-	s.group.Go(func() error { return s.monitorSelf(runCtx) })
+	s.group.Go(func() error { return s.runMonitor(runCtx) })
 	s.group.Go(func() error {
 		select { // without the kernel the app server can answer nothing, so it does not report to the roster
 		case <-runCtx.Done():
