--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -42,12 +42,12 @@
 
 // requestMixSite returns the settings of an app server that serves requestMix.
 func requestMixSite(deadline time.Duration) rig.Site {
-	d := deadline.Seconds()
+	deadlineSeconds := deadline.Seconds()
 	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 16,
 		MarksRetry: true, MaxRetryAfterSeconds: 5, Methods: []rig.SiteMethod{
-			{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: d / 2, Deadline: d, Criticality: 1},
-			{Name: "record", Kind: string(rpc.Tokened), LatencyTarget: d / 2, Deadline: d, Window: 60, Criticality: 5},
-			{Name: "notify", Kind: string(rpc.NonIdempotent), LatencyTarget: d / 2, Deadline: d, Criticality: 2}}}
+			{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Criticality: 1},
+			{Name: "record", Kind: string(rpc.Tokened), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Window: 60, Criticality: 5},
+			{Name: "notify", Kind: string(rpc.NonIdempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Criticality: 2}}}
 }
 
 func kindsOf(shares []rig.Share) map[string]rpc.Kind {
--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -22,12 +22,12 @@
 // halfOutageResult is the result of the outage with one kind of client.
 type halfOutageResult struct {
 	outcome rig.Outcome
-	check   *rig.Checker
+	checker   *rig.Checker
 }
 
 // triesPerRPC returns the mean number of tries of an RPC.
 func (r halfOutageResult) triesPerRPC() float64 {
-	return float64(r.check.Count("tries")) / float64(r.outcome.Requested)
+	return float64(r.checker.Count("tries")) / float64(r.outcome.Requested)
 }
 
 // runHalfOutage kills half of the app servers for some seconds, under the client library and under the naive client. Each
@@ -55,12 +55,12 @@
 	run.report("naive.tries.per.rpc", naive.triesPerRPC())
 	run.atLeast("criticality.served", library.outcome.Criticality, math.Floor(naive.outcome.Criticality*1e4)/1e4)
 	run.report("naive.criticality.served", naive.outcome.Criticality)
-	run.report("naive.double.runs", float64(naive.check.Count("double.runs")))
+	run.report("naive.double.runs", float64(naive.checker.Count("double.runs")))
 	for name, m := range library.outcome.ByMethod {
 		run.printNote("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Requested, float64(m.Latencies.ValueAtQuantile(99))/1000,
 			naive.outcome.ByMethod[name].OK, naive.outcome.ByMethod[name].Requested)
 	}
-	note(library.check)
+	note(library.checker)
 	return nil
 }
 
@@ -69,15 +69,15 @@
 	newCaller func(k int, addresses []string) (rig.Caller, error),
 ) (r halfOutageResult, err error) {
 	length := run.scaled(8 * time.Second)
-	r.check = rig.NewChecker(2 * slack)
-	f, err := rig.NewFleet(run.Program, halfOutageServers, requestMixSite(halfOutageDeadline), r.check)
+	r.checker = rig.NewChecker(2 * slack)
+	fleet, err := rig.NewFleet(run.Program, halfOutageServers, requestMixSite(halfOutageDeadline), r.checker)
 	if err != nil {
 		return r, err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	var callers []rig.Caller
 	for k := range halfOutageClients {
-		c, err := newCaller(k, f.Addresses())
+		c, err := newCaller(k, fleet.Addresses())
 		if err != nil {
 			return r, err
 		}
@@ -86,16 +86,16 @@
 	}
 	var outage sync.WaitGroup
 	var errOutage error
-	outage.Go(func() { errOutage = killHalf(f, length) })
+	outage.Go(func() { errOutage = killHalf(fleet, length) })
 	r.outcome = rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return halfOutageRate }, Duration: length, Prefix: "b",
-		Shares: requestMix(0.01, halfOutageDeadline)}.Run(context.Background(), r.check, callers...)
+		Shares: requestMix(0.01, halfOutageDeadline)}.Run(context.Background(), r.checker, callers...)
 	outage.Wait()
 	return r, errOutage
 }
 
 // killHalf kills half of a fleet's programs after a quarter of length, and starts them again after three quarters.
-func killHalf(f *rig.Fleet, length time.Duration) error {
-	half := f.Programs[:len(f.Programs)/2]
+func killHalf(fleet *rig.Fleet, length time.Duration) error {
+	half := fleet.Programs[:len(fleet.Programs)/2]
 	time.Sleep(length / 4)
 	for _, program := range half {
 		program.Kill()
@@ -112,14 +112,14 @@
 // list of app servers, deadlines shorter than a round trip, several seconds in which every RPC is refused, a refusal that
 // arrives as the deadline ends.
 func (run *experimentRun) runUncommonFaults(note func(*rig.Checker)) error {
-	check := rig.NewChecker(2 * slack)
-	f, err := rig.NewFleet(run.Program, 3, requestMixSite(500*time.Millisecond), check)
+	checker := rig.NewChecker(2 * slack)
+	fleet, err := rig.NewFleet(run.Program, 3, requestMixSite(500*time.Millisecond), checker)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	listUpdates := make(chan []string, 1)
-	current := f.Addresses()
+	current := fleet.Addresses()
 	resolve := func(context.Context) ([]string, error) {
 		select {
 		case current = <-listUpdates:
@@ -134,27 +134,27 @@
 	defer c.Close()
 	load := func(prefix string, rate float64, length, deadline time.Duration) rig.Outcome {
 		return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
-			Shares: requestMix(0.004, deadline)}.Run(context.Background(), check, clientCaller{c, kindsOf(requestMix(0, 0))})
+			Shares: requestMix(0.004, deadline)}.Run(context.Background(), checker, clientCaller{c, kindsOf(requestMix(0, 0))})
 	}
 	var faults sync.WaitGroup
 	faults.Go(func() {
 		time.Sleep(500 * time.Millisecond)
-		f.Proxies[0].SetBlackhole(true) // accepts connections and never replies
-		f.Proxies[1].TrickleReplies(7)
+		fleet.Proxies[0].SetBlackhole(true) // accepts connections and never replies
+		fleet.Proxies[1].TrickleReplies(7)
 		listUpdates <- nil // the list of app servers is empty for a while
 		time.Sleep(2 * time.Second)
-		listUpdates <- f.Addresses()
-		f.Proxies[0].SetBlackhole(false)
-		f.Proxies[1].TrickleReplies(0)
+		listUpdates <- fleet.Addresses()
+		fleet.Proxies[0].SetBlackhole(false)
+		fleet.Proxies[1].TrickleReplies(0)
 	})
 	outcome := load("c", 120, 4*time.Second, 500*time.Millisecond) // the faults last for the first 2.5 s
 	faults.Wait()
 	run.atLeast("silent.and.trickling.ok", float64(outcome.OK)/float64(outcome.Requested), 0.9)
 	// With deadlines shorter than a round trip nothing may be sent late, and every RPC must end.
-	f.Proxies[0].SetDelay(5 * time.Millisecond)
+	fleet.Proxies[0].SetDelay(5 * time.Millisecond)
 	short := load("d", 150, time.Second, 2*time.Millisecond)
 	run.report("short.deadlines.ok", float64(short.OK)/float64(short.Requested))
-	f.Proxies[0].SetDelay(0)
-	note(check)
+	fleet.Proxies[0].SetDelay(0)
+	note(checker)
 	return run.runRefusals()
 }
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -76,14 +76,14 @@
 	if run.shortForm {
 		clients = 50
 	}
-	check := rig.NewChecker(4 * slack) // a thousand clients in one process delay each other
-	f, err := rig.NewFleet(run.Program, 1, requestMixSite(time.Second), check)
+	checker := rig.NewChecker(4 * slack) // a thousand clients in one process delay each other
+	fleet, err := rig.NewFleet(run.Program, 1, requestMixSite(time.Second), checker)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer fleet.Close()
 	log := &reconnectLog{}
-	callers, err := run.reconnectCallers(clients, f.Addresses(), log)
+	callers, err := run.reconnectCallers(clients, fleet.Addresses(), log)
 	for _, c := range callers {
 		defer c.Close()
 	}
@@ -96,12 +96,12 @@
 		Shares: requestMix(0.0005, time.Second), Prefix: "a"}
 	var loadDone sync.WaitGroup
 	var outcome rig.Outcome
-	loadDone.Go(func() { outcome = load.Run(ctx, check, callers...) })
+	loadDone.Go(func() { outcome = load.Run(ctx, checker, callers...) })
 	time.Sleep(2500 * time.Millisecond)
-	f.Proxies[0].SetDown(true)
+	fleet.Proxies[0].SetDown(true)
 	time.Sleep(outage)
 	log.endOutage()
-	f.Proxies[0].SetDown(false)
+	fleet.Proxies[0].SetDown(false)
 	log.waitFor(clients)
 	cancel()
 	loadDone.Wait()
@@ -109,7 +109,7 @@
 		return err
 	}
 	run.report("reconnect.ok.share", float64(outcome.OK)/float64(max(outcome.Requested, 1)))
-	note(check)
+	note(checker)
 	return nil
 }
 
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -87,29 +87,29 @@
 		return err
 	}
 	defer caller.Close()
-	asked, withoutError := callRefused(caller, run.scaled(4*time.Second))
+	requested, withoutError := callRefused(caller, run.scaled(4*time.Second))
 	script.mu.Lock()
 	defer script.mu.Unlock()
 	run.exactly("pushback.early", float64(script.early), 0)
 	run.exactly("pushback.forbidden", float64(script.forbidden), 0)
 	run.exactly("pushback.late", float64(script.late), 0)
 	run.exactly("pushback.without.answer", float64(withoutError), 0)
-	run.report("pushback.sent.share", float64(len(script.refusals))/float64(asked))
+	run.report("pushback.sent.share", float64(len(script.refusals))/float64(requested))
 	return nil
 }
 
 // callRefused sends RPCs for length. It returns how many were sent, and how many of them did not end with a *client.Error
 // by their deadline.
-func callRefused(c *client.Client, length time.Duration) (asked int, withoutError int64) {
+func callRefused(c *client.Client, length time.Duration) (requested int, withoutError int64) {
 	var withoutErrorCount atomic.Int64
 	var all sync.WaitGroup
-	for begin := time.Now(); time.Since(begin) < length; asked++ {
+	for begin := time.Now(); time.Since(begin) < length; requested++ {
 		time.Sleep(refusalInterval)
 		method, deadline := "look", refusalDeadline
-		if asked%refusalEdgeEvery == 0 {
+		if requested%refusalEdgeEvery == 0 {
 			method, deadline = refusalEdgeMethod, refusalEdgeDeadline
 		}
-		id := fmt.Sprint("e", asked)
+		id := fmt.Sprint("e", requested)
 		all.Go(func() {
 			ctx, stop := context.WithTimeout(context.Background(), deadline)
 			defer stop()
@@ -122,5 +122,5 @@
 		})
 	}
 	all.Wait()
-	return asked, withoutErrorCount.Load()
+	return requested, withoutErrorCount.Load()
 }
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -135,7 +135,7 @@
 	recoverySeconds float64  // from the last boot until service had recovered
 	finalShare      float64  // share of the RPCs after the slow start and the recovery that were ok
 	outcome         rig.Outcome
-	check           *rig.Checker
+	checker           *rig.Checker
 }
 
 // runCold measures cold app servers under the combined load of all clients, with one client process and with many.
@@ -164,9 +164,9 @@
 		maxDelay = max(maxDelay, result.recoverySeconds-(plan.start.SlowStart()+coldRecovery).Seconds())
 		finalShare = min(finalShare, result.finalShare)
 		for _, name := range forbiddenCounts {
-			counts[name] += float64(result.check.Count(name))
+			counts[name] += float64(result.checker.Count(name))
 		}
-		violations := result.check.Violations()
+		violations := result.checker.Violations()
 		counts["breaches"] += float64(len(violations))
 		for _, violation := range violations[:min(len(violations), 10)] {
 			run.printNote("%s", violation)
@@ -199,16 +199,16 @@
 
 // measureColdPlan runs the plan with processes of one kind of client.
 func (run *experimentRun) measureColdPlan(plan coldPlan, kind string) (*coldResult, error) {
-	result := &coldResult{check: rig.NewChecker(4 * slack)}
-	fleet, err := rig.NewFleet(run.Program, coldServers, plan.site(), result.check)
+	result := &coldResult{checker: rig.NewChecker(4 * slack)}
+	fleet, err := rig.NewFleet(run.Program, coldServers, plan.site(), result.checker)
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Close()
 	arrivals := make([]*rig.Arrivals, coldServers)
-	for k, net := range fleet.Proxies {
+	for k, proxy := range fleet.Proxies {
 		arrivals[k] = &rig.Arrivals{}
-		net.CountArrivals(arrivals[k])
+		proxy.CountArrivals(arrivals[k])
 	}
 	log := &serviceLog{}
 	callers := make([]rig.Caller, plan.clients)
@@ -227,12 +227,12 @@
 	restarts.Go(func() { restartErr = restartColdServers(fleet, plan, boots) })
 	load := rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return plan.rate }, Duration: plan.duration(), Prefix: kind[:1],
 		Shares: requestMix(plan.work, plan.deadline)}
-	result.outcome = load.Run(context.Background(), result.check, callers...)
+	result.outcome = load.Run(context.Background(), result.checker, callers...)
 	restarts.Wait()
 	if restartErr != nil {
 		return nil, restartErr
 	}
-	result.check.Finish()
+	result.checker.Finish()
 	lastBoot := boots[0]
 	for k, boot := range boots {
 		peak := arrivals[k].Peak(plan.start, boot, plan.cores, plan.work)
--- a/cmd/rehearse/cold_service.go
+++ b/cmd/rehearse/cold_service.go
@@ -11,11 +11,11 @@
 // serviceLog records when each RPC was asked for, and whether it was ok. It is safe for concurrent use.
 type serviceLog struct {
 	mu  sync.Mutex
-	all []callOutcome
+	records []serviceRecord
 }
 
-type callOutcome struct {
-	askedAt time.Time
+type serviceRecord struct {
+	requestedAt time.Time
 	ok      bool
 }
 
@@ -25,24 +25,24 @@
 func (s *serviceLog) add(at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, callOutcome{at, ok})
+	s.records = append(s.records, serviceRecord{at, ok})
 }
 
 // share returns the share of the RPCs asked for within span after from that were ok.
 func (s *serviceLog) share(from time.Time, span time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asked, ok := 0, 0
-	for _, r := range s.all {
-		if r.askedAt.Before(from) || !r.askedAt.Before(from.Add(span)) {
+	requested, ok := 0, 0
+	for _, record := range s.records {
+		if record.requestedAt.Before(from) || !record.requestedAt.Before(from.Add(span)) {
 			continue
 		}
-		asked++
-		if r.ok {
+		requested++
+		if record.ok {
 			ok++
 		}
 	}
-	return float64(ok) / float64(max(asked, 1))
+	return float64(ok) / float64(max(requested, 1))
 }
 
 // recoveredAt returns the first time after a boot from which at least recoveredShare of a span's RPCs were ok. It searches
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -101,7 +101,7 @@
 	results     []*trialResult
 	failed      []*trialResult
 	setupErrors []error
-	undecided   int // trials with only timing violations, while the machine was overloaded in each repeat
+	inconclusive   int // trials with only timing violations, while the machine was overloaded in each repeat
 }
 
 // runTrials runs the given number of trials in parallel and returns those with violations.
@@ -138,7 +138,7 @@
 	totals.results = append(totals.results, result)
 	switch {
 	case result.inconclusive():
-		totals.undecided++
+		totals.inconclusive++
 		result.print(run)
 	case len(result.violations) > 0:
 		totals.failed = append(totals.failed, result)
@@ -146,8 +146,8 @@
 	}
 }
 
-// maxUndecidedShare is the maximum share of trials that may stay undecided because the machine is busy.
-const maxUndecidedShare = 0.1
+// maxInconclusiveShare is the maximum share of trials that may stay undecided because the machine is busy.
+const maxInconclusiveShare = 0.1
 
 // maxTrialRepeats is the maximum number of repeats of an inconclusive trial.
 const maxTrialRepeats = 2
@@ -191,7 +191,7 @@
 		run.atLeast("ready.within.10s", float64(ready)/float64(restarts), 0.9)
 	}
 	run.exactly("trials.not.played", float64(len(totals.setupErrors)), 0)
-	run.atMost("trials.undecided", float64(totals.undecided), maxUndecidedShare*float64(len(totals.results)))
+	run.atMost("trials.undecided", float64(totals.inconclusive), maxInconclusiveShare*float64(len(totals.results)))
 	run.exactly("trials.failed", float64(len(totals.failed)), 0)
 }
 
--- a/cmd/rehearse/faults_apply.go
+++ b/cmd/rehearse/faults_apply.go
@@ -36,7 +36,7 @@
 		s.reload(s.config(s.program))
 	case drawn.ReloadMoved:
 		if err := kernel.Move(); err != nil {
-			s.check.RigFailed("%v", err)
+			s.checker.RigFailed("%v", err)
 		}
 		s.reload(s.config(s.program))
 	case drawn.ReloadFaulty:
@@ -47,7 +47,7 @@
 	case drawn.KernelDown:
 		forDuration(kernel.TakeDown, func() {
 			if err := kernel.BringUp(); err != nil {
-				s.check.RigFailed("%v", err)
+				s.checker.RigFailed("%v", err)
 			}
 		})
 	case drawn.KernelHung:
@@ -126,7 +126,7 @@
 	if !s.program.Running() {
 		return
 	}
-	s.kills.Add(1)
+	s.killCount.Add(1)
 	s.program.Kill()
 	s.recordExit()
 	time.Sleep(delay)
@@ -142,7 +142,7 @@
 		return
 	}
 	s.awaitSignalHandlers()
-	s.kills.Add(1)
+	s.killCount.Add(1)
 	if secondSignal, ok := map[int]syscall.Signal{1: syscall.SIGHUP, 2: syscall.SIGTERM}[secondSignalNumber]; ok {
 		time.AfterFunc(secondSignalDelay, func() { s.program.Signal(secondSignal) })
 	}
@@ -202,16 +202,16 @@
 	if !s.program.Running() {
 		return
 	}
-	set := func(paused bool) {
+	setPaused := func(paused bool) {
 		s.mu.Lock()
 		s.paused, s.excusedUntil = paused, time.Now()
 		s.mu.Unlock()
-		s.check.SetPaused(s.program.Name, paused)
+		s.checker.SetPaused(s.program.Name, paused)
 		s.program.SetPaused(paused)
 	}
-	set(true)
+	setPaused(true)
 	time.Sleep(duration)
-	set(false)
+	setPaused(false)
 }
 
 // reload replaces the configuration file and signals the process to reload it.
@@ -223,7 +223,7 @@
 	}
 	s.awaitSignalHandlers()
 	if err := s.program.WriteConfigText(text); err != nil {
-		s.check.RigFailed("%v", err)
+		s.checker.RigFailed("%v", err)
 		return
 	}
 	s.program.Signal(syscall.SIGHUP)
@@ -238,7 +238,7 @@
 	s.roster.Stop()
 	time.Sleep(duration)
 	if err := s.roster.Restart(); err != nil {
-		s.check.RigFailed("%v", err)
+		s.checker.RigFailed("%v", err)
 	}
 }
 
@@ -251,7 +251,7 @@
 
 // badClients runs clients that send malformed messages for the given duration.
 func (s *trialServer) badClients(f drawn.Fault, duration time.Duration) {
-	clients := rig.NewBadClients(s.program.Name, s.program.Address, s.testCase.Settings.Methods[0].Name, f.Size, s.check,
+	clients := rig.NewBadClients(s.program.Name, s.program.Address, s.testCase.Settings.Methods[0].Name, f.Size, s.checker,
 		s.testCase.Seed)
 	time.Sleep(duration)
 	answered, ignored := clients.Close()
@@ -288,7 +288,7 @@
 		return
 	}
 	if err := s.program.FillLog(); err != nil {
-		s.check.RigFailed("cannot fill the pipe of the process's log: %v", err)
+		s.checker.RigFailed("cannot fill the pipe of the process's log: %v", err)
 	}
 	if duration > 0 {
 		time.Sleep(duration)
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -29,8 +29,8 @@
 	deadline, window time.Duration
 }
 
-// callOutcomes counts the outcomes of the RPCs of one app server.
-type callOutcomes struct {
+// outcomeCounts counts the outcomes of the RPCs of one app server.
+type outcomeCounts struct {
 	mu       sync.Mutex
 	total    int
 	byResult map[string]int
@@ -107,7 +107,7 @@
 	if load.PaddingBytes > 0 {
 		id += "-" + strings.Repeat("x", load.PaddingBytes)
 	}
-	c := &trialCall{trialServer: s, peer: peer, method: method, id: id, criticality: random.Float64(), killsAtStart: s.kills.Load()}
+	c := &trialCall{trialServer: s, peer: peer, method: method, id: id, criticality: random.Float64(), killsAtStart: s.killCount.Load()}
 	c.body = rig.EncodeBody(id, 0)
 	c.work = min(method.Work*random.ExpFloat64(), 5*method.Work)
 	if load.ResultBytes > 0 {
@@ -203,7 +203,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.retriesForbidden || c.killsAtStart != c.kills.Load() || !now.Before(c.deadline) {
+	if c.retriesForbidden || c.killsAtStart != c.killCount.Load() || !now.Before(c.deadline) {
 		return false
 	}
 	return c.token == "" || now.Before(c.receivedAt.Add(c.method.window-windowMargin))
@@ -243,7 +243,7 @@
 }
 
 // record counts an RPC's outcome.
-func (o *callOutcomes) record(c *trialCall, outcome rig.PeerOutcome, sent bool) {
+func (o *outcomeCounts) record(c *trialCall, outcome rig.PeerOutcome, sent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.byResult == nil {
@@ -276,7 +276,7 @@
 }
 
 // checkServed reports app servers that served no easy RPC although they had no fault, and those that answered no bad client.
-func (o *callOutcomes) checkServed(s *trialServer) {
+func (o *outcomeCounts) checkServed(s *trialServer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !s.hadFault && o.easy >= minEasyRPCs && o.served == 0 {
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -22,18 +22,18 @@
 	proxy    *rig.FaultProxy // between the routers and the app server
 	probe    *rig.HealthProbe
 	peers    []*rig.Peer
-	outcomes callOutcomes
-	kills    atomic.Int64 // number of processes that have ended; tokens do not outlive their process
+	outcomes outcomeCounts
+	killCount    atomic.Int64 // number of processes that have ended; tokens do not outlive their process
 
 	lifecycle          sync.Mutex // held while the process is started or ended
 	mu                 sync.Mutex
 	launchedAt         time.Time // zero while no process runs
 	excusedUntil       time.Time // time up to which missing answers are excused, because of a pause
 	paused             bool
-	leaving            bool // it is shutting down
+	shuttingDown            bool // it is shutting down
 	limitReported      bool // a violation of its limits has been reported, which happens once
 	ready              bool // the probe has seen it healthy
-	logs               string
+	exitLog               string
 	linkFaults         rig.LinkFaults
 	hadFault           bool     // a fault was applied to it
 	badClientsAnswered int      // messages of bad clients that got a reply
@@ -46,13 +46,13 @@
 	name := serverName(number)
 	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs,
 		Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
-		Roster: t.roster.Address(), Check: t.check, Config: s.config})
+		Roster: t.roster.Address(), Check: t.checker, Config: s.config})
 	if err != nil {
 		return nil, err
 	}
 	s.program = program
 	s.probe = rig.NewHealthProbe(program.Address)
-	if s.proxy, err = rig.NewFaultProxy(name, program.Address, t.check); err != nil {
+	if s.proxy, err = rig.NewFaultProxy(name, program.Address, t.checker); err != nil {
 		return nil, err
 	}
 	if t.testCase.Load.FragmentBytes > 0 {
@@ -103,22 +103,22 @@
 // launchLocked starts the process. The caller holds lifecycle.
 func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
-		s.check.RigFailed("%s cannot be started: %v", s.program.Name, err)
+		s.checker.RigFailed("%s cannot be started: %v", s.program.Name, err)
 		return
 	}
 	s.probe.Restart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.launchedAt, s.paused, s.leaving, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
+	s.launchedAt, s.paused, s.shuttingDown, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
 }
 
 // recordExit records that the process has ended, and keeps its log.
 func (s *trialServer) recordExit() {
-	s.kills.Add(1)
+	s.killCount.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.launchedAt = time.Time{}
-	s.logs = s.program.Log()
+	s.exitLog = s.program.Log()
 }
 
 // watch checks the process and records its waits for a core, until ctx ends.
@@ -141,7 +141,7 @@
 func (s *trialServer) checkProcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.launchedAt.IsZero() || s.paused || s.leaving || !s.program.Running() {
+	if s.launchedAt.IsZero() || s.paused || s.shuttingDown || !s.program.Running() {
 		return
 	}
 	if healthyAt := s.probe.HealthyAt(); !s.ready && !healthyAt.IsZero() {
@@ -192,7 +192,7 @@
 // killed during the shutdown.
 func (s *trialServer) shutDown() {
 	s.mu.Lock()
-	s.leaving = true
+	s.shuttingDown = true
 	s.mu.Unlock()
 	if s.decoded.StopMS > maxStopWait.Seconds()*1000 {
 		s.program.RequestShutdown()
@@ -211,13 +211,13 @@
 func (s *trialServer) checkLogAndLoad() {
 	if s.run.Logs != "" {
 		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.testCase.Seed, s.program.Name))
-		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
+		if err := os.WriteFile(name, []byte(s.exitLog), 0o644); err != nil {
 			s.run.printNote("%v", err)
 		}
 	}
 	for _, marker := range []string{"panic:", "fatal error:", "DATA RACE"} {
-		if at := strings.Index(s.logs, marker); at >= 0 {
-			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, marker, s.logs[at:])
+		if at := strings.Index(s.exitLog, marker); at >= 0 {
+			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, marker, s.exitLog[at:])
 			break
 		}
 	}
@@ -226,7 +226,7 @@
 
 // logTail returns the last lines of the process's log, for the analysis of a trial.
 func (s *trialServer) logTail() string {
-	lines := strings.Split(strings.TrimSpace(s.logs), "\n")
+	lines := strings.Split(strings.TrimSpace(s.exitLog), "\n")
 	return strings.Join(lines[max(len(lines)-logTailLines, 0):], "\n")
 }
 
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -78,7 +78,7 @@
 	run        *experimentRun
 	testCase   drawn.Case
 	decoded    drawn.ParsedConfig
-	check      *rig.Checker
+	checker      *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
 	directory  string
@@ -128,10 +128,10 @@
 	if t.directory, err = os.MkdirTemp("", "faults"); err != nil {
 		return err
 	}
-	t.check = rig.NewChecker(checkTolerance)
-	t.check.ExpectResendAfterClose()
+	t.checker = rig.NewChecker(checkTolerance)
+	t.checker.ExpectResendAfterClose()
 	t.catalog = rig.NewCatalog()
-	t.check.CheckServers(t.checkerTerms())
+	t.checker.CheckServers(t.checkerSettings())
 	if t.roster, err = rig.NewRoster(); err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	for k := range t.testCase.Servers {
 		names = append(names, serverName(k))
 	}
-	t.roster.CheckReports(t.check, names...)
+	t.roster.CheckReports(t.checker, names...)
 	for k := range t.testCase.Servers {
 		s, err := t.newServer(k)
 		if err != nil {
@@ -150,13 +150,13 @@
 	return nil
 }
 
-// checkerTerms returns the terms by which the checker judges app servers.
-func (t *trial) checkerTerms() rig.ServerSettings {
-	terms := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
+// checkerSettings returns the terms by which the checker judges app servers.
+func (t *trial) checkerSettings() rig.ServerSettings {
+	settings := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
-		terms.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
+		settings.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
 	}
-	return terms
+	return settings
 }
 
 // kernelConfig returns the configuration of the stand-in kernel of an app server, as the settings describe the kernel.
@@ -262,13 +262,13 @@
 	for _, s := range t.servers {
 		s.checkLogAndLoad()
 	}
-	t.check.Finish()
-	for _, v := range t.check.Violations() {
+	t.checker.Finish()
+	for _, v := range t.checker.Violations() {
 		if v.Rule != callersRule {
 			t.violate("%s%s", v, t.logBeforeExit(v.Description))
 		}
 	}
-	t.result.tries, t.result.runs = t.check.Count("tries"), t.check.Count("runs")
+	t.result.tries, t.result.runs = t.checker.Count("tries"), t.checker.Count("runs")
 }
 
 // logBeforeExit returns the last log lines of a process if the violation says that the process ended by itself, else "".
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -103,7 +103,7 @@
 		}
 	})
 	rig.Load{Seed: run.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: pressureMix(0.004, time.Second),
-		PendingCount: &pending}.Run(ctx, server.check, server.routers...)
+		PendingCount: &pending}.Run(ctx, server.checker, server.routers...)
 	cancel()
 	done.Wait()
 	if foundRate == 0 {
@@ -145,7 +145,7 @@
 		sendLoad := func(prefix string, rate float64, length time.Duration,
 			after func(rig.Share, string, string, []byte, error)) rig.Outcome {
 			return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
-				Shares: pressureMix(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
+				Shares: pressureMix(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.checker, s.routers...)
 		}
 		sendLoad("a", baseRate, 1500*time.Millisecond, nil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -160,7 +160,7 @@
 			}
 			time.Sleep(300 * time.Millisecond) // then repeat an RPC that was served
 			deadline := time.Now().Add(time.Second)
-			s.check.RepeatRPC(id, deadline)
+			s.checker.RepeatRPC(id, deadline)
 			ctx, stop := context.WithDeadline(context.Background(), deadline)
 			defer stop()
 			_, err = s.routers[0].Call(ctx, share.Method, token, share.Criticality, body)
@@ -175,7 +175,7 @@
 		checks.Wait()
 		result.levels = levelChanges(s.Programs[0].Log())
 		if on { // with shedding off the program is expected to fall behind
-			collectViolations(s.check)
+			collectViolations(s.checker)
 		}
 		return result, nil
 	}
@@ -242,11 +242,11 @@
 		shares := pressureMix(0.001, time.Second)
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
 		result.outcome = rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: duration, Prefix: "l",
-			TokenPadding: 110, Shares: shares}.Run(context.Background(), s.check, s.routers...)
+			TokenPadding: 110, Shares: shares}.Run(context.Background(), s.checker, s.routers...)
 		result.peak, result.killed = s.PeakResidentBytes(), s.Killed()
 		result.levels = levelChanges(s.Programs[0].Log())
 		if on {
-			collectViolations(s.check)
+			collectViolations(s.checker)
 		}
 		return result, nil
 	}
@@ -282,7 +282,7 @@
 	defer s.close()
 	sendLoad := func(prefix string, rate float64, duration time.Duration) rig.Outcome {
 		return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: duration, Prefix: prefix,
-			Shares: pressureMix(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
+			Shares: pressureMix(work, time.Second)}.Run(context.Background(), s.checker, s.routers...)
 	}
 	sendLoad("w", rate/3, run.scaled(time.Second))
 	duration := run.scaled(4 * time.Second)
@@ -316,7 +316,7 @@
 		run.printNote("few cores: pressure level %s, was %s, causes %s", change.Level, change.From, change.Causes)
 	}
 	run.exactly("not.our.own.refused", refused, 0)
-	collectViolations(s.check)
+	collectViolations(s.checker)
 	return nil
 }
 
@@ -339,14 +339,14 @@
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 	rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return capacity }, Duration: duration, Prefix: "e",
-		Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
+		Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.checker, s.routers...)
 	changes := levelChanges(s.Programs[0].Log())
 	for _, change := range changes {
 		run.printNote("edge: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
 			change.Refused)
 	}
 	run.atMost("flaps", float64(countFlaps(changes)), 2)
-	collectViolations(s.check)
+	collectViolations(s.checker)
 	return nil
 }
 
@@ -392,13 +392,13 @@
 		s := []*pressureServer{on, off}[k%2]
 		before := s.Programs[0].CPUTime()
 		outcome := rig.Load{Seed: run.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
-			Prefix: "c" + string(rune('a'+k)), Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
+			Prefix: "c" + string(rune('a'+k)), Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.checker, s.routers...)
 		cpuSeconds[k%2] += (s.Programs[0].CPUTime() - before).Seconds()
 		requested[k%2] += float64(outcome.Requested)
 	}
 	run.report("calm.cpu.us", cpuSeconds[0]/requested[0]*1e6)
 	run.report("off.calm.cpu.us", cpuSeconds[1]/requested[1]*1e6)
 	run.atMost("calm.cost", cpuSeconds[0]/requested[0]/(cpuSeconds[1]/requested[1]), 1.03)
-	collectViolations(on.check)
+	collectViolations(on.checker)
 	return nil
 }
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -139,21 +139,21 @@
 // pressureServer is one app server with its simulated kernel, its checker and its callers.
 type pressureServer struct {
 	*rig.Fleet
-	check   *rig.Checker
+	checker   *rig.Checker
 	routers []rig.Caller
 }
 
 // startPressureServer starts an app server with some arguments and callers. slack is the tolerance of the checker. The caller
 // must close the server.
-func (run *experimentRun) startPressureServer(site rig.Site, args []string, slack time.Duration,
+func (run *experimentRun) startPressureServer(site rig.Site, args []string, tolerance time.Duration,
 	callers int) (*pressureServer, error) {
 	site.Args = args
-	check := rig.NewChecker(slack)
-	fleet, err := rig.NewFleet(run.Program, 1, site, check)
+	checker := rig.NewChecker(tolerance)
+	fleet, err := rig.NewFleet(run.Program, 1, site, checker)
 	if err != nil {
 		return nil, err
 	}
-	s := &pressureServer{Fleet: fleet, check: check}
+	s := &pressureServer{Fleet: fleet, checker: checker}
 	for k := range callers {
 		s.routers = append(s.routers, rig.NewRouter(k+1, fleet.Addresses()[0]))
 	}
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -35,7 +35,7 @@
 // restartFleet is the fleet under test with its callers and idle clients.
 type restartFleet struct {
 	*rig.Fleet
-	check     *rig.Checker
+	checker     *rig.Checker
 	calls     *callLog
 	load      sync.WaitGroup
 	stop      context.CancelFunc
@@ -73,15 +73,15 @@
 	windows = append(windows, restartedWindow)
 	sampler.close(run)
 	for _, w := range windows {
-		run.judgeAnswered(f, w)
+		run.checkAnswered(f, w)
 	}
 	f.stopIdle()
 	f.stopLoad()
-	run.judgeDescriptorsLeftOver(f, before)
+	run.checkDescriptorsLeftOver(f, before)
 	var violations violationLog
-	violations.collect(f.check)
+	violations.collect(f.checker)
 	for _, name := range []string{"turned.away", "crossed"} {
-		run.report(name, float64(f.check.Count(name)))
+		run.report(name, float64(f.checker.Count(name)))
 	}
 	violations.report(run)
 	return nil
@@ -90,13 +90,13 @@
 func (run *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
 	site := pressureMixSite(4, 30)
 	site.Sockets = restartSockets
-	check := rig.NewChecker(clusterSlack)
-	check.ExpectResendAfterClose()
-	fleet, err := rig.NewFleet(run.Program, count, site, check)
+	checker := rig.NewChecker(clusterSlack)
+	checker.ExpectResendAfterClose()
+	fleet, err := rig.NewFleet(run.Program, count, site, checker)
 	if err != nil {
 		return nil, err
 	}
-	return &restartFleet{Fleet: fleet, check: check, calls: newCallLog()}, nil
+	return &restartFleet{Fleet: fleet, checker: checker, calls: newCallLog()}, nil
 }
 
 func (f *restartFleet) close() {
@@ -145,7 +145,7 @@
 func (f *restartFleet) runLoad(ctx context.Context, server string, caller *retryingCaller, seed uint64) {
 	load := rig.Load{Seed: seed, Duration: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
 		Shares: pressureMix(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
-	load.Run(ctx, f.check, recordingCaller{caller, f.calls, server})
+	load.Run(ctx, f.checker, recordingCaller{caller, f.calls, server})
 }
 
 func (f *restartFleet) stopLoad() {
@@ -198,7 +198,7 @@
 	returned := time.Now()
 	for _, s := range f.Programs {
 		if err := s.Kernel.BringUp(); err != nil {
-			f.check.RigFailed("%v", err)
+			f.checker.RigFailed("%v", err)
 		}
 	}
 	maxDelay := 0.0
@@ -240,11 +240,11 @@
 }
 
 // end makes the kernel available again.
-func (l lateKernel) end(check *rig.Checker) {
+func (l lateKernel) end(checker *rig.Checker) {
 	if l.withholdsBooted {
 		l.server.Kernel.ReleaseNotices()
 	} else if err := l.server.Kernel.BringUp(); err != nil {
-		check.RigFailed("%v", err)
+		checker.RigFailed("%v", err)
 	}
 }
 
@@ -266,7 +266,7 @@
 		})
 	}
 	var returns sync.WaitGroup
-	judgedFrom := map[string]time.Time{}
+	readyTimeFrom := map[string]time.Time{}
 	for _, l := range late {
 		mode := "refuses"
 		if l.withholdsBooted {
@@ -274,12 +274,12 @@
 		}
 		run.printNote("kernel of %s %s for %.1f s", l.server.Name, mode, l.delay.Seconds())
 		if l.delay > run.scaled(restartReadyTimeout) {
-			judgedFrom[l.server.Name] = began.Add(l.delay)
+			readyTimeFrom[l.server.Name] = began.Add(l.delay)
 			run.printNote("%s is judged from its kernel's return", l.server.Name)
 		}
 		returns.Go(func() {
 			time.Sleep(time.Until(began.Add(l.delay)))
-			l.end(f.check)
+			l.end(f.checker)
 		})
 	}
 	restarts.Wait()
@@ -292,13 +292,13 @@
 		return callWindow{}, err
 	}
 	returns.Wait()
-	run.judgeReadiness(f, began, returned, judgedFrom, late)
+	run.checkReadiness(f, began, returned, readyTimeFrom, late)
 	return f.measureWindow("restarted", func() { time.Sleep(run.scaled(6 * time.Second)) }), nil
 }
 
-// judgeReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
+// checkReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
 // received its report and it has served an RPC since its start.
-func (run *experimentRun) judgeReadiness(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time,
+func (run *experimentRun) checkReadiness(f *restartFleet, began, rosterBack time.Time, readyTimeFrom map[string]time.Time,
 	late []lateKernel) {
 	readyInTime, maxRosterDelay, maxLinkDelay, lastReported := 0, 0.0, 0.0, ""
 	var readyTimes []float64
@@ -307,7 +307,7 @@
 		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstReported(s.Name); return at })
 		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(s.Name, began) })
 		from := began
-		if at, ok := judgedFrom[s.Name]; ok {
+		if at, ok := readyTimeFrom[s.Name]; ok {
 			from = at
 		}
 		ready := max(secondsAfter(linked, from), secondsAfter(reported, from), secondsAfter(served, from))
@@ -337,8 +337,8 @@
 	run.printNote("last on the roster: %s", lastReported)
 }
 
-// judgeAnswered judges the RPCs of one window.
-func (run *experimentRun) judgeAnswered(f *restartFleet, w callWindow) {
+// checkAnswered judges the RPCs of one window.
+func (run *experimentRun) checkAnswered(f *restartFleet, w callWindow) {
 	run.atLeast("answered."+w.name, w.answeredShare(), 0.99)
 	w.report(run)
 	if len(w.failures) > 0 {
@@ -346,8 +346,8 @@
 	}
 }
 
-// judgeDescriptorsLeftOver compares the descriptor counts with those before, once all clients have left.
-func (run *experimentRun) judgeDescriptorsLeftOver(f *restartFleet, before []int) {
+// checkDescriptorsLeftOver compares the descriptor counts with those before, once all clients have left.
+func (run *experimentRun) checkDescriptorsLeftOver(f *restartFleet, before []int) {
 	maxExcess := math.MaxInt
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && maxExcess > 0; time.Sleep(50 * time.Millisecond) {
 		maxExcess = math.MinInt
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -71,7 +71,7 @@
 type callRecord struct {
 	server        string
 	newConnection bool
-	asked, ended  time.Time
+	requestedAt, endedAt  time.Time
 	err           error
 }
 
@@ -100,8 +100,8 @@
 	defer l.mu.Unlock()
 	first := time.Time{}
 	for _, r := range l.records {
-		if r.server == server && r.err == nil && r.asked.After(since) && (first.IsZero() || r.ended.Before(first)) {
-			first = r.ended
+		if r.server == server && r.err == nil && r.requestedAt.After(since) && (first.IsZero() || r.endedAt.Before(first)) {
+			first = r.endedAt
 		}
 	}
 	return first
@@ -111,7 +111,7 @@
 func (l *callLog) between(from, to time.Time) []callRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(l.records), func(r callRecord) bool { return r.asked.Before(from) || r.asked.After(to) })
+	return slices.DeleteFunc(slices.Clone(l.records), func(r callRecord) bool { return r.requestedAt.Before(from) || r.requestedAt.After(to) })
 }
 
 // recordingCaller adds the result of each RPC to a log.
@@ -123,16 +123,16 @@
 
 // Call implements rig.Caller.
 func (c recordingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	result, err := c.retryingCaller.Call(ctx, method, token, criticality, body)
-	c.log.add(callRecord{c.server, c.connectPerCall, asked, time.Now(), err})
+	c.log.add(callRecord{c.server, c.connectPerCall, requestedAt, time.Now(), err})
 	return result, err
 }
 
 // callWindow holds the results of the RPCs that were asked for during one part of the experiment.
 type callWindow struct {
 	name                    string
-	asked, answered, served int
+	requested, answered, served int
 	failures                []string
 }
 
@@ -144,7 +144,7 @@
 	time.Sleep(restartDeadline + 100*time.Millisecond)
 	w := callWindow{name: name}
 	for _, r := range f.calls.between(from, to) {
-		w.asked++
+		w.requested++
 		if r.err == nil {
 			w.served++
 		}
@@ -152,18 +152,18 @@
 			w.answered++
 		} else {
 			w.failures = append(w.failures, fmt.Sprintf("%s new connection %v after %.2f s: %v", r.server, r.newConnection,
-				r.ended.Sub(r.asked).Seconds(), r.err))
+				r.endedAt.Sub(r.requestedAt).Seconds(), r.err))
 		}
 	}
 	return w
 }
 
-func (w callWindow) answeredShare() float64 { return float64(w.answered) / float64(w.asked) }
+func (w callWindow) answeredShare() float64 { return float64(w.answered) / float64(w.requested) }
 
 // report reports the counts that have no bound.
 func (w callWindow) report(run *experimentRun) {
-	run.report("asked."+w.name, float64(w.asked))
-	run.report("served."+w.name, float64(w.served)/float64(w.asked))
+	run.report("asked."+w.name, float64(w.requested))
+	run.report("served."+w.name, float64(w.served)/float64(w.requested))
 }
 
 // descriptorSampler samples the descriptor counts of the processes.
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -80,8 +80,8 @@
 		maxVersions = max(maxVersions, countMemberChanges(on, name, "n11", from+1, from+11))
 	}
 	run.atMost("versions.by.flapping", float64(maxVersions), 4)
-	_, toldAt := on.History.CountLines("n10", "newer incarnation of this name", from)
-	run.atMost("named.twice.told", toldAt-from-0.5, 5)
+	_, reportedAt := on.History.CountLines("n10", "newer incarnation of this name", from)
+	run.atMost("named.twice.told", reportedAt-from-0.5, 5)
 	run.atMost("named.twice.resolved", reportDelay(on, "n10", "restarted", from, untouched)-0.5, 5)
 	aliveAt := func(name string, t float64) bool {
 		return !slices.Contains([]string{"n11", "n12", "n10"}, name) && (name != "n9" || t > from+6)
@@ -171,18 +171,18 @@
 		return err
 	}
 	defer pair.close()
-	on, bare := pair.clusters[0], pair.clusters[1]
+	on, gossipOnly := pair.clusters[0], pair.clusters[1]
 	var group sync.WaitGroup
 	names := nodeNames(n)
 	run.atMost("joined.all", run.awaitSameView(on, 15*time.Second, n, names), 10)
-	run.report("joined.all.bare", run.awaitSameView(bare, 15*time.Second, n, names))
+	run.report("joined.all.bare", run.awaitSameView(gossipOnly, 15*time.Second, n, names))
 
 	// Packet loss, jitter and duplication, while one process gets little processor time.
-	loadOver := make(chan struct{})
+	loadDone := make(chan struct{})
 	var outcomes map[string]rig.Outcome
 	duration := run.scaled(30 * time.Second)
 	go func() {
-		defer close(loadOver)
+		defer close(loadDone)
 		outcomes = run.loadCluster(on, duration, 15, names)
 	}()
 	from := on.History.Elapsed()
@@ -221,15 +221,15 @@
 		partitioned = max(partitioned, delay)
 	}
 	run.atMost("narrow.said", partitioned, 6)
-	bareSettled, _ := bare.WaitUntil(10*time.Second, func() bool {
-		return bare.History.AgreeOnMembers(4, small...) && bare.History.AgreeOnMembers(8, large...)
+	gossipOnlyConverged, _ := gossipOnly.WaitUntil(10*time.Second, func() bool {
+		return gossipOnly.History.AgreeOnMembers(4, small...) && gossipOnly.History.AgreeOnMembers(8, large...)
 	})
-	run.report("settled.after.cut.bare", bareSettled)
+	run.report("settled.after.cut.bare", gossipOnlyConverged)
 	if err := pair.onEach(func(cluster *rig.Cluster) error { return cluster.RunScriptText("0s heal") }); err != nil {
 		return err
 	}
 	run.atMost("rejoined.max", run.awaitSameView(on, 12*time.Second, n, names), 10)
-	_, rejoined := bare.WaitUntil(3*time.Second, func() bool { return bare.History.AgreeOnMembers(n, names...) })
+	_, rejoined := gossipOnly.WaitUntil(3*time.Second, func() bool { return gossipOnly.History.AgreeOnMembers(n, names...) })
 	run.exactly("rejoined.bare", float64(boolToInt(rejoined)), 0)
 
 	// A link cut in one direction only, then a partition in three.
@@ -245,7 +245,7 @@
 		}
 		run.atMost("rejoined.of.three", run.awaitSameView(on, 12*time.Second, n, names), 10)
 	}
-	<-loadOver
+	<-loadDone
 	run.report("service", servedCriticality(outcomes, names))
 	run.exactly("views.differ.at.end", countDivergentViews(on), 0)
 	run.checkViolations(on)
@@ -277,15 +277,15 @@
 	defer cluster.Close()
 	names := nodeNames(n)
 	run.atMost("joined.all", run.awaitSameView(cluster, 15*time.Second, n, names), 10)
-	var loading sync.WaitGroup
+	var loads sync.WaitGroup
 	var outcomes map[string]rig.Outcome
-	loading.Go(func() { outcomes = run.loadCluster(cluster, duration, 15, names) })
+	loads.Go(func() { outcomes = run.loadCluster(cluster, duration, 15, names) })
 	if err := cluster.RunScript(context.Background(), script); err != nil {
 		return err
 	}
 	alive := cluster.Running()
 	run.atMost("settled.after.all", run.awaitSameView(cluster, 20*time.Second, len(alive), alive), 15)
-	loading.Wait()
+	loads.Wait()
 	run.report("service", servedCriticality(outcomes, names))
 	run.exactly("views.differ.at.end", countDivergentViews(cluster), 0)
 	run.checkViolations(cluster)
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -116,8 +116,8 @@
 	// Gossip about the joining continues for a while after the views have converged.
 	traffic := func() (bytes, packets int64) {
 		for _, m := range all {
-			c := m.Stats()
-			bytes, packets = bytes+c.SentBytes+c.GotBytes, packets+c.SentPackets
+			stats := m.Stats()
+			bytes, packets = bytes+stats.SentBytes+stats.GotBytes, packets+stats.SentPackets
 		}
 		return bytes, packets
 	}
--- a/cmd/rehearse/violations.go
+++ b/cmd/rehearse/violations.go
@@ -6,18 +6,18 @@
 const shownViolations = 10
 
 // violationLog collects the violations that the checkers of an experiment found. It is not safe for concurrent use.
-type violationLog struct{ all []rig.Violation }
+type violationLog struct{ violations []rig.Violation }
 
 // collect finishes a checker and adds its violations.
 func (l *violationLog) collect(c *rig.Checker) {
 	c.Finish()
-	l.all = append(l.all, c.Violations()...)
+	l.violations = append(l.violations, c.Violations()...)
 }
 
 // report fails the experiment if there is any violation, and prints the first shownViolations of them.
 func (l *violationLog) report(run *experimentRun) {
-	run.exactly("breaches", float64(len(l.all)), 0)
-	for _, violation := range l.all[:min(len(l.all), shownViolations)] {
+	run.exactly("breaches", float64(len(l.violations)), 0)
+	for _, violation := range l.violations[:min(len(l.violations), shownViolations)] {
 		run.printNote("%s", violation)
 	}
 }
