--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -22,7 +22,7 @@
 // halfOutageResult is the result of the outage with one kind of client.
 type halfOutageResult struct {
 	outcome rig.Outcome
-	checker   *rig.Checker
+	checker *rig.Checker
 }
 
 // triesPerRPC returns the mean number of tries of an RPC.
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -135,7 +135,7 @@
 	recoverySeconds float64  // from the last boot until service had recovered
 	finalShare      float64  // share of the RPCs after the slow start and the recovery that were ok
 	outcome         rig.Outcome
-	checker           *rig.Checker
+	checker         *rig.Checker
 }
 
 // runCold measures cold app servers under the combined load of all clients, with one client process and with many.
--- a/cmd/rehearse/cold_service.go
+++ b/cmd/rehearse/cold_service.go
@@ -10,13 +10,13 @@
 
 // serviceLog records when each RPC was asked for, and whether it was ok. It is safe for concurrent use.
 type serviceLog struct {
-	mu  sync.Mutex
+	mu      sync.Mutex
 	records []serviceRecord
 }
 
 type serviceRecord struct {
 	requestedAt time.Time
-	ok      bool
+	ok          bool
 }
 
 // recoveredShare is the share of RPCs that are ok once service has recovered.
--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -97,11 +97,11 @@
 
 // trialTotals collects the results of all trials of a run.
 type trialTotals struct {
-	mu          sync.Mutex
-	results     []*trialResult
-	failed      []*trialResult
-	setupErrors []error
-	inconclusive   int // trials with only timing violations, while the machine was overloaded in each repeat
+	mu           sync.Mutex
+	results      []*trialResult
+	failed       []*trialResult
+	setupErrors  []error
+	inconclusive int // trials with only timing violations, while the machine was overloaded in each repeat
 }
 
 // runTrials runs the given number of trials in parallel and returns those with violations.
--- a/cmd/rehearse/faults_apply.go
+++ b/cmd/rehearse/faults_apply.go
@@ -257,8 +257,8 @@
 	answered, ignored := clients.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.badClientsAnswered += answered
-	s.badClientsIgnored = append(s.badClientsIgnored, ignored...)
+	s.badClientMessagesAnswered += answered
+	s.badClientMessagesIgnored = append(s.badClientMessagesIgnored, ignored...)
 }
 
 // burst sends size RPCs at once and waits for their outcomes.
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -282,8 +282,8 @@
 	if !s.hadFault && o.easy >= minEasyRPCs && o.served == 0 {
 		s.violate("rule 1: %s served none of %d RPCs that it has capacity for: %v", s.program.Name, o.easy, o.byResult)
 	}
-	if s.badClientsAnswered == 0 && len(s.badClientsIgnored) > 0 {
-		s.violate("rule 4: %s sent no reply to any bad client: %v", s.program.Name, s.badClientsIgnored)
+	if s.badClientMessagesAnswered == 0 && len(s.badClientMessagesIgnored) > 0 {
+		s.violate("rule 4: %s sent no reply to any bad client: %v", s.program.Name, s.badClientMessagesIgnored)
 	}
 }
 
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -17,27 +17,27 @@
 // trialServer is one app server of a trial, with its stand-ins and the state of its process.
 type trialServer struct {
 	*trial
-	number   int
-	program  *rig.Program
-	proxy    *rig.FaultProxy // between the routers and the app server
-	probe    *rig.HealthProbe
-	peers    []*rig.Peer
-	outcomes outcomeCounts
-	killCount    atomic.Int64 // number of processes that have ended; tokens do not outlive their process
-
-	lifecycle          sync.Mutex // held while the process is started or ended
-	mu                 sync.Mutex
-	launchedAt         time.Time // zero while no process runs
-	excusedUntil       time.Time // time up to which missing answers are excused, because of a pause
-	paused             bool
-	shuttingDown            bool // it is shutting down
-	limitReported      bool // a violation of its limits has been reported, which happens once
-	ready              bool // the probe has seen it healthy
-	exitLog               string
-	linkFaults         rig.LinkFaults
-	hadFault           bool     // a fault was applied to it
-	badClientsAnswered int      // messages of bad clients that got a reply
-	badClientsIgnored  []string // kinds of messages of bad clients that got no reply
+	number    int
+	program   *rig.Program
+	proxy     *rig.FaultProxy // between the routers and the app server
+	probe     *rig.HealthProbe
+	peers     []*rig.Peer
+	outcomes  outcomeCounts
+	killCount atomic.Int64 // number of processes that have ended; tokens do not outlive their process
+
+	lifecycle                 sync.Mutex // held while the process is started or ended
+	mu                        sync.Mutex
+	launchedAt                time.Time // zero while no process runs
+	excusedUntil              time.Time // time up to which missing answers are excused, because of a pause
+	paused                    bool
+	shuttingDown              bool // it is shutting down
+	limitReported             bool // a violation of its limits has been reported, which happens once
+	ready                     bool // the probe has seen it healthy
+	exitLog                   string
+	linkFaults                rig.LinkFaults
+	hadFault                  bool     // a fault was applied to it
+	badClientMessagesAnswered int      // messages of bad clients that got a reply
+	badClientMessagesIgnored  []string // kinds of messages of bad clients that got no reply
 }
 
 // newServer creates an app server and its stand-ins, and does not start its process.
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -78,7 +78,7 @@
 	run        *experimentRun
 	testCase   drawn.Case
 	decoded    drawn.ParsedConfig
-	checker      *rig.Checker
+	checker    *rig.Checker
 	catalog    *rig.Catalog
 	roster     *rig.Roster
 	directory  string
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -135,7 +135,7 @@
 	}
 	run.report("bears.rpcs.per.s", capacity)
 	baseRate := capacity * 1.12 / 3
-	triple := func(on bool) (result tripledLoadResult, err error) {
+	measure := func(on bool) (result tripledLoadResult, err error) {
 		s, err := run.startPressureServer(pressureMixSite(1000, 30), argsFor(on), time.Second, 8)
 		if err != nil {
 			return result, err
@@ -179,7 +179,7 @@
 		}
 		return result, nil
 	}
-	on, off, err := runOnAndOff(triple)
+	on, off, err := runOnAndOff(measure)
 	if err != nil {
 		return err
 	}
@@ -190,18 +190,18 @@
 	run.exactly("begun.turned.away", float64(on.pushedBack), 0)
 	run.report("begun.repeated", float64(on.repeats))
 	starved := 0
-	for _, s := range pressureMix(0, 0) {
-		onMethod, offMethod := on.outcome.ByMethod[s.Method], off.outcome.ByMethod[s.Method]
+	for _, share := range pressureMix(0, 0) {
+		onMethod, offMethod := on.outcome.ByMethod[share.Method], off.outcome.ByMethod[share.Method]
 		if onMethod.OK*100 < onMethod.Requested {
 			starved++
 		}
-		run.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, onMethod.OK, onMethod.Requested,
+		run.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", share.Method, onMethod.OK, onMethod.Requested,
 			float64(onMethod.Latencies.ValueAtQuantile(99))/1000, offMethod.OK, offMethod.Requested,
 			float64(offMethod.Latencies.ValueAtQuantile(99))/1000)
 	}
 	run.exactly("starved.methods", float64(starved), 0)
-	for _, s := range on.levels {
-		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+	for _, change := range on.levels {
+		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes, change.Refused)
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 		levels  []levelChange
 	}
 	const memoryLimitMB = 18
-	runLoad := func(on bool) (result tokenGrowth, err error) {
+	measure := func(on bool) (result tokenGrowth, err error) {
 		state := map[bool]string{true: "on", false: "off"}[on]
 		args, err := writeSettings(dir, "leak-"+state+".conf", "pressure "+state,
 			"pressure.growth "+max(duration/6, time.Second).String())
@@ -250,7 +250,7 @@
 		}
 		return result, nil
 	}
-	on, off, err := runOnAndOff(runLoad)
+	on, off, err := runOnAndOff(measure)
 	if err != nil {
 		return err
 	}
@@ -261,11 +261,11 @@
 	}
 	run.report("off.memory.peak.mb", float64(off.peak)/(1<<20))
 	foreseen := 0.0
-	for _, s := range on.levels {
-		if strings.Contains(s.Causes, "leak") {
+	for _, change := range on.levels {
+		if strings.Contains(change.Causes, "leak") {
 			foreseen = 1
 		}
-		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes, change.Refused)
 	}
 	run.report("leak.foreseen", foreseen)
 	return nil
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -139,7 +139,7 @@
 // pressureServer is one app server with its simulated kernel, its checker and its callers.
 type pressureServer struct {
 	*rig.Fleet
-	checker   *rig.Checker
+	checker *rig.Checker
 	routers []rig.Caller
 }
 
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -35,7 +35,7 @@
 // restartFleet is the fleet under test with its callers and idle clients.
 type restartFleet struct {
 	*rig.Fleet
-	checker     *rig.Checker
+	checker   *rig.Checker
 	calls     *callLog
 	load      sync.WaitGroup
 	stop      context.CancelFunc
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -69,10 +69,10 @@
 
 // callRecord is one RPC from its first try to its end.
 type callRecord struct {
-	server        string
-	newConnection bool
-	requestedAt, endedAt  time.Time
-	err           error
+	server               string
+	newConnection        bool
+	requestedAt, endedAt time.Time
+	err                  error
 }
 
 // answered reports whether the RPC had a reply of the app server by its deadline.
@@ -131,9 +131,9 @@
 
 // callWindow holds the results of the RPCs that were asked for during one part of the experiment.
 type callWindow struct {
-	name                    string
+	name                        string
 	requested, answered, served int
-	failures                []string
+	failures                    []string
 }
 
 // measureWindow runs a part of the experiment, and waits until the RPCs that were asked for in it have ended.
