--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -27,11 +27,11 @@
 	return reply.Body, err
 }
 
-// slack is the tolerance of each time that the checker compares: the 50 ms of the platform itself.
+// slack is the checker's tolerance for times: the platform itself may be 50 ms late.
 const slack = 50 * time.Millisecond
 
 // requestMix returns the load of the experiments: idempotent lookups, tokened records, and notifications that must not run
-// twice at all. work is the mean in seconds on a core.
+// twice. work is the mean in seconds on a core.
 func requestMix(work float64, deadline time.Duration) []rig.Share {
 	return []rig.Share{
 		{Method: "lookup", Kind: rpc.Idempotent, Criticality: 0.2, Fraction: 0.6, Work: work, Deadline: deadline},
@@ -43,13 +43,14 @@
 // requestMixSite returns the settings of an app server that serves requestMix.
 func requestMixSite(deadline time.Duration) rig.Site {
 	deadlineSeconds := deadline.Seconds()
-	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 16,
-		MarksRetry: true, MaxRetryAfterSeconds: 5, Methods: []rig.SiteMethod{
+	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second,
+		Callers: 16, MarksRetry: true, MaxRetryAfterSeconds: 5, Methods: []rig.SiteMethod{
 			{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Criticality: 1},
 			{Name: "record", Kind: string(rpc.Tokened), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Window: 60, Criticality: 5},
 			{Name: "notify", Kind: string(rpc.NonIdempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Criticality: 2}}}
 }
 
+// kindsOf returns the kind of each method of the shares.
 func kindsOf(shares []rig.Share) map[string]rpc.Kind {
 	kinds := map[string]rpc.Kind{}
 	for _, s := range shares {
@@ -67,7 +68,7 @@
 	return len(entries)
 }
 
-// runClient runs the experiment on the client library.
+// runClient runs the experiment on the client library: outages, refusals, reconnects, rare faults and overhead.
 func runClient(run *experimentRun) error {
 	rig.StartSpawner()
 	goroutinesBefore, descriptorsBefore := runtime.NumGoroutine(), openDescriptors()
@@ -92,7 +93,7 @@
 		run.exactly(name, counts[name], 0)
 	}
 	violations.report(run)
-	// The goroutines of closed sockets take a moment to end.
+	// The goroutines of closed connections end asynchronously.
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end) &&
 		(runtime.NumGoroutine() > goroutinesBefore || openDescriptors() > descriptorsBefore); {
 		time.Sleep(10 * time.Millisecond)
--- a/cmd/rehearse/client_faults.go
+++ b/cmd/rehearse/client_faults.go
@@ -11,7 +11,7 @@
 	"valveglade/rig"
 )
 
-// The fleet and load of runHalfOutage: half of these app servers cannot quite carry the rate.
+// The fleet and the load of runHalfOutage. Half of the app servers have slightly too little capacity for the rate.
 const (
 	halfOutageClients  = 16
 	halfOutageServers  = 4
@@ -19,7 +19,7 @@
 	halfOutageDeadline = 800 * time.Millisecond
 )
 
-// halfOutageResult is the result of the outage with one kind of client.
+// halfOutageResult is the result of runHalfOutage for one kind of client.
 type halfOutageResult struct {
 	outcome rig.Outcome
 	checker *rig.Checker
@@ -30,8 +30,8 @@
 	return float64(r.checker.Count("tries")) / float64(r.outcome.Requested)
 }
 
-// runHalfOutage kills half of the app servers for some seconds, under the client library and under the naive client. Each
-// kind has a fleet of its own, and both run at the same time.
+// runHalfOutage kills half of the app servers for some seconds and compares the client library with the naive client. Each
+// kind of client has its own fleet; both run concurrently.
 func (run *experimentRun) runHalfOutage(note func(*rig.Checker)) error {
 	var library, naive halfOutageResult
 	var errLibrary, errNaive error
@@ -57,8 +57,9 @@
 	run.report("naive.criticality.served", naive.outcome.Criticality)
 	run.report("naive.double.runs", float64(naive.checker.Count("double.runs")))
 	for name, m := range library.outcome.ByMethod {
-		run.printNote("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Requested, float64(m.Latencies.ValueAtQuantile(99))/1000,
-			naive.outcome.ByMethod[name].OK, naive.outcome.ByMethod[name].Requested)
+		run.printNote("%s: %d of %d ok, p99 %.0f ms; naive: %d of %d", name, m.OK, m.Requested,
+			float64(m.Latencies.ValueAtQuantile(99))/1000, naive.outcome.ByMethod[name].OK,
+			naive.outcome.ByMethod[name].Requested)
 	}
 	note(library.checker)
 	return nil
@@ -93,7 +94,7 @@
 	return r, errOutage
 }
 
-// killHalf kills half of a fleet's programs after a quarter of length, and starts them again after three quarters.
+// killHalf kills half of the fleet's processes after a quarter of length and starts them again after three quarters.
 func killHalf(fleet *rig.Fleet, length time.Duration) error {
 	half := fleet.Programs[:len(fleet.Programs)/2]
 	time.Sleep(length / 4)
@@ -108,9 +109,9 @@
 	return errors.Join(errs...)
 }
 
-// runUncommonFaults runs the cases that are rare with real app servers: silence, replies of a few bytes at a time, an empty
-// list of app servers, deadlines shorter than a round trip, several seconds in which every RPC is refused, a refusal that
-// arrives as the deadline ends.
+// runUncommonFaults runs the cases that are rare with real app servers: app servers that do not reply, replies that arrive a
+// few bytes at a time, an empty list of app servers, deadlines shorter than a round trip, several seconds in which every RPC
+// is refused, and a refusal that arrives just before the deadline.
 func (run *experimentRun) runUncommonFaults(note func(*rig.Checker)) error {
 	checker := rig.NewChecker(2 * slack)
 	fleet, err := rig.NewFleet(run.Program, 3, requestMixSite(500*time.Millisecond), checker)
@@ -139,7 +140,7 @@
 	var faults sync.WaitGroup
 	faults.Go(func() {
 		time.Sleep(500 * time.Millisecond)
-		fleet.Proxies[0].SetBlackhole(true) // accepts connections and never replies
+		fleet.Proxies[0].SetBlackhole(true) // accept connections and never reply
 		fleet.Proxies[1].TrickleReplies(7)
 		listUpdates <- nil // the list of app servers is empty for a while
 		time.Sleep(2 * time.Second)
--- a/cmd/rehearse/client_reconnect.go
+++ b/cmd/rehearse/client_reconnect.go
@@ -76,7 +76,7 @@
 	if run.shortForm {
 		clients = 50
 	}
-	checker := rig.NewChecker(4 * slack) // a thousand clients in one process delay each other
+	checker := rig.NewChecker(4 * slack) // 1000 clients in one process delay each other
 	fleet, err := rig.NewFleet(run.Program, 1, requestMixSite(time.Second), checker)
 	if err != nil {
 		return err
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// reconnectCallers creates clients of an app server and records their connections in log. The caller closes them, also
-// after an error.
+// reconnectCallers creates clients of an app server whose connections are recorded in log. The caller must close the
+// returned clients, also after an error.
 func (run *experimentRun) reconnectCallers(clients int, addresses []string, log *reconnectLog) ([]rig.Caller, error) {
 	kinds := kindsOf(requestMix(0, 0))
 	var callers []rig.Caller
@@ -134,7 +134,7 @@
 	if len(delays) < clients/2 {
 		return fmt.Errorf("only %d of %d clients reconnected after the outage", len(delays), clients)
 	}
-	if !run.shortForm { // a few clients after a short outage show no distribution
+	if !run.shortForm { // the short form has too few clients for a distribution
 		run.atLeast("reconnect.spread.s", delays[len(delays)*95/100]-delays[len(delays)*5/100], 3)
 		run.atMost("reconnect.most.in.100ms", float64(maxWithin(delays, reconnectWindow.Seconds()))/float64(clients), 0.05)
 	}
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// maxWithin returns the maximum number of the sorted times that lie within one interval, less than span apart. All are in
-// seconds.
+// maxWithin returns the maximum number of times that lie within any interval shorter than span. The times are sorted; all
+// values are in seconds.
 func maxWithin(times []float64, span float64) int {
 	highest := 0
 	for first, last := 0, 0; last < len(times); last++ {
--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -13,14 +13,14 @@
 	"valveglade/rig"
 )
 
-// The RPCs and replies of the experiment on refusals.
+// Parameters of runRefusals.
 const (
 	refusalServers      = 2
 	refusalInterval     = 20 * time.Millisecond // between two RPCs
 	refusalRetryAfter   = 300 * time.Millisecond
 	refusalTransit      = 10 * time.Millisecond // allowance for the transit of a reply to the client
 	refusalDeadline     = 900 * time.Millisecond
-	refusalEdgeEvery    = 10 // one RPC in this many calls refusalEdgeMethod
+	refusalEdgeEvery    = 10 // one in this many RPCs calls refusalEdgeMethod
 	refusalEdgeMethod   = "edge"
 	refusalEdgeDeadline = 150 * time.Millisecond
 )
@@ -31,7 +31,7 @@
 	final         bool      // the RPC must not be sent again at all
 }
 
-// refusalScript replies as app servers that push every RPC back, and counts the tries that violate an earlier refusal or
+// refusalScript replies like app servers that push every RPC back. It counts the tries that violate an earlier refusal or
 // the deadline.
 type refusalScript struct {
 	mu                     sync.Mutex
@@ -62,7 +62,7 @@
 		s.late++
 	}
 	retryAfter, final := refusalRetryAfter, len(received.ID)%2 == 0
-	if received.Method == refusalEdgeMethod { // its refusal arrives just as the deadline ends
+	if received.Method == refusalEdgeMethod { // reply 1 ms before the deadline
 		time.Sleep(time.Duration(remaining*float64(time.Second)) - time.Millisecond)
 		retryAfter = 0
 	}
--- a/cmd/rehearse/cold.go
+++ b/cmd/rehearse/cold.go
@@ -24,8 +24,8 @@
 // coldRecovery is how long service may take to recover after the slow start.
 const coldRecovery = 3 * time.Second
 
-// coldCase is one kind of cold restart: the clients, and the range of what one app server can serve within a window while
-// it is coldest.
+// coldCase is one kind of cold restart: the clients, and the range from which the capacity of one app server in the first
+// window after its start is drawn.
 type coldCase struct {
 	name                     string
 	clients                  int     // client processes, each unaware of the others
@@ -34,7 +34,7 @@
 	shape                    coldShape
 }
 
-// coldShape is the way in which the settings of a cold start differ from ordinary ones.
+// coldShape says how the cold-start settings differ from ordinary ones.
 type coldShape uint8
 
 const (
@@ -81,7 +81,7 @@
 	work                float64 // mean seconds on a core
 	deadline            time.Duration
 	restarts            int     // number of app servers that restart
-	rate                float64 // RPCs a second, of all clients together
+	rate                float64 // RPCs per second of all clients together
 	warmUp              time.Duration
 	outage              time.Duration
 }
@@ -91,13 +91,14 @@
 	return c.warmUp + c.outage + c.start.SlowStart() + coldRecovery + c.evaluationSpan()
 }
 
-// evaluationSpan returns the length of the spans by which service is judged: at least some 30 RPCs, of which one may fail.
+// evaluationSpan returns the length of the span over which the share of ok RPCs is computed: long enough for about 30 RPCs,
+// so that one may fail.
 func (c coldPlan) evaluationSpan() time.Duration {
 	const minRPCs = 30
 	return max(time.Second, time.Duration(minRPCs/c.rate*float64(time.Second)))
 }
 
-// drawColdPlan draws a plan with settings that vary in all that they may.
+// drawColdPlan draws a plan for a case: the cold-start settings, cores, work, deadline, rate, and number of restarts.
 func drawColdPlan(seed uint64, kind coldCase) coldPlan {
 	random := rand.New(rand.NewPCG(seed, 23))
 	between := func(from, to float64) float64 { return from + (to-from)*random.Float64() }
@@ -118,11 +119,12 @@
 	const shortest, longest = 0.4, 8
 	plan.deadline = time.Duration(min(max(between(40, 60)*plan.work, shortest), longest) * float64(time.Second))
 	plan.rate = between(0.5, 0.65) * coldServers * float64(plan.cores) / plan.work
-	const maxRate = 600 // RPCs a second that the stand-ins of this process can carry
+	const maxRate = 600 // RPCs per second that the stand-ins in this process can handle
 	plan.rate = min(plan.rate, maxRate)
 	return plan
 }
 
+// site returns the settings of the app servers.
 func (c coldPlan) site() rig.Site {
 	site := requestMixSite(c.deadline)
 	site.Cores, site.Callers, site.Cold = c.cores, c.announcedCallers, c.start
@@ -138,7 +140,8 @@
 	checker         *rig.Checker
 }
 
-// runCold measures cold app servers under the combined load of all clients, with one client process and with many.
+// runCold is the experiment on cold app servers under the combined load of all clients, with one client process and with
+// many.
 func runCold(run *experimentRun) error {
 	cases := coldCases()
 	if run.shortForm {
@@ -155,7 +158,7 @@
 		if err != nil {
 			return err
 		}
-		run.printNote("%-20s %d of %d restart at capacity %.2f, warm after %.1f s, %.1f requests in %.2f s, %.0f RPCs a second: "+
+		run.printNote("%-20s %d of %d restart at capacity %.2f, warm after %.1f s, %.1f requests in %.2f s, %.0f RPCs per second: "+
 			"ratio %.2f at %.1f s (%.2f by count), recovered after %.1f s, ok share %.2f, at the end %.2f", kind.name, plan.restarts,
 			coldServers, plan.start.Capacity, plan.start.Ramp.Seconds(), plan.firstWindowRequests, plan.start.Window.Seconds(),
 			plan.rate, result.peak.ByWork, result.peak.Age.Seconds(), result.peak.ByCount, result.recoverySeconds,
@@ -194,7 +197,7 @@
 // forbiddenCounts are the counts of the checker that must be zero.
 var forbiddenCounts = []string{"refused.retried", "late.sent", "double.runs", "unanswered"}
 
-// minOverloadRatio is the minimum ratio that shows that a baseline overloads cold app servers.
+// minOverloadRatio is the minimum ratio of load to capacity at which a baseline counts as overloading cold app servers.
 const minOverloadRatio = 1.01
 
 // measureColdPlan runs the plan with processes of one kind of client.
@@ -269,7 +272,7 @@
 	return errors.Join(errs...)
 }
 
-// callerCommand runs one client process, which makes the calls that it reads from its standard input.
+// callerCommand returns the sub-command that is one client process: it makes the calls that it reads from standard input.
 func callerCommand() *cobra.Command {
 	var kind, servers string
 	var seed uint64
@@ -287,7 +290,7 @@
 	return c
 }
 
-// newCaller creates a naive client if kind is "naive", and else one of the client library.
+// newCaller creates a naive client if kind is "naive", else a client of the client library.
 func newCaller(kind string, seed uint64, servers []string) (rig.Caller, error) {
 	if kind == "naive" {
 		return rig.NewNaiveClient(int(seed%1000), servers...), nil
--- a/cmd/rehearse/cold_service.go
+++ b/cmd/rehearse/cold_service.go
@@ -8,12 +8,13 @@
 	"valveglade/rig"
 )
 
-// serviceLog records when each RPC was asked for, and whether it was ok. It is safe for concurrent use.
+// serviceLog records when each RPC was requested, and whether it was ok. It is safe for concurrent use.
 type serviceLog struct {
 	mu      sync.Mutex
 	records []serviceRecord
 }
 
+// serviceRecord is one RPC of a serviceLog.
 type serviceRecord struct {
 	requestedAt time.Time
 	ok          bool
@@ -28,7 +29,7 @@
 	s.records = append(s.records, serviceRecord{at, ok})
 }
 
-// share returns the share of the RPCs asked for within span after from that were ok.
+// share returns the share of ok RPCs among those requested from from on, within span.
 func (s *serviceLog) share(from time.Time, span time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +46,8 @@
 	return float64(ok) / float64(max(requested, 1))
 }
 
-// recoveredAt returns the first time after a boot from which at least recoveredShare of a span's RPCs were ok. It searches
-// a minute at most.
+// recoveredAt returns the first time after a boot from which at least recoveredShare of a span's RPCs were ok, or a minute
+// after the boot if there is none.
 func (s *serviceLog) recoveredAt(boot time.Time, span time.Duration) time.Time {
 	const step, limit = 100 * time.Millisecond, time.Minute
 	at := boot
--- a/cmd/rehearse/fault_injector.go
+++ b/cmd/rehearse/fault_injector.go
@@ -38,14 +38,14 @@
 // injectionInterval is the number of messages of which one is changed or dropped.
 const injectionInterval = 10
 
-// faultInjectorCommand returns the sub-command that serves as the program does, with an injected fault that the checker of the
-// search for faults has to find.
+// faultInjectorCommand returns the sub-command that serves like the program, with an injected fault that the search for faults
+// must find.
 func faultInjectorCommand() *cobra.Command {
 	return &cobra.Command{Use: "planted KIND", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return serveWithFault(args[0]) }}
 }
 
-// serveWithFault serves with the configuration of the environment and the given fault until SIGTERM. SIGHUP has no effect.
+// serveWithFault serves with the configuration from the environment and the given fault until SIGTERM. SIGHUP is ignored.
 func serveWithFault(kind string) error {
 	if !slices.Contains([]string{injectNothing, injectOtherBody, injectSecondRun, injectLostReply, injectIdleSpin,
 		injectIgnoredStop}, kind) {
@@ -98,7 +98,7 @@
 	kind string
 
 	mu         sync.Mutex
-	count      int             // messages that the fault may affect
+	count      int             // messages so far that the fault could affect
 	lastResult json.RawMessage // content of the last successful end notice
 }
 
@@ -131,7 +131,7 @@
 // forwardAll forwards all bytes unchanged.
 func forwardAll(from, to net.Conn) { io.Copy(to, from) }
 
-// shouldInject reports whether the fault, if it is of the given kind, affects this message: each one in injectionInterval.
+// shouldInject reports whether this message is affected by a fault of the given kind: one in injectionInterval is.
 func (f *faultInjector) shouldInject(kind string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 }
 
-// forwardNotices forwards the kernel's notices as rewriteNotice returns them.
+// forwardNotices forwards the kernel's notices, rewritten by rewriteNotice.
 func (f *faultInjector) forwardNotices(from, to net.Conn) {
 	lines := bufio.NewReader(from)
 	for {
