--- a/cmd/rehearse/faults.go
+++ b/cmd/rehearse/faults.go
@@ -16,17 +16,17 @@
 // faultFlags holds the flags of the faults experiment.
 type faultFlags struct {
 	first          int    // index of the first trial within the seed
-	trials         int    // number of trials; 0 selects the default of the run's length
+	trials         int    // number of trials; 0 selects the default for the run's length
 	parallel       int    // number of trials that run in parallel
 	replays        int    // maximum number of trials for reducing one failing trial
 	onlyCase       string // the only case to run, or @ and the name of a file that holds it
 	injectedFaults bool   // run the injected faults instead
 }
 
-// seedsPerRun is the number of trial seeds that belong to each seed of a run.
+// seedsPerRun is the number of trial seeds reserved for each seed of a run, so that runs share no trials.
 const seedsPerRun = 1_000_000
 
-// Number of trials in a run of each length, and maximum number of failing trials that are reduced.
+// Number of trials in a run of default, long and short length, and maximum number of failing trials that are reduced.
 const (
 	faultTrials      = 100
 	faultTrialsLong  = 300
@@ -101,7 +101,7 @@
 	results      []*trialResult
 	failed       []*trialResult
 	setupErrors  []error
-	inconclusive int // trials with only timing violations, while the machine was overloaded in each repeat
+	inconclusive int // trials that were inconclusive in each repeat
 }
 
 // runTrials runs the given number of trials in parallel and returns those with violations.
@@ -146,14 +146,13 @@
 	}
 }
 
-// maxInconclusiveShare is the maximum share of trials that may stay undecided because the machine is busy.
+// maxInconclusiveShare is the maximum share of trials that may stay inconclusive because the machine is busy.
 const maxInconclusiveShare = 0.1
 
 // maxTrialRepeats is the maximum number of repeats of an inconclusive trial.
 const maxTrialRepeats = 2
 
-// runTrialWithRepeats runs a case and repeats it if all violations are about timing and an app server or this process had to
-// wait for a core.
+// runTrialWithRepeats runs a case, and repeats it up to maxTrialRepeats times while its result is inconclusive.
 func (run *experimentRun) runTrialWithRepeats(c drawn.Case) (*trialResult, error) {
 	for repeats := 0; ; repeats++ {
 		result, err := run.runTrial(c)
@@ -195,7 +194,7 @@
 	run.exactly("trials.failed", float64(len(totals.failed)), 0)
 }
 
-// reduceTrial reduces a failing trial to a smaller case and prints the command that runs it. The case can become a test.
+// reduceTrial reduces a failing trial to a smaller case that fails in the same way, and prints the command that runs it.
 func (run *experimentRun) reduceTrial(failed *trialResult) {
 	startedAt := time.Now()
 	class := failed.class()
@@ -215,7 +214,7 @@
 // errTrialSetup is wrapped by errors of the setup of a trial.
 var errTrialSetup = errors.New("the trial could not be set up")
 
-// print prints the case of a trial and its violations, at most two of each class.
+// print prints the case of a trial and its violations, at most two of each violation class.
 func (r *trialResult) print(run *experimentRun) {
 	var faults []string
 	for _, f := range r.testCase.Faults {
--- a/cmd/rehearse/faults_apply.go
+++ b/cmd/rehearse/faults_apply.go
@@ -13,7 +13,7 @@
 	"valveglade/rig/drawn"
 )
 
-// applyFault applies a fault to the app server and returns after the fault's duration, once it is undone.
+// applyFault applies a fault to the app server. It returns once the fault has been undone after its duration.
 func (s *trialServer) applyFault(f drawn.Fault) {
 	s.mu.Lock()
 	s.hadFault = true
@@ -97,10 +97,10 @@
 	}
 }
 
-// maxIdleConnections limits the idle connections to one app server, since the rig holds their client ends.
+// maxIdleConnections limits the idle connections to one app server, since this process holds their client ends.
 const maxIdleConnections = 600
 
-// lossyInterval is the protocol's limit for the time before a link failure in which commands may be lost.
+// lossyInterval is how long before a link failure commands may be lost, according to the protocol.
 const lossyInterval = 50 * time.Millisecond
 
 // linkFaultSetter returns a function that changes the faults of the link to the kernel.
@@ -113,13 +113,13 @@
 	}
 }
 
-// delayKernel withholds the kernel's messages from the start, for the fault's duration.
+// delayKernel withholds the kernel's notices from the start of the trial, for the fault's duration.
 func (s *trialServer) delayKernel(f drawn.Fault) {
 	s.program.Kernel.WithholdNotices()
 	time.AfterFunc(secondsToDuration(f.For), s.program.Kernel.ReleaseNotices)
 }
 
-// kill kills the process and starts it again under its name after delay.
+// kill kills the process and starts it again under the same name after delay.
 func (s *trialServer) kill(delay time.Duration) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -133,8 +133,8 @@
 	s.restart()
 }
 
-// terminate shuts the process down and starts it again under its name after its exit. secondSignalNumber selects another
-// signal during the drain: 1 for SIGHUP, 2 for SIGTERM, else none.
+// terminate shuts the process down and starts it again under the same name after its exit. secondSignalNumber selects a
+// second signal during the drain: 1 for SIGHUP, 2 for SIGTERM, else none.
 func (s *trialServer) terminate(secondSignalNumber int) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
@@ -151,10 +151,10 @@
 	s.restart()
 }
 
-// secondSignalDelay is the time from the shutdown signal to the second one, which comes before the end of any drain.
+// secondSignalDelay is the delay of the second signal after the first, shorter than any drain.
 const secondSignalDelay = 100 * time.Millisecond
 
-// faultyConfig returns one of the invalid configuration files: truncated, malformed or with an invalid value.
+// faultyConfig returns an invalid configuration file: truncated, malformed or with an invalid value, depending on number.
 func (s *trialServer) faultyConfig(number int) string {
 	valid := s.config(s.program)
 	switch number {
@@ -168,7 +168,7 @@
 	return strings.Replace(valid, `"kernel":"`, `"kernel":"nowhere`, 1)
 }
 
-// awaitSignalHandlers waits until a process that has just been started can handle signals. A signal that comes before its
+// awaitSignalHandlers waits until a process that has just been started can handle signals. A signal that arrives before its
 // runtime is initialized would end it.
 func (s *trialServer) awaitSignalHandlers() {
 	s.mu.Lock()
@@ -179,10 +179,10 @@
 	}
 }
 
-// signalReadyTimeout is the maximum time that a process's runtime takes to initialize on a busy machine.
+// signalReadyTimeout is the time after which the runtime of a process counts as initialized, even on a busy machine.
 const signalReadyTimeout = 500 * time.Millisecond
 
-// restart starts the process again and counts whether it is ready within readyTimeout.
+// restart starts the process again, and counts the restart and whether the process is ready within readyTimeout.
 func (s *trialServer) restart() {
 	s.launchLocked()
 	startedAt := time.Now()
@@ -195,7 +195,7 @@
 	}
 }
 
-// pause suspends the process for the given duration, as a busy machine would.
+// pause suspends the process for the given duration, as an overloaded machine might.
 func (s *trialServer) pause(duration time.Duration) {
 	s.lifecycle.Lock()
 	defer s.lifecycle.Unlock()
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -18,9 +18,9 @@
 // Parameters of the load of a trial.
 const (
 	unboundedWait = time.Hour              // caller's timeout where neither the RPC nor its method sets one
-	meanCopyDelay = 50 * time.Millisecond  // mean time between the first try and a second copy
-	windowMargin  = 300 * time.Millisecond // distance of retries from the end of the token window, for delays of the rig
-	minEasyRPCs   = 20                     // number of easy RPCs of which at least one has to be served
+	meanCopyDelay = 50 * time.Millisecond  // mean delay of a second copy after the first try
+	windowMargin  = 300 * time.Millisecond // no retries so shortly before the end of the token window, as this process may be late
+	minEasyRPCs   = 20                     // minimum number of easy RPCs for checking that at least one is served
 )
 
 // trialMethod is a method with the deadline and the token window of its settings.
@@ -34,7 +34,7 @@
 	mu       sync.Mutex
 	total    int
 	byResult map[string]int
-	easy     int // RPCs that an app server without faults can serve easily
+	easy     int // RPCs for which isEasy holds, without the canceled and failing ones
 	served   int // easy RPCs that were served
 }
 
@@ -73,6 +73,7 @@
 	return methods
 }
 
+// isPaused reports whether the process is paused by a fault.
 func (s *trialServer) isPaused() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +179,7 @@
 		Timeout: c.timeout(), Criticality: c.criticality, IsRetry: isRetry, Work: c.work, Result: c.result, Fails: c.fails}
 }
 
-// execute sends the RPC, and a second copy if one is drawn, and waits until it has its outcome or the trial ends.
+// execute sends the RPC, and a second copy if one was drawn, and waits until it has its outcome or the trial ends.
 func (c *trialCall) execute(ctx context.Context) {
 	var tries sync.WaitGroup
 	if c.copyAfter > 0 {
@@ -197,8 +198,8 @@
 	c.outcomes.record(c, outcome, sent)
 }
 
-// mayRetry reports whether the RPC may be sent again: no reply has excluded it, the app server's process has not been replaced,
-// the deadline has not passed, and a token is still within its window.
+// mayRetry reports whether the RPC may be sent again: no reply has excluded it, the app server's process has not ended since
+// the first try, the deadline has not passed, and a token is still within its window.
 func (c *trialCall) mayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +230,7 @@
 		case <-cancelTimer:
 			call.Cancel()
 			cancelTimer = nil
-		case <-ctx.Done(): // pending replies still come until the stop, and the checker sees them
+		case <-ctx.Done(): // replies may still arrive until the app server is stopped; the checker sees them
 			return rig.PeerOutcome{Err: ctx.Err()}, true
 		}
 	}
@@ -263,7 +264,8 @@
 	}
 }
 
-// isEasy reports whether an app server without faults can serve the RPC easily.
+// isEasy reports whether an app server without faults has ample capacity for the RPC: a deadline of at least a second, little
+// work, no calls to the layer below, and a low load.
 func (c *trialCall) isEasy() bool {
 	domain := c.decoded.Settings.Domain
 	meanWork := 0.0
@@ -275,7 +277,7 @@
 		c.testCase.Load.Rate*meanWork < 0.5*max(domain.NCores, 1) && domain.EntryKB <= 1
 }
 
-// checkServed reports app servers that served no easy RPC although they had no fault, and those that answered no bad client.
+// checkServed reports a violation if the app server served no easy RPC although it had no fault, or answered no bad client.
 func (o *outcomeCounts) checkServed(s *trialServer) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/cmd/rehearse/faults_injected.go
+++ b/cmd/rehearse/faults_injected.go
@@ -8,10 +8,10 @@
 	"valveglade/rig/drawn"
 )
 
-// injectedFault is a fault in the program that the search has to find, with the violation that reveals it.
+// injectedFault is a fault that is injected into the program to check that the search finds it.
 type injectedFault struct {
 	name      string // argument of the sub-command planted
-	violation string // substring of the violation's text
+	violation string // substring of the violation that the fault causes
 }
 
 var injectedFaults = []injectedFault{
@@ -30,7 +30,7 @@
 // injectedFaultTimeout limits the search for one injected fault.
 const injectedFaultTimeout = 60 * time.Second
 
-// injectionCase returns a case without faults and unusual settings, so that all violations come from the injected fault.
+// injectionCase returns a case without faults or unusual settings, so that all violations come from the injected fault.
 func injectionCase(seed uint64) drawn.Case {
 	c := drawn.Case{Seed: seed, Servers: 3, Seconds: 3, Load: drawn.Load{Rate: 40, Routers: 2, RepeatShare: 0.2}}
 	for _, effect := range []string{"retryable", "dedup", "fragile"} {
@@ -41,8 +41,8 @@
 	return c
 }
 
-// runInjectedFaults searches for faults in programs with one injected fault each, and in a control program without any that is
-// started in the same way.
+// runInjectedFaults searches for faults in programs with one injected fault each, and in a control program that is started in
+// the same way but has none.
 func (run *experimentRun) runInjectedFaults() error {
 	control, err := run.runInjectedFault(injectNothing, run.Seed)
 	if err != nil {
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -23,20 +23,20 @@
 	probe     *rig.HealthProbe
 	peers     []*rig.Peer
 	outcomes  outcomeCounts
-	killCount atomic.Int64 // number of processes that have ended; tokens do not outlive their process
+	killCount atomic.Int64 // incremented before and after the end of each process; tokens are lost with the process
 
 	lifecycle                 sync.Mutex // held while the process is started or ended
 	mu                        sync.Mutex
 	launchedAt                time.Time // zero while no process runs
 	excusedUntil              time.Time // time up to which missing answers are excused, because of a pause
 	paused                    bool
-	shuttingDown              bool // it is shutting down
-	limitReported             bool // a violation of its limits has been reported, which happens once
-	ready                     bool // the probe has seen it healthy
+	shuttingDown              bool // the process is shutting down
+	limitReported             bool // a violation of its limits has been reported; others are not
+	ready                     bool // a health check has succeeded
 	exitLog                   string
 	linkFaults                rig.LinkFaults
 	hadFault                  bool     // a fault was applied to it
-	badClientMessagesAnswered int      // messages of bad clients that got a reply
+	badClientMessagesAnswered int      // number of messages of bad clients that got a reply
 	badClientMessagesIgnored  []string // kinds of messages of bad clients that got no reply
 }
 
@@ -71,20 +71,21 @@
 // serverName returns the name of the app server of a number, counted from 0.
 func serverName(number int) string { return fmt.Sprintf("n%d", number+1) }
 
-// siteSettings returns the settings of the site that the rig itself uses.
+// siteSettings returns the part of the settings that the rig itself uses.
 func (t *trial) siteSettings() rig.Site {
 	return rig.Site{MemoryMB: int(t.decoded.Limits.MemoryMB), Sockets: int(t.decoded.Limits.Sockets),
-		StopTimeout: secondsToDuration(t.decoded.StopMS / 1000), GracePeriod: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS),
-		OneCore: true}
+		StopTimeout: secondsToDuration(t.decoded.StopMS / 1000),
+		GracePeriod: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS), OneCore: true}
 }
 
-// peerOptions returns how routers write under the settings.
+// peerOptions returns the options of the stand-in routers under the settings.
 func (t *trial) peerOptions() rig.PeerOptions {
 	return rig.PeerOptions{PassesDeadline: t.decoded.PassesDeadline(), HangupSeen: t.decoded.HangupSeen(),
-		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.testCase.Load.FragmentBytes}
+		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts),
+		WriteSize: t.testCase.Load.FragmentBytes}
 }
 
-// config returns the configuration file of the program with its kernel's present address.
+// config returns the program's configuration file with the current address of its kernel.
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
 
 // configFor returns the configuration file with the given kernel address.
@@ -123,7 +124,7 @@
 
 // watch checks the process and records its waits for a core, until ctx ends.
 func (s *trialServer) watch(ctx context.Context) {
-	var coreWaits []time.Duration // total waits, sampled over the last second
+	var coreWaits []time.Duration // samples of the last second; each is the process's total wait
 	for ctx.Err() == nil {
 		s.checkProcess()
 		time.Sleep(watchInterval)
@@ -169,7 +170,7 @@
 		return
 	}
 	var err error
-	for range 3 { // remaining work may take one of the attempts
+	for range 3 { // work that is still in progress may fail an attempt
 		if err = s.program.CheckIdle(restDuration, maxRestCPUShare); err == nil {
 			return
 		}
@@ -207,7 +208,8 @@
 // maxStopWait is the longest stop time that a trial waits for.
 const maxStopWait = 8 * time.Second
 
-// checkLogAndLoad checks the log for crashes and the outcomes of the load. It saves the log if a directory for logs is set.
+// checkLogAndLoad checks the log for crashes, and the outcomes of the load. It also writes the log to the run's directory for
+// logs, if any.
 func (s *trialServer) checkLogAndLoad() {
 	if s.run.Logs != "" {
 		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.testCase.Seed, s.program.Name))
--- a/cmd/rehearse/faults_test.go
+++ b/cmd/rehearse/faults_test.go
@@ -30,7 +30,7 @@
 	return result
 }
 
-// Each case that once failed in the search keeps the rules.
+// TestFaultCases guards against the return of faults that the search has found: it runs each reduced case again.
 func TestFaultCases(t *testing.T) {
 	names, err := filepath.Glob("testdata/faults/*.json")
 	if err != nil || len(names) == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// A few cases of the search with fixed seeds keep the rules.
+// TestFaults runs a few cases of the search with fixed seeds, and checks them against the rules.
 func TestFaults(t *testing.T) {
 	for seed := range uint64(faultTrialsShort) {
 		c := drawn.Draw(seed)
@@ -70,8 +70,8 @@
 	}
 }
 
-// The search finds each injected fault, and no violation in a program without one.
-// It guards against a checker that misses faults.
+// TestFaultsInjected guards against a checker that misses faults: the search must find each injected fault, and no violation
+// in a program without one.
 func TestFaultsInjected(t *testing.T) {
 	for _, fault := range append([]injectedFault{{name: injectNothing}}, injectedFaults...) {
 		t.Run(fault.name, func(t *testing.T) {
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -19,7 +19,7 @@
 
 // Parameters of a trial.
 const (
-	checkTolerance    = 500 * time.Millisecond  // allowed beyond the rules' times, since trials and other work share the machine
+	checkTolerance    = 500 * time.Millisecond  // allowed beyond the times of the rules, since trials share the machine with other work
 	restDuration      = 700 * time.Millisecond  // how long an app server without work is observed
 	maxRestCPUShare   = 0.2                     // maximum share of a core that an app server without work uses
 	maxHealthCheckGap = 3 * time.Second         // maximum time between two answers to health checks
@@ -31,21 +31,21 @@
 type trialResult struct {
 	testCase        drawn.Case
 	violations      []string
-	restarts, ready int
-	tries, runs     int
-	repeats         int           // number of repeats
+	restarts, ready int           // restarts of processes, and those of them that were ready within readyTimeout
+	tries, runs     int           // tries that routers sent, and runs of the kernels
+	repeats         int           // how often the trial was repeated because it was inconclusive
 	coreWait        time.Duration // longest time that a process waited for a core within one second
 }
 
-// timingViolation matches violations that an overloaded machine may cause by itself.
+// timingViolation matches violations that may be caused by an overloaded machine alone.
 var timingViolation = regexp.MustCompile(
 	`after its (deadline|stop)|answered no health check|never answered|closed the connection over it`)
 
-// coreWaitLimit is the maximum time that a process may wait for a core within one second. Beyond it, timing violations prove
-// nothing.
+// coreWaitLimit is the time that a process may wait for a core within one second before timing violations are
+// inconclusive.
 const coreWaitLimit = 200 * time.Millisecond
 
-// inconclusive reports whether the machine was busy and all violations are about timing.
+// inconclusive reports whether the machine was busy, as defined by coreWaitLimit, and all violations are about timing.
 func (r *trialResult) inconclusive() bool {
 	return r.coreWait > coreWaitLimit && len(r.violations) > 0 &&
 		!slices.ContainsFunc(r.violations, func(v string) bool { return !timingViolation.MatchString(v) })
@@ -63,8 +63,8 @@
 var variableParts = regexp.MustCompile(
 	`"(?:[^"\\]|\\.)*"|\b[0-9a-f]{16}\b|n\d+[-\w]*|[-+]?\d[\d.:]*(?:e[-+]?\d+)?(?:ns|µs|ms|m|s)?\w*`)
 
-// violationClass returns the first line of a violation, and the reason if it is about a process that ended, with the variable
-// parts replaced.
+// violationClass returns the first line of a violation with the variable parts replaced. If a process ended, the reason that
+// it logged is included.
 func violationClass(violation string) string {
 	class, _, _ := strings.Cut(violation, "\n")
 	if _, reason, found := strings.Cut(violation, "valveglade: "); found { // why the process ended
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// checkerSettings returns the terms by which the checker judges app servers.
+// checkerSettings returns the settings against which the checker checks app servers.
 func (t *trial) checkerSettings() rig.ServerSettings {
 	settings := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
@@ -159,7 +159,7 @@
 	return settings
 }
 
-// kernelConfig returns the configuration of the stand-in kernel of an app server, as the settings describe the kernel.
+// kernelConfig returns the configuration of an app server's simulated kernel, derived from the settings of the case.
 func (t *trial) kernelConfig(number int) rig.KernelConfig {
 	domain, rules := t.decoded.Settings.Domain, t.decoded.Settings.Rules
 	config := rig.KernelConfig{Cores: max(int(domain.NCores), 1),
@@ -220,10 +220,10 @@
 	loads.Wait()
 }
 
-// latenessInterval is the sleep over which measureLateness measures.
+// latenessInterval is the length of the sleeps that measureLateness measures.
 const latenessInterval = 10 * time.Millisecond
 
-// measureLateness records how late this process itself wakes up, until ctx ends.
+// measureLateness records how late this process wakes up from sleeps, until ctx ends.
 func (t *trial) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		startedAt := time.Now()
@@ -239,7 +239,7 @@
 	t.result.coreWait = max(t.result.coreWait, wait)
 }
 
-// checkServersAtRest observes the app servers without load.
+// checkServersAtRest checks all app servers without load, concurrently.
 func (t *trial) checkServersAtRest() {
 	var checks sync.WaitGroup
 	for _, s := range t.servers {
@@ -282,7 +282,7 @@
 	return ""
 }
 
-// callersRule is the checker's number of the rule for callers; it says nothing about app servers.
+// callersRule is the number of the checker's rule for callers. Trials ignore it: it says nothing about app servers.
 const callersRule = 5
 
 // secondsToDuration converts seconds to a duration.
