--- a/cmd/rehearse/lowest_name_baseline.go
+++ b/cmd/rehearse/lowest_name_baseline.go
@@ -16,11 +16,11 @@
 	"valveglade/member"
 )
 
-// lowestNameCommand returns the sub-command that is the baseline of ownership: a process whose name is the lowest of its own view
-// is the owner, without terms and voters, and sends the same commands. With voters, it campaigns as the program does, with a
-// clock that drifts.
+// lowestNameCommand returns the sub-command that is the baseline of the owner experiment: a process is the owner while its name
+// is the lowest in its own view, without terms and voters, and sends the same orders as the program. With voters, it campaigns
+// like the program, with a clock that drifts.
 func lowestNameCommand() *cobra.Command {
-	var name, listen, advertise, join, order string
+	var name, listen, advertise, join, workerAddress string
 	var voters []string
 	var rate, drift float64
 	command := &cobra.Command{Use: "lowest", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -49,7 +49,7 @@
 			if err != nil {
 				return err
 			}
-			if err := fleetNode.Campaign("o", fleet.SendCommands("o", name, order, commandInterval)); err != nil {
+			if err := fleetNode.Campaign("o", fleet.SendCommands("o", name, workerAddress, orderInterval)); err != nil {
 				return err
 			}
 			return fleetNode.Run(cmd.Context())
@@ -58,7 +58,7 @@
 		defer stop()
 		startSending := func() context.CancelFunc {
 			ctx, cancel := context.WithCancel(cmd.Context())
-			go fleet.SendCommands("o", name, order, commandInterval)(ctx, 0)
+			go fleet.SendCommands("o", name, workerAddress, orderInterval)(ctx, 0)
 			return cancel
 		}
 		stopSending := func() {}
@@ -79,12 +79,12 @@
 	command.Flags().StringVar(&listen, "listen", "", "")
 	command.Flags().StringVar(&advertise, "advertise", "", "")
 	command.Flags().StringVar(&join, "join", "", "")
-	command.Flags().StringVar(&order, "order", "", "")
+	command.Flags().StringVar(&workerAddress, "order", "", "")
 	command.Flags().StringSliceVar(&voters, "voters", nil, "")
 	command.Flags().Float64Var(&rate, "rate", 1, "")
 	command.Flags().Float64Var(&drift, "drift", 0, "")
 	return command
 }
 
-// commandInterval is the interval at which owners send commands in an experiment.
-const commandInterval = 20 * time.Millisecond
+// orderInterval is the interval at which owners send orders in an experiment.
+const orderInterval = 20 * time.Millisecond
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,5 +1,5 @@
-// Command rehearse runs the project's measurements: the real program on loopback between stand-ins, or a model of it,
-// under the failures that a subsystem is built for, with a baseline in the same run.
+// Command rehearse runs the project's experiments: it measures the program on loopback between stand-ins, or parts of it in
+// this process, under the failures that a subsystem is built for, and compares it with a baseline in the same run.
 //
 // The exit code is 0 if every figure meets its bound, 1 if one misses it, 2 for invalid arguments or any other error.
 package main
@@ -45,7 +45,7 @@
 	{"pressure-edge", "two minutes of steady load just beyond the program's capacity", runPressureEdge},
 }
 
-// figure is one measured value of a result, with its bound.
+// figure is one measured value of an experiment, with its bound.
 type figure struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
@@ -60,16 +60,16 @@
 	Program        string // path of the program's binary
 	History        string // file to write all events to, if any
 	Logs           string // directory for the logs of processes, if any
-	Script         string // file of faults to apply, if any
+	Script         string // file of the faults to apply, if they are not drawn
 	Part           string // the only part to run, if any, in an experiment with parts
 	rehearseBinary string // path of this program's binary, if not the running executable
-	shortForm      bool   // selects the shortest form, for tests
+	shortForm      bool   // run the shortest form, for tests
 	faults         faultFlags
 	programArgs    []string // extra arguments of the program in the search for faults
 	output         io.Writer
 	began          time.Time
 
-	mu      sync.Mutex // guards figures and output: parts of an experiment may run concurrently
+	mu      sync.Mutex // guards figures and output, since parts of an experiment may run concurrently
 	figures []figure
 	scale   *slope.Result // result of the scale experiment
 }
@@ -151,7 +151,7 @@
 					return run.execute(e, jsonPath)
 				}
 			}
-			return fmt.Errorf("no experiment is named %q, the list command shows all", args[0])
+			return fmt.Errorf("no experiment is named %q; the list command shows all", args[0])
 		}}
 	runCommand.Flags().Uint64Var(&run.Seed, "seed", 1, "seed of all random draws")
 	runCommand.Flags().BoolVar(&run.Long, "long", false, "run the long form")
--- a/cmd/rehearse/memberlist_baseline.go
+++ b/cmd/rehearse/memberlist_baseline.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 )
 
-// memberlistCommand returns the sub-command that is the baseline of the fleet's view: the gossip library alone, with its own
-// transport and the same probe interval. It logs its members to standard error in the form of the program's view.
+// memberlistCommand returns the sub-command that is the baseline of the view experiments: the gossip library alone, with its own
+// transport and the same probe interval. It logs its members to standard error in the format of the program's view.
 func memberlistCommand() *cobra.Command {
 	var name, listen, advertise, join string
 	var probe time.Duration
@@ -65,7 +65,7 @@
 	return command
 }
 
-// localAddressTransport is the library's transport, with connections that are opened from the address where it listens.
+// localAddressTransport is the library's transport, but opens connections from its listening address.
 type localAddressTransport struct {
 	*memberlist.NetTransport
 	localAddress *net.TCPAddr
@@ -84,7 +84,7 @@
 // lastMembers holds the member names that were printed last.
 var lastMembers string
 
-// printMembers prints the names of the members to standard error, if they have changed, as a view of the program.
+// printMembers logs the members to standard error in the format of the program's view, if they have changed.
 func printMembers(members []*memberlist.Node) {
 	var names []string
 	for _, n := range members {
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -21,8 +21,8 @@
 	"valveglade/rig"
 )
 
-// echoCommand runs the server of the overhead measurement, in a process of its own so that its processor time is not
-// counted. It ends at the end of the first line on its standard input, or when that is closed.
+// echoCommand returns the sub-command that is the server of the overhead measurement: a process of its own, so that its
+// processor time is not counted. It ends after the first line on its standard input, or when that is closed.
 func echoCommand() *cobra.Command {
 	return &cobra.Command{Use: "echo", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		s, err := rig.NewStub(nil)
@@ -98,11 +98,11 @@
 	rawFrameCalls := func() error {
 		return runConcurrently(workers, func() error { return rawCalls(address, callsPerWorker, body) })
 	}
-	if err := clientCalls(); err != nil { // opens the connections and fills the caches first
+	if err := clientCalls(); err != nil { // warm-up: opens the connections and fills the caches
 		return err
 	}
 	var cpuSeconds, mallocs [2]float64
-	for range rounds { // alternates, since the machine's speed drifts
+	for range rounds { // alternate between the two, since the machine's speed drifts
 		for k, measured := range []func() error{rawFrameCalls, clientCalls} {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// runConcurrently runs f n times at once and returns the first error.
+// runConcurrently runs f n times concurrently and returns the first error.
 func runConcurrently(n int, f func() error) error {
 	var calls sync.WaitGroup
 	errs := make(chan error, n)
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// rawCalls writes and reads the frames of n RPCs and does no other work of a client.
+// rawCalls writes and reads the frames of n RPCs on one connection, without any other work of a client.
 func rawCalls(address string, n int, body []byte) error {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -13,11 +13,12 @@
 	"valveglade/rig"
 )
 
-// experimentLease is the length of the leases in the experiments on roles and shares. ownerWindow is how long after its last
-// order a process still counts as the owner.
+// experimentLease is the length of the leases in the experiments on roles and shares. ownerWindow is how long
+// after its last order a process still counts as the owner.
 const experimentLease, ownerWindow = time.Second, 200 * time.Millisecond
 
-// roleCluster is a cluster of processes that compete for two roles, and the workers that execute the orders of the owners.
+// roleCluster is a cluster of processes that compete for two roles, with a worker for each role that executes its owner's
+// orders.
 type roleCluster struct {
 	*rig.Cluster
 	workers []*rig.Worker // one for each role
@@ -50,8 +51,9 @@
 	switch kind {
 	case "on":
 		plan.WithStateDir = voters
-		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(), "fleet.drift 1%",
-			fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), commandInterval, c.workers[1].Address(), commandInterval)}
+		plan.Settings = []string{"fleet.voters " + strings.Join(voters, " "), "fleet.lease " + experimentLease.String(),
+			"fleet.drift 1%", fmt.Sprintf("fleet.office o %s %s / s %s %s", c.workers[0].Address(), orderInterval,
+				c.workers[1].Address(), orderInterval)}
 	case "off":
 		plan.NoFleet = true
 	default:
@@ -71,7 +73,7 @@
 	return c, err
 }
 
-// maxClockDrift is the fraction by which any two clocks drift apart at most, far above that of real clocks.
+// maxClockDrift is the maximum drift between any two clocks as a fraction, far above that of real clocks.
 const maxClockDrift = 0.2
 
 // awaitOwner waits up to 15 s for an owner of the first role other than former. It returns the owner and the seconds waited, or
@@ -94,7 +96,7 @@
 	names                     []string
 	on, off, lowest, drifting *roleCluster
 	owner                     string  // owner of the first role in the cluster on
-	longestHandover           float64 // longest time until a new owner was found, in seconds
+	longestHandover           float64 // longest time from a fault to the next owner, in seconds
 	errOn, errOff             error
 	errLowest, errDrifting    error
 	served                    map[*roleCluster]map[string]rig.Outcome
@@ -102,7 +104,7 @@
 
 // runOwner is the experiment on role ownership. The owner is killed, stopped past its lease while it may have an order in
 // progress, cut off one way, left without a majority, and drained, while voters are slow, late, dead or without a disk. It is
-// compared with clusters whose clocks drift, whose owner is the lowest name of the view, and whose fleet is off.
+// compared with three clusters: with drifting clocks, with the lowest name of the view as the owner, and with the fleet off.
 func runOwner(run *experimentRun) error {
 	t := &ownerTrial{experimentRun: run, names: nodeNames(5), served: map[*roleCluster]map[string]rig.Outcome{}}
 	err := t.start()
@@ -118,7 +120,7 @@
 
 	var loads, baselines sync.WaitGroup
 	t.startLoads(&loads)
-	baselines.Go(func() { // n1, as the lowest name, is the owner here
+	baselines.Go(func() { // n1 has the lowest name and is the owner in this cluster
 		t.errLowest = t.lowest.RunScriptText("5s stop n1\n9s cont n1\n11s split n1,n2|n3,n4,n5\n16s heal")
 	})
 	baselines.Go(func() { t.errDrifting = run.stopDriftingOwners(t.drifting) })
@@ -163,7 +165,7 @@
 	}
 }
 
-// startLoads starts the same load on the clusters on and off, whose service is compared. loads is done when both loads are.
+// startLoads starts the same load on the clusters on and off, and adds both loads to the wait group.
 func (t *ownerTrial) startLoads(loads *sync.WaitGroup) {
 	duration := t.scaled(33 * time.Second)
 	var mu sync.Mutex
--- a/cmd/rehearse/owner_faults.go
+++ b/cmd/rehearse/owner_faults.go
@@ -20,7 +20,7 @@
 	both.Wait()
 }
 
-// awaitNextOwner waits for another owner after a fault of a kind, and reports how long that took.
+// awaitNextOwner waits for an owner other than the last one, and reports how long that took. fault names the figure.
 func (t *ownerTrial) awaitNextOwner(fault string) {
 	owner, took := t.on.awaitOwner(t.owner)
 	t.report("new.owner.s."+fault, took)
@@ -33,8 +33,8 @@
 	return slices.DeleteFunc(slices.Clone(t.names), func(s string) bool { return s == t.owner })
 }
 
-// stopOwners stops the owner past its lease three times while it sends orders; whether an order is in progress at that time is
-// left to chance. Meanwhile messages are duplicated, and those of one voter arrive several terms late.
+// stopOwners stops the owner past its lease three times while it sends orders; an order may or may not be in progress at that
+// time. Meanwhile messages are duplicated, and those of one voter arrive several terms late.
 func (t *ownerTrial) stopOwners() {
 	t.errOn = errors.Join(t.errOn, t.on.RunScriptText(fmt.Sprintf("0s double *>* 30%%\n0s mute %s>* 2500ms", t.nonOwners()[0])))
 	for range 3 {
@@ -51,17 +51,17 @@
 	t.on.RunScriptText("0s heal")
 }
 
-// killOwner kills the owner while the folder of a voter is missing as after a disk failure, and starts the owner again.
+// killOwner kills the owner while the state directory of a voter is missing, as after a disk failure, and starts the owner again.
 func (t *ownerTrial) killOwner() error {
 	killed := t.owner
-	folder := t.on.StateDir(t.nonOwners()[0])
-	if err := os.Rename(folder, folder+".away"); err != nil {
+	stateDir := t.on.StateDir(t.nonOwners()[0])
+	if err := os.Rename(stateDir, stateDir+".away"); err != nil {
 		return err
 	}
 	t.runScript("0s kill " + killed)
 	t.awaitNextOwner("killed")
 	t.runScript("0s start " + killed)
-	return os.Rename(folder+".away", folder)
+	return os.Rename(stateDir+".away", stateDir)
 }
 
 // cutOwnerOff cuts the owner off in one direction: first it sends and does not receive, then it receives and does not send.
@@ -74,8 +74,8 @@
 	t.on.RunScriptText("0s heal")
 }
 
-// stopMajority stops three of the five voters and continues them. Without a majority no owner may send orders; with the majority
-// back there must be an owner within two leases.
+// stopMajority stops three of the five voters and continues them. Without a majority no owner may send orders; once the majority
+// has returned there must be an owner within two leases.
 func (t *ownerTrial) stopMajority() {
 	for _, name := range t.names[:3] {
 		t.runScript("0s stop " + name)
@@ -100,8 +100,8 @@
 	t.atMost("handover.drain.s", took, 1)
 }
 
-// checkOwnerStability checks that the owner does not change without need. First there are no faults, and the cost of the fleet is
-// measured; then messages are lost, one voter is slow and another one answers later than a lease.
+// checkOwnerStability checks that the owner does not change unnecessarily. First there are no faults, and the cost of the fleet
+// is measured. Then messages are lost, one voter is slow and another one answers later than a lease.
 func (run *experimentRun) checkOwnerStability(on, off *roleCluster, names []string, owner string) error {
 	interval := 4 * time.Second
 	if run.Long {
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -94,9 +94,9 @@
 func (c *sharedCluster) sendLoad(ctx context.Context, run *experimentRun, duration time.Duration,
 	rate func(name string) float64) {
 	began := time.Now()
-	var group sync.WaitGroup
+	var loads sync.WaitGroup
 	for k, name := range c.Names() {
-		group.Go(func() {
+		loads.Go(func() {
 			router := rig.NewRouter(k+1, c.Addresses(name)[0])
 			defer router.Close()
 			load := rig.Load{Seed: run.Seed + uint64(k)<<32, Duration: duration, Prefix: name + "-", Shares: sharedMix(),
@@ -129,7 +129,7 @@
 			load.Run(ctx, c.Checker, router)
 		})
 	}
-	group.Wait()
+	loads.Wait()
 }
 
 // servedShare returns the share of criticality that was served in a phase.
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -219,15 +219,15 @@
 func (run *experimentRun) drawLateKernels(f *restartFleet) []lateKernel {
 	random := rand.New(rand.NewPCG(run.Seed, 7))
 	count := max(2, int(restartLateKernelShare*float64(len(f.Programs))))
-	var late []lateKernel
+	var lateKernels []lateKernel
 	for k, index := range random.Perm(len(f.Programs))[:count] {
 		delay := time.Duration((0.5 + 5.5*random.Float64()) * float64(time.Second))
 		if k == count-1 {
 			delay = restartReadyTimeout + time.Second
 		}
-		late = append(late, lateKernel{f.Programs[index], run.scaled(delay), k%2 == 0})
+		lateKernels = append(lateKernels, lateKernel{f.Programs[index], run.scaled(delay), k%2 == 0})
 	}
-	return late
+	return lateKernels
 }
 
 // start makes the kernel unavailable, before its app server is killed.
@@ -250,8 +250,8 @@
 
 // restartAllServers kills all processes at once, starts them again, and judges when each is ready.
 func (run *experimentRun) restartAllServers(f *restartFleet) (callWindow, error) {
-	late := run.drawLateKernels(f)
-	for _, l := range late {
+	lateKernels := run.drawLateKernels(f)
+	for _, l := range lateKernels {
 		l.start()
 	}
 	errs := make([]error, len(f.Programs))
@@ -267,7 +267,7 @@
 	}
 	var returns sync.WaitGroup
 	readyTimeFrom := map[string]time.Time{}
-	for _, l := range late {
+	for _, l := range lateKernels {
 		mode := "refuses"
 		if l.withholdsBooted {
 			mode = "accepts and withholds BOOTED"
@@ -292,41 +292,41 @@
 		return callWindow{}, err
 	}
 	returns.Wait()
-	run.checkReadiness(f, began, returned, readyTimeFrom, late)
+	run.checkReadiness(f, began, returned, readyTimeFrom, lateKernels)
 	return f.measureWindow("restarted", func() { time.Sleep(run.scaled(6 * time.Second)) }), nil
 }
 
 // checkReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
 // received its report and it has served an RPC since its start.
-func (run *experimentRun) checkReadiness(f *restartFleet, began, rosterBack time.Time, readyTimeFrom map[string]time.Time,
-	late []lateKernel) {
+func (run *experimentRun) checkReadiness(f *restartFleet, began, rosterReturned time.Time, readyTimeFrom map[string]time.Time,
+	lateKernels []lateKernel) {
 	readyInTime, maxRosterDelay, maxLinkDelay, lastReported := 0, 0.0, 0.0, ""
 	var readyTimes []float64
-	for _, s := range f.Programs {
-		linked := awaitTime(restartReadyTimeout, s.Kernel.LinkedAt)
-		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstReported(s.Name); return at })
-		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(s.Name, began) })
+	for _, program := range f.Programs {
+		linked := awaitTime(restartReadyTimeout, program.Kernel.LinkedAt)
+		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstReported(program.Name); return at })
+		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(program.Name, began) })
 		from := began
-		if at, ok := readyTimeFrom[s.Name]; ok {
+		if at, ok := readyTimeFrom[program.Name]; ok {
 			from = at
 		}
 		ready := max(secondsAfter(linked, from), secondsAfter(reported, from), secondsAfter(served, from))
 		if ready <= restartReadyTimeout.Seconds() {
 			readyInTime++
 		} else {
-			run.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, secondsAfter(linked, from),
+			run.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", program.Name, secondsAfter(linked, from),
 				secondsAfter(reported, from), secondsAfter(served, from))
 		}
 		readyTimes = append(readyTimes, ready)
-		reportableFrom := rosterBack
-		for _, l := range late {
-			if l.server == s {
+		reportableFrom := rosterReturned
+		for _, l := range lateKernels {
+			if l.server == program {
 				maxLinkDelay = max(maxLinkDelay, secondsAfter(linked, began.Add(l.delay)))
 				reportableFrom = laterOf(reportableFrom, began.Add(l.delay))
 			}
 		}
 		if delay := secondsAfter(reported, reportableFrom); delay > maxRosterDelay {
-			maxRosterDelay, lastReported = delay, s.Name
+			maxRosterDelay, lastReported = delay, program.Name
 		}
 	}
 	run.atLeast("ready.within.10s", float64(readyInTime)/float64(len(f.Programs)), 0.9)
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -112,9 +112,9 @@
 	names []string) map[string]rig.Outcome {
 	outcomes := map[string]rig.Outcome{}
 	var mu sync.Mutex
-	var group sync.WaitGroup
+	var loads sync.WaitGroup
 	for k, name := range names {
-		group.Go(func() {
+		loads.Go(func() {
 			router := rig.NewRouter(k+1, cluster.Addresses(name)[0])
 			defer router.Close()
 			load := rig.Load{Seed: run.Seed + uint64(k)<<32, Duration: duration, Prefix: name + "-",
@@ -125,7 +125,7 @@
 			mu.Unlock()
 		})
 	}
-	group.Wait()
+	loads.Wait()
 	return outcomes
 }
 
