--- a/cmd/rehearse/client.go
+++ b/cmd/rehearse/client.go
@@ -27,7 +27,7 @@
 	return reply.Body, err
 }
 
-// slack is the checker's tolerance for times: the platform itself may be 50 ms late.
+// slack is the tolerance for times: the platform itself may be 50 ms late.
 const slack = 50 * time.Millisecond
 
 // requestMix returns the load of the experiments: idempotent lookups, tokened records, and notifications that must not run
@@ -45,9 +45,12 @@
 	deadlineSeconds := deadline.Seconds()
 	return rig.Site{Cores: 2, MemoryMB: 192, Sockets: 8192, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second,
 		Callers: 16, MarksRetry: true, MaxRetryAfterSeconds: 5, Methods: []rig.SiteMethod{
-			{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Criticality: 1},
-			{Name: "record", Kind: string(rpc.Tokened), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Window: 60, Criticality: 5},
-			{Name: "notify", Kind: string(rpc.NonIdempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds, Criticality: 2}}}
+			{Name: "lookup", Kind: string(rpc.Idempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds,
+				Criticality: 1},
+			{Name: "record", Kind: string(rpc.Tokened), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds,
+				Window: 60, Criticality: 5},
+			{Name: "notify", Kind: string(rpc.NonIdempotent), LatencyTarget: deadlineSeconds / 2, Deadline: deadlineSeconds,
+				Criticality: 2}}}
 }
 
 // kindsOf returns the kind of each method of the shares.
--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -108,7 +108,8 @@
 	if load.PaddingBytes > 0 {
 		id += "-" + strings.Repeat("x", load.PaddingBytes)
 	}
-	c := &trialCall{trialServer: s, peer: peer, method: method, id: id, criticality: random.Float64(), killsAtStart: s.killCount.Load()}
+	c := &trialCall{trialServer: s, peer: peer, method: method, id: id, criticality: random.Float64(),
+		killsAtStart: s.killCount.Load()}
 	c.body = rig.EncodeBody(id, 0)
 	c.work = min(method.Work*random.ExpFloat64(), 5*method.Work)
 	if load.ResultBytes > 0 {
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -19,7 +19,7 @@
 
 // Parameters of a trial.
 const (
-	checkTolerance    = 500 * time.Millisecond  // allowed beyond the times of the rules, since trials share the machine with other work
+	checkTolerance    = 500 * time.Millisecond  // checker's tolerance for times, as trials share the machine with other work
 	restDuration      = 700 * time.Millisecond  // how long an app server without work is observed
 	maxRestCPUShare   = 0.2                     // maximum share of a core that an app server without work uses
 	maxHealthCheckGap = 3 * time.Second         // maximum time between two answers to health checks
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -12,7 +12,7 @@
 	"valveglade/rig"
 )
 
-// pressureTrial is the common state of the parts of a pressure experiment: the settings files with load shedding on and off, and
+// pressureTrial is the state shared by the parts of a pressure experiment: the settings files with load shedding on and off, and
 // the violations that the checkers found.
 type pressureTrial struct {
 	directory  string
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// measureCapacity returns the highest rate that the throttled program keeps up with, in RPCs per second. The rate of a load rises
-// until its RPCs take several times as long as their work and the pauses of the CPU quota. With shedding off, the program reads
-// RPCs in the order of arrival.
+// measureCapacity returns the highest rate that the throttled program keeps up with, in RPCs per second. It raises the rate of a
+// load until RPCs take several times as long as their work and the pauses of the CPU quota together. With shedding off, the
+// program reads RPCs in the order of arrival.
 func (run *experimentRun) measureCapacity(args []string) (float64, error) {
 	server, err := run.startPressureServer(pressureMixSite(1000, 30), args, time.Second, 8)
 	if err != nil {
@@ -80,7 +80,8 @@
 	}
 	defer server.close()
 	defer server.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	// startRate and rateSlope give the rate in RPCs per second; lag is the delay of the detection in seconds.
+	// The rate starts at startRate RPCs per second and rises by rateSlope each second. The program counts as behind while more
+	// RPCs are pending than arrive in pendingSeconds. lag is the delay of the detection in seconds.
 	const startRate, rateSlope, pendingSeconds, checkInterval, lag = 2000.0, 1500.0, 0.06, 10 * time.Millisecond, 0.25
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -116,22 +117,22 @@
 type tripledLoadResult struct {
 	outcome    rig.Outcome
 	checkTimes []float64 // duration of each health check, in seconds
-	pushedBack int       // repeats of RPCs already run that were pushed back
-	repeats    int       // repeats of RPCs already run
+	pushedBack int       // repeated RPCs that were pushed back
+	repeats    int       // RPCs that were repeated with their token after they had been served
 	levels     []levelChange
 }
 
 // measureTripledLoad triples a load, from well below the rate that the program can read to an eighth above it, with shedding on
-// and off. The kernel could serve all of it.
+// and off. The kernel has capacity for all of it.
 func (run *experimentRun) measureTripledLoad(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
-	// Two app servers are measured at the same time, as the two below share the machine too.
-	capacity := 1000.0 // in tests, low enough for any machine
+	// Capacity is measured at two app servers concurrently, since the two measured below share the machine as well.
+	capacity := 1000.0 // for tests: low enough for any machine
 	if !run.shortForm {
 		first, second, err := runOnAndOff(func(bool) (float64, error) { return run.measureCapacity(argsFor(false)) })
 		if err != nil {
 			return err
 		}
-		capacity = min(first, second) // a late detection gives too high a rate
+		capacity = min(first, second) // a late detection overestimates the rate
 	}
 	run.report("bears.rpcs.per.s", capacity)
 	baseRate := capacity * 1.12 / 3
@@ -158,7 +159,7 @@
 			if err != nil || token == "" || len(id)%2 == 0 || !strings.HasSuffix(id, "7") {
 				return
 			}
-			time.Sleep(300 * time.Millisecond) // then repeat an RPC that was served
+			time.Sleep(300 * time.Millisecond) // before the RPC, which was served, is repeated
 			deadline := time.Now().Add(time.Second)
 			s.checker.RepeatRPC(id, deadline)
 			ctx, stop := context.WithDeadline(context.Background(), deadline)
@@ -201,20 +202,21 @@
 	}
 	run.exactly("starved.methods", float64(starved), 0)
 	for _, change := range on.levels {
-		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes, change.Refused)
+		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
+			change.Refused)
 	}
 	return nil
 }
 
-// measureTokenGrowth fills the memory with tokens that are kept for long, with shedding on and off: the memory grows with each
-// RPC served, and is freed only after the deduplication window.
+// measureTokenGrowth fills the memory with tokens, with shedding on and off: the memory grows with each RPC served, and is freed
+// only after a long deduplication window.
 func (run *experimentRun) measureTokenGrowth(dir string, collectViolations func(*rig.Checker)) error {
 	duration := run.scaled(6500 * time.Millisecond)
 	rate := 7500.0
 	if run.shortForm {
 		rate = 500
 	}
-	if run.Long { // twenty minutes at a rate that brings about as many tokens
+	if run.Long { // twenty minutes, at a rate that fills the memory with about as many tokens
 		duration = 20 * time.Minute
 		rate = 7500 * 7 / 1200.0 * 1.5
 	}
@@ -265,14 +267,15 @@
 		if strings.Contains(change.Causes, "leak") {
 			foreseen = 1
 		}
-		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes, change.Refused)
+		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
+			change.Refused)
 	}
 	run.report("leak.foreseen", foreseen)
 	return nil
 }
 
-// measureSlowKernel overloads the kernel and not the program: admission by credits has to handle that, as in Breakwater, and the
-// program must not refuse RPCs for pressure of its own. Afterwards the kernel hangs for a while.
+// measureSlowKernel overloads the kernel but not the program: admission by credits, as in Breakwater, must handle this, and the
+// program must not refuse RPCs because of its own pressure. Afterwards the kernel hangs for a while.
 func (run *experimentRun) measureSlowKernel(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	const cores, work, rate = 4, 0.02, 330.0
 	s, err := run.startPressureServer(pressureMixSite(cores, 30), argsFor(true), 200*time.Millisecond, 8)
@@ -287,9 +290,9 @@
 	sendLoad("w", rate/3, run.scaled(time.Second))
 	duration := run.scaled(4 * time.Second)
 	outcome := sendLoad("f", rate, duration)
-	// An ideal scheduler serves the most critical RPCs first, up to the time of the cores, including one second after the end of
-	// the load for the RPCs then waiting. The mean work is taken as 0.96 of the nominal one, as drawn work is cut off at
-	// five times that.
+	// An ideal scheduler serves the most critical RPCs first, within the processor time of the cores, including one second after
+	// the end of the load for the RPCs then waiting. The mean work is 0.96 of the nominal mean, since drawn work is limited
+	// to five times the nominal mean.
 	remaining, ideal, requested := float64(cores)*(duration.Seconds()+1)/(work*0.96), 0.0, 0.0
 	shares := pressureMix(work, 0)
 	for k := len(shares) - 1; k >= 0; k-- {
@@ -320,7 +323,7 @@
 	return nil
 }
 
-// measureEdge holds the load at the program's capacity and counts how often the pressure level flaps.
+// measureEdge keeps the load at the program's capacity and counts how often the pressure level flaps.
 func (run *experimentRun) measureEdge(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	duration := run.scaled(5 * time.Second)
 	if run.Long {
@@ -350,7 +353,7 @@
 	return nil
 }
 
-// runPressureEdge holds the load at the program's capacity for two minutes.
+// runPressureEdge is the experiment on a steady load at the program's capacity, for two minutes.
 func runPressureEdge(run *experimentRun) error {
 	t, err := newPressureTrial()
 	if err != nil {
@@ -370,7 +373,7 @@
 	return nil
 }
 
-// measureWatchCost compares the processor time per RPC with pressure watched and not, in alternating rounds without pressure.
+// measureWatchCost compares the processor time per RPC with shedding on and off, in alternating rounds without pressure.
 func (run *experimentRun) measureWatchCost(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	const rate = 1500.0
 	start := func(on bool) (*pressureServer, error) {
--- a/cmd/rehearse/pressuresite.go
+++ b/cmd/rehearse/pressuresite.go
@@ -41,8 +41,8 @@
 		}
 		methods = append(methods, m)
 	}
-	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, StopTimeout: 1200 * time.Millisecond, GracePeriod: time.Second, Callers: 8,
-		OneCore: true, MaxRetryAfterSeconds: 2, Methods: methods}
+	return rig.Site{Cores: cores, MemoryMB: 64, Sockets: 1024, StopTimeout: 1200 * time.Millisecond,
+		GracePeriod: time.Second, Callers: 8, OneCore: true, MaxRetryAfterSeconds: 2, Methods: methods}
 }
 
 // writeSettings writes a settings file and returns the arguments that name it.
@@ -51,7 +51,7 @@
 	return []string{"--settings", path}, os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// levelChange is a change of the pressure level in the program's log.
+// levelChange is a log entry of the program about a change of its pressure level.
 type levelChange struct {
 	Msg, Level, From, Causes string
 	TS                       float64
@@ -85,8 +85,8 @@
 	return n
 }
 
-// timeHealthChecks sends a health check at each interval on a connection of its own, until the context ends. It returns the
-// seconds that each reply took, which is the delay of the program's event loops.
+// timeHealthChecks sends a health check at each interval, on one connection, until the context ends. It returns the time to each
+// reply in seconds, which is the delay of the program's event loops.
 func timeHealthChecks(ctx context.Context, address string, interval time.Duration) []float64 {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -143,8 +143,8 @@
 	routers []rig.Caller
 }
 
-// startPressureServer starts an app server with some arguments and callers. slack is the tolerance of the checker. The caller
-// must close the server.
+// startPressureServer starts an app server with the given arguments and number of callers. tolerance is that of the checker. The
+// caller must close the server.
 func (run *experimentRun) startPressureServer(site rig.Site, args []string, tolerance time.Duration,
 	callers int) (*pressureServer, error) {
 	site.Args = args
@@ -167,7 +167,7 @@
 	s.Fleet.Close()
 }
 
-// runOnAndOff calls a function with shedding on and off, at the same time.
+// runOnAndOff calls measure with shedding on and off, concurrently.
 func runOnAndOff[T any](measure func(on bool) (T, error)) (on, off T, err error) {
 	var group sync.WaitGroup
 	var errOn, errOff error
@@ -177,5 +177,6 @@
 	return on, off, errors.Join(errOn, errOff)
 }
 
-// quotaRun is the run time in each quotaPeriod of the CPU quota that throttles the program below what reading needs.
+// quotaRun is the run time in each quotaPeriod of the CPU quota that throttles the program, so that reading requests is the
+// bottleneck.
 const quotaRun, quotaPeriod = 1600 * time.Microsecond, 10 * time.Millisecond
--- a/cmd/rehearse/quotaload.go
+++ b/cmd/rehearse/quotaload.go
@@ -16,8 +16,8 @@
 	"valveglade/rpc"
 )
 
-// sharedCluster is a process cluster with a shared backend, and a record of the RPCs sent to it. The totals hold the criticality
-// that was served and that was requested.
+// sharedCluster is a process cluster with a shared backend, and a record of the RPCs sent to it. Each total is the sum of the
+// criticality that was served, and of that requested.
 type sharedCluster struct {
 	*rig.Cluster
 	backend *rig.Backend
@@ -25,7 +25,7 @@
 	mu            sync.Mutex
 	requests      []sharedRequest
 	backendTotals map[string][2]float64 // of RPCs that use the backend, by phase
-	methodTotals  map[string][2]float64 // by phase, app server and method, separated by spaces
+	methodTotals  map[string][2]float64 // of all RPCs, by phase, app server and method, separated by spaces
 	plainTotals   map[string][2]float64 // of RPCs that do not use the backend, by phase
 	phase         string
 }
@@ -57,7 +57,7 @@
 	case "off":
 		plan.NoFleet = true
 	case "even":
-		reserved = sharedLimit / sharedServers // the whole limit is reserved, so nothing is left to grant
+		reserved = sharedLimit / sharedServers // reserves the whole limit, so that nothing is left to grant
 	}
 	plan.Settings = []string{"fleet.voters " + strings.Join(nodeNames(5), " "), "fleet.lease " + experimentLease.String(),
 		"fleet.share behind " + limit + " lookup check record",
@@ -83,7 +83,8 @@
 	return plan
 }
 
-// startPhase starts a phase of the experiment: later RPCs count in its totals.
+// startPhase starts a phase of the experiment. RPCs that end later count in its totals, and RPCs that are
+// sent later in its ideal share.
 func (c *sharedCluster) startPhase(phase string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +133,7 @@
 	loads.Wait()
 }
 
-// servedShare returns the share of criticality that was served in a phase.
+// servedShare returns the share of the criticality requested of the backend that was served in a phase.
 func (c *sharedCluster) servedShare(phase string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +154,8 @@
 	return minShare
 }
 
-// idealShare returns the share of criticality that an ideal scheduler would serve in a phase, with full knowledge and no delay:
-// in each half second the most critical RPCs first, up to the limit.
+// idealShare returns the share of criticality that an ideal scheduler would serve in a phase: with full knowledge and no delay,
+// it serves the most critical RPCs of each half second first, up to the limit.
 func (c *sharedCluster) idealShare(phase string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,7 +191,7 @@
 	return sum
 }
 
-// allocator returns the name of the process that allocates the share, and its state of the share, or "" if there is none.
+// allocator returns the name of the process that allocates the limit, and the share's state there, or "" if there is none.
 func (c *sharedCluster) allocator() (name string, share fleet.Share) {
 	for _, process := range c.Running() {
 		status, err := member.ReadStatus(c.Socket(process))
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -19,14 +19,14 @@
 const (
 	restartSockets          = 128                     // limits.sockets of each app server
 	restartExcess           = 16                      // idle clients over limits.sockets
-	restartReadyTimeout     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
+	restartReadyTimeout     = 10 * time.Second        // from the start of a process, or from the end of a late kernel's delay
 	restartReconnectTimeout = 3 * time.Second         // for a kernel link or a report to the roster after the other side's return
 	restartIdleClients      = restartSockets * 5 / 4  // idle clients of each app server: some are between two connections
-	restartFloodFactor      = 2                       // times as many idle clients at the flooded app server
+	restartFloodFactor      = 2                       // multiple of restartIdleClients at the flooded app server
 	restartIdlePause        = 500 * time.Millisecond  // between an idle client's connections
 	restartFloodPause       = 200 * time.Millisecond  // between an idle client's connections in a flood
 	restartRate             = 15.0                    // RPCs per second of each caller
-	restartDeadline         = time.Second             // of an RPC
+	restartDeadline         = time.Second             // of each RPC
 	restartRetryDelay       = 10 * time.Millisecond   // between a caller's tries
 	restartLateKernelShare  = 0.3                     // share of kernels that are late
 	restartFullTable        = restartSockets * 9 / 10 // descriptors from which a descriptor table counts as full
@@ -43,8 +43,8 @@
 	killCount atomic.Int64 // incremented before and after each kill
 }
 
-// runRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
-// kills all of them and starts them again, some before their kernels are available.
+// runRestart is the experiment on restarts: idle clients fill the descriptors of all app servers while the roster is down, the
+// kernel links fail, and all app servers are killed and started again, some before their kernels are available.
 func runRestart(run *experimentRun) error {
 	count := 20
 	if run.shortForm {
@@ -87,6 +87,7 @@
 	return nil
 }
 
+// newRestartFleet starts count app servers. The caller must close the fleet.
 func (run *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
 	site := pressureMixSite(4, 30)
 	site.Sockets = restartSockets
@@ -119,6 +120,7 @@
 	return f.countDescriptors()
 }
 
+// countDescriptors returns the current descriptor count of each process.
 func (f *restartFleet) countDescriptors() []int {
 	var counts []int
 	for _, s := range f.Programs {
@@ -127,13 +129,14 @@
 	return counts
 }
 
-// startLoad starts two callers for each app server: one keeps its connection, one connects for each RPC.
+// startLoad starts two callers for each app server: one keeps its connection, the other connects for each RPC.
 func (f *restartFleet) startLoad(seed uint64) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	for k, s := range f.Programs {
 		for j := range 2 {
-			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), connectPerCall: j == 1, killCount: &f.killCount}
+			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), connectPerCall: j == 1,
+				killCount: &f.killCount}
 			f.load.Go(func() {
 				defer caller.Close()
 				f.runLoad(ctx, s.Name, caller, seed+uint64(2*k+j)<<32)
@@ -155,8 +158,8 @@
 	f.load.Wait()
 }
 
-// startIdle has idle clients fill the descriptors of all app servers, and flood one that is drawn from the seed: there new
-// connections arrive faster than earlier ones count as silent.
+// startIdle starts idle clients that fill the descriptors of all app servers, and flood one that is drawn from the seed: there
+// new connections arrive before earlier ones count as silent.
 func (run *experimentRun) startIdle(f *restartFleet) {
 	flooded := rand.New(rand.NewPCG(run.Seed, 3)).IntN(len(f.Programs))
 	run.printNote("%s is flooded", f.Programs[flooded].Name)
@@ -176,7 +179,7 @@
 	f.idle = nil
 }
 
-// awaitFullTables waits until the descriptor table of each app server is full, and judges how long that took.
+// awaitFullTables waits until the descriptor table of each app server is full, and checks how long that took.
 func (run *experimentRun) awaitFullTables(f *restartFleet) {
 	began := time.Now()
 	for time.Since(began) < 5*time.Second {
@@ -188,8 +191,8 @@
 	run.atMost("full.after.s", time.Since(began).Seconds(), 4.9)
 }
 
-// runKernelOutage ends all kernel links, has reconnects refused for a while, and measures how long after the kernels'
-// return the links are up again.
+// runKernelOutage ends all kernel links, refuses reconnects for a while, and checks how long after the kernels' return the
+// links are up again.
 func (run *experimentRun) runKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
 		s.Kernel.TakeDown()
@@ -212,10 +215,10 @@
 type lateKernel struct {
 	server          *rig.Program
 	delay           time.Duration
-	withholdsBooted bool // the link is accepted and BOOTED withheld; else connections are refused
+	withholdsBooted bool // whether the kernel accepts the link and withholds BOOTED; else it refuses connections
 }
 
-// drawLateKernels draws the late kernels; the last one is later than a process may take to be ready.
+// drawLateKernels draws the late kernels. The last one is later than restartReadyTimeout.
 func (run *experimentRun) drawLateKernels(f *restartFleet) []lateKernel {
 	random := rand.New(rand.NewPCG(run.Seed, 7))
 	count := max(2, int(restartLateKernelShare*float64(len(f.Programs))))
@@ -248,7 +251,8 @@
 	}
 }
 
-// restartAllServers kills all processes at once, starts them again, and judges when each is ready.
+// restartAllServers kills all processes at once, starts them again, and checks when each is ready. It returns the results of
+// the RPCs after the restart.
 func (run *experimentRun) restartAllServers(f *restartFleet) (callWindow, error) {
 	lateKernels := run.drawLateKernels(f)
 	for _, l := range lateKernels {
@@ -261,7 +265,7 @@
 	for k, s := range f.Programs {
 		restarts.Go(func() {
 			s.Kill()
-			f.killCount.Add(1) // for the RPCs asked for after the first increment and before the kill
+			f.killCount.Add(1) // covers the RPCs that began after the first increment and before the kill
 			errs[k] = s.Start()
 		})
 	}
@@ -275,7 +279,7 @@
 		run.printNote("kernel of %s %s for %.1f s", l.server.Name, mode, l.delay.Seconds())
 		if l.delay > run.scaled(restartReadyTimeout) {
 			readyTimeFrom[l.server.Name] = began.Add(l.delay)
-			run.printNote("%s is judged from its kernel's return", l.server.Name)
+			run.printNote("%s: time to readiness counts from its kernel's return", l.server.Name)
 		}
 		returns.Go(func() {
 			time.Sleep(time.Until(began.Add(l.delay)))
@@ -296,8 +300,9 @@
 	return f.measureWindow("restarted", func() { time.Sleep(run.scaled(6 * time.Second)) }), nil
 }
 
-// checkReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
-// received its report and it has served an RPC since its start.
+// checkReadiness waits until the app servers are ready and checks the times. An app server is ready when its kernel link is up,
+// the roster has received its report, and it has served an RPC since began. readyTimeFrom holds the start of the time to
+// readiness where it is not began, by app server.
 func (run *experimentRun) checkReadiness(f *restartFleet, began, rosterReturned time.Time, readyTimeFrom map[string]time.Time,
 	lateKernels []lateKernel) {
 	readyInTime, maxRosterDelay, maxLinkDelay, lastReported := 0, 0.0, 0.0, ""
@@ -337,7 +342,7 @@
 	run.printNote("last on the roster: %s", lastReported)
 }
 
-// checkAnswered judges the RPCs of one window.
+// checkAnswered checks the share of the window's RPCs that got a reply.
 func (run *experimentRun) checkAnswered(f *restartFleet, w callWindow) {
 	run.atLeast("answered."+w.name, w.answeredShare(), 0.99)
 	w.report(run)
@@ -346,7 +351,7 @@
 	}
 }
 
-// checkDescriptorsLeftOver compares the descriptor counts with those before, once all clients have left.
+// checkDescriptorsLeftOver checks that the descriptor counts fall to those of before once all clients have disconnected.
 func (run *experimentRun) checkDescriptorsLeftOver(f *restartFleet, before []int) {
 	maxExcess := math.MaxInt
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && maxExcess > 0; time.Sleep(50 * time.Millisecond) {
@@ -359,6 +364,7 @@
 	run.atMost("descriptors.left.over", float64(maxExcess), 0)
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -13,7 +13,8 @@
 )
 
 // retryingCaller calls one app server as a router does: an RPC that got no reply because the connection was refused or ended
-// is retried until its deadline. A tokened RPC is not retried after a kill: the app server's tokens are lost with the process.
+// is retried until its deadline. A tokened RPC is not retried after a kill, since the app server's tokens are lost with its
+// process.
 type retryingCaller struct {
 	source         int
 	address        string
@@ -43,7 +44,7 @@
 	}
 }
 
-// connection returns the router to call through, and the function to run after the call.
+// connection returns the router to call through, and a function that the caller must call after the call.
 func (c *retryingCaller) connection() (router *rig.Router, done func()) {
 	if c.connectPerCall {
 		router = rig.NewRouter(c.source, c.address)
@@ -75,7 +76,7 @@
 	err                  error
 }
 
-// answered reports whether the RPC had a reply of the app server by its deadline.
+// answered reports whether the RPC got a reply from the app server by its deadline.
 func (r callRecord) answered() bool {
 	return r.err == nil || errors.Is(r.err, rig.ErrPushedBack) || errors.Is(r.err, rig.ErrAborted)
 }
@@ -86,6 +87,7 @@
 	records []callRecord
 }
 
+// newCallLog returns an empty log.
 func newCallLog() *callLog { return &callLog{} }
 
 func (l *callLog) add(r callRecord) {
@@ -94,7 +96,7 @@
 	l.records = append(l.records, r)
 }
 
-// firstServed returns when an app server first served an RPC that was asked for after since, or the zero time if never.
+// firstServed returns when an app server first served an RPC that was requested after since, or the zero time if it has not.
 func (l *callLog) firstServed(server string, since time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,11 +109,13 @@
 	return first
 }
 
-// between returns the records of the RPCs that were asked for between two times.
+// between returns the records of the RPCs that were requested between two times.
 func (l *callLog) between(from, to time.Time) []callRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(l.records), func(r callRecord) bool { return r.requestedAt.Before(from) || r.requestedAt.After(to) })
+	return slices.DeleteFunc(slices.Clone(l.records), func(r callRecord) bool {
+		return r.requestedAt.Before(from) || r.requestedAt.After(to)
+	})
 }
 
 // recordingCaller adds the result of each RPC to a log.
@@ -129,14 +133,15 @@
 	return result, err
 }
 
-// callWindow holds the results of the RPCs that were asked for during one part of the experiment.
+// callWindow holds the results of the RPCs that were requested during one part of the experiment.
 type callWindow struct {
 	name                        string
 	requested, answered, served int
 	failures                    []string
 }
 
-// measureWindow runs a part of the experiment, and waits until the RPCs that were asked for in it have ended.
+// measureWindow runs a part of the experiment, waits until the RPCs that were requested in it have ended, and returns their
+// results.
 func (f *restartFleet) measureWindow(name string, part func()) callWindow {
 	from := time.Now()
 	part()
@@ -172,8 +177,8 @@
 	stop           chan struct{}
 	done           chan struct{}
 	maxDescriptors int
-	samples        int // of all processes
-	fullSamples    int // of samples, those with a full descriptor table
+	samples        int // number of samples of all processes
+	fullSamples    int // number of samples with a full descriptor table
 }
 
 // startDescriptorSampler starts the sampling of a fleet; close ends it.
@@ -193,7 +198,7 @@
 		}
 		for _, n := range s.fleet.countDescriptors() {
 			if n == 0 {
-				continue // the process is killed and not yet started again
+				continue // the process was killed and has not been started again
 			}
 			s.maxDescriptors = max(s.maxDescriptors, n)
 			s.samples++
@@ -204,7 +209,7 @@
 	}
 }
 
-// close ends the sampling and judges its counts.
+// close ends the sampling and checks its counts.
 func (s *descriptorSampler) close(run *experimentRun) {
 	close(s.stop)
 	<-s.done
--- a/cmd/rehearse/share.go
+++ b/cmd/rehearse/share.go
@@ -13,8 +13,8 @@
 	"valveglade/rpc"
 )
 
-// Sizes of the share experiment. A third of the limit is reserved. With high demand everywhere, each app server holds less than a
-// tenth of the limit, which is unused for a while if the app server dies.
+// Sizes of the share experiment. A third of the limit is reserved. Under high demand everywhere, each app server holds less than
+// a tenth of the limit, which stays unused for a while if the app server dies.
 const (
 	sharedLimit       = 48  // limit of concurrent runs at the backend
 	sharedServers     = 16  // app servers that share the limit
@@ -31,13 +31,13 @@
 	}
 }
 
-// saturatingRate is the rate in RPCs per second that uses the whole limit: 0.85 of the mix uses the shared backend.
+// saturatingRate is the rate in RPCs per second that uses the whole limit. 0.85 of the RPCs use the shared backend.
 const saturatingRate = sharedLimit / sharedWorkSeconds / 0.85
 
-// sharedDemand is the rate of RPCs at each app server, which can be changed while a load runs. It is safe for concurrent use.
+// sharedDemand sets the rate of RPCs at each app server, also while a load runs. It is safe for concurrent use.
 type sharedDemand struct {
 	mu        sync.Mutex
-	hotServer string  // app server that gets most RPCs, empty if all get the same number
+	hotServer string  // app server that gets most RPCs; empty if all have the same rate
 	rate      float64 // of all app servers together, in RPCs per second
 }
 
@@ -82,7 +82,7 @@
 	took, _ := t.on.WaitUntil(10*time.Second, func() bool { name, _ := t.on.allocator(); return name != "" })
 	run.atMost("first.keeper.s", took, 10)
 	run.awaitSameView(t.on.Cluster, 10*time.Second, sharedServers, t.on.Names())
-	time.Sleep(2 * time.Second) // until reserved permits need not wait for former incarnations
+	time.Sleep(2 * time.Second) // until the grants of former incarnations have expired, so that reserved permits are usable
 
 	var loads sync.WaitGroup
 	ctx, stop := context.WithCancel(context.Background())
@@ -151,8 +151,8 @@
 // skewedFraction is the fraction of saturatingRate that is sent while most RPCs go to one app server.
 const skewedFraction = 0.75
 
-// moveDemand sends most RPCs to one app server, to another one every two seconds, and reports the longest time until a third of
-// the limit is in use at that app server.
+// moveDemand sends most RPCs to one app server, which changes every two seconds. It checks the longest time until a third of the
+// limit is in use at that app server.
 func (t *shareTrial) moveDemand() {
 	t.startPhase("skewed")
 	maxDelay := 0.0
@@ -171,13 +171,13 @@
 	t.atMost("follows.demand.s", maxDelay, 2)
 }
 
-// fillLimit sends more RPCs than the limit admits, evenly to all app servers, and reports the use of the limit and the fleet's
-// packets.
+// fillLimit sends more RPCs than the limit admits, evenly to all app servers. It checks the use of the limit and reports the
+// fleet's packets.
 func (t *shareTrial) fillLimit() {
 	t.startPhase("full")
 	t.demand.set("", 1.5*saturatingRate)
 	time.Sleep(time.Second)
-	t.on.backend.MeanRunning()
+	t.on.backend.MeanRunning() // discards the mean up to now
 	t.even.backend.MeanRunning()
 	packets, runs, began := t.on.sentPackets(), t.on.backend.StartedRuns(), time.Now()
 	time.Sleep(3 * time.Second)
@@ -199,14 +199,14 @@
 	}
 	t.atLeast("served.least.full", t.on.minServedShare("full"), 0.1)
 	t.atLeast("criticality.of.even.skewed", t.on.servedShare("skewed")/t.even.servedShare("skewed"), 1.3)
-	for _, phase := range []string{"skewed", "full"} { // these phases are the same in both clusters
+	for _, phase := range []string{"skewed", "full"} { // phases with the same load in all clusters
 		onTotals, offTotals := t.on.plainTotals[phase], t.off.plainTotals[phase]
 		t.atLeast("plain.of.off."+phase, onTotals[0]/onTotals[1]/(offTotals[0]/offTotals[1]), 0.98)
 	}
 }
 
-// lowerLimit lowers the limit by a third in a reload of all app servers. It returns the largest number of runs above the new
-// limit after all earlier grants have expired.
+// lowerLimit lowers the limit by a third in the settings of all app servers and reloads them. It returns the largest number of
+// runs above the new limit after all earlier grants have expired.
 func (c *sharedCluster) lowerLimit(run *experimentRun) int {
 	const loweredLimit = sharedLimit * 2 / 3
 	for _, name := range c.Names() {
@@ -217,13 +217,13 @@
 	}
 	time.Sleep(2*experimentLease + time.Second + 300*time.Millisecond) // grants last two leases, and runs up to a second
 	c.backend.SetLimit(loweredLimit)
-	c.backend.MeanRunning()
+	c.backend.MeanRunning() // discards the mean up to now
 	time.Sleep(time.Second)
 	run.atLeast("used.lowered", c.backend.MeanRunning()/loweredLimit, 0.8)
 	return c.backend.MaxExcess()
 }
 
-// runShareForty is the experiment on few permits for many app servers: each of forty must get permits at some time.
+// runShareForty is the experiment on ten permits for forty app servers: each app server must get a permit at some time.
 func runShareForty(run *experimentRun) error {
 	const servers, permits = 40, 10
 	c := newSharedCluster(permits)
@@ -249,7 +249,7 @@
 		})
 	})
 	time.Sleep(duration / 4)
-	c.backend.MeanRunning()
+	c.backend.MeanRunning() // discards the mean up to now
 	time.Sleep(duration / 2)
 	run.atLeast("used.steady", c.backend.MeanRunning()/permits, 0.7)
 	loads.Wait()
@@ -269,8 +269,8 @@
 	return run.writeHistory(c.Cluster)
 }
 
-// runShareAuto is the experiment on an automatic limit: the backend is slower above a number of concurrent runs, its capacity,
-// which changes, and the limit must follow it.
+// runShareAuto is the experiment on an automatic limit: the backend slows down above its capacity, a number of concurrent runs.
+// The capacity changes, and the limit must follow it.
 func runShareAuto(run *experimentRun) error {
 	c, err := run.startSharedCluster("on", fmt.Sprintf("auto %d-%d %s", sharedServers, 3*sharedLimit,
 		time.Duration(autoLatencyFactor*sharedWorkSeconds*float64(time.Second))))
@@ -290,7 +290,8 @@
 	})
 	for k, capacity := range []int{sharedLimit, sharedLimit / 2, sharedLimit} {
 		c.backend.SetCapacity(capacity)
-		time.Sleep(run.scaled([]time.Duration{14, 8, 13}[k] * time.Second)) // rising takes longer than falling; 20 s are allowed
+		// The limit rises more slowly than it falls; at most 20 s are allowed.
+		time.Sleep(run.scaled([]time.Duration{14, 8, 13}[k] * time.Second))
 		// The limit oscillates around the capacity, so its mean over some seconds is compared.
 		sum, samples := 0.0, 0.0
 		for end := time.Now().Add(run.scaled(2 * time.Second)); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/cmd/rehearse/share_faults.go
+++ b/cmd/rehearse/share_faults.go
@@ -16,7 +16,7 @@
 }
 
 // disruptAllocators kills the allocator, stops the next one, and cuts the one after that off from half of the others. It returns
-// the names of all app servers but the last of these allocators.
+// the names of all app servers except that last allocator.
 func (t *shareTrial) disruptAllocators() []string {
 	t.disruptAllocator("killed", "0s kill ALLOCATOR")
 	for _, name := range t.on.Names() {
@@ -25,7 +25,7 @@
 		}
 	}
 	// The permits of the killed process, and the reserved permits of its new incarnation, are usable after its last grant expires.
-	t.on.backend.MeanRunning()
+	t.on.backend.MeanRunning() // discards the mean up to now
 	t.on.WaitUntil(5*time.Second, func() bool {
 		time.Sleep(300 * time.Millisecond)
 		return t.on.backend.MeanRunning() >= 0.97*sharedLimit
@@ -41,10 +41,10 @@
 }
 
 // disruptAllocator runs a fault script on the allocator, whose name replaces ALLOCATOR in the script. Another process must take
-// over, the use of the limit must not fall below the reserved permits meanwhile, and must recover.
+// over; the use of the limit must not fall below the reserved permits meanwhile, and must recover. fault names the figures.
 func (t *shareTrial) disruptAllocator(fault, script string) {
 	former, _ := t.on.allocator()
-	t.on.backend.MeanRunning()
+	t.on.backend.MeanRunning() // discards the mean up to now
 	began := time.Now()
 	t.runScript(strings.ReplaceAll(script, "ALLOCATOR", former))
 	allocator, recovered := "", math.Inf(1)
@@ -71,7 +71,8 @@
 	t.atLeast("used.least."+fault, minUsed, float64(sharedServers-1)/sharedLimit)
 }
 
-// failHolders kills one holder and stops another one past its grant, while runs take ten times as long for a while.
+// failHolders kills one holder of permits and stops another one past its grant. Meanwhile runs take ten times as long for a
+// while.
 func (t *shareTrial) failHolders(holders []string) {
 	var slow sync.WaitGroup
 	slow.Go(func() {
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -14,8 +14,8 @@
 	"valveglade/rig"
 )
 
-// runView is the experiment on the view: a crash, a process that restarts again and again, two processes under one name, a
-// paused process, a rolling release and a restart of all processes at once. The same processes with the fleet off are compared.
+// runView is the experiment on the view: a crash, a process that restarts repeatedly, two processes under one name, a paused
+// process, a rolling release and a restart of all processes at once. It is compared with the same processes with the fleet off.
 func runView(run *experimentRun) error {
 	const n = 12
 	plan := run.clusterPlan(n)
@@ -39,7 +39,7 @@
 		}
 	}
 
-	// The first half of the processes has no faults; all faults are in the second half.
+	// All faults are applied to the second half of the processes.
 	untouched := names[:6]
 	duration := 12 * time.Second
 	served := map[*rig.Cluster]map[string]rig.Outcome{}
@@ -130,8 +130,8 @@
 	return run.writeHistory(on)
 }
 
-// measureAtRest reports the cost of the fleet for an idle process over an interval: the bytes and packets of the fleet, and the
-// processor time above that of the same process with the fleet off.
+// measureAtRest measures the cost of the fleet for an idle process over an interval: the bytes and packets of the fleet, and the
+// processor time in excess of that with the fleet off.
 func (run *experimentRun) measureAtRest(on, off *rig.Cluster, names []string, interval time.Duration) error {
 	readTotals := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
 		for _, name := range names {
@@ -177,7 +177,7 @@
 	run.atMost("joined.all", run.awaitSameView(on, 15*time.Second, n, names), 10)
 	run.report("joined.all.bare", run.awaitSameView(gossipOnly, 15*time.Second, n, names))
 
-	// Packet loss, jitter and duplication, while one process gets little processor time.
+	// Packet loss, jitter and duplication, while one process gets only a tenth of a core.
 	loadDone := make(chan struct{})
 	var outcomes map[string]rig.Outcome
 	duration := run.scaled(30 * time.Second)
@@ -196,7 +196,7 @@
 	run.exactly("false.deaths.lasting", float64(lasting), 0)
 	run.awaitSameView(on, 4*time.Second, n, names)
 
-	// A network partition into four and eight members, and its end. The four see the eight die.
+	// A network partition into four and eight members, and its end. The four members see the eight as dead.
 	small, large := names[:4], names[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
 	from = on.History.Elapsed()
@@ -232,7 +232,7 @@
 	_, rejoined := gossipOnly.WaitUntil(3*time.Second, func() bool { return gossipOnly.History.AgreeOnMembers(n, names...) })
 	run.exactly("rejoined.bare", float64(boolToInt(rejoined)), 0)
 
-	// A link cut in one direction only, then a partition in three.
+	// Links cut in one direction only, then a partition into three.
 	from = on.History.Elapsed()
 	if err := on.RunScriptText("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
@@ -252,8 +252,8 @@
 	return run.writeHistory(on)
 }
 
-// runViewDrawn applies faults drawn at random from the seed, or those of a script, and checks what must hold under any faults:
-// in the end all running processes have one view of all of them, and the checkers found no violation.
+// runViewDrawn is the experiment on the view under faults drawn from the seed, or read from a script. It checks what must hold
+// under any faults: in the end all running processes have the same view, and the checker has found no violation.
 func runViewDrawn(run *experimentRun) error {
 	const n = 8
 	duration := run.scaled(20 * time.Second)
--- a/cmd/rehearse/viewcluster.go
+++ b/cmd/rehearse/viewcluster.go
@@ -24,14 +24,14 @@
 	return all
 }
 
-// clusterSite returns the settings of processes under a light load, so that observations come from the faults alone.
+// clusterSite returns the settings of processes under a light load, so that only faults change the view.
 func clusterSite() rig.Site {
 	site := pressureMixSite(4, 30)
 	site.StopTimeout, site.GracePeriod = 1800*time.Millisecond, time.Second
 	return site
 }
 
-// clusterSlack is the tolerance of the times that the checker compares: many processes share a few cores.
+// clusterSlack is the checker's tolerance for times in clusters, where many processes share a few cores.
 const clusterSlack = 300 * time.Millisecond
 
 // clusterGroup is a group of process clusters with the same faults.
@@ -39,8 +39,8 @@
 	clusters []*rig.Cluster // in the order of their plans
 }
 
-// startClusters starts a process cluster for each plan, all concurrently. The caller must close the group. After an error there
-// is no group.
+// startClusters starts a process cluster for each plan, all concurrently. The caller must close the group. On error it closes the
+// clusters that it started and returns no group.
 func startClusters(plans ...rig.ClusterConfig) (*clusterGroup, error) {
 	clusters := make([]*rig.Cluster, len(plans))
 	errs := make([]error, len(plans))
@@ -58,7 +58,7 @@
 	return g, nil
 }
 
-// onEach calls a function for each process cluster concurrently, and joins the errors.
+// onEach calls do for each process cluster, concurrently, and joins the errors.
 func (g *clusterGroup) onEach(do func(*rig.Cluster) error) error {
 	errs := make([]error, len(g.clusters))
 	var group sync.WaitGroup
@@ -77,8 +77,8 @@
 	group.Wait()
 }
 
-// clusterPlan returns the plan of a cluster of n processes. The first two addresses that each of them is given to join belong to
-// no process.
+// clusterPlan returns the plan of a cluster of n processes. The first two addresses that each process is given to join are
+// unused.
 func (run *experimentRun) clusterPlan(n int) rig.ClusterConfig {
 	return rig.ClusterConfig{Program: run.Program, Names: nodeNames(n), Site: clusterSite(), Zones: 3, Seeds: 3, UnusedSeeds: 2,
 		Slack: clusterSlack, Seed: run.Seed}
@@ -129,7 +129,7 @@
 	return outcomes
 }
 
-// servedCriticality returns the share of criticality that the named processes served, the mean over them.
+// servedCriticality returns the share of criticality that the named processes served, as the mean over the processes.
 func servedCriticality(outcomes map[string]rig.Outcome, names []string) float64 {
 	sum := 0.0
 	for _, name := range names {
@@ -138,7 +138,7 @@
 	return sum / float64(len(names))
 }
 
-// reportDelay returns how long after a time all viewers had reported an event of a member, in seconds, or +Inf if one never did.
+// reportDelay returns how many seconds after a time the last viewer reported an event of a member, or +Inf if any never did.
 func reportDelay(cluster *rig.Cluster, name, event string, from float64, viewers []string) float64 {
 	longest := 0.0
 	for _, viewer := range viewers {
@@ -155,7 +155,7 @@
 }
 
 // countFalseDeaths counts the deaths that viewers reported of members that were alive, and how many of these were not revoked
-// within a grace period in seconds. alive returns whether a member was alive at a time.
+// within a grace period in seconds. alive reports whether a member was alive at a time.
 func countFalseDeaths(cluster *rig.Cluster, from, to, grace float64, viewers []string,
 	alive func(name string, t float64) bool) (all, lasting int) {
 	for _, viewer := range viewers {
@@ -163,7 +163,8 @@
 		for k, observation := range observations {
 			for _, change := range observation.Changes {
 				name, rest, _ := strings.Cut(change, " ")
-				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.Time > to || !alive(name, observation.Time) {
+				if !strings.HasPrefix(rest, "went: ") || strings.Contains(rest, "left") || observation.Time > to ||
+					!alive(name, observation.Time) {
 					continue
 				}
 				all++
@@ -196,8 +197,8 @@
 	run.exactly("breaches", float64(count), 0)
 }
 
-// awaitSameView waits until all named processes have the same view of n members. It returns the seconds waited, or +Inf if they
-// have not within the timeout; it then prints their last observations.
+// awaitSameView waits until all named processes have the same view of n members. It returns the seconds waited. If that takes
+// longer than within, it prints their last observations and returns +Inf.
 func (run *experimentRun) awaitSameView(cluster *rig.Cluster, within time.Duration, n int, names []string) float64 {
 	took, ok := cluster.WaitUntil(within, func() bool { return cluster.History.AgreeOnMembers(n, names...) })
 	if !ok {
@@ -210,7 +211,7 @@
 	return took
 }
 
-// writeHistory writes the history of a cluster to the file that was asked for, if any.
+// writeHistory writes the history of a cluster to the run's history file, if any.
 func (run *experimentRun) writeHistory(cluster *rig.Cluster) error {
 	if run.History == "" {
 		return nil
@@ -223,7 +224,7 @@
 	return cluster.History.Write(file)
 }
 
-// countMemberChanges counts the observations of a viewer, between two times, with a change of one member.
+// countMemberChanges counts the observations of a viewer between two times that report a change of the named member.
 func countMemberChanges(cluster *rig.Cluster, viewer, name string, from, to float64) int {
 	n := 0
 	for _, observation := range cluster.History.Observations(viewer, from) {
--- a/cmd/rehearse/viewcost.go
+++ b/cmd/rehearse/viewcost.go
@@ -16,8 +16,8 @@
 	"valveglade/member"
 )
 
-// runViewCost measures the fleet's view at sizes that cannot be run as processes: many members in this process gossip over
-// loopback sockets, at rest and after a fifth of them died at once.
+// runViewCost is the experiment on the cost of the view at sizes that cannot be run as processes: many members in this process
+// gossip over loopback sockets. It measures them at rest and after a fifth of them have died at once.
 func runViewCost(run *experimentRun) error {
 	sizes := []int{20, 100}
 	switch {
@@ -40,13 +40,13 @@
 	return nil
 }
 
-// maxRestTraffic is the maximum that a member sends and receives without changes, in bytes per second: three probes of some
-// hundred bytes in each direction. Gossip that never ends, as when each message is repeated because it was slow to be sent,
+// maxRestTraffic is the maximum that a member sends and receives without changes, in bytes per second: three probes of a few
+// hundred bytes in each direction. Gossip that never ends, for example because each message is repeated when it was sent late,
 // takes a hundred times as much.
 const maxRestTraffic = 2000
 
-// measureViewCost reports the cost of n members. It returns how long the views of the remaining members took to converge after a
-// fifth died, in seconds.
+// measureViewCost measures the cost of n members. It returns how long the views of the remaining members took to converge after
+// a fifth had died, in seconds.
 func (run *experimentRun) measureViewCost(n int) (float64, error) {
 	figureName := func(what string) string { return fmt.Sprintf("%s.%d", what, n) }
 	runtime.GC()
@@ -113,7 +113,7 @@
 	runtime.ReadMemStats(&after)
 	usedBytes := float64(after.HeapInuse+after.StackInuse) - float64(before.HeapInuse+before.StackInuse)
 	run.atMost(figureName("memory.member.mb"), usedBytes/float64(n)/(1<<20), 8)
-	// Gossip about the joining continues for a while after the views have converged.
+	// Gossip about the joins continues for a while after the views have converged.
 	traffic := func() (bytes, packets int64) {
 		for _, m := range all {
 			stats := m.Stats()
