--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -30,10 +30,10 @@
 	launchedAt                time.Time // zero while no process runs
 	excusedUntil              time.Time // time up to which missing answers are excused, because of a pause
 	paused                    bool
-	shuttingDown              bool // the process is shutting down
-	limitReported             bool // a violation of its limits has been reported; others are not
-	ready                     bool // a health check has succeeded
-	exitLog                   string
+	shuttingDown              bool
+	limitReported             bool   // a violation of its limits has been reported; others are not
+	ready                     bool   // a health check has succeeded
+	exitLog                   string // log of the last process that has ended
 	linkFaults                rig.LinkFaults
 	hadFault                  bool     // a fault was applied to it
 	badClientMessagesAnswered int      // number of messages of bad clients that got a reply
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -285,5 +285,4 @@
 // callersRule is the number of the checker's rule for callers. Trials ignore it: it says nothing about app servers.
 const callersRule = 5
 
-// secondsToDuration converts seconds to a duration.
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -364,7 +364,6 @@
 	run.atMost("descriptors.left.over", float64(maxExcess), 0)
 }
 
-// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
