--- a/cmd/rehearse/client_refusals.go
+++ b/cmd/rehearse/client_refusals.go
@@ -13,14 +13,14 @@
 	"valveglade/rig"
 )
 
-// The RPCs and replies of the experiment on refusals.
+// Parameters of runRefusals.
 const (
 	refusalServers      = 2
 	refusalInterval     = 20 * time.Millisecond // between two RPCs
 	refusalRetryAfter   = 300 * time.Millisecond
 	refusalTransit      = 10 * time.Millisecond // allowance for the transit of a reply to the client
 	refusalDeadline     = 900 * time.Millisecond
-	refusalEdgeEvery    = 10 // one RPC in this many calls refusalEdgeMethod
+	refusalEdgeEvery    = 10 // one in this many RPCs calls refusalEdgeMethod
 	refusalEdgeMethod   = "edge"
 	refusalEdgeDeadline = 150 * time.Millisecond
 )
@@ -31,7 +31,7 @@
 	final         bool      // the RPC must not be sent again at all
 }
 
-// refusalScript replies as app servers that push every RPC back, and counts the tries that violate an earlier refusal or
+// refusalScript replies like app servers that push every RPC back. It counts the tries that violate an earlier refusal or
 // the deadline.
 type refusalScript struct {
 	mu                     sync.Mutex
@@ -62,7 +62,7 @@
 		s.late++
 	}
 	retryAfter, final := refusalRetryAfter, len(received.ID)%2 == 0
-	if received.Method == refusalEdgeMethod { // its refusal arrives just as the deadline ends
+	if received.Method == refusalEdgeMethod { // reply 1 ms before the deadline
 		time.Sleep(time.Duration(remaining*float64(time.Second)) - time.Millisecond)
 		retryAfter = 0
 	}
@@ -87,29 +87,29 @@
 		return err
 	}
 	defer caller.Close()
-	asked, withoutError := callRefused(caller, run.scaled(4*time.Second))
+	requested, withoutError := callRefused(caller, run.scaled(4*time.Second))
 	script.mu.Lock()
 	defer script.mu.Unlock()
 	run.exactly("pushback.early", float64(script.early), 0)
 	run.exactly("pushback.forbidden", float64(script.forbidden), 0)
 	run.exactly("pushback.late", float64(script.late), 0)
 	run.exactly("pushback.without.answer", float64(withoutError), 0)
-	run.report("pushback.sent.share", float64(len(script.refusals))/float64(asked))
+	run.report("pushback.sent.share", float64(len(script.refusals))/float64(requested))
 	return nil
 }
 
 // callRefused sends RPCs for length. It returns how many were sent, and how many of them did not end with a *client.Error
 // by their deadline.
-func callRefused(c *client.Client, length time.Duration) (asked int, withoutError int64) {
+func callRefused(c *client.Client, length time.Duration) (requested int, withoutError int64) {
 	var withoutErrorCount atomic.Int64
 	var all sync.WaitGroup
-	for begin := time.Now(); time.Since(begin) < length; asked++ {
+	for begin := time.Now(); time.Since(begin) < length; requested++ {
 		time.Sleep(refusalInterval)
 		method, deadline := "look", refusalDeadline
-		if asked%refusalEdgeEvery == 0 {
+		if requested%refusalEdgeEvery == 0 {
 			method, deadline = refusalEdgeMethod, refusalEdgeDeadline
 		}
-		id := fmt.Sprint("e", asked)
+		id := fmt.Sprint("e", requested)
 		all.Go(func() {
 			ctx, stop := context.WithTimeout(context.Background(), deadline)
 			defer stop()
@@ -122,5 +122,5 @@
 		})
 	}
 	all.Wait()
-	return asked, withoutErrorCount.Load()
+	return requested, withoutErrorCount.Load()
 }
--- a/cmd/rehearse/cold_service.go
+++ b/cmd/rehearse/cold_service.go
@@ -8,15 +8,16 @@
 	"valveglade/rig"
 )
 
-// serviceLog records when each RPC was asked for, and whether it was ok. It is safe for concurrent use.
+// serviceLog records when each RPC was requested, and whether it was ok. It is safe for concurrent use.
 type serviceLog struct {
-	mu  sync.Mutex
-	all []callOutcome
+	mu      sync.Mutex
+	records []serviceRecord
 }
 
-type callOutcome struct {
-	askedAt time.Time
-	ok      bool
+// serviceRecord is one RPC of a serviceLog.
+type serviceRecord struct {
+	requestedAt time.Time
+	ok          bool
 }
 
 // recoveredShare is the share of RPCs that are ok once service has recovered.
@@ -25,28 +26,28 @@
 func (s *serviceLog) add(at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, callOutcome{at, ok})
+	s.records = append(s.records, serviceRecord{at, ok})
 }
 
-// share returns the share of the RPCs asked for within span after from that were ok.
+// share returns the share of ok RPCs among those requested from from on, within span.
 func (s *serviceLog) share(from time.Time, span time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asked, ok := 0, 0
-	for _, r := range s.all {
-		if r.askedAt.Before(from) || !r.askedAt.Before(from.Add(span)) {
+	requested, ok := 0, 0
+	for _, record := range s.records {
+		if record.requestedAt.Before(from) || !record.requestedAt.Before(from.Add(span)) {
 			continue
 		}
-		asked++
-		if r.ok {
+		requested++
+		if record.ok {
 			ok++
 		}
 	}
-	return float64(ok) / float64(max(asked, 1))
+	return float64(ok) / float64(max(requested, 1))
 }
 
-// recoveredAt returns the first time after a boot from which at least recoveredShare of a span's RPCs were ok. It searches
-// a minute at most.
+// recoveredAt returns the first time after a boot from which at least recoveredShare of a span's RPCs were ok, or a minute
+// after the boot if there is none.
 func (s *serviceLog) recoveredAt(boot time.Time, span time.Duration) time.Time {
 	const step, limit = 100 * time.Millisecond, time.Minute
 	at := boot
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -17,27 +17,27 @@
 // trialServer is one app server of a trial, with its stand-ins and the state of its process.
 type trialServer struct {
 	*trial
-	number   int
-	program  *rig.Program
-	proxy    *rig.FaultProxy // between the routers and the app server
-	probe    *rig.HealthProbe
-	peers    []*rig.Peer
-	outcomes callOutcomes
-	kills    atomic.Int64 // number of processes that have ended; tokens do not outlive their process
-
-	lifecycle          sync.Mutex // held while the process is started or ended
-	mu                 sync.Mutex
-	launchedAt         time.Time // zero while no process runs
-	excusedUntil       time.Time // time up to which missing answers are excused, because of a pause
-	paused             bool
-	leaving            bool // it is shutting down
-	limitReported      bool // a violation of its limits has been reported, which happens once
-	ready              bool // the probe has seen it healthy
-	logs               string
-	linkFaults         rig.LinkFaults
-	hadFault           bool     // a fault was applied to it
-	badClientsAnswered int      // messages of bad clients that got a reply
-	badClientsIgnored  []string // kinds of messages of bad clients that got no reply
+	number    int
+	program   *rig.Program
+	proxy     *rig.FaultProxy // between the routers and the app server
+	probe     *rig.HealthProbe
+	peers     []*rig.Peer
+	outcomes  outcomeCounts
+	killCount atomic.Int64 // incremented before and after the end of each process; tokens are lost with the process
+
+	lifecycle                 sync.Mutex // held while the process is started or ended
+	mu                        sync.Mutex
+	launchedAt                time.Time // zero while no process runs
+	excusedUntil              time.Time // time up to which missing answers are excused, because of a pause
+	paused                    bool
+	shuttingDown              bool
+	limitReported             bool   // a violation of its limits has been reported; others are not
+	ready                     bool   // a health check has succeeded
+	exitLog                   string // log of the last process that has ended
+	linkFaults                rig.LinkFaults
+	hadFault                  bool     // a fault was applied to it
+	badClientMessagesAnswered int      // number of messages of bad clients that got a reply
+	badClientMessagesIgnored  []string // kinds of messages of bad clients that got no reply
 }
 
 // newServer creates an app server and its stand-ins, and does not start its process.
@@ -46,13 +46,13 @@
 	name := serverName(number)
 	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs,
 		Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
-		Roster: t.roster.Address(), Check: t.check, Config: s.config})
+		Roster: t.roster.Address(), Check: t.checker, Config: s.config})
 	if err != nil {
 		return nil, err
 	}
 	s.program = program
 	s.probe = rig.NewHealthProbe(program.Address)
-	if s.proxy, err = rig.NewFaultProxy(name, program.Address, t.check); err != nil {
+	if s.proxy, err = rig.NewFaultProxy(name, program.Address, t.checker); err != nil {
 		return nil, err
 	}
 	if t.testCase.Load.FragmentBytes > 0 {
@@ -71,20 +71,21 @@
 // serverName returns the name of the app server of a number, counted from 0.
 func serverName(number int) string { return fmt.Sprintf("n%d", number+1) }
 
-// siteSettings returns the settings of the site that the rig itself uses.
+// siteSettings returns the part of the settings that the rig itself uses.
 func (t *trial) siteSettings() rig.Site {
 	return rig.Site{MemoryMB: int(t.decoded.Limits.MemoryMB), Sockets: int(t.decoded.Limits.Sockets),
-		StopTimeout: secondsToDuration(t.decoded.StopMS / 1000), GracePeriod: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS),
-		OneCore: true}
+		StopTimeout: secondsToDuration(t.decoded.StopMS / 1000),
+		GracePeriod: secondsToDuration(t.decoded.Settings.Rules.StopSendingWithinS), OneCore: true}
 }
 
-// peerOptions returns how routers write under the settings.
+// peerOptions returns the options of the stand-in routers under the settings.
 func (t *trial) peerOptions() rig.PeerOptions {
 	return rig.PeerOptions{PassesDeadline: t.decoded.PassesDeadline(), HangupSeen: t.decoded.HangupSeen(),
-		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts), WriteSize: t.testCase.Load.FragmentBytes}
+		MarksRetry: t.decoded.Settings.Clients.MarksRetry, Tenants: len(t.decoded.Settings.Accounts),
+		WriteSize: t.testCase.Load.FragmentBytes}
 }
 
-// config returns the configuration file of the program with its kernel's present address.
+// config returns the program's configuration file with the current address of its kernel.
 func (s *trialServer) config(p *rig.Program) string { return s.configFor(p.Kernel.Address()) }
 
 // configFor returns the configuration file with the given kernel address.
@@ -103,27 +104,27 @@
 // launchLocked starts the process. The caller holds lifecycle.
 func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
-		s.check.RigFailed("%s cannot be started: %v", s.program.Name, err)
+		s.checker.RigFailed("%s cannot be started: %v", s.program.Name, err)
 		return
 	}
 	s.probe.Restart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.launchedAt, s.paused, s.leaving, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
+	s.launchedAt, s.paused, s.shuttingDown, s.excusedUntil, s.ready = time.Now(), false, false, time.Time{}, false
 }
 
 // recordExit records that the process has ended, and keeps its log.
 func (s *trialServer) recordExit() {
-	s.kills.Add(1)
+	s.killCount.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.launchedAt = time.Time{}
-	s.logs = s.program.Log()
+	s.exitLog = s.program.Log()
 }
 
 // watch checks the process and records its waits for a core, until ctx ends.
 func (s *trialServer) watch(ctx context.Context) {
-	var coreWaits []time.Duration // total waits, sampled over the last second
+	var coreWaits []time.Duration // samples of the last second; each is the process's total wait
 	for ctx.Err() == nil {
 		s.checkProcess()
 		time.Sleep(watchInterval)
@@ -141,7 +142,7 @@
 func (s *trialServer) checkProcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.launchedAt.IsZero() || s.paused || s.leaving || !s.program.Running() {
+	if s.launchedAt.IsZero() || s.paused || s.shuttingDown || !s.program.Running() {
 		return
 	}
 	if healthyAt := s.probe.HealthyAt(); !s.ready && !healthyAt.IsZero() {
@@ -169,7 +170,7 @@
 		return
 	}
 	var err error
-	for range 3 { // remaining work may take one of the attempts
+	for range 3 { // work that is still in progress may fail an attempt
 		if err = s.program.CheckIdle(restDuration, maxRestCPUShare); err == nil {
 			return
 		}
@@ -192,7 +193,7 @@
 // killed during the shutdown.
 func (s *trialServer) shutDown() {
 	s.mu.Lock()
-	s.leaving = true
+	s.shuttingDown = true
 	s.mu.Unlock()
 	if s.decoded.StopMS > maxStopWait.Seconds()*1000 {
 		s.program.RequestShutdown()
@@ -207,17 +208,18 @@
 // maxStopWait is the longest stop time that a trial waits for.
 const maxStopWait = 8 * time.Second
 
-// checkLogAndLoad checks the log for crashes and the outcomes of the load. It saves the log if a directory for logs is set.
+// checkLogAndLoad checks the log for crashes, and the outcomes of the load. It also writes the log to the run's directory for
+// logs, if any.
 func (s *trialServer) checkLogAndLoad() {
 	if s.run.Logs != "" {
 		name := filepath.Join(s.run.Logs, fmt.Sprintf("%d-%s.log", s.testCase.Seed, s.program.Name))
-		if err := os.WriteFile(name, []byte(s.logs), 0o644); err != nil {
+		if err := os.WriteFile(name, []byte(s.exitLog), 0o644); err != nil {
 			s.run.printNote("%v", err)
 		}
 	}
 	for _, marker := range []string{"panic:", "fatal error:", "DATA RACE"} {
-		if at := strings.Index(s.logs, marker); at >= 0 {
-			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, marker, s.logs[at:])
+		if at := strings.Index(s.exitLog, marker); at >= 0 {
+			s.violate("rule 4: %s logs %q: %.600s", s.program.Name, marker, s.exitLog[at:])
 			break
 		}
 	}
@@ -226,7 +228,7 @@
 
 // logTail returns the last lines of the process's log, for the analysis of a trial.
 func (s *trialServer) logTail() string {
-	lines := strings.Split(strings.TrimSpace(s.logs), "\n")
+	lines := strings.Split(strings.TrimSpace(s.exitLog), "\n")
 	return strings.Join(lines[max(len(lines)-logTailLines, 0):], "\n")
 }
 
--- a/cmd/rehearse/pressure.go
+++ b/cmd/rehearse/pressure.go
@@ -12,7 +12,7 @@
 	"valveglade/rig"
 )
 
-// pressureTrial is the common state of the parts of a pressure experiment: the settings files with load shedding on and off, and
+// pressureTrial is the state shared by the parts of a pressure experiment: the settings files with load shedding on and off, and
 // the violations that the checkers found.
 type pressureTrial struct {
 	directory  string
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// measureCapacity returns the highest rate that the throttled program keeps up with, in RPCs per second. The rate of a load rises
-// until its RPCs take several times as long as their work and the pauses of the CPU quota. With shedding off, the program reads
-// RPCs in the order of arrival.
+// measureCapacity returns the highest rate that the throttled program keeps up with, in RPCs per second. It raises the rate of a
+// load until RPCs take several times as long as their work and the pauses of the CPU quota together. With shedding off, the
+// program reads RPCs in the order of arrival.
 func (run *experimentRun) measureCapacity(args []string) (float64, error) {
 	server, err := run.startPressureServer(pressureMixSite(1000, 30), args, time.Second, 8)
 	if err != nil {
@@ -80,7 +80,8 @@
 	}
 	defer server.close()
 	defer server.Programs[0].Throttle(quotaRun, quotaPeriod)()
-	// startRate and rateSlope give the rate in RPCs per second; lag is the delay of the detection in seconds.
+	// The rate starts at startRate RPCs per second and rises by rateSlope each second. The program counts as behind while more
+	// RPCs are pending than arrive in pendingSeconds. lag is the delay of the detection in seconds.
 	const startRate, rateSlope, pendingSeconds, checkInterval, lag = 2000.0, 1500.0, 0.06, 10 * time.Millisecond, 0.25
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,7 +104,7 @@
 		}
 	})
 	rig.Load{Seed: run.Seed, Rate: rate, Duration: 6 * time.Second, Prefix: "k", Shares: pressureMix(0.004, time.Second),
-		PendingCount: &pending}.Run(ctx, server.check, server.routers...)
+		PendingCount: &pending}.Run(ctx, server.checker, server.routers...)
 	cancel()
 	done.Wait()
 	if foundRate == 0 {
@@ -116,26 +117,26 @@
 type tripledLoadResult struct {
 	outcome    rig.Outcome
 	checkTimes []float64 // duration of each health check, in seconds
-	pushedBack int       // repeats of RPCs already run that were pushed back
-	repeats    int       // repeats of RPCs already run
+	pushedBack int       // repeated RPCs that were pushed back
+	repeats    int       // RPCs that were repeated with their token after they had been served
 	levels     []levelChange
 }
 
 // measureTripledLoad triples a load, from well below the rate that the program can read to an eighth above it, with shedding on
-// and off. The kernel could serve all of it.
+// and off. The kernel has capacity for all of it.
 func (run *experimentRun) measureTripledLoad(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
-	// Two app servers are measured at the same time, as the two below share the machine too.
-	capacity := 1000.0 // in tests, low enough for any machine
+	// Capacity is measured at two app servers concurrently, since the two measured below share the machine as well.
+	capacity := 1000.0 // for tests: low enough for any machine
 	if !run.shortForm {
 		first, second, err := runOnAndOff(func(bool) (float64, error) { return run.measureCapacity(argsFor(false)) })
 		if err != nil {
 			return err
 		}
-		capacity = min(first, second) // a late detection gives too high a rate
+		capacity = min(first, second) // a late detection overestimates the rate
 	}
 	run.report("bears.rpcs.per.s", capacity)
 	baseRate := capacity * 1.12 / 3
-	triple := func(on bool) (result tripledLoadResult, err error) {
+	measure := func(on bool) (result tripledLoadResult, err error) {
 		s, err := run.startPressureServer(pressureMixSite(1000, 30), argsFor(on), time.Second, 8)
 		if err != nil {
 			return result, err
@@ -145,7 +146,7 @@
 		sendLoad := func(prefix string, rate float64, length time.Duration,
 			after func(rig.Share, string, string, []byte, error)) rig.Outcome {
 			return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: length, Prefix: prefix,
-				Shares: pressureMix(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.check, s.routers...)
+				Shares: pressureMix(0.004, time.Second), AfterCall: after}.Run(context.Background(), s.checker, s.routers...)
 		}
 		sendLoad("a", baseRate, 1500*time.Millisecond, nil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -158,9 +159,9 @@
 			if err != nil || token == "" || len(id)%2 == 0 || !strings.HasSuffix(id, "7") {
 				return
 			}
-			time.Sleep(300 * time.Millisecond) // then repeat an RPC that was served
+			time.Sleep(300 * time.Millisecond) // before the RPC, which was served, is repeated
 			deadline := time.Now().Add(time.Second)
-			s.check.RepeatRPC(id, deadline)
+			s.checker.RepeatRPC(id, deadline)
 			ctx, stop := context.WithDeadline(context.Background(), deadline)
 			defer stop()
 			_, err = s.routers[0].Call(ctx, share.Method, token, share.Criticality, body)
@@ -175,11 +176,11 @@
 		checks.Wait()
 		result.levels = levelChanges(s.Programs[0].Log())
 		if on { // with shedding off the program is expected to fall behind
-			collectViolations(s.check)
+			collectViolations(s.checker)
 		}
 		return result, nil
 	}
-	on, off, err := runOnAndOff(triple)
+	on, off, err := runOnAndOff(measure)
 	if err != nil {
 		return err
 	}
@@ -190,31 +191,32 @@
 	run.exactly("begun.turned.away", float64(on.pushedBack), 0)
 	run.report("begun.repeated", float64(on.repeats))
 	starved := 0
-	for _, s := range pressureMix(0, 0) {
-		onMethod, offMethod := on.outcome.ByMethod[s.Method], off.outcome.ByMethod[s.Method]
+	for _, share := range pressureMix(0, 0) {
+		onMethod, offMethod := on.outcome.ByMethod[share.Method], off.outcome.ByMethod[share.Method]
 		if onMethod.OK*100 < onMethod.Requested {
 			starved++
 		}
-		run.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", s.Method, onMethod.OK, onMethod.Requested,
+		run.printNote("%s: %d of %d ok, p99 %.0f ms; off: %d of %d, p99 %.0f ms", share.Method, onMethod.OK, onMethod.Requested,
 			float64(onMethod.Latencies.ValueAtQuantile(99))/1000, offMethod.OK, offMethod.Requested,
 			float64(offMethod.Latencies.ValueAtQuantile(99))/1000)
 	}
 	run.exactly("starved.methods", float64(starved), 0)
-	for _, s := range on.levels {
-		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+	for _, change := range on.levels {
+		run.printNote("pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
+			change.Refused)
 	}
 	return nil
 }
 
-// measureTokenGrowth fills the memory with tokens that are kept for long, with shedding on and off: the memory grows with each
-// RPC served, and is freed only after the deduplication window.
+// measureTokenGrowth fills the memory with tokens, with shedding on and off: the memory grows with each RPC served, and is freed
+// only after a long deduplication window.
 func (run *experimentRun) measureTokenGrowth(dir string, collectViolations func(*rig.Checker)) error {
 	duration := run.scaled(6500 * time.Millisecond)
 	rate := 7500.0
 	if run.shortForm {
 		rate = 500
 	}
-	if run.Long { // twenty minutes at a rate that brings about as many tokens
+	if run.Long { // twenty minutes, at a rate that fills the memory with about as many tokens
 		duration = 20 * time.Minute
 		rate = 7500 * 7 / 1200.0 * 1.5
 	}
@@ -225,7 +227,7 @@
 		levels  []levelChange
 	}
 	const memoryLimitMB = 18
-	runLoad := func(on bool) (result tokenGrowth, err error) {
+	measure := func(on bool) (result tokenGrowth, err error) {
 		state := map[bool]string{true: "on", false: "off"}[on]
 		args, err := writeSettings(dir, "leak-"+state+".conf", "pressure "+state,
 			"pressure.growth "+max(duration/6, time.Second).String())
@@ -242,15 +244,15 @@
 		shares := pressureMix(0.001, time.Second)
 		shares[0].Fraction, shares[2].Fraction = 0.15, 0.7
 		result.outcome = rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: duration, Prefix: "l",
-			TokenPadding: 110, Shares: shares}.Run(context.Background(), s.check, s.routers...)
+			TokenPadding: 110, Shares: shares}.Run(context.Background(), s.checker, s.routers...)
 		result.peak, result.killed = s.PeakResidentBytes(), s.Killed()
 		result.levels = levelChanges(s.Programs[0].Log())
 		if on {
-			collectViolations(s.check)
+			collectViolations(s.checker)
 		}
 		return result, nil
 	}
-	on, off, err := runOnAndOff(runLoad)
+	on, off, err := runOnAndOff(measure)
 	if err != nil {
 		return err
 	}
@@ -261,18 +263,19 @@
 	}
 	run.report("off.memory.peak.mb", float64(off.peak)/(1<<20))
 	foreseen := 0.0
-	for _, s := range on.levels {
-		if strings.Contains(s.Causes, "leak") {
+	for _, change := range on.levels {
+		if strings.Contains(change.Causes, "leak") {
 			foreseen = 1
 		}
-		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", s.Level, s.From, s.Causes, s.Refused)
+		run.printNote("leak: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
+			change.Refused)
 	}
 	run.report("leak.foreseen", foreseen)
 	return nil
 }
 
-// measureSlowKernel overloads the kernel and not the program: admission by credits has to handle that, as in Breakwater, and the
-// program must not refuse RPCs for pressure of its own. Afterwards the kernel hangs for a while.
+// measureSlowKernel overloads the kernel but not the program: admission by credits, as in Breakwater, must handle this, and the
+// program must not refuse RPCs because of its own pressure. Afterwards the kernel hangs for a while.
 func (run *experimentRun) measureSlowKernel(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	const cores, work, rate = 4, 0.02, 330.0
 	s, err := run.startPressureServer(pressureMixSite(cores, 30), argsFor(true), 200*time.Millisecond, 8)
@@ -282,14 +285,14 @@
 	defer s.close()
 	sendLoad := func(prefix string, rate float64, duration time.Duration) rig.Outcome {
 		return rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return rate }, Duration: duration, Prefix: prefix,
-			Shares: pressureMix(work, time.Second)}.Run(context.Background(), s.check, s.routers...)
+			Shares: pressureMix(work, time.Second)}.Run(context.Background(), s.checker, s.routers...)
 	}
 	sendLoad("w", rate/3, run.scaled(time.Second))
 	duration := run.scaled(4 * time.Second)
 	outcome := sendLoad("f", rate, duration)
-	// An ideal scheduler serves the most critical RPCs first, up to the time of the cores, including one second after the end of
-	// the load for the RPCs then waiting. The mean work is taken as 0.96 of the nominal one, as drawn work is cut off at
-	// five times that.
+	// An ideal scheduler serves the most critical RPCs first, within the processor time of the cores, including one second after
+	// the end of the load for the RPCs then waiting. The mean work is 0.96 of the nominal mean, since drawn work is limited
+	// to five times the nominal mean.
 	remaining, ideal, requested := float64(cores)*(duration.Seconds()+1)/(work*0.96), 0.0, 0.0
 	shares := pressureMix(work, 0)
 	for k := len(shares) - 1; k >= 0; k-- {
@@ -316,11 +319,11 @@
 		run.printNote("few cores: pressure level %s, was %s, causes %s", change.Level, change.From, change.Causes)
 	}
 	run.exactly("not.our.own.refused", refused, 0)
-	collectViolations(s.check)
+	collectViolations(s.checker)
 	return nil
 }
 
-// measureEdge holds the load at the program's capacity and counts how often the pressure level flaps.
+// measureEdge keeps the load at the program's capacity and counts how often the pressure level flaps.
 func (run *experimentRun) measureEdge(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	duration := run.scaled(5 * time.Second)
 	if run.Long {
@@ -339,18 +342,18 @@
 	defer s.close()
 	defer s.Programs[0].Throttle(quotaRun, quotaPeriod)()
 	rig.Load{Seed: run.Seed, Rate: func(float64) float64 { return capacity }, Duration: duration, Prefix: "e",
-		Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
+		Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.checker, s.routers...)
 	changes := levelChanges(s.Programs[0].Log())
 	for _, change := range changes {
 		run.printNote("edge: pressure level %s, was %s, causes %s, %.0f refused", change.Level, change.From, change.Causes,
 			change.Refused)
 	}
 	run.atMost("flaps", float64(countFlaps(changes)), 2)
-	collectViolations(s.check)
+	collectViolations(s.checker)
 	return nil
 }
 
-// runPressureEdge holds the load at the program's capacity for two minutes.
+// runPressureEdge is the experiment on a steady load at the program's capacity, for two minutes.
 func runPressureEdge(run *experimentRun) error {
 	t, err := newPressureTrial()
 	if err != nil {
@@ -370,7 +373,7 @@
 	return nil
 }
 
-// measureWatchCost compares the processor time per RPC with pressure watched and not, in alternating rounds without pressure.
+// measureWatchCost compares the processor time per RPC with shedding on and off, in alternating rounds without pressure.
 func (run *experimentRun) measureWatchCost(argsFor func(bool) []string, collectViolations func(*rig.Checker)) error {
 	const rate = 1500.0
 	start := func(on bool) (*pressureServer, error) {
@@ -392,13 +395,13 @@
 		s := []*pressureServer{on, off}[k%2]
 		before := s.Programs[0].CPUTime()
 		outcome := rig.Load{Seed: run.Seed + uint64(k/2), Rate: func(float64) float64 { return rate }, Duration: time.Second,
-			Prefix: "c" + string(rune('a'+k)), Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.check, s.routers...)
+			Prefix: "c" + string(rune('a'+k)), Shares: pressureMix(0.004, time.Second)}.Run(context.Background(), s.checker, s.routers...)
 		cpuSeconds[k%2] += (s.Programs[0].CPUTime() - before).Seconds()
 		requested[k%2] += float64(outcome.Requested)
 	}
 	run.report("calm.cpu.us", cpuSeconds[0]/requested[0]*1e6)
 	run.report("off.calm.cpu.us", cpuSeconds[1]/requested[1]*1e6)
 	run.atMost("calm.cost", cpuSeconds[0]/requested[0]/(cpuSeconds[1]/requested[1]), 1.03)
-	collectViolations(on.check)
+	collectViolations(on.checker)
 	return nil
 }
--- a/cmd/rehearse/restart.go
+++ b/cmd/rehearse/restart.go
@@ -19,14 +19,14 @@
 const (
 	restartSockets          = 128                     // limits.sockets of each app server
 	restartExcess           = 16                      // idle clients over limits.sockets
-	restartReadyTimeout     = 10 * time.Second        // from the start of a process, or from the return of a late kernel
+	restartReadyTimeout     = 10 * time.Second        // from the start of a process, or from the end of a late kernel's delay
 	restartReconnectTimeout = 3 * time.Second         // for a kernel link or a report to the roster after the other side's return
 	restartIdleClients      = restartSockets * 5 / 4  // idle clients of each app server: some are between two connections
-	restartFloodFactor      = 2                       // times as many idle clients at the flooded app server
+	restartFloodFactor      = 2                       // multiple of restartIdleClients at the flooded app server
 	restartIdlePause        = 500 * time.Millisecond  // between an idle client's connections
 	restartFloodPause       = 200 * time.Millisecond  // between an idle client's connections in a flood
 	restartRate             = 15.0                    // RPCs per second of each caller
-	restartDeadline         = time.Second             // of an RPC
+	restartDeadline         = time.Second             // of each RPC
 	restartRetryDelay       = 10 * time.Millisecond   // between a caller's tries
 	restartLateKernelShare  = 0.3                     // share of kernels that are late
 	restartFullTable        = restartSockets * 9 / 10 // descriptors from which a descriptor table counts as full
@@ -35,7 +35,7 @@
 // restartFleet is the fleet under test with its callers and idle clients.
 type restartFleet struct {
 	*rig.Fleet
-	check     *rig.Checker
+	checker   *rig.Checker
 	calls     *callLog
 	load      sync.WaitGroup
 	stop      context.CancelFunc
@@ -43,8 +43,8 @@
 	killCount atomic.Int64 // incremented before and after each kill
 }
 
-// runRestart fills the descriptors of app servers with idle clients while the roster is down, breaks their kernel links,
-// kills all of them and starts them again, some before their kernels are available.
+// runRestart is the experiment on restarts: idle clients fill the descriptors of all app servers while the roster is down, the
+// kernel links fail, and all app servers are killed and started again, some before their kernels are available.
 func runRestart(run *experimentRun) error {
 	count := 20
 	if run.shortForm {
@@ -73,30 +73,31 @@
 	windows = append(windows, restartedWindow)
 	sampler.close(run)
 	for _, w := range windows {
-		run.judgeAnswered(f, w)
+		run.checkAnswered(f, w)
 	}
 	f.stopIdle()
 	f.stopLoad()
-	run.judgeDescriptorsLeftOver(f, before)
+	run.checkDescriptorsLeftOver(f, before)
 	var violations violationLog
-	violations.collect(f.check)
+	violations.collect(f.checker)
 	for _, name := range []string{"turned.away", "crossed"} {
-		run.report(name, float64(f.check.Count(name)))
+		run.report(name, float64(f.checker.Count(name)))
 	}
 	violations.report(run)
 	return nil
 }
 
+// newRestartFleet starts count app servers. The caller must close the fleet.
 func (run *experimentRun) newRestartFleet(count int) (*restartFleet, error) {
 	site := pressureMixSite(4, 30)
 	site.Sockets = restartSockets
-	check := rig.NewChecker(clusterSlack)
-	check.ExpectResendAfterClose()
-	fleet, err := rig.NewFleet(run.Program, count, site, check)
+	checker := rig.NewChecker(clusterSlack)
+	checker.ExpectResendAfterClose()
+	fleet, err := rig.NewFleet(run.Program, count, site, checker)
 	if err != nil {
 		return nil, err
 	}
-	return &restartFleet{Fleet: fleet, check: check, calls: newCallLog()}, nil
+	return &restartFleet{Fleet: fleet, checker: checker, calls: newCallLog()}, nil
 }
 
 func (f *restartFleet) close() {
@@ -119,6 +120,7 @@
 	return f.countDescriptors()
 }
 
+// countDescriptors returns the current descriptor count of each process.
 func (f *restartFleet) countDescriptors() []int {
 	var counts []int
 	for _, s := range f.Programs {
@@ -127,13 +129,14 @@
 	return counts
 }
 
-// startLoad starts two callers for each app server: one keeps its connection, one connects for each RPC.
+// startLoad starts two callers for each app server: one keeps its connection, the other connects for each RPC.
 func (f *restartFleet) startLoad(seed uint64) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	for k, s := range f.Programs {
 		for j := range 2 {
-			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), connectPerCall: j == 1, killCount: &f.killCount}
+			caller := &retryingCaller{source: 2*k + j + 1, address: f.Proxies[k].Address(), connectPerCall: j == 1,
+				killCount: &f.killCount}
 			f.load.Go(func() {
 				defer caller.Close()
 				f.runLoad(ctx, s.Name, caller, seed+uint64(2*k+j)<<32)
@@ -145,7 +148,7 @@
 func (f *restartFleet) runLoad(ctx context.Context, server string, caller *retryingCaller, seed uint64) {
 	load := rig.Load{Seed: seed, Duration: time.Hour, Prefix: fmt.Sprintf("%s-%d-", server, caller.source),
 		Shares: pressureMix(0.004, restartDeadline), Rate: func(float64) float64 { return restartRate }}
-	load.Run(ctx, f.check, recordingCaller{caller, f.calls, server})
+	load.Run(ctx, f.checker, recordingCaller{caller, f.calls, server})
 }
 
 func (f *restartFleet) stopLoad() {
@@ -155,8 +158,8 @@
 	f.load.Wait()
 }
 
-// startIdle has idle clients fill the descriptors of all app servers, and flood one that is drawn from the seed: there new
-// connections arrive faster than earlier ones count as silent.
+// startIdle starts idle clients that fill the descriptors of all app servers, and flood one that is drawn from the seed: there
+// new connections arrive before earlier ones count as silent.
 func (run *experimentRun) startIdle(f *restartFleet) {
 	flooded := rand.New(rand.NewPCG(run.Seed, 3)).IntN(len(f.Programs))
 	run.printNote("%s is flooded", f.Programs[flooded].Name)
@@ -176,7 +179,7 @@
 	f.idle = nil
 }
 
-// awaitFullTables waits until the descriptor table of each app server is full, and judges how long that took.
+// awaitFullTables waits until the descriptor table of each app server is full, and checks how long that took.
 func (run *experimentRun) awaitFullTables(f *restartFleet) {
 	began := time.Now()
 	for time.Since(began) < 5*time.Second {
@@ -188,8 +191,8 @@
 	run.atMost("full.after.s", time.Since(began).Seconds(), 4.9)
 }
 
-// runKernelOutage ends all kernel links, has reconnects refused for a while, and measures how long after the kernels'
-// return the links are up again.
+// runKernelOutage ends all kernel links, refuses reconnects for a while, and checks how long after the kernels' return the
+// links are up again.
 func (run *experimentRun) runKernelOutage(f *restartFleet) {
 	for _, s := range f.Programs {
 		s.Kernel.TakeDown()
@@ -198,7 +201,7 @@
 	returned := time.Now()
 	for _, s := range f.Programs {
 		if err := s.Kernel.BringUp(); err != nil {
-			f.check.RigFailed("%v", err)
+			f.checker.RigFailed("%v", err)
 		}
 	}
 	maxDelay := 0.0
@@ -212,22 +215,22 @@
 type lateKernel struct {
 	server          *rig.Program
 	delay           time.Duration
-	withholdsBooted bool // the link is accepted and BOOTED withheld; else connections are refused
+	withholdsBooted bool // whether the kernel accepts the link and withholds BOOTED; else it refuses connections
 }
 
-// drawLateKernels draws the late kernels; the last one is later than a process may take to be ready.
+// drawLateKernels draws the late kernels. The last one is later than restartReadyTimeout.
 func (run *experimentRun) drawLateKernels(f *restartFleet) []lateKernel {
 	random := rand.New(rand.NewPCG(run.Seed, 7))
 	count := max(2, int(restartLateKernelShare*float64(len(f.Programs))))
-	var late []lateKernel
+	var lateKernels []lateKernel
 	for k, index := range random.Perm(len(f.Programs))[:count] {
 		delay := time.Duration((0.5 + 5.5*random.Float64()) * float64(time.Second))
 		if k == count-1 {
 			delay = restartReadyTimeout + time.Second
 		}
-		late = append(late, lateKernel{f.Programs[index], run.scaled(delay), k%2 == 0})
+		lateKernels = append(lateKernels, lateKernel{f.Programs[index], run.scaled(delay), k%2 == 0})
 	}
-	return late
+	return lateKernels
 }
 
 // start makes the kernel unavailable, before its app server is killed.
@@ -240,18 +243,19 @@
 }
 
 // end makes the kernel available again.
-func (l lateKernel) end(check *rig.Checker) {
+func (l lateKernel) end(checker *rig.Checker) {
 	if l.withholdsBooted {
 		l.server.Kernel.ReleaseNotices()
 	} else if err := l.server.Kernel.BringUp(); err != nil {
-		check.RigFailed("%v", err)
+		checker.RigFailed("%v", err)
 	}
 }
 
-// restartAllServers kills all processes at once, starts them again, and judges when each is ready.
+// restartAllServers kills all processes at once, starts them again, and checks when each is ready. It returns the results of
+// the RPCs after the restart.
 func (run *experimentRun) restartAllServers(f *restartFleet) (callWindow, error) {
-	late := run.drawLateKernels(f)
-	for _, l := range late {
+	lateKernels := run.drawLateKernels(f)
+	for _, l := range lateKernels {
 		l.start()
 	}
 	errs := make([]error, len(f.Programs))
@@ -261,25 +265,25 @@
 	for k, s := range f.Programs {
 		restarts.Go(func() {
 			s.Kill()
-			f.killCount.Add(1) // for the RPCs asked for after the first increment and before the kill
+			f.killCount.Add(1) // covers the RPCs that began after the first increment and before the kill
 			errs[k] = s.Start()
 		})
 	}
 	var returns sync.WaitGroup
-	judgedFrom := map[string]time.Time{}
-	for _, l := range late {
+	readyTimeFrom := map[string]time.Time{}
+	for _, l := range lateKernels {
 		mode := "refuses"
 		if l.withholdsBooted {
 			mode = "accepts and withholds BOOTED"
 		}
 		run.printNote("kernel of %s %s for %.1f s", l.server.Name, mode, l.delay.Seconds())
 		if l.delay > run.scaled(restartReadyTimeout) {
-			judgedFrom[l.server.Name] = began.Add(l.delay)
-			run.printNote("%s is judged from its kernel's return", l.server.Name)
+			readyTimeFrom[l.server.Name] = began.Add(l.delay)
+			run.printNote("%s: time to readiness counts from its kernel's return", l.server.Name)
 		}
 		returns.Go(func() {
 			time.Sleep(time.Until(began.Add(l.delay)))
-			l.end(f.check)
+			l.end(f.checker)
 		})
 	}
 	restarts.Wait()
@@ -292,41 +296,42 @@
 		return callWindow{}, err
 	}
 	returns.Wait()
-	run.judgeReadiness(f, began, returned, judgedFrom, late)
+	run.checkReadiness(f, began, returned, readyTimeFrom, lateKernels)
 	return f.measureWindow("restarted", func() { time.Sleep(run.scaled(6 * time.Second)) }), nil
 }
 
-// judgeReadiness waits for each app server and judges the times. One is ready when its kernel link is up, the roster has
-// received its report and it has served an RPC since its start.
-func (run *experimentRun) judgeReadiness(f *restartFleet, began, rosterBack time.Time, judgedFrom map[string]time.Time,
-	late []lateKernel) {
+// checkReadiness waits until the app servers are ready and checks the times. An app server is ready when its kernel link is up,
+// the roster has received its report, and it has served an RPC since began. readyTimeFrom holds the start of the time to
+// readiness where it is not began, by app server.
+func (run *experimentRun) checkReadiness(f *restartFleet, began, rosterReturned time.Time, readyTimeFrom map[string]time.Time,
+	lateKernels []lateKernel) {
 	readyInTime, maxRosterDelay, maxLinkDelay, lastReported := 0, 0.0, 0.0, ""
 	var readyTimes []float64
-	for _, s := range f.Programs {
-		linked := awaitTime(restartReadyTimeout, s.Kernel.LinkedAt)
-		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstReported(s.Name); return at })
-		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(s.Name, began) })
+	for _, program := range f.Programs {
+		linked := awaitTime(restartReadyTimeout, program.Kernel.LinkedAt)
+		reported := awaitTime(restartReadyTimeout, func() time.Time { at, _ := f.Roster.FirstReported(program.Name); return at })
+		served := awaitTime(restartReadyTimeout, func() time.Time { return f.calls.firstServed(program.Name, began) })
 		from := began
-		if at, ok := judgedFrom[s.Name]; ok {
+		if at, ok := readyTimeFrom[program.Name]; ok {
 			from = at
 		}
 		ready := max(secondsAfter(linked, from), secondsAfter(reported, from), secondsAfter(served, from))
 		if ready <= restartReadyTimeout.Seconds() {
 			readyInTime++
 		} else {
-			run.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", s.Name, secondsAfter(linked, from),
+			run.printNote("%s: link after %.2f s, roster %.2f s, first RPC served %.2f s", program.Name, secondsAfter(linked, from),
 				secondsAfter(reported, from), secondsAfter(served, from))
 		}
 		readyTimes = append(readyTimes, ready)
-		reportableFrom := rosterBack
-		for _, l := range late {
-			if l.server == s {
+		reportableFrom := rosterReturned
+		for _, l := range lateKernels {
+			if l.server == program {
 				maxLinkDelay = max(maxLinkDelay, secondsAfter(linked, began.Add(l.delay)))
 				reportableFrom = laterOf(reportableFrom, began.Add(l.delay))
 			}
 		}
 		if delay := secondsAfter(reported, reportableFrom); delay > maxRosterDelay {
-			maxRosterDelay, lastReported = delay, s.Name
+			maxRosterDelay, lastReported = delay, program.Name
 		}
 	}
 	run.atLeast("ready.within.10s", float64(readyInTime)/float64(len(f.Programs)), 0.9)
@@ -337,8 +342,8 @@
 	run.printNote("last on the roster: %s", lastReported)
 }
 
-// judgeAnswered judges the RPCs of one window.
-func (run *experimentRun) judgeAnswered(f *restartFleet, w callWindow) {
+// checkAnswered checks the share of the window's RPCs that got a reply.
+func (run *experimentRun) checkAnswered(f *restartFleet, w callWindow) {
 	run.atLeast("answered."+w.name, w.answeredShare(), 0.99)
 	w.report(run)
 	if len(w.failures) > 0 {
@@ -346,8 +351,8 @@
 	}
 }
 
-// judgeDescriptorsLeftOver compares the descriptor counts with those before, once all clients have left.
-func (run *experimentRun) judgeDescriptorsLeftOver(f *restartFleet, before []int) {
+// checkDescriptorsLeftOver checks that the descriptor counts fall to those of before once all clients have disconnected.
+func (run *experimentRun) checkDescriptorsLeftOver(f *restartFleet, before []int) {
 	maxExcess := math.MaxInt
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && maxExcess > 0; time.Sleep(50 * time.Millisecond) {
 		maxExcess = math.MinInt
--- a/cmd/rehearse/view.go
+++ b/cmd/rehearse/view.go
@@ -14,8 +14,8 @@
 	"valveglade/rig"
 )
 
-// runView is the experiment on the view: a crash, a process that restarts again and again, two processes under one name, a
-// paused process, a rolling release and a restart of all processes at once. The same processes with the fleet off are compared.
+// runView is the experiment on the view: a crash, a process that restarts repeatedly, two processes under one name, a paused
+// process, a rolling release and a restart of all processes at once. It is compared with the same processes with the fleet off.
 func runView(run *experimentRun) error {
 	const n = 12
 	plan := run.clusterPlan(n)
@@ -39,7 +39,7 @@
 		}
 	}
 
-	// The first half of the processes has no faults; all faults are in the second half.
+	// All faults are applied to the second half of the processes.
 	untouched := names[:6]
 	duration := 12 * time.Second
 	served := map[*rig.Cluster]map[string]rig.Outcome{}
@@ -80,8 +80,8 @@
 		maxVersions = max(maxVersions, countMemberChanges(on, name, "n11", from+1, from+11))
 	}
 	run.atMost("versions.by.flapping", float64(maxVersions), 4)
-	_, toldAt := on.History.CountEvents("n10", "newer incarnation of this name", from)
-	run.atMost("named.twice.told", toldAt-from-0.5, 5)
+	_, reportedAt := on.History.CountEvents("n10", "newer incarnation of this name", from)
+	run.atMost("named.twice.told", reportedAt-from-0.5, 5)
 	run.atMost("named.twice.resolved", reportDelay(on, "n10", "restarted", from, untouched)-0.5, 5)
 	aliveAt := func(name string, t float64) bool {
 		return !slices.Contains([]string{"n11", "n12", "n10"}, name) && (name != "n9" || t > from+6)
@@ -130,8 +130,8 @@
 	return run.writeHistory(on)
 }
 
-// measureAtRest reports the cost of the fleet for an idle process over an interval: the bytes and packets of the fleet, and the
-// processor time above that of the same process with the fleet off.
+// measureAtRest measures the cost of the fleet for an idle process over an interval: the bytes and packets of the fleet, and the
+// processor time in excess of that with the fleet off.
 func (run *experimentRun) measureAtRest(on, off *rig.Cluster, names []string, interval time.Duration) error {
 	readTotals := func() (cpuOn, cpuOff time.Duration, bytes, packets int64, err error) {
 		for _, name := range names {
@@ -171,18 +171,18 @@
 		return err
 	}
 	defer pair.close()
-	on, bare := pair.clusters[0], pair.clusters[1]
+	on, gossipOnly := pair.clusters[0], pair.clusters[1]
 	var group sync.WaitGroup
 	names := nodeNames(n)
 	run.atMost("joined.all", run.awaitSameView(on, 15*time.Second, n, names), 10)
-	run.report("joined.all.bare", run.awaitSameView(bare, 15*time.Second, n, names))
+	run.report("joined.all.bare", run.awaitSameView(gossipOnly, 15*time.Second, n, names))
 
-	// Packet loss, jitter and duplication, while one process gets little processor time.
-	loadOver := make(chan struct{})
+	// Packet loss, jitter and duplication, while one process gets only a tenth of a core.
+	loadDone := make(chan struct{})
 	var outcomes map[string]rig.Outcome
 	duration := run.scaled(30 * time.Second)
 	go func() {
-		defer close(loadOver)
+		defer close(loadDone)
 		outcomes = run.loadCluster(on, duration, 15, names)
 	}()
 	from := on.History.Elapsed()
@@ -196,7 +196,7 @@
 	run.exactly("false.deaths.lasting", float64(lasting), 0)
 	run.awaitSameView(on, 4*time.Second, n, names)
 
-	// A network partition into four and eight members, and its end. The four see the eight die.
+	// A network partition into four and eight members, and its end. The four members see the eight as dead.
 	small, large := names[:4], names[4:]
 	cut := "0s split " + strings.Join(small, ",") + "|" + strings.Join(large, ",")
 	from = on.History.Elapsed()
@@ -221,18 +221,18 @@
 		partitioned = max(partitioned, delay)
 	}
 	run.atMost("narrow.said", partitioned, 6)
-	bareSettled, _ := bare.WaitUntil(10*time.Second, func() bool {
-		return bare.History.AgreeOnMembers(4, small...) && bare.History.AgreeOnMembers(8, large...)
+	gossipOnlyConverged, _ := gossipOnly.WaitUntil(10*time.Second, func() bool {
+		return gossipOnly.History.AgreeOnMembers(4, small...) && gossipOnly.History.AgreeOnMembers(8, large...)
 	})
-	run.report("settled.after.cut.bare", bareSettled)
+	run.report("settled.after.cut.bare", gossipOnlyConverged)
 	if err := pair.onEach(func(cluster *rig.Cluster) error { return cluster.RunScriptText("0s heal") }); err != nil {
 		return err
 	}
 	run.atMost("rejoined.max", run.awaitSameView(on, 12*time.Second, n, names), 10)
-	_, rejoined := bare.WaitUntil(3*time.Second, func() bool { return bare.History.AgreeOnMembers(n, names...) })
+	_, rejoined := gossipOnly.WaitUntil(3*time.Second, func() bool { return gossipOnly.History.AgreeOnMembers(n, names...) })
 	run.exactly("rejoined.bare", float64(boolToInt(rejoined)), 0)
 
-	// A link cut in one direction only, then a partition in three.
+	// Links cut in one direction only, then a partition into three.
 	from = on.History.Elapsed()
 	if err := on.RunScriptText("0s cut n1>n2,n3,n4\n4s heal"); err != nil {
 		return err
@@ -245,15 +245,15 @@
 		}
 		run.atMost("rejoined.of.three", run.awaitSameView(on, 12*time.Second, n, names), 10)
 	}
-	<-loadOver
+	<-loadDone
 	run.report("service", servedCriticality(outcomes, names))
 	run.exactly("views.differ.at.end", countDivergentViews(on), 0)
 	run.checkViolations(on)
 	return run.writeHistory(on)
 }
 
-// runViewDrawn applies faults drawn at random from the seed, or those of a script, and checks what must hold under any faults:
-// in the end all running processes have one view of all of them, and the checkers found no violation.
+// runViewDrawn is the experiment on the view under faults drawn from the seed, or read from a script. It checks what must hold
+// under any faults: in the end all running processes have the same view, and the checker has found no violation.
 func runViewDrawn(run *experimentRun) error {
 	const n = 8
 	duration := run.scaled(20 * time.Second)
@@ -277,15 +277,15 @@
 	defer cluster.Close()
 	names := nodeNames(n)
 	run.atMost("joined.all", run.awaitSameView(cluster, 15*time.Second, n, names), 10)
-	var loading sync.WaitGroup
+	var loads sync.WaitGroup
 	var outcomes map[string]rig.Outcome
-	loading.Go(func() { outcomes = run.loadCluster(cluster, duration, 15, names) })
+	loads.Go(func() { outcomes = run.loadCluster(cluster, duration, 15, names) })
 	if err := cluster.RunScript(context.Background(), script); err != nil {
 		return err
 	}
 	alive := cluster.Running()
 	run.atMost("settled.after.all", run.awaitSameView(cluster, 20*time.Second, len(alive), alive), 15)
-	loading.Wait()
+	loads.Wait()
 	run.report("service", servedCriticality(outcomes, names))
 	run.exactly("views.differ.at.end", countDivergentViews(cluster), 0)
 	run.checkViolations(cluster)
