--- a/cmd/rehearse/faults_calls.go
+++ b/cmd/rehearse/faults_calls.go
@@ -115,7 +115,7 @@
 		copy(c.result, id)
 	}
 	c.fails = random.Float64() < load.FailShare
-	if method.Effect == string(rpc.Tokened) {
+	if method.Kind == string(rpc.Tokened) {
 		c.token = fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64())
 	}
 	if random.Float64() < load.OddShare {
@@ -127,7 +127,7 @@
 	if random.Float64() < load.AbandonShare {
 		c.cancelAfter = time.Duration(random.Float64() * float64(min(c.timeout(), 2*time.Second)))
 	}
-	if method.Effect != string(rpc.NonIdempotent) && random.Float64() < load.RepeatShare {
+	if method.Kind != string(rpc.NonIdempotent) && random.Float64() < load.RepeatShare {
 		c.copyAfter = 1 + time.Duration(random.ExpFloat64()*float64(meanCopyDelay))
 	}
 	return c
--- a/cmd/rehearse/faults_injected.go
+++ b/cmd/rehearse/faults_injected.go
@@ -35,7 +35,7 @@
 	c := drawn.Case{Seed: seed, Servers: 3, Seconds: 3, Load: drawn.Load{Rate: 40, Routers: 2, RepeatShare: 0.2}}
 	for _, effect := range []string{"retryable", "dedup", "fragile"} {
 		m := drawn.PlainMethod()
-		m.Name, m.Effect = "look "+effect, effect
+		m.Name, m.Kind = "look "+effect, effect
 		c.Settings.Methods = append(c.Settings.Methods, m)
 	}
 	return c
--- a/cmd/rehearse/faults_trial.go
+++ b/cmd/rehearse/faults_trial.go
@@ -154,7 +154,7 @@
 func (t *trial) checkerTerms() rig.ServerSettings {
 	terms := rig.ServerSettings{Methods: map[string]rig.MethodSettings{}, Catalog: t.catalog}
 	for _, m := range t.methods() {
-		terms.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Effect), Deadline: m.deadline, Window: m.window}
+		terms.Methods[m.Name] = rig.MethodSettings{Kind: rpc.Kind(m.Kind), Deadline: m.deadline, Window: m.window}
 	}
 	return terms
 }
--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -20,7 +20,7 @@
 	Faults   []Fault  `json:"faults,omitempty"`
 }
 
-// Load describes the requests to each app server.
+// Load describes the requests that each app server receives.
 type Load struct {
 	Rate          float64 `json:"rate"`              // RPCs per second at each app server
 	Routers       int     `json:"routers"`           // connected to each app server
@@ -30,11 +30,11 @@
 	StaleSeconds  float64 `json:"stale,omitempty"`   // RPCs are written up to this many seconds after their arrival
 	PaddingBytes  int     `json:"fill,omitempty"`    // padding of request bodies
 	ResultBytes   int     `json:"results,omitempty"` // size of each result; 0 for a short one
-	OddShare      float64 `json:"odd,omitempty"`     // share of RPCs with a random body, a short wait, or the token of another RPC
+	OddShare      float64 `json:"odd,omitempty"`     // share of RPCs with a random body, a short timeout or the token of another RPC
 	FailShare     float64 `json:"fails,omitempty"`   // share of runs that end with a fault
 }
 
-// Limits of a generated case; times are in seconds.
+// Limits of a drawn case; times are in seconds.
 const (
 	minServers, maxServers = 3, 8
 	minSeconds, maxSeconds = 3.0, 5.0
@@ -56,7 +56,8 @@
 	return c
 }
 
-// loadRates are the possible loads, in RPCs per second at each app server: low enough for one machine to run two trials at once.
+// loadRates are the possible loads, in RPCs per second at each app server. They are low enough for one machine to run two
+// trials at once.
 var loadRates = []float64{5, 20, 40, 60}
 
 // drawLoad draws the load of a case.
@@ -113,5 +114,5 @@
 	return c, nil
 }
 
-// pick returns a random element of from.
-func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
+// pick returns a random element of values.
+func pick[T any](rng *rand.Rand, values []T) T { return values[rng.IntN(len(values))] }
--- a/rig/drawn/drawn_test.go
+++ b/rig/drawn/drawn_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// testedSeeds is the number of seeds that each test draws cases from.
 const testedSeeds = 1000
 
 // A seed always gives the same case. The text of the case parses to the same case, and its configuration is valid JSON.
@@ -23,7 +24,7 @@
 		}
 		text := c.Settings.Config(Addresses{Name: "n1", Listen: "127.0.0.1:1", Kernel: "127.0.0.1:2", Roster: "127.0.0.1:3"})
 		if !json.Valid([]byte(text)) {
-			t.Fatalf("seed %d: %s", seed, text)
+			t.Fatalf("seed %d: configuration is not valid JSON: %s", seed, text)
 		}
 		parsed, err := c.Settings.ParsedConfig()
 		if err != nil || len(parsed.Settings.Profiles) != len(c.Settings.Methods) || parsed.Limits.MemoryMB < 32 ||
@@ -33,10 +34,10 @@
 	}
 }
 
-// Over many seeds every kind of fault, method effect, number of app servers and a sample of configuration keys is drawn.
+// Over many seeds every kind of fault, kind of method, number of app servers and a sample of configuration keys is drawn.
 func TestDrawCoversAllOptions(t *testing.T) {
-	keys, kinds, effects := map[string]bool{}, map[FaultKind]bool{}, map[string]bool{}
-	uniformEffects := map[string]bool{} // effects that are shared by all methods of some case
+	keys, faultKinds, methodKinds := map[string]bool{}, map[FaultKind]bool{}, map[string]bool{}
+	uniformKinds := map[string]bool{} // kinds that are shared by all methods of some case
 	servers := map[int]bool{}
 	for seed := range uint64(testedSeeds) {
 		c := Draw(seed)
@@ -45,23 +46,24 @@
 			keys[k.Path+" "+k.Text] = true
 		}
 		for _, f := range c.Faults {
-			kinds[f.Kind] = true
+			faultKinds[f.Kind] = true
 			if f.Server >= c.Servers || f.At > c.Seconds {
-				t.Errorf("seed %d: %+v", seed, f)
+				t.Errorf("seed %d: fault outside the case: %+v", seed, f)
 			}
 		}
 		mixed := false
 		for _, m := range c.Settings.Methods {
-			effects[m.Effect] = true
-			mixed = mixed || m.Effect != c.Settings.Methods[0].Effect
+			methodKinds[m.Kind] = true
+			mixed = mixed || m.Kind != c.Settings.Methods[0].Kind
 		}
 		if !mixed && len(c.Settings.Methods) > 1 {
-			uniformEffects[c.Settings.Methods[0].Effect] = true
+			uniformKinds[c.Settings.Methods[0].Kind] = true
 		}
 	}
-	if len(kinds) != len(Kinds()) || len(effects) != 3 || len(uniformEffects) != 3 || len(servers) != maxServers-minServers+1 {
-		t.Errorf("%d of %d kinds of faults, effects %v, effects shared by all methods %v, numbers of app servers %v",
-			len(kinds), len(Kinds()), effects, uniformEffects, servers)
+	if len(faultKinds) != len(Kinds()) || len(methodKinds) != 3 || len(uniformKinds) != 3 ||
+		len(servers) != maxServers-minServers+1 {
+		t.Errorf("%d of %d kinds of faults, kinds of methods %v, kinds shared by all methods %v, numbers of app servers %v",
+			len(faultKinds), len(Kinds()), methodKinds, uniformKinds, servers)
 	}
 	for _, want := range []string{"settings.domain.below \"tier\"", "settings.domain.passesDeadline false",
 		"settings.domain.nCores 6e0",
@@ -87,7 +89,7 @@
 	_, stop := read["stop_ms"]
 	if limits["cores"] != 6.0 || memory != nil || !given || cores || stop || !reflect.DeepEqual(read["of_later"], []any{1.0}) ||
 		len(settings["of_later"].(map[string]any)) != 0 {
-		t.Errorf("%v", read)
+		t.Errorf("unexpected configuration: %v", read)
 	}
 }
 
@@ -97,7 +99,8 @@
 	c.Servers = 5
 	c.Faults = []Fault{{Kind: Reload}, {At: 1, Kind: LinkCut, Server: 1}, {At: 2, Kind: Pause, Server: 4}}
 	c.Settings.Keys = []Key{{"a", "1"}, {"b", "2"}, {"c", "3"}, {"d", "4"}, {"e", "5"}}
-	c.Settings.Methods = []Method{PlainMethod(), {Name: "odd", Effect: "fragile", Deadline: "0"}, {Name: "other", Effect: "dedup"}}
+	c.Settings.Methods = []Method{PlainMethod(),
+		{Name: "odd", Kind: "fragile", Deadline: "0"}, {Name: "other", Kind: "dedup"}}
 	trials := 0
 	fails := func(c Case) bool {
 		trials++
@@ -108,12 +111,12 @@
 	smallest := Reduce(c, 100, fails)
 	if len(smallest.Faults) != 1 || len(smallest.Settings.Keys) != 1 || len(smallest.Settings.Methods) != 1 ||
 		smallest.Servers != 2 || !fails(smallest) {
-		t.Errorf("%s", smallest)
+		t.Errorf("not reduced to the failing parts: %s", smallest)
 	}
 	trials = 0
 	Reduce(c, 5, fails)
 	if trials != 5 {
-		t.Errorf("%d trials in place of 5", trials)
+		t.Errorf("%d trials, want 5", trials)
 	}
 }
 
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -8,21 +8,21 @@
 // FaultKind is the kind of a fault that is injected into an app server or its environment.
 type FaultKind string
 
-// The kinds of faults. Those with a duration end after Fault.For seconds.
+// The kinds of faults. For and Size are the fields of Fault; a fault with a duration ends after For seconds.
 const (
-	Kill                  FaultKind = "kill"          // SIGKILL, and a restart under the same name after For
-	Pause                 FaultKind = "pause"         // SIGSTOP, and SIGCONT after For
-	Terminate             FaultKind = "terminate"     // SIGTERM, then a restart; Size 1 adds SIGHUP, 2 SIGTERM
-	Reload                FaultKind = "reload"        // SIGHUP with the same file
-	ReloadMoved           FaultKind = "reload-moved"  // SIGHUP with a file that names another kernel address
-	ReloadFaulty          FaultKind = "reload-faulty" // SIGHUP with one of four invalid files, by Size
-	RosterSilent          FaultKind = "roster-silent" // the roster that all app servers use is down
-	KernelLate            FaultKind = "kernel-late"   // from the start of the process: links are accepted, and BOOTED is withheld
-	KernelDown            FaultKind = "kernel-down"   // the link is closed, and new connections are refused
-	KernelHung            FaultKind = "kernel-hung"   // no work makes progress
-	KernelSlow            FaultKind = "kernel-slow"   // work takes Size times as long
-	LinkCut               FaultKind = "link-cut"      // closed in the middle of a line
-	LinkReset             FaultKind = "link-reset"
+	Kill                  FaultKind = "kill"           // SIGKILL, and a restart under the same name after For
+	Pause                 FaultKind = "pause"          // SIGSTOP, and SIGCONT after For
+	Terminate             FaultKind = "terminate"      // SIGTERM, then a restart; Size 1 adds SIGHUP, 2 SIGTERM
+	Reload                FaultKind = "reload"         // SIGHUP with the same file
+	ReloadMoved           FaultKind = "reload-moved"   // SIGHUP with a file that names another kernel address
+	ReloadFaulty          FaultKind = "reload-faulty"  // SIGHUP with one of four invalid files, by Size
+	RosterSilent          FaultKind = "roster-silent"  // the roster that all app servers use is down
+	KernelLate            FaultKind = "kernel-late"    // from the start of the process: links are accepted, and BOOTED is withheld
+	KernelDown            FaultKind = "kernel-down"    // the link is closed, and new connections are refused
+	KernelHung            FaultKind = "kernel-hung"    // no work makes progress
+	KernelSlow            FaultKind = "kernel-slow"    // work takes Size times as long
+	LinkCut               FaultKind = "link-cut"       // closed in the middle of a line
+	LinkReset             FaultKind = "link-reset"     // the connection of the link is reset
 	LinkCutLosingCommands FaultKind = "link-lossy"     // closed, losing the commands of the last 50 ms
 	LinkDelayed           FaultKind = "link-late"      // everything on the link is delayed by Size ms
 	LinkFragmented        FaultKind = "link-pieces"    // notices arrive in fragments
@@ -57,7 +57,7 @@
 	return all
 }
 
-// faultVariant defines the sizes and the duration, in seconds, from which a fault of one kind is drawn.
+// faultVariant defines the sizes and the maximum duration, in seconds, from which a fault of one kind is drawn.
 type faultVariant struct {
 	kind        FaultKind
 	sizes       []int
@@ -82,7 +82,7 @@
 	{LogFull, nil, 0, false}, {LogFull, nil, 5, false},
 }
 
-// drawFault draws one fault of a case, with times in whole milliseconds.
+// drawFault draws one fault of a case, with times rounded down to whole milliseconds.
 func drawFault(rng *rand.Rand, c Case) Fault {
 	variant := pick(rng, faultVariants)
 	f := Fault{Kind: variant.kind, Server: rng.IntN(c.Servers), At: c.Seconds * 0.9 * rng.Float64()}
--- a/rig/drawn/reduce.go
+++ b/rig/drawn/reduce.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Reduce returns a smaller case that still fails: it removes faults, methods, keys and app servers as long as fails reports
-// that the rest still fails. It calls fails at most maxTrials times.
+// Reduce returns a smaller case that still fails. It removes faults, keys, methods and app servers, and simplifies methods and
+// the load, as long as fails reports that the rest still fails. It calls fails at most maxTrials times.
 func Reduce(c Case, maxTrials int, fails func(Case) bool) Case {
 	for maxTrials > 0 {
 		smaller := c
@@ -52,7 +52,7 @@
 	}
 	for k, m := range c.Settings.Methods {
 		plain := PlainMethod()
-		plain.Name, plain.Effect, plain.Calls = m.Name, m.Effect, m.Calls
+		plain.Name, plain.Kind, plain.Calls = m.Name, m.Kind, m.Calls
 		if m != plain {
 			add(func(reduced *Case) { reduced.Settings.Methods[k] = plain })
 		}
--- a/rig/drawn/settings.go
+++ b/rig/drawn/settings.go
@@ -8,24 +8,25 @@
 	"strings"
 )
 
-// Settings holds the methods of a deployment and the configuration keys that differ from a plain one.
+// Settings holds the methods of a deployment and the configuration keys that differ from plainKeys.
 type Settings struct {
 	Methods []Method `json:"methods"`
 	Keys    []Key    `json:"keys,omitempty"`
 }
 
-// Method is one RPC method. Its numbers are JSON texts of the configuration, empty where the key is left out.
+// Method is one RPC method. Its numbers are written to the configuration as they are, as JSON texts; an empty one leaves the
+// key out.
 type Method struct {
-	Name     string  `json:"name"`
-	Effect   string  `json:"effect"` // retryable, dedup or fragile
-	Target   string  `json:"target,omitempty"`
-	Deadline string  `json:"deadline,omitempty"`
-	Window   string  `json:"window,omitempty"`
-	Worth    string  `json:"worth,omitempty"`
-	Late     string  `json:"late,omitempty"`
-	Stretch  string  `json:"stretch,omitempty"`
-	Calls    bool    `json:"calls,omitempty"` // its RPCs may call the layer below
-	Work     float64 `json:"work"`            // mean CPU seconds of a run
+	Name          string  `json:"name"`
+	Kind          string  `json:"effect"`             // retryable, dedup or fragile
+	LatencyTarget string  `json:"target,omitempty"`   // in seconds
+	Deadline      string  `json:"deadline,omitempty"` // in seconds
+	Window        string  `json:"window,omitempty"`   // how long tokens are kept, in seconds
+	Criticality   string  `json:"worth,omitempty"`
+	LateShare     string  `json:"late,omitempty"`    // share of the criticality of a reply past the latency target
+	Stretch       string  `json:"stretch,omitempty"` // the key aimStretch
+	Calls         bool    `json:"calls,omitempty"`   // its RPCs may call the layer below
+	Work          float64 `json:"work"`              // mean CPU seconds of a run
 }
 
 // Key is one key of the configuration: its dotted path and the JSON text of its value, empty to leave the key out.
@@ -39,7 +40,7 @@
 	Name, Listen, Kernel, Roster string
 }
 
-// plainKeys are the keys of a plain deployment, in the order in which they are written.
+// plainKeys are the default keys of the configuration, in the order in which they are written.
 var plainKeys = []Key{
 	{"seed", `"8c1f30d27a5be964"`},
 	{"stop_ms", "2500"},
@@ -72,8 +73,8 @@
 
 // PlainMethod returns a method with common settings.
 func PlainMethod() Method {
-	return Method{Name: "look", Effect: "retryable", Target: "0.5", Deadline: "1.0", Window: "5.0",
-		Worth: "1.0", Late: "0.0", Work: 0.005}
+	return Method{Name: "look", Kind: "retryable", LatencyTarget: "0.5", Deadline: "1.0", Window: "5.0",
+		Criticality: "1.0", LateShare: "0.0", Work: 0.005}
 }
 
 // Config returns the whole configuration of one app server as JSON text.
@@ -101,8 +102,9 @@
 	var all []string
 	for k, m := range s.Methods {
 		profile := &object{}
-		for _, field := range []Key{{"deadlineS", m.Deadline}, {"idempotency", quoteJSON(m.Effect, true)}, {"lateWorth", m.Late},
-			{"name", quoteJSON(m.Name, k%2 == 0)}, {"onTimeS", m.Target}, {"windowS", m.Window}, {"worth", m.Worth},
+		for _, field := range []Key{{"deadlineS", m.Deadline}, {"idempotency", quoteJSON(m.Kind, true)},
+			{"lateWorth", m.LateShare},
+			{"name", quoteJSON(m.Name, k%2 == 0)}, {"onTimeS", m.LatencyTarget}, {"windowS", m.Window}, {"worth", m.Criticality},
 			{"aimStretch", m.Stretch}} {
 			profile.set([]string{field.Path}, field.Text)
 		}
@@ -111,7 +113,7 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-// calls returns the JSON array that tells for each method whether its RPCs may call the layer below, and whether any may.
+// calls returns a JSON array with one bool per method, whether its RPCs may call the layer below, and whether any may.
 func (s Settings) calls() (text string, any bool) {
 	var all []string
 	for _, m := range s.Methods {
@@ -130,7 +132,7 @@
 	return strings.TrimSpace(out.String())
 }
 
-// object is a JSON object that keeps the order of its keys.
+// object is a JSON object that keeps the order of its keys. A key has either a JSON text as its value or an object.
 type object struct {
 	keys    []string
 	values  map[string]string
@@ -190,8 +192,8 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
-// ParsedConfig is the part of a configuration that the simulated environment of an app server needs, with the defaults of absent
-// keys. Times are in seconds.
+// ParsedConfig is the part of a configuration that the simulated environment of an app server needs, with the defaults of
+// absent keys. Times are in seconds, except StopMS.
 type ParsedConfig struct {
 	StopMS   float64 `json:"stop_ms"`
 	Limits   struct{ Cores, MemoryMB, Sockets float64 }
@@ -209,8 +211,8 @@
 	}
 }
 
-// ParsedConfig parses the configuration as the specification says: it accepts numbers of any JSON form and takes null for an
-// absent key.
+// ParsedConfig parses the configuration as the specification defines it: it accepts numbers of any JSON form and takes null for
+// an absent key.
 func (s Settings) ParsedConfig() (ParsedConfig, error) {
 	var c ParsedConfig
 	c.StopMS = 3000
@@ -229,16 +231,17 @@
 	return c.Settings.Domain.HangupSeen != nil && *c.Settings.Domain.HangupSeen
 }
 
+// drawSettings draws the methods and the other keys of a deployment.
 func drawSettings(rng *rand.Rand) Settings {
 	var s Settings
-	effects := drawEffects(rng)
+	methodKinds := drawMethodKinds(rng)
 	count := 1 + rng.IntN(5)
 	if rng.IntN(4) == 0 {
 		count = 1 + rng.IntN(maxMethods)
 	}
 	names := map[string]bool{}
 	for range count {
-		m := drawMethod(rng, effects)
+		m := drawMethod(rng, methodKinds)
 		for names[m.Name] {
 			m.Name += string(rune('a' + rng.IntN(26)))
 		}
@@ -265,7 +268,8 @@
 	return s
 }
 
-func drawEffects(rng *rand.Rand) []string {
+// drawMethodKinds draws the kinds of methods that a deployment may have.
+func drawMethodKinds(rng *rand.Rand) []string {
 	return pick(rng, [][]string{{"retryable"}, {"dedup"}, {"fragile"}, {"retryable", "dedup", "fragile"},
 		{"retryable", "dedup", "fragile"},
 		{"retryable", "dedup"}, {"dedup", "fragile"}})
@@ -276,15 +280,17 @@
 	"it's", "op", "{}", "null", "0",
 	"\u2028", strings.Repeat("long-name-", 30), "100%", "a/b?c=d", "é"}
 
-func drawMethod(rng *rand.Rand, effects []string) Method {
-	m := Method{Effect: pick(rng, effects),
-		Worth: formatNumber(rng, pick(rng, []float64{0, 0.001, 1, 2, 1000})), Late: formatNumber(rng, pick(rng, []float64{0, 0.2, 1}))}
+// drawMethod draws one method of one of the kinds.
+func drawMethod(rng *rand.Rand, kinds []string) Method {
+	m := Method{Kind: pick(rng, kinds),
+		Criticality: formatNumber(rng, pick(rng, []float64{0, 0.001, 1, 2, 1000})),
+		LateShare:   formatNumber(rng, pick(rng, []float64{0, 0.2, 1}))}
 	if m.Name = fmt.Sprintf("m%d", rng.IntN(1000)); rng.IntN(3) == 0 {
 		m.Name = pick(rng, awkwardNames)
 	}
 	deadline := pick(rng, []float64{0.02, 0.1, 0.5, 0.5, 1, 1, 2, 2, 5, 30, 600, 7200, 86400})
 	target := deadline * pick(rng, []float64{0.1, 0.5, 0.5, 1})
-	m.Deadline, m.Target = formatNumber(rng, deadline), formatNumber(rng, target)
+	m.Deadline, m.LatencyTarget = formatNumber(rng, deadline), formatNumber(rng, target)
 	switch rng.IntN(20) {
 	case 0:
 		m.Deadline = ""
@@ -293,12 +299,12 @@
 	case 2:
 		m.Deadline = "null"
 	case 3:
-		m.Target = ""
+		m.LatencyTarget = ""
 	case 4:
-		m.Target = "0"
+		m.LatencyTarget = "0"
 	}
 	switch {
-	case m.Effect == "dedup":
+	case m.Kind == "dedup":
 		m.Window = formatNumber(rng, pick(rng, []float64{0.05, 0.5, 2, 35.121, 3600, 864000}))
 	case rng.IntN(3) == 0:
 		m.Window = pick(rng, []string{"", "null", "0"})
@@ -327,11 +333,11 @@
 	return fmt.Sprintf("%g", v)
 }
 
-// keyOption draws configuration keys besides the methods, with the given probability.
+// keyOption draws configuration keys other than the methods, with the given probability.
 type keyOption struct {
 	probability float64
 	draw        func(rng *rand.Rand) []Key
-	callsBelow  bool // some methods call the layer below
+	callsBelow  bool // also lets some methods call the layer below
 }
 
 // choice returns an option that sets one key to one of the texts.
@@ -339,6 +345,7 @@
 	return keyOption{probability: probability, draw: func(rng *rand.Rand) []Key { return []Key{{path, pick(rng, texts)}} }}
 }
 
+// keyOptions are the configuration keys that may be drawn; a path that was drawn before is not drawn again.
 var keyOptions = []keyOption{
 	choice(0.3, "settings.domain.preemption", `"none"`, `"freeze"`, `"freeze"`, ""),
 	choice(0.4, "settings.domain.signal", `"none"`, `"floor"`, `"weight"`),
