--- a/cmd/rehearse/faults_apply.go
+++ b/cmd/rehearse/faults_apply.go
@@ -174,7 +174,7 @@
 	s.mu.Lock()
 	launchedAt := s.launchedAt
 	s.mu.Unlock()
-	for s.probe.LastAnswerAt().IsZero() && s.program.Log() == "" && time.Since(launchedAt) < signalReadyTimeout {
+	for s.probe.LastReplyAt().IsZero() && s.program.Log() == "" && time.Since(launchedAt) < signalReadyTimeout {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -45,8 +45,8 @@
 	s := &trialServer{trial: t, number: number}
 	name := serverName(number)
 	program, err := rig.NewProgram(rig.ProgramPlan{Name: name, Binary: t.run.Program, Args: t.run.programArgs,
-		Site: t.siteSettings(), Kernel: t.kernelConfig(number), Folder: t.directory,
-		Roster: t.roster.Address(), Check: t.check, Config: s.config})
+		Site: t.siteSettings(), Kernel: t.kernelConfig(number), Directory: t.directory,
+		Roster: t.roster.Address(), Checker: t.check, Config: s.config})
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 	if healthyAt := s.probe.HealthyAt(); !s.ready && !healthyAt.IsZero() {
 		s.ready = true
 	}
-	lastAnswer := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastAnswerAt())
+	lastAnswer := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastReplyAt())
 	if silence := time.Since(lastAnswer); silence > maxHealthCheckGap {
 		s.violate("rule 4: %s answered no health check for %.1f s", s.program.Name, silence.Seconds())
 		s.excusedUntil = time.Now().Add(time.Hour) // report it only once
--- a/cmd/rehearse/owner.go
+++ b/cmd/rehearse/owner.go
@@ -179,7 +179,7 @@
 
 // checkOrders checks the orders that the workers executed, and compares the service of the clusters on and off.
 func (t *ownerTrial) checkOrders() {
-	t.atLeast("late.refused", float64(t.on.workers[0].Refused()), 1)
+	t.atLeast("late.refused", float64(t.on.workers[0].RejectedOrders()), 1)
 	for k, role := range []string{"", ".second"} {
 		verdict := rig.NewVerdict(t.on.workers[k].Orders(time.Time{}), experimentLease)
 		t.printNote("role %d: %v", k+1, verdict)
--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -157,6 +157,6 @@
 func (c *Checker) connectionOpened(f *proxiedConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f.countedIn = c.server(f.FaultProxy.serverName).requests
-	f.countedIn.connections++
+	f.countingLog = c.server(f.FaultProxy.serverName).requests
+	f.countingLog.connections++
 }
--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -32,7 +32,7 @@
 	}
 	t.Cleanup(stub.Close)
 	s.Stub = stub
-	if s.net, err = NewFaultProxy("n1", stub.Address(), s.check); err != nil {
+	if s.net, err = NewFaultProxy("n1", stub.Address(), s.checker); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.net.Close)
@@ -66,7 +66,7 @@
 // sendTry makes the client send one try with the given time limit.
 func (s *stubServer) sendTry(call, method, token string, body []byte, ttl time.Duration) {
 	s.t.Helper()
-	s.check.settings.Catalog.Add(call, CatalogEntry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
+	s.checker.settings.Catalog.Add(call, CatalogEntry{RPC: "rpc " + token + string(body), Result: []byte("made by " + call)})
 	s.sequence++
 	now := float64(time.Now().UnixMilli()) / 1000
 	frame := thrift.Execute(nil, s.sequence, method, call, 1, now, ttl.Seconds(), 10, 0.5, false, token, "", body)
@@ -87,7 +87,7 @@
 // awaitViolation waits for a violation and checks that it is the only one.
 func (s *stubServer) awaitViolation(rule int, what string) {
 	s.t.Helper()
-	waitFor(s.t, "a violation: "+what, func() bool { return len(s.check.Violations()) > 0 })
+	waitFor(s.t, "a violation: "+what, func() bool { return len(s.checker.Violations()) > 0 })
 	s.expectViolation(s.t, rule, what)
 }
 
@@ -119,7 +119,7 @@
 	s.sequence++
 	s.client.Write(thrift.Check(nil, s.sequence))
 	s.readReply()
-	s.check.Finish()
+	s.checker.Finish()
 	s.expectNoViolations(t)
 }
 
@@ -213,25 +213,25 @@
 	s := newStubServer(t, KernelConfig{})
 	s.SetHandler(func(h ReceivedRequest, out []byte) []byte { return out })
 	s.sendTry(tryA, "read", "", nil, time.Millisecond)
-	waitFor(t, "the violation of the missing reply", func() bool { s.check.Finish(); return len(s.check.Violations()) > 0 })
+	waitFor(t, "the violation of the missing reply", func() bool { s.checker.Finish(); return len(s.checker.Violations()) > 0 })
 	s.expectViolation(t, 1, "never answered")
 }
 
 // A process that was paused still has to reply once it continues: it gets resumeGracePeriod and no more.
 func TestCheckServersFindsMissingReplyAfterPause(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{})
-	s.check.TrySent("n1", s.flow, 1, "a", time.Now(), false) // not registered, and therefore ignored
+	s.checker.TrySent("n1", s.connection, 1, "a", time.Now(), false) // not registered, and therefore ignored
 	s.recordSent(tryA, "read", "", nil, 0)
-	tries := s.check.tries[s.flow]
+	tries := s.checker.tries[s.connection]
 	tries[1].due = time.Now().Add(-time.Hour)
-	s.check.SetPaused("n1", true)
-	s.check.Finish()
+	s.checker.SetPaused("n1", true)
+	s.checker.Finish()
 	s.expectNoViolations(t)
-	s.check.SetPaused("n1", false)
-	s.check.Finish()
+	s.checker.SetPaused("n1", false)
+	s.checker.Finish()
 	s.expectNoViolations(t) // resumeGracePeriod is not over
-	s.check.servers["n1"].resumedAt = time.Now().Add(-2 * resumeGracePeriod)
-	s.check.Finish()
+	s.checker.servers["n1"].resumedAt = time.Now().Add(-2 * resumeGracePeriod)
+	s.checker.Finish()
 	s.expectViolation(t, 1, "never answered")
 }
 
@@ -250,14 +250,14 @@
 			s := newTestSetup(t, KernelConfig{})
 			run := func(call, token string) {
 				s.recordSent(call, "write", token, []byte("body"), 3600)
-				order, ok := s.check.resolveCommand("n1", call, "write", []byte("body"))
+				order, ok := s.checker.resolveCommand("n1", call, "write", []byte("body"))
 				if !ok {
 					t.Fatal("the command does not match what the client sent")
 				}
-				s.check.recordRunStart("n1", order)
+				s.checker.recordRunStart("n1", order)
 			}
 			run(tryA, "token")
-			first := s.check.servers["n1"].requests.byCall[tryA][0]
+			first := s.checker.servers["n1"].requests.byCall[tryA][0]
 			first.arrivedAt, first.sentAt = first.arrivedAt.Add(-test.later), first.sentAt.Add(-test.later)
 			run(tryB, test.token)
 			if test.what == "" {
@@ -279,9 +279,9 @@
 			s := newTestSetup(t, KernelConfig{})
 			s.recordSent(tryA, "write", "token", nil, 0)
 			s.recordSent(tryB, "write", "token", nil, 0)
-			first := s.check.servers["n1"].requests.byCall[tryA][0]
+			first := s.checker.servers["n1"].requests.byCall[tryA][0]
 			first.lastRunAt, first.arrivedAt = first.sentAt.Add(-test.ago), first.arrivedAt.Add(-test.ago)
-			s.check.observeReply(s.flow, reply{kind: replyPushedBack, seq: 2}, nil)
+			s.checker.observeReply(s.connection, reply{kind: replyPushedBack, seq: 2}, nil)
 			if test.what == "" {
 				s.expectNoViolations(t)
 				return
@@ -296,7 +296,7 @@
 	s := newStubServer(t, KernelConfig{})
 	s.sendTry(tryA, "read", "", nil, longTTL)
 	s.readReply()
-	s.check.ShutdownRequested("n1", -time.Hour, time.Hour)
+	s.checker.ShutdownRequested("n1", -time.Hour, time.Hour)
 	s.runOnKernel(tryA, "read", nil) // the request has its reply, and therefore is not run
 	s.expectNoViolations(t)
 	s.sendTry(tryB, "read", "", nil, longTTL)
@@ -326,11 +326,11 @@
 	waitFor(t, "the third RPC", func() bool { return len(s.Received()) == 3 })
 	s.client.Close()
 	waitFor(t, "the end of the connection", func() bool {
-		s.check.mu.Lock()
-		defer s.check.mu.Unlock()
-		return len(s.check.tries) < 2
+		s.checker.mu.Lock()
+		defer s.checker.mu.Unlock()
+		return len(s.checker.tries) < 2
 	})
-	s.check.Finish()
+	s.checker.Finish()
 	s.expectNoViolations(t)
 }
 
@@ -338,10 +338,10 @@
 func TestCheckServersExcusesUnwrittenTry(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{})
 	s.recordSent(tryA, "read", "", nil, 0)
-	s.check.TryNotWritten(s.flow, 1)
-	s.check.ConnectionEnded(s.flow, false)
+	s.checker.TryNotWritten(s.connection, 1)
+	s.checker.ConnectionEnded(s.connection, false)
 	s.expectNoViolations(t)
-	if n := s.check.Count("turned.away"); n != 1 {
+	if n := s.checker.Count("turned.away"); n != 1 {
 		t.Errorf("%d turned away", n)
 	}
 }
--- a/rig/check_tries.go
+++ b/rig/check_tries.go
@@ -137,9 +137,9 @@
 		}
 	}
 	delete(c.tries, conn)
-	if conn.countedIn != nil {
-		conn.countedIn.connections--
-		conn.countedIn = nil
+	if conn.countingLog != nil {
+		conn.countingLog.connections--
+		conn.countingLog = nil
 	}
 }
 
--- a/rig/cluster.go
+++ b/rig/cluster.go
@@ -159,7 +159,7 @@
 	node := &Node{slot: slot}
 	listen, advertise := c.Network.ListenAddress(slot), c.Network.AdvertisedAddress(slot)
 	if c.config.BareCommand != nil {
-		node.Program = &Program{Name: name, configName: ownName, check: c.Checker}
+		node.Program = &Program{Name: name, configName: ownName, checker: c.Checker}
 		node.bareProcess = &Process{onLogLine: func(line []byte) { c.History.AddLogLine(name, line) }}
 	} else {
 		kernel, err := NewKernel(name, c.config.Site.Cores, c.Checker)
@@ -170,7 +170,7 @@
 		// No other process can have taken the port in the meantime, because the address belongs to this process alone.
 		address := netip.AddrPortFrom(listen.Addr(), rpcPort).String()
 		node.Program = &Program{Name: name, Address: address, Kernel: kernel, site: c.config.Site, binary: c.config.Program, directory: c.dir,
-			roster: c.roster.Address(), check: c.Checker, configName: ownName}
+			roster: c.roster.Address(), checker: c.Checker, configName: ownName}
 		node.Program.onLogLine = func(line []byte) { c.History.AddLogLine(name, line) }
 		if node.Proxy, err = NewFaultProxy(name, address, c.Checker); err != nil {
 			return nil, err
--- a/rig/judge_program_test.go
+++ b/rig/judge_program_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: bin, directory: dir,
-		roster: p.roster.Address(), check: check}
+		roster: p.roster.Address(), checker: check}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -15,7 +15,7 @@
 	config  KernelConfig
 	address string
 	server  string // name of the app server, for the checker
-	check   *Checker
+	checker *Checker
 
 	faults atomic.Pointer[LinkFaults]
 
@@ -27,7 +27,7 @@
 	withheld          chan struct{} // closed when links may be answered again; nil if they are answered
 	breakInNextNotice bool          // break the link in the middle of the next notice
 	notices           []string      // sent so far, numbered from 1; expired ones are empty
-	random            *rand.Rand    // for faults of notices
+	rng               *rand.Rand    // for faults of notices
 
 	runs             map[string]*run
 	slowdown         float64 // factor by which runs take longer
@@ -45,19 +45,19 @@
 }
 
 // NewKernel returns a kernel that listens on a free port. It discards runs on PREEMPT and has no gauges.
-func NewKernel(server string, cores int, check *Checker) (*Kernel, error) {
-	return NewConfiguredKernel(server, plainKernel(cores), check)
+func NewKernel(server string, cores int, checker *Checker) (*Kernel, error) {
+	return NewConfiguredKernel(server, plainKernel(cores), checker)
 }
 
 // NewConfiguredKernel returns a kernel with a deployment's settings that listens on a free port.
-func NewConfiguredKernel(server string, config KernelConfig, check *Checker) (*Kernel, error) {
+func NewConfiguredKernel(server string, config KernelConfig, checker *Checker) (*Kernel, error) {
 	listener, err := listenOnRandomLoopback()
 	if err != nil {
 		return nil, err
 	}
-	k := &Kernel{config: config, address: listener.Addr().String(), listener: listener, server: server, check: check,
+	k := &Kernel{config: config, address: listener.Addr().String(), listener: listener, server: server, checker: checker,
 		runs: map[string]*run{}, slowdown: 1, accountedAt: time.Now(), startedAt: time.Now(),
-		random: rand.New(rand.NewPCG(config.Seed, 0))}
+		rng: rand.New(rand.NewPCG(config.Seed, 0))}
 	k.faults.Store(&LinkFaults{})
 	k.timer = time.AfterFunc(time.Hour, k.handleTimer)
 	go k.serve(listener)
@@ -156,5 +156,5 @@
 
 // reportViolation reports a violation by the app server to the checker.
 func (k *Kernel) reportViolation(rule int, format string, args ...any) {
-	k.check.reportViolation(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
+	k.checker.reportViolation(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
 }
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -138,7 +138,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	request, ok := k.check.resolveCommand(k.server, command.UID, command.Lane, command.Content)
+	request, ok := k.checker.resolveCommand(k.server, command.UID, command.Lane, command.Content)
 	if !ok {
 		k.rejectCommand(command)
 		return
@@ -156,7 +156,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	if !k.check.knowsCall(k.server, command.UID) {
+	if !k.checker.knowsCall(k.server, command.UID) {
 		k.reportViolation(1, "sends PREEMPT %q, which no client has sent it", command.UID)
 		k.rejectCommand(command)
 		return
@@ -177,7 +177,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	if !k.check.knowsCall(k.server, command.UID) {
+	if !k.checker.knowsCall(k.server, command.UID) {
 		k.reportViolation(1, "sends RESCHED %q, which no client has sent it", command.UID)
 		k.rejectCommand(command)
 		return
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -30,7 +30,7 @@
 
 // gaugeValue returns the current value of a gauge of the settings, 0 for an unknown one.
 func (k *Kernel) gaugeValue(name string) float64 {
-	load := k.check.load(k.server)
+	load := k.checker.load(k.server)
 	switch name {
 	case "core_use", "utilization":
 		return k.usage.mean(coreUseWindow, k.accountedAt, k.config.Cores)
@@ -40,7 +40,7 @@
 		if k.config.Memory.KB <= 0 {
 			return 0
 		}
-		return k.check.bookedKB(k.server, k.config.Memory.RunFactor) / k.config.Memory.KB
+		return k.checker.bookedKB(k.server, k.config.Memory.RunFactor) / k.config.Memory.KB
 	case "links":
 		return float64(load.connections)
 	case "outstanding":
@@ -67,14 +67,14 @@
 }
 
 // add records a period that ends now and drops steps older than every window.
-func (u *coreUsage) add(span time.Duration, now time.Time, runs int, config KernelConfig) {
-	if span <= 0 {
+func (u *coreUsage) add(duration time.Duration, now time.Time, runs int, config KernelConfig) {
+	if duration <= 0 {
 		return
 	}
 	if last := len(u.steps) - 1; last >= 0 && u.steps[last].runs == runs {
 		u.steps[last].to = now
 	} else {
-		u.steps = append(u.steps, usageStep{now.Add(-span), now, runs})
+		u.steps = append(u.steps, usageStep{now.Add(-duration), now, runs})
 	}
 	oldest := now.Add(-max(coreUseWindow, config.Overload.Window))
 	u.steps = slices.DeleteFunc(u.steps, func(s usageStep) bool { return s.to.Before(oldest) })
@@ -142,5 +142,5 @@
 	if memory.KB <= 0 {
 		return 0
 	}
-	return max(k.check.bookedKB(k.server, memory.RunFactor)-memory.KB, 0)
+	return max(k.checker.bookedKB(k.server, memory.RunFactor)-memory.KB, 0)
 }
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -25,7 +25,7 @@
 	nc            net.Conn
 	number        uint64     // ordinal of the connection at its kernel
 	dropsCommands bool       // commands received on the link are dropped; guarded by Kernel.mu
-	random        *rand.Rand // for fragment lengths; used by the writer only
+	rng           *rand.Rand // for fragment lengths; used by the writer only
 	faults        *atomic.Pointer[LinkFaults]
 
 	mu        sync.Mutex
@@ -43,7 +43,7 @@
 }
 
 func newKernelLink(nc net.Conn, number, seed uint64, faults *atomic.Pointer[LinkFaults]) *kernelLink {
-	return &kernelLink{nc: nc, number: number, random: rand.New(rand.NewPCG(seed, number)), faults: faults,
+	return &kernelLink{nc: nc, number: number, rng: rand.New(rand.NewPCG(seed, number)), faults: faults,
 		wake: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
@@ -113,7 +113,7 @@
 	for len(text) > 0 {
 		size := len(text)
 		if l.faults.Load().FragmentLines {
-			size = 1 + l.random.IntN(len(text))
+			size = 1 + l.rng.IntN(len(text))
 		}
 		if _, err := l.nc.Write(text[:size]); err != nil {
 			return false
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -105,43 +105,43 @@
 
 // testSetup holds a checker with terms to judge by, and a kernel for one app server.
 type testSetup struct {
-	check  *Checker
-	kernel *Kernel
-	flow   *proxiedConnection // a client's connection
-	seq    int32
+	checker    *Checker
+	kernel     *Kernel
+	connection *proxiedConnection // a client's connection
+	seq        int32
 }
 
 func newTestSetup(t *testing.T, config KernelConfig) *testSetup {
 	t.Helper()
-	c := NewChecker(50 * time.Millisecond)
-	c.CheckServers(ServerSettings{Methods: map[string]MethodSettings{
+	checker := NewChecker(50 * time.Millisecond)
+	checker.CheckServers(ServerSettings{Methods: map[string]MethodSettings{
 		"read":   {Kind: rpc.Idempotent, Deadline: 10 * time.Second},
 		"write":  {Kind: rpc.Tokened, Deadline: 10 * time.Second, Window: 20 * time.Second},
 		"charge": {Kind: rpc.NonIdempotent, Deadline: 10 * time.Second},
 	}})
-	c.ProcessStarted("n1")
+	checker.ProcessStarted("n1")
 	config.Methods = []string{"read", "write", "charge"}
 	config.Cores = max(config.Cores, 2)
-	k, err := NewConfiguredKernel("n1", config, c)
+	k, err := NewConfiguredKernel("n1", config, checker)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	return &testSetup{check: c, kernel: k, flow: newFlow("n1", c)}
+	return &testSetup{checker: checker, kernel: k, connection: newTestConnection("n1", checker)}
 }
 
-// newFlow returns a connection without a network.
-func newFlow(server string, check *Checker) *proxiedConnection {
-	f := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: check}}
-	check.connectionOpened(f)
-	return f
+// newTestConnection returns a connection without a network.
+func newTestConnection(server string, checker *Checker) *proxiedConnection {
+	connection := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: checker}}
+	checker.connectionOpened(connection)
+	return connection
 }
 
 // recordSent records in the ledger an RPC that a client sends; nothing is sent.
 func (s *testSetup) recordSent(callID, method, token string, body []byte, work float64) {
-	s.check.settings.Catalog.Add(callID, CatalogEntry{RPC: "rpc " + callID, Work: work})
+	s.checker.settings.Catalog.Add(callID, CatalogEntry{RPC: "rpc " + callID, Work: work})
 	s.seq++
-	s.check.observeRequest(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
+	s.checker.observeRequest(s.connection, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
 		fields: map[string]string{"op": method, "call": callID, "dedupe": token, "heap": "10",
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
@@ -149,7 +149,7 @@
 // expectViolation checks that there is exactly one violation, of a rule and with a text.
 func (s *testSetup) expectViolation(t *testing.T, rule int, text string) {
 	t.Helper()
-	violations := s.check.Violations()
+	violations := s.checker.Violations()
 	if len(violations) != 1 || violations[0].Rule != rule || !strings.Contains(violations[0].Description, text) {
 		t.Errorf("violations: %v, want exactly one of rule %d with %q", violations, rule, text)
 	}
@@ -158,7 +158,7 @@
 // expectNoViolations checks that the checker has found nothing.
 func (s *testSetup) expectNoViolations(t *testing.T) {
 	t.Helper()
-	if violations := s.check.Violations(); len(violations) > 0 {
+	if violations := s.checker.Violations(); len(violations) > 0 {
 		t.Errorf("unexpected violations: %v", violations)
 	}
 }
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -11,7 +11,7 @@
 
 // sendNotice sends the next notice, at random preceded by a DMESG as the link faults demand.
 func (k *Kernel) sendNotice(notice func(pos int) string) {
-	if k.random.Float64() < k.faults.Load().RemarkShare {
+	if k.rng.Float64() < k.faults.Load().RemarkShare {
 		k.sendNumbered(dmesgNotice("nothing to be said"))
 	}
 	k.sendNumbered(notice)
@@ -32,12 +32,12 @@
 	}
 	if k.breakInNextNotice && k.link != nil {
 		k.breakInNextNotice = false
-		k.link.send([]byte(line)[:1+k.random.IntN(len(line)-1)], true)
+		k.link.send([]byte(line)[:1+k.rng.IntN(len(line)-1)], true)
 		k.link = nil // later notices are sent on the next link
 		return
 	}
 	k.sendLine(line)
-	if k.random.Float64() < k.faults.Load().DuplicateShare {
+	if k.rng.Float64() < k.faults.Load().DuplicateShare {
 		k.sendLine(line)
 	}
 }
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -25,7 +25,7 @@
 		k.sendNotice(reapNotice(uid, "late", 0, nil))
 		return
 	}
-	k.check.recordRunStart(k.server, request)
+	k.checker.recordRunStart(k.server, request)
 	k.runs[uid] = &run{uid: uid, request: request, workLeft: request.entry.Work, startedAt: time.Now(),
 		onBackend: k.config.Backend.countsMethod(lane)}
 	if k.config.Backend.countsMethod(lane) {
@@ -37,7 +37,7 @@
 
 // preempt takes a run off the cores: it pauses or ends it as the settings demand.
 func (k *Kernel) preempt(r *run) {
-	if k.config.Preemption == PreemptFreeze && !k.check.requestSettled(r.request) {
+	if k.config.Preemption == PreemptFreeze && !k.checker.requestSettled(r.request) {
 		if !r.paused {
 			r.paused, r.preemptRequested = true, false
 			k.sendNotice(reapNotice(r.uid, "broken_off", time.Since(r.startedAt), nil))
@@ -50,7 +50,7 @@
 // removeObsoletePausedRuns removes paused runs whose request is over; their end notice was sent when they were paused.
 func (k *Kernel) removeObsoletePausedRuns() {
 	for _, r := range k.runs {
-		if r.paused && k.check.requestSettled(r.request) {
+		if r.paused && k.checker.requestSettled(r.request) {
 			k.removeRun(r)
 		}
 	}
@@ -140,7 +140,7 @@
 func (k *Kernel) endRun(r *run, code string, result []byte) {
 	k.removeRun(r)
 	if code == "fine" {
-		k.check.recordResult(r.request, result)
+		k.checker.recordResult(r.request, result)
 	}
 	k.sendNotice(reapNotice(r.uid, code, time.Since(r.startedAt), result))
 }
@@ -148,7 +148,7 @@
 // removeRun removes a run from the kernel, the checker and the backend.
 func (k *Kernel) removeRun(r *run) {
 	delete(k.runs, r.uid)
-	k.check.recordRunEnd(r.request)
+	k.checker.recordRunEnd(r.request)
 	if r.onBackend {
 		k.config.Backend.add(k.server, -1)
 	}
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -47,12 +47,12 @@
 }
 
 // What was sent to a previous process of the app server does not count as sent to the present one.
-func TestKernelLedgerPerProcess(t *testing.T) {
+func TestKernelRequestLogPerProcess(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 	s.recordSent(tryA, "read", "", nil, 0)
-	s.check.ProcessKilled("n1")
+	s.checker.ProcessKilled("n1")
 	s.kernel.Restart()
-	s.check.ProcessStarted("n1")
+	s.checker.ProcessStarted("n1")
 	l := dialKernel(t, s.kernel, 0)
 	l.sendSched(tryA, "read", nil)
 	if n := l.readNotice(); n.Action != "EINVAL" {
@@ -149,7 +149,7 @@
 		}
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.readNotice()
-		s.check.ReplyReceived(s.flow, 1, rpc.Error, false, 0)
+		s.checker.ReplyReceived(s.connection, 1, rpc.Error, false, 0)
 		if m := l.syncGauges("4"); !slices.Equal(m, []float64{0, 0}) {
 			t.Errorf("gauges %v once the request is over, want zeros", m)
 		}
@@ -196,15 +196,15 @@
 	if m := l.syncGauges("1"); !slices.Equal(m, []float64{1, 2, 1, 0.03, 1, 0}) {
 		t.Errorf("gauges %v, want 1, 2, 1, 0.03, 1, 0", m)
 	}
-	s.check.mu.Lock()
-	for held := range s.check.server("n1").requests.active {
+	s.checker.mu.Lock()
+	for held := range s.checker.server("n1").requests.active {
 		held.sentAt = held.sentAt.Add(-minHeldTime)
 	}
-	s.check.mu.Unlock()
+	s.checker.mu.Unlock()
 	if m := l.syncGauges("2"); m[3] != 0.04 {
 		t.Errorf("heap_share %g with one request held, want 0.04", m[3])
 	}
-	s.check.ConnectionEnded(s.flow, true)
+	s.checker.ConnectionEnded(s.connection, true)
 	if m := l.syncGauges("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
 		t.Errorf("gauges %v after the clients disconnected", m)
 	}
@@ -239,7 +239,7 @@
 				s.recordSent(call, "read", "", nil, 3600)
 				l.sendSched(call, "read", nil)
 			}
-			for end := time.Now().Add(testTimeout); len(s.check.Violations()) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); len(s.checker.Violations()) == 0 && time.Now().Before(end); {
 				l.syncGauges("1")
 			}
 			s.expectViolation(t, 4, test.what)
--- a/rig/load.go
+++ b/rig/load.go
@@ -62,7 +62,7 @@
 }
 
 // Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
-func (l Load) Run(ctx context.Context, check *Checker, callers ...Caller) Outcome {
+func (l Load) Run(ctx context.Context, checker *Checker, callers ...Caller) Outcome {
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
 	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
 	for _, share := range l.Shares {
@@ -96,7 +96,7 @@
 		}
 		pending.Go(func() {
 			deadline := time.Now().Add(share.Deadline)
-			check.RegisterRPC(id, share.Kind, deadline)
+			checker.RegisterRPC(id, share.Kind, deadline)
 			ctx, stop := context.WithDeadline(ctx, deadline)
 			defer stop()
 			token := ""
@@ -110,9 +110,9 @@
 				defer l.PendingCount.Add(-1)
 			}
 			result, err := caller.Call(ctx, share.Method, token, share.Criticality, body)
-			took := time.Since(callStart)
+			latency := time.Since(callStart)
 			if err == nil {
-				check.VerifyResult(id, result)
+				checker.VerifyResult(id, result)
 			}
 			if l.AfterCall != nil {
 				l.AfterCall(share, id, token, body, err)
@@ -127,7 +127,7 @@
 				methodOutcome.OK++
 				out.OK++
 				servedWeight += share.Criticality
-				methodOutcome.Latencies.RecordValue(took.Microseconds())
+				methodOutcome.Latencies.RecordValue(latency.Microseconds())
 			}
 		})
 	}
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -34,15 +34,15 @@
 	return &NaiveClient{addresses: addresses, source: source, idle: map[string][]*naiveConn{}}
 }
 
-// naiveTries is the maximum number of tries per RPC.
-const naiveTries = 4
+// maxNaiveTries is the maximum number of tries per RPC.
+const maxNaiveTries = 4
 
 var errNotServed = errors.New("RPC was not served")
 
 // Call makes one RPC. It tries until one is ok, the tries are used up or ctx is done.
 func (n *NaiveClient) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
 	err := errNotServed
-	for range naiveTries {
+	for range maxNaiveTries {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -82,17 +82,17 @@
 		if size == 0 {
 			continue
 		}
-		answer := naiveReply{err: errNotServed}
-		err = thrift.DecodeAnswer(replyFrame, &answer)
+		reply := naiveReply{err: errNotServed}
+		err = thrift.DecodeAnswer(replyFrame, &reply)
 		c.input.Discard(size)
-		if err != nil || answer.draining {
+		if err != nil || reply.draining {
 			c.Close()
 			return nil, errNotServed
 		}
 		n.mu.Lock()
 		n.idle[address] = append(n.idle[address], c)
 		n.mu.Unlock()
-		return answer.result, answer.err
+		return reply.result, reply.err
 	}
 }
 
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -152,15 +152,15 @@
 }
 
 // Cancel sends an interrupt for the try, if the deployment sends interrupts.
-func (k *PeerCall) Cancel() {
-	c := k.conn
+func (call *PeerCall) Cancel() {
+	c := call.conn
 	if !c.options.HangupSeen {
 		return
 	}
 	c.write.Lock()
 	defer c.write.Unlock()
 	c.seq++
-	c.writeFrame(InterruptFrame(c.seq, k.seq))
+	c.writeFrame(InterruptFrame(c.seq, call.seq))
 }
 
 // writeFrame writes a frame, whole or in parts of WriteSize bytes. The write lock must be held.
@@ -306,9 +306,9 @@
 func (c *peerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, PeerOutcome{Result: append([]byte{}, result...)})
 }
-func (c *peerConn) PushedBack(seq int32, last bool, after, _ float64) {
-	wait := time.Duration(after * float64(time.Second))
-	c.finish(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, RetryAfter: wait})
+func (c *peerConn) PushedBack(seq int32, noRetry bool, retryAfterSeconds, _ float64) {
+	wait := time.Duration(retryAfterSeconds * float64(time.Second))
+	c.finish(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: noRetry, RetryAfter: wait})
 }
 func (c *peerConn) Aborted(seq int32, _ string, _ float64) {
 	c.finish(seq, PeerOutcome{Err: ErrAborted})
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -15,10 +15,10 @@
 	stop    chan struct{}
 	group   sync.WaitGroup
 
-	mu           sync.Mutex
-	lastAnswerAt time.Time // of any reply
-	healthyAt    time.Time // of the first healthy reply since Restart
-	startedAt    time.Time
+	mu          sync.Mutex
+	lastReplyAt time.Time // of any reply
+	healthyAt   time.Time // of the first healthy reply since Restart
+	startedAt   time.Time
 }
 
 // Interval between two checks, timeout of each reply, and checks per connection.
@@ -39,14 +39,14 @@
 func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.startedAt, p.lastAnswerAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
+	p.startedAt, p.lastReplyAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
 }
 
-// LastAnswerAt returns when the last reply came; the zero time if none has come since Restart.
-func (p *HealthProbe) LastAnswerAt() time.Time {
+// LastReplyAt returns when the last reply came; the zero time if none has come since Restart.
+func (p *HealthProbe) LastReplyAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lastAnswerAt
+	return p.lastReplyAt
 }
 
 // HealthyAt returns when the first healthy reply since Restart came; the zero time if none has.
@@ -95,21 +95,21 @@
 		if _, err := conn.Write(CheckFrame(seq + 1)); err != nil {
 			return
 		}
-		answer := probeReply{}
-		for !answer.received {
+		reply := probeReply{}
+		for !reply.received {
 			frame, size, err := thrift.Frame(input.Bytes())
 			switch {
 			case err == nil && size == 0:
 				err = input.Fill(conn)
 			case err == nil:
-				err = thrift.DecodeAnswer(frame, &answer)
+				err = thrift.DecodeAnswer(frame, &reply)
 				input.Discard(size)
 			}
 			if err != nil {
 				return
 			}
 		}
-		p.record(sentAt, answer.healthy)
+		p.record(sentAt, reply.healthy)
 		if !p.wait() {
 			return
 		}
@@ -123,9 +123,9 @@
 	if sentAt.Before(p.startedAt) {
 		return
 	}
-	p.lastAnswerAt = time.Now()
+	p.lastReplyAt = time.Now()
 	if healthy && p.healthyAt.IsZero() {
-		p.healthyAt = p.lastAnswerAt
+		p.healthyAt = p.lastReplyAt
 	}
 }
 
--- a/rig/process.go
+++ b/rig/process.go
@@ -115,7 +115,7 @@
 // Throttle lets the process run for only a part of each period, like a CPU quota, until stop is called. It keeps time
 // on a locked thread with the system's sleep, because garbage collection and timers of this process would stretch the
 // intervals.
-func (p *Process) Throttle(run, period time.Duration) (stop func()) {
+func (p *Process) Throttle(runTime, period time.Duration) (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -137,11 +137,11 @@
 			default:
 			}
 			p.SetPaused(false)
-			sleepUntil(time.Now().Add(run)) // measured from the actual start, even if it is late
+			sleepUntil(time.Now().Add(runTime)) // measured from the actual start, even if it is late
 			p.SetPaused(true)
 			next = next.Add(period)
 			if time.Until(next) < 0 {
-				next = time.Now().Add(period - run)
+				next = time.Now().Add(period - runTime)
 			}
 			sleepUntil(next)
 		}
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -18,33 +18,33 @@
 		t.Cleanup(p.kill)
 		return p
 	}
-	quiet, spinning := start("exec sleep 60"), start("while :; do :; done")
-	if err := quiet.CheckIdle(time.Second, 0.2); err != nil {
+	idle, busy := start("exec sleep 60"), start("while :; do :; done")
+	if err := idle.CheckIdle(time.Second, 0.2); err != nil {
 		t.Error(err)
 	}
-	if err := spinning.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
+	if err := busy.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
 		t.Errorf("CheckIdle of a spinning process: %v, want ErrBusyAtRest", err)
 	}
 	ready := make(chan struct{}, 1)
-	stubborn, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"),
+	ignoresTerm, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"),
 		func([]byte) { ready <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-ready
-	if err := stubborn.StopWithin(100 * time.Millisecond); !errors.Is(err, ErrStopIgnored) || stubborn.Running() {
+	if err := ignoresTerm.StopWithin(100 * time.Millisecond); !errors.Is(err, ErrStopIgnored) || ignoresTerm.Running() {
 		t.Errorf("StopWithin of a process that ignores SIGTERM: %v, want ErrStopIgnored", err)
 	}
-	if err := quiet.StopWithin(10 * time.Second); err == nil {
+	if err := idle.StopWithin(10 * time.Second); err == nil {
 		t.Error("StopWithin returned no error for a process that SIGTERM killed")
 	}
-	obedient, err := Launch(exec.Command("/bin/sh", "-c", "trap 'exit 0' TERM; echo ready >&2; while :; do sleep 0.01; done"),
+	exitsOnTerm, err := Launch(exec.Command("/bin/sh", "-c", "trap 'exit 0' TERM; echo ready >&2; while :; do sleep 0.01; done"),
 		func([]byte) { ready <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-ready
-	if err := obedient.StopWithin(10 * time.Second); err != nil {
+	if err := exitsOnTerm.StopWithin(10 * time.Second); err != nil {
 		t.Error(err)
 	}
 }
--- a/rig/program.go
+++ b/rig/program.go
@@ -64,7 +64,7 @@
 	binary     string
 	directory  string
 	roster     string
-	check      *Checker
+	checker    *Checker
 	configName string                  // name in its configuration, if not Name
 	args       []string                // appended to those of the site
 	configText func(p *Program) string // returns the configuration; nil to derive it from the site
@@ -73,20 +73,20 @@
 
 // ProgramPlan describes one app server whose configuration is given as text.
 type ProgramPlan struct {
-	Name   string
-	Binary string
-	Args   []string // arguments of the program
-	Site   Site     // limits and shutdown times, as used by the rig itself
-	Kernel KernelConfig
-	Folder string // for the files of the app server
-	Roster string
-	Check  *Checker
-	Config func(p *Program) string // called at each start and reload
+	Name      string
+	Binary    string
+	Args      []string // arguments of the program
+	Site      Site     // limits and shutdown times, as used by the rig itself
+	Kernel    KernelConfig
+	Directory string // for the files of the app server
+	Roster    string
+	Checker   *Checker
+	Config    func(p *Program) string // called at each start and reload
 }
 
 // NewProgram prepares an app server with a kernel of its own; the process is not started before Launch.
 func NewProgram(plan ProgramPlan) (*Program, error) {
-	kernel, err := NewConfiguredKernel(plan.Name, plan.Kernel, plan.Check)
+	kernel, err := NewConfiguredKernel(plan.Name, plan.Kernel, plan.Checker)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 		kernel.Close()
 		return nil, err
 	}
-	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary, directory: plan.Folder,
-		roster: plan.Roster, check: plan.Check, args: plan.Args, configText: plan.Config}, nil
+	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary, directory: plan.Directory,
+		roster: plan.Roster, checker: plan.Checker, args: plan.Args, configText: plan.Config}, nil
 }
 
 // Build builds the program in a folder, for tests, and returns its path.
@@ -164,9 +164,9 @@
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
-	p.check.ProcessStarted(p.Name)
+	p.checker.ProcessStarted(p.Name)
 	p.Kernel.BeginColdStart()
-	_, err := p.spawn(cmd, func(err error) { p.check.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
+	_, err := p.spawn(cmd, func(err error) { p.checker.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
 
@@ -226,7 +226,7 @@
 
 // Kill kills the program and its kernel's runs, and waits for its end.
 func (p *Program) Kill() {
-	p.check.ProcessKilled(p.Name)
+	p.checker.ProcessKilled(p.Name)
 	p.signal(syscall.SIGKILL)
 	p.Kernel.Restart()
 	p.wait()
@@ -234,7 +234,7 @@
 
 // RequestShutdown sends SIGTERM and tells the checker; it does not wait for the end.
 func (p *Program) RequestShutdown() {
-	p.check.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
+	p.checker.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
@@ -253,7 +253,7 @@
 
 // Fleet is a group of app servers, each behind a recording proxy, and a roster that collects their reports.
 type Fleet struct {
-	Check     *Checker
+	Checker   *Checker
 	Programs  []*Program
 	Proxies   []*FaultProxy
 	Roster    *Roster
@@ -267,18 +267,18 @@
 }
 
 // NewFleet starts n app servers of the program at path binary. The caller closes the fleet.
-func NewFleet(binary string, n int, site Site, check *Checker) (*Fleet, error) {
+func NewFleet(binary string, n int, site Site, checker *Checker) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Check: check, directory: dir, stop: make(chan struct{})}
+	f := &Fleet{Checker: checker, directory: dir, stop: make(chan struct{})}
 	if f.Roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
 	for k := range n {
 		name := fmt.Sprintf("n%d", k+1)
-		kernel, err := NewKernel(name, site.Cores, check)
+		kernel, err := NewKernel(name, site.Cores, checker)
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -290,14 +290,14 @@
 			return nil, err
 		}
 		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, binary: binary, directory: dir,
-			roster: f.Roster.Address(), check: check}
+			roster: f.Roster.Address(), checker: checker}
 		if err := p.Start(); err != nil {
 			kernel.Close()
 			f.Close()
 			return nil, err
 		}
 		f.Programs = append(f.Programs, p)
-		proxy, err := NewFaultProxy(name, address, check)
+		proxy, err := NewFaultProxy(name, address, checker)
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -328,7 +328,7 @@
 					f.mu.Unlock()
 					p.Kill()
 				default:
-					f.Check.VerifyMemory(p.Name, resident, limit)
+					f.Checker.VerifyMemory(p.Name, resident, limit)
 				}
 			}
 		}
--- a/rig/proxied_connection.go
+++ b/rig/proxied_connection.go
@@ -17,7 +17,7 @@
 	chunkCount     atomic.Uint64 // chunks written so far, which seed how the next one is split
 
 	optionalReplies map[int32]int // count of allowed replies that are not due, by sequence number; guarded by the checker's lock
-	countedIn       *requestLog   // the ledger that counts the connection; guarded by the checker's lock
+	countingLog     *requestLog   // the ledger that counts the connection; guarded by the checker's lock
 }
 
 // watchRequest reports a message to the app server to the checker. If replyDue, the app server must reply under seq.
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -17,7 +17,7 @@
 	mu           sync.Mutex
 	conn         net.PacketConn // nil while the roster is stopped
 	firstReports map[string]time.Time
-	check        *Checker        // nil unless CheckReports was called
+	checker      *Checker        // nil unless CheckReports was called
 	names        map[string]bool // names of the known processes
 	group        sync.WaitGroup
 }
@@ -73,10 +73,10 @@
 
 // CheckReports has the checker verify each report from now on: its format, that its name is one of the given names, and that
 // the process of that name is alive. Names are those under which the checker knows the processes.
-func (r *Roster) CheckReports(check *Checker, names ...string) {
+func (r *Roster) CheckReports(checker *Checker, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.check, r.names = check, map[string]bool{}
+	r.checker, r.names = checker, map[string]bool{}
 	for _, name := range names {
 		r.names[name] = true
 	}
@@ -110,7 +110,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, on, err := parseReport(report)
-	if r.check != nil {
+	if r.checker != nil {
 		r.checkReport(report, name, err)
 	}
 	if err != nil {
@@ -142,10 +142,10 @@
 func (r *Roster) checkReport(report, name string, err error) {
 	switch {
 	case err != nil:
-		r.check.reportViolation(1, "invalid datagram to the roster, %.80q: %v", report, err)
+		r.checker.reportViolation(1, "invalid datagram to the roster, %.80q: %v", report, err)
 	case !r.names[name]:
-		r.check.reportViolation(1, "a report to the roster names %q, which is no known process", name)
-	case !r.check.isAlive(name):
-		r.check.reportViolation(1, "a report to the roster from %s, which has ended", name)
+		r.checker.reportViolation(1, "a report to the roster names %q, which is no known process", name)
+	case !r.checker.isAlive(name):
+		r.checker.reportViolation(1, "a report to the roster from %s, which has ended", name)
 	}
 }
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.CheckReports(s.check, "n1", "n3")
+		r.CheckReports(s.checker, "n1", "n3")
 		conn, err := net.Dial("udp", r.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -33,10 +33,10 @@
 		fmt.Fprint(conn, report)
 		fmt.Fprint(conn, "HERE last") // always invalid; once it is reported, the datagram before it has been processed
 		waitFor(t, "the reports", func() bool {
-			all := s.check.Violations()
+			all := s.checker.Violations()
 			return len(all) > 0 && strings.Contains(all[len(all)-1].Description, "HERE last")
 		})
-		all := s.check.Violations()
+		all := s.checker.Violations()
 		if len(all) > 2 || (len(all) == 2) != (what != "") || !strings.Contains(all[0].Description, what) {
 			t.Errorf("%q: %v", report, all)
 		}
--- a/rig/script.go
+++ b/rig/script.go
@@ -160,9 +160,9 @@
 // RandomScript returns a script drawn from a seed: overlapping faults of every kind among the names, all of which have ended by
 // the end of the script.
 func RandomScript(seed uint64, names []string, faults int, length time.Duration) Script {
-	r := rand.New(rand.NewPCG(seed, 11))
+	rng := rand.New(rand.NewPCG(seed, 11))
 	randomNames := func(n int) []string {
-		k := r.Perm(len(names))[:n]
+		k := rng.Perm(len(names))[:n]
 		slices.Sort(k)
 		var all []string
 		for _, i := range k {
@@ -171,7 +171,7 @@
 		return all
 	}
 	randomDuration := func(minimum, maximum float64) time.Duration {
-		return time.Duration((minimum+r.Float64()*(maximum-minimum))*1000).Round(10) * time.Millisecond
+		return time.Duration((minimum+rng.Float64()*(maximum-minimum))*1000).Round(10) * time.Millisecond
 	}
 	var s Script
 	add := func(f Fault) { s = append(s, f) }
@@ -179,18 +179,18 @@
 	for range faults {
 		at := randomDuration(0, length.Seconds()*0.75)
 		duration := min(randomDuration(1, 6), length-at)
-		group := randomNames(1 + r.IntN(len(names)/2))
-		switch kind := r.IntN(8); kind {
+		group := randomNames(1 + rng.IntN(len(names)/2))
+		switch kind := rng.IntN(8); kind {
 		case 0:
 			rest := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(group, n) })
 			add(Fault{At: at, Verb: "split", Groups: [][]string{group, rest}})
 			add(Fault{At: at + duration, Verb: "heal"})
 		case 1:
-			add(Fault{At: at, Verb: "cut", Groups: [][]string{group[:1], randomNames(1 + r.IntN(len(names)-1))}})
+			add(Fault{At: at, Verb: "cut", Groups: [][]string{group[:1], randomNames(1 + rng.IntN(len(names)-1))}})
 			add(Fault{At: at + duration, Verb: "heal"})
 		case 2:
-			add(Fault{At: at, Verb: "loss", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(15)) / 100})
-			add(Fault{At: at, Verb: "double", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+r.IntN(20)) / 100})
+			add(Fault{At: at, Verb: "loss", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+rng.IntN(15)) / 100})
+			add(Fault{At: at, Verb: "double", Groups: [][]string{{"*"}, {"*"}}, Share: float64(1+rng.IntN(20)) / 100})
 		case 3:
 			add(Fault{At: at, Verb: "delay", Groups: [][]string{group, {"*"}},
 				Delay: randomDuration(0.005, 0.06), Jitter: randomDuration(0, 0.05)})
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -191,7 +191,7 @@
 
 // At returns the value of the fit at x and its standard error, as for one more measurement at x. measured is true if x is at
 // most Largest; past it the value is extrapolated. Value and error are NaN where the fit cannot be computed.
-func (s Series) At(x float64) (value, errorOfValue float64, measured bool) {
+func (s Series) At(x float64) (value, standardError float64, measured bool) {
 	measured = x <= s.Largest
 	if s.Fit.Model == ModelConstant {
 		return s.Fit.Intercept, s.constantError(), measured
@@ -207,13 +207,13 @@
 	xs, ys := coordinates(points)
 	offset := position - stat.Mean(xs, nil)
 	spread := 1 + 1/float64(len(xs)) + offset*offset/sumOfSquares(xs)
-	errorOfValue = residualDeviation(xs, ys, s.Fit) * math.Sqrt(spread)
+	standardError = residualDeviation(xs, ys, s.Fit) * math.Sqrt(spread)
 	value = s.Fit.Intercept + s.Fit.Slope*position
 	if s.Fit.Model == ModelPower {
 		value = math.Exp(value)
-		errorOfValue *= value // first-order approximation: the error of a logarithm is a relative error
+		standardError *= value // first-order approximation: the error of a logarithm is a relative error
 	}
-	return value, errorOfValue, measured
+	return value, standardError, measured
 }
 
 // constantError returns the standard error of one more measurement under ModelConstant.
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -186,10 +186,10 @@
 	}
 }
 
-func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, again bool, token, body []byte) {
+func (c *stubConn) Execute(seq int32, op, call []byte, _ int, recv, ttl, _ float64, isRetry bool, token, body []byte) {
 	id, _, _ := DecodeBody(body)
 	c.handle(ReceivedRequest{Seq: seq, Method: string(op), Token: string(token), ID: id, Call: string(call),
-		Body: slices.Clone(body), Recv: recv, TTL: ttl, IsRetry: again})
+		Body: slices.Clone(body), Recv: recv, TTL: ttl, IsRetry: isRetry})
 }
 func (c *stubConn) Unreadable(int32, string) {}
 func (c *stubConn) Interrupt(target int32)   { c.handle(ReceivedRequest{Seq: target, Interrupt: true}) }
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -19,7 +19,7 @@
 
 // NewVerdict evaluates orders in the order of their effects. Two owners held the role at the same time if orders of one lie
 // between two orders of the other that are at most span apart.
-func NewVerdict(orders []Order, span time.Duration) Verdict {
+func NewVerdict(orders []Order, maxGap time.Duration) Verdict {
 	verdict := Verdict{MaxConcurrentOwners: min(len(orders), 1)}
 	ownerOfTerm := map[uint64]string{}
 	for k, order := range orders {
@@ -35,16 +35,16 @@
 		}
 		verdict.OwnerChanges++
 		// If orders of others lie between this owner's previous order and this one, this one is late.
-		before := k - 1
-		for before >= 0 && orders[before].Owner != order.Owner {
-			before--
+		previous := k - 1
+		for previous >= 0 && orders[previous].Owner != order.Owner {
+			previous--
 		}
-		if before < 0 || order.At.Sub(orders[before].At) > span {
+		if previous < 0 || order.At.Sub(orders[previous].At) > maxGap {
 			continue
 		}
 		// It is not late if its term is later than the others': the owner has taken over again.
 		others := map[string]bool{}
-		for _, other := range orders[before+1 : k] {
+		for _, other := range orders[previous+1 : k] {
 			if other.Term >= order.Term {
 				others[other.Owner] = true
 			}
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -15,11 +15,11 @@
 	rejectsStaleTerms bool
 	history           *History
 
-	mu          sync.Mutex
-	orders      []Order
-	highestTerm uint64
-	refused     int
-	conns       map[net.Conn]struct{}
+	mu             sync.Mutex
+	orders         []Order
+	highestTerm    uint64
+	rejectedOrders int
+	conns          map[net.Conn]struct{}
 }
 
 // Order is an order that was executed.
@@ -87,7 +87,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if term < w.highestTerm && w.rejectsStaleTerms {
-		w.refused++
+		w.rejectedOrders++
 		return w.highestTerm, false
 	}
 	w.highestTerm = max(w.highestTerm, term)
@@ -95,11 +95,11 @@
 	return w.highestTerm, true
 }
 
-// Refused returns the number of orders rejected for a stale term.
-func (w *Worker) Refused() int {
+// RejectedOrders returns the number of orders rejected for a stale term.
+func (w *Worker) RejectedOrders() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.refused
+	return w.rejectedOrders
 }
 
 // Orders returns the orders executed at or after a time.
