--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// runRequest is what is known of a run that the app server asks for.
+// runRequest describes the RPC that a SCHED command runs.
 type runRequest struct {
 	entry       CatalogEntry
 	sent        *sentTry // nil if commands are not checked against what clients sent
 	requestOver bool     // the request has been answered or given up
 }
 
-// maxCommandBytes limits a line: it holds a body of 2 KiB and a name of some hundred bytes in any JSON encoding.
+// maxCommandBytes is the maximum length of a line. It has room for a body of 2 KiB and a name of some hundred bytes in any JSON
+// encoding.
 const maxCommandBytes = 64 << 10
 
 // serve accepts connections until the listener is closed.
@@ -131,7 +132,7 @@
 	k.sendLine(fmt.Sprintf(`{"action":"EINVAL","code":"%s","uid":%s}`, command.Action, encodedUID))
 }
 
-// handleSched starts a run, unless the checker knows no such request or the run exists already.
+// handleSched starts a run, unless no client has sent such an RPC or the run exists already.
 func (k *Kernel) handleSched(command kernelCommand) {
 	if k.config.Methods != nil && !slices.Contains(k.config.Methods, command.Lane) {
 		k.reportViolation(1, "sends SCHED %s for method %q, which the settings do not list", command.UID, command.Lane)
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -80,8 +80,7 @@
 	u.steps = slices.DeleteFunc(u.steps, func(s usageStep) bool { return s.to.Before(oldest) })
 }
 
-// mean returns the mean share of the cores in use over a window that ends now, or the mean number of runs if cores is
-// 0.
+// mean returns the mean share of the cores in use over a window that ends now, or the mean number of runs if cores is 0.
 func (u *coreUsage) mean(window time.Duration, now time.Time, cores int) float64 {
 	sum, from := 0.0, now.Add(-window)
 	for _, s := range u.steps {
@@ -111,11 +110,11 @@
 	}
 }
 
-// maxOverbookedTime is how long more memory may be booked than there is before that is a violation: the network sees a
-// reply a little after the app server has sent it.
+// maxOverbookedTime is how long the memory limit may be exceeded before that is a violation: the proxy observes a reply, which
+// ends a booking, a little after the app server has sent it.
 const maxOverbookedTime = 50 * time.Millisecond
 
-// checkMemory reports a violation if more memory than there is has been booked for maxOverbookedTime.
+// checkMemory reports a violation if the memory limit has been exceeded for maxOverbookedTime.
 func (k *Kernel) checkMemory() {
 	if k.overbookedKB() == 0 {
 		k.overbookedSince = time.Time{}
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -31,7 +31,7 @@
 	Meters                  []float64
 }
 
-// testTimeout limits each wait of these tests.
+// testTimeout is the maximum duration of each wait of these tests.
 const testTimeout = 10 * time.Second
 
 // dialKernel opens a link that has read notices up to pos, and reads BOOTED.
@@ -103,7 +103,7 @@
 	}
 }
 
-// testSetup holds a checker with terms to judge by, and a kernel for one app server.
+// testSetup holds a checker with the settings of three methods, and a kernel for one app server.
 type testSetup struct {
 	checker    *Checker
 	kernel     *Kernel
@@ -130,14 +130,14 @@
 	return &testSetup{checker: checker, kernel: k, connection: newTestConnection("n1", checker)}
 }
 
-// newTestConnection returns a connection without a network.
+// newTestConnection returns a proxied connection without sockets, for reports to the checker.
 func newTestConnection(server string, checker *Checker) *proxiedConnection {
 	connection := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: checker}}
 	checker.connectionOpened(connection)
 	return connection
 }
 
-// recordSent records in the ledger an RPC that a client sends; nothing is sent.
+// recordSent records in the request log an RPC as if a client had sent it; nothing is sent.
 func (s *testSetup) recordSent(callID, method, token string, body []byte, work float64) {
 	s.checker.settings.Catalog.Add(callID, CatalogEntry{RPC: "rpc " + callID, Work: work})
 	s.seq++
@@ -146,7 +146,7 @@
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
 
-// expectViolation checks that there is exactly one violation, of a rule and with a text.
+// expectViolation checks that there is exactly one violation, of the rule and with the text in its description.
 func (s *testSetup) expectViolation(t *testing.T, rule int, text string) {
 	t.Helper()
 	violations := s.checker.Violations()
@@ -155,7 +155,7 @@
 	}
 }
 
-// expectNoViolations checks that the checker has found nothing.
+// expectNoViolations checks that the checker has found no violation.
 func (s *testSetup) expectNoViolations(t *testing.T) {
 	t.Helper()
 	if violations := s.checker.Violations(); len(violations) > 0 {
--- a/rig/kernel_notices.go
+++ b/rig/kernel_notices.go
@@ -9,7 +9,7 @@
 // maxNotices is how many notices are kept, as the protocol defines it.
 const maxNotices = 4000
 
-// sendNotice sends the next notice, at random preceded by a DMESG as the link faults demand.
+// sendNotice sends the next notice, preceded by a DMESG with the probability RemarkShare.
 func (k *Kernel) sendNotice(notice func(pos int) string) {
 	if k.rng.Float64() < k.faults.Load().RemarkShare {
 		k.sendNumbered(dmesgNotice("nothing to be said"))
@@ -49,7 +49,7 @@
 	}
 }
 
-// SetLinkFaults sets the faults of the present link and of those that follow.
+// SetLinkFaults sets the faults of the present link and of all later ones.
 func (k *Kernel) SetLinkFaults(faults LinkFaults) { k.faults.Store(&faults) }
 
 // SendRemark sends a DMESG with a text.
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// run is a run that has been started and has not ended.
+// run is the state of a run from its start to its end.
 type run struct {
 	uid              string
 	request          runRequest
@@ -72,7 +72,8 @@
 	if k.hung {
 		return 0
 	}
-	return min(1, float64(k.config.Cores)/max(float64(k.runsOnCores()), 1)) / k.slowdown / k.config.Backend.slowdown() * k.warmth()
+	return min(1, float64(k.config.Cores)/max(float64(k.runsOnCores()), 1)) / k.slowdown / k.config.Backend.slowdown() *
+		k.warmth()
 }
 
 // accountWork subtracts the work done since the last call from all runs.
@@ -133,7 +134,7 @@
 	return finished
 }
 
-// warmingStep is the longest interval between updates during a cold start, while the speed rises.
+// warmingStep is the maximum interval between updates during a cold start, while the speed rises.
 const warmingStep = 10 * time.Millisecond
 
 // endRun removes a run and sends its end notice.
--- a/rig/request_log.go
+++ b/rig/request_log.go
@@ -43,6 +43,7 @@
 	return &requestLog{byCall: map[string][]*sentTry{}, byToken: map[string][]*sentTry{}, active: map[*sentTry]struct{}{}}
 }
 
+// add adds a try that a client has sent.
 func (l *requestLog) add(s *sentTry) {
 	l.byCall[s.call] = append(l.byCall[s.call], s)
 	if s.token != "" {
@@ -139,17 +140,17 @@
 	return load
 }
 
-// String identifies a try in a violation.
+// String returns an identification of the try for violations.
 func (s *sentTry) String() string { return fmt.Sprintf("%s of %s (%.40q)", s.call, s.id, s.method) }
 
-// describeMismatch returns how a command differs from what was sent under its id.
+// describeMismatch describes how a command differs from the try that was sent under its id.
 func (l *requestLog) describeMismatch(call, method string, body []byte) string {
 	sent := l.byCall[call]
 	switch {
 	case len(sent) == 0:
-		return fmt.Sprintf("%.40q, an id that none has", call)
+		return fmt.Sprintf("%.40q, an unknown id", call)
 	case sent[0].method != method:
-		return fmt.Sprintf("%s in class %.40q, sent in %.40q", call, method, sent[0].method)
+		return fmt.Sprintf("%s for method %.40q, sent for method %.40q", call, method, sent[0].method)
 	}
 	return fmt.Sprintf("%s with the body %.80q, sent with %.80q", call, body, sent[0].body)
 }
