--- a/rig/script.go
+++ b/rig/script.go
@@ -13,7 +13,7 @@
 //
 //	2s    split n1,n2,n3|n4,n5      both directions between the groups
 //	2s    cut n1>*                  one direction
-//	2s    loss *>* 10%              of packets; double (duplication) has the same form
+//	2s    loss *>* 10%              of packets; double, which duplicates packets, has the same form
 //	2s    delay *>* 20ms 10ms       mean delay and jitter, the maximum deviation
 //	2s    mute n1>* 2s              delays packets only, not streams
 //	2s    rate n1>* 20000           bytes per second
@@ -38,7 +38,7 @@
 	Rate      float64
 }
 
-// faultForms names the arguments that follow each verb.
+// faultForms lists the kinds of the arguments that follow each verb; parseFault defines the kinds.
 var faultForms = map[string]string{"split": "groups", "cut": "way", "loss": "way share", "double": "way share",
 	"delay": "way mean most", "mute": "way mean", "rate": "way rate", "heal": "", "kill": "who", "start": "who",
 	"restart": "who", "stop": "who", "cont": "who", "hang": "who", "unhang": "who", "notice": "who", "starve": "who share",
@@ -62,22 +62,23 @@
 	return s, nil
 }
 
+// parseFault parses the words of one line.
 func parseFault(words []string) (Fault, error) {
 	at, err := time.ParseDuration(words[0])
 	if err != nil || at < 0 {
-		return Fault{}, fmt.Errorf("%q is no time such as 2.5s", words[0])
+		return Fault{}, fmt.Errorf("invalid time %q, want a duration such as 2.5s", words[0])
 	}
 	if len(words) < 2 {
-		return Fault{}, fmt.Errorf("no fault is named")
+		return Fault{}, fmt.Errorf("missing verb after the time")
 	}
 	f := Fault{At: at, Verb: words[1]}
 	argumentForm, ok := faultForms[f.Verb]
 	if !ok {
-		return Fault{}, fmt.Errorf("no fault is called %q", f.Verb)
+		return Fault{}, fmt.Errorf("unknown fault %q", f.Verb)
 	}
 	arguments := strings.Fields(argumentForm)
 	if len(words)-2 != len(arguments) {
-		return Fault{}, fmt.Errorf("%s wants %d words, not %d", f.Verb, len(arguments), len(words)-2)
+		return Fault{}, fmt.Errorf("%s takes %d arguments, found %d", f.Verb, len(arguments), len(words)-2)
 	}
 	for k, argument := range arguments {
 		word := words[2+k]
@@ -89,7 +90,7 @@
 				f.Groups = append(f.Groups, strings.Split(group, ","))
 			}
 			if len(f.Groups) < 2 || argument == "way" && len(f.Groups) != 2 {
-				err = fmt.Errorf("%q has no two sides", word)
+				err = fmt.Errorf("%q does not name two groups", word)
 			}
 		case "who":
 			f.Processes = append(f.Processes, word)
@@ -97,7 +98,7 @@
 			f.Share, err = strconv.ParseFloat(strings.TrimSuffix(word, "%"), 64)
 			f.Share /= 100
 			if err == nil && !(f.Share >= 0 && f.Share <= 1) {
-				err = fmt.Errorf("%s is no share", word)
+				err = fmt.Errorf("invalid share %s, want a percentage from 0 to 100", word)
 			}
 		case "mean":
 			f.Delay, err = time.ParseDuration(word)
@@ -122,6 +123,7 @@
 	return out.String()
 }
 
+// String returns the line of the fault in a script.
 func (f Fault) String() string {
 	words := []string{f.At.String(), f.Verb}
 	groups := func(separator string) string {
@@ -162,10 +164,10 @@
 func RandomScript(seed uint64, names []string, faults int, length time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	randomNames := func(n int) []string {
-		k := rng.Perm(len(names))[:n]
-		slices.Sort(k)
+		indexes := rng.Perm(len(names))[:n]
+		slices.Sort(indexes)
 		var all []string
-		for _, i := range k {
+		for _, i := range indexes {
 			all = append(all, names[i])
 		}
 		return all
