--- a/rig/drawn/case.go
+++ b/rig/drawn/case.go
@@ -30,7 +30,7 @@
 	StaleSeconds  float64 `json:"stale,omitempty"`   // RPCs are written up to this many seconds after their arrival
 	PaddingBytes  int     `json:"fill,omitempty"`    // padding of request bodies
 	ResultBytes   int     `json:"results,omitempty"` // size of each result; 0 for a short one
-	OddShare      float64 `json:"odd,omitempty"`     // share of RPCs with a random body, a short timeout or the token of another RPC
+	OddShare      float64 `json:"odd,omitempty"`     // share of RPCs with a random body, a short timeout or another RPC's token
 	FailShare     float64 `json:"fails,omitempty"`   // share of runs that end with a fault
 }
 
--- a/rig/drawn/faults.go
+++ b/rig/drawn/faults.go
@@ -17,7 +17,7 @@
 	ReloadMoved           FaultKind = "reload-moved"   // SIGHUP with a file that names another kernel address
 	ReloadFaulty          FaultKind = "reload-faulty"  // SIGHUP with one of four invalid files, by Size
 	RosterSilent          FaultKind = "roster-silent"  // the roster that all app servers use is down
-	KernelLate            FaultKind = "kernel-late"    // from the start of the process: links are accepted, and BOOTED is withheld
+	KernelLate            FaultKind = "kernel-late"    // from the start of the process: links are accepted, BOOTED is withheld
 	KernelDown            FaultKind = "kernel-down"    // the link is closed, and new connections are refused
 	KernelHung            FaultKind = "kernel-hung"    // no work makes progress
 	KernelSlow            FaultKind = "kernel-slow"    // work takes Size times as long
