--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -1,6 +1,6 @@
 // Package explore is a model checker for deterministic state machines. It searches all reachable states within a bound, breadth
-// first, so that the first trace that violates a rule is a shortest one. Tests under logic/ define the actions and the rules;
-// this package depends on none of them.
+// first, so that the trace of the first violation is a shortest one. Tests under logic/ define the states, the actions and the
+// rules; this package depends on none of them.
 package explore
 
 import (
--- a/rig/explore/race_on.go
+++ b/rig/explore/race_on.go
@@ -2,5 +2,5 @@
 
 package explore
 
-// RaceEnabled reports whether the race detector is on, with which only the smallest searches finish in reasonable time.
+// RaceEnabled reports whether the race detector is on. It slows searches so much that tests run only the smallest ones then.
 const RaceEnabled = true
--- a/rig/load.go
+++ b/rig/load.go
@@ -15,9 +15,11 @@
 	"valveglade/rpc"
 )
 
-// Caller makes the RPCs of a load. token is empty except for tokened RPCs, criticality is in [0, 1).
+// Caller makes the RPCs of a load.
 type Caller interface {
+	// Call makes one RPC and returns its result. token is empty except for tokened RPCs; criticality is in [0, 1).
 	Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error)
+	// Close releases the connections.
 	Close() error
 }
 
@@ -31,7 +33,7 @@
 	Deadline    time.Duration
 }
 
-// Load is an open-loop workload: it sends RPCs at its rate regardless of the outcome of earlier ones.
+// Load is an open-loop workload: it sends RPCs at its rate whatever the outcome of earlier ones.
 type Load struct {
 	Seed         uint64
 	Rate         func(t float64) float64 // RPCs per second, t seconds after the start
@@ -138,6 +140,7 @@
 	return out
 }
 
+// pickShare returns the share at a position in [0, 1) of the cumulative fractions.
 func (l Load) pickShare(position float64) Share {
 	total := 0.0
 	for _, share := range l.Shares {
--- a/rig/message.go
+++ b/rig/message.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The checker has its own decoder, so that a fault of the program's decoder cannot hide itself.
+// The checker has its own decoder, so that a bug in the decoder of the program does not go unnoticed.
 
-// Value types and message kinds of Thrift's strict binary protocol, as far as the protocol uses them.
+// Value types and message kinds of Thrift's strict binary protocol that routers and app servers use.
 const (
 	valueBool   = 2
 	valueI32    = 8
@@ -36,12 +36,14 @@
 	err  error
 }
 
+// fail keeps the error, unless there is an earlier one.
 func (r *wireReader) fail(format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%w: %s", errUnreadable, fmt.Sprintf(format, args...))
 	}
 }
 
+// readBytes returns the next n bytes. After an error it returns zero bytes, n but at most 8, enough for every fixed-size value.
 func (r *wireReader) readBytes(n int) []byte {
 	if r.err != nil {
 		return make([]byte, min(max(n, 0), 8))
@@ -92,6 +94,7 @@
 	seq  int32
 }
 
+// header reads the header of a message.
 func (r *wireReader) header() header {
 	if version := uint16(r.i16()); version != messageVersion {
 		r.fail("unsupported version %#x", version)
@@ -139,7 +142,7 @@
 	return time.UnixMicro(int64(ms * 1000))
 }
 
-// maxUnixMilliseconds is later than any clock reading and small enough to calculate with.
+// maxUnixMilliseconds is later than any clock reading, and its microseconds fit an int64.
 const maxUnixMilliseconds = 1e14
 
 // ttl returns how long the caller waits; ok is false if the field is missing or invalid.
@@ -181,7 +184,7 @@
 	hasPushback bool          // the reply has the field for the delay
 }
 
-// Field ids of the result of a call.
+// Field ids of the result of an RPC or health check.
 const (
 	resultAnswer   = 0
 	resultTryLater = 1
@@ -228,7 +231,7 @@
 	return reply{kind: replyAborted}
 }
 
-// result reads the result of a call: exactly one of Answer, Trylater, Aborted.
+// result reads the result of an RPC or, if check is set, of a health check: exactly one of Answer, Trylater and Aborted.
 func (r *wireReader) result(check bool) reply {
 	var decoded reply
 	results := 0
--- a/rig/misbehaving_router.go
+++ b/rig/misbehaving_router.go
@@ -12,7 +12,7 @@
 )
 
 // MisbehavingRouter sends valid RPCs under sequence numbers, call ids and tokens that it has used before, and interrupts some of
-// them. If it connects through a faulty network, the checker still knows which replies are due.
+// them. If it connects through a FaultProxy, the checker still knows which replies are due.
 type MisbehavingRouter struct {
 	address string
 	method  string
@@ -61,8 +61,8 @@
 		}
 		body := fmt.Appendf(nil, "rude %d", rng.IntN(3))
 		r.catalog.Add(call, CatalogEntry{RPC: "rude " + call, Work: 0.01})
-		fields := []Field{{"op", r.method}, {"call", call}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"src", "77"},
-			{"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.1000"}, {"dedupe", fmt.Sprintf("%032x", rng.IntN(3))}}
+		fields := []Field{{"op", r.method}, {"call", call}, {"recv", strconv.FormatInt(time.Now().UnixMilli(), 10)},
+			{"src", "77"}, {"ttl", "500"}, {"heap", "1.0"}, {"crit", "0.1000"}, {"dedupe", fmt.Sprintf("%032x", rng.IntN(3))}}
 		if _, err := conn.Write(ExecuteFrame(number, fields, body)); err != nil {
 			return
 		}
--- a/rig/naiveclient.go
+++ b/rig/naiveclient.go
@@ -23,6 +23,7 @@
 	idle map[string][]*naiveConn
 }
 
+// naiveConn is one connection of a NaiveClient.
 type naiveConn struct {
 	net.Conn
 	input *readbuffer.Buffer
@@ -37,7 +38,9 @@
 // maxNaiveTries is the maximum number of tries per RPC.
 const maxNaiveTries = 4
 
-var errNotServed = errors.New("RPC was not served")
+// errNotServed is returned for an RPC that was pushed back or aborted, or whose connection is draining or carried an unreadable
+// reply.
+var errNotServed = errors.New("the RPC was not served")
 
 // Call makes one RPC. It tries until one is ok, the tries are used up or ctx is done.
 func (n *NaiveClient) Call(ctx context.Context, method, token string, _ float64, body []byte) ([]byte, error) {
@@ -54,6 +57,7 @@
 	return nil, err
 }
 
+// try makes one try at a random app server.
 func (n *NaiveClient) try(ctx context.Context, method, token string, body []byte) ([]byte, error) {
 	address := n.addresses[rand.IntN(len(n.addresses))]
 	c, err := n.connection(ctx, address)
@@ -96,6 +100,7 @@
 	}
 }
 
+// connection returns an idle connection to address, or a new one if none is idle.
 func (n *NaiveClient) connection(ctx context.Context, address string) (*naiveConn, error) {
 	n.mu.Lock()
 	if idle := n.idle[address]; len(idle) > 0 {
@@ -124,16 +129,17 @@
 	return nil
 }
 
+// naiveReply implements thrift.ReplyHandler and stores the reply to a try.
 type naiveReply struct {
 	result   []byte
 	err      error
 	draining bool
 }
 
-func (a *naiveReply) Served(_ int32, result []byte, _ float64) {
-	a.result, a.err = append([]byte(nil), result...), nil
+func (r *naiveReply) Served(_ int32, result []byte, _ float64) {
+	r.result, r.err = append([]byte(nil), result...), nil
 }
-func (a *naiveReply) PushedBack(int32, bool, float64, float64) {}
-func (a *naiveReply) Aborted(int32, string, float64)           {}
-func (a *naiveReply) Checked(int32, bool, float64)             {}
-func (a *naiveReply) Draining()                                { a.draining = true }
+func (r *naiveReply) PushedBack(int32, bool, float64, float64) {}
+func (r *naiveReply) Aborted(int32, string, float64)           {}
+func (r *naiveReply) Checked(int32, bool, float64)             {}
+func (r *naiveReply) Draining()                                { r.draining = true }
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -23,8 +23,8 @@
 }
 
 // Peer simulates a router of one app server that follows the protocol: up to 32 pending RPCs on a connection, new connections
-// on demand, no new RPC on a connection that is draining. It can also misbehave. If it connects through a faulty network, the
-// checker sees its messages and the replies. It is safe for concurrent use.
+// on demand, no new RPC on a connection that is draining. A test can have it stop reading, or reset or close its connections. If
+// it connects through a FaultProxy, the checker observes its messages and the replies. It is safe for concurrent use.
 type Peer struct {
 	address string
 	source  int
@@ -82,7 +82,7 @@
 	reserved      int // places reserved for tries that are not written yet
 	draining      bool
 	ended         bool
-	closedLocally bool // the peer closed it
+	closedLocally bool // closed by the peer itself
 }
 
 // pendingTry is a try without an outcome.
@@ -94,7 +94,7 @@
 // ErrNotConnected is returned if a try was not sent, as there was no connection.
 var ErrNotConnected = errors.New("no connection")
 
-// Timeouts for opening a connection and for one write to an app server that does not read.
+// Timeouts for opening a connection and for one write, which blocks while the app server does not read.
 const (
 	peerConnectTimeout = 2 * time.Second
 	peerWriteTimeout   = 5 * time.Second
@@ -106,7 +106,7 @@
 		rng: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
-// Send sends one try.
+// Send sends one try. It returns ErrNotConnected if there is no connection for it.
 func (p *Peer) Send(try PeerTry) (*PeerCall, error) {
 	c, err := p.reserveConnection()
 	if err != nil {
@@ -246,6 +246,7 @@
 	return c, nil
 }
 
+// read delivers the replies until the connection ends.
 func (c *peerConn) read() {
 	defer c.failPending()
 	input := readbuffer.New(thrift.MaxFrame + 4)
@@ -302,7 +303,7 @@
 	}
 }
 
-// Served and the methods below implement thrift.ReplyHandler.
+// Served and the four methods that follow implement thrift.ReplyHandler.
 func (c *peerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, PeerOutcome{Result: append([]byte{}, result...)})
 }
@@ -335,6 +336,7 @@
 // CloseConnections closes all connections; the tries pending on them are lost.
 func (p *Peer) CloseConnections() { p.closeAll(false) }
 
+// closeAll closes all connections, with a TCP reset if reset is set.
 func (p *Peer) closeAll(reset bool) {
 	p.mu.Lock()
 	conns := p.connections
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -16,7 +16,7 @@
 	group   sync.WaitGroup
 
 	mu          sync.Mutex
-	lastReplyAt time.Time // of any reply
+	lastReplyAt time.Time // healthy or not
 	healthyAt   time.Time // of the first healthy reply since Restart
 	startedAt   time.Time
 }
@@ -62,6 +62,7 @@
 	p.group.Wait()
 }
 
+// run sends health checks on one connection after another until the probe is stopped.
 func (p *HealthProbe) run() {
 	for {
 		p.probeConnection()
@@ -129,11 +130,11 @@
 	}
 }
 
-// probeReply implements thrift.ReplyHandler and records the reply to a health check.
+// probeReply implements thrift.ReplyHandler and stores the reply to a health check.
 type probeReply struct{ received, healthy bool }
 
-func (a *probeReply) Served(int32, []byte, float64)            {}
-func (a *probeReply) PushedBack(int32, bool, float64, float64) {}
-func (a *probeReply) Aborted(int32, string, float64)           { a.received = true }
-func (a *probeReply) Checked(_ int32, healthy bool, _ float64) { a.received, a.healthy = true, healthy }
-func (a *probeReply) Draining()                                {}
+func (r *probeReply) Served(int32, []byte, float64)            {}
+func (r *probeReply) PushedBack(int32, bool, float64, float64) {}
+func (r *probeReply) Aborted(int32, string, float64)           { r.received = true }
+func (r *probeReply) Checked(_ int32, healthy bool, _ float64) { r.received, r.healthy = true, healthy }
+func (r *probeReply) Draining()                                {}
--- a/rig/process.go
+++ b/rig/process.go
@@ -25,8 +25,8 @@
 	logPipe     *logPipe
 }
 
-// spawner starts processes on one thread that never ends: with Pdeathsig the system kills a child when the thread that
-// started it ends, which is how children end with a killed rig.
+// spawner starts processes on one thread that never ends. Pdeathsig kills the children of a killed rig, but the system also
+// applies it when the thread that started the child ends.
 var spawner = sync.OnceValue(func() chan func() {
 	c := make(chan func())
 	go func() {
@@ -38,8 +38,8 @@
 	return c
 })
 
-// StartSpawner starts the goroutine that lives as long as this process, so that callers that count leaked goroutines
-// can exclude it.
+// StartSpawner starts the goroutine of the spawner, which never ends. Callers that count leaked goroutines call it before the
+// first count.
 func StartSpawner() { spawner() }
 
 // spawn starts a command. onExit is called with its result in a goroutine of its own; done is closed afterwards.
@@ -92,6 +92,7 @@
 	return p.done
 }
 
+// wait waits for the end of the process.
 func (p *Process) wait() { <-p.ended() }
 
 // Pid returns the process ID.
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestProcessHealth checks that a process that uses CPU at rest, one that ignores SIGTERM and one that a signal ends
+// TestProcessHealth checks that a process that uses CPU while idle, one that ignores SIGTERM and one that a signal ends
 // are reported, and that idle processes and those that exit cleanly are not.
 func TestProcessHealth(t *testing.T) {
 	start := func(script string) *Process {
@@ -23,7 +23,7 @@
 		t.Error(err)
 	}
 	if err := busy.CheckIdle(time.Second, 0.2); !errors.Is(err, ErrBusyAtRest) {
-		t.Errorf("CheckIdle of a spinning process: %v, want ErrBusyAtRest", err)
+		t.Errorf("CheckIdle of a busy process: %v, want ErrBusyAtRest", err)
 	}
 	ready := make(chan struct{}, 1)
 	ignoresTerm, err := Launch(exec.Command("/bin/sh", "-c", "trap '' TERM; echo ready >&2; while :; do sleep 1; done"),
--- a/rig/program.go
+++ b/rig/program.go
@@ -45,7 +45,7 @@
 	return rules
 }
 
-// SiteMethod is one method, in the platform's terms.
+// SiteMethod is one method as settings.profiles describes it. Times are in seconds.
 type SiteMethod struct {
 	Name          string  `json:"name"`
 	Kind          string  `json:"idempotency"`
@@ -65,7 +65,7 @@
 	directory  string
 	roster     string
 	checker    *Checker
-	configName string                  // name in its configuration, if not Name
+	configName string                  // name in its configuration, if it differs from Name
 	args       []string                // appended to those of the site
 	configText func(p *Program) string // returns the configuration; nil to derive it from the site
 	Process
@@ -78,7 +78,7 @@
 	Args      []string // arguments of the program
 	Site      Site     // limits and shutdown times, as used by the rig itself
 	Kernel    KernelConfig
-	Directory string // for the files of the app server
+	Directory string // where the files of the app server are stored
 	Roster    string
 	Checker   *Checker
 	Config    func(p *Program) string // called at each start and reload
@@ -95,8 +95,8 @@
 		kernel.Close()
 		return nil, err
 	}
-	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary, directory: plan.Directory,
-		roster: plan.Roster, checker: plan.Checker, args: plan.Args, configText: plan.Config}, nil
+	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary,
+		directory: plan.Directory, roster: plan.Roster, checker: plan.Checker, args: plan.Args, configText: plan.Config}, nil
 }
 
 // Build builds the program in a folder, for tests, and returns its path.
@@ -124,7 +124,7 @@
 	os.Exit(code)
 }
 
-// freeAddress returns a loopback address with a port that was free when it was checked.
+// freeAddress returns an address of 127.0.0.1 with a port that was free when it was checked.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -151,7 +151,7 @@
 		default:
 		}
 	}
-	return fmt.Errorf("%s accepts no connection", p.Name)
+	return fmt.Errorf("%s accepts no connections", p.Name)
 }
 
 // Launch starts the program without waiting until it is ready.
@@ -160,7 +160,8 @@
 		return err
 	}
 	cmd := p.buildCommand()
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.configName, p.Name), "GW_LISTEN="+p.Address)
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.configName, p.Name),
+		"GW_LISTEN="+p.Address)
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
@@ -201,9 +202,10 @@
 	return os.WriteFile(p.configPath(), []byte(text), 0o600)
 }
 
+// configPath returns the path of the configuration file.
 func (p *Program) configPath() string { return filepath.Join(p.directory, p.Name+".json") }
 
-// Roster returns the address to which the program reports.
+// Roster returns the address of the roster to which the program reports.
 func (p *Program) Roster() string { return p.roster }
 
 // siteConfig returns the configuration derived from the site.
@@ -219,9 +221,10 @@
 		"stop_ms": site.StopTimeout.Milliseconds(),
 		"limits":  map[string]any{"cores": cmp.Or(site.CoreLimit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
-			"rules":    site.rules(),
-			"clients":  map[string]any{"marksRetry": site.MarksRetry},
-			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0, "maxRetryAfterS": site.MaxRetryAfterSeconds}}})
+			"rules":   site.rules(),
+			"clients": map[string]any{"marksRetry": site.MarksRetry},
+			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0,
+				"maxRetryAfterS": site.MaxRetryAfterSeconds}}})
 }
 
 // Kill kills the program and its kernel's runs, and waits for its end.
@@ -232,7 +235,7 @@
 	p.wait()
 }
 
-// RequestShutdown sends SIGTERM and tells the checker; it does not wait for the end.
+// RequestShutdown sends SIGTERM and notifies the checker; it does not wait for the end.
 func (p *Program) RequestShutdown() {
 	p.checker.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
@@ -247,11 +250,11 @@
 		return nil
 	case <-time.After(p.site.StopTimeout + 5*time.Second):
 		p.Kill()
-		return errors.New(p.Name + " did not end by itself")
+		return errors.New(p.Name + " did not end after its stop timeout")
 	}
 }
 
-// Fleet is a group of app servers, each behind a recording proxy, and a roster that collects their reports.
+// Fleet is a group of app servers, each behind a FaultProxy, and a roster that collects their reports.
 type Fleet struct {
 	Checker   *Checker
 	Programs  []*Program
@@ -352,8 +355,8 @@
 // Addresses returns the addresses to which clients connect.
 func (f *Fleet) Addresses() []string {
 	var addresses []string
-	for _, n := range f.Proxies {
-		addresses = append(addresses, n.Address())
+	for _, proxy := range f.Proxies {
+		addresses = append(addresses, proxy.Address())
 	}
 	return addresses
 }
@@ -369,8 +372,8 @@
 		})
 	}
 	all.Wait()
-	for _, n := range f.Proxies {
-		n.Close()
+	for _, proxy := range f.Proxies {
+		proxy.Close()
 	}
 	f.Roster.Close()
 	f.group.Wait()
--- a/rig/proxied_connection.go
+++ b/rig/proxied_connection.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// proxiedConnection is one connection of a client through the faulty network. It identifies the connection to the checker.
+// proxiedConnection is one connection of a caller through a FaultProxy. It identifies the connection to the checker.
 type proxiedConnection struct {
 	*FaultProxy
 	caller, server net.Conn
-	endedLocally   atomic.Bool   // ended by the network or by the caller
+	endedLocally   atomic.Bool   // ended by the proxy or by the caller
 	endedByServer  atomic.Bool   // ended by the app server
 	writeStarted   atomic.Int64  // start of the pending write to the caller, in Unix nanoseconds; 0 for none
 	callerStalled  atomic.Bool   // a write to the caller blocked because the caller did not read
 	chunkCount     atomic.Uint64 // chunks written so far, which seed how the next one is split
 
 	optionalReplies map[int32]int // count of allowed replies that are not due, by sequence number; guarded by the checker's lock
-	countingLog     *requestLog   // the ledger that counts the connection; guarded by the checker's lock
+	countingLog     *requestLog   // the request log that counts the connection; guarded by the checker's lock
 }
 
 // watchRequest reports a message to the app server to the checker. If replyDue, the app server must reply under seq.
@@ -51,8 +51,8 @@
 	return err
 }
 
-// callerNotReading reports whether a write to the caller has stalled: later replies come late or not at all then, which is no
-// fault of the app server.
+// callerNotReading reports whether a write to the caller has stalled. Later replies are then late or lost, which is not a
+// violation of the app server.
 func (f *proxiedConnection) callerNotReading() bool {
 	start := f.writeStarted.Load()
 	return f.callerStalled.Load() || start > 0 && time.Since(time.Unix(0, start)) > stalledWriteTimeout
--- a/rig/remote.go
+++ b/rig/remote.go
@@ -35,7 +35,7 @@
 type remoteReply struct {
 	ID     uint64
 	Result []byte
-	Error  string // empty where the call was ok
+	Error  string // empty if the call succeeded
 }
 
 // ErrRemoteEnded is the error of calls whose process has ended, ErrRemoteTimeout of those without an outcome in time.
@@ -44,7 +44,7 @@
 	ErrRemoteTimeout = errors.New("the caller's process did not reply in time")
 )
 
-// remoteGracePeriod is the wait for an outcome past the deadline of a call, and for the process to exit on Close.
+// remoteGracePeriod is how long Call waits for an outcome past the deadline, and Close for the process to exit.
 const remoteGracePeriod = 3 * time.Second
 
 // NewRemoteCaller starts a command that runs ServeCalls on its standard input and output. The caller must Close it.
@@ -65,6 +65,7 @@
 	return r, nil
 }
 
+// read passes each reply to the call that waits for it, and fails all calls at the end of the output.
 func (r *RemoteCaller) read(out io.Reader) {
 	decoder := json.NewDecoder(bufio.NewReader(out))
 	for {
@@ -112,6 +113,7 @@
 	}
 }
 
+// send registers a call under a new id and writes it to the process.
 func (r *RemoteCaller) send(call remoteCall, done chan remoteReply) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rig/roster.go
+++ b/rig/roster.go
@@ -49,7 +49,7 @@
 	r.group.Wait()
 }
 
-// Restart opens the socket again at the same address.
+// Restart opens the socket again at the same address after Stop.
 func (r *Roster) Restart() error {
 	conn, err := net.ListenPacket("udp", r.address)
 	if err != nil {
@@ -89,6 +89,7 @@
 	delete(r.firstReports, name)
 }
 
+// listen records the reports received on conn until it is closed.
 func (r *Roster) listen(conn net.PacketConn) {
 	r.mu.Lock()
 	r.conn = conn
@@ -121,7 +122,7 @@
 	}
 }
 
-// errMalformedReport is wrapped by the errors about datagrams that are no valid report.
+// errMalformedReport is wrapped by the errors about datagrams that are not valid reports.
 var errMalformedReport = errors.New("malformed report")
 
 // parseReport parses the three words of a report.
--- a/rig/router.go
+++ b/rig/router.go
@@ -41,7 +41,8 @@
 	err    error
 }
 
-// ErrPushedBack means that the RPC was not run, ErrAborted that it may have been run, ErrLost that the connection ended.
+// ErrPushedBack means that the RPC was not run, ErrAborted that it may have been run, and ErrLost that the connection ended
+// before a reply.
 var (
 	ErrPushedBack = errors.New("pushed back")
 	ErrAborted    = errors.New("aborted")
@@ -133,6 +134,7 @@
 	return c, nil
 }
 
+// read delivers the replies until the connection ends.
 func (c *routerConn) read() {
 	ReadReplies(c, c)
 	c.failPending()
@@ -176,6 +178,7 @@
 	}
 }
 
+// finish delivers the outcome of an RPC, unless its caller no longer waits for it.
 func (c *routerConn) finish(seq int32, outcome routerOutcome) {
 	c.mu.Lock()
 	done := c.pending[seq]
@@ -186,7 +189,7 @@
 	}
 }
 
-// Served and the methods below implement thrift.ReplyHandler.
+// Served and the four methods that follow implement thrift.ReplyHandler.
 func (c *routerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, routerOutcome{result: append([]byte(nil), result...)})
 }
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -1,5 +1,5 @@
 // Package slope fits measured series against the size of the system by least squares, and predicts values at sizes that were
-// not run.
+// not measured.
 package slope
 
 import (
@@ -41,7 +41,7 @@
 	Against     string  `json:"against"`
 	Points      []Point `json:"points"`
 	Fit         Fit     `json:"fit"`
-	Largest     float64 `json:"largest"`      // the largest X that was run
+	Largest     float64 `json:"largest"`      // the largest X that was measured
 	ClockFactor float64 `json:"clock_factor"` // 1 is real time; 4 is a clock four times slower
 	Note        string  `json:"note,omitempty"`
 }
@@ -137,6 +137,7 @@
 	return nil
 }
 
+// finite reports whether v is neither infinite nor NaN.
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
 // transform returns the points in the coordinates in which the model is a straight line.
@@ -189,8 +190,8 @@
 	return sum
 }
 
-// At returns the value of the fit at x and its standard error, as for one more measurement at x. measured is true if x is at
-// most Largest; past it the value is extrapolated. Value and error are NaN where the fit cannot be computed.
+// At returns the value of the fit at x and its standard error, as for one more measurement at x. measured reports whether x is at
+// most Largest; beyond that the value is extrapolated. Value and error are NaN where the fit cannot be computed.
 func (s Series) At(x float64) (value, standardError float64, measured bool) {
 	measured = x <= s.Largest
 	if s.Fit.Model == ModelConstant {
--- a/rig/slope/slope_test.go
+++ b/rig/slope/slope_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// near reports whether two values are equal up to rounding.
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
 
 // TestLinearKnown fits the first data set of Anscombe's quartet, whose published fit is y = 3.00 + 0.500 x with R2 0.667 and a
@@ -26,7 +27,7 @@
 	}
 	round := func(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 	if round(f.Intercept) != 3.0001 || round(f.Slope) != 0.5001 || round(f.SlopeError) != 0.1179 || round(f.R2) != 0.6665 {
-		t.Errorf("%+v", f)
+		t.Errorf("fit %+v, want the published one", f)
 	}
 }
 
@@ -48,7 +49,7 @@
 			t.Fatal(err)
 		}
 		if s.Fit.SlopeError > 1e-9 || s.Fit.Model != model {
-			t.Errorf("%s: %+v", model, s.Fit)
+			t.Errorf("%s: fit %+v, want an exact one", model, s.Fit)
 		}
 		if got, deviation, measured := s.At(400); !near(got, value(400)) || deviation > 1e-6 || !measured {
 			t.Errorf("%s at 400: %g ± %g, measured %t", model, got, deviation, measured)
@@ -110,7 +111,7 @@
 	write(map[string]any{"figures": nil, "scale": want})
 	got, err := ReadResult(path)
 	if s, ok := got.Find("cpu"); err != nil || got.Commit != "abc" || !ok || s.Points[0].Y != 2 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("ReadResult: %+v, %v", got, err)
 	}
 	if _, ok := got.Find("memory"); ok {
 		t.Error("found a series that does not exist")
--- a/rig/stub.go
+++ b/rig/stub.go
@@ -57,6 +57,7 @@
 	return s, err
 }
 
+// newStub returns a stub that listens and does not accept connections yet.
 func newStub(handler func(request ReceivedRequest, out []byte) []byte) (*Stub, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,6 +106,7 @@
 	s.group.Wait()
 }
 
+// accept serves each new connection in a goroutine of its own until the listener is closed.
 func (s *Stub) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -132,6 +134,7 @@
 	}
 }
 
+// serve handles the messages of one connection. It writes the replies once no complete message is left to handle.
 func (s *Stub) serve(conn net.Conn, number int) {
 	input := readbuffer.New(thrift.MaxFrame + 4)
 	requests := &stubConn{Stub: s, conn: conn, number: number}
@@ -168,6 +171,7 @@
 	out    []byte
 }
 
+// handle records a message and appends the replies to it to c.out.
 func (c *stubConn) handle(received ReceivedRequest) {
 	received.Conn = c.number
 	c.mu.Lock()
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -60,13 +60,14 @@
 
 // String returns a summary for logs.
 func (v Verdict) String() string {
-	return strings.TrimSpace(fmt.Sprintf("at once %d, late %d, falling %d, shared %d, changes %d",
+	return strings.TrimSpace(fmt.Sprintf(
+		"concurrent owners %d, late effects %d, decreasing terms %d, shared terms %d, owner changes %d",
 		v.MaxConcurrentOwners, v.LateEffects, v.DecreasingTerms, v.SharedTerms, v.OwnerChanges))
 }
 
-// LeadershipInterval is a time in which one process worked as the owner of a role according to its own log, in seconds of the
-// history. It ends when the process is paused, throttled or killed: anything that it does later is late and is evaluated by
-// NewVerdict.
+// LeadershipInterval is a period in which one process was the owner of a role according to its own log, in seconds since the
+// start of the history. It ends when the process is paused, throttled or killed: NewVerdict evaluates what the process does
+// afterwards.
 type LeadershipInterval struct {
 	Role, Process string
 	Term          uint64
@@ -81,7 +82,8 @@
 	start := float64(h.startedAt.UnixNano()) / 1e9
 	endIntervals := func(process, role string, at float64) {
 		for k := range all {
-			if interval := &all[k]; interval.Process == process && (role == "" || interval.Role == role) && math.IsInf(interval.To, 1) {
+			if interval := &all[k]; interval.Process == process && (role == "" || interval.Role == role) &&
+				math.IsInf(interval.To, 1) {
 				interval.To = at
 			}
 		}
@@ -111,7 +113,7 @@
 	return all
 }
 
-// MaxOverlap returns the longest time in which two processes worked as owners of one role at the same time, in seconds.
+// MaxOverlap returns the longest period in which two processes were owners of one role at the same time, in seconds.
 func MaxOverlap(all []LeadershipInterval) float64 {
 	longest := 0.0
 	for k, a := range all {
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// serve executes the orders of one connection and answers each with ok, or with late and the highest term.
 func (w *Worker) serve(conn net.Conn) {
 	defer conn.Close()
 	scanner := bufio.NewScanner(conn)
@@ -83,6 +84,7 @@
 	}
 }
 
+// accept executes an order, unless its term is stale and the worker rejects such orders.
 func (w *Worker) accept(owner string, term uint64) (highestTerm uint64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +118,7 @@
 }
 
 // minConsecutiveOrders is the number of consecutive orders that identify the owner: a single one may have been in flight when
-// the role changed hands.
+// the owner changed.
 const minConsecutiveOrders = 4
 
 // Owner returns the owner of the last minConsecutiveOrders orders if they all came from it within the given duration, and ""
