--- a/rig/drawn/settings.go
+++ b/rig/drawn/settings.go
@@ -88,7 +88,7 @@
 		root.set(strings.Split(k.Path, "."), k.Text)
 	}
 	root.set([]string{"settings", "profiles"}, s.profiles())
-	if calls, any := s.calls(); any {
+	if calls, anyCalls := s.calls(); anyCalls {
 		root.set([]string{"settings", "domain", "callsByClass"}, calls)
 	}
 	for _, k := range s.Keys {
@@ -114,13 +114,13 @@
 }
 
 // calls returns a JSON array with one bool per method, whether its RPCs may call the layer below, and whether any may.
-func (s Settings) calls() (text string, any bool) {
+func (s Settings) calls() (text string, anyCalls bool) {
 	var all []string
 	for _, m := range s.Methods {
 		all = append(all, fmt.Sprint(m.Calls))
-		any = any || m.Calls
+		anyCalls = anyCalls || m.Calls
 	}
-	return "[" + strings.Join(all, ",") + "]", any
+	return "[" + strings.Join(all, ",") + "]", anyCalls
 }
 
 // quoteJSON returns s as a JSON string. It escapes <, > and & if escape is set.
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -71,19 +71,19 @@
 	first := m.Key(m.Initial)
 	visited.add(first, step{})
 	level := []reachedState{{m.Initial, first}}
-	var violating atomic.Pointer[step]
-	var violated string
+	var violatingStep atomic.Pointer[step]
+	var violatedRule string
 	for r.States = 1; len(level) > 0 && r.States < maxStates; r.Depth++ {
 		var next [][]reachedState
 		var mu sync.Mutex
 		var workers sync.WaitGroup
-		var claimed atomic.Int64
+		var claimedCount atomic.Int64
 		for range runtime.GOMAXPROCS(0) {
 			workers.Go(func() {
 				var found []reachedState
 				var actions []uint16
 				for {
-					k := int(claimed.Add(1)) - 1
+					k := int(claimedCount.Add(1)) - 1
 					if k >= len(level) {
 						break
 					}
@@ -93,9 +93,9 @@
 						n := m.Apply(s.state, action)
 						if violation := m.Violation(n); violation != "" {
 							mu.Lock()
-							if violating.Load() == nil {
-								violating.Store(&step{s.key, action})
-								violated = violation
+							if violatingStep.Load() == nil {
+								violatingStep.Store(&step{s.key, action})
+								violatedRule = violation
 							}
 							mu.Unlock()
 							return
@@ -113,8 +113,8 @@
 			})
 		}
 		workers.Wait()
-		if at := violating.Load(); at != nil {
-			r.Violation, r.Trace = violated, m.replay(&visited, *at, first)
+		if lastStep := violatingStep.Load(); lastStep != nil {
+			r.Violation, r.Trace = violatedRule, m.replay(&visited, *lastStep, first)
 			return r
 		}
 		level = slices.Concat(next...)
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -36,7 +36,7 @@
 	timer            *time.Timer
 	closed           bool
 	startedAt        time.Time
-	cold             bool // restarted, with a cold start in the settings
+	hasColdStart     bool // restarted, and the settings have a cold start
 	usage            coreUsage
 	overloadReported bool // the overload violation has been reported, which is done once
 
@@ -109,7 +109,7 @@
 	k.accountedAt, k.startedAt = time.Now(), time.Now()
 	k.usage, k.overloadReported = coreUsage{}, false
 	k.overbookedSince, k.overbookingReported = time.Time{}, false
-	k.cold = k.config.Cold.Ramp > 0
+	k.hasColdStart = k.config.Cold.Ramp > 0
 	k.dropLink()
 }
 
@@ -117,7 +117,7 @@
 func (k *Kernel) BeginColdStart() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.cold {
+	if k.hasColdStart {
 		k.accountedAt, k.startedAt = time.Now(), time.Now()
 	}
 }
@@ -129,12 +129,14 @@
 	return k.startedAt
 }
 
-// warming reports whether a cold start is in progress, before the kernel has its full speed.
-func (k *Kernel) warming() bool { return k.cold && time.Since(k.startedAt) < k.config.Cold.Ramp }
+// inColdStart reports whether a cold start is in progress, before the kernel has its full speed.
+func (k *Kernel) inColdStart() bool {
+	return k.hasColdStart && time.Since(k.startedAt) < k.config.Cold.Ramp
+}
 
-// warmth returns the kernel's current share of its full speed.
-func (k *Kernel) warmth() float64 {
-	if !k.warming() {
+// speedShare returns the kernel's current share of its full speed.
+func (k *Kernel) speedShare() float64 {
+	if !k.inColdStart() {
 		return 1
 	}
 	return k.config.Cold.SpeedShare(time.Since(k.startedAt))
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -23,7 +23,7 @@
 // serve accepts connections until the listener is closed.
 func (k *Kernel) serve(listener net.Listener) {
 	for {
-		nc, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -31,14 +31,14 @@
 		k.acceptedCount++
 		number := k.acceptedCount
 		k.mu.Unlock()
-		go k.serveConnection(nc, number)
+		go k.serveConnection(conn, number)
 	}
 }
 
 // serveConnection executes the commands of one connection until it ends or an invalid command arrives.
-func (k *Kernel) serveConnection(nc net.Conn, number uint64) {
-	defer nc.Close()
-	reader := bufio.NewReaderSize(nc, maxCommandBytes)
+func (k *Kernel) serveConnection(conn net.Conn, number uint64) {
+	defer conn.Close()
+	reader := bufio.NewReaderSize(conn, maxCommandBytes)
 	var link *kernelLink
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -59,7 +59,7 @@
 		}
 		if link == nil {
 			k.awaitRelease()
-			if link = k.openLink(nc, number, command.Pos); link == nil {
+			if link = k.openLink(conn, number, command.Pos); link == nil {
 				return
 			}
 			defer k.closeLink(link)
@@ -81,18 +81,18 @@
 
 // openLink makes a connection the link, in place of the previous one. It returns nil if a later connection already is
 // the link, or if the kernel is closed.
-func (k *Kernel) openLink(nc net.Conn, number uint64, pos int) *kernelLink {
+func (k *Kernel) openLink(conn net.Conn, number uint64, pos int) *kernelLink {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed || k.link != nil && k.link.number > number {
 		return nil
 	}
 	k.dropLink()
-	link := newKernelLink(nc, number, k.config.Seed, &k.faults)
+	link := newKernelLink(conn, number, k.config.Seed, &k.faults)
 	go link.writeLines()
 	k.link, k.linkedAt = link, time.Now()
 	code := "running"
-	if k.cold && k.config.Cold.Window > 0 {
+	if k.hasColdStart && k.config.Cold.Window > 0 {
 		code = "starting"
 	}
 	k.sendLine(fmt.Sprintf(`{"action":"BOOTED","code":"%s","wall_ms":%d}`, code, time.Since(k.startedAt).Milliseconds()+1))
--- a/rig/kernel_faults_test.go
+++ b/rig/kernel_faults_test.go
@@ -105,7 +105,7 @@
 func TestKernelLinkFaults(t *testing.T) {
 	faults := LinkFaults{FragmentLines: true, DuplicateShare: 0.4, RemarkShare: 0.4, Delay: 5 * time.Millisecond}
 	lines := linesUnderFaults(t, 9, faults)
-	pos, reaped, duplicates, remarks := 0, 0, 0, 0
+	pos, endNotices, duplicates, remarks := 0, 0, 0, 0
 	for _, line := range lines {
 		var n testNotice
 		line = strings.Replace(line, ",,", ",", 1)
@@ -120,13 +120,13 @@
 		case n.Action == "DMESG":
 			remarks++
 		case n.Action == "REAP":
-			reaped++
+			endNotices++
 		}
 		pos = n.Pos
 	}
-	if reaped != 20 || duplicates == 0 || remarks == 0 {
+	if endNotices != 20 || duplicates == 0 || remarks == 0 {
 		t.Errorf("%d end notices, %d duplicates, %d remarks; want 20 end notices and some of the others",
-			reaped, duplicates, remarks)
+			endNotices, duplicates, remarks)
 	}
 	if again := linesUnderFaults(t, 9, faults); strings.Join(again, "") != strings.Join(lines, "") {
 		t.Errorf("the same seed gives different lines:\n%s\n%s", strings.Join(lines, ""), strings.Join(again, ""))
@@ -143,12 +143,12 @@
 	s.kernel.WithholdNotices()
 	var links []*testLink
 	for range 3 {
-		nc, err := net.Dial("tcp", s.kernel.Address())
+		conn, err := net.Dial("tcp", s.kernel.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
-		l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+		defer conn.Close()
+		l := &testLink{t: t, conn: conn, reader: bufio.NewReader(conn)}
 		l.sendLine(`{"action":"OPEN","pos":0}`)
 		links = append(links, l)
 	}
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -103,7 +103,7 @@
 	if limit.Factor <= 0 || limit.Window <= 0 || k.overloadReported {
 		return
 	}
-	maxRuns := float64(k.config.Cores) * (1 + (limit.Factor-1)*k.warmth())
+	maxRuns := float64(k.config.Cores) * (1 + (limit.Factor-1)*k.speedShare())
 	if mean := k.usage.mean(limit.Window, now, 0); mean > maxRuns {
 		k.overloadReported = true
 		k.reportViolation(4, "%.1f runs on the cores on average over %v; the limit is %.1f", mean, limit.Window, maxRuns)
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -22,7 +22,7 @@
 // kernelLink is one connection of an app server to its kernel. A goroutine of its own writes the lines, so that an app
 // server that does not read blocks nothing else.
 type kernelLink struct {
-	nc            net.Conn
+	conn          net.Conn
 	number        uint64     // ordinal of the connection at its kernel
 	dropsCommands bool       // commands received on the link are dropped; guarded by Kernel.mu
 	rng           *rand.Rand // for fragment lengths; used by the writer only
@@ -42,8 +42,8 @@
 	closeAfter bool      // close the link after the line
 }
 
-func newKernelLink(nc net.Conn, number, seed uint64, faults *atomic.Pointer[LinkFaults]) *kernelLink {
-	return &kernelLink{nc: nc, number: number, rng: rand.New(rand.NewPCG(seed, number)), faults: faults,
+func newKernelLink(conn net.Conn, number, seed uint64, faults *atomic.Pointer[LinkFaults]) *kernelLink {
+	return &kernelLink{conn: conn, number: number, rng: rand.New(rand.NewPCG(seed, number)), faults: faults,
 		wake: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
@@ -115,7 +115,7 @@
 		if l.faults.Load().FragmentLines {
 			size = 1 + l.rng.IntN(len(text))
 		}
-		if _, err := l.nc.Write(text[:size]); err != nil {
+		if _, err := l.conn.Write(text[:size]); err != nil {
 			return false
 		}
 		if text = text[size:]; len(text) > 0 && !l.sleep(fragmentInterval) {
@@ -129,13 +129,13 @@
 func (l *kernelLink) close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
-		l.nc.Close()
+		l.conn.Close()
 	})
 }
 
 // reset resets the connection; data that the app server has not read is lost too.
 func (l *kernelLink) reset() {
-	if tcp, ok := l.nc.(*net.TCPConn); ok {
+	if tcp, ok := l.conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 	l.close()
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -19,7 +19,7 @@
 // testLink is an app server's end of a kernel link.
 type testLink struct {
 	t      *testing.T
-	nc     net.Conn
+	conn   net.Conn
 	reader *bufio.Reader
 }
 
@@ -37,12 +37,12 @@
 // dialKernel opens a link that has read notices up to pos, and reads BOOTED.
 func dialKernel(t *testing.T, k *Kernel, pos int) *testLink {
 	t.Helper()
-	nc, err := net.Dial("tcp", k.Address())
+	conn, err := net.Dial("tcp", k.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+	t.Cleanup(func() { conn.Close() })
+	l := &testLink{t: t, conn: conn, reader: bufio.NewReader(conn)}
 	l.sendLine(`{"action":"OPEN","pos":%d}`, pos)
 	if n := l.readNotice(); n.Action != "BOOTED" {
 		t.Fatalf("first line of the link: %+v, want BOOTED", n)
@@ -53,7 +53,7 @@
 // sendLine writes one line to the kernel.
 func (l *testLink) sendLine(format string, args ...any) {
 	l.t.Helper()
-	if _, err := fmt.Fprintf(l.nc, format+"\n", args...); err != nil {
+	if _, err := fmt.Fprintf(l.conn, format+"\n", args...); err != nil {
 		l.t.Fatal(err)
 	}
 }
@@ -66,7 +66,7 @@
 
 // readLine reads one line without decoding it.
 func (l *testLink) readLine() (string, error) {
-	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
+	l.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	return l.reader.ReadString('\n')
 }
 
@@ -97,7 +97,7 @@
 // expectClosed waits until the kernel closes the link.
 func (l *testLink) expectClosed() {
 	l.t.Helper()
-	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
+	l.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.Copy(io.Discard, l.reader); errors.Is(err, os.ErrDeadlineExceeded) {
 		l.t.Error("the link is not closed")
 	}
--- a/rig/kernel_runs.go
+++ b/rig/kernel_runs.go
@@ -73,7 +73,7 @@
 		return 0
 	}
 	return min(1, float64(k.config.Cores)/max(float64(k.runsOnCores()), 1)) / k.slowdown / k.config.Backend.slowdown() *
-		k.warmth()
+		k.speedShare()
 }
 
 // accountWork subtracts the work done since the last call from all runs.
@@ -98,8 +98,8 @@
 			nextEnd = min(nextEnd, r.workLeft/rate)
 		}
 	}
-	if k.warming() {
-		nextEnd = min(nextEnd, warmingStep.Seconds()) // the speed rises during the cold start
+	if k.inColdStart() {
+		nextEnd = min(nextEnd, maxColdStartStep.Seconds()) // the speed rises during the cold start
 	}
 	if !k.closed {
 		k.timer.Reset(time.Duration(max(nextEnd, 0) * float64(time.Second)))
@@ -134,8 +134,8 @@
 	return finished
 }
 
-// warmingStep is the maximum interval between updates during a cold start, while the speed rises.
-const warmingStep = 10 * time.Millisecond
+// maxColdStartStep is the maximum interval between updates during a cold start, while the speed rises.
+const maxColdStartStep = 10 * time.Millisecond
 
 // endRun removes a run and sends its end notice.
 func (k *Kernel) endRun(r *run, code string, result []byte) {
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -76,12 +76,12 @@
 		s.expectViolation(t, 1, "wrote to its kernel")
 	}
 	s := newTestSetup(t, KernelConfig{})
-	nc, err := net.Dial("tcp", s.kernel.Address())
+	conn, err := net.Dial("tcp", s.kernel.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+	defer conn.Close()
+	l := &testLink{t: t, conn: conn, reader: bufio.NewReader(conn)}
 	l.sendLine(`{"action":"SYSINFO","echo":"1"}`)
 	l.expectClosed()
 	s.expectViolation(t, 1, "before OPEN")
@@ -91,8 +91,8 @@
 func TestKernelIgnoresIncompleteCommand(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
 	l := dialKernel(t, s.kernel, 0)
-	fmt.Fprint(l.nc, `{"action":"PREE`)
-	l.nc.Close()
+	fmt.Fprint(l.conn, `{"action":"PREE`)
+	l.conn.Close()
 	dialKernel(t, s.kernel, 0).syncGauges("1")
 	s.expectNoViolations(t)
 }
--- a/rig/load.go
+++ b/rig/load.go
@@ -66,9 +66,9 @@
 // Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
 func (l Load) Run(ctx context.Context, checker *Checker, callers ...Caller) Outcome {
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
-	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
+	outcome := Outcome{ByMethod: map[string]*MethodOutcome{}}
 	for _, share := range l.Shares {
-		out.ByMethod[share.Method] = &MethodOutcome{Latencies: hdrhistogram.New(1, 60_000_000, 3)}
+		outcome.ByMethod[share.Method] = &MethodOutcome{Latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -121,13 +121,13 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			methodOutcome := out.ByMethod[share.Method]
+			methodOutcome := outcome.ByMethod[share.Method]
 			methodOutcome.Requested++
-			out.Requested++
+			outcome.Requested++
 			requestedWeight += share.Criticality
 			if err == nil {
 				methodOutcome.OK++
-				out.OK++
+				outcome.OK++
 				servedWeight += share.Criticality
 				methodOutcome.Latencies.RecordValue(latency.Microseconds())
 			}
@@ -135,9 +135,9 @@
 	}
 	pending.Wait()
 	if requestedWeight > 0 {
-		out.Criticality = servedWeight / requestedWeight
+		outcome.Criticality = servedWeight / requestedWeight
 	}
-	return out
+	return outcome
 }
 
 // pickShare returns the share at a position in [0, 1) of the cumulative fractions.
--- a/rig/logpipe.go
+++ b/rig/logpipe.go
@@ -21,8 +21,8 @@
 	resumed chan struct{} // closed when reading resumes; nil unless paused
 }
 
-// logTo creates a pipe for the standard error of a command and starts to read it.
-func (p *Process) logTo(cmd *exec.Cmd) (*logPipe, error) {
+// openLogPipe creates a pipe for the standard error of a command and starts to read it.
+func (p *Process) openLogPipe(cmd *exec.Cmd) (*logPipe, error) {
 	read, write, err := os.Pipe()
 	if err != nil {
 		return nil, err
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -74,8 +74,8 @@
 type peerConn struct {
 	*Peer
 	net.Conn
-	write sync.Mutex
-	seq   int32
+	writeMu sync.Mutex
+	seq     int32
 
 	mu            sync.Mutex
 	pending       map[int32]*pendingTry
@@ -113,8 +113,8 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
 	done := make(chan PeerOutcome, 1)
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.seq++
 	fields, call := p.fields(try)
 	if !c.addPending(c.seq, &pendingTry{time.Now(), done}) {
@@ -157,13 +157,13 @@
 	if !c.options.HangupSeen {
 		return
 	}
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.seq++
 	c.writeFrame(InterruptFrame(c.seq, call.seq))
 }
 
-// writeFrame writes a frame, whole or in parts of WriteSize bytes. The write lock must be held.
+// writeFrame writes a frame, whole or in parts of WriteSize bytes. c.writeMu must be held.
 func (c *peerConn) writeFrame(frame []byte) {
 	c.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	step := len(frame)
--- a/rig/process.go
+++ b/rig/process.go
@@ -44,7 +44,7 @@
 
 // spawn starts a command. onExit is called with its result in a goroutine of its own; done is closed afterwards.
 func (p *Process) spawn(cmd *exec.Cmd, onExit func(error)) (done chan struct{}, err error) {
-	pipe, err := p.logTo(cmd)
+	pipe, err := p.openLogPipe(cmd)
 	if err != nil {
 		return nil, err
 	}
--- a/rig/process_health.go
+++ b/rig/process_health.go
@@ -16,12 +16,12 @@
 // CheckIdle returns an error if the process uses more than a share of one core over a duration in which it is sent
 // nothing. A process that has ended counts as idle.
 func (p *Process) CheckIdle(duration time.Duration, maxCoreShare float64) error {
-	before, began := p.CPUTime(), time.Now()
+	before, startedAt := p.CPUTime(), time.Now()
 	time.Sleep(duration)
 	if !p.Running() {
 		return nil
 	}
-	if used := (p.CPUTime() - before).Seconds() / time.Since(began).Seconds(); used > maxCoreShare {
+	if used := (p.CPUTime() - before).Seconds() / time.Since(startedAt).Seconds(); used > maxCoreShare {
 		return fmt.Errorf("%w: used %.2f of a core over %v", ErrBusyAtRest, used, duration)
 	}
 	return nil
@@ -30,7 +30,7 @@
 // StopWithin sends SIGTERM and returns an error if the process does not end within the timeout, in which case it is
 // killed, or ends with an exit code other than 0.
 func (p *Process) StopWithin(timeout time.Duration) error {
-	began := time.Now()
+	signaledAt := time.Now()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.ended():
@@ -39,7 +39,7 @@
 		return fmt.Errorf("%w: still running %v after SIGTERM", ErrStopIgnored, timeout)
 	}
 	if code := p.ExitCode(); code != 0 {
-		return fmt.Errorf("the process ended with code %d %v after SIGTERM", code, time.Since(began).Round(time.Millisecond))
+		return fmt.Errorf("the process ended with code %d %v after SIGTERM", code, time.Since(signaledAt).Round(time.Millisecond))
 	}
 	return nil
 }
--- a/rig/process_health_test.go
+++ b/rig/process_health_test.go
@@ -10,7 +10,7 @@
 // TestProcessHealth checks that a process that uses CPU while idle, one that ignores SIGTERM and one that a signal ends
 // are reported, and that idle processes and those that exit cleanly are not.
 func TestProcessHealth(t *testing.T) {
-	start := func(script string) *Process {
+	launch := func(script string) *Process {
 		p, err := Launch(exec.Command("/bin/sh", "-c", script), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -18,7 +18,7 @@
 		t.Cleanup(p.kill)
 		return p
 	}
-	idle, busy := start("exec sleep 60"), start("while :; do :; done")
+	idle, busy := launch("exec sleep 60"), launch("while :; do :; done")
 	if err := idle.CheckIdle(time.Second, 0.2); err != nil {
 		t.Error(err)
 	}
--- a/rig/program.go
+++ b/rig/program.go
@@ -141,8 +141,8 @@
 	}
 	done := p.ended()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if nc, err := net.Dial("tcp", p.Address); err == nil {
-			nc.Close()
+		if conn, err := net.Dial("tcp", p.Address); err == nil {
+			conn.Close()
 			return nil
 		}
 		select {
@@ -266,7 +266,7 @@
 
 	mu           sync.Mutex
 	peakResident int64
-	killed       int
+	killedCount  int
 }
 
 // NewFleet starts n app servers of the program at path binary. The caller closes the fleet.
@@ -327,7 +327,7 @@
 				case resident <= limit:
 				case p.site.KillOverMemory && p.Running():
 					f.mu.Lock()
-					f.killed++
+					f.killedCount++
 					f.mu.Unlock()
 					p.Kill()
 				default:
@@ -349,7 +349,7 @@
 func (f *Fleet) Killed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.killed
+	return f.killedCount
 }
 
 // Addresses returns the addresses to which clients connect.
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Reports that are not three valid words, or name an unknown or ended process, must each be a violation, and valid ones none.
+// A report that is not three valid words, or that names an unknown or ended process, is a violation; a valid one is not.
 func TestRosterChecksReports(t *testing.T) {
-	for report, what := range map[string]string{
+	for report, violation := range map[string]string{
 		"HERE n1 on":      "",
 		"HERE n1 off":     "",
 		"HERE n2 on":      "which is no known process",
@@ -37,7 +37,7 @@
 			return len(all) > 0 && strings.Contains(all[len(all)-1].Description, "HERE last")
 		})
 		all := s.checker.Violations()
-		if len(all) > 2 || (len(all) == 2) != (what != "") || !strings.Contains(all[0].Description, what) {
+		if len(all) > 2 || (len(all) == 2) != (violation != "") || !strings.Contains(all[0].Description, violation) {
 			t.Errorf("%q: %v", report, all)
 		}
 		conn.Close()
--- a/rig/router.go
+++ b/rig/router.go
@@ -27,7 +27,7 @@
 // routerConn is one connection of a router.
 type routerConn struct {
 	net.Conn
-	write    sync.Mutex
+	writeMu  sync.Mutex // held while a message is written; guards seq
 	seq      int32
 	mu       sync.Mutex
 	pending  map[int32]chan routerOutcome
@@ -63,9 +63,9 @@
 	}
 	deadline, _ := ctx.Deadline()
 	done := make(chan routerOutcome, 1)
-	c.write.Lock()
+	c.writeMu.Lock()
 	if ctx.Err() != nil { // waiting for the connection took until the deadline
-		c.write.Unlock()
+		c.writeMu.Unlock()
 		c.release()
 		return nil, ctx.Err()
 	}
@@ -78,7 +78,7 @@
 	frame := thrift.Execute(nil, seq, method, fmt.Sprintf("%016x", rand.Uint64()), r.source,
 		float64(time.Now().UnixMilli())/1000, time.Until(deadline).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
 	_, err = c.Write(frame)
-	c.write.Unlock()
+	c.writeMu.Unlock()
 	if err != nil {
 		c.retire() // replies already received are still read; the reader detects the end
 	}
@@ -89,10 +89,10 @@
 		c.mu.Lock()
 		delete(c.pending, seq)
 		c.mu.Unlock()
-		c.write.Lock()
+		c.writeMu.Lock()
 		c.seq++
 		c.Write(thrift.Interrupt(nil, c.seq, seq))
-		c.write.Unlock()
+		c.writeMu.Unlock()
 		return nil, ctx.Err()
 	}
 }
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -207,8 +207,8 @@
 	}
 	xs, ys := coordinates(points)
 	offset := position - stat.Mean(xs, nil)
-	spread := 1 + 1/float64(len(xs)) + offset*offset/sumOfSquares(xs)
-	standardError = residualDeviation(xs, ys, s.Fit) * math.Sqrt(spread)
+	varianceFactor := 1 + 1/float64(len(xs)) + offset*offset/sumOfSquares(xs)
+	standardError = residualDeviation(xs, ys, s.Fit) * math.Sqrt(varianceFactor)
 	value = s.Fit.Intercept + s.Fit.Slope*position
 	if s.Fit.Model == ModelPower {
 		value = math.Exp(value)
