--- a/rig/drawn/drawn_test.go
+++ b/rig/drawn/drawn_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Keys replace plain ones, are left out for an empty text, and are ignored below an object that is set as a whole.
+// Keys replace those of plainKeys, are left out for an empty text, and are ignored below an object that is set as a whole.
 func TestConfig(t *testing.T) {
 	s := Settings{Methods: []Method{PlainMethod()}, Keys: []Key{{"stop_ms", ""}, {"limits.cores", "6e0"},
 		{"settings.domain.nCores", ""},
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -28,7 +28,7 @@
 	Depth     int    // number of steps to the states furthest from the initial one
 	Complete  bool   // all reachable states were visited
 	Violation string // the rule that was violated, or ""
-	Trace     string // the actions up to the violation, one a line
+	Trace     string // the actions up to the violation, one per line
 }
 
 // step is the action by which a state was first reached, and the key of the state before it.
