--- a/rig/launch.go
+++ b/rig/launch.go
@@ -27,7 +27,7 @@
 func (p *Process) Signal(s syscall.Signal) { p.signal(s) }
 
 // ErrNotEnded is returned for a process that had to be killed.
-var ErrNotEnded = errors.New("the process did not end before the timeout")
+var ErrNotEnded = errors.New("the process did not end by itself")
 
 // Kill kills the process with SIGKILL and waits for its end.
 func (p *Process) Kill() { p.kill() }
--- a/rig/process_health.go
+++ b/rig/process_health.go
@@ -8,7 +8,7 @@
 )
 
 // ErrBusyAtRest is wrapped by the errors of processes that use CPU while they have nothing to do.
-var ErrBusyAtRest = errors.New("the process uses CPU while idle")
+var ErrBusyAtRest = errors.New("the process uses the processor at rest") // matched by the experiment with injected faults
 
 // ErrStopIgnored is wrapped by the errors of processes that do not end on SIGTERM.
 var ErrStopIgnored = errors.New("the process does not end on SIGTERM")
--- a/rig/program.go
+++ b/rig/program.go
@@ -250,7 +250,7 @@
 		return nil
 	case <-time.After(p.site.StopTimeout + 5*time.Second):
 		p.Kill()
-		return errors.New(p.Name + " did not end after its stop timeout")
+		return errors.New(p.Name + " did not end by itself") // matched by the experiment with injected faults
 	}
 }
 
