--- a/rig/check_runs.go
+++ b/rig/check_runs.go
@@ -161,6 +161,6 @@
 func (c *Checker) connectionOpened(conn *proxiedConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conn.countedIn = c.server(conn.FaultProxy.serverName).requests
-	conn.countedIn.connections++
+	conn.countingLog = c.server(conn.FaultProxy.serverName).requests
+	conn.countingLog.connections++
 }
--- a/rig/explore/explore.go
+++ b/rig/explore/explore.go
@@ -1,6 +1,6 @@
 // Package explore is a model checker for deterministic state machines. It searches all reachable states within a bound, breadth
-// first, so that the first trace that violates a rule is a shortest one. Tests under logic/ define the actions and the rules;
-// this package depends on none of them.
+// first, so that the trace of the first violation is a shortest one. Tests under logic/ define the states, the actions and the
+// rules; this package depends on none of them.
 package explore
 
 import (
@@ -28,7 +28,7 @@
 	Depth     int    // number of steps to the states furthest from the initial one
 	Complete  bool   // all reachable states were visited
 	Violation string // the rule that was violated, or ""
-	Trace     string // the actions up to the violation, one a line
+	Trace     string // the actions up to the violation, one per line
 }
 
 // step is the action by which a state was first reached, and the key of the state before it.
@@ -71,19 +71,19 @@
 	first := m.Key(m.Initial)
 	visited.add(first, step{})
 	level := []reachedState{{m.Initial, first}}
-	var violating atomic.Pointer[step]
-	var violated string
+	var violatingStep atomic.Pointer[step]
+	var violatedRule string
 	for r.States = 1; len(level) > 0 && r.States < maxStates; r.Depth++ {
 		var next [][]reachedState
 		var mu sync.Mutex
 		var workers sync.WaitGroup
-		var claimed atomic.Int64
+		var claimedCount atomic.Int64
 		for range runtime.GOMAXPROCS(0) {
 			workers.Go(func() {
 				var found []reachedState
 				var actions []uint16
 				for {
-					k := int(claimed.Add(1)) - 1
+					k := int(claimedCount.Add(1)) - 1
 					if k >= len(level) {
 						break
 					}
@@ -93,9 +93,9 @@
 						n := m.Apply(s.state, action)
 						if violation := m.Violation(n); violation != "" {
 							mu.Lock()
-							if violating.Load() == nil {
-								violating.Store(&step{s.key, action})
-								violated = violation
+							if violatingStep.Load() == nil {
+								violatingStep.Store(&step{s.key, action})
+								violatedRule = violation
 							}
 							mu.Unlock()
 							return
@@ -113,8 +113,8 @@
 			})
 		}
 		workers.Wait()
-		if at := violating.Load(); at != nil {
-			r.Violation, r.Trace = violated, m.replay(&visited, *at, first)
+		if lastStep := violatingStep.Load(); lastStep != nil {
+			r.Violation, r.Trace = violatedRule, m.replay(&visited, *lastStep, first)
 			return r
 		}
 		level = slices.Concat(next...)
--- a/rig/kernel.go
+++ b/rig/kernel.go
@@ -14,8 +14,8 @@
 type Kernel struct {
 	config  KernelConfig
 	address string
-	server  string // name of the app server, for the checker
-	check   *Checker
+	server  string // name of the app server in violations
+	checker *Checker
 
 	faults atomic.Pointer[LinkFaults]
 
@@ -27,7 +27,7 @@
 	withheld          chan struct{} // closed when links may be answered again; nil if they are answered
 	breakInNextNotice bool          // break the link in the middle of the next notice
 	notices           []string      // sent so far, numbered from 1; expired ones are empty
-	random            *rand.Rand    // for faults of notices
+	rng               *rand.Rand    // for faults of notices
 
 	runs             map[string]*run
 	slowdown         float64 // factor by which runs take longer
@@ -36,7 +36,7 @@
 	timer            *time.Timer
 	closed           bool
 	startedAt        time.Time
-	cold             bool // restarted, with a cold start in the settings
+	hasColdStart     bool // restarted, and the settings have a cold start
 	usage            coreUsage
 	overloadReported bool // the overload violation has been reported, which is done once
 
@@ -45,19 +45,19 @@
 }
 
 // NewKernel returns a kernel that listens on a free port. It discards runs on PREEMPT and has no gauges.
-func NewKernel(server string, cores int, check *Checker) (*Kernel, error) {
-	return NewConfiguredKernel(server, plainKernel(cores), check)
+func NewKernel(server string, cores int, checker *Checker) (*Kernel, error) {
+	return NewConfiguredKernel(server, plainKernel(cores), checker)
 }
 
 // NewConfiguredKernel returns a kernel with a deployment's settings that listens on a free port.
-func NewConfiguredKernel(server string, config KernelConfig, check *Checker) (*Kernel, error) {
+func NewConfiguredKernel(server string, config KernelConfig, checker *Checker) (*Kernel, error) {
 	listener, err := listenOnRandomLoopback()
 	if err != nil {
 		return nil, err
 	}
-	k := &Kernel{config: config, address: listener.Addr().String(), listener: listener, server: server, check: check,
+	k := &Kernel{config: config, address: listener.Addr().String(), listener: listener, server: server, checker: checker,
 		runs: map[string]*run{}, slowdown: 1, accountedAt: time.Now(), startedAt: time.Now(),
-		random: rand.New(rand.NewPCG(config.Seed, 0))}
+		rng: rand.New(rand.NewPCG(config.Seed, 0))}
 	k.faults.Store(&LinkFaults{})
 	k.timer = time.AfterFunc(time.Hour, k.handleTimer)
 	go k.serve(listener)
@@ -109,7 +109,7 @@
 	k.accountedAt, k.startedAt = time.Now(), time.Now()
 	k.usage, k.overloadReported = coreUsage{}, false
 	k.overbookedSince, k.overbookingReported = time.Time{}, false
-	k.cold = k.config.Cold.Ramp > 0
+	k.hasColdStart = k.config.Cold.Ramp > 0
 	k.dropLink()
 }
 
@@ -117,24 +117,26 @@
 func (k *Kernel) BeginColdStart() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.cold {
+	if k.hasColdStart {
 		k.accountedAt, k.startedAt = time.Now(), time.Now()
 	}
 }
 
-// StartedAt returns when the kernel started or last restarted, or when its cold start began if that is later.
+// StartedAt returns when the kernel started or last restarted, or when its cold start began, whichever is later.
 func (k *Kernel) StartedAt() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.startedAt
 }
 
-// warming reports whether a cold start is in progress, before the kernel has its full speed.
-func (k *Kernel) warming() bool { return k.cold && time.Since(k.startedAt) < k.config.Cold.Ramp }
+// inColdStart reports whether a cold start is in progress, before the kernel has its full speed.
+func (k *Kernel) inColdStart() bool {
+	return k.hasColdStart && time.Since(k.startedAt) < k.config.Cold.Ramp
+}
 
-// warmth returns the kernel's current share of its full speed.
-func (k *Kernel) warmth() float64 {
-	if !k.warming() {
+// speedShare returns the kernel's current share of its full speed.
+func (k *Kernel) speedShare() float64 {
+	if !k.inColdStart() {
 		return 1
 	}
 	return k.config.Cold.SpeedShare(time.Since(k.startedAt))
@@ -156,5 +158,5 @@
 
 // reportViolation reports a violation by the app server to the checker.
 func (k *Kernel) reportViolation(rule int, format string, args ...any) {
-	k.check.reportViolation(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
+	k.checker.reportViolation(rule, "%s: %s", k.server, fmt.Sprintf(format, args...))
 }
--- a/rig/kernel_commands.go
+++ b/rig/kernel_commands.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// runRequest is what is known of a run that the app server asks for.
+// runRequest describes the RPC that a SCHED command runs.
 type runRequest struct {
 	entry       CatalogEntry
 	sent        *sentTry // nil if commands are not checked against what clients sent
 	requestOver bool     // the request has been answered or given up
 }
 
-// maxCommandBytes limits a line: it holds a body of 2 KiB and a name of some hundred bytes in any JSON encoding.
+// maxCommandBytes is the maximum length of a line. It has room for a body of 2 KiB and a name of some hundred bytes in any JSON
+// encoding.
 const maxCommandBytes = 64 << 10
 
 // serve accepts connections until the listener is closed.
 func (k *Kernel) serve(listener net.Listener) {
 	for {
-		nc, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -30,14 +31,14 @@
 		k.acceptedCount++
 		number := k.acceptedCount
 		k.mu.Unlock()
-		go k.serveConnection(nc, number)
+		go k.serveConnection(conn, number)
 	}
 }
 
 // serveConnection executes the commands of one connection until it ends or an invalid command arrives.
-func (k *Kernel) serveConnection(nc net.Conn, number uint64) {
-	defer nc.Close()
-	reader := bufio.NewReaderSize(nc, maxCommandBytes)
+func (k *Kernel) serveConnection(conn net.Conn, number uint64) {
+	defer conn.Close()
+	reader := bufio.NewReaderSize(conn, maxCommandBytes)
 	var link *kernelLink
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -58,7 +59,7 @@
 		}
 		if link == nil {
 			k.awaitRelease()
-			if link = k.openLink(nc, number, command.Pos); link == nil {
+			if link = k.openLink(conn, number, command.Pos); link == nil {
 				return
 			}
 			defer k.closeLink(link)
@@ -80,18 +81,18 @@
 
 // openLink makes a connection the link, in place of the previous one. It returns nil if a later connection already is
 // the link, or if the kernel is closed.
-func (k *Kernel) openLink(nc net.Conn, number uint64, pos int) *kernelLink {
+func (k *Kernel) openLink(conn net.Conn, number uint64, pos int) *kernelLink {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed || k.link != nil && k.link.number > number {
 		return nil
 	}
 	k.dropLink()
-	link := newKernelLink(nc, number, k.config.Seed, &k.faults)
+	link := newKernelLink(conn, number, k.config.Seed, &k.faults)
 	go link.writeLines()
 	k.link, k.linkedAt = link, time.Now()
 	code := "running"
-	if k.cold && k.config.Cold.Window > 0 {
+	if k.hasColdStart && k.config.Cold.Window > 0 {
 		code = "starting"
 	}
 	k.sendLine(fmt.Sprintf(`{"action":"BOOTED","code":"%s","wall_ms":%d}`, code, time.Since(k.startedAt).Milliseconds()+1))
@@ -131,14 +132,14 @@
 	k.sendLine(fmt.Sprintf(`{"action":"EINVAL","code":"%s","uid":%s}`, command.Action, encodedUID))
 }
 
-// handleSched starts a run, unless the checker knows no such request or the run exists already.
+// handleSched starts a run, unless no client has sent such an RPC or the run exists already.
 func (k *Kernel) handleSched(command kernelCommand) {
 	if k.config.Methods != nil && !slices.Contains(k.config.Methods, command.Lane) {
 		k.reportViolation(1, "sends SCHED %s for method %q, which the settings do not list", command.UID, command.Lane)
 		k.rejectCommand(command)
 		return
 	}
-	request, ok := k.check.resolveCommand(k.server, command.UID, command.Lane, command.Content)
+	request, ok := k.checker.resolveCommand(k.server, command.UID, command.Lane, command.Content)
 	if !ok {
 		k.rejectCommand(command)
 		return
@@ -156,7 +157,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	if !k.check.knowsCall(k.server, command.UID) {
+	if !k.checker.knowsCall(k.server, command.UID) {
 		k.reportViolation(1, "sends PREEMPT %q, which no client has sent it", command.UID)
 		k.rejectCommand(command)
 		return
@@ -177,7 +178,7 @@
 		k.rejectCommand(command)
 		return
 	}
-	if !k.check.knowsCall(k.server, command.UID) {
+	if !k.checker.knowsCall(k.server, command.UID) {
 		k.reportViolation(1, "sends RESCHED %q, which no client has sent it", command.UID)
 		k.rejectCommand(command)
 		return
--- a/rig/kernel_gauges.go
+++ b/rig/kernel_gauges.go
@@ -30,7 +30,7 @@
 
 // gaugeValue returns the current value of a gauge of the settings, 0 for an unknown one.
 func (k *Kernel) gaugeValue(name string) float64 {
-	load := k.check.load(k.server)
+	load := k.checker.load(k.server)
 	switch name {
 	case "core_use", "utilization":
 		return k.usage.mean(coreUseWindow, k.accountedAt, k.config.Cores)
@@ -40,7 +40,7 @@
 		if k.config.Memory.KB <= 0 {
 			return 0
 		}
-		return k.check.bookedKB(k.server, k.config.Memory.RunFactor) / k.config.Memory.KB
+		return k.checker.bookedKB(k.server, k.config.Memory.RunFactor) / k.config.Memory.KB
 	case "links":
 		return float64(load.connections)
 	case "outstanding":
@@ -67,21 +67,20 @@
 }
 
 // add records a period that ends now and drops steps older than every window.
-func (u *coreUsage) add(span time.Duration, now time.Time, runs int, config KernelConfig) {
-	if span <= 0 {
+func (u *coreUsage) add(duration time.Duration, now time.Time, runs int, config KernelConfig) {
+	if duration <= 0 {
 		return
 	}
 	if last := len(u.steps) - 1; last >= 0 && u.steps[last].runs == runs {
 		u.steps[last].to = now
 	} else {
-		u.steps = append(u.steps, usageStep{now.Add(-span), now, runs})
+		u.steps = append(u.steps, usageStep{now.Add(-duration), now, runs})
 	}
 	oldest := now.Add(-max(coreUseWindow, config.Overload.Window))
 	u.steps = slices.DeleteFunc(u.steps, func(s usageStep) bool { return s.to.Before(oldest) })
 }
 
-// mean returns the mean share of the cores in use over a window that ends now, or the mean number of runs if cores is
-// 0.
+// mean returns the mean share of the cores in use over a window that ends now, or the mean number of runs if cores is 0.
 func (u *coreUsage) mean(window time.Duration, now time.Time, cores int) float64 {
 	sum, from := 0.0, now.Add(-window)
 	for _, s := range u.steps {
@@ -104,18 +103,18 @@
 	if limit.Factor <= 0 || limit.Window <= 0 || k.overloadReported {
 		return
 	}
-	maxRuns := float64(k.config.Cores) * (1 + (limit.Factor-1)*k.warmth())
+	maxRuns := float64(k.config.Cores) * (1 + (limit.Factor-1)*k.speedShare())
 	if mean := k.usage.mean(limit.Window, now, 0); mean > maxRuns {
 		k.overloadReported = true
 		k.reportViolation(4, "%.1f runs on the cores on average over %v; the limit is %.1f", mean, limit.Window, maxRuns)
 	}
 }
 
-// maxOverbookedTime is how long more memory may be booked than there is before that is a violation: the network sees a
-// reply a little after the app server has sent it.
+// maxOverbookedTime is how long the memory limit may be exceeded before that is a violation: the proxy observes a reply, which
+// ends a booking, a little after the app server has sent it.
 const maxOverbookedTime = 50 * time.Millisecond
 
-// checkMemory reports a violation if more memory than there is has been booked for maxOverbookedTime.
+// checkMemory reports a violation if the memory limit has been exceeded for maxOverbookedTime.
 func (k *Kernel) checkMemory() {
 	if k.overbookedKB() == 0 {
 		k.overbookedSince = time.Time{}
@@ -142,5 +141,5 @@
 	if memory.KB <= 0 {
 		return 0
 	}
-	return max(k.check.bookedKB(k.server, memory.RunFactor)-memory.KB, 0)
+	return max(k.checker.bookedKB(k.server, memory.RunFactor)-memory.KB, 0)
 }
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -19,7 +19,7 @@
 // testLink is an app server's end of a kernel link.
 type testLink struct {
 	t      *testing.T
-	nc     net.Conn
+	conn   net.Conn
 	reader *bufio.Reader
 }
 
@@ -31,18 +31,18 @@
 	Meters                  []float64
 }
 
-// testTimeout limits each wait of these tests.
+// testTimeout is the maximum duration of each wait of these tests.
 const testTimeout = 10 * time.Second
 
 // dialKernel opens a link that has read notices up to pos, and reads BOOTED.
 func dialKernel(t *testing.T, k *Kernel, pos int) *testLink {
 	t.Helper()
-	nc, err := net.Dial("tcp", k.Address())
+	conn, err := net.Dial("tcp", k.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+	t.Cleanup(func() { conn.Close() })
+	l := &testLink{t: t, conn: conn, reader: bufio.NewReader(conn)}
 	l.sendLine(`{"action":"OPEN","pos":%d}`, pos)
 	if n := l.readNotice(); n.Action != "BOOTED" {
 		t.Fatalf("first line of the link: %+v, want BOOTED", n)
@@ -53,7 +53,7 @@
 // sendLine writes one line to the kernel.
 func (l *testLink) sendLine(format string, args ...any) {
 	l.t.Helper()
-	if _, err := fmt.Fprintf(l.nc, format+"\n", args...); err != nil {
+	if _, err := fmt.Fprintf(l.conn, format+"\n", args...); err != nil {
 		l.t.Fatal(err)
 	}
 }
@@ -66,7 +66,7 @@
 
 // readLine reads one line without decoding it.
 func (l *testLink) readLine() (string, error) {
-	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
+	l.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	return l.reader.ReadString('\n')
 }
 
@@ -97,68 +97,68 @@
 // expectClosed waits until the kernel closes the link.
 func (l *testLink) expectClosed() {
 	l.t.Helper()
-	l.nc.SetReadDeadline(time.Now().Add(testTimeout))
+	l.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.Copy(io.Discard, l.reader); errors.Is(err, os.ErrDeadlineExceeded) {
 		l.t.Error("the link is not closed")
 	}
 }
 
-// testSetup holds a checker with terms to judge by, and a kernel for one app server.
+// testSetup holds a checker with the settings of three methods, and a kernel for one app server.
 type testSetup struct {
-	check  *Checker
-	kernel *Kernel
-	flow   *proxiedConnection // a client's connection
-	seq    int32
+	checker    *Checker
+	kernel     *Kernel
+	connection *proxiedConnection // a client's connection
+	seq        int32
 }
 
 func newTestSetup(t *testing.T, config KernelConfig) *testSetup {
 	t.Helper()
-	c := NewChecker(50 * time.Millisecond)
-	c.CheckServers(ServerSettings{Methods: map[string]MethodSettings{
+	checker := NewChecker(50 * time.Millisecond)
+	checker.CheckServers(ServerSettings{Methods: map[string]MethodSettings{
 		"read":   {Kind: rpc.Idempotent, Deadline: 10 * time.Second},
 		"write":  {Kind: rpc.Tokened, Deadline: 10 * time.Second, Window: 20 * time.Second},
 		"charge": {Kind: rpc.NonIdempotent, Deadline: 10 * time.Second},
 	}})
-	c.ProcessStarted("n1")
+	checker.ProcessStarted("n1")
 	config.Methods = []string{"read", "write", "charge"}
 	config.Cores = max(config.Cores, 2)
-	k, err := NewConfiguredKernel("n1", config, c)
+	k, err := NewConfiguredKernel("n1", config, checker)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	return &testSetup{check: c, kernel: k, flow: newFlow("n1", c)}
+	return &testSetup{checker: checker, kernel: k, connection: newTestConnection("n1", checker)}
 }
 
-// newFlow returns a connection without a network.
-func newFlow(server string, check *Checker) *proxiedConnection {
-	f := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: check}}
-	check.connectionOpened(f)
-	return f
+// newTestConnection returns a proxied connection without sockets, for reports to the checker.
+func newTestConnection(server string, checker *Checker) *proxiedConnection {
+	connection := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: checker}}
+	checker.connectionOpened(connection)
+	return connection
 }
 
-// recordSent records in the ledger an RPC that a client sends; nothing is sent.
+// recordSent records in the request log an RPC as if a client had sent it; nothing is sent.
 func (s *testSetup) recordSent(callID, method, token string, body []byte, work float64) {
-	s.check.settings.Catalog.Add(callID, CatalogEntry{RPC: "rpc " + callID, Work: work})
+	s.checker.settings.Catalog.Add(callID, CatalogEntry{RPC: "rpc " + callID, Work: work})
 	s.seq++
-	s.check.observeRequest(s.flow, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
+	s.checker.observeRequest(s.connection, request{header: header{kind: messageCall, name: "execute", seq: s.seq}, body: body,
 		fields: map[string]string{"op": method, "call": callID, "dedupe": token, "heap": "10",
 			"recv": fmt.Sprint(time.Now().UnixMilli()), "ttl": "10000"}}, nil)
 }
 
-// expectViolation checks that there is exactly one violation, of a rule and with a text.
+// expectViolation checks that there is exactly one violation, of the rule and with the text in its description.
 func (s *testSetup) expectViolation(t *testing.T, rule int, text string) {
 	t.Helper()
-	violations := s.check.Violations()
+	violations := s.checker.Violations()
 	if len(violations) != 1 || violations[0].Rule != rule || !strings.Contains(violations[0].Description, text) {
 		t.Errorf("violations: %v, want exactly one of rule %d with %q", violations, rule, text)
 	}
 }
 
-// expectNoViolations checks that the checker has found nothing.
+// expectNoViolations checks that the checker has found no violation.
 func (s *testSetup) expectNoViolations(t *testing.T) {
 	t.Helper()
-	if violations := s.check.Violations(); len(violations) > 0 {
+	if violations := s.checker.Violations(); len(violations) > 0 {
 		t.Errorf("unexpected violations: %v", violations)
 	}
 }
--- a/rig/kernel_test.go
+++ b/rig/kernel_test.go
@@ -11,34 +11,35 @@
 	"valveglade/rpc"
 )
 
-// A run that no client has sent is rejected and reported. One that a client has sent is run, whatever bytes its body
-// has.
+// A SCHED command for an RPC that no client has sent is rejected and reported. One that a client has sent is run, whatever bytes
+// its body has.
 func TestKernelChecksCommands(t *testing.T) {
 	body := []byte("\x00\xffany \n bytes")
 	for name, test := range map[string]struct {
-		say  func(l *testLink)
-		what string // part of the violation; empty for none
+		send      func(l *testLink)
+		violation string // part of its description; empty for none
 	}{
-		"as sent":       {func(l *testLink) { l.sendSched(tryA, "read", body) }, ""},
-		"another id":    {func(l *testLink) { l.sendSched(tryB, "read", body) }, "an id that none has"},
-		"another body":  {func(l *testLink) { l.sendSched(tryA, "read", body[1:]) }, "with the body"},
-		"another class": {func(l *testLink) { l.sendSched(tryA, "write", body) }, "in class"},
-		"no class":      {func(l *testLink) { l.sendSched(tryA, "red", body) }, "which the settings do not list"},
+		"as sent":        {func(l *testLink) { l.sendSched(tryA, "read", body) }, ""},
+		"another id":     {func(l *testLink) { l.sendSched(tryB, "read", body) }, "an unknown id"},
+		"another body":   {func(l *testLink) { l.sendSched(tryA, "read", body[1:]) }, "with the body"},
+		"another method": {func(l *testLink) { l.sendSched(tryA, "write", body) }, "sent for method"},
+		"unknown method": {func(l *testLink) { l.sendSched(tryA, "red", body) }, "which the settings do not list"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 			s.recordSent(tryA, "read", "", body, 0)
 			l := dialKernel(t, s.kernel, 0)
-			test.say(l)
+			test.send(l)
 			n := l.readNotice()
-			if test.what != "" {
+			if test.violation != "" {
 				if n.Action != "EINVAL" || n.Code != "SCHED" {
 					t.Errorf("unexpected notice: %+v", n)
 				}
-				s.expectViolation(t, 1, test.what)
+				s.expectViolation(t, 1, test.violation)
 				return
 			}
-			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA || string(n.Content) != string(RunResult("rpc "+tryA)) {
+			if n.Action != "REAP" || n.Code != "fine" || n.UID != tryA ||
+				string(n.Content) != string(RunResult("rpc "+tryA)) {
 				t.Errorf("unexpected notice: %+v", n)
 			}
 			s.expectNoViolations(t)
@@ -46,13 +47,13 @@
 	}
 }
 
-// What was sent to a previous process of the app server does not count as sent to the present one.
-func TestKernelLedgerPerProcess(t *testing.T) {
+// An RPC that was sent to a previous process of the app server does not count as sent to the present one.
+func TestKernelRequestLogPerProcess(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 	s.recordSent(tryA, "read", "", nil, 0)
-	s.check.ProcessKilled("n1")
+	s.checker.ProcessKilled("n1")
 	s.kernel.Restart()
-	s.check.ProcessStarted("n1")
+	s.checker.ProcessStarted("n1")
 	l := dialKernel(t, s.kernel, 0)
 	l.sendSched(tryA, "read", nil)
 	if n := l.readNotice(); n.Action != "EINVAL" {
@@ -65,7 +66,8 @@
 func TestKernelClosesLinkOnInvalidCommand(t *testing.T) {
 	for _, line := range []string{"", "{", "null", `[]`, `{"action":"RUN"}`, `{"action":"SCHED","uid":"a","lane":"read"}`,
 		`{"action":"SCHED","uid":"a","lane":"read","content":null}`, `{"action":"SCHED","uid":"a","lane":"read","content":"?"}`,
-		`{"action":"SCHED","uid":1,"lane":"read","content":""}`, `{"action":"PREEMPT"}`, `{"action":"PREEMPT","uid":"a","more":1}`,
+		`{"action":"SCHED","uid":1,"lane":"read","content":""}`, `{"action":"PREEMPT"}`,
+		`{"action":"PREEMPT","uid":"a","more":1}`,
 		`{"Action":"PREEMPT","uid":"a"}`, `{"action":"SYSINFO","echo":7}`, `{"action":"OPEN","pos":0}`} {
 		s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 		l := dialKernel(t, s.kernel, 0)
@@ -74,12 +76,12 @@
 		s.expectViolation(t, 1, "wrote to its kernel")
 	}
 	s := newTestSetup(t, KernelConfig{})
-	nc, err := net.Dial("tcp", s.kernel.Address())
+	conn, err := net.Dial("tcp", s.kernel.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	l := &testLink{t: t, nc: nc, reader: bufio.NewReader(nc)}
+	defer conn.Close()
+	l := &testLink{t: t, conn: conn, reader: bufio.NewReader(conn)}
 	l.sendLine(`{"action":"SYSINFO","echo":"1"}`)
 	l.expectClosed()
 	s.expectViolation(t, 1, "before OPEN")
@@ -89,8 +91,8 @@
 func TestKernelIgnoresIncompleteCommand(t *testing.T) {
 	s := newTestSetup(t, KernelConfig{Gauges: []string{}})
 	l := dialKernel(t, s.kernel, 0)
-	fmt.Fprint(l.nc, `{"action":"PREE`)
-	l.nc.Close()
+	fmt.Fprint(l.conn, `{"action":"PREE`)
+	l.conn.Close()
 	dialKernel(t, s.kernel, 0).syncGauges("1")
 	s.expectNoViolations(t)
 }
@@ -149,7 +151,7 @@
 		}
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryA)
 		l.readNotice()
-		s.check.ReplyReceived(s.flow, 1, rpc.Error, false, 0)
+		s.checker.ReplyReceived(s.connection, 1, rpc.Error, false, 0)
 		if m := l.syncGauges("4"); !slices.Equal(m, []float64{0, 0}) {
 			t.Errorf("gauges %v once the request is over, want zeros", m)
 		}
@@ -174,7 +176,7 @@
 		}
 		s.expectNoViolations(t)
 	})
-	t.Run("of what nobody sent", func(t *testing.T) {
+	t.Run("not sent by a client", func(t *testing.T) {
 		s := newTestSetup(t, KernelConfig{Preemption: PreemptDiscard})
 		l := dialKernel(t, s.kernel, 0)
 		l.sendLine(`{"action":"PREEMPT","uid":"%s"}`, tryB)
@@ -187,7 +189,8 @@
 
 // The gauges come in the order of the settings and show the current state; an unknown gauge is 0.
 func TestKernelGauges(t *testing.T) {
-	s := newTestSetup(t, KernelConfig{Gauges: []string{"links", "outstanding", "on_cores", "heap_share", "backlog", "nothing known"},
+	s := newTestSetup(t, KernelConfig{
+		Gauges: []string{"links", "outstanding", "on_cores", "heap_share", "backlog", "unknown"},
 		Memory: BookedMemory{KB: 1000, RunFactor: 3}})
 	l := dialKernel(t, s.kernel, 0)
 	s.recordSent(tryA, "read", "", nil, 3600)
@@ -196,15 +199,15 @@
 	if m := l.syncGauges("1"); !slices.Equal(m, []float64{1, 2, 1, 0.03, 1, 0}) {
 		t.Errorf("gauges %v, want 1, 2, 1, 0.03, 1, 0", m)
 	}
-	s.check.mu.Lock()
-	for held := range s.check.server("n1").requests.active {
+	s.checker.mu.Lock()
+	for held := range s.checker.server("n1").requests.active {
 		held.sentAt = held.sentAt.Add(-minHeldTime)
 	}
-	s.check.mu.Unlock()
+	s.checker.mu.Unlock()
 	if m := l.syncGauges("2"); m[3] != 0.04 {
 		t.Errorf("heap_share %g with one request held, want 0.04", m[3])
 	}
-	s.check.ConnectionEnded(s.flow, true)
+	s.checker.ConnectionEnded(s.connection, true)
 	if m := l.syncGauges("3"); !slices.Equal(m, []float64{0, 0, 1, 0.03, 0, 0}) {
 		t.Errorf("gauges %v after the clients disconnected", m)
 	}
@@ -225,8 +228,8 @@
 // Booking more memory than there is, and more runs on the cores than allowed, are reported.
 func TestKernelLimits(t *testing.T) {
 	for name, test := range map[string]struct {
-		config KernelConfig
-		what   string
+		config    KernelConfig
+		violation string
 	}{
 		"memory": {KernelConfig{Memory: BookedMemory{KB: 70, RunFactor: 4}}, "KB"},
 		"cores":  {KernelConfig{Cores: 2, Overload: OverloadLimit{Factor: 0.4, Window: 50 * time.Millisecond}}, "on the cores"},
@@ -239,10 +242,10 @@
 				s.recordSent(call, "read", "", nil, 3600)
 				l.sendSched(call, "read", nil)
 			}
-			for end := time.Now().Add(testTimeout); len(s.check.Violations()) == 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); len(s.checker.Violations()) == 0 && time.Now().Before(end); {
 				l.syncGauges("1")
 			}
-			s.expectViolation(t, 4, test.what)
+			s.expectViolation(t, 4, test.violation)
 		})
 	}
 }
--- a/rig/load.go
+++ b/rig/load.go
@@ -15,9 +15,11 @@
 	"valveglade/rpc"
 )
 
-// Caller makes the RPCs of a load. token is empty except for tokened RPCs, criticality is in [0, 1).
+// Caller makes the RPCs of a load.
 type Caller interface {
+	// Call makes one RPC and returns its result. token is empty except for tokened RPCs; criticality is in [0, 1).
 	Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error)
+	// Close releases the connections.
 	Close() error
 }
 
@@ -31,7 +33,7 @@
 	Deadline    time.Duration
 }
 
-// Load is an open-loop workload: it sends RPCs at its rate regardless of the outcome of earlier ones.
+// Load is an open-loop workload: it sends RPCs at its rate whatever the outcome of earlier ones.
 type Load struct {
 	Seed         uint64
 	Rate         func(t float64) float64 // RPCs per second, t seconds after the start
@@ -62,11 +64,11 @@
 }
 
 // Run sends the load, each RPC through a randomly chosen caller, and returns once all RPCs have an outcome.
-func (l Load) Run(ctx context.Context, check *Checker, callers ...Caller) Outcome {
+func (l Load) Run(ctx context.Context, checker *Checker, callers ...Caller) Outcome {
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
-	out := Outcome{ByMethod: map[string]*MethodOutcome{}}
+	outcome := Outcome{ByMethod: map[string]*MethodOutcome{}}
 	for _, share := range l.Shares {
-		out.ByMethod[share.Method] = &MethodOutcome{Latencies: hdrhistogram.New(1, 60_000_000, 3)}
+		outcome.ByMethod[share.Method] = &MethodOutcome{Latencies: hdrhistogram.New(1, 60_000_000, 3)}
 	}
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -96,7 +98,7 @@
 		}
 		pending.Go(func() {
 			deadline := time.Now().Add(share.Deadline)
-			check.RegisterRPC(id, share.Kind, deadline)
+			checker.RegisterRPC(id, share.Kind, deadline)
 			ctx, stop := context.WithDeadline(ctx, deadline)
 			defer stop()
 			token := ""
@@ -110,34 +112,35 @@
 				defer l.PendingCount.Add(-1)
 			}
 			result, err := caller.Call(ctx, share.Method, token, share.Criticality, body)
-			took := time.Since(callStart)
+			latency := time.Since(callStart)
 			if err == nil {
-				check.VerifyResult(id, result)
+				checker.VerifyResult(id, result)
 			}
 			if l.AfterCall != nil {
 				l.AfterCall(share, id, token, body, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			methodOutcome := out.ByMethod[share.Method]
+			methodOutcome := outcome.ByMethod[share.Method]
 			methodOutcome.Requested++
-			out.Requested++
+			outcome.Requested++
 			requestedWeight += share.Criticality
 			if err == nil {
 				methodOutcome.OK++
-				out.OK++
+				outcome.OK++
 				servedWeight += share.Criticality
-				methodOutcome.Latencies.RecordValue(took.Microseconds())
+				methodOutcome.Latencies.RecordValue(latency.Microseconds())
 			}
 		})
 	}
 	pending.Wait()
 	if requestedWeight > 0 {
-		out.Criticality = servedWeight / requestedWeight
+		outcome.Criticality = servedWeight / requestedWeight
 	}
-	return out
+	return outcome
 }
 
+// pickShare returns the share at a position in [0, 1) of the cumulative fractions.
 func (l Load) pickShare(position float64) Share {
 	total := 0.0
 	for _, share := range l.Shares {
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -23,8 +23,8 @@
 }
 
 // Peer simulates a router of one app server that follows the protocol: up to 32 pending RPCs on a connection, new connections
-// on demand, no new RPC on a connection that is draining. It can also misbehave. If it connects through a faulty network, the
-// checker sees its messages and the replies. It is safe for concurrent use.
+// on demand, no new RPC on a connection that is draining. A test can have it stop reading, or reset or close its connections. If
+// it connects through a FaultProxy, the checker observes its messages and the replies. It is safe for concurrent use.
 type Peer struct {
 	address string
 	source  int
@@ -74,15 +74,15 @@
 type peerConn struct {
 	*Peer
 	net.Conn
-	write sync.Mutex
-	seq   int32
+	writeMu sync.Mutex
+	seq     int32
 
 	mu            sync.Mutex
 	pending       map[int32]*pendingTry
 	reserved      int // places reserved for tries that are not written yet
 	draining      bool
 	ended         bool
-	closedLocally bool // the peer closed it
+	closedLocally bool // closed by the peer itself
 }
 
 // pendingTry is a try without an outcome.
@@ -94,7 +94,7 @@
 // ErrNotConnected is returned if a try was not sent, as there was no connection.
 var ErrNotConnected = errors.New("no connection")
 
-// Timeouts for opening a connection and for one write to an app server that does not read.
+// Timeouts for opening a connection and for one write, which blocks while the app server does not read.
 const (
 	peerConnectTimeout = 2 * time.Second
 	peerWriteTimeout   = 5 * time.Second
@@ -106,15 +106,15 @@
 		rng: rand.New(rand.NewPCG(seed, uint64(source)))}
 }
 
-// Send sends one try.
+// Send sends one try. It returns ErrNotConnected if there is no connection for it.
 func (p *Peer) Send(try PeerTry) (*PeerCall, error) {
 	c, err := p.reserveConnection()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotConnected, err)
 	}
 	done := make(chan PeerOutcome, 1)
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.seq++
 	fields, call := p.fields(try)
 	if !c.addPending(c.seq, &pendingTry{time.Now(), done}) {
@@ -152,18 +152,18 @@
 }
 
 // Cancel sends an interrupt for the try, if the deployment sends interrupts.
-func (k *PeerCall) Cancel() {
-	c := k.conn
+func (call *PeerCall) Cancel() {
+	c := call.conn
 	if !c.options.HangupSeen {
 		return
 	}
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.seq++
-	c.writeFrame(InterruptFrame(c.seq, k.seq))
+	c.writeFrame(InterruptFrame(c.seq, call.seq))
 }
 
-// writeFrame writes a frame, whole or in parts of WriteSize bytes. The write lock must be held.
+// writeFrame writes a frame, whole or in parts of WriteSize bytes. c.writeMu must be held.
 func (c *peerConn) writeFrame(frame []byte) {
 	c.SetWriteDeadline(time.Now().Add(peerWriteTimeout))
 	step := len(frame)
@@ -246,6 +246,7 @@
 	return c, nil
 }
 
+// read delivers the replies until the connection ends.
 func (c *peerConn) read() {
 	defer c.failPending()
 	input := readbuffer.New(thrift.MaxFrame + 4)
@@ -302,13 +303,13 @@
 	}
 }
 
-// Served and the methods below implement thrift.ReplyHandler.
+// Served and the four methods that follow implement thrift.ReplyHandler.
 func (c *peerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, PeerOutcome{Result: append([]byte{}, result...)})
 }
-func (c *peerConn) PushedBack(seq int32, last bool, after, _ float64) {
-	wait := time.Duration(after * float64(time.Second))
-	c.finish(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: last, RetryAfter: wait})
+func (c *peerConn) PushedBack(seq int32, noRetry bool, retryAfterSeconds, _ float64) {
+	wait := time.Duration(retryAfterSeconds * float64(time.Second))
+	c.finish(seq, PeerOutcome{Err: ErrPushedBack, NoRetry: noRetry, RetryAfter: wait})
 }
 func (c *peerConn) Aborted(seq int32, _ string, _ float64) {
 	c.finish(seq, PeerOutcome{Err: ErrAborted})
@@ -335,6 +336,7 @@
 // CloseConnections closes all connections; the tries pending on them are lost.
 func (p *Peer) CloseConnections() { p.closeAll(false) }
 
+// closeAll closes all connections, with a TCP reset if reset is set.
 func (p *Peer) closeAll(reset bool) {
 	p.mu.Lock()
 	conns := p.connections
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -15,10 +15,10 @@
 	stop    chan struct{}
 	group   sync.WaitGroup
 
-	mu           sync.Mutex
-	lastAnswerAt time.Time // of any reply
-	healthyAt    time.Time // of the first healthy reply since Restart
-	startedAt    time.Time
+	mu          sync.Mutex
+	lastReplyAt time.Time // healthy or not
+	healthyAt   time.Time // of the first healthy reply since Restart
+	startedAt   time.Time
 }
 
 // Interval between two checks, timeout of each reply, and checks per connection.
@@ -39,14 +39,14 @@
 func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.startedAt, p.lastAnswerAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
+	p.startedAt, p.lastReplyAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
 }
 
-// LastAnswerAt returns when the last reply came; the zero time if none has come since Restart.
-func (p *HealthProbe) LastAnswerAt() time.Time {
+// LastReplyAt returns when the last reply came; the zero time if none has come since Restart.
+func (p *HealthProbe) LastReplyAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lastAnswerAt
+	return p.lastReplyAt
 }
 
 // HealthyAt returns when the first healthy reply since Restart came; the zero time if none has.
@@ -62,6 +62,7 @@
 	p.group.Wait()
 }
 
+// run sends health checks on one connection after another until the probe is stopped.
 func (p *HealthProbe) run() {
 	for {
 		p.probeConnection()
@@ -95,21 +96,21 @@
 		if _, err := conn.Write(CheckFrame(seq + 1)); err != nil {
 			return
 		}
-		answer := probeReply{}
-		for !answer.received {
+		reply := probeReply{}
+		for !reply.received {
 			frame, size, err := thrift.Frame(input.Bytes())
 			switch {
 			case err == nil && size == 0:
 				err = input.Fill(conn)
 			case err == nil:
-				err = thrift.DecodeAnswer(frame, &answer)
+				err = thrift.DecodeAnswer(frame, &reply)
 				input.Discard(size)
 			}
 			if err != nil {
 				return
 			}
 		}
-		p.record(sentAt, answer.healthy)
+		p.record(sentAt, reply.healthy)
 		if !p.wait() {
 			return
 		}
@@ -123,17 +124,17 @@
 	if sentAt.Before(p.startedAt) {
 		return
 	}
-	p.lastAnswerAt = time.Now()
+	p.lastReplyAt = time.Now()
 	if healthy && p.healthyAt.IsZero() {
-		p.healthyAt = p.lastAnswerAt
+		p.healthyAt = p.lastReplyAt
 	}
 }
 
-// probeReply implements thrift.ReplyHandler and records the reply to a health check.
+// probeReply implements thrift.ReplyHandler and stores the reply to a health check.
 type probeReply struct{ received, healthy bool }
 
-func (a *probeReply) Served(int32, []byte, float64)            {}
-func (a *probeReply) PushedBack(int32, bool, float64, float64) {}
-func (a *probeReply) Aborted(int32, string, float64)           { a.received = true }
-func (a *probeReply) Checked(_ int32, healthy bool, _ float64) { a.received, a.healthy = true, healthy }
-func (a *probeReply) Draining()                                {}
+func (r *probeReply) Served(int32, []byte, float64)            {}
+func (r *probeReply) PushedBack(int32, bool, float64, float64) {}
+func (r *probeReply) Aborted(int32, string, float64)           { r.received = true }
+func (r *probeReply) Checked(_ int32, healthy bool, _ float64) { r.received, r.healthy = true, healthy }
+func (r *probeReply) Draining()                                {}
--- a/rig/process.go
+++ b/rig/process.go
@@ -25,8 +25,8 @@
 	logPipe     *logPipe
 }
 
-// spawner starts processes on one thread that never ends: with Pdeathsig the system kills a child when the thread that
-// started it ends, which is how children end with a killed rig.
+// spawner starts processes on one thread that never ends. Pdeathsig kills the children of a killed rig, but the system also
+// applies it when the thread that started the child ends.
 var spawner = sync.OnceValue(func() chan func() {
 	c := make(chan func())
 	go func() {
@@ -38,13 +38,13 @@
 	return c
 })
 
-// StartSpawner starts the goroutine that lives as long as this process, so that callers that count leaked goroutines
-// can exclude it.
+// StartSpawner starts the goroutine of the spawner, which never ends. Callers that count leaked goroutines call it before the
+// first count.
 func StartSpawner() { spawner() }
 
 // spawn starts a command. onExit is called with its result in a goroutine of its own; done is closed afterwards.
 func (p *Process) spawn(cmd *exec.Cmd, onExit func(error)) (done chan struct{}, err error) {
-	pipe, err := p.logTo(cmd)
+	pipe, err := p.openLogPipe(cmd)
 	if err != nil {
 		return nil, err
 	}
@@ -92,6 +92,7 @@
 	return p.done
 }
 
+// wait waits for the end of the process.
 func (p *Process) wait() { <-p.ended() }
 
 // Pid returns the process ID.
@@ -115,7 +116,7 @@
 // Throttle lets the process run for only a part of each period, like a CPU quota, until stop is called. It keeps time
 // on a locked thread with the system's sleep, because garbage collection and timers of this process would stretch the
 // intervals.
-func (p *Process) Throttle(run, period time.Duration) (stop func()) {
+func (p *Process) Throttle(runTime, period time.Duration) (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -137,11 +138,11 @@
 			default:
 			}
 			p.SetPaused(false)
-			sleepUntil(time.Now().Add(run)) // measured from the actual start, even if it is late
+			sleepUntil(time.Now().Add(runTime)) // measured from the actual start, even if it is late
 			p.SetPaused(true)
 			next = next.Add(period)
 			if time.Until(next) < 0 {
-				next = time.Now().Add(period - run)
+				next = time.Now().Add(period - runTime)
 			}
 			sleepUntil(next)
 		}
--- a/rig/program.go
+++ b/rig/program.go
@@ -45,7 +45,7 @@
 	return rules
 }
 
-// SiteMethod is one method, in the platform's terms.
+// SiteMethod is one method as settings.profiles describes it. Times are in seconds.
 type SiteMethod struct {
 	Name          string  `json:"name"`
 	Kind          string  `json:"idempotency"`
@@ -64,8 +64,8 @@
 	binary     string
 	directory  string
 	roster     string
-	check      *Checker
-	configName string                  // name in its configuration, if not Name
+	checker    *Checker
+	configName string                  // name in its configuration, if it differs from Name
 	args       []string                // appended to those of the site
 	configText func(p *Program) string // returns the configuration; nil to derive it from the site
 	Process
@@ -73,20 +73,20 @@
 
 // ProgramPlan describes one app server whose configuration is given as text.
 type ProgramPlan struct {
-	Name   string
-	Binary string
-	Args   []string // arguments of the program
-	Site   Site     // limits and shutdown times, as used by the rig itself
-	Kernel KernelConfig
-	Folder string // for the files of the app server
-	Roster string
-	Check  *Checker
-	Config func(p *Program) string // called at each start and reload
+	Name      string
+	Binary    string
+	Args      []string // arguments of the program
+	Site      Site     // limits and shutdown times, as used by the rig itself
+	Kernel    KernelConfig
+	Directory string // where the files of the app server are stored
+	Roster    string
+	Checker   *Checker
+	Config    func(p *Program) string // called at each start and reload
 }
 
 // NewProgram prepares an app server with a kernel of its own; the process is not started before Launch.
 func NewProgram(plan ProgramPlan) (*Program, error) {
-	kernel, err := NewConfiguredKernel(plan.Name, plan.Kernel, plan.Check)
+	kernel, err := NewConfiguredKernel(plan.Name, plan.Kernel, plan.Checker)
 	if err != nil {
 		return nil, err
 	}
@@ -95,8 +95,8 @@
 		kernel.Close()
 		return nil, err
 	}
-	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary, directory: plan.Folder,
-		roster: plan.Roster, check: plan.Check, args: plan.Args, configText: plan.Config}, nil
+	return &Program{Name: plan.Name, Address: address, Kernel: kernel, site: plan.Site, binary: plan.Binary,
+		directory: plan.Directory, roster: plan.Roster, checker: plan.Checker, args: plan.Args, configText: plan.Config}, nil
 }
 
 // Build builds the program in a folder, for tests, and returns its path.
@@ -124,7 +124,7 @@
 	os.Exit(code)
 }
 
-// freeAddress returns a loopback address with a port that was free when it was checked.
+// freeAddress returns an address of 127.0.0.1 with a port that was free when it was checked.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,8 +141,8 @@
 	}
 	done := p.ended()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if nc, err := net.Dial("tcp", p.Address); err == nil {
-			nc.Close()
+		if conn, err := net.Dial("tcp", p.Address); err == nil {
+			conn.Close()
 			return nil
 		}
 		select {
@@ -151,7 +151,7 @@
 		default:
 		}
 	}
-	return fmt.Errorf("%s accepts no connection", p.Name)
+	return fmt.Errorf("%s accepts no connections", p.Name)
 }
 
 // Launch starts the program without waiting until it is ready.
@@ -160,13 +160,14 @@
 		return err
 	}
 	cmd := p.buildCommand()
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.configName, p.Name), "GW_LISTEN="+p.Address)
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+p.configPath(), "GW_NAME="+cmp.Or(p.configName, p.Name),
+		"GW_LISTEN="+p.Address)
 	if p.site.OneCore {
 		cmd.Env = append(cmd.Env, "GOMAXPROCS=1")
 	}
-	p.check.ProcessStarted(p.Name)
+	p.checker.ProcessStarted(p.Name)
 	p.Kernel.BeginColdStart()
-	_, err := p.spawn(cmd, func(err error) { p.check.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
+	_, err := p.spawn(cmd, func(err error) { p.checker.ProcessExited(p.Name, cmd.ProcessState.ExitCode(), err) })
 	return err
 }
 
@@ -201,9 +202,10 @@
 	return os.WriteFile(p.configPath(), []byte(text), 0o600)
 }
 
+// configPath returns the path of the configuration file.
 func (p *Program) configPath() string { return filepath.Join(p.directory, p.Name+".json") }
 
-// Roster returns the address to which the program reports.
+// Roster returns the address of the roster to which the program reports.
 func (p *Program) Roster() string { return p.roster }
 
 // siteConfig returns the configuration derived from the site.
@@ -219,22 +221,23 @@
 		"stop_ms": site.StopTimeout.Milliseconds(),
 		"limits":  map[string]any{"cores": cmp.Or(site.CoreLimit, 1), "memory_mb": site.MemoryMB, "sockets": site.Sockets},
 		"settings": map[string]any{"profiles": site.Methods, "domain": domain,
-			"rules":    site.rules(),
-			"clients":  map[string]any{"marksRetry": site.MarksRetry},
-			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0, "maxRetryAfterS": site.MaxRetryAfterSeconds}}})
+			"rules":   site.rules(),
+			"clients": map[string]any{"marksRetry": site.MarksRetry},
+			"ceilings": map[string]any{"retryAfter": site.MaxRetryAfterSeconds > 0,
+				"maxRetryAfterS": site.MaxRetryAfterSeconds}}})
 }
 
 // Kill kills the program and its kernel's runs, and waits for its end.
 func (p *Program) Kill() {
-	p.check.ProcessKilled(p.Name)
+	p.checker.ProcessKilled(p.Name)
 	p.signal(syscall.SIGKILL)
 	p.Kernel.Restart()
 	p.wait()
 }
 
-// RequestShutdown sends SIGTERM and tells the checker; it does not wait for the end.
+// RequestShutdown sends SIGTERM and notifies the checker; it does not wait for the end.
 func (p *Program) RequestShutdown() {
-	p.check.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
+	p.checker.ShutdownRequested(p.Name, p.site.GracePeriod, p.site.StopTimeout)
 	p.signal(syscall.SIGTERM)
 }
 
@@ -247,13 +250,13 @@
 		return nil
 	case <-time.After(p.site.StopTimeout + 5*time.Second):
 		p.Kill()
-		return errors.New(p.Name + " did not end by itself")
+		return errors.New(p.Name + " did not end by itself") // matched by the experiment with injected faults
 	}
 }
 
-// Fleet is a group of app servers, each behind a recording proxy, and a roster that collects their reports.
+// Fleet is a group of app servers, each behind a FaultProxy, and a roster that collects their reports.
 type Fleet struct {
-	Check     *Checker
+	Checker   *Checker
 	Programs  []*Program
 	Proxies   []*FaultProxy
 	Roster    *Roster
@@ -263,22 +266,22 @@
 
 	mu           sync.Mutex
 	peakResident int64
-	killed       int
+	killedCount  int
 }
 
 // NewFleet starts n app servers of the program at path binary. The caller closes the fleet.
-func NewFleet(binary string, n int, site Site, check *Checker) (*Fleet, error) {
+func NewFleet(binary string, n int, site Site, checker *Checker) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Check: check, directory: dir, stop: make(chan struct{})}
+	f := &Fleet{Checker: checker, directory: dir, stop: make(chan struct{})}
 	if f.Roster, err = NewRoster(); err != nil {
 		return nil, err
 	}
 	for k := range n {
 		name := fmt.Sprintf("n%d", k+1)
-		kernel, err := NewKernel(name, site.Cores, check)
+		kernel, err := NewKernel(name, site.Cores, checker)
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -290,14 +293,14 @@
 			return nil, err
 		}
 		p := &Program{Name: name, Address: address, Kernel: kernel, site: site, binary: binary, directory: dir,
-			roster: f.Roster.Address(), check: check}
+			roster: f.Roster.Address(), checker: checker}
 		if err := p.Start(); err != nil {
 			kernel.Close()
 			f.Close()
 			return nil, err
 		}
 		f.Programs = append(f.Programs, p)
-		proxy, err := NewFaultProxy(name, address, check)
+		proxy, err := NewFaultProxy(name, address, checker)
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -324,11 +327,11 @@
 				case resident <= limit:
 				case p.site.KillOverMemory && p.Running():
 					f.mu.Lock()
-					f.killed++
+					f.killedCount++
 					f.mu.Unlock()
 					p.Kill()
 				default:
-					f.Check.VerifyMemory(p.Name, resident, limit)
+					f.Checker.VerifyMemory(p.Name, resident, limit)
 				}
 			}
 		}
@@ -346,14 +349,14 @@
 func (f *Fleet) Killed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.killed
+	return f.killedCount
 }
 
 // Addresses returns the addresses to which clients connect.
 func (f *Fleet) Addresses() []string {
 	var addresses []string
-	for _, n := range f.Proxies {
-		addresses = append(addresses, n.Address())
+	for _, proxy := range f.Proxies {
+		addresses = append(addresses, proxy.Address())
 	}
 	return addresses
 }
@@ -369,8 +372,8 @@
 		})
 	}
 	all.Wait()
-	for _, n := range f.Proxies {
-		n.Close()
+	for _, proxy := range f.Proxies {
+		proxy.Close()
 	}
 	f.Roster.Close()
 	f.group.Wait()
--- a/rig/roster_test.go
+++ b/rig/roster_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Reports that are not three valid words, or name an unknown or ended process, must each be a violation, and valid ones none.
+// A report that is not three valid words, or that names an unknown or ended process, is a violation; a valid one is not.
 func TestRosterChecksReports(t *testing.T) {
-	for report, what := range map[string]string{
+	for report, violation := range map[string]string{
 		"HERE n1 on":      "",
 		"HERE n1 off":     "",
 		"HERE n2 on":      "which is no known process",
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.CheckReports(s.check, "n1", "n3")
+		r.CheckReports(s.checker, "n1", "n3")
 		conn, err := net.Dial("udp", r.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -33,11 +33,11 @@
 		fmt.Fprint(conn, report)
 		fmt.Fprint(conn, "HERE last") // always invalid; once it is reported, the datagram before it has been processed
 		waitFor(t, "the reports", func() bool {
-			all := s.check.Violations()
+			all := s.checker.Violations()
 			return len(all) > 0 && strings.Contains(all[len(all)-1].Description, "HERE last")
 		})
-		all := s.check.Violations()
-		if len(all) > 2 || (len(all) == 2) != (what != "") || !strings.Contains(all[0].Description, what) {
+		all := s.checker.Violations()
+		if len(all) > 2 || (len(all) == 2) != (violation != "") || !strings.Contains(all[0].Description, violation) {
 			t.Errorf("%q: %v", report, all)
 		}
 		conn.Close()
--- a/rig/router.go
+++ b/rig/router.go
@@ -27,7 +27,7 @@
 // routerConn is one connection of a router.
 type routerConn struct {
 	net.Conn
-	write    sync.Mutex
+	writeMu  sync.Mutex // held while a message is written; guards seq
 	seq      int32
 	mu       sync.Mutex
 	pending  map[int32]chan routerOutcome
@@ -41,7 +41,8 @@
 	err    error
 }
 
-// ErrPushedBack means that the RPC was not run, ErrAborted that it may have been run, ErrLost that the connection ended.
+// ErrPushedBack means that the RPC was not run, ErrAborted that it may have been run, and ErrLost that the connection ended
+// before a reply.
 var (
 	ErrPushedBack = errors.New("pushed back")
 	ErrAborted    = errors.New("aborted")
@@ -62,9 +63,9 @@
 	}
 	deadline, _ := ctx.Deadline()
 	done := make(chan routerOutcome, 1)
-	c.write.Lock()
+	c.writeMu.Lock()
 	if ctx.Err() != nil { // waiting for the connection took until the deadline
-		c.write.Unlock()
+		c.writeMu.Unlock()
 		c.release()
 		return nil, ctx.Err()
 	}
@@ -77,7 +78,7 @@
 	frame := thrift.Execute(nil, seq, method, fmt.Sprintf("%016x", rand.Uint64()), r.source,
 		float64(time.Now().UnixMilli())/1000, time.Until(deadline).Seconds(), 1, min(criticality, 0.9999), false, token, "", body)
 	_, err = c.Write(frame)
-	c.write.Unlock()
+	c.writeMu.Unlock()
 	if err != nil {
 		c.retire() // replies already received are still read; the reader detects the end
 	}
@@ -88,10 +89,10 @@
 		c.mu.Lock()
 		delete(c.pending, seq)
 		c.mu.Unlock()
-		c.write.Lock()
+		c.writeMu.Lock()
 		c.seq++
 		c.Write(thrift.Interrupt(nil, c.seq, seq))
-		c.write.Unlock()
+		c.writeMu.Unlock()
 		return nil, ctx.Err()
 	}
 }
@@ -133,6 +134,7 @@
 	return c, nil
 }
 
+// read delivers the replies until the connection ends.
 func (c *routerConn) read() {
 	ReadReplies(c, c)
 	c.failPending()
@@ -176,6 +178,7 @@
 	}
 }
 
+// finish delivers the outcome of an RPC, unless its caller no longer waits for it.
 func (c *routerConn) finish(seq int32, outcome routerOutcome) {
 	c.mu.Lock()
 	done := c.pending[seq]
@@ -186,7 +189,7 @@
 	}
 }
 
-// Served and the methods below implement thrift.ReplyHandler.
+// Served and the four methods that follow implement thrift.ReplyHandler.
 func (c *routerConn) Served(seq int32, result []byte, _ float64) {
 	c.finish(seq, routerOutcome{result: append([]byte(nil), result...)})
 }
--- a/rig/slope/slope.go
+++ b/rig/slope/slope.go
@@ -1,5 +1,5 @@
 // Package slope fits measured series against the size of the system by least squares, and predicts values at sizes that were
-// not run.
+// not measured.
 package slope
 
 import (
@@ -41,7 +41,7 @@
 	Against     string  `json:"against"`
 	Points      []Point `json:"points"`
 	Fit         Fit     `json:"fit"`
-	Largest     float64 `json:"largest"`      // the largest X that was run
+	Largest     float64 `json:"largest"`      // the largest X that was measured
 	ClockFactor float64 `json:"clock_factor"` // 1 is real time; 4 is a clock four times slower
 	Note        string  `json:"note,omitempty"`
 }
@@ -137,6 +137,7 @@
 	return nil
 }
 
+// finite reports whether v is neither infinite nor NaN.
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
 // transform returns the points in the coordinates in which the model is a straight line.
@@ -189,9 +190,9 @@
 	return sum
 }
 
-// At returns the value of the fit at x and its standard error, as for one more measurement at x. measured is true if x is at
-// most Largest; past it the value is extrapolated. Value and error are NaN where the fit cannot be computed.
-func (s Series) At(x float64) (value, errorOfValue float64, measured bool) {
+// At returns the value of the fit at x and its standard error, as for one more measurement at x. measured reports whether x is at
+// most Largest; beyond that the value is extrapolated. Value and error are NaN where the fit cannot be computed.
+func (s Series) At(x float64) (value, standardError float64, measured bool) {
 	measured = x <= s.Largest
 	if s.Fit.Model == ModelConstant {
 		return s.Fit.Intercept, s.constantError(), measured
@@ -206,14 +207,14 @@
 	}
 	xs, ys := coordinates(points)
 	offset := position - stat.Mean(xs, nil)
-	spread := 1 + 1/float64(len(xs)) + offset*offset/sumOfSquares(xs)
-	errorOfValue = residualDeviation(xs, ys, s.Fit) * math.Sqrt(spread)
+	varianceFactor := 1 + 1/float64(len(xs)) + offset*offset/sumOfSquares(xs)
+	standardError = residualDeviation(xs, ys, s.Fit) * math.Sqrt(varianceFactor)
 	value = s.Fit.Intercept + s.Fit.Slope*position
 	if s.Fit.Model == ModelPower {
 		value = math.Exp(value)
-		errorOfValue *= value // first-order approximation: the error of a logarithm is a relative error
+		standardError *= value // first-order approximation: the error of a logarithm is a relative error
 	}
-	return value, errorOfValue, measured
+	return value, standardError, measured
 }
 
 // constantError returns the standard error of one more measurement under ModelConstant.
--- a/rig/worker.go
+++ b/rig/worker.go
@@ -15,11 +15,11 @@
 	rejectsStaleTerms bool
 	history           *History
 
-	mu          sync.Mutex
-	orders      []Order
-	highestTerm uint64
-	refused     int
-	conns       map[net.Conn]struct{}
+	mu             sync.Mutex
+	orders         []Order
+	highestTerm    uint64
+	rejectedOrders int
+	conns          map[net.Conn]struct{}
 }
 
 // Order is an order that was executed.
@@ -64,6 +64,7 @@
 	}
 }
 
+// serve executes the orders of one connection and answers each with ok, or with late and the highest term.
 func (w *Worker) serve(conn net.Conn) {
 	defer conn.Close()
 	scanner := bufio.NewScanner(conn)
@@ -83,11 +84,12 @@
 	}
 }
 
+// accept executes an order, unless its term is stale and the worker rejects such orders.
 func (w *Worker) accept(owner string, term uint64) (highestTerm uint64, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if term < w.highestTerm && w.rejectsStaleTerms {
-		w.refused++
+		w.rejectedOrders++
 		return w.highestTerm, false
 	}
 	w.highestTerm = max(w.highestTerm, term)
@@ -95,11 +97,11 @@
 	return w.highestTerm, true
 }
 
-// Refused returns the number of orders rejected for a stale term.
-func (w *Worker) Refused() int {
+// RejectedOrders returns the number of orders rejected for a stale term.
+func (w *Worker) RejectedOrders() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.refused
+	return w.rejectedOrders
 }
 
 // Orders returns the orders executed at or after a time.
@@ -116,7 +118,7 @@
 }
 
 // minConsecutiveOrders is the number of consecutive orders that identify the owner: a single one may have been in flight when
-// the role changed hands.
+// the owner changed.
 const minConsecutiveOrders = 4
 
 // Owner returns the owner of the last minConsecutiveOrders orders if they all came from it within the given duration, and ""
