--- a/rig/badclient.go
+++ b/rig/badclient.go
@@ -21,7 +21,7 @@
 	server  string
 	address string
 	method  string // a method that the app server serves
-	check   *Checker
+	checker *Checker
 	stop    context.CancelFunc
 	group   sync.WaitGroup
 
@@ -102,9 +102,9 @@
 }
 
 // NewBadClients starts n clients, whose messages are drawn from the seed. The caller must Close them.
-func NewBadClients(server, address, method string, n int, check *Checker, seed uint64) *BadClients {
+func NewBadClients(server, address, method string, n int, checker *Checker, seed uint64) *BadClients {
 	ctx, stop := context.WithCancel(context.Background())
-	b := &BadClients{server: server, address: address, method: method, check: check, stop: stop}
+	b := &BadClients{server: server, address: address, method: method, checker: checker, stop: stop}
 	for k := range n {
 		rng := rand.New(rand.NewPCG(seed, uint64(k)))
 		b.group.Go(func() {
@@ -187,7 +187,7 @@
 			reply := badClientReply{}
 			thrift.DecodeAnswer(frame, &reply)
 			if reply.served {
-				b.check.reportViolation(1, "%s serves a client that sent %s", b.server, kind.name)
+				b.checker.reportViolation(1, "%s serves a client that sent %s", b.server, kind.name)
 			}
 			return true
 		}
--- a/rig/check_program_test.go
+++ b/rig/check_program_test.go
@@ -36,7 +36,7 @@
 			{Name: "write", Kind: "dedup", LatencyTarget: 0.5, Deadline: 1, Window: 5, Criticality: 2},
 			{Name: "ü", Kind: "fragile", LatencyTarget: 0.5, Deadline: 1, Criticality: 3}},
 		DomainOverrides: map[string]any{"preemption": string(preemption), "ownStats": gauges, "memoryKb": 2000.0}}
-	check := NewChecker(programSlack)
+	checker := NewChecker(programSlack)
 	serverSettings := ServerSettings{Methods: map[string]MethodSettings{}}
 	config := KernelConfig{Cores: site.Cores, Preemption: preemption, Gauges: gauges, Memory: BookedMemory{2000, 4},
 		Overload: OverloadLimit{5, 1500 * time.Millisecond}, Seed: seed}
@@ -45,13 +45,13 @@
 		serverSettings.Methods[method.Name] = MethodSettings{rpc.Kind(method.Kind), time.Duration(method.Deadline * 1e9),
 			time.Duration(method.Window * 1e9)}
 	}
-	check.CheckServers(serverSettings)
-	p := &checkedProgram{check: check}
+	checker.CheckServers(serverSettings)
+	p := &checkedProgram{check: checker}
 	if p.roster, err = NewRoster(); err != nil {
 		t.Fatal(err)
 	}
-	p.roster.CheckReports(check, "n1")
-	kernel, err := NewConfiguredKernel("n1", config, check)
+	p.roster.CheckReports(checker, "n1")
+	kernel, err := NewConfiguredKernel("n1", config, checker)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,11 +60,11 @@
 		t.Fatal(err)
 	}
 	p.Program = &Program{Name: "n1", Address: address, Kernel: kernel, site: site, binary: binary, directory: dir,
-		roster: p.roster.Address(), checker: check}
+		roster: p.roster.Address(), checker: checker}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if p.proxy, err = NewFaultProxy("n1", address, check); err != nil {
+	if p.proxy, err = NewFaultProxy("n1", address, checker); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
--- a/rig/check_test.go
+++ b/rig/check_test.go
@@ -17,103 +17,103 @@
 	for name, injected := range map[string]struct {
 		rule   int
 		what   string
-		inject func(check *Checker, conn *proxiedConnection)
+		inject func(checker *Checker, conn *proxiedConnection)
 	}{
-		"double run": {2, "run a second time", func(check *Checker, conn *proxiedConnection) {
-			check.RunStarted("n1", "a")
-			check.RunStarted("n2", "a")
+		"double run": {2, "run a second time", func(checker *Checker, conn *proxiedConnection) {
+			checker.RunStarted("n1", "a")
+			checker.RunStarted("n2", "a")
 		}},
-		"lost reply": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
-			check.ConnectionEnded(conn, false)
+		"lost reply": {1, "without a reply", func(checker *Checker, conn *proxiedConnection) {
+			checker.ConnectionEnded(conn, false)
 		}},
-		"lost run": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
-			check.RunStarted("n1", "a")
-			check.ConnectionEnded(conn, false)
+		"lost run": {1, "without a reply", func(checker *Checker, conn *proxiedConnection) {
+			checker.RunStarted("n1", "a")
+			checker.ConnectionEnded(conn, false)
 		}},
-		"lost over a close": {1, "not sent again", func(check *Checker, conn *proxiedConnection) {
-			check.ExpectResendAfterClose()
-			check.ConnectionEnded(conn, false)
-			check.Finish()
+		"lost over a close": {1, "not sent again", func(checker *Checker, conn *proxiedConnection) {
+			checker.ExpectResendAfterClose()
+			checker.ConnectionEnded(conn, false)
+			checker.Finish()
 		}},
-		"lost before a close": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
-			check.ExpectResendAfterClose()
+		"lost before a close": {1, "without a reply", func(checker *Checker, conn *proxiedConnection) {
+			checker.ExpectResendAfterClose()
 			time.Sleep(resendWindow + 20*time.Millisecond)
-			check.ConnectionEnded(conn, false)
+			checker.ConnectionEnded(conn, false)
 		}},
-		"run and lost over a close": {1, "without a reply", func(check *Checker, conn *proxiedConnection) {
-			check.ExpectResendAfterClose()
-			check.RunStarted("n1", "a")
-			check.ConnectionEnded(conn, false)
+		"run and lost over a close": {1, "without a reply", func(checker *Checker, conn *proxiedConnection) {
+			checker.ExpectResendAfterClose()
+			checker.RunStarted("n1", "a")
+			checker.ConnectionEnded(conn, false)
 		}},
-		"no reply": {1, "never answered", func(check *Checker, conn *proxiedConnection) {
-			check.TrySent("n1", conn, 2, "a", time.Now().Add(-time.Second), false)
-			check.Finish()
+		"no reply": {1, "never answered", func(checker *Checker, conn *proxiedConnection) {
+			checker.TrySent("n1", conn, 2, "a", time.Now().Add(-time.Second), false)
+			checker.Finish()
 		}},
-		"two replies": {2, "two replies to", func(check *Checker, conn *proxiedConnection) {
-			check.ReplyReceived(conn, 1, rpc.OK, false, 0)
-			check.ReplyReceived(conn, 1, rpc.OK, false, 0)
+		"two replies": {2, "two replies to", func(checker *Checker, conn *proxiedConnection) {
+			checker.ReplyReceived(conn, 1, rpc.OK, false, 0)
+			checker.ReplyReceived(conn, 1, rpc.OK, false, 0)
 		}},
-		"reply to no request": {1, "which no request has used", func(check *Checker, conn *proxiedConnection) {
-			check.ReplyReceived(conn, 9, rpc.OK, false, 0)
+		"reply to no request": {1, "which no request has used", func(checker *Checker, conn *proxiedConnection) {
+			checker.ReplyReceived(conn, 9, rpc.OK, false, 0)
 		}},
-		"made-up result": {1, "no run of it produced", func(check *Checker, conn *proxiedConnection) {
-			check.VerifyResult("a", RunResult("a"))
+		"made-up result": {1, "no run of it produced", func(checker *Checker, conn *proxiedConnection) {
+			checker.VerifyResult("a", RunResult("a"))
 		}},
-		"late run": {3, "after the request to shut down", func(check *Checker, conn *proxiedConnection) {
-			check.ShutdownRequested("n1", -time.Second, time.Hour)
-			check.TrySent("n1", conn, 2, "a", far, false)
-			check.RunStarted("n1", "a")
+		"late run": {3, "after the request to shut down", func(checker *Checker, conn *proxiedConnection) {
+			checker.ShutdownRequested("n1", -time.Second, time.Hour)
+			checker.TrySent("n1", conn, 2, "a", far, false)
+			checker.RunStarted("n1", "a")
 		}},
-		"late reply": {1, "after its deadline", func(check *Checker, conn *proxiedConnection) {
-			check.TrySent("n1", conn, 2, "a", time.Now().Add(-time.Second), false)
-			check.ReplyReceived(conn, 2, rpc.OK, false, 0)
+		"late reply": {1, "after its deadline", func(checker *Checker, conn *proxiedConnection) {
+			checker.TrySent("n1", conn, 2, "a", time.Now().Add(-time.Second), false)
+			checker.ReplyReceived(conn, 2, rpc.OK, false, 0)
 		}},
-		"pushed back once run": {2, "where it had been run", func(check *Checker, conn *proxiedConnection) {
-			check.RunStarted("n1", "a")
-			check.ReplyReceived(conn, 1, rpc.PushedBack, false, 0)
+		"pushed back once run": {2, "where it had been run", func(checker *Checker, conn *proxiedConnection) {
+			checker.RunStarted("n1", "a")
+			checker.ReplyReceived(conn, 1, rpc.PushedBack, false, 0)
 		}},
-		"crash": {4, "ended without a request to shut down", func(check *Checker, conn *proxiedConnection) {
-			check.ProcessExited("n1", 2, nil)
+		"crash": {4, "ended without a request to shut down", func(checker *Checker, conn *proxiedConnection) {
+			checker.ProcessExited("n1", 2, nil)
 		}},
-		"memory": {4, "uses 2 MB of memory", func(check *Checker, conn *proxiedConnection) {
-			check.VerifyMemory("n1", 2<<20, 1<<20)
+		"memory": {4, "uses 2 MB of memory", func(checker *Checker, conn *proxiedConnection) {
+			checker.VerifyMemory("n1", 2<<20, 1<<20)
 		}},
-		"ended late": {3, "after its stop timeout", func(check *Checker, conn *proxiedConnection) {
-			check.ShutdownRequested("n1", 0, -time.Hour)
-			check.ProcessExited("n1", 0, nil)
+		"ended late": {3, "after its stop timeout", func(checker *Checker, conn *proxiedConnection) {
+			checker.ShutdownRequested("n1", 0, -time.Hour)
+			checker.ProcessExited("n1", 0, nil)
 		}},
-		"refused and tried again": {5, "before it was allowed", func(check *Checker, conn *proxiedConnection) {
-			check.ReplyReceived(conn, 1, rpc.PushedBack, true, 0)
-			check.TrySent("n1", conn, 2, "a", far, true)
+		"refused and tried again": {5, "before it was allowed", func(checker *Checker, conn *proxiedConnection) {
+			checker.ReplyReceived(conn, 1, rpc.PushedBack, true, 0)
+			checker.TrySent("n1", conn, 2, "a", far, true)
 		}},
-		"too early": {5, "before it was allowed", func(check *Checker, conn *proxiedConnection) {
-			check.ReplyReceived(conn, 1, rpc.PushedBack, false, time.Minute)
-			check.TrySent("n1", conn, 2, "a", far, true)
+		"too early": {5, "before it was allowed", func(checker *Checker, conn *proxiedConnection) {
+			checker.ReplyReceived(conn, 1, rpc.PushedBack, false, time.Minute)
+			checker.TrySent("n1", conn, 2, "a", far, true)
 		}},
-		"sent late": {5, "after its deadline", func(check *Checker, conn *proxiedConnection) {
+		"sent late": {5, "after its deadline", func(checker *Checker, conn *proxiedConnection) {
 			due := time.Now().Add(-time.Second)
-			check.RegisterRPC("b", rpc.Idempotent, due)
-			check.TrySent("n1", conn, 2, "b", due, false)
+			checker.RegisterRPC("b", rpc.Idempotent, due)
+			checker.TrySent("n1", conn, 2, "b", due, false)
 		}},
-		"deadline extended": {5, "later than its own", func(check *Checker, conn *proxiedConnection) {
-			check.RegisterRPC("b", rpc.Idempotent, time.Now().Add(time.Second))
-			check.TrySent("n1", conn, 2, "b", far, false)
+		"deadline extended": {5, "later than its own", func(checker *Checker, conn *proxiedConnection) {
+			checker.RegisterRPC("b", rpc.Idempotent, time.Now().Add(time.Second))
+			checker.TrySent("n1", conn, 2, "b", far, false)
 		}},
-		"non-idempotent twice": {5, "sent twice", func(check *Checker, conn *proxiedConnection) {
-			check.RegisterRPC("b", rpc.NonIdempotent, far)
-			check.TrySent("n1", conn, 2, "b", far, false)
-			check.TrySent("n1", conn, 3, "b", far, true)
+		"non-idempotent twice": {5, "sent twice", func(checker *Checker, conn *proxiedConnection) {
+			checker.RegisterRPC("b", rpc.NonIdempotent, far)
+			checker.TrySent("n1", conn, 2, "b", far, false)
+			checker.TrySent("n1", conn, 3, "b", far, true)
 		}},
 	} {
-		check, conn := NewChecker(10*time.Millisecond), &proxiedConnection{}
-		check.ProcessStarted("n1")
-		check.RegisterRPC("a", rpc.Tokened, far)
-		check.TrySent("n1", conn, 1, "a", far, false)
-		if violations := check.Violations(); len(violations) > 0 {
+		checker, conn := NewChecker(10*time.Millisecond), &proxiedConnection{}
+		checker.ProcessStarted("n1")
+		checker.RegisterRPC("a", rpc.Tokened, far)
+		checker.TrySent("n1", conn, 1, "a", far, false)
+		if violations := checker.Violations(); len(violations) > 0 {
 			t.Fatalf("violations before the injected one: %v", violations)
 		}
-		injected.inject(check, conn)
-		violations := check.Violations()
+		injected.inject(checker, conn)
+		violations := checker.Violations()
 		if len(violations) != 1 || violations[0].Rule != injected.rule || !strings.Contains(violations[0].Description, injected.what) {
 			t.Errorf("%s: %v", name, violations)
 		}
@@ -123,41 +123,42 @@
 // A reply is not missing if the caller canceled the RPC or closed the connection, if the app server was killed or if the request
 // could not be written.
 func TestCheckerExcusesMissingReplies(t *testing.T) {
-	check, interrupted, killed := NewChecker(10*time.Millisecond), &proxiedConnection{}, &proxiedConnection{}
-	check.RegisterRPC("never written", rpc.Tokened, time.Now())
+	checker, interrupted, killed := NewChecker(10*time.Millisecond), &proxiedConnection{}, &proxiedConnection{}
+	checker.RegisterRPC("never written", rpc.Tokened, time.Now())
 	unwritten := &proxiedConnection{}
-	check.TrySent("n3", unwritten, 9, "never written", time.Now(), false)
-	check.TryNotWritten(unwritten, 9)
-	check.ConnectionEnded(unwritten, false)
+	checker.TrySent("n3", unwritten, 9, "never written", time.Now(), false)
+	checker.TryNotWritten(unwritten, 9)
+	checker.ConnectionEnded(unwritten, false)
 	for k, id := range []string{"gone", "closed", "killed"} {
-		check.RegisterRPC(id, rpc.Tokened, time.Now())
-		check.TrySent(fmt.Sprint("n", k), []*proxiedConnection{interrupted, interrupted, killed}[k], int32(k+1), id, time.Now(), false)
-	}
-	check.TryInterrupted(interrupted, 1)
-	check.ConnectionEnded(interrupted, true)
-	check.ProcessKilled("n2")
-	check.ConnectionEnded(killed, false)
-	check.ProcessExited("n2", -1, nil)
+		checker.RegisterRPC(id, rpc.Tokened, time.Now())
+		checker.TrySent(fmt.Sprint("n", k), []*proxiedConnection{interrupted, interrupted, killed}[k], int32(k+1), id,
+			time.Now(), false)
+	}
+	checker.TryInterrupted(interrupted, 1)
+	checker.ConnectionEnded(interrupted, true)
+	checker.ProcessKilled("n2")
+	checker.ConnectionEnded(killed, false)
+	checker.ProcessExited("n2", -1, nil)
 	time.Sleep(20 * time.Millisecond)
-	check.Finish()
-	if violations := check.Violations(); len(violations) > 0 {
+	checker.Finish()
+	if violations := checker.Violations(); len(violations) > 0 {
 		t.Errorf("%v", violations)
 	}
 }
 
 // A request that crosses the close of its connection and is sent again is not lost, if callers resend such requests.
 func TestCheckerAcceptsResendAfterClose(t *testing.T) {
-	check, first, second := NewChecker(10*time.Millisecond), &proxiedConnection{}, &proxiedConnection{}
-	check.ExpectResendAfterClose()
+	checker, first, second := NewChecker(10*time.Millisecond), &proxiedConnection{}, &proxiedConnection{}
+	checker.ExpectResendAfterClose()
 	far := time.Now().Add(time.Hour)
-	check.RegisterRPC("a", rpc.Tokened, far)
-	check.TrySent("n1", first, 1, "a", far, false)
-	check.ConnectionEnded(first, false)
-	check.TrySent("n1", second, 1, "a", far, true)
-	check.ReplyReceived(second, 1, rpc.OK, false, 0)
-	check.Finish()
-	if violations := check.Violations(); len(violations) > 0 || check.Count("crossed") != 1 {
-		t.Errorf("%d crossed, %v", check.Count("crossed"), violations)
+	checker.RegisterRPC("a", rpc.Tokened, far)
+	checker.TrySent("n1", first, 1, "a", far, false)
+	checker.ConnectionEnded(first, false)
+	checker.TrySent("n1", second, 1, "a", far, true)
+	checker.ReplyReceived(second, 1, rpc.OK, false, 0)
+	checker.Finish()
+	if violations := checker.Violations(); len(violations) > 0 || checker.Count("crossed") != 1 {
+		t.Errorf("%d crossed, %v", checker.Count("crossed"), violations)
 	}
 }
 
@@ -172,8 +173,8 @@
 		t.Fatal(err)
 	}
 	defer stub.Close()
-	check := NewChecker(50 * time.Millisecond)
-	proxy, err := NewFaultProxy("n1", stub.Address(), check)
+	checker := NewChecker(50 * time.Millisecond)
+	proxy, err := NewFaultProxy("n1", stub.Address(), checker)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,19 +185,19 @@
 	}
 	defer conn.Close()
 	now := float64(time.Now().UnixMilli()) / 1000
-	check.RegisterRPC("a", rpc.Idempotent, time.Now().Add(10*time.Second))
-	check.RegisterRPC("b", rpc.Idempotent, time.Now().Add(10*time.Second))
+	checker.RegisterRPC("a", rpc.Idempotent, time.Now().Add(10*time.Second))
+	checker.RegisterRPC("b", rpc.Idempotent, time.Now().Add(10*time.Second))
 	conn.Write(thrift.Execute(nil, 1, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody("a", 0)))
 	conn.Read(make([]byte, 4096))
-	for end := time.Now().Add(10 * time.Second); len(check.Violations()) == 0 &&
+	for end := time.Now().Add(10 * time.Second); len(checker.Violations()) == 0 &&
 		time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	stub.SetHandler(func(_ ReceivedRequest, out []byte) []byte { stub.CloseConnections(); return out })
 	conn.Write(thrift.Execute(nil, 2, "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody("b", 0)))
-	for end := time.Now().Add(10 * time.Second); len(check.Violations()) < 2 &&
+	for end := time.Now().Add(10 * time.Second); len(checker.Violations()) < 2 &&
 		time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	violations := check.Violations()
+	violations := checker.Violations()
 	if len(violations) != 2 || violations[0].Rule != 2 || violations[1].Rule != 1 {
 		t.Errorf("%v", violations)
 	}
--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -18,15 +18,15 @@
 type FaultProxy struct {
 	serverName   string // of the app server, for the checker
 	target       string // address of the app server
-	check        *Checker
+	checker      *Checker
 	listener     net.Listener
 	onConnection func(time.Time) // called with the time of each forwarded connection, if set
 	arrivals     *Arrivals       // counts each forwarded RPC, if set
 
 	mu          sync.Mutex
 	connections map[*proxiedConnection]struct{}
-	refusing    bool // connections are refused
-	blackholed  bool // connections are accepted and nothing is forwarded
+	refusing    bool // the listener is closed, which refuses connections; one accepted before that is reset
+	blackholed  bool // connections are accepted, and what callers send is discarded
 	group       sync.WaitGroup
 
 	trickleBytes atomic.Int64  // bytes of a reply that are written per trickleInterval; 0 for no limit
@@ -36,8 +36,8 @@
 
 // NewFaultProxy listens on a free loopback port for callers of the app server at target, which the checker knows as server.
 // The caller closes the proxy.
-func NewFaultProxy(server, target string, check *Checker) (*FaultProxy, error) {
-	p := &FaultProxy{serverName: server, target: target, check: check, connections: map[*proxiedConnection]struct{}{}}
+func NewFaultProxy(server, target string, checker *Checker) (*FaultProxy, error) {
+	p := &FaultProxy{serverName: server, target: target, checker: checker, connections: map[*proxiedConnection]struct{}{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	case !refusing && wasRefusing:
 		listener, err := net.Listen("tcp", p.listener.Addr().String())
 		if err != nil {
-			p.check.RigFailed("the proxy cannot listen again: %v", err)
+			p.checker.RigFailed("the proxy cannot listen again: %v", err)
 			return
 		}
 		p.listener = listener
@@ -130,7 +130,8 @@
 	}
 }
 
-// accept accepts connections until the listener is closed.
+// accept accepts connections until Accept fails, normally because the listener was closed. If refusing is set, it resets the
+// connection; if blackholed is set, what the caller sends is discarded; else the connection is forwarded to the app server.
 func (p *FaultProxy) accept() {
 	for listener := p.listener; ; {
 		caller, err := listener.Accept()
@@ -162,7 +163,7 @@
 	conn.mu.Lock()
 	delete(conn.connections, conn)
 	conn.mu.Unlock()
-	conn.check.ConnectionEnded(conn, conn.endedLocally.Load())
+	conn.checker.ConnectionEnded(conn, conn.endedLocally.Load())
 }
 
 // discardAll reads what the caller sends until it closes the connection, and never replies.
@@ -191,7 +192,7 @@
 	if conn.endedLocally.Load() { // reset while connecting
 		server.Close()
 	}
-	conn.check.connectionOpened(conn)
+	conn.checker.connectionOpened(conn)
 	var directions sync.WaitGroup
 	directions.Go(func() { conn.forwardRequests(server) })
 	directions.Go(func() { conn.forwardReplies(server) })
@@ -211,7 +212,7 @@
 		err := conn.writeFragments(server, chunk)
 		for _, seq := range pendingSeqs {
 			if err != nil {
-				conn.check.TryNotWritten(conn, seq)
+				conn.checker.TryNotWritten(conn, seq)
 			}
 		}
 		pendingSeqs = pendingSeqs[:0]
@@ -232,7 +233,7 @@
 	observer := frameObserver{
 		onFrame: conn.watchReply,
 		onInvalid: func(err error) {
-			conn.check.reportViolation(1, "%s sent bytes that no router can read: %v", conn.FaultProxy.serverName, err)
+			conn.checker.reportViolation(1, "%s sent bytes that no router can read: %v", conn.FaultProxy.serverName, err)
 		},
 	}
 	queue := make(chan []byte, maxQueuedChunks)
@@ -243,7 +244,7 @@
 		return nil
 	})
 	conn.endedByServer.Store(true)
-	conn.check.ConnectionEnded(conn, conn.endedLocally.Load())
+	conn.checker.ConnectionEnded(conn, conn.endedLocally.Load())
 	close(queue)
 	writer.Wait()
 	if tcp, ok := conn.caller.(*net.TCPConn); ok {
--- a/rig/fault_proxy_test.go
+++ b/rig/fault_proxy_test.go
@@ -61,8 +61,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		check := NewChecker(time.Second)
-		proxy, err := NewFaultProxy("n1", stub.Address(), check)
+		checker := NewChecker(time.Second)
+		proxy, err := NewFaultProxy("n1", stub.Address(), checker)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,15 +73,15 @@
 		now := float64(time.Now().UnixMilli()) / 1000
 		for k := range 100 {
 			id := string(rune('a'+k%26)) + strings.Repeat("x", k/26)
-			check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(10*time.Second))
+			checker.RegisterRPC(id, rpc.Idempotent, time.Now().Add(10*time.Second))
 			frame := thrift.Execute(nil, int32(k+1), "m", "0123456789abcdef", 1, now, 9, 1, 0, false, "", "", EncodeBody(id, 0))
 			if _, err := conn.Write(frame); err != nil {
 				break
 			}
 			time.Sleep(10 * time.Microsecond)
 		}
-		waitFor(t, "the lost request", func() bool { return len(check.Violations()) > 0 })
-		if violations := check.Violations(); violations[0].Rule != 1 ||
+		waitFor(t, "the lost request", func() bool { return len(checker.Violations()) > 0 })
+		if violations := checker.Violations(); violations[0].Rule != 1 ||
 			!strings.Contains(violations[0].Description, "without a reply") {
 			t.Errorf("%v", violations)
 		}
@@ -98,8 +98,8 @@
 		t.Fatal(err)
 	}
 	defer stub.Close()
-	check := NewChecker(0)
-	proxy, err := NewFaultProxy("n1", stub.Address(), check)
+	checker := NewChecker(0)
+	proxy, err := NewFaultProxy("n1", stub.Address(), checker)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	defer conn.Close()
 	now := float64(time.Now().UnixMilli()) / 1000
 	id := strings.Repeat("i", 2000)
-	check.RegisterRPC(id, rpc.Idempotent, time.Now().Add(time.Hour))
+	checker.RegisterRPC(id, rpc.Idempotent, time.Now().Add(time.Hour))
 	go func() {
 		for k := range int32(20_000) {
 			if _, err := conn.Write(thrift.Execute(nil, k+1, "m", "0123456789abcdef", 1, now, 1, 1, 0, false, "", "",
@@ -140,13 +140,13 @@
 		}
 		return time.Since(since) > time.Second
 	})
-	check.mu.Lock()
-	for _, try := range check.tries[blocked] {
+	checker.mu.Lock()
+	for _, try := range checker.tries[blocked] {
 		try.due = time.Now().Add(-time.Hour)
 	}
-	check.mu.Unlock()
-	check.Finish()
-	if violations := check.Violations(); len(violations) > 0 {
+	checker.mu.Unlock()
+	checker.Finish()
+	if violations := checker.Violations(); len(violations) > 0 {
 		t.Errorf("%d violations, the first: %.200s", len(violations), violations[0])
 	}
 }
--- a/rig/kernel_link_test.go
+++ b/rig/kernel_link_test.go
@@ -132,7 +132,7 @@
 
 // newTestConnection returns a proxied connection without sockets, for reports to the checker.
 func newTestConnection(server string, checker *Checker) *proxiedConnection {
-	connection := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, check: checker}}
+	connection := &proxiedConnection{FaultProxy: &FaultProxy{serverName: server, checker: checker}}
 	checker.connectionOpened(connection)
 	return connection
 }
--- a/rig/proxied_connection.go
+++ b/rig/proxied_connection.go
@@ -21,39 +21,39 @@
 }
 
 // watchRequest reports a message to the app server to the checker. If replyDue, the app server must reply under seq.
-func (f *proxiedConnection) watchRequest(message []byte) (seq int32, replyDue bool) {
+func (conn *proxiedConnection) watchRequest(message []byte) (seq int32, replyDue bool) {
 	req, err := readRequest(message)
-	return req.seq, f.check.observeRequest(f, req, err)
+	return req.seq, conn.checker.observeRequest(conn, req, err)
 }
 
 // watchReply reports a message from the app server to the checker.
-func (f *proxiedConnection) watchReply(message []byte) {
+func (conn *proxiedConnection) watchReply(message []byte) {
 	decoded, err := readReply(message)
-	f.check.observeReply(f, decoded, err)
+	conn.checker.observeReply(conn, decoded, err)
 }
 
 // stalledWriteTimeout is the duration after which a blocked write shows that the caller does not read.
 const stalledWriteTimeout = 50 * time.Millisecond
 
 // write writes to one side. It records the start of writes to the caller and whether one of them stalled.
-func (f *proxiedConnection) write(to net.Conn, b []byte) error {
-	if to != f.caller {
+func (conn *proxiedConnection) write(to net.Conn, b []byte) error {
+	if to != conn.caller {
 		_, err := to.Write(b)
 		return err
 	}
 	start := time.Now()
-	f.writeStarted.Store(start.UnixNano())
+	conn.writeStarted.Store(start.UnixNano())
 	_, err := to.Write(b)
-	f.writeStarted.Store(0)
+	conn.writeStarted.Store(0)
 	if time.Since(start) > stalledWriteTimeout {
-		f.callerStalled.Store(true)
+		conn.callerStalled.Store(true)
 	}
 	return err
 }
 
 // callerNotReading reports whether a write to the caller has stalled. Later replies are then late or lost, which is not a
 // violation of the app server.
-func (f *proxiedConnection) callerNotReading() bool {
-	start := f.writeStarted.Load()
-	return f.callerStalled.Load() || start > 0 && time.Since(time.Unix(0, start)) > stalledWriteTimeout
+func (conn *proxiedConnection) callerNotReading() bool {
+	start := conn.writeStarted.Load()
+	return conn.callerStalled.Load() || start > 0 && time.Since(time.Unix(0, start)) > stalledWriteTimeout
 }
