--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -69,37 +69,37 @@
 }
 
 // addressOf returns an address of a slot. part, the third octet, is 1 for the listen address and 2 for the advertised one.
-func (network *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), byte(part), byte(slot)}), fleetPort)
+func (f *FaultyNetwork) addressOf(part, slot int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.subnetOctet), byte(part), byte(slot)}), fleetPort)
 }
 
 // ListenAddress returns the address where the process of a slot, from 1, listens.
-func (network *FaultyNetwork) ListenAddress(slot int) netip.AddrPort {
-	return network.addressOf(1, slot)
+func (f *FaultyNetwork) ListenAddress(slot int) netip.AddrPort {
+	return f.addressOf(1, slot)
 }
 
 // AdvertisedAddress returns the address that the process of a slot advertises to others.
-func (network *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort {
-	return network.addressOf(2, slot)
+func (f *FaultyNetwork) AdvertisedAddress(slot int) netip.AddrPort {
+	return f.addressOf(2, slot)
 }
 
 // Subnet returns the loopback subnet of all addresses of this network.
-func (network *FaultyNetwork) Subnet() netip.Prefix {
-	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(network.subnetOctet), 0, 0}), 16)
+func (f *FaultyNetwork) Subnet() netip.Prefix {
+	return netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(f.subnetOctet), 0, 0}), 16)
 }
 
 // Add listens on the advertised address of a slot and forwards what arrives there. A slot that was added before is kept.
-func (network *FaultyNetwork) Add(slot int) error {
+func (f *FaultyNetwork) Add(slot int) error {
 	if slot < 1 || slot > maxSlots {
 		return fmt.Errorf("slot %d is out of range", slot)
 	}
-	network.mu.Lock()
-	exists := network.endpoints[slot] != nil
-	network.mu.Unlock()
+	f.mu.Lock()
+	exists := f.endpoints[slot] != nil
+	f.mu.Unlock()
 	if exists {
 		return nil // a new process takes over the address of one that has exited
 	}
-	added := &endpoint{slot: slot, listenAddress: network.ListenAddress(slot), advertisedAddress: network.AdvertisedAddress(slot)}
+	added := &endpoint{slot: slot, listenAddress: f.ListenAddress(slot), advertisedAddress: f.AdvertisedAddress(slot)}
 	var err error
 	if added.packetConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(added.advertisedAddress)); err != nil {
 		return err
@@ -108,65 +108,65 @@
 		added.packetConn.Close()
 		return err
 	}
-	network.mu.Lock()
-	network.endpoints[slot] = added
-	network.mu.Unlock()
-	network.group.Go(func() { network.forwardPackets(added) })
-	network.group.Go(func() { network.acceptStreams(added) })
+	f.mu.Lock()
+	f.endpoints[slot] = added
+	f.mu.Unlock()
+	f.group.Go(func() { f.forwardPackets(added) })
+	f.group.Go(func() { f.acceptStreams(added) })
 	return nil
 }
 
 // Close closes all sockets and waits for all goroutines of the network.
-func (network *FaultyNetwork) Close() {
-	close(network.closed)
-	network.mu.Lock()
-	for _, e := range network.endpoints {
+func (f *FaultyNetwork) Close() {
+	close(f.closed)
+	f.mu.Lock()
+	for _, e := range f.endpoints {
 		e.packetConn.Close()
 		e.streamListener.Close()
 	}
-	network.mu.Unlock()
-	network.reservation.Close()
-	network.group.Wait()
+	f.mu.Unlock()
+	f.reservation.Close()
+	f.group.Wait()
 }
 
-// Change calls f, under the lock, with the faults of the path from one slot to another.
-func (network *FaultyNetwork) Change(from, to int, change func(*Path)) {
-	network.mu.Lock()
-	defer network.mu.Unlock()
-	change(network.path(from, to))
+// Change calls change, under the lock, with the faults of the path from one slot to another.
+func (f *FaultyNetwork) Change(from, to int, change func(*Path)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	change(f.path(from, to))
 }
 
 // Heal ends the faults of all paths.
-func (network *FaultyNetwork) Heal() {
-	network.mu.Lock()
-	defer network.mu.Unlock()
-	clear(network.paths)
+func (f *FaultyNetwork) Heal() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	clear(f.paths)
 }
 
 // path returns the path from one slot to another. The caller holds the lock.
-func (network *FaultyNetwork) path(from, to int) *Path {
+func (f *FaultyNetwork) path(from, to int) *Path {
 	key := [2]int{from, to}
-	if network.paths[key] == nil {
-		network.paths[key] = &Path{}
+	if f.paths[key] == nil {
+		f.paths[key] = &Path{}
 	}
-	return network.paths[key]
+	return f.paths[key]
 }
 
 // slotOf returns the slot of a listen address, or 0 for any other address. Processes send from their listen addresses, whereas
 // the network forwards from advertised ones.
-func (network *FaultyNetwork) slotOf(address netip.Addr) int {
+func (f *FaultyNetwork) slotOf(address netip.Addr) int {
 	octets := address.Unmap().As4()
-	if int(octets[1]) != network.subnetOctet || octets[2] != 1 {
+	if int(octets[1]) != f.subnetOctet || octets[2] != 1 {
 		return 0
 	}
 	return int(octets[3])
 }
 
 // transitDelay returns the delay of size bytes that are sent on a path now. The caller holds the lock.
-func (network *FaultyNetwork) transitDelay(path *Path, size int) time.Duration {
+func (f *FaultyNetwork) transitDelay(path *Path, size int) time.Duration {
 	delay := path.Delay
 	if path.Jitter > 0 {
-		delay += time.Duration((2*network.rng.Float64() - 1) * float64(path.Jitter))
+		delay += time.Duration((2*f.rng.Float64() - 1) * float64(path.Jitter))
 	}
 	if path.Rate > 0 {
 		now := time.Now()
@@ -183,7 +183,7 @@
 const maxPacketDelay = 2 * time.Second
 
 // forwardPackets forwards packets to one process until the socket of its advertised address is closed.
-func (network *FaultyNetwork) forwardPackets(to *endpoint) {
+func (f *FaultyNetwork) forwardPackets(to *endpoint) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, src, err := to.packetConn.ReadFromUDPAddrPort(buffer)
@@ -193,25 +193,25 @@
 		if err != nil {
 			continue
 		}
-		network.mu.Lock()
-		from := network.endpoints[network.slotOf(src.Addr())]
+		f.mu.Lock()
+		from := f.endpoints[f.slotOf(src.Addr())]
 		if from == nil {
-			network.mu.Unlock()
+			f.mu.Unlock()
 			continue
 		}
-		path := network.path(from.slot, to.slot)
+		path := f.path(from.slot, to.slot)
 		copies := 1
-		if path.Duplication > 0 && network.rng.Float64() < path.Duplication {
+		if path.Duplication > 0 && f.rng.Float64() < path.Duplication {
 			copies = 2
 		}
-		if path.Cut || path.Loss > 0 && network.rng.Float64() < path.Loss {
+		if path.Cut || path.Loss > 0 && f.rng.Float64() < path.Loss {
 			copies = 0
 		}
 		var delays [2]time.Duration
 		for k := range copies {
-			delays[k] = network.transitDelay(path, n) + path.PacketDelay
+			delays[k] = f.transitDelay(path, n) + path.PacketDelay
 		}
-		network.mu.Unlock()
+		f.mu.Unlock()
 		for _, delay := range delays[:copies] {
 			switch {
 			case delay == 0:
@@ -225,7 +225,7 @@
 }
 
 // acceptStreams accepts connections to one process and forwards each from the advertised address of the process that opened it.
-func (network *FaultyNetwork) acceptStreams(to *endpoint) {
+func (f *FaultyNetwork) acceptStreams(to *endpoint) {
 	for {
 		client, err := to.streamListener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -236,14 +236,14 @@
 			continue
 		}
 		src, _ := netip.ParseAddrPort(client.RemoteAddr().String())
-		network.mu.Lock()
-		from := network.endpoints[network.slotOf(src.Addr())]
-		network.mu.Unlock()
+		f.mu.Lock()
+		from := f.endpoints[f.slotOf(src.Addr())]
+		f.mu.Unlock()
 		if from == nil {
 			client.Close()
 			continue
 		}
-		network.group.Go(func() { network.forwardStream(client, from, to) })
+		f.group.Go(func() { f.forwardStream(client, from, to) })
 	}
 }
 
@@ -251,23 +251,23 @@
 // connection.
 const streamTimeout = 20 * time.Second
 
-// awaitPath waits until a path is not cut and returns the delay of size bytes that are sent now. It returns false after
-// streamTimeout, or once the network is closed.
-func (network *FaultyNetwork) awaitPath(from, to *endpoint, size int) (time.Duration, bool) {
+// awaitPath waits until a path is not cut and returns the delay of size bytes that are sent then, which the caller still has to
+// wait. It returns false if the path is still cut after streamTimeout, or if the network is closed meanwhile.
+func (f *FaultyNetwork) awaitPath(from, to *endpoint, size int) (time.Duration, bool) {
 	for end := time.Now().Add(streamTimeout); time.Now().Before(end); {
-		network.mu.Lock()
-		path := network.path(from.slot, to.slot)
+		f.mu.Lock()
+		path := f.path(from.slot, to.slot)
 		cut := path.Cut
-		delay := network.transitDelay(path, size)
-		if path.Loss > 0 && network.rng.Float64() < path.Loss {
+		delay := f.transitDelay(path, size)
+		if path.Loss > 0 && f.rng.Float64() < path.Loss {
 			delay += 200 * time.Millisecond // TCP's minimum retransmission timeout
 		}
-		network.mu.Unlock()
+		f.mu.Unlock()
 		if !cut {
 			return delay, true
 		}
 		select {
-		case <-network.closed:
+		case <-f.closed:
 			return 0, false
 		case <-time.After(20 * time.Millisecond):
 		}
@@ -276,20 +276,20 @@
 }
 
 // forwardStream forwards one connection in both directions until either ends or the network is closed.
-func (network *FaultyNetwork) forwardStream(client net.Conn, from, to *endpoint) {
+func (f *FaultyNetwork) forwardStream(client net.Conn, from, to *endpoint) {
 	defer client.Close()
 	stop := make(chan struct{})
 	defer close(stop)
-	network.group.Go(func() {
+	f.group.Go(func() {
 		select {
-		case <-network.closed:
+		case <-f.closed:
 			client.Close()
 		case <-stop:
 		}
 	})
 	// A connection is established once a packet has arrived in each direction.
 	for _, direction := range [][2]*endpoint{{from, to}, {to, from}} {
-		delay, ok := network.awaitPath(direction[0], direction[1], 60)
+		delay, ok := f.awaitPath(direction[0], direction[1], 60)
 		if !ok {
 			return
 		}
@@ -305,19 +305,21 @@
 	}
 	defer server.Close()
 	var directions sync.WaitGroup
-	directions.Go(func() { network.copyDirection(client, server, from, to) })
-	directions.Go(func() { network.copyDirection(server, client, to, from) })
+	directions.Go(func() { f.copyDirection(client, server, from, to) })
+	directions.Go(func() { f.copyDirection(server, client, to, from) })
 	directions.Wait()
 }
 
-// copyDirection forwards one direction of a connection until it ends.
-func (network *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
+// copyDirection copies one direction of a connection, from in to out, with the faults of the path between two endpoints, and then
+// closes out. It returns when in ends or fails, when a write fails, or when awaitPath returns false: the path stayed cut for
+// streamTimeout, or the network was closed.
+func (f *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
 	defer out.Close()
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := in.Read(buffer)
 		if n > 0 {
-			delay, ok := network.awaitPath(from, to, n)
+			delay, ok := f.awaitPath(from, to, n)
 			if !ok {
 				return
 			}
@@ -329,9 +331,9 @@
 			}
 		}
 		if err != nil {
-			if tcp, ok := out.(*net.TCPConn); ok && n == 0 {
+			if tcp, ok := out.(*net.TCPConn); ok && n == 0 { // in has ended or failed, and no bytes came with that
 				tcp.CloseWrite()
-				time.Sleep(time.Millisecond)
+				time.Sleep(time.Millisecond) // between the half-close and the full close of out
 			}
 			return
 		}
--- a/rig/kernel_link.go
+++ b/rig/kernel_link.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// writeLines sends queued lines until the link is closed.
+// writeLines sends queued lines until the link is closed, a write fails or a line with closeAfter has been sent. It then closes
+// the link.
 func (l *kernelLink) writeLines() {
 	defer l.close()
 	for {
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -15,10 +15,10 @@
 	stop    chan struct{}
 	group   sync.WaitGroup
 
-	mu          sync.Mutex
-	lastReplyAt time.Time // healthy or not
-	healthyAt   time.Time // of the first healthy reply since Restart
-	startedAt   time.Time
+	mu           sync.Mutex
+	lastReplyAt  time.Time // of the last reply since Restart, healthy or not
+	healthyAt    time.Time // of the first healthy reply since Restart
+	ignoreBefore time.Time // replies to checks sent before it are ignored; set by NewHealthProbe and Restart
 }
 
 // Interval between two checks, timeout of each reply, and checks per connection.
@@ -30,7 +30,7 @@
 
 // NewHealthProbe starts a probe of the app server at address. The caller must Close it.
 func NewHealthProbe(address string) *HealthProbe {
-	p := &HealthProbe{address: address, stop: make(chan struct{}), startedAt: time.Now()}
+	p := &HealthProbe{address: address, stop: make(chan struct{}), ignoreBefore: time.Now()}
 	p.group.Go(p.run)
 	return p
 }
@@ -39,7 +39,7 @@
 func (p *HealthProbe) Restart() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.startedAt, p.lastReplyAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
+	p.ignoreBefore, p.lastReplyAt, p.healthyAt = time.Now(), time.Time{}, time.Time{}
 }
 
 // LastReplyAt returns when the last reply came; the zero time if none has come since Restart.
@@ -110,18 +110,19 @@
 				return
 			}
 		}
-		p.record(sentAt, reply.healthy)
+		p.recordReply(sentAt, reply.healthy)
 		if !p.wait() {
 			return
 		}
 	}
 }
 
-// record records a reply. A reply to a check sent before Restart came from the previous process and is ignored.
-func (p *HealthProbe) record(sentAt time.Time, healthy bool) {
+// recordReply notes when the app server last replied and when it first replied that it is healthy. It ignores the reply to a
+// check that was sent before Restart, which may have come from the previous process.
+func (p *HealthProbe) recordReply(sentAt time.Time, healthy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if sentAt.Before(p.startedAt) {
+	if sentAt.Before(p.ignoreBefore) {
 		return
 	}
 	p.lastReplyAt = time.Now()
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -18,7 +18,7 @@
 }
 
 // NewVerdict evaluates orders in the order of their effects. Two owners held the role at the same time if orders of one lie
-// between two orders of the other that are at most span apart.
+// between two orders of the other that are at most maxGap apart.
 func NewVerdict(orders []Order, maxGap time.Duration) Verdict {
 	verdict := Verdict{MaxConcurrentOwners: min(len(orders), 1)}
 	ownerOfTerm := map[uint64]string{}
@@ -66,15 +66,17 @@
 }
 
 // LeadershipInterval is a period in which one process was the owner of a role according to its own log, in seconds since the
-// start of the history. It ends when the process is paused, throttled or killed: NewVerdict evaluates what the process does
-// afterwards.
+// start of the history. It ends when the process logs that it has stepped down, or with a fault that pauses (stop), throttles
+// (starve) or ends (kill, restart, replace) the process. Orders that the process sends after such a fault are not part of an
+// interval; NewVerdict counts them in LateEffects if they take effect after those of a successor.
 type LeadershipInterval struct {
 	Role, Process string
 	Term          uint64
 	From, To      float64
 }
 
-// LeadershipIntervals returns the leadership intervals in the log lines; To is infinite for one that has not ended.
+// LeadershipIntervals returns the leadership intervals of all processes, derived from the log lines and the faults of the
+// history. To is +Inf for an interval that has not ended.
 func (h *History) LeadershipIntervals() []LeadershipInterval {
 	h.mu.Lock()
 	defer h.mu.Unlock()
