--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -28,7 +28,7 @@
 	lifecycle                 sync.Mutex // held while the process is started or ended
 	mu                        sync.Mutex
 	launchedAt                time.Time // zero while no process runs
-	excusedUntil              time.Time // time up to which missing answers are excused, because of a pause
+	excusedUntil              time.Time // time up to which missing replies are excused, because of a pause
 	paused                    bool
 	shuttingDown              bool
 	limitReported             bool   // a violation of its limits has been reported; others are not
@@ -101,7 +101,8 @@
 	s.launchLocked()
 }
 
-// launchLocked starts the process. The caller holds lifecycle.
+// launchLocked starts the process, restarts the health probe and resets the state of the process. If the start fails, it reports
+// a failure of the rig to the checker and returns. The caller holds lifecycle, but not mu, which launchLocked locks.
 func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
 		s.checker.RigFailed("%s cannot be started: %v", s.program.Name, err)
@@ -138,7 +139,7 @@
 // watchInterval is the interval between two checks of a process.
 const watchInterval = 50 * time.Millisecond
 
-// checkProcess checks that a running process answers health checks and keeps its limits of memory and descriptors.
+// checkProcess checks that a running process replies to health checks and keeps its limits of memory and descriptors.
 func (s *trialServer) checkProcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +149,8 @@
 	if healthyAt := s.probe.HealthyAt(); !s.ready && !healthyAt.IsZero() {
 		s.ready = true
 	}
-	lastAnswer := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastReplyAt())
-	if silence := time.Since(lastAnswer); silence > maxHealthCheckGap {
+	silentSince := laterOf(laterOf(s.launchedAt, s.excusedUntil), s.probe.LastReplyAt())
+	if silence := time.Since(silentSince); silence > maxHealthCheckGap {
 		s.violate("rule 4: %s answered no health check for %.1f s", s.program.Name, silence.Seconds())
 		s.excusedUntil = time.Now().Add(time.Hour) // report it only once
 	}
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -21,7 +21,7 @@
 	"valveglade/rig/slope"
 )
 
-// experiment is a named measurement.
+// experiment is an experiment that the run command selects by name.
 type experiment struct {
 	name, description string
 	runExperiment     func(run *experimentRun) error
@@ -56,8 +56,8 @@
 // experimentRun is one run of an experiment.
 type experimentRun struct {
 	Seed           uint64
-	Long           bool
-	Program        string // path of the program's binary
+	Long           bool   // run the long form, with more, larger or longer cases than the standard form
+	Program        string // path of the valveglade binary, or of one that serves like it
 	History        string // file to write all events to, if any
 	Logs           string // directory for the logs of processes, if any
 	Script         string // file of the faults to apply, if they are not drawn
@@ -132,8 +132,10 @@
 	}
 }
 
+// rootCommand returns the command rehearse with its sub-commands. Apart from list, run and capacity these are hidden: experiments
+// start them as processes, such as baselines, clients and servers that must not share a process with the measurement.
 func rootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "rehearse", Short: "run the project's measurements", SilenceUsage: true,
+	root := &cobra.Command{Use: "rehearse", Short: "run the project's experiments", SilenceUsage: true,
 		SilenceErrors: true}
 	root.AddCommand(&cobra.Command{Use: "list", Short: "list the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
@@ -154,8 +156,8 @@
 			return fmt.Errorf("no experiment is named %q; the list command shows all", args[0])
 		}}
 	runCommand.Flags().Uint64Var(&run.Seed, "seed", 1, "seed of all random draws")
-	runCommand.Flags().BoolVar(&run.Long, "long", false, "run the long form")
-	runCommand.Flags().StringVar(&run.Program, "program", siblingBinary("valveglade"), "path of the program's binary")
+	runCommand.Flags().BoolVar(&run.Long, "long", false, "run the long form, with more, larger or longer cases")
+	runCommand.Flags().StringVar(&run.Program, "program", siblingBinary("valveglade"), "path of the valveglade binary")
 	runCommand.Flags().StringVar(&run.History, "history", "", "write all events to this file, as JSON lines")
 	runCommand.Flags().StringVar(&run.Logs, "logs", "",
 		"write the logs of each trial's processes to this directory, in experiments with trials")
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -12,26 +12,26 @@
 	"valveglade/rig"
 )
 
-// retryingCaller calls one app server as a router does: an RPC that got no reply because the connection was refused or ended
-// is retried until its deadline. A tokened RPC is not retried after a kill, since the app server's tokens are lost with its
-// process.
+// retryingCaller calls one app server and, unlike rig.Router, retries an RPC that got no reply, until its deadline.
 type retryingCaller struct {
 	source         int
 	address        string
-	connectPerCall bool // opens a connection for each RPC
-	killCount      *atomic.Int64
+	connectPerCall bool          // opens a connection for each RPC
+	killCount      *atomic.Int64 // see restartFleet
 
 	mu     sync.Mutex
 	router *rig.Router
 }
 
-// Call implements rig.Caller.
+// Call implements rig.Caller. It retries after every error except a pushback, an abort and the end of ctx, after
+// restartRetryDelay. A tokened RPC is not retried if killCount shows a kill during the call, since the app server's tokens are
+// lost with its process.
 func (c *retryingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	kills := c.killCount.Load()
 	for {
-		router, done := c.connection()
+		router, release := c.acquireRouter()
 		result, err := router.Call(ctx, method, token, criticality, body)
-		done()
+		release()
 		if err == nil || errors.Is(err, rig.ErrPushedBack) || errors.Is(err, rig.ErrAborted) || ctx.Err() != nil ||
 			token != "" && c.killCount.Load() != kills {
 			return result, err
@@ -44,8 +44,9 @@
 	}
 }
 
-// connection returns the router to call through, and a function that the caller must call after the call.
-func (c *retryingCaller) connection() (router *rig.Router, done func()) {
+// acquireRouter returns the router to call through, and a function that the caller must call after the call. With
+// connectPerCall, that function closes the router; else all calls share the router, which Close closes.
+func (c *retryingCaller) acquireRouter() (router *rig.Router, release func()) {
 	if c.connectPerCall {
 		router = rig.NewRouter(c.source, c.address)
 		return router, func() { router.Close() }
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -14,7 +14,9 @@
 	"valveglade/rig/slope"
 )
 
-// memberCost holds what real members and real processes cost in a fleet of one size, the rest of which is simulated.
+// memberCost holds what real members and real processes cost in a fleet of one size, the rest of which is simulated. Real members
+// run the package member alone, all in one child process; a real process runs the whole program; simulated members have no view
+// of their own.
 type memberCost struct {
 	size                   int
 	joinSeconds            float64 // until the views of all members have converged with all others in them
@@ -177,10 +179,11 @@
 	return err
 }
 
-// joinTimeout is the time within which all real members have to know the whole fleet.
-const joinTimeout = 30 * time.Second
+// joinConvergenceTimeout is the time within which the views of all real members have to converge once all processes have joined.
+const joinConvergenceTimeout = 30 * time.Second
 
-// join has all processes join and waits until all real members know the whole fleet.
+// join has all real processes join and waits until the views of all real members have converged on a fleet of size members. Real
+// members join by themselves when they are started.
 func (m *fleetMeasurement) join() error {
 	began := time.Now()
 	for _, target := range m.targets[measuredMembers:] {
@@ -188,7 +191,8 @@
 			return err
 		}
 	}
-	if m.members.SecondsUntilConverged(m.size, joinTimeout) > joinTimeout.Seconds() {
+	// SecondsUntilConverged returns +Inf after its timeout.
+	if m.members.SecondsUntilConverged(m.size, joinConvergenceTimeout) > joinConvergenceTimeout.Seconds() {
 		return fmt.Errorf("members have not converged: %+v", m.members.Latest())
 	}
 	m.cost.joinSeconds = time.Since(began).Seconds()
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -113,15 +113,17 @@
 		Points: lost, Note: note + "; " + thresholdNote})
 }
 
-// quotaSizes holds the numbers of leaseholders and of kinds of work that an allocator is measured against.
+// quotaSizes holds the numbers of leaseholders and of kinds of work that an allocator is measured against. A leaseholder is a
+// process that requests permits of every kind of work. Each kind is a limit with an allocator role of its own; one process holds
+// all these roles.
 type quotaSizes struct {
 	holders, kinds []int
-	fixedHolders   int // leaseholders while the number of kinds varies
-	seconds        float64
+	fixedHolders   int     // leaseholders while the number of kinds varies
+	seconds        float64 // length of the measurement of one size, in seconds
 }
 
-// quotaSizes returns the sizes for the form that is run.
-func (run *experimentRun) quotaSizes() quotaSizes {
+// selectQuotaSizes returns the sizes for the selected form: short, standard or long.
+func (run *experimentRun) selectQuotaSizes() quotaSizes {
 	sizes := quotaSizes{[]int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 200, 2}
 	switch {
 	case run.shortForm:
@@ -146,7 +148,7 @@
 
 // measureQuota measures a real allocator under the requests of simulated leaseholders.
 func measureQuota(run *experimentRun, result *slope.Result) error {
-	sizes := run.quotaSizes()
+	sizes := run.selectQuotaSizes()
 	plans := sizes.plans(run.Seed)
 	costs, err := runMeasurements[hollow.QuotaCost](run, "quota", plans)
 	if err != nil {
