--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -356,7 +356,7 @@
 	// thrift: pushback is "soon", want a number of at least 0
 	// thrift: the frame ends inside a message, or a value in it is malformed
 	// thrift: reply to method "sing", want execute or check
-	// thrift: message type is 1, want 2 (reply), 3 (exception) or a oneway draining
+	// thrift: message type is 1, want 2 (reply), 3 (exception) or 4 (oneway) with method draining
 }
 
 func FuzzDecodeAnswer(f *testing.F) {
--- a/rig/check_servers_test.go
+++ b/rig/check_servers_test.go
@@ -138,11 +138,11 @@
 		"an altered method": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			s.runOnKernel(request.Call, "charge", request.Body)
 			return thrift.Aborted(out, request.Seq, 1)
-		}, 1, "in class"},
+		}, 1, "sent for method"},
 		"an RPC that no client sent": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			s.runOnKernel(tryB, request.Method, request.Body)
 			return thrift.Aborted(out, request.Seq, 1)
-		}, 1, "an id that none has"},
+		}, 1, "an unknown id"},
 		"a second run": {func(s *stubServer, request ReceivedRequest, out []byte) []byte {
 			s.runOnKernel(request.Call, request.Method, request.Body)
 			return s.runAndServe(request, out)
--- a/rig/cluster_test.go
+++ b/rig/cluster_test.go
@@ -31,8 +31,8 @@
 		RandomScript(2, []string{"n1", "n2"}, 9, time.Second).String() {
 		t.Error("two seeds draw the same script")
 	}
-	for text, want := range map[string]string{"2 cut a>b": "line 1: \"2\" is no time", "\n1s shake a": "line 2: no fault",
-		"1s": "no fault is named", "1s loss a>b": "wants 2 words", "1s cut a": "no two sides", "1s loss a>b 300%": "no share",
+	for text, want := range map[string]string{"2 cut a>b": "line 1: invalid time \"2\"", "\n1s shake a": "line 2: unknown fault",
+		"1s": "missing verb", "1s loss a>b": "takes 2 arguments", "1s cut a": "does not name two groups", "1s loss a>b 300%": "invalid share",
 		"1s delay a>b x 1s": "invalid duration"} {
 		if _, err := ParseScript(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
