--- a/cmd/rehearse/faults_server.go
+++ b/cmd/rehearse/faults_server.go
@@ -101,8 +101,8 @@
 	s.launchLocked()
 }
 
-// launchLocked starts the process, restarts the health probe and resets the state of the process. If the start fails, it reports
-// a failure of the rig to the checker and returns. The caller holds lifecycle, but not mu, which launchLocked locks.
+// launchLocked starts the process, restarts the health probe and resets the per-launch state. If the start fails, it reports a
+// failure of the rig to the checker and returns. The caller holds s.lifecycle, but not s.mu, which launchLocked locks.
 func (s *trialServer) launchLocked() {
 	if err := s.program.Launch(); err != nil {
 		s.checker.RigFailed("%s cannot be started: %v", s.program.Name, err)
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// rootCommand returns the command rehearse with its sub-commands. Apart from list, run and capacity these are hidden: experiments
-// start them as processes, such as baselines, clients and servers that must not share a process with the measurement.
+// rootCommand returns the command rehearse with its sub-commands. Apart from list, run and capacity these are hidden:
+// experiments run baselines, clients and servers as separate processes, as these must not share a process with the measurement.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "rehearse", Short: "run the project's experiments", SilenceUsage: true,
 		SilenceErrors: true}
@@ -162,7 +162,7 @@
 	runCommand.Flags().StringVar(&run.Logs, "logs", "",
 		"write the logs of each trial's processes to this directory, in experiments with trials")
 	runCommand.Flags().StringVar(&run.Script, "script", "",
-		"apply the faults of this file instead of drawing them, in experiments that draw")
+		"apply the faults of this file instead of drawing them, in experiments that draw random faults")
 	runCommand.Flags().StringVar(&run.Part, "part", "", "run only this part, in experiments with parts")
 	runCommand.Flags().StringVar(&jsonPath, "json", "", "also write the figures to this file")
 	run.faults.register(runCommand)
--- a/cmd/rehearse/restartcalls.go
+++ b/cmd/rehearse/restartcalls.go
@@ -17,15 +17,15 @@
 	source         int
 	address        string
 	connectPerCall bool          // opens a connection for each RPC
-	killCount      *atomic.Int64 // see restartFleet
+	killCount      *atomic.Int64 // of restartFleet; only compared for equality, as each kill increments it twice
 
 	mu     sync.Mutex
 	router *rig.Router
 }
 
 // Call implements rig.Caller. It retries after every error except a pushback, an abort and the end of ctx, after
-// restartRetryDelay. A tokened RPC is not retried if killCount shows a kill during the call, since the app server's tokens are
-// lost with its process.
+// restartRetryDelay. A tokened RPC is not retried if killCount has changed since Call began, because the tokens of an app
+// server are lost when its process is killed.
 func (c *retryingCaller) Call(ctx context.Context, method, token string, criticality float64, body []byte) ([]byte, error) {
 	kills := c.killCount.Load()
 	for {
--- a/cmd/rehearse/scale_fleet.go
+++ b/cmd/rehearse/scale_fleet.go
@@ -166,10 +166,12 @@
 	return nil
 }
 
-// maxJoinExchanges is the maximum number of attempts to have a process join: a busy machine may not answer an exchange in time.
+// maxJoinExchanges is the maximum number of attempts to have a process join: a process on a busy
+// machine may not answer an exchange in time.
 const maxJoinExchanges = 3
 
-// joinProcess exchanges the whole state with a process, which then knows all members. It makes up to maxJoinExchanges attempts.
+// joinProcess runs a state exchange with a process, which then knows all members: it is sent the state of all simulated members
+// and of the known real members. joinProcess makes up to maxJoinExchanges attempts.
 func (m *fleetMeasurement) joinProcess(target *hollow.Target) (err error) {
 	for range maxJoinExchanges {
 		if _, err = m.simulated.Exchange(target, true); err == nil {
@@ -182,8 +184,9 @@
 // joinConvergenceTimeout is the time within which the views of all real members have to converge once all processes have joined.
 const joinConvergenceTimeout = 30 * time.Second
 
-// join has all real processes join and waits until the views of all real members have converged on a fleet of size members. Real
-// members join by themselves when they are started.
+// join has all real processes join, waits until the views of all real members have converged on a fleet of m.size members, and
+// records the time that this took as joinSeconds. Real members join by themselves when they are started; see memberCost for the
+// difference between real processes and real members.
 func (m *fleetMeasurement) join() error {
 	began := time.Now()
 	for _, target := range m.targets[measuredMembers:] {
--- a/cmd/rehearse/scale_roles.go
+++ b/cmd/rehearse/scale_roles.go
@@ -114,15 +114,16 @@
 }
 
 // quotaSizes holds the numbers of leaseholders and of kinds of work that an allocator is measured against. A leaseholder is a
-// process that requests permits of every kind of work. Each kind is a limit with an allocator role of its own; one process holds
-// all these roles.
+// process that requests permits of every kind of work. Each kind is a limit with an allocator role of its own, and the allocator
+// grants the permits of that limit; one process holds all these roles.
 type quotaSizes struct {
 	holders, kinds []int
 	fixedHolders   int     // leaseholders while the number of kinds varies
 	seconds        float64 // length of the measurement of one size, in seconds
 }
 
-// selectQuotaSizes returns the sizes for the selected form: short, standard or long.
+// selectQuotaSizes returns the numbers of leaseholders and of kinds, and the length of each measurement, for the selected form:
+// short, long or standard. The short form takes precedence over Long. See quotaSizes for the terms.
 func (run *experimentRun) selectQuotaSizes() quotaSizes {
 	sizes := quotaSizes{[]int{100, 200, 300, 400, 600, 800, 1000}, []int{1, 2, 4, 8}, 200, 2}
 	switch {
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -79,9 +79,9 @@
 // crcTable is the polynomial table of CRC-32C.
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// writeVotes replaces the vote file with the given votes, by role. It returns only after the content is synced. The
-// configured Folder must not be empty, which would turn persistence off, and the folder must exist. After an error the
-// votes count as not persisted.
+// writeVotes replaces the vote file with the given votes, by role. It returns nil only after the content is
+// synced; after an error the caller must treat the votes as not persisted. The configured Folder must exist and must not be
+// empty: an empty Folder disables persistence, which the caller checks.
 func (f *Fleet) writeVotes(votes map[string]owner.Vote) error {
 	text, err := json.Marshal(voteFile{f.config.Name, f.config.Now().UnixMilli(), votes})
 	if err != nil {
--- a/gate/actions.go
+++ b/gate/actions.go
@@ -22,16 +22,17 @@
 	return a.permits.BlockingLimit(method)
 }
 
-// Start queues a job to run an RPC, which takes its permit and no longer counts as waiting. The permit and the token
-// count the run as started from here on, before the job is taken from the queue.
+// Start queues a job to run an RPC, which takes its permit and no longer counts as waiting. The run is recorded as
+// started at once, before the job is taken from the queue: with the permits by RunStarted, and in the entry of the RPC's
+// token. holdsPermit is set even if permits is nil; releasePermit then only clears it.
 func (a *actions[T]) Start(i int) {
 	a.gate().stopWaiting(i)
 	a.slots[i].holdsPermit = true
 	if a.permits != nil {
 		a.permits.RunStarted(a.slots[i].method, a.criticality(i))
 	}
-	// The entry may belong to another attempt with the same token; it counts as started only if this attempt runs for
-	// the token.
+	// The runner of the token's entry may be another attempt with the same token; the entry becomes started only if this
+	// attempt is its runner.
 	if s := &a.slots[i]; s.entry != nil && s.entry.runner == (ID{i, s.generation}) {
 		s.entry.state = started
 	}
--- a/internal/thrift/answers.go
+++ b/internal/thrift/answers.go
@@ -7,19 +7,19 @@
 	"strconv"
 )
 
-// ReplyHandler handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. load is
-// the published credit; a negative load means that the message has none.
+// ReplyHandler handles the messages that DecodeAnswer finds. Slices are valid only until the method returns. credit is
+// the published credit; a negative value means that the message has none.
 type ReplyHandler interface {
 	// Served handles the result of an RPC that ended ok.
-	Served(seq int32, result []byte, load float64)
+	Served(seq int32, result []byte, credit float64)
 	// PushedBack handles the rejection of an RPC that did not run. last forbids a retry at another app server;
 	// retryAfter is the retry-after delay in seconds, 0 if there is none.
-	PushedBack(seq int32, last bool, retryAfter, load float64)
+	PushedBack(seq int32, last bool, retryAfter, credit float64)
 	// Aborted handles an RPC that failed and may or may not have run. reason is empty, or says what the app server
 	// replied instead of a result or an abort.
-	Aborted(seq int32, reason string, load float64)
+	Aborted(seq int32, reason string, credit float64)
 	// Checked handles the result of a health check.
-	Checked(seq int32, healthy bool, load float64)
+	Checked(seq int32, healthy bool, credit float64)
 	// Draining handles the request to send no new RPCs on the connection.
 	Draining()
 }
@@ -29,7 +29,7 @@
 
 // DecodeAnswer decodes the message in a frame from an app server, which is a reply or a request to drain, and passes it
 // to the handler. Answer is the protocol's name for the result of a call. After an error the connection must be closed,
-// since the remaining data of the connection cannot be trusted.
+// since the rest of the received data may be misaligned.
 func DecodeAnswer(frame []byte, handler ReplyHandler) error {
 	r := decoder{b: frame}
 	kind, name, seq, err := r.messageHeader()
@@ -48,7 +48,7 @@
 			return true
 		})
 		if err == nil {
-			handler.Aborted(seq, reason, -1) // an application exception has no load
+			handler.Aborted(seq, reason, -1) // an application exception has no credit
 		}
 		return err
 	case kind == msgOneway && string(name) == "draining":
@@ -72,7 +72,7 @@
 	outcome := int16(-1)
 	var body []byte
 	var success, last bool
-	retryAfter, load := 0.0, -1.0
+	retryAfter, credit := 0.0, -1.0
 	var invalid error
 	decodeMap := func() {
 		r.stringMap(func(key, value []byte) {
@@ -85,7 +85,7 @@
 			}
 			switch string(key) {
 			case "load":
-				parseNonNegative(&load)
+				parseNonNegative(&credit)
 			case "pushback":
 				parseNonNegative(&retryAfter)
 				retryAfter /= 1000
@@ -128,17 +128,17 @@
 	case outcome < 0:
 		return errEmptyReply
 	case check && outcome == answerField:
-		handler.Checked(seq, success, load)
+		handler.Checked(seq, success, credit)
 	case check:
-		handler.Checked(seq, false, load)
+		handler.Checked(seq, false, credit)
 	case outcome == answerField && !success:
-		handler.Aborted(seq, "app server replied that the RPC failed", load)
+		handler.Aborted(seq, "app server replied that the RPC failed", credit)
 	case outcome == answerField:
-		handler.Served(seq, body, load)
+		handler.Served(seq, body, credit)
 	case outcome == trylaterField:
-		handler.PushedBack(seq, last, retryAfter, load)
+		handler.PushedBack(seq, last, retryAfter, credit)
 	default:
-		handler.Aborted(seq, "", load)
+		handler.Aborted(seq, "", credit)
 	}
 	return nil
 }
--- a/rig/fault_proxy.go
+++ b/rig/fault_proxy.go
@@ -130,8 +130,10 @@
 	}
 }
 
-// accept accepts connections until Accept fails, normally because the listener was closed. If refusing is set, it resets the
-// connection; if blackholed is set, what the caller sends is discarded; else the connection is forwarded to the app server.
+// accept accepts connections until Accept fails, normally because the listener was closed, and registers each in connections. If
+// refusing is set, it resets the connection; if blackholed is set, what the caller sends is discarded; else it calls
+// onConnection, if set, and the connection is forwarded to the app server. The listener is read only once, since SetDown
+// replaces p.listener.
 func (p *FaultProxy) accept() {
 	for listener := p.listener; ; {
 		caller, err := listener.Accept()
--- a/rig/faulty_network.go
+++ b/rig/faulty_network.go
@@ -310,9 +310,10 @@
 	directions.Wait()
 }
 
-// copyDirection copies one direction of a connection, from in to out, with the faults of the path between two endpoints, and then
-// closes out. It returns when in ends or fails, when a write fails, or when awaitPath returns false: the path stayed cut for
-// streamTimeout, or the network was closed.
+// copyDirection copies one direction of a connection, from in to out, from one endpoint to the other:
+// it waits for the path and sleeps for its delay after each read. Then it closes out, from which the other direction reads, so
+// that this one ends too. It returns when in ends or fails, when a write fails, or when awaitPath returns false: the path stayed
+// cut for streamTimeout, or the network was closed.
 func (f *FaultyNetwork) copyDirection(in, out net.Conn, from, to *endpoint) {
 	defer out.Close()
 	buffer := make([]byte, 16<<10)
@@ -333,7 +334,7 @@
 		if err != nil {
 			if tcp, ok := out.(*net.TCPConn); ok && n == 0 { // in has ended or failed, and no bytes came with that
 				tcp.CloseWrite()
-				time.Sleep(time.Millisecond) // between the half-close and the full close of out
+				time.Sleep(time.Millisecond) // out stays open for the other direction until the deferred Close
 			}
 			return
 		}
--- a/rig/probe.go
+++ b/rig/probe.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// recordReply notes when the app server last replied and when it first replied that it is healthy. It ignores the reply to a
-// check that was sent before Restart, which may have come from the previous process.
+// recordReply notes when the app server last replied and when it first replied that it is healthy since the last Restart, if any.
+// It ignores the reply to a check that was sent before the last Restart, which may have come from the previous process.
 func (p *HealthProbe) recordReply(sentAt time.Time, healthy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/rig/verdict.go
+++ b/rig/verdict.go
@@ -17,8 +17,8 @@
 	OwnerChanges        int // changes of the owner
 }
 
-// NewVerdict evaluates orders in the order of their effects. Two owners held the role at the same time if orders of one lie
-// between two orders of the other that are at most maxGap apart.
+// NewVerdict evaluates orders, which must be sorted by when they took effect. Two owners held the role at the same time if
+// orders of one lie between two orders of the other that are at most maxGap apart.
 func NewVerdict(orders []Order, maxGap time.Duration) Verdict {
 	verdict := Verdict{MaxConcurrentOwners: min(len(orders), 1)}
 	ownerOfTerm := map[uint64]string{}
@@ -75,8 +75,8 @@
 	From, To      float64
 }
 
-// LeadershipIntervals returns the leadership intervals of all processes, derived from the log lines and the faults of the
-// history. To is +Inf for an interval that has not ended.
+// LeadershipIntervals returns the periods in which processes were owners of roles, derived from the log lines and the faults of
+// the history, in the order in which the log lines on acquired roles were recorded. To is +Inf for a period that has not ended.
 func (h *History) LeadershipIntervals() []LeadershipInterval {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,13 +94,13 @@
 		if words := strings.Fields(e.Text); e.Kind == "fault" && len(words) > 1 {
 			switch words[0] {
 			case "stop", "kill", "restart", "replace", "starve":
-				endIntervals(words[1], "", e.Time)
+				endIntervals(words[1], "", e.Time) // words[1] is the process; the fault ends its intervals of all roles
 			}
 		}
 		var line struct {
 			Msg, Role string
 			Term      uint64
-			Ts        float64
+			Ts        float64 // Unix time in seconds, unlike Event.Time
 		}
 		if e.Line == nil || json.Unmarshal(e.Line, &line) != nil {
 			continue
--- a/server/conn.go
+++ b/server/conn.go
@@ -47,33 +47,33 @@
 	*Server
 	net.Conn
 
-	mu               sync.Mutex
-	openCalls        map[int32]*call // read, but no reply queued yet
-	replies          []reply         // queued for the writer
-	spareReplies     []reply         // written; its memory is reused
-	reading          bool            // a frame is being processed
-	writing          bool            // replies are being written
-	replyBytes       int64           // bytes of results that are queued or being written
-	released         bool            // release has run: nobody waits for replies any more
-	writerEnded      bool            // the writer has returned
-	phase            phase           // changed only by enterPhase
-	partial          bool            // the buffer holds part of a message
-	messageDeadline  time.Time       // when the message that has begun must be complete; zero for no limit
-	wakeDeadlineSet  bool            // the read deadline only wakes the reader; it is not messageDeadline
-	evicted          bool            // the descriptor is needed for another connection
-	receivedMessage  bool            // at least one complete message has arrived
-	lastUsed         time.Time       // last frame in either direction
-	drainSentAt      time.Time       // when the router was asked to close the connection; zero before
-	closingAt        time.Time       // when phaseClosing began
-	endingAt         time.Time       // when phaseEnding began
-	finalReadDone    bool            // rejectUnread has finished, or its time is up
-	closeOnce        sync.Once       // guards Close
-	wake             chan struct{}   // notified when a reply is queued
-	repliesTaken     chan struct{}   // notified when the writer has taken the queued replies, or nothing more is read
-	writeShut        chan struct{}   // closed once the write side is shut
-	descriptorClosed chan struct{}   // closed once the descriptor is closed
-	seqTracker                       // sequence numbers of the connection's RPCs; accessed only by the reader
-	protocolError    error           // ends the connection; accessed only by the reader
+	mu                 sync.Mutex
+	openCalls          map[int32]*call // read, but no reply queued yet
+	replies            []reply         // queued for the writer
+	spareReplies       []reply         // written; its memory is reused
+	reading            bool            // a frame is being processed
+	writing            bool            // replies are being written
+	replyBytes         int64           // bytes of results that are queued or being written
+	released           bool            // release has run: nobody waits for replies any more
+	writerEnded        bool            // the writer has returned
+	phase              phase           // changed only by enterPhase
+	partial            bool            // the buffer holds part of a message
+	messageDeadline    time.Time       // when the message that has begun must be complete; zero for no limit
+	deadlineNeedsReset bool            // the read deadline is not messageDeadline; readyToShut has to set it
+	evicted            bool            // the descriptor is needed for another connection
+	receivedMessage    bool            // at least one complete message has arrived
+	lastUsed           time.Time       // last frame in either direction
+	drainSentAt        time.Time       // when the router was asked to close the connection; zero before
+	closingAt          time.Time       // when phaseClosing began
+	endingAt           time.Time       // when phaseEnding began
+	finalReadDone      bool            // rejectUnread has finished, or its time is up
+	closeOnce          sync.Once       // guards Close
+	wake               chan struct{}   // notified when a reply is queued
+	repliesTaken       chan struct{}   // notified when the writer has taken the queued replies, or nothing more is read
+	writeShut          chan struct{}   // closed once the write side is shut
+	descriptorClosed   chan struct{}   // closed once the descriptor is closed
+	seqTracker                         // sequence numbers of the connection's RPCs; accessed only by the reader
+	protocolError      error           // ends the connection; accessed only by the reader
 	// unusableRPCs counts the RPCs that were unreadable, or unknown to the kernel, since the kernel last knew
 	// one; see recordKernelVerdict.
 	unusableRPCs atomic.Int32
--- a/server/monitor.go
+++ b/server/monitor.go
@@ -112,15 +112,15 @@
 
 // runMonitor runs on a goroutine of its own until ctx ends. While monitoring is on, it samples the process's state. From
 // each sample it sets the admitted share of each method's RPCs and the pressure.Effects, such as the factor on the credit
-// and the reported health. When the pressure settings change, it resets both to their values without pressure and starts
-// again with the new settings; if monitoring is off in them, it waits for the next change. It returns nil when ctx ends.
-// The error is always nil: the server's group requires this result, and an error would end the app server.
+// and the reported health. When the pressure settings change, it resets the shares and the effects to their values without
+// pressure and starts again with the new settings; if monitoring is off in them, it waits for the next change. It returns
+// when ctx ends. The error is always nil: the server's group requires this result, and an error would end the app server.
 func (s *Server) runMonitor(ctx context.Context) error {
 	m := s.monitor
 	for {
 		// Discards a pending signal, as the settings read below include all changes signaled so far; a later change
-		// signals again. No other receiver discards the signal: the two in sampleUntilChanged and at the end of this
-		// loop send it again, and it is then discarded here, before the settings are read.
+		// signals again. No other receiver discards the signal: sampleUntilChanged and the select at the end of
+		// this loop, which receive it too, send it again, and it is then discarded here, before the settings are read.
 		select {
 		case <-m.settingsChanged:
 		default:
@@ -129,7 +129,7 @@
 		m.enabled.Store(settings.On)
 		if settings.On {
 			// A panic while sampling is logged. The effects are then reset, and sampling starts again without a delay.
-			// A panic that repeats at each sample recurs once per read interval, since the first sample is taken one
+			// A panic that repeats at each sample recurs once per sampling interval, since the first sample is taken one
 			// interval after the start. One that repeats before the first sample would recur without any delay.
 			s.recoverPanic(func() error {
 				s.sampleUntilChanged(ctx, settings)
--- a/server/reader.go
+++ b/server/reader.go
@@ -110,17 +110,18 @@
 		c.messageDeadline = time.Now().Add(timeout)
 	}
 	if c.phase < phaseEnding {
-		c.wakeDeadlineSet = false
+		c.deadlineNeedsReset = false
 		c.SetReadDeadline(c.messageDeadline)
 	}
 }
 
-// handleReadTimeout handles the expiry of the read deadline. It returns false if the message deadline has not passed,
-// as when the read deadline was only set to wake the reader. Otherwise it returns true, and an idle connection starts
-// closing. A busy connection first answers the RPCs that it has read: its message deadline is extended by a tenth of
-// messageTimeout (150 ms), after which this is repeated. The number of extensions is not limited. They end when the
-// message is complete, or when the open RPCs are answered and the replies written: no further RPC is read meanwhile,
-// and a router that does not read its replies is disconnected after writeTimeout.
+// handleReadTimeout handles the expiry of the read deadline. It returns false if there is no message deadline or if it
+// lies more than timerSlack ahead, as when the read deadline was only set to wake the reader. Otherwise it returns true,
+// and an idle connection starts closing. A busy connection first answers the RPCs that it has read: its message deadline
+// is set to a tenth of messageTimeout (150 ms) from now, after which the reader calls this again. The number of
+// extensions is not limited. They end when the message is complete, or when the open RPCs are answered and the replies
+// written: no further RPC is read meanwhile, and a router that does not read its replies is disconnected after
+// writeTimeout.
 func (c *conn) handleReadTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +132,7 @@
 		c.enterPhase(phaseClosing)
 	} else {
 		c.messageDeadline = time.Now().Add(messageTimeout / 10)
-		c.wakeDeadlineSet = true // the expired read deadline stays set; readyToShut replaces it before the next read
+		c.deadlineNeedsReset = true // the expired read deadline stays set; readyToShut replaces it before the next read
 	}
 	return true
 }
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -76,7 +76,7 @@
 func (c *conn) advanceShutdown() {
 	switch {
 	case c.phase == phaseClosing && c.isIdle():
-		c.wakeDeadlineSet = true
+		c.deadlineNeedsReset = true
 		c.SetReadDeadline(expiredDeadline) // only the reader knows whether input is unread
 	case c.phase == phaseEnding &&
 		(c.writerEnded || c.finalReadDone && len(c.openCalls) == 0 && len(c.replies) == 0 && !c.writing):
@@ -133,7 +133,7 @@
 // nothing unread. Otherwise the shutdown could discard an RPC that arrived long before, as when this process
 // was descheduled: a router resends an RPC only if it crosses the shutdown within an instant.
 func (c *conn) fill(in *readbuffer.Buffer) error {
-	if !c.readyToShut() {
+	if !c.readyToShut() { // it has also set the read deadline where that was needed
 		return in.Fill(c)
 	}
 	if err := in.Fill(nonBlockingReader{c.Conn}); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -162,10 +162,10 @@
 		if !c.partial || c.evicted || time.Until(deadline) <= timerSlack {
 			return true
 		}
-	case !c.wakeDeadlineSet:
+	case !c.deadlineNeedsReset:
 		return false
 	}
-	c.wakeDeadlineSet = deadline != c.messageDeadline
+	c.deadlineNeedsReset = deadline != c.messageDeadline
 	c.SetReadDeadline(deadline)
 	return false
 }
