--- a/fleet/distribution_frame.go
+++ b/fleet/distribution_frame.go
@@ -5,7 +5,7 @@
 )
 
 // Kinds of frames on a distribution stream. Subscribe to LookupReply are the messages of a subscription. A stream that
-// submits changes carries one ApplyRequest and its ApplyReply. NewTermRequest is the only frame of its stream.
+// submits changes carries one applyRequest and its applyReply. A newTermRequest is the only frame of its stream.
 const (
 	frameSubscribe byte = iota + 1
 	frameWelcome
--- a/logic/claim/table.go
+++ b/logic/claim/table.go
@@ -169,7 +169,7 @@
 	return s.assignment.Term, s.role == serving
 }
 
-// HandleMessage handles a message. MayGrant is whether this process has a lease to grant claims now. The
+// HandleMessage handles a message. mayGrant is whether this process has a lease to grant claims now. The
 // caller has to check the lease after the message arrived, at the clock reading that it passes as now.
 func (t *Table) HandleMessage(m Message, mayGrant bool, now float64) {
 	s := t.slot(m.Slot)
--- a/logic/owner/voter.go
+++ b/logic/owner/voter.go
@@ -25,7 +25,7 @@
 
 // NewVoter returns a voter that starts now. Votes are its persisted votes, if any; complete means that no
 // vote that may still be valid is missing from them. If votes may be missing, because they are not persisted
-// or the copy may be older than the last vote, the voter stays silent for the longest lease. MinTerm is a
+// or the copy may be older than the last vote, the voter stays silent for the longest lease. minTerm is a
 // term that no earlier term can have reached: the wall clock in milliseconds.
 func NewVoter(name string, votes map[string]Vote, complete bool, minTerm uint64, now float64,
 	timing Timing) *Voter {
--- a/member/wire.go
+++ b/member/wire.go
@@ -38,7 +38,7 @@
 	sent            traffic
 	received        traffic
 	connectionSlots chan struct{} // one element for each connection that is being read
-	frameStreams    *streams      // of StreamHandlers, see stream.go
+	frameStreams    *streams      // served by a StreamHandler, see stream.go
 
 	mu         sync.Mutex
 	lastLogged map[cause]time.Time // when countDropped last logged each cause
--- a/rig/peer.go
+++ b/rig/peer.go
@@ -50,7 +50,7 @@
 	Criticality float64
 	IsRetry     bool
 	Work        float64 // seconds on a core
-	Result      []byte  // result of a run; nil for Answer(RPC)
+	Result      []byte  // result of a run; nil for RunResult(RPC)
 	Fails       bool    // a run ends with an error
 }
 
--- a/server/shutdown_test.go
+++ b/server/shutdown_test.go
@@ -32,7 +32,7 @@
 type gatedConn struct {
 	*net.TCPConn
 	readPermits, returnPermits chan bool // once closed, reads no longer wait
-	readsDone                  chan bool // one value per finished read that waits for a returnPermit
+	readsDone                  chan bool // one value per finished read that waits for returnPermits
 }
 
 func (g gatedConn) Read(b []byte) (int, error) {
